--- a/benchmarks/scale/cache_costs.cpp
+++ b/benchmarks/scale/cache_costs.cpp
@@ -218,9 +218,7 @@
             options_, pool_,
             store::Store::Backing{[folder] { return store::open_folder(folder); },
                                   [folder] { return store::open_sqlite_index(folder); }},
-            [] {
-              return store::Store::Now{static_cast<std::int64_t>(wall_us() / 1e3), kUnixMs};
-            },
+            [] { return store::Store::Now{static_cast<std::int64_t>(wall_us() / 1e3), kUnixMs}; },
             [](bool, const std::string&) {}, 1) {}
 
   void open() {
--- a/benchmarks/scale/hollow_aggregator.cpp
+++ b/benchmarks/scale/hollow_aggregator.cpp
@@ -212,10 +212,7 @@
 void HollowAggregator::join(const aggregation::AskPermission& ask, LeaseId lease) {
   lease_ = lease;
   const std::uint64_t number = ask.order.number;
-  const auto give_back = [this, lease] {
-    ask_revoke(
-        lease, [](const Reply&) {}, [] {});
-  };
+  const auto give_back = [this, lease] { ask_revoke(lease, [](const Reply&) {}, [] {}); };
   ask_commit(
       aggregation::join_transaction("", name(), lease, ask),
       [this, number, give_back](const Reply& reply) {
--- a/benchmarks/scale/hollow_router.cpp
+++ b/benchmarks/scale/hollow_router.cpp
@@ -126,10 +126,7 @@
   write.when = policy::join_conditions("", ask.known, zone_);
   write.then = {
       coordination::Put{policy::permit_key(name(), lease), policy::write_permit(ask.permit), lease}};
-  const auto give_back = [this, lease] {
-    ask_revoke(
-        lease, [](const Reply&) {}, [] {});
-  };
+  const auto give_back = [this, lease] { ask_revoke(lease, [](const Reply&) {}, [] {}); };
   ask_commit(
       std::move(write),
       [this, number, give_back](const Reply& reply) {
--- a/src/config/record.h
+++ b/src/config/record.h
@@ -85,20 +85,21 @@
 
   Record(std::string section, std::string about) : section_(std::move(section)), about_(std::move(about)) {}
 
-  Record& whole(const char* name, std::int64_t T::*member, const char* unit, WholeRange range,
+  Record& whole(const char* name, std::int64_t T::* member, const char* unit, WholeRange range,
                 const char* reason) {
     return add(Key{name, unit, range, reason, Key::Type::kWhole}, member);
   }
-  Record& real(const char* name, double T::*member, const char* unit, RealRange range, const char* reason) {
+  Record& real(const char* name, double T::* member, const char* unit, RealRange range, const char* reason) {
     return add(Key{name, unit, range, reason, Key::Type::kReal}, member);
   }
-  Record& flag(const char* name, bool T::*member, const char* reason) {
+  Record& flag(const char* name, bool T::* member, const char* reason) {
     return add(Key{name, "-", Words{}, reason, Key::Type::kFlag}, member);
   }
-  Record& text(const char* name, std::string T::*member, const char* unit, Words words, const char* reason) {
+  Record& text(const char* name, std::string T::* member, const char* unit, Words words, const char* reason) {
     return add(Key{name, unit, std::move(words), reason, Key::Type::kText}, member);
   }
-  Record& texts(const char* name, std::vector<std::string> T::*member, const char* unit, const char* reason) {
+  Record& texts(const char* name, std::vector<std::string> T::* member, const char* unit,
+                const char* reason) {
     return add(Key{name, unit, Words{}, reason, Key::Type::kTexts}, member);
   }
 
--- a/src/protocol/cache_command.cpp
+++ b/src/protocol/cache_command.cpp
@@ -41,7 +41,7 @@
 std::optional<bool> set_text(ServeFields& out, std::string_view name, std::string_view value) {
   struct Text {
     std::string_view name;
-    std::string ServeFields::*member;
+    std::string ServeFields::* member;
     std::size_t most;
   };
   constexpr std::array<Text, 8> kTexts{{{"cls", &ServeFields::request_class, kMostClass},
@@ -276,8 +276,7 @@
 
 std::string plain_value(std::string_view text) {
   std::string out(text);
-  std::replace_if(
-      out.begin(), out.end(), [](char c) { return !is_plain(c); }, '_');
+  std::replace_if(out.begin(), out.end(), [](char c) { return !is_plain(c); }, '_');
   return out;
 }
 
--- a/src/store/files.cpp
+++ b/src/store/files.cpp
@@ -76,7 +76,7 @@
   }
 
   std::uint64_t size() override {
-    struct stat found {};
+    struct stat found{};
     if (::fstat(descriptor_.get(), &found) != 0) {
       fail("cannot look at " + name_);
     }
--- a/tests/aggregation_test.cpp
+++ b/tests/aggregation_test.cpp
@@ -322,9 +322,8 @@
 TEST_F(AggregatorTest, ItGivesNothingBeforeItHasPermission) {
   EXPECT_TRUE(aggregator_.due(now_).empty());
   expect_refused(Refused::Why::kNoPermission, [this] { aggregator_.grant(now_, seconds(3)); });
-  expect_refused(Refused::Why::kNoPermission, [this] {
-    aggregator_.commit(now_, Transaction{{}, {Get{Range{"policy/", true}}}, {}});
-  });
+  expect_refused(Refused::Why::kNoPermission,
+                 [this] { aggregator_.commit(now_, Transaction{{}, {Get{Range{"policy/", true}}}, {}}); });
   hear();
   expect_refused(Refused::Why::kNoPermission, [this] { aggregator_.grant(now_, seconds(3)); });
   serve();
@@ -485,9 +484,8 @@
   expect_refused(Refused::Why::kNotServed, [&] {
     aggregator_.commit(now_, Transaction{{}, {coordination::Delete{Range{"policy/", true}}}, {}});
   });
-  expect_refused(Refused::Why::kNotServed, [&] {
-    aggregator_.commit(now_, Transaction{{}, {Put{policy::kCurrentKey, "9", 0}}, {}});
-  });
+  expect_refused(Refused::Why::kNotServed,
+                 [&] { aggregator_.commit(now_, Transaction{{}, {Put{policy::kCurrentKey, "9", 0}}, {}}); });
 }
 
 TEST_F(AggregatorTest, DrainingItTakesNobodyAndGoesOnlyOnceNobodyIsLeft) {
--- a/tests/aggregation_world_test.cpp
+++ b/tests/aggregation_world_test.cpp
@@ -160,8 +160,7 @@
   }
 
   WorldReport run() {
-    play(
-        kCalm, kEnd, [this] { become_calm(); }, [] {});
+    play(kCalm, kEnd, [this] { become_calm(); }, [] {});
     check_end();
     report_.broken = broken_;
     report_.steps = steps_;
@@ -438,8 +437,7 @@
           report_.joins += out.succeeded ? 1 : 0;
           one.core->uplink().joined(clock(one), number, read_joined(out));
           if (!out.succeeded) {
-            call_store<bool>(
-                one, [this, lease] { return revoke(lease); }, [](const bool&) {}, [] {});
+            call_store<bool>(one, [this, lease] { return revoke(lease); }, [](const bool&) {}, [] {});
           }
         },
         lost);
--- a/tests/cache_node_test.cpp
+++ b/tests/cache_node_test.cpp
@@ -461,10 +461,7 @@
     rig.executor = std::make_unique<testing_support::ManualExecutor>();
     rig.options.disk_mb = 4;
     rig.store = std::make_unique<store::Store>(
-        rig.options, *rig.executor, backing,
-        [&rig] {
-          return store::Store::Now{rig.steady_ms, rig.unix_ms};
-        },
+        rig.options, *rig.executor, backing, [&rig] { return store::Store::Now{rig.steady_ms, rig.unix_ms}; },
         [](bool, const std::string&) {}, 7);
     rig.store->open([] {});
     rig.executor->drain();
--- a/tests/fleet/policy_test.cpp
+++ b/tests/fleet/policy_test.cpp
@@ -153,11 +153,9 @@
   for (int i = 0; i < kChanges; ++i) {
     ASSERT_EQ(fleet.propose(1.0 + i), 0) << fleet.said;
     const std::string victim = all[random() % all.size()];
-    fleet.until_loaded(
-        all, [] { return true; }, milliseconds(random() % 150));
+    fleet.until_loaded(all, [] { return true; }, milliseconds(random() % 150));
     fleet.rig.fleet().kill(victim);
-    fleet.until_loaded(
-        all, [] { return false; }, milliseconds(random() % 200));
+    fleet.until_loaded(all, [] { return false; }, milliseconds(random() % 200));
     fleet.rig.start(victim);  // it joins behind the change
     EXPECT_TRUE(fleet.await_change(all, "done")) << fleet.rig.logs();
   }
@@ -172,11 +170,9 @@
   ASSERT_TRUE(fleet.await_version(all, 0));
   for (int i = 0; i < 3; ++i) {
     ASSERT_EQ(fleet.propose(1.0 + i), 0) << fleet.said;
-    fleet.until_loaded(
-        all, [] { return false; }, milliseconds(20 * i));
+    fleet.until_loaded(all, [] { return false; }, milliseconds(20 * i));
     fleet.rig.fleet().kill("registry");
-    fleet.until_loaded(
-        all, [] { return false; }, milliseconds(300));
+    fleet.until_loaded(all, [] { return false; }, milliseconds(300));
     fleet.rig.start("registry");
     std::string state;
     EXPECT_TRUE(fleet.until_loaded(all, [&] {
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -362,8 +362,7 @@
   }
 
   WorldReport run() {
-    play(
-        seconds(45), seconds(75), [this] { become_calm(); }, [] {});
+    play(seconds(45), seconds(75), [this] { become_calm(); }, [] {});
     const Seen seen = look_now();
     if (seen.change && seen.change->open()) {
       fail(std::string("a change is stuck: ") + to_string(seen.change->state) + told(seen));
--- a/tests/store_stand_ins.h
+++ b/tests/store_stand_ins.h
@@ -256,10 +256,7 @@
       return std::make_unique<MemoryIndex>(history, state);
     };
     store = std::make_unique<store::Store>(
-        options, *executor, backing,
-        [this] {
-          return store::Store::Now{steady_ms, unix_ms};
-        },
+        options, *executor, backing, [this] { return store::Store::Now{steady_ms, unix_ms}; },
         [this](bool bad, const std::string& what) { (bad ? complaints : words).push_back(what); }, 7);
     store->open([this] { opened = true; });
     executor->drain();
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -68,10 +68,7 @@
   backing.index = [&rig] { return std::make_unique<testing_support::MemoryIndex>(rig.index, rig.folder); };
   rig.options.memory_mb = 8;
   rig.store = std::make_unique<Store>(
-      rig.options, *rig.executor, backing,
-      [&rig] {
-        return Store::Now{rig.steady_ms, rig.unix_ms};
-      },
+      rig.options, *rig.executor, backing, [&rig] { return Store::Now{rig.steady_ms, rig.unix_ms}; },
       [](bool, const std::string&) {}, 7);
   rig.store->open([&rig] { rig.opened = true; });
   EXPECT_TRUE(rig.store->recovering());
@@ -279,10 +276,7 @@
   backing.files = [&rig] { return std::make_unique<testing_support::MemoryFolder>(rig.folder); };
   backing.index = [&rig] { return std::make_unique<testing_support::MemoryIndex>(rig.index, rig.folder); };
   rig.store = std::make_unique<Store>(
-      rig.options, *rig.executor, backing,
-      [&rig] {
-        return Store::Now{rig.steady_ms, rig.unix_ms};
-      },
+      rig.options, *rig.executor, backing, [&rig] { return Store::Now{rig.steady_ms, rig.unix_ms}; },
       [](bool, const std::string&) {}, 7);
   rig.store->open([] {});
   rig.store->purge({purge_of(1, kT0 + 1)}, 1);
@@ -430,10 +424,7 @@
     return std::make_unique<testing_support::MemoryIndex>(rig.index, rig.folder);
   };
   rig.store = std::make_unique<Store>(
-      rig.options, *rig.executor, backing,
-      [&rig] {
-        return Store::Now{rig.steady_ms, rig.unix_ms};
-      },
+      rig.options, *rig.executor, backing, [&rig] { return Store::Now{rig.steady_ms, rig.unix_ms}; },
       [&rig](bool bad, const std::string& what) { (bad ? rig.complaints : rig.words).push_back(what); }, 7);
   rig.store->open([] {});
   rig.executor->drain();
@@ -645,10 +636,7 @@
     backing.index = [this] { return open_sqlite_index(path_); };
     rig.executor = std::make_unique<testing_support::ManualExecutor>();
     auto store = std::make_unique<Store>(
-        rig.options, *rig.executor, backing,
-        [&rig] {
-          return Store::Now{rig.steady_ms, rig.unix_ms};
-        },
+        rig.options, *rig.executor, backing, [&rig] { return Store::Now{rig.steady_ms, rig.unix_ms}; },
         [&rig](bool bad, const std::string& what) { (bad ? rig.complaints : rig.words).push_back(what); }, 7);
     store->open([] {});
     rig.executor->drain();
