--- a/adapter/wire.cpp
+++ b/adapter/wire.cpp
@@ -32,13 +32,13 @@
                                                                       {"UNAVAILABLE", Status::kConnectFailed},
                                                                       {"ABORTED", Status::kReset},
                                                                       {"CANCELLED", Status::kCancelled},
-                                                                      {"TOO_LATE", Status::kMoot},
-                                                                      {"NOT_FOUND", Status::kMiss}}};
+                                                                      {"TOO_LATE", Status::kNotSent},
+                                                                      {"NOT_FOUND", Status::kNotCached}}};
 constexpr std::array<std::pair<const char*, NodeState>, 3> kStateWords{
     {{"ready", NodeState::kReady}, {"draining", NodeState::kDraining}, {"gone", NodeState::kGone}}};
 constexpr std::array<std::pair<const char*, ListKind>, 4> kListWords{{{"incr", ListKind::kChanges},
                                                                       {"total", ListKind::kFull},
-                                                                      {"warm_copy", ListKind::kRemembered},
+                                                                      {"warm_copy", ListKind::kRestored},
                                                                       {"lost", ListKind::kLost}}};
 
 Note read_note(const json& message) {
@@ -60,7 +60,7 @@
   ended.latency = seconds_at(message, "LatencyS");
   ended.finished = flag_at(message, "Finished");
   ended.note = read_note(message);
-  ended.waited = seconds_at(message, "UpstreamWaitS");
+  ended.source_first_byte_time = seconds_at(message, "UpstreamWaitS");
   ended.load = report_of(message, profile);
   return ended;
 }
@@ -78,7 +78,7 @@
   request.part = static_cast<std::uint32_t>(whole_at(message, "RangeNo", 0));
   request.purge_group = static_cast<std::uint64_t>(whole_at(message, "PurgeGroup", 0));
   request.size_kb = number_at(message, "BytesK", 0.0);
-  request.due = to_micros(need(message, "DueS"), "DueS");
+  request.deadline = to_micros(need(message, "DueS"), "DueS");
   request.is_retry = flag_at(message, "IsRetry");
   request.write = flag_at(message, "Write");
   return request;
@@ -108,13 +108,13 @@
 struct ActionWriter {
   std::int64_t instance;
 
-  std::string operator()(const Send& send) const {
-    const int options = (send.join ? 1 : 0) | (send.held_only ? 2 : 0);
+  std::string operator()(const SendAttempt& send) const {
+    const int options = (send.join_fill ? 1 : 0) | (send.only_if_cached ? 2 : 0);
     std::string line = head("Obtain", instance) + ",\"Ref\":" + std::to_string(send.id);
-    line += ",\"Cache\":" + quoted(send.cache) + ",\"TryForS\":" + seconds_text(send.limit);
-    line += ",\"MissFrom\":" + quoted(send.source) + ",\"Keep\":" + std::to_string(send.keep);
-    if (send.age.count() > 0) {
-      line += ",\"AgeSpanS\":" + seconds_text(send.age);
+    line += ",\"Cache\":" + quoted(send.cache) + ",\"TryForS\":" + seconds_text(send.timeout);
+    line += ",\"MissFrom\":" + quoted(send.source) + ",\"Keep\":" + std::to_string(send.keep_rank);
+    if (send.max_age.count() > 0) {
+      line += ",\"AgeSpanS\":" + seconds_text(send.max_age);
     }
     if (options != 0) {
       line += ",\"Opts\":" + std::to_string(options);
@@ -125,7 +125,7 @@
     return head("UndoSend", instance) + ",\"Ref\":" + std::to_string(cancel.id) +
            ",\"Try\":" + std::to_string(cancel.attempt) + "}\n";
   }
-  std::string operator()(const Refuse& refuse) const {
+  std::string operator()(const Reject& refuse) const {
     std::string line = head("NotNow", instance) + ",\"Ref\":" + std::to_string(refuse.id);
     if (refuse.retry_after.count() > 0) {
       line += ",\"WaitS\":" + seconds_text(refuse.retry_after);
@@ -184,8 +184,8 @@
   lists_[whole(need(message, "Table"), "Table")] = entries;
 }
 
-ListReceived Adapter::read_list(const json& message, const Profile& profile) const {
-  ListReceived list;
+EndpointListReceived Adapter::read_list(const json& message, const Profile& profile) const {
+  EndpointListReceived list;
   list.kind = look_up(kListWords, text_at(message, "Mode"));
   if (list.kind == ListKind::kLost) {
     return list;
@@ -195,7 +195,7 @@
     throw WireError("unknown list number");
   }
   for (const json& source : found->second) {
-    NodeEntry entry;
+    Endpoint entry;
     entry.address = text_at(source, "Cache");
     entry.zone = word_at(source, "Zone", "");
     entry.cell = small_at(source, "Cohort", 0);
--- a/adapter/wire.h
+++ b/adapter/wire.h
@@ -53,7 +53,7 @@
   void take_event(const std::string& type, const nlohmann::json& message);
   void run(std::int64_t number, Instance& instance, const Event& event);
   Instance* find_instance(const nlohmann::json& message);
-  ListReceived read_list(const nlohmann::json& message, const Profile& profile) const;
+  EndpointListReceived read_list(const nlohmann::json& message, const Profile& profile) const;
 
   std::ostream& out_;
   MakeHandler make_;
--- a/benchmarks/decision_trace.cpp
+++ b/benchmarks/decision_trace.cpp
@@ -72,20 +72,20 @@
   }
   void add(Micros time) { add(static_cast<std::uint64_t>(time.count())); }
 
-  void operator()(const Send& send) {
+  void operator()(const SendAttempt& send) {
     add(send.id);
     add(send.cache);
     add(send.source);
-    add(send.limit);
-    add(static_cast<std::uint64_t>(send.keep));
-    add(send.age);
-    add((send.join ? 1U : 0U) + (send.held_only ? 2U : 0U));
+    add(send.timeout);
+    add(static_cast<std::uint64_t>(send.keep_rank));
+    add(send.max_age);
+    add((send.join_fill ? 1U : 0U) + (send.only_if_cached ? 2U : 0U));
   }
   void operator()(const Cancel& cancel) {
     add(cancel.id);
     add(static_cast<std::uint64_t>(cancel.attempt));
   }
-  void operator()(const Refuse& refuse) {
+  void operator()(const Reject& refuse) {
     add(refuse.id);
     add(refuse.retry_after);
   }
@@ -145,8 +145,8 @@
 
   // Returns the number of events handled, which is at least `events`.
   std::uint64_t run(std::uint64_t events) {
-    handle(ListReceived{ListKind::kRemembered, endpoints_});
-    handle(ListReceived{ListKind::kFull, endpoints_});
+    handle(EndpointListReceived{ListKind::kRestored, endpoints_});
+    handle(EndpointListReceived{ListKind::kFull, endpoints_});
     schedule(now_, Arrival{});
     schedule(now_, Disturbance{});
     while (handled_ < events && !jobs_.empty()) {
@@ -218,14 +218,14 @@
     request.purge_group = request.object % 16;
     request.size_kb = draw_size();
     const bool short_of_time = random_.chance(0.1);
-    request.due = now_ + (short_of_time ? random_.exponential(milliseconds(60)) : Micros(seconds(5)));
+    request.deadline = now_ + (short_of_time ? random_.exponential(milliseconds(60)) : Micros(seconds(5)));
     request.is_retry = random_.chance(0.08);
     request.write = random_.chance(0.03);
     RequestState& state = requests_[request.id];
     state.size_kb = request.size_kb;
-    state.deadline = request.due;
+    state.deadline = request.deadline;
     state.streaming_class = random_.chance(0.1);
-    schedule(request.due + profile_.settings.answer_slack, ClientLeft{request.id});
+    schedule(request.deadline + profile_.settings.answer_slack, ClientLeft{request.id});
     if (random_.chance(0.02)) {
       schedule(now_ + random_.exponential(milliseconds(80)), ClientLeft{request.id});
     }
@@ -266,7 +266,7 @@
 
   // ---- Attempts ----
 
-  void execute(const Send& send) {
+  void execute(const SendAttempt& send) {
     RequestState& request = requests_[send.id];
     const int attempt = static_cast<int>(request.attempts.size());
     request.attempts.emplace_back();
@@ -288,7 +288,7 @@
     hash_.add(may_begin ? 1U : 0U);
     AttemptEnded outcome = first.outcome;
     if (!may_begin) {
-      outcome = ended_with(first.id, first.attempt, Status::kMoot);
+      outcome = ended_with(first.id, first.attempt, Status::kNotSent);
       schedule(now_, outcome);
       return;
     }
@@ -323,7 +323,7 @@
     }
   }
 
-  void execute(const Refuse& refuse) { finish(refuse.id); }
+  void execute(const Reject& refuse) { finish(refuse.id); }
   void execute(const Fail& fail) { finish(fail.id); }
   void execute(const SetTimer& timer) { schedule(now_ + timer.delay, TimerFired{timer.token}); }
   void execute(const Subscribe&) { subscribed_ = true; }
@@ -349,26 +349,26 @@
     }
   }
 
-  AttemptEnded draw_outcome(const Send& send, const RequestState& request) {
+  AttemptEnded draw_outcome(const SendAttempt& send, const RequestState& request) {
     AttemptEnded ended;
     const double work_s = (request.size_kb < 1e9 ? request.size_kb : 100.0) / 1000.0;
     const double slow =
         trouble_[send.cache] == Trouble::kSlow || trouble_[send.source] == Trouble::kSlow ? 12 : 1;
     ended.latency = milliseconds(2) + random_.exponential(milliseconds(12)) +
                     Micros(static_cast<std::int64_t>(work_s * crowding_ * slow * 1e6));
-    ended.waited = ended.latency / static_cast<std::int64_t>(1 + random_.below(6));
+    ended.source_first_byte_time = ended.latency / static_cast<std::int64_t>(1 + random_.below(6));
     ended.load = draw_report();
     ended.status = draw_status(send, ended);
-    const bool late = send.limit > Micros(0) && ended.latency > send.limit;
+    const bool late = send.timeout > Micros(0) && ended.latency > send.timeout;
     if (late) {
       ended.status = Status::kTimeout;
-      ended.latency = send.limit;
+      ended.latency = send.timeout;
     }
     ended.note = draw_note(send, ended.status);
     return ended;
   }
 
-  Status draw_status(const Send& send, AttemptEnded& ended) {
+  Status draw_status(const SendAttempt& send, AttemptEnded& ended) {
     switch (trouble_[send.cache]) {
       case Trouble::kDead:
         ended.latency = Micros(static_cast<std::int64_t>(300 + random_.below(500)));
@@ -388,8 +388,8 @@
       default:
         break;
     }
-    if (send.held_only || send.source == send.cache) {
-      return random_.chance(0.5) ? Status::kMiss : Status::kOk;
+    if (send.only_if_cached || send.source == send.cache) {
+      return random_.chance(0.5) ? Status::kNotCached : Status::kOk;
     }
     const Trouble source = trouble_[send.source];
     if (source != Trouble::kNone && source != Trouble::kSlow && random_.chance(0.7)) {
@@ -397,12 +397,12 @@
     }
     const double luck = random_.uniform();
     const std::vector<Status> rare{Status::kError,     Status::kReset,        Status::kFull,
-                                   Status::kMiss,      Status::kMoot,         Status::kError,
+                                   Status::kNotCached, Status::kNotSent,      Status::kError,
                                    Status::kCancelled, Status::kConnectFailed};
     return luck < failing_ ? random_.pick(rare) : Status::kOk;
   }
 
-  Note draw_note(const Send& send, Status status) {
+  Note draw_note(const SendAttempt& send, Status status) {
     const NoteLevel level = profile_.settings.notes;
     if (level == NoteLevel::kNone) {
       return Note::kNone;
@@ -416,11 +416,11 @@
     if (level == NoteLevel::kHit || random_.chance(0.3)) {
       return Note::kNone;
     }
-    if (status == Status::kMiss && !random_.chance(0.3)) {
-      return Note::kSourceLacks;
+    if (status == Status::kNotCached && !random_.chance(0.3)) {
+      return Note::kNotAtSource;
     }
     const bool fill = send.source != send.cache;
-    const std::vector<Note> failures{Note::kSourceRefused, Note::kSourceUnreachable, Note::kNoFillPlace,
+    const std::vector<Note> failures{Note::kSourceRejected, Note::kSourceUnreachable, Note::kNoFillCapacity,
                                      Note::kOriginFailed};
     return fill && status == Status::kFull ? random_.pick(failures) : Note::kNone;
   }
@@ -446,7 +446,7 @@
     schedule(now_ + random_.exponential(profile_.between_requests * 12), Disturbance{});
     if (subscribed_) {
       subscribed_ = false;
-      handle(ListReceived{random_.chance(0.3) ? ListKind::kLost : ListKind::kFull, endpoints_});
+      handle(EndpointListReceived{random_.chance(0.3) ? ListKind::kLost : ListKind::kFull, endpoints_});
     }
     if (random_.chance(profile_.restarts)) {
       restart_endpoint();
@@ -477,11 +477,11 @@
   }
 
   void health_check() {
-    Observed result;
+    HealthCheckResult result;
     result.address = random_.chance(0.05) ? "unknown" : random_.pick(endpoints_).address;
     const Trouble trouble = trouble_[result.address];
-    result.sound = random_.chance(0.05) || trouble == Trouble::kNone;
-    result.holds = random_.exponential(seconds(2));
+    result.healthy = random_.chance(0.05) || trouble == Trouble::kNone;
+    result.valid_for = random_.exponential(seconds(2));
     handle(result);
   }
 
@@ -501,9 +501,9 @@
   }
 
   void change_list() {
-    ListReceived list{ListKind::kChanges, {}};
+    EndpointListReceived list{ListKind::kChanges, {}};
     for (std::uint64_t i = random_.below(3) + 1; i > 0; --i) {
-      NodeEntry& endpoint = endpoints_[random_.below(endpoints_.size())];
+      Endpoint& endpoint = endpoints_[random_.below(endpoints_.size())];
       const std::vector<NodeState> states{NodeState::kReady, NodeState::kReady, NodeState::kDraining,
                                           NodeState::kGone};
       endpoint.state = random_.pick(states);
@@ -519,33 +519,33 @@
   }
 
   void restart_endpoint() {
-    NodeEntry& endpoint = endpoints_[random_.below(endpoints_.size())];
+    Endpoint& endpoint = endpoints_[random_.below(endpoints_.size())];
     endpoint.started = now_ - random_.exponential(milliseconds(200));
     endpoint.state = NodeState::kReady;
-    handle(ListReceived{ListKind::kChanges, {endpoint}});
+    handle(EndpointListReceived{ListKind::kChanges, {endpoint}});
   }
 
   void full_list() {
-    std::erase_if(endpoints_, [this](const NodeEntry& endpoint) {
+    std::erase_if(endpoints_, [this](const Endpoint& endpoint) {
       return endpoint.state == NodeState::kGone || (endpoint.role != Role::kOrigin && random_.chance(0.05));
     });
     const std::size_t caches = static_cast<std::size_t>(std::count_if(
         endpoints_.begin(), endpoints_.end(),
-        [](const NodeEntry& endpoint) { return endpoint.role == Role::kCache && endpoint.zone == "here"; }));
+        [](const Endpoint& endpoint) { return endpoint.role == Role::kCache && endpoint.zone == "here"; }));
     for (std::size_t i = caches; i < static_cast<std::size_t>(profile_.caches); ++i) {
       endpoints_.push_back(new_endpoint(Role::kCache));
     }
-    for (NodeEntry& endpoint : endpoints_) {
+    for (Endpoint& endpoint : endpoints_) {
       endpoint.state = random_.chance(0.9) ? NodeState::kReady : endpoint.state;
     }
-    handle(ListReceived{ListKind::kFull, endpoints_});
+    handle(EndpointListReceived{ListKind::kFull, endpoints_});
   }
 
   void rare_list() {
     if (random_.chance(0.5)) {
-      handle(ListReceived{ListKind::kLost, {}});
+      handle(EndpointListReceived{ListKind::kLost, {}});
     } else {
-      handle(ListReceived{ListKind::kRemembered, endpoints_});
+      handle(EndpointListReceived{ListKind::kRestored, endpoints_});
     }
   }
 
@@ -557,13 +557,13 @@
   }
 
   void change_classes() {
-    ClassesSet update;
+    ClassesUpdated update;
     const std::size_t replaced = random_.below(3);
-    update.like = 0;
+    update.based_on = 0;
     update.first = class_count_ < 12 ? class_count_ : profile_.settings.classes.size();
     for (std::size_t i = 0; i <= replaced; ++i) {
       ClassSettings changed = profile_.settings.classes[i];
-      changed.objective = milliseconds(200 + random_.below(1'000));
+      changed.latency_objective = milliseconds(200 + random_.below(1'000));
       changed.lifetime = random_.chance(0.5) ? changed.lifetime : Micros(seconds(1 + random_.below(30)));
       update.classes.push_back(changed);
     }
@@ -577,8 +577,8 @@
     }
   }
 
-  NodeEntry new_endpoint(Role role) {
-    NodeEntry endpoint;
+  Endpoint new_endpoint(Role role) {
+    Endpoint endpoint;
     endpoint.address =
         "10.0." + std::to_string(++last_endpoint_) + ".1:" + std::to_string(4'000 + random_.below(9));
     endpoint.zone = role != Role::kCache ? "hub" : random_.chance(0.1) ? "elsewhere" : "here";
@@ -599,7 +599,7 @@
   RequestId last_id_ = 0;
   int last_endpoint_ = 0;
   std::size_t class_count_ = profile_.settings.classes.size();
-  std::vector<NodeEntry> endpoints_;
+  std::vector<Endpoint> endpoints_;
   std::unordered_map<std::string, Trouble> trouble_;
   std::unordered_map<RequestId, RequestState> requests_;
   std::priority_queue<Job> jobs_;
@@ -611,22 +611,22 @@
 
 std::vector<ClassSettings> classes() {
   ClassSettings video;
-  video.objective = milliseconds(600);
-  video.objective_stretch = 1.6;
-  video.give_up = seconds(6);
+  video.latency_objective = milliseconds(600);
+  video.latency_objective_stretch = 1.6;
+  video.give_up_after = seconds(6);
   ClassSettings image = video;
   image.lifetime = seconds(20);
   image.grace = seconds(20);
   ClassSettings write = video;
-  write.effect = Effect::kUnsafe;
+  write.idempotency = Idempotency::kUnsafe;
   write.uncached = true;
   ClassSettings keyed = write;
-  keyed.effect = Effect::kKeyed;
-  keyed.memory_span = seconds(3);
+  keyed.idempotency = Idempotency::kKeyed;
+  keyed.idempotency_window = seconds(3);
   ClassSettings keyed_in_zone = keyed;
-  keyed_in_zone.group = RepeatGroup::kZone;
+  keyed_in_zone.retry_scope = RetryScope::kZone;
   ClassSettings keyed_in_cell = keyed;
-  keyed_in_cell.group = RepeatGroup::kCell;
+  keyed_in_cell.retry_scope = RetryScope::kCell;
   return {video, image, image, write, keyed, keyed_in_zone, keyed_in_cell};
 }
 
@@ -639,21 +639,21 @@
   settings.weights_are_sizes = true;
   settings.notes = NoteLevel::kAll;
   settings.stream_kb_per_s = 1'000.0;
-  settings.attempts_cap = 6;
+  settings.max_attempts = 6;
   settings.may_cancel = true;
-  settings.parallel_tries = true;
+  settings.parallel_attempts = true;
   settings.max_retry_after = seconds(1);
   settings.answer_slack = milliseconds(50);
-  settings.joins = true;
+  settings.can_join_fills = true;
   settings.drain_grace = milliseconds(500);
   settings.purge_grace = milliseconds(300);
   settings.purge_done = seconds(6);
-  settings.cold_from = 0.2;
-  settings.cold_span = seconds(14);
+  settings.slow_start_from = 0.2;
+  settings.slow_start_span = seconds(14);
   settings.overload_factor = 2.5;
   settings.overload_span = seconds(3);
-  settings.parent_cold_from = 0.1;
-  settings.parent_cold_span = seconds(20);
+  settings.parent_slow_start_from = 0.1;
+  settings.parent_slow_start_span = seconds(20);
   settings.parent_overload_factor = 2.0;
   settings.classes = classes();
   return settings;
@@ -663,14 +663,14 @@
   Profile plain{.name = "plain", .settings = plain_settings()};
   Profile one_at_a_time = plain;
   one_at_a_time.name = "one attempt at a time";
-  one_at_a_time.settings.parallel_tries = false;
+  one_at_a_time.settings.parallel_attempts = false;
   one_at_a_time.settings.notes = NoteLevel::kHit;
   Profile bare = plain;
   bare.name = "no notes, no cancel";
   bare.settings.notes = NoteLevel::kNone;
   bare.settings.may_cancel = false;
-  bare.settings.must_ask_for_list = true;
-  bare.settings.joins = false;
+  bare.settings.must_subscribe = true;
+  bare.settings.can_join_fills = false;
   bare.settings.max_retry_after = Micros(0);
   bare.settings.self_index = -1;
   Profile direct = plain;
@@ -695,11 +695,11 @@
   Profile parentless = plain;
   parentless.name = "no parents";
   parentless.parents = 0;
-  parentless.settings.cold_span = Micros(0);
+  parentless.settings.slow_start_span = Micros(0);
   Profile one_try = plain;
   one_try.name = "one attempt, no origin";
   one_try.origins = 0;
-  one_try.settings.attempts_cap = 1;
+  one_try.settings.max_attempts = 1;
   one_try.settings.overload_factor = 0.0;
   Profile large = plain;
   large.name = "more nodes than slots";
--- a/benchmarks/scale/purge_costs.cpp
+++ b/benchmarks/scale/purge_costs.cpp
@@ -152,8 +152,8 @@
 double limited_share(const protocol::Profile& profile, std::uint64_t seed, int purges) {
   Decider decider(profile.settings, seed);
   std::vector<Action> actions;
-  ListReceived list;
-  NodeEntry cache;
+  EndpointListReceived list;
+  Endpoint cache;
   cache.address = "cache";
   cache.zone = profile.settings.zone;
   list.entries.push_back(cache);
@@ -170,13 +170,13 @@
     RequestArrived arrived;
     arrived.id = static_cast<RequestId>(i);
     arrived.object = static_cast<ObjectId>(i);
-    arrived.due = now + 2 * kSecond;
+    arrived.deadline = now + 2 * kSecond;
     actions.clear();
     decider.handle(now, arrived, actions);
     for (const Action& action : actions) {
-      if (const Send* send = std::get_if<Send>(&action)) {
+      if (const SendAttempt* send = std::get_if<SendAttempt>(&action)) {
         ++sent;
-        limited += send->age > Micros(0) ? 1 : 0;
+        limited += send->max_age > Micros(0) ? 1 : 0;
       }
     }
     AttemptEnded ended;
--- a/benchmarks/scale/router_costs.cpp
+++ b/benchmarks/scale/router_costs.cpp
@@ -53,16 +53,16 @@
   return *log.later_than(0);
 }
 
-ListReceived whole_list(int caches, const std::string& zone) {
-  ListReceived list;
+EndpointListReceived whole_list(int caches, const std::string& zone) {
+  EndpointListReceived list;
   for (int i = 0; i < caches; ++i) {
-    NodeEntry entry;
+    Endpoint entry;
     entry.address = "cache" + std::to_string(i);
     entry.zone = zone;
     entry.weight = 8.0;
     list.entries.push_back(std::move(entry));
   }
-  NodeEntry origin;
+  Endpoint origin;
   origin.address = "origin";
   origin.role = Role::kOrigin;
   list.entries.push_back(origin);
@@ -159,7 +159,7 @@
 // Requests decided and answered, one after the other.
 class RequestLoop {
  public:
-  RequestLoop(const protocol::Profile& profile, std::uint64_t seed, const ListReceived& list)
+  RequestLoop(const protocol::Profile& profile, std::uint64_t seed, const EndpointListReceived& list)
       : decider_(profile.settings, seed), random_(seed) {
     tell(list);
   }
@@ -169,7 +169,7 @@
     RequestArrived arrived;
     arrived.id = ++last_;
     arrived.object = random_() % kObjects;
-    arrived.due = now_ + Micros(2'000'000);
+    arrived.deadline = now_ + Micros(2'000'000);
     arrived.size_kb = 100.0;
     tell(arrived);
     answer_attempts();
@@ -190,7 +190,7 @@
     ordered.swap(actions_);
     int attempt = 0;
     for (const Action& action : ordered) {
-      if (std::holds_alternative<Send>(action)) {
+      if (std::holds_alternative<SendAttempt>(action)) {
         ++sent_;
         AttemptEnded ended;
         ended.id = last_;
@@ -230,7 +230,7 @@
     zone.points.emplace_back(caches, cpu_us_per_call(2'000, [&] { loop.one_request(); }));
   }
   for (const int caches : kListSizes) {
-    ListReceived list = whole_list(caches, kSampleZone);
+    EndpointListReceived list = whole_list(caches, kSampleZone);
     for (std::size_t i = 10; i + 1 < list.entries.size(); ++i) {
       list.entries[i].zone = "zone1";
     }
--- a/src/cache_node/node_core.cpp
+++ b/src/cache_node/node_core.cpp
@@ -142,7 +142,7 @@
   if (const std::optional<protocol::Span>& span = request.fields.span) {
     const bool within = span->from < copy.size() && span->length <= copy.size() - span->from;
     if (request.fields.match != copy.tag || !within) {
-      turn_away(number, AnswerWord::kMiss, Note::kSourceLacks, "another_copy", out);
+      turn_away(number, AnswerWord::kMiss, Note::kNotAtSource, "another_copy", out);
       return;
     }
     fields.span = span;
@@ -182,7 +182,7 @@
     }
   }
   if (fills_.size() >= rules_.most_fills || bytes_ + now.waiting_bytes >= rules_.most_bytes) {
-    turn_away(number, AnswerWord::kBusy, Note::kNoFillPlace, "no_fill_place", out);
+    turn_away(number, AnswerWord::kBusy, Note::kNoFillCapacity, "no_fill_place", out);
     return;
   }
   Fill fill;
@@ -367,7 +367,7 @@
 void NodeCore::filled(const Moment& now, FillNumber number, const Copy& copy, Note source_note,
                       std::vector<Action>& out) {
   const Fill fill = take_fill(number);
-  const bool deep = fill.source == rules_.origin || shows_fill(source_note);
+  const bool deep = fill.source == rules_.origin || indicates_fill(source_note);
   const bool forbidden = copy.t0_ms <= forbidden_until_(fill.name, copy.group);
   if (fill.keeps && !forbidden) {
     if (fill.partial) {
@@ -385,7 +385,7 @@
       // It was begun before a purge, or its source handed on what is too old for this request.
       ++counts_.too_old;
       request.old = std::make_shared<const Copy>(copy);
-      again_or_miss(now, waiter, Note::kSourceLacks, out);
+      again_or_miss(now, waiter, Note::kNotAtSource, out);
     }
   }
 }
@@ -413,10 +413,10 @@
   if (result.end == FetchResult::End::kAnswered) {
     switch (result.word) {
       case AnswerWord::kMiss:
-        note = tells_of_source(result.fields.note) ? result.fields.note : Note::kSourceLacks;
+        note = implicates_source(result.fields.note) ? result.fields.note : Note::kNotAtSource;
         break;
       case AnswerWord::kBusy:
-        note = Note::kSourceRefused;
+        note = Note::kSourceRejected;
         break;
       case AnswerWord::kVoid:
         again = true;  // its time was that of the first who waited
@@ -424,14 +424,14 @@
       case AnswerWord::kError:
       case AnswerWord::kOk:
       case AnswerWord::kSame:
-        note = origin                                ? Note::kOriginFailed
-               : tells_of_source(result.fields.note) ? result.fields.note
-                                                     : Note::kSourceRefused;
+        note = origin                                  ? Note::kOriginFailed
+               : implicates_source(result.fields.note) ? result.fields.note
+                                                       : Note::kSourceRejected;
         word = AnswerWord::kError;
         break;
     }
   } else if (result.end == FetchResult::End::kSpoilt) {
-    note = origin ? Note::kOriginFailed : Note::kSourceRefused;
+    note = origin ? Note::kOriginFailed : Note::kSourceRejected;
   }
   for (const RequestNumber waiter : fill.waiters) {
     if (again) {
@@ -475,10 +475,10 @@
     fields.meter.clear();
     fields.waited_ms = now.steady_ms - requests_.at(waiter).arrived_ms;
     if (result.end == FetchResult::End::kAnswered) {
-      fields.note = shows_hit(fields.note) || fields.note == Note::kNone
+      fields.note = indicates_hit(fields.note) || fields.note == Note::kNone
                         ? (fill.source == rules_.origin ? Note::kFilledFromOrigin : Note::kFilled)
                         : fields.note;
-      fields.note = result.word == AnswerWord::kBusy ? Note::kSourceRefused : fields.note;
+      fields.note = result.word == AnswerWord::kBusy ? Note::kSourceRejected : fields.note;
       const bool has_body = result.word == AnswerWord::kOk;
       answer(waiter, result.word, fields, has_body ? result.body : nullptr, out);
     } else if (result.end == FetchResult::End::kUnreachable) {
--- a/src/cache_node/origin.cpp
+++ b/src/cache_node/origin.cpp
@@ -119,7 +119,7 @@
   }
   const std::optional<std::string> bytes = load(fields);
   if (!bytes) {
-    out.note = Note::kSourceLacks;
+    out.note = Note::kNotAtSource;
     server_.answer(ticket, AnswerWord::kMiss, out, nullptr);
     return;
   }
--- a/src/cache_node/source_client.cpp
+++ b/src/cache_node/source_client.cpp
@@ -96,7 +96,7 @@
   for (const auto& [id, call] : calls) {
     client_.places_.erase(call.fill);
     FetchResult result;
-    const bool unrun = proves_unrun(routing::status_of(end, slot->connection->begun(call.token)));
+    const bool unrun = proves_not_executed(routing::status_of(end, slot->connection->begun(call.token)));
     result.end = unrun                              ? FetchResult::End::kUnreachable
                  : end == ConnectionEnd::kMalformed ? FetchResult::End::kSpoilt
                                                     : FetchResult::End::kBroken;
--- a/src/decision/decide.cpp
+++ b/src/decision/decide.cpp
@@ -134,7 +134,7 @@
     Attempt& attempt = request->attempts.at(static_cast<std::size_t>(place));
     const Micros purge = cacheable(*request) ? last_purge(*request) : Micros(-1);
     const bool old = purge >= Micros(0) && (attempt.age == Micros(0) || attempt.sent - attempt.age < purge);
-    attempt.withheld = attempt.done || old || now_ + kGuardLead >= request->told.due ||
+    attempt.withheld = attempt.done || old || now_ + kGuardLead >= request->told.deadline ||
                        !may_go_to(at(attempt.node), attempt) ||
                        (attempt.fills() && !may_go_to(at(attempt.source), attempt)) ||
                        !may_send(*request, at(attempt.node), &attempt);
@@ -144,21 +144,21 @@
  private:
   // ---- The list: drains and removals bind at once, as target and as source. ----
 
-  void on(const ListReceived& list) {
-    const bool unasked = list.kind == ListKind::kRemembered || list.kind == ListKind::kLost;
-    if (settings_.must_ask_for_list && unasked) {
+  void on(const EndpointListReceived& list) {
+    const bool unasked = list.kind == ListKind::kRestored || list.kind == ListKind::kLost;
+    if (settings_.must_subscribe && unasked) {
       out_->push_back(Subscribe{});
     }
     for (Node& node : nodes_.all()) {  // a full list names all there are
       node.listed = node.listed && (list.kind == ListKind::kChanges || list.kind == ListKind::kLost);
     }
-    for (const NodeEntry& entry : list.entries) {
+    for (const Endpoint& entry : list.entries) {
       take_entry(entry);
     }
     nodes_.sort_by_role();
   }
 
-  void take_entry(const NodeEntry& entry) {
+  void take_entry(const Endpoint& entry) {
     const auto [node, added] = nodes_.find_or_add(entry.address);
     if (added || entry.started != node.entry.started) {
       start_afresh(node);  // another process: cold, and not to be blamed for the last one
@@ -182,8 +182,8 @@
 
   double cold_share(const Node& node) const {
     const bool parent = node.entry.role == Role::kParent;
-    const double from = parent ? settings_.parent_cold_from : settings_.cold_from;
-    const double span = to_seconds(parent ? settings_.parent_cold_span : settings_.cold_span);
+    const double from = parent ? settings_.parent_slow_start_from : settings_.slow_start_from;
+    const double span = to_seconds(parent ? settings_.parent_slow_start_span : settings_.slow_start_span);
     if (node.entry.started.count() <= 0 || node.entry.role == Role::kOrigin || span <= 0.0) {
       return 1.0;
     }
@@ -293,8 +293,9 @@
 
   bool may_refuse(const Request& request) const {
     const ClassSettings& type = class_of(request);
-    const bool keyed_everywhere = type.effect == Effect::kKeyed && type.group == RepeatGroup::kAll;
-    return type.effect == Effect::kSafe || keyed_everywhere || request.all_proven();
+    const bool keyed_everywhere =
+        type.idempotency == Idempotency::kKeyed && type.retry_scope == RetryScope::kAll;
+    return type.idempotency == Idempotency::kSafe || keyed_everywhere || request.all_proven();
   }
 
   // `own`: the attempt in question, where it is among the request's already.
@@ -304,15 +305,15 @@
       if (&attempt == own || (attempt.done && attempt.proven)) {
         return true;
       }
-      const bool beside = attempt.done || settings_.parallel_tries;
-      if (!beside || type.effect != Effect::kKeyed) {
-        return beside && type.effect == Effect::kSafe;
+      const bool beside = attempt.done || settings_.parallel_attempts;
+      if (!beside || type.idempotency != Idempotency::kKeyed) {
+        return beside && type.idempotency == Idempotency::kSafe;
       }
-      const NodeEntry& before = at(attempt.node).entry;
-      const bool same_group = type.group == RepeatGroup::kAll ||
-                              (type.group == RepeatGroup::kZone && before.zone == node.entry.zone) ||
-                              (type.group == RepeatGroup::kCell && before.cell == node.entry.cell);
-      return same_group && now_ + kSpanMargin < attempt.sent + type.memory_span;
+      const Endpoint& before = at(attempt.node).entry;
+      const bool same_group = type.retry_scope == RetryScope::kAll ||
+                              (type.retry_scope == RetryScope::kZone && before.zone == node.entry.zone) ||
+                              (type.retry_scope == RetryScope::kCell && before.cell == node.entry.cell);
+      return same_group && now_ + kSpanMargin < attempt.sent + type.idempotency_window;
     });
   }
 
@@ -331,14 +332,15 @@
     if (cacheable(request)) {
       score(request);
     }
-    set_timer(request, kGuard, told.due - kGuardLead - now_);
+    set_timer(request, kGuard, told.deadline - kGuardLead - now_);
     attempt_or_give_up(request);
   }
 
   // A size that the client's time cannot hold is none to learn from.
   void note_work(Request& request) {
     const double size = request.told.size_kb;
-    const bool told = size > 0.0 && size <= settings_.stream_kb_per_s * to_seconds(request.told.due - now_);
+    const bool told =
+        size > 0.0 && size <= settings_.stream_kb_per_s * to_seconds(request.told.deadline - now_);
     request.work = told ? size / settings_.stream_kb_per_s : class_work(request);
     request.told.size_kb = told ? size : 0.0;
     if (told) {
@@ -461,15 +463,15 @@
   }
 
   bool may_try_more(const Request& request) const {
-    return static_cast<int>(request.attempts.size()) < std::min(kMaxTries, settings_.attempts_cap) &&
-           now_ + kGuardLead < request.told.due;
+    return static_cast<int>(request.attempts.size()) < std::min(kMaxTries, settings_.max_attempts) &&
+           now_ + kGuardLead < request.told.deadline;
   }
 
   void attempt_or_give_up(Request& request) {
     const int target = may_try_more(request) ? pick_target(request) : -1;
     const bool hopeful = target >= 0 && (!hopeless(request, at(target)) || neglected(request));
     const Attempt attempt = hopeful ? plan(request, target) : Attempt{};
-    if (!hopeful || (attempt.held_only && !request.attempts.empty())) {
+    if (!hopeful || (attempt.only_if_cached && !request.attempts.empty())) {
       give_up(request);  // what is held is asked for only once
     } else {
       send(request, attempt);
@@ -493,11 +495,11 @@
     attempt.node = target;
     attempt.source = by_cache ? pick_source(request, target) : target;
     const Node& source = at(attempt.source);
-    attempt.held_only = over || (by_cache && !attempt.fills());
+    attempt.only_if_cached = over || (by_cache && !attempt.fills());
     const bool spare = load(at(target)) < kSpreadLoad && link_use_ < kBusyLink &&
                        source.entry.role == Role::kParent && healthy(source);
     attempt.source = over && !spare ? target : attempt.source;
-    attempt.fill_work = missing && !attempt.held_only ? request.work + kAnswerOverhead : 0.0;
+    attempt.fill_work = missing && !attempt.only_if_cached ? request.work + kAnswerOverhead : 0.0;
     return attempt;
   }
 
@@ -512,24 +514,24 @@
     ++node.in_flight;
     fill_out_ += attempt.fill_work;
     attempt.overdue_at = now_ + from_seconds(kPatienceBase + kPatienceStretch * expected(request, node));
-    const Send order = order_for(request, attempt);
-    attempt.age = order.age;
+    const SendAttempt order = order_for(request, attempt);
+    attempt.age = order.max_age;
     out_->push_back(order);
     request.attempts.push_back(attempt);
-    if (class_of(request).effect == Effect::kSafe) {
+    if (class_of(request).idempotency == Idempotency::kSafe) {
       set_timer(request, kPatience, attempt.overdue_at - now_);
     }
   }
 
-  Send order_for(const Request& request, const Attempt& attempt) const {
-    Send order{request.told.id, at(attempt.node).entry.address, at(attempt.source).entry.address};
-    order.limit = request.told.due - now_;
+  SendAttempt order_for(const Request& request, const Attempt& attempt) const {
+    SendAttempt order{request.told.id, at(attempt.node).entry.address, at(attempt.source).entry.address};
+    order.timeout = request.told.deadline - now_;
     if (cacheable(request)) {
       const bool first = request.attempts.empty();
-      order.keep = request.rank;
-      order.age = oldest_copy(request, fills_fail() || !first);
-      order.join = settings_.joins && first;
-      order.held_only = attempt.held_only && attempt.fills();
+      order.keep_rank = request.rank;
+      order.max_age = oldest_copy(request, fills_fail() || !first);
+      order.join_fill = settings_.can_join_fills && first;
+      order.only_if_cached = attempt.only_if_cached && attempt.fills();
     }
     return order;
   }
@@ -542,7 +544,7 @@
 
   double aim(const Request& request) const {
     const ClassSettings& type = class_of(request);
-    return to_seconds(type.objective) + type.objective_stretch * request.work;
+    return to_seconds(type.latency_objective) + type.latency_objective_stretch * request.work;
   }
 
   bool on_time(const Request& request) const { return to_seconds(now_ - request.arrived) <= aim(request); }
@@ -605,8 +607,8 @@
     const bool left = attempt.avoid_node || attempt.avoid_source;  // called off for another: blamed by itself
     const bool not_the_fill = (ended.status == Status::kCancelled && (left || on_time(request))) ||
                               ended.status == Status::kReset || ended.status == Status::kConnectFailed ||
-                              ended.status == Status::kMoot;
-    if (attempt.fill_work <= 0.0 || not_the_fill || shows_hit(ended.note)) {
+                              ended.status == Status::kNotSent;
+    if (attempt.fill_work <= 0.0 || not_the_fill || indicates_hit(ended.note)) {
       return;
     }
     const bool good = ended.status == Status::kOk && on_time(request);
@@ -627,7 +629,7 @@
   // ---- Final answers ----
 
   void give_up(Request& request) {
-    const Action refusal = Refuse{request.told.id, std::min(kRefusalWait, settings_.max_retry_after)};
+    const Action refusal = Reject{request.told.id, std::min(kRefusalWait, settings_.max_retry_after)};
     out_->push_back(may_refuse(request) ? refusal : Fail{request.told.id});
     note_answered(request, false);
     close(request);
@@ -667,7 +669,7 @@
     Request& request = *found;
     Attempt& attempt = request.attempts[place];
     attempt.done = true;
-    attempt.proven = proves_unrun(ended.status);
+    attempt.proven = proves_not_executed(ended.status);
     learn(request, attempt, ended);
     if (!request.open) {
       requests_.forget_if_over(request);
@@ -683,10 +685,11 @@
   // fills fail in general, a refused one is not tried at the next source, which only pushes the origin
   // further. Having asked only for what is held is no failure and costs nothing.
   void try_again(Request& request, const Attempt& last, Status status) {
-    const bool closed_to_retry = class_of(request).effect == Effect::kUnsafe && !request.all_proven();
-    const bool not_held = last.held_only && (status == Status::kMiss || status == Status::kFull);
+    const bool closed_to_retry =
+        class_of(request).idempotency == Idempotency::kUnsafe && !request.all_proven();
+    const bool not_held = last.only_if_cached && (status == Status::kNotCached || status == Status::kFull);
     const bool refused_fill = last.fills() && status == Status::kFull && cacheable(request);
-    const bool unsent = status == Status::kMoot;
+    const bool unsent = status == Status::kNotSent;
     if (closed_to_retry || (refused_fill && fills_fail()) ||
         (!not_held && !unsent && !retry_tokens_.spend())) {
       give_up(request);
@@ -703,7 +706,8 @@
     node.refuses = node.unreachable && ended.latency < kAtOnce;
     node.trial_out &= !attempt.trial;
     source.trial_out &= !attempt.source_trial;
-    const bool not_asked = shows_hit(ended.note) && attempt.sent >= source.cold_begin;  // in the same slot
+    const bool not_asked =
+        indicates_hit(ended.note) && attempt.sent >= source.cold_begin;  // in the same slot
     source.cold_tokens += not_asked ? attempt.cold_cost : 0.0;
     learn_load(node, ended.load);
     learn_fill(request, attempt, ended);
@@ -720,10 +724,11 @@
   // where it began soon and then trickled, as over a slow link; else against the origin.
   void judge_fill(const Request& request, const Attempt& attempt, const AttemptEnded& ended) {
     Node& source = at(attempt.source);
-    if (!attempt.fills() || !shows_fill(ended.note)) {
+    if (!attempt.fills() || !indicates_fill(ended.note)) {
       return;
     }
-    const bool trickled = settings_.notes == NoteLevel::kAll && 2 * ended.waited < ended.latency;
+    const bool trickled =
+        settings_.notes == NoteLevel::kAll && 2 * ended.source_first_byte_time < ended.latency;
     const bool own = source.entry.role == Role::kOrigin || shows_holder(ended.note) || trickled;
     if (on_time(request)) {
       credit(source);
@@ -803,29 +808,29 @@
     }
   }
 
-  void on(const ClassesSet& set) {
+  void on(const ClassesUpdated& set) {
     const std::size_t size = std::max(settings_.classes.size(), set.first + set.classes.size());
     settings_.classes.resize(size);
     mean_work_.resize(size);
     answered_.resize(size);
     for (std::size_t i = 0; i < set.classes.size(); ++i) {
       settings_.classes[set.first + i] = set.classes[i];
-      mean_work_[set.first + i] = mean_work_[set.like + i];
+      mean_work_[set.first + i] = mean_work_[set.based_on + i];
     }
   }
 
   // What another router's probe showed adds to what was seen here, and replaces nothing of it. Bad news is
   // one failure more, and puts off the next trial of a node that has failed here; good news lets that come
   // now.
-  void on(const Observed& seen) {
+  void on(const HealthCheckResult& seen) {
     for (Node& node : nodes_.all()) {
       if (!node.listed || node.entry.address != seen.address) {
         continue;
       }
-      if (seen.sound) {
+      if (seen.healthy) {
         node.ejected_until = std::min(node.ejected_until, now_ - Micros(1));
       } else if (node.ejections > 0) {
-        node.ejected_until = std::max(node.ejected_until, now_ + seen.holds);
+        node.ejected_until = std::max(node.ejected_until, now_ + seen.valid_for);
       } else {
         blame(node, 1.0);
       }
@@ -874,9 +879,9 @@
   // The note tells a failing source from a failing cache. Without it a refusal is both's for this request,
   // and a broken connection says little of the cache: the same one, which holds the object, is asked again.
   void assign_blame(Attempt& attempt, const AttemptEnded& ended, Node& node, Node& source) {
-    if (tells_of_source(ended.note)) {
+    if (implicates_source(ended.note)) {
       attempt.avoid_source = attempt.fills();
-      if (ended.note != Note::kSourceLacks) {
+      if (ended.note != Note::kNotAtSource) {
         judge_source(source, false, ended.note != Note::kOriginFailed);
       }
       if (attempt.fills() && ended.note == Note::kSourceUnreachable) {
@@ -884,8 +889,8 @@
       }
       return;
     }
-    const bool refused = ended.status == Status::kFull || ended.status == Status::kMiss;
-    attempt.avoid_source = attempt.fills() && refused && ended.note != Note::kNoFillPlace;
+    const bool refused = ended.status == Status::kFull || ended.status == Status::kNotCached;
+    attempt.avoid_source = attempt.fills() && refused && ended.note != Note::kNoFillCapacity;
     attempt.avoid_node = ended.status != Status::kReset && !attempt.withheld && (attempt.fills() || !refused);
     if (attempt.avoid_source && ended.note == Note::kNone) {
       suspect(source);
@@ -936,7 +941,7 @@
     } else if (!attempt.avoid_node) {
       return;
     }
-    if (!settings_.parallel_tries && settings_.may_cancel) {
+    if (!settings_.parallel_attempts && settings_.may_cancel) {
       out_->push_back(Cancel{request.told.id, static_cast<int>(request.attempts.size()) - 1});
     }
     const int target = may_try_more(request) ? pick_cache(request) : -1;
--- a/src/decision/state.h
+++ b/src/decision/state.h
@@ -13,7 +13,7 @@
 namespace trailcourse {
 
 struct Node {
-  NodeEntry entry;
+  Endpoint entry;
   std::uint64_t hash = 0;
   bool local = false;      // a cache of this router's zone
   bool listed = false;     // ready in the list held now
@@ -64,10 +64,10 @@
   int source = -1;  // the node itself: no fill
   Micros sent{0};
   Micros overdue_at{0};
-  Micros age{0};           // the oldest copy that it takes; 0: any
-  double cold_cost = 0.0;  // from the source's cold budget, given back if a hit shows it was not asked
-  double fill_work = 0.0;  // held in the miss window
-  bool held_only = false;  // no fill beyond what the source holds
+  Micros age{0};                // the oldest copy that it takes; 0: any
+  double cold_cost = 0.0;       // from the source's cold budget, given back if a hit shows it was not asked
+  double fill_work = 0.0;       // held in the miss window
+  bool only_if_cached = false;  // no fill beyond what the source holds
   bool done = false;
   bool proven = false;    // it never ran
   bool withheld = false;  // not a byte of it went out, for a reason that is not its node's
--- a/src/program/configuration.cpp
+++ b/src/program/configuration.cpp
@@ -272,7 +272,7 @@
 milliseconds Configuration::drain_answer() const {
   milliseconds longest(0);
   for (const ClassSettings& one : profile.settings.classes) {
-    longest = std::max(longest, std::chrono::ceil<milliseconds>(one.give_up));
+    longest = std::max(longest, std::chrono::ceil<milliseconds>(one.give_up_after));
   }
   const milliseconds most(tuning.drain_answer_ms);
   return (longest.count() > 0 ? std::min(longest, most) : most) + milliseconds(tuning.drain_late_ms);
@@ -341,7 +341,7 @@
   if (out.profile.settings.classes.empty()) {
     fail("settings.Classes", "missing");
   }
-  if (out.profile.settings.attempts_cap < 1) {
+  if (out.profile.settings.max_attempts < 1) {
     fail("settings.Limits.AttemptsCap", "must be 1 at least");
   }
   if (protocol::find(source, "known") == nullptr) {
--- a/src/program/fleet_work.cpp
+++ b/src/program/fleet_work.cpp
@@ -149,7 +149,7 @@
                       status == Status::kTimeout || status == Status::kError;
   if (status == Status::kOk) {
     suspects_.ended(cache, true);
-  } else if (failed && !tells_of_source(note)) {
+  } else if (failed && !implicates_source(note)) {
     suspects_.ended(cache, false);
   } else {
     return;
@@ -176,12 +176,12 @@
   }
   const std::optional<tasks::Verdict> verdict = tasks::read_verdict(cache, value);
   const Micros now = std::chrono::duration_cast<Micros>(Clock::now().time_since_epoch());
-  const std::optional<Observed> seen = verdict ? verdicts_.heard(now, *verdict) : std::nullopt;
+  const std::optional<HealthCheckResult> seen = verdict ? verdicts_.heard(now, *verdict) : std::nullopt;
   if (!seen) {
     return;
   }
   router_.observed(*seen);
-  if (seen->sound) {
+  if (seen->healthy) {
     suspects_.cleared(cache);
     tell_suspects();
   }
--- a/src/program/start_support.cpp
+++ b/src/program/start_support.cpp
@@ -100,7 +100,7 @@
 
 // An event that changes nothing: what the gate has due goes before it.
 void StartSupport::poke() {
-  router_->list_received(ListReceived{ListKind::kChanges, {}});
+  router_->list_received(EndpointListReceived{ListKind::kChanges, {}});
   set_timer();
 }
 
@@ -117,7 +117,7 @@
   router_ = &router;
   taker_ = &taker;
   if (gate_) {
-    taker.lists_to([this](const ListReceived& list) {
+    taker.lists_to([this](const EndpointListReceived& list) {
       gate_->list(router_->now(), list);
       poke();
     });
--- a/src/protocol/cache_answer.cpp
+++ b/src/protocol/cache_answer.cpp
@@ -25,10 +25,10 @@
                                                                     {"deep_fill", Note::kFilledFromOrigin},
                                                                     {"piggy", Note::kJoined},
                                                                     {"aged", Note::kStale},
-                                                                    {"bounced", Note::kSourceRefused},
+                                                                    {"bounced", Note::kSourceRejected},
                                                                     {"dropped", Note::kSourceUnreachable},
-                                                                    {"lacking", Note::kSourceLacks},
-                                                                    {"jammed", Note::kNoFillPlace},
+                                                                    {"lacking", Note::kNotAtSource},
+                                                                    {"jammed", Note::kNoFillCapacity},
                                                                     {"backfire", Note::kOriginFailed}}};
 
 // Names of a meter that the settings spell otherwise.
@@ -114,7 +114,7 @@
   return out;
 }
 
-std::string write_serve(const Passed& passed, const Send& order) {
+std::string write_serve(const Passed& passed, const SendAttempt& order) {
   std::string fields = "cls=" + passed.request_class;
   const auto add = [&fields](std::string_view name, std::string_view value) {
     if (!value.empty()) {
@@ -123,19 +123,20 @@
   };
   add("item", passed.object);
   add("chunk", passed.part);
-  add("limit", to_millis(order.limit));
+  add("limit", to_millis(order.timeout));
   add("nonce", passed.dedupe_key);
   if (order.source != order.cache) {
     add("next", order.source);
   }
-  if (order.keep > 0) {
-    add("admit", std::to_string(order.keep));
+  if (order.keep_rank > 0) {
+    add("admit", std::to_string(order.keep_rank));
   }
-  if (order.age.count() > 0) {
-    add("agelim", to_millis(order.age));
+  if (order.max_age.count() > 0) {
+    add("agelim", to_millis(order.max_age));
   }
-  add("ways", std::string(order.join ? "join" : "") + (order.join && order.held_only ? "+" : "") +
-                  (order.held_only ? "held" : ""));
+  add("ways", std::string(order.join_fill ? "join" : "") +
+                  (order.join_fill && order.only_if_cached ? "+" : "") +
+                  (order.only_if_cached ? "held" : ""));
   add("cached", passed.held_tag);
   add("fence", passed.fence);
   return resp::write_array({"serve", passed.id, fields, passed.body});
--- a/src/protocol/cache_answer.h
+++ b/src/protocol/cache_answer.h
@@ -48,7 +48,7 @@
 };
 
 // The command that asks a cache.
-std::string write_serve(const Passed& passed, const Send& order);
+std::string write_serve(const Passed& passed, const SendAttempt& order);
 std::string write_cancel(std::string_view id);
 
 }  // namespace trailcourse::protocol
--- a/src/protocol/notice_board.cpp
+++ b/src/protocol/notice_board.cpp
@@ -30,7 +30,7 @@
     throw FormatError("not an entry");
   }
   ListedCache cache;
-  NodeEntry& entry = cache.entry;
+  Endpoint& entry = cache.entry;
   entry.address = text_at(source, "name");
   // The name goes on to caches as a field's value.
   if (entry.address.empty() || entry.address.find_first_of(",= \r\n") != std::string::npos) {
--- a/src/protocol/notice_board.h
+++ b/src/protocol/notice_board.h
@@ -14,7 +14,7 @@
 
 // A cache as the notice board lists it: its name, and where this router reaches it.
 struct ListedCache {
-  NodeEntry entry;            // its address is the name, its start is not set
+  Endpoint entry;             // its address is the name, its start is not set
   std::string address;        // IP:PORT
   std::int64_t since_ms = 0;  // Unix time of a late start; 0: long ago
 };
--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -12,10 +12,10 @@
 
 using nlohmann::json;
 
-constexpr std::array<std::pair<const char*, Effect>, 3> kEffectWords{
-    {{"safe", Effect::kSafe}, {"keyed", Effect::kKeyed}, {"unsafe", Effect::kUnsafe}}};
-constexpr std::array<std::pair<const char*, RepeatGroup>, 3> kGroupWords{
-    {{"all", RepeatGroup::kAll}, {"zone", RepeatGroup::kZone}, {"cell", RepeatGroup::kCell}}};
+constexpr std::array<std::pair<const char*, Idempotency>, 3> kEffectWords{
+    {{"safe", Idempotency::kSafe}, {"keyed", Idempotency::kKeyed}, {"unsafe", Idempotency::kUnsafe}}};
+constexpr std::array<std::pair<const char*, RetryScope>, 3> kGroupWords{
+    {{"all", RetryScope::kAll}, {"zone", RetryScope::kZone}, {"cell", RetryScope::kCell}}};
 constexpr std::array<std::pair<const char*, NoteLevel>, 3> kNoteWords{
     {{"none", NoteLevel::kNone}, {"hit", NoteLevel::kHit}, {"all", NoteLevel::kAll}}};
 constexpr std::array<std::pair<const char*, SiblingSources>, 3> kSiblingWords{
@@ -53,14 +53,14 @@
     return value == nullptr ? Micros(0) : std::max(Micros(0), to_micros(*value, key));
   };
   ClassSettings settings;
-  settings.effect = look_up(kEffectWords, word_at(entry, "Effect", "unsafe"));
-  settings.group = look_up(kGroupWords, word_at(entry, "Group", "all"));
-  settings.memory_span = span_at(entry, "MemorySpanS");
-  settings.objective = span_at(entry, "ObjectiveS");
-  settings.objective_stretch = amount_at(entry, "AimStretch", 0.0);
-  settings.give_up = span_at(entry, "GiveUpS");
-  settings.worth = amount_at(entry, "Worth", 1.0);
-  settings.late_share = amount_at(entry, "LateShare", 0.0);
+  settings.idempotency = look_up(kEffectWords, word_at(entry, "Effect", "unsafe"));
+  settings.retry_scope = look_up(kGroupWords, word_at(entry, "Group", "all"));
+  settings.idempotency_window = span_at(entry, "MemorySpanS");
+  settings.latency_objective = span_at(entry, "ObjectiveS");
+  settings.latency_objective_stretch = amount_at(entry, "AimStretch", 0.0);
+  settings.give_up_after = span_at(entry, "GiveUpS");
+  settings.priority_weight = amount_at(entry, "Worth", 1.0);
+  settings.late_priority_share = amount_at(entry, "LateShare", 0.0);
   settings.streaming = flag_at(entry, "Streaming");
   settings.lifetime = span("LifetimeByClassS");
   settings.grace = span("ClassGraceS");
@@ -70,30 +70,30 @@
 }
 
 void read_limits(const json& limits, Settings& settings) {
-  settings.attempts_cap = small_at(limits, "AttemptsCap", 1);
+  settings.max_attempts = small_at(limits, "AttemptsCap", 1);
   settings.may_cancel = flag_at(limits, "Cancel");
-  settings.parallel_tries = flag_at(limits, "ParallelTries");
+  settings.parallel_attempts = flag_at(limits, "ParallelTries");
   settings.max_retry_after = flag_at(limits, "RetryAfter") ? span_at(limits, "MaxRetryAfterS") : Micros(0);
 }
 
 void read_rules(const json& rules, const json& extra, Settings& settings) {
   settings.answer_slack = span_at(rules, "AnswerSlackS");
   settings.drain_grace = span_at(rules, "DrainGraceS");
-  settings.cold_from = part_at(rules, "ColdFrom");
-  settings.cold_span = span_at(rules, "ColdS");
+  settings.slow_start_from = part_at(rules, "ColdFrom");
+  settings.slow_start_span = span_at(rules, "ColdS");
   settings.overload_factor = multiple_at(rules, "OverloadFactor");
   const Micros overload_span = span_at(rules, "OverloadForS");
   settings.overload_span = overload_span > Micros(0) ? overload_span : Micros(std::chrono::seconds(1));
   settings.purge_grace = span_at(extra, "HeedWithinS");
   settings.purge_done = span_at(extra, "ClearedWithinS");
-  settings.parent_cold_from = part_at(extra, "ParentFloor");
-  settings.parent_cold_span = span_at(extra, "ParentRampS");
+  settings.parent_slow_start_from = part_at(extra, "ParentFloor");
+  settings.parent_slow_start_span = span_at(extra, "ParentRampS");
   settings.parent_overload_factor = multiple_at(extra, "ParentBreaksAt");
 }
 
 void read_extra(const json& extra, Settings& settings) {
   settings.direct = flag_at(extra, "Direct");
-  settings.joins = flag_at(extra, "Collapses");
+  settings.can_join_fills = flag_at(extra, "Collapses");
   settings.siblings = look_up(kSiblingWords, word_at(extra, "Siblings", "none"));
   settings.notes = look_up(kNoteWords, word_at(extra, "NoteLevel", "none"));
   settings.stream_kb_per_s = amount_at(extra, "StreamKbPerS", 0.0);
@@ -123,7 +123,7 @@
   settings.zone = word_at(source, "Az", "");
   settings.self_index = small_at(source, "SelfIndex", -1);
   settings.routers = small_at(source, "Balancers", 1);
-  settings.must_ask_for_list = word_at(source, "Discovery", "push") == "ask";
+  settings.must_subscribe = word_at(source, "Discovery", "push") == "ask";
   settings.weights_are_sizes = look_up(kSizedWeightWords, word_at(source, "Weights", "none"));
   const json& classes = array_at(source, "Classes");
   for (std::size_t i = 0; i < classes.size(); ++i) {
--- a/src/routing/cache_client.cpp
+++ b/src/routing/cache_client.cpp
@@ -24,11 +24,11 @@
     case AnswerWord::kSame:
       return Status::kOk;
     case AnswerWord::kMiss:
-      return Status::kMiss;
+      return Status::kNotCached;
     case AnswerWord::kBusy:
       return Status::kFull;
     case AnswerWord::kVoid:
-      return Status::kMoot;
+      return Status::kNotSent;
     case AnswerWord::kError:
       break;
   }
@@ -72,7 +72,7 @@
   }
   const AttemptKey key = end_call(found);
   AttemptResult result;
-  result.status = Status::kMoot;
+  result.status = Status::kNotSent;
   client_.router_.attempt_ended(key, std::move(result));
 }
 
@@ -272,8 +272,8 @@
         return std::make_shared<CacheLink>(*this, slot);
       }) {}
 
-void CacheClient::send(const AttemptKey& key, const Send& order, const std::shared_ptr<const void>& passed,
-                       bool streaming) {
+void CacheClient::send(const AttemptKey& key, const SendAttempt& order,
+                       const std::shared_ptr<const void>& passed, bool streaming) {
   const auto request = std::static_pointer_cast<const protocol::Passed>(passed);
   const std::optional<transport::Address> address = directory_.find(order.cache);
   if (!address) {
--- a/src/routing/cache_client.h
+++ b/src/routing/cache_client.h
@@ -87,7 +87,7 @@
               std::vector<std::string> report_fields, const Bounds& bounds);
 
   // `passed` is a protocol::Passed.
-  void send(const AttemptKey& key, const Send& order, const std::shared_ptr<const void>& passed,
+  void send(const AttemptKey& key, const SendAttempt& order, const std::shared_ptr<const void>& passed,
             bool streaming) override;
   void cancel(const AttemptKey& key) override;
 
--- a/src/routing/front.cpp
+++ b/src/routing/front.cpp
@@ -181,8 +181,9 @@
     told.size_kb = *size;
   }
   passed->dedupe_key = field(read.parameters, "HTTP_X_DEDUPE_KEY");
-  if (kind.effect == Effect::kKeyed ? !all_of(passed->dedupe_key, is_plain)
-                                    : !passed->dedupe_key.empty() && !all_of(passed->dedupe_key, is_plain)) {
+  if (kind.idempotency == Idempotency::kKeyed
+          ? !all_of(passed->dedupe_key, is_plain)
+          : !passed->dedupe_key.empty() && !all_of(passed->dedupe_key, is_plain)) {
     return fault("X-Dedupe-Key");
   }
   passed->held_tag = field(read.parameters, "HTTP_X_GOT");
--- a/src/routing/notice_taker.cpp
+++ b/src/routing/notice_taker.cpp
@@ -42,7 +42,7 @@
 }
 
 void NoticeTaker::take(const protocol::PoolNotice& pool) {
-  ListReceived list;
+  EndpointListReceived list;
   const bool first = !std::exchange(listed_, true);
   const bool whole = pool.whole || first;
   list.kind = whole ? ListKind::kFull : ListKind::kChanges;
@@ -53,7 +53,7 @@
     if (!place(cache)) {
       continue;
     }
-    NodeEntry entry = cache.entry;
+    Endpoint entry = cache.entry;
     entry.started = cache.since_ms > 0 ? ModuleClock::after_unix_ms(cache.since_ms) : Micros(0);
     list.entries.push_back(std::move(entry));
   }
--- a/src/routing/notice_taker.h
+++ b/src/routing/notice_taker.h
@@ -26,7 +26,7 @@
   void take(const protocol::NoticePage& page) override;
 
   // Lists go there instead of to the router, as where a gate stands before the decision module.
-  using ListTo = std::function<void(ListReceived)>;
+  using ListTo = std::function<void(EndpointListReceived)>;
   void lists_to(ListTo to) { list_to_ = std::move(to); }
 
   // The number of the last event taken in.
--- a/src/routing/outcome.cpp
+++ b/src/routing/outcome.cpp
@@ -11,9 +11,9 @@
     case ConnectionEnd::kUnreachable:
       return Status::kConnectFailed;  // it never came up, so nothing can have been written
     case ConnectionEnd::kNoDescriptor:
-      return Status::kMoot;  // not sent, for a want of our own: that says nothing of the cache
+      return Status::kNotSent;  // not sent, for a want of our own: that says nothing of the cache
     case ConnectionEnd::kOverflow:
-      return written ? Status::kCancelled : Status::kMoot;  // given up for a want of our own
+      return written ? Status::kCancelled : Status::kNotSent;  // given up for a want of our own
     case ConnectionEnd::kPeerClosed:
     case ConnectionEnd::kPeerReset:
     case ConnectionEnd::kBroken:
@@ -26,7 +26,7 @@
       break;
   }
   // It had come up: where nothing was written, that it ended since says nothing of the cache.
-  return written ? Status::kReset : Status::kMoot;
+  return written ? Status::kReset : Status::kNotSent;
 }
 
 }  // namespace trailcourse::routing
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -40,12 +40,12 @@
   held_bytes_ += bytes;
   ++open_;
   request.told.id = id;
-  request.told.due = now() + request.patience;
+  request.told.deadline = now() + request.patience;
   tell(request.told);
   return id;
 }
 
-void Router::set_classes(const ClassesSet& set) {
+void Router::set_classes(const ClassesUpdated& set) {
   classes_.resize(std::max(classes_.size(), set.first + set.classes.size()));
   std::copy(set.classes.begin(), set.classes.end(),
             classes_.begin() + static_cast<std::ptrdiff_t>(set.first));
@@ -191,7 +191,7 @@
   }
 }
 
-void Router::perform(const Send& send) {
+void Router::perform(const SendAttempt& send) {
   Held* held = find(send.id);
   if (held == nullptr) {
     log_line(Level::kWarning) << "the decision module sent for a request that is not held";
@@ -201,14 +201,14 @@
   held->attempts.push_back(Attempt{send.cache, now(), {}, false});
   ++held->out;
   const bool moot = !held->reply || held->streaming >= 0 || held->attempts.size() > attempts_cap_;
-  if (moot || send.limit.count() <= 0) {
+  if (moot || send.timeout.count() <= 0) {
     AttemptResult result;
-    result.status = moot ? Status::kMoot : Status::kTimeout;
+    result.status = moot ? Status::kNotSent : Status::kTimeout;
     end_attempt(key, *held, held->attempts.back(), result);
     return;
   }
   // Time-outs are kept here: whatever the cache answers later is not heard.
-  held->attempts.back().timer = scheduler_.at(scheduler_.turn_time() + send.limit, [this, key] {
+  held->attempts.back().timer = scheduler_.at(scheduler_.turn_time() + send.timeout, [this, key] {
     if (Held* late = find(key.request)) {
       if (Attempt* attempt = find_out(*late, key.attempt)) {
         upstream_->cancel(key);
@@ -235,7 +235,7 @@
   end_attempt(key, *held, *attempt, result);
 }
 
-void Router::perform(const Refuse& refuse) {
+void Router::perform(const Reject& refuse) {
   if (Held* held = find(refuse.id); held != nullptr && held->reply) {
     ++counts_.refused;
     const bool cut = held->retry_after_most >= Micros(0);
@@ -285,7 +285,7 @@
   ended.latency = now() - attempt.sent;
   ended.finished = !held.reply;
   ended.note = result.note;
-  ended.waited = result.waited;
+  ended.source_first_byte_time = result.waited;
   ended.load = result.load;
   tell(ended);
   forget_if_over(key.request);
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -84,8 +84,8 @@
   Upstream(const Upstream&) = delete;
   Upstream& operator=(const Upstream&) = delete;
   virtual ~Upstream() = default;
-  virtual void send(const AttemptKey& key, const Send& order, const std::shared_ptr<const void>& passed,
-                    bool streaming) = 0;
+  virtual void send(const AttemptKey& key, const SendAttempt& order,
+                    const std::shared_ptr<const void>& passed, bool streaming) = 0;
   // Gives it up; no result is awaited any more.
   virtual void cancel(const AttemptKey& key) = 0;
 };
@@ -112,7 +112,7 @@
       : scheduler_(scheduler),
         clock_(clock),
         classes_(settings.classes),
-        attempts_cap_(static_cast<std::size_t>(settings.attempts_cap)),
+        attempts_cap_(static_cast<std::size_t>(settings.max_attempts)),
         handler_(std::move(handler)),
         bounds_(bounds) {}
 
@@ -121,7 +121,7 @@
   using Ruler = std::function<Rule(int request_class)>;
   void rule_by(Ruler ruler) { ruler_ = std::move(ruler); }
   // Further classes of the module's (decider.h).
-  void set_classes(const ClassesSet& set);
+  void set_classes(const ClassesUpdated& set);
 
   // Takes a request in; 0 where it was answered at once because the bound on open ones is reached.
   RequestId arrive(ClientRequest request, std::shared_ptr<Reply> reply);
@@ -132,7 +132,7 @@
   void fail_open();
 
   // Asked by the upstream just before the first byte of an attempt goes out. If not, the attempt is to be
-  // told as ended, kMoot, and nothing of it may leave.
+  // told as ended, kNotSent, and nothing of it may leave.
   using Gate = std::function<bool(Micros now, RequestId request, int attempt)>;
   void begin_by(Gate gate) { gate_ = std::move(gate); }
   bool may_begin(const AttemptKey& key);
@@ -142,10 +142,10 @@
   void stream_started(const AttemptKey& key, bool same);
   void stream_piece(const AttemptKey& key, std::string_view bytes);
 
-  void list_received(ListReceived list) { tell(std::move(list)); }
+  void list_received(EndpointListReceived list) { tell(std::move(list)); }
   // Seen at `at` of the module's clock.
   void purged(Purged purge, Micros at);
-  void observed(const Observed& seen) { tell(seen); }
+  void observed(const HealthCheckResult& seen) { tell(seen); }
 
   // Called with what became of each attempt at a cache.
   using AttemptWatch = std::function<void(const std::string& cache, Status status, Note note)>;
@@ -175,9 +175,9 @@
 
   void tell(Event event);
   void run(const Event& event);
-  void perform(const Send& send);
+  void perform(const SendAttempt& send);
   void perform(const Cancel& cancel);
-  void perform(const Refuse& refuse);
+  void perform(const Reject& refuse);
   void perform(const Fail& fail);
   void perform(const SetTimer& timer);
   void perform(const Subscribe&) {}  // the notice board is always watched
--- a/src/startup/gate.cpp
+++ b/src/startup/gate.cpp
@@ -9,7 +9,7 @@
 constexpr std::uint64_t kGroups = 256;  // purge groups of the protocol
 constexpr int kFloorParts = 3;          // an age limit is told anew so often within its length
 
-bool same(const NodeEntry& one, const NodeEntry& other) {
+bool same(const Endpoint& one, const Endpoint& other) {
   return one.zone == other.zone && one.role == other.role && one.cell == other.cell &&
          one.state == other.state && one.weight == other.weight && one.started == other.started;
 }
@@ -37,10 +37,10 @@
   changed_ = true;
 }
 
-void Gate::list(Micros now, const ListReceived& list) {
+void Gate::list(Micros now, const EndpointListReceived& list) {
   if (list.kind == ListKind::kFull) {
-    std::map<std::string, NodeEntry> named;
-    for (const NodeEntry& entry : list.entries) {
+    std::map<std::string, Endpoint> named;
+    for (const Endpoint& entry : list.entries) {
       named[entry.address] = entry;
     }
     for (const auto& [name, entry] : known_) {
@@ -50,7 +50,7 @@
     }
     known_ = std::move(named);
   }
-  for (const NodeEntry& entry : list.entries) {
+  for (const Endpoint& entry : list.entries) {
     if (entry.state == NodeState::kReady) {
       opening_.appears(now, entry.address, entry.started.count());
     } else {
@@ -67,8 +67,8 @@
 }
 
 // Held back is told as draining: nothing new goes there. An unknown start is taken for this router's own.
-NodeEntry Gate::shown(const NodeEntry& entry, const Allowance& allowed) const {
-  NodeEntry out = entry;
+Endpoint Gate::shown(const Endpoint& entry, const Allowance& allowed) const {
+  Endpoint out = entry;
   if (out.state == NodeState::kReady && !opening_.open(out.address)) {
     out.state = NodeState::kDraining;
   }
@@ -79,13 +79,13 @@
 }
 
 void Gate::tell_list(const Allowance& allowed, std::vector<Event>& out) {
-  std::map<std::string, NodeEntry> wanted;
+  std::map<std::string, Endpoint> wanted;
   if (allowed.serves) {
     for (const auto& [name, entry] : known_) {
       wanted[name] = shown(entry, allowed);
     }
   }
-  ListReceived list;
+  EndpointListReceived list;
   const bool whole = told_.empty() != wanted.empty() || (told_.empty() && !acted_on_);
   list.kind = whole ? ListKind::kFull : ListKind::kChanges;
   for (const auto& [name, entry] : wanted) {
@@ -96,7 +96,7 @@
   }
   for (const auto& [name, entry] : told_) {
     if (!whole && !wanted.contains(name)) {
-      NodeEntry gone = entry;
+      Endpoint gone = entry;
       gone.state = NodeState::kGone;
       list.entries.push_back(std::move(gone));
     }
--- a/src/startup/gate.h
+++ b/src/startup/gate.h
@@ -34,7 +34,7 @@
   // The board began anew: its list comes whole, and until then nothing is known.
   void anew(Micros now);
   // A list or changes of it, as the board tells them.
-  void list(Micros now, const ListReceived& list);
+  void list(Micros now, const EndpointListReceived& list);
 
   // What the module is to be told before anything else that happens at `now`, in order.
   void due(Micros now, std::vector<Event>& out);
@@ -49,14 +49,14 @@
   int connections() const { return opening_.connections(); }
 
  private:
-  NodeEntry shown(const NodeEntry& entry, const Allowance& allowed) const;
+  Endpoint shown(const Endpoint& entry, const Allowance& allowed) const;
   void tell_list(const Allowance& allowed, std::vector<Event>& out);
   void tell_floor(Micros now, const Allowance& allowed, std::vector<Event>& out);
 
   Opening opening_;
   Readiness readiness_;
-  std::map<std::string, NodeEntry> known_;  // as the board tells
-  std::map<std::string, NodeEntry> told_;   // as the module was told
+  std::map<std::string, Endpoint> known_;  // as the board tells
+  std::map<std::string, Endpoint> told_;   // as the module was told
   std::optional<Allowance> acted_on_;
   Micros cold_since_{0};  // of nodes whose start is not known
   Micros floor_at_{-1};
--- a/src/tasks/filler.cpp
+++ b/src/tasks/filler.cpp
@@ -29,7 +29,7 @@
   Answer(Filler& filler, std::size_t place) : filler_(filler), place_(place), alive_(filler.alive_) {}
 
   void served(std::string, bool, const routing::ServedBy& by) override {
-    end(shows_hit(by.note) ? FillPlan::End::kHeld : FillPlan::End::kFilled, Micros(0));
+    end(indicates_hit(by.note) ? FillPlan::End::kHeld : FillPlan::End::kFilled, Micros(0));
   }
   void refused(Micros retry_after) override { end(FillPlan::End::kRefused, retry_after); }
   void failed() override { end(FillPlan::End::kFailed, Micros(0)); }
@@ -83,7 +83,7 @@
       throw std::invalid_argument("class: '" + order_->request_class + "' is not served here");
     }
     const ClassSettings& kind = profile_.settings.classes[static_cast<std::size_t>(found->second)];
-    if (kind.effect != Effect::kSafe || kind.uncached) {
+    if (kind.idempotency != Idempotency::kSafe || kind.uncached) {
       throw std::invalid_argument("class: '" + order_->request_class + "' is not one that caches keep");
     }
     request_class_ = found->second;
--- a/src/tasks/policy_follower.cpp
+++ b/src/tasks/policy_follower.cpp
@@ -326,9 +326,9 @@
   for (std::size_t i = 0; i < names_.size(); ++i) {
     const ClassSettings& kind = profile_.settings.classes[i];
     policy::ClassPolicy& rule = out.classes[names_[i]];
-    rule.objective_ms = std::max<std::int64_t>(1, to_ms(kind.objective));
-    rule.give_up_ms = std::max(rule.objective_ms, to_ms(kind.give_up));
-    rule.worth = kind.worth;
+    rule.objective_ms = std::max<std::int64_t>(1, to_ms(kind.latency_objective));
+    rule.give_up_ms = std::max(rule.objective_ms, to_ms(kind.give_up_after));
+    rule.worth = kind.priority_weight;
     rule.fresh_ms = to_ms(kind.lifetime);
     rule.grace_ms = to_ms(kind.grace);
   }
@@ -357,15 +357,15 @@
   set.content = ruling.kind == Ruling::Kind::kBoth
                     ? policy::both(content_of(ruling.version), content_of(ruling.other))
                     : content_of(ruling.version);
-  ClassesSet more;
+  ClassesUpdated more;
   more.first = set.first;
   more.classes = profile_.settings.classes;
   for (std::size_t i = 0; i < classes; ++i) {
     const policy::ClassPolicy& rule = set.content.classes.at(names_[i]);
     ClassSettings& kind = more.classes[i];
-    kind.objective = milliseconds(rule.objective_ms);
-    kind.give_up = milliseconds(rule.give_up_ms);
-    kind.worth = rule.worth;
+    kind.latency_objective = milliseconds(rule.objective_ms);
+    kind.give_up_after = milliseconds(rule.give_up_ms);
+    kind.priority_weight = rule.worth;
     kind.lifetime = milliseconds(rule.fresh_ms);
     kind.grace = milliseconds(rule.grace_ms);
   }
--- a/src/tasks/suspects.cpp
+++ b/src/tasks/suspects.cpp
@@ -175,13 +175,13 @@
 
 // ---- VerdictBook ----
 
-std::optional<Observed> VerdictBook::heard(Micros now, const Verdict& verdict) {
+std::optional<HealthCheckResult> VerdictBook::heard(Micros now, const Verdict& verdict) {
   Last& last = last_[verdict.cache];
   if (std::pair(verdict.term, verdict.number) <= std::pair(last.term, last.number)) {
     return std::nullopt;
   }
   last = Last{verdict.term, verdict.number, verdict.sound, now};
-  return Observed{verdict.cache, verdict.sound, holds_};
+  return HealthCheckResult{verdict.cache, verdict.sound, holds_};
 }
 
 void VerdictBook::withdrawn(const std::string& cache) {
--- a/src/tasks/suspects.h
+++ b/src/tasks/suspects.h
@@ -111,7 +111,7 @@
   explicit VerdictBook(Micros holds) : holds_(holds) {}
 
   // What the decision module is to be told now.
-  std::optional<Observed> heard(Micros now, const Verdict& verdict);
+  std::optional<HealthCheckResult> heard(Micros now, const Verdict& verdict);
   void withdrawn(const std::string& cache);
   // The verdict that stands, if any.
   std::optional<bool> stands(Micros now, const std::string& cache) const;
--- a/tests/adapter_test.cpp
+++ b/tests/adapter_test.cpp
@@ -96,8 +96,8 @@
   ASSERT_EQ(profile.settings.classes.size(), 2U);
   EXPECT_EQ(profile.settings.classes[0].lifetime, Micros(20'000'000));
   EXPECT_EQ(profile.settings.classes[0].grace, Micros(5'000'000));
-  EXPECT_EQ(profile.settings.classes[1].effect, Effect::kKeyed);
-  EXPECT_EQ(profile.settings.classes[1].group, RepeatGroup::kZone);
+  EXPECT_EQ(profile.settings.classes[1].idempotency, Idempotency::kKeyed);
+  EXPECT_EQ(profile.settings.classes[1].retry_scope, RetryScope::kZone);
   EXPECT_TRUE(profile.settings.classes[1].uncached);
 }
 
@@ -195,22 +195,22 @@
 }
 
 TEST(Actions, AreWrittenAsTheWireWantsThem) {
-  Send send;
+  SendAttempt send;
   send.id = 4;
   send.cache = "a:1";
   send.source = "p:1";
-  send.limit = Micros(900'000);
-  send.keep = 2;
-  send.age = Micros(1);
-  send.join = true;
-  send.held_only = true;
+  send.timeout = Micros(900'000);
+  send.keep_rank = 2;
+  send.max_age = Micros(1);
+  send.join_fill = true;
+  send.only_if_cached = true;
   const json line = json::parse(write_action(3, send));
   EXPECT_EQ(line.at("Opts"), 3);
   EXPECT_NEAR(line.at("AgeSpanS").get<double>(), 1e-6, 1e-9);
   EXPECT_EQ(line.at("MissFrom"), "p:1");
   EXPECT_EQ(json::parse(write_action(3, Cancel{4, 1})).at("Try"), 1);
-  EXPECT_EQ(json::parse(write_action(3, Refuse{4, Micros(250'000)})).at("WaitS"), 0.25);
-  EXPECT_FALSE(json::parse(write_action(3, Refuse{4, Micros(0)})).contains("WaitS"));
+  EXPECT_EQ(json::parse(write_action(3, Reject{4, Micros(250'000)})).at("WaitS"), 0.25);
+  EXPECT_FALSE(json::parse(write_action(3, Reject{4, Micros(0)})).contains("WaitS"));
   EXPECT_EQ(json::parse(write_action(3, SetTimer{77, Micros(5)})).at("Handle"), 77);
   EXPECT_EQ(json::parse(write_action(3, Subscribe{})).at("On"), true);
 }
--- a/tests/cold_sum_test.cpp
+++ b/tests/cold_sum_test.cpp
@@ -71,25 +71,25 @@
     settings_.weights_are_sizes = true;
     settings_.notes = NoteLevel::kAll;
     settings_.stream_kb_per_s = 1000.0;
-    settings_.attempts_cap = 8;
+    settings_.max_attempts = 8;
     settings_.may_cancel = true;
-    settings_.parallel_tries = true;
-    settings_.cold_from = world.cold_from;
-    settings_.cold_span = micros_of(world.cold_s);
+    settings_.parallel_attempts = true;
+    settings_.slow_start_from = world.cold_from;
+    settings_.slow_start_span = micros_of(world.cold_s);
     settings_.overload_factor = world.factor;
     settings_.overload_span = micros_of(world.span_s);
-    settings_.parent_cold_from = world.cold_from;
-    settings_.parent_cold_span = micros_of(world.cold_s);
+    settings_.parent_slow_start_from = world.cold_from;
+    settings_.parent_slow_start_span = micros_of(world.cold_s);
     settings_.parent_overload_factor = world.factor;
     for (std::size_t i = 0; i < world.work.size(); ++i) {
       ClassSettings type;
-      type.objective = seconds(3);
-      type.objective_stretch = 2.0;
-      type.give_up = seconds(6);
+      type.latency_objective = seconds(3);
+      type.latency_objective_stretch = 2.0;
+      type.give_up_after = seconds(6);
       settings_.classes.push_back(type);
     }
     for (int i = 0; i < world.warm_caches + world.cold_caches; ++i) {
-      NodeEntry entry;
+      Endpoint entry;
       entry.address = "cache-" + std::to_string(seed) + "-" + std::to_string(i);
       entry.zone = "here";
       entry.weight = world.transfers;
@@ -97,7 +97,7 @@
       list_.push_back(entry);
     }
     for (int i = 0; i < 3; ++i) {
-      NodeEntry entry;
+      Endpoint entry;
       entry.address = "parent-" + std::to_string(seed) + "-" + std::to_string(i);
       entry.zone = "hub";
       entry.role = Role::kParent;
@@ -105,7 +105,7 @@
       entry.started = i == 0 ? kStart : Micros(0);
       list_.push_back(entry);
     }
-    NodeEntry origin;
+    Endpoint origin;
     origin.address = "origin";
     origin.role = Role::kOrigin;
     origin.zone = "hub";
@@ -143,7 +143,7 @@
       job.run();
     }
     std::vector<Outcome> out;
-    for (const NodeEntry& entry : list_) {
+    for (const Endpoint& entry : list_) {
       if (entry.started > Micros(0)) {
         out.push_back(judge(entry));
       }
@@ -180,7 +180,7 @@
     ++one.life;
     one.classes.clear();
     one.attempts.clear();
-    tell(i, ListReceived{ListKind::kFull, list_});
+    tell(i, EndpointListReceived{ListKind::kFull, list_});
   }
 
   void next_request(int i, Micros from) {
@@ -206,7 +206,7 @@
     const double size =
         std::lognormal_distribution<double>(-world_.sigma * world_.sigma / 2, world_.sigma)(random_);
     told.size_kb = 1000.0 * size * world_.work[static_cast<std::size_t>(type)];
-    told.due = now_ + seconds(6);
+    told.deadline = now_ + seconds(6);
     one.classes[told.id] = type;
     tell(i, told);
   }
@@ -216,7 +216,7 @@
     std::vector<Action> actions;
     one.decider->handle(now_, event, actions);
     for (const Action& action : actions) {
-      if (const auto* send = std::get_if<Send>(&action)) {
+      if (const auto* send = std::get_if<SendAttempt>(&action)) {
         sent(i, *send);
       } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
         at(now_ + std::max(Micros(1), timer->delay), [this, i, life = one.life, token = timer->token] {
@@ -228,7 +228,7 @@
     }
   }
 
-  void sent(int i, const Send& send) {
+  void sent(int i, const SendAttempt& send) {
     One& one = routers_[static_cast<std::size_t>(i)];
     const double work = world_.work[static_cast<std::size_t>(one.classes[send.id])];
     const int attempt = one.attempts[send.id]++;
@@ -242,7 +242,7 @@
     ended.attempt = attempt;
     ended.status = fails ? Status::kFull : Status::kOk;
     ended.finished = !fails;
-    ended.note = fails ? Note::kNoFillPlace : Note::kFilled;
+    ended.note = fails ? Note::kNoFillCapacity : Note::kFilled;
     ended.latency = micros_of(fails ? 0.004 : 0.06);
     at(now_ + ended.latency, [this, i, life = one.life, ended] {
       if (routers_[static_cast<std::size_t>(i)].life == life) {
@@ -251,7 +251,7 @@
     });
   }
 
-  Outcome judge(const NodeEntry& entry) const {
+  Outcome judge(const Endpoint& entry) const {
     double mean = 0.0;
     for (std::size_t i = 0; i < world_.work.size(); ++i) {
       mean += world_.work[i] * world_.part[i];
@@ -291,7 +291,7 @@
   World world_;
   std::mt19937_64 random_;
   Settings settings_;
-  std::vector<NodeEntry> list_;
+  std::vector<Endpoint> list_;
   std::vector<double> rates_;
   std::vector<One> routers_;
   std::priority_queue<Job> jobs_;
--- a/tests/decider_test.cpp
+++ b/tests/decider_test.cpp
@@ -30,40 +30,40 @@
   settings.weights_are_sizes = true;
   settings.notes = NoteLevel::kAll;
   settings.stream_kb_per_s = 1000.0;
-  settings.attempts_cap = 6;
+  settings.max_attempts = 6;
   settings.may_cancel = true;
-  settings.parallel_tries = true;
+  settings.parallel_attempts = true;
   settings.max_retry_after = seconds(1);
-  settings.joins = true;
+  settings.can_join_fills = true;
   settings.drain_grace = milliseconds(500);
   settings.purge_grace = milliseconds(300);
   settings.purge_done = seconds(6);
-  settings.cold_from = 0.2;
-  settings.cold_span = seconds(14);
+  settings.slow_start_from = 0.2;
+  settings.slow_start_span = seconds(14);
   settings.overload_factor = 2.5;
   settings.overload_span = seconds(3);
-  settings.parent_cold_from = 0.1;
-  settings.parent_cold_span = seconds(20);
+  settings.parent_slow_start_from = 0.1;
+  settings.parent_slow_start_span = seconds(20);
   settings.parent_overload_factor = 2.0;
   ClassSettings video;
-  video.objective = milliseconds(600);
-  video.objective_stretch = 1.6;
-  video.give_up = seconds(6);
+  video.latency_objective = milliseconds(600);
+  video.latency_objective_stretch = 1.6;
+  video.give_up_after = seconds(6);
   ClassSettings image = video;
   image.lifetime = seconds(20);
   image.grace = seconds(20);
   ClassSettings write = video;
-  write.effect = Effect::kUnsafe;
+  write.idempotency = Idempotency::kUnsafe;
   write.uncached = true;
   ClassSettings keyed = write;
-  keyed.effect = Effect::kKeyed;
-  keyed.memory_span = seconds(3);
+  keyed.idempotency = Idempotency::kKeyed;
+  keyed.idempotency_window = seconds(3);
   settings.classes = {video, image, write, keyed};
   return settings;
 }
 
-NodeEntry node(const std::string& address, Role role = Role::kCache, double weight = 8.0) {
-  NodeEntry entry;
+Endpoint node(const std::string& address, Role role = Role::kCache, double weight = 8.0) {
+  Endpoint entry;
   entry.address = address;
   entry.role = role;
   entry.zone = role == Role::kCache ? "here" : "hub";
@@ -71,7 +71,7 @@
   return entry;
 }
 
-std::vector<NodeEntry> plain_list() {
+std::vector<Endpoint> plain_list() {
   return {node("c1"),
           node("c2"),
           node("c3"),
@@ -90,14 +90,14 @@
     std::vector<Action> out;
     decider_.handle(now, event, out);
     for (const Action& action : out) {
-      if (const auto* send = std::get_if<Send>(&action)) {
+      if (const auto* send = std::get_if<SendAttempt>(&action)) {
         sends[send->id].push_back(*send);
       }
     }
     return out;
   }
-  void list(std::vector<NodeEntry> entries, ListKind kind = ListKind::kFull) {
-    handle(ListReceived{kind, std::move(entries)});
+  void list(std::vector<Endpoint> entries, ListKind kind = ListKind::kFull) {
+    handle(EndpointListReceived{kind, std::move(entries)});
   }
   std::vector<Action> ask(RequestId id, int type = kVideo, ObjectId object = 7, double size_kb = 100.0) {
     RequestArrived request;
@@ -106,7 +106,7 @@
     request.object = object;
     request.purge_group = object % 4;
     request.size_kb = size_kb;
-    request.due = now + seconds(5);
+    request.deadline = now + seconds(5);
     request.write = type >= kWrite;
     return handle(request);
   }
@@ -122,8 +122,8 @@
     return handle(ended);
   }
   // Asks and has it answered at once; the attempt made.
-  Send serve(RequestId id, int type = kVideo, ObjectId object = 7, double size_kb = 100.0,
-             Note note = Note::kHit) {
+  SendAttempt serve(RequestId id, int type = kVideo, ObjectId object = 7, double size_kb = 100.0,
+                    Note note = Note::kHit) {
     ask(id, type, object, size_kb);
     if (sends[id].empty()) {
       ADD_FAILURE() << "nothing was sent for " << id;
@@ -137,7 +137,7 @@
   bool may_begin(RequestId id, int attempt = 0) { return decider_.may_begin(now, id, attempt); }
 
   Micros now{seconds(100)};
-  std::map<RequestId, std::vector<Send>> sends;
+  std::map<RequestId, std::vector<SendAttempt>> sends;
 
  private:
   Decider decider_;
@@ -149,7 +149,7 @@
                                         [](const Action& one) { return std::holds_alternative<Kind>(one); }));
 }
 
-int finals(const std::vector<Action>& actions) { return count<Refuse>(actions) + count<Fail>(actions); }
+int finals(const std::vector<Action>& actions) { return count<Reject>(actions) + count<Fail>(actions); }
 
 template <typename Kind>
 std::vector<Kind> all(const std::vector<Action>& actions) {
@@ -166,9 +166,9 @@
   std::ostringstream text;
   for (const Action& action : actions) {
     text << action.index();
-    if (const auto* send = std::get_if<Send>(&action)) {
-      text << ' ' << send->id << ' ' << send->cache << ' ' << send->source << ' ' << send->keep << ' '
-           << send->age.count() << ' ' << send->limit.count();
+    if (const auto* send = std::get_if<SendAttempt>(&action)) {
+      text << ' ' << send->id << ' ' << send->cache << ' ' << send->source << ' ' << send->keep_rank << ' '
+           << send->max_age.count() << ' ' << send->timeout.count();
     } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
       text << ' ' << timer->token << ' ' << timer->delay.count();
     }
@@ -191,7 +191,7 @@
     std::vector<int> ranks;
     for (RequestId id = 100; id < 140; ++id) {
       router.now += milliseconds(20);
-      ranks.push_back(router.serve(id, kVideo, id % 7, 100.0 + 10.0 * static_cast<double>(id % 7)).keep);
+      ranks.push_back(router.serve(id, kVideo, id % 7, 100.0 + 10.0 * static_cast<double>(id % 7)).keep_rank);
     }
     return ranks;
   };
@@ -209,7 +209,7 @@
   router.now += timers.front().delay;
   const auto last = router.handle(TimerFired{timers.front().token});
   EXPECT_EQ(finals(last), 1);
-  EXPECT_EQ(count<Send>(last), 0);
+  EXPECT_EQ(count<SendAttempt>(last), 0);
   EXPECT_EQ(count<Cancel>(last), 1);
 }
 
@@ -232,7 +232,7 @@
   router.list({});
   EXPECT_EQ(finals(router.ask(2)), 1);
   auto draining = plain_list();
-  for (NodeEntry& entry : draining) {
+  for (Endpoint& entry : draining) {
     entry.state = NodeState::kDraining;
   }
   router.list(draining);
@@ -247,11 +247,11 @@
 TEST(OneAnswer, CachesWithoutParentsOrOriginStillAnswer) {
   Router router;
   router.list({node("c1")});
-  ASSERT_EQ(count<Send>(router.ask(1)), 1);
+  ASSERT_EQ(count<SendAttempt>(router.ask(1)), 1);
   EXPECT_EQ(router.sends[1][0].source, "c1");
-  const auto after = router.end(1, 0, Status::kMiss);  // asking once more would find no more
+  const auto after = router.end(1, 0, Status::kNotCached);  // asking once more would find no more
   EXPECT_EQ(finals(after), 1);
-  EXPECT_EQ(count<Send>(after), 0);
+  EXPECT_EQ(count<SendAttempt>(after), 0);
 }
 
 TEST(OneAnswer, OutcomesOfAttemptsNotHeldArePassedOver) {
@@ -282,15 +282,15 @@
     router.list(plain_list());
     router.ask(1, kWrite);
     const auto after = router.end(1, 0, status);
-    EXPECT_EQ(count<Send>(after), 0);
-    EXPECT_EQ(count<Refuse>(after), 0);
+    EXPECT_EQ(count<SendAttempt>(after), 0);
+    EXPECT_EQ(count<Reject>(after), 0);
     EXPECT_EQ(count<Fail>(after), 1);
   }
-  for (const Status status : {Status::kFull, Status::kConnectFailed, Status::kMiss}) {
+  for (const Status status : {Status::kFull, Status::kConnectFailed, Status::kNotCached}) {
     Router router;
     router.list(plain_list());
     router.ask(1, kWrite);
-    EXPECT_EQ(count<Send>(router.end(1, 0, status)), 1);
+    EXPECT_EQ(count<SendAttempt>(router.end(1, 0, status)), 1);
   }
 }
 
@@ -301,8 +301,8 @@
   router.now += seconds(4);
   for (const SetTimer& timer : timers) {
     const auto after = router.handle(TimerFired{timer.token});
-    EXPECT_EQ(count<Send>(after), 0);
-    EXPECT_EQ(count<Refuse>(after), 0);
+    EXPECT_EQ(count<SendAttempt>(after), 0);
+    EXPECT_EQ(count<Reject>(after), 0);
   }
 }
 
@@ -311,19 +311,19 @@
   early.list(plain_list());
   early.ask(1, kKeyed);
   early.now += seconds(1);
-  EXPECT_EQ(count<Send>(early.end(1, 0, Status::kReset)), 1);
+  EXPECT_EQ(count<SendAttempt>(early.end(1, 0, Status::kReset)), 1);
   Router late;
   late.list(plain_list());
   late.ask(1, kKeyed);
   late.now += seconds(3);
   const auto after = late.end(1, 0, Status::kReset);
-  EXPECT_EQ(count<Send>(after), 0);
+  EXPECT_EQ(count<SendAttempt>(after), 0);
   EXPECT_EQ(finals(after), 1);
 }
 
 TEST(Effects, KeyedStaysInItsGroup) {
   Settings settings = plain_settings();
-  settings.classes[kKeyed].group = RepeatGroup::kCell;
+  settings.classes[kKeyed].retry_scope = RetryScope::kCell;
   Router router(settings);
   auto list = plain_list();
   for (std::size_t i = 0; i < list.size(); ++i) {
@@ -332,22 +332,22 @@
   router.list(list);
   router.ask(1, kKeyed);
   const auto after = router.end(1, 0, Status::kError);
-  EXPECT_EQ(count<Send>(after), 0);
-  EXPECT_EQ(count<Refuse>(after), 0);
+  EXPECT_EQ(count<SendAttempt>(after), 0);
+  EXPECT_EQ(count<Reject>(after), 0);
   EXPECT_EQ(count<Fail>(after), 1);
 }
 
 TEST(Effects, NoTwoAttemptsAtOnceWhereForbidden) {
   Settings settings = plain_settings();
-  settings.parallel_tries = false;
+  settings.parallel_attempts = false;
   Router router(settings);
   router.list(plain_list());
   const auto timers = all<SetTimer>(router.ask(1));
   router.now += seconds(3);
   const auto overdue = router.handle(TimerFired{timers.back().token});
-  EXPECT_EQ(count<Send>(overdue), 0);
+  EXPECT_EQ(count<SendAttempt>(overdue), 0);
   EXPECT_EQ(count<Cancel>(overdue), 1);
-  EXPECT_EQ(count<Send>(router.end(1, 0, Status::kCancelled)), 1);
+  EXPECT_EQ(count<SendAttempt>(router.end(1, 0, Status::kCancelled)), 1);
 }
 
 TEST(Effects, WritesAreNeverKeptAndNameTheOrigin) {
@@ -356,7 +356,7 @@
   by_cache.list(plain_list());
   by_cache.ask(1, kWrite);
   EXPECT_EQ(by_cache.sends[1][0].source, "o");
-  EXPECT_EQ(by_cache.sends[1][0].keep, 0);
+  EXPECT_EQ(by_cache.sends[1][0].keep_rank, 0);
   settings.direct = true;
   Router straight(settings);
   straight.list(plain_list());
@@ -375,13 +375,13 @@
   parent.state = NodeState::kGone;
   router.list({changed, parent}, ListKind::kChanges);
   for (RequestId id = 1; id <= 200; ++id) {
-    const Send send = router.serve(id, kVideo, id);
+    const SendAttempt send = router.serve(id, kVideo, id);
     EXPECT_NE(send.cache, "c2");
     EXPECT_NE(send.source, "p1");
   }
   router.list({node("c1"), node("p2", Role::kParent)});  // a full list without the others: they are gone
   for (RequestId id = 301; id <= 400; ++id) {
-    const Send send = router.serve(id, kVideo, id);
+    const SendAttempt send = router.serve(id, kVideo, id);
     EXPECT_EQ(send.cache, "c1");
     EXPECT_EQ(send.source, "p2");
   }
@@ -427,7 +427,7 @@
   for (RequestId id = 1; id <= 6000; ++id) {  // 12 s, while the node is still cold
     router.ask(id, kVideo, id, 100.0);
     if (!router.sends[id].empty()) {
-      const Send& send = router.sends[id][0];
+      const SendAttempt& send = router.sends[id][0];
       if ((as_source ? send.source : send.cache) == name) {
         sent.push_back(router.now);
       }
@@ -470,7 +470,7 @@
   Router router;
   auto list = plain_list();
   list[4].started = router.now - seconds(1);
-  router.list(list, ListKind::kRemembered);
+  router.list(list, ListKind::kRestored);
   double used = 0.0;
   for (RequestId id = 1; id <= 1000; ++id) {
     router.ask(id, kVideo, id, 100.0);
@@ -625,9 +625,9 @@
       Router router;
       router.list(plain_list());
       router.ask(1);
-      const Send& send = router.sends[1].at(0);
+      const SendAttempt& send = router.sends[1].at(0);
       ASSERT_NE(send.cache, send.source);
-      NodeEntry entry = node(source ? send.source : send.cache, source ? Role::kParent : Role::kCache);
+      Endpoint entry = node(source ? send.source : send.cache, source ? Role::kParent : Role::kCache);
       entry.state = state;
       router.now += milliseconds(1);
       entry.started = state == NodeState::kReady ? router.now : Micros(0);
@@ -656,7 +656,7 @@
 TEST(FirstByte, NotPastTheWindowOfAKeyedRequestThatMayHaveRun) {
   Settings settings = plain_settings();
   settings.direct = true;
-  settings.classes[kKeyed].memory_span = milliseconds(600);
+  settings.classes[kKeyed].idempotency_window = milliseconds(600);
   Router router(settings);
   router.list(plain_list());
   router.ask(1, kKeyed);
@@ -696,10 +696,10 @@
   router.handle(Purged{false, 7, 3, Micros(0)});
   router.now += milliseconds(10);
   ASSERT_FALSE(router.may_begin(1));
-  router.end(1, 0, Status::kMoot);
+  router.end(1, 0, Status::kNotSent);
   ASSERT_EQ(router.sends[1].size(), 2U);
   EXPECT_EQ(router.sends[1][1].cache, first) << "nothing speaks against the cache";
-  EXPECT_GT(router.sends[1][1].age, Micros(0));
+  EXPECT_GT(router.sends[1][1].max_age, Micros(0));
   EXPECT_TRUE(router.may_begin(1, 1));
 }
 
@@ -708,25 +708,25 @@
 TEST(Purges, NoCopyOlderThanThePurgeWillDo) {
   Router router;
   router.list(plain_list());
-  EXPECT_EQ(router.serve(1, kVideo, 7).age, Micros(0));
+  EXPECT_EQ(router.serve(1, kVideo, 7).max_age, Micros(0));
   router.handle(Purged{false, 7, 3, milliseconds(200)});
   router.now += seconds(1);
-  const Micros age = router.serve(2, kVideo, 7).age;
+  const Micros age = router.serve(2, kVideo, 7).max_age;
   EXPECT_GT(age, Micros(0));
   EXPECT_LE(age, Micros(milliseconds(1200)));
-  EXPECT_EQ(router.serve(3, kVideo, 8).age, Micros(0));
+  EXPECT_EQ(router.serve(3, kVideo, 8).max_age, Micros(0));
   router.now += seconds(8);
-  EXPECT_EQ(router.serve(4, kVideo, 7).age, Micros(0));
+  EXPECT_EQ(router.serve(4, kVideo, 7).max_age, Micros(0));
 }
 
 TEST(Purges, AGroupBindsAllItsObjectsAndFreshTimesStay) {
   Router router;
   router.list(plain_list());
   router.handle(Purged{true, 0, 3, Micros(0)});
-  const Micros at_once = router.serve(1, kImage, 7).age;
+  const Micros at_once = router.serve(1, kImage, 7).max_age;
   EXPECT_GT(at_once, Micros(0));
   EXPECT_LT(at_once, Micros(milliseconds(1)));
-  EXPECT_EQ(router.serve(2, kImage, 8).age, Micros(seconds(20)));
+  EXPECT_EQ(router.serve(2, kImage, 8).max_age, Micros(seconds(20)));
 }
 
 TEST(Purges, AFloodBeyondMemoryForgetsNoneThatBinds) {
@@ -737,7 +737,7 @@
     router.handle(Purged{false, object, 1, Micros(0)});
   }
   router.now += seconds(2);
-  const Micros age = router.serve(1, kVideo, 7).age;
+  const Micros age = router.serve(1, kVideo, 7).max_age;
   EXPECT_GT(age, Micros(0));
   EXPECT_LE(age, Micros(seconds(2)));
 }
@@ -748,7 +748,7 @@
   router.handle(Purged{false, 7, 3, Micros(0)});
   router.handle(Purged{false, 7, 3, seconds(3)});
   router.now += seconds(5);
-  const Micros age = router.serve(1, kVideo, 7).age;
+  const Micros age = router.serve(1, kVideo, 7).max_age;
   EXPECT_GT(age, Micros(0));
   EXPECT_LE(age, Micros(seconds(5)));
 }
@@ -766,13 +766,13 @@
   Router router;
   router.list(plain_list());
   make_room(router);
-  EXPECT_EQ(router.serve(1, kVideo, 1, 300.0).keep, 1);  // 1 + 0.9 + 0.6
-  EXPECT_EQ(router.serve(2, kVideo, 2, 30.0).keep, 2);   // 1 + 0.09 + 0.6
-  EXPECT_EQ(router.serve(3, kVideo, 2, 30.0).keep, 3);   // 0.5 + 0.09 + 0
-  EXPECT_EQ(router.serve(4, kVideo, 1, 300.0).keep, 2);  // 0.5 + 0.9 + 0
+  EXPECT_EQ(router.serve(1, kVideo, 1, 300.0).keep_rank, 1);  // 1 + 0.9 + 0.6
+  EXPECT_EQ(router.serve(2, kVideo, 2, 30.0).keep_rank, 2);   // 1 + 0.09 + 0.6
+  EXPECT_EQ(router.serve(3, kVideo, 2, 30.0).keep_rank, 3);   // 0.5 + 0.09 + 0
+  EXPECT_EQ(router.serve(4, kVideo, 1, 300.0).keep_rank, 2);  // 0.5 + 0.9 + 0
   router.now += seconds(40);
-  EXPECT_EQ(router.serve(5, kVideo, 2, 30.0).keep, 3);   // 0.33 + 0.09 + 0.6
-  EXPECT_EQ(router.serve(6, kVideo, 1, 300.0).keep, 2);  // 0.33 + 0.9 + 0.6
+  EXPECT_EQ(router.serve(5, kVideo, 2, 30.0).keep_rank, 3);   // 0.33 + 0.09 + 0.6
+  EXPECT_EQ(router.serve(6, kVideo, 1, 300.0).keep_rank, 2);  // 0.33 + 0.9 + 0.6
 }
 
 TEST(Score, TheTopRankHoldsASmallShareOfTheBytes) {
@@ -780,7 +780,7 @@
   router.list(plain_list());
   double top = 0.0;
   for (RequestId id = 1; id <= 2000; ++id) {
-    top += router.serve(id, kVideo, id % 5, 100.0).keep == 3 ? 1.0 : 0.0;
+    top += router.serve(id, kVideo, id % 5, 100.0).keep_rank == 3 ? 1.0 : 0.0;
   }
   EXPECT_GT(top, 0.0);
   EXPECT_LE(top / 2000.0, 0.3);
@@ -793,7 +793,8 @@
   router.serve(1, kVideo, 1, 240.0);
   router.serve(2, kVideo, 1, 240.0);
   router.now += seconds(185);
-  EXPECT_EQ(router.serve(3, kVideo, 1, 240.0).keep, 1);  // 1 / 1.25 + 0.72 + 0.6; unhalved it would be middle
+  EXPECT_EQ(router.serve(3, kVideo, 1, 240.0).keep_rank,
+            1);  // 1 / 1.25 + 0.72 + 0.6; unhalved it would be middle
 }
 
 TEST(Score, PartsOfOneObjectAreCountedApart) {
@@ -807,9 +808,9 @@
     request.object = 5;
     request.part = part;
     request.size_kb = 300.0;
-    request.due = router.now + seconds(5);
+    request.deadline = router.now + seconds(5);
     router.handle(request);
-    EXPECT_EQ(router.sends[request.id].at(0).keep, 1);
+    EXPECT_EQ(router.sends[request.id].at(0).keep_rank, 1);
     caches.insert(router.sends[request.id].at(0).cache);
     router.end(request.id, 0, Status::kOk, Note::kHit);
   }
@@ -820,13 +821,13 @@
   Router router;
   router.list(plain_list());
   make_room(router, 200.0);
-  EXPECT_EQ(router.serve(1, kVideo, 1, 100.0).keep, 1);  // 1 + 0.45 + 0.6
-  EXPECT_EQ(router.serve(2, kVideo, 1, 100.0).keep, 3);  // 0.5 + 0.45 + 0
+  EXPECT_EQ(router.serve(1, kVideo, 1, 100.0).keep_rank, 1);  // 1 + 0.45 + 0.6
+  EXPECT_EQ(router.serve(2, kVideo, 1, 100.0).keep_rank, 3);  // 0.5 + 0.45 + 0
   for (ObjectId object = 100'000; object < 150'000; ++object) {
     router.serve(object, kVideo, object, 100.0);
     router.sends.erase(object);
   }
-  EXPECT_EQ(router.serve(3, kVideo, 1, 100.0).keep, 1);
+  EXPECT_EQ(router.serve(3, kVideo, 1, 100.0).keep_rank, 1);
 }
 
 // The rank of a second request after the first was answered with `note`: top without a holder, middle with
@@ -839,7 +840,7 @@
   make_room(router);
   router.serve(1, kVideo, 1, 200.0, note);
   router.now += pause;
-  return router.serve(2, kVideo, 1, 200.0).keep;  // 0.5 + 0.6, and 0.15 for one holder of two parents
+  return router.serve(2, kVideo, 1, 200.0).keep_rank;  // 0.5 + 0.6, and 0.15 for one holder of two parents
 }
 
 TEST(Score, HoldersCountOnlyWhereAnswersShowThem) {
@@ -859,8 +860,8 @@
   other.list(turned);
   std::set<std::string> parents;
   for (RequestId id = 1; id <= 300; ++id) {
-    const Send a = one.serve(id, kVideo, id);
-    const Send b = other.serve(id, kVideo, id);
+    const SendAttempt a = one.serve(id, kVideo, id);
+    const SendAttempt b = other.serve(id, kVideo, id);
     EXPECT_EQ(a.cache, b.cache);
     EXPECT_EQ(a.source, b.source);
     parents.insert(a.source);
@@ -902,7 +903,7 @@
   const auto timers = all<SetTimer>(router.ask(1));
   const std::string silent = router.sends[1][0].cache;
   router.now += timers.back().delay;
-  ASSERT_EQ(count<Send>(router.handle(TimerFired{timers.back().token})), 1);
+  ASSERT_EQ(count<SendAttempt>(router.handle(TimerFired{timers.back().token})), 1);
   EXPECT_NE(router.sends[1][1].cache, silent);
   EXPECT_NE(router.serve(2).cache, silent);
   EXPECT_EQ(count<Cancel>(router.end(1, 1, Status::kOk)), 1);  // the first is called off
@@ -930,7 +931,7 @@
     router.serve(id, kVideo, other);
   }
   router.now += timers.back().delay;
-  ASSERT_EQ(count<Send>(router.handle(TimerFired{timers.back().token})), 1);
+  ASSERT_EQ(count<SendAttempt>(router.handle(TimerFired{timers.back().token})), 1);
   EXPECT_EQ(router.sends[1][1].cache, router.sends[1][0].cache);
   EXPECT_NE(router.sends[1][1].source, router.sends[1][0].source);
 }
@@ -1075,13 +1076,13 @@
   router.now += milliseconds(20);
   for (RequestId id = 100; id < 105; ++id) {
     const auto out = router.ask(id);
-    ASSERT_EQ(count<Send>(out), 1) << "none is refused while connections are refused at once";
-    EXPECT_EQ(all<Send>(out)[0].cache, first);
+    ASSERT_EQ(count<SendAttempt>(out), 1) << "none is refused while connections are refused at once";
+    EXPECT_EQ(all<SendAttempt>(out)[0].cache, first);
   }
   EXPECT_EQ(finals(router.end(100, 0, Status::kOk, Note::kHit)), 0);
   const auto after = router.ask(106);
-  ASSERT_EQ(count<Send>(after), 1);
-  EXPECT_EQ(all<Send>(after)[0].cache, first) << "it answers, so it is used";
+  ASSERT_EQ(count<SendAttempt>(after), 1);
+  EXPECT_EQ(all<SendAttempt>(after)[0].cache, first) << "it answers, so it is used";
 }
 
 // Provokes: machines that are gone say nothing, and each request sent there waits for its connection. One at
@@ -1091,13 +1092,13 @@
   const std::string first = eject_both(router, milliseconds(400));
   router.now += milliseconds(20);
   const auto out = router.ask(100);
-  ASSERT_EQ(count<Send>(out), 1);
-  EXPECT_EQ(all<Send>(out)[0].cache, first);
+  ASSERT_EQ(count<SendAttempt>(out), 1);
+  EXPECT_EQ(all<SendAttempt>(out)[0].cache, first);
   const auto second = router.ask(101);
-  ASSERT_EQ(count<Send>(second), 1);
-  EXPECT_NE(all<Send>(second)[0].cache, first) << "one at a time at each";
+  ASSERT_EQ(count<SendAttempt>(second), 1);
+  EXPECT_NE(all<SendAttempt>(second)[0].cache, first) << "one at a time at each";
   const auto third = router.ask(102);
-  EXPECT_EQ(count<Send>(third), 0);
+  EXPECT_EQ(count<SendAttempt>(third), 0);
   EXPECT_EQ(finals(third), 1);
 }
 
@@ -1191,7 +1192,7 @@
   int named = 0;
   for (RequestId id = 1; id <= 400; ++id) {
     router.ask(id, kVideo, id, 100.0);
-    const std::vector<Send>& sends = router.sends[id];
+    const std::vector<SendAttempt>& sends = router.sends[id];
     const bool by_origin = !sends.empty() && sends[0].source == "o";
     named += by_origin && id > 300 ? 1 : 0;
     const bool slow = !by_origin && id % 3 == 0;  // a third of them, so that the window stays open
@@ -1203,7 +1204,7 @@
       ended.finished = true;
       ended.note = Note::kFilledFromOrigin;
       ended.latency = slow ? Micros(seconds(1)) : Micros(milliseconds(50));
-      ended.waited = slow ? waited : Micros(milliseconds(10));
+      ended.source_first_byte_time = slow ? waited : Micros(milliseconds(10));
       router.handle(ended);
     }
   }
@@ -1219,7 +1220,7 @@
 
 TEST(Lists, AListThatReplacesHalfTheFleetAndAFleetBeyondTheTableAreAnswered) {
   Router router;
-  std::vector<NodeEntry> list;
+  std::vector<Endpoint> list;
   for (int i = 0; i < 6000; ++i) {
     list.push_back(node(std::string("c").append(std::to_string(i))));
   }
@@ -1305,25 +1306,25 @@
 }
 
 // Whether a source is to give the object whether it holds it or not.
-bool may_fill(const Send& send) { return !send.held_only && send.source != send.cache; }
+bool may_fill(const SendAttempt& send) { return !send.only_if_cached && send.source != send.cache; }
 
 TEST(Failures, WhileFillsFailUnknownObjectsOnlyAskForWhatIsHeld) {
   Router router;
   router.list(plain_list());
-  refuse_fills(router, 1, 300, 400.0, Note::kSourceRefused);
-  int held_only = 0;
+  refuse_fills(router, 1, 300, 400.0, Note::kSourceRejected);
+  int only_if_cached = 0;
   for (RequestId id = 1001; id <= 1400; ++id) {
     router.ask(id, kVideo, id, 400.0);
-    held_only += !router.sends[id].empty() && !may_fill(router.sends[id][0]) ? 1 : 0;
+    only_if_cached += !router.sends[id].empty() && !may_fill(router.sends[id][0]) ? 1 : 0;
   }
-  EXPECT_GT(held_only, 0);
-  EXPECT_LT(held_only, 400);  // some still try, so that recovery shows
+  EXPECT_GT(only_if_cached, 0);
+  EXPECT_LT(only_if_cached, 400);  // some still try, so that recovery shows
 }
 
 TEST(Failures, CachesWithNoPlaceForAFillShrinkTheWindowAndAreNotTriedInTurn) {
   Router router;
   router.list(plain_list());
-  refuse_fills(router, 1, 100, 400.0, Note::kNoFillPlace);
+  refuse_fills(router, 1, 100, 400.0, Note::kNoFillCapacity);
   int attempts = 0;
   int fills = 0;
   for (RequestId id = 1001; id <= 1100; ++id) {
@@ -1331,7 +1332,7 @@
     for (int i = 0; i < static_cast<int>(router.sends[id].size()); ++i) {
       fills += may_fill(router.sends[id][static_cast<std::size_t>(i)]) ? 1 : 0;
       ++attempts;
-      router.end(id, i, Status::kFull, Note::kNoFillPlace);
+      router.end(id, i, Status::kFull, Note::kNoFillCapacity);
     }
   }
   EXPECT_LT(fills, 100);  // without it each request is a fill, and some are tried in turn
@@ -1341,12 +1342,12 @@
 TEST(Failures, WhileFillsFailACopyPastItsFreshTimeWillDoButNeverAPurgedOne) {
   Router router;
   router.list(plain_list());
-  EXPECT_EQ(router.serve(1, kImage, 500).age, Micros(seconds(20)));
-  refuse_fills(router, 2, 100, 100.0, Note::kSourceRefused);
-  EXPECT_EQ(router.serve(2001, kImage, 500).age, Micros(seconds(40)));
+  EXPECT_EQ(router.serve(1, kImage, 500).max_age, Micros(seconds(20)));
+  refuse_fills(router, 2, 100, 100.0, Note::kSourceRejected);
+  EXPECT_EQ(router.serve(2001, kImage, 500).max_age, Micros(seconds(40)));
   router.handle(Purged{false, 500, 0, Micros(0)});
   router.now += seconds(1);
-  EXPECT_LE(router.serve(2002, kImage, 500).age, Micros(seconds(1)));
+  EXPECT_LE(router.serve(2002, kImage, 500).max_age, Micros(seconds(1)));
 }
 
 TEST(Failures, WhileFillsFailAnOverdueFillPastItsAimIsGivenUpAndElseNot) {
@@ -1365,7 +1366,7 @@
     }
     router.now += std::max(Micros(seconds(1)), timers.back().delay);
     const auto after = router.handle(TimerFired{timers.back().token});
-    EXPECT_EQ(count<Refuse>(after), failing ? 1 : 0);
+    EXPECT_EQ(count<Reject>(after), failing ? 1 : 0);
     EXPECT_EQ(count<Cancel>(after), failing ? 1 : 0);
   }
 }
@@ -1377,14 +1378,14 @@
   RequestId asked = 0;
   for (RequestId id = 1001; id <= 1010 && asked == 0; ++id) {
     router.ask(id, kVideo, id, 400.0);
-    asked = !router.sends[id].empty() && router.sends[id][0].held_only ? id : 0;
+    asked = !router.sends[id].empty() && router.sends[id][0].only_if_cached ? id : 0;
   }
   ASSERT_NE(asked, 0U);
   EXPECT_EQ(router.sends[asked][0].source.front(), 'p');
-  const auto after = router.end(asked, 0, Status::kMiss, Note::kSourceLacks);
-  EXPECT_EQ(finals(after) + count<Send>(after), 1);
-  for (const Send& send : all<Send>(after)) {
-    EXPECT_FALSE(send.held_only);  // let in by chance; what is held was asked for already
+  const auto after = router.end(asked, 0, Status::kNotCached, Note::kNotAtSource);
+  EXPECT_EQ(finals(after) + count<SendAttempt>(after), 1);
+  for (const SendAttempt& send : all<SendAttempt>(after)) {
+    EXPECT_FALSE(send.only_if_cached);  // let in by chance; what is held was asked for already
   }
 }
 
@@ -1399,28 +1400,28 @@
 TEST(Load, OverCapacityTheLargeAreRefusedFirst) {
   Router router;
   crowd(router, 8, 300.0);
-  EXPECT_EQ(count<Refuse>(router.ask(100, kVideo, 100, 3000.0)), 1);
-  EXPECT_EQ(count<Send>(router.ask(101, kVideo, 101, 20.0)), 1);
+  EXPECT_EQ(count<Reject>(router.ask(100, kVideo, 100, 3000.0)), 1);
+  EXPECT_EQ(count<SendAttempt>(router.ask(101, kVideo, 101, 20.0)), 1);
 }
 
 TEST(Load, ObjectsAboveTheMeanSizeAreRefusedFromASmallerPartOfTheirAim) {
   Router router;
   crowd(router, 6, 200.0);
   // At one and a half times its capacity the cache would send 1.5 s of work in 2.3 s, within 0.9 of 3 s.
-  EXPECT_EQ(count<Refuse>(router.ask(100, kVideo, 100, 1500.0)), 1);
-  EXPECT_EQ(count<Send>(router.ask(101, kVideo, 101, 200.0)), 1);
+  EXPECT_EQ(count<Reject>(router.ask(100, kVideo, 100, 1500.0)), 1);
+  EXPECT_EQ(count<SendAttempt>(router.ask(101, kVideo, 101, 200.0)), 1);
 }
 
 TEST(Load, ARefusalNamesATimeToComeBackOnlyWhereClientsHeedIt) {
   Router heeded;
-  const auto refusals = all<Refuse>(heeded.ask(1));
+  const auto refusals = all<Reject>(heeded.ask(1));
   ASSERT_EQ(refusals.size(), 1U);
   EXPECT_GT(refusals[0].retry_after, Micros(0));
   EXPECT_LE(refusals[0].retry_after, Micros(seconds(1)));
   Settings settings = plain_settings();
   settings.max_retry_after = Micros(0);
   Router unheeded(settings);
-  EXPECT_EQ(all<Refuse>(unheeded.ask(1)).at(0).retry_after, Micros(0));
+  EXPECT_EQ(all<Reject>(unheeded.ask(1)).at(0).retry_after, Micros(0));
 }
 
 // One object, served many times by a router that shares its zone with 17 others, while two more requests for
@@ -1508,16 +1509,16 @@
   const auto timers = all<SetTimer>(router.ask(1));
   router.now += seconds(100'000);
   EXPECT_EQ(finals(router.handle(TimerFired{timers.front().token})), 1);
-  EXPECT_EQ(count<Send>(router.ask(2)), 1);
+  EXPECT_EQ(count<SendAttempt>(router.ask(2)), 1);
 }
 
 TEST(Lists, AskedForWhereTheyDoNotComeByThemselves) {
   Settings settings = plain_settings();
-  settings.must_ask_for_list = true;
+  settings.must_subscribe = true;
   Router router(settings);
-  EXPECT_EQ(count<Subscribe>(router.handle(ListReceived{ListKind::kRemembered, plain_list()})), 1);
-  EXPECT_EQ(count<Subscribe>(router.handle(ListReceived{ListKind::kFull, plain_list()})), 0);
-  EXPECT_EQ(count<Send>(router.ask(1)), 1);
+  EXPECT_EQ(count<Subscribe>(router.handle(EndpointListReceived{ListKind::kRestored, plain_list()})), 1);
+  EXPECT_EQ(count<Subscribe>(router.handle(EndpointListReceived{ListKind::kFull, plain_list()})), 0);
+  EXPECT_EQ(count<SendAttempt>(router.ask(1)), 1);
 }
 
 }  // namespace
--- a/tests/node_core_test.cpp
+++ b/tests/node_core_test.cpp
@@ -324,7 +324,7 @@
   // A parent that hands on the old copy all the same: a miss, and its source is told as lacking.
   fetched(all<Fetch>()[1].fill, answer(AnswerWord::kOk, "old", kNow + steady_ - 20));
   EXPECT_EQ(answer_to(1).word, AnswerWord::kMiss);
-  EXPECT_EQ(answer_to(1).fields.note, Note::kSourceLacks);
+  EXPECT_EQ(answer_to(1).fields.note, Note::kNotAtSource);
   EXPECT_TRUE(all<Keep>().empty());
 }
 
@@ -379,12 +379,12 @@
   broken.end = FetchResult::End::kBroken;
   FetchResult spoilt;
   spoilt.end = FetchResult::End::kSpoilt;
-  const std::vector<Case> cases{{answer(AnswerWord::kMiss), AnswerWord::kMiss, Note::kSourceLacks},
-                                {answer(AnswerWord::kBusy), AnswerWord::kMiss, Note::kSourceRefused},
-                                {answer(AnswerWord::kError), AnswerWord::kError, Note::kSourceRefused},
+  const std::vector<Case> cases{{answer(AnswerWord::kMiss), AnswerWord::kMiss, Note::kNotAtSource},
+                                {answer(AnswerWord::kBusy), AnswerWord::kMiss, Note::kSourceRejected},
+                                {answer(AnswerWord::kError), AnswerWord::kError, Note::kSourceRejected},
                                 {unreachable, AnswerWord::kMiss, Note::kSourceUnreachable},
                                 {broken, AnswerWord::kMiss, Note::kSourceUnreachable},
-                                {spoilt, AnswerWord::kMiss, Note::kSourceRefused}};
+                                {spoilt, AnswerWord::kMiss, Note::kSourceRejected}};
   RequestNumber number = 0;
   for (const Case& one : cases) {
     out_.clear();
@@ -439,7 +439,7 @@
   }
   miss(5, fields("item5"));
   EXPECT_EQ(answer_to(5).word, AnswerWord::kBusy);
-  EXPECT_EQ(answer_to(5).fields.note, Note::kNoFillPlace);
+  EXPECT_EQ(answer_to(5).fields.note, Note::kNoFillCapacity);
   hold(6, fields("held"), Copy{"t", kNow, 1, bytes("x")});
   EXPECT_EQ(answer_to(6).word, AnswerWord::kOk) << "what is held needs no place";
   for (RequestNumber number = 10; number < 56; ++number) {
@@ -515,7 +515,7 @@
   miss(1, asked);
   EXPECT_TRUE(all<Fetch>()[0].fields.held);
   fetched(all<Fetch>()[0].fill, answer(AnswerWord::kMiss));
-  EXPECT_EQ(answer_to(1).fields.note, Note::kSourceLacks);
+  EXPECT_EQ(answer_to(1).fields.note, Note::kNotAtSource);
 }
 
 // A parent fills from its own source what a cache asks it for, unless it is to give only what it holds.
--- a/tests/notice_board_test.cpp
+++ b/tests/notice_board_test.cpp
@@ -158,7 +158,7 @@
             scheduler_, clock_, plain_profile().settings,
             [this](Micros now, const Event& event, std::vector<Action>&) {
               now_ = now;
-              if (const auto* list = std::get_if<ListReceived>(&event)) {
+              if (const auto* list = std::get_if<EndpointListReceived>(&event)) {
                 lists_.push_back(*list);
               } else if (const auto* purge = std::get_if<Purged>(&event)) {
                 purges_.push_back(*purge);
@@ -182,7 +182,7 @@
   transport::Scheduler scheduler_;
   routing::ModuleClock clock_;
   Micros now_{0};
-  std::vector<ListReceived> lists_;
+  std::vector<EndpointListReceived> lists_;
   std::vector<Purged> purges_;
   std::vector<std::string> unwanted_;
   routing::Directory directory_;
--- a/tests/resp_test.cpp
+++ b/tests/resp_test.cpp
@@ -153,24 +153,24 @@
 }
 
 TEST(CacheAnswer, WritesAFillWithAllItsFields) {
-  Send order;
+  SendAttempt order;
   order.cache = "c1";
   order.source = "p1";
-  order.limit = milliseconds(900);
-  order.keep = 2;
-  order.age = milliseconds(1500);
-  order.join = true;
-  order.held_only = true;
+  order.timeout = milliseconds(900);
+  order.keep_rank = 2;
+  order.max_age = milliseconds(1500);
+  order.join_fill = true;
+  order.only_if_cached = true;
   EXPECT_EQ(fields_of(write_serve(plain_passed(), order)),
             "cls=media,item=7f3a9c21e0b4d655,chunk=3,limit=900,next=p1,admit=2,agelim=1500,ways=join+held,"
             "cached=4be0c1927d55a6f3");
 }
 
 TEST(CacheAnswer, WithoutAFillNoSourceIsNamed) {
-  Send order;
+  SendAttempt order;
   order.cache = "c1";
   order.source = "c1";
-  order.limit = milliseconds(900);
+  order.timeout = milliseconds(900);
   Passed passed = plain_passed();
   passed.held_tag.clear();
   passed.dedupe_key = "k1";
@@ -180,15 +180,15 @@
 
 // 0 would mean no limit: the one purged a moment ago would be served from an old copy.
 TEST(CacheAnswer, TimesRoundDownButNeverToNone) {
-  Send order;
+  SendAttempt order;
   order.cache = "c1";
   order.source = "c1";
-  order.limit = Micros(1);
-  order.age = Micros(999);
+  order.timeout = Micros(1);
+  order.max_age = Micros(999);
   std::string fields = fields_of(write_serve(plain_passed(), order));
   EXPECT_NE(fields.find(",limit=1,"), std::string::npos) << fields;
   EXPECT_NE(fields.find(",agelim=1,"), std::string::npos) << fields;
-  order.age = Micros(2'999);
+  order.max_age = Micros(2'999);
   fields = fields_of(write_serve(plain_passed(), order));
   EXPECT_NE(fields.find(",agelim=2,"), std::string::npos) << fields;
 }
@@ -196,8 +196,8 @@
 TEST(CacheAnswer, PassesTheBodyByteForByte) {
   Passed passed = plain_passed();
   passed.body = std::string("\0\r\n*3\r\n", 8);
-  Send order;
-  order.limit = milliseconds(5);
+  SendAttempt order;
+  order.timeout = milliseconds(5);
   const std::string command = write_serve(passed, order);
   EXPECT_TRUE(command.ends_with("$8\r\n" + passed.body + "\r\n"));
   EXPECT_EQ(write_cancel("id"), "*2\r\n$6\r\ncancel\r\n$2\r\nid\r\n");
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -42,7 +42,7 @@
 
 class NotedUpstream : public Upstream {
  public:
-  void send(const AttemptKey& key, const Send& order, const std::shared_ptr<const void>&,
+  void send(const AttemptKey& key, const SendAttempt& order, const std::shared_ptr<const void>&,
             bool streaming) override {
     sent.push_back(key);
     orders.push_back(order);
@@ -51,7 +51,7 @@
   void cancel(const AttemptKey& key) override { cancelled.push_back(key); }
 
   std::vector<AttemptKey> sent;
-  std::vector<Send> orders;
+  std::vector<SendAttempt> orders;
   std::vector<AttemptKey> cancelled;
   bool streams = false;
 };
@@ -73,7 +73,7 @@
     Settings out;
     out.classes.resize(2);
     out.classes[1].streaming = true;
-    out.attempts_cap = 3;
+    out.max_attempts = 3;
     return out;
   }
   Router::Handler handler() {
@@ -90,12 +90,12 @@
       out.push_back(order(arrived->id));
     }
   }
-  static Send order(RequestId id, Micros limit = milliseconds(1000)) {
-    Send send;
+  static SendAttempt order(RequestId id, Micros limit = milliseconds(1000)) {
+    SendAttempt send;
     send.id = id;
     send.cache = "c1";
     send.source = "c1";
-    send.limit = limit;
+    send.timeout = limit;
     return send;
   }
   RequestId arrive(int request_class = 0, std::size_t body_bytes = 0) {
@@ -145,7 +145,7 @@
   const Micros before = router_.now();
   const RequestId id = arrive();
   ASSERT_EQ(told<RequestArrived>().size(), 1U);
-  EXPECT_EQ(told<RequestArrived>()[0].due, before + milliseconds(2000));
+  EXPECT_EQ(told<RequestArrived>()[0].deadline, before + milliseconds(2000));
   ASSERT_EQ(upstream_.sent.size(), 1U);
   AttemptResult good = result(Status::kOk, "bytes");
   good.note = Note::kFilled;
@@ -158,7 +158,7 @@
   ASSERT_EQ(ended.size(), 1U);
   EXPECT_TRUE(ended[0].finished);
   EXPECT_EQ(ended[0].note, Note::kFilled);
-  EXPECT_EQ(ended[0].waited, milliseconds(7));
+  EXPECT_EQ(ended[0].source_first_byte_time, milliseconds(7));
   EXPECT_DOUBLE_EQ(ended[0].load.concurrent, 4.0);
   EXPECT_EQ(router_.open_requests(), 0U);
 }
@@ -175,7 +175,7 @@
   const RequestId id = arrive();
   script_ = [](const Event& event, std::vector<Action>& out) {
     if (const auto* ended = std::get_if<AttemptEnded>(&event); ended != nullptr && !ended->finished) {
-      out.push_back(Refuse{ended->id, milliseconds(400)});
+      out.push_back(Reject{ended->id, milliseconds(400)});
     }
   };
   router_.attempt_ended({id, 0}, result(Status::kFull));
@@ -252,7 +252,7 @@
   EXPECT_EQ(upstream_.sent.size(), 3U);
   ASSERT_EQ(told<AttemptEnded>().size(), 2U);
   EXPECT_EQ(told<AttemptEnded>()[0].attempt, 3);
-  EXPECT_EQ(told<AttemptEnded>()[0].status, Status::kMoot);
+  EXPECT_EQ(told<AttemptEnded>()[0].status, Status::kNotSent);
   EXPECT_EQ(told<AttemptEnded>()[1].attempt, 4);
   EXPECT_EQ(answers_->said, std::vector<std::string>{"failed"});
   router_.attempt_ended({id, 2}, result(Status::kOk, "late"));
@@ -262,9 +262,9 @@
 TEST_F(RouterTest, AFinalAnswerIsGivenOnce) {
   script_ = [](const Event& event, std::vector<Action>& out) {
     if (const auto* arrived = std::get_if<RequestArrived>(&event)) {
-      out.push_back(Refuse{arrived->id, Micros(0)});
+      out.push_back(Reject{arrived->id, Micros(0)});
       out.push_back(Fail{arrived->id});
-      out.push_back(Refuse{arrived->id, Micros(0)});
+      out.push_back(Reject{arrived->id, Micros(0)});
     }
   };
   arrive();
@@ -397,7 +397,7 @@
 
 TEST(Outcome, NothingWrittenProvesThatNothingRan) {
   for (const ConnectionEnd end : kAllEnds) {
-    EXPECT_TRUE(proves_unrun(status_of(end, false))) << to_string(end);
+    EXPECT_TRUE(proves_not_executed(status_of(end, false))) << to_string(end);
   }
 }
 
@@ -406,13 +406,13 @@
   for (const ConnectionEnd end : kAllEnds) {
     const bool never_up = end == ConnectionEnd::kRefused || end == ConnectionEnd::kConnectTimeout ||
                           end == ConnectionEnd::kUnreachable || end == ConnectionEnd::kNoDescriptor;
-    EXPECT_EQ(proves_unrun(status_of(end, true)), never_up) << to_string(end);
+    EXPECT_EQ(proves_not_executed(status_of(end, true)), never_up) << to_string(end);
   }
 }
 
 // A want of our own must not count against the cache.
 TEST(Outcome, OurOwnWantOfDescriptorsIsNoConnectFailure) {
-  EXPECT_EQ(status_of(ConnectionEnd::kNoDescriptor, false), Status::kMoot);
+  EXPECT_EQ(status_of(ConnectionEnd::kNoDescriptor, false), Status::kNotSent);
   EXPECT_EQ(status_of(ConnectionEnd::kRefused, false), Status::kConnectFailed);
   EXPECT_EQ(status_of(ConnectionEnd::kPeerReset, true), Status::kReset);
 }
@@ -421,7 +421,7 @@
 TEST(Outcome, AnEndBeforeAnythingWasWrittenIsNoConnectFailure) {
   for (const ConnectionEnd end : {ConnectionEnd::kPeerReset, ConnectionEnd::kPeerClosed, ConnectionEnd::kIdle,
                                   ConnectionEnd::kDropped, ConnectionEnd::kBroken}) {
-    EXPECT_EQ(status_of(end, false), Status::kMoot) << to_string(end);
+    EXPECT_EQ(status_of(end, false), Status::kNotSent) << to_string(end);
   }
   for (const ConnectionEnd end :
        {ConnectionEnd::kRefused, ConnectionEnd::kConnectTimeout, ConnectionEnd::kUnreachable}) {
@@ -432,8 +432,8 @@
 // Nor must a bound of our own; but what was written may have run.
 TEST(Outcome, OurOwnBoundsAreNoBreakOfTheCaches) {
   EXPECT_EQ(status_of(ConnectionEnd::kOverflow, true), Status::kCancelled);
-  EXPECT_FALSE(proves_unrun(status_of(ConnectionEnd::kOverflow, true)));
-  EXPECT_EQ(status_of(ConnectionEnd::kOverflow, false), Status::kMoot);
+  EXPECT_FALSE(proves_not_executed(status_of(ConnectionEnd::kOverflow, true)));
+  EXPECT_EQ(status_of(ConnectionEnd::kOverflow, false), Status::kNotSent);
 }
 
 }  // namespace
--- a/tests/startup_test.cpp
+++ b/tests/startup_test.cpp
@@ -543,8 +543,8 @@
   EXPECT_LT(per_s, 1.1);
 }
 
-NodeEntry entry(const std::string& name, NodeState state = NodeState::kReady, Micros started = Micros(0)) {
-  NodeEntry out;
+Endpoint entry(const std::string& name, NodeState state = NodeState::kReady, Micros started = Micros(0)) {
+  Endpoint out;
   out.address = name;
   out.zone = "here";
   out.state = state;
@@ -554,12 +554,12 @@
 
 class GateTest : public testing::Test {
  protected:
-  std::vector<ListReceived> lists(Gate& gate, Micros now) {
+  std::vector<EndpointListReceived> lists(Gate& gate, Micros now) {
     events_.clear();
     gate.due(now, events_);
-    std::vector<ListReceived> out;
+    std::vector<EndpointListReceived> out;
     for (const Event& event : events_) {
-      if (const auto* list = std::get_if<ListReceived>(&event)) {
+      if (const auto* list = std::get_if<EndpointListReceived>(&event)) {
         out.push_back(*list);
       }
     }
@@ -570,9 +570,9 @@
       return std::holds_alternative<Purged>(event);
     }));
   }
-  static std::map<std::string, NodeState> states(const ListReceived& list) {
+  static std::map<std::string, NodeState> states(const EndpointListReceived& list) {
     std::map<std::string, NodeState> out;
-    for (const NodeEntry& one : list.entries) {
+    for (const Endpoint& one : list.entries) {
       out[one.address] = one.state;
     }
     return out;
