--- /dev/null
+++ b/tests/recorded_files_test.cpp
@@ -0,0 +1,337 @@
+// Files that an earlier version recorded (tests/fixtures/README.md): this version reads each of them, and writes the
+// same bytes from what it read.
+#include <gmock/gmock.h>
+#include <gtest/gtest.h>
+#include <unistd.h>
+
+#include <filesystem>
+#include <fstream>
+#include <iterator>
+#include <nlohmann/json.hpp>
+#include <set>
+#include <sstream>
+#include <string>
+#include <vector>
+
+#include "board/page_log.h"
+#include "coordination/ledger_file.h"
+#include "fencing/token_store.h"
+#include "membership/records.h"
+#include "ownership/work.h"
+#include "policy/change.h"
+#include "policy/document.h"
+#include "program/board_server.h"
+#include "program/operator_file.h"
+#include "protocol/notice_board.h"
+#include "snapshot/snapshot.h"
+#include "store/format.h"
+#include "store/maintenance.h"
+#include "store/store.h"
+#include "store_stand_ins.h"
+
+namespace trailcourse {
+namespace {
+
+using nlohmann::json;
+using testing::ElementsAre;
+using testing::IsEmpty;
+using testing::SizeIs;
+
+constexpr const char* kPurgedObject = "5c0f6e1a2b3d4c59";
+constexpr std::int64_t kPurgedAtMs = 1'796'234'020'305;
+constexpr std::int64_t kSnapshotConfirmedMs = 1'796'234'020'016;
+constexpr std::uint64_t kStoreId = 115'066'598'373'453;
+const std::string kKeyPrefix = "trailcourse/";
+
+std::string read_file(const std::filesystem::path& path) {
+  std::ifstream file(path, std::ios::binary);
+  EXPECT_TRUE(file.is_open()) << path;
+  return {std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
+}
+
+std::filesystem::path fixture(const std::string& name) {
+  return std::filesystem::path(TRAILCOURSE_SOURCE_DIR) / "tests" / "fixtures" / name;
+}
+
+// The list that the fixtures hold names nodes of these kinds.
+protocol::Profile profile() {
+  protocol::Profile out;
+  out.kinds = {"std", "parent", "origin"};
+  out.parent_kind = 1;
+  out.origin_kind = 2;
+  return out;
+}
+
+// Opens copies of the recorded files, so that the recorded ones stay as they are.
+class RecordedFiles : public testing::Test {
+ protected:
+  RecordedFiles() : folder_(testing::TempDir() + "trailcourse-recorded-" + std::to_string(::getpid())) {
+    std::filesystem::remove_all(folder_);
+    std::filesystem::create_directories(folder_);
+  }
+  ~RecordedFiles() override { std::filesystem::remove_all(folder_); }
+
+  std::string copy_of_fixture(const std::string& name) const {
+    std::filesystem::copy(fixture(name), folder_ / name, std::filesystem::copy_options::recursive);
+    return (folder_ / name).string();
+  }
+
+  std::filesystem::path folder_;
+};
+
+// ---- Discovery: the file of the board, and a router's snapshot of it ----
+
+TEST_F(RecordedFiles, ABoardPageIsReadWholeAndToldOnAsItStands) {
+  const json page = json::parse(read_file(fixture("board_page.json")));
+  const protocol::NoticePage read = protocol::read_notices(page, profile());
+  EXPECT_EQ(read.last, 3U);
+  EXPECT_THAT(read.notices, SizeIs(3));
+  EXPECT_THAT(read.skipped, IsEmpty());
+  const auto& list = std::get<protocol::PoolNotice>(read.notices[0].what);
+  EXPECT_TRUE(list.whole);
+  ASSERT_THAT(list.caches, SizeIs(3));
+  EXPECT_EQ(list.caches[2].address, "127.64.36.211:10004");
+  const auto& purge = std::get<protocol::FlushNotice>(read.notices[1].what);
+  EXPECT_EQ(purge.object, 0x5c0f6e1a2b3d4c59U);
+  EXPECT_EQ(purge.at_ms, kPurgedAtMs);
+  EXPECT_EQ(std::get<protocol::FlushNotice>(read.notices[2].what).group, 17U);
+
+  board::PageLog log;
+  log.replace(page);
+  EXPECT_EQ(json::parse(*log.later_than(0)), page);
+}
+
+TEST_F(RecordedFiles, AnEventIsAddedToABoardPageInTheSameForm) {
+  const std::string file = copy_of_fixture("board_page.json");
+  const json event{{"flush", {{"collection", 18}, {"ms", kPurgedAtMs}}}};
+  EXPECT_EQ(program::add_notice(file, event), 4U);
+
+  json expected = json::parse(read_file(fixture("board_page.json")));
+  expected["rev"] = 4;
+  expected["notices"].push_back({{"flush", {{"collection", 18}, {"ms", kPurgedAtMs}}}, {"rev", 4}});
+  EXPECT_EQ(read_file(file), expected.dump(1) + "\n");
+}
+
+TEST_F(RecordedFiles, ASnapshotIsBelievedAndWrittenWithTheSameBytes) {
+  const std::string bytes = read_file(fixture("snapshot"));
+  const auto read = snapshot::read_snapshot(bytes, {"demo", "router0", kSnapshotConfirmedMs + 1'000, 60'000});
+  ASSERT_TRUE(std::holds_alternative<snapshot::Snapshot>(read));
+  const auto& found = std::get<snapshot::Snapshot>(read);
+  EXPECT_EQ(found.last(), 3U);
+  EXPECT_EQ(found.board_id, "80e49a025244b24f");
+  EXPECT_EQ(found.confirmed_ms, kSnapshotConfirmedMs);
+  EXPECT_THAT(protocol::read_notices(found.page, profile()).notices, SizeIs(3));
+  EXPECT_EQ(snapshot::write_snapshot(found), bytes);
+}
+
+// ---- The fleet's policy ----
+
+TEST_F(RecordedFiles, APolicyDocumentIsReadAndWrittenWithTheSameBytes) {
+  const std::string bytes = read_file(fixture("policy_document.json"));
+  const policy::Document document = policy::read_document(bytes);
+  EXPECT_EQ(document.version, 1U);
+  EXPECT_EQ(document.author, "kim");
+  EXPECT_EQ(document.reason, "payout evening");
+  ASSERT_TRUE(document.content.classes.contains("media"));
+  EXPECT_EQ(document.content.classes.at("media").objective_ms, 900);
+  EXPECT_EQ(document.content.classes.at("media").give_up_ms, 4'000);
+  EXPECT_EQ(document.content.limits.open_requests, 8'000);
+  EXPECT_THAT(document.content.limits.work, ElementsAre("probe", "report", "policy"));
+  EXPECT_EQ(policy::write_text(document), bytes);
+}
+
+TEST_F(RecordedFiles, APolicyDraftIsReadAsTheDocumentThatWasMadeOfIt) {
+  const policy::Document draft = policy::read_draft(read_file(fixture("policy_draft.json")));
+  const policy::Document document = policy::read_document(read_file(fixture("policy_document.json")));
+  EXPECT_EQ(draft.content, document.content);
+}
+
+// ---- The coordination store ----
+
+// The entries and leases of the recorded store, opened as `trailcourse registry` does.
+class RecordedRegistry : public RecordedFiles {
+ protected:
+  RecordedRegistry()
+      : file_(copy_of_fixture("registry"), coordination::Limits{},
+              coordination::LedgerFile::Sharing::kAlone) {}
+
+  std::string value(const std::string& key) const {
+    const auto found = file_.ledger().entries().find(kKeyPrefix + key);
+    return found == file_.ledger().entries().end() ? "no such entry" : found->second.value;
+  }
+
+  coordination::LedgerFile file_;
+};
+
+TEST_F(RecordedRegistry, KeepsItsIdRevisionEntriesAndLeases) {
+  EXPECT_EQ(file_.id(), kStoreId);
+  EXPECT_EQ(file_.ledger().revision(), 22U);
+  EXPECT_THAT(file_.ledger().entries(), SizeIs(20));
+  std::vector<std::int64_t> ttls;
+  for (const auto& [id, lease] : file_.ledger().leases()) {
+    ttls.push_back(lease.ttl_ms);
+  }
+  EXPECT_THAT(ttls, ElementsAre(10'000, 10'000, 6'000, 6'000));
+  const coordination::Entry& owner = file_.ledger().entries().at(kKeyPrefix + "fleet/own/counts/0");
+  EXPECT_EQ(owner.created, 9U);
+  EXPECT_EQ(owner.lease, 7'340'036U);
+}
+
+TEST_F(RecordedRegistry, GoesOnFromItsRevisionAndKeepsWhatIsWritten) {
+  coordination::Revision revision = 0;
+  file_.use(coordination::LedgerFile::machine_ms(), true, [&](coordination::Ledger& ledger) {
+    coordination::Transaction transaction;
+    transaction.then = {coordination::Put{kKeyPrefix + "fleet/work/new", "value", 0}};
+    ledger.commit(transaction);
+    revision = ledger.revision();
+  });
+  EXPECT_EQ(revision, 23U);
+  EXPECT_EQ(value("fleet/work/new"), "value");
+}
+
+TEST_F(RecordedRegistry, ItsMembersAreReadAndWrittenWithTheSameBytes) {
+  const std::string key = "fleet/members/router0/6e4a23d890dd1fa0";
+  const auto member = membership::read_member(key, value(key));
+  ASSERT_TRUE(member.has_value());
+  EXPECT_EQ(member->name, "router0");
+  EXPECT_EQ(member->zone, "edge");
+  EXPECT_EQ(membership::write_member(*member), value(key));
+}
+
+TEST_F(RecordedRegistry, ItsWorkIsReadAndWrittenWithTheSameBytes) {
+  const std::string work_key = "fleet/work/evening";
+  const auto work = ownership::read_work(work_key, value(work_key));
+  ASSERT_TRUE(work.has_value());
+  EXPECT_EQ(work->kind, "fill");
+  EXPECT_EQ(ownership::write_work(*work), value(work_key));
+
+  const auto owner = ownership::read_owner(value("fleet/own/counts/0"), 9);
+  ASSERT_TRUE(owner.has_value());
+  EXPECT_EQ(owner->member, "router0");
+  EXPECT_EQ(ownership::write_owner(*owner), value("fleet/own/counts/0"));
+
+  for (const char* key : {"progress/counts/0", "progress/evening/0", "progress/policy/0"}) {
+    const auto progress = ownership::read_progress(value(key));
+    ASSERT_TRUE(progress.has_value()) << key;
+    EXPECT_EQ(ownership::write_progress(*progress), value(key));
+  }
+}
+
+TEST_F(RecordedRegistry, ItsPolicyRolloutIsReadAndWrittenWithTheSameBytes) {
+  const auto rollout = policy::read_change(value("policy/change"));
+  ASSERT_TRUE(rollout.has_value());
+  EXPECT_EQ(rollout->version, 1U);
+  EXPECT_EQ(rollout->state, policy::ChangeState::kDone);
+  EXPECT_EQ(policy::write_change(*rollout), value("policy/change"));
+  EXPECT_EQ(value("policy/current"), "1");
+  EXPECT_EQ(value("policy/documents/1"), read_file(fixture("policy_document.json")));
+}
+
+// ---- Cache nodes ----
+
+class RecordedDiskTier : public RecordedFiles {
+ protected:
+  RecordedDiskTier() : path_(copy_of_fixture("disk_tier")) {}
+
+  std::string path_;
+};
+
+TEST_F(RecordedDiskTier, EachRecordPassesItsSums) {
+  const auto files = store::look_into_folder(path_);
+  const auto index = store::open_sqlite_index(path_, true);
+  const store::VerifyReport verified =
+      store::verify_folder(*files, *index, [](std::uint64_t, std::uint64_t) {});
+  EXPECT_EQ(verified.records, 4U);
+  EXPECT_EQ(verified.good, 4U);
+  EXPECT_EQ(verified.damaged_in_all, 0U);
+  const store::FolderStat stat = store::stat_folder(*files, *index);
+  EXPECT_EQ(stat.purges, 2U);
+  EXPECT_EQ(stat.heard, 3);
+  EXPECT_EQ(stat.damaged_rows, 0U);
+}
+
+TEST_F(RecordedDiskTier, EachRecordIsWrittenWithTheSameBytes) {
+  const std::string segment = read_file(path_ + "/" + store::segment_name(1));
+  EXPECT_TRUE(store::good_segment_head(segment, 1));
+  EXPECT_EQ(store::encode_segment_head(1), segment.substr(0, store::kSegmentHeadBytes));
+  std::size_t records = 0;
+  for (std::size_t at = store::kSegmentHeadBytes; at < segment.size(); ++records) {
+    const auto head = store::decode_head(std::string_view(segment).substr(at));
+    ASSERT_TRUE(head.has_value()) << at;
+    const std::string bytes = segment.substr(at, head->size());
+    const auto record = store::decode_record(bytes, 1, at);
+    ASSERT_TRUE(record.has_value()) << at;
+    EXPECT_EQ(store::encode_record(*record, 1, at, head->compressed), bytes);
+    at += bytes.size();
+  }
+  EXPECT_EQ(records, 4U);
+}
+
+TEST_F(RecordedDiskTier, AStoreServesItsCopiesButThePurgedOne) {
+  testing_support::ManualExecutor executor;
+  store::Options options;
+  options.memory_mb = 0;
+  store::Store::Backing backing;
+  backing.files = [this] { return store::open_folder(path_); };
+  backing.index = [this] { return store::open_sqlite_index(path_); };
+  std::vector<std::string> faults;
+  store::Store tier(
+      options, executor, backing, [] { return store::Store::Now{1'000, kPurgedAtMs + 60'000}; },
+      [&faults](bool bad, const std::string& what) {
+        if (bad) {
+          faults.push_back(what);
+        }
+      },
+      7);
+  tier.open([] {});
+  executor.drain();
+  EXPECT_THAT(faults, IsEmpty());
+
+  std::set<std::string> found;
+  for (const char* object : {"7f3a9c21e0b4d655", kPurgedObject, "9b1f03aa5c7e2d41", "4be0c1927d55a6f3"}) {
+    const store::Name name = store::Name::of("media", object, "0");
+    const store::Store::Found place = tier.find(name, 0);
+    if (place.where != store::Store::Where::kDisk || tier.forbidden(name, place.copy)) {
+      continue;
+    }
+    tier.read(name, [&found, object](const store::ReadResult& result) {
+      EXPECT_EQ(result.status, store::ReadStatus::kWhole) << object;
+      EXPECT_EQ(result.copy.size(), 2'048U) << object;
+      found.insert(object);
+    });
+    executor.drain();
+  }
+  EXPECT_THAT(found, ElementsAre("4be0c1927d55a6f3", "7f3a9c21e0b4d655", "9b1f03aa5c7e2d41"));
+}
+
+TEST_F(RecordedFiles, FencingTokensAreReadAndOlderOnesRefused) {
+  std::filesystem::create_directories(folder_ / "fencing");
+  std::filesystem::copy(fixture("terms"), folder_ / "fencing" / "terms");
+  testing_support::ManualExecutor executor;
+  fencing::TokenStore tokens(
+      std::shared_ptr<store::Files>(store::open_folder((folder_ / "fencing").string())), executor);
+  EXPECT_EQ(tokens.store(), kStoreId);
+  ASSERT_TRUE(tokens.terms().contains("evening/0"));
+  EXPECT_EQ(tokens.terms().at("evening/0"), 7U);
+  std::string answer = "none";
+  tokens.admit(std::to_string(kStoreId) + ":evening/0:6",
+               [&answer](const std::string& why) { answer = why; });
+  EXPECT_EQ(answer, "fenced");
+}
+
+// ---- The operator's file ----
+
+TEST_F(RecordedFiles, AnOperatorsFileIsReadToTheSameValues) {
+  const program::OperatorFile file = program::read_operator_file(fixture("operator.json").string(), {});
+  std::ostringstream printed;
+  program::print_operator_file(file, printed);
+  std::istringstream lines(printed.str());
+  std::string in_force;
+  for (std::string line; std::getline(lines, line);) {
+    in_force += line.substr(0, line.find("  # ")) + "\n";
+  }
+  EXPECT_EQ(in_force + "the operator's file is good\n", read_file(fixture("operator_in_force.txt")));
+}
+
+}  // namespace
+}  // namespace trailcourse
