--- a/tests/recorded_files_test.cpp
+++ b/tests/recorded_files_test.cpp
@@ -288,13 +288,20 @@
   EXPECT_THAT(faults, IsEmpty());
 
   std::set<std::string> found;
-  for (const char* object : {"7f3a9c21e0b4d655", kPurgedObject, "9b1f03aa5c7e2d41", "4be0c1927d55a6f3"}) {
-    const store::Name name = store::Name::of("media", object, "0");
+  // The last one came by work of the fleet, whose list names no part.
+  struct Recorded {
+    std::string object;
+    std::string part;
+  };
+  const std::vector<Recorded> recorded{
+      {"7f3a9c21e0b4d655", "0"}, {kPurgedObject, "0"}, {"9b1f03aa5c7e2d41", "0"}, {"4be0c1927d55a6f3", ""}};
+  for (const auto& [object, part] : recorded) {
+    const store::Name name = store::Name::of("media", object, part);
     const store::Store::Found place = tier.find(name, 0);
     if (place.where != store::Store::Where::kDisk || tier.forbidden(name, place.copy)) {
       continue;
     }
-    tier.read(name, [&found, object](const store::ReadResult& result) {
+    tier.read(name, [&found, &object](const store::ReadResult& result) {
       EXPECT_EQ(result.status, store::ReadStatus::kWhole) << object;
       EXPECT_EQ(result.copy.size(), 2'048U) << object;
       found.insert(object);
