--- a/benchmarks/scale/aggregator_costs.cpp
+++ b/benchmarks/scale/aggregator_costs.cpp
@@ -23,10 +23,10 @@
 std::string router_name(int index) { return "router-" + std::to_string(10'000 + index); }
 std::string zone_name(int index) { return "zone" + std::to_string(index % kZones); }
 
-aggregation::AggregatorRules wide_rules() {
-  aggregation::AggregatorRules rules;
+aggregation::AggregatorSettings wide_rules() {
+  aggregation::AggregatorSettings rules;
   rules.lease.ttl = Micros(3'600'000'000);  // nothing ends while it is measured
-  rules.routers.most_routers = 100'000;
+  rules.routers.max_routers = 100'000;
   return rules;
 }
 
@@ -49,11 +49,11 @@
 class Region {
  public:
   Region(int routers, std::uint64_t seed) : aggregator_(wide_rules(), identity(), seed) {
-    aggregator_.mirror(records());
-    aggregator_.heard(true);
-    for (const aggregation::UplinkOrder& order : aggregator_.due(now_)) {
-      if (const auto* ask = std::get_if<aggregation::AskPermission>(&order)) {
-        aggregator_.uplink().joined(now_, ask->order.number, {true, 9, 0});
+    aggregator_.on_snapshot(records());
+    aggregator_.set_connected(true);
+    for (const aggregation::UpstreamAction& order : aggregator_.step(now_)) {
+      if (const auto* ask = std::get_if<aggregation::LeaseAction>(&order)) {
+        aggregator_.upstream().on_join_result(now_, ask->order.number, {true, 9, 0});
       }
     }
     for (int i = 0; i < routers; ++i) {
@@ -77,7 +77,7 @@
                               {}});
   }
   void summarize() { keep_result(aggregator_.summaries()); }
-  void turn() { keep_result(aggregator_.due(now_)); }
+  void turn() { keep_result(aggregator_.step(now_)); }
 
  private:
   Aggregator aggregator_;
--- a/benchmarks/scale/fleet_model.h
+++ b/benchmarks/scale/fleet_model.h
@@ -34,7 +34,7 @@
   NetworkRules network = wide_area();
   CostRules costs;
   HollowRouter::Rules router;
-  aggregation::AggregatorRules aggregator;
+  aggregation::AggregatorSettings aggregator;
   Micros least_round{250'000};  // OwnershipOptions::acknowledge_ms
 };
 // As in the fleet ahead, 53 at 19,000 routers; at least 2.
--- a/benchmarks/scale/hollow_aggregator.cpp
+++ b/benchmarks/scale/hollow_aggregator.cpp
@@ -48,7 +48,7 @@
 
 HollowAggregator::HollowAggregator(Simulation& simulation, std::string name, int region,
                                    std::vector<std::string> zones, PermitServer& store,
-                                   const aggregation::AggregatorRules& rules)
+                                   const aggregation::AggregatorSettings& rules)
     : StoreClient(simulation, std::move(name), region, {&store}),
       rules_(rules),
       zones_(std::move(zones)),
@@ -68,14 +68,14 @@
 
 void HollowAggregator::turn() {
   const Micros now = clock();
-  const auto next = core_->next(now);
+  const auto next = core_->next_step_at(now);
   const bool timed = next && *next <= now;
   if (std::exchange(changed_, false) || timed) {
-    for (const aggregation::UplinkOrder& order : core_->due(now)) {
+    for (const aggregation::UpstreamAction& order : core_->step(now)) {
       std::visit([this](const auto& one) { carry_out(one); }, order);
     }
   }
-  if (const auto later = core_->next(now)) {
+  if (const auto later = core_->next_step_at(now)) {
     turn_at(*later);
   }
 }
@@ -83,12 +83,12 @@
 // ---- From the store ----
 
 void HollowAggregator::heard(const News& news) {
-  core_->heard(true);
+  core_->set_connected(true);
   changed_ = true;
   if (news.whole) {
-    core_->mirror(news.entries);
+    core_->on_snapshot(news.entries);
   } else {
-    core_->follow(news.changes);
+    core_->on_changes(news.changes);
   }
   const SharedNews told =
       news.whole ? whole_news(core_->records()) : changed_news(core_->records(), news.changes);
@@ -98,7 +98,7 @@
 }
 
 void HollowAggregator::silent() {
-  core_->heard(false);
+  core_->set_connected(false);
   changed_ = true;
 }
 
@@ -111,9 +111,9 @@
   try {
     work(out);
     out.done = true;
-  } catch (const aggregation::Refused& error) {
-    out.unavailable = error.why() == aggregation::Refused::Why::kNoPermission ||
-                      error.why() == aggregation::Refused::Why::kFull;
+  } catch (const aggregation::RequestRejected& error) {
+    out.unavailable = error.reason() == aggregation::RequestRejected::Reason::kNoPermission ||
+                      error.reason() == aggregation::RequestRejected::Reason::kFull;
   }
   return out;
 }
@@ -143,7 +143,7 @@
 Reply HollowAggregator::begin_watch(StoreClient& client, std::uint64_t watch) {
   Reply out;
   out.spent = micros(simulation().costs.call);
-  out.unavailable = !core_->mirrored();
+  out.unavailable = !core_->has_snapshot();
   if (!out.unavailable) {
     watches_.add(client, watch);
     out.news = whole_news(core_->records());
@@ -154,33 +154,33 @@
 }
 
 void HollowAggregator::tell_again(StoreClient& client) {
-  if (core_->mirrored()) {
+  if (core_->has_snapshot()) {
     watches_.tell_one(*this, client, whole_news(core_->records()), Micros(0));
   }
 }
 
 // ---- Upward ----
 
-void HollowAggregator::carry_out(const aggregation::SaySummaries& say) {
+void HollowAggregator::carry_out(const aggregation::ReportSummariesAction& say) {
   ask_commit(
-      aggregation::say_transaction("", name(), lease_, say),
+      aggregation::summary_transaction("", name(), lease_, say),
       [this, say](const Reply& reply) {
         changed_ = true;
-        core_->uplink().said(
-            clock(), say.number,
-            reply.done ? aggregation::read_said(reply.outcome, say) : aggregation::SaidReply{});
+        core_->upstream().on_write_result(clock(), say.number,
+                                          reply.done ? aggregation::read_write_result(reply.outcome, say)
+                                                     : aggregation::SummaryWriteResult{});
       },
       [this, number = say.number] {
         changed_ = true;
-        core_->uplink().said(clock(), number, aggregation::SaidReply{});
+        core_->upstream().on_write_result(clock(), number, aggregation::SummaryWriteResult{});
       });
 }
 
-void HollowAggregator::carry_out(const aggregation::AskPermission& ask) {
+void HollowAggregator::carry_out(const aggregation::LeaseAction& ask) {
   const std::uint64_t number = ask.order.number;
   const auto lost = [this, number] {
     changed_ = true;
-    core_->uplink().lost(clock(), number);
+    core_->upstream().on_no_response(clock(), number);
   };
   switch (ask.order.ask) {
     case ownership::Ask::kAcquire:
@@ -193,7 +193,7 @@
           lease_,
           [this, number, lost](const Reply& reply) {
             changed_ = true;
-            reply.done ? core_->uplink().renewed(clock(), number, reply.succeeded) : lost();
+            reply.done ? core_->upstream().on_renew_result(clock(), number, reply.succeeded) : lost();
           },
           lost);
       return;
@@ -202,14 +202,14 @@
           lease_,
           [this, number, lost](const Reply& reply) {
             changed_ = true;
-            reply.done ? core_->uplink().released(clock(), number) : lost();
+            reply.done ? core_->upstream().on_release_result(clock(), number) : lost();
           },
           lost);
       return;
   }
 }
 
-void HollowAggregator::join(const aggregation::AskPermission& ask, LeaseId lease) {
+void HollowAggregator::join(const aggregation::LeaseAction& ask, LeaseId lease) {
   lease_ = lease;
   const std::uint64_t number = ask.order.number;
   const auto give_back = [this, lease] { ask_revoke(lease, [](const Reply&) {}, [] {}); };
@@ -218,9 +218,9 @@
       [this, number, give_back](const Reply& reply) {
         changed_ = true;
         if (!reply.done) {
-          core_->uplink().lost(clock(), number);
+          core_->upstream().on_no_response(clock(), number);
         } else {
-          core_->uplink().joined(clock(), number, aggregation::read_joined(reply.outcome));
+          core_->upstream().on_join_result(clock(), number, aggregation::read_join_result(reply.outcome));
         }
         if (!reply.done || !reply.succeeded) {
           give_back();
@@ -228,7 +228,7 @@
       },
       [this, number, give_back] {
         changed_ = true;
-        core_->uplink().lost(clock(), number);
+        core_->upstream().on_no_response(clock(), number);
         give_back();
       });
 }
--- a/benchmarks/scale/hollow_aggregator.h
+++ b/benchmarks/scale/hollow_aggregator.h
@@ -13,7 +13,7 @@
 class HollowAggregator : public StoreClient, public PermitServer {
  public:
   HollowAggregator(Simulation& simulation, std::string name, int region, std::vector<std::string> zones,
-                   PermitServer& store, const aggregation::AggregatorRules& rules);
+                   PermitServer& store, const aggregation::AggregatorSettings& rules);
 
   Node& node() override { return *this; }
   Reply grant(Micros ttl) override;
@@ -24,8 +24,8 @@
   void end_watch(StoreClient& client) override { watches_.remove(client); }
   void tell_again(StoreClient& client) override;
 
-  bool permitted() const { return core_ && core_->uplink().permitted(clock()); }
-  std::size_t routers() const { return core_ ? core_->routers() : 0; }
+  bool permitted() const { return core_ && core_->upstream().is_active(clock()); }
+  std::size_t routers() const { return core_ ? core_->router_count() : 0; }
   std::size_t watches() const { return watches_.size(); }
   std::string describe() const;
 
@@ -39,11 +39,11 @@
  private:
   template <typename Work>
   Reply carry_out_call(Work work);
-  void carry_out(const aggregation::AskPermission& ask);
-  void carry_out(const aggregation::SaySummaries& say);
-  void join(const aggregation::AskPermission& ask, coordination::LeaseId lease);
+  void carry_out(const aggregation::LeaseAction& ask);
+  void carry_out(const aggregation::ReportSummariesAction& say);
+  void join(const aggregation::LeaseAction& ask, coordination::LeaseId lease);
 
-  aggregation::AggregatorRules rules_;
+  aggregation::AggregatorSettings rules_;
   std::vector<std::string> zones_;
   std::optional<aggregation::Aggregator> core_;
   coordination::LeaseId lease_ = 0;
--- a/src/aggregation/aggregator.cpp
+++ b/src/aggregation/aggregator.cpp
@@ -19,41 +19,43 @@
 
 namespace {
 
-coordination::Limits limits_of(const AggregatorRules& rules) {
+coordination::Limits limits_of(const AggregatorSettings& rules) {
   coordination::Limits limits;
   limits.history = rules.history;
   return limits;
 }
 
-[[noreturn]] void refuse(Refused::Why why, const std::string& text) { throw Refused(why, text); }
+[[noreturn]] void refuse(RequestRejected::Reason why, const std::string& text) {
+  throw RequestRejected(why, text);
+}
 
 }  // namespace
 
-std::uint64_t AggregatorCounts::refused_in_all() const {
+std::uint64_t AggregatorCounts::total_rejected() const {
   return std::accumulate(refused.begin(), refused.end(), std::uint64_t{0});
 }
 
-Aggregator::Aggregator(const AggregatorRules& rules, AggregatorIdentity identity, std::uint64_t seed)
+Aggregator::Aggregator(const AggregatorSettings& rules, AggregatorIdentity identity, std::uint64_t seed)
     : rules_(rules),
       identity_(std::move(identity)),
       records_(limits_of(rules)),
       leases_(rules.routers, seed),
-      uplink_(rules.lease, identity_.zones) {}
+      upstream_(rules.lease, identity_.zones) {}
 
 // ---- From the store above ----
 
 // The revision is that of the records alone, so that it is the same at every aggregator that is up to date.
-void Aggregator::mirror(const std::vector<Entry>& entries) {
+void Aggregator::on_snapshot(const std::vector<Entry>& entries) {
   Revision revision = records_.revision();
   for (const Entry& entry : entries) {
     revision = std::max(revision, entry.modified);
   }
   records_.restore(entries, revision);
-  mirrored_ = true;
+  has_snapshot_ = true;
   read_known();
 }
 
-void Aggregator::follow(const std::vector<Change>& changes) {
+void Aggregator::on_changes(const std::vector<Change>& changes) {
   for (const Change& change : changes) {
     records_.follow(change);
   }
@@ -78,22 +80,23 @@
 auto Aggregator::counted(Call call) {
   try {
     return call();
-  } catch (const Refused& error) {
-    ++counts_.refused.at(static_cast<std::size_t>(error.why()));
+  } catch (const RequestRejected& error) {
+    ++counts_.refused.at(static_cast<std::size_t>(error.reason()));
     throw;
   } catch (const coordination::Rejected& error) {
-    ++counts_.refused.at(static_cast<std::size_t>(Refused::Why::kMalformed));
-    throw Refused(Refused::Why::kMalformed, error.what());
+    ++counts_.refused.at(static_cast<std::size_t>(RequestRejected::Reason::kMalformed));
+    throw RequestRejected(RequestRejected::Reason::kMalformed, error.what());
   }
 }
 
 Micros Aggregator::covered_until(Micros now) const {
-  return !draining_ && uplink_.permitted(now) && knows_record() ? uplink_.until() : Micros(-1);
+  return !draining_ && upstream_.is_active(now) && knows_record() ? upstream_.valid_until() : Micros(-1);
 }
 
 bool Aggregator::knows_record() const {
   const auto any = known_.begin();
-  return any == known_.end() || any->second.acknowledgement_modified >= uplink_.record_to_know();
+  return any == known_.end() ||
+         any->second.acknowledgement_modified >= upstream_.required_acknowledgement_revision();
 }
 
 LeaseId Aggregator::grant(Micros now, Micros ttl) {
@@ -139,7 +142,8 @@
   const bool all_mirrored = std::all_of(transaction.when.begin(), transaction.when.end(),
                                         [&](const auto& one) { return one.key.starts_with(stem); });
   if (!all_mirrored) {
-    refuse(Refused::Why::kNotServed, "an aggregator compares the policy's records, and nothing else");
+    refuse(RequestRejected::Reason::kNotServed,
+           "an aggregator compares the policy's records, and nothing else");
   }
 }
 
@@ -147,18 +151,18 @@
   const bool one_put = transaction.then.size() == 1 && transaction.otherwise.empty() &&
                        std::holds_alternative<Put>(transaction.then.front());
   if (!one_put) {
-    refuse(Refused::Why::kNotServed, "an aggregator takes one permit at a time, and nothing else");
+    refuse(RequestRejected::Reason::kNotServed, "an aggregator takes one permit at a time, and nothing else");
   }
   const Put& put = std::get<Put>(transaction.then.front());
   std::string router;
   const Permit permit = checked_permit(put, router);
   // Also while draining: what a router says under the lease that it has must be heard.
-  if (!uplink_.permitted(now)) {
-    refuse(Refused::Why::kNoPermission, "the aggregator has no permission itself");
+  if (!upstream_.is_active(now)) {
+    refuse(RequestRejected::Reason::kNoPermission, "the aggregator has no permission itself");
   }
   Outcome out = records_.commit(Transaction{transaction.when, {}, {}});
   if (out.succeeded) {
-    leases_.say(router, put.lease, permit);
+    leases_.record_report(router, put.lease, permit);
     ++counts_.permits;
     out.steps.emplace_back();
   }
@@ -168,36 +172,38 @@
 Permit Aggregator::checked_permit(const Put& put, std::string& router) const {
   const std::string stem = identity_.prefix + policy::kPermits;
   if (!put.key.starts_with(stem)) {
-    refuse(Refused::Why::kNotServed, "an aggregator takes permits, and nothing else");
+    refuse(RequestRejected::Reason::kNotServed, "an aggregator takes permits, and nothing else");
   }
   router = put.key.substr(stem.size(), put.key.find('/', stem.size()) - stem.size());
   if (put.lease == 0 || !coordination::is_name(router) ||
       put.key != identity_.prefix + policy::permit_key(router, put.lease)) {
-    refuse(Refused::Why::kMalformed, "key: not of a router and its lease");
+    refuse(RequestRejected::Reason::kMalformed, "key: not of a router and its lease");
   }
   if (put.value.size() > rules_.permit_bytes) {
-    refuse(Refused::Why::kTooLarge, "a permit of " + std::to_string(put.value.size()) + " bytes");
+    refuse(RequestRejected::Reason::kTooLarge, "a permit of " + std::to_string(put.value.size()) + " bytes");
   }
   const std::optional<Permit> permit = policy::read_permit(put.value);
   if (!permit || permit->incarnation.empty()) {
-    refuse(Refused::Why::kMalformed, "value: no permit");
+    refuse(RequestRejected::Reason::kMalformed, "value: no permit");
   }
   if (!known_.contains(permit->zone)) {
-    refuse(Refused::Why::kUnknownZone, "zone: " + permit->zone.substr(0, 64) + " is not served here");
+    refuse(RequestRejected::Reason::kUnknownZone,
+           "zone: " + permit->zone.substr(0, 64) + " is not served here");
   }
   return *permit;
 }
 
 Outcome Aggregator::read_records(const Transaction& transaction) {
   const std::string stem = identity_.prefix + policy::kRecords;
-  if (!mirrored_) {
-    refuse(Refused::Why::kNoPermission, "the store's records are not here yet");
+  if (!has_snapshot_) {
+    refuse(RequestRejected::Reason::kNoPermission, "the store's records are not here yet");
   }
   for (const std::vector<coordination::Step>* steps : {&transaction.then, &transaction.otherwise}) {
     for (const coordination::Step& step : *steps) {
       const Get* get = std::get_if<Get>(&step);
       if (get == nullptr || !get->range.key.starts_with(stem)) {
-        refuse(Refused::Why::kNotServed, "an aggregator has the policy's records, and nothing else");
+        refuse(RequestRejected::Reason::kNotServed,
+               "an aggregator has the policy's records, and nothing else");
       }
     }
   }
@@ -210,9 +216,9 @@
 std::map<std::string, Permit> Aggregator::summaries() const {
   std::map<std::string, Permit> out;
   for (const auto& [zone, known] : known_) {
-    Permit permit = summarize(known, zone, leases_.permits(zone));
+    Permit permit = summarize(known, zone, leases_.reports(zone));
     permit.incarnation = identity_.incarnation;
-    const RequestCounts counts = leases_.requests(zone);
+    const RequestCounts counts = leases_.request_counts(zone);
     permit.requests = counts.requests;
     permit.refused = counts.refused;
     out[zone] = std::move(permit);
@@ -220,23 +226,23 @@
   return out;
 }
 
-std::vector<UplinkOrder> Aggregator::due(Micros now) {
+std::vector<UpstreamAction> Aggregator::step(Micros now) {
   leases_.expire(now);
-  if (draining_ && leases_.size() == 0 && !uplink_.stopped()) {
-    uplink_.stop(now);
+  if (draining_ && leases_.size() == 0 && !upstream_.stopped()) {
+    upstream_.stop(now);
   }
-  if (!mirrored_) {
+  if (!has_snapshot_) {
     return {};
   }
   const std::map<std::string, Permit> said = summaries();
   for (const auto& [zone, summary] : said) {
-    leases_.claim(zone, summary.acknowledged);
+    leases_.set_min_acknowledged(zone, summary.acknowledged);
   }
-  return uplink_.due(now, heard_, known_, said);
+  return upstream_.step(now, connected_, known_, said);
 }
 
-std::optional<Micros> Aggregator::next(Micros now) const {
-  std::optional<Micros> out = uplink_.next(now, heard_);
+std::optional<Micros> Aggregator::next_step_at(Micros now) const {
+  std::optional<Micros> out = upstream_.next_step_at(now, connected_);
   if (const auto expiry = leases_.next_expiry()) {
     out = std::min(out.value_or(*expiry), *expiry);
   }
--- a/src/aggregation/aggregator.h
+++ b/src/aggregation/aggregator.h
@@ -16,14 +16,14 @@
 #include <vector>
 
 #include "aggregation/router_leases.h"
-#include "aggregation/uplink.h"
+#include "aggregation/upstream_lease.h"
 #include "coordination/ledger.h"
 
 namespace trailcourse::aggregation {
 
-struct AggregatorRules {
+struct AggregatorSettings {
   ownership::LeaseRules lease;  // of its own permission
-  RouterLeaseRules routers;
+  RouterLeaseOptions routers;
   std::size_t permit_bytes = 4'096;
   std::size_t history = 1'000;  // changes of the policy's records kept for watches
 };
@@ -42,45 +42,45 @@
   std::uint64_t permits = 0;  // taken in
   std::uint64_t reads = 0;
   static constexpr std::size_t kReasons = 8;
-  std::array<std::uint64_t, kReasons> refused{};  // by Refused::Why
-  std::uint64_t refused_in_all() const;
+  std::array<std::uint64_t, kReasons> refused{};  // by RequestRejected::Reason
+  std::uint64_t total_rejected() const;
 };
 
 class Aggregator {
  public:
   // `seed`: of the numbers of leases; differs from start to start.
-  Aggregator(const AggregatorRules& rules, AggregatorIdentity identity, std::uint64_t seed);
+  Aggregator(const AggregatorSettings& rules, AggregatorIdentity identity, std::uint64_t seed);
 
   // ---- From the store above ----
   // All records of the policy, at the start and whenever changes between were missed.
-  void mirror(const std::vector<coordination::Entry>& entries);
-  void follow(const std::vector<coordination::Change>& changes);
+  void on_snapshot(const std::vector<coordination::Entry>& entries);
+  void on_changes(const std::vector<coordination::Change>& changes);
   // Whether the store is heard; where it is not, its own permission is not renewed.
-  void heard(bool heard) { heard_ = heard; }
+  void set_connected(bool connected) { connected_ = connected; }
 
-  // ---- From routers; each throws Refused, having changed nothing ----
+  // ---- From routers; each throws RequestRejected, having changed nothing ----
   coordination::LeaseId grant(Micros now, Micros ttl);
   Micros keep_alive(Micros now, coordination::LeaseId id);
   void revoke(Micros now, coordination::LeaseId id);
   // A permit under its lease, or a reading of the policy's records; nothing else.
   coordination::Outcome commit(Micros now, const coordination::Transaction& transaction);
-  // The policy's records, for watches; empty before the first mirror().
+  // The policy's records, for watches; empty before the first on_snapshot().
   const coordination::Ledger& records() const { return records_; }
-  bool mirrored() const { return mirrored_; }
+  bool has_snapshot() const { return has_snapshot_; }
 
   // ---- Upward ----
-  Uplink& uplink() { return uplink_; }
-  const Uplink& uplink() const { return uplink_; }
-  std::vector<UplinkOrder> due(Micros now);
-  std::optional<Micros> next(Micros now) const;
+  UpstreamLease& upstream() { return upstream_; }
+  const UpstreamLease& upstream() const { return upstream_; }
+  std::vector<UpstreamAction> step(Micros now);
+  std::optional<Micros> next_step_at(Micros now) const;
 
   // Takes no router any more and renews none; its own permission goes back once the last of them is over.
   void drain() { draining_ = true; }
-  bool drained() const { return draining_ && uplink_.stopped(); }
+  bool drained() const { return draining_ && upstream_.stopped(); }
 
   const AggregatorIdentity& identity() const { return identity_; }
   const AggregatorCounts& counts() const { return counts_; }
-  std::size_t routers() const { return leases_.size(); }
+  std::size_t router_count() const { return leases_.size(); }
   std::map<std::string, policy::Permit> summaries() const;
 
  private:
@@ -94,15 +94,15 @@
   template <typename Call>
   auto counted(Call call);
 
-  AggregatorRules rules_;
+  AggregatorSettings rules_;
   AggregatorIdentity identity_;
   coordination::Ledger records_;
   std::map<std::string, policy::Known> known_;  // by zone
   RouterLeases leases_;
-  Uplink uplink_;
+  UpstreamLease upstream_;
   AggregatorCounts counts_;
-  bool mirrored_ = false;
-  bool heard_ = false;
+  bool has_snapshot_ = false;
+  bool connected_ = false;
   bool draining_ = false;
 };
 
--- a/src/aggregation/service.cpp
+++ b/src/aggregation/aggregator_service.cpp
@@ -1,4 +1,4 @@
-#include "aggregation/service.h"
+#include "aggregation/aggregator_service.h"
 
 #include <algorithm>
 #include <cstdio>
@@ -36,13 +36,13 @@
 }
 
 // As the driver below understands it: what another aggregator may do is unavailable here.
-coordination::EtcdService::Answer refusal(const Refused& error) {
+coordination::EtcdService::Answer refusal(const RequestRejected& error) {
   const std::string text = std::string("etcdserver: ") + error.what();
-  switch (error.why()) {
-    case Refused::Why::kNoPermission:
-    case Refused::Why::kFull:
+  switch (error.reason()) {
+    case RequestRejected::Reason::kNoPermission:
+    case RequestRejected::Reason::kFull:
       return {503, etcd::write_error(etcd::Code::kUnavailable, text)};
-    case Refused::Why::kUnknownLease:
+    case RequestRejected::Reason::kUnknownLease:
       return {404, etcd::write_error(etcd::Code::kNotFound, text)};
     default:
       return {400, etcd::write_error(etcd::Code::kInvalidArgument, text)};
@@ -51,65 +51,67 @@
 
 }  // namespace
 
-Service::Service(transport::Scheduler& scheduler, coordination::SharedStore& store,
-                 const AggregatorOptions& options, const std::string& prefix, std::uint64_t seed)
+AggregatorService::Service(transport::Scheduler& scheduler, coordination::SharedStore& store,
+                           const AggregatorOptions& options, const std::string& prefix, std::uint64_t seed)
     : scheduler_(scheduler),
       store_(store),
       options_(options),
       prefix_(prefix),
-      core_(aggregator_rules(options),
+      core_(aggregator_settings(options),
             AggregatorIdentity{options.name, incarnation_of(seed), options.zones, prefix}, seed),
       server_(scheduler, *this, static_cast<std::size_t>(options.connections)),
       timer_(scheduler, [this] { turn(); }),
       next_turn_(scheduler, [this] { turn(); }) {}
 
-Service::~Service() {
+AggregatorService::~AggregatorService() {
   *alive_ = false;
   if (watch_ != 0) {
     store_.unwatch(watch_);
   }
 }
 
-Micros Service::now() { return std::chrono::duration_cast<Micros>(Clock::now().time_since_epoch()); }
+Micros AggregatorService::now() {
+  return std::chrono::duration_cast<Micros>(Clock::now().time_since_epoch());
+}
 
-void Service::start() {
+void AggregatorService::start() {
   server_.listen(*transport::parse_address(options_.listen));
   watch_ = store_.watch(coordination::Range{prefix_ + policy::kRecords, true}, *this);
   turn_soon();
 }
 
-void Service::drain() {
+void AggregatorService::drain() {
   core_.drain();
   turn_soon();
 }
 
 // ---- From the store above ----
 
-void Service::current(coordination::Revision, const std::vector<coordination::Entry>& entries) {
-  core_.mirror(entries);
+void AggregatorService::current(coordination::Revision, const std::vector<coordination::Entry>& entries) {
+  core_.on_snapshot(entries);
   records_changed();
 }
 
-void Service::changed(coordination::Revision, const std::vector<coordination::Change>& changes) {
-  core_.follow(changes);
+void AggregatorService::changed(coordination::Revision, const std::vector<coordination::Change>& changes) {
+  core_.on_changes(changes);
   records_changed();
 }
 
-void Service::records_changed() {
+void AggregatorService::records_changed() {
   server_.tell(core_.records(), header());
   heard();
   turn_soon();
 }
 
-void Service::silent(const std::string& why) {
-  core_.heard(false);
+void AggregatorService::silent(const std::string& why) {
+  core_.set_connected(false);
   if (std::exchange(heard_, false)) {
     log_line(Level::kWarning) << "the store is not heard: " << why;
   }
 }
 
-void Service::heard() {
-  core_.heard(true);
+void AggregatorService::heard() {
+  core_.set_connected(true);
   if (!std::exchange(heard_, true)) {
     log_line(Level::kInfo) << "the store " << store_.id() << " is heard";
     turn_soon();
@@ -118,23 +120,23 @@
 
 // ---- Upward ----
 
-void Service::turn() {
+void AggregatorService::turn() {
   if (std::exchange(turning_, true)) {
     return;
   }
   const Micros at = now();
-  for (const UplinkOrder& order : core_.due(at)) {
+  for (const UpstreamAction& order : core_.step(at)) {
     std::visit([this](const auto& one) { carry_out(one); }, order);
   }
   turning_ = false;
   std::optional<Clock::time_point> when;
-  if (const auto next = core_.next(at)) {
+  if (const auto next = core_.next_step_at(at)) {
     when.emplace(std::chrono::duration_cast<Clock::duration>(std::max(*next, at + kLeastPause)));
   }
   timer_.set(when);
 }
 
-void Service::carry_out(const AskPermission& ask) {
+void AggregatorService::carry_out(const LeaseAction& ask) {
   const std::uint64_t number = ask.order.number;
   if (ask.order.ask == ownership::Ask::kAcquire) {
     acquire(ask);
@@ -144,9 +146,9 @@
         return;
       }
       if (reply.done()) {
-        core_.uplink().renewed(now(), number, reply.value.ttl > Micros(0));
+        core_.upstream().on_renew_result(now(), number, reply.value.ttl > Micros(0));
       } else {
-        core_.uplink().lost(now(), number);
+        core_.upstream().on_no_response(now(), number);
       }
       turn_soon();
     });
@@ -156,16 +158,16 @@
         return;
       }
       if (reply.done()) {
-        core_.uplink().released(now(), number);
+        core_.upstream().on_release_result(now(), number);
       } else {
-        core_.uplink().lost(now(), number);
+        core_.upstream().on_no_response(now(), number);
       }
       turn_soon();
     });
   }
 }
 
-void Service::acquire(const AskPermission& ask) {
+void AggregatorService::acquire(const LeaseAction& ask) {
   store_.grant(milliseconds(options_.ttl_ms), [this, alive = alive_, ask](const auto& reply) {
     if (!*alive) {
       return;
@@ -173,7 +175,7 @@
     if (reply.done()) {
       join(ask, reply.value.id);
     } else {
-      core_.uplink().lost(now(), ask.order.number);
+      core_.upstream().on_no_response(now(), ask.order.number);
       turn_soon();
     }
   });
@@ -181,7 +183,7 @@
 
 // The summaries stand only where all is as this aggregator knew it: else routers below might be given
 // permission under what is not in force.
-void Service::join(const AskPermission& ask, LeaseId lease) {
+void AggregatorService::join(const LeaseAction& ask, LeaseId lease) {
   lease_ = lease;
   store_.commit(join_transaction(prefix_, options_.name, lease, ask),
                 [this, alive = alive_, number = ask.order.number, lease](const Reply<Outcome>& reply) {
@@ -190,9 +192,9 @@
                   }
                   const bool joined = reply.done() && reply.value.succeeded;
                   if (reply.done()) {
-                    core_.uplink().joined(now(), number, read_joined(reply.value));
+                    core_.upstream().on_join_result(now(), number, read_join_result(reply.value));
                   } else {
-                    core_.uplink().lost(now(), number);
+                    core_.upstream().on_no_response(now(), number);
                   }
                   if (joined) {
                     log_line(Level::kInfo) << "has permission at revision " << reply.value.revision;
@@ -203,34 +205,34 @@
                 });
 }
 
-void Service::carry_out(const SaySummaries& say) {
-  store_.commit(say_transaction(prefix_, options_.name, lease_, say),
-                [this, alive = alive_, say](const Reply<Outcome>& reply) {
-                  if (!*alive) {
-                    return;
-                  }
-                  const SaidReply said = reply.done() ? read_said(reply.value, say) : SaidReply{};
-                  core_.uplink().said(now(), say.number, said);
-                  turn_soon();
-                });
+void AggregatorService::carry_out(const ReportSummariesAction& say) {
+  store_.commit(summary_transaction(prefix_, options_.name, lease_, say), [this, alive = alive_,
+                                                                           say](const Reply<Outcome>& reply) {
+    if (!*alive) {
+      return;
+    }
+    const SummaryWriteResult said = reply.done() ? read_write_result(reply.value, say) : SummaryWriteResult{};
+    core_.upstream().on_write_result(now(), say.number, said);
+    turn_soon();
+  });
 }
 
 // ---- From routers ----
 
-etcd::Header Service::header() const { return {store_.id(), core_.records().revision()}; }
+etcd::Header AggregatorService::header() const { return {store_.id(), core_.records().revision()}; }
 
-Service::Answer Service::answer(const std::string& path, const json& body) {
+AggregatorService::Answer AggregatorService::answer(const std::string& path, const json& body) {
   if (store_.id() == 0) {
     throw coordination::Unavailable("the store above was not heard yet");
   }
   try {
     return Answer{200, carry_out(path, body)};
-  } catch (const Refused& error) {
+  } catch (const RequestRejected& error) {
     return refusal(error);
   }
 }
 
-json Service::carry_out(const std::string& path, const json& body) {
+json AggregatorService::carry_out(const std::string& path, const json& body) {
   if (path == etcd::kTxnPath) {
     const coordination::Transaction asked = etcd::read_transaction(body);
     const Outcome outcome = core_.commit(now(), asked);
@@ -250,13 +252,13 @@
     turn_soon();
     return {{"header", etcd::write_header(header())}};
   }
-  throw Refused(Refused::Why::kNotServed, "no such call here: " + path);
+  throw RequestRejected(RequestRejected::Reason::kNotServed, "no such call here: " + path);
 }
 
-json Service::grant(const json& body) {
+json AggregatorService::grant(const json& body) {
   const etcd::GrantCall call = etcd::read_grant(body);
   if (call.id != 0) {
-    throw Refused(Refused::Why::kNotServed, "an aggregator numbers leases itself");
+    throw RequestRejected(RequestRejected::Reason::kNotServed, "an aggregator numbers leases itself");
   }
   const milliseconds ttl(call.ttl_ms > 0 ? call.ttl_ms : call.ttl_s * 1'000);
   const LeaseId id = core_.grant(now(), ttl);
@@ -264,35 +266,35 @@
   return etcd::write_granted(header(), {id, ttl.count()});
 }
 
-void Service::read(const Look& look) {
-  if (!core_.mirrored() || store_.id() == 0) {
+void AggregatorService::read(const Look& look) {
+  if (!core_.has_snapshot() || store_.id() == 0) {
     throw coordination::Unavailable("the store's records are not here yet");
   }
   look(core_.records(), header());
 }
 
-std::optional<Service::Answer> Service::page(const std::string& path) {
+std::optional<AggregatorService::Answer> AggregatorService::page(const std::string& path) {
   if (path != kHealthPage) {
     return std::nullopt;
   }
-  const bool permitted = core_.uplink().permitted(now());
+  const bool permitted = core_.upstream().is_active(now());
   return Answer{permitted ? 200 : 503, json{{"name", options_.name},
                                             {"permission", permitted},
                                             {"store", heard_ ? "heard" : "silent"},
-                                            {"routers", core_.routers()},
+                                            {"routers", core_.router_count()},
                                             {"revision", core_.records().revision()}}};
 }
 
-std::string Service::report() const {
+std::string AggregatorService::report() const {
   const AggregatorCounts& counts = core_.counts();
   const coordination::EtcdServerCounts& server = server_.counts();
   std::string out =
-      "routers=" + std::to_string(core_.routers()) +
-      " permission=" + (core_.uplink().permitted(now()) ? "yes" : "no") +
+      "routers=" + std::to_string(core_.router_count()) +
+      " permission=" + (core_.upstream().is_active(now()) ? "yes" : "no") +
       " revision=" + std::to_string(core_.records().revision()) +
       " granted=" + std::to_string(counts.granted) + " renewed=" + std::to_string(counts.renewed) +
       " revoked=" + std::to_string(counts.revoked) + " permits=" + std::to_string(counts.permits) +
-      " reads=" + std::to_string(counts.reads) + " refused=" + std::to_string(counts.refused_in_all());
+      " reads=" + std::to_string(counts.reads) + " refused=" + std::to_string(counts.total_rejected());
   for (std::size_t i = 0; i < kReasons.size(); ++i) {
     out += std::string(" refused_") + kReasons[i] + "=" + std::to_string(counts.refused[i]);
   }
--- a/src/aggregation/service.h
+++ b/src/aggregation/aggregator_service.h
@@ -17,13 +17,13 @@
 
 namespace trailcourse::aggregation {
 
-class Service : public coordination::EtcdService, public coordination::Watcher {
+class AggregatorService : public coordination::EtcdService, public coordination::Watcher {
  public:
   // `options` must have been checked. `prefix`: of all keys in the store. `seed`: differs from start to
   // start. The store outlives it.
-  Service(transport::Scheduler& scheduler, coordination::SharedStore& store, const AggregatorOptions& options,
-          const std::string& prefix, std::uint64_t seed);
-  ~Service() override;
+  AggregatorService(transport::Scheduler& scheduler, coordination::SharedStore& store,
+                    const AggregatorOptions& options, const std::string& prefix, std::uint64_t seed);
+  ~AggregatorService() override;
 
   // Begins to follow the store and to take routers. Throws std::system_error.
   void start();
@@ -57,10 +57,10 @@
   void turn();
   void turn_soon() { next_turn_.post(); }
   void records_changed();
-  void carry_out(const AskPermission& ask);
-  void carry_out(const SaySummaries& say);
-  void acquire(const AskPermission& ask);
-  void join(const AskPermission& ask, coordination::LeaseId lease);
+  void carry_out(const LeaseAction& ask);
+  void carry_out(const ReportSummariesAction& say);
+  void acquire(const LeaseAction& ask);
+  void join(const LeaseAction& ask, coordination::LeaseId lease);
 
   transport::Scheduler& scheduler_;
   coordination::SharedStore& store_;
--- a/src/aggregation/options.h
+++ b/src/aggregation/options.h
@@ -31,7 +31,7 @@
 // What one key alone cannot tell. `router_ttl_ms`: of the permissions that routers ask for. Throws
 // config::KeyError.
 void check_aggregator(const AggregatorOptions& options, std::int64_t router_ttl_ms);
-AggregatorRules aggregator_rules(const AggregatorOptions& options);
+AggregatorSettings aggregator_settings(const AggregatorOptions& options);
 
 struct AggregationOptions {
   std::vector<std::string> endpoints;  // in the order in which they are asked
--- a/src/aggregation/permit_summary.cpp
+++ b/src/aggregation/report_summary.cpp
@@ -1,4 +1,4 @@
-#include "aggregation/permit_summary.h"
+#include "aggregation/report_summary.h"
 
 #include <algorithm>
 
@@ -66,7 +66,7 @@
   return said.version == known.version && !is_target;
 }
 
-Decision decision_of_all(const Known& known, const Permit& wanted, const RouterPermits& routers) {
+Decision decision_of_all(const Known& known, const Permit& wanted, const RouterReports& routers) {
   Decision out = decision_of(wanted);
   bool all = true;
   for (const auto& [lease, one] : routers) {
@@ -85,7 +85,7 @@
 
 }  // namespace
 
-Permit summarize(const Known& known, const std::string& zone, const RouterPermits& routers) {
+Permit summarize(const Known& known, const std::string& zone, const RouterReports& routers) {
   const Permit wanted = fulfilled(known, zone);
   const std::uint64_t round = known.acknowledgement.round;
   Permit out = wanted;
--- a/src/aggregation/permit_summary.h
+++ b/src/aggregation/report_summary.h
@@ -17,11 +17,11 @@
 namespace trailcourse::aggregation {
 
 // A router that has permission from this aggregator, and what it said last.
-struct RouterPermit {
+struct RouterReport {
   std::string router;
   policy::Permit permit;
 };
-using RouterPermits = std::map<coordination::LeaseId, RouterPermit>;
+using RouterReports = std::map<coordination::LeaseId, RouterReport>;
 
 // What a summary has as `held` where its routers differ in what they decide under or hold for, or have heard
 // more than the aggregator. No step has this number: neither "all hold" nor "all have switched" is read from
@@ -31,6 +31,6 @@
 // The permit that stands for all of `routers`, which are of one zone. `known` is the change as the aggregator
 // has read it in the store. Without any router it says what a router with nothing to do would say, so that an
 // empty region is not awaited. Counts of requests and numbers are left at 0 for the caller to fill in.
-policy::Permit summarize(const policy::Known& known, const std::string& zone, const RouterPermits& routers);
+policy::Permit summarize(const policy::Known& known, const std::string& zone, const RouterReports& routers);
 
 }  // namespace trailcourse::aggregation
--- a/src/aggregation/router_leases.cpp
+++ b/src/aggregation/router_leases.cpp
@@ -14,19 +14,21 @@
 
 void check_covered(Micros now, Micros ttl, Micros until) {
   if (ttl > until - now) {  // never a sum: a caller may ask for any time
-    throw Refused(Refused::Why::kNoPermission, "the aggregator's own permission ends sooner");
+    throw RequestRejected(RequestRejected::Reason::kNoPermission,
+                          "the aggregator's own permission ends sooner");
   }
 }
 
 }  // namespace
 
 LeaseId RouterLeases::grant(Micros now, Micros ttl, Micros until) {
-  if (ttl < rules_.least_ttl) {
-    throw Refused(Refused::Why::kMalformed, "a lease of " + std::to_string(ttl.count()) + " us");
+  if (ttl < rules_.min_ttl) {
+    throw RequestRejected(RequestRejected::Reason::kMalformed,
+                          "a lease of " + std::to_string(ttl.count()) + " us");
   }
   check_covered(now, ttl, until);
-  if (leases_.size() >= rules_.most_routers) {
-    throw Refused(Refused::Why::kFull, "as many routers as this aggregator may have");
+  if (leases_.size() >= rules_.max_routers) {
+    throw RequestRejected(RequestRejected::Reason::kFull, "as many routers as this aggregator may have");
   }
   LeaseId id = 0;
   while (id == 0 || leases_.contains(id)) {
@@ -52,7 +54,7 @@
 
 void RouterLeases::revoke(LeaseId id) {
   if (!leases_.contains(id)) {
-    throw Refused(Refused::Why::kUnknownLease, "requested lease not found");
+    throw RequestRejected(RequestRejected::Reason::kUnknownLease, "requested lease not found");
   }
   end(id);
 }
@@ -66,30 +68,31 @@
   leases_.erase(id);
 }
 
-void RouterLeases::say(const std::string& router, LeaseId id, const Permit& permit) {
+void RouterLeases::record_report(const std::string& router, LeaseId id, const Permit& permit) {
   const auto found = leases_.find(id);
   if (found == leases_.end()) {
-    throw Refused(Refused::Why::kUnknownLease, "requested lease not found");
+    throw RequestRejected(RequestRejected::Reason::kUnknownLease, "requested lease not found");
   }
   RouterLease& lease = found->second;
   if (!lease.zone.empty() && lease.zone != permit.zone) {
-    throw Refused(Refused::Why::kMalformed, "zone: another than before under this lease");
+    throw RequestRejected(RequestRejected::Reason::kMalformed, "zone: another than before under this lease");
   }
-  RouterPermits& zone = permits_[permit.zone];
+  RouterReports& zone = permits_[permit.zone];
   const auto place = zone.find(id);
   if (place == zone.end()) {
     check_acknowledged(permit, claimed_[permit.zone]);
-    zone.emplace(id, RouterPermit{router, permit});
+    zone.emplace(id, RouterReport{router, permit});
     lease.zone = permit.zone;
     return;
   }
   if (place->second.router != router) {
-    throw Refused(Refused::Why::kMalformed, "key: of another router than before under this lease");
+    throw RequestRejected(RequestRejected::Reason::kMalformed,
+                          "key: of another router than before under this lease");
   }
   Permit& before = place->second.permit;
   if (before.number > 0 && permit.number <= before.number) {
-    throw Refused(Refused::Why::kBackwards,
-                  "number: " + std::to_string(permit.number) + " after " + std::to_string(before.number));
+    throw RequestRejected(RequestRejected::Reason::kBackwards, "number: " + std::to_string(permit.number) +
+                                                                   " after " + std::to_string(before.number));
   }
   check_acknowledged(permit, before.acknowledged);
   count(permit.zone, before, permit);
@@ -98,12 +101,13 @@
 
 void RouterLeases::check_acknowledged(const Permit& permit, std::uint64_t least) {
   if (permit.acknowledged < least) {
-    throw Refused(Refused::Why::kBackwards, "acknowledged: round " + std::to_string(permit.acknowledged) +
-                                                " where " + std::to_string(least) + " was said");
+    throw RequestRejected(RequestRejected::Reason::kBackwards,
+                          "acknowledged: round " + std::to_string(permit.acknowledged) + " where " +
+                              std::to_string(least) + " was said");
   }
 }
 
-void RouterLeases::claim(const std::string& zone, std::uint64_t acknowledged) {
+void RouterLeases::set_min_acknowledged(const std::string& zone, std::uint64_t acknowledged) {
   std::uint64_t& claimed = claimed_[zone];
   claimed = std::max(claimed, acknowledged);
 }
@@ -124,13 +128,13 @@
   return ends_.empty() ? std::nullopt : std::optional<Micros>(ends_.begin()->first);
 }
 
-const RouterPermits& RouterLeases::permits(const std::string& zone) const {
-  static const RouterPermits kNone;
+const RouterReports& RouterLeases::reports(const std::string& zone) const {
+  static const RouterReports kNone;
   const auto found = permits_.find(zone);
   return found == permits_.end() ? kNone : found->second;
 }
 
-RequestCounts RouterLeases::requests(const std::string& zone) const {
+RequestCounts RouterLeases::request_counts(const std::string& zone) const {
   const auto found = requests_.find(zone);
   return found == requests_.end() ? RequestCounts{} : found->second;
 }
--- a/src/aggregation/router_leases.h
+++ b/src/aggregation/router_leases.h
@@ -19,14 +19,14 @@
 #include <string>
 #include <utility>
 
-#include "aggregation/permit_summary.h"
+#include "aggregation/report_summary.h"
 
 namespace trailcourse::aggregation {
 
 // A call of a router that is not carried out and changed nothing; its text is one line.
-class Refused : public std::runtime_error {
+class RequestRejected : public std::runtime_error {
  public:
-  enum class Why {
+  enum class Reason {
     kNoPermission,  // the aggregator's own would not last as long: ask another one
     kFull,          // as many routers as it may have
     kUnknownLease,
@@ -36,16 +36,16 @@
     kUnknownZone,
     kNotServed  // a call that an aggregator does not take
   };
-  Refused(Why why, const std::string& text) : std::runtime_error(text), why_(why) {}
-  Why why() const { return why_; }
+  RequestRejected(Reason reason, const std::string& text) : std::runtime_error(text), reason_(reason) {}
+  Reason reason() const { return reason_; }
 
  private:
-  Why why_;
+  Reason reason_;
 };
 
-struct RouterLeaseRules {
-  std::size_t most_routers = 2'000;
-  Micros least_ttl{100'000};
+struct RouterLeaseOptions {
+  std::size_t max_routers = 2'000;
+  Micros min_ttl{100'000};
 };
 
 // Requests of all routers of a zone since the aggregator's start. They only grow, whoever comes and goes.
@@ -57,23 +57,23 @@
 class RouterLeases {
  public:
   // `seed`: of lease numbers, which must not be those of another aggregator or of an earlier start.
-  RouterLeases(const RouterLeaseRules& rules, std::uint64_t seed) : rules_(rules), random_(seed) {}
+  RouterLeases(const RouterLeaseOptions& rules, std::uint64_t seed) : rules_(rules), random_(seed) {}
 
-  // `until`: when the aggregator's own permission ends. Throws Refused.
+  // `until`: when the aggregator's own permission ends. Throws RequestRejected.
   coordination::LeaseId grant(Micros now, Micros ttl, Micros until);
-  // The time it has from now; 0 where there is none of that number. Throws Refused.
+  // The time it has from now; 0 where there is none of that number. Throws RequestRejected.
   Micros keep_alive(Micros now, coordination::LeaseId id, Micros until);
   void revoke(coordination::LeaseId id);
-  // What a router says under its lease. Throws Refused.
-  void say(const std::string& router, coordination::LeaseId id, const policy::Permit& permit);
+  // What a router says under its lease. Throws RequestRejected.
+  void record_report(const std::string& router, coordination::LeaseId id, const policy::Permit& permit);
   // The rounds up to this one were acknowledged in the name of the zone's routers: none joins behind it.
-  void claim(const std::string& zone, std::uint64_t acknowledged);
+  void set_min_acknowledged(const std::string& zone, std::uint64_t acknowledged);
   void expire(Micros now);
   std::optional<Micros> next_expiry() const;
 
   bool holds(coordination::LeaseId id) const { return leases_.contains(id); }
-  const RouterPermits& permits(const std::string& zone) const;
-  RequestCounts requests(const std::string& zone) const;
+  const RouterReports& reports(const std::string& zone) const;
+  RequestCounts request_counts(const std::string& zone) const;
   std::size_t size() const { return leases_.size(); }
 
  private:
@@ -87,11 +87,11 @@
   static void check_acknowledged(const policy::Permit& permit, std::uint64_t least);
   void count(const std::string& zone, const policy::Permit& before, const policy::Permit& after);
 
-  RouterLeaseRules rules_;
+  RouterLeaseOptions rules_;
   std::mt19937_64 random_;
   std::map<coordination::LeaseId, RouterLease> leases_;
   std::set<std::pair<Micros, coordination::LeaseId>> ends_;
-  std::map<std::string, RouterPermits> permits_;  // by zone
+  std::map<std::string, RouterReports> permits_;  // by zone
   std::map<std::string, RequestCounts> requests_;
   std::map<std::string, std::uint64_t> claimed_;  // rounds, by zone
 };
--- a/src/aggregation/uplink.cpp
+++ b/src/aggregation/upstream_lease.cpp
@@ -1,4 +1,4 @@
-#include "aggregation/uplink.h"
+#include "aggregation/upstream_lease.h"
 
 #include <algorithm>
 #include <utility>
@@ -38,9 +38,10 @@
 
 }  // namespace
 
-std::vector<UplinkOrder> Uplink::due(Micros now, bool heard, const std::map<std::string, Known>& known,
-                                     const std::map<std::string, Permit>& summaries) {
-  std::vector<UplinkOrder> out;
+std::vector<UpstreamAction> UpstreamLease::step(Micros now, bool heard,
+                                                const std::map<std::string, Known>& known,
+                                                const std::map<std::string, Permit>& summaries) {
+  std::vector<UpstreamAction> out;
   if (auto ask = permission_due(now, heard, known, summaries)) {
     out.push_back(std::move(*ask));
   }
@@ -59,9 +60,9 @@
   return out;
 }
 
-std::optional<UplinkOrder> Uplink::permission_due(Micros now, bool heard,
-                                                  const std::map<std::string, Known>& known,
-                                                  const std::map<std::string, Permit>& summaries) {
+std::optional<UpstreamAction> UpstreamLease::permission_due(Micros now, bool heard,
+                                                            const std::map<std::string, Known>& known,
+                                                            const std::map<std::string, Permit>& summaries) {
   const bool candidate = lease_.phase(now) == Phase::kCandidate;
   if (!may_ask(now, heard) || (candidate && known.size() < zones_.size())) {
     return std::nullopt;
@@ -70,7 +71,7 @@
   if (!order) {
     return std::nullopt;
   }
-  AskPermission ask;
+  LeaseAction ask;
   ask.order = *order;
   if (order->ask == Ask::kAcquire) {
     leave();
@@ -84,7 +85,7 @@
 }
 
 // Rounds and changes go by in a moment as a rule: who is awaited is said only where that lasts.
-bool Uplink::worth_saying(Micros now, Said& said, const Permit& permit) {
+bool UpstreamLease::worth_saying(Micros now, Said& said, const Permit& permit) {
   if (!said.permit || !same_statement(*said.permit, permit)) {
     return true;
   }
@@ -96,11 +97,12 @@
   return now - *said.awaits_since >= kAwaitsToldAfter;
 }
 
-std::optional<UplinkOrder> Uplink::summaries_due(Micros now, const std::map<std::string, Permit>& summaries) {
+std::optional<UpstreamAction> UpstreamLease::summaries_due(Micros now,
+                                                           const std::map<std::string, Permit>& summaries) {
   if (!joined_ || say_out_ || now < say_after_ || !lease_.may_act(now)) {
     return std::nullopt;
   }
-  SaySummaries say;
+  ReportSummariesAction say;
   for (const auto& [zone, permit] : summaries) {
     const auto said = said_.find(zone);
     if (said == said_.end() || !worth_saying(now, said->second, permit)) {
@@ -117,10 +119,12 @@
   return say;
 }
 
-bool Uplink::may_ask(Micros now, bool heard) const { return heard || lease_.phase(now) == Phase::kStopped; }
+bool UpstreamLease::may_ask(Micros now, bool heard) const {
+  return heard || lease_.phase(now) == Phase::kStopped;
+}
 
 // While it may not ask, only news can change that.
-std::optional<Micros> Uplink::next(Micros now, bool heard) const {
+std::optional<Micros> UpstreamLease::next_step_at(Micros now, bool heard) const {
   std::optional<Micros> out = may_ask(now, heard) ? lease_.next(now) : std::nullopt;
   if (lease_.may_act(now)) {
     out = std::min(out.value_or(lease_.until()), lease_.until());
@@ -138,14 +142,14 @@
   return out;
 }
 
-void Uplink::leave() {
+void UpstreamLease::leave() {
   joined_ = false;
   say_out_ = false;
   said_.clear();
   saying_.clear();
 }
 
-void Uplink::joined(Micros now, std::uint64_t number, const JoinReply& reply) {
+void UpstreamLease::on_join_result(Micros now, std::uint64_t number, const JoinResult& reply) {
   if (!reply.joined) {
     lease_.refused(now, number);
     if (lease_.term() == 0) {
@@ -164,7 +168,7 @@
   }
 }
 
-void Uplink::renewed(Micros now, std::uint64_t number, bool alive) {
+void UpstreamLease::on_renew_result(Micros now, std::uint64_t number, bool alive) {
   if (alive) {
     lease_.granted(now, number, 1);
     return;
@@ -175,21 +179,21 @@
   }
 }
 
-void Uplink::released(Micros now, std::uint64_t number) {
+void UpstreamLease::on_release_result(Micros now, std::uint64_t number) {
   lease_.granted(now, number, 0);
   if (lease_.over()) {
     leave();
   }
 }
 
-void Uplink::lost(Micros now, std::uint64_t number) {
+void UpstreamLease::on_no_response(Micros now, std::uint64_t number) {
   lease_.lost(now, number);
   if (!joined_) {
     saying_.clear();  // the summaries may stand there or not: it joins anew, under another lease
   }
 }
 
-void Uplink::said(Micros now, std::uint64_t number, const SaidReply& reply) {
+void UpstreamLease::on_write_result(Micros now, std::uint64_t number, const SummaryWriteResult& reply) {
   if (!say_out_ || number != say_number_) {
     return;
   }
@@ -199,13 +203,13 @@
     const auto modified = reply.modified.find(one.zone);
     said.modified = modified == reply.modified.end() ? said.modified : modified->second;
     said.awaits_since.reset();
-    if (reply.result == SaidReply::Result::kWritten) {
+    if (reply.status == SummaryWriteResult::Status::kWritten) {
       said.permit = one.permit;
     } else {
       said.permit.reset();  // it is said again over whatever stands there
     }
   }
-  say_after_ = reply.result == SaidReply::Result::kUnknown ? now + rules_.retry : now;
+  say_after_ = reply.status == SummaryWriteResult::Status::kUnknown ? now + rules_.retry : now;
 }
 
 // ---- The store's calls ----
@@ -216,7 +220,7 @@
 }
 
 Transaction join_transaction(const std::string& prefix, const std::string& name, LeaseId lease,
-                             const AskPermission& ask) {
+                             const LeaseAction& ask) {
   Transaction out;
   if (!ask.known.empty()) {
     const Known& any = ask.known.begin()->second;
@@ -235,8 +239,8 @@
   return out;
 }
 
-JoinReply read_joined(const coordination::Outcome& outcome) {
-  JoinReply out;
+JoinResult read_join_result(const coordination::Outcome& outcome) {
+  JoinResult out;
   out.joined = outcome.succeeded;
   out.modified = outcome.revision;
   if (outcome.succeeded && !outcome.steps.empty()) {
@@ -246,8 +250,8 @@
   return out;
 }
 
-Transaction say_transaction(const std::string& prefix, const std::string& name, LeaseId lease,
-                            const SaySummaries& say) {
+Transaction summary_transaction(const std::string& prefix, const std::string& name, LeaseId lease,
+                                const ReportSummariesAction& say) {
   Transaction out;
   for (const ZoneSummary& one : say.summaries) {
     const std::string key = summary_key(prefix, name, one.zone, lease);
@@ -258,9 +262,10 @@
   return out;
 }
 
-SaidReply read_said(const coordination::Outcome& outcome, const SaySummaries& say) {
-  SaidReply out;
-  out.result = outcome.succeeded ? SaidReply::Result::kWritten : SaidReply::Result::kElsewise;
+SummaryWriteResult read_write_result(const coordination::Outcome& outcome, const ReportSummariesAction& say) {
+  SummaryWriteResult out;
+  out.status =
+      outcome.succeeded ? SummaryWriteResult::Status::kWritten : SummaryWriteResult::Status::kConflict;
   for (std::size_t i = 0; i < say.summaries.size(); ++i) {
     Revision modified = outcome.revision;
     if (!outcome.succeeded) {
--- a/src/aggregation/uplink.h
+++ b/src/aggregation/upstream_lease.h
@@ -34,58 +34,58 @@
 
 // Acquire: join with these summaries where the change and the versions are as `known` says. Renew, release:
 // the lease alone.
-struct AskPermission {
+struct LeaseAction {
   ownership::Order order;
   std::vector<ZoneSummary> summaries;
   std::map<std::string, policy::Known> known;  // by zone
 };
-struct SaySummaries {
+struct ReportSummariesAction {
   std::uint64_t number = 0;
   std::vector<ZoneSummary> summaries;
 };
-using UplinkOrder = std::variant<AskPermission, SaySummaries>;
+using UpstreamAction = std::variant<LeaseAction, ReportSummariesAction>;
 
 // What became of a try to join.
-struct JoinReply {
+struct JoinResult {
   bool joined = false;
   coordination::Revision modified = 0;      // at which the summaries were written
   coordination::Revision acknowledged = 0;  // of the record of acknowledged events, as it stood then
 };
 
 // What became of a write of summaries.
-struct SaidReply {
-  enum class Result {
+struct SummaryWriteResult {
+  enum class Status {
     kWritten,
-    kElsewise,  // not done: a key was not as expected; `modified` says how it is
+    kConflict,  // not done: a key was not as expected; `modified` says how it is
     kUnknown    // no answer: done or not
   };
-  Result result = Result::kUnknown;
+  Status status = Status::kUnknown;
   std::map<std::string, coordination::Revision> modified;  // by zone; 0: there is no such key
 };
 
-class Uplink {
+class UpstreamLease {
  public:
-  Uplink(const ownership::LeaseRules& rules, std::vector<std::string> zones)
+  UpstreamLease(const ownership::LeaseRules& rules, std::vector<std::string> zones)
       : rules_(rules), lease_(rules), zones_(std::move(zones)) {}
 
   // What is to be done now. `heard`: whether the store is; without it permission is neither asked for nor
   // renewed.
-  std::vector<UplinkOrder> due(Micros now, bool heard, const std::map<std::string, policy::Known>& known,
-                               const std::map<std::string, policy::Permit>& summaries);
-  std::optional<Micros> next(Micros now, bool heard) const;
+  std::vector<UpstreamAction> step(Micros now, bool heard, const std::map<std::string, policy::Known>& known,
+                                   const std::map<std::string, policy::Permit>& summaries);
+  std::optional<Micros> next_step_at(Micros now, bool heard) const;
 
-  void joined(Micros now, std::uint64_t number, const JoinReply& reply);
-  void renewed(Micros now, std::uint64_t number, bool alive);
-  void released(Micros now, std::uint64_t number);
-  void lost(Micros now, std::uint64_t number);
-  void said(Micros now, std::uint64_t number, const SaidReply& reply);
+  void on_join_result(Micros now, std::uint64_t number, const JoinResult& reply);
+  void on_renew_result(Micros now, std::uint64_t number, bool alive);
+  void on_release_result(Micros now, std::uint64_t number);
+  void on_no_response(Micros now, std::uint64_t number);
+  void on_write_result(Micros now, std::uint64_t number, const SummaryWriteResult& reply);
 
   // Until when routers below may be given permission; before the present: not at all.
-  Micros until() const { return joined_ ? lease_.until() : Micros(-1); }
-  bool permitted(Micros now) const { return joined_ && lease_.may_act(now); }
+  Micros valid_until() const { return joined_ ? lease_.until() : Micros(-1); }
+  bool is_active(Micros now) const { return joined_ && lease_.may_act(now); }
   // The revision of the record of acknowledged events that has to be known before any router is given
   // permission: whoever drives it has not awaited this aggregator for what the record asked then.
-  coordination::Revision record_to_know() const { return record_to_know_; }
+  coordination::Revision required_acknowledgement_revision() const { return record_to_know_; }
   // Gives the permission back. Only once no router below has any.
   void stop(Micros now) { lease_.stop(now); }
   bool stopped() const { return lease_.over(); }
@@ -99,11 +99,11 @@
 
   void leave();
   bool may_ask(Micros now, bool heard) const;
-  std::optional<UplinkOrder> permission_due(Micros now, bool heard,
-                                            const std::map<std::string, policy::Known>& known,
-                                            const std::map<std::string, policy::Permit>& summaries);
-  std::optional<UplinkOrder> summaries_due(Micros now,
-                                           const std::map<std::string, policy::Permit>& summaries);
+  std::optional<UpstreamAction> permission_due(Micros now, bool heard,
+                                               const std::map<std::string, policy::Known>& known,
+                                               const std::map<std::string, policy::Permit>& summaries);
+  std::optional<UpstreamAction> summaries_due(Micros now,
+                                              const std::map<std::string, policy::Permit>& summaries);
   static bool worth_saying(Micros now, Said& said, const policy::Permit& permit);
 
   ownership::LeaseRules rules_;
@@ -122,11 +122,11 @@
 std::string summary_key(const std::string& prefix, const std::string& name, const std::string& zone,
                         coordination::LeaseId lease);
 coordination::Transaction join_transaction(const std::string& prefix, const std::string& name,
-                                           coordination::LeaseId lease, const AskPermission& ask);
-coordination::Transaction say_transaction(const std::string& prefix, const std::string& name,
-                                          coordination::LeaseId lease, const SaySummaries& say);
+                                           coordination::LeaseId lease, const LeaseAction& ask);
+coordination::Transaction summary_transaction(const std::string& prefix, const std::string& name,
+                                              coordination::LeaseId lease, const ReportSummariesAction& say);
 // Of their outcomes.
-JoinReply read_joined(const coordination::Outcome& outcome);
-SaidReply read_said(const coordination::Outcome& outcome, const SaySummaries& say);
+JoinResult read_join_result(const coordination::Outcome& outcome);
+SummaryWriteResult read_write_result(const coordination::Outcome& outcome, const ReportSummariesAction& say);
 
 }  // namespace trailcourse::aggregation
--- a/src/program/aggregator_command.cpp
+++ b/src/program/aggregator_command.cpp
@@ -7,7 +7,7 @@
 #include <random>
 #include <utility>
 
-#include "aggregation/service.h"
+#include "aggregation/aggregator_service.h"
 #include "program/descriptors.h"
 #include "program/fleet_work.h"
 #include "program/signals.h"
@@ -20,7 +20,7 @@
 
 namespace trailcourse::program {
 
-using aggregation::Service;
+using aggregation::AggregatorService;
 using std::chrono::milliseconds;
 using tasks::TaskRunner;
 using transport::Clock;
@@ -93,7 +93,8 @@
 };
 
 // Waits until no router has permission from here, and the policy's work has gone to another.
-transport::Task<void> end_aggregator(transport::Scheduler& scheduler, Service& service, TaskRunner& runner) {
+transport::Task<void> end_aggregator(transport::Scheduler& scheduler, AggregatorService& service,
+                                     TaskRunner& runner) {
   service.drain();
   runner.drain();
   const Clock::time_point asked = Clock::now();
@@ -105,7 +106,7 @@
   scheduler.stop();
 }
 
-transport::Task<void> heed(transport::Scheduler& scheduler, Signals& signals, Service& service,
+transport::Task<void> heed(transport::Scheduler& scheduler, Signals& signals, AggregatorService& service,
                            TaskRunner& runner) {
   bool ending = false;
   for (;;) {
@@ -113,7 +114,7 @@
     if (signal == SIGHUP) {
       log_line(Level::kInfo) << service.report();
     } else if (!std::exchange(ending, true)) {
-      log_line(Level::kInfo) << "signal " << signal << ": draining, " << service.core().routers()
+      log_line(Level::kInfo) << "signal " << signal << ": draining, " << service.core().router_count()
                              << " routers have permission";
       scheduler.spawn(end_aggregator(scheduler, service, runner));
     }
@@ -131,7 +132,7 @@
   std::random_device entropy;
   const std::uint64_t seed = (std::uint64_t{entropy()} << 32U) | entropy();
   const std::unique_ptr<coordination::SharedStore> store = open_store(scheduler, file.coordination, seed);
-  Service service(scheduler, *store, options, prefix, seed);
+  AggregatorService service(scheduler, *store, options, prefix, seed);
   tasks::BoardFollower board;
   // Of no zone: work that is bound to a zone is its routers'.
   TaskRunner runner(
--- a/tests/acknowledgement_test.cpp
+++ b/tests/acknowledgement_test.cpp
@@ -8,7 +8,7 @@
 #include <random>
 
 #include "aggregation/aggregator.h"
-#include "aggregation/permit_summary.h"
+#include "aggregation/report_summary.h"
 #include "aggregation/router_leases.h"
 #include "coordination/ledger.h"
 #include "policy/holder.h"
@@ -16,7 +16,7 @@
 namespace trailcourse::policy {
 namespace {
 
-using aggregation::Refused;
+using aggregation::RequestRejected;
 using aggregation::RouterLeases;
 using coordination::LeaseId;
 
@@ -243,7 +243,7 @@
 }
 
 TEST(AcknowledgingSummaryTest, SaysTheLeastThatItsRoutersSay) {
-  aggregation::RouterPermits routers;
+  aggregation::RouterReports routers;
   EXPECT_EQ(summarize(asking(5), "edge", routers).acknowledged, 5U) << "nobody is there to be awaited";
   routers[1] = {"r1", acknowledging(5)};
   routers[2] = {"r2", acknowledging(4)};
@@ -257,7 +257,7 @@
 TEST(AcknowledgingSummaryTest, DrawnSetsOfRoutersGiveTheMinimumAndNeverGoBack) {
   std::mt19937 random(23);
   for (int run = 0; run < 2'000; ++run) {
-    aggregation::RouterPermits routers;
+    aggregation::RouterReports routers;
     std::uint64_t least = 9;
     for (LeaseId lease = 1; lease <= 1 + random() % 6; ++lease) {
       const std::uint64_t round = random() % 9;
@@ -279,53 +279,53 @@
   write(kCurrentKey, "0");
   write(kAcknowledgedKey, write_acknowledgement({1, at(5), at(0)}));
   const coordination::Range records{kRecords, true};
-  aggregation::AggregatorRules rules;
+  aggregation::AggregatorSettings rules;
   rules.lease.ttl = Micros(4'000'000);
   aggregation::Aggregator aggregator(rules, {"east", "i1", {"edge"}, ""}, 1);
-  aggregator.mirror(store.get(records));
-  aggregator.heard(true);
+  aggregator.on_snapshot(store.get(records));
+  aggregator.set_connected(true);
   store.changes();
   write(kAcknowledgedKey, write_acknowledgement({2, at(9), at(5)}));
-  const auto ask = std::get<aggregation::AskPermission>(aggregator.due(kStart).front());
+  const auto ask = std::get<aggregation::LeaseAction>(aggregator.step(kStart).front());
   const LeaseId lease = store.grant(0, 4'000, 0);
   const auto joined =
-      aggregation::read_joined(store.commit(aggregation::join_transaction("", "east", lease, ask)));
+      aggregation::read_join_result(store.commit(aggregation::join_transaction("", "east", lease, ask)));
   ASSERT_TRUE(joined.joined);
-  aggregator.uplink().joined(kStart, ask.order.number, joined);
-  EXPECT_THROW(aggregator.grant(kStart, kTtl), Refused);
-  aggregator.follow(store.changes());
+  aggregator.upstream().on_join_result(kStart, ask.order.number, joined);
+  EXPECT_THROW(aggregator.grant(kStart, kTtl), RequestRejected);
+  aggregator.on_changes(store.changes());
   EXPECT_NO_THROW(aggregator.grant(kStart, kTtl));
 }
 
 TEST(AcknowledgingAggregatorTest, AsksForNoTurnWhileTheStoreIsNotHeard) {
-  aggregation::Aggregator aggregator(aggregation::AggregatorRules{}, {"east", "i1", {"edge"}, ""}, 1);
-  aggregator.heard(false);
-  EXPECT_FALSE(aggregator.next(kStart).has_value());
-  aggregator.heard(true);
-  EXPECT_TRUE(aggregator.next(kStart).has_value());
+  aggregation::Aggregator aggregator(aggregation::AggregatorSettings{}, {"east", "i1", {"edge"}, ""}, 1);
+  aggregator.set_connected(false);
+  EXPECT_FALSE(aggregator.next_step_at(kStart).has_value());
+  aggregator.set_connected(true);
+  EXPECT_TRUE(aggregator.next_step_at(kStart).has_value());
 }
 
 TEST(AcknowledgingLeasesTest, NobodyJoinsBehindWhatWasSaidAndNobodySaysLess) {
   constexpr Micros kUntil{60'000'000};
   constexpr Micros kTtl{3'000'000};
-  RouterLeases leases(aggregation::RouterLeaseRules{}, 1);
-  leases.claim("edge", 5);
-  leases.claim("edge", 3);
+  RouterLeases leases(aggregation::RouterLeaseOptions{}, 1);
+  leases.set_min_acknowledged("edge", 5);
+  leases.set_min_acknowledged("edge", 3);
   const LeaseId late = leases.grant(kStart, kTtl, kUntil);
   const auto refused = [&](LeaseId lease, std::uint64_t round) {
     try {
-      leases.say("r1", lease, acknowledging(round));
-    } catch (const Refused& error) {
-      return error.why() == Refused::Why::kBackwards;
+      leases.record_report("r1", lease, acknowledging(round));
+    } catch (const RequestRejected& error) {
+      return error.reason() == RequestRejected::Reason::kBackwards;
     }
     return false;
   };
   EXPECT_TRUE(refused(late, 4));
-  EXPECT_TRUE(leases.permits("edge").empty()) << "what is refused changes nothing";
-  leases.say("r1", late, acknowledging(5));
-  leases.say("r1", late, acknowledging(7));
+  EXPECT_TRUE(leases.reports("edge").empty()) << "what is refused changes nothing";
+  leases.record_report("r1", late, acknowledging(5));
+  leases.record_report("r1", late, acknowledging(7));
   EXPECT_TRUE(refused(late, 6));
-  EXPECT_EQ(leases.permits("edge").at(late).permit.acknowledged, 7U);
+  EXPECT_EQ(leases.reports("edge").at(late).permit.acknowledged, 7U);
 }
 
 }  // namespace
--- a/tests/aggregation_service_test.cpp
+++ b/tests/aggregation_service_test.cpp
@@ -8,7 +8,7 @@
 #include <memory>
 #include <random>
 
-#include "aggregation/service.h"
+#include "aggregation/aggregator_service.h"
 #include "coordination/etcd_store.h"
 #include "coordination/registry.h"
 #include "fleet/fault_proxy.h"
@@ -98,8 +98,8 @@
   }
 
   // Below `store`, by default the registry itself.
-  Service& add_aggregator(const std::string& name, const std::string& store = "",
-                          std::int64_t ttl_ms = kAggregatorTtlMs) {
+  AggregatorService& add_aggregator(const std::string& name, const std::string& store = "",
+                                    std::int64_t ttl_ms = kAggregatorTtlMs) {
     AggregatorOptions options;
     options.listen = ports_.take_text();
     options.name = name;
@@ -110,8 +110,8 @@
     Process& process = aggregators_.emplace_back();
     process.store =
         std::make_unique<EtcdStore>(scheduler, reaching({store.empty() ? store_address_ : store}), 7);
-    process.service =
-        std::make_unique<Service>(scheduler, *process.store, options, kPrefix, 1'000 + aggregators_.size());
+    process.service = std::make_unique<AggregatorService>(scheduler, *process.store, options, kPrefix,
+                                                          1'000 + aggregators_.size());
     process.service->start();
     return *process.service;
   }
@@ -138,8 +138,8 @@
     EXPECT_TRUE(until([&] { return (reply = grant(store, ttl)).done(); })) << reply.why;
     return reply.value.id;
   }
-  bool permitted(const Service& service) {
-    return until([&] { return service.core().uplink().permitted(now()); });
+  bool permitted(const AggregatorService& service) {
+    return until([&] { return service.core().upstream().is_active(now()); });
   }
   static Micros now() { return std::chrono::duration_cast<Micros>(Clock::now().time_since_epoch()); }
   // The summaries that stand in the store, by "NAME.ZONE".
@@ -157,7 +157,7 @@
  private:
   struct Process {
     std::unique_ptr<SharedStore> store;
-    std::unique_ptr<Service> service;  // goes first
+    std::unique_ptr<AggregatorService> service;  // goes first
   };
 
   static coordination::CoordinationOptions reaching(std::vector<std::string> endpoints) {
@@ -196,14 +196,14 @@
 
 TEST(AggregationServiceTest, PermissionsAreGivenRenewedAndEndByTime) {
   Region region;
-  const Service& service = region.add_aggregator("a1");
+  const AggregatorService& service = region.add_aggregator("a1");
   SharedStore& router = region.router();
   const LeaseId lasting = region.lease(router);
   const auto renewed = region.renew(router, lasting);
   ASSERT_TRUE(renewed.done()) << renewed.why;
   EXPECT_EQ(renewed.value.ttl, Micros(kLongTtl));
   const LeaseId lease = region.lease(router, kShortTtl);
-  ASSERT_TRUE(region.until([&] { return service.core().routers() == 1; })) << "nobody renews the second";
+  ASSERT_TRUE(region.until([&] { return service.core().router_count() == 1; })) << "nobody renews the second";
   const auto gone = region.renew(router, lease);
   ASSERT_TRUE(gone.done()) << gone.why;
   EXPECT_EQ(gone.value.ttl, Micros(0));
@@ -212,12 +212,12 @@
 
 TEST(AggregationServiceTest, APermissionThatIsGivenBackEndsAtOnce) {
   Region region;
-  const Service& service = region.add_aggregator("a1");
+  const AggregatorService& service = region.add_aggregator("a1");
   SharedStore& router = region.router();
   const LeaseId lease = region.lease(router);
   ASSERT_TRUE(region.commit(router, say("r1", lease, permit_of("east", 0))).done());
   ASSERT_TRUE(region.revoke(router, lease).done());
-  EXPECT_EQ(service.core().routers(), 0U);
+  EXPECT_EQ(service.core().router_count(), 0U);
   EXPECT_EQ(region.commit(router, say("r1", lease, permit_of("east", 0, 2))).result, Result::kRejected);
 }
 
@@ -280,12 +280,12 @@
 
 TEST(AggregationServiceTest, WhatItDoesNotTakeIsRefusedWithAReasonAndChangesNothing) {
   Region region;
-  const Service& service = region.add_aggregator("a1");
+  const AggregatorService& service = region.add_aggregator("a1");
   SharedStore& router = region.router();
   const LeaseId lease = region.lease(router);
   ASSERT_TRUE(region.commit(router, say("r1", lease, permit_of("east", 0, 5))).done());
   // A lease that was asked for before the aggregator had permission itself was refused, too.
-  const std::uint64_t before = service.core().counts().refused_in_all();
+  const std::uint64_t before = service.core().counts().total_rejected();
   const auto refused = [&](const Transaction& transaction, const std::string& word) {
     const auto reply = region.commit(router, transaction);
     EXPECT_EQ(reply.result, Result::kRejected) << word;
@@ -298,15 +298,15 @@
   refused(Transaction{{}, {Put{at(policy::kCurrentKey), "9", 0}}, {}}, "permits");
   refused(Transaction{{}, {Delete{Range{at("policy/"), true}}}, {}}, "one permit");
   refused(Transaction{{}, {Get{Range{at("fleet/"), true}}}, {}}, "policy's records");
-  EXPECT_EQ(service.core().counts().refused_in_all() - before, 7U);
-  EXPECT_EQ(service.core().routers(), 1U);
+  EXPECT_EQ(service.core().counts().total_rejected() - before, 7U);
+  EXPECT_EQ(service.core().router_count(), 1U);
   EXPECT_EQ(region.summaries()["a1.east"].version, 0U);
 }
 
 // Calls of which parts are lost or changed: read and answered, or refused; the router that is there stays.
 TEST(AggregationServiceTest, MutatedCallsAreAnsweredOrRefused) {
   Region region;
-  Service& service = region.add_aggregator("a1");
+  AggregatorService& service = region.add_aggregator("a1");
   SharedStore& router = region.router();
   const LeaseId lease = region.lease(router);
   ASSERT_TRUE(region.commit(router, say("r1", lease, permit_of("east", 0, 1))).done());
@@ -328,7 +328,7 @@
       answered += service.answer(path, etcd::parse_object(text)).status == 200 ? 1 : 0;
     } catch (const etcd::BadMessage&) {
     }
-    ASSERT_GE(service.core().routers(), 1U) << "seed " << seed;
+    ASSERT_GE(service.core().router_count(), 1U) << "seed " << seed;
   }
   EXPECT_GT(answered, 0);
 }
@@ -337,12 +337,12 @@
 
 TEST(AggregationServiceTest, NothingIsAnsweredBeforeTheStoreIsHeard) {
   Region region;
-  const Service& service = region.add_aggregator("a1", region.free_address());
+  const AggregatorService& service = region.add_aggregator("a1", region.free_address());
   SharedStore& router = region.router();
   const auto reply = region.grant(router, kLongTtl);
   EXPECT_FALSE(reply.done());
   EXPECT_EQ(router.id(), 0U);
-  EXPECT_EQ(service.core().routers(), 0U);
+  EXPECT_EQ(service.core().router_count(), 0U);
 }
 
 // The first has lost the store and gives nothing: calls and watches go on at the second, which tells what
@@ -352,8 +352,8 @@
   const std::string between = region.free_address();
   fleet::FaultProxy proxy(region.scheduler, "a1>store", *transport::parse_address(between),
                           *transport::parse_address(region.store_address()));
-  const Service& first = region.add_aggregator("a1", between, 4'000);
-  const Service& second = region.add_aggregator("a2");
+  const AggregatorService& first = region.add_aggregator("a1", between, 4'000);
+  const AggregatorService& second = region.add_aggregator("a2");
   ASSERT_TRUE(region.permitted(first));
   ASSERT_TRUE(region.permitted(second));
   SharedStore& router = region.router();
@@ -373,14 +373,14 @@
   EXPECT_TRUE(region.until([&] { return told.state.contains(at(policy::kCurrentKey)); })) << told.reason;
   // What the first gave is over by the time that its own permission ends in the store.
   ASSERT_TRUE(region.until([&] { return !region.summaries().contains("a1.east"); }));
-  EXPECT_FALSE(first.core().uplink().permitted(Region::now()));
+  EXPECT_FALSE(first.core().upstream().is_active(Region::now()));
   router.unwatch(watch);
 }
 
 TEST(AggregationServiceTest, ARouterWhoseAggregatorEndsIsUnknownAtTheNextAndJoinsThere) {
   Region region;
-  const Service& first = region.add_aggregator("a1");
-  const Service& second = region.add_aggregator("a2");
+  const AggregatorService& first = region.add_aggregator("a1");
+  const AggregatorService& second = region.add_aggregator("a2");
   ASSERT_TRUE(region.permitted(first));
   ASSERT_TRUE(region.permitted(second));
   SharedStore& router = region.router();
@@ -390,14 +390,14 @@
   ASSERT_TRUE(region.until([&] { return (renewed = region.renew(router, lease)).done(); })) << renewed.why;
   EXPECT_EQ(renewed.value.ttl, Micros(0));
   region.lease(router);
-  EXPECT_EQ(second.core().routers(), 1U);
+  EXPECT_EQ(second.core().router_count(), 1U);
 }
 
 // ---- Its end ----
 
 TEST(AggregationServiceTest, OneThatDrainsGivesItsPermissionBackOnceItsRoutersAreGone) {
   Region region;
-  Service& service = region.add_aggregator("a1");
+  AggregatorService& service = region.add_aggregator("a1");
   SharedStore& router = region.router();
   const LeaseId lease = region.lease(router, kShortTtl);
   ASSERT_EQ(service.page("/healthz")->status, 200);
@@ -407,7 +407,7 @@
   EXPECT_FALSE(renewed.done() && renewed.value.ttl > Micros(0));
   EXPECT_FALSE(region.grant(router, kLongTtl).done());
   ASSERT_TRUE(region.until([&] {
-    EXPECT_FALSE(service.drained() && service.core().routers() > 0) << "a router may still decide by it";
+    EXPECT_FALSE(service.drained() && service.core().router_count() > 0) << "a router may still decide by it";
     return service.drained();
   }));
   EXPECT_EQ(region.summaries().count("a1.east"), 0U);
--- a/tests/aggregation_test.cpp
+++ b/tests/aggregation_test.cpp
@@ -62,13 +62,13 @@
 }
 
 // Mostly alike, so that all of them agree often enough.
-RouterPermits drawn_routers(std::mt19937_64& random, std::uint64_t step) {
-  RouterPermits out;
+RouterReports drawn_routers(std::mt19937_64& random, std::uint64_t step) {
+  RouterReports out;
   const Permit common = drawn_permit(random, step);
   const std::size_t count = random() % 5;
   for (LeaseId lease = 1; lease <= count; ++lease) {
     const bool differs = random() % 6 == 0;
-    out[lease] = RouterPermit{"r" + std::to_string(lease), differs ? drawn_permit(random, step) : common};
+    out[lease] = RouterReport{"r" + std::to_string(lease), differs ? drawn_permit(random, step) : common};
   }
   return out;
 }
@@ -83,7 +83,7 @@
   return step ? std::optional<ChangeState>(step->change.state) : std::nullopt;
 }
 
-std::map<std::string, Permit> one_by_one(const RouterPermits& routers) {
+std::map<std::string, Permit> one_by_one(const RouterReports& routers) {
   std::map<std::string, Permit> out;
   for (const auto& [lease, one] : routers) {
     out[one.router + "/" + std::to_string(lease)] = one.permit;
@@ -98,7 +98,7 @@
   for (int round = 0; round < 50'000; ++round) {
     const auto state = static_cast<ChangeState>(random() % 3);  // preparing, holding, committed
     const policy::Change change = change_in(state);
-    const RouterPermits routers = drawn_routers(random, policy::step_of(change));
+    const RouterReports routers = drawn_routers(random, policy::step_of(change));
     const Permit summary = summarize(known_in(state), "edge", routers);
     const auto with_summary = next_state(change, {{"a.edge/1", summary}});
     const auto with_each = next_state(change, one_by_one(routers));
@@ -130,7 +130,7 @@
   for (int round = 0; round < 50'000; ++round) {
     const Heard& heard = cases[random() % cases.size()];
     const policy::Change change = change_in(heard.driver);
-    const RouterPermits routers = drawn_routers(random, policy::step_of(change));
+    const RouterReports routers = drawn_routers(random, policy::step_of(change));
     Known known = known_in(heard.aggregator, heard.aggregator_id);
     known.version = heard.driver == ChangeState::kCommitted ? kBefore : known.version;
     const Permit summary = summarize(known, "edge", routers);
@@ -148,7 +148,7 @@
 // Else a router that joins by what the aggregator has heard would decide under the old version, unseen.
 TEST(PermitSummaryTest, NothingIsClaimedThatTheAggregatorHasNotHeardItself) {
   const std::uint64_t step = policy::step_of(change_in(ChangeState::kHolding));
-  RouterPermits routers;
+  RouterReports routers;
   for (LeaseId lease = 1; lease <= 3; ++lease) {
     routers[lease].permit.version = kBefore;
     routers[lease].permit.ready = step;
@@ -186,7 +186,7 @@
 }
 
 TEST(PermitSummaryTest, StaffSeeHowManyItStandsForAndWhoIsAwaited) {
-  RouterPermits routers;
+  RouterReports routers;
   routers[1] = {"first", Permit{}};
   routers[2] = {"second", Permit{}};
   const std::uint64_t step = policy::step_of(change_in(ChangeState::kPreparing));
@@ -204,13 +204,13 @@
 
 // ---- An aggregator before a store ----
 
-AggregatorRules rules_of_test() {
-  AggregatorRules out;
+AggregatorSettings rules_of_test() {
+  AggregatorSettings out;
   out.lease.ttl = seconds(4);
   out.lease.margin = milliseconds(20);
   out.lease.renew_after = milliseconds(500);
   out.lease.retry = milliseconds(200);
-  out.routers.most_routers = 3;
+  out.routers.max_routers = 3;
   return out;
 }
 
@@ -233,43 +233,43 @@
         news.push_back(change);
       }
     }
-    if (aggregator_.mirrored()) {
-      aggregator_.follow(news);
+    if (aggregator_.has_snapshot()) {
+      aggregator_.on_changes(news);
     }
   }
   void hear() {
-    aggregator_.mirror(store_.get(Range{"policy/", true}));
-    aggregator_.heard(true);
+    aggregator_.on_snapshot(store_.get(Range{"policy/", true}));
+    aggregator_.set_connected(true);
   }
   std::int64_t now_ms() const { return now_.count() / 1'000; }
 
   // Carries out all that is due, each call answered at once.
   void serve() {
     for (int round = 0; round < 8; ++round) {
-      const auto orders = aggregator_.due(now_);
-      for (const UplinkOrder& order : orders) {
+      const auto orders = aggregator_.step(now_);
+      for (const UpstreamAction& order : orders) {
         std::visit([this](const auto& one) { carry_out(one); }, order);
       }
     }
   }
-  void carry_out(const AskPermission& ask) {
+  void carry_out(const LeaseAction& ask) {
     store_.expire(now_ms());
-    Uplink& uplink = aggregator_.uplink();
+    UpstreamLease& upstream = aggregator_.upstream();
     const std::uint64_t number = ask.order.number;
     if (ask.order.ask == ownership::Ask::kAcquire) {
       lease_ = store_.grant(now_ms(), 4'000, 0);
       const auto out = store_.commit(join_transaction("", "agg", lease_, ask));
-      uplink.joined(now_, number, read_joined(out));
+      upstream.joined(now_, number, read_join_result(out));
     } else if (ask.order.ask == ownership::Ask::kRenew) {
-      uplink.renewed(now_, number, store_.keep_alive(now_ms(), lease_) > 0);
+      upstream.renewed(now_, number, store_.keep_alive(now_ms(), lease_) > 0);
     } else {
       store_.revoke(lease_);
-      uplink.released(now_, number);
+      upstream.released(now_, number);
     }
   }
-  void carry_out(const SaySummaries& say) {
-    const auto out = store_.commit(say_transaction("", "agg", lease_, say));
-    aggregator_.uplink().said(now_, say.number, read_said(out, say));
+  void carry_out(const ReportSummariesAction& say) {
+    const auto out = store_.commit(summary_transaction("", "agg", lease_, say));
+    aggregator_.upstream().on_write_result(now_, say.number, read_write_result(out, say));
   }
 
   std::optional<Permit> in_store(const std::string& zone) {
@@ -295,20 +295,20 @@
   }
 
   template <typename Call>
-  void expect_refused(Refused::Why why, Call call) {
-    const std::uint64_t before = aggregator_.counts().refused_in_all();
+  void expect_refused(RequestRejected::Reason why, Call call) {
+    const std::uint64_t before = aggregator_.counts().total_rejected();
     const auto summaries = aggregator_.summaries();
-    const std::size_t routers = aggregator_.routers();
+    const std::size_t routers = aggregator_.router_count();
     try {
       call();
       ADD_FAILURE() << "not refused";
-    } catch (const Refused& error) {
-      EXPECT_EQ(static_cast<int>(error.why()), static_cast<int>(why)) << error.what();
+    } catch (const RequestRejected& error) {
+      EXPECT_EQ(static_cast<int>(error.reason()), static_cast<int>(why)) << error.what();
       EXPECT_STRNE(error.what(), "");
     }
-    EXPECT_EQ(aggregator_.counts().refused_in_all(), before + 1);
+    EXPECT_EQ(aggregator_.counts().total_rejected(), before + 1);
     EXPECT_EQ(aggregator_.summaries(), summaries);
-    EXPECT_EQ(aggregator_.routers(), routers);
+    EXPECT_EQ(aggregator_.router_count(), routers);
   }
 
   Ledger store_{coordination::Limits{}};
@@ -320,12 +320,12 @@
 
 // Nothing is given before it has read the store and has permission itself.
 TEST_F(AggregatorTest, ItGivesNothingBeforeItHasPermission) {
-  EXPECT_TRUE(aggregator_.due(now_).empty());
-  expect_refused(Refused::Why::kNoPermission, [this] { aggregator_.grant(now_, seconds(3)); });
-  expect_refused(Refused::Why::kNoPermission,
+  EXPECT_TRUE(aggregator_.step(now_).empty());
+  expect_refused(RequestRejected::Reason::kNoPermission, [this] { aggregator_.grant(now_, seconds(3)); });
+  expect_refused(RequestRejected::Reason::kNoPermission,
                  [this] { aggregator_.commit(now_, Transaction{{}, {Get{Range{"policy/", true}}}, {}}); });
   hear();
-  expect_refused(Refused::Why::kNoPermission, [this] { aggregator_.grant(now_, seconds(3)); });
+  expect_refused(RequestRejected::Reason::kNoPermission, [this] { aggregator_.grant(now_, seconds(3)); });
   serve();
   EXPECT_NE(aggregator_.grant(now_, seconds(3)), 0U);
   ASSERT_TRUE(in_store("edge"));
@@ -335,18 +335,19 @@
 TEST_F(AggregatorTest, PermissionIsNeverBeyondItsOwn) {
   hear();
   serve();
-  const Micros until = aggregator_.uplink().until();
+  const Micros until = aggregator_.upstream().valid_until();
   EXPECT_LT(until, now_ + seconds(4));
   const LeaseId lease = aggregator_.grant(now_, until - now_);
-  expect_refused(Refused::Why::kNoPermission, [&] { aggregator_.grant(now_, until - now_ + Micros(1)); });
-  expect_refused(Refused::Why::kNoPermission, [&] { aggregator_.grant(now_, Micros::max()); });
-  expect_refused(Refused::Why::kMalformed, [&] { aggregator_.grant(now_, Micros::min()); });
+  expect_refused(RequestRejected::Reason::kNoPermission,
+                 [&] { aggregator_.grant(now_, until - now_ + Micros(1)); });
+  expect_refused(RequestRejected::Reason::kNoPermission, [&] { aggregator_.grant(now_, Micros::max()); });
+  expect_refused(RequestRejected::Reason::kMalformed, [&] { aggregator_.grant(now_, Micros::min()); });
   now_ += Micros(1);
-  expect_refused(Refused::Why::kNoPermission, [&] { aggregator_.keep_alive(now_, lease); });
+  expect_refused(RequestRejected::Reason::kNoPermission, [&] { aggregator_.keep_alive(now_, lease); });
   now_ = until;
   EXPECT_EQ(aggregator_.keep_alive(now_, lease), Micros(0)) << "no router outlives it";
-  EXPECT_EQ(aggregator_.routers(), 0U);
-  expect_refused(Refused::Why::kNoPermission, [&] { aggregator_.grant(now_, milliseconds(100)); });
+  EXPECT_EQ(aggregator_.router_count(), 0U);
+  expect_refused(RequestRejected::Reason::kNoPermission, [&] { aggregator_.grant(now_, milliseconds(100)); });
 }
 
 // The answer of a renewal that left before a pause covers only what is left since it left.
@@ -354,24 +355,24 @@
   hear();
   serve();
   now_ += milliseconds(600);
-  const auto orders = aggregator_.due(now_);
+  const auto orders = aggregator_.step(now_);
   ASSERT_EQ(orders.size(), 1U);
-  const std::uint64_t number = std::get<AskPermission>(orders.front()).order.number;
+  const std::uint64_t number = std::get<LeaseAction>(orders.front()).order.number;
   const Micros sent = now_;
   now_ += seconds(10);
-  aggregator_.uplink().renewed(now_, number, true);
-  EXPECT_LT(aggregator_.uplink().until(), sent + seconds(4));
-  expect_refused(Refused::Why::kNoPermission, [this] { aggregator_.grant(now_, seconds(3)); });
+  aggregator_.upstream().on_renew_result(now_, number, true);
+  EXPECT_LT(aggregator_.upstream().valid_until(), sent + seconds(4));
+  expect_refused(RequestRejected::Reason::kNoPermission, [this] { aggregator_.grant(now_, seconds(3)); });
 }
 
 TEST_F(AggregatorTest, WithoutNewsOfTheStoreItsPermissionIsNotRenewed) {
   hear();
   serve();
-  aggregator_.heard(false);
+  aggregator_.set_connected(false);
   now_ += seconds(1);
-  EXPECT_TRUE(aggregator_.due(now_).empty());
-  aggregator_.heard(true);
-  EXPECT_EQ(aggregator_.due(now_).size(), 1U);
+  EXPECT_TRUE(aggregator_.step(now_).empty());
+  aggregator_.set_connected(true);
+  EXPECT_EQ(aggregator_.step(now_).size(), 1U);
 }
 
 TEST_F(AggregatorTest, ARoutersStatementChangesTheSummaryOnceAllSayIt) {
@@ -410,7 +411,7 @@
   }
   serve();
   EXPECT_NE(in_store("edge")->held, 0U);
-  EXPECT_EQ(aggregator_.routers(), 0U);
+  EXPECT_EQ(aggregator_.router_count(), 0U);
 }
 
 TEST_F(AggregatorTest, CountsOnlyGrowWhoeverComesAndGoes) {
@@ -476,15 +477,15 @@
   };
   EXPECT_EQ(get("policy/", true).steps.front().found.size(), 1U);
   for (const char* key : {"", "p", "policy", "permits/", "members/"}) {
-    expect_refused(Refused::Why::kNotServed, [&] { get(key, true); });
+    expect_refused(RequestRejected::Reason::kNotServed, [&] { get(key, true); });
   }
-  expect_refused(Refused::Why::kNotServed, [&] {
+  expect_refused(RequestRejected::Reason::kNotServed, [&] {
     aggregator_.commit(now_, Transaction{{coordination::absent("members/r1")}, {}, {}});
   });
-  expect_refused(Refused::Why::kNotServed, [&] {
+  expect_refused(RequestRejected::Reason::kNotServed, [&] {
     aggregator_.commit(now_, Transaction{{}, {coordination::Delete{Range{"policy/", true}}}, {}});
   });
-  expect_refused(Refused::Why::kNotServed,
+  expect_refused(RequestRejected::Reason::kNotServed,
                  [&] { aggregator_.commit(now_, Transaction{{}, {Put{policy::kCurrentKey, "9", 0}}, {}}); });
 }
 
@@ -493,8 +494,8 @@
   serve();
   const LeaseId lease = join("r1", "edge");
   aggregator_.drain();
-  expect_refused(Refused::Why::kNoPermission, [this] { aggregator_.grant(now_, seconds(3)); });
-  expect_refused(Refused::Why::kNoPermission, [&] { aggregator_.keep_alive(now_, lease); });
+  expect_refused(RequestRejected::Reason::kNoPermission, [this] { aggregator_.grant(now_, seconds(3)); });
+  expect_refused(RequestRejected::Reason::kNoPermission, [&] { aggregator_.keep_alive(now_, lease); });
   put_change(ChangeState::kHolding);
   Permit holds = permit_of("edge");
   holds.held = policy::step_of(change_in(ChangeState::kHolding));
@@ -517,15 +518,15 @@
 
 TEST_F(AggregatorTest, ItJoinsOnlyWhereAllIsAsItKnowsIt) {
   hear();
-  const auto orders = aggregator_.due(now_);
+  const auto orders = aggregator_.step(now_);
   ASSERT_EQ(orders.size(), 1U);
   put_change(ChangeState::kPreparing);  // meanwhile
-  carry_out(std::get<AskPermission>(orders.front()));
-  EXPECT_FALSE(aggregator_.uplink().permitted(now_));
+  carry_out(std::get<LeaseAction>(orders.front()));
+  EXPECT_FALSE(aggregator_.upstream().is_active(now_));
   EXPECT_FALSE(in_store("edge"));
   now_ += milliseconds(200);
   serve();
-  EXPECT_TRUE(aggregator_.uplink().permitted(now_));
+  EXPECT_TRUE(aggregator_.upstream().is_active(now_));
 }
 
 TEST_F(AggregatorTest, AZonesOwnVersionIsKnownToItAlone) {
@@ -545,22 +546,22 @@
   Permit holds = permit_of("edge");
   holds.held = policy::step_of(change_in(ChangeState::kHolding));
   aggregator_.commit(now_, says("r1", lease, holds));
-  auto orders = aggregator_.due(now_);
+  auto orders = aggregator_.step(now_);
   ASSERT_EQ(orders.size(), 1U);
-  const SaySummaries late = std::get<SaySummaries>(orders.front());
-  aggregator_.uplink().said(now_, late.number, SaidReply{});  // no answer
-  EXPECT_TRUE(aggregator_.due(now_).empty()) << "not before a pause";
+  const ReportSummariesAction late = std::get<ReportSummariesAction>(orders.front());
+  aggregator_.upstream().on_write_result(now_, late.number, SummaryWriteResult{});  // no answer
+  EXPECT_TRUE(aggregator_.step(now_).empty()) << "not before a pause";
   aggregator_.commit(now_, says("r1", lease, permit_of("edge")));
   now_ += milliseconds(200);
   serve();
   EXPECT_EQ(in_store("edge")->held, 0U);
   const auto revision = store_.revision();
-  const auto out = store_.commit(say_transaction("", "agg", lease_, late));
+  const auto out = store_.commit(summary_transaction("", "agg", lease_, late));
   EXPECT_FALSE(out.succeeded);
   EXPECT_EQ(store_.revision(), revision);
   // Its answer, come late as well, is of a call that was given up.
-  aggregator_.uplink().said(now_, late.number, read_said(out, late));
-  EXPECT_TRUE(aggregator_.due(now_).empty());
+  aggregator_.upstream().on_write_result(now_, late.number, read_write_result(out, late));
+  EXPECT_TRUE(aggregator_.step(now_).empty());
 }
 
 TEST_F(AggregatorTest, AWriteThatWasDoneWithoutAnAnswerIsSaidOverWhatStandsThere) {
@@ -571,11 +572,11 @@
   Permit holds = permit_of("edge");
   holds.held = policy::step_of(change_in(ChangeState::kHolding));
   aggregator_.commit(now_, says("r1", lease, holds));
-  auto orders = aggregator_.due(now_);
+  auto orders = aggregator_.step(now_);
   ASSERT_EQ(orders.size(), 1U);
-  const SaySummaries unknown = std::get<SaySummaries>(orders.front());
-  store_.commit(say_transaction("", "agg", lease_, unknown));
-  aggregator_.uplink().said(now_, unknown.number, SaidReply{});
+  const ReportSummariesAction unknown = std::get<ReportSummariesAction>(orders.front());
+  store_.commit(summary_transaction("", "agg", lease_, unknown));
+  aggregator_.upstream().on_write_result(now_, unknown.number, SummaryWriteResult{});
   aggregator_.commit(now_, says("r1", lease, permit_of("edge")));
   now_ += milliseconds(200);
   serve();
@@ -588,12 +589,12 @@
   const LeaseId first = lease_;
   now_ += seconds(5);
   store_.expire(now_ms());
-  EXPECT_FALSE(aggregator_.uplink().permitted(now_));
+  EXPECT_FALSE(aggregator_.upstream().is_active(now_));
   serve();  // its renewal finds nothing
-  EXPECT_FALSE(aggregator_.uplink().permitted(now_));
+  EXPECT_FALSE(aggregator_.upstream().is_active(now_));
   now_ += milliseconds(200);
   serve();
-  EXPECT_TRUE(aggregator_.uplink().permitted(now_));
+  EXPECT_TRUE(aggregator_.upstream().is_active(now_));
   EXPECT_NE(lease_, first);
   EXPECT_TRUE(in_store("edge"));
 }
@@ -603,23 +604,23 @@
   hear();
   serve();
   put_change(ChangeState::kPreparing);
-  const auto orders = aggregator_.due(now_);
+  const auto orders = aggregator_.step(now_);
   ASSERT_EQ(orders.size(), 1U);
-  const SaySummaries late = std::get<SaySummaries>(orders.front());
+  const ReportSummariesAction late = std::get<ReportSummariesAction>(orders.front());
   store_.expire(now_ms() + 4'000);
-  EXPECT_THROW(store_.commit(say_transaction("", "agg", lease_, late)), coordination::Rejected);
+  EXPECT_THROW(store_.commit(summary_transaction("", "agg", lease_, late)), coordination::Rejected);
 }
 
 TEST_F(AggregatorTest, AnAnswerOfAnEarlierJoinGivesNothing) {
   hear();
-  const auto first = std::get<AskPermission>(aggregator_.due(now_).front());
-  aggregator_.uplink().lost(now_, first.order.number);
+  const auto first = std::get<LeaseAction>(aggregator_.step(now_).front());
+  aggregator_.upstream().on_no_response(now_, first.order.number);
   now_ += milliseconds(200);
-  const auto second = std::get<AskPermission>(aggregator_.due(now_).front());
-  aggregator_.uplink().joined(now_, first.order.number, {true, 9, 0});
-  EXPECT_FALSE(aggregator_.uplink().permitted(now_));
+  const auto second = std::get<LeaseAction>(aggregator_.step(now_).front());
+  aggregator_.upstream().on_join_result(now_, first.order.number, {true, 9, 0});
+  EXPECT_FALSE(aggregator_.upstream().is_active(now_));
   carry_out(second);
-  EXPECT_TRUE(aggregator_.uplink().permitted(now_));
+  EXPECT_TRUE(aggregator_.upstream().is_active(now_));
 }
 
 // ---- Bad input ----
@@ -629,38 +630,38 @@
   serve();
   const LeaseId lease = join("r1", "edge");
   const LeaseId other = aggregator_.grant(now_, seconds(3));
-  const auto put_refused = [&](Refused::Why why, const std::string& key, const std::string& value,
+  const auto put_refused = [&](RequestRejected::Reason why, const std::string& key, const std::string& value,
                                LeaseId under) {
     expect_refused(why, [&] { aggregator_.commit(now_, Transaction{{}, {Put{key, value, under}}, {}}); });
   };
   const std::string key = policy::permit_key("r1", lease);
   const std::string good = policy::write_permit(permit_of("edge"));
-  put_refused(Refused::Why::kMalformed, key, "no permit", lease);
-  put_refused(Refused::Why::kMalformed, key, "{}", lease);
-  put_refused(Refused::Why::kMalformed, key, good, other);
-  put_refused(Refused::Why::kMalformed, key, good, 0);
-  put_refused(Refused::Why::kMalformed, "permits/r1", good, lease);
-  put_refused(Refused::Why::kMalformed, "permits//" + std::to_string(lease), good, lease);
-  put_refused(Refused::Why::kMalformed, policy::permit_key("r1/x", lease), good, lease);
-  put_refused(Refused::Why::kTooLarge, key, good + std::string(4'096, ' '), lease);
-  put_refused(Refused::Why::kUnknownZone, key, policy::write_permit(permit_of("north")), lease);
-  put_refused(Refused::Why::kUnknownLease, policy::permit_key("r1", 1), good, 1);
-  put_refused(Refused::Why::kBackwards, key, good, lease);  // unnumbered after a numbered one
-  expect_refused(Refused::Why::kBackwards, [&] {
+  put_refused(RequestRejected::Reason::kMalformed, key, "no permit", lease);
+  put_refused(RequestRejected::Reason::kMalformed, key, "{}", lease);
+  put_refused(RequestRejected::Reason::kMalformed, key, good, other);
+  put_refused(RequestRejected::Reason::kMalformed, key, good, 0);
+  put_refused(RequestRejected::Reason::kMalformed, "permits/r1", good, lease);
+  put_refused(RequestRejected::Reason::kMalformed, "permits//" + std::to_string(lease), good, lease);
+  put_refused(RequestRejected::Reason::kMalformed, policy::permit_key("r1/x", lease), good, lease);
+  put_refused(RequestRejected::Reason::kTooLarge, key, good + std::string(4'096, ' '), lease);
+  put_refused(RequestRejected::Reason::kUnknownZone, key, policy::write_permit(permit_of("north")), lease);
+  put_refused(RequestRejected::Reason::kUnknownLease, policy::permit_key("r1", 1), good, 1);
+  put_refused(RequestRejected::Reason::kBackwards, key, good, lease);  // unnumbered after a numbered one
+  expect_refused(RequestRejected::Reason::kBackwards, [&] {
     number_ = 0;
     aggregator_.commit(now_, says("r1", lease, permit_of("edge")));
   });
   number_ = 10;
-  expect_refused(Refused::Why::kMalformed,
+  expect_refused(RequestRejected::Reason::kMalformed,
                  [&] { aggregator_.commit(now_, says("r2", lease, permit_of("edge"))); });
-  expect_refused(Refused::Why::kMalformed,
+  expect_refused(RequestRejected::Reason::kMalformed,
                  [&] { aggregator_.commit(now_, says("r1", lease, permit_of("west"))); });
-  expect_refused(Refused::Why::kNotServed, [&] {
+  expect_refused(RequestRejected::Reason::kNotServed, [&] {
     Transaction two = says("r1", lease, permit_of("edge"));
     two.then.push_back(two.then.front());
     aggregator_.commit(now_, two);
   });
-  expect_refused(Refused::Why::kUnknownLease, [&] { aggregator_.revoke(now_, 1); });
+  expect_refused(RequestRejected::Reason::kUnknownLease, [&] { aggregator_.revoke(now_, 1); });
   EXPECT_EQ(aggregator_.keep_alive(now_, 1), Micros(0));
   EXPECT_EQ(aggregator_.keep_alive(now_, lease), seconds(3)) << "nothing was lost";
 }
@@ -671,8 +672,8 @@
   for (int i = 0; i < 3; ++i) {
     aggregator_.grant(now_, seconds(3));
   }
-  expect_refused(Refused::Why::kFull, [this] { aggregator_.grant(now_, seconds(3)); });
-  expect_refused(Refused::Why::kMalformed, [this] { aggregator_.grant(now_, milliseconds(1)); });
+  expect_refused(RequestRejected::Reason::kFull, [this] { aggregator_.grant(now_, seconds(3)); });
+  expect_refused(RequestRejected::Reason::kMalformed, [this] { aggregator_.grant(now_, milliseconds(1)); });
   now_ += milliseconds(2'000);
   serve();
   now_ += milliseconds(1'000);
@@ -733,14 +734,14 @@
     if (random() % 16 == 0) {
       transaction.otherwise.push_back(Get{Range{mutated("policy/change", random), random() % 2 == 0}});
     }
-    const std::uint64_t counted = aggregator_.counts().refused_in_all();
+    const std::uint64_t counted = aggregator_.counts().total_rejected();
     try {
       taken += aggregator_.commit(now_, transaction).succeeded ? 1 : 0;
-    } catch (const Refused&) {
+    } catch (const RequestRejected&) {
       ++refused;
-      ASSERT_EQ(aggregator_.counts().refused_in_all(), counted + 1);
+      ASSERT_EQ(aggregator_.counts().total_rejected(), counted + 1);
     }
-    ASSERT_EQ(aggregator_.routers(), 2U);
+    ASSERT_EQ(aggregator_.router_count(), 2U);
     ASSERT_EQ(aggregator_.summaries().at("edge").routers, 2U);
     ASSERT_NE(aggregator_.summaries().at("edge").held, step) << "the witness has not said so";
     ASSERT_EQ(aggregator_.summaries().at("west").routers, 0U);
--- a/tests/aggregation_world_test.cpp
+++ b/tests/aggregation_world_test.cpp
@@ -205,8 +205,8 @@
     out.late_percent = 8;
     return out;
   }
-  static AggregatorRules aggregator_rules() {
-    AggregatorRules out;
+  static AggregatorSettings aggregator_settings() {
+    AggregatorSettings out;
     out.lease.ttl = kAggregatorTtl;
     out.lease.margin = milliseconds(20);
     out.lease.renew_after = milliseconds(500);
@@ -298,7 +298,7 @@
     const std::uint64_t lease_seed = 1'000'000 + 1'000 * one.index + start;
     const AggregatorIdentity identity{
         one.name, std::to_string(one.incarnation), {kZoneNames.begin(), kZoneNames.end()}, ""};
-    one.core.emplace(aggregator_rules(), identity, lease_seed);
+    one.core.emplace(aggregator_settings(), identity, lease_seed);
     one.lease = 0;
     one.floor = 0;
     one.following = false;
@@ -321,7 +321,7 @@
         return;
       }
       one.following = false;
-      one.core->heard(false);
+      one.core->set_connected(false);
       at(now_ + milliseconds(200), [this, &one, watch, same = same_incarnation(one)] {
         if (same() && watch == one.watch) {
           read_all(one);
@@ -344,11 +344,11 @@
           }
           one.has_read = true;
           one.watched = std::max(one.watched, read.revision);
-          one.core->mirror(read.entries);
+          one.core->on_snapshot(read.entries);
           for (const auto& news : std::exchange(one.early_news, {})) {
-            one.core->follow(news);
+            one.core->on_changes(news);
           }
-          one.core->heard(true);
+          one.core->set_connected(true);
           tell_routers(one);
         },
         again);
@@ -362,8 +362,8 @@
       one.early_news.push_back(news);
       return;
     }
-    one.core->follow(news);
-    one.core->heard(true);
+    one.core->on_changes(news);
+    one.core->set_connected(true);
     tell_routers(one);
   }
 
@@ -373,7 +373,7 @@
       restart(one, Micros(0));
       return;
     }
-    for (const UplinkOrder& order : one.core->due(clock(one))) {
+    for (const UpstreamAction& order : one.core->step(clock(one))) {
       std::visit([this, &one](const auto& what) { carry_out(one, what); }, order);
     }
   }
@@ -394,9 +394,9 @@
       transaction.otherwise.clear();
     }
   }
-  void carry_out(AggregatorProcess& one, const AskPermission& ask) {
+  void carry_out(AggregatorProcess& one, const LeaseAction& ask) {
     const std::uint64_t number = ask.order.number;
-    const auto lost = [this, &one, number] { one.core->uplink().lost(clock(one), number); };
+    const auto lost = [this, &one, number] { one.core->upstream().on_no_response(clock(one), number); };
     if (ask.order.ask == ownership::Ask::kAcquire) {
       call_store<LeaseId>(
           one, [this] { return ledger_.grant(store_ms(), kAggregatorTtl.count() / 1'000, 0); },
@@ -411,13 +411,16 @@
     if (ask.order.ask == ownership::Ask::kRenew) {
       call_store<bool>(
           one, [this, lease] { return ledger_.keep_alive(store_ms(), lease) > 0; },
-          [this, &one, number](const bool& alive) { one.core->uplink().renewed(clock(one), number, alive); },
+          [this, &one, number](const bool& alive) {
+            one.core->upstream().on_renew_result(clock(one), number, alive);
+          },
           lost);
       return;
     }
     call_store<bool>(
         one, [this, lease] { return revoke(lease); },
-        [this, &one, number](const bool&) { one.core->uplink().released(clock(one), number); }, lost);
+        [this, &one, number](const bool&) { one.core->upstream().on_release_result(clock(one), number); },
+        lost);
   }
   bool revoke(LeaseId lease) {
     try {
@@ -427,7 +430,7 @@
     }
     return true;
   }
-  void join(AggregatorProcess& one, const AskPermission& ask, const std::function<void()>& lost) {
+  void join(AggregatorProcess& one, const LeaseAction& ask, const std::function<void()>& lost) {
     const LeaseId lease = one.lease;
     Transaction transaction = join_transaction("", one.name, lease, ask);
     unfence(one, transaction, true);
@@ -435,14 +438,14 @@
         one, [this, transaction] { return commit(transaction); },
         [this, &one, lease, number = ask.order.number](const Outcome& out) {
           report_.joins += out.succeeded ? 1 : 0;
-          one.core->uplink().joined(clock(one), number, read_joined(out));
+          one.core->upstream().on_join_result(clock(one), number, read_join_result(out));
           if (!out.succeeded) {
             call_store<bool>(one, [this, lease] { return revoke(lease); }, [](const bool&) {}, [] {});
           }
         },
         lost);
   }
-  // None where it is rejected: an answer without an outcome is no answer to the uplink.
+  // None where it is rejected: an answer without an outcome is no answer to the upstream.
   std::optional<Outcome> commit(const Transaction& transaction) {
     try {
       return ledger_.commit(transaction);
@@ -450,16 +453,18 @@
       return std::nullopt;
     }
   }
-  void carry_out(AggregatorProcess& one, const SaySummaries& say) {
-    Transaction transaction = say_transaction("", one.name, one.lease, say);
+  void carry_out(AggregatorProcess& one, const ReportSummariesAction& say) {
+    Transaction transaction = summary_transaction("", one.name, one.lease, say);
     unfence(one, transaction, false);
     call_store<Outcome>(
         one, [this, transaction] { return commit(transaction); },
         [this, &one, say](const Outcome& out) {
           ++report_.summaries;
-          one.core->uplink().said(clock(one), say.number, read_said(out, say));
+          one.core->upstream().on_write_result(clock(one), say.number, read_write_result(out, say));
         },
-        [this, &one, say] { one.core->uplink().said(clock(one), say.number, SaidReply{}); });
+        [this, &one, say] {
+          one.core->upstream().on_write_result(clock(one), say.number, SummaryWriteResult{});
+        });
   }
 
   // ---- Routers ----
@@ -512,8 +517,8 @@
           if (!same() || number != one.watch) {
             return Known{};  // of a connection that was given up
           }
-          if (!server.mirrored()) {
-            throw Refused(Refused::Why::kNoPermission, "not mirrored");
+          if (!server.has_snapshot()) {
+            throw RequestRejected(RequestRejected::Reason::kNoPermission, "not mirrored");
           }
           one.watched = endpoint;
           one.watched_incarnation = aggregators_[static_cast<std::size_t>(endpoint)].incarnation;
@@ -618,9 +623,9 @@
           Reply<Value> reply;
           try {
             reply.value = use(*server.core);
-          } catch (const Refused& error) {
-            const bool other_can =
-                error.why() == Refused::Why::kNoPermission || error.why() == Refused::Why::kFull;
+          } catch (const RequestRejected& error) {
+            const bool other_can = error.reason() == RequestRejected::Reason::kNoPermission ||
+                                   error.reason() == RequestRejected::Reason::kFull;
             reply.fault = other_can ? Fault::kUnavailable : Fault::kRefused;
           }
           reply.revision = server.core->records().revision();
@@ -724,7 +729,7 @@
     Micros left{0};
     try {
       left = server.keep_alive(server_clock(endpoint), lease);
-    } catch (const Refused&) {
+    } catch (const RequestRejected&) {
       if (defect_ == Defect::kBeyondOwnPermission) {
         return kRouterTtl;
       }
@@ -742,7 +747,7 @@
   void drop(AggregatorProcess& one, LeaseId lease) {
     try {
       one.core->revoke(clock(one), lease);
-    } catch (const Refused&) {
+    } catch (const RequestRejected&) {
       // Not there.
     }
   }
@@ -1023,7 +1028,7 @@
     ++one.watch;
     after(one, drawn(seconds(3)), [&one] {
       if (!one.following) {
-        one.core->heard(false);
+        one.core->set_connected(false);
       }
     });
     after(one, time, [this, &one] {
