--- a/benchmarks/scale/aggregator_costs.cpp
+++ b/benchmarks/scale/aggregator_costs.cpp
@@ -23,11 +23,11 @@
 std::string router_name(int index) { return "router-" + std::to_string(10'000 + index); }
 std::string zone_name(int index) { return "zone" + std::to_string(index % kZones); }
 
-aggregation::AggregatorSettings wide_rules() {
-  aggregation::AggregatorSettings rules;
-  rules.lease.ttl = Micros(3'600'000'000);  // nothing ends while it is measured
-  rules.routers.max_routers = 100'000;
-  return rules;
+aggregation::AggregatorSettings settings_without_limits() {
+  aggregation::AggregatorSettings settings;
+  settings.lease.ttl = Micros(3'600'000'000);  // no lease ends while it is measured
+  settings.routers.max_routers = 100'000;
+  return settings;
 }
 
 aggregation::AggregatorIdentity identity() {
@@ -45,39 +45,40 @@
   return {coordination::Entry{std::string(kPrefix) + policy::kCurrentKey, "812", 5, 5, 1, 0}};
 }
 
-// An aggregator that has permission, with so many routers that have said a permit each.
+// An aggregator with an active lease, and so many routers that have reported once each.
 class Region {
  public:
-  Region(int routers, std::uint64_t seed) : aggregator_(wide_rules(), identity(), seed) {
+  Region(int routers, std::uint64_t seed) : aggregator_(settings_without_limits(), identity(), seed) {
     aggregator_.on_snapshot(records());
     aggregator_.set_connected(true);
-    for (const aggregation::UpstreamAction& order : aggregator_.step(now_)) {
-      if (const auto* ask = std::get_if<aggregation::LeaseAction>(&order)) {
-        aggregator_.upstream().on_join_result(now_, ask->order.number, {true, 9, 0});
+    for (const aggregation::UpstreamAction& action : aggregator_.step(now_)) {
+      if (const auto* lease = std::get_if<aggregation::LeaseAction>(&action)) {
+        aggregator_.upstream().on_join_result(now_, lease->call.number,
+                                             {aggregation::JoinResult::Status::kJoined, 9, 0});
       }
     }
     for (int i = 0; i < routers; ++i) {
       leases_.push_back(aggregator_.grant(now_, kRouterTtl));
-      say(i);
+      report(i);
     }
   }
 
   std::size_t size() const { return leases_.size(); }
   void renew(std::size_t router) { aggregator_.keep_alive(now_, leases_[router]); }
-  void say(int router) {
+  void report(int router) {
     const LeaseId lease = leases_[static_cast<std::size_t>(router)];
-    policy::Permit permit;
-    permit.incarnation = "0123456789abcdef";
-    permit.zone = zone_name(router);
-    permit.version = 812;
-    permit.number = ++number_;
+    policy::Permit report;
+    report.incarnation = "0123456789abcdef";
+    report.zone = zone_name(router);
+    report.version = 812;
+    report.number = ++number_;
     aggregator_.commit(now_, {{},
                               {coordination::Put{kPrefix + policy::permit_key(router_name(router), lease),
-                                                 policy::write_permit(permit), lease}},
+                                                 policy::write_permit(report), lease}},
                               {}});
   }
   void summarize() { keep_result(aggregator_.summaries()); }
-  void turn() { keep_result(aggregator_.step(now_)); }
+  void step() { keep_result(aggregator_.step(now_)); }
 
  private:
   Aggregator aggregator_;
@@ -109,7 +110,7 @@
                        "routers",
                        "in process",
                        {}};
-  CostSeries turn{
+  CostSeries step{
       "aggregator.cpu.turn", "what is due now, asked for after each call", "us", "routers", "in process", {}};
   for (const int routers : kRouters) {
     memory.points.emplace_back(
@@ -120,15 +121,15 @@
                                     region.renew(i);
                                   }
                                 }));
-    permit.points.emplace_back(routers, cpu_us_per_call(1, [&] {
+    report.points.emplace_back(routers, cpu_us_per_call(1, [&] {
                                  for (std::size_t i = 0; i < region.size(); ++i) {
-                                   region.say(static_cast<int>(i));
+                                   region.report(static_cast<int>(i));
                                  }
                                }));
     summaries.points.emplace_back(routers, cpu_us_per_call(50, [&] { region.summarize(); }));
-    turn.points.emplace_back(routers, cpu_us_per_call(50, [&] { region.turn(); }));
+    step.points.emplace_back(routers, cpu_us_per_call(50, [&] { region.step(); }));
   }
-  for (const CostSeries& series : {memory, renewal, permit, summaries, turn}) {
+  for (const CostSeries& series : {memory, renewal, permit, summaries, step}) {
     sink(series);
   }
 }
--- a/benchmarks/scale/hollow_aggregator.cpp
+++ b/benchmarks/scale/hollow_aggregator.cpp
@@ -48,9 +48,9 @@
 
 HollowAggregator::HollowAggregator(Simulation& simulation, std::string name, int region,
                                    std::vector<std::string> zones, PermitServer& store,
-                                   const aggregation::AggregatorSettings& rules)
+                                   const aggregation::AggregatorSettings& settings)
     : StoreClient(simulation, std::move(name), region, {&store}),
-      rules_(rules),
+      settings_(settings),
       zones_(std::move(zones)),
       watches_(simulation) {}
 
@@ -58,8 +58,8 @@
   std::uniform_real_distribution<double> drift(-kMostDrift, kMostDrift);
   set_clock({1.0 + drift(simulation().random), Micros(1'000'000) + simulation().drawn(Micros(50'000'000))});
   watches_.clear();
-  core_.emplace(
-      rules_,
+  aggregator_.emplace(
+      settings_,
       aggregation::AggregatorIdentity{name(), name() + "-" + std::to_string(incarnation()), zones_, ""},
       simulation().random());
   changed_ = true;
@@ -68,14 +68,14 @@
 
 void HollowAggregator::turn() {
   const Micros now = clock();
-  const auto next = core_->next_step_at(now);
+  const auto next = aggregator_->next_step_at(now);
   const bool timed = next && *next <= now;
   if (std::exchange(changed_, false) || timed) {
-    for (const aggregation::UpstreamAction& order : core_->step(now)) {
-      std::visit([this](const auto& one) { carry_out(one); }, order);
+    for (const aggregation::UpstreamAction& action : aggregator_->step(now)) {
+      std::visit([this](const auto& call) { execute(call); }, action);
     }
   }
-  if (const auto later = core_->next_step_at(now)) {
+  if (const auto later = aggregator_->next_step_at(now)) {
     turn_at(*later);
   }
 }
@@ -83,59 +83,58 @@
 // ---- From the store ----
 
 void HollowAggregator::heard(const News& news) {
-  core_->set_connected(true);
+  aggregator_->set_connected(true);
   changed_ = true;
   if (news.whole) {
-    core_->on_snapshot(news.entries);
+    aggregator_->on_snapshot(news.entries);
   } else {
-    core_->on_changes(news.changes);
+    aggregator_->on_changes(news.changes);
   }
   const SharedNews told =
-      news.whole ? whole_news(core_->records()) : changed_news(core_->records(), news.changes);
+      news.whole ? whole_news(aggregator_->records()) : changed_news(aggregator_->records(), news.changes);
   counted().lines += watches_.size();
   counted().bytes_out += watches_.size() * told->bytes;
   counted().busy += watches_.tell(*this, told, Micros(0));
 }
 
 void HollowAggregator::silent() {
-  core_->set_connected(false);
+  aggregator_->set_connected(false);
   changed_ = true;
 }
 
 // ---- From routers ----
 
 template <typename Work>
-Reply HollowAggregator::carry_out_call(Work work) {
+Reply HollowAggregator::execute_call(Work work) {
   Reply out;
   out.spent = micros(simulation().costs.call);
   try {
     work(out);
     out.done = true;
   } catch (const aggregation::RequestRejected& error) {
-    out.unavailable = error.reason() == aggregation::RequestRejected::Reason::kNoPermission ||
-                      error.reason() == aggregation::RequestRejected::Reason::kFull;
+    out.unavailable = aggregation::is_retryable_elsewhere(error.reason());
   }
   return out;
 }
 
 Reply HollowAggregator::grant(Micros ttl) {
-  return carry_out_call([&](Reply& reply) { reply.lease = core_->grant(clock(), ttl); });
+  return execute_call([&](Reply& reply) { reply.lease = aggregator_->grant(clock(), ttl); });
 }
 
 Reply HollowAggregator::keep_alive(LeaseId lease) {
-  return carry_out_call(
-      [&](Reply& reply) { reply.succeeded = core_->keep_alive(clock(), lease) > Micros(0); });
+  return execute_call(
+      [&](Reply& reply) { reply.succeeded = aggregator_->keep_alive(clock(), lease).has_value(); });
 }
 
 Reply HollowAggregator::revoke(LeaseId lease) {
   changed_ = true;
-  return carry_out_call([&](Reply&) { core_->revoke(clock(), lease); });
+  return execute_call([&](Reply&) { aggregator_->revoke(clock(), lease); });
 }
 
 Reply HollowAggregator::commit(const coordination::Transaction& transaction) {
   changed_ = true;
-  return carry_out_call([&](Reply& reply) {
-    reply.outcome = core_->commit(clock(), transaction);
+  return execute_call([&](Reply& reply) {
+    reply.outcome = aggregator_->commit(clock(), transaction);
     reply.succeeded = reply.outcome.succeeded;
   });
 }
@@ -143,10 +142,10 @@
 Reply HollowAggregator::begin_watch(StoreClient& client, std::uint64_t watch) {
   Reply out;
   out.spent = micros(simulation().costs.call);
-  out.unavailable = !core_->has_snapshot();
+  out.unavailable = !aggregator_->has_snapshot();
   if (!out.unavailable) {
     watches_.add(client, watch);
-    out.news = whole_news(core_->records());
+    out.news = whole_news(aggregator_->records());
     out.done = true;
     counted().bytes_out += out.news->bytes;
   }
@@ -154,83 +153,110 @@
 }
 
 void HollowAggregator::tell_again(StoreClient& client) {
-  if (core_->has_snapshot()) {
-    watches_.tell_one(*this, client, whole_news(core_->records()), Micros(0));
+  if (aggregator_->has_snapshot()) {
+    watches_.tell_one(*this, client, whole_news(aggregator_->records()), Micros(0));
   }
 }
 
-// ---- Upward ----
+// ---- Calls to the store ----
 
-void HollowAggregator::carry_out(const aggregation::ReportSummariesAction& say) {
+void HollowAggregator::execute(const aggregation::ReportSummariesAction& action) {
+  const auto on_result = [this, call_id = action.call_id](const aggregation::SummaryWriteResult& result) {
+    changed_ = true;
+    aggregator_->upstream().on_write_result(clock(), call_id, result);
+  };
   ask_commit(
-      aggregation::summary_transaction("", name(), lease_, say),
-      [this, say](const Reply& reply) {
-        changed_ = true;
-        core_->upstream().on_write_result(clock(), say.number,
-                                          reply.done ? aggregation::read_write_result(reply.outcome, say)
-                                                     : aggregation::SummaryWriteResult{});
+      aggregation::summary_transaction("", name(), lease_, action),
+      [on_result, action](const Reply& reply) {
+        on_result(reply.done ? aggregation::read_write_result(reply.outcome, action)
+                             : aggregation::SummaryWriteResult{});
       },
-      [this, number = say.number] {
-        changed_ = true;
-        core_->upstream().on_write_result(clock(), number, aggregation::SummaryWriteResult{});
-      });
+      [on_result] { on_result(aggregation::SummaryWriteResult{}); });
 }
 
-void HollowAggregator::carry_out(const aggregation::LeaseAction& ask) {
-  const std::uint64_t number = ask.order.number;
-  const auto lost = [this, number] {
-    changed_ = true;
-    core_->upstream().on_no_response(clock(), number);
-  };
-  switch (ask.order.ask) {
+void HollowAggregator::execute(const aggregation::LeaseAction& action) {
+  switch (action.call.ask) {
     case ownership::Ask::kAcquire:
-      ask_grant(
-          rules_.lease.ttl,
-          [this, ask, lost](const Reply& reply) { reply.done ? join(ask, reply.lease) : lost(); }, lost);
+      acquire(action);
       return;
     case ownership::Ask::kRenew:
-      ask_keep_alive(
-          lease_,
-          [this, number, lost](const Reply& reply) {
-            changed_ = true;
-            reply.done ? core_->upstream().on_renew_result(clock(), number, reply.succeeded) : lost();
-          },
-          lost);
+      renew(action.call.number);
       return;
     case ownership::Ask::kRelease:
-      ask_revoke(
-          lease_,
-          [this, number, lost](const Reply& reply) {
-            changed_ = true;
-            reply.done ? core_->upstream().on_release_result(clock(), number) : lost();
-          },
-          lost);
+      release(action.call.number);
       return;
   }
 }
 
-void HollowAggregator::join(const aggregation::LeaseAction& ask, LeaseId lease) {
+void HollowAggregator::on_no_response(std::uint64_t call_id) {
+  changed_ = true;
+  aggregator_->upstream().on_no_response(clock(), call_id);
+}
+
+void HollowAggregator::acquire(const aggregation::LeaseAction& action) {
+  const auto no_response = [this, call_id = action.call.number] { on_no_response(call_id); };
+  ask_grant(
+      settings_.lease.ttl,
+      [this, action, no_response](const Reply& reply) {
+        reply.done ? join(action, reply.lease) : no_response();
+      },
+      no_response);
+}
+
+void HollowAggregator::renew(std::uint64_t call_id) {
+  const auto no_response = [this, call_id] { on_no_response(call_id); };
+  ask_keep_alive(
+      lease_,
+      [this, call_id, no_response](const Reply& reply) {
+        if (!reply.done) {
+          no_response();
+          return;
+        }
+        changed_ = true;
+        aggregator_->upstream().on_renew_result(clock(), call_id,
+                                                reply.succeeded ? aggregation::RenewResult::kRenewed
+                                                                : aggregation::RenewResult::kLeaseNotFound);
+      },
+      no_response);
+}
+
+void HollowAggregator::release(std::uint64_t call_id) {
+  const auto no_response = [this, call_id] { on_no_response(call_id); };
+  ask_revoke(
+      lease_,
+      [this, call_id, no_response](const Reply& reply) {
+        if (!reply.done) {
+          no_response();
+          return;
+        }
+        changed_ = true;
+        aggregator_->upstream().on_release_result(clock(), call_id);
+      },
+      no_response);
+}
+
+void HollowAggregator::join(const aggregation::LeaseAction& action, LeaseId lease) {
   lease_ = lease;
-  const std::uint64_t number = ask.order.number;
-  const auto give_back = [this, lease] { ask_revoke(lease, [](const Reply&) {}, [] {}); };
+  const auto revoke_lease = [this, lease] { ask_revoke(lease, [](const Reply&) {}, [] {}); };
+  const auto no_response = [this, call_id = action.call.number, revoke_lease] {
+    on_no_response(call_id);
+    revoke_lease();
+  };
   ask_commit(
-      aggregation::join_transaction("", name(), lease, ask),
-      [this, number, give_back](const Reply& reply) {
-        changed_ = true;
+      aggregation::join_transaction("", name(), lease, action),
+      [this, call_id = action.call.number, no_response, revoke_lease](const Reply& reply) {
         if (!reply.done) {
-          core_->upstream().on_no_response(clock(), number);
-        } else {
-          core_->upstream().on_join_result(clock(), number, aggregation::read_join_result(reply.outcome));
+          no_response();
+          return;
         }
-        if (!reply.done || !reply.succeeded) {
-          give_back();
+        changed_ = true;
+        aggregator_->upstream().on_join_result(clock(), call_id,
+                                               aggregation::read_join_result(reply.outcome));
+        if (!reply.succeeded) {
+          revoke_lease();
         }
       },
-      [this, number, give_back] {
-        changed_ = true;
-        core_->upstream().on_no_response(clock(), number);
-        give_back();
-      });
+      no_response);
 }
 
 std::string HollowAggregator::describe() const {
--- a/benchmarks/scale/hollow_aggregator.h
+++ b/benchmarks/scale/hollow_aggregator.h
@@ -13,7 +13,7 @@
 class HollowAggregator : public StoreClient, public PermitServer {
  public:
   HollowAggregator(Simulation& simulation, std::string name, int region, std::vector<std::string> zones,
-                   PermitServer& store, const aggregation::AggregatorSettings& rules);
+                   PermitServer& store, const aggregation::AggregatorSettings& settings);
 
   Node& node() override { return *this; }
   Reply grant(Micros ttl) override;
@@ -24,8 +24,8 @@
   void end_watch(StoreClient& client) override { watches_.remove(client); }
   void tell_again(StoreClient& client) override;
 
-  bool permitted() const { return core_ && core_->upstream().is_active(clock()); }
-  std::size_t routers() const { return core_ ? core_->router_count() : 0; }
+  bool permitted() const { return aggregator_ && aggregator_->upstream().is_active(clock()); }
+  std::size_t routers() const { return aggregator_ ? aggregator_->router_count() : 0; }
   std::size_t watches() const { return watches_.size(); }
   std::string describe() const;
 
@@ -38,17 +38,21 @@
 
  private:
   template <typename Work>
-  Reply carry_out_call(Work work);
-  void carry_out(const aggregation::LeaseAction& ask);
-  void carry_out(const aggregation::ReportSummariesAction& say);
-  void join(const aggregation::LeaseAction& ask, coordination::LeaseId lease);
-
-  aggregation::AggregatorSettings rules_;
+  Reply execute_call(Work work);
+  void execute(const aggregation::LeaseAction& action);
+  void execute(const aggregation::ReportSummariesAction& action);
+  void on_no_response(std::uint64_t call_id);
+  void acquire(const aggregation::LeaseAction& action);
+  void renew(std::uint64_t call_id);
+  void release(std::uint64_t call_id);
+  void join(const aggregation::LeaseAction& action, coordination::LeaseId lease);
+
+  aggregation::AggregatorSettings settings_;
   std::vector<std::string> zones_;
-  std::optional<aggregation::Aggregator> core_;
+  std::optional<aggregation::Aggregator> aggregator_;
   coordination::LeaseId lease_ = 0;
   WatchList watches_;
-  bool changed_ = false;  // since the last orders were asked for
+  bool changed_ = false;  // since the last step
 };
 
 // What stands under policy/, for those who watch it.
--- a/src/aggregation/aggregator.cpp
+++ b/src/aggregation/aggregator.cpp
@@ -8,43 +8,47 @@
 namespace trailcourse::aggregation {
 
 using coordination::Change;
+using coordination::Compare;
 using coordination::Entry;
 using coordination::Get;
 using coordination::LeaseId;
 using coordination::Outcome;
 using coordination::Put;
 using coordination::Revision;
+using coordination::Step;
 using coordination::Transaction;
+using policy::Known;
 using policy::Permit;
+using Reason = RequestRejected::Reason;
 
 namespace {
 
-coordination::Limits limits_of(const AggregatorSettings& rules) {
+constexpr std::size_t kMaxQuotedZoneBytes = 64;  // of a zone's name in an error
+
+coordination::Limits limits_of(const AggregatorSettings& settings) {
   coordination::Limits limits;
-  limits.history = rules.history;
+  limits.history = settings.history;
   return limits;
 }
 
-[[noreturn]] void refuse(RequestRejected::Reason why, const std::string& text) {
-  throw RequestRejected(why, text);
-}
+bool is_write(const Step& operation) { return !std::holds_alternative<Get>(operation); }
 
 }  // namespace
 
 std::uint64_t AggregatorCounts::total_rejected() const {
-  return std::accumulate(refused.begin(), refused.end(), std::uint64_t{0});
+  return std::accumulate(rejected.begin(), rejected.end(), std::uint64_t{0});
 }
 
-Aggregator::Aggregator(const AggregatorSettings& rules, AggregatorIdentity identity, std::uint64_t seed)
-    : rules_(rules),
+Aggregator::Aggregator(const AggregatorSettings& settings, AggregatorIdentity identity, std::uint64_t seed)
+    : settings_(settings),
       identity_(std::move(identity)),
-      records_(limits_of(rules)),
-      leases_(rules.routers, seed),
-      upstream_(rules.lease, identity_.zones) {}
+      records_(limits_of(settings)),
+      router_leases_(settings.routers, seed),
+      upstream_(settings.lease, identity_.zones) {}
 
-// ---- From the store above ----
+// ---- From the store ----
 
-// The revision is that of the records alone, so that it is the same at every aggregator that is up to date.
+// The revision is that of the policy's records alone, and so the same at every aggregator that is up to date.
 void Aggregator::on_snapshot(const std::vector<Entry>& entries) {
   Revision revision = records_.revision();
   for (const Entry& entry : entries) {
@@ -52,198 +56,207 @@
   }
   records_.restore(entries, revision);
   has_snapshot_ = true;
-  read_known();
+  update_observed();
 }
 
 void Aggregator::on_changes(const std::vector<Change>& changes) {
   for (const Change& change : changes) {
     records_.follow(change);
   }
-  read_known();
+  update_observed();
 }
 
-void Aggregator::read_known() {
+void Aggregator::update_observed() {
   const auto& entries = records_.entries();
-  const auto entry = [&](const std::string& key) {
+  const auto entry_of = [&](const std::string& key) {
     const auto found = entries.find(identity_.prefix + key);
     return found == entries.end() ? Entry{} : found->second;
   };
-  const policy::Known known = policy::read_known(entry);
+  const Known observed = policy::read_known(entry_of);
   for (const std::string& zone : identity_.zones) {
-    known_[zone] = policy::known_in_zone(known, entry, zone);
+    observed_[zone] = policy::known_in_zone(observed, entry_of, zone);
   }
 }
 
 // ---- From routers ----
 
 template <typename Call>
-auto Aggregator::counted(Call call) {
+auto Aggregator::count_rejections(Call call) {
+  const auto count = [this](Reason reason) { ++counts_.rejected.at(static_cast<std::size_t>(reason)); };
   try {
     return call();
   } catch (const RequestRejected& error) {
-    ++counts_.refused.at(static_cast<std::size_t>(error.reason()));
+    count(error.reason());
     throw;
   } catch (const coordination::Rejected& error) {
-    ++counts_.refused.at(static_cast<std::size_t>(RequestRejected::Reason::kMalformed));
-    throw RequestRejected(RequestRejected::Reason::kMalformed, error.what());
+    count(Reason::kMalformed);
+    throw RequestRejected(Reason::kMalformed, error.what());
   }
 }
 
-Micros Aggregator::covered_until(Micros now) const {
-  return !draining_ && upstream_.is_active(now) && knows_record() ? upstream_.valid_until() : Micros(-1);
+std::optional<Micros> Aggregator::grant_limit(Micros now) const {
+  const bool may_grant = !draining_ && upstream_.is_active(now) && has_required_acknowledgement();
+  return may_grant ? upstream_.valid_until() : std::nullopt;
 }
 
-bool Aggregator::knows_record() const {
-  const auto any = known_.begin();
-  return any == known_.end() ||
-         any->second.acknowledgement_modified >= upstream_.required_acknowledgement_revision();
+// The acknowledgement record is that of the fleet: every zone has observed the same revision of it.
+bool Aggregator::has_required_acknowledgement() const {
+  const auto any_zone = observed_.begin();
+  return any_zone == observed_.end() ||
+         any_zone->second.acknowledgement_modified >= upstream_.required_acknowledgement_revision();
 }
 
 LeaseId Aggregator::grant(Micros now, Micros ttl) {
-  return counted([&] {
-    leases_.expire(now);
-    const LeaseId id = leases_.grant(now, ttl, covered_until(now));
+  return count_rejections([&] {
+    router_leases_.expire(now);
+    const LeaseId id = router_leases_.grant(now, ttl, grant_limit(now));
     ++counts_.granted;
     return id;
   });
 }
 
-Micros Aggregator::keep_alive(Micros now, LeaseId id) {
-  return counted([&] {
-    leases_.expire(now);
-    const Micros left = leases_.keep_alive(now, id, covered_until(now));
+std::optional<Micros> Aggregator::keep_alive(Micros now, LeaseId id) {
+  return count_rejections([&] {
+    router_leases_.expire(now);
+    const std::optional<Micros> left = router_leases_.keep_alive(now, id, grant_limit(now));
     ++counts_.renewed;
     return left;
   });
 }
 
 void Aggregator::revoke(Micros now, LeaseId id) {
-  counted([&] {
-    leases_.expire(now);
-    leases_.revoke(id);
+  count_rejections([&] {
+    router_leases_.expire(now);
+    router_leases_.revoke(id);
     ++counts_.revoked;
-    return true;
   });
 }
 
 Outcome Aggregator::commit(Micros now, const Transaction& transaction) {
-  return counted([&] {
-    leases_.expire(now);
+  return count_rejections([&] {
+    router_leases_.expire(now);
     check_conditions(transaction);
-    const bool writes = std::any_of(transaction.then.begin(), transaction.then.end(),
-                                    [](const auto& step) { return !std::holds_alternative<Get>(step); });
-    return writes ? take_permit(now, transaction) : read_records(transaction);
+    const bool writes = std::any_of(transaction.then.begin(), transaction.then.end(), is_write);
+    return writes ? commit_report(now, transaction) : read_records(transaction);
   });
 }
 
-// A key that is not mirrored would look as if it were absent.
+// Other keys are not replicated here, and would look as if they were absent.
 void Aggregator::check_conditions(const Transaction& transaction) const {
-  const std::string stem = identity_.prefix + policy::kRecords;
-  const bool all_mirrored = std::all_of(transaction.when.begin(), transaction.when.end(),
-                                        [&](const auto& one) { return one.key.starts_with(stem); });
-  if (!all_mirrored) {
-    refuse(RequestRejected::Reason::kNotServed,
-           "an aggregator compares the policy's records, and nothing else");
+  const std::string records_prefix = identity_.prefix + policy::kRecords;
+  const auto is_replicated = [&](const Compare& compare) { return compare.key.starts_with(records_prefix); };
+  if (!std::all_of(transaction.when.begin(), transaction.when.end(), is_replicated)) {
+    throw RequestRejected(Reason::kUnsupported,
+                          "an aggregator compares the policy's records, and nothing else");
   }
 }
 
-Outcome Aggregator::take_permit(Micros now, const Transaction& transaction) {
-  const bool one_put = transaction.then.size() == 1 && transaction.otherwise.empty() &&
-                       std::holds_alternative<Put>(transaction.then.front());
-  if (!one_put) {
-    refuse(RequestRejected::Reason::kNotServed, "an aggregator takes one permit at a time, and nothing else");
+Outcome Aggregator::commit_report(Micros now, const Transaction& transaction) {
+  const bool is_one_put = transaction.then.size() == 1 && transaction.otherwise.empty() &&
+                          std::holds_alternative<Put>(transaction.then.front());
+  if (!is_one_put) {
+    throw RequestRejected(Reason::kUnsupported, "an aggregator takes one permit at a time, and nothing else");
   }
   const Put& put = std::get<Put>(transaction.then.front());
-  std::string router;
-  const Permit permit = checked_permit(put, router);
-  // Also while draining: what a router says under the lease that it has must be heard.
+  const RouterReport report = checked_report(put);
+  // Draining does not matter here: a router that still has a lease has to be heard.
   if (!upstream_.is_active(now)) {
-    refuse(RequestRejected::Reason::kNoPermission, "the aggregator has no permission itself");
+    throw RequestRejected(Reason::kNoUpstreamLease, "the aggregator has no permission itself");
   }
   Outcome out = records_.commit(Transaction{transaction.when, {}, {}});
   if (out.succeeded) {
-    leases_.record_report(router, put.lease, permit);
-    ++counts_.permits;
+    router_leases_.record_report(put.lease, report);
+    ++counts_.reports;
     out.steps.emplace_back();
   }
   return out;
 }
 
-Permit Aggregator::checked_permit(const Put& put, std::string& router) const {
-  const std::string stem = identity_.prefix + policy::kPermits;
-  if (!put.key.starts_with(stem)) {
-    refuse(RequestRejected::Reason::kNotServed, "an aggregator takes permits, and nothing else");
+RouterReport Aggregator::checked_report(const Put& put) const {
+  const std::string router = checked_router(put);
+  if (put.value.size() > settings_.max_report_bytes) {
+    throw RequestRejected(Reason::kTooLarge, "a permit of " + std::to_string(put.value.size()) + " bytes");
   }
-  router = put.key.substr(stem.size(), put.key.find('/', stem.size()) - stem.size());
-  if (put.lease == 0 || !coordination::is_name(router) ||
-      put.key != identity_.prefix + policy::permit_key(router, put.lease)) {
-    refuse(RequestRejected::Reason::kMalformed, "key: not of a router and its lease");
+  const std::optional<Permit> report = policy::read_permit(put.value);
+  if (!report || report->incarnation.empty()) {
+    throw RequestRejected(Reason::kMalformed, "value: no permit");
   }
-  if (put.value.size() > rules_.permit_bytes) {
-    refuse(RequestRejected::Reason::kTooLarge, "a permit of " + std::to_string(put.value.size()) + " bytes");
+  if (!observed_.contains(report->zone)) {
+    throw RequestRejected(Reason::kUnknownZone,
+                          "zone: " + report->zone.substr(0, kMaxQuotedZoneBytes) + " is not served here");
   }
-  const std::optional<Permit> permit = policy::read_permit(put.value);
-  if (!permit || permit->incarnation.empty()) {
-    refuse(RequestRejected::Reason::kMalformed, "value: no permit");
+  return {router, *report};
+}
+
+std::string Aggregator::checked_router(const Put& put) const {
+  const std::string reports_prefix = identity_.prefix + policy::kPermits;
+  if (!put.key.starts_with(reports_prefix)) {
+    throw RequestRejected(Reason::kUnsupported, "an aggregator takes permits, and nothing else");
   }
-  if (!known_.contains(permit->zone)) {
-    refuse(RequestRejected::Reason::kUnknownZone,
-           "zone: " + permit->zone.substr(0, 64) + " is not served here");
+  const std::size_t name_end = put.key.find('/', reports_prefix.size());
+  const std::string router = put.key.substr(reports_prefix.size(), name_end - reports_prefix.size());
+  const bool is_report_key = put.lease != 0 && coordination::is_name(router) &&
+                             put.key == identity_.prefix + policy::permit_key(router, put.lease);
+  if (!is_report_key) {
+    throw RequestRejected(Reason::kMalformed, "key: not of a router and its lease");
   }
-  return *permit;
+  return router;
 }
 
 Outcome Aggregator::read_records(const Transaction& transaction) {
-  const std::string stem = identity_.prefix + policy::kRecords;
   if (!has_snapshot_) {
-    refuse(RequestRejected::Reason::kNoPermission, "the store's records are not here yet");
-  }
-  for (const std::vector<coordination::Step>* steps : {&transaction.then, &transaction.otherwise}) {
-    for (const coordination::Step& step : *steps) {
-      const Get* get = std::get_if<Get>(&step);
-      if (get == nullptr || !get->range.key.starts_with(stem)) {
-        refuse(RequestRejected::Reason::kNotServed,
-               "an aggregator has the policy's records, and nothing else");
-      }
-    }
+    throw RequestRejected(Reason::kNoUpstreamLease, "the store's records are not here yet");
   }
+  check_reads(transaction.then);
+  check_reads(transaction.otherwise);
   ++counts_.reads;
   return records_.commit(transaction);
 }
 
+void Aggregator::check_reads(const std::vector<Step>& operations) const {
+  const std::string records_prefix = identity_.prefix + policy::kRecords;
+  for (const Step& operation : operations) {
+    const Get* const get = std::get_if<Get>(&operation);
+    if (get == nullptr || !get->range.key.starts_with(records_prefix)) {
+      throw RequestRejected(Reason::kUnsupported,
+                            "an aggregator has the policy's records, and nothing else");
+    }
+  }
+}
+
 // ---- Upward ----
 
-std::map<std::string, Permit> Aggregator::summaries() const {
-  std::map<std::string, Permit> out;
-  for (const auto& [zone, known] : known_) {
-    Permit permit = summarize(known, zone, leases_.reports(zone));
-    permit.incarnation = identity_.incarnation;
-    const RequestCounts counts = leases_.request_counts(zone);
-    permit.requests = counts.requests;
-    permit.refused = counts.refused;
-    out[zone] = std::move(permit);
+SummariesByZone Aggregator::summaries() const {
+  SummariesByZone out;
+  for (const auto& [zone, observed] : observed_) {
+    Permit summary = summarize(observed, zone, router_leases_.reports(zone));
+    summary.incarnation = identity_.incarnation;
+    const RequestCounts counts = router_leases_.request_counts(zone);
+    summary.requests = counts.requests;
+    summary.refused = counts.refused;
+    out[zone] = std::move(summary);
   }
   return out;
 }
 
 std::vector<UpstreamAction> Aggregator::step(Micros now) {
-  leases_.expire(now);
-  if (draining_ && leases_.size() == 0 && !upstream_.stopped()) {
+  router_leases_.expire(now);
+  if (draining_ && router_leases_.size() == 0 && !upstream_.stopped()) {
     upstream_.stop(now);
   }
   if (!has_snapshot_) {
     return {};
   }
-  const std::map<std::string, Permit> said = summaries();
-  for (const auto& [zone, summary] : said) {
-    leases_.set_min_acknowledged(zone, summary.acknowledged);
+  const SummariesByZone current = summaries();
+  for (const auto& [zone, summary] : current) {
+    router_leases_.set_min_acknowledged(zone, summary.acknowledged);
   }
-  return upstream_.step(now, connected_, known_, said);
+  return upstream_.step(now, connected_, observed_, current);
 }
 
 std::optional<Micros> Aggregator::next_step_at(Micros now) const {
   std::optional<Micros> out = upstream_.next_step_at(now, connected_);
-  if (const auto expiry = leases_.next_expiry()) {
+  if (const auto expiry = router_leases_.next_expiry()) {
     out = std::min(out.value_or(*expiry), *expiry);
   }
   return out;
--- a/src/aggregation/aggregator.h
+++ b/src/aggregation/aggregator.h
@@ -1,8 +1,10 @@
-// What an aggregator decides: to the routers below it is the store of the fleet's policy, to the store above
-// it is one router for each zone. It mirrors the policy's records under the store's own revisions, gives
-// routers permission out of its own, and says upward what all of them say together (permit_summary.h).
+// The decisions of an aggregator. To the routers of its region it is the store of the fleet's policy; to the
+// store it is one router for each zone. It replicates the policy's records under the store's own revisions,
+// grants routers leases that end before its own, and reports upward the summary of all their reports
+// (report_summary.h).
 //
-// Why nothing is decided under two versions, and what a late or woken aggregator can do: docs/aggregation.md.
+// docs/aggregation.md shows why no two requests are decided under two versions, and what an aggregator that
+// resumes after a long pause can do.
 //
 // Package `aggregation`: no I/O, no clock; time is Micros of the caller's steady clock. Not thread-safe.
 #pragma once
@@ -10,7 +12,6 @@
 #include <array>
 #include <cstddef>
 #include <cstdint>
-#include <map>
 #include <optional>
 #include <string>
 #include <vector>
@@ -22,83 +23,94 @@
 namespace trailcourse::aggregation {
 
 struct AggregatorSettings {
-  ownership::LeaseRules lease;  // of its own permission
+  ownership::LeaseRules lease;  // the aggregator's own
   RouterLeaseOptions routers;
-  std::size_t permit_bytes = 4'096;
-  std::size_t history = 1'000;  // changes of the policy's records kept for watches
+  std::size_t max_report_bytes = 4'096;
+  std::size_t history = 1'000;  // changes of the policy's records that watches can resume from
 };
 
 struct AggregatorIdentity {
   std::string name;
-  std::string incarnation;         // of this start
-  std::vector<std::string> zones;  // whose routers it takes
+  std::string incarnation;         // differs from start to start
+  std::vector<std::string> zones;  // whose routers the aggregator serves
   std::string prefix;              // of all keys in the store
 };
 
+// Calls of routers since the start.
 struct AggregatorCounts {
   std::uint64_t granted = 0;
   std::uint64_t renewed = 0;
   std::uint64_t revoked = 0;
-  std::uint64_t permits = 0;  // taken in
+  std::uint64_t reports = 0;  // accepted
   std::uint64_t reads = 0;
-  static constexpr std::size_t kReasons = 8;
-  std::array<std::uint64_t, kReasons> refused{};  // by RequestRejected::Reason
+  std::array<std::uint64_t, RequestRejected::kReasons> rejected{};  // by RequestRejected::Reason
+
   std::uint64_t total_rejected() const;
 };
 
 class Aggregator {
  public:
-  // `seed`: of the numbers of leases; differs from start to start.
-  Aggregator(const AggregatorSettings& rules, AggregatorIdentity identity, std::uint64_t seed);
+  // `seed` determines the ids of routers' leases and has to differ from start to start.
+  Aggregator(const AggregatorSettings& settings, AggregatorIdentity identity, std::uint64_t seed);
+
+  // ---- From the store ----
 
-  // ---- From the store above ----
-  // All records of the policy, at the start and whenever changes between were missed.
+  // Replaces the replicated records. `entries` are all records of the policy.
   void on_snapshot(const std::vector<coordination::Entry>& entries);
   void on_changes(const std::vector<coordination::Change>& changes);
-  // Whether the store is heard; where it is not, its own permission is not renewed.
+  // Whether the store answers. While it does not, the aggregator's own lease is not renewed.
   void set_connected(bool connected) { connected_ = connected; }
 
-  // ---- From routers; each throws RequestRejected, having changed nothing ----
+  // ---- From routers. Each call throws RequestRejected, and then has changed nothing. ----
+
   coordination::LeaseId grant(Micros now, Micros ttl);
-  Micros keep_alive(Micros now, coordination::LeaseId id);
+  // Renews a lease and returns its time from now, or nothing if there is no such lease.
+  std::optional<Micros> keep_alive(Micros now, coordination::LeaseId id);
   void revoke(Micros now, coordination::LeaseId id);
-  // A permit under its lease, or a reading of the policy's records; nothing else.
+  // Takes one report under its lease, or a read of the policy's records; nothing else.
   coordination::Outcome commit(Micros now, const coordination::Transaction& transaction);
-  // The policy's records, for watches; empty before the first on_snapshot().
+  // The replicated records of the policy, for watches. Empty before the first snapshot.
   const coordination::Ledger& records() const { return records_; }
   bool has_snapshot() const { return has_snapshot_; }
 
   // ---- Upward ----
+
+  // Receives the answers to the calls that step() returns.
   UpstreamLease& upstream() { return upstream_; }
   const UpstreamLease& upstream() const { return upstream_; }
+  // Returns the calls to the store to make now.
   std::vector<UpstreamAction> step(Micros now);
+  // Returns when step() may return something by time alone.
   std::optional<Micros> next_step_at(Micros now) const;
 
-  // Takes no router any more and renews none; its own permission goes back once the last of them is over.
+  // Stops granting and renewing. The aggregator's own lease is released once the last router's has ended.
   void drain() { draining_ = true; }
   bool drained() const { return draining_ && upstream_.stopped(); }
 
   const AggregatorIdentity& identity() const { return identity_; }
   const AggregatorCounts& counts() const { return counts_; }
-  std::size_t router_count() const { return leases_.size(); }
-  std::map<std::string, policy::Permit> summaries() const;
+  std::size_t router_count() const { return router_leases_.size(); }
+  SummariesByZone summaries() const;
 
  private:
+  template <typename Call>
+  auto count_rejections(Call call);
   void check_conditions(const coordination::Transaction& transaction) const;
-  coordination::Outcome take_permit(Micros now, const coordination::Transaction& transaction);
+  void check_reads(const std::vector<coordination::Step>& operations) const;
+  coordination::Outcome commit_report(Micros now, const coordination::Transaction& transaction);
   coordination::Outcome read_records(const coordination::Transaction& transaction);
-  policy::Permit checked_permit(const coordination::Put& put, std::string& router) const;
-  Micros covered_until(Micros now) const;
-  bool knows_record() const;
-  void read_known();
-  template <typename Call>
-  auto counted(Call call);
+  RouterReport checked_report(const coordination::Put& put) const;
+  std::string checked_router(const coordination::Put& put) const;
+  // The time by which routers' leases have to end; nothing: none may be granted or renewed.
+  std::optional<Micros> grant_limit(Micros now) const;
+  bool has_required_acknowledgement() const;
+  void update_observed();
 
-  AggregatorSettings rules_;
+  AggregatorSettings settings_;
   AggregatorIdentity identity_;
   coordination::Ledger records_;
-  std::map<std::string, policy::Known> known_;  // by zone
-  RouterLeases leases_;
+  ObservedByZone observed_;
+  RouterLeases router_leases_;
   UpstreamLease upstream_;
   AggregatorCounts counts_;
   bool has_snapshot_ = false;
--- a/src/aggregation/aggregator_service.cpp
+++ b/src/aggregation/aggregator_service.cpp
@@ -1,8 +1,8 @@
 #include "aggregation/aggregator_service.h"
 
 #include <algorithm>
+#include <chrono>
 #include <cstdio>
-#include <optional>
 #include <utility>
 #include <variant>
 
@@ -14,20 +14,26 @@
 using coordination::Outcome;
 using coordination::Reply;
 using nlohmann::json;
+using ownership::Ask;
+using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 using transport::Clock;
 using transport::Level;
 using transport::log_line;
+using Reason = RequestRejected::Reason;
 namespace etcd = coordination::etcd;
 
 namespace {
 
 constexpr const char* kHealthPage = "/healthz";
-// Between two looks that time alone calls for: permissions that end one after the other are taken together.
-constexpr Micros kLeastPause{5'000};
-constexpr std::array<const char*, AggregatorCounts::kReasons> kReasons{
-    "no_permission", "full",      "unknown_lease", "backwards",
-    "malformed",     "too_large", "unknown_zone",  "not_served"};
+constexpr int kOk = 200;
+constexpr int kBadRequest = 400;
+constexpr int kNotFound = 404;
+constexpr int kServiceUnavailable = 503;
+
+// Between two steps that time alone calls for, so that leases which expire one after the other are handled
+// together.
+constexpr Micros kMinStepInterval{5'000};
 
 std::string incarnation_of(std::uint64_t seed) {
   char text[17];
@@ -35,33 +41,46 @@
   return text;
 }
 
-// As the driver below understands it: what another aggregator may do is unavailable here.
-coordination::EtcdService::Answer refusal(const RequestRejected& error) {
+// A router's client tries the next aggregator after "unavailable", and gives the call up after any other error.
+coordination::EtcdService::Answer answer_to(const RequestRejected& error) {
   const std::string text = std::string("etcdserver: ") + error.what();
-  switch (error.reason()) {
-    case RequestRejected::Reason::kNoPermission:
-    case RequestRejected::Reason::kFull:
-      return {503, etcd::write_error(etcd::Code::kUnavailable, text)};
-    case RequestRejected::Reason::kUnknownLease:
-      return {404, etcd::write_error(etcd::Code::kNotFound, text)};
-    default:
-      return {400, etcd::write_error(etcd::Code::kInvalidArgument, text)};
+  if (is_retryable_elsewhere(error.reason())) {
+    return {kServiceUnavailable, etcd::write_error(etcd::Code::kUnavailable, text)};
+  }
+  if (error.reason() == Reason::kLeaseNotFound) {
+    return {kNotFound, etcd::write_error(etcd::Code::kNotFound, text)};
+  }
+  return {kBadRequest, etcd::write_error(etcd::Code::kInvalidArgument, text)};
+}
+
+std::string figure(const std::string& name, std::uint64_t value) {
+  return " " + name + "=" + std::to_string(value);
+}
+
+std::string figures_of(const AggregatorCounts& counts) {
+  std::string out = figure("granted", counts.granted) + figure("renewed", counts.renewed) +
+                    figure("revoked", counts.revoked) + figure("permits", counts.reports) +
+                    figure("reads", counts.reads) + figure("refused", counts.total_rejected());
+  for (std::size_t i = 0; i < counts.rejected.size(); ++i) {
+    out += figure(std::string("refused_") + to_string(static_cast<Reason>(i)), counts.rejected.at(i));
   }
+  return out;
 }
 
 }  // namespace
 
-AggregatorService::Service(transport::Scheduler& scheduler, coordination::SharedStore& store,
-                           const AggregatorOptions& options, const std::string& prefix, std::uint64_t seed)
+AggregatorService::AggregatorService(transport::Scheduler& scheduler, coordination::SharedStore& store,
+                                     const AggregatorOptions& options, const std::string& prefix,
+                                     std::uint64_t seed)
     : scheduler_(scheduler),
       store_(store),
       options_(options),
       prefix_(prefix),
-      core_(aggregator_settings(options),
-            AggregatorIdentity{options.name, incarnation_of(seed), options.zones, prefix}, seed),
+      aggregator_(aggregator_settings(options),
+                  AggregatorIdentity{options.name, incarnation_of(seed), options.zones, prefix}, seed),
       server_(scheduler, *this, static_cast<std::size_t>(options.connections)),
-      timer_(scheduler, [this] { turn(); }),
-      next_turn_(scheduler, [this] { turn(); }) {}
+      timer_(scheduler, [this] { run_step(); }),
+      next_step_(scheduler, [this] { run_step(); }) {}
 
 AggregatorService::~AggregatorService() {
   *alive_ = false;
@@ -70,241 +89,249 @@
   }
 }
 
-Micros AggregatorService::now() {
-  return std::chrono::duration_cast<Micros>(Clock::now().time_since_epoch());
-}
+Micros AggregatorService::now() { return duration_cast<Micros>(Clock::now().time_since_epoch()); }
 
 void AggregatorService::start() {
   server_.listen(*transport::parse_address(options_.listen));
   watch_ = store_.watch(coordination::Range{prefix_ + policy::kRecords, true}, *this);
-  turn_soon();
+  schedule_step();
 }
 
 void AggregatorService::drain() {
-  core_.drain();
-  turn_soon();
+  aggregator_.drain();
+  schedule_step();
 }
 
-// ---- From the store above ----
+// ---- The store's records ----
 
 void AggregatorService::current(coordination::Revision, const std::vector<coordination::Entry>& entries) {
-  core_.on_snapshot(entries);
-  records_changed();
+  aggregator_.on_snapshot(entries);
+  publish_records();
 }
 
 void AggregatorService::changed(coordination::Revision, const std::vector<coordination::Change>& changes) {
-  core_.on_changes(changes);
-  records_changed();
+  aggregator_.on_changes(changes);
+  publish_records();
 }
 
-void AggregatorService::records_changed() {
-  server_.tell(core_.records(), header());
+void AggregatorService::publish_records() {
+  server_.tell(aggregator_.records(), header());
   heard();
-  turn_soon();
+  schedule_step();
 }
 
-void AggregatorService::silent(const std::string& why) {
-  core_.set_connected(false);
-  if (std::exchange(heard_, false)) {
-    log_line(Level::kWarning) << "the store is not heard: " << why;
+void AggregatorService::silent(const std::string& reason) {
+  aggregator_.set_connected(false);
+  if (std::exchange(connected_, false)) {
+    log_line(Level::kWarning) << "the store is not heard: " << reason;
   }
 }
 
 void AggregatorService::heard() {
-  core_.set_connected(true);
-  if (!std::exchange(heard_, true)) {
+  aggregator_.set_connected(true);
+  if (!std::exchange(connected_, true)) {
     log_line(Level::kInfo) << "the store " << store_.id() << " is heard";
-    turn_soon();
+    schedule_step();
   }
 }
 
-// ---- Upward ----
+// ---- Calls to the store ----
 
-void AggregatorService::turn() {
-  if (std::exchange(turning_, true)) {
+void AggregatorService::run_step() {
+  if (std::exchange(in_step_, true)) {
     return;
   }
-  const Micros at = now();
-  for (const UpstreamAction& order : core_.step(at)) {
-    std::visit([this](const auto& one) { carry_out(one); }, order);
+  const Micros step_time = now();
+  for (const UpstreamAction& action : aggregator_.step(step_time)) {
+    std::visit([this](const auto& call) { execute(call); }, action);
   }
-  turning_ = false;
-  std::optional<Clock::time_point> when;
-  if (const auto next = core_.next_step_at(at)) {
-    when.emplace(std::chrono::duration_cast<Clock::duration>(std::max(*next, at + kLeastPause)));
+  in_step_ = false;
+  if (const auto next = aggregator_.next_step_at(step_time)) {
+    schedule_step_at(std::max(*next, step_time + kMinStepInterval));
+  } else {
+    timer_.set(std::nullopt);
   }
-  timer_.set(when);
 }
 
-void AggregatorService::carry_out(const LeaseAction& ask) {
-  const std::uint64_t number = ask.order.number;
-  if (ask.order.ask == ownership::Ask::kAcquire) {
-    acquire(ask);
-  } else if (ask.order.ask == ownership::Ask::kRenew) {
-    store_.keep_alive(lease_, [this, alive = alive_, number](const auto& reply) {
-      if (!*alive) {
-        return;
-      }
-      if (reply.done()) {
-        core_.upstream().on_renew_result(now(), number, reply.value.ttl > Micros(0));
-      } else {
-        core_.upstream().on_no_response(now(), number);
-      }
-      turn_soon();
-    });
-  } else {
-    store_.revoke(lease_, [this, alive = alive_, number](const auto& reply) {
-      if (!*alive) {
-        return;
-      }
-      if (reply.done()) {
-        core_.upstream().on_release_result(now(), number);
-      } else {
-        core_.upstream().on_no_response(now(), number);
-      }
-      turn_soon();
-    });
-  }
+void AggregatorService::schedule_step_at(Micros when) {
+  timer_.set(Clock::time_point(duration_cast<Clock::duration>(when)));
 }
 
-void AggregatorService::acquire(const LeaseAction& ask) {
-  store_.grant(milliseconds(options_.ttl_ms), [this, alive = alive_, ask](const auto& reply) {
-    if (!*alive) {
+template <typename Handler>
+auto AggregatorService::while_alive(Handler handler) {
+  return [this, alive = alive_, handler = std::move(handler)](const auto& response) {
+    if (*alive) {
+      handler(response);
+      schedule_step();
+    }
+  };
+}
+
+void AggregatorService::execute(const LeaseAction& action) {
+  switch (action.call.ask) {
+    case Ask::kAcquire:
+      acquire(action);
+      return;
+    case Ask::kRenew:
+      renew(action.call.number);
       return;
+    case Ask::kRelease:
+      release(action.call.number);
+      return;
+  }
+}
+
+void AggregatorService::acquire(const LeaseAction& action) {
+  store_.grant(milliseconds(options_.ttl_ms), while_alive([this, action](const auto& response) {
+                 if (response.done()) {
+                   join(action, response.value.id);
+                 } else {
+                   aggregator_.upstream().on_no_response(now(), action.call.number);
+                 }
+               }));
+}
+
+// The summaries are written only if the records are as this aggregator has observed them. Otherwise routers
+// might get leases under a policy that is no longer in force.
+void AggregatorService::join(const LeaseAction& action, LeaseId lease) {
+  lease_ = lease;
+  const auto on_response = [this, call_id = action.call.number, lease](const Reply<Outcome>& response) {
+    if (response.done()) {
+      aggregator_.upstream().on_join_result(now(), call_id, read_join_result(response.value));
+    } else {
+      aggregator_.upstream().on_no_response(now(), call_id);
     }
-    if (reply.done()) {
-      join(ask, reply.value.id);
+    if (response.done() && response.value.succeeded) {
+      log_line(Level::kInfo) << "has permission at revision " << response.value.revision;
     } else {
-      core_.upstream().on_no_response(now(), ask.order.number);
-      turn_soon();
+      store_.revoke(lease, [](const auto&) {});
     }
-  });
+  };
+  store_.commit(join_transaction(prefix_, options_.name, lease, action), while_alive(on_response));
 }
 
-// The summaries stand only where all is as this aggregator knew it: else routers below might be given
-// permission under what is not in force.
-void AggregatorService::join(const LeaseAction& ask, LeaseId lease) {
-  lease_ = lease;
-  store_.commit(join_transaction(prefix_, options_.name, lease, ask),
-                [this, alive = alive_, number = ask.order.number, lease](const Reply<Outcome>& reply) {
-                  if (!*alive) {
-                    return;
-                  }
-                  const bool joined = reply.done() && reply.value.succeeded;
-                  if (reply.done()) {
-                    core_.upstream().on_join_result(now(), number, read_join_result(reply.value));
-                  } else {
-                    core_.upstream().on_no_response(now(), number);
-                  }
-                  if (joined) {
-                    log_line(Level::kInfo) << "has permission at revision " << reply.value.revision;
+void AggregatorService::renew(std::uint64_t call_id) {
+  store_.keep_alive(lease_, while_alive([this, call_id](const auto& response) {
+                      if (!response.done()) {
+                        aggregator_.upstream().on_no_response(now(), call_id);
+                        return;
+                      }
+                      const bool renewed = response.value.ttl > Micros(0);
+                      aggregator_.upstream().on_renew_result(
+                          now(), call_id, renewed ? RenewResult::kRenewed : RenewResult::kLeaseNotFound);
+                    }));
+}
+
+void AggregatorService::release(std::uint64_t call_id) {
+  store_.revoke(lease_, while_alive([this, call_id](const auto& response) {
+                  if (response.done()) {
+                    aggregator_.upstream().on_release_result(now(), call_id);
                   } else {
-                    store_.revoke(lease, [](const auto&) {});
+                    aggregator_.upstream().on_no_response(now(), call_id);
                   }
-                  turn_soon();
-                });
+                }));
 }
 
-void AggregatorService::carry_out(const ReportSummariesAction& say) {
-  store_.commit(summary_transaction(prefix_, options_.name, lease_, say), [this, alive = alive_,
-                                                                           say](const Reply<Outcome>& reply) {
-    if (!*alive) {
-      return;
-    }
-    const SummaryWriteResult said = reply.done() ? read_write_result(reply.value, say) : SummaryWriteResult{};
-    core_.upstream().on_write_result(now(), say.number, said);
-    turn_soon();
-  });
+void AggregatorService::execute(const ReportSummariesAction& action) {
+  const auto on_response = [this, action](const Reply<Outcome>& response) {
+    const SummaryWriteResult result =
+        response.done() ? read_write_result(response.value, action) : SummaryWriteResult{};
+    aggregator_.upstream().on_write_result(now(), action.call_id, result);
+  };
+  store_.commit(summary_transaction(prefix_, options_.name, lease_, action), while_alive(on_response));
 }
 
-// ---- From routers ----
+// ---- Calls of routers ----
 
-etcd::Header AggregatorService::header() const { return {store_.id(), core_.records().revision()}; }
+etcd::Header AggregatorService::header() const { return {store_.id(), aggregator_.records().revision()}; }
 
 AggregatorService::Answer AggregatorService::answer(const std::string& path, const json& body) {
   if (store_.id() == 0) {
     throw coordination::Unavailable("the store above was not heard yet");
   }
   try {
-    return Answer{200, carry_out(path, body)};
+    return Answer{kOk, handle_call(path, body)};
   } catch (const RequestRejected& error) {
-    return refusal(error);
+    return answer_to(error);
   }
 }
 
-json AggregatorService::carry_out(const std::string& path, const json& body) {
+json AggregatorService::handle_call(const std::string& path, const json& body) {
   if (path == etcd::kTxnPath) {
-    const coordination::Transaction asked = etcd::read_transaction(body);
-    const Outcome outcome = core_.commit(now(), asked);
-    turn_soon();
-    return etcd::write_outcome(header(), asked, outcome);
+    return handle_transaction(body);
   }
   if (path == etcd::kGrantPath) {
-    return grant(body);
+    return handle_grant(body);
   }
   if (path == etcd::kKeepAlivePath) {
-    const LeaseId id = etcd::read_lease(body);
-    const auto left = std::chrono::duration_cast<milliseconds>(core_.keep_alive(now(), id));
-    return {{"result", etcd::write_granted(header(), {id, left.count()})}};
+    return handle_keep_alive(body);
   }
   if (path == etcd::kRevokePath) {
-    core_.revoke(now(), etcd::read_lease(body));
-    turn_soon();
-    return {{"header", etcd::write_header(header())}};
+    return handle_revoke(body);
   }
-  throw RequestRejected(RequestRejected::Reason::kNotServed, "no such call here: " + path);
+  throw RequestRejected(Reason::kUnsupported, "no such call here: " + path);
 }
 
-json AggregatorService::grant(const json& body) {
+json AggregatorService::handle_transaction(const json& body) {
+  const coordination::Transaction transaction = etcd::read_transaction(body);
+  const Outcome outcome = aggregator_.commit(now(), transaction);
+  schedule_step();
+  return etcd::write_outcome(header(), transaction, outcome);
+}
+
+json AggregatorService::handle_grant(const json& body) {
   const etcd::GrantCall call = etcd::read_grant(body);
   if (call.id != 0) {
-    throw RequestRejected(RequestRejected::Reason::kNotServed, "an aggregator numbers leases itself");
+    throw RequestRejected(Reason::kUnsupported, "an aggregator numbers leases itself");
   }
   const milliseconds ttl(call.ttl_ms > 0 ? call.ttl_ms : call.ttl_s * 1'000);
-  const LeaseId id = core_.grant(now(), ttl);
+  const LeaseId id = aggregator_.grant(now(), ttl);
   longest_ttl_ = std::max<Micros>(longest_ttl_, ttl);
   return etcd::write_granted(header(), {id, ttl.count()});
 }
 
+// On the wire a time of 0 says that there is no such lease.
+json AggregatorService::handle_keep_alive(const json& body) {
+  const LeaseId id = etcd::read_lease(body);
+  const auto left = duration_cast<milliseconds>(aggregator_.keep_alive(now(), id).value_or(Micros(0)));
+  return {{"result", etcd::write_granted(header(), {id, left.count()})}};
+}
+
+json AggregatorService::handle_revoke(const json& body) {
+  aggregator_.revoke(now(), etcd::read_lease(body));
+  schedule_step();
+  return {{"header", etcd::write_header(header())}};
+}
+
 void AggregatorService::read(const Look& look) {
-  if (!core_.has_snapshot() || store_.id() == 0) {
+  if (!aggregator_.has_snapshot() || store_.id() == 0) {
     throw coordination::Unavailable("the store's records are not here yet");
   }
-  look(core_.records(), header());
+  look(aggregator_.records(), header());
 }
 
 std::optional<AggregatorService::Answer> AggregatorService::page(const std::string& path) {
   if (path != kHealthPage) {
     return std::nullopt;
   }
-  const bool permitted = core_.upstream().is_active(now());
-  return Answer{permitted ? 200 : 503, json{{"name", options_.name},
-                                            {"permission", permitted},
-                                            {"store", heard_ ? "heard" : "silent"},
-                                            {"routers", core_.router_count()},
-                                            {"revision", core_.records().revision()}}};
+  const bool active = aggregator_.upstream().is_active(now());
+  return Answer{active ? kOk : kServiceUnavailable, json{{"name", options_.name},
+                                                         {"permission", active},
+                                                         {"store", connected_ ? "heard" : "silent"},
+                                                         {"routers", aggregator_.router_count()},
+                                                         {"revision", aggregator_.records().revision()}}};
 }
 
-std::string AggregatorService::report() const {
-  const AggregatorCounts& counts = core_.counts();
+std::string AggregatorService::status_line() const {
   const coordination::EtcdServerCounts& server = server_.counts();
-  std::string out =
-      "routers=" + std::to_string(core_.router_count()) +
-      " permission=" + (core_.upstream().is_active(now()) ? "yes" : "no") +
-      " revision=" + std::to_string(core_.records().revision()) +
-      " granted=" + std::to_string(counts.granted) + " renewed=" + std::to_string(counts.renewed) +
-      " revoked=" + std::to_string(counts.revoked) + " permits=" + std::to_string(counts.permits) +
-      " reads=" + std::to_string(counts.reads) + " refused=" + std::to_string(counts.total_rejected());
-  for (std::size_t i = 0; i < kReasons.size(); ++i) {
-    out += std::string(" refused_") + kReasons[i] + "=" + std::to_string(counts.refused[i]);
-  }
-  return out + " calls=" + std::to_string(server.calls) + " unreadable=" + std::to_string(server.unreadable) +
-         " connections=" + std::to_string(server_.connections()) +
-         " connections_refused=" + std::to_string(server.refused) +
-         " bytes_read=" + std::to_string(server.bytes_read) +
-         " bytes_written=" + std::to_string(server.bytes_written) +
-         " store_calls=" + std::to_string(store_.counts().calls) +
-         " store_failed=" + std::to_string(store_.counts().failed);
+  const coordination::StoreCounts& store = store_.counts();
+  return "routers=" + std::to_string(aggregator_.router_count()) +
+         " permission=" + (aggregator_.upstream().is_active(now()) ? "yes" : "no") +
+         figure("revision", aggregator_.records().revision()) + figures_of(aggregator_.counts()) +
+         figure("calls", server.calls) + figure("unreadable", server.unreadable) +
+         figure("connections", server_.connections()) + figure("connections_refused", server.refused) +
+         figure("bytes_read", server.bytes_read) + figure("bytes_written", server.bytes_written) +
+         figure("store_calls", store.calls) + figure("store_failed", store.failed);
 }
 
 }  // namespace trailcourse::aggregation
--- a/src/aggregation/aggregator_service.h
+++ b/src/aggregation/aggregator_service.h
@@ -1,12 +1,14 @@
-// An aggregator carried out: its calls to the store above, and a server for the routers below, which speaks
-// to them as the store would. It decides nothing by itself; aggregator.h does.
+// The process side of an aggregator: it executes the calls to the store that aggregator.h decides on, and
+// serves the routers below over the store's own protocol. It decides nothing by itself.
 //
 // Package `aggregation`, over `coordination` and `policy`. One thread.
 #pragma once
 
 #include <cstdint>
 #include <memory>
+#include <optional>
 #include <string>
+#include <vector>
 
 #include "aggregation/aggregator.h"
 #include "aggregation/options.h"
@@ -19,62 +21,73 @@
 
 class AggregatorService : public coordination::EtcdService, public coordination::Watcher {
  public:
-  // `options` must have been checked. `prefix`: of all keys in the store. `seed`: differs from start to
-  // start. The store outlives it.
+  // `options` must have been checked. `prefix` is that of all keys in the store. `seed` has to differ from
+  // start to start. `scheduler` and `store` outlive the service.
   AggregatorService(transport::Scheduler& scheduler, coordination::SharedStore& store,
                     const AggregatorOptions& options, const std::string& prefix, std::uint64_t seed);
   ~AggregatorService() override;
 
-  // Begins to follow the store and to take routers. Throws std::system_error.
+  // Starts to watch the store and to listen for routers. Throws std::system_error.
   void start();
-  // Takes no router any more; its own permission goes back once the routers' have run out.
+  // Stops granting and renewing leases. The service is drained once no router has a lease any more and its own
+  // is released.
   void drain();
-  bool drained() const { return core_.drained(); }
-  // The longest time for which a router was given permission.
+  bool drained() const { return aggregator_.drained(); }
+  // Returns the longest time of a router's lease that was granted so far.
   Micros longest_ttl() const { return longest_ttl_; }
-  // One line of figures.
-  std::string report() const;
-  const Aggregator& core() const { return core_; }
+  // Returns one line of figures for the log.
+  std::string status_line() const;
+  const Aggregator& aggregator() const { return aggregator_; }
 
-  // ---- From routers ----
+  // ---- coordination::EtcdService: calls of routers ----
   Answer answer(const std::string& path, const nlohmann::json& body) override;
   void read(const Look& look) override;
-  // /healthz: 200 while routers may be given permission.
+  // Answers /healthz: 200 while the aggregator's own lease is valid, else 503.
   std::optional<Answer> page(const std::string& path) override;
 
-  // ---- From the store above ----
+  // ---- coordination::Watcher: the store's records ----
   void current(coordination::Revision revision, const std::vector<coordination::Entry>& entries) override;
   void changed(coordination::Revision revision, const std::vector<coordination::Change>& changes) override;
-  void silent(const std::string& why) override;
+  void silent(const std::string& reason) override;
   void heard() override;
 
  private:
   static Micros now();
   coordination::etcd::Header header() const;
-  nlohmann::json carry_out(const std::string& path, const nlohmann::json& body);
-  nlohmann::json grant(const nlohmann::json& body);
+  nlohmann::json handle_call(const std::string& path, const nlohmann::json& body);
+  nlohmann::json handle_transaction(const nlohmann::json& body);
+  nlohmann::json handle_grant(const nlohmann::json& body);
+  nlohmann::json handle_keep_alive(const nlohmann::json& body);
+  nlohmann::json handle_revoke(const nlohmann::json& body);
 
-  void turn();
-  void turn_soon() { next_turn_.post(); }
-  void records_changed();
-  void carry_out(const LeaseAction& ask);
-  void carry_out(const ReportSummariesAction& say);
-  void acquire(const LeaseAction& ask);
-  void join(const LeaseAction& ask, coordination::LeaseId lease);
+  void run_step();
+  void schedule_step() { next_step_.post(); }
+  void schedule_step_at(Micros when);
+  void publish_records();
+  void execute(const LeaseAction& action);
+  void execute(const ReportSummariesAction& action);
+  void acquire(const LeaseAction& action);
+  void join(const LeaseAction& action, coordination::LeaseId lease);
+  void renew(std::uint64_t call_id);
+  void release(std::uint64_t call_id);
+  // Returns a handler of an answer that calls `handler` and schedules a step, unless the service is destroyed by
+  // then.
+  template <typename Handler>
+  auto while_alive(Handler handler);
 
   transport::Scheduler& scheduler_;
   coordination::SharedStore& store_;
   AggregatorOptions options_;
   std::string prefix_;
-  Aggregator core_;
+  Aggregator aggregator_;
   coordination::EtcdServer server_;
   transport::Alarm timer_;
-  transport::Deferred next_turn_;
+  transport::Deferred next_step_;
   coordination::SharedStore::WatchId watch_ = 0;
-  coordination::LeaseId lease_ = 0;  // of its own permission
+  coordination::LeaseId lease_ = 0;  // the aggregator's own
   Micros longest_ttl_{0};
-  bool heard_ = false;
-  bool turning_ = false;
+  bool connected_ = false;  // to the store
+  bool in_step_ = false;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/aggregation/options.cpp
+++ b/src/aggregation/options.cpp
@@ -16,8 +16,8 @@
 
 namespace {
 
-// All summaries go into one transaction, of which each needs a condition and a write.
-constexpr std::size_t kMostZones = 64;
+// All summaries go into one transaction, and each needs a condition and a write in it.
+constexpr std::size_t kMaxZones = 64;
 
 void check_address(const std::string& key, const std::string& text) {
   if (!transport::parse_address(text)) {
@@ -25,6 +25,41 @@
   }
 }
 
+void check_zones(const AggregatorOptions& options) {
+  if (options.zones.empty() || options.zones.size() > kMaxZones) {
+    throw KeyError("aggregator.zones", std::to_string(options.zones.size()) + " are named, 1 to " +
+                                           std::to_string(kMaxZones) + " are allowed");
+  }
+  std::set<std::string> zones;
+  for (const std::string& zone : options.zones) {
+    if (!coordination::is_name(options.name + "." + zone)) {
+      throw KeyError("aggregator.zones", "'" + options.name + "." + zone +
+                                             "' is no name of up to 64 letters, digits, '.', '-', '_'");
+    }
+    if (!zones.insert(zone).second) {
+      throw KeyError("aggregator.zones", "'" + zone + "' stands twice");
+    }
+  }
+}
+
+void check_times(const AggregatorOptions& options, std::int64_t router_ttl_ms) {
+  const Micros valid = ownership::surely_held(aggregator_settings(options).lease);
+  const std::int64_t valid_ms = duration_cast<milliseconds>(valid).count();
+  if (2 * options.renew_ms > valid_ms) {
+    throw KeyError("aggregator.renew_ms", std::to_string(options.renew_ms) + " is over half of the " +
+                                              std::to_string(valid_ms) +
+                                              " ms that its permission surely holds");
+  }
+  // So much is left just before a renewal, and a router's lease is granted for its full time or not at all.
+  const std::int64_t left_ms = valid_ms - options.renew_ms;
+  if (router_ttl_ms > left_ms) {
+    throw KeyError("aggregator.ttl_ms", "of the " + std::to_string(valid_ms) + " ms that it surely holds " +
+                                            std::to_string(left_ms) +
+                                            " are left before a renewal: a router's policy.ttl_ms, " +
+                                            std::to_string(router_ttl_ms) + ", does not fit");
+  }
+}
+
 }  // namespace
 
 const config::Record<AggregatorOptions>& aggregator_record() {
@@ -63,44 +98,19 @@
   if (!options.board.empty()) {
     check_address("aggregator.board", options.board);
   }
-  if (options.zones.empty() || options.zones.size() > kMostZones) {
-    throw KeyError("aggregator.zones", std::to_string(options.zones.size()) + " are named, 1 to " +
-                                           std::to_string(kMostZones) + " are allowed");
-  }
-  std::set<std::string> zones;
-  for (const std::string& zone : options.zones) {
-    if (!coordination::is_name(options.name + "." + zone)) {
-      throw KeyError("aggregator.zones", "'" + options.name + "." + zone +
-                                             "' is no name of up to 64 letters, digits, '.', '-', '_'");
-    }
-    if (!zones.insert(zone).second) {
-      throw KeyError("aggregator.zones", "'" + zone + "' stands twice");
-    }
-  }
-  const std::int64_t sure =
-      duration_cast<milliseconds>(ownership::surely_held(aggregator_settings(options).lease)).count();
-  if (2 * options.renew_ms > sure) {
-    throw KeyError("aggregator.renew_ms", std::to_string(options.renew_ms) + " is over half of the " +
-                                              std::to_string(sure) + " ms that its permission surely holds");
-  }
-  // Just before a renewal so much is surely left, and routers are given their whole time or none.
-  if (router_ttl_ms + options.renew_ms > sure) {
-    throw KeyError("aggregator.ttl_ms", "of the " + std::to_string(sure) + " ms that it surely holds " +
-                                            std::to_string(sure - options.renew_ms) +
-                                            " are left before a renewal: a router's policy.ttl_ms, " +
-                                            std::to_string(router_ttl_ms) + ", does not fit");
-  }
+  check_zones(options);
+  check_times(options, router_ttl_ms);
 }
 
 AggregatorSettings aggregator_settings(const AggregatorOptions& options) {
-  AggregatorSettings rules;
-  rules.lease.ttl = milliseconds(options.ttl_ms);
-  rules.lease.drift = options.drift_percent / 100.0;
-  rules.lease.margin = milliseconds(options.margin_ms);
-  rules.lease.renew_after = milliseconds(options.renew_ms);
-  rules.lease.retry = milliseconds(options.retry_ms);
-  rules.routers.max_routers = static_cast<std::size_t>(options.routers);
-  return rules;
+  AggregatorSettings settings;
+  settings.lease.ttl = milliseconds(options.ttl_ms);
+  settings.lease.drift = options.drift_percent / 100.0;
+  settings.lease.margin = milliseconds(options.margin_ms);
+  settings.lease.renew_after = milliseconds(options.renew_ms);
+  settings.lease.retry = milliseconds(options.retry_ms);
+  settings.routers.max_routers = static_cast<std::size_t>(options.routers);
+  return settings;
 }
 
 const config::Record<AggregationOptions>& aggregation_record() {
--- a/src/aggregation/options.h
+++ b/src/aggregation/options.h
@@ -1,5 +1,5 @@
-// The section `aggregator` of the operator's file, of an aggregator's process, and `aggregation`, of a router
-// that goes by aggregators.
+// The options of the section `aggregator` of the operator's file, for an aggregator's process, and of the section
+// `aggregation`, for a router that uses aggregators.
 //
 // Package `aggregation`.
 #pragma once
@@ -14,11 +14,12 @@
 
 namespace trailcourse::aggregation {
 
+// The keys of the section `aggregator`; their descriptions stand in aggregator_record().
 struct AggregatorOptions {
   std::string listen;
   std::string name;
   std::vector<std::string> zones;
-  std::string board;  // the notice board; empty: it drives no acknowledgements
+  std::string board;  // of the discovery service; empty: this aggregator coordinates no acknowledgement rounds
   std::int64_t ttl_ms = 4'000;
   std::int64_t renew_ms = 500;
   double drift_percent = 1.0;
@@ -28,19 +29,20 @@
   std::int64_t connections = 4'096;
 };
 const config::Record<AggregatorOptions>& aggregator_record();
-// What one key alone cannot tell. `router_ttl_ms`: of the permissions that routers ask for. Throws
-// config::KeyError.
+// Checks what depends on more than one key. `router_ttl_ms` is the time of the leases that routers request.
+// Throws config::KeyError.
 void check_aggregator(const AggregatorOptions& options, std::int64_t router_ttl_ms);
 AggregatorSettings aggregator_settings(const AggregatorOptions& options);
 
+// The keys of the section `aggregation`.
 struct AggregationOptions {
-  std::vector<std::string> endpoints;  // in the order in which they are asked
+  std::vector<std::string> endpoints;  // in the order in which they are tried
 };
 const config::Record<AggregationOptions>& aggregation_record();
 // Throws config::KeyError.
 void check_aggregation(const AggregationOptions& options);
-// The store as a router sees it behind aggregators: times and prefix of `coordination`, the endpoints of
-// `options`.
+// Returns the options by which a router reaches the store through aggregators: timeouts and prefix of
+// `coordination`, endpoints of `options`.
 coordination::CoordinationOptions through_aggregators(coordination::CoordinationOptions coordination,
                                                       const AggregationOptions& options);
 
--- a/src/aggregation/report_summary.cpp
+++ b/src/aggregation/report_summary.cpp
@@ -11,100 +11,111 @@
 
 namespace {
 
-// The step that routers of the zone are asked about; 0 where they are asked about none.
-std::uint64_t step_at_hand(const Known& known, const std::string& zone) {
-  const std::optional<Change>& change = known.change;
-  return change && change->open() && change->concerns(zone) ? policy::step_of(*change) : 0;
+// The step of the open rollout that routers of the zone take part in; 0 if there is none.
+std::uint64_t open_step(const Known& observed, const std::string& zone) {
+  const std::optional<Change>& rollout = observed.change;
+  return rollout && rollout->open() && rollout->concerns(zone) ? policy::step_of(*rollout) : 0;
 }
 
-// What a router says that has done all it is asked for.
-Permit fulfilled(const Known& known, const std::string& zone) {
+// The report of a router that has done all that is requested.
+Permit completed_report(const Known& observed, const std::string& zone) {
   Permit out;
   out.zone = zone;
-  out.version = known.version;
-  const std::uint64_t step = step_at_hand(known, zone);
+  out.version = observed.version;
+  const std::uint64_t step = open_step(observed, zone);
   if (step == 0) {
     return out;
   }
-  const ChangeState state = known.change->state;
-  const bool asked = state == ChangeState::kPreparing || state == ChangeState::kHolding;
-  out.ready = asked ? step : 0;
-  out.held = state == ChangeState::kHolding ? step : 0;
+  const ChangeState state = observed.change->state;
+  const bool suspending = state == ChangeState::kHolding;
+  out.ready = suspending || state == ChangeState::kPreparing ? step : 0;
+  out.held = suspending ? step : 0;
   return out;
 }
 
-bool fulfils(const Permit& said, const Permit& wanted) {
-  return said.version == wanted.version && said.held == wanted.held &&
-         (wanted.ready == 0 || said.ready == wanted.ready);
+bool is_complete(const Permit& report, const Permit& completed) {
+  return report.version == completed.version && report.held == completed.held &&
+         (completed.ready == 0 || report.ready == completed.ready);
 }
 
-// What a router decides under and what it holds for: read together, never one by one.
-struct Decision {
+// The version that a router decides under and the step that it is suspended for. The two belong together: a
+// summary takes both from the same report.
+struct VersionAndStep {
   std::uint64_t version = 0;
-  std::uint64_t held = 0;
+  std::uint64_t suspended_step = 0;
+
+  friend bool operator==(const VersionAndStep&, const VersionAndStep&) = default;
 };
-Decision decision_of(const Permit& permit) { return {permit.version, permit.held}; }
+VersionAndStep version_and_step_of(const Permit& report) { return {report.version, report.held}; }
 
-// Whether the aggregator knows that the step is past its commit or abort.
-bool is_past(const Known& known, std::uint64_t step) {
-  if (!known.change || step == 0) {
+// Whether the aggregator has observed the commit or the abort of the step.
+bool is_settled(const Known& observed, std::uint64_t step) {
+  if (!observed.change || step == 0) {
     return false;
   }
-  const std::uint64_t at_hand = policy::step_of(*known.change);
-  const ChangeState state = known.change->state;
+  const std::uint64_t observed_step = policy::step_of(*observed.change);
+  const ChangeState state = observed.change->state;
   const bool settled = state != ChangeState::kPreparing && state != ChangeState::kHolding;
-  return step < at_hand || (step == at_hand && settled);
+  return step < observed_step || (step == observed_step && settled);
 }
 
-// Whether nobody takes what this router alone says for what all have done. A router may have heard of a step
-// that the aggregator has not, and a router that joins later goes by what the aggregator has heard.
-bool may_stand_for_all(const Known& known, const std::string& zone, const Permit& said) {
-  if (said.held != 0) {
-    return is_past(known, said.held);
+// Whether the coordinator cannot mistake the report of this one router for that of all. A router may have
+// observed a step that the aggregator has not, and a router that joins later starts from the aggregator's state.
+bool may_stand_for_all(const Known& observed, const std::string& zone, const Permit& report) {
+  if (report.held != 0) {
+    return is_settled(observed, report.held);
   }
-  const bool is_target = step_at_hand(known, zone) != 0 && said.version == known.change->version;
-  return said.version == known.version && !is_target;
+  const bool is_target = open_step(observed, zone) != 0 && report.version == observed.change->version;
+  return report.version == observed.version && !is_target;
 }
 
-Decision decision_of_all(const Known& known, const Permit& wanted, const RouterReports& routers) {
-  Decision out = decision_of(wanted);
-  bool all = true;
-  for (const auto& [lease, one] : routers) {
-    if (one.permit.version == wanted.version && one.permit.held == wanted.held) {
+VersionAndStep common_version_and_step(const Known& observed, const Permit& completed,
+                                       const RouterReports& routers) {
+  VersionAndStep out = version_and_step_of(completed);
+  bool all_complete = true;
+  for (const auto& [lease, router] : routers) {
+    const VersionAndStep reported = version_and_step_of(router.report);
+    if (reported == version_and_step_of(completed)) {
       continue;
     }
-    if (may_stand_for_all(known, wanted.zone, one.permit)) {
-      return decision_of(one.permit);
+    if (may_stand_for_all(observed, completed.zone, router.report)) {
+      return reported;
     }
-    out.version = all ? one.permit.version : out.version;
-    out.held = kRoutersDiffer;
-    all = false;
+    out.version = all_complete ? reported.version : out.version;
+    out.suspended_step = kRoutersDiffer;
+    all_complete = false;
   }
   return out;
 }
 
+// Adds one router's report to the summary.
+void merge(Permit& summary, const RouterReport& router, const Permit& completed, std::uint64_t round) {
+  const Permit& report = router.report;
+  // 0 and never an earlier step, so that the rollout is not taken to be prepared too early.
+  summary.ready = report.ready == completed.ready ? summary.ready : 0;
+  // Also for a step that the aggregator has not observed: a rejection must not wait for its watch.
+  if (report.no > summary.no) {
+    summary.no = report.no;
+    summary.why = router.router + ": " + report.why;
+  }
+  summary.acknowledged = std::min(summary.acknowledged, report.acknowledged);
+  const bool awaited = !is_complete(report, completed) || report.acknowledged < round;
+  if (summary.awaits.empty() && awaited) {
+    summary.awaits = router.router;
+  }
+}
+
 }  // namespace
 
-Permit summarize(const Known& known, const std::string& zone, const RouterReports& routers) {
-  const Permit wanted = fulfilled(known, zone);
-  const std::uint64_t round = known.acknowledgement.round;
-  Permit out = wanted;
-  out.acknowledged = round;
-  const Decision decision = decision_of_all(known, wanted, routers);
-  out.version = decision.version;
-  out.held = decision.held;
-  for (const auto& [lease, one] : routers) {
-    // Not ready is 0 and never the step before, so that a change is not taken to be prepared too early.
-    out.ready = one.permit.ready == wanted.ready ? out.ready : 0;
-    // Also of a step that the aggregator has not heard of: a no must not wait for its mirror.
-    if (one.permit.no > out.no) {
-      out.no = one.permit.no;
-      out.why = one.router + ": " + one.permit.why;
-    }
-    out.acknowledged = std::min(out.acknowledged, one.permit.acknowledged);
-    if (out.awaits.empty() && (!fulfils(one.permit, wanted) || one.permit.acknowledged < round)) {
-      out.awaits = one.router;
-    }
+Permit summarize(const Known& observed, const std::string& zone, const RouterReports& routers) {
+  const Permit completed = completed_report(observed, zone);
+  const VersionAndStep common = common_version_and_step(observed, completed, routers);
+  Permit out = completed;
+  out.version = common.version;
+  out.held = common.suspended_step;
+  out.acknowledged = observed.acknowledgement.round;
+  for (const auto& [lease, router] : routers) {
+    merge(out, router, completed, observed.acknowledgement.round);
   }
   out.routers = routers.size();
   return out;
--- a/src/aggregation/report_summary.h
+++ b/src/aggregation/report_summary.h
@@ -1,7 +1,9 @@
-// What all routers below an aggregator say together of a change of policy. A summary never claims more than
-// each of them said: it is ready, holds or has switched only once every one is, does or has. Nor does it
-// claim more than the aggregator has heard itself, for a router that joins later goes by that. It has
-// acknowledged a round once every router has.
+// The summary of the reports of all routers of a zone on a policy rollout.
+//
+// A summary never claims more than each router has reported: it is prepared, has suspended the old version or
+// has switched to the new one only once every router is or has. Nor does it claim more than the aggregator has
+// observed in the store itself, because a router that joins later starts from what the aggregator has observed.
+// It has acknowledged a round once every router has.
 //
 // Package `aggregation`: no I/O, no clock.
 #pragma once
@@ -16,21 +18,22 @@
 
 namespace trailcourse::aggregation {
 
-// A router that has permission from this aggregator, and what it said last.
+// The latest report of a router, and the router that sent it.
 struct RouterReport {
   std::string router;
-  policy::Permit permit;
+  policy::Permit report;
 };
 using RouterReports = std::map<coordination::LeaseId, RouterReport>;
 
-// What a summary has as `held` where its routers differ in what they decide under or hold for, or have heard
-// more than the aggregator. No step has this number: neither "all hold" nor "all have switched" is read from
-// it.
+// The value of `held` in a summary whose routers decide under different versions, are suspended for different
+// steps, or have observed more than the aggregator. No rollout has a step of this number, so that the
+// coordinator reads neither "all are suspended" nor "all have switched" from it.
 constexpr std::uint64_t kRoutersDiffer = 1;
 
-// The permit that stands for all of `routers`, which are of one zone. `known` is the change as the aggregator
-// has read it in the store. Without any router it says what a router with nothing to do would say, so that an
-// empty region is not awaited. Counts of requests and numbers are left at 0 for the caller to fill in.
-policy::Permit summarize(const policy::Known& known, const std::string& zone, const RouterReports& routers);
+// Returns the report that stands for all of `routers`, which are of one zone. `observed` is the state of the
+// store as the aggregator has read it. Without any router the result is that of a router with nothing left to
+// do, so that the coordinator does not wait for an empty zone. The caller fills in the number of the report
+// and the counts of requests, which are 0.
+policy::Permit summarize(const policy::Known& observed, const std::string& zone, const RouterReports& routers);
 
 }  // namespace trailcourse::aggregation
--- a/src/aggregation/router_leases.cpp
+++ b/src/aggregation/router_leases.cpp
@@ -6,137 +6,152 @@
 
 using coordination::LeaseId;
 using policy::Permit;
+using Reason = RequestRejected::Reason;
 
 namespace {
 
-// Numbers are told as signed 64-bit ones.
-constexpr std::uint64_t kLeaseBits = (1ULL << 62U) - 1;
+// On the wire a lease id is a signed 64-bit number; this mask keeps it positive.
+constexpr std::uint64_t kLeaseIdMask = (1ULL << 62U) - 1;
 
-void check_covered(Micros now, Micros ttl, Micros until) {
-  if (ttl > until - now) {  // never a sum: a caller may ask for any time
-    throw RequestRejected(RequestRejected::Reason::kNoPermission,
-                          "the aggregator's own permission ends sooner");
+void check_within_upstream_lease(Micros now, Micros ttl, std::optional<Micros> upstream_end) {
+  // A difference and never the sum now + ttl, which may overflow: a caller may ask for any time.
+  if (!upstream_end || ttl > *upstream_end - now) {
+    throw RequestRejected(Reason::kNoUpstreamLease, "the aggregator's own permission ends sooner");
   }
 }
 
+void check_acknowledged(const Permit& report, std::uint64_t min_round) {
+  if (report.acknowledged < min_round) {
+    throw RequestRejected(Reason::kOutOfOrder, "acknowledged: round " + std::to_string(report.acknowledged) +
+                                                   " where " + std::to_string(min_round) + " was said");
+  }
+}
+
+std::uint64_t increase(std::uint64_t before, std::uint64_t after) {
+  return after > before ? after - before : 0;
+}
+
 }  // namespace
 
-LeaseId RouterLeases::grant(Micros now, Micros ttl, Micros until) {
-  if (ttl < rules_.min_ttl) {
-    throw RequestRejected(RequestRejected::Reason::kMalformed,
-                          "a lease of " + std::to_string(ttl.count()) + " us");
+LeaseId RouterLeases::grant(Micros now, Micros ttl, std::optional<Micros> upstream_end) {
+  if (ttl < options_.min_ttl) {
+    throw RequestRejected(Reason::kMalformed, "a lease of " + std::to_string(ttl.count()) + " us");
   }
-  check_covered(now, ttl, until);
-  if (leases_.size() >= rules_.max_routers) {
-    throw RequestRejected(RequestRejected::Reason::kFull, "as many routers as this aggregator may have");
+  check_within_upstream_lease(now, ttl, upstream_end);
+  if (leases_.size() >= options_.max_routers) {
+    throw RequestRejected(Reason::kTooManyRouters, "as many routers as this aggregator may have");
   }
+  const LeaseId id = unused_id();
+  leases_[id] = RouterLease{ttl, now + ttl, {}};
+  expiries_.emplace(now + ttl, id);
+  return id;
+}
+
+LeaseId RouterLeases::unused_id() {
   LeaseId id = 0;
   while (id == 0 || leases_.contains(id)) {
-    id = random_() & kLeaseBits;
+    id = random_() & kLeaseIdMask;
   }
-  leases_[id] = RouterLease{ttl, now + ttl, {}};
-  ends_.emplace(now + ttl, id);
   return id;
 }
 
-Micros RouterLeases::keep_alive(Micros now, LeaseId id, Micros until) {
+std::optional<Micros> RouterLeases::keep_alive(Micros now, LeaseId id, std::optional<Micros> upstream_end) {
   const auto found = leases_.find(id);
-  if (found == leases_.end() || found->second.ends <= now) {
-    return Micros(0);
+  if (found == leases_.end() || found->second.ends_at <= now) {
+    return std::nullopt;
   }
   RouterLease& lease = found->second;
-  check_covered(now, lease.ttl, until);
-  ends_.erase({lease.ends, id});
-  lease.ends = now + lease.ttl;
-  ends_.emplace(lease.ends, id);
+  check_within_upstream_lease(now, lease.ttl, upstream_end);
+  expiries_.erase({lease.ends_at, id});
+  lease.ends_at = now + lease.ttl;
+  expiries_.emplace(lease.ends_at, id);
   return lease.ttl;
 }
 
 void RouterLeases::revoke(LeaseId id) {
   if (!leases_.contains(id)) {
-    throw RequestRejected(RequestRejected::Reason::kUnknownLease, "requested lease not found");
+    throw RequestRejected(Reason::kLeaseNotFound, "requested lease not found");
   }
   end(id);
 }
 
 void RouterLeases::end(LeaseId id) {
   const RouterLease& lease = leases_.at(id);
-  ends_.erase({lease.ends, id});
+  expiries_.erase({lease.ends_at, id});
   if (!lease.zone.empty()) {
-    permits_[lease.zone].erase(id);
+    reports_[lease.zone].erase(id);
   }
   leases_.erase(id);
 }
 
-void RouterLeases::record_report(const std::string& router, LeaseId id, const Permit& permit) {
+void RouterLeases::record_report(LeaseId id, const RouterReport& report) {
   const auto found = leases_.find(id);
   if (found == leases_.end()) {
-    throw RequestRejected(RequestRejected::Reason::kUnknownLease, "requested lease not found");
-  }
-  RouterLease& lease = found->second;
-  if (!lease.zone.empty() && lease.zone != permit.zone) {
-    throw RequestRejected(RequestRejected::Reason::kMalformed, "zone: another than before under this lease");
+    throw RequestRejected(Reason::kLeaseNotFound, "requested lease not found");
   }
-  RouterReports& zone = permits_[permit.zone];
-  const auto place = zone.find(id);
-  if (place == zone.end()) {
-    check_acknowledged(permit, claimed_[permit.zone]);
-    zone.emplace(id, RouterReport{router, permit});
-    lease.zone = permit.zone;
+  const std::string& zone = found->second.zone;
+  if (zone.empty()) {
+    record_first_report(id, report);
     return;
   }
-  if (place->second.router != router) {
-    throw RequestRejected(RequestRejected::Reason::kMalformed,
-                          "key: of another router than before under this lease");
+  if (zone != report.report.zone) {
+    throw RequestRejected(Reason::kMalformed, "zone: another than before under this lease");
   }
-  Permit& before = place->second.permit;
-  if (before.number > 0 && permit.number <= before.number) {
-    throw RequestRejected(RequestRejected::Reason::kBackwards, "number: " + std::to_string(permit.number) +
-                                                                   " after " + std::to_string(before.number));
-  }
-  check_acknowledged(permit, before.acknowledged);
-  count(permit.zone, before, permit);
-  before = permit;
+  record_next_report(reports_.at(zone).at(id), report);
+}
+
+void RouterLeases::record_first_report(LeaseId id, const RouterReport& report) {
+  const std::string& zone = report.report.zone;
+  check_acknowledged(report.report, min_acknowledged_[zone]);
+  reports_[zone].emplace(id, report);
+  leases_.at(id).zone = zone;
 }
 
-void RouterLeases::check_acknowledged(const Permit& permit, std::uint64_t least) {
-  if (permit.acknowledged < least) {
-    throw RequestRejected(RequestRejected::Reason::kBackwards,
-                          "acknowledged: round " + std::to_string(permit.acknowledged) + " where " +
-                              std::to_string(least) + " was said");
+void RouterLeases::record_next_report(RouterReport& stored, const RouterReport& report) {
+  if (stored.router != report.router) {
+    throw RequestRejected(Reason::kMalformed, "key: of another router than before under this lease");
+  }
+  const Permit& before = stored.report;
+  const Permit& after = report.report;
+  if (before.number > 0 && after.number <= before.number) {
+    throw RequestRejected(Reason::kOutOfOrder, "number: " + std::to_string(after.number) + " after " +
+                                                   std::to_string(before.number));
   }
+  check_acknowledged(after, before.acknowledged);
+  count_requests(after.zone, before, after);
+  stored.report = after;
 }
 
-void RouterLeases::set_min_acknowledged(const std::string& zone, std::uint64_t acknowledged) {
-  std::uint64_t& claimed = claimed_[zone];
-  claimed = std::max(claimed, acknowledged);
+void RouterLeases::set_min_acknowledged(const std::string& zone, std::uint64_t round) {
+  std::uint64_t& min_round = min_acknowledged_[zone];
+  min_round = std::max(min_round, round);
 }
 
-void RouterLeases::count(const std::string& zone, const Permit& before, const Permit& after) {
-  RequestCounts& counts = requests_[zone];
-  counts.requests += after.requests > before.requests ? after.requests - before.requests : 0;
-  counts.refused += after.refused > before.refused ? after.refused - before.refused : 0;
+void RouterLeases::count_requests(const std::string& zone, const Permit& before, const Permit& after) {
+  RequestCounts& counts = request_counts_[zone];
+  counts.requests += increase(before.requests, after.requests);
+  counts.refused += increase(before.refused, after.refused);
 }
 
 void RouterLeases::expire(Micros now) {
-  while (!ends_.empty() && ends_.begin()->first <= now) {
-    end(ends_.begin()->second);
+  while (!expiries_.empty() && expiries_.begin()->first <= now) {
+    end(expiries_.begin()->second);
   }
 }
 
 std::optional<Micros> RouterLeases::next_expiry() const {
-  return ends_.empty() ? std::nullopt : std::optional<Micros>(ends_.begin()->first);
+  return expiries_.empty() ? std::nullopt : std::optional<Micros>(expiries_.begin()->first);
 }
 
 const RouterReports& RouterLeases::reports(const std::string& zone) const {
   static const RouterReports kNone;
-  const auto found = permits_.find(zone);
-  return found == permits_.end() ? kNone : found->second;
+  const auto found = reports_.find(zone);
+  return found == reports_.end() ? kNone : found->second;
 }
 
 RequestCounts RouterLeases::request_counts(const std::string& zone) const {
-  const auto found = requests_.find(zone);
-  return found == requests_.end() ? RequestCounts{} : found->second;
+  const auto found = request_counts_.find(zone);
+  return found == request_counts_.end() ? RequestCounts{} : found->second;
 }
 
 }  // namespace trailcourse::aggregation
--- /dev/null
+++ b/src/aggregation/upstream_calls.cpp
@@ -0,0 +1,85 @@
+#include "aggregation/upstream_calls.h"
+
+namespace trailcourse::aggregation {
+
+using coordination::Entry;
+using coordination::Get;
+using coordination::LeaseId;
+using coordination::Outcome;
+using coordination::Put;
+using coordination::Range;
+using coordination::Revision;
+using coordination::Transaction;
+using policy::Known;
+
+namespace {
+
+Revision modified_revision(const std::vector<Entry>& found) {
+  return found.empty() ? 0 : found.front().modified;
+}
+
+}  // namespace
+
+std::string summary_key(const std::string& prefix, const std::string& name, const std::string& zone,
+                        LeaseId lease) {
+  return prefix + policy::permit_key(name + "." + zone, lease);
+}
+
+// The acknowledgement record is read and not compared. It changes with every round, and an aggregator far away
+// could hardly ever join while rounds follow each other without a pause.
+Transaction join_transaction(const std::string& prefix, const std::string& name, LeaseId lease,
+                             const LeaseAction& action) {
+  Transaction out;
+  if (!action.observed.empty()) {
+    const Known& any_zone = action.observed.begin()->second;
+    out.when = {coordination::unchanged(prefix + policy::kChangeKey, any_zone.change_modified),
+                coordination::unchanged(prefix + policy::kCurrentKey, any_zone.current_modified)};
+  }
+  for (const auto& [zone, observed] : action.observed) {
+    out.when.push_back(coordination::unchanged(prefix + policy::kZones + zone, observed.zone_modified));
+  }
+  for (const ZoneSummary& summary : action.summaries) {
+    const std::string key = summary_key(prefix, name, summary.zone, lease);
+    out.then.push_back(Put{key, policy::write_permit(summary.report), lease});
+  }
+  out.then.push_back(Get{Range{prefix + policy::kAcknowledgedKey, false}});
+  return out;
+}
+
+JoinResult read_join_result(const Outcome& outcome) {
+  JoinResult out;
+  if (!outcome.succeeded) {
+    return out;
+  }
+  out.status = JoinResult::Status::kJoined;
+  out.written_revision = outcome.revision;
+  if (!outcome.steps.empty()) {
+    out.acknowledgement_revision = modified_revision(outcome.steps.back().found);
+  }
+  return out;
+}
+
+Transaction summary_transaction(const std::string& prefix, const std::string& name, LeaseId lease,
+                                const ReportSummariesAction& action) {
+  Transaction out;
+  for (const ZoneSummary& summary : action.summaries) {
+    const std::string key = summary_key(prefix, name, summary.zone, lease);
+    out.when.push_back(coordination::unchanged(key, summary.expected_revision));
+    out.then.push_back(Put{key, policy::write_permit(summary.report), lease});
+    out.otherwise.push_back(Get{Range{key, false}});
+  }
+  return out;
+}
+
+SummaryWriteResult read_write_result(const Outcome& outcome, const ReportSummariesAction& action) {
+  using Status = SummaryWriteResult::Status;
+  SummaryWriteResult out;
+  out.status = outcome.succeeded ? Status::kWritten : Status::kConflict;
+  for (std::size_t i = 0; i < action.summaries.size(); ++i) {
+    out.revisions[action.summaries[i].zone] =
+        outcome.succeeded ? outcome.revision : modified_revision(outcome.steps.at(i).found);
+  }
+  return out;
+}
+
+}  // namespace trailcourse::aggregation
--- a/src/aggregation/upstream_lease.cpp
+++ b/src/aggregation/upstream_lease.cpp
@@ -1,16 +1,9 @@
 #include "aggregation/upstream_lease.h"
 
 #include <algorithm>
-#include <utility>
 
 namespace trailcourse::aggregation {
 
-using coordination::Get;
-using coordination::LeaseId;
-using coordination::Put;
-using coordination::Range;
-using coordination::Revision;
-using coordination::Transaction;
 using ownership::Ask;
 using ownership::Order;
 using ownership::Phase;
@@ -19,262 +12,219 @@
 
 namespace {
 
-// For so long another router has to be awaited than is said, before staff are told of it.
-constexpr Micros kAwaitsToldAfter{1'000'000};
+// The term of every upstream lease; 0 is that of a released one. Its fencing is done by the lease id in the
+// summary's key.
+constexpr ownership::Term kTerm = 1;
+constexpr ownership::Term kReleasedTerm = 0;
 
-// What staff read beside is no reason for a write of its own.
-bool same_statement(Permit one, const Permit& other) {
-  one.number = other.number;
-  one.awaits = other.awaits;
-  one.routers = other.routers;
-  return one == other;
+// The time for which another router than the stored one has to be awaited before that alone is written. As a
+// rule rounds and rollouts are over sooner.
+constexpr Micros kAwaitsWriteDelay{1'000'000};
+
+// Whether two reports differ at most in what operators read and the coordinator does not.
+bool is_equivalent(Permit left, const Permit& right) {
+  left.number = right.number;
+  left.awaits = right.awaits;
+  left.routers = right.routers;
+  return left == right;
 }
 
-bool watched(const std::map<std::string, Known>& known, const std::string& zone) {
-  const auto found = known.find(zone);
-  return found != known.end() && found->second.change &&
-         found->second.change->state == policy::ChangeState::kWatched && found->second.change->concerns(zone);
+// Whether the coordinator watches the requests of the zone.
+bool is_watched(const ObservedByZone& observed, const std::string& zone) {
+  const auto found = observed.find(zone);
+  if (found == observed.end() || !found->second.change) {
+    return false;
+  }
+  const policy::Change& rollout = *found->second.change;
+  return rollout.state == policy::ChangeState::kWatched && rollout.concerns(zone);
+}
+
+std::optional<Micros> earlier(std::optional<Micros> time, Micros other) {
+  return std::min(time.value_or(other), other);
 }
 
 }  // namespace
 
-std::vector<UpstreamAction> UpstreamLease::step(Micros now, bool heard,
-                                                const std::map<std::string, Known>& known,
-                                                const std::map<std::string, Permit>& summaries) {
+// ---- Steps ----
+
+std::vector<UpstreamAction> UpstreamLease::step(Micros now, bool connected, const ObservedByZone& observed,
+                                                const SummariesByZone& summaries) {
   std::vector<UpstreamAction> out;
-  if (auto ask = permission_due(now, heard, known, summaries)) {
-    out.push_back(std::move(*ask));
+  if (auto action = lease_step(now, connected, observed, summaries)) {
+    out.push_back(std::move(*action));
   }
-  std::map<std::string, Permit> wanted = summaries;
-  for (auto& [zone, permit] : wanted) {
-    // Counts alone are worth a write only while somebody watches.
-    const auto said = said_.find(zone);
-    if (said != said_.end() && said->second.permit && !watched(known, zone)) {
-      permit.requests = said->second.permit->requests;
-      permit.refused = said->second.permit->refused;
-    }
-  }
-  if (auto say = summaries_due(now, wanted)) {
-    out.push_back(std::move(*say));
+  if (auto action = summaries_step(now, without_idle_counts(observed, summaries))) {
+    out.push_back(std::move(*action));
   }
   return out;
 }
 
-std::optional<UpstreamAction> UpstreamLease::permission_due(Micros now, bool heard,
-                                                            const std::map<std::string, Known>& known,
-                                                            const std::map<std::string, Permit>& summaries) {
+// Counts of requests alone are worth a write only while the coordinator watches them.
+SummariesByZone UpstreamLease::without_idle_counts(const ObservedByZone& observed,
+                                                   SummariesByZone summaries) const {
+  for (auto& [zone, report] : summaries) {
+    const auto stored = stored_.find(zone);
+    if (stored != stored_.end() && stored->second.report && !is_watched(observed, zone)) {
+      report.requests = stored->second.report->requests;
+      report.refused = stored->second.report->refused;
+    }
+  }
+  return summaries;
+}
+
+std::optional<UpstreamAction> UpstreamLease::lease_step(Micros now, bool connected,
+                                                        const ObservedByZone& observed,
+                                                        const SummariesByZone& summaries) {
   const bool candidate = lease_.phase(now) == Phase::kCandidate;
-  if (!may_ask(now, heard) || (candidate && known.size() < zones_.size())) {
+  if (!may_call(now, connected) || (candidate && observed.size() < zones_.size())) {
     return std::nullopt;
   }
-  const std::optional<Order> order = lease_.due(now);
-  if (!order) {
+  const std::optional<Order> call = lease_.due(now);
+  if (!call) {
     return std::nullopt;
   }
-  LeaseAction ask;
-  ask.order = *order;
-  if (order->ask == Ask::kAcquire) {
-    leave();
+  LeaseAction action;
+  action.call = *call;
+  if (call->ask == Ask::kAcquire) {
+    forget_summaries();
     for (const std::string& zone : zones_) {
-      ask.summaries.push_back(ZoneSummary{zone, summaries.at(zone), 0});
+      action.summaries.push_back(ZoneSummary{zone, summaries.at(zone), 0});
     }
-    ask.known = known;
-    saying_ = ask.summaries;
+    action.observed = observed;
+    in_flight_ = action.summaries;
   }
-  return ask;
+  return action;
 }
 
-// Rounds and changes go by in a moment as a rule: who is awaited is said only where that lasts.
-bool UpstreamLease::worth_saying(Micros now, Said& said, const Permit& permit) {
-  if (!said.permit || !same_statement(*said.permit, permit)) {
-    return true;
-  }
-  if (permit.awaits == said.permit->awaits) {
-    said.awaits_since.reset();
-    return false;
-  }
-  said.awaits_since = said.awaits_since.value_or(now);
-  return now - *said.awaits_since >= kAwaitsToldAfter;
-}
-
-std::optional<UpstreamAction> UpstreamLease::summaries_due(Micros now,
-                                                           const std::map<std::string, Permit>& summaries) {
-  if (!joined_ || say_out_ || now < say_after_ || !lease_.may_act(now)) {
+std::optional<UpstreamAction> UpstreamLease::summaries_step(Micros now, const SummariesByZone& summaries) {
+  if (now < next_write_at_ || !may_write(now)) {
     return std::nullopt;
   }
-  ReportSummariesAction say;
-  for (const auto& [zone, permit] : summaries) {
-    const auto said = said_.find(zone);
-    if (said == said_.end() || !worth_saying(now, said->second, permit)) {
-      continue;
+  ReportSummariesAction action;
+  for (const auto& [zone, report] : summaries) {
+    const auto stored = stored_.find(zone);
+    if (stored != stored_.end() && needs_write(now, stored->second, report)) {
+      action.summaries.push_back(ZoneSummary{zone, report, stored->second.revision});
     }
-    say.summaries.push_back(ZoneSummary{zone, permit, said->second.modified});
   }
-  if (say.summaries.empty()) {
+  if (action.summaries.empty()) {
     return std::nullopt;
   }
-  say.number = ++say_number_;
-  say_out_ = true;
-  saying_ = say.summaries;
-  return say;
+  action.call_id = ++last_write_id_;
+  write_in_flight_ = true;
+  in_flight_ = action.summaries;
+  return action;
+}
+
+bool UpstreamLease::needs_write(Micros now, StoredSummary& stored, const Permit& report) {
+  if (!stored.report || !is_equivalent(*stored.report, report)) {
+    return true;
+  }
+  if (report.awaits == stored.report->awaits) {
+    stored.awaits_differs_since.reset();
+    return false;
+  }
+  stored.awaits_differs_since = stored.awaits_differs_since.value_or(now);
+  return now - *stored.awaits_differs_since >= kAwaitsWriteDelay;
 }
 
-bool UpstreamLease::may_ask(Micros now, bool heard) const {
-  return heard || lease_.phase(now) == Phase::kStopped;
+// A lease that is to be released is released also while the store does not answer.
+bool UpstreamLease::may_call(Micros now, bool connected) const {
+  return connected || lease_.phase(now) == Phase::kStopped;
 }
 
-// While it may not ask, only news can change that.
-std::optional<Micros> UpstreamLease::next_step_at(Micros now, bool heard) const {
-  std::optional<Micros> out = may_ask(now, heard) ? lease_.next(now) : std::nullopt;
+// While no call may be made, time alone changes nothing: only a message from the store does.
+std::optional<Micros> UpstreamLease::next_step_at(Micros now, bool connected) const {
+  std::optional<Micros> out = may_call(now, connected) ? lease_.next(now) : std::nullopt;
   if (lease_.may_act(now)) {
-    out = std::min(out.value_or(lease_.until()), lease_.until());
+    out = earlier(out, lease_.until());
   }
-  if (say_after_ > now) {
-    out = std::min(out.value_or(say_after_), say_after_);
+  if (next_write_at_ > now) {
+    out = earlier(out, next_write_at_);
   }
-  const bool may_say = joined_ && !say_out_ && lease_.may_act(now);
-  for (const auto& [zone, said] : said_) {
-    if (may_say && said.awaits_since) {
-      const Micros told = *said.awaits_since + kAwaitsToldAfter;
-      out = std::min(out.value_or(told), told);
+  for (const auto& [zone, stored] : stored_) {
+    if (may_write(now) && stored.awaits_differs_since) {
+      out = earlier(out, *stored.awaits_differs_since + kAwaitsWriteDelay);
     }
   }
   return out;
 }
 
-void UpstreamLease::leave() {
+std::optional<Micros> UpstreamLease::valid_until() const {
+  return joined_ ? std::optional<Micros>(lease_.until()) : std::nullopt;
+}
+
+// ---- Answers ----
+
+void UpstreamLease::forget_summaries() {
   joined_ = false;
-  say_out_ = false;
-  said_.clear();
-  saying_.clear();
+  write_in_flight_ = false;
+  stored_.clear();
+  in_flight_.clear();
 }
 
-void UpstreamLease::on_join_result(Micros now, std::uint64_t number, const JoinResult& reply) {
-  if (!reply.joined) {
-    lease_.refused(now, number);
+void UpstreamLease::on_join_result(Micros now, std::uint64_t call_id, const JoinResult& result) {
+  if (result.status != JoinResult::Status::kJoined) {
+    lease_.refused(now, call_id);
     if (lease_.term() == 0) {
-      leave();
+      forget_summaries();
     }
     return;
   }
-  lease_.granted(now, number, 1);
+  lease_.granted(now, call_id, kTerm);
   if (lease_.term() == 0 || joined_) {
-    return;  // of a call that was given up
+    return;  // the answer to a call that is no longer awaited
   }
   joined_ = true;
-  record_to_know_ = reply.acknowledged;
-  for (const ZoneSummary& one : std::exchange(saying_, {})) {
-    said_[one.zone] = Said{one.permit, reply.modified, std::nullopt};
+  required_acknowledgement_revision_ = result.acknowledgement_revision;
+  for (const ZoneSummary& summary : std::exchange(in_flight_, {})) {
+    stored_[summary.zone] = StoredSummary{summary.report, result.written_revision, std::nullopt};
   }
 }
 
-void UpstreamLease::on_renew_result(Micros now, std::uint64_t number, bool alive) {
-  if (alive) {
-    lease_.granted(now, number, 1);
+void UpstreamLease::on_renew_result(Micros now, std::uint64_t call_id, RenewResult result) {
+  if (result == RenewResult::kRenewed) {
+    lease_.granted(now, call_id, kTerm);
     return;
   }
-  lease_.refused(now, number);
+  lease_.refused(now, call_id);
   if (lease_.term() == 0) {
-    leave();
+    forget_summaries();
   }
 }
 
-void UpstreamLease::on_release_result(Micros now, std::uint64_t number) {
-  lease_.granted(now, number, 0);
+void UpstreamLease::on_release_result(Micros now, std::uint64_t call_id) {
+  lease_.granted(now, call_id, kReleasedTerm);
   if (lease_.over()) {
-    leave();
+    forget_summaries();
   }
 }
 
-void UpstreamLease::on_no_response(Micros now, std::uint64_t number) {
-  lease_.lost(now, number);
+void UpstreamLease::on_no_response(Micros now, std::uint64_t call_id) {
+  lease_.lost(now, call_id);
   if (!joined_) {
-    saying_.clear();  // the summaries may stand there or not: it joins anew, under another lease
+    in_flight_.clear();  // whether or not they were written: the next join has another lease and other keys
   }
 }
 
-void UpstreamLease::on_write_result(Micros now, std::uint64_t number, const SummaryWriteResult& reply) {
-  if (!say_out_ || number != say_number_) {
+void UpstreamLease::on_write_result(Micros now, std::uint64_t call_id, const SummaryWriteResult& result) {
+  if (!write_in_flight_ || call_id != last_write_id_) {
     return;
   }
-  say_out_ = false;
-  for (const ZoneSummary& one : std::exchange(saying_, {})) {
-    Said& said = said_[one.zone];
-    const auto modified = reply.modified.find(one.zone);
-    said.modified = modified == reply.modified.end() ? said.modified : modified->second;
-    said.awaits_since.reset();
-    if (reply.status == SummaryWriteResult::Status::kWritten) {
-      said.permit = one.permit;
+  write_in_flight_ = false;
+  for (const ZoneSummary& summary : std::exchange(in_flight_, {})) {
+    StoredSummary& stored = stored_[summary.zone];
+    const auto revision = result.revisions.find(summary.zone);
+    stored.revision = revision == result.revisions.end() ? stored.revision : revision->second;
+    stored.awaits_differs_since.reset();
+    if (result.status == SummaryWriteResult::Status::kWritten) {
+      stored.report = summary.report;
     } else {
-      said.permit.reset();  // it is said again over whatever stands there
-    }
-  }
-  say_after_ = reply.status == SummaryWriteResult::Status::kUnknown ? now + rules_.retry : now;
-}
-
-// ---- The store's calls ----
-
-std::string summary_key(const std::string& prefix, const std::string& name, const std::string& zone,
-                        LeaseId lease) {
-  return prefix + policy::permit_key(name + "." + zone, lease);
-}
-
-Transaction join_transaction(const std::string& prefix, const std::string& name, LeaseId lease,
-                             const LeaseAction& ask) {
-  Transaction out;
-  if (!ask.known.empty()) {
-    const Known& any = ask.known.begin()->second;
-    out.when = {coordination::unchanged(prefix + policy::kChangeKey, any.change_modified),
-                coordination::unchanged(prefix + policy::kCurrentKey, any.current_modified)};
-  }
-  for (const auto& [zone, known] : ask.known) {
-    out.when.push_back(coordination::unchanged(prefix + policy::kZones + zone, known.zone_modified));
-  }
-  for (const ZoneSummary& one : ask.summaries) {
-    out.then.push_back(
-        Put{summary_key(prefix, name, one.zone, lease), policy::write_permit(one.permit), lease});
-  }
-  // Not compared: while rounds follow each other without pause, far away hardly anybody could join.
-  out.then.push_back(Get{Range{prefix + policy::kAcknowledgedKey, false}});
-  return out;
-}
-
-JoinResult read_join_result(const coordination::Outcome& outcome) {
-  JoinResult out;
-  out.joined = outcome.succeeded;
-  out.modified = outcome.revision;
-  if (outcome.succeeded && !outcome.steps.empty()) {
-    const auto& found = outcome.steps.back().found;
-    out.acknowledged = found.empty() ? 0 : found.front().modified;
-  }
-  return out;
-}
-
-Transaction summary_transaction(const std::string& prefix, const std::string& name, LeaseId lease,
-                                const ReportSummariesAction& say) {
-  Transaction out;
-  for (const ZoneSummary& one : say.summaries) {
-    const std::string key = summary_key(prefix, name, one.zone, lease);
-    out.when.push_back(coordination::unchanged(key, one.expected));
-    out.then.push_back(Put{key, policy::write_permit(one.permit), lease});
-    out.otherwise.push_back(Get{Range{key, false}});
-  }
-  return out;
-}
-
-SummaryWriteResult read_write_result(const coordination::Outcome& outcome, const ReportSummariesAction& say) {
-  SummaryWriteResult out;
-  out.status =
-      outcome.succeeded ? SummaryWriteResult::Status::kWritten : SummaryWriteResult::Status::kConflict;
-  for (std::size_t i = 0; i < say.summaries.size(); ++i) {
-    Revision modified = outcome.revision;
-    if (!outcome.succeeded) {
-      const auto& found = outcome.steps.at(i).found;
-      modified = found.empty() ? 0 : found.front().modified;
+      stored.report.reset();  // unknown: it is written again over whatever stands there
     }
-    out.modified[say.summaries[i].zone] = modified;
   }
-  return out;
+  const bool retries_later = result.status == SummaryWriteResult::Status::kUnknown;
+  next_write_at_ = retries_later ? now + options_.retry : now;
 }
 
 }  // namespace trailcourse::aggregation
--- a/src/aggregation/upstream_lease.h
+++ b/src/aggregation/upstream_lease.h
@@ -1,10 +1,7 @@
-// An aggregator's own permission at the store above, and the summaries that stand there under it: one permit
-// for each zone that it serves, all under one lease. To whoever drives a change it is a router like any
-// other.
+// An aggregator's own lease at the store, and the summaries that stand there under it.
 //
-// A summary is written only over the one that this aggregator wrote last, by compare-and-set, so that a write
-// that arrives late changes nothing. All of them end with the lease, and each start has a lease of its own:
-// what an aggregator says after a pause that outlived its lease is refused by the store.
+// All summaries end with the lease, and each start of an aggregator has a lease of its own. What an aggregator
+// writes after a pause that outlived its lease is rejected by the store.
 //
 // Package `aggregation`: no I/O, no clock; time is Micros of the caller's steady clock. Not thread-safe.
 #pragma once
@@ -15,118 +12,73 @@
 #include <map>
 #include <optional>
 #include <string>
-#include <variant>
+#include <utility>
 #include <vector>
 
-#include "coordination/types.h"
-#include "ownership/lease.h"
-#include "policy/change.h"
-#include "policy/holder.h"
+#include "aggregation/upstream_calls.h"
 
 namespace trailcourse::aggregation {
 
-// A zone's summary as it is to stand in the store.
-struct ZoneSummary {
-  std::string zone;
-  policy::Permit permit;
-  coordination::Revision expected = 0;  // at which its key was written last
-};
-
-// Acquire: join with these summaries where the change and the versions are as `known` says. Renew, release:
-// the lease alone.
-struct LeaseAction {
-  ownership::Order order;
-  std::vector<ZoneSummary> summaries;
-  std::map<std::string, policy::Known> known;  // by zone
-};
-struct ReportSummariesAction {
-  std::uint64_t number = 0;
-  std::vector<ZoneSummary> summaries;
-};
-using UpstreamAction = std::variant<LeaseAction, ReportSummariesAction>;
-
-// What became of a try to join.
-struct JoinResult {
-  bool joined = false;
-  coordination::Revision modified = 0;      // at which the summaries were written
-  coordination::Revision acknowledged = 0;  // of the record of acknowledged events, as it stood then
-};
-
-// What became of a write of summaries.
-struct SummaryWriteResult {
-  enum class Status {
-    kWritten,
-    kConflict,  // not done: a key was not as expected; `modified` says how it is
-    kUnknown    // no answer: done or not
-  };
-  Status status = Status::kUnknown;
-  std::map<std::string, coordination::Revision> modified;  // by zone; 0: there is no such key
-};
-
 class UpstreamLease {
  public:
-  UpstreamLease(const ownership::LeaseRules& rules, std::vector<std::string> zones)
-      : rules_(rules), lease_(rules), zones_(std::move(zones)) {}
-
-  // What is to be done now. `heard`: whether the store is; without it permission is neither asked for nor
-  // renewed.
-  std::vector<UpstreamAction> step(Micros now, bool heard, const std::map<std::string, policy::Known>& known,
-                                   const std::map<std::string, policy::Permit>& summaries);
-  std::optional<Micros> next_step_at(Micros now, bool heard) const;
-
-  void on_join_result(Micros now, std::uint64_t number, const JoinResult& reply);
-  void on_renew_result(Micros now, std::uint64_t number, bool alive);
-  void on_release_result(Micros now, std::uint64_t number);
-  void on_no_response(Micros now, std::uint64_t number);
-  void on_write_result(Micros now, std::uint64_t number, const SummaryWriteResult& reply);
-
-  // Until when routers below may be given permission; before the present: not at all.
-  Micros valid_until() const { return joined_ ? lease_.until() : Micros(-1); }
+  UpstreamLease(const ownership::LeaseRules& options, std::vector<std::string> zones)
+      : options_(options), lease_(options), zones_(std::move(zones)) {}
+
+  // Returns the calls to make now. `connected` says whether the store answers; the lease is neither acquired
+  // nor renewed while it does not. `observed` and `summaries` are the current ones.
+  std::vector<UpstreamAction> step(Micros now, bool connected, const ObservedByZone& observed,
+                                   const SummariesByZone& summaries);
+  // Returns when step() may return something by time alone.
+  std::optional<Micros> next_step_at(Micros now, bool connected) const;
+
+  // The answers to the calls. An answer to a call that is no longer awaited is ignored.
+  void on_join_result(Micros now, std::uint64_t call_id, const JoinResult& result);
+  void on_renew_result(Micros now, std::uint64_t call_id, RenewResult result);
+  void on_release_result(Micros now, std::uint64_t call_id);
+  // A call for the lease was not answered in time: it may have been done or not.
+  void on_no_response(Micros now, std::uint64_t call_id);
+  void on_write_result(Micros now, std::uint64_t call_id, const SummaryWriteResult& result);
+
+  // Returns the time by which every lease granted to a router has to end, or nothing while not joined. It may
+  // be in the past.
+  std::optional<Micros> valid_until() const;
   bool is_active(Micros now) const { return joined_ && lease_.may_act(now); }
-  // The revision of the record of acknowledged events that has to be known before any router is given
-  // permission: whoever drives it has not awaited this aggregator for what the record asked then.
-  coordination::Revision required_acknowledgement_revision() const { return record_to_know_; }
-  // Gives the permission back. Only once no router below has any.
+  // Returns the revision of the acknowledgement record that the aggregator has to observe before it grants a
+  // lease to any router. The coordinator of the rounds did not wait for this aggregator before that revision.
+  coordination::Revision required_acknowledgement_revision() const {
+    return required_acknowledgement_revision_;
+  }
+  // Releases the lease. May be called only once no router has a lease any more.
   void stop(Micros now) { lease_.stop(now); }
   bool stopped() const { return lease_.over(); }
 
  private:
-  struct Said {
-    std::optional<policy::Permit> permit;  // as it stands there; none: not known
-    coordination::Revision modified = 0;
-    std::optional<Micros> awaits_since;  // since when another router is awaited than it says there
+  // A summary as it stands in the store.
+  struct StoredSummary {
+    std::optional<policy::Permit> report;  // nothing: unknown
+    coordination::Revision revision = 0;
+    std::optional<Micros> awaits_differs_since;  // since when another router is awaited than the stored one
   };
 
-  void leave();
-  bool may_ask(Micros now, bool heard) const;
-  std::optional<UpstreamAction> permission_due(Micros now, bool heard,
-                                               const std::map<std::string, policy::Known>& known,
-                                               const std::map<std::string, policy::Permit>& summaries);
-  std::optional<UpstreamAction> summaries_due(Micros now,
-                                              const std::map<std::string, policy::Permit>& summaries);
-  static bool worth_saying(Micros now, Said& said, const policy::Permit& permit);
+  void forget_summaries();
+  bool may_call(Micros now, bool connected) const;
+  bool may_write(Micros now) const { return joined_ && !write_in_flight_ && lease_.may_act(now); }
+  std::optional<UpstreamAction> lease_step(Micros now, bool connected, const ObservedByZone& observed,
+                                           const SummariesByZone& summaries);
+  std::optional<UpstreamAction> summaries_step(Micros now, const SummariesByZone& summaries);
+  SummariesByZone without_idle_counts(const ObservedByZone& observed, SummariesByZone summaries) const;
+  static bool needs_write(Micros now, StoredSummary& stored, const policy::Permit& report);
 
-  ownership::LeaseRules rules_;
+  ownership::LeaseRules options_;
   ownership::Lease lease_;
   std::vector<std::string> zones_;
   bool joined_ = false;
-  coordination::Revision record_to_know_ = 0;
-  std::map<std::string, Said> said_;  // by zone
-  std::vector<ZoneSummary> saying_;   // by the call that is out
-  std::uint64_t say_number_ = 0;
-  bool say_out_ = false;
-  Micros say_after_{0};
+  coordination::Revision required_acknowledgement_revision_ = 0;
+  std::map<std::string, StoredSummary> stored_;  // by zone
+  std::vector<ZoneSummary> in_flight_;           // the summaries of the call that is not answered yet
+  std::uint64_t last_write_id_ = 0;
+  bool write_in_flight_ = false;
+  Micros next_write_at_{0};
 };
 
-// The store's calls. `name`: the aggregator's.
-std::string summary_key(const std::string& prefix, const std::string& name, const std::string& zone,
-                        coordination::LeaseId lease);
-coordination::Transaction join_transaction(const std::string& prefix, const std::string& name,
-                                           coordination::LeaseId lease, const LeaseAction& ask);
-coordination::Transaction summary_transaction(const std::string& prefix, const std::string& name,
-                                              coordination::LeaseId lease, const ReportSummariesAction& say);
-// Of their outcomes.
-JoinResult read_join_result(const coordination::Outcome& outcome);
-SummaryWriteResult read_write_result(const coordination::Outcome& outcome, const ReportSummariesAction& say);
-
 }  // namespace trailcourse::aggregation
--- a/src/program/aggregator_command.cpp
+++ b/src/program/aggregator_command.cpp
@@ -112,9 +112,9 @@
   for (;;) {
     const int signal = co_await signals.next();
     if (signal == SIGHUP) {
-      log_line(Level::kInfo) << service.report();
+      log_line(Level::kInfo) << service.status_line();
     } else if (!std::exchange(ending, true)) {
-      log_line(Level::kInfo) << "signal " << signal << ": draining, " << service.core().router_count()
+      log_line(Level::kInfo) << "signal " << signal << ": draining, " << service.aggregator().router_count()
                              << " routers have permission";
       scheduler.spawn(end_aggregator(scheduler, service, runner));
     }
@@ -137,7 +137,7 @@
   // Of no zone: work that is bound to a zone is its routers'.
   TaskRunner runner(
       scheduler, *store, own_work(file), prefix,
-      TaskRunner::Self{options.name, service.core().identity().incarnation, "", options.listen, ""});
+      TaskRunner::Self{options.name, service.aggregator().identity().incarnation, "", options.listen, ""});
   runner.add(tasks::kPolicyWork, [&](tasks::TaskContext context) {
     return std::make_unique<tasks::PolicyChangeTask>(scheduler, *store, prefix, file.policy,
                                                      std::move(context));
@@ -156,7 +156,7 @@
   log_line(Level::kInfo) << "aggregator " << options.name << " listens on " << options.listen << ", serves "
                          << options.zones.size() << " zones";
   scheduler.run();
-  log_line(Level::kInfo) << service.report();
+  log_line(Level::kInfo) << service.status_line();
   return 0;
 }
 
--- a/tests/acknowledgement_test.cpp
+++ b/tests/acknowledgement_test.cpp
@@ -250,7 +250,7 @@
   const Permit summary = summarize(asking(5), "edge", routers);
   EXPECT_EQ(summary.acknowledged, 4U);
   EXPECT_EQ(summary.awaits, "r2");
-  routers[2].permit.acknowledged = 6;
+  routers[2].report.acknowledged = 6;
   EXPECT_EQ(summarize(asking(5), "edge", routers).acknowledged, 5U) << "no more than it has heard itself";
 }
 
@@ -290,8 +290,8 @@
   const LeaseId lease = store.grant(0, 4'000, 0);
   const auto joined =
       aggregation::read_join_result(store.commit(aggregation::join_transaction("", "east", lease, ask)));
-  ASSERT_TRUE(joined.joined);
-  aggregator.upstream().on_join_result(kStart, ask.order.number, joined);
+  ASSERT_EQ(joined.status, aggregation::JoinResult::Status::kJoined);
+  aggregator.upstream().on_join_result(kStart, ask.call.number, joined);
   EXPECT_THROW(aggregator.grant(kStart, kTtl), RequestRejected);
   aggregator.on_changes(store.changes());
   EXPECT_NO_THROW(aggregator.grant(kStart, kTtl));
@@ -314,18 +314,18 @@
   const LeaseId late = leases.grant(kStart, kTtl, kUntil);
   const auto refused = [&](LeaseId lease, std::uint64_t round) {
     try {
-      leases.record_report("r1", lease, acknowledging(round));
+      leases.record_report(lease, {"r1", acknowledging(round)});
     } catch (const RequestRejected& error) {
-      return error.reason() == RequestRejected::Reason::kBackwards;
+      return error.reason() == RequestRejected::Reason::kOutOfOrder;
     }
     return false;
   };
   EXPECT_TRUE(refused(late, 4));
   EXPECT_TRUE(leases.reports("edge").empty()) << "what is refused changes nothing";
-  leases.record_report("r1", late, acknowledging(5));
-  leases.record_report("r1", late, acknowledging(7));
+  leases.record_report(late, {"r1", acknowledging(5)});
+  leases.record_report(late, {"r1", acknowledging(7)});
   EXPECT_TRUE(refused(late, 6));
-  EXPECT_EQ(leases.reports("edge").at(late).permit.acknowledged, 7U);
+  EXPECT_EQ(leases.reports("edge").at(late).report.acknowledged, 7U);
 }
 
 }  // namespace
