--- a/benchmarks/scale/aggregator_costs.cpp
+++ b/benchmarks/scale/aggregator_costs.cpp
@@ -54,7 +54,7 @@
     for (const aggregation::UpstreamAction& action : aggregator_.step(now_)) {
       if (const auto* lease = std::get_if<aggregation::LeaseAction>(&action)) {
         aggregator_.upstream().on_join_result(now_, lease->call.number,
-                                             {aggregation::JoinResult::Status::kJoined, 9, 0});
+                                              {aggregation::JoinResult::Status::kJoined, 9, 0});
       }
     }
     for (int i = 0; i < routers; ++i) {
--- a/benchmarks/scale/hollow_aggregator.cpp
+++ b/benchmarks/scale/hollow_aggregator.cpp
@@ -213,9 +213,9 @@
           return;
         }
         changed_ = true;
-        aggregator_->upstream().on_renew_result(clock(), call_id,
-                                                reply.succeeded ? aggregation::RenewResult::kRenewed
-                                                                : aggregation::RenewResult::kLeaseNotFound);
+        aggregator_->upstream().on_renew_result(
+            clock(), call_id,
+            reply.succeeded ? aggregation::RenewResult::kRenewed : aggregation::RenewResult::kLeaseNotFound);
       },
       no_response);
 }
--- a/src/aggregation/aggregator.cpp
+++ b/src/aggregation/aggregator.cpp
@@ -218,8 +218,7 @@
   for (const Step& operation : operations) {
     const Get* const get = std::get_if<Get>(&operation);
     if (get == nullptr || !get->range.key.starts_with(records_prefix)) {
-      throw RequestRejected(Reason::kUnsupported,
-                            "an aggregator has the policy's records, and nothing else");
+      throw RequestRejected(Reason::kUnsupported, "an aggregator has the policy's records, and nothing else");
     }
   }
 }
--- a/src/aggregation/options.h
+++ b/src/aggregation/options.h
@@ -19,7 +19,8 @@
   std::string listen;
   std::string name;
   std::vector<std::string> zones;
-  std::string board;  // of the discovery service; empty: this aggregator coordinates no acknowledgement rounds
+  std::string
+      board;  // of the discovery service; empty: this aggregator coordinates no acknowledgement rounds
   std::int64_t ttl_ms = 4'000;
   std::int64_t renew_ms = 500;
   double drift_percent = 1.0;
--- a/src/aggregation/report_summary.h
+++ b/src/aggregation/report_summary.h
@@ -34,6 +34,7 @@
 // store as the aggregator has read it. Without any router the result is that of a router with nothing left to
 // do, so that the coordinator does not wait for an empty zone. The caller fills in the number of the report
 // and the counts of requests, which are 0.
-policy::Permit summarize(const policy::Known& observed, const std::string& zone, const RouterReports& routers);
+policy::Permit summarize(const policy::Known& observed, const std::string& zone,
+                         const RouterReports& routers);
 
 }  // namespace trailcourse::aggregation
--- /dev/null
+++ b/tests/aggregation/aggregator_fixture.h
@@ -0,0 +1,172 @@
+// An aggregator before the real state of a store, both on one clock that a test moves.
+#pragma once
+
+#include <gtest/gtest.h>
+
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <variant>
+#include <vector>
+
+#include "aggregation/aggregator.h"
+#include "aggregation/rollout_states.h"
+#include "coordination/ledger.h"
+
+namespace trailcourse::aggregation {
+
+class AggregatorFixture : public testing::Test {
+ protected:
+  AggregatorFixture() : aggregator_(settings(), {kName, "1", {"edge", "west"}, ""}, kSeed) {
+    put(policy::kCurrentKey, std::to_string(kOldVersion));
+  }
+
+  static constexpr std::size_t kMaxRouters = 3;
+
+  // ---- The store ----
+
+  void put(const std::string& key, const std::string& value) {
+    store_.commit(coordination::Transaction{{}, {coordination::Put{key, value, 0}}, {}});
+    publish_changes();
+  }
+  void put_rollout(policy::ChangeState state) {
+    put(policy::kChangeKey, policy::write_change(rollout_in(state)));
+  }
+  // Hands the aggregator what has changed since the last call, once it has a snapshot.
+  void publish_changes() {
+    std::vector<coordination::Change> changes;
+    for (const coordination::Change& change : store_.changes()) {
+      if (change.entry.key.starts_with(policy::kRecords)) {
+        changes.push_back(change);
+      }
+    }
+    if (aggregator_.has_snapshot()) {
+      aggregator_.on_changes(changes);
+    }
+  }
+  void load_snapshot() {
+    aggregator_.on_snapshot(store_.get(coordination::Range{policy::kRecords, true}));
+    aggregator_.set_connected(true);
+  }
+  std::int64_t now_ms() const { return now_.count() / 1'000; }
+  std::optional<policy::Permit> stored_summary(const std::string& zone) {
+    const auto found = store_.get(coordination::Range{summary_key("", kName, zone, lease_), false});
+    return found.empty() ? std::nullopt : policy::read_permit(found.front().value);
+  }
+
+  // ---- The aggregator's calls ----
+
+  // Executes all calls that the aggregator makes now; each is answered at once.
+  void execute_steps() {
+    constexpr int kMaxSteps = 8;
+    for (int step = 0; step < kMaxSteps; ++step) {
+      for (const UpstreamAction& action : aggregator_.step(now_)) {
+        std::visit([this](const auto& call) { execute(call); }, action);
+      }
+    }
+  }
+  void execute(const LeaseAction& action) {
+    store_.expire(now_ms());
+    UpstreamLease& upstream = aggregator_.upstream();
+    const std::uint64_t call_id = action.call.number;
+    switch (action.call.ask) {
+      case ownership::Ask::kAcquire:
+        lease_ = store_.grant(now_ms(), kTtlMs, 0);
+        upstream.on_join_result(now_, call_id,
+                                read_join_result(store_.commit(join_transaction("", kName, lease_, action))));
+        return;
+      case ownership::Ask::kRenew: {
+        const bool renewed = store_.keep_alive(now_ms(), lease_) > 0;
+        upstream.on_renew_result(now_, call_id,
+                                 renewed ? RenewResult::kRenewed : RenewResult::kLeaseNotFound);
+        return;
+      }
+      case ownership::Ask::kRelease:
+        store_.revoke(lease_);
+        upstream.on_release_result(now_, call_id);
+        return;
+    }
+  }
+  void execute(const ReportSummariesAction& action) {
+    const auto outcome = store_.commit(summary_transaction("", kName, lease_, action));
+    aggregator_.upstream().on_write_result(now_, action.call_id, read_write_result(outcome, action));
+  }
+  // Returns the write of summaries that is due, without executing it.
+  std::optional<ReportSummariesAction> due_write() {
+    const std::vector<UpstreamAction> actions = aggregator_.step(now_);
+    if (actions.size() != 1 || !std::holds_alternative<ReportSummariesAction>(actions.front())) {
+      return std::nullopt;
+    }
+    return std::get<ReportSummariesAction>(actions.front());
+  }
+
+  // ---- Routers ----
+
+  static policy::Permit report_of(const std::string& zone, std::uint64_t version = kOldVersion) {
+    policy::Permit out;
+    out.incarnation = "1";
+    out.zone = zone;
+    out.version = version;
+    return out;
+  }
+  static policy::Permit suspended_report(const std::string& zone) {
+    policy::Permit out = report_of(zone);
+    out.held = step_in(policy::ChangeState::kHolding);
+    return out;
+  }
+  // Returns the router's write of its next report.
+  coordination::Transaction report_from(const std::string& router, coordination::LeaseId lease,
+                                        policy::Permit report) {
+    report.number = ++report_number_;
+    return {
+        {}, {coordination::Put{policy::permit_key(router, lease), policy::write_permit(report), lease}}, {}};
+  }
+  coordination::LeaseId join(const std::string& router, const std::string& zone) {
+    const coordination::LeaseId lease = aggregator_.grant(now_, kRouterTtl);
+    EXPECT_TRUE(aggregator_.commit(now_, report_from(router, lease, report_of(zone))).succeeded);
+    return lease;
+  }
+
+  // Expects `call` to be rejected for `reason`, to be counted and to change nothing else.
+  template <typename Call>
+  void expect_rejected(RequestRejected::Reason reason, Call call) {
+    const std::uint64_t rejected_before = aggregator_.counts().total_rejected();
+    const SummariesByZone summaries = aggregator_.summaries();
+    const std::size_t routers = aggregator_.router_count();
+    try {
+      call();
+      ADD_FAILURE() << "not rejected";
+    } catch (const RequestRejected& error) {
+      EXPECT_STREQ(to_string(error.reason()), to_string(reason)) << error.what();
+      EXPECT_STRNE(error.what(), "");
+    }
+    EXPECT_EQ(aggregator_.counts().total_rejected(), rejected_before + 1);
+    EXPECT_EQ(aggregator_.summaries(), summaries);
+    EXPECT_EQ(aggregator_.router_count(), routers);
+  }
+
+  static constexpr Micros kRouterTtl{3'000'000};
+
+  coordination::Ledger store_{coordination::Limits{}};
+  Aggregator aggregator_;
+  Micros now_{1'000'000};
+  coordination::LeaseId lease_ = 0;  // the aggregator's own
+  std::uint64_t report_number_ = 0;  // of the last report of any router
+
+ private:
+  static constexpr const char* kName = "agg";
+  static constexpr std::uint64_t kSeed = 5;  // of the ids of routers' leases
+  static constexpr std::int64_t kTtlMs = 4'000;
+
+  static AggregatorSettings settings() {
+    AggregatorSettings out;
+    out.lease.ttl = std::chrono::milliseconds(kTtlMs);
+    out.lease.margin = std::chrono::milliseconds(20);
+    out.lease.renew_after = std::chrono::milliseconds(500);
+    out.lease.retry = std::chrono::milliseconds(200);
+    out.routers.max_routers = kMaxRouters;
+    return out;
+  }
+};
+
+}  // namespace trailcourse::aggregation
--- /dev/null
+++ b/tests/aggregation/aggregator_service_test.cpp
@@ -0,0 +1,257 @@
+// An aggregator's server for routers and its calls to the store, over loopback sockets.
+#include <gtest/gtest.h>
+
+#include <random>
+#include <string>
+#include <vector>
+
+#include "aggregation/region.h"
+#include "fleet/fault_proxy.h"
+
+namespace trailcourse::aggregation {
+namespace {
+
+using coordination::Delete;
+using coordination::Get;
+using coordination::GrantedLease;
+using coordination::LeaseId;
+using coordination::Put;
+using coordination::Range;
+using coordination::Reply;
+using coordination::Result;
+using coordination::Revision;
+using coordination::SharedStore;
+using coordination::Transaction;
+
+TEST(AggregatorServiceTest, LeasesAreGrantedRenewedAndExpire) {
+  Region region;
+  const AggregatorService& service = region.add_aggregator("a1");
+  SharedStore& router = region.router();
+  const LeaseId lasting = region.acquire_lease(router);
+  const auto renewed = region.renew(router, lasting);
+  ASSERT_TRUE(renewed.done()) << renewed.why;
+  EXPECT_EQ(renewed.value.ttl, Micros(kLongTtl));
+  const LeaseId lease = region.acquire_lease(router, kShortTtl);
+  ASSERT_TRUE(region.until([&] { return service.aggregator().router_count() == 1; }))
+      << "the second is not renewed";
+  const auto gone = region.renew(router, lease);
+  ASSERT_TRUE(gone.done()) << gone.why;
+  EXPECT_EQ(gone.value.ttl, Micros(0));
+  EXPECT_TRUE(region.revoke(router, lease).done()) << "there is none any more, as requested";
+}
+
+TEST(AggregatorServiceTest, RevokedLeaseEndsAtOnce) {
+  Region region;
+  const AggregatorService& service = region.add_aggregator("a1");
+  SharedStore& router = region.router();
+  const LeaseId lease = region.acquire_lease(router);
+  ASSERT_TRUE(region.commit(router, report_write("r1", lease, report_of("east", 0))).done());
+  ASSERT_TRUE(region.revoke(router, lease).done());
+  EXPECT_EQ(service.aggregator().router_count(), 0U);
+  EXPECT_EQ(region.commit(router, report_write("r1", lease, report_of("east", 0, 2))).result,
+            Result::kRejected);
+}
+
+TEST(AggregatorServiceTest, ReportIsAcceptedOnlyIfTheRecordsAreAsTheRouterObserved) {
+  Region region;
+  region.add_aggregator("a1");
+  ASSERT_TRUE(
+      region.commit(region.direct_client(), Transaction{{}, {Put{at(policy::kCurrentKey), "5", 0}}, {}})
+          .done());
+  SharedStore& router = region.router();
+  RecordingWatcher watcher;
+  const auto watch = router.watch(Range{at("policy/"), true}, watcher);
+  ASSERT_TRUE(region.until([&] { return watcher.state.contains(at(policy::kCurrentKey)); }))
+      << watcher.disconnect_reason;
+  const Revision modified = watcher.state[at(policy::kCurrentKey)].modified;
+  const LeaseId lease = region.acquire_lease(router);
+  Transaction join = report_write("r1", lease, report_of("east", 5));
+  join.when = {coordination::unchanged(at(policy::kCurrentKey), modified + 1)};
+  const auto conflicting = region.commit(router, join);
+  ASSERT_TRUE(conflicting.done()) << conflicting.why;
+  EXPECT_FALSE(conflicting.value.succeeded);
+  join.when = {coordination::unchanged(at(policy::kCurrentKey), modified)};
+  const auto joined = region.commit(router, join);
+  ASSERT_TRUE(joined.done()) << joined.why;
+  EXPECT_TRUE(joined.value.succeeded);
+  // The summary takes over the version of a router that decides under another one.
+  ASSERT_TRUE(region.commit(router, report_write("r1", lease, report_of("east", 4, 2))).done());
+  ASSERT_TRUE(region.until([&] { return region.summaries()["a1.east"].version == 4; }));
+  const auto summaries = region.summaries();
+  EXPECT_EQ(summaries.at("a1.east").routers, 1U);
+  EXPECT_EQ(summaries.at("a1.east").awaits, "r1");
+  EXPECT_EQ(summaries.at("a1.west").version, 5U);
+  router.unwatch(watch);
+}
+
+TEST(AggregatorServiceTest, WatchDeliversTheStoresRecordsRevisionsAndId) {
+  Region region;
+  region.add_aggregator("a1");
+  SharedStore& direct_client = region.direct_client();
+  SharedStore& router = region.router();
+  RecordingWatcher direct;
+  RecordingWatcher through_aggregator;
+  const auto first = direct_client.watch(Range{at("policy/"), true}, direct);
+  const auto second = router.watch(Range{at("policy/"), true}, through_aggregator);
+  ASSERT_TRUE(region.until([&] { return direct.snapshots == 1 && through_aggregator.snapshots == 1; }))
+      << through_aggregator.disconnect_reason;
+  for (int i = 0; i < 20; ++i) {
+    const std::string key = at(policy::kDocuments + std::to_string(i % 3));
+    const coordination::Step step = i % 7 == 6 ? coordination::Step(Delete{Range{key, false}})
+                                               : coordination::Step(Put{key, std::to_string(i), 0});
+    ASSERT_TRUE(region.commit(direct_client, Transaction{{}, {step}, {}}).done());
+    ASSERT_TRUE(region.commit(direct_client, Transaction{{}, {Put{at("elsewhere"), "x", 0}}, {}}).done());
+  }
+  ASSERT_TRUE(
+      region.until([&] { return !direct.state.empty() && direct.state == through_aggregator.state; }));
+  EXPECT_EQ(through_aggregator.snapshots, 1) << "later changes are delivered one by one";
+  EXPECT_EQ(router.id(), direct_client.id());
+  const auto read = region.commit(router, Transaction{{}, {Get{Range{at("policy/"), true}}}, {}});
+  ASSERT_TRUE(read.done()) << read.why;
+  EXPECT_EQ(read.value.steps.at(0).found.size(), direct.state.size());
+  direct_client.unwatch(first);
+  router.unwatch(second);
+}
+
+TEST(AggregatorServiceTest, UnsupportedCallsAreRejectedWithAReasonAndChangeNothing) {
+  Region region;
+  const AggregatorService& service = region.add_aggregator("a1");
+  SharedStore& router = region.router();
+  const LeaseId lease = region.acquire_lease(router);
+  ASSERT_TRUE(region.commit(router, report_write("r1", lease, report_of("east", 0, 5))).done());
+  // Requests for a lease before the aggregator had its own were rejected, too.
+  const std::uint64_t rejected_before = service.aggregator().counts().total_rejected();
+  const auto expect_rejected = [&](const Transaction& transaction, const std::string& word) {
+    const auto reply = region.commit(router, transaction);
+    EXPECT_EQ(reply.result, Result::kRejected) << word;
+    EXPECT_NE(reply.why.find(word), std::string::npos) << reply.why;
+  };
+  expect_rejected(report_write("r1", lease, report_of("east", 0, 4)), "number");
+  expect_rejected(report_write("r1", lease, report_of("north", 0, 6)), "zone");
+  expect_rejected(report_write("r1", lease + 1, report_of("east", 0, 6)), "lease not found");
+  expect_rejected(Transaction{{}, {Put{at(policy::permit_key("r1", lease)), "{", lease}}, {}}, "no permit");
+  expect_rejected(Transaction{{}, {Put{at(policy::kCurrentKey), "9", 0}}, {}}, "permits");
+  expect_rejected(Transaction{{}, {Delete{Range{at("policy/"), true}}}, {}}, "one permit");
+  expect_rejected(Transaction{{}, {Get{Range{at("fleet/"), true}}}, {}}, "policy's records");
+  EXPECT_EQ(service.aggregator().counts().total_rejected() - rejected_before, 7U);
+  EXPECT_EQ(service.aggregator().router_count(), 1U);
+  EXPECT_EQ(region.summaries()["a1.east"].version, 0U);
+}
+
+// Calls with changed bytes are answered or rejected, and the lease of another router is not affected.
+TEST(AggregatorServiceTest, MutatedCallsAreAnsweredOrRejected) {
+  Region region;
+  AggregatorService& service = region.add_aggregator("a1");
+  SharedStore& router = region.router();
+  const LeaseId lease = region.acquire_lease(router);
+  ASSERT_TRUE(region.commit(router, report_write("r1", lease, report_of("east", 0, 1))).done());
+  namespace etcd = coordination::etcd;
+  struct Call {
+    std::string path;
+    std::string body;
+  };
+  const std::vector<Call> calls{
+      {std::string(etcd::kGrantPath), etcd::write_grant({0, 3, 3'000}).dump()},
+      {std::string(etcd::kTxnPath),
+       etcd::write_transaction(report_write("r1", lease, report_of("east", 0, 2))).dump()},
+      {std::string(etcd::kTxnPath),
+       etcd::write_transaction(Transaction{{}, {Get{Range{at("policy/"), true}}}, {}}).dump()}};
+  int answered = 0;
+  for (std::uint64_t seed = 1; seed <= 6'000; ++seed) {
+    std::mt19937_64 random(seed);
+    auto [path, body] = calls[random() % calls.size()];
+    for (std::uint64_t changes = 1 + random() % 3; changes > 0 && !body.empty(); --changes) {
+      body[random() % body.size()] = static_cast<char>(random() % 256);
+    }
+    try {
+      answered += service.answer(path, etcd::parse_object(body)).status == 200 ? 1 : 0;
+    } catch (const etcd::BadMessage&) {
+    }
+    ASSERT_GE(service.aggregator().router_count(), 1U) << "seed " << seed;
+  }
+  EXPECT_GT(answered, 0);
+}
+
+TEST(AggregatorServiceTest, AnswersNothingBeforeTheStoreIsConnected) {
+  Region region;
+  const AggregatorService& service = region.add_aggregator("a1", region.free_address());
+  SharedStore& router = region.router();
+  const auto reply = region.grant(router, kLongTtl);
+  EXPECT_FALSE(reply.done());
+  EXPECT_EQ(router.id(), 0U);
+  EXPECT_EQ(service.aggregator().router_count(), 0U);
+}
+
+// The first aggregator has lost the store and grants nothing. Calls and watches continue at the second one, which
+// delivers what the first has not observed.
+TEST(AggregatorServiceTest, RoutersOfAnIsolatedAggregatorContinueAtTheNext) {
+  Region region;
+  const std::string between = region.free_address();
+  fleet::FaultProxy proxy(region.scheduler, "a1>store", *transport::parse_address(between),
+                          *transport::parse_address(region.store_address()));
+  const AggregatorService& first = region.add_aggregator("a1", between, 4'000);
+  const AggregatorService& second = region.add_aggregator("a2");
+  ASSERT_TRUE(region.await_active(first));
+  ASSERT_TRUE(region.await_active(second));
+  SharedStore& router = region.router();
+  RecordingWatcher watcher;
+  const auto watch = router.watch(Range{at("policy/"), true}, watcher);
+  ASSERT_TRUE(region.until([&] { return watcher.snapshots == 1; })) << watcher.disconnect_reason;
+  region.acquire_lease(router, kShortTtl);
+  ASSERT_EQ(first.aggregator().counts().granted, 1U) << "the first endpoint is tried first";
+  ASSERT_EQ(second.aggregator().counts().granted, 0U);
+  proxy.apply(fleet::read_script("0 cut a1>store both").at(0));
+  ASSERT_TRUE(region.until([&] {
+    region.acquire_lease(router, kShortTtl);
+    return second.aggregator().counts().granted > 0;
+  }));
+  ASSERT_TRUE(
+      region.commit(region.direct_client(), Transaction{{}, {Put{at(policy::kCurrentKey), "5", 0}}, {}})
+          .done());
+  EXPECT_TRUE(region.until([&] { return watcher.state.contains(at(policy::kCurrentKey)); }))
+      << watcher.disconnect_reason;
+  // All leases of the first have expired by the time that its own expires in the store.
+  ASSERT_TRUE(region.until([&] { return !region.summaries().contains("a1.east"); }));
+  EXPECT_FALSE(first.aggregator().upstream().is_active(Region::now()));
+  router.unwatch(watch);
+}
+
+TEST(AggregatorServiceTest, RouterOfAStoppedAggregatorJoinsTheNextUnderANewLease) {
+  Region region;
+  const AggregatorService& first = region.add_aggregator("a1");
+  const AggregatorService& second = region.add_aggregator("a2");
+  ASSERT_TRUE(region.await_active(first));
+  ASSERT_TRUE(region.await_active(second));
+  SharedStore& router = region.router();
+  const LeaseId lease = region.acquire_lease(router);
+  region.stop_aggregator(0);
+  Reply<GrantedLease> renewed;
+  ASSERT_TRUE(region.until([&] { return (renewed = region.renew(router, lease)).done(); })) << renewed.why;
+  EXPECT_EQ(renewed.value.ttl, Micros(0));
+  region.acquire_lease(router);
+  EXPECT_EQ(second.aggregator().router_count(), 1U);
+}
+
+TEST(AggregatorServiceTest, DrainingReleasesTheLeaseOnceNoRouterHasOne) {
+  Region region;
+  AggregatorService& service = region.add_aggregator("a1");
+  SharedStore& router = region.router();
+  const LeaseId lease = region.acquire_lease(router, kShortTtl);
+  ASSERT_EQ(service.page("/healthz")->status, 200);
+  ASSERT_EQ(region.summaries().count("a1.east"), 1U);
+  service.drain();
+  const auto renewed = region.renew(router, lease);
+  EXPECT_FALSE(renewed.done() && renewed.value.ttl > Micros(0));
+  EXPECT_FALSE(region.grant(router, kLongTtl).done());
+  ASSERT_TRUE(region.until([&] {
+    EXPECT_FALSE(service.drained() && service.aggregator().router_count() > 0)
+        << "a router may still decide under its lease";
+    return service.drained();
+  }));
+  EXPECT_EQ(region.summaries().count("a1.east"), 0U);
+  EXPECT_EQ(service.page("/healthz")->status, 503);
+  EXPECT_FALSE(service.page("/elsewhere").has_value());
+}
+
+}  // namespace
+}  // namespace trailcourse::aggregation
