--- a/src/aggregation/aggregator_service.cpp
+++ b/src/aggregation/aggregator_service.cpp
@@ -41,7 +41,8 @@
   return text;
 }
 
-// A router's client tries the next aggregator after "unavailable", and gives the call up after any other error.
+// A router's client tries the next aggregator after "unavailable", and gives the call up after any other
+// error.
 coordination::EtcdService::Answer answer_to(const RequestRejected& error) {
   const std::string text = std::string("etcdserver: ") + error.what();
   if (is_retryable_elsewhere(error.reason())) {
--- a/src/aggregation/aggregator_service.h
+++ b/src/aggregation/aggregator_service.h
@@ -29,8 +29,8 @@
 
   // Starts to watch the store and to listen for routers. Throws std::system_error.
   void start();
-  // Stops granting and renewing leases. The service is drained once no router has a lease any more and its own
-  // is released.
+  // Stops granting and renewing leases. The service is drained once no router has a lease any more and its
+  // own is released.
   void drain();
   bool drained() const { return aggregator_.drained(); }
   // Returns the longest time of a router's lease that was granted so far.
@@ -70,8 +70,8 @@
   void join(const LeaseAction& action, coordination::LeaseId lease);
   void renew(std::uint64_t call_id);
   void release(std::uint64_t call_id);
-  // Returns a handler of an answer that calls `handler` and schedules a step, unless the service is destroyed by
-  // then.
+  // Returns a handler of an answer that calls `handler` and schedules a step, unless the service is destroyed
+  // by then.
   template <typename Handler>
   auto while_alive(Handler handler);
 
--- a/src/aggregation/options.h
+++ b/src/aggregation/options.h
@@ -1,5 +1,5 @@
-// The options of the section `aggregator` of the operator's file, for an aggregator's process, and of the section
-// `aggregation`, for a router that uses aggregators.
+// The options of the section `aggregator` of the operator's file, for an aggregator's process, and of the
+// section `aggregation`, for a router that uses aggregators.
 //
 // Package `aggregation`.
 #pragma once
--- a/src/aggregation/report_summary.cpp
+++ b/src/aggregation/report_summary.cpp
@@ -60,7 +60,8 @@
 }
 
 // Whether the coordinator cannot mistake the report of this one router for that of all. A router may have
-// observed a step that the aggregator has not, and a router that joins later starts from the aggregator's state.
+// observed a step that the aggregator has not, and a router that joins later starts from the aggregator's
+// state.
 bool may_stand_for_all(const Known& observed, const std::string& zone, const Permit& report) {
   if (report.held != 0) {
     return is_settled(observed, report.held);
--- a/src/aggregation/report_summary.h
+++ b/src/aggregation/report_summary.h
@@ -1,9 +1,9 @@
 // The summary of the reports of all routers of a zone on a policy rollout.
 //
 // A summary never claims more than each router has reported: it is prepared, has suspended the old version or
-// has switched to the new one only once every router is or has. Nor does it claim more than the aggregator has
-// observed in the store itself, because a router that joins later starts from what the aggregator has observed.
-// It has acknowledged a round once every router has.
+// has switched to the new one only once every router is or has. Nor does it claim more than the aggregator
+// has observed in the store itself, because a router that joins later starts from what the aggregator has
+// observed. It has acknowledged a round once every router has.
 //
 // Package `aggregation`: no I/O, no clock.
 #pragma once
--- a/src/aggregation/router_leases.h
+++ b/src/aggregation/router_leases.h
@@ -2,8 +2,8 @@
 // router's lease ends before the aggregator's own does, so that no router decides for longer than the store
 // allows.
 //
-// A router counts from its first report until its lease expires or is revoked. This holds also if it has moved
-// to another aggregator meanwhile, because it may still decide under the lease granted here.
+// A router counts from its first report until its lease expires or is revoked. This holds also if it has
+// moved to another aggregator meanwhile, because it may still decide under the lease granted here.
 //
 // Package `aggregation`: no I/O, no clock; time is Micros of the aggregator's steady clock. Not thread-safe.
 #pragma once
@@ -28,8 +28,8 @@
   Micros min_ttl{100'000};          // shorter leases are rejected
 };
 
-// Requests of all routers of a zone since the aggregator started. The counts only grow, whichever routers join
-// or leave.
+// Requests of all routers of a zone since the aggregator started. The counts only grow, whichever routers
+// join or leave.
 struct RequestCounts {
   std::uint64_t requests = 0;
   std::uint64_t refused = 0;  // refused or failed
--- a/src/aggregation/upstream_calls.h
+++ b/src/aggregation/upstream_calls.h
@@ -1,8 +1,9 @@
-// The calls of an aggregator to the store: what it requests under its own lease, and how the answers are read.
+// The calls of an aggregator to the store: what it requests under its own lease, and how the answers are
+// read.
 //
-// In the store an aggregator looks like one router for each zone that it serves. It writes one summary for each
-// zone, all under one lease. A summary is written only over the aggregator's previous one, by compare-and-set,
-// so that a write that arrives late changes nothing.
+// In the store an aggregator looks like one router for each zone that it serves. It writes one summary for
+// each zone, all under one lease. A summary is written only over the aggregator's previous one, by
+// compare-and-set, so that a write that arrives late changes nothing.
 //
 // Package `aggregation`: no I/O, no clock.
 #pragma once
@@ -30,8 +31,8 @@
   coordination::Revision expected_revision = 0;  // of the last write of its key; 0: there is no such key
 };
 
-// A call for the aggregator's own lease. An acquisition also writes `summaries`, provided that the rollout and
-// the versions in the store are as in `observed`. A renewal and a release have neither.
+// A call for the aggregator's own lease. An acquisition also writes `summaries`, provided that the rollout
+// and the versions in the store are as in `observed`. A renewal and a release have neither.
 struct LeaseAction {
   ownership::Order call;
   std::vector<ZoneSummary> summaries;
--- a/src/aggregation/upstream_lease.h
+++ b/src/aggregation/upstream_lease.h
@@ -1,7 +1,7 @@
 // An aggregator's own lease at the store, and the summaries that stand there under it.
 //
-// All summaries end with the lease, and each start of an aggregator has a lease of its own. What an aggregator
-// writes after a pause that outlived its lease is rejected by the store.
+// All summaries end with the lease, and each start of an aggregator has a lease of its own. What an
+// aggregator writes after a pause that outlived its lease is rejected by the store.
 //
 // Package `aggregation`: no I/O, no clock; time is Micros of the caller's steady clock. Not thread-safe.
 #pragma once
--- a/tests/aggregation/aggregator_input_test.cpp
+++ b/tests/aggregation/aggregator_input_test.cpp
@@ -84,8 +84,8 @@
   EXPECT_EQ(aggregator_.keep_alive(now_, lease), seconds(3)) << "the lease is untouched";
 }
 
-// Whatever arrives is either a valid report of its lease, or rejected and counted. Other routers and the validity
-// of the summaries are not affected.
+// Whatever arrives is either a valid report of its lease, or rejected and counted. Other routers and the
+// validity of the summaries are not affected.
 TEST_F(AggregatorInputTest, MutatedReportsAndTransactionsAreAcceptedValidOrRejected) {
   put_rollout(ChangeState::kHolding);
   load_snapshot();
@@ -133,8 +133,8 @@
   EXPECT_EQ(aggregator_.keep_alive(now_, witness), seconds(3));
 }
 
-// Where a record of the store cannot be read, the aggregator has observed no rollout, and so have routers that join
-// from its state.
+// Where a record of the store cannot be read, the aggregator has observed no rollout, and so have routers
+// that join from its state.
 TEST_F(AggregatorInputTest, MutatedStoreRecordsAreReadValidOrNotAtAll) {
   std::mt19937_64 random(22);
   const std::string good = policy::write_change(rollout_in(ChangeState::kHolding));
--- a/tests/aggregation/aggregator_service_test.cpp
+++ b/tests/aggregation/aggregator_service_test.cpp
@@ -182,8 +182,8 @@
   EXPECT_EQ(service.aggregator().router_count(), 0U);
 }
 
-// The first aggregator has lost the store and grants nothing. Calls and watches continue at the second one, which
-// delivers what the first has not observed.
+// The first aggregator has lost the store and grants nothing. Calls and watches continue at the second one,
+// which delivers what the first has not observed.
 TEST(AggregatorServiceTest, RoutersOfAnIsolatedAggregatorContinueAtTheNext) {
   Region region;
   const std::string between = region.free_address();
--- a/tests/aggregation/region.h
+++ b/tests/aggregation/region.h
@@ -1,5 +1,5 @@
-// A region of real aggregators over loopback sockets: the server of a store, aggregators below it, and clients as
-// routers have them.
+// A region of real aggregators over loopback sockets: the server of a store, aggregators below it, and
+// clients as routers have them.
 #pragma once
 
 #include <gtest/gtest.h>
--- a/tests/aggregation/report_summary_test.cpp
+++ b/tests/aggregation/report_summary_test.cpp
@@ -91,7 +91,8 @@
     ChangeState by_aggregator;
     std::uint64_t rollout_of_aggregator;
   };
-  // No rollout is committed before the aggregator has reported its routers as suspended: it observed that much.
+  // No rollout is committed before the aggregator has reported its routers as suspended: it observed that
+  // much.
   const std::vector<ObservedStates> cases{{ChangeState::kPreparing, ChangeState::kDone, 2},
                                           {ChangeState::kPreparing, ChangeState::kHolding, 2},
                                           {ChangeState::kHolding, ChangeState::kPreparing, 3},
--- /dev/null
+++ b/tests/aggregation/version_order_check.h
@@ -0,0 +1,57 @@
+// The rule that a policy rollout keeps: once a request was decided under a version, no later request anywhere
+// is decided under an earlier one.
+#pragma once
+
+#include <algorithm>
+#include <cstddef>
+#include <cstdint>
+#include <map>
+#include <optional>
+#include <string>
+#include <vector>
+
+namespace trailcourse::aggregation {
+
+// Compares decisions of all zones, in true time, with the versions in the order of their commits.
+class VersionOrderCheck {
+ public:
+  // Notes the version in force in a zone. `commit` grows with each commit of the store.
+  void on_version_in_force(const std::string& zone, std::uint64_t version, std::uint64_t commit) {
+    std::vector<Term>& terms = terms_[zone];
+    if (terms.empty() || terms.back().version != version) {
+      terms.push_back({version, commit});
+    }
+  }
+
+  // Notes that a request was decided under a version. Returns how that breaks the rule, if it does.
+  std::optional<std::string> on_decision(const std::string& zone, std::uint64_t version) {
+    const std::vector<Term>& terms = terms_[zone];
+    std::size_t& current = last_term_[zone];
+    // Under this commit or a later one a request was decided already, here or in another zone.
+    for (std::size_t i = current; i < terms.size() && terms[i].commit <= last_commit_; ++i) {
+      current = i;
+    }
+    for (std::size_t i = current; i < terms.size(); ++i) {
+      if (terms[i].version == version) {
+        current = i;
+        last_commit_ = std::max(last_commit_, terms[i].commit);
+        return std::nullopt;
+      }
+    }
+    const bool was_in_force =
+        std::any_of(terms.begin(), terms.end(), [&](const Term& term) { return term.version == version; });
+    return was_in_force ? "after a request was decided under " + std::to_string(terms[current].version)
+                        : "which was never in force";
+  }
+
+ private:
+  struct Term {
+    std::uint64_t version = 0;
+    std::uint64_t commit = 0;
+  };
+  std::map<std::string, std::vector<Term>> terms_;  // by zone
+  std::map<std::string, std::size_t> last_term_;    // by zone: the index of the last decision's term
+  std::uint64_t last_commit_ = 0;                   // under which any request was decided
+};
+
+}  // namespace trailcourse::aggregation
