--- a/tests/aggregation/report_summary_test.cpp
+++ b/tests/aggregation/report_summary_test.cpp
@@ -149,12 +149,12 @@
 TEST(ReportSummaryTest, StageConcernsItsOwnZoneOnly) {
   Known observed = observed_in(ChangeState::kHolding);
   observed.change->stages = {"edge"};
-  const std::uint64_t step = policy::step_of(*known.change);
+  const std::uint64_t step = policy::step_of(*observed.change);
   EXPECT_EQ(summarize(observed, "edge", {}).held, step);
   EXPECT_EQ(summarize(observed, "west", {}).held, 0U);
   observed.change->stage = 1;
   EXPECT_EQ(summarize(observed, "edge", {}).held, 0U);
-  EXPECT_EQ(summarize(observed, "west", {}).held, policy::step_of(*known.change));
+  EXPECT_EQ(summarize(observed, "west", {}).held, policy::step_of(*observed.change));
 }
 
 TEST(ReportSummaryTest, NamesTheNumberOfRoutersAndOneThatIsAwaited) {
