--- a/benchmarks/scale/aggregator_costs.cpp
+++ b/benchmarks/scale/aggregator_costs.cpp
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "aggregation/aggregator.h"
-#include "policy/change.h"
+#include "policy/rollout.h"
 #include "role_costs.h"
 
 namespace trailcourse::scale {
@@ -66,14 +66,14 @@
   void renew(std::size_t router) { aggregator_.keep_alive(now_, leases_[router]); }
   void say(int router) {
     const LeaseId lease = leases_[static_cast<std::size_t>(router)];
-    policy::Permit permit;
+    policy::ParticipantReport permit;
     permit.incarnation = "0123456789abcdef";
     permit.zone = zone_name(router);
     permit.version = 812;
-    permit.number = ++number_;
+    permit.sequence = ++number_;
     aggregator_.commit(now_, {{},
-                              {coordination::Put{kPrefix + policy::permit_key(router_name(router), lease),
-                                                 policy::write_permit(permit), lease}},
+                              {coordination::Put{kPrefix + policy::report_key(router_name(router), lease),
+                                                 policy::write_report(permit), lease}},
                               {}});
   }
   void summarize() { keep_result(aggregator_.summaries()); }
--- a/benchmarks/scale/control_costs.cpp
+++ b/benchmarks/scale/control_costs.cpp
@@ -9,8 +9,8 @@
 #include "coordination/ledger.h"
 #include "membership/view.h"
 #include "ownership/lease_manager.h"
-#include "policy/change.h"
 #include "policy/options.h"
+#include "policy/rollout.h"
 #include "role_costs.h"
 
 namespace trailcourse::scale {
@@ -25,32 +25,33 @@
 
 // ---- The driver of a change ----
 
-policy::Change open_change() {
-  policy::Change out;
+policy::Rollout open_change() {
+  policy::Rollout out;
   out.id = 812;
-  out.version = 813;
-  out.before = 812;
+  out.target_version = 813;
+  out.previous_version = 812;
   return out;
 }
 
 // A store in which all of so many routers are ready for a change.
 coordination::Ledger ledger_with_permits(int permits) {
   coordination::Ledger ledger{coordination::Limits()};
-  const policy::Change change = open_change();
+  const policy::Rollout change = open_change();
   coordination::Transaction write;
-  write.then = {coordination::Put{std::string(kPrefix) + policy::kChangeKey, policy::write_change(change), 0},
-                coordination::Put{std::string(kPrefix) + policy::kCurrentKey, "812", 0}};
+  write.then = {
+      coordination::Put{std::string(kPrefix) + policy::kRolloutKey, policy::write_rollout(change), 0},
+      coordination::Put{std::string(kPrefix) + policy::kCurrentKey, "812", 0}};
   ledger.commit(write);
   for (int i = 0; i < permits; ++i) {
-    policy::Permit permit;
+    policy::ParticipantReport permit;
     permit.incarnation = "0123456789abcdef";
     permit.zone = zone_name(i);
-    permit.version = change.before;
-    permit.ready = policy::step_of(change);
-    permit.number = 2;
+    permit.version = change.previous_version;
+    permit.ready_stage = policy::stage_id(change);
+    permit.sequence = 2;
     const auto lease = static_cast<coordination::LeaseId>((123'456ULL << 20U) + static_cast<unsigned>(i));
-    const std::string key = kPrefix + policy::permit_key(router_name(i), lease);
-    ledger.commit({{}, {coordination::Put{key, policy::write_permit(permit), 0}}, {}});
+    const std::string key = kPrefix + policy::report_key(router_name(i), lease);
+    ledger.commit({{}, {coordination::Put{key, policy::write_report(permit), 0}}, {}});
   }
   return ledger;
 }
@@ -70,20 +71,20 @@
   const etcd::Header header{0xabcd'ef01'2345, 123'456'789};
   for (const int permits : kPermits) {
     coordination::Ledger ledger = ledger_with_permits(permits);
-    const coordination::Transaction look = policy::look(kPrefix);
+    const coordination::Transaction look = policy::snapshot_transaction(kPrefix);
     std::string answer;
     const int calls = std::max(1, 3'000 / permits);
     store.points.emplace_back(permits, cpu_us_per_call(calls, [&] {
                                 answer = etcd::write_outcome(header, look, ledger.commit(look)).dump();
                               }));
     bytes.points.emplace_back(permits, answer.size());
-    policy::Driver decides(policy::driver_rules(policy::PolicyOptions()));
-    driver.points.emplace_back(permits, cpu_us_per_call(calls, [&] {
-                                 etcd::Header told;
-                                 const auto outcome =
-                                     etcd::read_outcome(etcd::parse_object(answer), look, told);
-                                 keep_result(decides.next(Micros(1), policy::read_seen(kPrefix, outcome)));
-                               }));
+    policy::RolloutCoordinator decides(policy::rollout_timeouts(policy::PolicyOptions()));
+    driver.points.emplace_back(
+        permits, cpu_us_per_call(calls, [&] {
+          etcd::Header told;
+          const auto outcome = etcd::read_outcome(etcd::parse_object(answer), look, told);
+          keep_result(decides.step(Micros(1), policy::read_snapshot(kPrefix, outcome)));
+        }));
   }
   for (const CostSeries& series : {bytes, store, driver}) {
     sink(series);
--- a/benchmarks/scale/fleet_model.cpp
+++ b/benchmarks/scale/fleet_model.cpp
@@ -30,8 +30,8 @@
   out.routers = routers;
   out.flat = flat;
   out.seed = seed;
-  out.router.holder = policy::holder_rules(policy::PolicyOptions{});
-  out.aggregator.lease = out.router.holder.lease;
+  out.router.participant = policy::participant_options(policy::PolicyOptions{});
+  out.aggregator.lease = out.router.participant.lease;
   out.aggregator.lease.ttl = Micros(4'000'000);
   out.aggregator.lease.renew_after = Micros(500'000);
   return out;
@@ -45,8 +45,9 @@
   }
 }
 
-void RulingCheck::check_event(const HollowRouter& router, const policy::Ruling& ruling, Micros now) {
-  const bool decides = router.runs() && ruling.kind != policy::Ruling::Kind::kRefuse;
+void RulingCheck::check_event(const HollowRouter& router, const policy::EffectivePolicy& effective_policy,
+                              Micros now) {
+  const bool decides = router.runs() && effective_policy.kind != policy::EffectivePolicy::Kind::kReject;
   if (decides && router.event() < done_event_) {
     fail(now, router,
          "decides at event " + std::to_string(router.event()) + " though " + std::to_string(done_event_) +
@@ -60,7 +61,7 @@
   }
   done_event_ = event;
   for (const auto& router : *routers_) {
-    check_event(*router, router->ruling(), now);
+    check_event(*router, router->effective_policy(), now);
   }
 }
 
@@ -68,31 +69,32 @@
   if (!router.runs()) {
     return;
   }
-  const policy::Ruling ruling = router.ruling();
+  const policy::EffectivePolicy effective_policy = router.effective_policy();
   ++rulings_;
-  check_event(router, ruling, now);
-  if (ruling.kind != policy::Ruling::Kind::kVersion || ruling.version == newest_) {
+  check_event(router, effective_policy, now);
+  if (effective_policy.kind != policy::EffectivePolicy::Kind::kSingle ||
+      effective_policy.version == newest_) {
     return;
   }
-  if (ruling.version < newest_) {
+  if (effective_policy.version < newest_) {
     fail(now, router,
-         "decides under version " + std::to_string(ruling.version) + " after " + std::to_string(newest_) +
-             " was decided under");
+         "decides under version " + std::to_string(effective_policy.version) + " after " +
+             std::to_string(newest_) + " was decided under");
     return;
   }
-  if (ruling.version > store_.version_in_force()) {
+  if (effective_policy.version > store_.version_in_force()) {
     fail(now, router, "decides under a version that is not in force");
   }
-  if (aborted_.contains(ruling.version)) {
+  if (aborted_.contains(effective_policy.version)) {
     fail(now, router, "decides under a version whose change was aborted");
   }
-  newest_ = ruling.version;
+  newest_ = effective_policy.version;
   for (const auto& other : *routers_) {
     if (!other->runs()) {
       continue;
     }
-    const policy::Ruling theirs = other->ruling();
-    if (theirs.kind == policy::Ruling::Kind::kVersion && theirs.version < newest_) {
+    const policy::EffectivePolicy theirs = other->effective_policy();
+    if (theirs.kind == policy::EffectivePolicy::Kind::kSingle && theirs.version < newest_) {
       fail(now, *other, "may decide under the version before " + std::to_string(newest_) + " still");
     }
   }
@@ -114,14 +116,14 @@
 void FleetModel::build() {
   store_ = std::make_unique<HollowStore>(*simulation_);
   driver_ =
-      std::make_unique<HollowDriver>(*simulation_, *store_, policy::driver_rules(policy::PolicyOptions{}),
-                                     [this](const policy::Step& step) { stepped(step); });
+      std::make_unique<HollowDriver>(*simulation_, *store_, policy::rollout_timeouts(policy::PolicyOptions{}),
+                                     [this](const policy::RolloutStep& step) { stepped(step); });
   board_ = std::make_unique<HollowBoard>(*simulation_);
   acknowledgements_ = std::make_unique<HollowAcknowledgementDriver>(
       *simulation_, *store_, shape_.least_round,
       [this](const policy::Acknowledgement& record) { recorded(record); });
   board_->add(*acknowledgements_,
-              [this](const policy::BoardPosition& position) { acknowledgements_->took_in(position); });
+              [this](const policy::DiscoveryPosition& position) { acknowledgements_->took_in(position); });
   check_ = std::make_unique<RulingCheck>(*store_);
   std::vector<std::vector<std::string>> zones(static_cast<std::size_t>(shape_.regions));
   for (int i = 0; i < shape_.zones; ++i) {
@@ -184,8 +186,9 @@
 bool FleetModel::settled() const {
   const std::uint64_t version = store_->version_in_force();
   return std::all_of(routers_.begin(), routers_.end(), [version](const auto& router) {
-    const policy::Ruling ruling = router->ruling();
-    return !router->runs() || (ruling.kind == policy::Ruling::Kind::kVersion && ruling.version == version);
+    const policy::EffectivePolicy effective_policy = router->effective_policy();
+    return !router->runs() || (effective_policy.kind == policy::EffectivePolicy::Kind::kSingle &&
+                               effective_policy.version == version);
   });
 }
 
@@ -204,20 +207,20 @@
 
 // ---- Changes ----
 
-void FleetModel::stepped(const policy::Step& step) {
-  const policy::Change& change = step.change;
+void FleetModel::stepped(const policy::RolloutStep& step) {
+  const policy::Rollout& change = step.rollout;
   switch (change.state) {
-    case policy::ChangeState::kCommitted:
+    case policy::RolloutState::kCommitted:
       committed_at_ = now();
       return;
-    case policy::ChangeState::kDone:
+    case policy::RolloutState::kDone:
       finished_at_ = now();
       ++finished_;
       open_version_ = 0;
       return;
-    case policy::ChangeState::kAborted:
+    case policy::RolloutState::kAborted:
       ++aborted_;
-      check_->aborted(change.version);
+      check_->aborted(change.target_version);
       open_version_ = 0;
       return;
     default:
@@ -227,7 +230,7 @@
 
 void FleetModel::recorded(const policy::Acknowledgement& record) {
   ++rounds_;
-  done_event_ = std::max(done_event_, record.done.event);
+  done_event_ = std::max(done_event_, record.completed.sequence);
   check_->done(done_event_, now());
 }
 
@@ -318,18 +321,18 @@
 std::string FleetModel::describe() {
   std::string out = "version in force " + std::to_string(store_->version_in_force()) + ", event " +
                     std::to_string(done_event_) + " of " + std::to_string(published()) + " done";
-  const policy::Seen seen = store_->seen();
-  if (seen.change) {
-    out += "\n  " + policy::write_change(*seen.change);
+  const policy::RolloutSnapshot seen = store_->seen();
+  if (seen.rollout) {
+    out += "\n  " + policy::write_rollout(*seen.rollout);
   }
-  for (const std::string& one : policy::awaited(seen)) {
+  for (const std::string& one : policy::describe_pending(seen)) {
     out += "\n  " + one;
   }
   int described = 0;
   for (const auto& router : routers_) {
-    const policy::Ruling ruling = router->ruling();
-    const bool well =
-        ruling.kind == policy::Ruling::Kind::kVersion && ruling.version == store_->version_in_force();
+    const policy::EffectivePolicy effective_policy = router->effective_policy();
+    const bool well = effective_policy.kind == policy::EffectivePolicy::Kind::kSingle &&
+                      effective_policy.version == store_->version_in_force();
     if (!well && described++ < kMostDescribed) {
       out += "\n  " + router->describe();
     }
--- a/benchmarks/scale/fleet_model.h
+++ b/benchmarks/scale/fleet_model.h
@@ -61,7 +61,7 @@
 
  private:
   void fail(Micros now, const HollowRouter& router, const std::string& what);
-  void check_event(const HollowRouter& router, const policy::Ruling& ruling, Micros now);
+  void check_event(const HollowRouter& router, const policy::EffectivePolicy& effective_policy, Micros now);
 
   const HollowStore& store_;
   const std::vector<std::unique_ptr<HollowRouter>>* routers_ = nullptr;
@@ -98,7 +98,7 @@
   void propose(bool urgent);
   // The board tells a page of so many events; rounds of acknowledgement begin with the first one.
   void publish(std::uint64_t events);
-  std::uint64_t published() const { return board_->position().event; }
+  std::uint64_t published() const { return board_->position().sequence; }
   // The last event that every router is known to have taken in.
   std::uint64_t done_event() const { return done_event_; }
   std::uint64_t rounds() const { return rounds_; }
@@ -131,7 +131,7 @@
 
  private:
   void build();
-  void stepped(const policy::Step& step);
+  void stepped(const policy::RolloutStep& step);
   void recorded(const policy::Acknowledgement& record);
   void check_watches(int region);
   bool settled() const;
--- a/benchmarks/scale/hollow_aggregator.cpp
+++ b/benchmarks/scale/hollow_aggregator.cpp
@@ -15,12 +15,12 @@
 constexpr double kMostDrift = 0.00095;
 
 // The model has no stages, so no zone has a version of its own.
-policy::Known known_of(const coordination::Ledger& records) {
+policy::ObservedState known_of(const coordination::Ledger& records) {
   const auto entry = [&records](const std::string& key) {
     const auto found = records.entries().find(key);
     return found == records.entries().end() ? coordination::Entry{} : found->second;
   };
-  return policy::read_known(entry);
+  return policy::read_observed_state(entry);
 }
 
 }  // namespace
@@ -29,7 +29,7 @@
   auto out = std::make_shared<News>();
   out->known = known_of(records);
   out->whole = true;
-  out->entries = records.get(coordination::Range{policy::kRecords, true});
+  out->entries = records.get(coordination::Range{policy::kPolicyPrefix, true});
   const coordination::etcd::Header header{1, records.revision()};
   out->bytes = answer_bytes(coordination::etcd::write_entries(header, out->entries));
   return out;
--- a/benchmarks/scale/hollow_board.h
+++ b/benchmarks/scale/hollow_board.h
@@ -13,7 +13,7 @@
 
 class HollowBoard : public Node {
  public:
-  using Take = std::function<void(const policy::BoardPosition&)>;
+  using Take = std::function<void(const policy::DiscoveryPosition&)>;
 
   explicit HollowBoard(Simulation& simulation) : Node(simulation, "board", kNoRegion) {}
 
@@ -22,7 +22,7 @@
   void publish(std::uint64_t events);
   // A follower that was started, or can be reached again, asks for what it has missed.
   void catch_up(Node& node);
-  const policy::BoardPosition& position() const { return position_; }
+  const policy::DiscoveryPosition& position() const { return position_; }
 
  protected:
   void started() override {}
@@ -36,7 +36,7 @@
   void tell(const Follower& follower);
 
   std::map<std::uint64_t, Follower> followers_;  // by serial number: one order in each run
-  policy::BoardPosition position_{"board", 0};
+  policy::DiscoveryPosition position_{"board", 0};
 };
 
 }  // namespace trailcourse::scale
--- a/benchmarks/scale/hollow_client.h
+++ b/benchmarks/scale/hollow_client.h
@@ -11,7 +11,7 @@
 
 #include "coordination/judgement.h"
 #include "coordination/types.h"
-#include "policy/holder.h"
+#include "policy/participant.h"
 #include "scale/hollow_node.h"
 
 namespace trailcourse::scale {
@@ -20,7 +20,7 @@
 
 // What a watch of the policy's records tells.
 struct News {
-  policy::Known known;                        // for any zone: the model has no stages
+  policy::ObservedState known;                // for any zone: the model has no stages
   bool whole = false;                         // all entries, at the beginning or after a break
   std::vector<coordination::Entry> entries;   // of what is whole
   std::vector<coordination::Change> changes;  // of what is not
--- a/benchmarks/scale/hollow_driver.cpp
+++ b/benchmarks/scale/hollow_driver.cpp
@@ -144,7 +144,7 @@
 
 // ---- Changes of policy ----
 
-HollowDriver::HollowDriver(Simulation& simulation, HollowStore& store, const policy::DriverRules& rules,
+HollowDriver::HollowDriver(Simulation& simulation, HollowStore& store, const policy::RolloutTimeouts& rules,
                            Stepped stepped)
     : HollowStoreDriver(simulation, store, "driver"),
       rules_(rules),
@@ -157,23 +157,23 @@
 }
 
 void HollowDriver::replace() {
-  driver_ = policy::Driver(rules_);
+  coordinator_ = policy::RolloutCoordinator(rules_);
   change_open_ = true;
 }
 
 bool HollowDriver::concerns(const std::string& key) const {
-  return key == policy::kChangeKey || (change_open_ && key.starts_with(policy::kPermits));
+  return key == policy::kRolloutKey || (change_open_ && key.starts_with(policy::kReportPrefix));
 }
 
 HollowStoreDriver::Decision HollowDriver::decide(Micros now, const coordination::Outcome& outcome) {
-  const policy::Seen seen = policy::read_seen("", outcome);
-  change_open_ = seen.change && seen.change->open();
+  const policy::RolloutSnapshot seen = policy::read_snapshot("", outcome);
+  change_open_ = seen.rollout && seen.rollout->is_open();
   Decision out;
-  if (const std::optional<policy::Step> step = driver_.next(now, seen)) {
-    out.write = policy::carry_out("", seen, *step);
+  if (const std::optional<policy::RolloutStep> step = coordinator_.step(now, seen)) {
+    out.write = policy::execute_transaction("", seen, *step);
     out.written = [this, step = *step] { stepped_(step); };
   } else {
-    out.look_at = driver_.due();
+    out.look_at = coordinator_.next_step_at();
   }
   return out;
 }
@@ -183,19 +183,19 @@
   const std::uint64_t version = ++last_version_;
   read(
       [this, urgent, begun, refused, version](const Reply& reply) {
-        const policy::Seen seen = policy::read_seen("", reply.outcome);
+        const policy::RolloutSnapshot seen = policy::read_snapshot("", reply.outcome);
         bool superseded = false;
-        if (!policy::may_begin(seen, urgent, superseded).empty()) {
+        if (!policy::check_can_begin(seen, urgent, superseded).empty()) {
           refused();
           return;
         }
-        policy::Change change;
-        change.id = seen.change ? seen.change->id + 1 : 1;
-        change.version = version;
-        change.before = seen.current;
+        policy::Rollout change;
+        change.id = seen.rollout ? seen.rollout->id + 1 : 1;
+        change.target_version = version;
+        change.previous_version = seen.current_version;
         change.urgent = urgent;
         write(
-            policy::begin("", seen, change, kDocument, "begun"),
+            policy::begin_transaction("", seen, change, kDocument, "begun"),
             [begun, refused, version](const Reply& written) {
               written.done&& written.succeeded ? begun(version) : refused();
             },
@@ -209,10 +209,10 @@
 HollowAcknowledgementDriver::HollowAcknowledgementDriver(Simulation& simulation, HollowStore& store,
                                                          Micros least_round, Written written)
     : HollowStoreDriver(simulation, store, "acknowledgements"),
-      driver_(least_round),
+      coordinator_(least_round),
       written_(std::move(written)) {}
 
-void HollowAcknowledgementDriver::took_in(const policy::BoardPosition& position) {
+void HollowAcknowledgementDriver::took_in(const policy::DiscoveryPosition& position) {
   position_ = position;
   if (!round_open_) {
     look_soon();
@@ -220,19 +220,19 @@
 }
 
 bool HollowAcknowledgementDriver::concerns(const std::string& key) const {
-  return key == policy::kAcknowledgedKey || (round_open_ && key.starts_with(policy::kPermits));
+  return key == policy::kAcknowledgedKey || (round_open_ && key.starts_with(policy::kReportPrefix));
 }
 
 HollowStoreDriver::Decision HollowAcknowledgementDriver::decide(Micros now,
                                                                 const coordination::Outcome& outcome) {
-  const policy::AcknowledgementsSeen seen = policy::read_acknowledgements_seen("", outcome);
-  round_open_ = seen.record.round > 0 && seen.record.done != seen.record.asked;
+  const policy::AcknowledgementSnapshot seen = policy::read_acknowledgement_snapshot("", outcome);
+  round_open_ = seen.record.round > 0 && seen.record.completed != seen.record.requested;
   Decision out;
-  if (const auto next = driver_.next(now, seen, position_)) {
-    out.write = policy::write_record("", seen, *next);
+  if (const auto next = coordinator_.step(now, seen, position_)) {
+    out.write = policy::write_acknowledgement_transaction("", seen, *next);
     out.written = [this, record = *next] { written_(record); };
   }
-  out.look_at = driver_.due();
+  out.look_at = coordinator_.next_step_at();
   return out;
 }
 
--- a/benchmarks/scale/hollow_driver.h
+++ b/benchmarks/scale/hollow_driver.h
@@ -1,5 +1,5 @@
 // Whoever drives records of the store in a simulated fleet, as tasks::StoreDriverTask does: changes of policy
-// by the real policy::Driver, acknowledged events by the real policy::AcknowledgementDriver.
+// by the real policy::RolloutCoordinator, acknowledged events by the real policy::AcknowledgementCoordinator.
 #pragma once
 
 #include <functional>
@@ -7,7 +7,7 @@
 #include <string>
 
 #include "policy/acknowledgement.h"
-#include "policy/change.h"
+#include "policy/rollout.h"
 #include "scale/hollow_store.h"
 
 namespace trailcourse::scale {
@@ -53,9 +53,10 @@
 class HollowDriver : public HollowStoreDriver {
  public:
   // Told of each step that the store has taken.
-  using Stepped = std::function<void(const policy::Step&)>;
+  using Stepped = std::function<void(const policy::RolloutStep&)>;
 
-  HollowDriver(Simulation& simulation, HollowStore& store, const policy::DriverRules& rules, Stepped stepped);
+  HollowDriver(Simulation& simulation, HollowStore& store, const policy::RolloutTimeouts& rules,
+               Stepped stepped);
 
   // Staff propose a change; `refused` where one is open and this one is not urgent.
   void propose(bool urgent, std::function<void(std::uint64_t version)> begun, std::function<void()> refused);
@@ -66,12 +67,12 @@
 
  protected:
   void started() override;
-  coordination::Transaction looks_at() const override { return policy::look(""); }
+  coordination::Transaction looks_at() const override { return policy::snapshot_transaction(""); }
   Decision decide(Micros now, const coordination::Outcome& seen) override;
 
  private:
-  policy::DriverRules rules_;
-  policy::Driver driver_;
+  policy::RolloutTimeouts rules_;
+  policy::RolloutCoordinator coordinator_;
   Stepped stepped_;
   bool change_open_ = true;  // as it was seen last; true before
   std::uint64_t last_version_ = 0;
@@ -85,17 +86,19 @@
   HollowAcknowledgementDriver(Simulation& simulation, HollowStore& store, Micros least_round,
                               Written written);
 
-  void took_in(const policy::BoardPosition& position);
+  void took_in(const policy::DiscoveryPosition& position);
   bool concerns(const std::string& key) const override;
 
  protected:
-  coordination::Transaction looks_at() const override { return policy::look_at_acknowledgements(""); }
+  coordination::Transaction looks_at() const override {
+    return policy::acknowledgement_snapshot_transaction("");
+  }
   Decision decide(Micros now, const coordination::Outcome& seen) override;
 
  private:
-  policy::AcknowledgementDriver driver_;
+  policy::AcknowledgementCoordinator coordinator_;
   Written written_;
-  policy::BoardPosition position_;
+  policy::DiscoveryPosition position_;
   bool round_open_ = true;  // as it was seen last; true before
 };
 
--- a/benchmarks/scale/hollow_router.cpp
+++ b/benchmarks/scale/hollow_router.cpp
@@ -24,8 +24,8 @@
 void HollowRouter::started() {
   std::uniform_real_distribution<double> drift(-kMostDrift, kMostDrift);
   set_clock({1.0 + drift(simulation().random), Micros(1'000'000) + simulation().drawn(Micros(50'000'000))});
-  holder_.emplace(name() + "-" + std::to_string(incarnation()), zone_, rules_.holder,
-                  [](std::uint64_t) { return std::string(); });
+  participant_.emplace(name() + "-" + std::to_string(incarnation()), zone_, rules_.participant,
+                       [](std::uint64_t) { return std::string(); });
   last_document_ = 0;
   position_ = {};
   if (board_ != nullptr) {
@@ -37,10 +37,10 @@
 // Pages may overtake each other.
 void HollowRouter::follow(HollowBoard& board) {
   board_ = &board;
-  board.add(*this, [this](const policy::BoardPosition& position) {
-    if (position.event > position_.event) {
+  board.add(*this, [this](const policy::DiscoveryPosition& position) {
+    if (position.sequence > position_.sequence) {
       position_ = position;
-      holder_->took_in(clock(), position);
+      participant_->on_events_applied(clock(), position);
     }
   });
 }
@@ -48,11 +48,11 @@
 void HollowRouter::woken() { ruled_(*this); }
 
 void HollowRouter::turn() {
-  for (const policy::HolderOrder& order : holder_->due(clock())) {
+  for (const policy::ParticipantAction& order : participant_->step(clock())) {
     std::visit([this](const auto& one) { carry_out(one); }, order);
   }
   ruled_(*this);
-  if (const auto next = holder_->next(clock())) {
+  if (const auto next = participant_->next_step_at(clock())) {
     turn_at(*next);
   }
 }
@@ -62,49 +62,50 @@
 void HollowRouter::heard(const News& news) {
   const Micros now = clock();
   const std::uint64_t newest =
-      std::max(news.known.version, news.known.change ? news.known.change->version : 0);
+      std::max(news.known.version, news.known.rollout ? news.known.rollout->target_version : 0);
   for (; last_document_ < newest; ++last_document_) {
-    holder_->document(now, last_document_ + 1);
+    participant_->on_document(now, last_document_ + 1);
   }
-  holder_->told(now, news.known);
-  holder_->heard(now, true);
+  participant_->on_observed_state(now, news.known);
+  participant_->set_connected(now, true);
 }
 
-void HollowRouter::silent() { holder_->heard(clock(), false); }
+void HollowRouter::silent() { participant_->set_connected(clock(), false); }
 
 // ---- Orders ----
 
-void HollowRouter::carry_out(const policy::KeepDocument& keep) {
-  simulation().events.after(simulation().drawn(rules_.disk),
-                            [this, incarnation = incarnation(), version = keep.version] {
-                              deliver(incarnation, [this, version] { holder_->kept(clock(), version, ""); });
-                            });
+void HollowRouter::carry_out(const policy::PersistDocumentAction& keep) {
+  simulation().events.after(
+      simulation().drawn(rules_.disk), [this, incarnation = incarnation(), version = keep.version] {
+        deliver(incarnation, [this, version] { participant_->on_persist_result(clock(), version, ""); });
+      });
 }
 
-void HollowRouter::carry_out(const policy::SayPermit& say) {
-  const std::uint64_t number = say.number;
+void HollowRouter::carry_out(const policy::ReportAction& say) {
+  const std::uint64_t number = say.call_id;
   coordination::Transaction write;
   write.then = {
-      coordination::Put{policy::permit_key(name(), lease_), policy::write_permit(say.permit), lease_}};
+      coordination::Put{policy::report_key(name(), lease_), policy::write_report(say.report), lease_}};
   ask_commit(
-      std::move(write), [this, number](const Reply& reply) { holder_->said(clock(), number, reply.done); },
-      [this, number] { holder_->said(clock(), number, false); });
+      std::move(write),
+      [this, number](const Reply& reply) { participant_->on_report_result(clock(), number, reply.done); },
+      [this, number] { participant_->on_report_result(clock(), number, false); });
 }
 
-void HollowRouter::carry_out(const policy::AskPermission& ask) {
+void HollowRouter::carry_out(const policy::LeaseAction& ask) {
   const std::uint64_t number = ask.order.number;
-  const auto lost = [this, number] { holder_->lost(clock(), number); };
+  const auto lost = [this, number] { participant_->on_no_response(clock(), number); };
   switch (ask.order.ask) {
     case ownership::Ask::kAcquire:
       ask_grant(
-          rules_.holder.lease.ttl,
+          rules_.participant.lease.ttl,
           [this, ask, lost](const Reply& reply) { reply.done ? join(ask, reply.lease) : lost(); }, lost);
       return;
     case ownership::Ask::kRenew:
       ask_keep_alive(
           lease_,
           [this, number, lost](const Reply& reply) {
-            reply.done ? holder_->renewed(clock(), number, reply.succeeded) : lost();
+            reply.done ? participant_->on_renew_result(clock(), number, reply.succeeded) : lost();
           },
           lost);
       return;
@@ -112,51 +113,51 @@
       ask_revoke(
           lease_,
           [this, number, lost](const Reply& reply) {
-            reply.done ? holder_->released(clock(), number) : lost();
+            reply.done ? participant_->on_release_result(clock(), number) : lost();
           },
           lost);
       return;
   }
 }
 
-void HollowRouter::join(const policy::AskPermission& ask, LeaseId lease) {
+void HollowRouter::join(const policy::LeaseAction& ask, LeaseId lease) {
   lease_ = lease;
   const std::uint64_t number = ask.order.number;
   coordination::Transaction write;
-  write.when = policy::join_conditions("", ask.known, zone_);
+  write.when = policy::join_conditions("", ask.observed, zone_);
   write.then = {
-      coordination::Put{policy::permit_key(name(), lease), policy::write_permit(ask.permit), lease}};
+      coordination::Put{policy::report_key(name(), lease), policy::write_report(ask.report), lease}};
   const auto give_back = [this, lease] { ask_revoke(lease, [](const Reply&) {}, [] {}); };
   ask_commit(
       std::move(write),
       [this, number, give_back](const Reply& reply) {
         if (!reply.done) {
-          holder_->lost(clock(), number);
+          participant_->on_no_response(clock(), number);
         } else {
-          holder_->joined(clock(), number, reply.succeeded);
+          participant_->on_join_result(clock(), number, reply.succeeded);
         }
         if (!reply.done || !reply.succeeded) {
           give_back();
         }
       },
       [this, number, give_back] {
-        holder_->lost(clock(), number);
+        participant_->on_no_response(clock(), number);
         give_back();
       });
 }
 
 std::string HollowRouter::describe() const {
-  if (!holder_) {
+  if (!participant_) {
     return name() + " was never started";
   }
-  const policy::Known& known = holder_->known();
+  const policy::ObservedState& known = participant_->observed();
   return name() +
          (runs()    ? ""
           : alive() ? " (stopped)"
                     : " (dead)") +
-         " is " + policy::to_string(holder_->standing(clock())) + ", version " +
+         " is " + policy::to_string(participant_->state(clock())) + ", version " +
          std::to_string(known.version) + ", change " +
-         (known.change ? policy::to_string(known.change->state) : "none") +
+         (known.rollout ? policy::to_string(known.rollout->state) : "none") +
          (watching() ? "" : ", without a watch");
 }
 
--- a/benchmarks/scale/hollow_router.h
+++ b/benchmarks/scale/hollow_router.h
@@ -1,4 +1,4 @@
-// A hollow router: the policy's part of a router's control, on the real policy::Holder, without requests.
+// A hollow router: the control of a router by the real policy::Participant, without requests.
 // Every moment counts as one at which a request may arrive.
 #pragma once
 
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "policy/holder.h"
+#include "policy/participant.h"
 #include "scale/hollow_board.h"
 #include "scale/hollow_client.h"
 
@@ -17,10 +17,10 @@
 class HollowRouter : public StoreClient {
  public:
   struct Rules {
-    policy::HolderRules holder;
+    policy::ParticipantOptions participant;
     Micros disk{2'000};  // at most, to keep a document
   };
-  // Told whenever its ruling may have changed.
+  // Told whenever its effective policy may have changed.
   using Ruled = std::function<void(HollowRouter&)>;
 
   HollowRouter(Simulation& simulation, std::string name, int region, const std::string& zone,
@@ -29,9 +29,11 @@
   // Takes in what this board tells, from its next start on.
   void follow(HollowBoard& board);
   // The number of the last event that it has taken in.
-  std::uint64_t event() const { return position_.event; }
-  policy::Ruling ruling() const { return holder_ ? holder_->ruling(clock()) : policy::Ruling{}; }
-  bool ready() const { return holder_ && holder_->ready(clock()); }
+  std::uint64_t event() const { return position_.sequence; }
+  policy::EffectivePolicy effective_policy() const {
+    return participant_ ? participant_->effective_policy(clock()) : policy::EffectivePolicy{};
+  }
+  bool ready() const { return participant_ && participant_->ready(clock()); }
   std::string describe() const;
   // At most this one: used by whoever is told of rulings.
   std::uint64_t last_version = 0;
@@ -44,19 +46,19 @@
   void silent() override;
 
  private:
-  void carry_out(const policy::AskPermission& ask);
-  void carry_out(const policy::SayPermit& say);
-  void carry_out(const policy::KeepDocument& keep);
-  void join(const policy::AskPermission& ask, coordination::LeaseId lease);
+  void carry_out(const policy::LeaseAction& ask);
+  void carry_out(const policy::ReportAction& say);
+  void carry_out(const policy::PersistDocumentAction& keep);
+  void join(const policy::LeaseAction& ask, coordination::LeaseId lease);
 
   Rules rules_;
   Ruled ruled_;
   std::string zone_;
-  std::optional<policy::Holder> holder_;
+  std::optional<policy::Participant> participant_;
   coordination::LeaseId lease_ = 0;
   std::uint64_t last_document_ = 0;
   HollowBoard* board_ = nullptr;
-  policy::BoardPosition position_;
+  policy::DiscoveryPosition position_;
 };
 
 }  // namespace trailcourse::scale
--- a/benchmarks/scale/hollow_store.cpp
+++ b/benchmarks/scale/hollow_store.cpp
@@ -155,12 +155,12 @@
   watches_.tell_one(*this, client, whole_news(ledger_), Micros(0));
 }
 
-policy::Seen HollowStore::seen() const {
+policy::RolloutSnapshot HollowStore::seen() const {
   coordination::Outcome outcome;
-  for (const coordination::Step& step : policy::look("").then) {
+  for (const coordination::Step& step : policy::snapshot_transaction("").then) {
     outcome.steps.push_back({ledger_.get(std::get<coordination::Get>(step).range), 0});
   }
-  return policy::read_seen("", outcome);
+  return policy::read_snapshot("", outcome);
 }
 
 std::uint64_t HollowStore::version_in_force() const {
--- a/benchmarks/scale/hollow_store.h
+++ b/benchmarks/scale/hollow_store.h
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "coordination/ledger.h"
-#include "policy/change.h"
+#include "policy/rollout.h"
 #include "scale/hollow_client.h"
 
 namespace trailcourse::scale {
@@ -28,7 +28,7 @@
   void tell_changes_to(HollowStoreDriver& driver) { drivers_.push_back(&driver); }
   std::size_t leases() const { return ledger_.leases().size(); }
   std::size_t watches() const { return watches_.size(); }
-  policy::Seen seen() const;
+  policy::RolloutSnapshot seen() const;
   std::uint64_t version_in_force() const;
   // Bytes of an answer beyond what its call says.
   void counted_answer(std::size_t bytes) { counted().bytes_out += bytes; }
--- a/benchmarks/scale/policy_costs.cpp
+++ b/benchmarks/scale/policy_costs.cpp
@@ -7,18 +7,18 @@
 
 #include "ownership/lease.h"
 #include "policy/document.h"
-#include "policy/holder.h"
 #include "policy/options.h"
+#include "policy/participant.h"
 #include "role_costs.h"
 
 namespace trailcourse::scale {
 namespace {
 
 constexpr std::array<int, 4> kClasses{3, 10, 30, 60};
-constexpr std::array<int, 4> kHolders{100, 300, 1'000, 3'000};
+constexpr std::array<int, 4> kParticipants{100, 300, 1'000, 3'000};
 
-policy::Document document_of(int classes) {
-  policy::Document out;
+policy::PolicyDocument document_of(int classes) {
+  policy::PolicyDocument out;
   out.version = 7;
   out.parent = 6;
   out.author = "operator";
@@ -45,11 +45,11 @@
   CostSeries memory{
       "router.memory.policy.document", "that version held", "bytes", "classes", "in process", {}};
   for (const int classes : kClasses) {
-    const std::string text = policy::write_text(document_of(classes));
+    const std::string text = policy::write_document_text(document_of(classes));
     bytes.points.emplace_back(classes, text.size());
     cpu.points.emplace_back(classes, cpu_us_per_call(200, [&] { keep_result(policy::read_document(text)); }));
     memory.points.emplace_back(classes, bytes_held_by([&] {
-                                 return std::make_unique<policy::Document>(policy::read_document(text));
+                                 return std::make_unique<policy::PolicyDocument>(policy::read_document(text));
                                }));
   }
   for (const CostSeries& series : {bytes, cpu, memory}) {
@@ -59,36 +59,36 @@
 
 std::string zone_of(int index) { return "zone" + std::to_string(index % 203); }
 
-std::unique_ptr<policy::Holder> joined_holder(int index, Micros now) {
-  auto holder = std::make_unique<policy::Holder>("0123456789abcdef", zone_of(index),
-                                                 policy::holder_rules(policy::PolicyOptions()),
-                                                 [](std::uint64_t) { return std::string(); });
-  policy::Known known;
+std::unique_ptr<policy::Participant> joined_participant(int index, Micros now) {
+  auto participant = std::make_unique<policy::Participant>(
+      "0123456789abcdef", zone_of(index), policy::participant_options(policy::PolicyOptions()),
+      [](std::uint64_t) { return std::string(); });
+  policy::ObservedState known;
   known.version = 7;
-  known.current_modified = 40;
-  holder->heard(now, true);
-  holder->told(now, known);
-  holder->document(now, 7);
-  holder->kept(now, 7, "");
-  for (const policy::HolderOrder& order : holder->due(now)) {
-    if (const auto* ask = std::get_if<policy::AskPermission>(&order)) {
-      holder->joined(now, ask->order.number, true);
+  known.current_revision = 40;
+  participant->set_connected(now, true);
+  participant->on_observed_state(now, known);
+  participant->on_document(now, 7);
+  participant->on_persist_result(now, 7, "");
+  for (const policy::ParticipantAction& order : participant->step(now)) {
+    if (const auto* ask = std::get_if<policy::LeaseAction>(&order)) {
+      participant->on_join_result(now, ask->order.number, true);
     }
   }
-  return holder;
+  return participant;
 }
 
 // A second in the life of a router whose policy does not change: one renewal, answered.
-void renew(policy::Holder& holder, Micros now) {
-  for (const policy::HolderOrder& order : holder.due(now)) {
-    if (const auto* ask = std::get_if<policy::AskPermission>(&order)) {
-      holder.renewed(now, ask->order.number, true);
+void renew(policy::Participant& participant, Micros now) {
+  for (const policy::ParticipantAction& order : participant.step(now)) {
+    if (const auto* ask = std::get_if<policy::LeaseAction>(&order)) {
+      participant.on_renew_result(now, ask->order.number, true);
     }
   }
-  keep_result(holder.ruling(now));
+  keep_result(participant.effective_policy(now));
 }
 
-void measure_holders(const CostSink& sink) {
+void measure_participants(const CostSink& sink) {
   CostSeries memory{"router.memory.policy.holder",
                     "routers' sides of the policy, with permission",
                     "bytes",
@@ -101,18 +101,18 @@
                  "holders",
                  "in process",
                  {}};
-  for (const int count : kHolders) {
+  for (const int count : kParticipants) {
     Micros now(1'000'000);
-    std::vector<std::unique_ptr<policy::Holder>> holders(static_cast<std::size_t>(count));
+    std::vector<std::unique_ptr<policy::Participant>> participants(static_cast<std::size_t>(count));
     const double before = allocated_bytes();
     for (int i = 0; i < count; ++i) {
-      holders[static_cast<std::size_t>(i)] = joined_holder(i, now);
+      participants[static_cast<std::size_t>(i)] = joined_participant(i, now);
     }
     memory.points.emplace_back(count, allocated_bytes() - before);
     cpu.points.emplace_back(count, cpu_us_per_call(5, [&] {
                               now += Micros(1'000'000);
-                              for (const auto& holder : holders) {
-                                renew(*holder, now);
+                              for (const auto& participant : participants) {
+                                renew(*participant, now);
                               }
                             }));
   }
@@ -124,7 +124,7 @@
 
 void measure_policy(const CostContext&, const CostSink& sink) {
   measure_documents(sink);
-  measure_holders(sink);
+  measure_participants(sink);
 }
 
 }  // namespace trailcourse::scale
--- a/benchmarks/scale/store_costs.cpp
+++ b/benchmarks/scale/store_costs.cpp
@@ -11,7 +11,7 @@
 #include "coordination/registry.h"
 #include "fleet/ports.h"
 #include "http_peers.h"
-#include "policy/change.h"
+#include "policy/rollout.h"
 #include "role_costs.h"
 #include "transport/scheduler.h"
 
@@ -39,19 +39,19 @@
 
 std::string router_name(int index) { return "router-" + std::to_string(10'000 + index); }
 
-policy::Permit permit_of(std::uint64_t number) {
-  policy::Permit out;
+policy::ParticipantReport permit_of(std::uint64_t number) {
+  policy::ParticipantReport out;
   out.incarnation = "0123456789abcdef";
   out.zone = "zone117";
   out.version = 1'234;
-  out.number = number;
+  out.sequence = number;
   return out;
 }
 
 Transaction say_permit(int index, LeaseId lease, std::uint64_t number) {
   Transaction out;
-  out.then = {Put{kPrefix + policy::permit_key(router_name(index), lease),
-                  policy::write_permit(permit_of(number)), lease}};
+  out.then = {Put{kPrefix + policy::report_key(router_name(index), lease),
+                  policy::write_report(permit_of(number)), lease}};
   return out;
 }
 
@@ -319,10 +319,10 @@
     served.run_until([&] { return peers.counts().answers >= static_cast<std::uint64_t>(watches); });
     memory.points.emplace_back(watches, allocated_bytes() - before);
     Transaction change;
-    change.then = {Put{std::string(kPrefix) + policy::kChangeKey, std::string(200, 'x'), 0}};
+    change.then = {Put{std::string(kPrefix) + policy::kRolloutKey, std::string(200, 'x'), 0}};
     Transaction permit;
     permit.then = {
-        Put{std::string(kPrefix) + policy::permit_key(router_name(1), 0), std::string(200, 'x'), 0}};
+        Put{std::string(kPrefix) + policy::report_key(router_name(1), 0), std::string(200, 'x'), 0}};
     constexpr int kCalls = 50;
     const transport::Address& at = served.address();
     news.points.emplace_back(
--- a/src/aggregation/aggregator.cpp
+++ b/src/aggregation/aggregator.cpp
@@ -15,7 +15,7 @@
 using coordination::Put;
 using coordination::Revision;
 using coordination::Transaction;
-using policy::Permit;
+using policy::ParticipantReport;
 
 namespace {
 
@@ -66,9 +66,9 @@
     const auto found = entries.find(identity_.prefix + key);
     return found == entries.end() ? Entry{} : found->second;
   };
-  const policy::Known known = policy::read_known(entry);
+  const policy::ObservedState known = policy::read_observed_state(entry);
   for (const std::string& zone : identity_.zones) {
-    known_[zone] = policy::known_in_zone(known, entry, zone);
+    known_[zone] = policy::observed_in_zone(known, entry, zone);
   }
 }
 
@@ -93,7 +93,7 @@
 
 bool Aggregator::knows_record() const {
   const auto any = known_.begin();
-  return any == known_.end() || any->second.acknowledgement_modified >= uplink_.record_to_know();
+  return any == known_.end() || any->second.acknowledgement_revision >= uplink_.record_to_know();
 }
 
 LeaseId Aggregator::grant(Micros now, Micros ttl) {
@@ -135,7 +135,7 @@
 
 // A key that is not mirrored would look as if it were absent.
 void Aggregator::check_conditions(const Transaction& transaction) const {
-  const std::string stem = identity_.prefix + policy::kRecords;
+  const std::string stem = identity_.prefix + policy::kPolicyPrefix;
   const bool all_mirrored = std::all_of(transaction.when.begin(), transaction.when.end(),
                                         [&](const auto& one) { return one.key.starts_with(stem); });
   if (!all_mirrored) {
@@ -151,7 +151,7 @@
   }
   const Put& put = std::get<Put>(transaction.then.front());
   std::string router;
-  const Permit permit = checked_permit(put, router);
+  const ParticipantReport permit = checked_permit(put, router);
   // Also while draining: what a router says under the lease that it has must be heard.
   if (!uplink_.permitted(now)) {
     refuse(Refused::Why::kNoPermission, "the aggregator has no permission itself");
@@ -165,20 +165,20 @@
   return out;
 }
 
-Permit Aggregator::checked_permit(const Put& put, std::string& router) const {
-  const std::string stem = identity_.prefix + policy::kPermits;
+ParticipantReport Aggregator::checked_permit(const Put& put, std::string& router) const {
+  const std::string stem = identity_.prefix + policy::kReportPrefix;
   if (!put.key.starts_with(stem)) {
     refuse(Refused::Why::kNotServed, "an aggregator takes permits, and nothing else");
   }
   router = put.key.substr(stem.size(), put.key.find('/', stem.size()) - stem.size());
   if (put.lease == 0 || !coordination::is_name(router) ||
-      put.key != identity_.prefix + policy::permit_key(router, put.lease)) {
+      put.key != identity_.prefix + policy::report_key(router, put.lease)) {
     refuse(Refused::Why::kMalformed, "key: not of a router and its lease");
   }
   if (put.value.size() > rules_.permit_bytes) {
     refuse(Refused::Why::kTooLarge, "a permit of " + std::to_string(put.value.size()) + " bytes");
   }
-  const std::optional<Permit> permit = policy::read_permit(put.value);
+  const std::optional<ParticipantReport> permit = policy::read_report(put.value);
   if (!permit || permit->incarnation.empty()) {
     refuse(Refused::Why::kMalformed, "value: no permit");
   }
@@ -189,7 +189,7 @@
 }
 
 Outcome Aggregator::read_records(const Transaction& transaction) {
-  const std::string stem = identity_.prefix + policy::kRecords;
+  const std::string stem = identity_.prefix + policy::kPolicyPrefix;
   if (!mirrored_) {
     refuse(Refused::Why::kNoPermission, "the store's records are not here yet");
   }
@@ -207,14 +207,14 @@
 
 // ---- Upward ----
 
-std::map<std::string, Permit> Aggregator::summaries() const {
-  std::map<std::string, Permit> out;
+std::map<std::string, ParticipantReport> Aggregator::summaries() const {
+  std::map<std::string, ParticipantReport> out;
   for (const auto& [zone, known] : known_) {
-    Permit permit = summarize(known, zone, leases_.permits(zone));
+    ParticipantReport permit = summarize(known, zone, leases_.permits(zone));
     permit.incarnation = identity_.incarnation;
     const RequestCounts counts = leases_.requests(zone);
     permit.requests = counts.requests;
-    permit.refused = counts.refused;
+    permit.failed_requests = counts.refused;
     out[zone] = std::move(permit);
   }
   return out;
@@ -228,9 +228,9 @@
   if (!mirrored_) {
     return {};
   }
-  const std::map<std::string, Permit> said = summaries();
+  const std::map<std::string, ParticipantReport> said = summaries();
   for (const auto& [zone, summary] : said) {
-    leases_.claim(zone, summary.acknowledged);
+    leases_.claim(zone, summary.acknowledged_round);
   }
   return uplink_.due(now, heard_, known_, said);
 }
--- a/src/aggregation/aggregator.h
+++ b/src/aggregation/aggregator.h
@@ -81,13 +81,13 @@
   const AggregatorIdentity& identity() const { return identity_; }
   const AggregatorCounts& counts() const { return counts_; }
   std::size_t routers() const { return leases_.size(); }
-  std::map<std::string, policy::Permit> summaries() const;
+  std::map<std::string, policy::ParticipantReport> summaries() const;
 
  private:
   void check_conditions(const coordination::Transaction& transaction) const;
   coordination::Outcome take_permit(Micros now, const coordination::Transaction& transaction);
   coordination::Outcome read_records(const coordination::Transaction& transaction);
-  policy::Permit checked_permit(const coordination::Put& put, std::string& router) const;
+  policy::ParticipantReport checked_permit(const coordination::Put& put, std::string& router) const;
   Micros covered_until(Micros now) const;
   bool knows_record() const;
   void read_known();
@@ -97,7 +97,7 @@
   AggregatorRules rules_;
   AggregatorIdentity identity_;
   coordination::Ledger records_;
-  std::map<std::string, policy::Known> known_;  // by zone
+  std::map<std::string, policy::ObservedState> known_;  // by zone
   RouterLeases leases_;
   Uplink uplink_;
   AggregatorCounts counts_;
--- a/src/aggregation/permit_summary.cpp
+++ b/src/aggregation/permit_summary.cpp
@@ -4,80 +4,81 @@
 
 namespace trailcourse::aggregation {
 
-using policy::Change;
-using policy::ChangeState;
-using policy::Known;
-using policy::Permit;
+using policy::ObservedState;
+using policy::ParticipantReport;
+using policy::Rollout;
+using policy::RolloutState;
 
 namespace {
 
 // The step that routers of the zone are asked about; 0 where they are asked about none.
-std::uint64_t step_at_hand(const Known& known, const std::string& zone) {
-  const std::optional<Change>& change = known.change;
-  return change && change->open() && change->concerns(zone) ? policy::step_of(*change) : 0;
+std::uint64_t step_at_hand(const ObservedState& known, const std::string& zone) {
+  const std::optional<Rollout>& change = known.rollout;
+  return change && change->is_open() && change->applies_to(zone) ? policy::stage_id(*change) : 0;
 }
 
 // What a router says that has done all it is asked for.
-Permit fulfilled(const Known& known, const std::string& zone) {
-  Permit out;
+ParticipantReport fulfilled(const ObservedState& known, const std::string& zone) {
+  ParticipantReport out;
   out.zone = zone;
   out.version = known.version;
   const std::uint64_t step = step_at_hand(known, zone);
   if (step == 0) {
     return out;
   }
-  const ChangeState state = known.change->state;
-  const bool asked = state == ChangeState::kPreparing || state == ChangeState::kHolding;
-  out.ready = asked ? step : 0;
-  out.held = state == ChangeState::kHolding ? step : 0;
+  const RolloutState state = known.rollout->state;
+  const bool asked = state == RolloutState::kPreparing || state == RolloutState::kSuspending;
+  out.ready_stage = asked ? step : 0;
+  out.suspended_stage = state == RolloutState::kSuspending ? step : 0;
   return out;
 }
 
-bool fulfils(const Permit& said, const Permit& wanted) {
-  return said.version == wanted.version && said.held == wanted.held &&
-         (wanted.ready == 0 || said.ready == wanted.ready);
+bool fulfils(const ParticipantReport& said, const ParticipantReport& wanted) {
+  return said.version == wanted.version && said.suspended_stage == wanted.suspended_stage &&
+         (wanted.ready_stage == 0 || said.ready_stage == wanted.ready_stage);
 }
 
 // What a router decides under and what it holds for: read together, never one by one.
 struct Decision {
   std::uint64_t version = 0;
-  std::uint64_t held = 0;
+  std::uint64_t suspended_stage = 0;
 };
-Decision decision_of(const Permit& permit) { return {permit.version, permit.held}; }
+Decision decision_of(const ParticipantReport& permit) { return {permit.version, permit.suspended_stage}; }
 
 // Whether the aggregator knows that the step is past its commit or abort.
-bool is_past(const Known& known, std::uint64_t step) {
-  if (!known.change || step == 0) {
+bool is_past(const ObservedState& known, std::uint64_t step) {
+  if (!known.rollout || step == 0) {
     return false;
   }
-  const std::uint64_t at_hand = policy::step_of(*known.change);
-  const ChangeState state = known.change->state;
-  const bool settled = state != ChangeState::kPreparing && state != ChangeState::kHolding;
+  const std::uint64_t at_hand = policy::stage_id(*known.rollout);
+  const RolloutState state = known.rollout->state;
+  const bool settled = state != RolloutState::kPreparing && state != RolloutState::kSuspending;
   return step < at_hand || (step == at_hand && settled);
 }
 
 // Whether nobody takes what this router alone says for what all have done. A router may have heard of a step
 // that the aggregator has not, and a router that joins later goes by what the aggregator has heard.
-bool may_stand_for_all(const Known& known, const std::string& zone, const Permit& said) {
-  if (said.held != 0) {
-    return is_past(known, said.held);
+bool may_stand_for_all(const ObservedState& known, const std::string& zone, const ParticipantReport& said) {
+  if (said.suspended_stage != 0) {
+    return is_past(known, said.suspended_stage);
   }
-  const bool is_target = step_at_hand(known, zone) != 0 && said.version == known.change->version;
+  const bool is_target = step_at_hand(known, zone) != 0 && said.version == known.rollout->target_version;
   return said.version == known.version && !is_target;
 }
 
-Decision decision_of_all(const Known& known, const Permit& wanted, const RouterPermits& routers) {
+Decision decision_of_all(const ObservedState& known, const ParticipantReport& wanted,
+                         const RouterPermits& routers) {
   Decision out = decision_of(wanted);
   bool all = true;
   for (const auto& [lease, one] : routers) {
-    if (one.permit.version == wanted.version && one.permit.held == wanted.held) {
+    if (one.permit.version == wanted.version && one.permit.suspended_stage == wanted.suspended_stage) {
       continue;
     }
     if (may_stand_for_all(known, wanted.zone, one.permit)) {
       return decision_of(one.permit);
     }
     out.version = all ? one.permit.version : out.version;
-    out.held = kRoutersDiffer;
+    out.suspended_stage = kRoutersDiffer;
     all = false;
   }
   return out;
@@ -85,28 +86,29 @@
 
 }  // namespace
 
-Permit summarize(const Known& known, const std::string& zone, const RouterPermits& routers) {
-  const Permit wanted = fulfilled(known, zone);
+ParticipantReport summarize(const ObservedState& known, const std::string& zone,
+                            const RouterPermits& routers) {
+  const ParticipantReport wanted = fulfilled(known, zone);
   const std::uint64_t round = known.acknowledgement.round;
-  Permit out = wanted;
-  out.acknowledged = round;
+  ParticipantReport out = wanted;
+  out.acknowledged_round = round;
   const Decision decision = decision_of_all(known, wanted, routers);
   out.version = decision.version;
-  out.held = decision.held;
+  out.suspended_stage = decision.suspended_stage;
   for (const auto& [lease, one] : routers) {
     // Not ready is 0 and never the step before, so that a change is not taken to be prepared too early.
-    out.ready = one.permit.ready == wanted.ready ? out.ready : 0;
+    out.ready_stage = one.permit.ready_stage == wanted.ready_stage ? out.ready_stage : 0;
     // Also of a step that the aggregator has not heard of: a no must not wait for its mirror.
-    if (one.permit.no > out.no) {
-      out.no = one.permit.no;
-      out.why = one.router + ": " + one.permit.why;
+    if (one.permit.rejected_stage > out.rejected_stage) {
+      out.rejected_stage = one.permit.rejected_stage;
+      out.rejection_reason = one.router + ": " + one.permit.rejection_reason;
     }
-    out.acknowledged = std::min(out.acknowledged, one.permit.acknowledged);
-    if (out.awaits.empty() && (!fulfils(one.permit, wanted) || one.permit.acknowledged < round)) {
-      out.awaits = one.router;
+    out.acknowledged_round = std::min(out.acknowledged_round, one.permit.acknowledged_round);
+    if (out.waiting_for.empty() && (!fulfils(one.permit, wanted) || one.permit.acknowledged_round < round)) {
+      out.waiting_for = one.router;
     }
   }
-  out.routers = routers.size();
+  out.represented_routers = routers.size();
   return out;
 }
 
--- a/src/aggregation/permit_summary.h
+++ b/src/aggregation/permit_summary.h
@@ -11,15 +11,15 @@
 #include <string>
 
 #include "coordination/types.h"
-#include "policy/change.h"
-#include "policy/holder.h"
+#include "policy/participant.h"
+#include "policy/rollout.h"
 
 namespace trailcourse::aggregation {
 
 // A router that has permission from this aggregator, and what it said last.
 struct RouterPermit {
   std::string router;
-  policy::Permit permit;
+  policy::ParticipantReport permit;
 };
 using RouterPermits = std::map<coordination::LeaseId, RouterPermit>;
 
@@ -31,6 +31,7 @@
 // The permit that stands for all of `routers`, which are of one zone. `known` is the change as the aggregator
 // has read it in the store. Without any router it says what a router with nothing to do would say, so that an
 // empty region is not awaited. Counts of requests and numbers are left at 0 for the caller to fill in.
-policy::Permit summarize(const policy::Known& known, const std::string& zone, const RouterPermits& routers);
+policy::ParticipantReport summarize(const policy::ObservedState& known, const std::string& zone,
+                                    const RouterPermits& routers);
 
 }  // namespace trailcourse::aggregation
--- a/src/aggregation/router_leases.cpp
+++ b/src/aggregation/router_leases.cpp
@@ -5,7 +5,7 @@
 namespace trailcourse::aggregation {
 
 using coordination::LeaseId;
-using policy::Permit;
+using policy::ParticipantReport;
 
 namespace {
 
@@ -66,7 +66,7 @@
   leases_.erase(id);
 }
 
-void RouterLeases::say(const std::string& router, LeaseId id, const Permit& permit) {
+void RouterLeases::say(const std::string& router, LeaseId id, const ParticipantReport& permit) {
   const auto found = leases_.find(id);
   if (found == leases_.end()) {
     throw Refused(Refused::Why::kUnknownLease, "requested lease not found");
@@ -86,20 +86,21 @@
   if (place->second.router != router) {
     throw Refused(Refused::Why::kMalformed, "key: of another router than before under this lease");
   }
-  Permit& before = place->second.permit;
-  if (before.number > 0 && permit.number <= before.number) {
+  ParticipantReport& before = place->second.permit;
+  if (before.sequence > 0 && permit.sequence <= before.sequence) {
     throw Refused(Refused::Why::kBackwards,
-                  "number: " + std::to_string(permit.number) + " after " + std::to_string(before.number));
+                  "number: " + std::to_string(permit.sequence) + " after " + std::to_string(before.sequence));
   }
-  check_acknowledged(permit, before.acknowledged);
+  check_acknowledged(permit, before.acknowledged_round);
   count(permit.zone, before, permit);
   before = permit;
 }
 
-void RouterLeases::check_acknowledged(const Permit& permit, std::uint64_t least) {
-  if (permit.acknowledged < least) {
-    throw Refused(Refused::Why::kBackwards, "acknowledged: round " + std::to_string(permit.acknowledged) +
-                                                " where " + std::to_string(least) + " was said");
+void RouterLeases::check_acknowledged(const ParticipantReport& permit, std::uint64_t least) {
+  if (permit.acknowledged_round < least) {
+    throw Refused(Refused::Why::kBackwards, "acknowledged: round " +
+                                                std::to_string(permit.acknowledged_round) + " where " +
+                                                std::to_string(least) + " was said");
   }
 }
 
@@ -108,10 +109,12 @@
   claimed = std::max(claimed, acknowledged);
 }
 
-void RouterLeases::count(const std::string& zone, const Permit& before, const Permit& after) {
+void RouterLeases::count(const std::string& zone, const ParticipantReport& before,
+                         const ParticipantReport& after) {
   RequestCounts& counts = requests_[zone];
   counts.requests += after.requests > before.requests ? after.requests - before.requests : 0;
-  counts.refused += after.refused > before.refused ? after.refused - before.refused : 0;
+  counts.refused +=
+      after.failed_requests > before.failed_requests ? after.failed_requests - before.failed_requests : 0;
 }
 
 void RouterLeases::expire(Micros now) {
--- a/src/aggregation/router_leases.h
+++ b/src/aggregation/router_leases.h
@@ -65,7 +65,7 @@
   Micros keep_alive(Micros now, coordination::LeaseId id, Micros until);
   void revoke(coordination::LeaseId id);
   // What a router says under its lease. Throws Refused.
-  void say(const std::string& router, coordination::LeaseId id, const policy::Permit& permit);
+  void say(const std::string& router, coordination::LeaseId id, const policy::ParticipantReport& permit);
   // The rounds up to this one were acknowledged in the name of the zone's routers: none joins behind it.
   void claim(const std::string& zone, std::uint64_t acknowledged);
   void expire(Micros now);
@@ -84,8 +84,9 @@
   };
 
   void end(coordination::LeaseId id);
-  static void check_acknowledged(const policy::Permit& permit, std::uint64_t least);
-  void count(const std::string& zone, const policy::Permit& before, const policy::Permit& after);
+  static void check_acknowledged(const policy::ParticipantReport& permit, std::uint64_t least);
+  void count(const std::string& zone, const policy::ParticipantReport& before,
+             const policy::ParticipantReport& after);
 
   RouterLeaseRules rules_;
   std::mt19937_64 random_;
--- a/src/aggregation/service.cpp
+++ b/src/aggregation/service.cpp
@@ -74,7 +74,7 @@
 
 void Service::start() {
   server_.listen(*transport::parse_address(options_.listen));
-  watch_ = store_.watch(coordination::Range{prefix_ + policy::kRecords, true}, *this);
+  watch_ = store_.watch(coordination::Range{prefix_ + policy::kPolicyPrefix, true}, *this);
   turn_soon();
 }
 
--- a/src/aggregation/uplink.cpp
+++ b/src/aggregation/uplink.cpp
@@ -14,8 +14,8 @@
 using ownership::Ask;
 using ownership::Order;
 using ownership::Phase;
-using policy::Known;
-using policy::Permit;
+using policy::ObservedState;
+using policy::ParticipantReport;
 
 namespace {
 
@@ -23,34 +23,36 @@
 constexpr Micros kAwaitsToldAfter{1'000'000};
 
 // What staff read beside is no reason for a write of its own.
-bool same_statement(Permit one, const Permit& other) {
-  one.number = other.number;
-  one.awaits = other.awaits;
-  one.routers = other.routers;
+bool same_statement(ParticipantReport one, const ParticipantReport& other) {
+  one.sequence = other.sequence;
+  one.waiting_for = other.waiting_for;
+  one.represented_routers = other.represented_routers;
   return one == other;
 }
 
-bool watched(const std::map<std::string, Known>& known, const std::string& zone) {
+bool watched(const std::map<std::string, ObservedState>& known, const std::string& zone) {
   const auto found = known.find(zone);
-  return found != known.end() && found->second.change &&
-         found->second.change->state == policy::ChangeState::kWatched && found->second.change->concerns(zone);
+  return found != known.end() && found->second.rollout &&
+         found->second.rollout->state == policy::RolloutState::kWatching &&
+         found->second.rollout->applies_to(zone);
 }
 
 }  // namespace
 
-std::vector<UplinkOrder> Uplink::due(Micros now, bool heard, const std::map<std::string, Known>& known,
-                                     const std::map<std::string, Permit>& summaries) {
+std::vector<UplinkOrder> Uplink::due(Micros now, bool heard,
+                                     const std::map<std::string, ObservedState>& known,
+                                     const std::map<std::string, ParticipantReport>& summaries) {
   std::vector<UplinkOrder> out;
   if (auto ask = permission_due(now, heard, known, summaries)) {
     out.push_back(std::move(*ask));
   }
-  std::map<std::string, Permit> wanted = summaries;
+  std::map<std::string, ParticipantReport> wanted = summaries;
   for (auto& [zone, permit] : wanted) {
     // Counts alone are worth a write only while somebody watches.
     const auto said = said_.find(zone);
     if (said != said_.end() && said->second.permit && !watched(known, zone)) {
       permit.requests = said->second.permit->requests;
-      permit.refused = said->second.permit->refused;
+      permit.failed_requests = said->second.permit->failed_requests;
     }
   }
   if (auto say = summaries_due(now, wanted)) {
@@ -60,8 +62,8 @@
 }
 
 std::optional<UplinkOrder> Uplink::permission_due(Micros now, bool heard,
-                                                  const std::map<std::string, Known>& known,
-                                                  const std::map<std::string, Permit>& summaries) {
+                                                  const std::map<std::string, ObservedState>& known,
+                                                  const std::map<std::string, ParticipantReport>& summaries) {
   const bool candidate = lease_.phase(now) == Phase::kCandidate;
   if (!may_ask(now, heard) || (candidate && known.size() < zones_.size())) {
     return std::nullopt;
@@ -84,11 +86,11 @@
 }
 
 // Rounds and changes go by in a moment as a rule: who is awaited is said only where that lasts.
-bool Uplink::worth_saying(Micros now, Said& said, const Permit& permit) {
+bool Uplink::worth_saying(Micros now, Said& said, const ParticipantReport& permit) {
   if (!said.permit || !same_statement(*said.permit, permit)) {
     return true;
   }
-  if (permit.awaits == said.permit->awaits) {
+  if (permit.waiting_for == said.permit->waiting_for) {
     said.awaits_since.reset();
     return false;
   }
@@ -96,7 +98,8 @@
   return now - *said.awaits_since >= kAwaitsToldAfter;
 }
 
-std::optional<UplinkOrder> Uplink::summaries_due(Micros now, const std::map<std::string, Permit>& summaries) {
+std::optional<UplinkOrder> Uplink::summaries_due(Micros now,
+                                                 const std::map<std::string, ParticipantReport>& summaries) {
   if (!joined_ || say_out_ || now < say_after_ || !lease_.may_act(now)) {
     return std::nullopt;
   }
@@ -212,23 +215,23 @@
 
 std::string summary_key(const std::string& prefix, const std::string& name, const std::string& zone,
                         LeaseId lease) {
-  return prefix + policy::permit_key(name + "." + zone, lease);
+  return prefix + policy::report_key(name + "." + zone, lease);
 }
 
 Transaction join_transaction(const std::string& prefix, const std::string& name, LeaseId lease,
                              const AskPermission& ask) {
   Transaction out;
   if (!ask.known.empty()) {
-    const Known& any = ask.known.begin()->second;
-    out.when = {coordination::unchanged(prefix + policy::kChangeKey, any.change_modified),
-                coordination::unchanged(prefix + policy::kCurrentKey, any.current_modified)};
+    const ObservedState& any = ask.known.begin()->second;
+    out.when = {coordination::unchanged(prefix + policy::kRolloutKey, any.rollout_revision),
+                coordination::unchanged(prefix + policy::kCurrentKey, any.current_revision)};
   }
   for (const auto& [zone, known] : ask.known) {
-    out.when.push_back(coordination::unchanged(prefix + policy::kZones + zone, known.zone_modified));
+    out.when.push_back(coordination::unchanged(prefix + policy::kZonePrefix + zone, known.zone_revision));
   }
   for (const ZoneSummary& one : ask.summaries) {
     out.then.push_back(
-        Put{summary_key(prefix, name, one.zone, lease), policy::write_permit(one.permit), lease});
+        Put{summary_key(prefix, name, one.zone, lease), policy::write_report(one.permit), lease});
   }
   // Not compared: while rounds follow each other without pause, far away hardly anybody could join.
   out.then.push_back(Get{Range{prefix + policy::kAcknowledgedKey, false}});
@@ -252,7 +255,7 @@
   for (const ZoneSummary& one : say.summaries) {
     const std::string key = summary_key(prefix, name, one.zone, lease);
     out.when.push_back(coordination::unchanged(key, one.expected));
-    out.then.push_back(Put{key, policy::write_permit(one.permit), lease});
+    out.then.push_back(Put{key, policy::write_report(one.permit), lease});
     out.otherwise.push_back(Get{Range{key, false}});
   }
   return out;
--- a/src/aggregation/uplink.h
+++ b/src/aggregation/uplink.h
@@ -20,15 +20,15 @@
 
 #include "coordination/types.h"
 #include "ownership/lease.h"
-#include "policy/change.h"
-#include "policy/holder.h"
+#include "policy/participant.h"
+#include "policy/rollout.h"
 
 namespace trailcourse::aggregation {
 
 // A zone's summary as it is to stand in the store.
 struct ZoneSummary {
   std::string zone;
-  policy::Permit permit;
+  policy::ParticipantReport permit;
   coordination::Revision expected = 0;  // at which its key was written last
 };
 
@@ -37,7 +37,7 @@
 struct AskPermission {
   ownership::Order order;
   std::vector<ZoneSummary> summaries;
-  std::map<std::string, policy::Known> known;  // by zone
+  std::map<std::string, policy::ObservedState> known;  // by zone
 };
 struct SaySummaries {
   std::uint64_t number = 0;
@@ -70,8 +70,9 @@
 
   // What is to be done now. `heard`: whether the store is; without it permission is neither asked for nor
   // renewed.
-  std::vector<UplinkOrder> due(Micros now, bool heard, const std::map<std::string, policy::Known>& known,
-                               const std::map<std::string, policy::Permit>& summaries);
+  std::vector<UplinkOrder> due(Micros now, bool heard,
+                               const std::map<std::string, policy::ObservedState>& known,
+                               const std::map<std::string, policy::ParticipantReport>& summaries);
   std::optional<Micros> next(Micros now, bool heard) const;
 
   void joined(Micros now, std::uint64_t number, const JoinReply& reply);
@@ -92,19 +93,19 @@
 
  private:
   struct Said {
-    std::optional<policy::Permit> permit;  // as it stands there; none: not known
+    std::optional<policy::ParticipantReport> permit;  // as it stands there; none: not known
     coordination::Revision modified = 0;
     std::optional<Micros> awaits_since;  // since when another router is awaited than it says there
   };
 
   void leave();
   bool may_ask(Micros now, bool heard) const;
-  std::optional<UplinkOrder> permission_due(Micros now, bool heard,
-                                            const std::map<std::string, policy::Known>& known,
-                                            const std::map<std::string, policy::Permit>& summaries);
+  std::optional<UplinkOrder> permission_due(
+      Micros now, bool heard, const std::map<std::string, policy::ObservedState>& known,
+      const std::map<std::string, policy::ParticipantReport>& summaries);
   std::optional<UplinkOrder> summaries_due(Micros now,
-                                           const std::map<std::string, policy::Permit>& summaries);
-  static bool worth_saying(Micros now, Said& said, const policy::Permit& permit);
+                                           const std::map<std::string, policy::ParticipantReport>& summaries);
+  static bool worth_saying(Micros now, Said& said, const policy::ParticipantReport& permit);
 
   ownership::LeaseRules rules_;
   ownership::Lease lease_;
--- a/src/policy/acknowledgement.cpp
+++ b/src/policy/acknowledgement.cpp
@@ -13,9 +13,11 @@
 
 namespace {
 
-json json_of(const BoardPosition& position) { return {{"board", position.board}, {"event", position.event}}; }
+json json_of(const DiscoveryPosition& position) {
+  return {{"board", position.source}, {"event", position.sequence}};
+}
 
-std::optional<BoardPosition> position_of(const json& from, const char* name) {
+std::optional<DiscoveryPosition> position_of(const json& from, const char* name) {
   const auto found = from.find(name);
   if (found == from.end() || !found->is_object()) {
     return std::nullopt;
@@ -24,19 +26,20 @@
   const auto event = found->find("event");
   const bool usable =
       board != found->end() && board->is_string() && event != found->end() && event->is_number_unsigned();
-  return usable ? std::optional(BoardPosition{board->get<std::string>(), event->get<std::uint64_t>()})
+  return usable ? std::optional(DiscoveryPosition{board->get<std::string>(), event->get<std::uint64_t>()})
                 : std::nullopt;
 }
 
-bool all_acknowledge(const AcknowledgementsSeen& seen) {
-  return std::all_of(seen.permits.begin(), seen.permits.end(),
-                     [&seen](const auto& one) { return one.second.acknowledged >= seen.record.round; });
+bool all_acknowledge(const AcknowledgementSnapshot& seen) {
+  return std::all_of(seen.reports.begin(), seen.reports.end(),
+                     [&seen](const auto& one) { return one.second.acknowledged_round >= seen.record.round; });
 }
 
 }  // namespace
 
 std::string write_acknowledgement(const Acknowledgement& record) {
-  return json{{"round", record.round}, {"asked", json_of(record.asked)}, {"done", json_of(record.done)}}
+  return json{
+      {"round", record.round}, {"asked", json_of(record.requested)}, {"done", json_of(record.completed)}}
       .dump();
 }
 
@@ -55,25 +58,25 @@
 
 // ---- Transactions ----
 
-Transaction look_at_acknowledgements(const std::string& prefix) {
+Transaction acknowledgement_snapshot_transaction(const std::string& prefix) {
   Transaction out;
-  out.then = {Get{Range{prefix + kAcknowledgedKey, false}}, Get{Range{prefix + kPermits, true}}};
+  out.then = {Get{Range{prefix + kAcknowledgedKey, false}}, Get{Range{prefix + kReportPrefix, true}}};
   return out;
 }
 
-AcknowledgementsSeen read_acknowledgements_seen(const std::string& prefix,
-                                                const coordination::Outcome& outcome) {
-  AcknowledgementsSeen out;
+AcknowledgementSnapshot read_acknowledgement_snapshot(const std::string& prefix,
+                                                      const coordination::Outcome& outcome) {
+  AcknowledgementSnapshot out;
   if (const auto& found = outcome.steps.at(0).found; !found.empty()) {
     out.record = read_acknowledgement(found.front().value).value_or(Acknowledgement{});
     out.modified = found.front().modified;
   }
-  out.permits = read_permits(prefix, outcome.steps.at(1).found);
+  out.reports = read_reports(prefix, outcome.steps.at(1).found);
   return out;
 }
 
-Transaction write_record(const std::string& prefix, const AcknowledgementsSeen& seen,
-                         const Acknowledgement& record) {
+Transaction write_acknowledgement_transaction(const std::string& prefix, const AcknowledgementSnapshot& seen,
+                                              const Acknowledgement& record) {
   Transaction out;
   const std::string key = prefix + kAcknowledgedKey;
   out.when = {coordination::unchanged(key, seen.modified)};
@@ -81,11 +84,11 @@
   return out;
 }
 
-Acknowledgement forgotten(const Acknowledgement& record) { return {record.round + 1, {}, {}}; }
+Acknowledgement reset_acknowledgement(const Acknowledgement& record) { return {record.round + 1, {}, {}}; }
 
 // ---- The driver ----
 
-bool AcknowledgementDriver::may_ask(Micros now) {
+bool AcknowledgementCoordinator::may_ask(Micros now) {
   if (asked_at_ && now < *asked_at_ + least_round_) {
     due_ = *asked_at_ + least_round_;
     return false;
@@ -94,32 +97,33 @@
   return true;
 }
 
-std::optional<Acknowledgement> AcknowledgementDriver::next(Micros now, const AcknowledgementsSeen& seen,
-                                                           const BoardPosition& position) {
+std::optional<Acknowledgement> AcknowledgementCoordinator::step(Micros now,
+                                                                const AcknowledgementSnapshot& seen,
+                                                                const DiscoveryPosition& position) {
   due_.reset();
   Acknowledgement out = seen.record;
   // A board that began anew knows nothing of the events before: the open round could never end.
-  const bool other_board = position.board != out.asked.board;
+  const bool other_board = position.source != out.requested.source;
   const bool complete = out.round > 0 && all_acknowledge(seen);
   if (complete && !other_board) {
-    out.done = out.asked;
+    out.completed = out.requested;
   }
-  const bool can_ask = position.event > 0 && (other_board || complete || out.round == 0);
-  const bool is_new = other_board || position.event > out.asked.event;
+  const bool can_ask = position.sequence > 0 && (other_board || complete || out.round == 0);
+  const bool is_new = other_board || position.sequence > out.requested.sequence;
   if (can_ask && is_new && may_ask(now)) {
     ++out.round;
-    out.asked = position;
-    out.done = other_board ? BoardPosition{position.board, 0} : out.done;
+    out.requested = position;
+    out.completed = other_board ? DiscoveryPosition{position.source, 0} : out.completed;
   }
   return out == seen.record ? std::nullopt : std::optional(out);
 }
 
-std::vector<std::string> unacknowledged(const AcknowledgementsSeen& seen) {
+std::vector<std::string> describe_unacknowledged(const AcknowledgementSnapshot& seen) {
   std::vector<std::string> out;
-  for (const auto& [key, permit] : seen.permits) {
-    if (permit.acknowledged < seen.record.round) {
-      out.push_back(described_writer(key, permit) + " is to take in event " +
-                    std::to_string(seen.record.asked.event) + ", or its permission to run out");
+  for (const auto& [key, permit] : seen.reports) {
+    if (permit.acknowledged_round < seen.record.round) {
+      out.push_back(describe_reporter(key, permit) + " is to take in event " +
+                    std::to_string(seen.record.requested.sequence) + ", or its permission to run out");
     }
   }
   return out;
--- a/src/policy/acknowledgement.h
+++ b/src/policy/acknowledgement.h
@@ -18,29 +18,29 @@
 #include <vector>
 
 #include "coordination/types.h"
-#include "policy/change.h"
+#include "policy/rollout.h"
 
 namespace trailcourse::policy {
 
 constexpr const char* kAcknowledgedKey = "policy/acknowledged";
 
 // All events of one board up to a number. A board that began anew has another name, and numbers of its own.
-struct BoardPosition {
-  std::string board;
-  std::uint64_t event = 0;
+struct DiscoveryPosition {
+  std::string source;
+  std::uint64_t sequence = 0;
 
   // Whether whoever is here has taken in what `asked` names; event 0 names nothing.
-  bool covers(const BoardPosition& asked) const {
-    return asked.event == 0 || (board == asked.board && event >= asked.event);
+  bool covers(const DiscoveryPosition& asked) const {
+    return asked.sequence == 0 || (source == asked.source && sequence >= asked.sequence);
   }
-  friend bool operator==(const BoardPosition&, const BoardPosition&) = default;
+  friend bool operator==(const DiscoveryPosition&, const DiscoveryPosition&) = default;
 };
 
 // The record as it stands in the store.
 struct Acknowledgement {
-  std::uint64_t round = 0;  // grows; 0: nobody has been asked
-  BoardPosition asked;      // in this round
-  BoardPosition done;       // event 0: nothing yet of this board
+  std::uint64_t round = 0;      // grows; 0: nobody has been asked
+  DiscoveryPosition requested;  // in this round
+  DiscoveryPosition completed;  // event 0: nothing yet of this board
 
   friend bool operator==(const Acknowledgement&, const Acknowledgement&) = default;
 };
@@ -49,33 +49,34 @@
 std::optional<Acknowledgement> read_acknowledgement(const std::string& text);
 
 // All that the driver goes by, as it stands in the store at one revision.
-struct AcknowledgementsSeen {
+struct AcknowledgementSnapshot {
   Acknowledgement record;
-  Revision modified = 0;                  // of the record; 0: there is none
-  std::map<std::string, Permit> permits;  // by "ROUTER/LEASE"
+  Revision modified = 0;                             // of the record; 0: there is none
+  std::map<std::string, ParticipantReport> reports;  // by "ROUTER/LEASE"
 };
-coordination::Transaction look_at_acknowledgements(const std::string& prefix);
-AcknowledgementsSeen read_acknowledgements_seen(const std::string& prefix,
-                                                const coordination::Outcome& outcome);
+coordination::Transaction acknowledgement_snapshot_transaction(const std::string& prefix);
+AcknowledgementSnapshot read_acknowledgement_snapshot(const std::string& prefix,
+                                                      const coordination::Outcome& outcome);
 // Writes the record where it is as it was seen.
-coordination::Transaction write_record(const std::string& prefix, const AcknowledgementsSeen& seen,
-                                       const Acknowledgement& record);
+coordination::Transaction write_acknowledgement_transaction(const std::string& prefix,
+                                                            const AcknowledgementSnapshot& seen,
+                                                            const Acknowledgement& record);
 
 // A record that asks for nothing, so that whoever has not heard the board may join. Staff write it once
 // nobody drives rounds any more.
-Acknowledgement forgotten(const Acknowledgement& record);
+Acknowledgement reset_acknowledgement(const Acknowledgement& record);
 
 // Decides on the record's next state. A late one is refused by the store, for the record has moved on.
-class AcknowledgementDriver {
+class AcknowledgementCoordinator {
  public:
   // `least_round`: between the beginnings of two rounds.
-  explicit AcknowledgementDriver(Micros least_round) : least_round_(least_round) {}
+  explicit AcknowledgementCoordinator(Micros least_round) : least_round_(least_round) {}
 
   // `position`: of whoever drives it. Nothing where the record is to stay as it is.
-  std::optional<Acknowledgement> next(Micros now, const AcknowledgementsSeen& seen,
-                                      const BoardPosition& position);
+  std::optional<Acknowledgement> step(Micros now, const AcknowledgementSnapshot& seen,
+                                      const DiscoveryPosition& position);
   // When next() may say something else, by time alone.
-  std::optional<Micros> due() const { return due_; }
+  std::optional<Micros> next_step_at() const { return due_; }
 
  private:
   bool may_ask(Micros now);
@@ -86,6 +87,6 @@
 };
 
 // Who is awaited in this round, in words for staff.
-std::vector<std::string> unacknowledged(const AcknowledgementsSeen& seen);
+std::vector<std::string> describe_unacknowledged(const AcknowledgementSnapshot& seen);
 
 }  // namespace trailcourse::policy
--- a/src/policy/document.cpp
+++ b/src/policy/document.cpp
@@ -19,7 +19,7 @@
 constexpr std::size_t kMostText = 1'000;
 constexpr std::size_t kMostClasses = 64;
 
-json content_json(const Content& content) {
+json content_json(const PolicyContent& content) {
   json out = json::object();
   out["classes"] = json::object();
   for (const auto& [name, one] : content.classes) {
@@ -34,83 +34,84 @@
 }
 
 // The text that the digest is of: keys sorted, no spaces, no digest.
-json plain_json(const Document& document) {
+json plain_json(const PolicyDocument& document) {
   return {{"schema", document.schema}, {"version", document.version},
           {"parent", document.parent}, {"author", document.author},
           {"reason", document.reason}, {"content", content_json(document.content)}};
 }
 
-Content read_content(const json& from) {
+PolicyContent read_content(const json& from) {
   if (!from.is_object()) {
-    throw BadDocument("content: not an object");
+    throw InvalidDocument("content: not an object");
   }
-  Content out;
+  PolicyContent out;
   for (const auto& [name, value] : from.items()) {
     if (name == "limits") {
       out.limits = limit_policy_record().read(value, "content.limits");
     } else if (name == "classes") {
       if (!value.is_object() || value.size() > kMostClasses) {
-        throw BadDocument("content.classes: not an object of 64 classes at most");
+        throw InvalidDocument("content.classes: not an object of 64 classes at most");
       }
       for (const auto& [kind, one] : value.items()) {
         if (!coordination::is_name(kind)) {
-          throw BadDocument("content.classes: '" + kind + "' is no name of a class");
+          throw InvalidDocument("content.classes: '" + kind + "' is no name of a class");
         }
         out.classes[kind] = class_policy_record().read(one, "content.classes." + kind);
       }
     } else {
-      throw BadDocument("content." + name + ": no such section");
+      throw InvalidDocument("content." + name + ": no such section");
     }
   }
   return out;
 }
 
-void check(const Document& document) {
+void check(const PolicyDocument& document) {
   for (const auto& [name, one] : document.content.classes) {
     if (one.give_up_ms < one.objective_ms) {
-      throw BadDocument("content.classes." + name + ".give_up_ms: " + std::to_string(one.give_up_ms) +
-                        " is below objective_ms, " + std::to_string(one.objective_ms));
+      throw InvalidDocument("content.classes." + name + ".give_up_ms: " + std::to_string(one.give_up_ms) +
+                            " is below objective_ms, " + std::to_string(one.objective_ms));
     }
     if (one.fresh_ms == 0 && one.grace_ms > 0) {
-      throw BadDocument("content.classes." + name + ".grace_ms: a copy that is good until purged has none");
+      throw InvalidDocument("content.classes." + name +
+                            ".grace_ms: a copy that is good until purged has none");
     }
   }
   std::set<std::string> seen;
   for (const std::string& kind : document.content.limits.work) {
     if (!coordination::is_name(kind) || !seen.insert(kind).second) {
-      throw BadDocument("content.limits.work: '" + kind + "' is no kind of work, or stands twice");
+      throw InvalidDocument("content.limits.work: '" + kind + "' is no kind of work, or stands twice");
     }
   }
 }
 
-Document read(const std::string& text, bool draft) {
+PolicyDocument read(const std::string& text, bool draft) {
   const json from = json::parse(text, nullptr, false, true);
   if (!from.is_object()) {
-    throw BadDocument("not a JSON object");
+    throw InvalidDocument("not a JSON object");
   }
-  Document out;
+  PolicyDocument out;
   std::string digest;
   const auto number = [](const std::string& name, const json& value) {
     if (!value.is_number_unsigned()) {
-      throw BadDocument(name + ": not a whole number");
+      throw InvalidDocument(name + ": not a whole number");
     }
     return value.get<std::uint64_t>();
   };
   const auto words = [](const std::string& name, const json& value) {
     if (!value.is_string() || value.get_ref<const std::string&>().size() > kMostText) {
-      throw BadDocument(name + ": not a text of 1,000 bytes at most");
+      throw InvalidDocument(name + ": not a text of 1,000 bytes at most");
     }
     return value.get<std::string>();
   };
   // The schema first: of a later one nothing else can be judged.
   const auto schema = from.find("schema");
   if (schema == from.end() || !schema->is_number_integer()) {
-    throw BadDocument("schema: missing");
+    throw InvalidDocument("schema: missing");
   }
   out.schema = schema->get<std::int64_t>();
   if (out.schema != kSchema) {
-    throw BadDocument("schema: " + std::to_string(out.schema) +
-                      " is not known to this program, which knows " + std::to_string(kSchema));
+    throw InvalidDocument("schema: " + std::to_string(out.schema) +
+                          " is not known to this program, which knows " + std::to_string(kSchema));
   }
   try {
     for (const auto& [name, value] : from.items()) {
@@ -130,21 +131,21 @@
       } else if (name == "content") {
         out.content = read_content(value);
       } else {
-        throw BadDocument(name + ": no such field" + (draft ? " of a draft" : ""));
+        throw InvalidDocument(name + ": no such field" + (draft ? " of a draft" : ""));
       }
     }
     check(out);
   } catch (const config::KeyError& error) {
-    throw BadDocument(error.what());
+    throw InvalidDocument(error.what());
   }
   if (!from.contains("content")) {
-    throw BadDocument("content: missing");
+    throw InvalidDocument("content: missing");
   }
   if (!draft && (out.version == 0 || out.parent >= out.version)) {
-    throw BadDocument("version: not later than its parent");
+    throw InvalidDocument("version: not later than its parent");
   }
   if (!draft && digest != digest_of(out)) {
-    throw BadDocument("digest: is not of this document");
+    throw InvalidDocument("digest: is not of this document");
   }
   return out;
 }
@@ -165,7 +166,7 @@
                "within which an answer earns its worth")
         .whole("give_up_ms", &ClassPolicy::give_up_ms, "ms", WholeRange{1, 3'600'000},
                "after which clients do not wait any more")
-        .real("worth", &ClassPolicy::worth, "-", RealRange{0.0, 1e6},
+        .real("worth", &ClassPolicy::priority_weight, "-", RealRange{0.0, 1e6},
               "of one answer in time, beside the others'")
         .whole("fresh_ms", &ClassPolicy::fresh_ms, "ms", WholeRange{0, 31'536'000'000},
                "for which a copy is good; 0: until purged")
@@ -190,7 +191,7 @@
   return kRecord;
 }
 
-std::string digest_of(const Document& document) {
+std::string digest_of(const PolicyDocument& document) {
   const std::string text = plain_json(document).dump();
   std::array<unsigned char, crypto_hash_sha256_BYTES> sum{};
   crypto_hash_sha256(sum.data(), reinterpret_cast<const unsigned char*>(text.data()), text.size());
@@ -199,38 +200,40 @@
   return hex.data();
 }
 
-json write_document(const Document& document) {
+json write_document(const PolicyDocument& document) {
   json out = plain_json(document);
   out["digest"] = digest_of(document);
   return out;
 }
 
-std::string write_text(const Document& document) { return write_document(document).dump(); }
+std::string write_document_text(const PolicyDocument& document) { return write_document(document).dump(); }
 
-Document read_document(const std::string& text) { return read(text, false); }
-Document read_draft(const std::string& text) { return read(text, true); }
+PolicyDocument read_document(const std::string& text) { return read(text, false); }
+PolicyDocument read_draft(const std::string& text) { return read(text, true); }
 
-std::string objection(const Document& document, const Ability& ability) {
+std::string check_capabilities(const PolicyDocument& document, const RouterCapabilities& capabilities) {
   for (const auto& [name, one] : document.content.classes) {
-    if (std::find(ability.classes.begin(), ability.classes.end(), name) == ability.classes.end()) {
+    if (std::find(capabilities.classes.begin(), capabilities.classes.end(), name) ==
+        capabilities.classes.end()) {
       return "content.classes." + name + ": not a class of this router's settings";
     }
   }
-  if (document.content.limits.open_requests > ability.open_requests) {
+  if (document.content.limits.open_requests > capabilities.max_open_requests) {
     return "content.limits.open_requests: " + std::to_string(document.content.limits.open_requests) +
-           " is over what this router's memory and sockets bear, " + std::to_string(ability.open_requests);
+           " is over what this router's memory and sockets bear, " +
+           std::to_string(capabilities.max_open_requests);
   }
   return {};
 }
 
-Content both(const Content& one, const Content& other) {
-  Content out;
-  const auto class_of = [](const Content& content, const std::string& name) -> const ClassPolicy* {
+PolicyContent intersection(const PolicyContent& one, const PolicyContent& other) {
+  PolicyContent out;
+  const auto class_of = [](const PolicyContent& content, const std::string& name) -> const ClassPolicy* {
     const auto found = content.classes.find(name);
     return found == content.classes.end() ? nullptr : &found->second;
   };
   std::set<std::string> names;
-  for (const Content* content : {&one, &other}) {
+  for (const PolicyContent* content : {&one, &other}) {
     for (const auto& [name, ignored] : content->classes) {
       names.insert(name);
     }
@@ -248,7 +251,7 @@
     into.serve = left->serve && right->serve;
     into.objective_ms = std::min(left->objective_ms, right->objective_ms);
     into.give_up_ms = std::min(left->give_up_ms, right->give_up_ms);
-    into.worth = std::min(left->worth, right->worth);
+    into.priority_weight = std::min(left->priority_weight, right->priority_weight);
     into.fresh_ms = shorter(left->fresh_ms, right->fresh_ms);
     // Stale copies: as old as both allow, counted from the start.
     into.grace_ms = 0;
@@ -272,7 +275,7 @@
   return out;
 }
 
-bool within(const Content& narrow, const Content& wide) {
+bool is_subset(const PolicyContent& narrow, const PolicyContent& wide) {
   for (const auto& [name, allowed] : wide.classes) {
     const auto found = narrow.classes.find(name);
     if (found == narrow.classes.end()) {
@@ -283,7 +286,8 @@
       return one.fresh_ms == 0 ? std::int64_t{0} : one.fresh_ms + one.grace_ms;
     };
     const bool fits = (!rule.serve || allowed.serve) && rule.objective_ms <= allowed.objective_ms &&
-                      rule.give_up_ms <= allowed.give_up_ms && rule.worth <= allowed.worth &&
+                      rule.give_up_ms <= allowed.give_up_ms &&
+                      rule.priority_weight <= allowed.priority_weight &&
                       no_longer(rule.fresh_ms, allowed.fresh_ms) && no_longer(oldest(rule), oldest(allowed));
     if (!fits) {
       return false;
@@ -298,7 +302,7 @@
          });
 }
 
-std::vector<std::string> difference(const Content& before, const Content& after) {
+std::vector<std::string> describe_difference(const PolicyContent& before, const PolicyContent& after) {
   std::vector<std::string> out;
   const auto values = [](const auto& record, const auto& from) {
     std::map<std::string, std::string> all;
@@ -324,13 +328,13 @@
     }
   };
   std::set<std::string> names;
-  for (const Content* content : {&before, &after}) {
+  for (const PolicyContent* content : {&before, &after}) {
     for (const auto& [name, ignored] : content->classes) {
       names.insert(name);
     }
   }
   for (const std::string& name : names) {
-    const auto of = [&](const Content& content) {
+    const auto of = [&](const PolicyContent& content) {
       const auto found = content.classes.find(name);
       return found == content.classes.end() ? std::map<std::string, std::string>{}
                                             : values(class_policy_record(), found->second);
--- a/src/policy/document.h
+++ b/src/policy/document.h
@@ -2,7 +2,7 @@
 // module's files, which deploy/balancer.toml names under a key of that name.)
 //
 // A key is the fleet's where its record stands here; all others of the operator's file are a machine's own.
-// One document is in force at a time, everywhere or nowhere (change.h, holder.h).
+// One document is in force at a time, everywhere or nowhere (rollout.h, participant.h).
 //
 // Package `policy`: knows JSON; no I/O, no clock.
 #pragma once
@@ -26,7 +26,7 @@
   bool serve = true;
   std::int64_t objective_ms = 1'000;
   std::int64_t give_up_ms = 3'000;
-  double worth = 1.0;
+  double priority_weight = 1.0;
   std::int64_t fresh_ms = 0;
   std::int64_t grace_ms = 0;
 
@@ -44,56 +44,56 @@
 const config::Record<LimitPolicy>& limit_policy_record();
 
 // What a document allows.
-struct Content {
+struct PolicyContent {
   std::map<std::string, ClassPolicy> classes;
   LimitPolicy limits;
 
-  friend bool operator==(const Content&, const Content&) = default;
+  friend bool operator==(const PolicyContent&, const PolicyContent&) = default;
 };
 
-struct Document {
+struct PolicyDocument {
   std::int64_t schema = kSchema;
   std::uint64_t version = 0;
   std::uint64_t parent = 0;  // the version that it replaces
   std::string author;
   std::string reason;
-  Content content;
+  PolicyContent content;
 
-  friend bool operator==(const Document&, const Document&) = default;
+  friend bool operator==(const PolicyDocument&, const PolicyDocument&) = default;
 };
 
 // What is wrong with a document: the first field at fault and what is allowed.
-class BadDocument : public std::runtime_error {
+class InvalidDocument : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
 // SHA-256 over all that a document says, in a form that does not depend on order or spaces. 64 hex digits.
-std::string digest_of(const Document& document);
+std::string digest_of(const PolicyDocument& document);
 // With its digest.
-nlohmann::json write_document(const Document& document);
-std::string write_text(const Document& document);
-// Throws BadDocument: no JSON, a schema that is not known here, a field that is none, a value out of range, a
+nlohmann::json write_document(const PolicyDocument& document);
+std::string write_document_text(const PolicyDocument& document);
+// Throws InvalidDocument: no JSON, a schema that is not known here, a field that is none, a value out of range, a
 // digest that is another's.
-Document read_document(const std::string& text);
+PolicyDocument read_document(const std::string& text);
 // The same of what an operator writes: version, parent and digest are set later.
-Document read_draft(const std::string& text);
+PolicyDocument read_draft(const std::string& text);
 
 // What a router can do, as far as a policy depends on it.
-struct Ability {
-  std::vector<std::string> classes;  // that its settings know
-  std::int64_t open_requests = 0;    // that its memory and sockets bear
+struct RouterCapabilities {
+  std::vector<std::string> classes;    // that its settings know
+  std::int64_t max_open_requests = 0;  // that its memory and sockets bear
 };
 // Why this router cannot live by it; empty where it can.
-std::string objection(const Document& document, const Ability& ability);
+std::string check_capabilities(const PolicyDocument& document, const RouterCapabilities& capabilities);
 
 // What both allow. It is commutative, associative and idempotent; whatever it allows each of the two does. A
 // class that one of them does not serve is not served.
-Content both(const Content& one, const Content& other);
+PolicyContent intersection(const PolicyContent& one, const PolicyContent& other);
 // Whether all that `narrow` allows is allowed by `wide`.
-bool within(const Content& narrow, const Content& wide);
+bool is_subset(const PolicyContent& narrow, const PolicyContent& wide);
 
 // The difference in words, a line for each key.
-std::vector<std::string> difference(const Content& before, const Content& after);
+std::vector<std::string> describe_difference(const PolicyContent& before, const PolicyContent& after);
 
 }  // namespace trailcourse::policy
--- a/src/policy/options.cpp
+++ b/src/policy/options.cpp
@@ -46,7 +46,7 @@
 
 void check_policy(const PolicyOptions& options) {
   const std::int64_t sure =
-      duration_cast<milliseconds>(ownership::surely_held(holder_rules(options).lease)).count();
+      duration_cast<milliseconds>(ownership::surely_held(participant_options(options).lease)).count();
   if (2 * options.renew_ms > sure) {
     throw config::KeyError("policy.renew_ms", std::to_string(options.renew_ms) + " is over half of the " +
                                                   std::to_string(sure) +
@@ -59,21 +59,21 @@
   }
 }
 
-HolderRules holder_rules(const PolicyOptions& options) {
-  HolderRules rules;
+ParticipantOptions participant_options(const PolicyOptions& options) {
+  ParticipantOptions rules;
   rules.lease.ttl = milliseconds(options.ttl_ms);
   rules.lease.drift = options.drift_percent / 100.0;
   rules.lease.margin = milliseconds(options.margin_ms);
   rules.lease.renew_after = milliseconds(options.renew_ms);
   rules.lease.retry = milliseconds(options.retry_ms);
-  rules.both = options.without == "both";
+  rules.serve_intersection = options.without == "both";
   return rules;
 }
 
-DriverRules driver_rules(const PolicyOptions& options) {
-  DriverRules rules;
-  rules.prepare_most = milliseconds(options.prepare_most_ms);
-  rules.hold_most = milliseconds(options.hold_most_ms);
+RolloutTimeouts rollout_timeouts(const PolicyOptions& options) {
+  RolloutTimeouts rules;
+  rules.prepare_timeout = milliseconds(options.prepare_most_ms);
+  rules.suspend_timeout = milliseconds(options.hold_most_ms);
   return rules;
 }
 
--- a/src/policy/options.h
+++ b/src/policy/options.h
@@ -8,8 +8,8 @@
 #include <string>
 
 #include "config/record.h"
-#include "policy/change.h"
-#include "policy/holder.h"
+#include "policy/participant.h"
+#include "policy/rollout.h"
 
 namespace trailcourse::policy {
 
@@ -28,7 +28,7 @@
 const config::Record<PolicyOptions>& policy_record();
 // What one key alone cannot tell; throws config::KeyError.
 void check_policy(const PolicyOptions& options);
-HolderRules holder_rules(const PolicyOptions& options);
-DriverRules driver_rules(const PolicyOptions& options);
+ParticipantOptions participant_options(const PolicyOptions& options);
+RolloutTimeouts rollout_timeouts(const PolicyOptions& options);
 
 }  // namespace trailcourse::policy
--- a/src/policy/participant.cpp
+++ b/src/policy/participant.cpp
@@ -1,4 +1,4 @@
-#include "policy/holder.h"
+#include "policy/participant.h"
 
 #include <algorithm>
 #include <cstdlib>
@@ -16,52 +16,53 @@
 
 }  // namespace
 
-const char* to_string(Standing standing) {
-  switch (standing) {
-    case Standing::kOutside:
+const char* to_string(ParticipantState state) {
+  switch (state) {
+    case ParticipantState::kNoLease:
       return "outside";
-    case Standing::kCurrent:
+    case ParticipantState::kCurrent:
       return "current";
-    case Standing::kPrepared:
+    case ParticipantState::kPrepared:
       return "prepared";
-    case Standing::kInDoubt:
+    case ParticipantState::kInDoubt:
       return "in doubt";
-    case Standing::kSwitching:
+    case ParticipantState::kSwitching:
       break;
   }
   return "switching";
 }
 
-Known read_known(const EntryOf& entry_of) {
-  const coordination::Entry change = entry_of(kChangeKey);
+ObservedState read_observed_state(const EntryLookup& entry_of) {
+  const coordination::Entry change = entry_of(kRolloutKey);
   const coordination::Entry current = entry_of(kCurrentKey);
-  Known out;
-  out.change = read_change(change.value);
-  out.change_modified = change.modified;
+  ObservedState out;
+  out.rollout = read_rollout(change.value);
+  out.rollout_revision = change.modified;
   out.version = version_of(current.value);
-  out.current_modified = current.modified;
+  out.current_revision = current.modified;
   const coordination::Entry acknowledgement = entry_of(kAcknowledgedKey);
   out.acknowledgement = read_acknowledgement(acknowledgement.value).value_or(Acknowledgement{});
-  out.acknowledgement_modified = acknowledgement.modified;
+  out.acknowledgement_revision = acknowledgement.modified;
   return out;
 }
 
-Known known_in_zone(Known known, const EntryOf& entry_of, const std::string& zone) {
-  const coordination::Entry own = entry_of(kZones + zone);
-  known.zone_modified = own.modified;
+ObservedState observed_in_zone(ObservedState known, const EntryLookup& entry_of, const std::string& zone) {
+  const coordination::Entry own = entry_of(kZonePrefix + zone);
+  known.zone_revision = own.modified;
   known.version = own.modified > 0 ? version_of(own.value) : known.version;
   return known;
 }
 
-std::vector<coordination::Compare> join_conditions(const std::string& prefix, const Known& known,
+std::vector<coordination::Compare> join_conditions(const std::string& prefix, const ObservedState& known,
                                                    const std::string& zone) {
-  return {coordination::unchanged(prefix + kChangeKey, known.change_modified),
-          coordination::unchanged(prefix + kCurrentKey, known.current_modified),
-          coordination::unchanged(prefix + kAcknowledgedKey, known.acknowledgement_modified),
-          coordination::unchanged(prefix + kZones + zone, known.zone_modified)};
+  return {coordination::unchanged(prefix + kRolloutKey, known.rollout_revision),
+          coordination::unchanged(prefix + kCurrentKey, known.current_revision),
+          coordination::unchanged(prefix + kAcknowledgedKey, known.acknowledgement_revision),
+          coordination::unchanged(prefix + kZonePrefix + zone, known.zone_revision)};
 }
 
-Holder::Holder(std::string incarnation, std::string zone, const HolderRules& rules, Judge judge)
+Participant::Participant(std::string incarnation, std::string zone, const ParticipantOptions& rules,
+                         Judge judge)
     : incarnation_(std::move(incarnation)),
       zone_(std::move(zone)),
       rules_(rules),
@@ -73,28 +74,28 @@
 
 // ---- What the store tells ----
 
-void Holder::told(Micros now, const Known& known) {
+void Participant::on_observed_state(Micros now, const ObservedState& known) {
   // Answers and watches may overtake each other: what is older than what is known says nothing.
-  const auto newest = [](const Known& one) {
+  const auto newest = [](const ObservedState& one) {
     return std::max(
-        {one.change_modified, one.current_modified, one.zone_modified, one.acknowledgement_modified});
+        {one.rollout_revision, one.current_revision, one.zone_revision, one.acknowledgement_revision});
   };
-  if (is_told_ && newest(known) < newest(known_)) {
+  if (is_told_ && newest(known) < newest(observed_)) {
     return;
   }
   is_told_ = true;
-  known_ = known;
+  observed_ = known;
   consider(now);
 }
 
-void Holder::heard(Micros, bool heard) { heard_ = heard; }
+void Participant::set_connected(Micros, bool connected) { connected_ = connected; }
 
-void Holder::document(Micros now, std::uint64_t version) {
+void Participant::on_document(Micros now, std::uint64_t version) {
   documents_[version] = judge_(version);
   consider(now);
 }
 
-void Holder::kept(Micros now, std::uint64_t version, const std::string& why) {
+void Participant::on_persist_result(Micros now, std::uint64_t version, const std::string& why) {
   if (why.empty()) {
     kept_[version] = true;
     unkept_.erase(version);
@@ -105,125 +106,126 @@
   consider(now);
 }
 
-void Holder::took_in(Micros now, const BoardPosition& position) {
+void Participant::on_events_applied(Micros now, const DiscoveryPosition& position) {
   position_ = position;
   consider(now);
 }
 
-void Holder::count(std::uint64_t requests, std::uint64_t refused) {
+void Participant::set_request_counts(std::uint64_t requests, std::uint64_t refused) {
   requests_ = requests;
   refused_ = refused;
 }
 
-void Holder::consider(Micros) {
-  const Acknowledgement& asked = known_.acknowledgement;
-  if (asked.round > acknowledged_ && position_.covers(asked.asked)) {
+void Participant::consider(Micros) {
+  const Acknowledgement& asked = observed_.acknowledgement;
+  if (asked.round > acknowledged_ && position_.covers(asked.requested)) {
     acknowledged_ = asked.round;
   }
   // Texts that nothing refers to any more are forgotten, so that a long life does not gather them.
   const auto needed = [this](std::uint64_t version) {
-    return version == 0 || version == known_.version || version == last_version_ ||
-           (known_.change && (version == known_.change->version || version == known_.change->before));
+    return version == 0 || version == observed_.version || version == last_version_ ||
+           (observed_.rollout &&
+            (version == observed_.rollout->target_version || version == observed_.rollout->previous_version));
   };
   std::erase_if(documents_,
-                [&](const auto& one) { return !needed(one.first) && one.first < known_.version; });
-  std::erase_if(kept_, [&](const auto& one) { return !needed(one.first) && one.first < known_.version; });
+                [&](const auto& one) { return !needed(one.first) && one.first < observed_.version; });
+  std::erase_if(kept_, [&](const auto& one) { return !needed(one.first) && one.first < observed_.version; });
   std::erase_if(unkept_, [&](const auto& one) { return !needed(one.first); });
 }
 
-bool Holder::has(std::uint64_t version) const {
+bool Participant::has(std::uint64_t version) const {
   const auto kept = kept_.find(version);
   return documents_.contains(version) && kept != kept_.end() && kept->second;
 }
 
 // A stage of a change that concerns this router is being held.
-bool Holder::holds() const {
-  return known_.change && known_.change->state == ChangeState::kHolding && known_.change->concerns(zone_) &&
-         known_.version != known_.change->version;
+bool Participant::holds() const {
+  return observed_.rollout && observed_.rollout->state == RolloutState::kSuspending &&
+         observed_.rollout->applies_to(zone_) && observed_.version != observed_.rollout->target_version;
 }
 
 // ---- The permit ----
 
-Permit Holder::wanted() const {
-  Permit out;
+ParticipantReport Participant::wanted() const {
+  ParticipantReport out;
   out.incarnation = incarnation_;
   out.zone = zone_;
-  out.version = known_.version;
+  out.version = observed_.version;
   out.requests = requests_;
-  out.refused = refused_;
-  out.acknowledged = acknowledged_;
-  const std::optional<Change>& change = known_.change;
-  if (!change || !change->open() || !change->concerns(zone_)) {
+  out.failed_requests = refused_;
+  out.acknowledged_round = acknowledged_;
+  const std::optional<Rollout>& change = observed_.rollout;
+  if (!change || !change->is_open() || !change->applies_to(zone_)) {
     return out;
   }
-  const std::uint64_t step = step_of(*change);
-  const bool asked = change->state == ChangeState::kPreparing || change->state == ChangeState::kHolding;
+  const std::uint64_t step = stage_id(*change);
+  const bool asked = change->state == RolloutState::kPreparing || change->state == RolloutState::kSuspending;
   if (!asked) {
     return out;
   }
-  if (known_.version == change->version) {
+  if (observed_.version == change->target_version) {
     // It decides under it already: nothing is to be held.
-    out.ready = step;
-    out.held = change->state == ChangeState::kHolding ? step : 0;
+    out.ready_stage = step;
+    out.suspended_stage = change->state == RolloutState::kSuspending ? step : 0;
     return out;
   }
-  const auto text = documents_.find(change->version);
-  const auto unkept = unkept_.find(change->version);
+  const auto text = documents_.find(change->target_version);
+  const auto unkept = unkept_.find(change->target_version);
   if (text != documents_.end() && !text->second.empty()) {
-    out.no = step;
-    out.why = text->second;
+    out.rejected_stage = step;
+    out.rejection_reason = text->second;
   } else if (unkept != unkept_.end()) {
-    out.no = step;
-    out.why = unkept->second;
-  } else if (has(change->version)) {
-    out.ready = step;
+    out.rejected_stage = step;
+    out.rejection_reason = unkept->second;
+  } else if (has(change->target_version)) {
+    out.ready_stage = step;
   }
   // From the moment that the record says so nobody decides under the old version alone, ready or not.
-  out.held = change->state == ChangeState::kHolding ? step : 0;
+  out.suspended_stage = change->state == RolloutState::kSuspending ? step : 0;
   return out;
 }
 
 // ---- What it decides ----
 
-Standing Holder::standing(Micros now) const {
-  if (!joined_ || !lease_.may_act(now) || !is_told_ || !has(known_.version)) {
-    return Standing::kOutside;
+ParticipantState Participant::state(Micros now) const {
+  if (!joined_ || !lease_.may_act(now) || !is_told_ || !has(observed_.version)) {
+    return ParticipantState::kNoLease;
   }
   if (holds()) {
-    return Standing::kInDoubt;
+    return ParticipantState::kInDoubt;
   }
-  if (said_.version != known_.version || said_.held != 0) {
-    return Standing::kSwitching;
+  if (said_.version != observed_.version || said_.suspended_stage != 0) {
+    return ParticipantState::kSwitching;
   }
-  return said_.ready != 0 ? Standing::kPrepared : Standing::kCurrent;
+  return said_.ready_stage != 0 ? ParticipantState::kPrepared : ParticipantState::kCurrent;
 }
 
-Ruling Holder::ruling(Micros now) const {
-  const Standing now_is = standing(now);
-  if (now_is != Standing::kOutside && now_is != Standing::kInDoubt) {
-    return {Ruling::Kind::kVersion, known_.version, known_.version};
+EffectivePolicy Participant::effective_policy(Micros now) const {
+  const ParticipantState now_is = state(now);
+  if (now_is != ParticipantState::kNoLease && now_is != ParticipantState::kInDoubt) {
+    return {EffectivePolicy::Kind::kSingle, observed_.version, observed_.version};
   }
   // What both allow is only known where both are: the last that was decided under, and the one that may be in
   // force.
-  if (!rules_.both || !is_told_ || !known_.change) {
+  if (!rules_.serve_intersection || !is_told_ || !observed_.rollout) {
     return {};
   }
-  const std::uint64_t before = known_.change->before;
-  const std::uint64_t after = known_.change->version;
-  const bool between = holds() && known_.version == before;
+  const std::uint64_t before = observed_.rollout->previous_version;
+  const std::uint64_t after = observed_.rollout->target_version;
+  const bool between = holds() && observed_.version == before;
   // Beyond the end of its permission further changes may have come that it has not heard of.
-  if (now_is == Standing::kInDoubt && between && documents_.contains(before) && documents_.contains(after) &&
-      documents_.at(after).empty()) {
-    return {Ruling::Kind::kBoth, before, after};
+  if (now_is == ParticipantState::kInDoubt && between && documents_.contains(before) &&
+      documents_.contains(after) && documents_.at(after).empty()) {
+    return {EffectivePolicy::Kind::kIntersection, before, after};
   }
   return {};
 }
 
-bool Holder::ready(Micros now) const { return standing(now) != Standing::kOutside; }
+bool Participant::ready(Micros now) const { return state(now) != ParticipantState::kNoLease; }
 
 // ---- Answers ----
 
-void Holder::joined(Micros now, std::uint64_t number, bool joined) {
+void Participant::on_join_result(Micros now, std::uint64_t number, bool joined) {
   if (!joined) {
     lease_.refused(now, number);
     saying_.reset();
@@ -238,7 +240,7 @@
   }
 }
 
-void Holder::renewed(Micros now, std::uint64_t number, bool alive) {
+void Participant::on_renew_result(Micros now, std::uint64_t number, bool alive) {
   if (alive) {
     lease_.granted(now, number, 1);
     return;
@@ -251,19 +253,19 @@
   }
 }
 
-void Holder::released(Micros now, std::uint64_t number) {
+void Participant::on_release_result(Micros now, std::uint64_t number) {
   lease_.granted(now, number, 0);
   joined_ = joined_ && !lease_.over();
 }
 
-void Holder::lost(Micros now, std::uint64_t number) {
+void Participant::on_no_response(Micros now, std::uint64_t number) {
   lease_.lost(now, number);
   if (!joined_) {
     saying_.reset();  // the permit may stand there or not: it joins anew, which is seen
   }
 }
 
-void Holder::said(Micros now, std::uint64_t number, bool done) {
+void Participant::on_report_result(Micros now, std::uint64_t number, bool done) {
   if (!say_out_ || number != say_number_) {
     return;
   }
@@ -277,69 +279,71 @@
   saying_.reset();
 }
 
-void Holder::stop(Micros now) { lease_.stop(now); }
+void Participant::stop(Micros now) { lease_.stop(now); }
 
 // ---- Orders ----
 
-bool Holder::may_ask(Micros now) const {
+bool Participant::may_ask(Micros now) const {
   const Phase phase = lease_.phase(now);
   if (phase == Phase::kStopped) {
     return true;
   }
   // Nobody comes in behind the events that are asked for.
-  const bool is_up_to_date = is_told_ && has(known_.version) && acknowledged_ >= known_.acknowledgement.round;
-  return heard_ && (phase != Phase::kCandidate || is_up_to_date);
+  const bool is_up_to_date =
+      is_told_ && has(observed_.version) && acknowledged_ >= observed_.acknowledgement.round;
+  return connected_ && (phase != Phase::kCandidate || is_up_to_date);
 }
 
-std::vector<HolderOrder> Holder::due(Micros now) {
-  std::vector<HolderOrder> out;
+std::vector<ParticipantAction> Participant::step(Micros now) {
+  std::vector<ParticipantAction> out;
   // A text that is to be lived by is kept first.
   for (const std::uint64_t version :
-       {known_.version, known_.change && known_.change->open() ? known_.change->version : 0}) {
+       {observed_.version,
+        observed_.rollout && observed_.rollout->is_open() ? observed_.rollout->target_version : 0}) {
     const auto text = documents_.find(version);
     const bool usable = text != documents_.end() && text->second.empty();
     if (usable && !kept_.contains(version) && !unkept_.contains(version)) {
       kept_[version] = false;
-      out.push_back(KeepDocument{version});
+      out.push_back(PersistDocumentAction{version});
     }
   }
   if (may_ask(now)) {
     if (const std::optional<Order> order = lease_.due(now)) {
-      AskPermission ask;
+      LeaseAction ask;
       ask.order = *order;
       if (order->ask == Ask::kAcquire) {
         joined_ = false;
         say_out_ = false;
         saying_ = wanted();
-        ask.permit = *saying_;
-        ask.permit.number = ++say_number_;
-        ask.known = known_;
+        ask.report = *saying_;
+        ask.report.sequence = ++say_number_;
+        ask.observed = observed_;
       }
       out.push_back(std::move(ask));
     }
   }
-  const Permit want = wanted();
-  Permit said = said_;
+  const ParticipantReport want = wanted();
+  ParticipantReport said = said_;
   // Counts alone are worth a write only while somebody watches.
-  const bool watched =
-      known_.change && known_.change->state == ChangeState::kWatched && known_.change->concerns(zone_);
+  const bool watched = observed_.rollout && observed_.rollout->state == RolloutState::kWatching &&
+                       observed_.rollout->applies_to(zone_);
   if (!watched) {
     said.requests = want.requests;
-    said.refused = want.refused;
+    said.failed_requests = want.failed_requests;
   }
   if (joined_ && !say_out_ && !saying_ && lease_.may_act(now) && now >= say_after_ && !(said == want)) {
     say_out_ = true;
     saying_ = want;
     say_after_ = watched ? now + rules_.lease.retry : now;
-    SayPermit say{++say_number_, want};
-    say.permit.number = say.number;
+    ReportAction say{++say_number_, want};
+    say.report.sequence = say.call_id;
     out.push_back(std::move(say));
   }
   return out;
 }
 
 // While it may not ask, only news can change that.
-std::optional<Micros> Holder::next(Micros now) const {
+std::optional<Micros> Participant::next_step_at(Micros now) const {
   std::optional<Micros> out = may_ask(now) ? lease_.next(now) : std::nullopt;
   if (lease_.may_act(now)) {
     out = std::min(out.value_or(lease_.until()), lease_.until());
--- a/src/policy/participant.h
+++ b/src/policy/participant.h
@@ -31,114 +31,114 @@
 
 #include "ownership/lease.h"
 #include "policy/acknowledgement.h"
-#include "policy/change.h"
 #include "policy/document.h"
+#include "policy/rollout.h"
 
 namespace trailcourse::policy {
 
-enum class Standing { kOutside, kCurrent, kPrepared, kInDoubt, kSwitching };
-const char* to_string(Standing standing);
+enum class ParticipantState { kNoLease, kCurrent, kPrepared, kInDoubt, kSwitching };
+const char* to_string(ParticipantState standing);
 
 // What a request that arrives now is decided under.
-struct Ruling {
+struct EffectivePolicy {
   enum class Kind {
-    kVersion,  // `version` alone
-    kBoth,     // what `version` and `other` both allow
-    kRefuse    // none: 503 at once
+    kSingle,        // `version` alone
+    kIntersection,  // what `version` and `other_version` both allow
+    kReject         // none: 503 at once
   };
-  Kind kind = Kind::kRefuse;
+  Kind kind = Kind::kReject;
   std::uint64_t version = 0;
-  std::uint64_t other = 0;
+  std::uint64_t other_version = 0;
 
-  friend bool operator==(const Ruling&, const Ruling&) = default;
+  friend bool operator==(const EffectivePolicy&, const EffectivePolicy&) = default;
 };
 
-struct HolderRules {
+struct ParticipantOptions {
   ownership::LeaseRules lease;
-  bool both = true;  // without a version alone: serve what both allow; false: refuse
+  bool serve_intersection = true;  // without a version alone: serve what both allow; false: refuse
 };
 
 // What is in the store, as this router has read or been told of it, at one revision.
-struct Known {
-  std::optional<Change> change;
-  Revision change_modified = 0;
+struct ObservedState {
+  std::optional<Rollout> rollout;
+  Revision rollout_revision = 0;
   std::uint64_t version = 0;  // in force in this router's zone
-  Revision current_modified = 0;
-  Revision zone_modified = 0;  // of the zone's own version; 0: it has none
+  Revision current_revision = 0;
+  Revision zone_revision = 0;  // of the zone's own version; 0: it has none
   Acknowledgement acknowledgement;
-  Revision acknowledgement_modified = 0;
+  Revision acknowledgement_revision = 0;
 };
 
 // An entry of the store; an empty one where there is none of that key.
-using EntryOf = std::function<coordination::Entry(const std::string& key)>;
+using EntryLookup = std::function<coordination::Entry(const std::string& key)>;
 // As it stands for zones that have no version of their own.
-Known read_known(const EntryOf& entry_of);
+ObservedState read_observed_state(const EntryLookup& entry_of);
 // The same for a zone that may have one.
-Known known_in_zone(Known known, const EntryOf& entry_of, const std::string& zone);
+ObservedState observed_in_zone(ObservedState known, const EntryLookup& entry_of, const std::string& zone);
 // What must still stand for whoever joins: all that is known, so that nobody joins behind what was decided.
-std::vector<coordination::Compare> join_conditions(const std::string& prefix, const Known& known,
+std::vector<coordination::Compare> join_conditions(const std::string& prefix, const ObservedState& known,
                                                    const std::string& zone);
 
 // What is to be done.
-struct AskPermission {  // acquire: join, with this permit where all is as `known` says; renew; release
+struct LeaseAction {  // acquire: join, with this permit where all is as `known` says; renew; release
   ownership::Order order;
-  Permit permit;
-  Known known;
+  ParticipantReport report;
+  ObservedState observed;
 };
-struct SayPermit {  // the permit as it is to stand, under the lease
-  std::uint64_t number = 0;
-  Permit permit;
+struct ReportAction {  // the permit as it is to stand, under the lease
+  std::uint64_t call_id = 0;
+  ParticipantReport report;
 };
-struct KeepDocument {  // on disk, before it is said to be ready or decided under
+struct PersistDocumentAction {  // on disk, before it is said to be ready or decided under
   std::uint64_t version = 0;
 };
-using HolderOrder = std::variant<AskPermission, SayPermit, KeepDocument>;
+using ParticipantAction = std::variant<LeaseAction, ReportAction, PersistDocumentAction>;
 
-class Holder {
+class Participant {
  public:
   // Whether this router can live by a version: empty, or why not. Asked once its text is here.
   using Judge = std::function<std::string(std::uint64_t version)>;
 
-  Holder(std::string incarnation, std::string zone, const HolderRules& rules, Judge judge);
+  Participant(std::string incarnation, std::string zone, const ParticipantOptions& rules, Judge judge);
 
   // ---- What the store tells ----
-  void told(Micros now, const Known& known);
+  void on_observed_state(Micros now, const ObservedState& observed);
   // Whether the store is heard: permission is not renewed where it is not, so that news that does not arrive
   // ends it.
-  void heard(Micros now, bool heard);
+  void set_connected(Micros now, bool connected);
   // The text of a version is here. Version 0, what routers do without a document, always is.
-  void document(Micros now, std::uint64_t version);
+  void on_document(Micros now, std::uint64_t version);
 
   // ---- Answers ----
   // `joined`: the store had all as it was known; else what is to be known is told first.
-  void joined(Micros now, std::uint64_t number, bool joined);
-  void renewed(Micros now, std::uint64_t number, bool alive);
-  void released(Micros now, std::uint64_t number);
-  void lost(Micros now, std::uint64_t number);
-  void said(Micros now, std::uint64_t number, bool done);
+  void on_join_result(Micros now, std::uint64_t call_id, bool joined);
+  void on_renew_result(Micros now, std::uint64_t call_id, bool alive);
+  void on_release_result(Micros now, std::uint64_t call_id);
+  void on_no_response(Micros now, std::uint64_t call_id);
+  void on_report_result(Micros now, std::uint64_t call_id, bool done);
   // The disk's: empty, or why it could not be kept.
-  void kept(Micros now, std::uint64_t version, const std::string& why);
+  void on_persist_result(Micros now, std::uint64_t version, const std::string& why);
 
   // Requests and refusals since the start, for whoever watches a stage.
-  void count(std::uint64_t requests, std::uint64_t refused);
+  void set_request_counts(std::uint64_t requests, std::uint64_t refused);
   // All events of the notice board up to here are taken in: what is decided from now on goes by them.
-  void took_in(Micros now, const BoardPosition& position);
+  void on_events_applied(Micros now, const DiscoveryPosition& position);
 
   // ---- What it decides ----
-  Ruling ruling(Micros now) const;
-  Standing standing(Micros now) const;
-  std::vector<HolderOrder> due(Micros now);
-  std::optional<Micros> next(Micros now) const;
-  Micros until() const { return lease_.until(); }
+  EffectivePolicy effective_policy(Micros now) const;
+  ParticipantState state(Micros now) const;
+  std::vector<ParticipantAction> step(Micros now);
+  std::optional<Micros> next_step_at(Micros now) const;
+  Micros lease_end() const { return lease_.until(); }
   // Whether requests are to be taken: it has permission, whatever is being held. /healthz says so.
   bool ready(Micros now) const;
   void stop(Micros now);
   bool stopped() const { return lease_.over(); }
-  const Known& known() const { return known_; }
+  const ObservedState& observed() const { return observed_; }
 
  private:
   // What the permit should say.
-  Permit wanted() const;
+  ParticipantReport wanted() const;
   bool has(std::uint64_t version) const;
   bool holds() const;
   // Whether permission may be asked for, renewed or given back now, as far as the store and the board go.
@@ -147,15 +147,15 @@
 
   std::string incarnation_;
   std::string zone_;
-  HolderRules rules_;
+  ParticipantOptions rules_;
   Judge judge_;
   ownership::Lease lease_;
-  Known known_;
+  ObservedState observed_;
   bool is_told_ = false;
-  bool heard_ = false;
-  bool joined_ = false;  // the permit of this lease stands in the store
-  Permit said_;          // as it stands there, as far as is known
-  std::optional<Permit> saying_;
+  bool connected_ = false;
+  bool joined_ = false;     // the permit of this lease stands in the store
+  ParticipantReport said_;  // as it stands there, as far as is known
+  std::optional<ParticipantReport> saying_;
   bool say_out_ = false;
   std::uint64_t say_number_ = 0;
   Micros say_after_{0};
@@ -164,7 +164,7 @@
   std::map<std::uint64_t, std::string> unkept_;     // why
   std::uint64_t requests_ = 0, refused_ = 0;
   std::uint64_t last_version_ = 0;  // that was decided under
-  BoardPosition position_;          // of the notice board
+  DiscoveryPosition position_;      // of the notice board
   std::uint64_t acknowledged_ = 0;  // the last round whose events are taken in
 };
 
--- a/src/program/fleet_work.cpp
+++ b/src/program/fleet_work.cpp
@@ -105,7 +105,7 @@
   policy_.emplace(scheduler_, policy_store_ ? *policy_store_ : *store_, configuration_.start.policy,
                   configuration_.start.coordination.prefix, self, configuration_.profile, router_,
                   [this](std::optional<std::set<std::string>> kinds) { allow(std::move(kinds)); });
-  board_.listen([this](const policy::BoardPosition& position) { policy_->took_in(position); });
+  board_.listen([this](const policy::DiscoveryPosition& position) { policy_->took_in(position); });
 }
 
 // What work the policy in force lets this router own.
--- a/src/program/fleet_work.h
+++ b/src/program/fleet_work.h
@@ -40,7 +40,7 @@
   // Whether requests may be taken, as far as the fleet's policy goes.
   bool ready() const { return !policy_ || policy_->ready(); }
   // This router has taken in the notice board up to here.
-  void took_in(const policy::BoardPosition& position) { board_.took_in(position); }
+  void took_in(const policy::DiscoveryPosition& position) { board_.took_in(position); }
   // Gives the permission of the policy back: nothing arrives any more.
   void leave();
   bool left() const { return !policy_ || policy_->stopped(); }
--- a/src/program/policy_command.cpp
+++ b/src/program/policy_command.cpp
@@ -10,8 +10,8 @@
 
 #include "ownership/work.h"
 #include "policy/acknowledgement.h"
-#include "policy/change.h"
 #include "policy/document.h"
+#include "policy/rollout.h"
 #include "program/store_client.h"
 #include "protocol/numbers.h"
 #include "tasks/policy_change_task.h"
@@ -34,89 +34,89 @@
 std::string text_of(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
   if (!file.is_open()) {
-    throw policy::BadDocument(path + ": cannot be read");
+    throw policy::InvalidDocument(path + ": cannot be read");
   }
   return {std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
 }
 
-policy::Seen look(StoreClient& client) {
-  return policy::read_seen(client.prefix(), client.commit(policy::look(client.prefix())));
+policy::RolloutSnapshot look(StoreClient& client) {
+  return policy::read_snapshot(client.prefix(), client.commit(policy::snapshot_transaction(client.prefix())));
 }
 
-std::map<std::uint64_t, policy::Document> documents(StoreClient& client) {
-  std::map<std::uint64_t, policy::Document> out;
-  for (const coordination::Entry& entry : client.get(policy::kDocuments)) {
+std::map<std::uint64_t, policy::PolicyDocument> documents(StoreClient& client) {
+  std::map<std::uint64_t, policy::PolicyDocument> out;
+  for (const coordination::Entry& entry : client.get(policy::kDocumentPrefix)) {
     try {
-      policy::Document document = policy::read_document(entry.value);
+      policy::PolicyDocument document = policy::read_document(entry.value);
       const std::uint64_t version = document.version;
       out[version] = std::move(document);
-    } catch (const policy::BadDocument&) {
+    } catch (const policy::InvalidDocument&) {
       // Of a later program: its number is taken all the same.
-      out[std::strtoull(entry.key.c_str() + std::string(policy::kDocuments).size(), nullptr, 10)] = {};
+      out[std::strtoull(entry.key.c_str() + std::string(policy::kDocumentPrefix).size(), nullptr, 10)] = {};
     }
   }
   return out;
 }
 
-policy::Content content_in_force(const std::map<std::uint64_t, policy::Document>& all,
-                                 std::uint64_t version) {
+policy::PolicyContent content_in_force(const std::map<std::uint64_t, policy::PolicyDocument>& all,
+                                       std::uint64_t version) {
   const auto found = all.find(version);
-  return found == all.end() ? policy::Content{} : found->second.content;
+  return found == all.end() ? policy::PolicyContent{} : found->second.content;
 }
 
-json status_json(const policy::Seen& seen) {
+json status_json(const policy::RolloutSnapshot& seen) {
   json permits = json::array();
-  for (const auto& [name, permit] : seen.permits) {
+  for (const auto& [name, permit] : seen.reports) {
     permits.push_back({{"router", name.substr(0, name.find('/'))},
                        {"zone", permit.zone},
                        {"version", permit.version},
-                       {"ready", permit.ready},
-                       {"held", permit.held},
-                       {"no", permit.why},
-                       {"routers", permit.routers},
-                       {"awaits", permit.awaits}});
+                       {"ready", permit.ready_stage},
+                       {"held", permit.suspended_stage},
+                       {"no", permit.rejection_reason},
+                       {"routers", permit.represented_routers},
+                       {"awaits", permit.waiting_for}});
   }
-  json out{{"version", seen.current},
-           {"zones", seen.zones},
+  json out{{"version", seen.current_version},
+           {"zones", seen.zone_versions},
            {"permits", permits},
-           {"awaited", policy::awaited(seen)}};
-  out["change"] = seen.change ? json::parse(policy::write_change(*seen.change)) : json();
+           {"awaited", policy::describe_pending(seen)}};
+  out["change"] = seen.rollout ? json::parse(policy::write_rollout(*seen.rollout)) : json();
   return out;
 }
 
 // Of routers one by one, and of those that aggregators stand for.
-std::string permission_line(const policy::Seen& seen) {
+std::string permission_line(const policy::RolloutSnapshot& seen) {
   std::size_t summaries = 0;
   std::uint64_t behind = 0;
-  for (const auto& [name, permit] : seen.permits) {
-    summaries += permit.routers > 0 ? 1 : 0;
-    behind += permit.routers;
+  for (const auto& [name, permit] : seen.reports) {
+    summaries += permit.represented_routers > 0 ? 1 : 0;
+    behind += permit.represented_routers;
   }
   if (summaries == 0) {
-    return std::to_string(seen.permits.size()) + " routers have permission";
+    return std::to_string(seen.reports.size()) + " routers have permission";
   }
-  return std::to_string(seen.permits.size()) + " permits stand, " + std::to_string(summaries) +
+  return std::to_string(seen.reports.size()) + " permits stand, " + std::to_string(summaries) +
          " of them of aggregators for " + std::to_string(behind) + " routers when they were written";
 }
 
-void print_status(const policy::Seen& seen, std::ostream& out) {
-  out << "in force: version " << seen.current;
-  for (const auto& [zone, version] : seen.zones) {
+void print_status(const policy::RolloutSnapshot& seen, std::ostream& out) {
+  out << "in force: version " << seen.current_version;
+  for (const auto& [zone, version] : seen.zone_versions) {
     out << ", in zone " << zone << " version " << version;
   }
   out << "\n" << permission_line(seen) << "\n";
-  if (!seen.change) {
+  if (!seen.rollout) {
     out << "no change was made yet\n";
     return;
   }
-  const policy::Change& change = *seen.change;
-  out << "change " << change.id << " from version " << change.before << " to " << change.version << ": "
-      << to_string(change.state);
+  const policy::Rollout& change = *seen.rollout;
+  out << "change " << change.id << " from version " << change.previous_version << " to "
+      << change.target_version << ": " << to_string(change.state);
   if (!change.stages.empty()) {
     out << ", stage " << change.stage + 1 << " of " << change.stages.size() + 1;
   }
-  out << (change.why.empty() ? "" : " (" + change.why + ")") << '\n';
-  for (const std::string& line : policy::awaited(seen)) {
+  out << (change.reason.empty() ? "" : " (" + change.reason + ")") << '\n';
+  for (const std::string& line : policy::describe_pending(seen)) {
     out << "  " << line << '\n';
   }
 }
@@ -126,25 +126,25 @@
                                                    std::chrono::duration<double>(command.longest_s));
   std::string told;
   for (;;) {
-    const policy::Seen seen = look(client);
-    if (!seen.change || seen.change->id < id) {
+    const policy::RolloutSnapshot seen = look(client);
+    if (!seen.rollout || seen.rollout->id < id) {
       out << "no such change\n";
       return kChangeOpen;
     }
-    const policy::Change& change = *seen.change;
+    const policy::Rollout& change = *seen.rollout;
     const std::string state = std::string(to_string(change.state)) + ", " +
-                              std::to_string(policy::awaited(seen).size()) + " awaited";
+                              std::to_string(policy::describe_pending(seen).size()) + " awaited";
     if (state != told && !command.json) {
-      out << "change " << change.id << " to version " << change.version << ": " << state << std::endl;
+      out << "change " << change.id << " to version " << change.target_version << ": " << state << std::endl;
       told = state;
     }
-    if (!change.open()) {
+    if (!change.is_open()) {
       if (command.json) {
         out << status_json(seen).dump(1) << '\n';
-      } else if (!change.why.empty()) {
-        out << change.why << '\n';
+      } else if (!change.reason.empty()) {
+        out << change.reason << '\n';
       }
-      return change.state == policy::ChangeState::kDone && change.id == id ? 0 : kChangeAborted;
+      return change.state == policy::RolloutState::kDone && change.id == id ? 0 : kChangeAborted;
     }
     if (Clock::now() >= end) {
       print_status(seen, out);
@@ -156,7 +156,7 @@
 
 int propose(StoreClient& client, const PolicyCommand& command, std::ostream& out, std::ostream& errors) {
   const auto all = documents(client);
-  policy::Document document;
+  policy::PolicyDocument document;
   if (!command.version.empty()) {
     const auto of = protocol::read_number<std::uint64_t>(command.version);
     const auto found = of ? all.find(*of) : all.end();
@@ -171,28 +171,28 @@
   }
   document.author = !command.author.empty() ? command.author : document.author;
   document.reason = !command.reason.empty() ? command.reason : document.reason;
-  const policy::Seen seen = look(client);
+  const policy::RolloutSnapshot seen = look(client);
   bool superseded = false;
-  if (const std::string why = policy::may_begin(seen, command.urgent, superseded); !why.empty()) {
+  if (const std::string why = policy::check_can_begin(seen, command.urgent, superseded); !why.empty()) {
     errors << "trailcourse: policy: " << why << '\n';
     return kChangeOpen;
   }
-  document.parent = seen.current;
+  document.parent = seen.current_version;
   document.version = (all.empty() ? 0 : all.rbegin()->first) + 1;
-  document.version = std::max(document.version, seen.current + 1);
-  policy::Change change;
-  change.id = seen.change ? seen.change->id + 1 : 1;
-  change.version = document.version;
-  change.before = seen.current;
+  document.version = std::max(document.version, seen.current_version + 1);
+  policy::Rollout change;
+  change.id = seen.rollout ? seen.rollout->id + 1 : 1;
+  change.target_version = document.version;
+  change.previous_version = seen.current_version;
   change.urgent = command.urgent;
   change.stages = command.stages;
   change.watch_ms = static_cast<std::int64_t>(command.watch_s * 1e3);
-  change.most_refused = command.most_refused;
-  change.by = document.author;
+  change.max_rejected_share = command.most_refused;
+  change.author = document.author;
   const std::string audit = std::to_string(unix_ms()) + " " + document.author + ": " + document.reason +
-                            (superseded ? "; supersedes change " + std::to_string(seen.change->id) : "");
+                            (superseded ? "; supersedes change " + std::to_string(seen.rollout->id) : "");
   coordination::Transaction write =
-      policy::begin(client.prefix(), seen, change, policy::write_text(document), audit);
+      policy::begin_transaction(client.prefix(), seen, change, policy::write_document_text(document), audit);
   if (!client.commit(write).succeeded) {
     errors << "trailcourse: policy: things changed meanwhile; nothing was done\n";
     return kChangeOpen;
@@ -207,52 +207,52 @@
   drive.then = {coordination::Put{key, ownership::write_work(work), 0}};
   client.commit(drive);
   if (!command.json) {
-    out << "change " << change.id << " to version " << change.version << " is proposed\n";
+    out << "change " << change.id << " to version " << change.target_version << " is proposed\n";
     for (const std::string& line :
-         policy::difference(content_in_force(all, seen.current), document.content)) {
+         policy::describe_difference(content_in_force(all, seen.current_version), document.content)) {
       out << "  " << line << '\n';
     }
   } else if (!command.wait) {
-    out << json{{"change", change.id}, {"version", change.version}}.dump() << '\n';
+    out << json{{"change", change.id}, {"version", change.target_version}}.dump() << '\n';
   }
   return command.wait ? wait_for(client, command, change.id, out) : 0;
 }
 
 int abort(StoreClient& client, const PolicyCommand& command, std::ostream& out, std::ostream& errors) {
-  const policy::Seen seen = look(client);
-  const bool can = seen.change && (seen.change->state == policy::ChangeState::kPreparing ||
-                                   seen.change->state == policy::ChangeState::kHolding);
+  const policy::RolloutSnapshot seen = look(client);
+  const bool can = seen.rollout && (seen.rollout->state == policy::RolloutState::kPreparing ||
+                                    seen.rollout->state == policy::RolloutState::kSuspending);
   if (!can) {
     errors << "trailcourse: policy: "
-           << (!seen.change || !seen.change->open()
+           << (!seen.rollout || !seen.rollout->is_open()
                    ? "no change is open"
                    : "the change has committed: go back with `propose --content-of` of what was before")
            << '\n';
     return kChangeOpen;
   }
-  policy::Step step;
-  step.change = *seen.change;
-  step.change.state = policy::ChangeState::kAborted;
-  step.change.why = command.reason.empty() ? "by staff" : command.reason;
-  step.audit = std::to_string(unix_ms()) + " aborted by staff: " + step.change.why;
-  if (!client.commit(policy::carry_out(client.prefix(), seen, step)).succeeded) {
+  policy::RolloutStep step;
+  step.rollout = *seen.rollout;
+  step.rollout.state = policy::RolloutState::kAborted;
+  step.rollout.reason = command.reason.empty() ? "by staff" : command.reason;
+  step.audit = std::to_string(unix_ms()) + " aborted by staff: " + step.rollout.reason;
+  if (!client.commit(policy::execute_transaction(client.prefix(), seen, step)).succeeded) {
     errors << "trailcourse: policy: things changed meanwhile; nothing was done\n";
     return kChangeOpen;
   }
-  out << "change " << step.change.id << " is aborted; version " << seen.current << " stays\n";
+  out << "change " << step.rollout.id << " is aborted; version " << seen.current_version << " stays\n";
   return 0;
 }
 
 int diff(StoreClient& client, const PolicyCommand& command, std::ostream& out) {
-  const policy::Document draft = policy::read_draft(text_of(command.file));
+  const policy::PolicyDocument draft = policy::read_draft(text_of(command.file));
   const auto all = documents(client);
-  const policy::Seen seen = look(client);
-  const auto lines = policy::difference(content_in_force(all, seen.current), draft.content);
+  const policy::RolloutSnapshot seen = look(client);
+  const auto lines = policy::describe_difference(content_in_force(all, seen.current_version), draft.content);
   if (command.json) {
-    out << json{{"version", seen.current}, {"lines", lines}}.dump(1) << '\n';
+    out << json{{"version", seen.current_version}, {"lines", lines}}.dump(1) << '\n';
     return 0;
   }
-  out << "against version " << seen.current << ":\n";
+  out << "against version " << seen.current_version << ":\n";
   for (const std::string& line : lines) {
     out << "  " << line << '\n';
   }
@@ -269,8 +269,8 @@
     std::string step, text;
   };
   std::vector<Line> lines;
-  for (const coordination::Entry& entry : client.get(policy::kAudit)) {
-    const std::string rest = entry.key.substr(std::string(policy::kAudit).size());
+  for (const coordination::Entry& entry : client.get(policy::kAuditPrefix)) {
+    const std::string rest = entry.key.substr(std::string(policy::kAuditPrefix).size());
     lines.push_back({std::strtoull(rest.c_str(), nullptr, 10), entry.modified,
                      rest.substr(rest.find('/') + 1), entry.value});
   }
@@ -293,7 +293,7 @@
 
 int show(StoreClient& client, const PolicyCommand& command, std::ostream& out, std::ostream& errors) {
   const auto all = documents(client);
-  const auto version = command.version.empty() ? std::optional<std::uint64_t>(look(client).current)
+  const auto version = command.version.empty() ? std::optional<std::uint64_t>(look(client).current_version)
                                                : protocol::read_number<std::uint64_t>(command.version);
   const auto found = version ? all.find(*version) : all.end();
   if (found == all.end()) {
@@ -304,14 +304,14 @@
   return 0;
 }
 
-policy::AcknowledgementsSeen look_at_acknowledgements(StoreClient& client) {
-  return policy::read_acknowledgements_seen(client.prefix(),
-                                            client.commit(policy::look_at_acknowledgements(client.prefix())));
+policy::AcknowledgementSnapshot look_at_acknowledgements(StoreClient& client) {
+  return policy::read_acknowledgement_snapshot(
+      client.prefix(), client.commit(policy::acknowledgement_snapshot_transaction(client.prefix())));
 }
 
-void print_acknowledgements(const policy::AcknowledgementsSeen& seen, bool as_json, std::ostream& out) {
+void print_acknowledgements(const policy::AcknowledgementSnapshot& seen, bool as_json, std::ostream& out) {
   const policy::Acknowledgement& record = seen.record;
-  const std::vector<std::string> awaited = policy::unacknowledged(seen);
+  const std::vector<std::string> awaited = policy::describe_unacknowledged(seen);
   if (as_json) {
     json shown = json::parse(policy::write_acknowledgement(record));
     shown["awaited"] = awaited;
@@ -322,17 +322,18 @@
     out << "nobody has asked yet: is there work of kind acknowledge, and an owner?\n";
     return;
   }
-  out << "board " << record.asked.board << ": every router has taken in events up to " << record.done.event
-      << "; round " << record.round << " asks for those up to " << record.asked.event << '\n';
+  out << "board " << record.requested.source << ": every router has taken in events up to "
+      << record.completed.sequence << "; round " << record.round << " asks for those up to "
+      << record.requested.sequence << '\n';
   for (const std::string& line : awaited) {
     out << "  " << line << '\n';
   }
 }
 
 int forget_acknowledgements(StoreClient& client, std::ostream& out, std::ostream& errors) {
-  const policy::AcknowledgementsSeen seen = look_at_acknowledgements(client);
-  const policy::Acknowledgement none = policy::forgotten(seen.record);
-  if (!client.commit(policy::write_record(client.prefix(), seen, none)).succeeded) {
+  const policy::AcknowledgementSnapshot seen = look_at_acknowledgements(client);
+  const policy::Acknowledgement none = policy::reset_acknowledgement(seen.record);
+  if (!client.commit(policy::write_acknowledgement_transaction(client.prefix(), seen, none)).succeeded) {
     errors << "trailcourse: policy: things changed meanwhile; nothing was done\n";
     return kChangeOpen;
   }
@@ -344,8 +345,8 @@
   const Clock::time_point end = Clock::now() + std::chrono::duration_cast<Clock::duration>(
                                                    std::chrono::duration<double>(command.longest_s));
   for (;;) {
-    const policy::AcknowledgementsSeen seen = look_at_acknowledgements(client);
-    const bool done = seen.record.done.event >= command.event;
+    const policy::AcknowledgementSnapshot seen = look_at_acknowledgements(client);
+    const bool done = seen.record.completed.sequence >= command.event;
     if (done || !command.wait || Clock::now() >= end) {
       print_acknowledgements(seen, command.json, out);
       return done ? 0 : kChangeAwaited;
@@ -355,7 +356,7 @@
 }
 
 int check(const PolicyCommand& command, std::ostream& out) {
-  const policy::Document draft = policy::read_draft(text_of(command.file));
+  const policy::PolicyDocument draft = policy::read_draft(text_of(command.file));
   if (command.json) {
     out << policy::write_document(draft)["content"].dump(1) << '\n';
   } else {
@@ -392,9 +393,9 @@
       return command.forget ? forget_acknowledgements(client, out, errors)
                             : acknowledged(client, command, out);
     }
-    const policy::Seen seen = look(client);
+    const policy::RolloutSnapshot seen = look(client);
     if (command.action == "wait") {
-      return wait_for(client, command, seen.change ? seen.change->id : 0, out);
+      return wait_for(client, command, seen.rollout ? seen.rollout->id : 0, out);
     }
     if (command.json) {
       out << status_json(seen).dump(1) << '\n';
@@ -402,7 +403,7 @@
       print_status(seen, out);
     }
     return 0;
-  } catch (const policy::BadDocument& error) {
+  } catch (const policy::InvalidDocument& error) {
     errors << "trailcourse: policy: " << error.what() << '\n';
     return kBadPolicy;
   } catch (const std::runtime_error& error) {
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -52,7 +52,7 @@
   virtual void ruled(const std::string&, Micros) {}
 };
 
-// What a policy makes of a request that arrives now (policy/holder.h).
+// What a policy makes of a request that arrives now (policy/participant.h).
 struct Rule {
   bool refuse = false;            // at once: nobody says under what it could be decided
   int request_class = 0;          // among the module's, of the version that rules
--- a/src/tasks/acknowledgement_task.cpp
+++ b/src/tasks/acknowledgement_task.cpp
@@ -11,24 +11,24 @@
                                          TaskContext context)
     : StoreDriverTask(scheduler, store, std::move(prefix), std::move(context)),
       board_(board),
-      listener_(board.listen([this](const policy::BoardPosition& position) { took_in(position); })),
-      driver_(least_round) {}
+      listener_(board.listen([this](const policy::DiscoveryPosition& position) { took_in(position); })),
+      coordinator_(least_round) {}
 
 AcknowledgementTask::~AcknowledgementTask() { board_.leave(listener_); }
 
 // While a round is open, its end is a reason to look anyhow.
-void AcknowledgementTask::took_in(const policy::BoardPosition& position) {
-  if (!round_open_ || position.board != asked_.board) {
+void AcknowledgementTask::took_in(const policy::DiscoveryPosition& position) {
+  if (!round_open_ || position.source != asked_.source) {
     look_soon();
   }
 }
 
 coordination::Transaction AcknowledgementTask::looks_at() const {
-  return policy::look_at_acknowledgements(prefix());
+  return policy::acknowledgement_snapshot_transaction(prefix());
 }
 
 std::vector<Range> AcknowledgementTask::follows() const {
-  return {Range{prefix() + policy::kPermits, true}, Range{prefix() + policy::kAcknowledgedKey, false}};
+  return {Range{prefix() + policy::kReportPrefix, true}, Range{prefix() + policy::kAcknowledgedKey, false}};
 }
 
 bool AcknowledgementTask::concerns(const std::string& key) const {
@@ -36,14 +36,14 @@
 }
 
 StoreDriverTask::Decision AcknowledgementTask::decide(Micros now, const coordination::Outcome& outcome) {
-  const policy::AcknowledgementsSeen seen = policy::read_acknowledgements_seen(prefix(), outcome);
-  round_open_ = seen.record.round > 0 && seen.record.done != seen.record.asked;
-  asked_ = seen.record.asked;
+  const policy::AcknowledgementSnapshot seen = policy::read_acknowledgement_snapshot(prefix(), outcome);
+  round_open_ = seen.record.round > 0 && seen.record.completed != seen.record.requested;
+  asked_ = seen.record.requested;
   Decision out;
-  if (const auto next = driver_.next(now, seen, board_.position())) {
-    out.write = policy::write_record(prefix(), seen, *next);
+  if (const auto next = coordinator_.step(now, seen, board_.position())) {
+    out.write = policy::write_acknowledgement_transaction(prefix(), seen, *next);
   }
-  out.look_at = driver_.due();
+  out.look_at = coordinator_.next_step_at();
   return out;
 }
 
--- a/src/tasks/acknowledgement_task.h
+++ b/src/tasks/acknowledgement_task.h
@@ -1,5 +1,5 @@
 // The task of finding out which events of the notice board every router has taken in, by
-// policy::AcknowledgementDriver. It asks for what its own process has taken in.
+// policy::AcknowledgementCoordinator. It asks for what its own process has taken in.
 //
 // Package `tasks`, over `policy`. One thread.
 #pragma once
@@ -29,13 +29,13 @@
   bool concerns(const std::string& key) const override;
 
  private:
-  void took_in(const policy::BoardPosition& position);
+  void took_in(const policy::DiscoveryPosition& position);
 
   BoardFollower& board_;
   BoardFollower::ListenerId listener_;
-  policy::AcknowledgementDriver driver_;
-  bool round_open_ = true;       // as it was seen last; true before
-  policy::BoardPosition asked_;  // the same
+  policy::AcknowledgementCoordinator coordinator_;
+  bool round_open_ = true;           // as it was seen last; true before
+  policy::DiscoveryPosition asked_;  // the same
 };
 
 }  // namespace trailcourse::tasks
--- a/src/tasks/board_follower.h
+++ b/src/tasks/board_follower.h
@@ -13,10 +13,10 @@
 
 class BoardFollower {
  public:
-  using Listener = std::function<void(const policy::BoardPosition&)>;
+  using Listener = std::function<void(const policy::DiscoveryPosition&)>;
   using ListenerId = std::uint64_t;
 
-  void took_in(const policy::BoardPosition& position) {
+  void took_in(const policy::DiscoveryPosition& position) {
     if (position == position_) {
       return;
     }
@@ -26,7 +26,7 @@
       listener(position_);
     }
   }
-  const policy::BoardPosition& position() const { return position_; }
+  const policy::DiscoveryPosition& position() const { return position_; }
 
   // The listener is called until it leaves; it must not outlive what it refers to.
   ListenerId listen(Listener listener) {
@@ -36,7 +36,7 @@
   void leave(ListenerId id) { listeners_.erase(id); }
 
  private:
-  policy::BoardPosition position_;
+  policy::DiscoveryPosition position_;
   std::map<ListenerId, Listener> listeners_;
   ListenerId last_ = 0;
 };
--- a/src/tasks/policy_change_task.cpp
+++ b/src/tasks/policy_change_task.cpp
@@ -21,32 +21,34 @@
                                    std::string prefix, const policy::PolicyOptions& options,
                                    TaskContext context)
     : StoreDriverTask(scheduler, store, std::move(prefix), std::move(context)),
-      driver_(policy::driver_rules(options)) {}
+      coordinator_(policy::rollout_timeouts(options)) {}
 
-coordination::Transaction PolicyChangeTask::looks_at() const { return policy::look(prefix()); }
+coordination::Transaction PolicyChangeTask::looks_at() const {
+  return policy::snapshot_transaction(prefix());
+}
 
 std::vector<Range> PolicyChangeTask::follows() const {
-  return {Range{prefix() + policy::kPermits, true}, Range{prefix() + policy::kChangeKey, false}};
+  return {Range{prefix() + policy::kReportPrefix, true}, Range{prefix() + policy::kRolloutKey, false}};
 }
 
 // Permits say nothing to it while no change is open: they may be written for other reasons.
 bool PolicyChangeTask::concerns(const std::string& key) const {
-  return change_open_ || key == policy::kChangeKey;
+  return change_open_ || key == policy::kRolloutKey;
 }
 
 StoreDriverTask::Decision PolicyChangeTask::decide(Micros now, const coordination::Outcome& outcome) {
-  const policy::Seen seen = policy::read_seen(prefix(), outcome);
-  change_open_ = seen.change && seen.change->open();
-  std::optional<policy::Step> step = driver_.next(now, seen);
+  const policy::RolloutSnapshot seen = policy::read_snapshot(prefix(), outcome);
+  change_open_ = seen.rollout && seen.rollout->is_open();
+  std::optional<policy::RolloutStep> step = coordinator_.step(now, seen);
   Decision out;
   if (!step) {
-    out.look_at = driver_.due();
+    out.look_at = coordinator_.next_step_at();
     return out;
   }
-  out.step = "change " + std::to_string(step->change.id) + " to version " +
-             std::to_string(step->change.version) + ": " + step->audit;
+  out.step = "change " + std::to_string(step->rollout.id) + " to version " +
+             std::to_string(step->rollout.target_version) + ": " + step->audit;
   step->audit = std::to_string(unix_ms()) + " " + step->audit;
-  out.write = policy::carry_out(prefix(), seen, *step);
+  out.write = policy::execute_transaction(prefix(), seen, *step);
   return out;
 }
 
--- a/src/tasks/policy_change_task.h
+++ b/src/tasks/policy_change_task.h
@@ -1,4 +1,4 @@
-// The task of driving changes of policy, by policy::Driver.
+// The task of driving changes of policy, by policy::RolloutCoordinator.
 //
 // Package `tasks`, over `policy`. One thread.
 #pragma once
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "policy/change.h"
 #include "policy/options.h"
+#include "policy/rollout.h"
 #include "tasks/store_driver_task.h"
 
 namespace trailcourse::tasks {
@@ -26,7 +26,7 @@
   bool concerns(const std::string& key) const override;
 
  private:
-  policy::Driver driver_;
+  policy::RolloutCoordinator coordinator_;
   bool change_open_ = true;  // as it was seen last; true before
 };
 
--- a/src/tasks/policy_follower.cpp
+++ b/src/tasks/policy_follower.cpp
@@ -12,7 +12,7 @@
 
 using coordination::Outcome;
 using coordination::Reply;
-using policy::Ruling;
+using policy::EffectivePolicy;
 using std::chrono::milliseconds;
 using transport::Clock;
 using transport::Level;
@@ -39,8 +39,8 @@
       router_(router),
       allowed_(std::move(allowed)),
       mailbox_(scheduler),
-      holder_(self_.incarnation, self_.zone, policy::holder_rules(options),
-              [this](std::uint64_t version) { return judge(version); }),
+      participant_(self_.incarnation, self_.zone, policy::participant_options(options),
+                   [this](std::uint64_t version) { return judge(version); }),
       names_(profile.settings.classes.size()),
       timer_(scheduler, [this] { turn(); }),
       next_turn_(scheduler, [this] { turn(); }) {
@@ -68,19 +68,19 @@
 Micros PolicyFollower::now() { return std::chrono::duration_cast<Micros>(Clock::now().time_since_epoch()); }
 
 void PolicyFollower::start() {
-  watch_ = store_.watch(coordination::Range{prefix_ + policy::kRecords, true}, *this);
+  watch_ = store_.watch(coordination::Range{prefix_ + policy::kPolicyPrefix, true}, *this);
   turn_soon();
 }
 
 void PolicyFollower::stop() {
   if (!std::exchange(stopping_, true)) {
-    holder_.stop(now());
+    participant_.stop(now());
     turn_soon();
   }
 }
 
 // While it drains it goes on being ready for what is on its way, as before.
-bool PolicyFollower::ready() const { return holder_.ready(now()); }
+bool PolicyFollower::ready() const { return participant_.ready(now()); }
 
 // ---- What the store tells ----
 
@@ -93,22 +93,22 @@
   coordination::Entry& entry = keys_[key];
   entry.value = value;
   entry.modified = modified;
-  if (!key.starts_with(policy::kDocuments)) {
+  if (!key.starts_with(policy::kDocumentPrefix)) {
     return;
   }
-  const std::uint64_t version = number(key.substr(std::string(policy::kDocuments).size()));
+  const std::uint64_t version = number(key.substr(std::string(policy::kDocumentPrefix).size()));
   try {
-    policy::Document document = policy::read_document(value);
+    policy::PolicyDocument document = policy::read_document(value);
     if (document.version != version) {
-      throw policy::BadDocument("version: of another");
+      throw policy::InvalidDocument("version: of another");
     }
     documents_[version] = std::move(document);
-  } catch (const policy::BadDocument& error) {
+  } catch (const policy::InvalidDocument& error) {
     unreadable_[version] = error.what();
     log_line(Level::kError) << "version " << version
                             << " of the policy cannot be used here: " << error.what();
   }
-  holder_.document(now(), version);
+  participant_.on_document(now(), version);
 }
 
 void PolicyFollower::current(coordination::Revision, const std::vector<coordination::Entry>& entries) {
@@ -130,17 +130,17 @@
 }
 
 void PolicyFollower::silent(const std::string&) {
-  holder_.heard(now(), false);
+  participant_.set_connected(now(), false);
   turn_soon();
 }
 
 void PolicyFollower::heard() {
-  holder_.heard(now(), true);
+  participant_.set_connected(now(), true);
   turn_soon();
 }
 
-void PolicyFollower::took_in(const policy::BoardPosition& position) {
-  holder_.took_in(now(), position);
+void PolicyFollower::took_in(const policy::DiscoveryPosition& position) {
+  participant_.on_events_applied(now(), position);
   turn_soon();
 }
 
@@ -149,7 +149,8 @@
     const auto found = keys_.find(key);
     return found == keys_.end() ? coordination::Entry{} : found->second;
   };
-  holder_.told(now(), policy::known_in_zone(policy::read_known(entry_of), entry_of, self_.zone));
+  participant_.on_observed_state(
+      now(), policy::observed_in_zone(policy::read_observed_state(entry_of), entry_of, self_.zone));
   turn_soon();
 }
 
@@ -161,10 +162,10 @@
   if (found == documents_.end()) {
     return version == 0 ? std::string() : "its text is not here";
   }
-  policy::Ability ability;
-  ability.classes = names_;
-  ability.open_requests = self_.open_requests;
-  return policy::objection(found->second, ability);
+  policy::RouterCapabilities capabilities;
+  capabilities.classes = names_;
+  capabilities.max_open_requests = self_.open_requests;
+  return policy::check_capabilities(found->second, capabilities);
 }
 
 // ---- Orders ----
@@ -175,14 +176,14 @@
   }
   const Micros at = now();
   const routing::RouterCounts& counts = router_.counts();
-  holder_.count(counts.requests, counts.refused + counts.failed);
-  for (const policy::HolderOrder& order : holder_.due(at)) {
+  participant_.set_request_counts(counts.requests, counts.refused + counts.failed);
+  for (const policy::ParticipantAction& order : participant_.step(at)) {
     std::visit([this](const auto& one) { carry_out(one); }, order);
   }
   note_version();
   turning_ = false;
   std::optional<Clock::time_point> when;
-  if (const auto next = holder_.next(now())) {
+  if (const auto next = participant_.next_step_at(now())) {
     when.emplace(std::chrono::duration_cast<Clock::duration>(std::max(*next, at + Micros(1'000))));
   }
   timer_.set(when);
@@ -191,27 +192,27 @@
 // The log, and what work may be owned.
 void PolicyFollower::note_version() {
   const Micros at = now();
-  const policy::Standing standing = holder_.standing(at);
+  const policy::ParticipantState standing = participant_.state(at);
   if (standing != told_standing_) {
-    log_line(standing == policy::Standing::kOutside ? Level::kWarning : Level::kInfo)
-        << "policy: " << policy::to_string(standing) << ", version " << holder_.known().version;
+    log_line(standing == policy::ParticipantState::kNoLease ? Level::kWarning : Level::kInfo)
+        << "policy: " << policy::to_string(standing) << ", version " << participant_.observed().version;
     told_standing_ = standing;
   }
-  const Ruling ruling = holder_.ruling(at);
-  if (ruling.kind != Ruling::Kind::kVersion || ruling.version == told_version_) {
+  const EffectivePolicy effective_policy = participant_.effective_policy(at);
+  if (effective_policy.kind != EffectivePolicy::Kind::kSingle || effective_policy.version == told_version_) {
     return;
   }
-  told_version_ = ruling.version;
-  log_line(Level::kInfo) << "decides under version " << ruling.version << " of the policy";
-  if (ruling.version == 0) {
+  told_version_ = effective_policy.version;
+  log_line(Level::kInfo) << "decides under version " << effective_policy.version << " of the policy";
+  if (effective_policy.version == 0) {
     allowed_(std::nullopt);
     return;
   }
-  const std::vector<std::string> work = content_of(ruling.version).limits.work;
+  const std::vector<std::string> work = content_of(effective_policy.version).limits.work;
   allowed_(std::set<std::string>(work.begin(), work.end()));
 }
 
-void PolicyFollower::carry_out(const policy::AskPermission& ask) {
+void PolicyFollower::carry_out(const policy::LeaseAction& ask) {
   const std::uint64_t number = ask.order.number;
   const auto answered = [this, alive = alive_](auto what) {
     if (*alive) {
@@ -225,7 +226,7 @@
         if (reply.done()) {
           join(ask, reply.value.id);
         } else {
-          holder_.lost(now(), number);
+          participant_.on_no_response(now(), number);
         }
       });
     });
@@ -233,9 +234,9 @@
     store_.keep_alive(lease_, [this, answered, number](const auto& reply) {
       answered([&] {
         if (reply.done()) {
-          holder_.renewed(now(), number, reply.value.ttl > Micros(0));
+          participant_.on_renew_result(now(), number, reply.value.ttl > Micros(0));
         } else {
-          holder_.lost(now(), number);
+          participant_.on_no_response(now(), number);
         }
       });
     });
@@ -243,9 +244,9 @@
     store_.revoke(lease_, [this, answered, number](const auto& reply) {
       answered([&] {
         if (reply.done()) {
-          holder_.released(now(), number);
+          participant_.on_release_result(now(), number);
         } else {
-          holder_.lost(now(), number);
+          participant_.on_no_response(now(), number);
         }
       });
     });
@@ -254,21 +255,21 @@
 
 // The permit stands only where all is as this router knew it: else it would decide under what may not be in
 // force.
-void PolicyFollower::join(const policy::AskPermission& ask, coordination::LeaseId lease) {
+void PolicyFollower::join(const policy::LeaseAction& ask, coordination::LeaseId lease) {
   lease_ = lease;
   coordination::Transaction write;
-  write.when = policy::join_conditions(prefix_, ask.known, self_.zone);
-  write.then = {coordination::Put{prefix_ + policy::permit_key(self_.name, lease),
-                                  policy::write_permit(ask.permit), lease}};
+  write.when = policy::join_conditions(prefix_, ask.observed, self_.zone);
+  write.then = {coordination::Put{prefix_ + policy::report_key(self_.name, lease),
+                                  policy::write_report(ask.report), lease}};
   const std::uint64_t number = ask.order.number;
   store_.commit(std::move(write), [this, alive = alive_, number, lease](const Reply<Outcome>& reply) {
     if (!*alive) {
       return;
     }
     if (!reply.done()) {
-      holder_.lost(now(), number);
+      participant_.on_no_response(now(), number);
     } else {
-      holder_.joined(now(), number, reply.value.succeeded);
+      participant_.on_join_result(now(), number, reply.value.succeeded);
     }
     if (!reply.done() || !reply.value.succeeded) {
       store_.revoke(lease, [](const auto&) {});
@@ -277,29 +278,29 @@
   });
 }
 
-void PolicyFollower::carry_out(const policy::SayPermit& say) {
+void PolicyFollower::carry_out(const policy::ReportAction& say) {
   coordination::Transaction write;
-  write.then = {coordination::Put{prefix_ + policy::permit_key(self_.name, lease_),
-                                  policy::write_permit(say.permit), lease_}};
-  store_.commit(std::move(write), [this, alive = alive_, number = say.number](const Reply<Outcome>& reply) {
+  write.then = {coordination::Put{prefix_ + policy::report_key(self_.name, lease_),
+                                  policy::write_report(say.report), lease_}};
+  store_.commit(std::move(write), [this, alive = alive_, number = say.call_id](const Reply<Outcome>& reply) {
     if (*alive) {
-      holder_.said(now(), number, reply.done());
+      participant_.on_report_result(now(), number, reply.done());
       turn_soon();
     }
   });
 }
 
-void PolicyFollower::carry_out(const policy::KeepDocument& keep) {
+void PolicyFollower::carry_out(const policy::PersistDocumentAction& keep) {
   const auto found = documents_.find(keep.version);
   if (!pool_ || found == documents_.end()) {
-    holder_.kept(now(), keep.version, "");
+    participant_.on_persist_result(now(), keep.version, "");
     return;
   }
   const auto why = std::make_shared<std::string>();
   pool_->run(
       store::Executor::Lane::kWrite,
       [folder = options_.folder, name = "version-" + std::to_string(keep.version),
-       text = policy::write_text(found->second), why] {
+       text = policy::write_document_text(found->second), why] {
         try {
           const auto files = store::open_folder(folder);
           const auto file = files->create(name + ".next");
@@ -313,7 +314,7 @@
       },
       [this, alive = alive_, version = keep.version, why] {
         if (*alive) {
-          holder_.kept(now(), version, *why);
+          participant_.on_persist_result(now(), version, *why);
           turn_soon();
         }
       });
@@ -321,14 +322,14 @@
 
 // ---- Requests ----
 
-policy::Content PolicyFollower::content_of(std::uint64_t version) const {
-  policy::Content out;
+policy::PolicyContent PolicyFollower::content_of(std::uint64_t version) const {
+  policy::PolicyContent out;
   for (std::size_t i = 0; i < names_.size(); ++i) {
     const ClassSettings& kind = profile_.settings.classes[i];
     policy::ClassPolicy& rule = out.classes[names_[i]];
     rule.objective_ms = std::max<std::int64_t>(1, to_ms(kind.objective));
     rule.give_up_ms = std::max(rule.objective_ms, to_ms(kind.give_up));
-    rule.worth = kind.worth;
+    rule.priority_weight = kind.worth;
     rule.fresh_ms = to_ms(kind.lifetime);
     rule.grace_ms = to_ms(kind.grace);
   }
@@ -343,8 +344,8 @@
   return out;
 }
 
-const PolicyFollower::Set& PolicyFollower::set_of(const Ruling& ruling) {
-  const std::pair<std::uint64_t, std::uint64_t> key(ruling.version, ruling.other);
+const PolicyFollower::Set& PolicyFollower::set_of(const EffectivePolicy& effective_policy) {
+  const std::pair<std::uint64_t, std::uint64_t> key(effective_policy.version, effective_policy.other_version);
   const auto found = sets_.find(key);
   if (found != sets_.end()) {
     return found->second;
@@ -354,9 +355,10 @@
   std::erase_if(sets_, [&](const auto& one) { return one.second.first == place * classes; });
   Set& set = sets_[key];
   set.first = place * classes;
-  set.content = ruling.kind == Ruling::Kind::kBoth
-                    ? policy::both(content_of(ruling.version), content_of(ruling.other))
-                    : content_of(ruling.version);
+  set.content = effective_policy.kind == EffectivePolicy::Kind::kIntersection
+                    ? policy::intersection(content_of(effective_policy.version),
+                                           content_of(effective_policy.other_version))
+                    : content_of(effective_policy.version);
   ClassesSet more;
   more.first = set.first;
   more.classes = profile_.settings.classes;
@@ -365,7 +367,7 @@
     ClassSettings& kind = more.classes[i];
     kind.objective = milliseconds(rule.objective_ms);
     kind.give_up = milliseconds(rule.give_up_ms);
-    kind.worth = rule.worth;
+    kind.worth = rule.priority_weight;
     kind.lifetime = milliseconds(rule.fresh_ms);
     kind.grace = milliseconds(rule.grace_ms);
   }
@@ -375,39 +377,40 @@
 
 routing::Rule PolicyFollower::rule(int request_class) {
   routing::Rule out;
-  const Ruling ruling = holder_.ruling(now());
-  if (ruling.kind == Ruling::Kind::kRefuse) {
+  const EffectivePolicy effective_policy = participant_.effective_policy(now());
+  if (effective_policy.kind == EffectivePolicy::Kind::kReject) {
     out.refuse = true;
     out.words = "-";
     return out;
   }
-  const Set& set = set_of(ruling);
+  const Set& set = set_of(effective_policy);
   const auto place = static_cast<std::size_t>(request_class);
   out.refuse = !set.content.classes.at(names_[place]).serve;
   out.request_class = static_cast<int>(set.first + place);
-  const bool plain = ruling.kind == Ruling::Kind::kVersion && ruling.version == 0;
+  const bool plain = effective_policy.kind == EffectivePolicy::Kind::kSingle && effective_policy.version == 0;
   if (!plain) {
     out.open_requests = static_cast<std::size_t>(set.content.limits.open_requests);
     out.retry_after_most = milliseconds(set.content.limits.retry_after_ms);
   }
-  out.words = std::to_string(ruling.version);
-  if (ruling.kind == Ruling::Kind::kBoth) {
-    out.words += "+" + std::to_string(ruling.other);
+  out.words = std::to_string(effective_policy.version);
+  if (effective_policy.kind == EffectivePolicy::Kind::kIntersection) {
+    out.words += "+" + std::to_string(effective_policy.other_version);
   }
   return out;
 }
 
 std::string PolicyFollower::status() const {
   const Micros at = now();
-  const Ruling ruling = holder_.ruling(at);
+  const EffectivePolicy effective_policy = participant_.effective_policy(at);
   return nlohmann::json{
-      {"standing", policy::to_string(holder_.standing(at))},
-      {"version", holder_.known().version},
-      {"serves", ruling.kind == Ruling::Kind::kVersion ? "version"
-                 : ruling.kind == Ruling::Kind::kBoth  ? "both"
-                                                       : "nothing"},
-      {"change", holder_.known().change ? policy::to_string(holder_.known().change->state) : "none"},
-      {"events_done", holder_.known().acknowledgement.done.event}}
+      {"standing", policy::to_string(participant_.state(at))},
+      {"version", participant_.observed().version},
+      {"serves", effective_policy.kind == EffectivePolicy::Kind::kSingle         ? "version"
+                 : effective_policy.kind == EffectivePolicy::Kind::kIntersection ? "both"
+                                                                                 : "nothing"},
+      {"change",
+       participant_.observed().rollout ? policy::to_string(participant_.observed().rollout->state) : "none"},
+      {"events_done", participant_.observed().acknowledgement.completed.sequence}}
       .dump();
 }
 
--- a/src/tasks/policy_follower.h
+++ b/src/tasks/policy_follower.h
@@ -12,8 +12,8 @@
 #include <string>
 
 #include "coordination/shared_store.h"
-#include "policy/holder.h"
 #include "policy/options.h"
+#include "policy/participant.h"
 #include "protocol/settings.h"
 #include "routing/router.h"
 #include "store/executor.h"
@@ -41,10 +41,10 @@
 
   void start();
   // All events of the notice board up to here are taken in.
-  void took_in(const policy::BoardPosition& position);
+  void took_in(const policy::DiscoveryPosition& position);
   // Gives its permission back: a change need not wait for this router. It decides under none from then on.
   void stop();
-  bool stopped() const { return !stopping_ || holder_.stopped(); }
+  bool stopped() const { return !stopping_ || participant_.stopped(); }
   // Whether requests may be taken: it knows what is in force.
   bool ready() const;
   // One object of JSON.
@@ -61,19 +61,19 @@
   void tell();
   void turn();
   void turn_soon() { next_turn_.post(); }
-  void carry_out(const policy::AskPermission& ask);
-  void carry_out(const policy::SayPermit& say);
-  void carry_out(const policy::KeepDocument& keep);
-  void join(const policy::AskPermission& ask, coordination::LeaseId lease);
+  void carry_out(const policy::LeaseAction& ask);
+  void carry_out(const policy::ReportAction& say);
+  void carry_out(const policy::PersistDocumentAction& keep);
+  void join(const policy::LeaseAction& ask, coordination::LeaseId lease);
   std::string judge(std::uint64_t version) const;
   routing::Rule rule(int request_class);
-  // The classes of a ruling among the module's, made when it is first asked for.
+  // The classes of an effective policy among the module's, made when it is first asked for.
   struct Set {
     std::size_t first = 0;
-    policy::Content content;
+    policy::PolicyContent content;
   };
-  const Set& set_of(const policy::Ruling& ruling);
-  policy::Content content_of(std::uint64_t version) const;
+  const Set& set_of(const policy::EffectivePolicy& effective_policy);
+  policy::PolicyContent content_of(std::uint64_t version) const;
   void note_version();
 
   transport::Scheduler& scheduler_;
@@ -86,17 +86,17 @@
   WorkAllowed allowed_;
   transport::Mailbox mailbox_;
   std::unique_ptr<store::IoPool> pool_;
-  std::map<std::uint64_t, policy::Document> documents_;
+  std::map<std::uint64_t, policy::PolicyDocument> documents_;
   std::map<std::uint64_t, std::string> unreadable_;
   std::map<std::string, coordination::Entry> keys_;  // under policy/
-  policy::Holder holder_;
+  policy::Participant participant_;
   coordination::LeaseId lease_ = 0;
   coordination::SharedStore::WatchId watch_ = 0;
   std::map<std::pair<std::uint64_t, std::uint64_t>, Set> sets_;
   std::uint64_t next_set_ = 1;
   std::vector<std::string> names_;  // by the settings' places
   std::uint64_t told_version_ = UINT64_MAX;
-  policy::Standing told_standing_ = policy::Standing::kOutside;
+  policy::ParticipantState told_standing_ = policy::ParticipantState::kNoLease;
   transport::Alarm timer_;
   transport::Deferred next_turn_;
   bool stopping_ = false;
--- a/tests/acknowledgement_test.cpp
+++ b/tests/acknowledgement_test.cpp
@@ -11,7 +11,7 @@
 #include "aggregation/permit_summary.h"
 #include "aggregation/router_leases.h"
 #include "coordination/ledger.h"
-#include "policy/holder.h"
+#include "policy/participant.h"
 
 namespace trailcourse::policy {
 namespace {
@@ -23,18 +23,18 @@
 constexpr Micros kLeastRound{250'000};
 constexpr Micros kStart{1'000'000};
 
-BoardPosition at(std::uint64_t event, const std::string& board = "b1") { return {board, event}; }
+DiscoveryPosition at(std::uint64_t event, const std::string& board = "b1") { return {board, event}; }
 
-Permit acknowledging(std::uint64_t round) {
-  Permit out;
+ParticipantReport acknowledging(std::uint64_t round) {
+  ParticipantReport out;
   out.incarnation = "i";
   out.zone = "edge";
-  out.acknowledged = round;
+  out.acknowledged_round = round;
   return out;
 }
 
-AcknowledgementsSeen seen(const Acknowledgement& record, const std::vector<std::uint64_t>& rounds) {
-  AcknowledgementsSeen out;
+AcknowledgementSnapshot seen(const Acknowledgement& record, const std::vector<std::uint64_t>& rounds) {
+  AcknowledgementSnapshot out;
   out.record = record;
   for (std::size_t i = 0; i < rounds.size(); ++i) {
     out.permits["router" + std::to_string(i) + "/1"] = acknowledging(rounds[i]);
@@ -69,74 +69,74 @@
 }
 
 TEST(AcknowledgementDriverTest, AsksForWhatItHasTakenInAndTellsItOnceAllHave) {
-  AcknowledgementDriver driver(kLeastRound);
-  EXPECT_FALSE(driver.next(kStart, seen({}, {0, 0}), {}).has_value()) << "the board was not heard yet";
-  const auto first = driver.next(kStart, seen({}, {0, 0}), at(5));
+  AcknowledgementCoordinator driver(kLeastRound);
+  EXPECT_FALSE(driver.step(kStart, seen({}, {0, 0}), {}).has_value()) << "the board was not heard yet";
+  const auto first = driver.step(kStart, seen({}, {0, 0}), at(5));
   ASSERT_TRUE(first.has_value());
   EXPECT_EQ(*first, (Acknowledgement{1, at(5), at(0)}));
-  EXPECT_FALSE(driver.next(kStart, seen(*first, {1, 0}), at(5)).has_value()) << "one is awaited";
-  EXPECT_FALSE(driver.next(kStart, seen(*first, {1, 0}), at(9)).has_value()) << "one round at a time";
-  const auto done = driver.next(kStart, seen(*first, {1, 1}), at(5));
+  EXPECT_FALSE(driver.step(kStart, seen(*first, {1, 0}), at(5)).has_value()) << "one is awaited";
+  EXPECT_FALSE(driver.step(kStart, seen(*first, {1, 0}), at(9)).has_value()) << "one round at a time";
+  const auto done = driver.step(kStart, seen(*first, {1, 1}), at(5));
   ASSERT_TRUE(done.has_value());
   EXPECT_EQ(*done, (Acknowledgement{1, at(5), at(5)}));
-  EXPECT_FALSE(driver.next(kStart + kLeastRound, seen(*done, {1, 1}), at(5)).has_value()) << "at rest";
+  EXPECT_FALSE(driver.step(kStart + kLeastRound, seen(*done, {1, 1}), at(5)).has_value()) << "at rest";
 }
 
 TEST(AcknowledgementDriverTest, ARoundMayEndAndTheNextBeginInOneWriteButNotTooSoon) {
-  AcknowledgementDriver driver(kLeastRound);
-  const Acknowledgement first = *driver.next(kStart, seen({}, {0}), at(5));
-  const auto hasty = driver.next(kStart + kLeastRound / 2, seen(first, {1}), at(9));
+  AcknowledgementCoordinator driver(kLeastRound);
+  const Acknowledgement first = *driver.step(kStart, seen({}, {0}), at(5));
+  const auto hasty = driver.step(kStart + kLeastRound / 2, seen(first, {1}), at(9));
   ASSERT_TRUE(hasty.has_value());
   EXPECT_EQ(*hasty, (Acknowledgement{1, at(5), at(5)})) << "what is done is told at once";
-  EXPECT_EQ(driver.due(), kStart + kLeastRound);
-  const auto next = driver.next(kStart + kLeastRound, seen(*hasty, {1}), at(9));
+  EXPECT_EQ(driver.next_step_at(), kStart + kLeastRound);
+  const auto next = driver.step(kStart + kLeastRound, seen(*hasty, {1}), at(9));
   ASSERT_TRUE(next.has_value());
   EXPECT_EQ(*next, (Acknowledgement{2, at(9), at(5)}));
-  const auto both = driver.next(kStart + 2 * kLeastRound, seen(*next, {2}), at(12));
+  const auto both = driver.step(kStart + 2 * kLeastRound, seen(*next, {2}), at(12));
   ASSERT_TRUE(both.has_value());
   EXPECT_EQ(*both, (Acknowledgement{3, at(12), at(9)}));
 }
 
 TEST(AcknowledgementDriverTest, WhoHasNoPermissionIsNotAwaited) {
-  AcknowledgementDriver driver(kLeastRound);
-  const Acknowledgement first = *driver.next(kStart, seen({}, {0}), at(5));
-  EXPECT_EQ(*driver.next(kStart, seen(first, {}), at(5)), (Acknowledgement{1, at(5), at(5)}));
+  AcknowledgementCoordinator driver(kLeastRound);
+  const Acknowledgement first = *driver.step(kStart, seen({}, {0}), at(5));
+  EXPECT_EQ(*driver.step(kStart, seen(first, {}), at(5)), (Acknowledgement{1, at(5), at(5)}));
 }
 
 TEST(AcknowledgementDriverTest, ABoardThatBeganAnewEndsTheOpenRoundAndForgetsWhatWasDone) {
-  AcknowledgementDriver driver(kLeastRound);
+  AcknowledgementCoordinator driver(kLeastRound);
   const Acknowledgement open{4, at(900), at(850)};
-  const auto anew = driver.next(kStart, seen(open, {4, 3}), at(2, "b2"));
+  const auto anew = driver.step(kStart, seen(open, {4, 3}), at(2, "b2"));
   ASSERT_TRUE(anew.has_value());
   EXPECT_EQ(*anew, (Acknowledgement{5, at(2, "b2"), at(0, "b2")}));
 }
 
 TEST(AcknowledgementDriverTest, WhatIsForgottenIsAskedOfNobodyUntilItIsDrivenAgain) {
-  const Acknowledgement none = forgotten({4, at(900), at(850)});
+  const Acknowledgement none = reset_acknowledgement({4, at(900), at(850)});
   EXPECT_EQ(none.round, 5U);
   EXPECT_TRUE(at(0, "").covers(none.asked));
-  AcknowledgementDriver driver(kLeastRound);
-  EXPECT_EQ(*driver.next(kStart, seen(none, {5}), at(2)), (Acknowledgement{6, at(2), at(0)}));
+  AcknowledgementCoordinator driver(kLeastRound);
+  EXPECT_EQ(*driver.step(kStart, seen(none, {5}), at(2)), (Acknowledgement{6, at(2), at(0)}));
 }
 
 TEST(AcknowledgementDriverTest, ALateOneIsRefusedByTheStore) {
   coordination::Ledger ledger{coordination::Limits{}};
   const auto look = [&ledger] {
-    return read_acknowledgements_seen("", ledger.commit(look_at_acknowledgements("")));
+    return read_acknowledgement_snapshot("", ledger.commit(acknowledgement_snapshot_transaction("")));
   };
-  const AcknowledgementsSeen empty = look();
-  EXPECT_TRUE(ledger.commit(write_record("", empty, {1, at(5), at(0)})).succeeded);
-  EXPECT_FALSE(ledger.commit(write_record("", empty, {1, at(3), at(0)})).succeeded);
-  EXPECT_EQ(look().record.asked, at(5));
+  const AcknowledgementSnapshot empty = look();
+  EXPECT_TRUE(ledger.commit(write_acknowledgement_transaction("", empty, {1, at(5), at(0)})).succeeded);
+  EXPECT_FALSE(ledger.commit(write_acknowledgement_transaction("", empty, {1, at(3), at(0)})).succeeded);
+  EXPECT_EQ(look().record.requested, at(5));
 }
 
 TEST(AcknowledgementDriverTest, StaffAreToldWhoIsAwaited) {
-  AcknowledgementsSeen one = seen({3, at(70), at(60)}, {3});
-  Permit summary = acknowledging(2);
-  summary.routers = 40;
-  summary.awaits = "r17";
+  AcknowledgementSnapshot one = seen({3, at(70), at(60)}, {3});
+  ParticipantReport summary = acknowledging(2);
+  summary.represented_routers = 40;
+  summary.waiting_for = "r17";
   one.permits["east.edge/9"] = summary;
-  EXPECT_EQ(unacknowledged(one),
+  EXPECT_EQ(describe_unacknowledged(one),
             std::vector<std::string>{"east.edge for 40 routers, among them r17, is to take in event 70, or "
                                      "its permission to run out"});
 }
@@ -145,25 +145,26 @@
 
 class AcknowledgingHolderTest : public testing::Test {
  protected:
-  AcknowledgingHolderTest() : holder_("i", "edge", rules(), [](std::uint64_t) { return std::string(); }) {
-    holder_.heard(kStart, true);
+  AcknowledgingHolderTest()
+      : participant_("i", "edge", rules(), [](std::uint64_t) { return std::string(); }) {
+    participant_.set_connected(kStart, true);
   }
-  static HolderRules rules() {
-    HolderRules out;
+  static ParticipantOptions rules() {
+    ParticipantOptions out;
     out.lease.ttl = Micros(3'000'000);
     out.lease.renew_after = Micros(1'000'000);
     out.lease.retry = Micros(200'000);
     return out;
   }
-  void told(std::uint64_t round, const BoardPosition& asked) {
-    Known known;
+  void told(std::uint64_t round, const DiscoveryPosition& asked) {
+    ObservedState known;
     known.acknowledgement = {round, asked, {}};
-    known.acknowledgement_modified = ++revision_;
-    holder_.told(now_, known);
+    known.acknowledgement_revision = ++revision_;
+    participant_.on_observed_state(now_, known);
   }
   template <typename Order>
   std::optional<Order> due() {
-    for (const HolderOrder& order : holder_.due(now_)) {
+    for (const ParticipantAction& order : participant_.step(now_)) {
       if (const Order* found = std::get_if<Order>(&order)) {
         return *found;
       }
@@ -171,87 +172,89 @@
     return std::nullopt;
   }
   void join() {
-    const auto ask = due<AskPermission>();
+    const auto ask = due<LeaseAction>();
     ASSERT_TRUE(ask.has_value());
-    holder_.joined(now_, ask->order.number, true);
+    participant_.on_join_result(now_, ask->order.number, true);
   }
 
-  Holder holder_;
+  Participant participant_;
   Micros now_ = kStart;
   Revision revision_ = 0;
 };
 
 TEST_F(AcknowledgingHolderTest, JoinsOnlyOnceItHasTakenInWhatIsAskedFor) {
   told(4, at(70));
-  EXPECT_FALSE(due<AskPermission>().has_value());
-  holder_.took_in(now_, at(69));
-  EXPECT_FALSE(due<AskPermission>().has_value());
-  holder_.took_in(now_, at(900, "another board"));
-  EXPECT_FALSE(due<AskPermission>().has_value());
-  holder_.took_in(now_, at(71));
-  const auto ask = due<AskPermission>();
+  EXPECT_FALSE(due<LeaseAction>().has_value());
+  participant_.on_events_applied(now_, at(69));
+  EXPECT_FALSE(due<LeaseAction>().has_value());
+  participant_.on_events_applied(now_, at(900, "another board"));
+  EXPECT_FALSE(due<LeaseAction>().has_value());
+  participant_.on_events_applied(now_, at(71));
+  const auto ask = due<LeaseAction>();
   ASSERT_TRUE(ask.has_value());
-  EXPECT_EQ(ask->permit.acknowledged, 4U);
+  EXPECT_EQ(ask->report.acknowledged_round, 4U);
 }
 
 TEST_F(AcknowledgingHolderTest, AsksForNoTurnWhileItCanOnlyWaitForNews) {
   told(4, at(70));
-  EXPECT_FALSE(holder_.next(now_).has_value()) << "it waits for the board";
-  holder_.took_in(now_, at(70));
-  EXPECT_TRUE(holder_.next(now_).has_value());
-  holder_.heard(now_, false);
-  EXPECT_FALSE(holder_.next(now_).has_value()) << "it waits for the store";
-  holder_.heard(now_, true);
+  EXPECT_FALSE(participant_.next_step_at(now_).has_value()) << "it waits for the board";
+  participant_.on_events_applied(now_, at(70));
+  EXPECT_TRUE(participant_.next_step_at(now_).has_value());
+  participant_.set_connected(now_, false);
+  EXPECT_FALSE(participant_.next_step_at(now_).has_value()) << "it waits for the store";
+  participant_.set_connected(now_, true);
   join();
-  holder_.heard(now_, false);
-  EXPECT_EQ(holder_.next(now_), holder_.until()) << "its permission runs out, and is not renewed";
-  now_ = holder_.until();
-  EXPECT_FALSE(holder_.next(now_).has_value());
+  participant_.set_connected(now_, false);
+  EXPECT_EQ(participant_.next_step_at(now_), participant_.lease_end())
+      << "its permission runs out, and is not renewed";
+  now_ = participant_.lease_end();
+  EXPECT_FALSE(participant_.next_step_at(now_).has_value());
 }
 
 TEST_F(AcknowledgingHolderTest, SaysOnceARoundThatItHasTakenInWhatIsAskedFor) {
   told(0, {});
   join();
-  holder_.took_in(now_, at(10));
-  EXPECT_FALSE(due<SayPermit>().has_value()) << "nobody asked";
+  participant_.on_events_applied(now_, at(10));
+  EXPECT_FALSE(due<ReportAction>().has_value()) << "nobody asked";
   told(1, at(12));
-  EXPECT_FALSE(due<SayPermit>().has_value());
-  holder_.took_in(now_, at(11));
-  EXPECT_FALSE(due<SayPermit>().has_value());
-  holder_.took_in(now_, at(12));
-  const auto say = due<SayPermit>();
+  EXPECT_FALSE(due<ReportAction>().has_value());
+  participant_.on_events_applied(now_, at(11));
+  EXPECT_FALSE(due<ReportAction>().has_value());
+  participant_.on_events_applied(now_, at(12));
+  const auto say = due<ReportAction>();
   ASSERT_TRUE(say.has_value());
-  EXPECT_EQ(say->permit.acknowledged, 1U);
-  holder_.said(now_, say->number, true);
-  holder_.took_in(now_, at(13));
-  EXPECT_FALSE(due<SayPermit>().has_value());
+  EXPECT_EQ(say->report.acknowledged_round, 1U);
+  participant_.on_report_result(now_, say->call_id, true);
+  participant_.on_events_applied(now_, at(13));
+  EXPECT_FALSE(due<ReportAction>().has_value());
 }
 
 TEST_F(AcknowledgingHolderTest, ItsConditionsToJoinNameTheRecord) {
   told(4, at(70));
-  const auto conditions = join_conditions("p/", holder_.known(), "edge");
+  const auto conditions = join_conditions("p/", participant_.observed(), "edge");
   const auto record = coordination::unchanged(std::string("p/") + kAcknowledgedKey, revision_);
   EXPECT_NE(std::find(conditions.begin(), conditions.end(), record), conditions.end());
 }
 
 // ---- An aggregator ----
 
-Known asking(std::uint64_t round) {
-  Known out;
+ObservedState asking(std::uint64_t round) {
+  ObservedState out;
   out.acknowledgement = {round, at(70), {}};
   return out;
 }
 
 TEST(AcknowledgingSummaryTest, SaysTheLeastThatItsRoutersSay) {
   aggregation::RouterPermits routers;
-  EXPECT_EQ(summarize(asking(5), "edge", routers).acknowledged, 5U) << "nobody is there to be awaited";
+  EXPECT_EQ(summarize(asking(5), "edge", routers).acknowledged_round, 5U) << "nobody is there to be awaited";
   routers[1] = {"r1", acknowledging(5)};
   routers[2] = {"r2", acknowledging(4)};
-  const Permit summary = summarize(asking(5), "edge", routers);
-  EXPECT_EQ(summary.acknowledged, 4U);
-  EXPECT_EQ(summary.awaits, "r2");
-  routers[2].permit.acknowledged = 6;
-  EXPECT_EQ(summarize(asking(5), "edge", routers).acknowledged, 5U) << "no more than it has heard itself";
+  const ParticipantReport summary = summarize(asking(5), "edge", routers);
+  EXPECT_EQ(summary.acknowledged_round, 4U);
+  EXPECT_EQ(summary.waiting_for, "r2");
+  routers[2].permit.acknowledged_round = 6;
+  EXPECT_EQ(summarize(asking(5), "edge", routers).acknowledged_round, 5U)
+      << "no more than it has heard itself";
 }
 
 TEST(AcknowledgingSummaryTest, DrawnSetsOfRoutersGiveTheMinimumAndNeverGoBack) {
@@ -264,7 +267,7 @@
       routers[lease] = {"r" + std::to_string(lease), acknowledging(round)};
       least = std::min(least, round);
     }
-    EXPECT_EQ(summarize(asking(9), "edge", routers).acknowledged, least);
+    EXPECT_EQ(summarize(asking(9), "edge", routers).acknowledged_round, least);
   }
 }
 
@@ -278,7 +281,7 @@
   };
   write(kCurrentKey, "0");
   write(kAcknowledgedKey, write_acknowledgement({1, at(5), at(0)}));
-  const coordination::Range records{kRecords, true};
+  const coordination::Range records{kPolicyPrefix, true};
   aggregation::AggregatorRules rules;
   rules.lease.ttl = Micros(4'000'000);
   aggregation::Aggregator aggregator(rules, {"east", "i1", {"edge"}, ""}, 1);
@@ -325,7 +328,7 @@
   leases.say("r1", late, acknowledging(5));
   leases.say("r1", late, acknowledging(7));
   EXPECT_TRUE(refused(late, 6));
-  EXPECT_EQ(leases.permits("edge").at(late).permit.acknowledged, 7U);
+  EXPECT_EQ(leases.permits("edge").at(late).permit.acknowledged_round, 7U);
 }
 
 }  // namespace
--- a/tests/aggregation_service_test.cpp
+++ b/tests/aggregation_service_test.cpp
@@ -36,7 +36,7 @@
 using coordination::SharedStore;
 using coordination::Transaction;
 using nlohmann::json;
-using policy::Permit;
+using policy::ParticipantReport;
 using std::chrono::milliseconds;
 using transport::Clock;
 
@@ -143,12 +143,12 @@
   }
   static Micros now() { return std::chrono::duration_cast<Micros>(Clock::now().time_since_epoch()); }
   // The summaries that stand in the store, by "NAME.ZONE".
-  std::map<std::string, Permit> summaries() {
-    const auto reply = commit(staff(), Transaction{{}, {Get{Range{at(policy::kPermits), true}}}, {}});
-    std::map<std::string, Permit> out;
+  std::map<std::string, ParticipantReport> summaries() {
+    const auto reply = commit(staff(), Transaction{{}, {Get{Range{at(policy::kReportPrefix), true}}}, {}});
+    std::map<std::string, ParticipantReport> out;
     for (const Entry& entry : reply.done() ? reply.value.steps.at(0).found : std::vector<Entry>{}) {
-      const std::string name = entry.key.substr(at(policy::kPermits).size());
-      out[name.substr(0, name.find('/'))] = policy::read_permit(entry.value).value_or(Permit{});
+      const std::string name = entry.key.substr(at(policy::kReportPrefix).size());
+      out[name.substr(0, name.find('/'))] = policy::read_report(entry.value).value_or(ParticipantReport{});
     }
     stores_.pop_back();
     return out;
@@ -179,17 +179,17 @@
   std::vector<std::unique_ptr<SharedStore>> stores_;
 };
 
-Permit permit_of(const std::string& zone, std::uint64_t version, std::uint64_t number = 1) {
-  Permit out;
+ParticipantReport permit_of(const std::string& zone, std::uint64_t version, std::uint64_t number = 1) {
+  ParticipantReport out;
   out.incarnation = "0123456789abcdef";
   out.zone = zone;
   out.version = version;
-  out.number = number;
+  out.sequence = number;
   return out;
 }
-Transaction say(const std::string& router, LeaseId lease, const Permit& permit) {
+Transaction say(const std::string& router, LeaseId lease, const ParticipantReport& permit) {
   return Transaction{
-      {}, {Put{at(policy::permit_key(router, lease)), policy::write_permit(permit), lease}}, {}};
+      {}, {Put{at(policy::report_key(router, lease)), policy::write_report(permit), lease}}, {}};
 }
 
 // ---- What a store does, as far as it concerns permissions ----
@@ -245,8 +245,8 @@
   ASSERT_TRUE(region.commit(router, say("r1", lease, permit_of("east", 4, 2))).done());
   ASSERT_TRUE(region.until([&] { return region.summaries()["a1.east"].version == 4; }));
   const auto summaries = region.summaries();
-  EXPECT_EQ(summaries.at("a1.east").routers, 1U);
-  EXPECT_EQ(summaries.at("a1.east").awaits, "r1");
+  EXPECT_EQ(summaries.at("a1.east").represented_routers, 1U);
+  EXPECT_EQ(summaries.at("a1.east").waiting_for, "r1");
   EXPECT_EQ(summaries.at("a1.west").version, 5U);
   router.unwatch(watch);
 }
@@ -262,7 +262,7 @@
   const auto second = router.watch(Range{at("policy/"), true}, through);
   ASSERT_TRUE(region.until([&] { return direct.currents == 1 && through.currents == 1; })) << through.reason;
   for (int i = 0; i < 20; ++i) {
-    const std::string key = at(policy::kDocuments + std::to_string(i % 3));
+    const std::string key = at(policy::kDocumentPrefix + std::to_string(i % 3));
     const coordination::Step step = i % 7 == 6 ? coordination::Step(Delete{Range{key, false}})
                                                : coordination::Step(Put{key, std::to_string(i), 0});
     ASSERT_TRUE(region.commit(staff, Transaction{{}, {step}, {}}).done());
@@ -294,7 +294,7 @@
   refused(say("r1", lease, permit_of("east", 0, 4)), "number");
   refused(say("r1", lease, permit_of("north", 0, 6)), "zone");
   refused(say("r1", lease + 1, permit_of("east", 0, 6)), "lease not found");
-  refused(Transaction{{}, {Put{at(policy::permit_key("r1", lease)), "{", lease}}, {}}, "no permit");
+  refused(Transaction{{}, {Put{at(policy::report_key("r1", lease)), "{", lease}}, {}}, "no permit");
   refused(Transaction{{}, {Put{at(policy::kCurrentKey), "9", 0}}, {}}, "permits");
   refused(Transaction{{}, {Delete{Range{at("policy/"), true}}}, {}}, "one permit");
   refused(Transaction{{}, {Get{Range{at("fleet/"), true}}}, {}}, "policy's records");
