--- a/tests/aggregation_test.cpp
+++ b/tests/aggregation_test.cpp
@@ -18,53 +18,54 @@
 using coordination::Put;
 using coordination::Range;
 using coordination::Transaction;
-using policy::ChangeState;
-using policy::Known;
-using policy::Permit;
+using policy::ObservedState;
+using policy::ParticipantReport;
+using policy::RolloutState;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
 constexpr std::uint64_t kBefore = 7;
 constexpr std::uint64_t kAfter = 8;
 
-policy::Change change_in(ChangeState state, std::uint64_t id = 3) {
-  policy::Change out;
+policy::Rollout change_in(RolloutState state, std::uint64_t id = 3) {
+  policy::Rollout out;
   out.id = id;
-  out.version = kAfter;
-  out.before = kBefore;
+  out.target_version = kAfter;
+  out.previous_version = kBefore;
   out.state = state;
   return out;
 }
 
-bool is_committed(ChangeState state) {
-  return state == ChangeState::kCommitted || state == ChangeState::kWatched || state == ChangeState::kDone;
+bool is_committed(RolloutState state) {
+  return state == RolloutState::kCommitted || state == RolloutState::kWatching ||
+         state == RolloutState::kDone;
 }
 
 // As it stands in the store while a change of all zones is in this state.
-Known known_in(ChangeState state, std::uint64_t id = 3) {
-  Known out;
-  out.change = change_in(state, id);
+ObservedState known_in(RolloutState state, std::uint64_t id = 3) {
+  ObservedState out;
+  out.rollout = change_in(state, id);
   out.version = is_committed(state) ? kAfter : kBefore;
   return out;
 }
 
 // ---- Summaries ----
 
-Permit drawn_permit(std::mt19937_64& random, std::uint64_t step) {
-  Permit out;
+ParticipantReport drawn_permit(std::mt19937_64& random, std::uint64_t step) {
+  ParticipantReport out;
   out.zone = "edge";
   out.version = random() % 2 == 0 ? kBefore : kAfter;
   const std::array<std::uint64_t, 4> steps{0, step - 1'000, step, step};
-  out.ready = steps[random() % steps.size()];
-  out.held = steps[random() % steps.size()];
-  out.no = random() % 12 == 0 ? step : 0;
+  out.ready_stage = steps[random() % steps.size()];
+  out.suspended_stage = steps[random() % steps.size()];
+  out.rejected_stage = random() % 12 == 0 ? step : 0;
   return out;
 }
 
 // Mostly alike, so that all of them agree often enough.
 RouterPermits drawn_routers(std::mt19937_64& random, std::uint64_t step) {
   RouterPermits out;
-  const Permit common = drawn_permit(random, step);
+  const ParticipantReport common = drawn_permit(random, step);
   const std::size_t count = random() % 5;
   for (LeaseId lease = 1; lease <= count; ++lease) {
     const bool differs = random() % 6 == 0;
@@ -74,17 +75,17 @@
 }
 
 // What the driver of a change does next, going by these permits.
-std::optional<ChangeState> next_state(const policy::Change& change,
-                                      const std::map<std::string, Permit>& permits) {
-  policy::Seen seen;
-  seen.change = change;
-  seen.permits = permits;
-  const auto step = policy::Driver(policy::DriverRules{}).next(Micros(0), seen);
-  return step ? std::optional<ChangeState>(step->change.state) : std::nullopt;
+std::optional<RolloutState> next_state(const policy::Rollout& change,
+                                       const std::map<std::string, ParticipantReport>& permits) {
+  policy::RolloutSnapshot seen;
+  seen.rollout = change;
+  seen.reports = permits;
+  const auto step = policy::RolloutCoordinator(policy::RolloutTimeouts{}).step(Micros(0), seen);
+  return step ? std::optional<RolloutState>(step->rollout.state) : std::nullopt;
 }
 
-std::map<std::string, Permit> one_by_one(const RouterPermits& routers) {
-  std::map<std::string, Permit> out;
+std::map<std::string, ParticipantReport> one_by_one(const RouterPermits& routers) {
+  std::map<std::string, ParticipantReport> out;
   for (const auto& [lease, one] : routers) {
     out[one.router + "/" + std::to_string(lease)] = one.permit;
   }
@@ -96,14 +97,14 @@
   int steps = 0;
   int missed = 0;
   for (int round = 0; round < 50'000; ++round) {
-    const auto state = static_cast<ChangeState>(random() % 3);  // preparing, holding, committed
-    const policy::Change change = change_in(state);
-    const RouterPermits routers = drawn_routers(random, policy::step_of(change));
-    const Permit summary = summarize(known_in(state), "edge", routers);
+    const auto state = static_cast<RolloutState>(random() % 3);  // preparing, holding, committed
+    const policy::Rollout change = change_in(state);
+    const RouterPermits routers = drawn_routers(random, policy::stage_id(change));
+    const ParticipantReport summary = summarize(known_in(state), "edge", routers);
     const auto with_summary = next_state(change, {{"a.edge/1", summary}});
     const auto with_each = next_state(change, one_by_one(routers));
-    if (with_summary || with_each == ChangeState::kAborted) {
-      ASSERT_EQ(with_summary, with_each) << "round " << round << " " << policy::write_permit(summary);
+    if (with_summary || with_each == RolloutState::kAborted) {
+      ASSERT_EQ(with_summary, with_each) << "round " << round << " " << policy::write_report(summary);
     }
     steps += with_summary ? 1 : 0;
     missed += with_each && !with_summary ? 1 : 0;
@@ -116,30 +117,30 @@
 // An aggregator may have heard less than the routers below it, which may have heard it from another one.
 TEST(PermitSummaryTest, AnAggregatorThatHasHeardLessClaimsNoMoreThanEachRouterSays) {
   struct Heard {
-    ChangeState driver;
-    ChangeState aggregator;
+    RolloutState driver;
+    RolloutState aggregator;
     std::uint64_t aggregator_id;
   };
   // A commit is not seen before the aggregator has said that its routers hold, so it knows that much.
-  const std::vector<Heard> cases{{ChangeState::kPreparing, ChangeState::kDone, 2},
-                                 {ChangeState::kPreparing, ChangeState::kHolding, 2},
-                                 {ChangeState::kHolding, ChangeState::kPreparing, 3},
-                                 {ChangeState::kHolding, ChangeState::kAborted, 2},
-                                 {ChangeState::kCommitted, ChangeState::kHolding, 3}};
+  const std::vector<Heard> cases{{RolloutState::kPreparing, RolloutState::kDone, 2},
+                                 {RolloutState::kPreparing, RolloutState::kSuspending, 2},
+                                 {RolloutState::kSuspending, RolloutState::kPreparing, 3},
+                                 {RolloutState::kSuspending, RolloutState::kAborted, 2},
+                                 {RolloutState::kCommitted, RolloutState::kSuspending, 3}};
   std::mt19937_64 random(12);
   for (int round = 0; round < 50'000; ++round) {
     const Heard& heard = cases[random() % cases.size()];
-    const policy::Change change = change_in(heard.driver);
-    const RouterPermits routers = drawn_routers(random, policy::step_of(change));
-    Known known = known_in(heard.aggregator, heard.aggregator_id);
-    known.version = heard.driver == ChangeState::kCommitted ? kBefore : known.version;
-    const Permit summary = summarize(known, "edge", routers);
+    const policy::Rollout change = change_in(heard.driver);
+    const RouterPermits routers = drawn_routers(random, policy::stage_id(change));
+    ObservedState known = known_in(heard.aggregator, heard.aggregator_id);
+    known.version = heard.driver == RolloutState::kCommitted ? kBefore : known.version;
+    const ParticipantReport summary = summarize(known, "edge", routers);
     const auto with_summary = next_state(change, {{"a.edge/1", summary}});
     const auto with_each = next_state(change, one_by_one(routers));
-    if (with_summary && *with_summary != ChangeState::kAborted) {
-      ASSERT_EQ(with_summary, with_each) << "round " << round << " " << policy::write_permit(summary);
+    if (with_summary && *with_summary != RolloutState::kAborted) {
+      ASSERT_EQ(with_summary, with_each) << "round " << round << " " << policy::write_report(summary);
     }
-    if (with_each == ChangeState::kAborted) {
+    if (with_each == RolloutState::kAborted) {
       ASSERT_EQ(with_summary, with_each) << "round " << round << ": a router's no is not heard";
     }
   }
@@ -147,59 +148,60 @@
 
 // Else a router that joins by what the aggregator has heard would decide under the old version, unseen.
 TEST(PermitSummaryTest, NothingIsClaimedThatTheAggregatorHasNotHeardItself) {
-  const std::uint64_t step = policy::step_of(change_in(ChangeState::kHolding));
+  const std::uint64_t step = policy::stage_id(change_in(RolloutState::kSuspending));
   RouterPermits routers;
   for (LeaseId lease = 1; lease <= 3; ++lease) {
     routers[lease].permit.version = kBefore;
-    routers[lease].permit.ready = step;
-    routers[lease].permit.held = step;
+    routers[lease].permit.ready_stage = step;
+    routers[lease].permit.suspended_stage = step;
   }
-  EXPECT_EQ(summarize(known_in(ChangeState::kHolding), "edge", routers).held, step);
-  EXPECT_EQ(summarize(known_in(ChangeState::kPreparing), "edge", routers).held, kRoutersDiffer);
-  EXPECT_EQ(summarize(known_in(ChangeState::kDone, 2), "edge", routers).ready, 0U);
+  EXPECT_EQ(summarize(known_in(RolloutState::kSuspending), "edge", routers).suspended_stage, step);
+  EXPECT_EQ(summarize(known_in(RolloutState::kPreparing), "edge", routers).suspended_stage, kRoutersDiffer);
+  EXPECT_EQ(summarize(known_in(RolloutState::kDone, 2), "edge", routers).ready_stage, 0U);
 }
 
 TEST(PermitSummaryTest, AnEmptyZoneSaysWhatARouterWithNothingToDoWouldSay) {
-  const std::uint64_t step = policy::step_of(change_in(ChangeState::kHolding));
-  const Permit preparing = summarize(known_in(ChangeState::kPreparing), "edge", {});
+  const std::uint64_t step = policy::stage_id(change_in(RolloutState::kSuspending));
+  const ParticipantReport preparing = summarize(known_in(RolloutState::kPreparing), "edge", {});
   EXPECT_EQ(preparing.version, kBefore);
-  EXPECT_EQ(preparing.ready, step);
-  EXPECT_EQ(preparing.held, 0U);
-  EXPECT_EQ(summarize(known_in(ChangeState::kHolding), "edge", {}).held, step);
-  const Permit committed = summarize(known_in(ChangeState::kCommitted), "edge", {});
+  EXPECT_EQ(preparing.ready_stage, step);
+  EXPECT_EQ(preparing.suspended_stage, 0U);
+  EXPECT_EQ(summarize(known_in(RolloutState::kSuspending), "edge", {}).suspended_stage, step);
+  const ParticipantReport committed = summarize(known_in(RolloutState::kCommitted), "edge", {});
   EXPECT_EQ(committed.version, kAfter);
-  EXPECT_EQ(committed.held, 0U);
-  EXPECT_EQ(committed.ready, 0U);
-  EXPECT_EQ(committed.routers, 0U);
-  EXPECT_EQ(summarize(Known{}, "edge", {}).version, 0U);
+  EXPECT_EQ(committed.suspended_stage, 0U);
+  EXPECT_EQ(committed.ready_stage, 0U);
+  EXPECT_EQ(committed.represented_routers, 0U);
+  EXPECT_EQ(summarize(ObservedState{}, "edge", {}).version, 0U);
 }
 
 TEST(PermitSummaryTest, AStageAsksItsOwnZoneAlone) {
-  Known known = known_in(ChangeState::kHolding);
-  known.change->stages = {"edge"};
-  const std::uint64_t step = policy::step_of(*known.change);
-  EXPECT_EQ(summarize(known, "edge", {}).held, step);
-  EXPECT_EQ(summarize(known, "west", {}).held, 0U);
-  known.change->stage = 1;
-  EXPECT_EQ(summarize(known, "edge", {}).held, 0U);
-  EXPECT_EQ(summarize(known, "west", {}).held, policy::step_of(*known.change));
+  ObservedState known = known_in(RolloutState::kSuspending);
+  known.rollout->stages = {"edge"};
+  const std::uint64_t step = policy::stage_id(*known.rollout);
+  EXPECT_EQ(summarize(known, "edge", {}).suspended_stage, step);
+  EXPECT_EQ(summarize(known, "west", {}).suspended_stage, 0U);
+  known.rollout->stage = 1;
+  EXPECT_EQ(summarize(known, "edge", {}).suspended_stage, 0U);
+  EXPECT_EQ(summarize(known, "west", {}).suspended_stage, policy::stage_id(*known.rollout));
 }
 
 TEST(PermitSummaryTest, StaffSeeHowManyItStandsForAndWhoIsAwaited) {
   RouterPermits routers;
-  routers[1] = {"first", Permit{}};
-  routers[2] = {"second", Permit{}};
-  const std::uint64_t step = policy::step_of(change_in(ChangeState::kPreparing));
+  routers[1] = {"first", ParticipantReport{}};
+  routers[2] = {"second", ParticipantReport{}};
+  const std::uint64_t step = policy::stage_id(change_in(RolloutState::kPreparing));
   for (auto& [lease, one] : routers) {
     one.permit.version = kBefore;
   }
-  routers[1].permit.ready = step;
-  const Permit summary = summarize(known_in(ChangeState::kPreparing), "edge", routers);
-  EXPECT_EQ(summary.routers, 2U);
-  EXPECT_EQ(summary.awaits, "second");
-  routers[2].permit.no = step;
-  routers[2].permit.why = "full disk";
-  EXPECT_EQ(summarize(known_in(ChangeState::kPreparing), "edge", routers).why, "second: full disk");
+  routers[1].permit.ready_stage = step;
+  const ParticipantReport summary = summarize(known_in(RolloutState::kPreparing), "edge", routers);
+  EXPECT_EQ(summary.represented_routers, 2U);
+  EXPECT_EQ(summary.waiting_for, "second");
+  routers[2].permit.rejected_stage = step;
+  routers[2].permit.rejection_reason = "full disk";
+  EXPECT_EQ(summarize(known_in(RolloutState::kPreparing), "edge", routers).rejection_reason,
+            "second: full disk");
 }
 
 // ---- An aggregator before a store ----
@@ -225,7 +227,7 @@
     store_.commit(Transaction{{}, {Put{key, value, 0}}, {}});
     tell();
   }
-  void put_change(ChangeState state) { put(policy::kChangeKey, policy::write_change(change_in(state))); }
+  void put_change(RolloutState state) { put(policy::kRolloutKey, policy::write_rollout(change_in(state))); }
   void tell() {
     std::vector<Change> news;
     for (const Change& change : store_.changes()) {
@@ -272,21 +274,21 @@
     aggregator_.uplink().said(now_, say.number, read_said(out, say));
   }
 
-  std::optional<Permit> in_store(const std::string& zone) {
+  std::optional<ParticipantReport> in_store(const std::string& zone) {
     const auto found = store_.get(Range{summary_key("", "agg", zone, lease_), false});
-    return found.empty() ? std::nullopt : policy::read_permit(found.front().value);
+    return found.empty() ? std::nullopt : policy::read_report(found.front().value);
   }
 
-  static Permit permit_of(const std::string& zone, std::uint64_t version = kBefore) {
-    Permit out;
+  static ParticipantReport permit_of(const std::string& zone, std::uint64_t version = kBefore) {
+    ParticipantReport out;
     out.incarnation = "1";
     out.zone = zone;
     out.version = version;
     return out;
   }
-  Transaction says(const std::string& router, LeaseId lease, Permit permit) {
-    permit.number = ++number_;
-    return Transaction{{}, {Put{policy::permit_key(router, lease), policy::write_permit(permit), lease}}, {}};
+  Transaction says(const std::string& router, LeaseId lease, ParticipantReport permit) {
+    permit.sequence = ++number_;
+    return Transaction{{}, {Put{policy::report_key(router, lease), policy::write_report(permit), lease}}, {}};
   }
   LeaseId join(const std::string& router, const std::string& zone, Micros ttl = seconds(3)) {
     const LeaseId lease = aggregator_.grant(now_, ttl);
@@ -379,22 +381,22 @@
   serve();
   const LeaseId one = join("r1", "edge");
   const LeaseId two = join("r2", "edge");
-  put_change(ChangeState::kPreparing);
+  put_change(RolloutState::kPreparing);
   serve();
-  EXPECT_EQ(in_store("edge")->ready, 0U);
-  EXPECT_NE(in_store("west")->ready, 0U) << "nobody is there to be awaited";
-  Permit ready = permit_of("edge");
-  ready.ready = policy::step_of(change_in(ChangeState::kPreparing));
+  EXPECT_EQ(in_store("edge")->ready_stage, 0U);
+  EXPECT_NE(in_store("west")->ready_stage, 0U) << "nobody is there to be awaited";
+  ParticipantReport ready = permit_of("edge");
+  ready.ready_stage = policy::stage_id(change_in(RolloutState::kPreparing));
   aggregator_.commit(now_, says("r1", one, ready));
   serve();
-  EXPECT_EQ(in_store("edge")->ready, 0U);
+  EXPECT_EQ(in_store("edge")->ready_stage, 0U);
   aggregator_.commit(now_, says("r2", two, ready));
   serve();
-  EXPECT_EQ(in_store("edge")->ready, ready.ready);
+  EXPECT_EQ(in_store("edge")->ready_stage, ready.ready_stage);
   // One that says less than before counts as it says now.
   aggregator_.commit(now_, says("r1", one, permit_of("edge")));
   serve();
-  EXPECT_EQ(in_store("edge")->ready, 0U);
+  EXPECT_EQ(in_store("edge")->ready_stage, 0U);
 }
 
 // It may still decide by what it was given here, wherever it has gone.
@@ -402,14 +404,14 @@
   hear();
   serve();
   join("r1", "edge");
-  put_change(ChangeState::kHolding);
+  put_change(RolloutState::kSuspending);
   const Micros ends = now_ + seconds(3);
   for (; now_ < ends; now_ += milliseconds(400)) {
     serve();
-    EXPECT_EQ(in_store("edge")->held, 0U);
+    EXPECT_EQ(in_store("edge")->suspended_stage, 0U);
   }
   serve();
-  EXPECT_NE(in_store("edge")->held, 0U);
+  EXPECT_NE(in_store("edge")->suspended_stage, 0U);
   EXPECT_EQ(aggregator_.routers(), 0U);
 }
 
@@ -417,14 +419,14 @@
   hear();
   serve();
   std::mt19937_64 random(4);
-  std::map<std::string, std::pair<LeaseId, Permit>> routers;
+  std::map<std::string, std::pair<LeaseId, ParticipantReport>> routers;
   std::uint64_t before = 0;
   std::uint64_t added = 0;
   for (int round = 0; round < 2'000; ++round) {
     const std::string name = "r" + std::to_string(random() % 3);
     const auto found = routers.find(name);
     if (found == routers.end()) {
-      Permit permit = permit_of("edge");
+      ParticipantReport permit = permit_of("edge");
       permit.requests = random() % 1'000'000;  // it has served for long, elsewhere
       const LeaseId lease = aggregator_.grant(now_, seconds(3));
       aggregator_.commit(now_, says(name, lease, permit));
@@ -436,11 +438,11 @@
       auto& [lease, permit] = found->second;
       const std::uint64_t more = random() % 100;
       permit.requests += more;
-      permit.refused += more / 2;
+      permit.failed_requests += more / 2;
       added += more;
       aggregator_.commit(now_, says(name, lease, permit));
     }
-    const Permit summary = aggregator_.summaries().at("edge");
+    const ParticipantReport summary = aggregator_.summaries().at("edge");
     ASSERT_GE(summary.requests, before);
     before = summary.requests;
   }
@@ -450,22 +452,22 @@
 TEST_F(AggregatorTest, AJoinIsRefusedWhereTheRecordIsNotAsTheRouterKnewIt) {
   hear();
   serve();
-  const Known stale = [this] {
-    Known out;
-    out.current_modified = store_.get(Range{policy::kCurrentKey, false}).front().modified;
+  const ObservedState stale = [this] {
+    ObservedState out;
+    out.current_revision = store_.get(Range{policy::kCurrentKey, false}).front().modified;
     return out;
   }();
-  put_change(ChangeState::kHolding);
+  put_change(RolloutState::kSuspending);
   const LeaseId lease = aggregator_.grant(now_, seconds(3));
   Transaction join = says("r1", lease, permit_of("edge"));
-  join.when = {coordination::unchanged(policy::kChangeKey, stale.change_modified),
-               coordination::unchanged(policy::kCurrentKey, stale.current_modified)};
+  join.when = {coordination::unchanged(policy::kRolloutKey, stale.rollout_revision),
+               coordination::unchanged(policy::kCurrentKey, stale.current_revision)};
   EXPECT_FALSE(aggregator_.commit(now_, join).succeeded);
-  EXPECT_EQ(aggregator_.summaries().at("edge").routers, 0U);
+  EXPECT_EQ(aggregator_.summaries().at("edge").represented_routers, 0U);
   join.when.front().number = store_.revision();
   EXPECT_EQ(store_.revision(), aggregator_.records().revision()) << "the store's own revisions";
   EXPECT_TRUE(aggregator_.commit(now_, join).succeeded);
-  EXPECT_EQ(aggregator_.summaries().at("edge").routers, 1U);
+  EXPECT_EQ(aggregator_.summaries().at("edge").represented_routers, 1U);
 }
 
 TEST_F(AggregatorTest, OnlyThePolicysRecordsAreReadAndCompared) {
@@ -495,12 +497,12 @@
   aggregator_.drain();
   expect_refused(Refused::Why::kNoPermission, [this] { aggregator_.grant(now_, seconds(3)); });
   expect_refused(Refused::Why::kNoPermission, [&] { aggregator_.keep_alive(now_, lease); });
-  put_change(ChangeState::kHolding);
-  Permit holds = permit_of("edge");
-  holds.held = policy::step_of(change_in(ChangeState::kHolding));
+  put_change(RolloutState::kSuspending);
+  ParticipantReport holds = permit_of("edge");
+  holds.suspended_stage = policy::stage_id(change_in(RolloutState::kSuspending));
   EXPECT_TRUE(aggregator_.commit(now_, says("r1", lease, holds)).succeeded);
   serve();
-  EXPECT_EQ(in_store("edge")->held, holds.held);
+  EXPECT_EQ(in_store("edge")->suspended_stage, holds.suspended_stage);
   EXPECT_FALSE(aggregator_.drained());
   now_ += milliseconds(2'999);
   serve();
@@ -519,7 +521,7 @@
   hear();
   const auto orders = aggregator_.due(now_);
   ASSERT_EQ(orders.size(), 1U);
-  put_change(ChangeState::kPreparing);  // meanwhile
+  put_change(RolloutState::kPreparing);  // meanwhile
   carry_out(std::get<AskPermission>(orders.front()));
   EXPECT_FALSE(aggregator_.uplink().permitted(now_));
   EXPECT_FALSE(in_store("edge"));
@@ -529,7 +531,7 @@
 }
 
 TEST_F(AggregatorTest, AZonesOwnVersionIsKnownToItAlone) {
-  put(std::string(policy::kZones) + "west", std::to_string(kAfter));
+  put(std::string(policy::kZonePrefix) + "west", std::to_string(kAfter));
   hear();
   serve();
   EXPECT_EQ(in_store("edge")->version, kBefore);
@@ -541,9 +543,9 @@
   hear();
   serve();
   const LeaseId lease = join("r1", "edge");
-  put_change(ChangeState::kHolding);
-  Permit holds = permit_of("edge");
-  holds.held = policy::step_of(change_in(ChangeState::kHolding));
+  put_change(RolloutState::kSuspending);
+  ParticipantReport holds = permit_of("edge");
+  holds.suspended_stage = policy::stage_id(change_in(RolloutState::kSuspending));
   aggregator_.commit(now_, says("r1", lease, holds));
   auto orders = aggregator_.due(now_);
   ASSERT_EQ(orders.size(), 1U);
@@ -553,7 +555,7 @@
   aggregator_.commit(now_, says("r1", lease, permit_of("edge")));
   now_ += milliseconds(200);
   serve();
-  EXPECT_EQ(in_store("edge")->held, 0U);
+  EXPECT_EQ(in_store("edge")->suspended_stage, 0U);
   const auto revision = store_.revision();
   const auto out = store_.commit(say_transaction("", "agg", lease_, late));
   EXPECT_FALSE(out.succeeded);
@@ -567,9 +569,9 @@
   hear();
   serve();
   const LeaseId lease = join("r1", "edge");
-  put_change(ChangeState::kHolding);
-  Permit holds = permit_of("edge");
-  holds.held = policy::step_of(change_in(ChangeState::kHolding));
+  put_change(RolloutState::kSuspending);
+  ParticipantReport holds = permit_of("edge");
+  holds.suspended_stage = policy::stage_id(change_in(RolloutState::kSuspending));
   aggregator_.commit(now_, says("r1", lease, holds));
   auto orders = aggregator_.due(now_);
   ASSERT_EQ(orders.size(), 1U);
@@ -579,7 +581,8 @@
   aggregator_.commit(now_, says("r1", lease, permit_of("edge")));
   now_ += milliseconds(200);
   serve();
-  EXPECT_EQ(in_store("edge")->held, 0U) << "first refused as not expected, then over what was found";
+  EXPECT_EQ(in_store("edge")->suspended_stage, 0U)
+      << "first refused as not expected, then over what was found";
 }
 
 TEST_F(AggregatorTest, AfterItsLeaseIsGoneItJoinsUnderAnother) {
@@ -602,7 +605,7 @@
 TEST_F(AggregatorTest, ASummaryUnderADeadLeaseIsRefusedByTheStore) {
   hear();
   serve();
-  put_change(ChangeState::kPreparing);
+  put_change(RolloutState::kPreparing);
   const auto orders = aggregator_.due(now_);
   ASSERT_EQ(orders.size(), 1U);
   const SaySummaries late = std::get<SaySummaries>(orders.front());
@@ -633,18 +636,18 @@
                                LeaseId under) {
     expect_refused(why, [&] { aggregator_.commit(now_, Transaction{{}, {Put{key, value, under}}, {}}); });
   };
-  const std::string key = policy::permit_key("r1", lease);
-  const std::string good = policy::write_permit(permit_of("edge"));
+  const std::string key = policy::report_key("r1", lease);
+  const std::string good = policy::write_report(permit_of("edge"));
   put_refused(Refused::Why::kMalformed, key, "no permit", lease);
   put_refused(Refused::Why::kMalformed, key, "{}", lease);
   put_refused(Refused::Why::kMalformed, key, good, other);
   put_refused(Refused::Why::kMalformed, key, good, 0);
   put_refused(Refused::Why::kMalformed, "permits/r1", good, lease);
   put_refused(Refused::Why::kMalformed, "permits//" + std::to_string(lease), good, lease);
-  put_refused(Refused::Why::kMalformed, policy::permit_key("r1/x", lease), good, lease);
+  put_refused(Refused::Why::kMalformed, policy::report_key("r1/x", lease), good, lease);
   put_refused(Refused::Why::kTooLarge, key, good + std::string(4'096, ' '), lease);
-  put_refused(Refused::Why::kUnknownZone, key, policy::write_permit(permit_of("north")), lease);
-  put_refused(Refused::Why::kUnknownLease, policy::permit_key("r1", 1), good, 1);
+  put_refused(Refused::Why::kUnknownZone, key, policy::write_report(permit_of("north")), lease);
+  put_refused(Refused::Why::kUnknownLease, policy::report_key("r1", 1), good, 1);
   put_refused(Refused::Why::kBackwards, key, good, lease);  // unnumbered after a numbered one
   expect_refused(Refused::Why::kBackwards, [&] {
     number_ = 0;
@@ -703,10 +706,10 @@
 // Whatever comes: carried out as a permit of that lease, or refused and counted; other routers and the
 // summaries' soundness are not touched.
 TEST_F(AggregatorTest, MutatedPermitsAndTransactionsAreTakenSoundOrRefused) {
-  put_change(ChangeState::kHolding);
+  put_change(RolloutState::kSuspending);
   hear();
   serve();
-  const std::uint64_t step = policy::step_of(change_in(ChangeState::kHolding));
+  const std::uint64_t step = policy::stage_id(change_in(RolloutState::kSuspending));
   const LeaseId witness = join("witness", "edge");
   LeaseId lease = join("r1", "edge");
   std::mt19937_64 random(21);
@@ -718,17 +721,17 @@
       aggregator_.revoke(now_, lease);
       lease = join("r1", "edge");
     }
-    Permit permit = permit_of("edge");
-    permit.held = step;
-    permit.number = ++number_;
-    const std::string text = policy::write_permit(permit);
-    const std::string key = policy::permit_key("r1", lease);
+    ParticipantReport permit = permit_of("edge");
+    permit.suspended_stage = step;
+    permit.sequence = ++number_;
+    const std::string text = policy::write_report(permit);
+    const std::string key = policy::report_key("r1", lease);
     Transaction transaction;
     const bool mutates_key = random() % 4 == 0;
     transaction.then.push_back(
         Put{mutates_key ? mutated(key, random) : key, mutates_key ? text : mutated(text, random), lease});
     if (random() % 8 == 0) {
-      transaction.when.push_back(coordination::unchanged(mutated(policy::kChangeKey, random), random() % 4));
+      transaction.when.push_back(coordination::unchanged(mutated(policy::kRolloutKey, random), random() % 4));
     }
     if (random() % 16 == 0) {
       transaction.otherwise.push_back(Get{Range{mutated("policy/change", random), random() % 2 == 0}});
@@ -741,9 +744,9 @@
       ASSERT_EQ(aggregator_.counts().refused_in_all(), counted + 1);
     }
     ASSERT_EQ(aggregator_.routers(), 2U);
-    ASSERT_EQ(aggregator_.summaries().at("edge").routers, 2U);
-    ASSERT_NE(aggregator_.summaries().at("edge").held, step) << "the witness has not said so";
-    ASSERT_EQ(aggregator_.summaries().at("west").routers, 0U);
+    ASSERT_EQ(aggregator_.summaries().at("edge").represented_routers, 2U);
+    ASSERT_NE(aggregator_.summaries().at("edge").suspended_stage, step) << "the witness has not said so";
+    ASSERT_EQ(aggregator_.summaries().at("west").represented_routers, 0U);
   }
   EXPECT_GT(refused, 1'000U);
   EXPECT_GT(taken, 100U);
@@ -754,15 +757,15 @@
 // same.
 TEST_F(AggregatorTest, MutatedRecordsOfTheStoreAreReadSoundOrNotAtAll) {
   std::mt19937_64 random(22);
-  const std::string good = policy::write_change(change_in(ChangeState::kHolding));
+  const std::string good = policy::write_rollout(change_in(RolloutState::kSuspending));
   hear();
   serve();
   for (int round = 0; round < 2'000; ++round) {
-    put(policy::kChangeKey, mutated(good, random));
-    const Permit summary = aggregator_.summaries().at("edge");
-    const auto read = policy::read_change(store_.get(Range{policy::kChangeKey, false}).front().value);
-    const bool holding = read && read->state == ChangeState::kHolding && read->concerns("edge");
-    EXPECT_EQ(summary.held, holding ? policy::step_of(*read) : 0U);
+    put(policy::kRolloutKey, mutated(good, random));
+    const ParticipantReport summary = aggregator_.summaries().at("edge");
+    const auto read = policy::read_rollout(store_.get(Range{policy::kRolloutKey, false}).front().value);
+    const bool holding = read && read->state == RolloutState::kSuspending && read->applies_to("edge");
+    EXPECT_EQ(summary.suspended_stage, holding ? policy::stage_id(*read) : 0U);
   }
 }
 
--- a/tests/aggregation_world_test.cpp
+++ b/tests/aggregation_world_test.cpp
@@ -10,8 +10,8 @@
 #include <set>
 
 #include "aggregation/aggregator.h"
-#include "policy/change.h"
-#include "policy/holder.h"
+#include "policy/participant.h"
+#include "policy/rollout.h"
 #include "virtual_world.h"
 
 namespace trailcourse::aggregation {
@@ -25,13 +25,13 @@
 using coordination::Range;
 using coordination::Revision;
 using coordination::Transaction;
-using policy::ChangeState;
-using policy::Driver;
-using policy::Holder;
-using policy::Known;
-using policy::Permit;
-using policy::Ruling;
-using policy::Seen;
+using policy::EffectivePolicy;
+using policy::ObservedState;
+using policy::Participant;
+using policy::ParticipantReport;
+using policy::RolloutCoordinator;
+using policy::RolloutSnapshot;
+using policy::RolloutState;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 using testing_support::CallRules;
@@ -127,9 +127,9 @@
 class World : private VirtualWorld {
  public:
   World(std::uint64_t seed, Defect defect) : VirtualWorld(seed, call_rules()), defect_(defect) {
-    policy::DriverRules rules;
-    rules.prepare_most = seconds(6);
-    rules.hold_most = seconds(8);
+    policy::RolloutTimeouts rules;
+    rules.prepare_timeout = seconds(6);
+    rules.suspend_timeout = seconds(8);
     driver_rules_ = rules;
     note_in_force();
     one_name_ = chance(30);
@@ -185,7 +185,7 @@
   struct RouterProcess : VirtualProcess {
     int index = 0;
     std::string zone;
-    std::optional<Holder> holder;
+    std::optional<Participant> participant;
     LeaseId lease = 0;
     Revision floor = 0;
     int endpoint = 0;  // the aggregator that its calls go to
@@ -195,7 +195,7 @@
     Micros last_beat{0};  // in true time
     Micros told_until{0};
     bool bad_disk = false;
-    policy::BoardPosition position;
+    policy::DiscoveryPosition position;
     std::uint64_t requests = 0, failed = 0;
   };
 
@@ -213,8 +213,8 @@
     out.lease.retry = milliseconds(200);
     return out;
   }
-  static policy::HolderRules holder_rules() {
-    policy::HolderRules out;
+  static policy::ParticipantOptions participant_options() {
+    policy::ParticipantOptions out;
     out.lease.ttl = kRouterTtl;
     out.lease.margin = milliseconds(20);
     out.lease.renew_after = seconds(1);
@@ -224,13 +224,15 @@
 
   // ---- The store ----
 
-  Seen look_now() { return policy::read_seen("", ledger_.commit(policy::look(""))); }
+  RolloutSnapshot look_now() {
+    return policy::read_snapshot("", ledger_.commit(policy::snapshot_transaction("")));
+  }
   void note_in_force() {
-    const Seen seen = look_now();
+    const RolloutSnapshot seen = look_now();
     ++commits_;
     for (const char* zone : kZoneNames) {
-      const auto own = seen.zones.find(zone);
-      rule_.in_force(zone, own == seen.zones.end() ? seen.current : own->second, commits_);
+      const auto own = seen.zone_versions.find(zone);
+      rule_.in_force(zone, own == seen.zone_versions.end() ? seen.current_version : own->second, commits_);
     }
   }
   void expire() {
@@ -386,7 +388,7 @@
     }
     for (coordination::Step& step : transaction.then) {
       if (Put* put = std::get_if<Put>(&step)) {
-        put->key = key_of(one, policy::read_permit(put->value)->zone, put->lease);
+        put->key = key_of(one, policy::read_report(put->value)->zone, put->lease);
       }
     }
     if (!compares) {
@@ -467,8 +469,8 @@
   void start(RouterProcess& one) {
     begin_incarnation(one, kMostPartsPerMillion, seconds(50));
     one.turn = [this, &one] { turn(one); };
-    one.holder.emplace(std::to_string(one.incarnation), one.zone, holder_rules(),
-                       [](std::uint64_t) { return std::string(); });
+    one.participant.emplace(std::to_string(one.incarnation), one.zone, participant_options(),
+                            [](std::uint64_t) { return std::string(); });
     one.lease = 0;
     one.floor = 0;
     one.endpoint = one.index % kAggregators;
@@ -495,22 +497,22 @@
          }
        });
   }
-  Known known_to(const AggregatorProcess& server, const RouterProcess& one) const {
+  ObservedState known_to(const AggregatorProcess& server, const RouterProcess& one) const {
     const auto entry = [&](const std::string& key) {
       const auto found = server.core->records().entries().find(key);
       return found == server.core->records().entries().end() ? Entry{} : found->second;
     };
-    return policy::known_in_zone(policy::read_known(entry), entry, one.zone);
+    return policy::observed_in_zone(policy::read_observed_state(entry), entry, one.zone);
   }
   void watch(RouterProcess& one) {
     const int endpoint = one.endpoint;
     const int number = ++one.watch;
     one.watched = -1;
-    call_aggregator<Known>(
+    call_aggregator<ObservedState>(
         one,
         [this, &one, endpoint, number, same = same_incarnation(one)](Aggregator& server) {
           if (!same() || number != one.watch) {
-            return Known{};  // of a connection that was given up
+            return ObservedState{};  // of a connection that was given up
           }
           if (!server.mirrored()) {
             throw Refused(Refused::Why::kNoPermission, "not mirrored");
@@ -520,7 +522,7 @@
           one.told_until = std::max(one.told_until, now_);
           return known_to(aggregators_[static_cast<std::size_t>(endpoint)], one);
         },
-        [this, &one, number](const Known& known) {
+        [this, &one, number](const ObservedState& known) {
           if (number == one.watch) {
             take_known(one, known);
           }
@@ -533,13 +535,13 @@
           });
         });
   }
-  void take_known(RouterProcess& one, const Known& known) {
+  void take_known(RouterProcess& one, const ObservedState& known) {
     const Micros now = clock(one);
     for (std::uint64_t version = 1; version <= last_version_; ++version) {
-      one.holder->document(now, version);
+      one.participant->on_document(now, version);
     }
-    one.holder->told(now, known);
-    one.holder->heard(now, true);
+    one.participant->on_observed_state(now, known);
+    one.participant->set_connected(now, true);
     one.last_beat = now_;
   }
   void tell_routers(const AggregatorProcess& server) {
@@ -574,7 +576,7 @@
       if (!same()) {
         return;
       }
-      if (one.position.event < board_.event) {
+      if (one.position.sequence < board_.sequence) {
         hear_board(one);
       }
       if (!one.paused && one.watched >= 0) {
@@ -583,7 +585,7 @@
         if (hears(one, server) && !server.paused) {
           one.last_beat = now_;
         } else if (closed || now_ - one.last_beat > kWatchSilence) {
-          one.holder->heard(clock(one), false);
+          one.participant->set_connected(clock(one), false);
           if (one.endpoint == one.watched) {
             endpoint_failed(one, one.endpoint);
           }
@@ -640,26 +642,26 @@
   }
 
   void turn(RouterProcess& one) {
-    one.holder->count(one.requests, one.failed);
-    for (const policy::HolderOrder& order : one.holder->due(clock(one))) {
+    one.participant->set_request_counts(one.requests, one.failed);
+    for (const policy::ParticipantAction& order : one.participant->step(clock(one))) {
       std::visit([this, &one](const auto& what) { carry_out(one, what); }, order);
     }
   }
-  void carry_out(RouterProcess& one, const policy::KeepDocument& keep) {
+  void carry_out(RouterProcess& one, const policy::PersistDocumentAction& keep) {
     at(now_ + drawn(milliseconds(30)), [this, &one, keep, same = same_incarnation(one)] {
       if (same()) {
         deliver(one, [this, &one, keep] {
-          one.holder->kept(clock(one), keep.version, one.bad_disk ? "full disk" : "");
+          one.participant->on_persist_result(clock(one), keep.version, one.bad_disk ? "full disk" : "");
         });
       }
     });
   }
-  Transaction permit_write(const RouterProcess& one, Permit permit, LeaseId lease) const {
+  Transaction permit_write(const RouterProcess& one, ParticipantReport permit, LeaseId lease) const {
     if (defect_ == Defect::kAcknowledgesUnheard) {
-      permit.acknowledged = kAnyRound;
+      permit.acknowledged_round = kAnyRound;
     }
     return {{},
-            {Put{policy::permit_key("r" + std::to_string(one.index), lease), policy::write_permit(permit),
+            {Put{policy::report_key("r" + std::to_string(one.index), lease), policy::write_report(permit),
                  lease}},
             {}};
   }
@@ -680,27 +682,29 @@
     if (record == server.records().entries().end()) {
       return;
     }
-    Permit permit = *policy::read_permit(put.value);
-    permit.acknowledged = policy::read_acknowledgement(record->second.value)->round;
-    put.value = policy::write_permit(permit);
+    ParticipantReport permit = *policy::read_report(put.value);
+    permit.acknowledged_round = policy::read_acknowledgement(record->second.value)->round;
+    put.value = policy::write_report(permit);
   }
   Micros server_clock(int endpoint) const { return clock(aggregators_[static_cast<std::size_t>(endpoint)]); }
 
-  void carry_out(RouterProcess& one, const policy::SayPermit& say) {
-    const Transaction write = permit_write(one, say.permit, one.lease);
+  void carry_out(RouterProcess& one, const policy::ReportAction& say) {
+    const Transaction write = permit_write(one, say.report, one.lease);
     const int endpoint = one.endpoint;
     call_aggregator<Outcome>(
         one,
         [this, &one, write, endpoint](Aggregator& server) {
           return take(one, server, server_clock(endpoint), write);
         },
-        [this, &one, say](const Outcome&) { one.holder->said(clock(one), say.number, true); },
-        [this, &one, say] { one.holder->said(clock(one), say.number, false); });
+        [this, &one, say](const Outcome&) {
+          one.participant->on_report_result(clock(one), say.call_id, true);
+        },
+        [this, &one, say] { one.participant->on_report_result(clock(one), say.call_id, false); });
   }
-  void carry_out(RouterProcess& one, const policy::AskPermission& ask) {
+  void carry_out(RouterProcess& one, const policy::LeaseAction& ask) {
     const std::uint64_t number = ask.order.number;
     const int endpoint = one.endpoint;
-    const auto lost = [this, &one, number] { one.holder->lost(clock(one), number); };
+    const auto lost = [this, &one, number] { one.participant->on_no_response(clock(one), number); };
     if (ask.order.ask == ownership::Ask::kAcquire) {
       call_aggregator<LeaseId>(
           one,
@@ -716,7 +720,7 @@
     call_aggregator<Micros>(
         one, [this, endpoint, lease](Aggregator& server) { return renew(server, endpoint, lease); },
         [this, &one, number](const Micros& left) {
-          one.holder->renewed(clock(one), number, left > Micros(0));
+          one.participant->on_renew_result(clock(one), number, left > Micros(0));
         },
         lost);
   }
@@ -746,9 +750,9 @@
       // Not there.
     }
   }
-  void join(RouterProcess& one, const policy::AskPermission& ask, const std::function<void()>& lost) {
+  void join(RouterProcess& one, const policy::LeaseAction& ask, const std::function<void()>& lost) {
     const LeaseId lease = one.lease;
-    Transaction write = permit_write(one, ask.permit, lease);
+    Transaction write = permit_write(one, ask.report, lease);
     write.when = policy::join_conditions("", ask.known, one.zone);
     const int endpoint = one.endpoint;
     call_aggregator<Outcome>(
@@ -757,7 +761,7 @@
           return take(one, server, server_clock(endpoint), write);
         },
         [this, &one, number = ask.order.number](const Outcome& out) {
-          one.holder->joined(clock(one), number, out.succeeded);
+          one.participant->on_join_result(clock(one), number, out.succeeded);
         },
         lost);
   }
@@ -769,7 +773,7 @@
       if (calm_) {
         return;
       }
-      board_.event += 1 + random_() % 20;
+      board_.sequence += 1 + random_() % 20;
       for (RouterProcess& one : routers_) {
         if (one.running) {
           hear_board(one);
@@ -785,9 +789,9 @@
         return;
       }
       deliver(one, [this, &one, position] {
-        if (position.event > one.position.event) {
+        if (position.sequence > one.position.sequence) {
           one.position = position;
-          one.holder->took_in(clock(one), position);
+          one.participant->on_events_applied(clock(one), position);
         }
       });
     });
@@ -797,10 +801,10 @@
       ledger_.expire(store_ms());
       tell();
       if (ledger_.revision() >= driver_floor_) {
-        const auto seen =
-            policy::read_acknowledgements_seen("", ledger_.commit(policy::look_at_acknowledgements("")));
+        const auto seen = policy::read_acknowledgement_snapshot(
+            "", ledger_.commit(policy::acknowledgement_snapshot_transaction("")));
         if (const auto next = acknowledgements_.next(now_, seen, board_)) {
-          record(policy::write_record("", seen, *next), *next);
+          record(policy::write_acknowledgement_transaction("", seen, *next), *next);
         }
       }
       drive_acknowledgements();
@@ -813,15 +817,16 @@
       ledger_.expire(store_ms());
       if (ledger_.commit(write).succeeded) {
         ++report_.rounds;
-        done_event_ = std::max(done_event_, next.done.event);
+        done_event_ = std::max(done_event_, next.completed.sequence);
       }
       tell();
     });
   }
   void check_event(const RouterProcess& one) {
-    if (one.position.event < done_event_) {
-      fail("router " + std::to_string(one.index) + " decides at event " + std::to_string(one.position.event) +
-           " though " + std::to_string(done_event_) + " was told to be done");
+    if (one.position.sequence < done_event_) {
+      fail("router " + std::to_string(one.index) + " decides at event " +
+           std::to_string(one.position.sequence) + " though " + std::to_string(done_event_) +
+           " was told to be done");
     }
   }
 
@@ -830,7 +835,7 @@
   void drive() {
     at(now_ + drawn(milliseconds(200)), [this] {
       if (!driver_ || (chance(2) && !calm_)) {
-        driver_.emplace(driver_rules_);  // a successor
+        coordinator_.emplace(driver_rules_);  // a successor
       }
       ledger_.expire(store_ms());
       tell();
@@ -841,19 +846,19 @@
       drive();
     });
   }
-  void take_step(const Seen& seen) {
-    const auto step = driver_->next(now_, seen);
+  void take_step(const RolloutSnapshot& seen) {
+    const auto step = coordinator_->step(now_, seen);
     if (!step) {
       return;
     }
     // What it decided arrives late at times: the store may have moved on.
     const Micros late = drawn(calm_ || chance(80) ? milliseconds(10) : seconds(4));
-    at(now_ + late, [this, write = policy::carry_out("", seen, *step), step = *step, seen] {
+    at(now_ + late, [this, write = policy::execute_transaction("", seen, *step), step = *step, seen] {
       ledger_.expire(store_ms());
       if (ledger_.commit(write).succeeded) {
         report_.commits += step.commit ? 1 : 0;
-        report_.aborts += step.change.state == ChangeState::kAborted ? 1 : 0;
-        report_.turned_back += step.change.id != seen.change->id ? 1 : 0;
+        report_.aborts += step.rollout.state == RolloutState::kAborted ? 1 : 0;
+        report_.turned_back += step.rollout.id != seen.rollout->id ? 1 : 0;
         note_in_force();
       }
       tell();
@@ -864,19 +869,20 @@
       if (calm_) {
         return;
       }
-      const Seen seen = look_now();
+      const RolloutSnapshot seen = look_now();
       bool superseded = false;
-      if (!store_went_back_ && policy::may_begin(seen, chance(20), superseded).empty()) {
-        policy::Change change;
-        change.id = seen.change ? seen.change->id + 1 : 1;
-        change.version = ++last_version_;
-        change.before = seen.current;
+      if (!store_went_back_ && policy::check_can_begin(seen, chance(20), superseded).empty()) {
+        policy::Rollout change;
+        change.id = seen.rollout ? seen.rollout->id + 1 : 1;
+        change.target_version = ++last_version_;
+        change.previous_version = seen.current_version;
         if (chance(30)) {
           change.stages = {kZoneNames[random_() % kZoneNames.size()]};
           change.watch_ms = 500 + static_cast<std::int64_t>(random_() % 1'500);
-          change.most_refused = 0.5;
+          change.max_rejected_share = 0.5;
         }
-        report_.changes += ledger_.commit(policy::begin("", seen, change, "document", "")).succeeded ? 1 : 0;
+        report_.changes +=
+            ledger_.commit(policy::begin_transaction("", seen, change, "document", "")).succeeded ? 1 : 0;
         tell();
       }
       propose();
@@ -898,23 +904,23 @@
     });
   }
   void arrive(RouterProcess& one) {
-    const Ruling ruling = one.holder->ruling(clock(one));
-    if (ruling.kind == Ruling::Kind::kRefuse) {
+    const EffectivePolicy effective_policy = one.participant->effective_policy(clock(one));
+    if (effective_policy.kind == EffectivePolicy::Kind::kReject) {
       ++report_.refused;
       return;
     }
     check_event(one);
-    if (ruling.kind == Ruling::Kind::kBoth) {
+    if (effective_policy.kind == EffectivePolicy::Kind::kIntersection) {
       ++report_.by_both;
       return;
     }
     ++report_.decided;
     ++one.requests;
-    one.failed += fails(ruling.version) ? 1 : 0;
-    const std::string why = rule_.decide(one.zone, ruling.version);
+    one.failed += fails(effective_policy.version) ? 1 : 0;
+    const std::string why = rule_.decide(one.zone, effective_policy.version);
     if (!why.empty()) {
       fail("router " + std::to_string(one.index) + " of " + one.zone + " decides under version " +
-           std::to_string(ruling.version) + ", " + why);
+           std::to_string(effective_policy.version) + ", " + why);
     }
   }
 
@@ -1089,7 +1095,7 @@
       store_went_back_ = false;
       done_event_ = 0;  // it is told anew
       driver_floor_ = 0;
-      driver_.reset();
+      coordinator_.reset();
       note_in_force();
       for (AggregatorProcess& one : aggregators_) {
         end_incarnation(one);
@@ -1121,35 +1127,36 @@
     }
   }
   void check_end() {
-    const Seen seen = look_now();
-    if (done_event_ != board_.event) {
-      const auto asked =
-          policy::read_acknowledgements_seen("", ledger_.commit(policy::look_at_acknowledgements("")));
+    const RolloutSnapshot seen = look_now();
+    if (done_event_ != board_.sequence) {
+      const auto asked = policy::read_acknowledgement_snapshot(
+          "", ledger_.commit(policy::acknowledgement_snapshot_transaction("")));
       fail("event " + std::to_string(done_event_) + " is done, and the board is at " +
-           std::to_string(board_.event) + told(seen) + "\n  " + policy::write_acknowledgement(asked.record));
+           std::to_string(board_.sequence) + told(seen) + "\n  " +
+           policy::write_acknowledgement(asked.record));
     }
-    if (seen.change && seen.change->open()) {
-      fail(std::string("a change is stuck: ") + policy::to_string(seen.change->state) + told(seen));
+    if (seen.rollout && seen.rollout->is_open()) {
+      fail(std::string("a change is stuck: ") + policy::to_string(seen.rollout->state) + told(seen));
     }
     for (RouterProcess& one : routers_) {
-      const auto own = seen.zones.find(one.zone);
-      const std::uint64_t in_force = own == seen.zones.end() ? seen.current : own->second;
-      const Ruling ruling = one.holder->ruling(clock(one));
-      if (ruling.kind != Ruling::Kind::kVersion || ruling.version != in_force) {
+      const auto own = seen.zone_versions.find(one.zone);
+      const std::uint64_t in_force = own == seen.zone_versions.end() ? seen.current_version : own->second;
+      const EffectivePolicy effective_policy = one.participant->effective_policy(clock(one));
+      if (effective_policy.kind != EffectivePolicy::Kind::kSingle || effective_policy.version != in_force) {
         fail("router " + std::to_string(one.index) + " does not decide under what is in force: " +
-             policy::to_string(one.holder->standing(clock(one))) + told(seen));
+             policy::to_string(one.participant->state(clock(one))) + told(seen));
       }
     }
   }
-  std::string told(const Seen& seen) const {
+  std::string told(const RolloutSnapshot& seen) const {
     std::string out;
-    for (const auto& [name, permit] : seen.permits) {
-      out += "\n  " + name + " " + policy::write_permit(permit);
+    for (const auto& [name, permit] : seen.reports) {
+      out += "\n  " + name + " " + policy::write_report(permit);
     }
-    if (seen.change) {
-      out += "\n  " + policy::write_change(*seen.change);
+    if (seen.rollout) {
+      out += "\n  " + policy::write_rollout(*seen.rollout);
     }
-    return out + "\n  current " + std::to_string(seen.current);
+    return out + "\n  current " + std::to_string(seen.current_version);
   }
 
   struct Copy {
@@ -1159,16 +1166,16 @@
   };
 
   Defect defect_;
-  policy::DriverRules driver_rules_;
+  policy::RolloutTimeouts driver_rules_;
   Ledger ledger_{coordination::Limits{}};
   Copy copy_;
   bool store_went_back_ = false;
   bool one_name_ = false;  // all aggregators have the same
   std::deque<AggregatorProcess> aggregators_;
   std::deque<RouterProcess> routers_;
-  std::optional<Driver> driver_;
-  policy::AcknowledgementDriver acknowledgements_{milliseconds(200)};
-  policy::BoardPosition board_{"board", 0};
+  std::optional<RolloutCoordinator> coordinator_;
+  policy::AcknowledgementCoordinator acknowledgements_{milliseconds(200)};
+  policy::DiscoveryPosition board_{"board", 0};
   std::uint64_t done_event_ = 0;  // that was told to be taken in everywhere
   Revision driver_floor_ = 0;
   std::uint64_t last_version_ = 0;
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -8,9 +8,9 @@
 #include <random>
 
 #include "coordination/ledger.h"
-#include "policy/change.h"
 #include "policy/document.h"
-#include "policy/holder.h"
+#include "policy/participant.h"
+#include "policy/rollout.h"
 #include "virtual_world.h"
 
 namespace trailcourse::policy {
@@ -23,8 +23,8 @@
 
 // ---- Documents ----
 
-Content drawn_content(std::mt19937_64& random) {
-  Content out;
+PolicyContent drawn_content(std::mt19937_64& random) {
+  PolicyContent out;
   for (const char* name : {"media", "page", "entry"}) {
     if (random() % 4 == 0) {
       continue;
@@ -33,7 +33,7 @@
     rule.serve = random() % 4 != 0;
     rule.objective_ms = 1 + static_cast<std::int64_t>(random() % 50);
     rule.give_up_ms = rule.objective_ms + static_cast<std::int64_t>(random() % 50);
-    rule.worth = static_cast<double>(random() % 5);
+    rule.priority_weight = static_cast<double>(random() % 5);
     rule.fresh_ms = static_cast<std::int64_t>(random() % 4) * 10;
     rule.grace_ms = rule.fresh_ms > 0 ? static_cast<std::int64_t>(random() % 30) : 0;
   }
@@ -51,27 +51,27 @@
 TEST(PolicyDocumentTest, WhatBothAllowKeepsItsLaws) {
   std::mt19937_64 random(1);
   for (int i = 0; i < 20'000; ++i) {
-    const Content a = drawn_content(random);
-    const Content b = drawn_content(random);
-    const Content c = drawn_content(random);
-    const Content ab = both(a, b);
-    EXPECT_EQ(ab, both(b, a)) << "commutative";
-    EXPECT_EQ(both(ab, c), both(a, both(b, c))) << "associative";
-    EXPECT_EQ(both(a, a), a) << "idempotent";
-    EXPECT_TRUE(within(ab, a)) << "allowed by the first";
-    EXPECT_TRUE(within(ab, b)) << "allowed by the second";
+    const PolicyContent a = drawn_content(random);
+    const PolicyContent b = drawn_content(random);
+    const PolicyContent c = drawn_content(random);
+    const PolicyContent ab = intersection(a, b);
+    EXPECT_EQ(ab, intersection(b, a)) << "commutative";
+    EXPECT_EQ(intersection(ab, c), intersection(a, intersection(b, c))) << "associative";
+    EXPECT_EQ(intersection(a, a), a) << "idempotent";
+    EXPECT_TRUE(is_subset(ab, a)) << "allowed by the first";
+    EXPECT_TRUE(is_subset(ab, b)) << "allowed by the second";
     // The widest such: what is within both is within it.
-    const Content narrow = both(ab, c);
-    EXPECT_TRUE(within(narrow, ab));
-    if (within(c, a) && within(c, b)) {
-      EXPECT_TRUE(within(c, ab));
+    const PolicyContent narrow = intersection(ab, c);
+    EXPECT_TRUE(is_subset(narrow, ab));
+    if (is_subset(c, a) && is_subset(c, b)) {
+      EXPECT_TRUE(is_subset(c, ab));
     }
     ASSERT_FALSE(testing::Test::HasFailure()) << "case " << i;
   }
 }
 
-Document document_of(std::uint64_t version, std::uint64_t parent) {
-  Document out;
+PolicyDocument document_of(std::uint64_t version, std::uint64_t parent) {
+  PolicyDocument out;
   out.version = version;
   out.parent = parent;
   out.author = "ops";
@@ -81,13 +81,13 @@
 }
 
 TEST(PolicyDocumentTest, ItIsReadWholeOrRefusedWithTheField) {
-  const Document document = document_of(7, 6);
-  const std::string text = write_text(document);
+  const PolicyDocument document = document_of(7, 6);
+  const std::string text = write_document_text(document);
   EXPECT_EQ(read_document(text), document);
   const auto why = [](const std::string& from, bool draft = false) -> std::string {
     try {
       draft ? read_draft(from) : read_document(from);
-    } catch (const BadDocument& error) {
+    } catch (const InvalidDocument& error) {
       return error.what();
     }
     return "";
@@ -118,23 +118,23 @@
 }
 
 TEST(PolicyDocumentTest, ARouterThatCannotLiveByItSaysWhy) {
-  Document document = document_of(7, 6);
+  PolicyDocument document = document_of(7, 6);
   document.content.limits.open_requests = 1'000;
-  Ability ability{{"media"}, 1'000'000};
-  EXPECT_EQ(objection(document, ability), "");
-  ability.open_requests = 500;
-  EXPECT_NE(objection(document, ability).find("open_requests"), std::string::npos);
-  ability = {{"page"}, 1'000'000};
-  EXPECT_NE(objection(document, ability).find("classes.media"), std::string::npos);
+  RouterCapabilities capabilities{{"media"}, 1'000'000};
+  EXPECT_EQ(check_capabilities(document, capabilities), "");
+  capabilities.max_open_requests = 500;
+  EXPECT_NE(check_capabilities(document, capabilities).find("open_requests"), std::string::npos);
+  capabilities = {{"page"}, 1'000'000};
+  EXPECT_NE(check_capabilities(document, capabilities).find("classes.media"), std::string::npos);
 }
 
 TEST(PolicyDocumentTest, TheDifferenceIsInWords) {
-  Content before = document_of(1, 0).content;
-  Content after = before;
-  EXPECT_TRUE(difference(before, after).empty());
+  PolicyContent before = document_of(1, 0).content;
+  PolicyContent after = before;
+  EXPECT_TRUE(describe_difference(before, after).empty());
   after.classes["media"].give_up_ms = 5'000;
   after.limits.open_requests = 7;
-  const auto words = difference(before, after);
+  const auto words = describe_difference(before, after);
   ASSERT_EQ(words.size(), 2U);
   EXPECT_EQ(words[0], "classes.media.give_up_ms is 5,000 ms, was 4,000 ms");
 }
@@ -144,187 +144,187 @@
 class DriverTest : public testing::Test {
  protected:
   DriverTest() {
-    Change change;
+    Rollout change;
     change.id = 3;
-    change.version = 8;
-    change.before = 7;
-    seen.change = change;
-    seen.change_modified = 40;
-    seen.current = 7;
-    seen.permits["a"] = permit("edge");
-    seen.permits["b"] = permit("edge");
-  }
-  static Permit permit(const std::string& zone) {
-    Permit out;
+    change.target_version = 8;
+    change.previous_version = 7;
+    seen.rollout = change;
+    seen.rollout_revision = 40;
+    seen.current_version = 7;
+    seen.reports["a"] = permit("edge");
+    seen.reports["b"] = permit("edge");
+  }
+  static ParticipantReport permit(const std::string& zone) {
+    ParticipantReport out;
     out.zone = zone;
     out.version = 7;
     return out;
   }
-  std::uint64_t step() const { return step_of(*seen.change); }
-  void ready(const std::string& name) { seen.permits[name].ready = step(); }
-  void held(const std::string& name) { seen.permits[name].held = step(); }
+  std::uint64_t step() const { return stage_id(*seen.rollout); }
+  void ready(const std::string& name) { seen.reports[name].ready_stage = step(); }
+  void held(const std::string& name) { seen.reports[name].suspended_stage = step(); }
   // Carries the step out, as the store would.
-  void take(const Step& told) {
-    seen.change = told.change;
-    ++seen.change_modified;
+  void take(const RolloutStep& told) {
+    seen.rollout = told.rollout;
+    ++seen.rollout_revision;
   }
 
-  Driver driver{DriverRules{}};
-  Seen seen;
+  RolloutCoordinator driver{RolloutTimeouts{}};
+  RolloutSnapshot seen;
   Micros now{0};
 };
 
 TEST_F(DriverTest, AnAggregatorIsAwaitedWithTheRouterThatItWaitsFor) {
-  seen.permits.clear();
-  seen.permits["a1.edge/9"] = permit("edge");
-  seen.permits["a1.edge/9"].routers = 40;
-  seen.permits["a1.edge/9"].awaits = "r7";
-  const std::vector<std::string> words = awaited(seen);
+  seen.reports.clear();
+  seen.reports["a1.edge/9"] = permit("edge");
+  seen.reports["a1.edge/9"].represented_routers = 40;
+  seen.reports["a1.edge/9"].waiting_for = "r7";
+  const std::vector<std::string> words = describe_pending(seen);
   ASSERT_EQ(words.size(), 1U);
   EXPECT_EQ(words[0], "a1.edge for 40 routers, among them r7, is to say that it is ready");
 }
 
 TEST_F(DriverTest, ItCommitsOnlyOnceEachIsReadyAndThenHolds) {
-  EXPECT_FALSE(driver.next(now, seen));
-  EXPECT_EQ(awaited(seen).size(), 2U);
+  EXPECT_FALSE(driver.step(now, seen));
+  EXPECT_EQ(describe_pending(seen).size(), 2U);
   ready("a");
-  EXPECT_FALSE(driver.next(now, seen));
+  EXPECT_FALSE(driver.step(now, seen));
   ready("b");
-  auto told = driver.next(now, seen);
+  auto told = driver.step(now, seen);
   ASSERT_TRUE(told);
-  EXPECT_EQ(told->change.state, ChangeState::kHolding);
+  EXPECT_EQ(told->rollout.state, RolloutState::kSuspending);
   EXPECT_FALSE(told->commit);
   take(*told);
   held("a");
-  EXPECT_FALSE(driver.next(now, seen));
+  EXPECT_FALSE(driver.step(now, seen));
   // The other one's permission runs out: it does not decide, and is not waited for.
-  seen.permits.erase("b");
-  told = driver.next(now, seen);
+  seen.reports.erase("b");
+  told = driver.step(now, seen);
   ASSERT_TRUE(told);
   EXPECT_TRUE(told->commit);
   take(*told);
-  EXPECT_FALSE(driver.next(now, seen));
-  seen.permits["a"].version = 8;
-  EXPECT_FALSE(driver.next(now, seen)) << "it says that it holds still";
-  seen.permits["a"].held = 0;
-  told = driver.next(now, seen);
+  EXPECT_FALSE(driver.step(now, seen));
+  seen.reports["a"].version = 8;
+  EXPECT_FALSE(driver.step(now, seen)) << "it says that it holds still";
+  seen.reports["a"].suspended_stage = 0;
+  told = driver.step(now, seen);
   ASSERT_TRUE(told);
-  EXPECT_EQ(told->change.state, ChangeState::kDone);
+  EXPECT_EQ(told->rollout.state, RolloutState::kDone);
 }
 
 TEST_F(DriverTest, ANoOrTooLongAWaitAborts) {
   ready("a");
-  seen.permits["b"].no = step();
-  seen.permits["b"].why = "full disk";
-  auto told = driver.next(now, seen);
+  seen.reports["b"].rejected_stage = step();
+  seen.reports["b"].rejection_reason = "full disk";
+  auto told = driver.step(now, seen);
   ASSERT_TRUE(told);
-  EXPECT_EQ(told->change.state, ChangeState::kAborted);
-  EXPECT_EQ(told->change.why, "b says no: full disk");
-  seen.permits["b"].no = 0;
-  EXPECT_FALSE(driver.next(now, seen));
-  ASSERT_TRUE(driver.due());
-  told = driver.next(*driver.due(), seen);
+  EXPECT_EQ(told->rollout.state, RolloutState::kAborted);
+  EXPECT_EQ(told->rollout.reason, "b says no: full disk");
+  seen.reports["b"].rejected_stage = 0;
+  EXPECT_FALSE(driver.step(now, seen));
+  ASSERT_TRUE(driver.next_step_at());
+  told = driver.step(*driver.next_step_at(), seen);
   ASSERT_TRUE(told);
-  EXPECT_EQ(told->change.why, "not ready in time: b");
+  EXPECT_EQ(told->rollout.reason, "not ready in time: b");
 }
 
 TEST_F(DriverTest, ANoOfAnEarlierChangeIsNone) {
   ready("a");
   ready("b");
-  seen.permits["b"].no = step() - 1'000;
-  const auto told = driver.next(now, seen);
+  seen.reports["b"].rejected_stage = step() - 1'000;
+  const auto told = driver.step(now, seen);
   ASSERT_TRUE(told);
-  EXPECT_EQ(told->change.state, ChangeState::kHolding);
+  EXPECT_EQ(told->rollout.state, RolloutState::kSuspending);
 }
 
 TEST_F(DriverTest, StagesGoZoneByZoneAndTheRestAtTheEnd) {
-  seen.change->stages = {"edge"};
-  seen.change->watch_ms = 1'000;
-  seen.permits["c"] = permit("west");
+  seen.rollout->stages = {"edge"};
+  seen.rollout->watch_ms = 1'000;
+  seen.reports["c"] = permit("west");
   ready("a");
   ready("b");
-  take(*driver.next(now, seen));
+  take(*driver.step(now, seen));
   held("a");
   held("b");
-  auto told = driver.next(now, seen);
+  auto told = driver.step(now, seen);
   ASSERT_TRUE(told);
   EXPECT_TRUE(told->commit) << "the other zone is not asked";
   take(*told);
   for (const char* name : {"a", "b"}) {
-    seen.permits[name] = permit("edge");
-    seen.permits[name].version = 8;
+    seen.reports[name] = permit("edge");
+    seen.reports[name].version = 8;
   }
-  take(*driver.next(now, seen));
-  EXPECT_EQ(seen.change->state, ChangeState::kWatched);
-  EXPECT_FALSE(driver.next(now, seen));
+  take(*driver.step(now, seen));
+  EXPECT_EQ(seen.rollout->state, RolloutState::kWatching);
+  EXPECT_FALSE(driver.step(now, seen));
   now += seconds(1);
-  take(*driver.next(now, seen));
-  EXPECT_EQ(seen.change->state, ChangeState::kPreparing);
-  EXPECT_EQ(seen.change->stage, 1U);
-  EXPECT_FALSE(driver.next(now, seen));
+  take(*driver.step(now, seen));
+  EXPECT_EQ(seen.rollout->state, RolloutState::kPreparing);
+  EXPECT_EQ(seen.rollout->stage, 1U);
+  EXPECT_FALSE(driver.step(now, seen));
   ready("c");
-  take(*driver.next(now, seen));
+  take(*driver.step(now, seen));
   held("c");
-  told = driver.next(now, seen);
+  told = driver.step(now, seen);
   ASSERT_TRUE(told);
   EXPECT_TRUE(told->commit);
 }
 
 TEST_F(DriverTest, AStageOverItsLimitIsTurnedBack) {
-  seen.change->stages = {"edge"};
-  seen.change->watch_ms = 60'000;
-  seen.change->most_refused = 0.1;
-  seen.change->state = ChangeState::kWatched;
+  seen.rollout->stages = {"edge"};
+  seen.rollout->watch_ms = 60'000;
+  seen.rollout->max_rejected_share = 0.1;
+  seen.rollout->state = RolloutState::kWatching;
   for (const char* name : {"a", "b"}) {
-    seen.permits[name].version = 8;
-    seen.permits[name].requests = 1'000;
-    seen.permits[name].refused = 900;  // before: does not count
-  }
-  EXPECT_FALSE(driver.next(now, seen));
-  seen.permits["a"].requests += 50;
-  seen.permits["a"].refused += 4;
-  EXPECT_FALSE(driver.next(now, seen));
-  seen.permits["b"].requests += 50;
-  seen.permits["b"].refused += 20;
-  const auto told = driver.next(now, seen);
+    seen.reports[name].version = 8;
+    seen.reports[name].requests = 1'000;
+    seen.reports[name].failed_requests = 900;  // before: does not count
+  }
+  EXPECT_FALSE(driver.step(now, seen));
+  seen.reports["a"].requests += 50;
+  seen.reports["a"].failed_requests += 4;
+  EXPECT_FALSE(driver.step(now, seen));
+  seen.reports["b"].requests += 50;
+  seen.reports["b"].failed_requests += 20;
+  const auto told = driver.step(now, seen);
   ASSERT_TRUE(told);
-  EXPECT_EQ(told->change.id, 4U);
-  EXPECT_EQ(told->change.version, 7U);
-  EXPECT_EQ(told->change.state, ChangeState::kPreparing);
+  EXPECT_EQ(told->rollout.id, 4U);
+  EXPECT_EQ(told->rollout.target_version, 7U);
+  EXPECT_EQ(told->rollout.state, RolloutState::kPreparing);
 }
 
 TEST_F(DriverTest, OneChangeAtATimeAndUrgentOnesBeforeWhatHasNotCommitted) {
   bool superseded = false;
-  EXPECT_NE(may_begin(seen, false, superseded), "");
-  EXPECT_EQ(may_begin(seen, true, superseded), "");
+  EXPECT_NE(check_can_begin(seen, false, superseded), "");
+  EXPECT_EQ(check_can_begin(seen, true, superseded), "");
   EXPECT_TRUE(superseded);
-  seen.change->state = ChangeState::kCommitted;
-  EXPECT_NE(may_begin(seen, true, superseded), "");
-  seen.change->state = ChangeState::kDone;
-  EXPECT_EQ(may_begin(seen, false, superseded), "");
+  seen.rollout->state = RolloutState::kCommitted;
+  EXPECT_NE(check_can_begin(seen, true, superseded), "");
+  seen.rollout->state = RolloutState::kDone;
+  EXPECT_EQ(check_can_begin(seen, false, superseded), "");
   EXPECT_FALSE(superseded);
 }
 
 TEST(PolicyRecordTest, MutatedRecordsAreReadSoundOrNotAtAll) {
-  Change change;
+  Rollout change;
   change.id = 3;
-  change.version = 8;
+  change.target_version = 8;
   change.stages = {"edge", "west"};
   change.stage = 1;
-  EXPECT_EQ(read_change(write_change(change)), change);
-  Permit permit;
+  EXPECT_EQ(read_rollout(write_rollout(change)), change);
+  ParticipantReport permit;
   permit.zone = "edge";
-  permit.held = 3'000;
-  EXPECT_EQ(read_permit(write_permit(permit)), permit);
+  permit.suspended_stage = 3'000;
+  EXPECT_EQ(read_report(write_report(permit)), permit);
   std::mt19937_64 random(6);
   int refused = 0;
   for (int round = 0; round < 3'000; ++round) {
-    std::string text = write_change(change);
+    std::string text = write_rollout(change);
     text[random() % text.size()] = "0123456789\"{}[]:,-x"[random() % 19];
-    const auto read = read_change(text);
+    const auto read = read_rollout(text);
     refused += read ? 0 : 1;
-    EXPECT_TRUE(!read ||
-                (read->id > 0 && read->version != read->before && read->stage <= read->stages.size()));
+    EXPECT_TRUE(!read || (read->id > 0 && read->target_version != read->previous_version &&
+                          read->stage <= read->stages.size()));
   }
   EXPECT_GT(refused, 300);
 }
@@ -348,8 +348,8 @@
     rules_.lease.renew_after = milliseconds(600);
     rules_.lease.retry = milliseconds(200);
     rules_.lease.margin = milliseconds(20);
-    driver_rules_.prepare_most = seconds(6);
-    driver_rules_.hold_most = seconds(8);
+    driver_rules_.prepare_timeout = seconds(6);
+    driver_rules_.suspend_timeout = seconds(8);
     for (int i = 0; i < 3; ++i) {
       routers_.emplace_back();
       start(i);
@@ -363,16 +363,17 @@
 
   WorldReport run() {
     play(seconds(45), seconds(75), [this] { become_calm(); }, [] {});
-    const Seen seen = look_now();
-    if (seen.change && seen.change->open()) {
-      fail(std::string("a change is stuck: ") + to_string(seen.change->state) + told(seen));
+    const RolloutSnapshot seen = look_now();
+    if (seen.rollout && seen.rollout->is_open()) {
+      fail(std::string("a change is stuck: ") + to_string(seen.rollout->state) + told(seen));
     }
     for (std::size_t i = 0; i < routers_.size(); ++i) {
       const Router& one = routers_[i];
-      const Ruling ruling = one.holder->ruling(clock(one));
-      if (ruling.kind != Ruling::Kind::kVersion || ruling.version != seen.current) {
+      const EffectivePolicy effective_policy = one.participant->effective_policy(clock(one));
+      if (effective_policy.kind != EffectivePolicy::Kind::kSingle ||
+          effective_policy.version != seen.current_version) {
         fail("router " + std::to_string(i) + " does not decide under what is in force: " +
-             to_string(one.holder->standing(clock(one))) + told(seen));
+             to_string(one.participant->state(clock(one))) + told(seen));
       }
     }
     report_.broken = broken_;
@@ -382,34 +383,34 @@
 
  private:
   struct Router : VirtualProcess {
-    std::optional<Holder> holder;
+    std::optional<Participant> participant;
     bool bad_disk = false;
     coordination::LeaseId lease = 0;
     Micros told_until{0};
   };
 
-  std::string told(const Seen& seen) const {
+  std::string told(const RolloutSnapshot& seen) const {
     std::string out;
-    for (const auto& [name, permit] : seen.permits) {
-      out += "\n  " + name + " " + write_permit(permit);
+    for (const auto& [name, permit] : seen.reports) {
+      out += "\n  " + name + " " + write_report(permit);
     }
-    if (seen.change) {
-      out += "\n  " + write_change(*seen.change);
+    if (seen.rollout) {
+      out += "\n  " + write_rollout(*seen.rollout);
     }
-    return out + "\n  current " + std::to_string(seen.current);
+    return out + "\n  current " + std::to_string(seen.current_version);
   }
 
-  Seen look_now() {
-    const coordination::Outcome outcome = ledger_.commit(look(""));
-    return read_seen("", outcome);
+  RolloutSnapshot look_now() {
+    const coordination::Outcome outcome = ledger_.commit(snapshot_transaction(""));
+    return read_snapshot("", outcome);
   }
-  Known known_now() {
-    const Seen seen = look_now();
-    Known out;
-    out.change = seen.change;
-    out.change_modified = seen.change_modified;
-    out.version = seen.current;
-    out.current_modified = seen.current_modified;
+  ObservedState known_now() {
+    const RolloutSnapshot seen = look_now();
+    ObservedState out;
+    out.rollout = seen.rollout;
+    out.rollout_revision = seen.rollout_revision;
+    out.version = seen.current_version;
+    out.current_revision = seen.current_revision;
     return out;
   }
 
@@ -436,8 +437,8 @@
     if (defect_ == Defect::kTimedFromAnswer) {
       rules_.lease.margin = -seconds(1);  // as if the time began when the answer came
     }
-    router.holder.emplace(std::to_string(router.incarnation), "edge", rules_,
-                          [](std::uint64_t) { return std::string(); });
+    router.participant.emplace(std::to_string(router.incarnation), "edge", rules_,
+                               [](std::uint64_t) { return std::string(); });
     watch(index, router.incarnation);
     tick(router, milliseconds(40));
   }
@@ -454,7 +455,7 @@
       tell_one(index, known_now());
     });
   }
-  void tell_one(int index, const Known& known) {
+  void tell_one(int index, const ObservedState& known) {
     Router& router = routers_[static_cast<std::size_t>(index)];
     const int incarnation = router.incarnation;
     router.told_until = std::max(router.told_until, now_ + drawn(chance(90) ? milliseconds(20) : seconds(1)));
@@ -466,15 +467,16 @@
         }
         const Micros now = clock(one);
         for (std::uint64_t version = 1; version <= last_version_; ++version) {
-          one.holder->document(now, version);
+          one.participant->on_document(now, version);
         }
-        Known mine = known;
-        if (defect_ == Defect::kAbortedKept && mine.change && mine.change->state == ChangeState::kAborted &&
-            one.holder->standing(now) == Standing::kInDoubt) {
-          mine.version = mine.change->version;  // as if what it holds were in force
+        ObservedState mine = known;
+        if (defect_ == Defect::kAbortedKept && mine.rollout &&
+            mine.rollout->state == RolloutState::kAborted &&
+            one.participant->state(now) == ParticipantState::kInDoubt) {
+          mine.version = mine.rollout->target_version;  // as if what it holds were in force
         }
-        one.holder->told(now, mine);
-        one.holder->heard(now, true);
+        one.participant->on_observed_state(now, mine);
+        one.participant->set_connected(now, true);
       });
     });
   }
@@ -487,7 +489,7 @@
     if (!news) {
       return;
     }
-    const Known known = known_now();
+    const ObservedState known = known_now();
     for (int i = 0; i < static_cast<int>(routers_.size()); ++i) {
       if (!routers_[static_cast<std::size_t>(i)].cut) {
         tell_one(i, known);
@@ -497,23 +499,24 @@
 
   void turn(int index) {
     Router& router = routers_[static_cast<std::size_t>(index)];
-    for (const HolderOrder& order : router.holder->due(clock(router))) {
+    for (const ParticipantAction& order : router.participant->step(clock(router))) {
       std::visit([this, index](const auto& one) { carry(index, one); }, order);
     }
   }
   Router& of(int index) { return routers_[static_cast<std::size_t>(index)]; }
 
-  void carry(int index, const KeepDocument& keep) {
+  void carry(int index, const PersistDocumentAction& keep) {
     const int incarnation = of(index).incarnation;
     at(now_ + drawn(milliseconds(30)), [this, index, incarnation, keep] {
       deliver(of(index), [this, index, incarnation, keep] {
         if (of(index).incarnation == incarnation) {
-          of(index).holder->kept(clock(of(index)), keep.version, of(index).bad_disk ? "full disk" : "");
+          of(index).participant->on_persist_result(clock(of(index)), keep.version,
+                                                   of(index).bad_disk ? "full disk" : "");
         }
       });
     });
   }
-  void carry(int index, const SayPermit& say) {
+  void carry(int index, const ReportAction& say) {
     const coordination::LeaseId lease = of(index).lease;
     call_store<bool>(
         index,
@@ -521,20 +524,26 @@
           try {
             ledger_.commit(
                 coordination::Transaction{{},
-                                          {coordination::Put{permit_key(std::to_string(index), lease),
-                                                             write_permit(say.permit), lease}},
+                                          {coordination::Put{report_key(std::to_string(index), lease),
+                                                             write_report(say.report), lease}},
                                           {}});
             return true;
           } catch (const coordination::Rejected&) {
             return false;
           }
         },
-        [this, index, say](const bool& done) { of(index).holder->said(clock(of(index)), say.number, done); },
-        [this, index, say] { of(index).holder->said(clock(of(index)), say.number, false); });
+        [this, index, say](const bool& done) {
+          of(index).participant->on_report_result(clock(of(index)), say.call_id, done);
+        },
+        [this, index, say] {
+          of(index).participant->on_report_result(clock(of(index)), say.call_id, false);
+        });
   }
-  void carry(int index, const AskPermission& ask) {
+  void carry(int index, const LeaseAction& ask) {
     const std::uint64_t number = ask.order.number;
-    const auto lost = [this, index, number] { of(index).holder->lost(clock(of(index)), number); };
+    const auto lost = [this, index, number] {
+      of(index).participant->on_no_response(clock(of(index)), number);
+    };
     if (ask.order.ask == ownership::Ask::kAcquire) {
       call_store<coordination::LeaseId>(
           index, [this] { return ledger_.grant(store_ms(), rules_.lease.ttl.count() / 1'000, 0); },
@@ -545,11 +554,11 @@
                 [this, index, ask, lease] {
                   coordination::Transaction join;
                   if (defect_ != Defect::kJoinUnseen) {
-                    join.when = {coordination::unchanged(kChangeKey, ask.known.change_modified),
-                                 coordination::unchanged(kCurrentKey, ask.known.current_modified)};
+                    join.when = {coordination::unchanged(kRolloutKey, ask.observed.rollout_revision),
+                                 coordination::unchanged(kCurrentKey, ask.observed.current_revision)};
                   }
-                  join.then = {coordination::Put{permit_key(std::to_string(index), lease),
-                                                 write_permit(ask.permit), lease}};
+                  join.then = {coordination::Put{report_key(std::to_string(index), lease),
+                                                 write_report(ask.report), lease}};
                   try {
                     return ledger_.commit(join).succeeded;
                   } catch (const coordination::Rejected&) {
@@ -557,7 +566,7 @@
                   }
                 },
                 [this, index, number](const bool& joined) {
-                  of(index).holder->joined(clock(of(index)), number, joined);
+                  of(index).participant->on_join_result(clock(of(index)), number, joined);
                   if (!joined) {
                     watch(index, of(index).incarnation);
                   }
@@ -571,7 +580,7 @@
     call_store<bool>(
         index, [this, lease] { return ledger_.keep_alive(store_ms(), lease) > 0; },
         [this, index, number](const bool& alive) {
-          of(index).holder->renewed(clock(of(index)), number, alive);
+          of(index).participant->on_renew_result(clock(of(index)), number, alive);
         },
         lost);
   }
@@ -581,27 +590,28 @@
   void drive() {
     at(now_ + drawn(milliseconds(200)), [this] {
       if (chance(2) && !calm_) {
-        driver_.emplace(driver_rules_);  // a successor
+        coordinator_.emplace(driver_rules_);  // a successor
       }
       if (!driver_) {
-        driver_.emplace(driver_rules_);
+        coordinator_.emplace(driver_rules_);
       }
       ledger_.expire(store_ms());
-      Seen seen = look_now();
-      if (defect_ == Defect::kCommitEarly && seen.change && seen.change->state == ChangeState::kHolding) {
-        seen.permits.clear();
+      RolloutSnapshot seen = look_now();
+      if (defect_ == Defect::kCommitEarly && seen.rollout &&
+          seen.rollout->state == RolloutState::kSuspending) {
+        seen.reports.clear();
       }
-      const auto step = driver_->next(now_, seen);
+      const auto step = coordinator_->step(now_, seen);
       if (step) {
         // What it decided arrives late: the store may have moved on.
-        const coordination::Transaction write = carry_out("", seen, *step);
+        const coordination::Transaction write = execute_transaction("", seen, *step);
         at(now_ + drawn(chance(80) ? milliseconds(10) : seconds(4)), [this, write, step = *step] {
           ledger_.expire(store_ms());
           if (ledger_.commit(write).succeeded) {
             report_.commits += step.commit ? 1 : 0;
-            report_.aborts += step.change.state == ChangeState::kAborted ? 1 : 0;
-            if (step.change.state == ChangeState::kAborted) {
-              aborted_.insert(step.change.version);
+            report_.aborts += step.rollout.state == RolloutState::kAborted ? 1 : 0;
+            if (step.rollout.state == RolloutState::kAborted) {
+              aborted_.insert(step.rollout.target_version);
             }
           }
           tell();
@@ -613,18 +623,18 @@
   void propose() {
     at(now_ + milliseconds(500) + drawn(seconds(6)), [this] {
       if (!calm_) {
-        const Seen seen = look_now();
+        const RolloutSnapshot seen = look_now();
         bool superseded = false;
         const bool urgent = chance(20);
-        if (may_begin(seen, urgent, superseded).empty()) {
+        if (check_can_begin(seen, urgent, superseded).empty()) {
           if (superseded) {
-            aborted_.insert(seen.change->version);
+            aborted_.insert(seen.rollout->target_version);
           }
-          Change change;
-          change.id = seen.change ? seen.change->id + 1 : 1;
-          change.version = ++last_version_;
-          change.before = seen.current;
-          if (ledger_.commit(begin("", seen, change, "document", "")).succeeded) {
+          Rollout change;
+          change.id = seen.rollout ? seen.rollout->id + 1 : 1;
+          change.target_version = ++last_version_;
+          change.previous_version = seen.current_version;
+          if (ledger_.commit(begin_transaction("", seen, change, "document", "")).succeeded) {
             ++report_.changes;
           }
           tell();
@@ -643,13 +653,13 @@
         if (router.paused) {
           continue;
         }
-        const Ruling ruling = router.holder->ruling(clock(router));
-        if (ruling.kind == Ruling::Kind::kRefuse) {
+        const EffectivePolicy effective_policy = router.participant->effective_policy(clock(router));
+        if (effective_policy.kind == EffectivePolicy::Kind::kReject) {
           ++report_.refused;
-        } else if (ruling.kind == Ruling::Kind::kBoth) {
+        } else if (effective_policy.kind == EffectivePolicy::Kind::kIntersection) {
           ++report_.in_doubt;
         } else {
-          decide(i, ruling.version);
+          decide(i, effective_policy.version);
         }
       }
       arrivals();
@@ -689,7 +699,7 @@
           break;
         case 2:
           router.cut = true;
-          router.holder->heard(clock(router), chance(50));  // it may not notice
+          router.participant->set_connected(clock(router), chance(50));  // it may not notice
           at(now_ + drawn(seconds(6)), [this, index, incarnation] { mend(index, incarnation); });
           break;
         default:
@@ -702,9 +712,9 @@
     Router& router = of(index);
     if (router.incarnation == incarnation && router.paused) {
       // Requests that waited in its buffers are decided the moment it wakes, before anything else is read.
-      const Ruling ruling = router.holder->ruling(clock(router));
-      if (ruling.kind == Ruling::Kind::kVersion) {
-        decide(static_cast<std::size_t>(index), ruling.version);
+      const EffectivePolicy effective_policy = router.participant->effective_policy(clock(router));
+      if (effective_policy.kind == EffectivePolicy::Kind::kSingle) {
+        decide(static_cast<std::size_t>(index), effective_policy.version);
       }
       VirtualWorld::wake(router);
     }
@@ -737,11 +747,11 @@
   }
 
   Defect defect_;
-  HolderRules rules_;
-  DriverRules driver_rules_;
+  ParticipantOptions rules_;
+  RolloutTimeouts driver_rules_;
   coordination::Ledger ledger_{coordination::Limits{}};
   std::deque<Router> routers_;
-  std::optional<Driver> driver_;
+  std::optional<RolloutCoordinator> coordinator_;
   std::uint64_t last_version_ = 0;
   std::uint64_t newest_ = 0;
   std::set<std::uint64_t> aborted_;
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -176,7 +176,7 @@
   std::string found;
   for (std::uint64_t seed = 1; seed <= 20 && found.empty(); ++seed) {
     FleetShape shape = shape_of(100, false, seed);
-    shape.router.holder.lease.margin = Micros(-4'000'000);
+    shape.router.participant.lease.margin = Micros(-4'000'000);
     const auto model = settled_fleet(shape);
     FaultOptions options;
     options.time = 40 * kSecond;
