--- a/benchmarks/scale/aggregator_costs.cpp
+++ b/benchmarks/scale/aggregator_costs.cpp
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "aggregation/aggregator.h"
-#include "policy/rollout.h"
+#include "policy/participant_report.h"
 #include "role_costs.h"
 
 namespace trailcourse::scale {
--- a/benchmarks/scale/control_costs.cpp
+++ b/benchmarks/scale/control_costs.cpp
@@ -10,7 +10,7 @@
 #include "membership/view.h"
 #include "ownership/lease_manager.h"
 #include "policy/options.h"
-#include "policy/rollout.h"
+#include "policy/rollout_coordinator.h"
 #include "role_costs.h"
 
 namespace trailcourse::scale {
--- a/benchmarks/scale/hollow_driver.cpp
+++ b/benchmarks/scale/hollow_driver.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <utility>
 
+#include "policy/rollout_transactions.h"
 #include "scale/hollow_wire.h"
 
 namespace trailcourse::scale {
@@ -184,8 +185,7 @@
   read(
       [this, urgent, begun, refused, version](const Reply& reply) {
         const policy::RolloutSnapshot seen = policy::read_snapshot("", reply.outcome);
-        bool superseded = false;
-        if (!policy::check_can_begin(seen, urgent, superseded).empty()) {
+        if (!policy::check_can_begin(seen, urgent)) {
           refused();
           return;
         }
--- a/benchmarks/scale/hollow_driver.h
+++ b/benchmarks/scale/hollow_driver.h
@@ -6,8 +6,8 @@
 #include <optional>
 #include <string>
 
-#include "policy/acknowledgement.h"
-#include "policy/rollout.h"
+#include "policy/acknowledgement_coordinator.h"
+#include "policy/rollout_coordinator.h"
 #include "scale/hollow_store.h"
 
 namespace trailcourse::scale {
--- a/benchmarks/scale/hollow_router.cpp
+++ b/benchmarks/scale/hollow_router.cpp
@@ -25,7 +25,7 @@
   std::uniform_real_distribution<double> drift(-kMostDrift, kMostDrift);
   set_clock({1.0 + drift(simulation().random), Micros(1'000'000) + simulation().drawn(Micros(50'000'000))});
   participant_.emplace(name() + "-" + std::to_string(incarnation()), zone_, rules_.participant,
-                       [](std::uint64_t) { return std::string(); });
+                       [](std::uint64_t) { return policy::PreparationResult(); });
   last_document_ = 0;
   position_ = {};
   if (board_ != nullptr) {
@@ -77,7 +77,7 @@
 void HollowRouter::carry_out(const policy::PersistDocumentAction& keep) {
   simulation().events.after(
       simulation().drawn(rules_.disk), [this, incarnation = incarnation(), version = keep.version] {
-        deliver(incarnation, [this, version] { participant_->on_persist_result(clock(), version, ""); });
+        deliver(incarnation, [this, version] { participant_->on_persist_result(clock(), version, {}); });
       });
 }
 
--- a/benchmarks/scale/hollow_store.h
+++ b/benchmarks/scale/hollow_store.h
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "coordination/ledger.h"
-#include "policy/rollout.h"
+#include "policy/rollout_snapshot.h"
 #include "scale/hollow_client.h"
 
 namespace trailcourse::scale {
--- a/benchmarks/scale/policy_costs.cpp
+++ b/benchmarks/scale/policy_costs.cpp
@@ -62,14 +62,14 @@
 std::unique_ptr<policy::Participant> joined_participant(int index, Micros now) {
   auto participant = std::make_unique<policy::Participant>(
       "0123456789abcdef", zone_of(index), policy::participant_options(policy::PolicyOptions()),
-      [](std::uint64_t) { return std::string(); });
+      [](std::uint64_t) { return policy::PreparationResult(); });
   policy::ObservedState known;
   known.version = 7;
   known.current_revision = 40;
   participant->set_connected(now, true);
   participant->on_observed_state(now, known);
   participant->on_document(now, 7);
-  participant->on_persist_result(now, 7, "");
+  participant->on_persist_result(now, 7, {});
   for (const policy::ParticipantAction& order : participant->step(now)) {
     if (const auto* ask = std::get_if<policy::LeaseAction>(&order)) {
       participant->on_join_result(now, ask->order.number, true);
--- a/benchmarks/scale/store_costs.cpp
+++ b/benchmarks/scale/store_costs.cpp
@@ -11,7 +11,7 @@
 #include "coordination/registry.h"
 #include "fleet/ports.h"
 #include "http_peers.h"
-#include "policy/rollout.h"
+#include "policy/participant_report.h"
 #include "role_costs.h"
 #include "transport/scheduler.h"
 
--- a/src/policy/acknowledgement.cpp
+++ b/src/policy/acknowledgement.cpp
@@ -13,50 +13,54 @@
 
 namespace {
 
-json json_of(const DiscoveryPosition& position) {
+json position_json(const DiscoveryPosition& position) {
   return {{"board", position.source}, {"event", position.sequence}};
 }
 
-std::optional<DiscoveryPosition> position_of(const json& from, const char* name) {
-  const auto found = from.find(name);
-  if (found == from.end() || !found->is_object()) {
+std::optional<DiscoveryPosition> read_position(const json& record, const char* name) {
+  const auto found = record.find(name);
+  if (found == record.end() || !found->is_object()) {
     return std::nullopt;
   }
-  const auto board = found->find("board");
-  const auto event = found->find("event");
-  const bool usable =
-      board != found->end() && board->is_string() && event != found->end() && event->is_number_unsigned();
-  return usable ? std::optional(DiscoveryPosition{board->get<std::string>(), event->get<std::uint64_t>()})
-                : std::nullopt;
-}
-
-bool all_acknowledge(const AcknowledgementSnapshot& seen) {
-  return std::all_of(seen.reports.begin(), seen.reports.end(),
-                     [&seen](const auto& one) { return one.second.acknowledged_round >= seen.record.round; });
+  const auto source = found->find("board");
+  const auto sequence = found->find("event");
+  const bool is_valid = source != found->end() && source->is_string() && sequence != found->end() &&
+                        sequence->is_number_unsigned();
+  if (!is_valid) {
+    return std::nullopt;
+  }
+  return DiscoveryPosition{source->get<std::string>(), sequence->get<std::uint64_t>()};
 }
 
 }  // namespace
 
 std::string write_acknowledgement(const Acknowledgement& record) {
-  return json{
-      {"round", record.round}, {"asked", json_of(record.requested)}, {"done", json_of(record.completed)}}
+  return json{{"round", record.round},
+              {"asked", position_json(record.requested)},
+              {"done", position_json(record.completed)}}
       .dump();
 }
 
 std::optional<Acknowledgement> read_acknowledgement(const std::string& text) {
-  const json from = json::parse(text, nullptr, false);
-  if (!from.is_object()) {
+  const json record = json::parse(text, nullptr, false);
+  if (!record.is_object()) {
     return std::nullopt;
   }
-  const auto round = from.find("round");
-  const auto asked = position_of(from, "asked");
-  const auto done = position_of(from, "done");
-  const bool usable =
-      round != from.end() && round->is_number_unsigned() && round->get<std::uint64_t>() > 0 && asked && done;
-  return usable ? std::optional(Acknowledgement{round->get<std::uint64_t>(), *asked, *done}) : std::nullopt;
+  const auto round = record.find("round");
+  const bool has_round =
+      round != record.end() && round->is_number_unsigned() && round->get<std::uint64_t>() > 0;
+  const auto requested = read_position(record, "asked");
+  const auto completed = read_position(record, "done");
+  if (!has_round || !requested || !completed) {
+    return std::nullopt;
+  }
+  return Acknowledgement{round->get<std::uint64_t>(), *requested, *completed};
 }
 
-// ---- Transactions ----
+bool AcknowledgementSnapshot::is_acknowledged_by_all() const {
+  return std::all_of(reports.begin(), reports.end(),
+                     [this](const auto& entry) { return entry.second.acknowledged_round >= record.round; });
+}
 
 Transaction acknowledgement_snapshot_transaction(const std::string& prefix) {
   Transaction out;
@@ -75,55 +79,24 @@
   return out;
 }
 
-Transaction write_acknowledgement_transaction(const std::string& prefix, const AcknowledgementSnapshot& seen,
+Transaction write_acknowledgement_transaction(const std::string& prefix,
+                                              const AcknowledgementSnapshot& snapshot,
                                               const Acknowledgement& record) {
-  Transaction out;
   const std::string key = prefix + kAcknowledgedKey;
-  out.when = {coordination::unchanged(key, seen.modified)};
+  Transaction out;
+  out.when = {coordination::unchanged(key, snapshot.modified)};
   out.then = {Put{key, write_acknowledgement(record), 0}};
   return out;
 }
 
 Acknowledgement reset_acknowledgement(const Acknowledgement& record) { return {record.round + 1, {}, {}}; }
 
-// ---- The driver ----
-
-bool AcknowledgementCoordinator::may_ask(Micros now) {
-  if (asked_at_ && now < *asked_at_ + least_round_) {
-    due_ = *asked_at_ + least_round_;
-    return false;
-  }
-  asked_at_ = now;
-  return true;
-}
-
-std::optional<Acknowledgement> AcknowledgementCoordinator::step(Micros now,
-                                                                const AcknowledgementSnapshot& seen,
-                                                                const DiscoveryPosition& position) {
-  due_.reset();
-  Acknowledgement out = seen.record;
-  // A board that began anew knows nothing of the events before: the open round could never end.
-  const bool other_board = position.source != out.requested.source;
-  const bool complete = out.round > 0 && all_acknowledge(seen);
-  if (complete && !other_board) {
-    out.completed = out.requested;
-  }
-  const bool can_ask = position.sequence > 0 && (other_board || complete || out.round == 0);
-  const bool is_new = other_board || position.sequence > out.requested.sequence;
-  if (can_ask && is_new && may_ask(now)) {
-    ++out.round;
-    out.requested = position;
-    out.completed = other_board ? DiscoveryPosition{position.source, 0} : out.completed;
-  }
-  return out == seen.record ? std::nullopt : std::optional(out);
-}
-
-std::vector<std::string> describe_unacknowledged(const AcknowledgementSnapshot& seen) {
+std::vector<std::string> describe_unacknowledged(const AcknowledgementSnapshot& snapshot) {
   std::vector<std::string> out;
-  for (const auto& [key, permit] : seen.reports) {
-    if (permit.acknowledged_round < seen.record.round) {
-      out.push_back(describe_reporter(key, permit) + " is to take in event " +
-                    std::to_string(seen.record.requested.sequence) + ", or its permission to run out");
+  for (const auto& [name, report] : snapshot.reports) {
+    if (report.acknowledged_round < snapshot.record.round) {
+      out.push_back(describe_reporter(name, report) + " is to take in event " +
+                    std::to_string(snapshot.record.requested.sequence) + ", or its permission to run out");
     }
   }
   return out;
--- a/src/policy/acknowledgement.h
+++ b/src/policy/acknowledgement.h
@@ -1,92 +1,74 @@
-// Which events of the notice board every router has taken in. In rounds: a record in the store asks for all
-// events up to a position of the board; each router that has taken them in says so in its permit; once all
-// permits that stand say so, the record tells that position as done, and the next round may begin.
+// Which events of the discovery service every router has applied, in rounds: a record in the store requests
+// all events up to a position; each router that has applied them acknowledges the round in its report; once
+// all reports acknowledge it, the record names that position as completed, and the next round may start.
 //
-// What is done stays done: a router joins only where the record is as it knows it and it has taken in what
-// the record asks for, so nobody comes in behind it. Whoever has no permission decides nothing and is not
-// awaited. docs/aggregation.md, "Acknowledged events".
+// A completed position stays completed: a router joins only if the record is as it has observed it and it has
+// applied what the record requests, so none joins behind it. A router without a lease decides nothing and is
+// not awaited. docs/aggregation.md, "Acknowledged events".
 //
-// Package `policy`: knows JSON; no I/O, no clock; time is Micros of the caller's steady clock.
+// Package `policy`: knows JSON; no I/O, no clock.
 #pragma once
 
-#include <trailcourse/decider.h>
-
 #include <cstdint>
-#include <map>
 #include <optional>
 #include <string>
 #include <vector>
 
 #include "coordination/types.h"
-#include "policy/rollout.h"
+#include "policy/participant_report.h"
 
 namespace trailcourse::policy {
 
-constexpr const char* kAcknowledgedKey = "policy/acknowledged";
-
-// All events of one board up to a number. A board that began anew has another name, and numbers of its own.
+// All events of one source up to a sequence number. A source that started anew has another name, and its
+// sequence numbers start again.
 struct DiscoveryPosition {
   std::string source;
-  std::uint64_t sequence = 0;
+  std::uint64_t sequence = 0;  // 0: none
 
-  // Whether whoever is here has taken in what `asked` names; event 0 names nothing.
-  bool covers(const DiscoveryPosition& asked) const {
-    return asked.sequence == 0 || (source == asked.source && sequence >= asked.sequence);
+  // Returns whether whoever is at this position has applied all events of `requested`.
+  bool covers(const DiscoveryPosition& requested) const {
+    return requested.sequence == 0 || (source == requested.source && sequence >= requested.sequence);
   }
   friend bool operator==(const DiscoveryPosition&, const DiscoveryPosition&) = default;
 };
 
-// The record as it stands in the store.
+// The record in the store.
 struct Acknowledgement {
-  std::uint64_t round = 0;      // grows; 0: nobody has been asked
-  DiscoveryPosition requested;  // in this round
-  DiscoveryPosition completed;  // event 0: nothing yet of this board
+  std::uint64_t round = 0;  // only grows; 0: no round has been started
+  DiscoveryPosition requested;
+  DiscoveryPosition completed;  // sequence 0: nothing yet of this source
 
   friend bool operator==(const Acknowledgement&, const Acknowledgement&) = default;
 };
 std::string write_acknowledgement(const Acknowledgement& record);
-// Nothing where it cannot be used.
+// Returns nothing if the text is not a valid record.
 std::optional<Acknowledgement> read_acknowledgement(const std::string& text);
 
-// All that the driver goes by, as it stands in the store at one revision.
+// All that the coordinator of the rounds decides by, as it stands in the store at one revision.
 struct AcknowledgementSnapshot {
   Acknowledgement record;
-  Revision modified = 0;                             // of the record; 0: there is none
-  std::map<std::string, ParticipantReport> reports;  // by "ROUTER/LEASE"
+  coordination::Revision modified = 0;  // of the record's last write; 0: there is none
+  ParticipantReports reports;
+
+  // Returns whether every participant has acknowledged the record's round.
+  bool is_acknowledged_by_all() const;
 };
+// Reads all parts of a snapshot at one revision.
 coordination::Transaction acknowledgement_snapshot_transaction(const std::string& prefix);
+// Returns the snapshot of such a transaction's outcome.
 AcknowledgementSnapshot read_acknowledgement_snapshot(const std::string& prefix,
                                                       const coordination::Outcome& outcome);
-// Writes the record where it is as it was seen.
+
+// Writes the record if it still is as in the snapshot.
 coordination::Transaction write_acknowledgement_transaction(const std::string& prefix,
-                                                            const AcknowledgementSnapshot& seen,
+                                                            const AcknowledgementSnapshot& snapshot,
                                                             const Acknowledgement& record);
 
-// A record that asks for nothing, so that whoever has not heard the board may join. Staff write it once
-// nobody drives rounds any more.
+// Returns a record that requests nothing, so that a router without the discovery service may join. Staff
+// write it once no coordinator starts rounds any more.
 Acknowledgement reset_acknowledgement(const Acknowledgement& record);
 
-// Decides on the record's next state. A late one is refused by the store, for the record has moved on.
-class AcknowledgementCoordinator {
- public:
-  // `least_round`: between the beginnings of two rounds.
-  explicit AcknowledgementCoordinator(Micros least_round) : least_round_(least_round) {}
-
-  // `position`: of whoever drives it. Nothing where the record is to stay as it is.
-  std::optional<Acknowledgement> step(Micros now, const AcknowledgementSnapshot& seen,
-                                      const DiscoveryPosition& position);
-  // When next() may say something else, by time alone.
-  std::optional<Micros> next_step_at() const { return due_; }
-
- private:
-  bool may_ask(Micros now);
-
-  Micros least_round_;
-  std::optional<Micros> asked_at_;
-  std::optional<Micros> due_;
-};
-
-// Who is awaited in this round, in words for staff.
-std::vector<std::string> describe_unacknowledged(const AcknowledgementSnapshot& seen);
+// Describes for operators which participants the current round is waiting for, one line each.
+std::vector<std::string> describe_unacknowledged(const AcknowledgementSnapshot& snapshot);
 
 }  // namespace trailcourse::policy
--- a/src/policy/document.h
+++ b/src/policy/document.h
@@ -1,56 +1,24 @@
-// The operators' policy: what routers may do, as one versioned document of typed records. (Not the decision
-// module's files, which deploy/balancer.toml names under a key of that name.)
-//
-// A key is the fleet's where its record stands here; all others of the operator's file are a machine's own.
-// One document is in force at a time, everywhere or nowhere (rollout.h, participant.h).
+// The operators' policy as one versioned document. (Not the decision module's files, which
+// deploy/balancer.toml names under a key of that name.) One version is in force at a time in a zone;
+// rollout.h says how it is replaced.
 //
 // Package `policy`: knows JSON; no I/O, no clock.
 #pragma once
 
 #include <cstdint>
-#include <map>
 #include <nlohmann/json.hpp>
-#include <optional>
 #include <stdexcept>
 #include <string>
+#include <tl/expected.hpp>
 #include <vector>
 
-#include "config/record.h"
+#include "policy/policy_content.h"
 
 namespace trailcourse::policy {
 
+// The schema of documents that this program reads and writes.
 constexpr std::int64_t kSchema = 1;
 
-// Of one class of requests.
-struct ClassPolicy {
-  bool serve = true;
-  std::int64_t objective_ms = 1'000;
-  std::int64_t give_up_ms = 3'000;
-  double priority_weight = 1.0;
-  std::int64_t fresh_ms = 0;
-  std::int64_t grace_ms = 0;
-
-  friend bool operator==(const ClassPolicy&, const ClassPolicy&) = default;
-};
-const config::Record<ClassPolicy>& class_policy_record();
-
-struct LimitPolicy {
-  std::int64_t open_requests = 0;
-  std::int64_t retry_after_ms = 60'000;
-  std::vector<std::string> work{"probe", "fill", "report"};
-
-  friend bool operator==(const LimitPolicy&, const LimitPolicy&) = default;
-};
-const config::Record<LimitPolicy>& limit_policy_record();
-
-// What a document allows.
-struct PolicyContent {
-  std::map<std::string, ClassPolicy> classes;
-  LimitPolicy limits;
-
-  friend bool operator==(const PolicyContent&, const PolicyContent&) = default;
-};
-
 struct PolicyDocument {
   std::int64_t schema = kSchema;
   std::uint64_t version = 0;
@@ -62,38 +30,44 @@
   friend bool operator==(const PolicyDocument&, const PolicyDocument&) = default;
 };
 
-// What is wrong with a document: the first field at fault and what is allowed.
+// A document that cannot be read. Its text names the first field at fault and what is allowed.
 class InvalidDocument : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// SHA-256 over all that a document says, in a form that does not depend on order or spaces. 64 hex digits.
+// Returns the SHA-256 of all that a document says, as 64 hex digits. It does not depend on the order of keys
+// or on spaces.
 std::string digest_of(const PolicyDocument& document);
-// With its digest.
+// Returns the document with its digest.
 nlohmann::json write_document(const PolicyDocument& document);
 std::string write_document_text(const PolicyDocument& document);
-// Throws InvalidDocument: no JSON, a schema that is not known here, a field that is none, a value out of range, a
-// digest that is another's.
+
+// Reads a stored document. Throws InvalidDocument if the text is not JSON, the schema or a field is unknown,
+// a value is out of range, or the digest is not the document's.
 PolicyDocument read_document(const std::string& text);
-// The same of what an operator writes: version, parent and digest are set later.
+// Reads what an operator writes: version, parent and digest are set later. Throws InvalidDocument.
 PolicyDocument read_draft(const std::string& text);
 
 // What a router can do, as far as a policy depends on it.
 struct RouterCapabilities {
   std::vector<std::string> classes;    // that its settings know
-  std::int64_t max_open_requests = 0;  // that its memory and sockets bear
+  std::int64_t max_open_requests = 0;  // by its memory and sockets
 };
-// Why this router cannot live by it; empty where it can.
-std::string check_capabilities(const PolicyDocument& document, const RouterCapabilities& capabilities);
 
-// What both allow. It is commutative, associative and idempotent; whatever it allows each of the two does. A
-// class that one of them does not serve is not served.
-PolicyContent intersection(const PolicyContent& one, const PolicyContent& other);
-// Whether all that `narrow` allows is allowed by `wide`.
-bool is_subset(const PolicyContent& narrow, const PolicyContent& wide);
+// The first demand of a document that a router cannot meet.
+struct UnsupportedDemand {
+  enum class Kind { kUnknownClass, kTooManyOpenRequests };
+  Kind kind = Kind::kUnknownClass;
+  std::string class_name;              // of kUnknownClass
+  std::int64_t open_requests = 0;      // of kTooManyOpenRequests: what the document demands
+  std::int64_t max_open_requests = 0;  // and what the router can serve
+};
+// Describes it for operators, with the document's field.
+std::string describe(const UnsupportedDemand& demand);
 
-// The difference in words, a line for each key.
-std::vector<std::string> describe_difference(const PolicyContent& before, const PolicyContent& after);
+// Checks whether a router with these capabilities can apply the document.
+tl::expected<void, UnsupportedDemand> check_capabilities(const PolicyDocument& document,
+                                                         const RouterCapabilities& capabilities);
 
 }  // namespace trailcourse::policy
--- /dev/null
+++ b/src/policy/json_fields.h
@@ -0,0 +1,37 @@
+// Lenient access to fields of a stored JSON record: a field that is missing or of another type has its
+// default.
+//
+// Internal to package `policy`.
+#pragma once
+
+#include <cstdint>
+#include <nlohmann/json.hpp>
+#include <string>
+
+namespace trailcourse::policy {
+
+// Returns an unsigned field, or 0.
+inline std::uint64_t unsigned_field(const nlohmann::json& record, const char* name) {
+  const auto found = record.find(name);
+  return found != record.end() && found->is_number_unsigned() ? found->get<std::uint64_t>() : 0;
+}
+
+// Returns a text field, or an empty text.
+inline std::string text_field(const nlohmann::json& record, const char* name) {
+  const auto found = record.find(name);
+  return found != record.end() && found->is_string() ? found->get<std::string>() : std::string();
+}
+
+// Returns a boolean field, or false.
+inline bool bool_field(const nlohmann::json& record, const char* name) {
+  const auto found = record.find(name);
+  return found != record.end() && found->is_boolean() && found->get<bool>();
+}
+
+// Returns a number field, or `otherwise`.
+inline double number_field(const nlohmann::json& record, const char* name, double otherwise) {
+  const auto found = record.find(name);
+  return found != record.end() && found->is_number() ? found->get<double>() : otherwise;
+}
+
+}  // namespace trailcourse::policy
--- a/src/policy/options.h
+++ b/src/policy/options.h
@@ -1,5 +1,5 @@
-// The section `policy` of the operator's file: whether a router goes by the fleet's policy, and what it does
-// while it cannot know which is in force.
+// The section `policy` of the operator's file: whether a router applies the fleet's policy, and what it does
+// while it cannot know which version is in force.
 //
 // Package `policy`.
 #pragma once
@@ -9,10 +9,11 @@
 
 #include "config/record.h"
 #include "policy/participant.h"
-#include "policy/rollout.h"
+#include "policy/rollout_coordinator.h"
 
 namespace trailcourse::policy {
 
+// The keys as docs/configuration.md describes them.
 struct PolicyOptions {
   bool follow = false;
   std::string without = "both";
@@ -25,8 +26,9 @@
   std::int64_t prepare_most_ms = 30'000;
   std::int64_t hold_most_ms = 30'000;
 };
+// Returns the declaration of the keys; it lives as long as the program.
 const config::Record<PolicyOptions>& policy_record();
-// What one key alone cannot tell; throws config::KeyError.
+// Checks what depends on more than one key. Throws config::KeyError.
 void check_policy(const PolicyOptions& options);
 ParticipantOptions participant_options(const PolicyOptions& options);
 RolloutTimeouts rollout_timeouts(const PolicyOptions& options);
--- a/src/policy/participant.h
+++ b/src/policy/participant.h
@@ -1,29 +1,30 @@
-// A router's side of a change of policy: under which version it decides now, or why under none; what it has
-// to say to the store; and its permission, without which it decides under no version alone.
+// A router's side of a policy rollout, as a participant of the two-phase commit: under which version of the
+// policy it decides, what it reports to the store, and its lease, without which it decides under no version.
 //
-// | standing  | is                                                              | decides under | | ---------
-// | --------------------------------------------------------------- | ----------------------------- | |
-// outside   | no permission yet, or none any more                             | none: refuses, or what both
-// allow | | current   | permission, nothing is being held                               | the version in
-// force          | | prepared  | the same, and it has said that it can live by the next          | the
-// version in force          | | in doubt  | it has said that it holds; the outcome is not known             |
-// none: refuses, or what both allow | | switching | the outcome is known, its own permit not yet written |
-// the version in force          |
+// | state     | meaning                                              | decides under                        |
+// | --------- | ---------------------------------------------------- | ------------------------------------ |
+// | no lease  | the lease was not granted yet, or has run out        | none: rejects requests               |
+// | current   | has a lease, and is not suspended                    | the version in force                 |
+// | prepared  | the same, and has reported that it is ready          | the version in force                 |
+// | in doubt  | is suspended, and does not know the outcome          | none: rejects requests, or serves    |
+// |           |                                                      | what both versions allow             |
+// | switching | knows the outcome, and has not yet reported it       | the version in force                 |
 //
-// The permission is a lease, timed as in ownership/lease.h: the store has not ended it before this router
-// stops. A permit that is gone from the store is that of a router that does not decide; so the driver need
-// not wait for the dead.
+// The lease is timed as in ownership/lease.h: the store does not end it before this router has stopped. A
+// report that is gone from the store is that of a router that does not decide, so the coordinator does not
+// wait for routers that are dead.
 //
-// A version is decided under only once this router has read in the store that it is in force, holds its text,
-// and has kept it on disk where there is one. What was prepared is a text and no more: after a restart the
-// store is asked.
+// A version is decided under only once this router has read in the store that it is in force, has received
+// its document, and has stored that on disk if there is one. A prepared version has no effect by itself:
+// after a restart the router asks the store.
 //
 // Package `policy`: no I/O, no clock; time is Micros of the caller's steady clock. Not thread-safe.
 #pragma once
 
+#include <trailcourse/decider.h>
+
 #include <cstdint>
 #include <functional>
-#include <map>
 #include <optional>
 #include <string>
 #include <variant>
@@ -31,20 +32,22 @@
 
 #include "ownership/lease.h"
 #include "policy/acknowledgement.h"
-#include "policy/document.h"
-#include "policy/rollout.h"
+#include "policy/document_preparation.h"
+#include "policy/observed_state.h"
+#include "policy/participant_report.h"
 
 namespace trailcourse::policy {
 
 enum class ParticipantState { kNoLease, kCurrent, kPrepared, kInDoubt, kSwitching };
-const char* to_string(ParticipantState standing);
+// Returns the name that /healthz and the log have.
+const char* to_string(ParticipantState state);
 
 // What a request that arrives now is decided under.
 struct EffectivePolicy {
   enum class Kind {
     kSingle,        // `version` alone
     kIntersection,  // what `version` and `other_version` both allow
-    kReject         // none: 503 at once
+    kReject         // none: the request is rejected at once
   };
   Kind kind = Kind::kReject;
   std::uint64_t version = 0;
@@ -55,117 +58,110 @@
 
 struct ParticipantOptions {
   ownership::LeaseRules lease;
-  bool serve_intersection = true;  // without a version alone: serve what both allow; false: refuse
-};
-
-// What is in the store, as this router has read or been told of it, at one revision.
-struct ObservedState {
-  std::optional<Rollout> rollout;
-  Revision rollout_revision = 0;
-  std::uint64_t version = 0;  // in force in this router's zone
-  Revision current_revision = 0;
-  Revision zone_revision = 0;  // of the zone's own version; 0: it has none
-  Acknowledgement acknowledgement;
-  Revision acknowledgement_revision = 0;
+  bool serve_intersection = true;  // while in doubt; false: reject requests
 };
 
-// An entry of the store; an empty one where there is none of that key.
-using EntryLookup = std::function<coordination::Entry(const std::string& key)>;
-// As it stands for zones that have no version of their own.
-ObservedState read_observed_state(const EntryLookup& entry_of);
-// The same for a zone that may have one.
-ObservedState observed_in_zone(ObservedState known, const EntryLookup& entry_of, const std::string& zone);
-// What must still stand for whoever joins: all that is known, so that nobody joins behind what was decided.
-std::vector<coordination::Compare> join_conditions(const std::string& prefix, const ObservedState& known,
-                                                   const std::string& zone);
-
-// What is to be done.
-struct LeaseAction {  // acquire: join, with this permit where all is as `known` says; renew; release
+// A call for the lease that is to be made now.
+struct LeaseAction {
   ownership::Order order;
-  ParticipantReport report;
+  ParticipantReport report;  // of an acquisition: to be written if the store still is as in `observed`
   ObservedState observed;
 };
-struct ReportAction {  // the permit as it is to stand, under the lease
+// A report that is to be written now, under the lease.
+struct ReportAction {
   std::uint64_t call_id = 0;
   ParticipantReport report;
 };
-struct PersistDocumentAction {  // on disk, before it is said to be ready or decided under
+// A document that is to be stored on disk.
+struct PersistDocumentAction {
   std::uint64_t version = 0;
 };
 using ParticipantAction = std::variant<LeaseAction, ReportAction, PersistDocumentAction>;
 
 class Participant {
  public:
-  // Whether this router can live by a version: empty, or why not. Asked once its text is here.
-  using Judge = std::function<std::string(std::uint64_t version)>;
+  // Checks whether this router can apply a version whose document was received.
+  using DocumentCheck = std::function<PreparationResult(std::uint64_t version)>;
 
-  Participant(std::string incarnation, std::string zone, const ParticipantOptions& rules, Judge judge);
+  Participant(std::string incarnation, std::string zone, const ParticipantOptions& options,
+              DocumentCheck check_document);
 
-  // ---- What the store tells ----
+  // ---- Events ----
+  // The state of the store was read. A state older than the one observed last is ignored, since answers and
+  // watches may overtake each other.
   void on_observed_state(Micros now, const ObservedState& observed);
-  // Whether the store is heard: permission is not renewed where it is not, so that news that does not arrive
-  // ends it.
+  // Whether the watch of the store is connected. The lease is renewed only then, so that it runs out if
+  // changes no longer arrive.
   void set_connected(Micros now, bool connected);
-  // The text of a version is here. Version 0, what routers do without a document, always is.
+  // The document of a version was received. Version 0, what routers do without a document, always is.
   void on_document(Micros now, std::uint64_t version);
+  // All events of the discovery service up to `position` have been applied to what is decided from now on.
+  void on_events_applied(Micros now, const DiscoveryPosition& position);
+  // Requests and failures since the start of the process, for the watching of a stage.
+  void set_request_counts(std::uint64_t requests, std::uint64_t failed);
 
-  // ---- Answers ----
-  // `joined`: the store had all as it was known; else what is to be known is told first.
+  // ---- Results of actions ----
+  // `joined`: the store was as observed, and the report is written. If not, the state is to be read again.
   void on_join_result(Micros now, std::uint64_t call_id, bool joined);
   void on_renew_result(Micros now, std::uint64_t call_id, bool alive);
   void on_release_result(Micros now, std::uint64_t call_id);
+  // A call for the lease had no response: it may have been executed or not.
   void on_no_response(Micros now, std::uint64_t call_id);
-  void on_report_result(Micros now, std::uint64_t call_id, bool done);
-  // The disk's: empty, or why it could not be kept.
-  void on_persist_result(Micros now, std::uint64_t version, const std::string& why);
+  void on_report_result(Micros now, std::uint64_t call_id, bool written);
+  void on_persist_result(Micros now, std::uint64_t version, PreparationResult result);
 
-  // Requests and refusals since the start, for whoever watches a stage.
-  void set_request_counts(std::uint64_t requests, std::uint64_t refused);
-  // All events of the notice board up to here are taken in: what is decided from now on goes by them.
-  void on_events_applied(Micros now, const DiscoveryPosition& position);
-
-  // ---- What it decides ----
+  // ---- State ----
   EffectivePolicy effective_policy(Micros now) const;
   ParticipantState state(Micros now) const;
+  // Returns what is to be done now; each action counts as begun.
   std::vector<ParticipantAction> step(Micros now);
+  // Returns when step() may return something by time alone, or the state may change.
   std::optional<Micros> next_step_at(Micros now) const;
   Micros lease_end() const { return lease_.until(); }
-  // Whether requests are to be taken: it has permission, whatever is being held. /healthz says so.
+  // Returns whether the router should receive requests: it has a lease, suspended or not.
   bool ready(Micros now) const;
+  // Releases the lease; step() gives the call.
   void stop(Micros now);
   bool stopped() const { return lease_.over(); }
   const ObservedState& observed() const { return observed_; }
 
  private:
-  // What the permit should say.
-  ParticipantReport wanted() const;
-  bool has(std::uint64_t version) const;
-  bool holds() const;
-  // Whether permission may be asked for, renewed or given back now, as far as the store and the board go.
-  bool may_ask(Micros now) const;
-  void consider(Micros now);
+  ParticipantReport desired_report() const;
+  void add_rollout_stages(ParticipantReport& report) const;
+  bool is_suspended() const;
+  bool is_watched() const;
+  bool may_call_for_lease(Micros now) const;
+  void update();
+  void update_acknowledgement();
+  void forget_unused_documents();
+
+  void add_persist_actions(std::vector<ParticipantAction>& actions);
+  void add_lease_action(Micros now, std::vector<ParticipantAction>& actions);
+  void add_report_action(Micros now, std::vector<ParticipantAction>& actions);
 
   std::string incarnation_;
   std::string zone_;
-  ParticipantOptions rules_;
-  Judge judge_;
+  ParticipantOptions options_;
+  DocumentCheck check_document_;
+  DocumentPreparation documents_;
   ownership::Lease lease_;
+
   ObservedState observed_;
-  bool is_told_ = false;
+  bool has_observed_ = false;
   bool connected_ = false;
-  bool joined_ = false;     // the permit of this lease stands in the store
-  ParticipantReport said_;  // as it stands there, as far as is known
-  std::optional<ParticipantReport> saying_;
-  bool say_out_ = false;
-  std::uint64_t say_number_ = 0;
-  Micros say_after_{0};
-  std::map<std::uint64_t, std::string> documents_;  // here; with why it cannot be lived by
-  std::map<std::uint64_t, bool> kept_;              // false: being kept
-  std::map<std::uint64_t, std::string> unkept_;     // why
-  std::uint64_t requests_ = 0, refused_ = 0;
-  std::uint64_t last_version_ = 0;  // that was decided under
-  DiscoveryPosition position_;      // of the notice board
-  std::uint64_t acknowledged_ = 0;  // the last round whose events are taken in
+
+  bool joined_ = false;                       // the report of this lease is in the store
+  ParticipantReport reported_;                // as it is in the store, as far as is known
+  std::optional<ParticipantReport> pending_;  // the report of the call in flight: a join or a report
+  bool report_in_flight_ = false;
+  std::uint64_t last_report_id_ = 0;
+  Micros report_not_before_{0};
+
+  std::uint64_t requests_ = 0;
+  std::uint64_t failed_requests_ = 0;
+  std::uint64_t last_version_ = 0;  // that was reported as decided under
+  DiscoveryPosition position_;
+  std::uint64_t acknowledged_round_ = 0;  // the last one whose events have been applied
 };
 
 }  // namespace trailcourse::policy
--- /dev/null
+++ b/src/policy/rollout_coordinator.h
@@ -0,0 +1,58 @@
+// The coordinator of a policy rollout: decides on its next transition from a snapshot of the store. It runs
+// as owned work; a coordinator that was replaced and acts late is rejected by the store, since the record has
+// changed meanwhile. A successor knows no more than the snapshot, and its timeouts start again.
+//
+// Package `policy`: no I/O, no clock; time is Micros of the caller's steady clock. Not thread-safe.
+#pragma once
+
+#include <trailcourse/decider.h>
+
+#include <cstdint>
+#include <map>
+#include <optional>
+#include <string>
+
+#include "policy/rollout.h"
+#include "policy/rollout_snapshot.h"
+
+namespace trailcourse::policy {
+
+// After each of them the rollout is aborted.
+struct RolloutTimeouts {
+  Micros prepare_timeout{30'000'000};  // until all participants are ready
+  Micros suspend_timeout{30'000'000};  // until all have suspended; longer than any lease
+};
+
+class RolloutCoordinator {
+ public:
+  explicit RolloutCoordinator(const RolloutTimeouts& timeouts) : timeouts_(timeouts) {}
+
+  // Returns the next transition, if the snapshot allows one now.
+  std::optional<RolloutStep> step(Micros now, const RolloutSnapshot& snapshot);
+  // Returns when step() may give a transition by time alone; nothing if only a change in the store can.
+  std::optional<Micros> next_step_at() const { return next_step_at_; }
+
+ private:
+  struct RequestCounts {
+    std::uint64_t requests = 0;
+    std::uint64_t failed = 0;
+  };
+
+  void note_state(Micros now, const Rollout& rollout);
+  std::optional<RolloutStep> step_preparing(Micros now, const RolloutSnapshot& snapshot);
+  std::optional<RolloutStep> step_suspending(Micros now, const RolloutSnapshot& snapshot);
+  static std::optional<RolloutStep> step_committed(const RolloutSnapshot& snapshot);
+  std::optional<RolloutStep> step_watching(Micros now, const RolloutSnapshot& snapshot);
+  std::optional<RolloutStep> abort_at(Micros now, Micros deadline, const Rollout& rollout,
+                                      const std::string& reason);
+  RequestCounts counts_while_watching(const RolloutSnapshot& snapshot);
+
+  RolloutTimeouts timeouts_;
+  StageId stage_ = 0;
+  RolloutState state_ = RolloutState::kPreparing;
+  Micros state_since_{0};
+  std::optional<Micros> next_step_at_;
+  std::map<std::string, RequestCounts> initial_counts_;  // of each process when watching began
+};
+
+}  // namespace trailcourse::policy
--- /dev/null
+++ b/src/policy/rollout_transactions.h
@@ -0,0 +1,45 @@
+// The transactions that change a rollout in the store. Each of them compares the record and the version in
+// force with a snapshot, so that a late write has no effect, and writes its line of the audit log.
+//
+// Package `policy`: no I/O, no clock.
+#pragma once
+
+#include <cstdint>
+#include <string>
+#include <tl/expected.hpp>
+
+#include "coordination/types.h"
+#include "policy/rollout.h"
+#include "policy/rollout_snapshot.h"
+
+namespace trailcourse::policy {
+
+// How a new rollout may begin.
+enum class RolloutStart {
+  kIdle,       // no other one is open
+  kSupersedes  // it replaces the open one, which has not committed anything
+};
+
+// The open rollout that keeps another one from beginning.
+struct RolloutInProgress {
+  std::uint64_t id = 0;
+  std::uint64_t target_version = 0;
+  RolloutState state = RolloutState::kPreparing;
+  bool urgent_requested = false;  // the other one is urgent: this one has committed
+};
+// Describes it for operators, with what they may do.
+std::string describe(const RolloutInProgress& in_progress);
+
+// Checks whether a new rollout may begin: none is open, or the new one is urgent and the open one has not
+// committed anything.
+tl::expected<RolloutStart, RolloutInProgress> check_can_begin(const RolloutSnapshot& snapshot, bool urgent);
+
+// Writes the record of a new rollout, and its document unless that is empty.
+coordination::Transaction begin_transaction(const std::string& prefix, const RolloutSnapshot& snapshot,
+                                            const Rollout& rollout, const std::string& document,
+                                            const std::string& audit);
+// Writes a transition of the snapshot's rollout.
+coordination::Transaction execute_transaction(const std::string& prefix, const RolloutSnapshot& snapshot,
+                                              const RolloutStep& step);
+
+}  // namespace trailcourse::policy
--- a/src/program/policy_command.cpp
+++ b/src/program/policy_command.cpp
@@ -11,7 +11,8 @@
 #include "ownership/work.h"
 #include "policy/acknowledgement.h"
 #include "policy/document.h"
-#include "policy/rollout.h"
+#include "policy/rollout_snapshot.h"
+#include "policy/rollout_transactions.h"
 #include "program/store_client.h"
 #include "protocol/numbers.h"
 #include "tasks/policy_change_task.h"
@@ -172,11 +173,12 @@
   document.author = !command.author.empty() ? command.author : document.author;
   document.reason = !command.reason.empty() ? command.reason : document.reason;
   const policy::RolloutSnapshot seen = look(client);
-  bool superseded = false;
-  if (const std::string why = policy::check_can_begin(seen, command.urgent, superseded); !why.empty()) {
-    errors << "trailcourse: policy: " << why << '\n';
+  const auto start = policy::check_can_begin(seen, command.urgent);
+  if (!start) {
+    errors << "trailcourse: policy: " << policy::describe(start.error()) << '\n';
     return kChangeOpen;
   }
+  const bool supersedes = *start == policy::RolloutStart::kSupersedes;
   document.parent = seen.current_version;
   document.version = (all.empty() ? 0 : all.rbegin()->first) + 1;
   document.version = std::max(document.version, seen.current_version + 1);
@@ -186,11 +188,11 @@
   change.previous_version = seen.current_version;
   change.urgent = command.urgent;
   change.stages = command.stages;
-  change.watch_ms = static_cast<std::int64_t>(command.watch_s * 1e3);
+  change.watch_time = std::chrono::milliseconds(static_cast<std::int64_t>(command.watch_s * 1e3));
   change.max_rejected_share = command.most_refused;
   change.author = document.author;
   const std::string audit = std::to_string(unix_ms()) + " " + document.author + ": " + document.reason +
-                            (superseded ? "; supersedes change " + std::to_string(seen.rollout->id) : "");
+                            (supersedes ? "; supersedes change " + std::to_string(seen.rollout->id) : "");
   coordination::Transaction write =
       policy::begin_transaction(client.prefix(), seen, change, policy::write_document_text(document), audit);
   if (!client.commit(write).succeeded) {
--- a/src/tasks/acknowledgement_task.h
+++ b/src/tasks/acknowledgement_task.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "policy/acknowledgement.h"
+#include "policy/acknowledgement_coordinator.h"
 #include "tasks/board_follower.h"
 #include "tasks/store_driver_task.h"
 
--- a/src/tasks/policy_change_task.cpp
+++ b/src/tasks/policy_change_task.cpp
@@ -3,6 +3,8 @@
 #include <chrono>
 #include <utility>
 
+#include "policy/rollout_transactions.h"
+
 namespace trailcourse::tasks {
 
 using coordination::Range;
--- a/src/tasks/policy_change_task.h
+++ b/src/tasks/policy_change_task.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "policy/options.h"
-#include "policy/rollout.h"
+#include "policy/rollout_coordinator.h"
 #include "tasks/store_driver_task.h"
 
 namespace trailcourse::tasks {
--- a/src/tasks/policy_follower.cpp
+++ b/src/tasks/policy_follower.cpp
@@ -154,18 +154,22 @@
   turn_soon();
 }
 
-std::string PolicyFollower::judge(std::uint64_t version) const {
+policy::PreparationResult PolicyFollower::judge(std::uint64_t version) const {
+  using Kind = policy::PreparationError::Kind;
   if (const auto bad = unreadable_.find(version); bad != unreadable_.end()) {
-    return bad->second;
+    return policy::preparation_failed(Kind::kUnreadable, bad->second);
   }
   const auto found = documents_.find(version);
   if (found == documents_.end()) {
-    return version == 0 ? std::string() : "its text is not here";
+    return version == 0 ? policy::PreparationResult()
+                        : policy::preparation_failed(Kind::kMissing, "its text is not here");
   }
   policy::RouterCapabilities capabilities;
   capabilities.classes = names_;
   capabilities.max_open_requests = self_.open_requests;
-  return policy::check_capabilities(found->second, capabilities);
+  const auto supported = policy::check_capabilities(found->second, capabilities);
+  return supported ? policy::PreparationResult()
+                   : policy::preparation_failed(Kind::kUnsupported, policy::describe(supported.error()));
 }
 
 // ---- Orders ----
@@ -293,14 +297,14 @@
 void PolicyFollower::carry_out(const policy::PersistDocumentAction& keep) {
   const auto found = documents_.find(keep.version);
   if (!pool_ || found == documents_.end()) {
-    participant_.on_persist_result(now(), keep.version, "");
+    participant_.on_persist_result(now(), keep.version, {});
     return;
   }
-  const auto why = std::make_shared<std::string>();
+  const auto stored = std::make_shared<policy::PreparationResult>();
   pool_->run(
       store::Executor::Lane::kWrite,
       [folder = options_.folder, name = "version-" + std::to_string(keep.version),
-       text = policy::write_document_text(found->second), why] {
+       text = policy::write_document_text(found->second), stored] {
         try {
           const auto files = store::open_folder(folder);
           const auto file = files->create(name + ".next");
@@ -309,12 +313,13 @@
           files->rename(name + ".next", name);
           files->sync_names();
         } catch (const std::exception& error) {
-          *why = std::string("cannot be kept: ") + error.what();
+          *stored = policy::preparation_failed(policy::PreparationError::Kind::kNotStored,
+                                               std::string("cannot be kept: ") + error.what());
         }
       },
-      [this, alive = alive_, version = keep.version, why] {
+      [this, alive = alive_, version = keep.version, stored] {
         if (*alive) {
-          participant_.on_persist_result(now(), version, *why);
+          participant_.on_persist_result(now(), version, *stored);
           turn_soon();
         }
       });
--- a/src/tasks/policy_follower.h
+++ b/src/tasks/policy_follower.h
@@ -65,7 +65,7 @@
   void carry_out(const policy::ReportAction& say);
   void carry_out(const policy::PersistDocumentAction& keep);
   void join(const policy::LeaseAction& ask, coordination::LeaseId lease);
-  std::string judge(std::uint64_t version) const;
+  policy::PreparationResult judge(std::uint64_t version) const;
   routing::Rule rule(int request_class);
   // The classes of an effective policy among the module's, made when it is first asked for.
   struct Set {
--- a/tests/acknowledgement_test.cpp
+++ b/tests/acknowledgement_test.cpp
@@ -1,7 +1,5 @@
-// Rounds in which routers acknowledge events of the notice board: the record, who drives it, a router's side,
-// and what an aggregator says for its routers.
-#include "policy/acknowledgement.h"
-
+// Rounds in which routers acknowledge events of the discovery service: the record, its coordinator, a
+// participant, and what an aggregator reports for its routers.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -11,6 +9,7 @@
 #include "aggregation/permit_summary.h"
 #include "aggregation/router_leases.h"
 #include "coordination/ledger.h"
+#include "policy/acknowledgement_coordinator.h"
 #include "policy/participant.h"
 
 namespace trailcourse::policy {
@@ -20,7 +19,7 @@
 using aggregation::RouterLeases;
 using coordination::LeaseId;
 
-constexpr Micros kLeastRound{250'000};
+constexpr Micros kMinRoundInterval{250'000};
 constexpr Micros kStart{1'000'000};
 
 DiscoveryPosition at(std::uint64_t event, const std::string& board = "b1") { return {board, event}; }
@@ -37,7 +36,7 @@
   AcknowledgementSnapshot out;
   out.record = record;
   for (std::size_t i = 0; i < rounds.size(); ++i) {
-    out.permits["router" + std::to_string(i) + "/1"] = acknowledging(rounds[i]);
+    out.reports["router" + std::to_string(i) + "/1"] = acknowledging(rounds[i]);
   }
   return out;
 }
@@ -47,7 +46,7 @@
   EXPECT_EQ(read_acknowledgement(write_acknowledgement(record)), record);
 }
 
-TEST(AcknowledgementRecordTest, WhatCannotBeUsedIsNone) {
+TEST(AcknowledgementRecordTest, AnInvalidTextIsNoRecord) {
   const std::string good = write_acknowledgement({7, at(812), at(800)});
   for (const std::string text :
        {"", "[]", "{}", R"({"round":0,"asked":{"board":"b","event":1},"done":{"board":"b","event":0}})",
@@ -58,68 +57,69 @@
   }
   std::mt19937 random(11);
   for (int i = 0; i < 5'000; ++i) {
-    std::string spoilt = good;
+    std::string mutated = good;
     for (auto changes = 1 + random() % 4; changes > 0; --changes) {
-      spoilt[random() % spoilt.size()] = static_cast<char>(random());
+      mutated[random() % mutated.size()] = static_cast<char>(random());
     }
-    if (const auto record = read_acknowledgement(spoilt)) {
-      EXPECT_GT(record->round, 0U) << spoilt;
+    if (const auto record = read_acknowledgement(mutated)) {
+      EXPECT_GT(record->round, 0U) << mutated;
     }
   }
 }
 
-TEST(AcknowledgementDriverTest, AsksForWhatItHasTakenInAndTellsItOnceAllHave) {
-  AcknowledgementCoordinator driver(kLeastRound);
-  EXPECT_FALSE(driver.step(kStart, seen({}, {0, 0}), {}).has_value()) << "the board was not heard yet";
-  const auto first = driver.step(kStart, seen({}, {0, 0}), at(5));
+TEST(AcknowledgementCoordinatorTest, RequestsItsOwnPositionAndCompletesTheRoundOnceAllAcknowledge) {
+  AcknowledgementCoordinator coordinator(kMinRoundInterval);
+  EXPECT_FALSE(coordinator.step(kStart, seen({}, {0, 0}), {}).has_value()) << "no position is known yet";
+  const auto first = coordinator.step(kStart, seen({}, {0, 0}), at(5));
   ASSERT_TRUE(first.has_value());
   EXPECT_EQ(*first, (Acknowledgement{1, at(5), at(0)}));
-  EXPECT_FALSE(driver.step(kStart, seen(*first, {1, 0}), at(5)).has_value()) << "one is awaited";
-  EXPECT_FALSE(driver.step(kStart, seen(*first, {1, 0}), at(9)).has_value()) << "one round at a time";
-  const auto done = driver.step(kStart, seen(*first, {1, 1}), at(5));
+  EXPECT_FALSE(coordinator.step(kStart, seen(*first, {1, 0}), at(5)).has_value()) << "one is awaited";
+  EXPECT_FALSE(coordinator.step(kStart, seen(*first, {1, 0}), at(9)).has_value()) << "one round at a time";
+  const auto done = coordinator.step(kStart, seen(*first, {1, 1}), at(5));
   ASSERT_TRUE(done.has_value());
   EXPECT_EQ(*done, (Acknowledgement{1, at(5), at(5)}));
-  EXPECT_FALSE(driver.step(kStart + kLeastRound, seen(*done, {1, 1}), at(5)).has_value()) << "at rest";
+  EXPECT_FALSE(coordinator.step(kStart + kMinRoundInterval, seen(*done, {1, 1}), at(5)).has_value())
+      << "at rest";
 }
 
-TEST(AcknowledgementDriverTest, ARoundMayEndAndTheNextBeginInOneWriteButNotTooSoon) {
-  AcknowledgementCoordinator driver(kLeastRound);
-  const Acknowledgement first = *driver.step(kStart, seen({}, {0}), at(5));
-  const auto hasty = driver.step(kStart + kLeastRound / 2, seen(first, {1}), at(9));
+TEST(AcknowledgementCoordinatorTest, ARoundMayCompleteAndTheNextStartInOneWriteButNotTooSoon) {
+  AcknowledgementCoordinator coordinator(kMinRoundInterval);
+  const Acknowledgement first = *coordinator.step(kStart, seen({}, {0}), at(5));
+  const auto hasty = coordinator.step(kStart + kMinRoundInterval / 2, seen(first, {1}), at(9));
   ASSERT_TRUE(hasty.has_value());
-  EXPECT_EQ(*hasty, (Acknowledgement{1, at(5), at(5)})) << "what is done is told at once";
-  EXPECT_EQ(driver.next_step_at(), kStart + kLeastRound);
-  const auto next = driver.step(kStart + kLeastRound, seen(*hasty, {1}), at(9));
+  EXPECT_EQ(*hasty, (Acknowledgement{1, at(5), at(5)})) << "a completed round is written at once";
+  EXPECT_EQ(coordinator.next_step_at(), kStart + kMinRoundInterval);
+  const auto next = coordinator.step(kStart + kMinRoundInterval, seen(*hasty, {1}), at(9));
   ASSERT_TRUE(next.has_value());
   EXPECT_EQ(*next, (Acknowledgement{2, at(9), at(5)}));
-  const auto both = driver.step(kStart + 2 * kLeastRound, seen(*next, {2}), at(12));
+  const auto both = coordinator.step(kStart + 2 * kMinRoundInterval, seen(*next, {2}), at(12));
   ASSERT_TRUE(both.has_value());
   EXPECT_EQ(*both, (Acknowledgement{3, at(12), at(9)}));
 }
 
-TEST(AcknowledgementDriverTest, WhoHasNoPermissionIsNotAwaited) {
-  AcknowledgementCoordinator driver(kLeastRound);
-  const Acknowledgement first = *driver.step(kStart, seen({}, {0}), at(5));
-  EXPECT_EQ(*driver.step(kStart, seen(first, {}), at(5)), (Acknowledgement{1, at(5), at(5)}));
+TEST(AcknowledgementCoordinatorTest, ARouterWithoutALeaseIsNotAwaited) {
+  AcknowledgementCoordinator coordinator(kMinRoundInterval);
+  const Acknowledgement first = *coordinator.step(kStart, seen({}, {0}), at(5));
+  EXPECT_EQ(*coordinator.step(kStart, seen(first, {}), at(5)), (Acknowledgement{1, at(5), at(5)}));
 }
 
-TEST(AcknowledgementDriverTest, ABoardThatBeganAnewEndsTheOpenRoundAndForgetsWhatWasDone) {
-  AcknowledgementCoordinator driver(kLeastRound);
+TEST(AcknowledgementCoordinatorTest, ASourceThatStartedAnewEndsTheOpenRoundAndResetsThePosition) {
+  AcknowledgementCoordinator coordinator(kMinRoundInterval);
   const Acknowledgement open{4, at(900), at(850)};
-  const auto anew = driver.step(kStart, seen(open, {4, 3}), at(2, "b2"));
+  const auto anew = coordinator.step(kStart, seen(open, {4, 3}), at(2, "b2"));
   ASSERT_TRUE(anew.has_value());
   EXPECT_EQ(*anew, (Acknowledgement{5, at(2, "b2"), at(0, "b2")}));
 }
 
-TEST(AcknowledgementDriverTest, WhatIsForgottenIsAskedOfNobodyUntilItIsDrivenAgain) {
+TEST(AcknowledgementCoordinatorTest, AResetRecordRequestsNothingUntilTheNextRound) {
   const Acknowledgement none = reset_acknowledgement({4, at(900), at(850)});
   EXPECT_EQ(none.round, 5U);
   EXPECT_TRUE(at(0, "").covers(none.asked));
-  AcknowledgementCoordinator driver(kLeastRound);
-  EXPECT_EQ(*driver.step(kStart, seen(none, {5}), at(2)), (Acknowledgement{6, at(2), at(0)}));
+  AcknowledgementCoordinator coordinator(kMinRoundInterval);
+  EXPECT_EQ(*coordinator.step(kStart, seen(none, {5}), at(2)), (Acknowledgement{6, at(2), at(0)}));
 }
 
-TEST(AcknowledgementDriverTest, ALateOneIsRefusedByTheStore) {
+TEST(AcknowledgementCoordinatorTest, ALateWriteIsRejectedByTheStore) {
   coordination::Ledger ledger{coordination::Limits{}};
   const auto look = [&ledger] {
     return read_acknowledgement_snapshot("", ledger.commit(acknowledgement_snapshot_transaction("")));
@@ -130,23 +130,23 @@
   EXPECT_EQ(look().record.requested, at(5));
 }
 
-TEST(AcknowledgementDriverTest, StaffAreToldWhoIsAwaited) {
+TEST(AcknowledgementCoordinatorTest, DescribesWhichParticipantsArePending) {
   AcknowledgementSnapshot one = seen({3, at(70), at(60)}, {3});
   ParticipantReport summary = acknowledging(2);
   summary.represented_routers = 40;
   summary.waiting_for = "r17";
-  one.permits["east.edge/9"] = summary;
+  one.reports["east.edge/9"] = summary;
   EXPECT_EQ(describe_unacknowledged(one),
             std::vector<std::string>{"east.edge for 40 routers, among them r17, is to take in event 70, or "
                                      "its permission to run out"});
 }
 
-// ---- A router's side ----
+// ---- A participant ----
 
-class AcknowledgingHolderTest : public testing::Test {
+class AcknowledgingParticipantTest : public testing::Test {
  protected:
-  AcknowledgingHolderTest()
-      : participant_("i", "edge", rules(), [](std::uint64_t) { return std::string(); }) {
+  AcknowledgingParticipantTest()
+      : participant_("i", "edge", rules(), [](std::uint64_t) { return PreparationResult(); }) {
     participant_.set_connected(kStart, true);
   }
   static ParticipantOptions rules() {
@@ -156,48 +156,48 @@
     out.lease.retry = Micros(200'000);
     return out;
   }
-  void told(std::uint64_t round, const DiscoveryPosition& asked) {
-    ObservedState known;
-    known.acknowledgement = {round, asked, {}};
-    known.acknowledgement_revision = ++revision_;
-    participant_.on_observed_state(now_, known);
+  void observe(std::uint64_t round, const DiscoveryPosition& requested) {
+    ObservedState observed;
+    observed.acknowledgement = {round, requested, {}};
+    observed.acknowledgement_revision = ++revision_;
+    participant_.on_observed_state(now_, observed);
   }
-  template <typename Order>
-  std::optional<Order> due() {
-    for (const ParticipantAction& order : participant_.step(now_)) {
-      if (const Order* found = std::get_if<Order>(&order)) {
+  template <typename Action>
+  std::optional<Action> action() {
+    for (const ParticipantAction& next : participant_.step(now_)) {
+      if (const Action* found = std::get_if<Action>(&next)) {
         return *found;
       }
     }
     return std::nullopt;
   }
   void join() {
-    const auto ask = due<LeaseAction>();
-    ASSERT_TRUE(ask.has_value());
-    participant_.on_join_result(now_, ask->order.number, true);
+    const auto lease_call = action<LeaseAction>();
+    ASSERT_TRUE(lease_call.has_value());
+    participant_.on_join_result(now_, lease_call->order.number, true);
   }
 
   Participant participant_;
   Micros now_ = kStart;
-  Revision revision_ = 0;
+  coordination::Revision revision_ = 0;
 };
 
-TEST_F(AcknowledgingHolderTest, JoinsOnlyOnceItHasTakenInWhatIsAskedFor) {
-  told(4, at(70));
-  EXPECT_FALSE(due<LeaseAction>().has_value());
+TEST_F(AcknowledgingParticipantTest, JoinsOnlyOnceItHasAppliedTheRequestedEvents) {
+  observe(4, at(70));
+  EXPECT_FALSE(action<LeaseAction>().has_value());
   participant_.on_events_applied(now_, at(69));
-  EXPECT_FALSE(due<LeaseAction>().has_value());
+  EXPECT_FALSE(action<LeaseAction>().has_value());
   participant_.on_events_applied(now_, at(900, "another board"));
-  EXPECT_FALSE(due<LeaseAction>().has_value());
+  EXPECT_FALSE(action<LeaseAction>().has_value());
   participant_.on_events_applied(now_, at(71));
-  const auto ask = due<LeaseAction>();
-  ASSERT_TRUE(ask.has_value());
-  EXPECT_EQ(ask->report.acknowledged_round, 4U);
+  const auto lease_call = action<LeaseAction>();
+  ASSERT_TRUE(lease_call.has_value());
+  EXPECT_EQ(lease_call->report.acknowledged_round, 4U);
 }
 
-TEST_F(AcknowledgingHolderTest, AsksForNoTurnWhileItCanOnlyWaitForNews) {
-  told(4, at(70));
-  EXPECT_FALSE(participant_.next_step_at(now_).has_value()) << "it waits for the board";
+TEST_F(AcknowledgingParticipantTest, HasNoNextStepWhileOnlyAnEventCanChangeItsState) {
+  observe(4, at(70));
+  EXPECT_FALSE(participant_.next_step_at(now_).has_value()) << "it waits for the discovery service";
   participant_.on_events_applied(now_, at(70));
   EXPECT_TRUE(participant_.next_step_at(now_).has_value());
   participant_.set_connected(now_, false);
@@ -206,31 +206,31 @@
   join();
   participant_.set_connected(now_, false);
   EXPECT_EQ(participant_.next_step_at(now_), participant_.lease_end())
-      << "its permission runs out, and is not renewed";
+      << "its lease runs out, and is not renewed";
   now_ = participant_.lease_end();
   EXPECT_FALSE(participant_.next_step_at(now_).has_value());
 }
 
-TEST_F(AcknowledgingHolderTest, SaysOnceARoundThatItHasTakenInWhatIsAskedFor) {
-  told(0, {});
+TEST_F(AcknowledgingParticipantTest, AcknowledgesOnceARoundThatItHasAppliedTheRequestedEvents) {
+  observe(0, {});
   join();
   participant_.on_events_applied(now_, at(10));
-  EXPECT_FALSE(due<ReportAction>().has_value()) << "nobody asked";
-  told(1, at(12));
-  EXPECT_FALSE(due<ReportAction>().has_value());
+  EXPECT_FALSE(action<ReportAction>().has_value()) << "no round was started";
+  observe(1, at(12));
+  EXPECT_FALSE(action<ReportAction>().has_value());
   participant_.on_events_applied(now_, at(11));
-  EXPECT_FALSE(due<ReportAction>().has_value());
+  EXPECT_FALSE(action<ReportAction>().has_value());
   participant_.on_events_applied(now_, at(12));
-  const auto say = due<ReportAction>();
-  ASSERT_TRUE(say.has_value());
-  EXPECT_EQ(say->report.acknowledged_round, 1U);
-  participant_.on_report_result(now_, say->call_id, true);
+  const auto report = action<ReportAction>();
+  ASSERT_TRUE(report.has_value());
+  EXPECT_EQ(report->report.acknowledged_round, 1U);
+  participant_.on_report_result(now_, report->call_id, true);
   participant_.on_events_applied(now_, at(13));
-  EXPECT_FALSE(due<ReportAction>().has_value());
+  EXPECT_FALSE(action<ReportAction>().has_value());
 }
 
-TEST_F(AcknowledgingHolderTest, ItsConditionsToJoinNameTheRecord) {
-  told(4, at(70));
+TEST_F(AcknowledgingParticipantTest, ItsJoinConditionsIncludeTheRecord) {
+  observe(4, at(70));
   const auto conditions = join_conditions("p/", participant_.observed(), "edge");
   const auto record = coordination::unchanged(std::string("p/") + kAcknowledgedKey, revision_);
   EXPECT_NE(std::find(conditions.begin(), conditions.end(), record), conditions.end());
@@ -244,7 +244,7 @@
   return out;
 }
 
-TEST(AcknowledgingSummaryTest, SaysTheLeastThatItsRoutersSay) {
+TEST(AcknowledgingSummaryTest, AcknowledgesTheLowestRoundOfItsRouters) {
   aggregation::RouterPermits routers;
   EXPECT_EQ(summarize(asking(5), "edge", routers).acknowledged_round, 5U) << "nobody is there to be awaited";
   routers[1] = {"r1", acknowledging(5)};
@@ -254,10 +254,10 @@
   EXPECT_EQ(summary.waiting_for, "r2");
   routers[2].permit.acknowledged_round = 6;
   EXPECT_EQ(summarize(asking(5), "edge", routers).acknowledged_round, 5U)
-      << "no more than it has heard itself";
+      << "no more than it has observed itself";
 }
 
-TEST(AcknowledgingSummaryTest, DrawnSetsOfRoutersGiveTheMinimumAndNeverGoBack) {
+TEST(AcknowledgingSummaryTest, RandomSetsOfRoutersGiveTheMinimumAndNeverGoBack) {
   std::mt19937 random(23);
   for (int run = 0; run < 2'000; ++run) {
     aggregation::RouterPermits routers;
@@ -273,7 +273,7 @@
 
 // Rounds go on while an aggregator joins: it joins all the same, and gives no permission before it has heard
 // of the record that stood there then.
-TEST(AcknowledgingAggregatorTest, GivesNoPermissionBeforeItKnowsTheRecordThatItJoinedBehind) {
+TEST(AcknowledgingAggregatorTest, GrantsNoLeaseBeforeItHasObservedTheRecordThatItJoinedBehind) {
   constexpr Micros kTtl{3'000'000};
   coordination::Ledger store{coordination::Limits{}};
   const auto write = [&store](const std::string& key, const std::string& value) {
@@ -300,7 +300,7 @@
   EXPECT_NO_THROW(aggregator.grant(kStart, kTtl));
 }
 
-TEST(AcknowledgingAggregatorTest, AsksForNoTurnWhileTheStoreIsNotHeard) {
+TEST(AcknowledgingAggregatorTest, HasNoNextStepWhileTheStoreIsDisconnected) {
   aggregation::Aggregator aggregator(aggregation::AggregatorRules{}, {"east", "i1", {"edge"}, ""}, 1);
   aggregator.heard(false);
   EXPECT_FALSE(aggregator.next(kStart).has_value());
@@ -308,7 +308,7 @@
   EXPECT_TRUE(aggregator.next(kStart).has_value());
 }
 
-TEST(AcknowledgingLeasesTest, NobodyJoinsBehindWhatWasSaidAndNobodySaysLess) {
+TEST(AcknowledgingLeasesTest, NoRouterJoinsBehindAReportedRoundAndNoneReportsLess) {
   constexpr Micros kUntil{60'000'000};
   constexpr Micros kTtl{3'000'000};
   RouterLeases leases(aggregation::RouterLeaseRules{}, 1);
@@ -324,7 +324,7 @@
     return false;
   };
   EXPECT_TRUE(refused(late, 4));
-  EXPECT_TRUE(leases.permits("edge").empty()) << "what is refused changes nothing";
+  EXPECT_TRUE(leases.permits("edge").empty()) << "a rejected report changes nothing";
   leases.say("r1", late, acknowledging(5));
   leases.say("r1", late, acknowledging(7));
   EXPECT_TRUE(refused(late, 6));
--- a/tests/aggregation_test.cpp
+++ b/tests/aggregation_test.cpp
@@ -6,6 +6,7 @@
 #include <random>
 
 #include "aggregation/aggregator.h"
+#include "policy/rollout_coordinator.h"
 
 namespace trailcourse::aggregation {
 namespace {
--- a/tests/aggregation_world_test.cpp
+++ b/tests/aggregation_world_test.cpp
@@ -10,8 +10,10 @@
 #include <set>
 
 #include "aggregation/aggregator.h"
+#include "policy/acknowledgement_coordinator.h"
 #include "policy/participant.h"
-#include "policy/rollout.h"
+#include "policy/rollout_coordinator.h"
+#include "policy/rollout_transactions.h"
 #include "virtual_world.h"
 
 namespace trailcourse::aggregation {
@@ -470,7 +472,7 @@
     begin_incarnation(one, kMostPartsPerMillion, seconds(50));
     one.turn = [this, &one] { turn(one); };
     one.participant.emplace(std::to_string(one.incarnation), one.zone, participant_options(),
-                            [](std::uint64_t) { return std::string(); });
+                            [](std::uint64_t) { return policy::PreparationResult(); });
     one.lease = 0;
     one.floor = 0;
     one.endpoint = one.index % kAggregators;
@@ -651,7 +653,11 @@
     at(now_ + drawn(milliseconds(30)), [this, &one, keep, same = same_incarnation(one)] {
       if (same()) {
         deliver(one, [this, &one, keep] {
-          one.participant->on_persist_result(clock(one), keep.version, one.bad_disk ? "full disk" : "");
+          one.participant->on_persist_result(
+              clock(one), keep.version,
+              one.bad_disk
+                  ? policy::preparation_failed(policy::PreparationError::Kind::kNotStored, "full disk")
+                  : policy::PreparationResult());
         });
       }
     });
@@ -834,7 +840,7 @@
 
   void drive() {
     at(now_ + drawn(milliseconds(200)), [this] {
-      if (!driver_ || (chance(2) && !calm_)) {
+      if (!coordinator_ || (chance(2) && !calm_)) {
         coordinator_.emplace(driver_rules_);  // a successor
       }
       ledger_.expire(store_ms());
@@ -870,15 +876,14 @@
         return;
       }
       const RolloutSnapshot seen = look_now();
-      bool superseded = false;
-      if (!store_went_back_ && policy::check_can_begin(seen, chance(20), superseded).empty()) {
+      if (!store_went_back_ && policy::check_can_begin(seen, chance(20))) {
         policy::Rollout change;
         change.id = seen.rollout ? seen.rollout->id + 1 : 1;
         change.target_version = ++last_version_;
         change.previous_version = seen.current_version;
         if (chance(30)) {
           change.stages = {kZoneNames[random_() % kZoneNames.size()]};
-          change.watch_ms = 500 + static_cast<std::int64_t>(random_() % 1'500);
+          change.watch_time = milliseconds(500 + static_cast<std::int64_t>(random_() % 1'500));
           change.max_rejected_share = 0.5;
         }
         report_.changes +=
--- /dev/null
+++ b/tests/policy_world_test.cpp
@@ -0,0 +1,490 @@
+// Rollouts of a policy in a drawn world in virtual time: participants, coordinators that are replaced, and
+// the state of the store, with losses, pauses, deaths and clocks that run apart. No request may be decided
+// under the previous version once one was decided under the target version.
+#include <gtest/gtest.h>
+
+#include <deque>
+#include <functional>
+#include <set>
+
+#include "coordination/ledger.h"
+#include "policy/participant.h"
+#include "policy/rollout_coordinator.h"
+#include "policy/rollout_transactions.h"
+#include "virtual_world.h"
+
+namespace trailcourse::policy {
+namespace {
+
+using std::chrono::milliseconds;
+using std::chrono::seconds;
+using testing_support::VirtualProcess;
+using testing_support::VirtualWorld;
+
+enum class Defect { kNone, kCommitEarly, kTimedFromAnswer, kJoinUnseen, kAbortedKept };
+
+struct WorldReport {
+  std::string broken;
+  std::uint64_t decided = 0, in_doubt = 0, refused = 0, changes = 0, commits = 0, aborts = 0, steps = 0;
+};
+
+// Routers with real participants, a coordinator that is replaced now and then, and the real state of the
+// store. Requests arrive at every router at each step of time; what they are decided under is compared in
+// true time.
+class World : private VirtualWorld {
+ public:
+  World(std::uint64_t seed, Defect defect)
+      : VirtualWorld(seed, testing_support::CallRules{}), defect_(defect) {
+    options_.lease.ttl = seconds(2);
+    options_.lease.renew_after = milliseconds(600);
+    options_.lease.retry = milliseconds(200);
+    options_.lease.margin = milliseconds(20);
+    timeouts_.prepare_timeout = seconds(6);
+    timeouts_.suspend_timeout = seconds(8);
+    for (int i = 0; i < 3; ++i) {
+      routers_.emplace_back();
+      start(i);
+    }
+    run_coordinator();
+    propose();
+    fault();
+    arrivals();
+    expire();
+  }
+
+  WorldReport run() {
+    play(seconds(45), seconds(75), [this] { become_calm(); }, [] {});
+    const RolloutSnapshot snapshot = read_store();
+    if (snapshot.rollout && snapshot.rollout->is_open()) {
+      fail(std::string("a change is stuck: ") + to_string(snapshot.rollout->state) + describe(snapshot));
+    }
+    for (std::size_t i = 0; i < routers_.size(); ++i) {
+      const Router& one = routers_[i];
+      const EffectivePolicy effective_policy = one.participant->effective_policy(clock(one));
+      if (effective_policy.kind != EffectivePolicy::Kind::kSingle ||
+          effective_policy.version != snapshot.current_version) {
+        fail("router " + std::to_string(i) + " does not decide under what is in force: " +
+             to_string(one.participant->state(clock(one))) + describe(snapshot));
+      }
+    }
+    report_.broken = broken_;
+    report_.steps = steps_;
+    return report_;
+  }
+
+ private:
+  struct Router : VirtualProcess {
+    std::optional<Participant> participant;
+    bool bad_disk = false;
+    coordination::LeaseId lease = 0;
+    Micros notified_until{0};
+  };
+
+  std::string describe(const RolloutSnapshot& snapshot) const {
+    std::string out;
+    for (const auto& [name, report] : snapshot.reports) {
+      out += "\n  " + name + " " + write_report(report);
+    }
+    if (snapshot.rollout) {
+      out += "\n  " + write_rollout(*snapshot.rollout);
+    }
+    return out + "\n  current " + std::to_string(snapshot.current_version);
+  }
+
+  RolloutSnapshot read_store() {
+    const coordination::Outcome outcome = ledger_.commit(snapshot_transaction(""));
+    return read_snapshot("", outcome);
+  }
+  ObservedState observed_now() {
+    const RolloutSnapshot snapshot = read_store();
+    ObservedState out;
+    out.rollout = snapshot.rollout;
+    out.rollout_revision = snapshot.rollout_revision;
+    out.version = snapshot.current_version;
+    out.current_revision = snapshot.current_revision;
+    return out;
+  }
+
+  // To the store and back.
+  template <typename Value>
+  void call_store(int index, std::function<Value()> use, std::function<void(const Value&)> answer,
+                  std::function<void()> lost) {
+    call<Value>(
+        of(index), nullptr, of(index).cut,
+        [this, use]() -> std::optional<Value> {
+          ledger_.expire(store_ms());
+          const Value value = use();
+          notify_all();
+          return value;
+        },
+        answer, lost);
+  }
+
+  void start(int index) {
+    Router& router = routers_[static_cast<std::size_t>(index)];
+    begin_incarnation(router, 950, seconds(50));
+    router.turn = [this, index] { run_step(index); };
+    router.bad_disk = false;
+    if (defect_ == Defect::kTimedFromAnswer) {
+      options_.lease.margin = -seconds(1);  // as if the time began when the answer came
+    }
+    router.participant.emplace(std::to_string(router.incarnation), "edge", options_,
+                               [](std::uint64_t) { return PreparationResult(); });
+    watch(index, router.incarnation);
+    tick(router, milliseconds(40));
+  }
+  void watch(int index, int incarnation) {
+    at(now_ + drawn(milliseconds(20)), [this, index, incarnation] {
+      Router& router = routers_[static_cast<std::size_t>(index)];
+      if (router.incarnation != incarnation) {
+        return;
+      }
+      if (router.cut) {
+        at(now_ + milliseconds(200), [this, index, incarnation] { watch(index, incarnation); });
+        return;
+      }
+      notify(index, observed_now());
+    });
+  }
+  void notify(int index, const ObservedState& observed) {
+    Router& router = routers_[static_cast<std::size_t>(index)];
+    const int incarnation = router.incarnation;
+    router.notified_until =
+        std::max(router.notified_until, now_ + drawn(chance(90) ? milliseconds(20) : seconds(1)));
+    at(router.notified_until, [this, index, incarnation, observed] {
+      deliver(of(index), [this, index, incarnation, observed] {
+        Router& one = routers_[static_cast<std::size_t>(index)];
+        if (one.incarnation != incarnation) {
+          return;
+        }
+        const Micros now = clock(one);
+        for (std::uint64_t version = 1; version <= last_version_; ++version) {
+          one.participant->on_document(now, version);
+        }
+        ObservedState mine = observed;
+        if (defect_ == Defect::kAbortedKept && mine.rollout &&
+            mine.rollout->state == RolloutState::kAborted &&
+            one.participant->state(now) == ParticipantState::kInDoubt) {
+          mine.version = mine.rollout->target_version;  // as if what it holds were in force
+        }
+        one.participant->on_observed_state(now, mine);
+        one.participant->set_connected(now, true);
+      });
+    });
+  }
+  // What changed goes to all that are heard by the store.
+  void notify_all() {
+    bool changed = false;
+    for (const coordination::Change& change : ledger_.changes()) {
+      changed = changed || change.entry.key.starts_with("policy/");
+    }
+    if (!changed) {
+      return;
+    }
+    const ObservedState observed = observed_now();
+    for (int i = 0; i < static_cast<int>(routers_.size()); ++i) {
+      if (!routers_[static_cast<std::size_t>(i)].cut) {
+        notify(i, observed);
+      }
+    }
+  }
+
+  void run_step(int index) {
+    Router& router = routers_[static_cast<std::size_t>(index)];
+    for (const ParticipantAction& action : router.participant->step(clock(router))) {
+      std::visit([this, index](const auto& one) { execute(index, one); }, action);
+    }
+  }
+  Router& of(int index) { return routers_[static_cast<std::size_t>(index)]; }
+
+  void execute(int index, const PersistDocumentAction& action) {
+    const int incarnation = of(index).incarnation;
+    at(now_ + drawn(milliseconds(30)), [this, index, incarnation, action] {
+      deliver(of(index), [this, index, incarnation, action] {
+        if (of(index).incarnation == incarnation) {
+          of(index).participant->on_persist_result(
+              clock(of(index)), action.version,
+              of(index).bad_disk ? preparation_failed(PreparationError::Kind::kNotStored, "full disk")
+                                 : PreparationResult());
+        }
+      });
+    });
+  }
+  void execute(int index, const ReportAction& action) {
+    const coordination::LeaseId lease = of(index).lease;
+    call_store<bool>(
+        index,
+        [this, index, action, lease] {
+          try {
+            ledger_.commit(
+                coordination::Transaction{{},
+                                          {coordination::Put{report_key(std::to_string(index), lease),
+                                                             write_report(action.report), lease}},
+                                          {}});
+            return true;
+          } catch (const coordination::Rejected&) {
+            return false;
+          }
+        },
+        [this, index, action](const bool& done) {
+          of(index).participant->on_report_result(clock(of(index)), action.call_id, done);
+        },
+        [this, index, action] {
+          of(index).participant->on_report_result(clock(of(index)), action.call_id, false);
+        });
+  }
+  void execute(int index, const LeaseAction& action) {
+    const std::uint64_t number = action.order.number;
+    const auto lost = [this, index, number] {
+      of(index).participant->on_no_response(clock(of(index)), number);
+    };
+    if (action.order.ask == ownership::Ask::kAcquire) {
+      call_store<coordination::LeaseId>(
+          index, [this] { return ledger_.grant(store_ms(), options_.lease.ttl.count() / 1'000, 0); },
+          [this, index, action, number, lost](const coordination::LeaseId& lease) {
+            of(index).lease = lease;
+            call_store<bool>(
+                index,
+                [this, index, action, lease] {
+                  coordination::Transaction join;
+                  if (defect_ != Defect::kJoinUnseen) {
+                    join.when = {coordination::unchanged(kRolloutKey, action.observed.rollout_revision),
+                                 coordination::unchanged(kCurrentKey, action.observed.current_revision)};
+                  }
+                  join.then = {coordination::Put{report_key(std::to_string(index), lease),
+                                                 write_report(action.report), lease}};
+                  try {
+                    return ledger_.commit(join).succeeded;
+                  } catch (const coordination::Rejected&) {
+                    return false;
+                  }
+                },
+                [this, index, number](const bool& joined) {
+                  of(index).participant->on_join_result(clock(of(index)), number, joined);
+                  if (!joined) {
+                    watch(index, of(index).incarnation);
+                  }
+                },
+                lost);
+          },
+          lost);
+      return;
+    }
+    const coordination::LeaseId lease = of(index).lease;
+    call_store<bool>(
+        index, [this, lease] { return ledger_.keep_alive(store_ms(), lease) > 0; },
+        [this, index, number](const bool& alive) {
+          of(index).participant->on_renew_result(clock(of(index)), number, alive);
+        },
+        lost);
+  }
+
+  // ---- The coordinator, and staff ----
+
+  void run_coordinator() {
+    at(now_ + drawn(milliseconds(200)), [this] {
+      if (chance(2) && !calm_) {
+        coordinator_.emplace(timeouts_);  // a successor
+      }
+      if (!coordinator_) {
+        coordinator_.emplace(timeouts_);
+      }
+      ledger_.expire(store_ms());
+      RolloutSnapshot snapshot = read_store();
+      if (defect_ == Defect::kCommitEarly && snapshot.rollout &&
+          snapshot.rollout->state == RolloutState::kSuspending) {
+        snapshot.reports.clear();
+      }
+      const auto step = coordinator_->step(now_, snapshot);
+      if (step) {
+        // What it decided arrives late: the store may have moved on.
+        const coordination::Transaction write = execute_transaction("", snapshot, *step);
+        at(now_ + drawn(chance(80) ? milliseconds(10) : seconds(4)), [this, write, step = *step] {
+          ledger_.expire(store_ms());
+          if (ledger_.commit(write).succeeded) {
+            report_.commits += step.commit ? 1 : 0;
+            report_.aborts += step.rollout.state == RolloutState::kAborted ? 1 : 0;
+            if (step.rollout.state == RolloutState::kAborted) {
+              aborted_.insert(step.rollout.target_version);
+            }
+          }
+          notify_all();
+        });
+      }
+      run_coordinator();
+    });
+  }
+  void propose() {
+    at(now_ + milliseconds(500) + drawn(seconds(6)), [this] {
+      if (!calm_) {
+        const RolloutSnapshot snapshot = read_store();
+        const bool urgent = chance(20);
+        if (const auto start = check_can_begin(snapshot, urgent)) {
+          if (*start == RolloutStart::kSupersedes) {
+            aborted_.insert(snapshot.rollout->target_version);
+          }
+          Rollout rollout;
+          rollout.id = snapshot.rollout ? snapshot.rollout->id + 1 : 1;
+          rollout.target_version = ++last_version_;
+          rollout.previous_version = snapshot.current_version;
+          if (ledger_.commit(begin_transaction("", snapshot, rollout, "document", "")).succeeded) {
+            ++report_.changes;
+          }
+          notify_all();
+        }
+        propose();
+      }
+    });
+  }
+
+  // ---- Requests ----
+
+  void arrivals() {
+    at(now_ + milliseconds(7), [this] {
+      for (std::size_t i = 0; i < routers_.size(); ++i) {
+        const Router& router = routers_[i];
+        if (router.paused) {
+          continue;
+        }
+        const EffectivePolicy effective_policy = router.participant->effective_policy(clock(router));
+        if (effective_policy.kind == EffectivePolicy::Kind::kReject) {
+          ++report_.refused;
+        } else if (effective_policy.kind == EffectivePolicy::Kind::kIntersection) {
+          ++report_.in_doubt;
+        } else {
+          decide(i, effective_policy.version);
+        }
+      }
+      arrivals();
+    });
+  }
+  // The rule in true time.
+  void decide(std::size_t router, std::uint64_t version) {
+    ++report_.decided;
+    if (aborted_.contains(version)) {
+      fail("router " + std::to_string(router) + " decides under version " + std::to_string(version) +
+           ", whose change was aborted");
+    }
+    if (version < newest_) {
+      fail("router " + std::to_string(router) + " decides under version " + std::to_string(version) +
+           " after a request was decided under " + std::to_string(newest_));
+    }
+    newest_ = std::max(newest_, version);
+  }
+
+  void fault() {
+    at(now_ + drawn(seconds(2)), [this] {
+      if (calm_) {
+        return;
+      }
+      const int index = static_cast<int>(random_() % routers_.size());
+      Router& router = of(index);
+      const int incarnation = router.incarnation;
+      switch (random_() % 4) {
+        case 0:
+          if (!router.paused) {
+            router.paused = true;
+            at(now_ + drawn(seconds(6)), [this, index, incarnation] { wake(index, incarnation); });
+          }
+          break;
+        case 1:
+          start(index);  // killed and started
+          break;
+        case 2:
+          router.cut = true;
+          router.participant->set_connected(clock(router), chance(50));  // it may not notice
+          at(now_ + drawn(seconds(6)), [this, index, incarnation] { mend(index, incarnation); });
+          break;
+        default:
+          router.bad_disk = !router.bad_disk;
+      }
+      fault();
+    });
+  }
+  void wake(int index, int incarnation) {
+    Router& router = of(index);
+    if (router.incarnation == incarnation && router.paused) {
+      // Requests that waited in its buffers are decided the moment it resumes, before anything else is read.
+      const EffectivePolicy effective_policy = router.participant->effective_policy(clock(router));
+      if (effective_policy.kind == EffectivePolicy::Kind::kSingle) {
+        decide(static_cast<std::size_t>(index), effective_policy.version);
+      }
+      VirtualWorld::wake(router);
+    }
+  }
+  void mend(int index, int incarnation) {
+    Router& router = of(index);
+    if (router.cut) {
+      router.cut = false;
+      if (router.incarnation == incarnation) {
+        watch(index, incarnation);
+      } else {
+        watch(index, router.incarnation);
+      }
+    }
+  }
+  void expire() {
+    at(now_ + milliseconds(50), [this] {
+      ledger_.expire(store_ms());
+      notify_all();
+      expire();
+    });
+  }
+  void become_calm() {
+    for (int i = 0; i < static_cast<int>(routers_.size()); ++i) {
+      of(i).bad_disk = false;
+      wake(i, of(i).incarnation);
+      mend(i, of(i).incarnation);
+      start(i);  // staff restart those whose disk was full
+    }
+  }
+
+  Defect defect_;
+  ParticipantOptions options_;
+  RolloutTimeouts timeouts_;
+  coordination::Ledger ledger_{coordination::Limits{}};
+  std::deque<Router> routers_;
+  std::optional<RolloutCoordinator> coordinator_;
+  std::uint64_t last_version_ = 0;
+  std::uint64_t newest_ = 0;
+  std::set<std::uint64_t> aborted_;
+  WorldReport report_;
+};
+
+TEST(PolicyWorldTest, NoRequestIsDecidedUnderThePreviousVersionAfterOneUnderTheTarget) {
+  const auto seeds = testing_support::seeds_to_play(40);
+  WorldReport sum;
+  for (std::uint64_t seed = seeds.first; seed <= seeds.last; ++seed) {
+    const WorldReport report = World(seed, Defect::kNone).run();
+    ASSERT_EQ(report.broken, "") << "TRAILCOURSE_SEED=" << seed;
+    sum.decided += report.decided;
+    sum.in_doubt += report.in_doubt;
+    sum.refused += report.refused;
+    sum.changes += report.changes;
+    sum.commits += report.commits;
+    sum.aborts += report.aborts;
+  }
+  std::printf("%llu changes, %llu commits, %llu aborts; %llu requests decided, %llu by both, %llu refused\n",
+              static_cast<unsigned long long>(sum.changes), static_cast<unsigned long long>(sum.commits),
+              static_cast<unsigned long long>(sum.aborts), static_cast<unsigned long long>(sum.decided),
+              static_cast<unsigned long long>(sum.in_doubt), static_cast<unsigned long long>(sum.refused));
+  EXPECT_GT(sum.commits, 10U);
+  EXPECT_GT(sum.aborts, 0U);
+}
+
+TEST(PolicyWorldTest, EachSeededDefectIsFound) {
+  const std::map<Defect, std::string> expected{{Defect::kCommitEarly, "after a request was decided"},
+                                               {Defect::kTimedFromAnswer, "after a request was decided"},
+                                               {Defect::kJoinUnseen, "decides under version"},
+                                               {Defect::kAbortedKept, "aborted"}};
+  for (const auto& [defect, words] : expected) {
+    const std::string found = testing_support::find_failure(1, 400, words, [&](std::uint64_t seed) {
+                                return World(seed, defect).run().broken;
+                              }).failure;
+    EXPECT_NE(found.find(words), std::string::npos)
+        << "defect " << static_cast<int>(defect) << " was not found: '" << found << "'";
+  }
+}
+
+}  // namespace
+}  // namespace trailcourse::policy
--- /dev/null
+++ b/tests/rollout_test.cpp
@@ -0,0 +1,262 @@
+// Rollouts of a policy: the transitions that the coordinator decides on, when one may begin, and the stored
+// records.
+#include <gtest/gtest.h>
+
+#include <random>
+
+#include "policy/participant_report.h"
+#include "policy/rollout_coordinator.h"
+#include "policy/rollout_transactions.h"
+
+namespace trailcourse::policy {
+namespace {
+
+using std::chrono::milliseconds;
+using std::chrono::seconds;
+
+class RolloutCoordinatorTest : public testing::Test {
+ protected:
+  RolloutCoordinatorTest() {
+    Rollout rollout;
+    rollout.id = 3;
+    rollout.target_version = 8;
+    rollout.previous_version = 7;
+    snapshot.rollout = rollout;
+    snapshot.rollout_revision = 40;
+    snapshot.current_version = 7;
+    snapshot.reports["a"] = report("edge");
+    snapshot.reports["b"] = report("edge");
+  }
+  static ParticipantReport report(const std::string& zone) {
+    ParticipantReport out;
+    out.zone = zone;
+    out.version = 7;
+    return out;
+  }
+  std::uint64_t stage() const { return stage_id(*snapshot.rollout); }
+  void ready(const std::string& name) { snapshot.reports[name].ready_stage = stage(); }
+  void suspended(const std::string& name) { snapshot.reports[name].suspended_stage = stage(); }
+  // Carries the step out, as the store would.
+  void apply(const RolloutStep& transition) {
+    snapshot.rollout = transition.rollout;
+    ++snapshot.rollout_revision;
+  }
+
+  RolloutCoordinator coordinator{RolloutTimeouts{}};
+  RolloutSnapshot snapshot;
+  Micros now{0};
+};
+
+TEST_F(RolloutCoordinatorTest, APendingAggregatorIsDescribedWithTheRouterThatItWaitsFor) {
+  snapshot.reports.clear();
+  snapshot.reports["a1.edge/9"] = report("edge");
+  snapshot.reports["a1.edge/9"].represented_routers = 40;
+  snapshot.reports["a1.edge/9"].waiting_for = "r7";
+  const std::vector<std::string> lines = describe_pending(snapshot);
+  ASSERT_EQ(lines.size(), 1U);
+  EXPECT_EQ(lines[0], "a1.edge for 40 routers, among them r7, is to say that it is ready");
+}
+
+TEST_F(RolloutCoordinatorTest, CommitsOnlyOnceAllAreReadyAndThenSuspended) {
+  EXPECT_FALSE(coordinator.step(now, snapshot));
+  EXPECT_EQ(describe_pending(snapshot).size(), 2U);
+  ready("a");
+  EXPECT_FALSE(coordinator.step(now, snapshot));
+  ready("b");
+  auto transition = coordinator.step(now, snapshot);
+  ASSERT_TRUE(transition);
+  EXPECT_EQ(transition->rollout.state, RolloutState::kSuspending);
+  EXPECT_FALSE(transition->commit);
+  apply(*transition);
+  suspended("a");
+  EXPECT_FALSE(coordinator.step(now, snapshot));
+  // The other one's permission runs out: it does not decide, and is not waited for.
+  snapshot.reports.erase("b");
+  transition = coordinator.step(now, snapshot);
+  ASSERT_TRUE(transition);
+  EXPECT_TRUE(transition->commit);
+  apply(*transition);
+  EXPECT_FALSE(coordinator.step(now, snapshot));
+  snapshot.reports["a"].version = 8;
+  EXPECT_FALSE(coordinator.step(now, snapshot)) << "it says that it holds still";
+  snapshot.reports["a"].suspended_stage = 0;
+  transition = coordinator.step(now, snapshot);
+  ASSERT_TRUE(transition);
+  EXPECT_EQ(transition->rollout.state, RolloutState::kDone);
+}
+
+TEST_F(RolloutCoordinatorTest, ARejectionOrATimeoutAborts) {
+  ready("a");
+  snapshot.reports["b"].rejected_stage = stage();
+  snapshot.reports["b"].rejection_reason = "full disk";
+  auto transition = coordinator.step(now, snapshot);
+  ASSERT_TRUE(transition);
+  EXPECT_EQ(transition->rollout.state, RolloutState::kAborted);
+  EXPECT_EQ(transition->rollout.reason, "b says no: full disk");
+  snapshot.reports["b"].rejected_stage = 0;
+  EXPECT_FALSE(coordinator.step(now, snapshot));
+  ASSERT_TRUE(coordinator.next_step_at());
+  transition = coordinator.step(*coordinator.next_step_at(), snapshot);
+  ASSERT_TRUE(transition);
+  EXPECT_EQ(transition->rollout.reason, "not ready in time: b");
+}
+
+TEST_F(RolloutCoordinatorTest, ARejectionOfAnEarlierRolloutIsIgnored) {
+  ready("a");
+  ready("b");
+  snapshot.reports["b"].rejected_stage = stage() - 1'000;
+  const auto transition = coordinator.step(now, snapshot);
+  ASSERT_TRUE(transition);
+  EXPECT_EQ(transition->rollout.state, RolloutState::kSuspending);
+}
+
+TEST_F(RolloutCoordinatorTest, StagesFollowZoneByZoneAndAllOtherZonesAtTheEnd) {
+  snapshot.rollout->stages = {"edge"};
+  snapshot.rollout->watch_time = milliseconds(1'000);
+  snapshot.reports["c"] = report("west");
+  ready("a");
+  ready("b");
+  apply(*coordinator.step(now, snapshot));
+  suspended("a");
+  suspended("b");
+  auto transition = coordinator.step(now, snapshot);
+  ASSERT_TRUE(transition);
+  EXPECT_TRUE(transition->commit) << "the other zone is not asked";
+  apply(*transition);
+  for (const char* name : {"a", "b"}) {
+    snapshot.reports[name] = report("edge");
+    snapshot.reports[name].version = 8;
+  }
+  apply(*coordinator.step(now, snapshot));
+  EXPECT_EQ(snapshot.rollout->state, RolloutState::kWatching);
+  EXPECT_FALSE(coordinator.step(now, snapshot));
+  now += seconds(1);
+  apply(*coordinator.step(now, snapshot));
+  EXPECT_EQ(snapshot.rollout->state, RolloutState::kPreparing);
+  EXPECT_EQ(snapshot.rollout->stage, 1U);
+  EXPECT_FALSE(coordinator.step(now, snapshot));
+  ready("c");
+  apply(*coordinator.step(now, snapshot));
+  suspended("c");
+  transition = coordinator.step(now, snapshot);
+  ASSERT_TRUE(transition);
+  EXPECT_TRUE(transition->commit);
+}
+
+TEST_F(RolloutCoordinatorTest, AStageOverItsRejectedShareIsReverted) {
+  snapshot.rollout->stages = {"edge"};
+  snapshot.rollout->watch_time = milliseconds(60'000);
+  snapshot.rollout->max_rejected_share = 0.1;
+  snapshot.rollout->state = RolloutState::kWatching;
+  for (const char* name : {"a", "b"}) {
+    snapshot.reports[name].version = 8;
+    snapshot.reports[name].requests = 1'000;
+    snapshot.reports[name].failed_requests = 900;  // before: does not count
+  }
+  EXPECT_FALSE(coordinator.step(now, snapshot));
+  snapshot.reports["a"].requests += 50;
+  snapshot.reports["a"].failed_requests += 4;
+  EXPECT_FALSE(coordinator.step(now, snapshot));
+  snapshot.reports["b"].requests += 50;
+  snapshot.reports["b"].failed_requests += 20;
+  const auto transition = coordinator.step(now, snapshot);
+  ASSERT_TRUE(transition);
+  EXPECT_EQ(transition->rollout.id, 4U);
+  EXPECT_EQ(transition->rollout.target_version, 7U);
+  EXPECT_EQ(transition->rollout.state, RolloutState::kPreparing);
+}
+
+TEST_F(RolloutCoordinatorTest, OnlyAnUrgentRolloutSupersedesOneThatHasNotCommitted) {
+  const auto refused = check_can_begin(snapshot, false);
+  ASSERT_FALSE(refused.has_value());
+  EXPECT_EQ(describe(refused.error()), "change 3 to version 8 is preparing; wait, abort it, or say --urgent");
+  const auto urgent = check_can_begin(snapshot, true);
+  ASSERT_TRUE(urgent.has_value());
+  EXPECT_EQ(*urgent, RolloutStart::kSupersedes);
+
+  snapshot.rollout->state = RolloutState::kCommitted;
+  const auto too_late = check_can_begin(snapshot, true);
+  ASSERT_FALSE(too_late.has_value());
+  EXPECT_EQ(describe(too_late.error()), "change 3 to version 8 is committed and has committed");
+
+  snapshot.rollout->state = RolloutState::kDone;
+  const auto idle = check_can_begin(snapshot, false);
+  ASSERT_TRUE(idle.has_value());
+  EXPECT_EQ(*idle, RolloutStart::kIdle);
+}
+
+TEST(RolloutRecordTest, MutatedRecordsAreReadValidOrNotAtAll) {
+  Rollout rollout;
+  rollout.id = 3;
+  rollout.target_version = 8;
+  rollout.stages = {"edge", "west"};
+  rollout.stage = 1;
+  EXPECT_EQ(read_rollout(write_rollout(rollout)), rollout);
+  ParticipantReport report;
+  report.zone = "edge";
+  report.suspended_stage = 3'000;
+  EXPECT_EQ(read_report(write_report(report)), report);
+  std::mt19937_64 random(6);
+  int refused = 0;
+  for (int round = 0; round < 3'000; ++round) {
+    std::string text = write_rollout(rollout);
+    text[random() % text.size()] = "0123456789\"{}[]:,-x"[random() % 19];
+    const auto read = read_rollout(text);
+    refused += read ? 0 : 1;
+    EXPECT_TRUE(!read || (read->id > 0 && read->target_version != read->previous_version &&
+                          read->stage <= read->stages.size()));
+  }
+  EXPECT_GT(refused, 300);
+}
+
+// The texts that earlier versions of the program wrote and read beside this one.
+TEST(RolloutRecordTest, StoredFormIsThatOfEarlierVersions) {
+  Rollout rollout;
+  rollout.id = 3;
+  rollout.target_version = 8;
+  rollout.previous_version = 7;
+  rollout.state = RolloutState::kSuspending;
+  rollout.urgent = true;
+  rollout.stages = {"edge", "west"};
+  rollout.stage = 1;
+  rollout.watch_time = milliseconds(1'500);
+  rollout.max_rejected_share = 0.25;
+  rollout.reason = "full disk";
+  rollout.author = "ops";
+  const std::string text =
+      R"({"before":7,"by":"ops","id":3,"most_refused":0.25,"stage":1,"stages":["edge","west"],)"
+      R"("state":"holding","urgent":true,"version":8,"watch_ms":1500,"why":"full disk"})";
+  EXPECT_EQ(write_rollout(rollout), text);
+  EXPECT_EQ(read_rollout(text), rollout);
+}
+
+TEST(ParticipantReportTest, StoredFormIsThatOfEarlierVersions) {
+  ParticipantReport report;
+  report.incarnation = "i1";
+  report.zone = "edge";
+  report.version = 7;
+  report.ready_stage = 3'000;
+  report.suspended_stage = 3'000;
+  report.rejected_stage = 2'000;
+  report.rejection_reason = "full disk";
+  report.requests = 50;
+  report.failed_requests = 4;
+  const std::string short_text =
+      R"({"held":3000,"incarnation":"i1","no":2000,"ready":3000,"refused":4,"requests":50,)"
+      R"("version":7,"why":"full disk","zone":"edge"})";
+  EXPECT_EQ(write_report(report), short_text);
+  EXPECT_EQ(read_report(short_text), report);
+
+  report.sequence = 9;
+  report.represented_routers = 40;
+  report.waiting_for = "r7";
+  report.acknowledged_round = 5;
+  const std::string summary_text =
+      R"({"acknowledged":5,"awaits":"r7","held":3000,"incarnation":"i1","no":2000,"number":9,"ready":3000,)"
+      R"("refused":4,"requests":50,"routers":40,"version":7,"why":"full disk","zone":"edge"})";
+  EXPECT_EQ(write_report(report), summary_text);
+  EXPECT_EQ(read_report(summary_text), report);
+}
+
+}  // namespace
+}  // namespace trailcourse::policy
