--- a/benchmarks/scale/hollow_board.cpp
+++ b/benchmarks/scale/hollow_board.cpp
@@ -9,7 +9,7 @@
 }  // namespace
 
 void HollowBoard::publish(std::uint64_t events) {
-  position_.event += events;
+  position_.sequence += events;
   for (const auto& [serial, follower] : followers_) {
     tell(follower);
   }
@@ -17,7 +17,7 @@
 
 void HollowBoard::catch_up(Node& node) {
   const auto found = followers_.find(node.serial());
-  if (found != followers_.end() && position_.event > 0) {
+  if (found != followers_.end() && position_.sequence > 0) {
     tell(found->second);
   }
 }
--- a/benchmarks/scale/hollow_driver.cpp
+++ b/benchmarks/scale/hollow_driver.cpp
@@ -149,7 +149,7 @@
                            Stepped stepped)
     : HollowStoreDriver(simulation, store, "driver"),
       rules_(rules),
-      driver_(rules),
+      coordinator_(rules),
       stepped_(std::move(stepped)) {}
 
 void HollowDriver::started() {
--- a/src/tasks/policy_follower.h
+++ b/src/tasks/policy_follower.h
@@ -12,6 +12,7 @@
 #include <string>
 
 #include "coordination/shared_store.h"
+#include "policy/document.h"
 #include "policy/options.h"
 #include "policy/participant.h"
 #include "protocol/settings.h"
--- a/tests/acknowledgement_test.cpp
+++ b/tests/acknowledgement_test.cpp
@@ -114,7 +114,7 @@
 TEST(AcknowledgementCoordinatorTest, AResetRecordRequestsNothingUntilTheNextRound) {
   const Acknowledgement none = reset_acknowledgement({4, at(900), at(850)});
   EXPECT_EQ(none.round, 5U);
-  EXPECT_TRUE(at(0, "").covers(none.asked));
+  EXPECT_TRUE(at(0, "").covers(none.requested));
   AcknowledgementCoordinator coordinator(kMinRoundInterval);
   EXPECT_EQ(*coordinator.step(kStart, seen(none, {5}), at(2)), (Acknowledgement{6, at(2), at(0)}));
 }
--- a/tests/aggregation_world_test.cpp
+++ b/tests/aggregation_world_test.cpp
@@ -759,7 +759,7 @@
   void join(RouterProcess& one, const policy::LeaseAction& ask, const std::function<void()>& lost) {
     const LeaseId lease = one.lease;
     Transaction write = permit_write(one, ask.report, lease);
-    write.when = policy::join_conditions("", ask.known, one.zone);
+    write.when = policy::join_conditions("", ask.observed, one.zone);
     const int endpoint = one.endpoint;
     call_aggregator<Outcome>(
         one,
@@ -809,7 +809,7 @@
       if (ledger_.revision() >= driver_floor_) {
         const auto seen = policy::read_acknowledgement_snapshot(
             "", ledger_.commit(policy::acknowledgement_snapshot_transaction("")));
-        if (const auto next = acknowledgements_.next(now_, seen, board_)) {
+        if (const auto next = acknowledgements_.step(now_, seen, board_)) {
           record(policy::write_acknowledgement_transaction("", seen, *next), *next);
         }
       }
