--- /dev/null
+++ b/src/aggregation/report_summary.cpp
@@ -0,0 +1,130 @@
+#include "aggregation/report_summary.h"
+
+#include <algorithm>
+
+namespace trailcourse::aggregation {
+
+using policy::ObservedState;
+using policy::ParticipantReport;
+using policy::Rollout;
+using policy::RolloutState;
+
+namespace {
+
+// The step of the open rollout that routers of the zone take part in; 0 if there is none.
+std::uint64_t open_step(const ObservedState& observed, const std::string& zone) {
+  const std::optional<Rollout>& rollout = observed.rollout;
+  return rollout && rollout->is_open() && rollout->applies_to(zone) ? policy::stage_id(*rollout) : 0;
+}
+
+// The report of a router that has done all that is requested.
+ParticipantReport completed_report(const ObservedState& observed, const std::string& zone) {
+  ParticipantReport out;
+  out.zone = zone;
+  out.version = observed.version;
+  const std::uint64_t step = open_step(observed, zone);
+  if (step == 0) {
+    return out;
+  }
+  const RolloutState state = observed.rollout->state;
+  const bool suspending = state == RolloutState::kSuspending;
+  out.ready_stage = suspending || state == RolloutState::kPreparing ? step : 0;
+  out.suspended_stage = suspending ? step : 0;
+  return out;
+}
+
+bool is_complete(const ParticipantReport& report, const ParticipantReport& completed) {
+  return report.version == completed.version && report.suspended_stage == completed.suspended_stage &&
+         (completed.ready_stage == 0 || report.ready_stage == completed.ready_stage);
+}
+
+// The version that a router decides under and the step that it is suspended for. The two belong together: a
+// summary takes both from the same report.
+struct VersionAndStep {
+  std::uint64_t version = 0;
+  std::uint64_t suspended_step = 0;
+
+  friend bool operator==(const VersionAndStep&, const VersionAndStep&) = default;
+};
+VersionAndStep version_and_step_of(const ParticipantReport& report) {
+  return {report.version, report.suspended_stage};
+}
+
+// Whether the aggregator has observed the commit or the abort of the step.
+bool is_settled(const ObservedState& observed, std::uint64_t step) {
+  if (!observed.rollout || step == 0) {
+    return false;
+  }
+  const std::uint64_t observed_step = policy::stage_id(*observed.rollout);
+  const RolloutState state = observed.rollout->state;
+  const bool settled = state != RolloutState::kPreparing && state != RolloutState::kSuspending;
+  return step < observed_step || (step == observed_step && settled);
+}
+
+// Whether the coordinator cannot mistake the report of this one router for that of all. A router may have
+// observed a step that the aggregator has not, and a router that joins later starts from the aggregator's
+// state.
+bool may_stand_for_all(const ObservedState& observed, const std::string& zone,
+                       const ParticipantReport& report) {
+  if (report.suspended_stage != 0) {
+    return is_settled(observed, report.suspended_stage);
+  }
+  const bool is_target = open_step(observed, zone) != 0 && report.version == observed.rollout->target_version;
+  return report.version == observed.version && !is_target;
+}
+
+VersionAndStep common_version_and_step(const ObservedState& observed, const ParticipantReport& completed,
+                                       const RouterReports& routers) {
+  VersionAndStep out = version_and_step_of(completed);
+  bool all_complete = true;
+  for (const auto& [lease, router] : routers) {
+    const VersionAndStep reported = version_and_step_of(router.report);
+    if (reported == version_and_step_of(completed)) {
+      continue;
+    }
+    if (may_stand_for_all(observed, completed.zone, router.report)) {
+      return reported;
+    }
+    out.version = all_complete ? reported.version : out.version;
+    out.suspended_step = kRoutersDiffer;
+    all_complete = false;
+  }
+  return out;
+}
+
+// Adds one router's report to the summary.
+void merge(ParticipantReport& summary, const RouterReport& router, const ParticipantReport& completed,
+           std::uint64_t round) {
+  const ParticipantReport& report = router.report;
+  // 0 and never an earlier step, so that the rollout is not taken to be prepared too early.
+  summary.ready_stage = report.ready_stage == completed.ready_stage ? summary.ready_stage : 0;
+  // Also for a step that the aggregator has not observed: a rejection must not wait for its watch.
+  if (report.rejected_stage > summary.rejected_stage) {
+    summary.rejected_stage = report.rejected_stage;
+    summary.rejection_reason = router.router + ": " + report.rejection_reason;
+  }
+  summary.acknowledged_round = std::min(summary.acknowledged_round, report.acknowledged_round);
+  const bool awaited = !is_complete(report, completed) || report.acknowledged_round < round;
+  if (summary.waiting_for.empty() && awaited) {
+    summary.waiting_for = router.router;
+  }
+}
+
+}  // namespace
+
+ParticipantReport summarize(const ObservedState& observed, const std::string& zone,
+                            const RouterReports& routers) {
+  const ParticipantReport completed = completed_report(observed, zone);
+  const VersionAndStep common = common_version_and_step(observed, completed, routers);
+  ParticipantReport out = completed;
+  out.version = common.version;
+  out.suspended_stage = common.suspended_step;
+  out.acknowledged_round = observed.acknowledgement.round;
+  for (const auto& [lease, router] : routers) {
+    merge(out, router, completed, observed.acknowledgement.round);
+  }
+  out.represented_routers = routers.size();
+  return out;
+}
+
+}  // namespace trailcourse::aggregation
--- a/tests/acknowledgement_test.cpp
+++ b/tests/acknowledgement_test.cpp
@@ -6,7 +6,7 @@
 #include <random>
 
 #include "aggregation/aggregator.h"
-#include "aggregation/permit_summary.h"
+#include "aggregation/report_summary.h"
 #include "aggregation/router_leases.h"
 #include "coordination/ledger.h"
 #include "policy/acknowledgement_coordinator.h"
@@ -15,7 +15,7 @@
 namespace trailcourse::policy {
 namespace {
 
-using aggregation::Refused;
+using aggregation::RequestRejected;
 using aggregation::RouterLeases;
 using coordination::LeaseId;
 
@@ -245,14 +245,14 @@
 }
 
 TEST(AcknowledgingSummaryTest, AcknowledgesTheLowestRoundOfItsRouters) {
-  aggregation::RouterPermits routers;
+  aggregation::RouterReports routers;
   EXPECT_EQ(summarize(asking(5), "edge", routers).acknowledged_round, 5U) << "nobody is there to be awaited";
   routers[1] = {"r1", acknowledging(5)};
   routers[2] = {"r2", acknowledging(4)};
   const ParticipantReport summary = summarize(asking(5), "edge", routers);
   EXPECT_EQ(summary.acknowledged_round, 4U);
   EXPECT_EQ(summary.waiting_for, "r2");
-  routers[2].permit.acknowledged_round = 6;
+  routers[2].report.acknowledged_round = 6;
   EXPECT_EQ(summarize(asking(5), "edge", routers).acknowledged_round, 5U)
       << "no more than it has observed itself";
 }
@@ -260,7 +260,7 @@
 TEST(AcknowledgingSummaryTest, RandomSetsOfRoutersGiveTheMinimumAndNeverGoBack) {
   std::mt19937 random(23);
   for (int run = 0; run < 2'000; ++run) {
-    aggregation::RouterPermits routers;
+    aggregation::RouterReports routers;
     std::uint64_t least = 9;
     for (LeaseId lease = 1; lease <= 1 + random() % 6; ++lease) {
       const std::uint64_t round = random() % 9;
@@ -271,8 +271,8 @@
   }
 }
 
-// Rounds go on while an aggregator joins: it joins all the same, and gives no permission before it has heard
-// of the record that stood there then.
+// Rounds go on while an aggregator joins: it joins all the same, and grants no lease before it has observed
+// the record that stood there then.
 TEST(AcknowledgingAggregatorTest, GrantsNoLeaseBeforeItHasObservedTheRecordThatItJoinedBehind) {
   constexpr Micros kTtl{3'000'000};
   coordination::Ledger store{coordination::Limits{}};
@@ -282,53 +282,53 @@
   write(kCurrentKey, "0");
   write(kAcknowledgedKey, write_acknowledgement({1, at(5), at(0)}));
   const coordination::Range records{kPolicyPrefix, true};
-  aggregation::AggregatorRules rules;
-  rules.lease.ttl = Micros(4'000'000);
-  aggregation::Aggregator aggregator(rules, {"east", "i1", {"edge"}, ""}, 1);
-  aggregator.mirror(store.get(records));
-  aggregator.heard(true);
+  aggregation::AggregatorSettings settings;
+  settings.lease.ttl = Micros(4'000'000);
+  aggregation::Aggregator aggregator(settings, {"east", "i1", {"edge"}, ""}, 1);
+  aggregator.on_snapshot(store.get(records));
+  aggregator.set_connected(true);
   store.changes();
   write(kAcknowledgedKey, write_acknowledgement({2, at(9), at(5)}));
-  const auto ask = std::get<aggregation::AskPermission>(aggregator.due(kStart).front());
+  const auto action = std::get<aggregation::LeaseAction>(aggregator.step(kStart).front());
   const LeaseId lease = store.grant(0, 4'000, 0);
   const auto joined =
-      aggregation::read_joined(store.commit(aggregation::join_transaction("", "east", lease, ask)));
-  ASSERT_TRUE(joined.joined);
-  aggregator.uplink().joined(kStart, ask.order.number, joined);
-  EXPECT_THROW(aggregator.grant(kStart, kTtl), Refused);
-  aggregator.follow(store.changes());
+      aggregation::read_join_result(store.commit(aggregation::join_transaction("", "east", lease, action)));
+  ASSERT_EQ(joined.status, aggregation::JoinResult::Status::kJoined);
+  aggregator.upstream().on_join_result(kStart, action.call.number, joined);
+  EXPECT_THROW(aggregator.grant(kStart, kTtl), RequestRejected);
+  aggregator.on_changes(store.changes());
   EXPECT_NO_THROW(aggregator.grant(kStart, kTtl));
 }
 
 TEST(AcknowledgingAggregatorTest, HasNoNextStepWhileTheStoreIsDisconnected) {
-  aggregation::Aggregator aggregator(aggregation::AggregatorRules{}, {"east", "i1", {"edge"}, ""}, 1);
-  aggregator.heard(false);
-  EXPECT_FALSE(aggregator.next(kStart).has_value());
-  aggregator.heard(true);
-  EXPECT_TRUE(aggregator.next(kStart).has_value());
+  aggregation::Aggregator aggregator(aggregation::AggregatorSettings{}, {"east", "i1", {"edge"}, ""}, 1);
+  aggregator.set_connected(false);
+  EXPECT_FALSE(aggregator.next_step_at(kStart).has_value());
+  aggregator.set_connected(true);
+  EXPECT_TRUE(aggregator.next_step_at(kStart).has_value());
 }
 
 TEST(AcknowledgingLeasesTest, NoRouterJoinsBehindAReportedRoundAndNoneReportsLess) {
   constexpr Micros kUntil{60'000'000};
   constexpr Micros kTtl{3'000'000};
-  RouterLeases leases(aggregation::RouterLeaseRules{}, 1);
-  leases.claim("edge", 5);
-  leases.claim("edge", 3);
+  RouterLeases leases(aggregation::RouterLeaseOptions{}, 1);
+  leases.set_min_acknowledged("edge", 5);
+  leases.set_min_acknowledged("edge", 3);
   const LeaseId late = leases.grant(kStart, kTtl, kUntil);
-  const auto refused = [&](LeaseId lease, std::uint64_t round) {
+  const auto is_rejected = [&](LeaseId lease, std::uint64_t round) {
     try {
-      leases.say("r1", lease, acknowledging(round));
-    } catch (const Refused& error) {
-      return error.why() == Refused::Why::kBackwards;
+      leases.record_report(lease, {"r1", acknowledging(round)});
+    } catch (const RequestRejected& error) {
+      return error.reason() == RequestRejected::Reason::kOutOfOrder;
     }
     return false;
   };
-  EXPECT_TRUE(refused(late, 4));
-  EXPECT_TRUE(leases.permits("edge").empty()) << "a rejected report changes nothing";
-  leases.say("r1", late, acknowledging(5));
-  leases.say("r1", late, acknowledging(7));
-  EXPECT_TRUE(refused(late, 6));
-  EXPECT_EQ(leases.permits("edge").at(late).permit.acknowledged_round, 7U);
+  EXPECT_TRUE(is_rejected(late, 4));
+  EXPECT_TRUE(leases.reports("edge").empty()) << "a rejected report changes nothing";
+  leases.record_report(late, {"r1", acknowledging(5)});
+  leases.record_report(late, {"r1", acknowledging(7)});
+  EXPECT_TRUE(is_rejected(late, 6));
+  EXPECT_EQ(leases.reports("edge").at(late).report.acknowledged_round, 7U);
 }
 
 }  // namespace
