--- a/src/aggregation/router_leases.cpp
+++ b/src/aggregation/router_leases.cpp
@@ -5,7 +5,7 @@
 namespace trailcourse::aggregation {
 
 using coordination::LeaseId;
-using policy::Permit;
+using policy::ParticipantReport;
 using Reason = RequestRejected::Reason;
 
 namespace {
@@ -20,10 +20,11 @@
   }
 }
 
-void check_acknowledged(const Permit& report, std::uint64_t min_round) {
-  if (report.acknowledged < min_round) {
-    throw RequestRejected(Reason::kOutOfOrder, "acknowledged: round " + std::to_string(report.acknowledged) +
-                                                   " where " + std::to_string(min_round) + " was said");
+void check_acknowledged(const ParticipantReport& report, std::uint64_t min_round) {
+  if (report.acknowledged_round < min_round) {
+    throw RequestRejected(Reason::kOutOfOrder, "acknowledged: round " +
+                                                   std::to_string(report.acknowledged_round) + " where " +
+                                                   std::to_string(min_round) + " was said");
   }
 }
 
@@ -111,13 +112,13 @@
   if (stored.router != report.router) {
     throw RequestRejected(Reason::kMalformed, "key: of another router than before under this lease");
   }
-  const Permit& before = stored.report;
-  const Permit& after = report.report;
-  if (before.number > 0 && after.number <= before.number) {
-    throw RequestRejected(Reason::kOutOfOrder, "number: " + std::to_string(after.number) + " after " +
-                                                   std::to_string(before.number));
+  const ParticipantReport& before = stored.report;
+  const ParticipantReport& after = report.report;
+  if (before.sequence > 0 && after.sequence <= before.sequence) {
+    throw RequestRejected(Reason::kOutOfOrder, "number: " + std::to_string(after.sequence) + " after " +
+                                                   std::to_string(before.sequence));
   }
-  check_acknowledged(after, before.acknowledged);
+  check_acknowledged(after, before.acknowledged_round);
   count_requests(after.zone, before, after);
   stored.report = after;
 }
@@ -127,10 +128,11 @@
   min_round = std::max(min_round, round);
 }
 
-void RouterLeases::count_requests(const std::string& zone, const Permit& before, const Permit& after) {
+void RouterLeases::count_requests(const std::string& zone, const ParticipantReport& before,
+                                  const ParticipantReport& after) {
   RequestCounts& counts = request_counts_[zone];
   counts.requests += increase(before.requests, after.requests);
-  counts.refused += increase(before.refused, after.refused);
+  counts.refused += increase(before.failed_requests, after.failed_requests);
 }
 
 void RouterLeases::expire(Micros now) {
--- a/src/aggregation/upstream_calls.h
+++ b/src/aggregation/upstream_calls.h
@@ -16,18 +16,18 @@
 
 #include "coordination/types.h"
 #include "ownership/lease.h"
-#include "policy/change.h"
-#include "policy/holder.h"
+#include "policy/participant.h"
+#include "policy/rollout.h"
 
 namespace trailcourse::aggregation {
 
-using ObservedByZone = std::map<std::string, policy::Known>;
-using SummariesByZone = std::map<std::string, policy::Permit>;
+using ObservedByZone = std::map<std::string, policy::ObservedState>;
+using SummariesByZone = std::map<std::string, policy::ParticipantReport>;
 
 // A zone's summary as it is to stand in the store.
 struct ZoneSummary {
   std::string zone;
-  policy::Permit report;
+  policy::ParticipantReport report;
   coordination::Revision expected_revision = 0;  // of the last write of its key; 0: there is no such key
 };
 
--- a/src/aggregation/upstream_lease.cpp
+++ b/src/aggregation/upstream_lease.cpp
@@ -7,8 +7,8 @@
 using ownership::Ask;
 using ownership::Order;
 using ownership::Phase;
-using policy::Known;
-using policy::Permit;
+using policy::ObservedState;
+using policy::ParticipantReport;
 
 namespace {
 
@@ -22,21 +22,21 @@
 constexpr Micros kAwaitsWriteDelay{1'000'000};
 
 // Whether two reports differ at most in what operators read and the coordinator does not.
-bool is_equivalent(Permit left, const Permit& right) {
-  left.number = right.number;
-  left.awaits = right.awaits;
-  left.routers = right.routers;
+bool is_equivalent(ParticipantReport left, const ParticipantReport& right) {
+  left.sequence = right.sequence;
+  left.waiting_for = right.waiting_for;
+  left.represented_routers = right.represented_routers;
   return left == right;
 }
 
 // Whether the coordinator watches the requests of the zone.
 bool is_watched(const ObservedByZone& observed, const std::string& zone) {
   const auto found = observed.find(zone);
-  if (found == observed.end() || !found->second.change) {
+  if (found == observed.end() || !found->second.rollout) {
     return false;
   }
-  const policy::Change& rollout = *found->second.change;
-  return rollout.state == policy::ChangeState::kWatched && rollout.concerns(zone);
+  const policy::Rollout& rollout = *found->second.rollout;
+  return rollout.state == policy::RolloutState::kWatching && rollout.applies_to(zone);
 }
 
 std::optional<Micros> earlier(std::optional<Micros> time, Micros other) {
@@ -66,7 +66,7 @@
     const auto stored = stored_.find(zone);
     if (stored != stored_.end() && stored->second.report && !is_watched(observed, zone)) {
       report.requests = stored->second.report->requests;
-      report.refused = stored->second.report->refused;
+      report.failed_requests = stored->second.report->failed_requests;
     }
   }
   return summaries;
@@ -116,11 +116,11 @@
   return action;
 }
 
-bool UpstreamLease::needs_write(Micros now, StoredSummary& stored, const Permit& report) {
+bool UpstreamLease::needs_write(Micros now, StoredSummary& stored, const ParticipantReport& report) {
   if (!stored.report || !is_equivalent(*stored.report, report)) {
     return true;
   }
-  if (report.awaits == stored.report->awaits) {
+  if (report.waiting_for == stored.report->waiting_for) {
     stored.awaits_differs_since.reset();
     return false;
   }
--- a/tests/aggregation/region_world_aggregators.cpp
+++ b/tests/aggregation/region_world_aggregators.cpp
@@ -60,7 +60,7 @@
     }
     aggregator.watching = true;
     aggregator.last_delivery = std::max(aggregator.last_delivery, now_);
-    return PolicyRecords{store_.get(Range{policy::kRecords, true}), store_.revision()};
+    return PolicyRecords{store_.get(Range{policy::kPolicyPrefix, true}), store_.revision()};
   };
   call_store<PolicyRecords>(
       aggregator, read,
@@ -215,7 +215,7 @@
   constexpr LeaseId kAnyLease = 1;
   for (coordination::Step& operation : transaction.then) {
     if (Put* const put = std::get_if<Put>(&operation)) {
-      put->key = summary_key("", aggregator.name, policy::read_permit(put->value)->zone, kAnyLease);
+      put->key = summary_key("", aggregator.name, policy::read_report(put->value)->zone, kAnyLease);
     }
   }
 }
--- a/tests/aggregation/region_world_coordinators.cpp
+++ b/tests/aggregation/region_world_coordinators.cpp
@@ -5,17 +5,17 @@
 
 namespace trailcourse::aggregation {
 
-using policy::ChangeState;
-using policy::Seen;
+using policy::RolloutSnapshot;
+using policy::RolloutState;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
 namespace {
 
-policy::DriverRules rollout_timeouts() {
-  policy::DriverRules out;
-  out.prepare_most = seconds(6);
-  out.hold_most = seconds(8);
+policy::RolloutTimeouts rollout_timeouts() {
+  policy::RolloutTimeouts out;
+  out.prepare_timeout = seconds(6);
+  out.suspend_timeout = seconds(8);
   return out;
 }
 
@@ -42,18 +42,18 @@
   });
 }
 
-void RegionWorld::advance_rollout(const Seen& snapshot) {
-  const auto step = rollout_coordinator_->next(now_, snapshot);
+void RegionWorld::advance_rollout(const RolloutSnapshot& snapshot) {
+  const auto step = rollout_coordinator_->step(now_, snapshot);
   if (!step) {
     return;
   }
   at(now_ + coordinator_delay(),
-     [this, write = policy::carry_out("", snapshot, *step), step = *step, snapshot] {
+     [this, write = policy::execute_transaction("", snapshot, *step), step = *step, snapshot] {
        store_.expire(store_ms());
        if (store_.commit(write).succeeded) {
          result_.commits += step.commit ? 1 : 0;
-         result_.aborts += step.change.state == ChangeState::kAborted ? 1 : 0;
-         result_.rollbacks += step.change.id != snapshot.change->id ? 1 : 0;
+         result_.aborts += step.rollout.state == RolloutState::kAborted ? 1 : 0;
+         result_.rollbacks += step.rollout.id != snapshot.rollout->id ? 1 : 0;
          record_versions_in_force();
        }
        publish_changes();
@@ -65,26 +65,25 @@
     if (calm_) {
       return;
     }
-    const Seen snapshot = rollout_snapshot();
-    bool superseded = false;
-    if (!store_is_restored_ && policy::may_begin(snapshot, chance(20), superseded).empty()) {
+    const RolloutSnapshot snapshot = rollout_snapshot();
+    if (!store_is_restored_ && policy::check_can_begin(snapshot, chance(20))) {
       propose_rollout(snapshot);
     }
     propose_rollouts();
   });
 }
 
-void RegionWorld::propose_rollout(const Seen& snapshot) {
-  policy::Change rollout;
-  rollout.id = snapshot.change ? snapshot.change->id + 1 : 1;
-  rollout.version = ++last_version_;
-  rollout.before = snapshot.current;
+void RegionWorld::propose_rollout(const RolloutSnapshot& snapshot) {
+  policy::Rollout rollout;
+  rollout.id = snapshot.rollout ? snapshot.rollout->id + 1 : 1;
+  rollout.target_version = ++last_version_;
+  rollout.previous_version = snapshot.current_version;
   if (chance(30)) {
     rollout.stages = {kZoneNames[random_() % kZoneNames.size()]};
-    rollout.watch_ms = 500 + static_cast<std::int64_t>(random_() % 1'500);
-    rollout.most_refused = 0.5;
+    rollout.watch_time = milliseconds(500 + static_cast<std::int64_t>(random_() % 1'500));
+    rollout.max_rejected_share = 0.5;
   }
-  const auto outcome = store_.commit(policy::begin("", snapshot, rollout, "document", ""));
+  const auto outcome = store_.commit(policy::begin_transaction("", snapshot, rollout, "document", ""));
   result_.rollouts += outcome.succeeded ? 1 : 0;
   publish_changes();
 }
@@ -113,9 +112,9 @@
       return;
     }
     deliver(router, [this, &router, position] {
-      if (position.event > router.position.event) {
+      if (position.sequence > router.position.sequence) {
         router.position = position;
-        router.holder->took_in(clock(router), position);
+        router.participant->on_events_applied(clock(router), position);
       }
     });
   });
@@ -126,10 +125,10 @@
     store_.expire(store_ms());
     publish_changes();
     if (store_.revision() >= coordinator_min_revision_) {
-      const auto snapshot =
-          policy::read_acknowledgements_seen("", store_.commit(policy::look_at_acknowledgements("")));
-      if (const auto next = acknowledgement_coordinator_.next(now_, snapshot, published_)) {
-        write_acknowledgement(policy::write_record("", snapshot, *next), *next);
+      const auto snapshot = policy::read_acknowledgement_snapshot(
+          "", store_.commit(policy::acknowledgement_snapshot_transaction("")));
+      if (const auto next = acknowledgement_coordinator_.step(now_, snapshot, published_)) {
+        write_acknowledgement(policy::write_acknowledgement_transaction("", snapshot, *next), *next);
       }
     }
     run_acknowledgement_coordinator();
@@ -142,7 +141,7 @@
     store_.expire(store_ms());
     if (store_.commit(write).succeeded) {
       ++result_.acknowledgement_rounds;
-      completed_event_ = std::max(completed_event_, next.done.event);
+      completed_event_ = std::max(completed_event_, next.completed.sequence);
     }
     publish_changes();
   });
--- a/tests/aggregation/report_summary_test.cpp
+++ b/tests/aggregation/report_summary_test.cpp
@@ -12,31 +12,32 @@
 #include <vector>
 
 #include "aggregation/rollout_states.h"
+#include "policy/rollout_coordinator.h"
 
 namespace trailcourse::aggregation {
 namespace {
 
 using coordination::LeaseId;
-using policy::ChangeState;
-using policy::Known;
-using policy::Permit;
-using SummariesByName = std::map<std::string, Permit>;
+using policy::ObservedState;
+using policy::ParticipantReport;
+using policy::RolloutState;
+using SummariesByName = std::map<std::string, ParticipantReport>;
 
-Permit drawn_report(std::mt19937_64& random, std::uint64_t step) {
-  Permit out;
+ParticipantReport drawn_report(std::mt19937_64& random, std::uint64_t step) {
+  ParticipantReport out;
   out.zone = "edge";
   out.version = random() % 2 == 0 ? kOldVersion : kNewVersion;
   const std::array<std::uint64_t, 4> steps{0, step - 1'000, step, step};
-  out.ready = steps[random() % steps.size()];
-  out.held = steps[random() % steps.size()];
-  out.no = random() % 12 == 0 ? step : 0;
+  out.ready_stage = steps[random() % steps.size()];
+  out.suspended_stage = steps[random() % steps.size()];
+  out.rejected_stage = random() % 12 == 0 ? step : 0;
   return out;
 }
 
 // Returns reports that mostly agree, so that all of them do often enough.
 RouterReports drawn_routers(std::mt19937_64& random, std::uint64_t step) {
   RouterReports out;
-  const Permit common = drawn_report(random, step);
+  const ParticipantReport common = drawn_report(random, step);
   const std::size_t count = random() % 5;
   for (LeaseId lease = 1; lease <= count; ++lease) {
     const bool differs = random() % 6 == 0;
@@ -46,12 +47,12 @@
 }
 
 // Returns the state that the coordinator moves the rollout to on these reports, if any.
-std::optional<ChangeState> next_state(const policy::Change& rollout, const SummariesByName& reports) {
-  policy::Seen seen;
-  seen.change = rollout;
-  seen.permits = reports;
-  const auto step = policy::Driver(policy::DriverRules{}).next(Micros(0), seen);
-  return step ? std::optional<ChangeState>(step->change.state) : std::nullopt;
+std::optional<RolloutState> next_state(const policy::Rollout& rollout, const SummariesByName& reports) {
+  policy::RolloutSnapshot seen;
+  seen.rollout = rollout;
+  seen.reports = reports;
+  const auto step = policy::RolloutCoordinator(policy::RolloutTimeouts{}).step(Micros(0), seen);
+  return step ? std::optional<RolloutState>(step->rollout.state) : std::nullopt;
 }
 
 SummariesByName one_by_one(const RouterReports& routers) {
@@ -67,14 +68,14 @@
   int steps = 0;
   int missed = 0;
   for (int round = 0; round < 50'000; ++round) {
-    const auto state = static_cast<ChangeState>(random() % 3);  // preparing, holding, committed
-    const policy::Change rollout = rollout_in(state);
-    const RouterReports routers = drawn_routers(random, policy::step_of(rollout));
-    const Permit summary = summarize(observed_in(state), "edge", routers);
+    const auto state = static_cast<RolloutState>(random() % 3);  // preparing, holding, committed
+    const policy::Rollout rollout = rollout_in(state);
+    const RouterReports routers = drawn_routers(random, policy::stage_id(rollout));
+    const ParticipantReport summary = summarize(observed_in(state), "edge", routers);
     const auto with_summary = next_state(rollout, {{"a.edge/1", summary}});
     const auto with_each = next_state(rollout, one_by_one(routers));
-    if (with_summary || with_each == ChangeState::kAborted) {
-      ASSERT_EQ(with_summary, with_each) << "round " << round << " " << policy::write_permit(summary);
+    if (with_summary || with_each == RolloutState::kAborted) {
+      ASSERT_EQ(with_summary, with_each) << "round " << round << " " << policy::write_report(summary);
     }
     steps += with_summary ? 1 : 0;
     missed += with_each && !with_summary ? 1 : 0;
@@ -87,31 +88,31 @@
 // Routers may have observed more than their aggregator, by way of another one.
 TEST(ReportSummaryTest, AggregatorThatObservedLessClaimsNoMoreThanEachRouter) {
   struct ObservedStates {
-    ChangeState in_store;
-    ChangeState by_aggregator;
+    RolloutState in_store;
+    RolloutState by_aggregator;
     std::uint64_t rollout_of_aggregator;
   };
   // No rollout is committed before the aggregator has reported its routers as suspended: it observed that
   // much.
-  const std::vector<ObservedStates> cases{{ChangeState::kPreparing, ChangeState::kDone, 2},
-                                          {ChangeState::kPreparing, ChangeState::kHolding, 2},
-                                          {ChangeState::kHolding, ChangeState::kPreparing, 3},
-                                          {ChangeState::kHolding, ChangeState::kAborted, 2},
-                                          {ChangeState::kCommitted, ChangeState::kHolding, 3}};
+  const std::vector<ObservedStates> cases{{RolloutState::kPreparing, RolloutState::kDone, 2},
+                                          {RolloutState::kPreparing, RolloutState::kSuspending, 2},
+                                          {RolloutState::kSuspending, RolloutState::kPreparing, 3},
+                                          {RolloutState::kSuspending, RolloutState::kAborted, 2},
+                                          {RolloutState::kCommitted, RolloutState::kSuspending, 3}};
   std::mt19937_64 random(12);
   for (int round = 0; round < 50'000; ++round) {
     const ObservedStates& states = cases[random() % cases.size()];
-    const policy::Change rollout = rollout_in(states.in_store);
-    const RouterReports routers = drawn_routers(random, policy::step_of(rollout));
-    Known observed = observed_in(states.by_aggregator, states.rollout_of_aggregator);
-    observed.version = states.in_store == ChangeState::kCommitted ? kOldVersion : observed.version;
-    const Permit summary = summarize(observed, "edge", routers);
+    const policy::Rollout rollout = rollout_in(states.in_store);
+    const RouterReports routers = drawn_routers(random, policy::stage_id(rollout));
+    ObservedState observed = observed_in(states.by_aggregator, states.rollout_of_aggregator);
+    observed.version = states.in_store == RolloutState::kCommitted ? kOldVersion : observed.version;
+    const ParticipantReport summary = summarize(observed, "edge", routers);
     const auto with_summary = next_state(rollout, {{"a.edge/1", summary}});
     const auto with_each = next_state(rollout, one_by_one(routers));
-    if (with_summary && *with_summary != ChangeState::kAborted) {
-      ASSERT_EQ(with_summary, with_each) << "round " << round << " " << policy::write_permit(summary);
+    if (with_summary && *with_summary != RolloutState::kAborted) {
+      ASSERT_EQ(with_summary, with_each) << "round " << round << " " << policy::write_report(summary);
     }
-    if (with_each == ChangeState::kAborted) {
+    if (with_each == RolloutState::kAborted) {
       ASSERT_EQ(with_summary, with_each) << "round " << round << ": a router's rejection is not passed on";
     }
   }
@@ -119,59 +120,61 @@
 
 // Otherwise a router that joins from the aggregator's state could decide under the old version, unnoticed.
 TEST(ReportSummaryTest, ClaimsNothingThatTheAggregatorHasNotObserved) {
-  const std::uint64_t step = step_in(ChangeState::kHolding);
+  const std::uint64_t step = step_in(RolloutState::kSuspending);
   RouterReports routers;
   for (LeaseId lease = 1; lease <= 3; ++lease) {
     routers[lease].report.version = kOldVersion;
-    routers[lease].report.ready = step;
-    routers[lease].report.held = step;
+    routers[lease].report.ready_stage = step;
+    routers[lease].report.suspended_stage = step;
   }
-  EXPECT_EQ(summarize(observed_in(ChangeState::kHolding), "edge", routers).held, step);
-  EXPECT_EQ(summarize(observed_in(ChangeState::kPreparing), "edge", routers).held, kRoutersDiffer);
-  EXPECT_EQ(summarize(observed_in(ChangeState::kDone, 2), "edge", routers).ready, 0U);
+  EXPECT_EQ(summarize(observed_in(RolloutState::kSuspending), "edge", routers).suspended_stage, step);
+  EXPECT_EQ(summarize(observed_in(RolloutState::kPreparing), "edge", routers).suspended_stage,
+            kRoutersDiffer);
+  EXPECT_EQ(summarize(observed_in(RolloutState::kDone, 2), "edge", routers).ready_stage, 0U);
 }
 
 TEST(ReportSummaryTest, EmptyZoneReportsAsARouterThatIsComplete) {
-  const std::uint64_t step = step_in(ChangeState::kHolding);
-  const Permit preparing = summarize(observed_in(ChangeState::kPreparing), "edge", {});
+  const std::uint64_t step = step_in(RolloutState::kSuspending);
+  const ParticipantReport preparing = summarize(observed_in(RolloutState::kPreparing), "edge", {});
   EXPECT_EQ(preparing.version, kOldVersion);
-  EXPECT_EQ(preparing.ready, step);
-  EXPECT_EQ(preparing.held, 0U);
-  EXPECT_EQ(summarize(observed_in(ChangeState::kHolding), "edge", {}).held, step);
-  const Permit committed = summarize(observed_in(ChangeState::kCommitted), "edge", {});
+  EXPECT_EQ(preparing.ready_stage, step);
+  EXPECT_EQ(preparing.suspended_stage, 0U);
+  EXPECT_EQ(summarize(observed_in(RolloutState::kSuspending), "edge", {}).suspended_stage, step);
+  const ParticipantReport committed = summarize(observed_in(RolloutState::kCommitted), "edge", {});
   EXPECT_EQ(committed.version, kNewVersion);
-  EXPECT_EQ(committed.held, 0U);
-  EXPECT_EQ(committed.ready, 0U);
-  EXPECT_EQ(committed.routers, 0U);
-  EXPECT_EQ(summarize(Known{}, "edge", {}).version, 0U);
+  EXPECT_EQ(committed.suspended_stage, 0U);
+  EXPECT_EQ(committed.ready_stage, 0U);
+  EXPECT_EQ(committed.represented_routers, 0U);
+  EXPECT_EQ(summarize(ObservedState{}, "edge", {}).version, 0U);
 }
 
 TEST(ReportSummaryTest, StageConcernsItsOwnZoneOnly) {
-  Known observed = observed_in(ChangeState::kHolding);
-  observed.change->stages = {"edge"};
-  const std::uint64_t step = policy::step_of(*observed.change);
-  EXPECT_EQ(summarize(observed, "edge", {}).held, step);
-  EXPECT_EQ(summarize(observed, "west", {}).held, 0U);
-  observed.change->stage = 1;
-  EXPECT_EQ(summarize(observed, "edge", {}).held, 0U);
-  EXPECT_EQ(summarize(observed, "west", {}).held, policy::step_of(*observed.change));
+  ObservedState observed = observed_in(RolloutState::kSuspending);
+  observed.rollout->stages = {"edge"};
+  const std::uint64_t step = policy::stage_id(*observed.rollout);
+  EXPECT_EQ(summarize(observed, "edge", {}).suspended_stage, step);
+  EXPECT_EQ(summarize(observed, "west", {}).suspended_stage, 0U);
+  observed.rollout->stage = 1;
+  EXPECT_EQ(summarize(observed, "edge", {}).suspended_stage, 0U);
+  EXPECT_EQ(summarize(observed, "west", {}).suspended_stage, policy::stage_id(*observed.rollout));
 }
 
 TEST(ReportSummaryTest, NamesTheNumberOfRoutersAndOneThatIsAwaited) {
   RouterReports routers;
-  routers[1] = {"first", Permit{}};
-  routers[2] = {"second", Permit{}};
-  const std::uint64_t step = step_in(ChangeState::kPreparing);
+  routers[1] = {"first", ParticipantReport{}};
+  routers[2] = {"second", ParticipantReport{}};
+  const std::uint64_t step = step_in(RolloutState::kPreparing);
   for (auto& [lease, router] : routers) {
     router.report.version = kOldVersion;
   }
-  routers[1].report.ready = step;
-  const Permit summary = summarize(observed_in(ChangeState::kPreparing), "edge", routers);
-  EXPECT_EQ(summary.routers, 2U);
-  EXPECT_EQ(summary.awaits, "second");
-  routers[2].report.no = step;
-  routers[2].report.why = "full disk";
-  EXPECT_EQ(summarize(observed_in(ChangeState::kPreparing), "edge", routers).why, "second: full disk");
+  routers[1].report.ready_stage = step;
+  const ParticipantReport summary = summarize(observed_in(RolloutState::kPreparing), "edge", routers);
+  EXPECT_EQ(summary.represented_routers, 2U);
+  EXPECT_EQ(summary.waiting_for, "second");
+  routers[2].report.rejected_stage = step;
+  routers[2].report.rejection_reason = "full disk";
+  EXPECT_EQ(summarize(observed_in(RolloutState::kPreparing), "edge", routers).rejection_reason,
+            "second: full disk");
 }
 
 }  // namespace
--- a/tests/aggregation/router_leases_test.cpp
+++ b/tests/aggregation/router_leases_test.cpp
@@ -15,9 +15,9 @@
 using coordination::Put;
 using coordination::Range;
 using coordination::Transaction;
-using policy::ChangeState;
-using policy::Known;
-using policy::Permit;
+using policy::ObservedState;
+using policy::ParticipantReport;
+using policy::RolloutState;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 using Reason = RequestRejected::Reason;
@@ -28,7 +28,7 @@
   EXPECT_TRUE(aggregator_.step(now_).empty());
   expect_rejected(Reason::kNoUpstreamLease, [this] { aggregator_.grant(now_, seconds(3)); });
   expect_rejected(Reason::kNoUpstreamLease, [this] {
-    aggregator_.commit(now_, Transaction{{}, {Get{Range{policy::kRecords, true}}}, {}});
+    aggregator_.commit(now_, Transaction{{}, {Get{Range{policy::kPolicyPrefix, true}}}, {}});
   });
   load_snapshot();
   expect_rejected(Reason::kNoUpstreamLease, [this] { aggregator_.grant(now_, seconds(3)); });
@@ -87,22 +87,22 @@
   execute_steps();
   const LeaseId first = join("r1", "edge");
   const LeaseId second = join("r2", "edge");
-  put_rollout(ChangeState::kPreparing);
+  put_rollout(RolloutState::kPreparing);
   execute_steps();
-  EXPECT_EQ(stored_summary("edge")->ready, 0U);
-  EXPECT_NE(stored_summary("west")->ready, 0U) << "the zone has no routers";
-  Permit ready = report_of("edge");
-  ready.ready = step_in(ChangeState::kPreparing);
+  EXPECT_EQ(stored_summary("edge")->ready_stage, 0U);
+  EXPECT_NE(stored_summary("west")->ready_stage, 0U) << "the zone has no routers";
+  ParticipantReport ready = report_of("edge");
+  ready.ready_stage = step_in(RolloutState::kPreparing);
   aggregator_.commit(now_, report_from("r1", first, ready));
   execute_steps();
-  EXPECT_EQ(stored_summary("edge")->ready, 0U);
+  EXPECT_EQ(stored_summary("edge")->ready_stage, 0U);
   aggregator_.commit(now_, report_from("r2", second, ready));
   execute_steps();
-  EXPECT_EQ(stored_summary("edge")->ready, ready.ready);
+  EXPECT_EQ(stored_summary("edge")->ready_stage, ready.ready_stage);
   // The latest report counts, also where it takes back an earlier one.
   aggregator_.commit(now_, report_from("r1", first, report_of("edge")));
   execute_steps();
-  EXPECT_EQ(stored_summary("edge")->ready, 0U);
+  EXPECT_EQ(stored_summary("edge")->ready_stage, 0U);
 }
 
 // It may still decide under the lease granted here.
@@ -110,14 +110,14 @@
   load_snapshot();
   execute_steps();
   join("r1", "edge");
-  put_rollout(ChangeState::kHolding);
+  put_rollout(RolloutState::kSuspending);
   const Micros ends = now_ + seconds(3);
   for (; now_ < ends; now_ += milliseconds(400)) {
     execute_steps();
-    EXPECT_EQ(stored_summary("edge")->held, 0U);
+    EXPECT_EQ(stored_summary("edge")->suspended_stage, 0U);
   }
   execute_steps();
-  EXPECT_NE(stored_summary("edge")->held, 0U);
+  EXPECT_NE(stored_summary("edge")->suspended_stage, 0U);
   EXPECT_EQ(aggregator_.router_count(), 0U);
 }
 
@@ -127,7 +127,7 @@
   std::mt19937_64 random(4);
   struct Router {
     LeaseId lease = 0;
-    Permit report;
+    ParticipantReport report;
   };
   std::map<std::string, Router> routers;
   std::uint64_t before = 0;
@@ -136,7 +136,7 @@
     const std::string name = "r" + std::to_string(random() % 3);
     const auto found = routers.find(name);
     if (found == routers.end()) {
-      Permit report = report_of("edge");
+      ParticipantReport report = report_of("edge");
       report.requests = random() % 1'000'000;  // served elsewhere
       const LeaseId lease = aggregator_.grant(now_, seconds(3));
       aggregator_.commit(now_, report_from(name, lease, report));
@@ -148,11 +148,11 @@
       auto& [lease, report] = found->second;
       const std::uint64_t more = random() % 100;
       report.requests += more;
-      report.refused += more / 2;
+      report.failed_requests += more / 2;
       added += more;
       aggregator_.commit(now_, report_from(name, lease, report));
     }
-    const Permit summary = aggregator_.summaries().at("edge");
+    const ParticipantReport summary = aggregator_.summaries().at("edge");
     ASSERT_GE(summary.requests, before);
     before = summary.requests;
   }
@@ -162,23 +162,23 @@
 TEST_F(RouterLeasesTest, JoinFailsIfTheRecordsAreNotAsTheRouterObserved) {
   load_snapshot();
   execute_steps();
-  const Known stale = [this] {
-    Known out;
-    out.current_modified = store_.get(Range{policy::kCurrentKey, false}).front().modified;
+  const ObservedState stale = [this] {
+    ObservedState out;
+    out.current_revision = store_.get(Range{policy::kCurrentKey, false}).front().modified;
     return out;
   }();
-  put_rollout(ChangeState::kHolding);
+  put_rollout(RolloutState::kSuspending);
   const LeaseId lease = aggregator_.grant(now_, seconds(3));
   Transaction join = report_from("r1", lease, report_of("edge"));
-  join.when = {coordination::unchanged(policy::kChangeKey, stale.change_modified),
-               coordination::unchanged(policy::kCurrentKey, stale.current_modified)};
+  join.when = {coordination::unchanged(policy::kRolloutKey, stale.rollout_revision),
+               coordination::unchanged(policy::kCurrentKey, stale.current_revision)};
   EXPECT_FALSE(aggregator_.commit(now_, join).succeeded);
-  EXPECT_EQ(aggregator_.summaries().at("edge").routers, 0U);
+  EXPECT_EQ(aggregator_.summaries().at("edge").represented_routers, 0U);
   join.when.front().number = store_.revision();
   EXPECT_EQ(store_.revision(), aggregator_.records().revision())
       << "the aggregator keeps the store's own revisions";
   EXPECT_TRUE(aggregator_.commit(now_, join).succeeded);
-  EXPECT_EQ(aggregator_.summaries().at("edge").routers, 1U);
+  EXPECT_EQ(aggregator_.summaries().at("edge").represented_routers, 1U);
 }
 
 TEST_F(RouterLeasesTest, ReadsAndComparesOnlyThePolicysRecords) {
@@ -187,7 +187,7 @@
   const auto get = [this](const std::string& key, bool prefix) {
     return aggregator_.commit(now_, Transaction{{}, {Get{Range{key, prefix}}}, {}});
   };
-  EXPECT_EQ(get(policy::kRecords, true).steps.front().found.size(), 1U);
+  EXPECT_EQ(get(policy::kPolicyPrefix, true).steps.front().found.size(), 1U);
   for (const char* key : {"", "p", "policy", "permits/", "members/"}) {
     expect_rejected(Reason::kUnsupported, [&] { get(key, true); });
   }
@@ -195,7 +195,7 @@
     aggregator_.commit(now_, Transaction{{coordination::absent("members/r1")}, {}, {}});
   });
   expect_rejected(Reason::kUnsupported, [&] {
-    aggregator_.commit(now_, Transaction{{}, {coordination::Delete{Range{policy::kRecords, true}}}, {}});
+    aggregator_.commit(now_, Transaction{{}, {coordination::Delete{Range{policy::kPolicyPrefix, true}}}, {}});
   });
   expect_rejected(Reason::kUnsupported,
                   [&] { aggregator_.commit(now_, Transaction{{}, {Put{policy::kCurrentKey, "9", 0}}, {}}); });
@@ -208,11 +208,11 @@
   aggregator_.drain();
   expect_rejected(Reason::kNoUpstreamLease, [this] { aggregator_.grant(now_, seconds(3)); });
   expect_rejected(Reason::kNoUpstreamLease, [&] { aggregator_.keep_alive(now_, lease); });
-  put_rollout(ChangeState::kHolding);
-  const Permit suspended = suspended_report("edge");
+  put_rollout(RolloutState::kSuspending);
+  const ParticipantReport suspended = suspended_report("edge");
   EXPECT_TRUE(aggregator_.commit(now_, report_from("r1", lease, suspended)).succeeded);
   execute_steps();
-  EXPECT_EQ(stored_summary("edge")->held, suspended.held);
+  EXPECT_EQ(stored_summary("edge")->suspended_stage, suspended.suspended_stage);
   EXPECT_FALSE(aggregator_.drained());
   now_ += milliseconds(2'999);
   execute_steps();
