--- a/tests/recorded_files_test.cpp
+++ b/tests/recorded_files_test.cpp
@@ -18,7 +18,7 @@
 #include "fencing/token_store.h"
 #include "membership/records.h"
 #include "ownership/work.h"
-#include "policy/change.h"
+#include "policy/rollout.h"
 #include "policy/document.h"
 #include "program/board_server.h"
 #include "program/operator_file.h"
@@ -128,7 +128,7 @@
 
 TEST_F(RecordedFiles, APolicyDocumentIsReadAndWrittenWithTheSameBytes) {
   const std::string bytes = read_file(fixture("policy_document.json"));
-  const policy::Document document = policy::read_document(bytes);
+  const policy::PolicyDocument document = policy::read_document(bytes);
   EXPECT_EQ(document.version, 1U);
   EXPECT_EQ(document.author, "kim");
   EXPECT_EQ(document.reason, "payout evening");
@@ -137,12 +137,12 @@
   EXPECT_EQ(document.content.classes.at("media").give_up_ms, 4'000);
   EXPECT_EQ(document.content.limits.open_requests, 8'000);
   EXPECT_THAT(document.content.limits.work, ElementsAre("probe", "report", "policy"));
-  EXPECT_EQ(policy::write_text(document), bytes);
+  EXPECT_EQ(policy::write_document_text(document), bytes);
 }
 
 TEST_F(RecordedFiles, APolicyDraftIsReadAsTheDocumentThatWasMadeOfIt) {
-  const policy::Document draft = policy::read_draft(read_file(fixture("policy_draft.json")));
-  const policy::Document document = policy::read_document(read_file(fixture("policy_document.json")));
+  const policy::PolicyDocument draft = policy::read_draft(read_file(fixture("policy_draft.json")));
+  const policy::PolicyDocument document = policy::read_document(read_file(fixture("policy_document.json")));
   EXPECT_EQ(draft.content, document.content);
 }
 
@@ -218,11 +218,11 @@
 }
 
 TEST_F(RecordedRegistry, ItsPolicyRolloutIsReadAndWrittenWithTheSameBytes) {
-  const auto rollout = policy::read_change(value("policy/change"));
+  const auto rollout = policy::read_rollout(value("policy/change"));
   ASSERT_TRUE(rollout.has_value());
-  EXPECT_EQ(rollout->version, 1U);
-  EXPECT_EQ(rollout->state, policy::ChangeState::kDone);
-  EXPECT_EQ(policy::write_change(*rollout), value("policy/change"));
+  EXPECT_EQ(rollout->target_version, 1U);
+  EXPECT_EQ(rollout->state, policy::RolloutState::kDone);
+  EXPECT_EQ(policy::write_rollout(*rollout), value("policy/change"));
   EXPECT_EQ(value("policy/current"), "1");
   EXPECT_EQ(value("policy/documents/1"), read_file(fixture("policy_document.json")));
 }
