--- a/benchmarks/cold_start_model.cpp
+++ b/benchmarks/cold_start_model.cpp
@@ -10,8 +10,8 @@
 #include <vector>
 
 #include "fleet/most_within.h"
-#include "startup/asking.h"
-#include "startup/opening.h"
+#include "startup/endpoint_admission.h"
+#include "startup/poll_scheduler.h"
 
 namespace {
 
--- a/benchmarks/scale/board_costs.cpp
+++ b/benchmarks/scale/board_costs.cpp
@@ -5,9 +5,9 @@
 #include <memory>
 #include <string>
 
-#include "board/board_core.h"
-#include "board/page_log.h"
-#include "board/page_server.h"
+#include "discovery/discovery_server.h"
+#include "discovery/event_log.h"
+#include "discovery/long_poll_scheduler.h"
 #include "fleet/ports.h"
 #include "http_peers.h"
 #include "program/board_server.h"
--- a/benchmarks/scale/hollow_start.cpp
+++ b/benchmarks/scale/hollow_start.cpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "fleet/most_within.h"
-#include "startup/asking.h"
+#include "startup/poll_scheduler.h"
 
 namespace trailcourse::scale {
 
--- a/benchmarks/scale/hollow_start.h
+++ b/benchmarks/scale/hollow_start.h
@@ -7,7 +7,7 @@
 #include <cstddef>
 #include <cstdint>
 
-#include "startup/rules.h"
+#include "startup/options.h"
 
 namespace trailcourse::scale {
 
--- a/benchmarks/scale/purge_costs.cpp
+++ b/benchmarks/scale/purge_costs.cpp
@@ -5,8 +5,8 @@
 #include <memory>
 #include <variant>
 
-#include "board/page_log.h"
 #include "decision/purge_times.h"
+#include "discovery/event_log.h"
 #include "protocol/notice_board.h"
 #include "role_costs.h"
 #include "sample_fleet.h"
--- a/benchmarks/scale/router_costs.cpp
+++ b/benchmarks/scale/router_costs.cpp
@@ -6,7 +6,7 @@
 #include <random>
 #include <variant>
 
-#include "board/page_log.h"
+#include "discovery/event_log.h"
 #include "protocol/notice_board.h"
 #include "role_costs.h"
 #include "routing/directory.h"
--- a/src/board/page_server.cpp
+++ b/src/discovery/discovery_server.cpp
@@ -1,4 +1,4 @@
-#include "board/page_server.h"
+#include "discovery/discovery_server.h"
 
 #include <algorithm>
 #include <string_view>
--- a/src/board/page_server.h
+++ b/src/discovery/discovery_server.h
@@ -14,8 +14,8 @@
 #include <string>
 #include <utility>
 
-#include "board/board_core.h"
-#include "board/page_log.h"
+#include "discovery/event_log.h"
+#include "discovery/long_poll_scheduler.h"
 #include "transport/accept_loop.h"
 #include "transport/alarm.h"
 #include "transport/connection.h"
--- a/src/board/page_log.cpp
+++ b/src/discovery/event_log.cpp
@@ -1,4 +1,4 @@
-#include "board/page_log.h"
+#include "discovery/event_log.h"
 
 #include <stdexcept>
 #include <utility>
--- a/src/board/fenced_notice.cpp
+++ b/src/discovery/fenced_event.cpp
@@ -1,4 +1,4 @@
-#include "board/fenced_notice.h"
+#include "discovery/fenced_event.h"
 
 #include "ownership/token.h"
 
--- a/src/board/board_core.cpp
+++ b/src/discovery/long_poll_scheduler.cpp
@@ -1,4 +1,4 @@
-#include "board/board_core.h"
+#include "discovery/long_poll_scheduler.h"
 
 #include <algorithm>
 
--- a/src/program/board_server.cpp
+++ b/src/program/board_server.cpp
@@ -6,7 +6,7 @@
 #include <stdexcept>
 #include <utility>
 
-#include "board/fenced_notice.h"
+#include "discovery/fenced_event.h"
 #include "program/configuration.h"
 #include "store/files.h"
 #include "transport/log.h"
--- a/src/program/board_server.h
+++ b/src/program/board_server.h
@@ -8,8 +8,8 @@
 #include <string>
 #include <utility>
 
-#include "board/page_log.h"
-#include "board/page_server.h"
+#include "discovery/discovery_server.h"
+#include "discovery/event_log.h"
 
 namespace trailcourse::program {
 
--- a/src/program/operator_file.h
+++ b/src/program/operator_file.h
@@ -7,9 +7,9 @@
 #include <vector>
 
 #include "aggregation/options.h"
-#include "board/board_core.h"
 #include "cache_node/node_options.h"
 #include "coordination/options.h"
+#include "discovery/long_poll_scheduler.h"
 #include "policy/options.h"
 #include "program/configuration.h"
 #include "store/options.h"
--- a/src/program/start_options.h
+++ b/src/program/start_options.h
@@ -10,8 +10,8 @@
 #include "coordination/options.h"
 #include "policy/options.h"
 #include "snapshot/snapshot.h"
-#include "startup/rules.h"
-#include "startup/upstream.h"
+#include "startup/options.h"
+#include "startup/relay_selector.h"
 #include "tasks/options.h"
 
 namespace trailcourse::program {
--- a/src/program/start_support.h
+++ b/src/program/start_support.h
@@ -10,17 +10,17 @@
 #include <string>
 #include <vector>
 
-#include "board/page_log.h"
+#include "discovery/event_log.h"
 #include "program/configuration.h"
 #include "routing/board_watcher.h"
 #include "routing/notice_taker.h"
 #include "routing/relay.h"
 #include "routing/router.h"
-#include "snapshot/folder.h"
-#include "snapshot/writer.h"
+#include "snapshot/snapshot_directory.h"
+#include "snapshot/write_scheduler.h"
+#include "startup/endpoint_view.h"
 #include "startup/fleet_size.h"
-#include "startup/gate.h"
-#include "startup/upstream.h"
+#include "startup/relay_selector.h"
 #include "store/executor.h"
 #include "transport/alarm.h"
 #include "transport/mailbox.h"
--- a/src/routing/board_watcher.cpp
+++ b/src/routing/board_watcher.cpp
@@ -90,7 +90,7 @@
 
 Micros BoardWatcher::now() { return std::chrono::duration_cast<Micros>(Clock::now().time_since_epoch()); }
 
-// The board itself is asked only when asking.h says so; a relay, which has few askers, as soon as one may be
+// The board itself is asked only when poll_scheduler.h says so; a relay, which has few askers, as soon as one may be
 // asked.
 Micros BoardWatcher::linger_of(const std::optional<std::string>& relay, Micros at_board) const {
   if (relay) {
--- a/src/routing/board_watcher.h
+++ b/src/routing/board_watcher.h
@@ -1,6 +1,6 @@
 // Watches the notice board, itself or by way of a relay: asks for what is new, again and again. When to ask
-// is decided by startup/asking.h, whom by startup/upstream.h, whether a page goes on from what is known by
-// startup/numbering.h; this carries it out. No request ever waits for it.
+// is decided by startup/poll_scheduler.h, whom by startup/relay_selector.h, whether a page goes on from what
+// is known by startup/sequence_tracker.h; this carries it out. No request ever waits for it.
 #pragma once
 
 #include <cstdint>
@@ -14,9 +14,9 @@
 #include "protocol/http_client.h"
 #include "protocol/settings.h"
 #include "routing/notice_sink.h"
-#include "startup/asking.h"
-#include "startup/numbering.h"
-#include "startup/upstream.h"
+#include "startup/poll_scheduler.h"
+#include "startup/relay_selector.h"
+#include "startup/sequence_tracker.h"
 #include "transport/connection.h"
 #include "transport/scheduler.h"
 
--- a/src/routing/relay.h
+++ b/src/routing/relay.h
@@ -14,8 +14,8 @@
 #include <memory>
 #include <string>
 
-#include "board/page_log.h"
-#include "board/page_server.h"
+#include "discovery/discovery_server.h"
+#include "discovery/event_log.h"
 
 namespace trailcourse::routing {
 
--- a/src/snapshot/snapshot.cpp
+++ b/src/snapshot/snapshot.cpp
@@ -5,7 +5,7 @@
 #include <cstdio>
 #include <stdexcept>
 
-#include "board/page_log.h"
+#include "discovery/event_log.h"
 #include "protocol/numbers.h"
 
 namespace trailcourse::snapshot {
--- a/src/snapshot/folder.cpp
+++ b/src/snapshot/snapshot_directory.cpp
@@ -1,4 +1,4 @@
-#include "snapshot/folder.h"
+#include "snapshot/snapshot_directory.h"
 
 #include <fcntl.h>
 #include <sys/file.h>
--- a/src/snapshot/writer.cpp
+++ b/src/snapshot/write_scheduler.cpp
@@ -1,4 +1,4 @@
-#include "snapshot/writer.h"
+#include "snapshot/write_scheduler.h"
 
 #include <algorithm>
 
--- a/src/startup/opening.cpp
+++ b/src/startup/endpoint_admission.cpp
@@ -1,4 +1,4 @@
-#include "startup/opening.h"
+#include "startup/endpoint_admission.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/startup/opening.h
+++ b/src/startup/endpoint_admission.h
@@ -2,7 +2,7 @@
 // many connections it holds there: together with all other routers never more than that node can accept.
 //
 // A node that appears is held back for a time drawn evenly from a window of 2N/A, for N routers and A
-// connections a second that it accepts from all of them: by the argument of asking.h the sum over the fleet
+// connections a second that it accepts from all of them: by the argument of poll_scheduler.h the sum over the fleet
 // stays within A a second, whatever made them all begin. A node that flaps gets a window twice as long each
 // time; what had been drawn before is not forgotten by its going, so that coming and going never makes an
 // opening sooner. Draining and leaving are never held back.
@@ -17,7 +17,7 @@
 #include <string>
 #include <vector>
 
-#include "startup/rules.h"
+#include "startup/options.h"
 
 namespace trailcourse::startup {
 
--- a/src/startup/gate.cpp
+++ b/src/startup/endpoint_view.cpp
@@ -1,4 +1,4 @@
-#include "startup/gate.h"
+#include "startup/endpoint_view.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/startup/gate.h
+++ b/src/startup/endpoint_view.h
@@ -1,5 +1,5 @@
 // The list and the purges as the decision module is to see them while this router starts, comes back to its
-// board or is in doubt: what opening.h holds back is told as draining, what readiness.h does not allow is not
+// board or is in doubt: what endpoint_admission.h holds back is told as draining, what readiness.h does not allow is not
 // listed at all, and age limits that doubt demands are told as purges. The module chooses among what it is
 // told, as ever.
 //
@@ -17,7 +17,7 @@
 #include <string>
 #include <vector>
 
-#include "startup/opening.h"
+#include "startup/endpoint_admission.h"
 #include "startup/readiness.h"
 
 namespace trailcourse::startup {
--- a/src/startup/rules.cpp
+++ b/src/startup/options.cpp
@@ -1,4 +1,4 @@
-#include "startup/rules.h"
+#include "startup/options.h"
 
 #include <algorithm>
 
--- a/src/startup/asking.cpp
+++ b/src/startup/poll_scheduler.cpp
@@ -1,4 +1,4 @@
-#include "startup/asking.h"
+#include "startup/poll_scheduler.h"
 
 #include <algorithm>
 
--- a/src/startup/asking.h
+++ b/src/startup/poll_scheduler.h
@@ -13,7 +13,7 @@
 #include <cstdint>
 #include <random>
 
-#include "startup/rules.h"
+#include "startup/options.h"
 
 namespace trailcourse::startup {
 
--- a/src/startup/readiness.h
+++ b/src/startup/readiness.h
@@ -17,7 +17,7 @@
 #include <cstdint>
 #include <optional>
 
-#include "startup/rules.h"
+#include "startup/options.h"
 
 namespace trailcourse::startup {
 
--- a/src/startup/upstream.cpp
+++ b/src/startup/relay_selector.cpp
@@ -1,4 +1,4 @@
-#include "startup/upstream.h"
+#include "startup/relay_selector.h"
 
 #include <algorithm>
 
--- a/src/startup/upstream.h
+++ b/src/startup/relay_selector.h
@@ -17,7 +17,7 @@
 #include <string>
 #include <vector>
 
-#include "startup/asking.h"
+#include "startup/poll_scheduler.h"
 
 namespace trailcourse::startup {
 
--- a/src/startup/relay_tree.h
+++ b/src/startup/relay_tree.h
@@ -2,7 +2,7 @@
 // the routers of a zone, the same in the eyes of each. Sorted by the hash of its name the router at place i
 // asks the one at place (i-1)/degree; the first asks the board. A router only ever asks places before its
 // own, so that no circle can form where all hold the same list of peers; where lists differ, pages bear the
-// names that they went through, and ages that only grow (upstream.h).
+// names that they went through, and ages that only grow (relay_selector.h).
 //
 // Package `startup`.
 #pragma once
--- a/src/startup/numbering.cpp
+++ b/src/startup/sequence_tracker.cpp
@@ -1,4 +1,4 @@
-#include "startup/numbering.h"
+#include "startup/sequence_tracker.h"
 
 #include <utility>
 
--- a/src/startup/numbering.h
+++ b/src/startup/sequence_tracker.h
@@ -10,7 +10,7 @@
 #include <optional>
 #include <string>
 
-#include "startup/rules.h"
+#include "startup/options.h"
 
 namespace trailcourse::startup {
 
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -13,14 +13,14 @@
 #include <sstream>
 
 #include "aggregation/options.h"
-#include "board/board_core.h"
 #include "coordination/options.h"
+#include "discovery/long_poll_scheduler.h"
 #include "policy/options.h"
 #include "program/configuration.h"
 #include "program/start_options.h"
 #include "scale/capacity_page.h"
 #include "scale/capacity_page_formula.h"
-#include "startup/rules.h"
+#include "startup/options.h"
 #include "store/options.h"
 #include "tasks/options.h"
 
--- a/tests/board_test.cpp
+++ b/tests/discovery_test.cpp
@@ -6,8 +6,8 @@
 #include <set>
 #include <string>
 
-#include "board/board_core.h"
-#include "board/page_log.h"
+#include "discovery/event_log.h"
+#include "discovery/long_poll_scheduler.h"
 #include "protocol/http_client.h"
 
 namespace trailcourse::board {
--- a/tests/fencing_test.cpp
+++ b/tests/fencing_test.cpp
@@ -8,7 +8,7 @@
 #include <fstream>
 #include <random>
 
-#include "board/fenced_notice.h"
+#include "discovery/fenced_event.h"
 #include "fencing/token_store.h"
 #include "store/files.h"
 
--- a/tests/fleet/cold_start_test.cpp
+++ b/tests/fleet/cold_start_test.cpp
@@ -26,7 +26,7 @@
 using std::chrono::milliseconds;
 using transport::Clock;
 
-// Calls that the fleet may have made in a time, by the bound of startup/asking.h, and what settled routers
+// Calls that the fleet may have made in a time, by the bound of startup/poll_scheduler.h, and what settled routers
 // make.
 std::size_t allowed_calls(int routers, double calls_per_s, Clock::duration time) {
   const double seconds = std::chrono::duration<double>(time).count();
--- a/tests/snapshot_test.cpp
+++ b/tests/snapshot_test.cpp
@@ -12,8 +12,8 @@
 #include <random>
 #include <system_error>
 
-#include "snapshot/folder.h"
-#include "snapshot/writer.h"
+#include "snapshot/snapshot_directory.h"
+#include "snapshot/write_scheduler.h"
 
 namespace trailcourse::snapshot {
 namespace {
--- a/tests/startup_test.cpp
+++ b/tests/startup_test.cpp
@@ -13,14 +13,14 @@
 #include <vector>
 
 #include "fleet/most_within.h"
-#include "startup/asking.h"
+#include "startup/endpoint_admission.h"
+#include "startup/endpoint_view.h"
 #include "startup/fleet_size.h"
-#include "startup/gate.h"
-#include "startup/numbering.h"
-#include "startup/opening.h"
+#include "startup/poll_scheduler.h"
 #include "startup/readiness.h"
+#include "startup/relay_selector.h"
 #include "startup/relay_tree.h"
-#include "startup/upstream.h"
+#include "startup/sequence_tracker.h"
 
 namespace trailcourse::startup {
 namespace {
@@ -38,7 +38,7 @@
   return rules;
 }
 
-// What the bound of asking.h allows in a stretch.
+// What the bound of poll_scheduler.h allows in a stretch.
 double allowed(double rate, Micros stretch) {
   const double mean = rate * static_cast<double>(stretch.count()) * 1e-6;
   return mean + 6.0 * std::sqrt(mean) + 12.0;
