--- a/benchmarks/cold_start_model.cpp
+++ b/benchmarks/cold_start_model.cpp
@@ -29,18 +29,18 @@
 };
 
 // All begin within 3 ms; the board refuses until `back`. Only calls until the first list count.
-Sums start(const AskingRules& rules, int routers, Micros back) {
+Sums start(const PollOptions& rules, int routers, Micros back) {
   struct At {
     Micros at;
     int router;
     bool operator>(const At& other) const { return at > other.at; }
   };
-  std::vector<Asking> machines;
+  std::vector<PollScheduler> machines;
   std::priority_queue<At, std::vector<At>, std::greater<>> queue;
   for (int i = 0; i < routers; ++i) {
     machines.emplace_back(rules, static_cast<std::uint64_t>(i) * 7'919 + 17);
-    machines.back().fleet_size(routers);
-    queue.push({machines.back().first(Micros(i % 3'000)).at, i});
+    machines.back().set_fleet_size(routers);
+    queue.push({machines.back().first_poll(Micros(i % 3'000)).at, i});
   }
   std::vector<Micros> calls;
   Sums out;
@@ -53,7 +53,8 @@
       continue;
     }
     auto& machine = machines[static_cast<std::size_t>(now.router)];
-    queue.push({machine.after(now.at, now.at + Micros(500), CallEnd::kRefused, Micros(0)).at, now.router});
+    queue.push(
+        {machine.next_poll(now.at, now.at + Micros(500), PollResult::kRejected, Micros(0)).at, now.router});
   }
   out.calls = calls.size();
   out.in_100_ms = most_within(calls, milliseconds(100));
@@ -62,14 +63,14 @@
 }
 
 std::size_t openings_in_second(int routers) {
-  OpeningRules rules;
-  rules.opens_per_s = 400.0;
-  rules.most_window = std::chrono::hours(1);
+  AdmissionOptions rules;
+  rules.admissions_per_s = 400.0;
+  rules.max_window = std::chrono::hours(1);
   std::vector<Micros> moments;
   for (int i = 0; i < routers; ++i) {
-    Opening opening(rules, static_cast<std::uint64_t>(i) * 104'729 + 5);
-    opening.fleet_size(routers);
-    moments.push_back(opening.appears(seconds(1), "node", 0) ? seconds(1) : *opening.due());
+    EndpointAdmission opening(rules, static_cast<std::uint64_t>(i) * 104'729 + 5);
+    opening.set_fleet_size(routers);
+    moments.push_back(opening.on_listed(seconds(1), "node", 0) ? seconds(1) : *opening.next_admission());
   }
   return most_within(moments, seconds(1));
 }
@@ -90,9 +91,9 @@
   std::printf("| --- | --- | --- | --- | --- | --- | --- | --- |\n");
   for (const int routers : sizes) {
     for (const bool spread : {false, true}) {
-      AskingRules rules;
+      PollOptions rules;
       rules.spread = spread;
-      rules.most_window = std::chrono::hours(1);
+      rules.max_window = std::chrono::hours(1);
       for (const Micros back : {Micros(0), Micros(seconds(4))}) {
         const Sums sums = start(rules, routers, back);
         std::printf("| %s | %d | %s | %zu | %zu | %zu | %.1f | %zu |\n",
--- a/benchmarks/scale/board_costs.cpp
+++ b/benchmarks/scale/board_costs.cpp
@@ -28,10 +28,10 @@
 constexpr std::array<int, 4> kFileEvents{100, 300, 1'000, 3'000};
 constexpr std::array<int, 4> kCaches{40, 500, 2'100, 8'400};
 
-board::CoreRules open_rules() {
-  board::CoreRules rules;
-  rules.most_waiting = 100'000;
-  rules.most_linger_ms = 60'000;
+discovery::LongPollOptions open_rules() {
+  discovery::LongPollOptions rules;
+  rules.max_held = 100'000;
+  rules.max_long_poll_timeout = milliseconds(60'000);
   return rules;
 }
 
@@ -46,13 +46,13 @@
                  "in process",
                  {}};
   for (const int rate : kCallRates) {
-    board::BoardCore core(open_rules(), context.seed);
+    discovery::LongPollScheduler core(open_rules(), context.seed);
     std::int64_t calls = 0;
     const auto call = [&] {
       ++calls;
-      const auto number = static_cast<board::CallNumber>(calls);
-      core.call(calls * 1'000 / rate, number, 7, 2'000, 7);
-      core.gone(number);
+      const auto number = static_cast<discovery::CallId>(calls);
+      core.on_call(milliseconds(calls * 1'000 / rate), number, 7, milliseconds(2'000), 7);
+      core.on_disconnected(number);
     };
     for (int i = 0; i < rate; ++i) {
       call();
@@ -72,14 +72,14 @@
   for (const int held : kHeld) {
     double least = 0.0;
     for (int round = 0; round < 5; ++round) {
-      board::BoardCore core(open_rules(), context.seed);
+      discovery::LongPollScheduler core(open_rules(), context.seed);
       for (int i = 0; i < held; ++i) {
-        core.call(i, static_cast<board::CallNumber>(i + 1), 7, 60'000, 7);
+        core.on_call(milliseconds(i), static_cast<discovery::CallId>(i + 1), 7, milliseconds(60'000), 7);
       }
       const double before = thread_cpu_us();
-      core.published(held);
+      core.on_published(milliseconds(held));
       for (int ms = 0; ms <= 100; ++ms) {
-        keep_result(core.due(held + ms));
+        keep_result(core.step(milliseconds(held + ms)));
       }
       const double took = thread_cpu_us() - before;
       least = round == 0 ? took : std::min(least, took);
@@ -104,24 +104,24 @@
   const std::int64_t now = unix_ms_now();
   for (const int events : kEvents) {
     const auto filled = [&] {
-      auto log = std::make_unique<board::PageLog>("0123456789abcdef");
+      auto log = std::make_unique<discovery::EventLog>("0123456789abcdef");
       log->replace(list_page(40, 4));
       log->append(purge_page(1, events / 2, now - 60'000));
-      log->append(purge_page(log->last(), events - events / 2, now));
+      log->append(purge_page(log->last_sequence(), events - events / 2, now));
       return log;
     };
     memory.points.emplace_back(events, bytes_held_by(filled));
     const auto log = filled();
     append.points.emplace_back(events, cpu_us_per_call(100, [&] {
-                                 const std::uint64_t before = log->last();
+                                 const std::uint64_t before = log->last_sequence();
                                  log->append(purge_page(before, 1, now));
-                                 keep_result(log->later_than(before));
+                                 keep_result(log->page_after(before));
                                }));
     double least = 0.0;
     for (int round = 0; round < 3; ++round) {
       const auto folded = filled();
       const double before = thread_cpu_us();
-      folded->fold(1, now - 10'000);
+      folded->compact(1, discovery::UnixTime(milliseconds(now - 10'000)));
       const double took = thread_cpu_us() - before;
       least = round == 0 ? took : std::min(least, took);
     }
@@ -143,10 +143,10 @@
                    {}};
   for (const int caches : kCaches) {
     const json page = list_page(caches, 203);
-    board::PageLog log;
+    discovery::EventLog log;
     cpu.points.emplace_back(caches, cpu_us_per_call(5, [&] {
                               log.replace(page);
-                              keep_result(log.later_than(0));
+                              keep_result(log.page_after(0));
                             }));
   }
   for (const int caches : {1, 10, 40, 100}) {
@@ -154,9 +154,9 @@
     json& pool = change["notices"][0]["pool"];
     pool["snapshot"] = false;
     pool["endpoints"].erase(0);  // the origin
-    board::PageLog log("0123456789abcdef");
+    discovery::EventLog log("0123456789abcdef");
     log.replace(change);
-    bytes.points.emplace_back(caches, log.later_than(0)->size());
+    bytes.points.emplace_back(caches, log.page_after(0)->size());
   }
   sink(cpu);
   sink(bytes);
@@ -188,7 +188,7 @@
     std::ofstream(file, std::ios::binary) << page.dump(1) << '\n';
     bytes.points.emplace_back(events, static_cast<double>(std::filesystem::file_size(file)));
     transport::Scheduler scheduler;
-    board::BoardOptions options;
+    discovery::DiscoveryOptions options;
     options.file = file;
     program::BoardServer server(scheduler, options, context.seed);
     double adding = 0.0;
@@ -218,7 +218,7 @@
  public:
   explicit ServedLog(std::uint64_t seed)
       : log_("0123456789abcdef"),
-        server_(scheduler_, log_, open_rules(), bounds(), board::PageServer::Answering(), seed) {
+        server_(scheduler_, log_, open_rules(), bounds(), discovery::DiscoveryServer::Handlers(), seed) {
     log_.replace(list_page(40, 4));
     address_ = ports_.take();
     server_.listen(address_);
@@ -226,7 +226,7 @@
 
   const transport::Address& address() const { return address_; }
   void run_until_held(std::size_t calls) {
-    while (server_.core().waiting() < calls) {
+    while (server_.long_polls().held() < calls) {
       scheduler_.turn(milliseconds(5));
     }
   }
@@ -239,26 +239,26 @@
   // A purge told to all that wait, until all wait again.
   void tell_purge(std::size_t askers) {
     const std::uint64_t released = counts().released;
-    log_.append(purge_page(log_.last(), 1, unix_ms_now()));
-    server_.published();
+    log_.append(purge_page(log_.last_sequence(), 1, unix_ms_now()));
+    server_.on_published();
     while (counts().released < released + askers) {
       scheduler_.turn(milliseconds(5));
     }
     run_until_held(askers);
   }
-  const board::CoreCounts& counts() const { return server_.core().counts(); }
+  const discovery::LongPollCounts& counts() const { return server_.long_polls().counts(); }
 
  private:
-  static board::PageServer::Bounds bounds() {
-    board::PageServer::Bounds out;
+  static discovery::DiscoveryServer::Limits bounds() {
+    discovery::DiscoveryServer::Limits out;
     out.connections = 10'000;
     return out;
   }
 
   transport::Scheduler scheduler_;
   fleet::PortBook ports_;
-  board::PageLog log_;
-  board::PageServer server_;
+  discovery::EventLog log_;
+  discovery::DiscoveryServer server_;
   transport::Address address_;
 };
 
--- a/benchmarks/scale/hollow_start.cpp
+++ b/benchmarks/scale/hollow_start.cpp
@@ -24,15 +24,15 @@
 
 }  // namespace
 
-BoardCalls measure_board(const startup::AskingRules& rules, int routers, Micros back, std::uint64_t seed) {
+BoardCalls measure_board(const startup::PollOptions& rules, int routers, Micros back, std::uint64_t seed) {
   std::mt19937_64 random(seed);
-  std::vector<startup::Asking> machines;
+  std::vector<startup::PollScheduler> machines;
   std::priority_queue<Asked, std::vector<Asked>, std::greater<>> queue;
   for (int i = 0; i < routers; ++i) {
     machines.emplace_back(rules, random());
-    machines.back().fleet_size(routers);
+    machines.back().set_fleet_size(routers);
     const Micros begin = Micros(static_cast<Micros::rep>(random() % kTogether.count()));
-    queue.push({machines.back().first(begin).at, static_cast<std::size_t>(i)});
+    queue.push({machines.back().first_poll(begin).at, static_cast<std::size_t>(i)});
   }
   std::vector<Micros> answered;  // in the order of time
   while (!queue.empty()) {
@@ -42,8 +42,8 @@
       answered.push_back(now.at);
       continue;
     }
-    const startup::Call next =
-        machines[now.router].after(now.at, now.at + kRefusal, startup::CallEnd::kRefused, Micros(0));
+    const startup::ScheduledPoll next =
+        machines[now.router].next_poll(now.at, now.at + kRefusal, startup::PollResult::kRejected, Micros(0));
     queue.push({next.at, now.router});
   }
   BoardCalls out;
--- a/benchmarks/scale/hollow_start.h
+++ b/benchmarks/scale/hollow_start.h
@@ -1,5 +1,5 @@
-// The calls of a whole fleet at its notice board in virtual time, on the real startup::Asking: everybody
-// starts, or a board that was away for an hour is back.
+// The calls of a whole fleet at its notice board in virtual time, on the real startup::PollScheduler:
+// everybody starts, or a board that was away for an hour is back.
 #pragma once
 
 #include <trailcourse/decider.h>
@@ -19,6 +19,6 @@
 };
 
 // All routers begin within 3 ms; the board refuses until `back` (0: it is there from the beginning).
-BoardCalls measure_board(const startup::AskingRules& rules, int routers, Micros back, std::uint64_t seed);
+BoardCalls measure_board(const startup::PollOptions& rules, int routers, Micros back, std::uint64_t seed);
 
 }  // namespace trailcourse::scale
--- a/benchmarks/scale/purge_costs.cpp
+++ b/benchmarks/scale/purge_costs.cpp
@@ -33,9 +33,9 @@
   const protocol::Profile profile = protocol::read_profile(router_settings(1, 1));
   for (const int purges : kPageSizes) {
     // The board's name and numbers of the length that they have after a few weeks.
-    board::PageLog log("0123456789abcdef");
+    discovery::EventLog log("0123456789abcdef");
     log.replace(purge_page(200'000'000, purges, unix_ms_now()));
-    const std::string text = *log.later_than(0);
+    const std::string text = *log.page_after(0);
     bytes.points.emplace_back(purges, text.size());
     cpu.points.emplace_back(purges, cpu_us_per_call(20 + 2'000 / purges, [&] {
                               keep_result(protocol::parse_notices(text, profile));
--- a/benchmarks/scale/router_costs.cpp
+++ b/benchmarks/scale/router_costs.cpp
@@ -48,9 +48,9 @@
 };
 
 std::string page_text(const nlohmann::json& page) {
-  board::PageLog log;
+  discovery::EventLog log;
   log.replace(page);
-  return *log.later_than(0);
+  return *log.page_after(0);
 }
 
 ListReceived whole_list(int caches, const std::string& zone) {
--- a/benchmarks/scale/scale_bench.cpp
+++ b/benchmarks/scale/scale_bench.cpp
@@ -428,7 +428,7 @@
 
   // By the program's rules for a fleet.
   void board(int size, const char* what, Micros back) {
-    trailcourse::startup::AskingRules rules;
+    trailcourse::startup::PollOptions rules;
     rules.spread = true;
     const BoardCalls figures = measure_board(rules, size, back, options_.seed);
     table_.row({{"routers", size},
--- a/src/discovery/discovery_server.cpp
+++ b/src/discovery/discovery_server.cpp
@@ -3,13 +3,11 @@
 #include <algorithm>
 #include <string_view>
 #include <utility>
-#include <vector>
 
 #include "protocol/http_request.h"
 #include "protocol/numbers.h"
-#include "transport/log.h"
 
-namespace trailcourse::board {
+namespace trailcourse::discovery {
 
 using std::chrono::milliseconds;
 using transport::Clock;
@@ -18,219 +16,268 @@
 
 namespace {
 
-constexpr std::size_t kMostRequest = 8'192;
-constexpr std::size_t kMostNotice = 65'536;
-constexpr std::size_t kMostAhead = kMostRequest + kMostNotice;  // read while a call is held
-constexpr std::size_t kOverflow = 256;  // connections beyond the bound that are told when to come back
-constexpr milliseconds kAcceptPause{50};
-constexpr std::int64_t kOverflowRetryMs = 1'000;
+constexpr std::size_t kMaxRequestHead = 8'192;
+constexpr std::size_t kMaxRequestBody = 65'536;
+constexpr std::size_t kMaxReadAhead = kMaxRequestHead + kMaxRequestBody;  // while a poll is held
+constexpr std::size_t kOverflowConnections = 256;  // beyond the limit, which still get a Retry-After
+constexpr milliseconds kAcceptBackoff{50};
+constexpr milliseconds kOverflowRetryAfter{1'000};
+constexpr milliseconds kMaxRequestedTimeout{3'600'000};
+constexpr int kIdleChecksPerLimit = 4;
 
-// The number behind `name=` in a query; nothing where there is none.
-std::optional<std::uint64_t> query_number(std::string_view line, std::string_view name) {
-  const std::size_t at = line.find(name);
+constexpr int kOk = 200;
+constexpr int kNotFound = 404;
+constexpr int kConflict = 409;
+constexpr int kUnavailable = 503;
+
+const char* status_line(int status) {
+  switch (status) {
+    case kOk:
+      return "200 OK";
+    case kNotFound:
+      return "404 Not Found";
+    case kConflict:
+      return "409 Conflict";
+    default:
+      return "503 Service Unavailable";
+  }
+}
+
+// Returns the number behind `name=` in a query, or nothing where there is none.
+std::optional<std::uint64_t> query_number(std::string_view path, std::string_view name) {
+  const std::size_t at = path.find(name);
   if (at == std::string_view::npos) {
     return std::nullopt;
   }
-  const std::string_view rest = line.substr(at + name.size());
+  const std::string_view rest = path.substr(at + name.size());
   return protocol::read_number<std::uint64_t>(rest.substr(0, rest.find_first_not_of("0123456789")));
 }
 
+// A poll as its path names it: what the client knows, and how long it may be held.
+struct PollRequest {
+  std::uint64_t known_sequence = 0;
+  milliseconds timeout{0};
+};
+
+// Returns nothing where the request is no poll.
+std::optional<PollRequest> read_poll(const protocol::http::Request& request) {
+  const auto known_sequence = query_number(request.path, "watch=");
+  if (request.method != "GET" || !request.path.starts_with("/board/poll?") || !known_sequence) {
+    return std::nullopt;
+  }
+  const std::uint64_t timeout_ms = query_number(request.path, "linger=").value_or(0);
+  const auto max_ms = static_cast<std::uint64_t>(kMaxRequestedTimeout.count());
+  return PollRequest{*known_sequence, milliseconds(std::min(timeout_ms, max_ms))};
+}
+
+milliseconds steady_now() {
+  return std::chrono::duration_cast<milliseconds>(Clock::now().time_since_epoch());
+}
+
 }  // namespace
 
-// One connection: a call at a time.
-class PageServer::Session : public Connection::Handler, public std::enable_shared_from_this<Session> {
+// One connection, with one call at a time. An overflow session is beyond the limit on connections: its first
+// poll is rejected and the connection closed.
+class DiscoveryServer::Session : public Connection::Handler, public std::enable_shared_from_this<Session> {
  public:
-  Session(PageServer& server, const std::shared_ptr<Connection>& connection, bool beyond)
-      : server_(server), connection_(connection), beyond_(beyond), parser_({kMostRequest, kMostNotice}) {}
+  Session(DiscoveryServer& server, const std::shared_ptr<Connection>& connection, bool is_overflow)
+      : server_(server),
+        connection_(connection),
+        is_overflow_(is_overflow),
+        parser_({kMaxRequestHead, kMaxRequestBody}) {}
 
   void on_bytes(std::string_view bytes) override {
     parser_.feed(bytes);
-    take();
-    if (parser_.failed() || parser_.ahead() > kMostAhead) {
+    handle_next_request();
+    if (parser_.failed() || parser_.ahead() > kMaxReadAhead) {
       connection_.close(ConnectionEnd::kMalformed);
     }
   }
+
   void on_end(ConnectionEnd) override {
-    if (call_ != 0) {
-      server_.core_.gone(call_);
-      server_.calls_.erase(call_);
+    if (held_call_) {
+      server_.long_polls_.on_disconnected(*held_call_);
+      server_.held_.erase(*held_call_);
     }
     server_.sessions_.erase(shared_from_this());
   }
 
-  void page() {
-    const PageLog::Page body = server_.log_.later_than(watch_);
-    call_ = 0;
-    respond("200 OK", server_.answering_.headers(), *body);
-    take();
+  void answer_poll() {
+    const EventLog::Page page = server_.log_.page_after(known_sequence_);
+    held_call_.reset();
+    respond(kOk, server_.handlers_.page_headers(), *page);
+    handle_next_request();
   }
-  void send_away(std::int64_t retry_after_ms) {
-    const std::int64_t seconds = std::max<std::int64_t>(1, (retry_after_ms + 999) / 1'000);
-    call_ = 0;
-    respond("503 Service Unavailable", "Retry-After: " + std::to_string(seconds) + "\r\n", "{}");
-    if (!beyond_) {
-      take();
+
+  void reject_poll(milliseconds retry_after) {
+    const std::int64_t whole_seconds = std::chrono::ceil<std::chrono::seconds>(retry_after).count();
+    const std::string seconds = std::to_string(std::max<std::int64_t>(1, whole_seconds));
+    held_call_.reset();
+    respond(kUnavailable, "Retry-After: " + seconds + "\r\n", "{}");
+    if (!is_overflow_) {
+      handle_next_request();
     }
   }
 
-  void hold(CallNumber call) { call_ = call; }
-  bool idle_since(Clock::time_point before) const {
-    return call_ == 0 && connection_.last_received() < before && connection_.waiting() == 0;
+  void hold(CallId call) { held_call_ = call; }
+
+  bool is_idle_since(Clock::time_point time) const {
+    return !held_call_ && connection_.last_received() < time && connection_.waiting() == 0;
   }
+
   void close(ConnectionEnd end) { connection_.close(end); }
 
  private:
-  void take() {
-    if (call_ != 0 || connection_.ended()) {
+  void handle_next_request() {
+    if (held_call_ || connection_.ended()) {
       return;
     }
     const std::optional<protocol::http::Request> request = parser_.take();
     if (!request) {
       return;
     }
-    if (request->method == "POST" && request->path == "/board/notice" && server_.answering_.post &&
-        !beyond_) {
-      const auto [status, body] = server_.answering_.post(request->body);
-      respond(status == 200   ? "200 OK"
-              : status == 409 ? "409 Conflict"
-                              : "503 Service Unavailable",
-              "", body);
+    const bool is_publication = request->method == "POST" && request->path == "/board/notice";
+    if (is_publication && server_.handlers_.publish && !is_overflow_) {
+      const PublishResponse response = server_.handlers_.publish(request->body);
+      respond(response.status, "", response.body);
       return;
     }
-    const std::string& line = request->path;
-    const auto watch = query_number(line, "watch=");
-    if (request->method != "GET" || !line.starts_with("/board/poll?") || !watch) {
-      respond("404 Not Found", "", "{}");
+    const std::optional<PollRequest> poll = read_poll(*request);
+    if (!poll) {
+      respond(kNotFound, "", "{}");
       return;
     }
-    watch_ = *watch;
-    if (beyond_) {
-      send_away(kOverflowRetryMs);
+    handle_poll(*poll);
+  }
+
+  void handle_poll(const PollRequest& poll) {
+    known_sequence_ = poll.known_sequence;
+    if (is_overflow_) {
+      reject_poll(kOverflowRetryAfter);
       connection_.close_when_written();
       return;
     }
-    const auto linger = std::min<std::uint64_t>(query_number(line, "linger=").value_or(0), 3'600'000);
-    server_.call(*this, watch_, static_cast<std::int64_t>(linger));
+    server_.on_poll(*this, poll.known_sequence, poll.timeout);
   }
-  void respond(const char* status, const std::string& headers, const std::string& body) {
-    connection_.write(std::string("HTTP/1.1 ") + status + "\r\nContent-Type: application/json\r\n" + headers +
-                      (beyond_ ? "Connection: close\r\n" : "") +
+
+  void respond(int status, const std::string& headers, const std::string& body) {
+    connection_.write(std::string("HTTP/1.1 ") + status_line(status) +
+                      "\r\nContent-Type: application/json\r\n" + headers +
+                      (is_overflow_ ? "Connection: close\r\n" : "") +
                       "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
   }
 
-  PageServer& server_;
+  DiscoveryServer& server_;
   transport::ConnectionHandle connection_;
-  bool beyond_;
+  bool is_overflow_;
   protocol::http::RequestParser parser_;
-  std::uint64_t watch_ = 0;
-  CallNumber call_ = 0;  // held
+  std::uint64_t known_sequence_ = 0;
+  std::optional<CallId> held_call_;
 };
 
-PageServer::PageServer(transport::Scheduler& scheduler, PageLog& log, const CoreRules& rules,
-                       const Bounds& bounds, Answering answering, std::uint64_t seed)
+DiscoveryServer::DiscoveryServer(transport::Scheduler& scheduler, EventLog& log,
+                                 const LongPollOptions& options, const Limits& limits, Handlers handlers,
+                                 std::uint64_t seed)
     : scheduler_(scheduler),
       log_(log),
-      bounds_(bounds),
-      answering_(std::move(answering)),
-      core_(rules, seed),
-      timer_(scheduler, [this] { tell_due(); }) {}
+      limits_(limits),
+      handlers_(std::move(handlers)),
+      long_polls_(options, seed),
+      timer_(scheduler, [this] { answer_due_polls(); }) {}
 
-PageServer::~PageServer() = default;
-
-std::int64_t PageServer::now_ms() {
-  return std::chrono::duration_cast<milliseconds>(Clock::now().time_since_epoch()).count();
-}
+DiscoveryServer::~DiscoveryServer() = default;
 
-void PageServer::listen(const transport::Address& address) {
-  listener_.emplace(scheduler_, address, bounds_.backlog, kAcceptPause,
-                    [this](transport::Descriptor socket) { take_in(std::move(socket)); });
-  scheduler_.spawn(reap());
+void DiscoveryServer::listen(const transport::Address& address) {
+  listener_.emplace(scheduler_, address, limits_.backlog, kAcceptBackoff,
+                    [this](transport::Descriptor socket) { accept(std::move(socket)); });
+  scheduler_.spawn(close_idle_sessions());
 }
 
-void PageServer::take_in(transport::Descriptor socket) {
-  const bool beyond = sessions_.size() >= bounds_.connections;
-  if (sessions_.size() >= bounds_.connections + kOverflow) {
-    return;  // closed at once
+void DiscoveryServer::accept(transport::Descriptor socket) {
+  if (sessions_.size() >= limits_.connections + kOverflowConnections) {
+    return;  // the descriptor closes the socket
   }
-  const auto connection = Connection::adopt(scheduler_, std::move(socket), bounds_.connection);
-  const auto session = std::make_shared<Session>(*this, connection, beyond);
+  const bool is_overflow = sessions_.size() >= limits_.connections;
+  const auto connection = Connection::adopt(scheduler_, std::move(socket), limits_.connection);
+  const auto session = std::make_shared<Session>(*this, connection, is_overflow);
   sessions_.insert(session);
   connection->start(session);
 }
 
-transport::Task<void> PageServer::reap() {
+transport::Task<void> DiscoveryServer::close_idle_sessions() {
   for (;;) {
-    co_await scheduler_.sleep(bounds_.idle / 4);
-    const Clock::time_point before = Clock::now() - bounds_.idle;
+    co_await scheduler_.sleep(limits_.idle / kIdleChecksPerLimit);
+    const Clock::time_point idle_since = Clock::now() - limits_.idle;
     const auto sessions = sessions_;
     for (const std::shared_ptr<Session>& session : sessions) {
-      if (session->idle_since(before)) {
+      if (session->is_idle_since(idle_since)) {
         session->close(ConnectionEnd::kIdle);
       }
     }
   }
 }
 
-void PageServer::call(Session& session, std::uint64_t watch, std::int64_t linger_ms) {
-  if (const std::optional<std::int64_t> wait = answering_.refuse()) {
-    session.send_away(*wait);
+void DiscoveryServer::on_poll(Session& session, std::uint64_t known_sequence, milliseconds timeout) {
+  if (const std::optional<milliseconds> retry_after = handlers_.rejection()) {
+    session.reject_poll(*retry_after);
     return;
   }
-  const CallNumber number = ++last_call_;
-  const Decision decision = core_.call(now_ms(), number, watch, linger_ms, log_.last());
-  switch (decision.verdict) {
-    case Verdict::kAnswer:
-      session.page();
+  const CallId call = ++last_call_;
+  const CallDecision decision =
+      long_polls_.on_call(steady_now(), call, known_sequence, timeout, log_.last_sequence());
+  switch (decision.kind) {
+    case CallDecisionKind::kAnswer:
+      session.answer_poll();
       break;
-    case Verdict::kSendAway:
-      session.send_away(decision.retry_after_ms);
+    case CallDecisionKind::kReject:
+      session.reject_poll(decision.retry_after);
       break;
-    case Verdict::kHold:
-      session.hold(number);
-      calls_[number] = &session;
+    case CallDecisionKind::kHold:
+      session.hold(call);
+      held_[call] = &session;
       set_timer();
       break;
   }
 }
 
-void PageServer::published() {
-  core_.published(now_ms());
-  tell_due();
+void DiscoveryServer::on_published() {
+  long_polls_.on_published(steady_now());
+  answer_due_polls();
 }
 
-void PageServer::let_go() {
-  const auto calls = std::exchange(calls_, {});
-  for (const auto& [number, session] : calls) {
-    core_.gone(number);
-    session->send_away(answering_.refuse().value_or(1));
+void DiscoveryServer::reject_held_polls() {
+  constexpr milliseconds kShortest{1};
+  const auto held = std::exchange(held_, {});
+  for (const auto& [call, session] : held) {
+    long_polls_.on_disconnected(call);
+    session->reject_poll(handlers_.rejection().value_or(kShortest));
   }
 }
 
-void PageServer::tell_due() {
-  for (const CallNumber call : core_.due(now_ms())) {
-    if (const auto found = calls_.find(call); found != calls_.end()) {
+void DiscoveryServer::answer_due_polls() {
+  for (const CallId call : long_polls_.step(steady_now())) {
+    if (const auto found = held_.find(call); found != held_.end()) {
       Session* session = found->second;
-      calls_.erase(found);
-      session->page();
+      held_.erase(found);
+      session->answer_poll();
     }
   }
   set_timer();
 }
 
-void PageServer::set_timer() {
-  const std::optional<std::int64_t> due = core_.next_due();
+void DiscoveryServer::set_timer() {
   std::optional<Clock::time_point> when;
-  if (due) {
-    when.emplace(std::chrono::duration_cast<Clock::duration>(milliseconds(*due)));
+  if (const std::optional<milliseconds> next = long_polls_.next_step_at()) {
+    when.emplace(std::chrono::duration_cast<Clock::duration>(*next));
   }
   timer_.set(when);
 }
 
-void PageServer::close_all() {
+void DiscoveryServer::close_all() {
   const auto sessions = sessions_;
   for (const std::shared_ptr<Session>& session : sessions) {
     session->close(ConnectionEnd::kShutdown);
   }
 }
 
-}  // namespace trailcourse::board
+}  // namespace trailcourse::discovery
--- a/src/discovery/discovery_server.h
+++ b/src/discovery/discovery_server.h
@@ -1,9 +1,11 @@
-// The listening side of a board's pages: `GET /board/poll?watch=N&linger=MS` over HTTP/1.1, for a board and
-// for a relay alike. Which call is answered, held or sent away is the core's decision; this carries it out.
+// The listener of a discovery service: `GET /board/poll?watch=N&linger=MS` and `POST /board/notice` over
+// HTTP/1.1, for the service itself and for a relay alike. LongPollScheduler decides which poll is answered,
+// held or rejected; this class executes the decisions.
 //
-// Package `board`, over `transport` and `protocol`. One thread.
+// Package `discovery`, over `transport` and `protocol`. One thread.
 #pragma once
 
+#include <chrono>
 #include <cstddef>
 #include <cstdint>
 #include <functional>
@@ -12,7 +14,6 @@
 #include <optional>
 #include <set>
 #include <string>
-#include <utility>
 
 #include "discovery/event_log.h"
 #include "discovery/long_poll_scheduler.h"
@@ -20,62 +21,73 @@
 #include "transport/alarm.h"
 #include "transport/connection.h"
 
-namespace trailcourse::board {
+namespace trailcourse::discovery {
 
-class PageServer {
+// The answer to `POST /board/notice`.
+struct PublishResponse {
+  int status = 200;  // 200, 409 or 503
+  std::string body;  // JSON
+};
+
+class DiscoveryServer {
  public:
-  struct Bounds {
+  struct Limits {
     int backlog = 1'024;
     std::size_t connections = 4'096;
-    transport::Clock::duration idle = std::chrono::seconds(30);  // between two calls
+    transport::Clock::duration idle = std::chrono::seconds(30);  // between two calls of a connection
     transport::Connection::Bounds connection;
   };
-  struct Answering {
-    // Whether pages may be told on now; else calls are sent away with this wait in milliseconds.
-    std::function<std::optional<std::int64_t>()> refuse = [] { return std::nullopt; };
-    // Further header lines of a page, each ended by CR LF.
-    std::function<std::string()> headers = [] { return std::string(); };
-    // `POST /board/notice`: status and body of the answer. None: no notices are taken this way.
-    std::function<std::pair<int, std::string>(const std::string& body)> post = nullptr;
+
+  // What the owner of the server decides. Each is called in the server's thread.
+  struct Handlers {
+    // Returns nothing where pages may be served now, else the Retry-After of a rejection.
+    std::function<std::optional<std::chrono::milliseconds>()> rejection = [] { return std::nullopt; };
+    // Returns further header lines of a page, each ended by CR LF.
+    std::function<std::string()> page_headers = [] { return std::string(); };
+    // Publishes the event in the body of `POST /board/notice`. Without it such calls get status 404.
+    std::function<PublishResponse(const std::string& body)> publish = nullptr;
   };
 
-  PageServer(transport::Scheduler& scheduler, PageLog& log, const CoreRules& rules, const Bounds& bounds,
-             Answering answering, std::uint64_t seed);
-  ~PageServer();
-  PageServer(const PageServer&) = delete;
-  PageServer& operator=(const PageServer&) = delete;
+  // `scheduler` and `log` have to outlive the server.
+  DiscoveryServer(transport::Scheduler& scheduler, EventLog& log, const LongPollOptions& options,
+                  const Limits& limits, Handlers handlers, std::uint64_t seed);
+  ~DiscoveryServer();
+  DiscoveryServer(const DiscoveryServer&) = delete;
+  DiscoveryServer& operator=(const DiscoveryServer&) = delete;
 
   // Throws std::system_error where the address cannot be listened on.
   void listen(const transport::Address& address);
-  // The log has later events, or began anew: held calls are told, each in its moment.
-  void published();
-  // Held calls are answered with what there is, at once: for a relay that has lost its way.
-  void let_go();
+
+  // Records that the log has later events, or was replaced. Held polls are answered over the release window.
+  void on_published();
+
+  // Rejects all held polls at once, as where the pages of a relay have become too old.
+  void reject_held_polls();
+
   void close_all();
 
   std::size_t connections() const { return sessions_.size(); }
-  const BoardCore& core() const { return core_; }
+  const LongPollScheduler& long_polls() const { return long_polls_; }
 
  private:
   class Session;
 
-  void take_in(transport::Descriptor socket);
-  transport::Task<void> reap();
-  void call(Session& session, std::uint64_t watch, std::int64_t linger_ms);
-  void tell_due();
+  void accept(transport::Descriptor socket);
+  transport::Task<void> close_idle_sessions();
+  void on_poll(Session& session, std::uint64_t known_sequence, std::chrono::milliseconds timeout);
+  void answer_due_polls();
   void set_timer();
-  static std::int64_t now_ms();
 
   transport::Scheduler& scheduler_;
-  PageLog& log_;
-  Bounds bounds_;
-  Answering answering_;
-  BoardCore core_;
+  EventLog& log_;
+  Limits limits_;
+  Handlers handlers_;
+  LongPollScheduler long_polls_;
   std::optional<transport::AcceptLoop> listener_;
   std::set<std::shared_ptr<Session>> sessions_;
-  std::map<CallNumber, Session*> calls_;
-  CallNumber last_call_ = 0;
+  std::map<CallId, Session*> held_;
+  CallId last_call_ = 0;
   transport::Alarm timer_;
 };
 
-}  // namespace trailcourse::board
+}  // namespace trailcourse::discovery
--- a/src/discovery/event_log.cpp
+++ b/src/discovery/event_log.cpp
@@ -1,163 +1,164 @@
 #include "discovery/event_log.h"
 
-#include <stdexcept>
-#include <utility>
-#include <vector>
+#include <algorithm>
 
-namespace trailcourse::board {
+namespace trailcourse::discovery {
 
 using nlohmann::json;
 
 namespace {
 
-constexpr std::size_t kMostPages = 256;  // kept at once; askers are at a few numbers
+constexpr std::size_t kMaxCachedPages = 256;  // clients poll from a few numbers only
 
 bool is_list(const json& event) {
   return event.contains("pool") && event["pool"].is_object() && event["pool"].contains("endpoints") &&
          event["pool"]["endpoints"].is_array();
 }
 
-std::int64_t purge_ms(const json& event) {
+// Returns the time of a purge; an event without one never stops to bind.
+UnixTime purge_time(const json& event) {
   const auto flush = event.find("flush");
-  const bool timed = flush != event.end() && flush->is_object() && flush->contains("ms") &&
-                     (*flush)["ms"].is_number_integer();
-  return timed ? (*flush)["ms"].get<std::int64_t>() : INT64_MAX;
+  const bool has_time = flush != event.end() && flush->is_object() && flush->contains("ms") &&
+                        (*flush)["ms"].is_number_integer();
+  return has_time ? UnixTime(std::chrono::milliseconds((*flush)["ms"].get<std::int64_t>())) : UnixTime::max();
+}
+
+using EndpointsByName = std::map<std::string, json>;
+
+void apply_endpoint(EndpointsByName& endpoints, const json& entry) {
+  const bool has_name = entry.is_object() && entry.contains("name") && entry["name"].is_string();
+  if (!has_name) {
+    return;
+  }
+  const auto name = entry["name"].get<std::string>();
+  if (entry.contains("status") && entry["status"] == "removed") {
+    endpoints.erase(name);
+  } else {
+    endpoints[name] = entry;
+  }
+}
+
+void apply_list(EndpointsByName& endpoints, const json& pool) {
+  if (pool.contains("snapshot") && pool["snapshot"] == true) {
+    endpoints.clear();
+  }
+  for (const json& entry : pool["endpoints"]) {
+    apply_endpoint(endpoints, entry);
+  }
+}
+
+json full_list_event(std::uint64_t sequence, const json& index, const EndpointsByName& endpoints) {
+  json list = json::array();
+  for (const auto& [name, entry] : endpoints) {
+    list.push_back(entry);
+  }
+  return {{"rev", sequence}, {"pool", {{"index", index}, {"snapshot", true}, {"endpoints", list}}}};
 }
 
 }  // namespace
 
-void check_page(const json& page) {
-  const bool formed = page.is_object() && page.contains("rev") && page["rev"].is_number_unsigned() &&
-                      page.contains("notices") && page["notices"].is_array();
-  if (!formed) {
-    throw std::invalid_argument("not of the form {\"rev\":N,\"notices\":[...]}");
+void validate_page(const json& page) {
+  const bool well_formed = page.is_object() && page.contains("rev") && page["rev"].is_number_unsigned() &&
+                           page.contains("notices") && page["notices"].is_array();
+  if (!well_formed) {
+    throw PageFormatError("not of the form {\"rev\":N,\"notices\":[...]}");
   }
   for (const json& event : page["notices"]) {
     if (!event.is_object() || !event.contains("rev") || !event["rev"].is_number_unsigned()) {
-      throw std::invalid_argument("a notice without its number `rev`");
+      throw PageFormatError("a notice without its number `rev`");
     }
   }
 }
 
-void PageLog::replace(const json& page) {
-  check_page(page);
+void EventLog::replace(const json& page) {
+  validate_page(page);
   events_.clear();
   for (const json& event : page["notices"]) {
     events_[event["rev"].get<std::uint64_t>()] = event;
   }
-  last_ = page["rev"].get<std::uint64_t>();
+  last_sequence_ = page["rev"].get<std::uint64_t>();
   pages_.clear();
 }
 
-void PageLog::append(const json& page) {
-  check_page(page);
-  const std::uint64_t before = last_;
+void EventLog::append(const json& page) {
+  validate_page(page);
+  const std::uint64_t before = last_sequence_;
   for (const json& event : page["notices"]) {
-    const auto number = event["rev"].get<std::uint64_t>();
-    if (number > before) {
-      events_[number] = event;
+    const auto sequence = event["rev"].get<std::uint64_t>();
+    if (sequence > before) {
+      events_[sequence] = event;
     }
   }
-  last_ = std::max(last_, page["rev"].get<std::uint64_t>());
-  if (last_ != before) {
+  last_sequence_ = std::max(last_sequence_, page["rev"].get<std::uint64_t>());
+  if (last_sequence_ != before) {
     pages_.clear();
   }
 }
 
-void PageLog::rename(const std::string& id) {
-  if (id != id_) {
-    id_ = id;
+void EventLog::set_source_id(const std::string& source_id) {
+  if (source_id != source_id_) {
+    source_id_ = source_id;
     pages_.clear();
   }
 }
 
-PageLog::Page PageLog::later_than(std::uint64_t number) {
-  ++asked_;
-  const auto found = pages_.find(number);
-  if (found != pages_.end()) {
-    return found->second;
+json EventLog::page_of(Events::const_iterator first, Events::const_iterator last) const {
+  json page{{"rev", last_sequence_}, {"notices", json::array()}};
+  for (auto event = first; event != last; ++event) {
+    page["notices"].push_back(event->second);
   }
-  json out{{"rev", last_}, {"notices", json::array()}};
-  for (auto event = events_.upper_bound(number); event != events_.end(); ++event) {
-    out["notices"].push_back(event->second);
+  if (!source_id_.empty()) {
+    page["board"] = source_id_;
   }
-  if (!id_.empty()) {
-    out["board"] = id_;
+  return page;
+}
+
+EventLog::Page EventLog::page_after(std::uint64_t sequence) {
+  ++requested_pages_;
+  const auto found = pages_.find(sequence);
+  if (found != pages_.end()) {
+    return found->second;
   }
-  if (pages_.size() >= kMostPages) {
+  const json page = page_of(events_.upper_bound(sequence), events_.end());
+  if (pages_.size() >= kMaxCachedPages) {
     pages_.clear();
   }
-  ++rendered_;
-  return pages_[number] = std::make_shared<const std::string>(out.dump());
+  ++rendered_pages_;
+  return pages_[sequence] = std::make_shared<const std::string>(page.dump());
 }
 
-json PageLog::folded_list(const std::map<std::uint64_t, json>& events, std::uint64_t& last_list) {
-  std::map<std::string, json> entries;
+EventLog::Events EventLog::compacted_events(UnixTime binding_since) const {
+  EndpointsByName endpoints;
   json index;
-  last_list = 0;
-  for (const auto& [number, event] : events) {
-    if (!is_list(event)) {
-      continue;
-    }
-    const json& pool = event["pool"];
-    last_list = number;
-    index = pool.contains("index") ? pool["index"] : json();
-    if (pool.contains("snapshot") && pool["snapshot"] == true) {
-      entries.clear();
-    }
-    for (const json& entry : pool["endpoints"]) {
-      const bool named = entry.is_object() && entry.contains("name") && entry["name"].is_string();
-      if (!named) {
-        continue;
-      }
-      const auto name = entry["name"].get<std::string>();
-      if (entry.contains("status") && entry["status"] == "removed") {
-        entries.erase(name);
-      } else {
-        entries[name] = entry;
-      }
+  std::uint64_t list_sequence = 0;
+  Events out;
+  for (const auto& [sequence, event] : events_) {
+    if (is_list(event)) {
+      const json& pool = event["pool"];
+      list_sequence = sequence;
+      index = pool.contains("index") ? pool["index"] : json();
+      apply_list(endpoints, pool);
+    } else if (purge_time(event) >= binding_since) {
+      out[sequence] = event;
     }
   }
-  json list = json::array();
-  for (auto& [name, entry] : entries) {
-    list.push_back(std::move(entry));
+  if (list_sequence > 0) {
+    out[list_sequence] = full_list_event(list_sequence, index, endpoints);
   }
-  return {{"rev", last_list}, {"pool", {{"index", index}, {"snapshot", true}, {"endpoints", list}}}};
+  return out;
 }
 
-json PageLog::whole(std::int64_t binds_from_ms) const {
-  std::uint64_t last_list = 0;
-  json list = folded_list(events_, last_list);
-  std::map<std::uint64_t, json> kept;
-  for (const auto& [number, event] : events_) {
-    if (!is_list(event) && purge_ms(event) >= binds_from_ms) {
-      kept[number] = event;
-    }
-  }
-  if (last_list > 0) {
-    kept[last_list] = std::move(list);
-  }
-  json out{{"rev", last_}, {"notices", json::array()}};
-  for (auto& [number, event] : kept) {
-    out["notices"].push_back(std::move(event));
-  }
-  if (!id_.empty()) {
-    out["board"] = id_;
-  }
-  return out;
+json EventLog::compacted_page(UnixTime binding_since) const {
+  const Events compacted = compacted_events(binding_since);
+  return page_of(compacted.begin(), compacted.end());
 }
 
-void PageLog::fold(std::size_t most, std::int64_t binds_from_ms) {
-  if (events_.size() <= most) {
+void EventLog::compact(std::size_t max_events, UnixTime binding_since) {
+  if (events_.size() <= max_events) {
     return;
   }
-  const json folded = whole(binds_from_ms);
-  std::map<std::uint64_t, json> events;
-  for (const json& event : folded["notices"]) {
-    events[event["rev"].get<std::uint64_t>()] = event;
-  }
-  events_ = std::move(events);
+  events_ = compacted_events(binding_since);
   pages_.clear();
 }
 
-}  // namespace trailcourse::board
+}  // namespace trailcourse::discovery
--- a/src/discovery/event_log.h
+++ b/src/discovery/event_log.h
@@ -1,66 +1,83 @@
-// The numbered events of a board, as they are told on: by a board from its file, by a relay from what it was
-// told itself, and by a snapshot from what it kept. Each page is rendered once for all who ask from the same
-// number.
+// The numbered events of a discovery service as they are served to clients: by the service from its file, by
+// a relay from what it received, and by a snapshot from what it stored. Each page is rendered once for all
+// clients that poll from the same sequence number.
 //
-// Old events are folded: changes of the list into one whole list at the number of the last of them, purges
-// dropped once they bind no longer. Who asks from a number before the fold gets the whole list and every
-// purge that still binds, which says the same.
+// Old events are compacted: changes of the endpoint list into one full list at the number of the last of
+// them, and purges that bind no longer are dropped. A client that polls from a number before that gets the
+// full list and every purge that still binds, which means the same.
 //
-// Package `board`. Not thread-safe.
+// Package `discovery`. Not thread-safe.
 #pragma once
 
+#include <chrono>
 #include <cstddef>
 #include <cstdint>
 #include <map>
 #include <memory>
 #include <nlohmann/json.hpp>
+#include <stdexcept>
 #include <string>
+#include <utility>
 
-namespace trailcourse::board {
+namespace trailcourse::discovery {
 
-class PageLog {
+// A moment of the system clock, at the resolution that events have.
+using UnixTime = std::chrono::sys_time<std::chrono::milliseconds>;
+
+// A page is not of the form {"rev":N,"notices":[{"rev":N,...},...]}; the text says what is wrong with it.
+class PageFormatError : public std::invalid_argument {
+ public:
+  using std::invalid_argument::invalid_argument;
+};
+
+// Throws PageFormatError where the page is not of that form.
+void validate_page(const nlohmann::json& page);
+
+class EventLog {
  public:
   using Page = std::shared_ptr<const std::string>;
 
-  // `id` names the board; empty: it has no name, and pages bear none.
-  explicit PageLog(std::string id = "") : id_(std::move(id)) {}
+  // `source_id` identifies the service in its pages. Where it is empty the pages bear none.
+  explicit EventLog(std::string source_id = "") : source_id_(std::move(source_id)) {}
 
-  // All of a page is taken instead of what there was. Throws std::invalid_argument, with what is wrong with
-  // it, where it is not of the form {"rev":N,"notices":[{"rev":N,...},...]}; nothing has changed then.
+  // Replaces all events by those of the page. Throws PageFormatError; nothing has changed then.
   void replace(const nlohmann::json& page);
-  // Events beyond the last are appended, and `rev` too; others are passed over. Throws as above.
+
+  // Appends the events of the page that are later than the last one. Throws PageFormatError; nothing has
+  // changed then.
   void append(const nlohmann::json& page);
-  void rename(const std::string& id);
 
-  std::uint64_t last() const { return last_; }
-  const std::string& id() const { return id_; }
-  std::size_t events() const { return events_.size(); }
+  void set_source_id(const std::string& source_id);
 
-  // The page of all that is later than `number`.
-  Page later_than(std::uint64_t number);
-  // How many pages were made, for how many askers.
-  std::uint64_t rendered() const { return rendered_; }
-  std::uint64_t asked() const { return asked_; }
+  const std::string& source_id() const { return source_id_; }
+  std::uint64_t last_sequence() const { return last_sequence_; }
+  std::size_t size() const { return events_.size(); }
 
-  // Folds where there are more than `most` events: purges from before `binds_from_ms` (Unix) go.
-  void fold(std::size_t most, std::int64_t binds_from_ms);
-  // The whole as one page, folded: a list and the purges that bind.
-  nlohmann::json whole(std::int64_t binds_from_ms) const;
+  // Returns the page with all events that are later than `sequence`.
+  Page page_after(std::uint64_t sequence);
+
+  // Return how many pages were rendered, and how many were requested.
+  std::uint64_t rendered_pages() const { return rendered_pages_; }
+  std::uint64_t requested_pages() const { return requested_pages_; }
+
+  // Compacts the log where it has more than `max_events`. Purges from before `binding_since` are dropped.
+  void compact(std::size_t max_events, UnixTime binding_since);
+
+  // Returns the whole log as one compacted page: a full list, and the purges since `binding_since`.
+  nlohmann::json compacted_page(UnixTime binding_since) const;
 
  private:
-  // The list that all events up to `number` make, as one whole-list event, and the purges among them.
-  static nlohmann::json folded_list(const std::map<std::uint64_t, nlohmann::json>& events,
-                                    std::uint64_t& last_list);
-
-  std::string id_;
-  std::uint64_t last_ = 0;
-  std::map<std::uint64_t, nlohmann::json> events_;
-  std::map<std::uint64_t, Page> pages_;  // by the number asked from, for the last event as it is
-  std::uint64_t rendered_ = 0;
-  std::uint64_t asked_ = 0;
-};
+  using Events = std::map<std::uint64_t, nlohmann::json>;  // by sequence number
+
+  Events compacted_events(UnixTime binding_since) const;
+  nlohmann::json page_of(Events::const_iterator first, Events::const_iterator last) const;
 
-// Throws std::invalid_argument where a page is not of that form.
-void check_page(const nlohmann::json& page);
+  std::string source_id_;
+  std::uint64_t last_sequence_ = 0;
+  Events events_;
+  std::map<std::uint64_t, Page> pages_;  // by the number polled from, up to the last event
+  std::uint64_t rendered_pages_ = 0;
+  std::uint64_t requested_pages_ = 0;
+};
 
-}  // namespace trailcourse::board
+}  // namespace trailcourse::discovery
--- a/src/discovery/fenced_event.cpp
+++ b/src/discovery/fenced_event.cpp
@@ -1,74 +1,111 @@
 #include "discovery/fenced_event.h"
 
+#include <cstddef>
+#include <optional>
+#include <string>
+#include <utility>
+
 #include "ownership/token.h"
 
-namespace trailcourse::board {
+namespace trailcourse::discovery {
 
 using nlohmann::json;
 
 namespace {
 
-constexpr std::size_t kMostId = 128;
+constexpr std::size_t kMaxIdLength = 128;
+
+std::uint64_t number_at(const json& object, const std::string& name) {
+  const auto found = object.find(name);
+  return found != object.end() && found->is_number_unsigned() ? found->get<std::uint64_t>() : 0;
+}
+
+std::string text_at(const json& object, const std::string& name) {
+  if (!object.is_object() || !object.contains(name) || !object[name].is_string()) {
+    return {};
+  }
+  return object[name].get<std::string>();
+}
 
-std::uint64_t number_at(const json& from, const std::string& name) {
-  const auto found = from.find(name);
-  return found != from.end() && found->is_number_unsigned() ? found->get<std::uint64_t>() : 0;
+bool has_object(const json& object, const char* name) {
+  return object.contains(name) && object[name].is_object();
 }
 
-bool is_event(const json& event) {
+// Whether `event` can be published: a purge or a list without a sequence number or identifier of its own.
+bool is_publishable(const json& event) {
   return event.is_object() && !event.contains("rev") && !event.contains("id") &&
-         ((event.contains("flush") && event["flush"].is_object()) ||
-          (event.contains("pool") && event["pool"].is_object()));
+         (has_object(event, "flush") || has_object(event, "pool"));
+}
+
+bool is_valid_call(const json& call) {
+  const std::string id = text_at(call, "id");
+  return !id.empty() && id.size() <= kMaxIdLength && call.contains("event") && is_publishable(call["event"]);
+}
+
+// Returns the sequence number of the event with that identifier, or nothing where there is none.
+std::optional<std::uint64_t> find_published(const json& page, const std::string& id) {
+  std::optional<std::uint64_t> sequence;
+  for (const json& event : page["notices"]) {
+    if (event.value("id", std::string()) == id) {
+      sequence = number_at(event, "rev");
+    }
+  }
+  return sequence;
+}
+
+// Appends the event and returns its sequence number.
+std::uint64_t append_event(json& page, json event, const std::string& id) {
+  const std::uint64_t sequence = number_at(page, "rev") + 1;
+  event["rev"] = sequence;
+  event["id"] = id;
+  page["rev"] = sequence;
+  page["notices"].push_back(std::move(event));
+  return sequence;
 }
 
 }  // namespace
 
-Posted post_notice(json& page, const json& call) {
-  Posted out;
-  const auto text = [&call](const char* name) {
-    return call.is_object() && call.contains(name) && call[name].is_string() ? call[name].get<std::string>()
-                                                                             : std::string();
-  };
-  const auto token = ownership::read_token(text("fence"));
-  const std::string id = text("id");
+const char* to_string(FencedEventError error) {
+  switch (error) {
+    case FencedEventError::kInvalidToken:
+      return "fence_unreadable";
+    case FencedEventError::kInvalidEvent:
+      return "not_a_notice";
+    case FencedEventError::kOtherStore:
+      return "fence_other_store";
+    case FencedEventError::kSuperseded:
+      break;
+  }
+  return "fenced";
+}
+
+tl::expected<FencedEventResult, FencedEventError> publish_fenced_event(json& page, const json& call) {
+  const auto token = ownership::read_token(text_at(call, "fence"));
   if (!token) {
-    out.why = "fence_unreadable";
-    return out;
+    return tl::unexpected(FencedEventError::kInvalidToken);
   }
-  if (id.empty() || id.size() > kMostId || !call.contains("event") || !is_event(call["event"])) {
-    out.why = "not_a_notice";
-    return out;
+  if (!is_valid_call(call)) {
+    return tl::unexpected(FencedEventError::kInvalidEvent);
   }
   const std::uint64_t store = number_at(page, "store");
   if (store != 0 && store != token->store) {
-    out.why = "fence_other_store";
-    return out;
-  }
-  const json terms = page.value("terms", json::object());
-  if (token->term < number_at(terms, token->work)) {
-    out.why = "fenced";
-    return out;
-  }
-  // Sent again: by the same owner, or by its successor, who cannot know whether it arrived.
-  for (const json& event : page["notices"]) {
-    if (event.value("id", std::string()) == id) {
-      out.known = true;
-      out.number = number_at(event, "rev");
-    }
+    return tl::unexpected(FencedEventError::kOtherStore);
   }
-  if (!out.known) {
-    out.number = number_at(page, "rev") + 1;
-    json event = call["event"];
-    event["rev"] = out.number;
-    event["id"] = id;
-    page["rev"] = out.number;
-    page["notices"].push_back(std::move(event));
+  const std::uint64_t last_term = number_at(page.value("terms", json::object()), token->work);
+  if (token->term < last_term) {
+    return tl::unexpected(FencedEventError::kSuperseded);
   }
-  // Also where it is known: from now on the one before may say nothing more.
-  out.taken = !out.known || number_at(terms, token->work) != token->term;
+  FencedEventResult out;
+  const std::string id = text_at(call, "id");
+  // An event may be sent again by the same owner, or by its successor, who cannot know whether it arrived.
+  const std::optional<std::uint64_t> published = find_published(page, id);
+  out.duplicate = published.has_value();
+  out.sequence = published ? *published : append_event(page, call["event"], id);
+  // A duplicate under a new term changes the page too: the previous owner may publish nothing more.
+  out.page_changed = !out.duplicate || last_term != token->term;
   page["store"] = token->store;
   page["terms"][token->work] = token->term;
   return out;
 }
 
-}  // namespace trailcourse::board
+}  // namespace trailcourse::discovery
--- a/src/discovery/fenced_event.h
+++ b/src/discovery/fenced_event.h
@@ -1,24 +1,38 @@
-// A notice that owned work puts on the board: taken under a term only, and once. The terms seen stand in the
-// board's page itself, so that a term and its first notice are on the disk together or not at all.
+// Publishes an event on behalf of owned work: once, and only under a fencing token that is not superseded.
+// The terms seen are part of the service's page, so that a term and its first event are on the disk together
+// or not at all.
 //
-// Package `board`: no I/O, no clock.
+// Package `discovery`: no I/O, no clock.
 #pragma once
 
 #include <cstdint>
 #include <nlohmann/json.hpp>
-#include <string>
+#include <tl/expected.hpp>
 
-namespace trailcourse::board {
+namespace trailcourse::discovery {
 
-struct Posted {
-  bool taken = false;  // the page has changed and is to be kept before this is told
-  bool known = false;  // the same was taken before, under the number given
-  std::uint64_t number = 0;
-  std::string why;  // of one that was refused, one word
+// Why an event is rejected.
+enum class FencedEventError {
+  kInvalidToken,  // the fencing token cannot be read
+  kInvalidEvent,  // the call has no identifier, or no event that can be published
+  kOtherStore,    // the token is of another coordination store than those before
+  kSuperseded     // a later owner has published already
 };
 
-// `call`: {"fence": "STORE:WORK/SHARD:TERM", "id": "...", "event": {...}}. The id tells a notice that is sent
-// again because its answer was lost. The page is that of check_page(), with "terms" and "store" beside.
-Posted post_notice(nlohmann::json& page, const nlohmann::json& call);
+// Returns the word that the answer to the caller bears.
+const char* to_string(FencedEventError error);
 
-}  // namespace trailcourse::board
+// The effect of a call on the page.
+struct FencedEventResult {
+  std::uint64_t sequence = 0;  // of the event
+  bool duplicate = false;      // the event was published before, under that sequence number
+  bool page_changed = false;   // the page has to be stored before the call is answered
+};
+
+// Publishes the event of `call`, {"fence": "STORE:WORK/SHARD:TERM", "id": "...", "event": {...}}, in `page`.
+// The identifier recognises an event that is sent again because its answer was lost. `page` has passed
+// validate_page(); its members "terms" and "store" hold the tokens seen. After an error it is unchanged.
+tl::expected<FencedEventResult, FencedEventError> publish_fenced_event(nlohmann::json& page,
+                                                                       const nlohmann::json& call);
+
+}  // namespace trailcourse::discovery
--- a/src/discovery/long_poll_scheduler.cpp
+++ b/src/discovery/long_poll_scheduler.cpp
@@ -2,130 +2,144 @@
 
 #include <algorithm>
 
-namespace trailcourse::board {
+namespace trailcourse::discovery {
 
 using config::WholeRange;
 using config::Words;
+using std::chrono::milliseconds;
 
 namespace {
 
 constexpr double kBurstSeconds = 0.1;  // of the rate, that may come at once
-constexpr std::int64_t kSecond = 1'000;
+constexpr milliseconds kSecond{1'000};
+constexpr milliseconds kPeakWindow{100};
+constexpr double kMillisPerSecond = 1e3;
 
 }  // namespace
 
-const config::Record<BoardOptions>& board_record() {
-  static const config::Record<BoardOptions> kRecord = [] {
-    config::Record<BoardOptions> record("board",
-                                        "A notice board that many routers lean on: `trailcourse board`.");
-    record.text("listen", &BoardOptions::listen, "IP:PORT", Words{{}, true}, "where routers and nodes ask")
-        .text("file", &BoardOptions::file, "-", Words{{}, true},
+const config::Record<DiscoveryOptions>& discovery_record() {
+  static const config::Record<DiscoveryOptions> kRecord = [] {
+    config::Record<DiscoveryOptions> record("board",
+                                            "A notice board that many routers lean on: `trailcourse board`.");
+    record
+        .text("listen", &DiscoveryOptions::listen, "IP:PORT", Words{{}, true}, "where routers and nodes ask")
+        .text("file", &DiscoveryOptions::file, "-", Words{{}, true},
               "what it tells, as {\"rev\":N,\"notices\":[...]}; a new one is told at once")
-        .whole("connections", &BoardOptions::connections, "connections", WholeRange{1, 1'000'000},
+        .whole("connections", &DiscoveryOptions::connections, "connections", WholeRange{1, 1'000'000},
                "at once; one beyond is answered 503 with a time to come back, and closed")
-        .whole("waiting", &BoardOptions::waiting, "calls", WholeRange{1, 1'000'000},
+        .whole("waiting", &DiscoveryOptions::waiting, "calls", WholeRange{1, 1'000'000},
                "held at once until there is news; one beyond is sent away")
-        .whole("calls_per_s", &BoardOptions::calls_per_s, "calls/s", WholeRange{0, 1'000'000},
+        .whole("calls_per_s", &DiscoveryOptions::calls_per_s, "calls/s", WholeRange{0, 1'000'000},
                "answered beside those that were held; beyond it calls get a turn in a line by Retry-After; "
-               "0: as "
-               "they come")
-        .whole("release_ms", &BoardOptions::release_ms, "ms", WholeRange{0, 5'000},
+               "0: as they come")
+        .whole("release_ms", &DiscoveryOptions::release_ms, "ms", WholeRange{0, 5'000},
                "news is told to held calls spread over so long: well within the purge grace of the settings")
-        .whole("retry_after_most_s", &BoardOptions::retry_after_most_s, "s", WholeRange{1, 3'600},
+        .whole("retry_after_most_s", &DiscoveryOptions::retry_after_most_s, "s", WholeRange{1, 3'600},
                "the longest wait that a call is sent away with")
-        .whole("linger_most_ms", &BoardOptions::linger_most_ms, "ms", WholeRange{0, 60'000},
+        .whole("linger_most_ms", &DiscoveryOptions::linger_most_ms, "ms", WholeRange{0, 60'000},
                "a call is held for so long at most, whatever it asks for");
     return record;
   }();
   return kRecord;
 }
 
-CoreRules core_rules(const BoardOptions& options) {
-  CoreRules rules;
-  rules.most_waiting = static_cast<std::size_t>(options.waiting);
-  rules.calls_per_s = static_cast<double>(options.calls_per_s);
-  rules.release_ms = options.release_ms;
-  rules.most_retry_after_ms = options.retry_after_most_s * kSecond;
-  rules.most_linger_ms = options.linger_most_ms;
-  return rules;
+LongPollOptions long_poll_options(const DiscoveryOptions& options) {
+  LongPollOptions out;
+  out.max_held = static_cast<std::size_t>(options.waiting);
+  out.calls_per_s = static_cast<double>(options.calls_per_s);
+  out.release_window = milliseconds(options.release_ms);
+  out.max_retry_after = std::chrono::seconds(options.retry_after_most_s);
+  out.max_long_poll_timeout = milliseconds(options.linger_most_ms);
+  return out;
 }
 
-void BoardCore::count(std::int64_t now_ms) {
+void LongPollScheduler::count_call(Millis now) {
   ++counts_.calls;
-  recent_.push_back(now_ms);
-  std::erase_if(recent_, [now_ms](std::int64_t at) { return at <= now_ms - kSecond; });
-  const auto lately = std::count_if(recent_.begin(), recent_.end(),
-                                    [now_ms](std::int64_t at) { return at > now_ms - kSecond / 10; });
-  counts_.in_worst_100_ms = std::max(counts_.in_worst_100_ms, static_cast<std::uint64_t>(lately));
-  counts_.in_worst_second = std::max<std::uint64_t>(counts_.in_worst_second, recent_.size());
+  recent_calls_.push_back(now);
+  std::erase_if(recent_calls_, [now](Millis at) { return at <= now - kSecond; });
+  const auto in_peak_window = std::count_if(recent_calls_.begin(), recent_calls_.end(),
+                                            [now](Millis at) { return at > now - kPeakWindow; });
+  counts_.peak_in_100_ms = std::max(counts_.peak_in_100_ms, static_cast<std::uint64_t>(in_peak_window));
+  counts_.peak_in_second = std::max<std::uint64_t>(counts_.peak_in_second, recent_calls_.size());
 }
 
-Decision BoardCore::call(std::int64_t now_ms, CallNumber call, std::uint64_t watch, std::int64_t linger_ms,
-                         std::uint64_t last) {
-  count(now_ms);
-  const double rate = rules_.calls_per_s;
-  if (rate > 0.0) {
-    const double burst = std::max(1.0, rate * kBurstSeconds);
-    const double earned =
-        tokens_at_ms_ == INT64_MIN ? burst : static_cast<double>(now_ms - tokens_at_ms_) * rate / kSecond;
-    tokens_ = std::min(burst, tokens_ + earned);
-    tokens_at_ms_ = now_ms;
+void LongPollScheduler::refill_tokens(Millis now) {
+  if (!is_rate_limited()) {
+    return;
   }
-  const bool current = watch == last;
-  const std::int64_t linger = std::clamp<std::int64_t>(linger_ms, 0, rules_.most_linger_ms);
-  const bool no_room = current && linger > 0 && held_.size() >= rules_.most_waiting;
-  const bool no_turn = rate > 0.0 && tokens_ < 1.0;
-  if (no_room || no_turn) {
-    // Its turn in the line of those sent away, at the pace that the board answers.
-    const double pace = rate > 0.0 ? rate : static_cast<double>(rules_.most_waiting);
-    line_ms_ = std::max(line_ms_, static_cast<double>(now_ms)) + kSecond / pace;
-    const auto wait = static_cast<std::int64_t>(line_ms_) - now_ms + 1;
-    ++counts_.sent_away;
-    line_ms_ = std::min(line_ms_, static_cast<double>(now_ms + rules_.most_retry_after_ms));
-    return {Verdict::kSendAway, std::clamp<std::int64_t>(wait, 1, rules_.most_retry_after_ms)};
+  const double rate = options_.calls_per_s;
+  const double burst = std::max(1.0, rate * kBurstSeconds);
+  const double earned =
+      refilled_at_ ? static_cast<double>((now - *refilled_at_).count()) * rate / kMillisPerSecond : burst;
+  tokens_ = std::min(burst, tokens_ + earned);
+  refilled_at_ = now;
+}
+
+// Reserves the next slot of the virtual queue and returns the wait until then.
+LongPollScheduler::Millis LongPollScheduler::reserve_slot(Millis now) {
+  const double rate = is_rate_limited() ? options_.calls_per_s : static_cast<double>(options_.max_held);
+  const auto now_ms = static_cast<double>(now.count());
+  next_slot_ms_ = std::max(next_slot_ms_, now_ms) + kMillisPerSecond / rate;
+  const Millis wait = Millis(static_cast<Millis::rep>(next_slot_ms_)) - now + Millis(1);
+  const auto last_slot_ms = static_cast<double>((now + options_.max_retry_after).count());
+  next_slot_ms_ = std::min(next_slot_ms_, last_slot_ms);
+  return std::clamp(wait, Millis(1), options_.max_retry_after);
+}
+
+CallDecision LongPollScheduler::on_call(Millis now, CallId call, std::uint64_t known_sequence, Millis timeout,
+                                        std::uint64_t last_sequence) {
+  count_call(now);
+  refill_tokens(now);
+  const Millis hold_for = std::clamp(timeout, Millis(0), options_.max_long_poll_timeout);
+  const bool holds = known_sequence == last_sequence && hold_for > Millis(0);
+  const bool no_capacity = holds && held_.size() >= options_.max_held;
+  const bool no_token = is_rate_limited() && tokens_ < 1.0;
+  if (no_capacity || no_token) {
+    ++counts_.rejected;
+    return {CallDecisionKind::kReject, reserve_slot(now)};
   }
-  tokens_ -= rate > 0.0 ? 1.0 : 0.0;
-  if (!current || linger == 0) {
+  tokens_ -= is_rate_limited() ? 1.0 : 0.0;
+  if (!holds) {
     ++counts_.answered;
-    return {Verdict::kAnswer, 0};
+    return {CallDecisionKind::kAnswer, Millis(0)};
   }
   ++counts_.held;
-  held_[call] = now_ms + linger;
-  dues_.emplace(now_ms + linger, call);
-  return {Verdict::kHold, 0};
+  held_[call] = now + hold_for;
+  release_.emplace(now + hold_for, call);
+  return {CallDecisionKind::kHold, Millis(0)};
 }
 
-void BoardCore::gone(CallNumber call) {
+void LongPollScheduler::on_disconnected(CallId call) {
   if (const auto found = held_.find(call); found != held_.end()) {
-    dues_.erase({found->second, call});
+    release_.erase({found->second, call});
     held_.erase(found);
   }
 }
 
-// Even over the release time, in drawn order: who asked first is not always told first.
-void BoardCore::published(std::int64_t now_ms) {
-  std::vector<CallNumber> order;
-  for (const auto& [call, due] : held_) {
+// Spread evenly over the release window, in random order: the first to poll is not always the first to know.
+void LongPollScheduler::on_published(Millis now) {
+  std::vector<CallId> order;
+  order.reserve(held_.size());
+  for (const auto& [call, answer_at] : held_) {
     order.push_back(call);
   }
   std::shuffle(order.begin(), order.end(), random_);
-  dues_.clear();
-  for (std::size_t i = 0; i < order.size(); ++i) {
-    const auto share =
-        static_cast<std::int64_t>(i) * rules_.release_ms / static_cast<std::int64_t>(order.size());
-    std::int64_t& due = held_[order[i]];
-    due = std::min(due, now_ms + share);
+  const auto count = static_cast<Millis::rep>(order.size());
+  for (Millis::rep i = 0; i < count; ++i) {
+    Millis& answer_at = held_[order[static_cast<std::size_t>(i)]];
+    answer_at = std::min(answer_at, now + i * options_.release_window / count);
   }
-  for (const auto& [call, due] : held_) {
-    dues_.emplace(due, call);
+  release_.clear();
+  for (const auto& [call, answer_at] : held_) {
+    release_.emplace(answer_at, call);
   }
 }
 
-std::vector<CallNumber> BoardCore::due(std::int64_t now_ms) {
-  std::vector<CallNumber> out;
-  while (!dues_.empty() && dues_.begin()->first <= now_ms) {
-    const CallNumber call = dues_.begin()->second;
-    dues_.erase(dues_.begin());
+std::vector<CallId> LongPollScheduler::step(Millis now) {
+  std::vector<CallId> out;
+  while (!release_.empty() && release_.begin()->first <= now) {
+    const CallId call = release_.begin()->second;
+    release_.erase(release_.begin());
     held_.erase(call);
     out.push_back(call);
     ++counts_.released;
@@ -133,8 +147,8 @@
   return out;
 }
 
-std::optional<std::int64_t> BoardCore::next_due() const {
-  return dues_.empty() ? std::nullopt : std::optional<std::int64_t>(dues_.begin()->first);
+std::optional<LongPollScheduler::Millis> LongPollScheduler::next_step_at() const {
+  return release_.empty() ? std::nullopt : std::optional<Millis>(release_.begin()->first);
 }
 
-}  // namespace trailcourse::board
+}  // namespace trailcourse::discovery
--- a/src/discovery/long_poll_scheduler.h
+++ b/src/discovery/long_poll_scheduler.h
@@ -1,14 +1,15 @@
-// What a notice board does with each call: answer it, hold it until there is news, or send it away with a
-// time to come back. Events go in with their time, decisions come out; no I/O, no clock.
+// Decides what a discovery service does with each poll: answer it, hold it until there are updates, or reject
+// it with a Retry-After. Events go in with their time, decisions come out; no I/O, no clock.
 //
-// Bounds: connections, calls that wait, and calls answered in a second beside those that were held. A call
-// beyond the last is given a turn in a line that the board answers at its rate, and `Retry-After` names that
-// turn: it grows with the line, and those sent away do not all come back together. News is told to held calls
-// spread over a stated time, in drawn order, which has to lie within the bound on purges.
+// Three things are bounded: connections, held polls, and polls that are answered in a second beside the held
+// ones. A poll beyond the bound gets a slot in a virtual queue that the service serves at its rate, and
+// Retry-After names that slot: it grows with the queue, and rejected clients do not all return together. Held
+// polls are released in random order, spread over a stated time that has to lie within the bound on purges.
 //
-// Package `board`. Not thread-safe.
+// Package `discovery`. Not thread-safe.
 #pragma once
 
+#include <chrono>
 #include <cstddef>
 #include <cstdint>
 #include <map>
@@ -21,10 +22,10 @@
 
 #include "config/record.h"
 
-namespace trailcourse::board {
+namespace trailcourse::discovery {
 
-// The section `board` of the operator's file.
-struct BoardOptions {
+// The section `board` of the operator's file; each member is a key of that name.
+struct DiscoveryOptions {
   std::string listen;
   std::string file;
   std::int64_t connections = 4'096;
@@ -34,61 +35,85 @@
   std::int64_t retry_after_most_s = 60;
   std::int64_t linger_most_ms = 5'000;
 };
-const config::Record<BoardOptions>& board_record();
 
-using CallNumber = std::uint64_t;
+// Returns the declaration of the section `board`: its keys, ranges and descriptions.
+const config::Record<DiscoveryOptions>& discovery_record();
 
-struct CoreRules {
-  std::size_t most_waiting = 4'096;
-  double calls_per_s = 0.0;  // answered beside held ones; 0: as they come
-  std::int64_t release_ms = 100;
-  std::int64_t most_retry_after_ms = 60'000;
-  std::int64_t most_linger_ms = 5'000;
+// Identifies a poll while it is held; chosen by the caller, never used twice.
+using CallId = std::uint64_t;
+
+struct LongPollOptions {
+  std::size_t max_held = 4'096;
+  double calls_per_s = 0.0;                                // answered beside held ones; 0: no bound
+  std::chrono::milliseconds release_window{100};           // held polls are released over so long
+  std::chrono::milliseconds max_retry_after{60'000};       // longest wait that a rejection names
+  std::chrono::milliseconds max_long_poll_timeout{5'000};  // a poll is held for so long at most
 };
-CoreRules core_rules(const BoardOptions& options);
 
-enum class Verdict { kAnswer, kHold, kSendAway };
-struct Decision {
-  Verdict verdict = Verdict::kAnswer;
-  std::int64_t retry_after_ms = 0;  // of one sent away
+// Derives the options from the operator's section.
+LongPollOptions long_poll_options(const DiscoveryOptions& options);
+
+enum class CallDecisionKind { kAnswer, kHold, kReject };
+
+// What to do with a poll.
+struct CallDecision {
+  CallDecisionKind kind = CallDecisionKind::kAnswer;
+  std::chrono::milliseconds retry_after{0};  // of a rejection
 };
 
-struct CoreCounts {
-  std::uint64_t calls = 0, answered = 0, held = 0, sent_away = 0, released = 0, in_worst_100_ms = 0,
-                in_worst_second = 0;
+// Counts since the start.
+struct LongPollCounts {
+  std::uint64_t calls = 0;
+  std::uint64_t answered = 0;  // at once
+  std::uint64_t held = 0;
+  std::uint64_t rejected = 0;
+  std::uint64_t released = 0;        // held ones that were answered
+  std::uint64_t peak_in_100_ms = 0;  // most calls in any 100 ms
+  std::uint64_t peak_in_second = 0;  // most calls in any second
 };
 
-class BoardCore {
+class LongPollScheduler {
  public:
-  BoardCore(const CoreRules& rules, std::uint64_t seed) : rules_(rules), random_(seed) {}
-
-  // A call for what is later than `watch`, to be held for `linger_ms` at most. `last`: the board's last
-  // number.
-  Decision call(std::int64_t now_ms, CallNumber call, std::uint64_t watch, std::int64_t linger_ms,
-                std::uint64_t last);
-  // Its connection ended.
-  void gone(CallNumber call);
-  // There is news: each held call gets its moment. `last` differs from before.
-  void published(std::int64_t now_ms);
-  // The calls to be answered now: news or the end of their linger.
-  std::vector<CallNumber> due(std::int64_t now_ms);
-  std::optional<std::int64_t> next_due() const;
-
-  std::size_t waiting() const { return held_.size(); }
-  const CoreCounts& counts() const { return counts_; }
+  using Millis = std::chrono::milliseconds;  // of the caller's steady clock, or a duration
+
+  LongPollScheduler(const LongPollOptions& options, std::uint64_t seed) : options_(options), random_(seed) {}
+
+  // Decides on a poll for what is later than `known_sequence`, to be held for `timeout` at most.
+  // `last_sequence` is that of the last event.
+  CallDecision on_call(Millis now, CallId call, std::uint64_t known_sequence, Millis timeout,
+                       std::uint64_t last_sequence);
+
+  // Records that the client of a held poll has left.
+  void on_disconnected(CallId call);
+
+  // Records that there are updates: each held poll gets the time of its release.
+  void on_published(Millis now);
+
+  // Returns the held polls that are to be answered now, because of updates or of their timeout.
+  std::vector<CallId> step(Millis now);
+
+  // Returns when step() has polls to answer by time alone, or nothing where none is held.
+  std::optional<Millis> next_step_at() const;
+
+  // Returns the number of polls that are held.
+  std::size_t held() const { return held_.size(); }
+  const LongPollCounts& counts() const { return counts_; }
 
  private:
-  void count(std::int64_t now_ms);
+  void count_call(Millis now);
+  void refill_tokens(Millis now);
+  bool is_rate_limited() const { return options_.calls_per_s > 0.0; }
+  Millis reserve_slot(Millis now);
 
-  CoreRules rules_;
+  LongPollOptions options_;
   std::mt19937_64 random_;
-  std::map<CallNumber, std::int64_t> held_;  // when each is answered
-  std::set<std::pair<std::int64_t, CallNumber>> dues_;
+  std::map<CallId, Millis> held_;                // when each is answered
+  std::set<std::pair<Millis, CallId>> release_;  // the same, by time
   double tokens_ = 0.0;
-  std::int64_t tokens_at_ms_ = INT64_MIN;
-  double line_ms_ = 0.0;              // the turn of the next one sent away
-  std::vector<std::int64_t> recent_;  // times of calls, of the last second
-  CoreCounts counts_;
+  std::optional<Millis> refilled_at_;
+  double next_slot_ms_ = 0.0;         // of the virtual queue
+  std::vector<Millis> recent_calls_;  // of the last second
+  LongPollCounts counts_;
 };
 
-}  // namespace trailcourse::board
+}  // namespace trailcourse::discovery
--- a/src/program/board_server.cpp
+++ b/src/program/board_server.cpp
@@ -3,7 +3,6 @@
 #include <cstdio>
 #include <fstream>
 #include <iterator>
-#include <stdexcept>
 #include <utility>
 
 #include "discovery/fenced_event.h"
@@ -32,17 +31,17 @@
 json parse_board(const std::string& path, const std::string& text) {
   json page = json::parse(text, nullptr, false, true);
   try {
-    board::check_page(page);
-  } catch (const std::invalid_argument& error) {
+    discovery::validate_page(page);
+  } catch (const discovery::PageFormatError& error) {
     throw ConfigurationError(path + ": " + error.what());
   }
   return page;
 }
 
-board::PageServer::Bounds server_bounds(const board::BoardOptions& options) {
-  board::PageServer::Bounds bounds;
-  bounds.connections = static_cast<std::size_t>(options.connections);
-  return bounds;
+discovery::DiscoveryServer::Limits server_limits(const discovery::DiscoveryOptions& options) {
+  discovery::DiscoveryServer::Limits limits;
+  limits.connections = static_cast<std::size_t>(options.connections);
+  return limits;
 }
 
 std::string folder_of(const std::string& file) {
@@ -58,19 +57,19 @@
 
 }  // namespace
 
-BoardServer::BoardServer(transport::Scheduler& scheduler, const board::BoardOptions& options,
+BoardServer::BoardServer(transport::Scheduler& scheduler, const discovery::DiscoveryOptions& options,
                          std::uint64_t seed)
     : scheduler_(scheduler),
       file_(options.file),
       text_(read_all(file_)),
-      server_(scheduler, log_, board::core_rules(options), server_bounds(options),
-              {[]() -> std::optional<std::int64_t> { return std::nullopt; },
-               [this] { return "X-Askers: " + std::to_string(server_.connections()) + "\r\n"; },
-               [this](const std::string& body) { return post(body); }},
-              seed) {
+      server_(
+          scheduler, log_, discovery::long_poll_options(options), server_limits(options),
+          {.page_headers = [this] { return "X-Askers: " + std::to_string(server_.connections()) + "\r\n"; },
+           .publish = [this](const std::string& body) { return publish(body); }},
+          seed) {
   const json page = parse_board(file_, text_);
   log_.replace(page);
-  log_.rename(page.value("board", hex(seed)));
+  log_.set_source_id(page.value("board", hex(seed)));
 }
 
 void BoardServer::listen(const transport::Address& address) {
@@ -85,16 +84,17 @@
   }
 }
 
-std::pair<int, std::string> BoardServer::post(const std::string& body) {
+discovery::PublishResponse BoardServer::publish(const std::string& body) {
   try {
     json page = parse_board(file_, read_all(file_));
-    const board::Posted posted = board::post_notice(page, json::parse(body, nullptr, false));
-    if (!posted.why.empty()) {
+    const auto published = discovery::publish_fenced_event(page, json::parse(body, nullptr, false));
+    if (!published) {
       ++refused_;
-      log_line(Level::kWarning) << "refused a notice of owned work: " << posted.why;
-      return {409, json{{"error", posted.why}}.dump()};
+      const char* error = discovery::to_string(published.error());
+      log_line(Level::kWarning) << "refused a notice of owned work: " << error;
+      return {409, json{{"error", error}}.dump()};
     }
-    if (posted.taken) {
+    if (published->page_changed) {
       const std::unique_ptr<store::Files> folder = store::look_into_folder(folder_of(file_));
       const std::string name = file_.substr(file_.rfind('/') + 1);
       const std::unique_ptr<store::File> next = folder->create(name + ".next");
@@ -105,7 +105,7 @@
       ++posted_;
       reread();
     }
-    return {200, json{{"rev", posted.number}, {"known", posted.known}}.dump()};
+    return {200, json{{"rev", published->sequence}, {"known", published->duplicate}}.dump()};
   } catch (const std::exception& error) {
     log_line(Level::kError) << "a notice of owned work was not kept: " << error.what();
     return {503, json{{"error", "not_kept"}}.dump()};
@@ -121,16 +121,16 @@
     text_ = std::move(text);
     const json page = parse_board(file_, text_);
     log_.replace(page);
-    log_.rename(page.value("board", log_.id()));
-    log_line(Level::kInfo) << "the board tells up to event " << log_.last();
-    server_.published();
+    log_.set_source_id(page.value("board", log_.source_id()));
+    log_line(Level::kInfo) << "the board tells up to event " << log_.last_sequence();
+    server_.on_published();
   } catch (const std::exception& error) {
     log_line(Level::kError) << "the board stays as it was: " << error.what();
   }
 }
 
 std::string BoardServer::report() const {
-  const board::CoreCounts& counts = server_.core().counts();
+  const discovery::LongPollCounts& counts = server_.long_polls().counts();
   std::string out;
   const auto add = [&out](const char* name, std::uint64_t value) {
     out += (out.empty() ? "" : " ") + std::string(name) + "=" + std::to_string(value);
@@ -139,12 +139,12 @@
   add("answered", counts.answered);
   add("held", counts.held);
   add("released", counts.released);
-  add("sent_away", counts.sent_away);
-  add("worst_100_ms", counts.in_worst_100_ms);
-  add("worst_second", counts.in_worst_second);
-  add("rendered", log_.rendered());
+  add("sent_away", counts.rejected);
+  add("worst_100_ms", counts.peak_in_100_ms);
+  add("worst_second", counts.peak_in_second);
+  add("rendered", log_.rendered_pages());
   add("connections", server_.connections());
-  add("waiting", server_.core().waiting());
+  add("waiting", server_.long_polls().held());
   add("fenced_taken", posted_);
   add("fenced_refused", refused_);
   return out;
--- a/src/program/board_server.h
+++ b/src/program/board_server.h
@@ -3,10 +3,8 @@
 #pragma once
 
 #include <cstdint>
-#include <memory>
 #include <nlohmann/json.hpp>
 #include <string>
-#include <utility>
 
 #include "discovery/discovery_server.h"
 #include "discovery/event_log.h"
@@ -17,7 +15,8 @@
  public:
   // Throws ConfigurationError where the file cannot be used. `id` names this start of the board: a file with
   // numbers of its own is another board. The file may name itself by `"board"`; else it is `id`.
-  BoardServer(transport::Scheduler& scheduler, const board::BoardOptions& options, std::uint64_t seed);
+  BoardServer(transport::Scheduler& scheduler, const discovery::DiscoveryOptions& options,
+              std::uint64_t seed);
   BoardServer(const BoardServer&) = delete;
   BoardServer& operator=(const BoardServer&) = delete;
 
@@ -31,14 +30,13 @@
  private:
   transport::Task<void> watch_file();
   // A notice of owned work: kept durably before it is told.
-  std::pair<int, std::string> post(const std::string& body);
-  nlohmann::json read_file() const;
+  discovery::PublishResponse publish(const std::string& body);
 
   transport::Scheduler& scheduler_;
   std::string file_;
   std::string text_;
-  board::PageLog log_;
-  board::PageServer server_;
+  discovery::EventLog log_;
+  discovery::DiscoveryServer server_;
   std::uint64_t posted_ = 0;
   std::uint64_t refused_ = 0;
 };
--- a/src/program/operator_file.cpp
+++ b/src/program/operator_file.cpp
@@ -17,7 +17,7 @@
   visit(store::options_record(), file.store);
   visit(cache_node::node_record(), file.cache);
   visit(cache_node::origin_record(), file.origin);
-  visit(board::board_record(), file.board);
+  visit(discovery::discovery_record(), file.board);
   visit(startup::start_record(), file.startup);
   visit(snapshot::snapshot_record(), file.snapshot);
   visit(relay_record(), file.relay);
--- a/src/program/operator_file.h
+++ b/src/program/operator_file.h
@@ -22,7 +22,7 @@
   cache_node::NodeOptions cache;
   cache_node::ClassMap classes;
   cache_node::OriginOptions origin;
-  board::BoardOptions board;
+  discovery::DiscoveryOptions board;
   startup::StartOptions startup;
   snapshot::SnapshotOptions snapshot;
   RelayOptions relay;
--- a/src/program/start_options.cpp
+++ b/src/program/start_options.cpp
@@ -42,11 +42,11 @@
   return kRecord;
 }
 
-startup::UpstreamRules upstream_rules(const RelayOptions& options) {
-  startup::UpstreamRules rules;
-  rules.most_age = milliseconds(options.most_age_ms);
-  rules.first_pass_over = milliseconds(options.pass_over_ms);
-  rules.distrust = std::chrono::seconds(options.distrust_s);
+startup::RelaySelectorOptions relay_selector_options(const RelayOptions& options) {
+  startup::RelaySelectorOptions rules;
+  rules.max_age = milliseconds(options.most_age_ms);
+  rules.initial_quarantine = milliseconds(options.pass_over_ms);
+  rules.withholding_quarantine = std::chrono::seconds(options.distrust_s);
   rules.audits_per_s = options.audits_per_s;
   return rules;
 }
--- a/src/program/start_options.h
+++ b/src/program/start_options.h
@@ -30,7 +30,7 @@
   std::int64_t connections = 256;
 };
 const config::Record<RelayOptions>& relay_record();
-startup::UpstreamRules upstream_rules(const RelayOptions& options);
+startup::RelaySelectorOptions relay_selector_options(const RelayOptions& options);
 
 // What stands in the operator's file of a router beside its tuning.
 struct StartSections {
--- a/src/program/start_support.cpp
+++ b/src/program/start_support.cpp
@@ -5,7 +5,6 @@
 #include <chrono>
 #include <system_error>
 #include <utility>
-#include <variant>
 
 #include "startup/relay_tree.h"
 #include "transport/log.h"
@@ -22,20 +21,15 @@
 constexpr milliseconds kLook{20};
 constexpr Micros kAnewAfter =
     std::chrono::seconds(5);  // a stale copy of the board is not the board for so long
-constexpr std::int64_t kPurgeMarginMs = 2'000;
+constexpr milliseconds kPurgeMargin{2'000};
 // Seeds of the parts, so that none draws what another does.
 constexpr std::uint64_t kGateSeed = 0x9e3779b97f4a7c15ULL;
 constexpr std::uint64_t kUpstreamSeed = 0xc2b2ae3d27d4eb4fULL;
 constexpr std::uint64_t kRelaySeed = 0x165667b19e3779f9ULL;
 constexpr std::uint64_t kWriterSeed = 0x27d4eb2f165667c5ULL;
 
-std::int64_t unix_ms() {
-  return std::chrono::duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch())
-      .count();
-}
-std::int64_t steady_ms() {
-  return std::chrono::duration_cast<milliseconds>(Clock::now().time_since_epoch()).count();
-}
+discovery::UnixTime unix_now() { return std::chrono::floor<milliseconds>(std::chrono::system_clock::now()); }
+milliseconds steady_ms() { return std::chrono::duration_cast<milliseconds>(Clock::now().time_since_epoch()); }
 Micros steady() { return std::chrono::duration_cast<Micros>(Clock::now().time_since_epoch()); }
 
 // The longest that a call to the board takes while all is well.
@@ -43,17 +37,20 @@
 
 std::string name_of(const std::string& peer) { return peer.substr(0, peer.find('=')); }
 
-routing::Relay::Bounds relay_bounds(const Configuration& configuration) {
+// How long a purge is passed on and stored: until caches have dropped what it named, and a margin.
+milliseconds purge_retention(const Configuration& configuration) {
+  return std::chrono::duration_cast<milliseconds>(configuration.profile.settings.purge_done) + kPurgeMargin;
+}
+
+routing::Relay::Options relay_options(const Configuration& configuration) {
   const RelayOptions& options = configuration.start.relay;
-  routing::Relay::Bounds bounds;
-  bounds.most_age = milliseconds(options.most_age_ms);
-  bounds.core.most_waiting = static_cast<std::size_t>(options.connections);
-  bounds.core.release_ms = 0;
-  bounds.server.connections = static_cast<std::size_t>(options.connections);
-  bounds.purge_binds_ms =
-      std::chrono::duration_cast<milliseconds>(configuration.profile.settings.purge_done).count() +
-      kPurgeMarginMs;
-  return bounds;
+  routing::Relay::Options relay;
+  relay.max_age = milliseconds(options.most_age_ms);
+  relay.long_poll.max_held = static_cast<std::size_t>(options.connections);
+  relay.long_poll.release_window = milliseconds(0);
+  relay.server.connections = static_cast<std::size_t>(options.connections);
+  relay.purge_retention = purge_retention(configuration);
+  return relay;
 }
 
 }  // namespace
@@ -66,10 +63,10 @@
   const StartSections& start = configuration.start;
   if (start.has_startup) {
     gate_.emplace(
-        startup::opening_rules(start.startup, static_cast<int>(configuration.tuning.cache_connections)),
-        startup::readiness_rules(start.startup, configuration.profile.settings, held(configuration.tuning)),
+        startup::admission_options(start.startup, static_cast<int>(configuration.tuning.cache_connections)),
+        startup::readiness_options(start.startup, configuration.profile.settings, held(configuration.tuning)),
         configuration.seed ^ kGateSeed);
-    gate_->fleet_size(size_.routers());
+    gate_->set_fleet_size(size_.routers());
   }
   if (start.has_relay && !start.relay.peers.empty()) {
     std::vector<std::string> names;
@@ -77,13 +74,14 @@
       names.push_back(name_of(peer));
     }
     const startup::RelayTree tree(configuration.name, names, static_cast<int>(start.relay.degree));
-    upstream_.emplace(upstream_rules(start.relay), tree.ancestors(), configuration.seed ^ kUpstreamSeed);
+    upstream_.emplace(relay_selector_options(start.relay), tree.ancestors(),
+                      configuration.seed ^ kUpstreamSeed);
     tree_size_ = static_cast<int>(tree.size());
-    root_ = tree.place() == 0;
+    root_ = tree.position() == 0;
     depth_ = tree.depth();
   }
   if (start.has_relay && !start.relay.listen.empty()) {
-    relay_.emplace(scheduler, configuration.name, log_, relay_bounds(configuration),
+    relay_.emplace(scheduler, configuration.name, log_, relay_options(configuration),
                    configuration.seed ^ kRelaySeed);
   }
 }
@@ -92,11 +90,11 @@
 
 void StartSupport::before(Micros now, std::vector<Event>& out) {
   if (gate_) {
-    gate_->due(now, out);
+    gate_->step(now, out);
   }
 }
 
-int StartSupport::connections(int per_peer) const { return gate_ ? gate_->connections() : per_peer; }
+int StartSupport::connections(int per_peer) const { return gate_ ? gate_->max_connections() : per_peer; }
 
 // An event that changes nothing: what the gate has due goes before it.
 void StartSupport::poke() {
@@ -105,7 +103,7 @@
 }
 
 void StartSupport::set_timer() {
-  const std::optional<Micros> due = gate_ ? gate_->next_due(router_->now()) : std::nullopt;
+  const std::optional<Micros> due = gate_ ? gate_->next_step_at(router_->now()) : std::nullopt;
   std::optional<Clock::time_point> when;
   if (due) {
     when = scheduler_.turn_time() + (*due - router_->now());
@@ -118,11 +116,11 @@
   taker_ = &taker;
   if (gate_) {
     taker.lists_to([this](const ListReceived& list) {
-      gate_->list(router_->now(), list);
+      gate_->on_list(router_->now(), list);
       poke();
     });
     if (!configuration_.known.notices.empty()) {
-      gate_->starts_with(router.now(), router.now(), true);
+      gate_->restore(router.now(), router.now(), true);
     }
   }
   taker.take(configuration_.known);
@@ -159,33 +157,33 @@
   if (!bytes) {
     return;
   }
-  const auto read = snapshot::read_snapshot(
-      *bytes, {options.fleet, configuration_.name, unix_ms(), options.most_age_s * 1'000});
-  if (const auto* refusal = std::get_if<snapshot::Refusal>(&read)) {
-    log_line(Level::kWarning) << "snapshot: not used: " << snapshot::to_string(*refusal);
+  const auto decoded = snapshot::decode_snapshot(
+      *bytes, {options.fleet, configuration_.name, unix_now(), std::chrono::seconds(options.most_age_s)});
+  if (!decoded) {
+    log_line(Level::kWarning) << "snapshot: not used: " << snapshot::to_string(decoded.error());
     return;
   }
-  const snapshot::Snapshot& found = std::get<snapshot::Snapshot>(read);
-  if (found.board_address != transport::to_string(configuration_.board) && found.board_id.empty()) {
-    log_line(Level::kWarning) << "snapshot: not used: it is of the board at " << found.board_address;
+  const snapshot::Snapshot& found = *decoded;
+  if (found.source_address != transport::to_string(configuration_.board) && found.source_id.empty()) {
+    log_line(Level::kWarning) << "snapshot: not used: it is of the board at " << found.source_address;
     return;
   }
-  if (found.last() <= taker.last()) {
+  if (found.last_sequence() <= taker.last()) {
     log_line(Level::kInfo) << "snapshot: not used: the configuration knows event " << taker.last();
     return;
   }
-  const Micros age = milliseconds(std::max<std::int64_t>(0, unix_ms() - found.confirmed_ms));
+  const Micros age = std::max(milliseconds(0), unix_now() - found.confirmed_at);
   try {
     const protocol::NoticePage page = protocol::read_notices(found.page, configuration_.profile);
     if (gate_) {
-      gate_->starts_with(router_->now(), router_->now() - age, false);
+      gate_->restore(router_->now(), router_->now() - age, false);
     }
     taker.take(page);
     log_.append(found.page);
-    log_.rename(found.board_id);
-    snapshot_board_id_ = found.board_id;
+    log_.set_source_id(found.source_id);
+    snapshot_board_id_ = found.source_id;
     snapshot_used_ = true;
-    log_line(Level::kInfo) << "snapshot: taken in, event " << found.last() << ", surely current "
+    log_line(Level::kInfo) << "snapshot: taken in, event " << found.last_sequence() << ", surely current "
                            << std::chrono::duration_cast<milliseconds>(age).count() << " ms ago";
   } catch (const std::exception& error) {
     log_line(Level::kWarning) << "snapshot: not used: " << error.what();
@@ -206,24 +204,25 @@
   routing::BoardWatcher::Bounds bounds;
   bounds.first_at_once = configuration_.start.policy.follow;
   bounds.asking =
-      startup::asking_rules(configuration_.start.startup, milliseconds(tuning.board_pause_ms),
+      startup::poll_options(configuration_.start.startup, milliseconds(tuning.board_pause_ms),
                             milliseconds(tuning.board_most_pause_ms), milliseconds(tuning.board_linger_ms));
   if (gate_) {
     // In doubt nothing is served as before, so the board has to be heard well within the time that begins it.
-    const startup::ReadinessRules rules =
-        startup::readiness_rules(configuration_.start.startup, configuration_.profile.settings, held(tuning));
-    if (rules.unsure != startup::ReadinessRules::Unsure::kServe) {
-      bounds.asking.linger = std::min(bounds.asking.linger, rules.told_within / 2);
-      bounds.asking.longest_linger = bounds.asking.linger;
+    const startup::ReadinessOptions rules = startup::readiness_options(
+        configuration_.start.startup, configuration_.profile.settings, held(tuning));
+    if (rules.stale_policy != startup::StalePolicy::kServe) {
+      bounds.asking.long_poll_timeout =
+          std::min(bounds.asking.long_poll_timeout, rules.notification_bound / 2);
+      bounds.asking.max_long_poll_timeout = bounds.asking.long_poll_timeout;
     }
     bounds.anew_after = kAnewAfter;
   }
   if (relay_ && depth_ <= 2) {
     // What it passes on must not be old when it comes. Only the first of a tree, and those that ask it, may
     // be the ones that the tree hangs on; were it all, a lost relay would put the calls of all on the board.
-    bounds.asking.linger =
-        std::min(bounds.asking.linger, Micros(milliseconds(configuration_.start.relay.most_age_ms)) / 4);
-    bounds.asking.longest_linger = bounds.asking.linger;
+    bounds.asking.long_poll_timeout = std::min(
+        bounds.asking.long_poll_timeout, Micros(milliseconds(configuration_.start.relay.most_age_ms)) / 4);
+    bounds.asking.max_long_poll_timeout = bounds.asking.long_poll_timeout;
   }
   bounds.grace = milliseconds(tuning.board_grace_ms);
   bounds.relay_linger = milliseconds(configuration_.start.relay.linger_ms);
@@ -235,22 +234,22 @@
   routing::BoardWatcher::Hooks hooks;
   hooks.page = [this](const nlohmann::json& page, Micros known_at, const std::string& path) {
     confirmed_steady_ = std::max(confirmed_steady_, known_at);
-    const std::uint64_t before = log_.last();
+    const std::uint64_t before = log_.last_sequence();
     if (relay_) {
-      relay_->take(page, known_at, path);
+      relay_->on_page(page, known_at, path);
     } else if (writer_) {
       log_.append(page);
-      log_.rename(page.value("board", ""));
+      log_.set_source_id(page.value("board", ""));
     }
     if (writer_) {
-      if (log_.last() != before) {
-        writer_->changed(steady_ms());
+      if (log_.last_sequence() != before) {
+        writer_->on_changed(steady_ms());
       }
-      writer_->confirmed(steady_ms());
+      writer_->on_confirmed();
     }
     if (gate_) {
       const Micros age = std::max(Micros(0), steady() - known_at);
-      gate_->confirmed(router_->now(), router_->now() - age);
+      gate_->on_confirmed(router_->now(), router_->now() - age);
       poke();
     }
   };
@@ -258,18 +257,18 @@
     confirmed_steady_ = Micros(-1);
     log_.replace({{"rev", 0U}, {"notices", nlohmann::json::array()}});
     if (relay_) {
-      relay_->anew();
+      relay_->reset();
     }
     if (writer_) {
-      writer_->changed(steady_ms());
+      writer_->on_changed(steady_ms());
     }
     if (gate_) {
-      gate_->anew(router_->now());
+      gate_->reset(router_->now());
       poke();
     }
   };
   hooks.askers = [this](std::int64_t askers) {
-    size_.heard(askers);
+    size_.observe(askers);
     note_size();
   };
   return hooks;
@@ -277,10 +276,10 @@
 
 void StartSupport::note_size() {
   if (gate_) {
-    gate_->fleet_size(size_.routers());
+    gate_->set_fleet_size(size_.routers());
   }
   if (upstream_) {
-    upstream_->fleet_size(size_.routers());
+    upstream_->set_fleet_size(size_.routers());
   }
   if (watcher_ != nullptr) {
     // Of the trees only the first ask the board; a router that has lost its relays is one of all that may
@@ -314,14 +313,14 @@
 transport::Task<void> StartSupport::look_after_relay() {
   for (;;) {
     co_await scheduler_.sleep(kLook);
-    relay_->look();
+    relay_->drop_stale_polls();
   }
 }
 
 transport::Task<void> StartSupport::keep_snapshot() {
   for (;;) {
     co_await scheduler_.sleep(kLook);
-    const std::optional<std::int64_t> due = writer_->due();
+    const std::optional<milliseconds> due = writer_->next_write_at();
     if (due && *due <= steady_ms() && confirmed_steady_ >= Micros(0)) {
       write_snapshot();
     }
@@ -330,22 +329,18 @@
 
 // Made here, written on a thread of its own.
 void StartSupport::write_snapshot() {
-  const std::int64_t purges_from =
-      unix_ms() -
-      std::chrono::duration_cast<milliseconds>(configuration_.profile.settings.purge_done).count() -
-      kPurgeMarginMs;
+  const discovery::UnixTime purges_from = unix_now() - purge_retention(configuration_);
   snapshot::Snapshot made;
   made.fleet = configuration_.start.snapshot.fleet;
   made.router = configuration_.name;
-  made.board_address = transport::to_string(watcher_ != nullptr ? watcher_->board() : configuration_.board);
-  made.board_id = log_.id();
-  made.saved_ms = unix_ms();
-  made.confirmed_ms =
-      made.saved_ms - std::chrono::duration_cast<milliseconds>(steady() - confirmed_steady_).count();
-  made.page = log_.whole(purges_from);
-  writer_->begun(steady_ms());
+  made.source_address = transport::to_string(watcher_ != nullptr ? watcher_->board() : configuration_.board);
+  made.source_id = log_.source_id();
+  made.saved_at = unix_now();
+  made.confirmed_at = made.saved_at - std::chrono::duration_cast<milliseconds>(steady() - confirmed_steady_);
+  made.page = log_.compacted_page(purges_from);
+  writer_->on_write_started();
   const auto error = std::make_shared<std::string>();
-  const auto bytes = std::make_shared<const std::string>(snapshot::write_snapshot(made));
+  const auto bytes = std::make_shared<const std::string>(snapshot::encode_snapshot(made));
   pool_->run(
       store::Executor::Lane::kWrite,
       [this, bytes, error] {
@@ -357,14 +352,14 @@
       },
       [this, error] {
         const bool good = error->empty();
-        if (writer_->ended(steady_ms(), good)) {
+        if (writer_->on_write_finished(steady_ms(), good)) {
           log_line(good ? Level::kInfo : Level::kWarning)
               << "snapshot: " << (good ? "written again" : "cannot be written: " + *error);
         }
       });
 }
 
-bool StartSupport::ready() const { return !gate_ || gate_->ready(router_->now()); }
+bool StartSupport::ready() const { return !gate_ || gate_->is_ready(router_->now()); }
 
 std::string StartSupport::status() const {
   if (!gate_ && !relay_ && !upstream_ && !writer_) {
@@ -372,8 +367,8 @@
   }
   nlohmann::json out;
   if (gate_) {
-    out["state"] = startup::to_string(gate_->state(router_->now()));
-    out["held_back"] = gate_->held_back();
+    out["state"] = startup::to_string(gate_->staleness(router_->now()));
+    out["held_back"] = gate_->pending_admissions();
   }
   out["routers"] = size_.routers();
   out["event"] = taker_ != nullptr ? taker_->last() : 0;
@@ -386,7 +381,7 @@
     out["refused"] = counts.refused;
   }
   if (relay_) {
-    out["relayed"] = relay_->core().counts().calls;
+    out["relayed"] = relay_->long_polls().counts().calls;
   }
   if (confirmed_steady_ >= Micros(0)) {
     out["age_ms"] = std::chrono::duration_cast<milliseconds>(steady() - confirmed_steady_).count();
--- a/src/routing/board_watcher.cpp
+++ b/src/routing/board_watcher.cpp
@@ -12,8 +12,8 @@
 
 namespace trailcourse::routing {
 
-using startup::Call;
-using startup::CallEnd;
+using startup::PollResult;
+using startup::ScheduledPoll;
 using std::chrono::milliseconds;
 using transport::Clock;
 using transport::Connection;
@@ -30,8 +30,8 @@
       .count();
 }
 
-startup::Upstream::Said said_by(const protocol::http::Response& response) {
-  startup::Upstream::Said said;
+startup::RelayStatus said_by(const protocol::http::Response& response) {
+  startup::RelayStatus said;
   // A relay that does not say how old its page is says nothing that can be believed.
   const auto age = protocol::read_number<std::int64_t>(response.header("x-age-ms"));
   said.age = age ? Micros(milliseconds(*age)) : Micros::max();
@@ -90,8 +90,8 @@
 
 Micros BoardWatcher::now() { return std::chrono::duration_cast<Micros>(Clock::now().time_since_epoch()); }
 
-// The board itself is asked only when poll_scheduler.h says so; a relay, which has few askers, as soon as one may be
-// asked.
+// The board itself is asked only when poll_scheduler.h says so; a relay, which has few askers, as soon as one
+// may be asked.
 Micros BoardWatcher::linger_of(const std::optional<std::string>& relay, Micros at_board) const {
   if (relay) {
     return std::chrono::duration_cast<Micros>(bounds_.relay_linger);
@@ -102,7 +102,7 @@
 transport::Task<void> BoardWatcher::watch() {
   constexpr Micros kRelayLook = milliseconds(50);  // whether a relay may be asked again
   const bool relays = relays_.choice != nullptr;
-  Call board = asking_.first(now());
+  ScheduledPoll board = asking_.first_poll(now());
   Micros relay_at = now();
   bool drawn = true;  // the board's turn is of this want of a relay, and not of an earlier one
   if (relays) {
@@ -115,36 +115,36 @@
     if (wait > Micros(0)) {
       const bool moved = co_await moved_.wait(wait);
       if (moved || at != board_) {
-        board = asking_.first(now());
+        board = asking_.first_poll(now());
         continue;
       }
     }
     const Micros asked = now();
     std::optional<std::string> relay;
     if (relays) {
-      relay = relays_.choice->choose(asked);
+      relay = relays_.choice->select(asked);
       if (!relay && asked < board.at) {
         relay_at = asked + kRelayLook;
         continue;
       }
     }
-    const Micros linger = linger_of(relay, board.linger);
+    const Micros linger = linger_of(relay, board.long_poll_timeout);
     const Ended ended = co_await call(relay, linger);
     if (at != board_) {
-      board = asking_.first(now());  // the call was broken off to ask elsewhere: no failure
+      board = asking_.first_poll(now());  // the call was broken off to ask elsewhere: no failure
       continue;
     }
     note(ended, relay);
-    const bool good = ended.end == CallEnd::kNews || ended.end == CallEnd::kNothing;
+    const bool good = ended.end == PollResult::kUpdates || ended.end == PollResult::kNoUpdates;
     // A relay that holds nothing back is not flooded either.
-    const bool hasty = ended.end != CallEnd::kNews && now() - asked < linger / 2;
+    const bool hasty = ended.end != PollResult::kUpdates && now() - asked < linger / 2;
     relay_at = hasty ? asked + linger / 2 : now();
     if (!relay) {
-      board = asking_.after(asked, now(), ended.end, ended.retry_after);
+      board = asking_.next_poll(asked, now(), ended.end, ended.retry_after);
     } else if (good) {
       drawn = false;
     } else if (!std::exchange(drawn, true)) {
-      board = asking_.first(now());
+      board = asking_.first_poll(now());
     }
   }
 }
@@ -154,12 +154,12 @@
   constexpr Micros kLook = milliseconds(50);
   for (;;) {
     co_await scheduler_.sleep(kLook);
-    const std::optional<std::string> relay = relays_.choice->choose(now());
-    if (relay && relays_.choice->withholds(now(), *relay, taker_.last())) {
+    const std::optional<std::string> relay = relays_.choice->select(now());
+    if (relay && relays_.choice->detect_withholding(now(), *relay, taker_.last())) {
       log_line(Level::kWarning) << "relay " << *relay
                                 << " withholds what the board tells: not asked any more";
     }
-    const std::optional<Micros> due = relays_.choice->audit_due(now());
+    const std::optional<Micros> due = relays_.choice->next_audit_at(now());
     if (!relay || !due || now() < *due) {
       continue;
     }
@@ -176,7 +176,7 @@
         board_last = page["rev"].get<std::uint64_t>();
       }
     }
-    relays_.choice->audited(now(), board_last, taker_.last());
+    relays_.choice->on_audit(now(), board_last, taker_.last());
   }
 }
 
@@ -251,11 +251,11 @@
     out = take(*response, relay, asked, linger);
   } else {
     const bool silent = !link->end && !link->parser.failed();
-    out.end = link->parser.failed() && !link->end ? CallEnd::kSpoilt
-              : silent                            ? CallEnd::kSilent
-                                                  : CallEnd::kBroken;
+    out.end = link->parser.failed() && !link->end ? PollResult::kInvalid
+              : silent                            ? PollResult::kTimeout
+                                                  : PollResult::kDisconnected;
     if (relay) {
-      relays_.choice->failed(now(), *relay);
+      relays_.choice->on_failure(now(), *relay);
     }
   }
   co_return out;
@@ -266,57 +266,56 @@
   Ended out;
   if (response.status != kOkay) {
     why_ = "status " + std::to_string(response.status);
-    out.end = CallEnd::kRefused;
+    out.end = PollResult::kRejected;
     const auto wait = protocol::http::read_retry_after(response.header("retry-after"), unix_seconds());
     out.retry_after = std::chrono::seconds(std::min<std::int64_t>(wait.value_or(0), 86'400));
     if (relay) {
-      relays_.choice->failed(now(), *relay);
+      relays_.choice->on_failure(now(), *relay);
     }
     return out;
   }
-  out.end = CallEnd::kSpoilt;
+  out.end = PollResult::kInvalid;
   try {
     const nlohmann::json page = nlohmann::json::parse(response.body, nullptr, false);
     if (page.is_discarded()) {
       throw protocol::FormatError("not JSON");
     }
     const protocol::NoticePage notices = protocol::read_notices(page, profile_);
-    startup::Upstream::Said said;
+    startup::RelayStatus said;
     if (relay) {
       said = said_by(response);
-      const auto belief = relays_.choice->answered(now(), *relay, relays_.self, said);
-      if (belief != startup::Upstream::Belief::kGood) {
-        why_ =
-            belief == startup::Upstream::Belief::kTooOld ? "a page too old" : "a page that came in a circle";
+      const auto belief = relays_.choice->on_response(now(), *relay, relays_.self, said);
+      if (belief != startup::RelayValidity::kValid) {
+        why_ = belief == startup::RelayValidity::kStale ? "a page too old" : "a page that came in a circle";
         return out;
       }
     }
     const std::string id = protocol::word_at(page, "board", "");
     const std::uint64_t before = taker_.last();
-    switch (numbering_.judge(now(), before, notices.last, id)) {
+    switch (numbering_.check(now(), before, notices.last, id)) {
       case startup::PageVerdict::kStale:
         ++counts_.stale;
         why_ = "an older number, " + std::to_string(notices.last) + " after " + std::to_string(before);
         if (relay) {
-          relays_.choice->failed(now(), *relay);  // it is behind: it may have slept
+          relays_.choice->on_failure(now(), *relay);  // it is behind: it may have slept
         }
         return out;
-      case startup::PageVerdict::kAnew:
+      case startup::PageVerdict::kReset:
         log_line(Level::kWarning) << "the notice board began anew: it is at event " << notices.last
                                   << ", we knew " << before;
         taker_.forget_numbers();
         if (hooks_.anew) {
           hooks_.anew();
         }
-        out.end = CallEnd::kNews;  // asked again at once, from its start
+        out.end = PollResult::kUpdates;  // asked again at once, from its start
         return out;
-      case startup::PageVerdict::kTake:
+      case startup::PageVerdict::kApply:
         break;
     }
     answered_ = true;
     taker_.take(notices);
     const bool news = taker_.last() > before;
-    out.end = news ? CallEnd::kNews : CallEnd::kNothing;
+    out.end = news ? PollResult::kUpdates : PollResult::kNoUpdates;
     // A call that brought nothing was held to its end: the board had nothing then, however late this is read.
     // One that brought news was answered at some time since it was asked.
     const Micros known = news ? asked : std::min(now(), asked + linger);
@@ -324,7 +323,7 @@
       hooks_.page(page, known - (relay ? said.age : Micros(0)), response.header("x-path"));
     }
     if (hooks_.taken) {
-      hooks_.taken(numbering_.id(), taker_.last());
+      hooks_.taken(numbering_.source_id(), taker_.last());
     }
     if (const auto askers = protocol::read_number<std::int64_t>(response.header("x-askers"));
         askers && !relay && hooks_.askers) {
@@ -332,9 +331,9 @@
     }
   } catch (const std::exception& error) {  // whatever fails, the board is asked again
     why_ = error.what();
-    out.end = CallEnd::kSpoilt;
+    out.end = PollResult::kInvalid;
     if (relay) {
-      relays_.choice->failed(now(), *relay);
+      relays_.choice->on_failure(now(), *relay);
     }
   }
   return out;
@@ -342,16 +341,16 @@
 
 // Operators are told when it is lost and when it is back, not of each try.
 void BoardWatcher::note(const Ended& ended, const std::optional<std::string>& relay) {
-  const bool good = ended.end == CallEnd::kNews || ended.end == CallEnd::kNothing;
+  const bool good = ended.end == PollResult::kUpdates || ended.end == PollResult::kNoUpdates;
   counts_.failed += good ? 0 : 1;
-  counts_.refused += ended.end == CallEnd::kRefused ? 1 : 0;
+  counts_.refused += ended.end == PollResult::kRejected ? 1 : 0;
   if (relay) {
     if (!good) {
       log_line(Level::kInfo) << "relay " << *relay << ": " << why_;
     }
     return;
   }
-  const int failures = asking_.failures();
+  const int failures = asking_.consecutive_failures();
   if (good && failures > 0) {
     log_line(Level::kInfo) << "notice board " << to_string(board_) << " is back after " << failures
                            << " failed calls";
--- a/src/routing/board_watcher.h
+++ b/src/routing/board_watcher.h
@@ -25,7 +25,7 @@
 class BoardWatcher {
  public:
   struct Bounds {
-    startup::AskingRules asking;
+    startup::PollOptions asking;
     transport::Clock::duration grace = std::chrono::milliseconds(1000);  // beyond the linger it is silent
     transport::Clock::duration relay_linger = std::chrono::milliseconds(100);
     transport::Clock::duration relay_grace = std::chrono::milliseconds(100);
@@ -49,7 +49,7 @@
   struct Relays {
     std::string self;
     std::map<std::string, transport::Address> addresses;
-    startup::Upstream* choice = nullptr;  // null: the board itself is asked
+    startup::RelaySelector* choice = nullptr;  // null: the board itself is asked
   };
   struct Counts {
     std::uint64_t calls = 0, to_relays = 0, audits = 0, failed = 0, refused = 0, stale = 0;
@@ -65,19 +65,19 @@
   void start() { scheduler_.spawn(watch()); }
   // The board is to be asked at this address from now on; false where that is the one in use.
   bool move(const transport::Address& board);
-  void fleet_size(int routers) { asking_.fleet_size(routers); }
+  void fleet_size(int routers) { asking_.set_fleet_size(routers); }
   // What a snapshot knew of the board's name.
-  void starts_with(const std::string& id) { numbering_.starts_with(id); }
+  void starts_with(const std::string& id) { numbering_.restore(id); }
 
   const transport::Address& board() const { return board_; }
-  const std::string& board_id() const { return numbering_.id(); }
+  const std::string& board_id() const { return numbering_.source_id(); }
   const Counts& counts() const { return counts_; }
-  bool lost() const { return asking_.failures() > 1; }
+  bool lost() const { return asking_.consecutive_failures() > 1; }
 
  private:
   class Link;
   struct Ended {
-    startup::CallEnd end = startup::CallEnd::kBroken;
+    startup::PollResult end = startup::PollResult::kDisconnected;
     Micros retry_after{0};
   };
 
@@ -103,8 +103,8 @@
   Bounds bounds_;
   Hooks hooks_;
   Relays relays_;
-  startup::Asking asking_;
-  startup::Numbering numbering_;
+  startup::PollScheduler asking_;
+  startup::SequenceTracker numbering_;
   Counts counts_;
   std::string why_;
   bool answered_ = false;
--- a/src/routing/relay.cpp
+++ b/src/routing/relay.cpp
@@ -1,7 +1,6 @@
 #include "routing/relay.h"
 
 #include <algorithm>
-#include <chrono>
 #include <utility>
 
 namespace trailcourse::routing {
@@ -10,55 +9,58 @@
 
 namespace {
 
-std::int64_t unix_ms() {
-  return std::chrono::duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch())
-      .count();
-}
+constexpr milliseconds kRejectionRetryAfter{1'000};
+
+Micros steady_now() { return std::chrono::duration_cast<Micros>(transport::Clock::now().time_since_epoch()); }
+
+discovery::UnixTime unix_now() { return std::chrono::floor<milliseconds>(std::chrono::system_clock::now()); }
 
 }  // namespace
 
-Relay::Relay(transport::Scheduler& scheduler, std::string name, board::PageLog& log, const Bounds& bounds,
-             std::uint64_t seed)
+Relay::Relay(transport::Scheduler& scheduler, std::string name, discovery::EventLog& log,
+             const Options& options, std::uint64_t seed)
     : name_(std::move(name)),
-      bounds_(bounds),
+      options_(options),
       log_(log),
-      server_(scheduler, log_, bounds.core, bounds.server,
-              {[this]() -> std::optional<std::int64_t> {
-                 constexpr std::int64_t kComeBackMs = 1'000;
-                 return current() ? std::nullopt : std::optional<std::int64_t>(kComeBackMs);
-               },
-               [this] {
-                 // Rounded up: never younger than it is.
-                 const Micros age = std::max(Micros(0), now() - known_at_);
-                 return "X-Age-Ms: " + std::to_string(std::chrono::ceil<milliseconds>(age).count()) +
-                        "\r\nX-Path: " + name_ + (path_.empty() ? "" : "," + path_) + "\r\n";
-               }},
-              seed) {}
-
-Micros Relay::now() { return std::chrono::duration_cast<Micros>(transport::Clock::now().time_since_epoch()); }
-
-bool Relay::current() const { return known_at_ >= Micros(0) && now() - known_at_ <= bounds_.most_age; }
-
-void Relay::take(const nlohmann::json& page, Micros known_at, const std::string& path) {
-  const std::uint64_t before = log_.last();
+      server_(
+          scheduler, log_, options.long_poll, options.server,
+          {.rejection = [this] { return rejection(); }, .page_headers = [this] { return page_headers(); }},
+          seed) {}
+
+bool Relay::is_current() const { return current_at_ && steady_now() - *current_at_ <= options_.max_age; }
+
+std::optional<milliseconds> Relay::rejection() const {
+  return is_current() ? std::nullopt : std::optional<milliseconds>(kRejectionRetryAfter);
+}
+
+std::string Relay::page_headers() const {
+  const Micros age = std::max(Micros(0), steady_now() - current_at_.value_or(Micros(0)));
+  // Rounded up, so that the page never appears younger than it is.
+  const std::string age_ms = std::to_string(std::chrono::ceil<milliseconds>(age).count());
+  const std::string path = path_.empty() ? name_ : name_ + "," + path_;
+  return "X-Age-Ms: " + age_ms + "\r\nX-Path: " + path + "\r\n";
+}
+
+void Relay::on_page(const nlohmann::json& page, Micros current_at, const std::string& path) {
+  const std::uint64_t before = log_.last_sequence();
   log_.append(page);
-  log_.rename(page.value("board", ""));
-  log_.fold(bounds_.most_events, unix_ms() - bounds_.purge_binds_ms);
-  known_at_ = std::max(known_at_, known_at);
+  log_.set_source_id(page.value("board", ""));
+  log_.compact(options_.max_events, unix_now() - options_.purge_retention);
+  current_at_ = current_at_ ? std::max(*current_at_, current_at) : current_at;
   path_ = path;
-  if (log_.last() != before) {
-    server_.published();
+  if (log_.last_sequence() != before) {
+    server_.on_published();
   }
 }
 
-void Relay::anew() {
-  known_at_ = Micros(-1);
-  server_.let_go();
+void Relay::reset() {
+  current_at_.reset();
+  server_.reject_held_polls();
 }
 
-void Relay::look() {
-  if (!current() && server_.core().waiting() > 0) {
-    server_.let_go();
+void Relay::drop_stale_polls() {
+  if (!is_current() && server_.long_polls().held() > 0) {
+    server_.reject_held_polls();
   }
 }
 
--- a/src/routing/relay.h
+++ b/src/routing/relay.h
@@ -1,58 +1,69 @@
-// Passes the board's pages on to other routers of the zone, as the board itself would: same call, same pages,
-// and two header lines of its own. `X-Age-Ms`: so long ago, at most, all that the board had was in what this
-// relay tells. `X-Path`: the routers that it came through, this one first.
+// Relays the pages of the discovery service to other routers of the zone, as the service itself would serve
+// them: the same call, the same pages, and two header lines. `X-Age-Ms` is an upper bound of the time since
+// the page certainly held all that the service had. `X-Path` names the routers that it passed through, this
+// one first.
 //
-// A relay tells nothing once its own knowledge is older than allowed: it sends its askers away at once, and
-// lets go of those that it holds.
+// A relay serves no page that is older than allowed: it rejects new polls at once, and those that it holds.
 //
-// Package `routing`, over `board`. One thread.
+// Package `routing`, over `discovery`. One thread.
 #pragma once
 
 #include <trailcourse/decider.h>
 
+#include <chrono>
+#include <cstddef>
 #include <cstdint>
-#include <memory>
+#include <nlohmann/json.hpp>
+#include <optional>
 #include <string>
 
 #include "discovery/discovery_server.h"
 #include "discovery/event_log.h"
+#include "transport/scheduler.h"
 
 namespace trailcourse::routing {
 
 class Relay {
  public:
-  struct Bounds {
-    Micros most_age{1'000'000};
-    board::CoreRules core;
-    board::PageServer::Bounds server;
-    std::int64_t purge_binds_ms = 10'000;  // older purges are not told on
-    std::size_t most_events = 4'096;
+  struct Options {
+    Micros max_age{1'000'000};  // of a page that may be served
+    discovery::LongPollOptions long_poll;
+    discovery::DiscoveryServer::Limits server;
+    std::chrono::milliseconds purge_retention{10'000};  // older purges are dropped when the log is compacted
+    std::size_t max_events = 4'096;                     // in the log before it is compacted
   };
 
-  // `log`: what is told on; it also serves a snapshot.
-  Relay(transport::Scheduler& scheduler, std::string name, board::PageLog& log, const Bounds& bounds,
+  // `log` holds what is served; a snapshot may be made from it, too. It has to outlive the relay, as has the
+  // scheduler.
+  Relay(transport::Scheduler& scheduler, std::string name, discovery::EventLog& log, const Options& options,
         std::uint64_t seed);
 
   // Throws std::system_error where the address cannot be listened on.
   void listen(const transport::Address& address) { server_.listen(address); }
-  // What was told; `known_at` of the steady clock, `path` of the page.
-  void take(const nlohmann::json& page, Micros known_at, const std::string& path);
-  // The board began anew: all is told from its start.
-  void anew();
-  // To be called now and then: what has grown too old is not held.
-  void look();
 
-  const board::BoardCore& core() const { return server_.core(); }
+  // Records a page that this router has received. `current_at` is the last moment of the steady clock at
+  // which it certainly held all that the service had; `path` is the X-Path that it came with. Throws
+  // discovery::PageFormatError.
+  void on_page(const nlohmann::json& page, Micros current_at, const std::string& path);
+
+  // Rejects all polls until the next page: the service has started again. The caller resets the log.
+  void reset();
+
+  // Rejects the held polls where the pages have become too old. To be called from time to time.
+  void drop_stale_polls();
+
+  const discovery::LongPollScheduler& long_polls() const { return server_.long_polls(); }
 
  private:
-  bool current() const;
-  static Micros now();
+  bool is_current() const;
+  std::optional<std::chrono::milliseconds> rejection() const;
+  std::string page_headers() const;
 
   std::string name_;
-  Bounds bounds_;
-  board::PageLog& log_;
-  board::PageServer server_;
-  Micros known_at_{-1};
+  Options options_;
+  discovery::EventLog& log_;
+  discovery::DiscoveryServer server_;
+  std::optional<Micros> current_at_;
   std::string path_;
 };
 
--- a/src/snapshot/snapshot.cpp
+++ b/src/snapshot/snapshot.cpp
@@ -2,10 +2,12 @@
 
 #include <xxhash.h>
 
+#include <algorithm>
+#include <cstddef>
 #include <cstdio>
-#include <stdexcept>
+#include <exception>
+#include <optional>
 
-#include "discovery/event_log.h"
 #include "protocol/numbers.h"
 
 namespace trailcourse::snapshot {
@@ -13,27 +15,95 @@
 using config::WholeRange;
 using config::Words;
 using nlohmann::json;
+using std::chrono::milliseconds;
 
 namespace {
 
 constexpr std::string_view kMagic = "trailcourse-snapshot ";
 constexpr std::string_view kVersion = "1";
-constexpr std::int64_t kClockSlackMs = 1'000;  // clocks are set in small steps, too
+constexpr std::size_t kMaxFirstLine = 256;
+constexpr milliseconds kClockTolerance{1'000};  // clocks are adjusted in small steps, too
 
-std::string sum_of(std::string_view body) {
-  char sum[17];
-  std::snprintf(sum, sizeof sum, "%016llx",
+std::string checksum_of(std::string_view body) {
+  char text[17];
+  std::snprintf(text, sizeof text, "%016llx",
                 static_cast<unsigned long long>(XXH3_64bits(body.data(), body.size())));
-  return sum;
+  return text;
 }
 
-// The next word of a line, taken off its front.
+// Removes the next word from the front of a line and returns it.
 std::string_view take_word(std::string_view& line) {
   const std::string_view word = line.substr(0, line.find(' '));
   line.remove_prefix(std::min(line.size(), word.size() + 1));
   return word;
 }
 
+std::int64_t unix_ms(UnixTime time) { return time.time_since_epoch().count(); }
+
+UnixTime unix_time_at(const json& object, const char* key) {
+  return UnixTime(milliseconds(object.at(key).get<std::int64_t>()));
+}
+
+// Returns the JSON behind the first line, whose version, length and checksum are checked.
+tl::expected<std::string_view, SnapshotError> verified_body(std::string_view bytes) {
+  const std::size_t line_end = bytes.substr(0, kMaxFirstLine).find('\n');
+  if (!bytes.starts_with(kMagic) || line_end == std::string_view::npos) {
+    return tl::unexpected(SnapshotError::kTruncated);
+  }
+  std::string_view line = bytes.substr(kMagic.size(), line_end - kMagic.size());
+  const std::string_view body = bytes.substr(line_end + 1);
+  if (take_word(line) != kVersion) {
+    return tl::unexpected(SnapshotError::kVersion);
+  }
+  const std::string_view checksum = take_word(line);
+  const auto length = protocol::read_number<std::size_t>(line);
+  if (!length || body.size() < *length) {
+    return tl::unexpected(SnapshotError::kTruncated);
+  }
+  const bool matches =
+      body.size() == *length && checksum_of(body) == checksum && std::to_string(*length) == line;
+  if (!matches) {
+    return tl::unexpected(SnapshotError::kChecksum);
+  }
+  return body;
+}
+
+tl::expected<Snapshot, SnapshotError> parse_body(std::string_view body) {
+  const json object = json::parse(body, nullptr, false);
+  Snapshot out;
+  try {
+    out.fleet = object.at("fleet").get<std::string>();
+    out.router = object.at("router").get<std::string>();
+    out.source_address = object.at("board_address").get<std::string>();
+    out.source_id = object.at("board_id").get<std::string>();
+    out.confirmed_at = unix_time_at(object, "confirmed_ms");
+    out.saved_at = unix_time_at(object, "saved_ms");
+    out.page = object.at("page");
+    discovery::validate_page(out.page);
+  } catch (const std::exception&) {
+    return tl::unexpected(SnapshotError::kFormat);
+  }
+  return out;
+}
+
+// Returns why the snapshot does not match, or nothing where it may be used.
+std::optional<SnapshotError> mismatch(const Snapshot& snapshot, const SnapshotContext& context) {
+  if (snapshot.fleet != context.fleet) {
+    return SnapshotError::kFleet;
+  }
+  if (snapshot.router != context.router) {
+    return SnapshotError::kRouter;
+  }
+  const UnixTime latest = context.now + kClockTolerance;
+  if (snapshot.saved_at > latest || snapshot.confirmed_at > latest) {
+    return SnapshotError::kFromFuture;
+  }
+  if (context.now - snapshot.confirmed_at > context.max_age) {
+    return SnapshotError::kExpired;
+  }
+  return std::nullopt;
+}
+
 }  // namespace
 
 const config::Record<SnapshotOptions>& snapshot_record() {
@@ -57,94 +127,62 @@
   return kRecord;
 }
 
-std::uint64_t Snapshot::last() const {
-  return page.is_object() && page.contains("rev") && page["rev"].is_number_unsigned()
-             ? page["rev"].get<std::uint64_t>()
-             : 0;
+std::uint64_t Snapshot::last_sequence() const {
+  const bool has_sequence = page.is_object() && page.contains("rev") && page["rev"].is_number_unsigned();
+  return has_sequence ? page["rev"].get<std::uint64_t>() : 0;
 }
 
-std::string write_snapshot(const Snapshot& snapshot) {
-  const std::string body = json{
-      {"fleet", snapshot.fleet},
-      {"router", snapshot.router},
-      {"board_address", snapshot.board_address},
-      {"board_id", snapshot.board_id},
-      {"confirmed_ms", snapshot.confirmed_ms},
-      {"saved_ms", snapshot.saved_ms},
-      {"page", snapshot.page}}.dump(-1, ' ', false, json::error_handler_t::replace);
-  const std::string sum = sum_of(body);
+std::string encode_snapshot(const Snapshot& snapshot) {
+  const json object{{"fleet", snapshot.fleet},
+                    {"router", snapshot.router},
+                    {"board_address", snapshot.source_address},
+                    {"board_id", snapshot.source_id},
+                    {"confirmed_ms", unix_ms(snapshot.confirmed_at)},
+                    {"saved_ms", unix_ms(snapshot.saved_at)},
+                    {"page", snapshot.page}};
+  const std::string body = object.dump(-1, ' ', false, json::error_handler_t::replace);
   std::string out(kMagic);
-  out.append(kVersion).append(" ").append(sum).append(" ").append(std::to_string(body.size())).append("\n");
+  out.append(kVersion).append(" ").append(checksum_of(body)).append(" ");
+  out.append(std::to_string(body.size())).append("\n");
   return out + body;
 }
 
-const char* to_string(Refusal refusal) {
-  switch (refusal) {
-    case Refusal::kTorn:
-      return "it is torn";
-    case Refusal::kRotten:
-      return "its sum does not fit";
-    case Refusal::kVersion:
+const char* to_string(SnapshotError error) {
+  switch (error) {
+    case SnapshotError::kTruncated:
+      return "it is truncated";
+    case SnapshotError::kChecksum:
+      return "its checksum does not match";
+    case SnapshotError::kVersion:
       return "it is of another version";
-    case Refusal::kForm:
-      return "it is not of the form of a snapshot";
-    case Refusal::kFleet:
+    case SnapshotError::kFormat:
+      return "it does not have the format of a snapshot";
+    case SnapshotError::kFleet:
       return "it is of another fleet";
-    case Refusal::kRouter:
+    case SnapshotError::kRouter:
       return "it is of another router: is the folder shared by mistake?";
-    case Refusal::kOld:
+    case SnapshotError::kExpired:
       return "it is older than most_age_s";
-    case Refusal::kFuture:
+    case SnapshotError::kFromFuture:
       break;
   }
   return "it is from the future: was the clock set back?";
 }
 
-std::variant<Snapshot, Refusal> read_snapshot(std::string_view bytes, const Expected& expected) {
-  const std::size_t end = bytes.substr(0, 256).find('\n');
-  if (!bytes.starts_with(kMagic) || end == std::string_view::npos) {
-    return Refusal::kTorn;
-  }
-  std::string_view line = bytes.substr(kMagic.size(), end - kMagic.size());
-  const std::string_view body = bytes.substr(end + 1);
-  if (take_word(line) != kVersion) {
-    return Refusal::kVersion;
+tl::expected<Snapshot, SnapshotError> decode_snapshot(std::string_view bytes,
+                                                      const SnapshotContext& context) {
+  const auto body = verified_body(bytes);
+  if (!body) {
+    return tl::unexpected(body.error());
   }
-  const std::string_view sum = take_word(line);
-  const auto length = protocol::read_number<std::size_t>(line);
-  if (!length || body.size() < *length) {
-    return Refusal::kTorn;
+  auto snapshot = parse_body(*body);
+  if (!snapshot) {
+    return snapshot;
   }
-  if (body.size() > *length || sum_of(body) != sum || std::to_string(*length) != line) {
-    return Refusal::kRotten;
+  if (const std::optional<SnapshotError> error = mismatch(*snapshot, context)) {
+    return tl::unexpected(*error);
   }
-  const json read = json::parse(body, nullptr, false);
-  Snapshot out;
-  try {
-    out.fleet = read.at("fleet").get<std::string>();
-    out.router = read.at("router").get<std::string>();
-    out.board_address = read.at("board_address").get<std::string>();
-    out.board_id = read.at("board_id").get<std::string>();
-    out.confirmed_ms = read.at("confirmed_ms").get<std::int64_t>();
-    out.saved_ms = read.at("saved_ms").get<std::int64_t>();
-    out.page = read.at("page");
-    board::check_page(out.page);
-  } catch (const std::exception&) {
-    return Refusal::kForm;
-  }
-  if (out.fleet != expected.fleet) {
-    return Refusal::kFleet;
-  }
-  if (out.router != expected.router) {
-    return Refusal::kRouter;
-  }
-  if (out.saved_ms > expected.now_ms + kClockSlackMs || out.confirmed_ms > expected.now_ms + kClockSlackMs) {
-    return Refusal::kFuture;
-  }
-  if (expected.now_ms - out.confirmed_ms > expected.most_age_ms) {
-    return Refusal::kOld;
-  }
-  return out;
+  return snapshot;
 }
 
 }  // namespace trailcourse::snapshot
--- a/src/snapshot/snapshot_directory.cpp
+++ b/src/snapshot/snapshot_directory.cpp
@@ -4,7 +4,9 @@
 #include <sys/file.h>
 #include <unistd.h>
 
+#include <array>
 #include <cerrno>
+#include <cstddef>
 #include <cstdio>
 #include <filesystem>
 #include <system_error>
@@ -16,6 +18,8 @@
 
 namespace {
 
+constexpr std::size_t kReadBuffer = 65'536;
+
 [[noreturn]] void fail(const std::string& what) {
   throw std::system_error(errno, std::generic_category(), what);
 }
@@ -28,9 +32,24 @@
   return file;
 }
 
+void write_synced(const std::string& path, const std::string& bytes) {
+  const Descriptor file = open_file(path, O_WRONLY | O_CREAT | O_TRUNC);
+  std::size_t written = 0;
+  while (written < bytes.size()) {
+    const ssize_t count = ::write(file.get(), bytes.data() + written, bytes.size() - written);
+    if (count < 0 && errno != EINTR) {
+      fail(path);
+    }
+    written += count > 0 ? static_cast<std::size_t>(count) : 0;
+  }
+  if (::fsync(file.get()) != 0) {
+    fail(path);
+  }
+}
+
 }  // namespace
 
-SnapshotFolder::SnapshotFolder(std::string path) : path_(std::move(path)) {
+SnapshotDirectory::SnapshotDirectory(std::string path) : path_(std::move(path)) {
   std::error_code error;
   std::filesystem::create_directories(path_, error);
   if (error) {
@@ -42,7 +61,7 @@
   }
 }
 
-std::optional<std::string> SnapshotFolder::load() const {
+std::optional<std::string> SnapshotDirectory::load() const {
   const std::string path = path_ + "/snapshot";
   const Descriptor file(::open(path.c_str(), O_RDONLY | O_CLOEXEC));
   if (!file.valid()) {
@@ -52,41 +71,28 @@
     fail(path);
   }
   std::string out;
-  char buffer[65'536];
+  std::array<char, kReadBuffer> buffer;
   for (;;) {
-    const ssize_t count = ::read(file.get(), buffer, sizeof buffer);
+    const ssize_t count = ::read(file.get(), buffer.data(), buffer.size());
     if (count < 0 && errno != EINTR) {
       fail(path);
     }
     if (count == 0) {
       return out;
     }
-    out.append(buffer, count > 0 ? static_cast<std::size_t>(count) : 0);
+    out.append(buffer.data(), count > 0 ? static_cast<std::size_t>(count) : 0);
   }
 }
 
-void SnapshotFolder::store(const std::string& bytes) const {
+void SnapshotDirectory::store(const std::string& bytes) const {
   const std::string next = path_ + "/snapshot.next";
   const std::string path = path_ + "/snapshot";
-  {
-    const Descriptor file = open_file(next, O_WRONLY | O_CREAT | O_TRUNC);
-    std::size_t written = 0;
-    while (written < bytes.size()) {
-      const ssize_t count = ::write(file.get(), bytes.data() + written, bytes.size() - written);
-      if (count < 0 && errno != EINTR) {
-        fail(next);
-      }
-      written += count > 0 ? static_cast<std::size_t>(count) : 0;
-    }
-    if (::fsync(file.get()) != 0) {
-      fail(next);
-    }
-  }
+  write_synced(next, bytes);
   if (std::rename(next.c_str(), path.c_str()) != 0) {
     fail(path);
   }
-  const Descriptor folder = open_file(path_, O_RDONLY | O_DIRECTORY);
-  if (::fsync(folder.get()) != 0) {
+  const Descriptor directory = open_file(path_, O_RDONLY | O_DIRECTORY);
+  if (::fsync(directory.get()) != 0) {
     fail(path_);
   }
 }
--- a/src/snapshot/snapshot_directory.h
+++ b/src/snapshot/snapshot_directory.h
@@ -1,9 +1,9 @@
-// A router's folder for its snapshot: locked against a second router, written whole or not at all.
+// The directory of a router's snapshot. It is locked against a second router, and each snapshot is written
+// completely or not at all.
 //
 // Package `snapshot`. Each call may block: load() is for the start, store() for a thread of its own.
 #pragma once
 
-#include <cstdint>
 #include <optional>
 #include <string>
 
@@ -11,16 +11,17 @@
 
 namespace trailcourse::snapshot {
 
-class SnapshotFolder {
+class SnapshotDirectory {
  public:
-  // Makes the folder where it is not there and locks it. Throws std::system_error where that cannot be, with
-  // EWOULDBLOCK where another process holds it.
-  explicit SnapshotFolder(std::string path);
+  // Creates the directory where it does not exist, and locks it for the lifetime of the object. Throws
+  // std::system_error where that fails, with EWOULDBLOCK where another process holds the lock.
+  explicit SnapshotDirectory(std::string path);
 
-  // What stands there; nothing where there is no snapshot. Throws std::system_error.
+  // Returns the content of the snapshot, or nothing where there is none. Throws std::system_error.
   std::optional<std::string> load() const;
-  // Written beside, synced, and renamed over the old one; the name is synced too. Throws std::system_error,
-  // and the old one stands.
+
+  // Replaces the snapshot durably: writes and syncs a new file, renames it over the old one, and syncs the
+  // directory. Throws std::system_error; the old snapshot remains then.
   void store(const std::string& bytes) const;
 
  private:
--- a/src/snapshot/write_scheduler.cpp
+++ b/src/snapshot/write_scheduler.cpp
@@ -5,57 +5,56 @@
 namespace trailcourse::snapshot {
 namespace {
 
-constexpr std::int64_t kMostPauseMs = 300'000;
-constexpr int kMostDoublings = 12;
+constexpr std::chrono::milliseconds kMaxBackoff{300'000};
+constexpr int kMaxDoublings = 12;
 
 }  // namespace
 
-void Writer::changed(std::int64_t now_ms) {
+// All routers of a fleet see a change in one moment, and may share a disk: their writes are drawn apart.
+WriteScheduler::Millis WriteScheduler::jitter(Millis longest) {
+  std::uniform_int_distribution<Millis::rep> even(longest.count() / 2, longest.count());
+  return Millis(even(random_));
+}
+
+void WriteScheduler::on_changed(Millis now) {
   if (!changed_) {
-    changed_at_ms_ = now_ms;
+    changed_at_ = now;
   }
   changed_ = true;
 }
 
-void Writer::confirmed(std::int64_t) { confirmed_ = true; }
-
-std::optional<std::int64_t> Writer::due() const {
+std::optional<WriteScheduler::Millis> WriteScheduler::next_write_at() const {
   if (writing_) {
     return std::nullopt;
   }
   if (changed_) {
-    return std::max(changed_at_ms_, not_before_ms_);
+    return std::max(changed_at_, not_before_);
   }
-  return confirmed_ && confirm_at_ms_ > INT64_MIN
-             ? std::optional<std::int64_t>(std::max(confirm_at_ms_, not_before_ms_))
-             : std::nullopt;
+  if (confirmed_ && confirm_at_) {
+    return std::max(*confirm_at_, not_before_);
+  }
+  return std::nullopt;
 }
 
-void Writer::begun(std::int64_t) {
+void WriteScheduler::on_write_started() {
   writing_ = true;
   changed_ = false;
   confirmed_ = false;
 }
 
-bool Writer::ended(std::int64_t now_ms, bool good) {
+bool WriteScheduler::on_write_finished(Millis now, bool succeeded) {
   writing_ = false;
-  // All routers of a fleet saw the change in one moment, and may share a disk: their writes are drawn apart.
-  const auto drawn = [this](std::int64_t longest) {
-    return std::uniform_int_distribution<std::int64_t>(longest / 2, longest)(random_);
-  };
-  if (good) {
-    const bool back = failures_ > 0;
+  if (succeeded) {
+    const bool failed_before = failures_ > 0;
     failures_ = 0;
-    not_before_ms_ = now_ms + drawn(options_.write_ms);
-    confirm_at_ms_ = now_ms + drawn(options_.confirm_ms);
-    return back;
-  }
-  const int doublings = std::min(failures_++, kMostDoublings);
-  not_before_ms_ = now_ms + drawn(std::min(kMostPauseMs, options_.write_ms << doublings));
-  if (!changed_) {
-    changed_ = true;
-    changed_at_ms_ = now_ms;
+    not_before_ = now + jitter(write_interval_);
+    confirm_at_ = now + jitter(confirm_interval_);
+    return failed_before;
   }
+  const int doublings = std::min(failures_, kMaxDoublings);
+  ++failures_;
+  not_before_ = now + jitter(std::min(kMaxBackoff, write_interval_ * (1 << doublings)));
+  on_changed(now);
   return failures_ == 1;
 }
 
--- a/src/snapshot/write_scheduler.h
+++ b/src/snapshot/write_scheduler.h
@@ -1,9 +1,10 @@
-// When a snapshot is written: soon after a change, now and then while nothing changes, one at a time, and
-// more and more rarely while the folder cannot be written to.
+// Decides when a snapshot is written: soon after a change, from time to time while nothing changes, one at a
+// time, and with growing backoff while the directory cannot be written to.
 //
-// Package `snapshot`: no I/O, no clock.
+// Package `snapshot`: no I/O, no clock. Times are of the caller's steady clock. Not thread-safe.
 #pragma once
 
+#include <chrono>
 #include <cstdint>
 #include <optional>
 #include <random>
@@ -12,33 +13,41 @@
 
 namespace trailcourse::snapshot {
 
-class Writer {
+class WriteScheduler {
  public:
-  Writer(const SnapshotOptions& options, std::uint64_t seed) : options_(options), random_(seed) {}
+  using Millis = std::chrono::milliseconds;
 
-  // The list or the purges are other than those written last.
-  void changed(std::int64_t now_ms);
-  // All is still current.
-  void confirmed(std::int64_t now_ms);
+  WriteScheduler(const SnapshotOptions& options, std::uint64_t seed)
+      : write_interval_(options.write_ms), confirm_interval_(options.confirm_ms), random_(seed) {}
 
-  // When to write next; nothing while one is being written or nothing is to be said.
-  std::optional<std::int64_t> due() const;
-  void begun(std::int64_t now_ms);
-  // How the write ended. Whether the operators are to be told: of the first failure, and of the first success
-  // after.
-  bool ended(std::int64_t now_ms, bool good);
-  int failures() const { return failures_; }
+  // Records that the list or the purges differ from those written last.
+  void on_changed(Millis now);
+
+  // Records that the last written content is still current.
+  void on_confirmed() { confirmed_ = true; }
+
+  // Returns when to write next, or nothing while a write is in progress or there is nothing new.
+  std::optional<Millis> next_write_at() const;
+
+  void on_write_started();
+
+  // Records how the write ended. Returns whether that differs from the write before, which is when operators
+  // are to be informed: at the first failure, and at the first success after failures.
+  bool on_write_finished(Millis now, bool succeeded);
 
  private:
-  SnapshotOptions options_;
+  Millis jitter(Millis longest);
+
+  Millis write_interval_;
+  Millis confirm_interval_;
   std::mt19937_64 random_;
   bool changed_ = false;
   bool confirmed_ = false;
   bool writing_ = false;
-  std::int64_t not_before_ms_ = INT64_MIN;
-  std::int64_t confirm_at_ms_ = INT64_MIN;
-  std::int64_t changed_at_ms_ = 0;
-  int failures_ = 0;
+  Millis changed_at_{0};
+  Millis not_before_ = Millis::min();
+  std::optional<Millis> confirm_at_;  // set by the first successful write
+  int failures_ = 0;                  // in a row
 };
 
 }  // namespace trailcourse::snapshot
--- a/src/startup/endpoint_admission.cpp
+++ b/src/startup/endpoint_admission.cpp
@@ -6,99 +6,102 @@
 namespace trailcourse::startup {
 namespace {
 
-constexpr int kMostFlaps = 10;
-constexpr std::size_t kMostGone = 4'096;  // nodes that are not listed and still remembered
-constexpr double kMicros = 1e6;
+constexpr int kMaxFlaps = 10;
+constexpr std::size_t kMaxRemembered = 4'096;  // endpoints, listed or not
+constexpr double kMicrosPerSecond = 1e6;
 
 }  // namespace
 
-Micros Opening::window(int flaps) const {
-  if (rules_.opens_per_s <= 0.0) {
+Micros EndpointAdmission::window(int flaps) const {
+  if (options_.admissions_per_s <= 0.0) {
     return Micros(0);
   }
-  const double whole =
-      2.0 * routers_ / rules_.opens_per_s * kMicros * (1 << std::clamp(flaps, 0, kMostFlaps));
-  return Micros(static_cast<Micros::rep>(std::min(whole, static_cast<double>(rules_.most_window.count()))));
+  const double first = 2.0 * routers_ / options_.admissions_per_s * kMicrosPerSecond;
+  const double doubled = first * (1 << std::clamp(flaps, 0, kMaxFlaps));
+  const auto longest = static_cast<double>(options_.max_window.count());
+  return Micros(static_cast<Micros::rep>(std::min(doubled, longest)));
 }
 
-bool Opening::appears(Micros now, const std::string& node, std::int64_t started) {
-  Node& known = nodes_[node];
-  const bool same = known.listed && known.started == started;
-  if (same) {
-    return known.open;
+bool EndpointAdmission::on_listed(Micros now, const std::string& name, std::int64_t incarnation) {
+  Endpoint& endpoint = endpoints_[name];
+  if (endpoint.listed && endpoint.incarnation == incarnation) {
+    return endpoint.admitted;
   }
-  const bool back = known.appeared.count() > 0 && now - known.appeared < rules_.flap_memory;
-  known.flaps = back ? std::min(known.flaps + 1, kMostFlaps) : 0;
-  known.appeared = std::max(now, Micros(1));
-  known.listed = true;
-  known.started = started;
-  std::uniform_int_distribution<Micros::rep> even(0, window(known.flaps).count());
-  // What was drawn before still counts: a flap never makes an opening sooner.
-  known.due = std::max(known.due, now) + Micros(even(random_));
-  known.open = known.due <= now;
-  return known.open;
+  const bool listed_before = endpoint.listed_at.count() > 0;
+  const bool flapped = listed_before && now - endpoint.listed_at < options_.flap_window;
+  endpoint.flaps = flapped ? std::min(endpoint.flaps + 1, kMaxFlaps) : 0;
+  endpoint.listed_at = std::max(now, Micros(1));
+  endpoint.listed = true;
+  endpoint.incarnation = incarnation;
+  std::uniform_int_distribution<Micros::rep> even(0, window(endpoint.flaps).count());
+  // The time that was drawn before still counts: flapping never makes an admission sooner.
+  endpoint.admit_at = std::max(endpoint.admit_at, now) + Micros(even(random_));
+  endpoint.admitted = endpoint.admit_at <= now;
+  return endpoint.admitted;
 }
 
-void Opening::leaves(Micros now, const std::string& node) {
-  const auto found = nodes_.find(node);
-  if (found != nodes_.end()) {
+void EndpointAdmission::on_unlisted(Micros now, const std::string& name) {
+  const auto found = endpoints_.find(name);
+  if (found != endpoints_.end()) {
     found->second.listed = false;
-    found->second.open = false;
-    forget(now);
+    found->second.admitted = false;
+    forget_removed(now);
   }
 }
 
-// Those gone for longer than a flap is remembered; beyond a bound all that are gone.
-void Opening::forget(Micros now) {
-  const bool crowded = nodes_.size() > kMostGone;
-  std::erase_if(nodes_, [&](const auto& one) {
-    const bool old = now - one.second.appeared >= rules_.flap_memory && one.second.due <= now;
-    return !one.second.listed && (crowded || old);
+// Forgets endpoints that are not listed and whose flap window is over; where there are too many, all that are
+// not listed.
+void EndpointAdmission::forget_removed(Micros now) {
+  const bool crowded = endpoints_.size() > kMaxRemembered;
+  std::erase_if(endpoints_, [&](const auto& item) {
+    const Endpoint& endpoint = item.second;
+    const bool over = now - endpoint.listed_at >= options_.flap_window && endpoint.admit_at <= now;
+    return !endpoint.listed && (crowded || over);
   });
 }
 
-std::optional<Micros> Opening::due() const {
-  std::optional<Micros> first;
-  for (const auto& [name, node] : nodes_) {
-    if (node.listed && !node.open && (!first || node.due < *first)) {
-      first = node.due;
+std::optional<Micros> EndpointAdmission::next_admission() const {
+  std::optional<Micros> next;
+  for (const auto& [name, endpoint] : endpoints_) {
+    if (endpoint.listed && !endpoint.admitted && (!next || endpoint.admit_at < *next)) {
+      next = endpoint.admit_at;
     }
   }
-  return first;
+  return next;
 }
 
-std::vector<std::string> Opening::opened(Micros now) {
+std::vector<std::string> EndpointAdmission::admit_due(Micros now) {
   std::vector<std::pair<Micros, std::string>> due;
-  for (auto& [name, node] : nodes_) {
-    if (node.listed && !node.open && node.due <= now) {
-      node.open = true;
-      due.emplace_back(node.due, name);
+  for (auto& [name, endpoint] : endpoints_) {
+    if (endpoint.listed && !endpoint.admitted && endpoint.admit_at <= now) {
+      endpoint.admitted = true;
+      due.emplace_back(endpoint.admit_at, name);
     }
   }
   std::sort(due.begin(), due.end());
-  std::vector<std::string> out;
-  out.reserve(due.size());
-  for (auto& [at, name] : due) {
-    out.push_back(std::move(name));
+  std::vector<std::string> names;
+  names.reserve(due.size());
+  for (auto& [admit_at, name] : due) {
+    names.push_back(std::move(name));
   }
-  return out;
+  return names;
 }
 
-bool Opening::open(const std::string& node) const {
-  const auto found = nodes_.find(node);
-  return found != nodes_.end() && found->second.listed && found->second.open;
+bool EndpointAdmission::is_admitted(const std::string& name) const {
+  const auto found = endpoints_.find(name);
+  return found != endpoints_.end() && found->second.listed && found->second.admitted;
 }
 
-std::size_t Opening::waiting() const {
-  return static_cast<std::size_t>(std::count_if(
-      nodes_.begin(), nodes_.end(), [](const auto& one) { return one.second.listed && !one.second.open; }));
+std::size_t EndpointAdmission::pending() const {
+  const auto is_pending = [](const auto& item) { return item.second.listed && !item.second.admitted; };
+  return static_cast<std::size_t>(std::count_if(endpoints_.begin(), endpoints_.end(), is_pending));
 }
 
-int Opening::connections() const {
-  if (rules_.node_connections <= 0) {
-    return rules_.per_peer;
+int EndpointAdmission::max_connections() const {
+  if (options_.endpoint_connections <= 0) {
+    return options_.max_connections_per_router;
   }
-  return std::clamp(rules_.node_connections / routers_, 1, rules_.per_peer);
+  return std::clamp(options_.endpoint_connections / routers_, 1, options_.max_connections_per_router);
 }
 
 }  // namespace trailcourse::startup
--- a/src/startup/endpoint_admission.h
+++ b/src/startup/endpoint_admission.h
@@ -1,15 +1,17 @@
-// When this router begins to use a cache or parent that is new, back, or known from the start on, and how
-// many connections it holds there: together with all other routers never more than that node can accept.
+// Slow start of connections: decides when this router begins to use a cache or parent that is new, back, or
+// known from the start, and how many connections it opens there, so that all routers together never exceed
+// what the endpoint accepts.
 //
-// A node that appears is held back for a time drawn evenly from a window of 2N/A, for N routers and A
-// connections a second that it accepts from all of them: by the argument of poll_scheduler.h the sum over the fleet
-// stays within A a second, whatever made them all begin. A node that flaps gets a window twice as long each
-// time; what had been drawn before is not forgotten by its going, so that coming and going never makes an
-// opening sooner. Draining and leaving are never held back.
+// An endpoint that gets listed is admitted after a time drawn evenly from a window of 2N/A, for N routers and
+// A connections a second that it accepts from all of them. By the argument of poll_scheduler.h the sum over
+// the fleet stays within A a second, whatever made the routers begin. The window of a flapping endpoint
+// doubles each time. A time that was drawn before still counts after the endpoint has gone, so that flapping
+// never makes an admission sooner. Draining and removal take effect at once.
 //
-// Package `startup`. The decision module chooses among the nodes that are open; nothing is chosen here.
+// Package `startup`. The decision module chooses among the admitted endpoints; nothing is chosen here.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <map>
 #include <optional>
@@ -21,45 +23,54 @@
 
 namespace trailcourse::startup {
 
-class Opening {
+class EndpointAdmission {
  public:
-  Opening(const OpeningRules& rules, std::uint64_t seed) : rules_(rules), random_(seed) {}
+  EndpointAdmission(const AdmissionOptions& options, std::uint64_t seed) : options_(options), random_(seed) {}
 
-  void fleet_size(int routers) { routers_ = routers > 0 ? routers : 1; }
+  // Sets the number of routers that share each endpoint.
+  void set_fleet_size(int routers) { routers_ = routers > 0 ? routers : 1; }
 
-  // The node is listed as up, as the process that it is since `started` (any number that changes with it).
-  // Whether it may be used now; else it may from when due() says.
-  bool appears(Micros now, const std::string& node, std::int64_t started);
-  // It drains, is gone or is not listed any more.
-  void leaves(Micros now, const std::string& node);
+  // Records that the endpoint is listed as ready. `incarnation` is any number that changes when its process
+  // restarts. Returns whether the endpoint may receive traffic now. If not, it may from the time given by
+  // `next_admission()`.
+  bool on_listed(Micros now, const std::string& endpoint, std::int64_t incarnation);
 
-  // The next moment at which a node opens; nothing where none waits.
-  std::optional<Micros> due() const;
-  // Those that have opened since, in the order of their moments.
-  std::vector<std::string> opened(Micros now);
-  bool open(const std::string& node) const;
-  std::size_t waiting() const;
+  // Records that the endpoint drains, is gone or is not listed any more.
+  void on_unlisted(Micros now, const std::string& endpoint);
 
-  // Connections of this router to one node: its share of what the node holds, one at least.
-  int connections() const;
-  Micros window(int flaps) const;
+  // Returns when the next endpoint is admitted, or nothing where none is pending.
+  std::optional<Micros> next_admission() const;
+
+  // Admits the endpoints whose time has come and returns them in the order of their times.
+  std::vector<std::string> admit_due(Micros now);
+
+  // Returns whether the endpoint is listed and admitted.
+  bool is_admitted(const std::string& endpoint) const;
+
+  // Returns the number of endpoints that are listed and not yet admitted.
+  std::size_t pending() const;
+
+  // Returns how many connections this router may hold to one endpoint: its share of what the endpoint holds,
+  // 1 at least.
+  int max_connections() const;
 
  private:
-  struct Node {
+  struct Endpoint {
     bool listed = false;
-    bool open = false;
-    std::int64_t started = 0;
-    Micros due{0};
-    Micros appeared{0};
+    bool admitted = false;
+    std::int64_t incarnation = 0;
+    Micros admit_at{0};
+    Micros listed_at{0};
     int flaps = 0;
   };
 
-  void forget(Micros now);
+  Micros window(int flaps) const;
+  void forget_removed(Micros now);
 
-  OpeningRules rules_;
+  AdmissionOptions options_;
   std::mt19937_64 random_;
   int routers_ = 1;
-  std::map<std::string, Node> nodes_;
+  std::map<std::string, Endpoint> endpoints_;
 };
 
 }  // namespace trailcourse::startup
--- a/src/startup/endpoint_view.cpp
+++ b/src/startup/endpoint_view.cpp
@@ -6,155 +6,174 @@
 namespace trailcourse::startup {
 namespace {
 
-constexpr std::uint64_t kGroups = 256;  // purge groups of the protocol
-constexpr int kFloorParts = 3;          // an age limit is told anew so often within its length
+constexpr std::uint64_t kPurgeGroups = 256;  // of the protocol
+constexpr int kAgeLimitParts = 3;            // an age limit is renewed so often within its length
 
-bool same(const NodeEntry& one, const NodeEntry& other) {
-  return one.zone == other.zone && one.role == other.role && one.cell == other.cell &&
-         one.state == other.state && one.weight == other.weight && one.started == other.started;
+bool same_attributes(const NodeEntry& left, const NodeEntry& right) {
+  return left.zone == right.zone && left.role == right.role && left.cell == right.cell &&
+         left.state == right.state && left.weight == right.weight && left.started == right.started;
 }
 
 }  // namespace
 
-void Gate::starts_with(Micros now, Micros known_at, bool surely_started) {
-  readiness_.starts_with(now, known_at, surely_started);
-  cold_since_ = std::max(now, Micros(1));
+void EndpointView::restore(Micros now, Micros current_at, bool start_times_known) {
+  readiness_.restore(now, current_at, start_times_known);
+  default_start_ = std::max(now, Micros(1));
   changed_ = true;
 }
 
-void Gate::confirmed(Micros now, Micros known_at) {
-  readiness_.confirmed(now, known_at);
-  changed_ = changed_ || !acted_on_ || *acted_on_ != readiness_.allowance(now);
+void EndpointView::on_confirmed(Micros now, Micros current_at) {
+  readiness_.on_confirmed(now, current_at);
+  changed_ = changed_ || published_permissions_ != readiness_.permissions(now);
 }
 
-void Gate::anew(Micros now) {
-  readiness_.anew();
-  for (const auto& [name, entry] : known_) {
-    opening_.leaves(now, name);
+void EndpointView::reset(Micros now) {
+  readiness_.reset();
+  for (const auto& [address, entry] : listed_) {
+    admission_.on_unlisted(now, address);
   }
-  known_.clear();
-  cold_since_ = std::max(now, Micros(1));
+  listed_.clear();
+  default_start_ = std::max(now, Micros(1));
   changed_ = true;
 }
 
-void Gate::list(Micros now, const ListReceived& list) {
-  if (list.kind == ListKind::kFull) {
-    std::map<std::string, NodeEntry> named;
-    for (const NodeEntry& entry : list.entries) {
-      named[entry.address] = entry;
-    }
-    for (const auto& [name, entry] : known_) {
-      if (!named.contains(name)) {
-        opening_.leaves(now, name);
-      }
+// Replaces the list by a full one. Endpoints that are missing in it are withdrawn.
+void EndpointView::replace_listed(Micros now, const std::vector<NodeEntry>& entries) {
+  Entries replacement;
+  for (const NodeEntry& entry : entries) {
+    replacement[entry.address] = entry;
+  }
+  for (const auto& [address, entry] : listed_) {
+    if (!replacement.contains(address)) {
+      admission_.on_unlisted(now, address);
     }
-    known_ = std::move(named);
+  }
+  listed_ = std::move(replacement);
+}
+
+void EndpointView::on_list(Micros now, const ListReceived& list) {
+  if (list.kind == ListKind::kFull) {
+    replace_listed(now, list.entries);
   }
   for (const NodeEntry& entry : list.entries) {
     if (entry.state == NodeState::kReady) {
-      opening_.appears(now, entry.address, entry.started.count());
+      admission_.on_listed(now, entry.address, entry.started.count());
     } else {
-      opening_.leaves(now, entry.address);
+      admission_.on_unlisted(now, entry.address);
     }
     if (entry.state == NodeState::kGone) {
-      known_.erase(entry.address);
+      listed_.erase(entry.address);
     } else {
-      known_[entry.address] = entry;
+      listed_[entry.address] = entry;
     }
   }
-  listed_ = true;
+  has_list_ = true;
   changed_ = true;
 }
 
-// Held back is told as draining: nothing new goes there. An unknown start is taken for this router's own.
-NodeEntry Gate::shown(const NodeEntry& entry, const Allowance& allowed) const {
+// Returns the entry as the module is to see it. An endpoint whose admission is pending is draining, so that
+// it gets no new request. An unknown start time is replaced by that of the list.
+NodeEntry EndpointView::visible(const NodeEntry& entry, const ServingPermissions& permissions) const {
   NodeEntry out = entry;
-  if (out.state == NodeState::kReady && !opening_.open(out.address)) {
+  if (out.state == NodeState::kReady && !admission_.is_admitted(out.address)) {
     out.state = NodeState::kDraining;
   }
-  if (allowed.starts_unknown && out.started.count() == 0) {
-    out.started = cold_since_;
+  if (permissions.start_times_unknown && out.started.count() == 0) {
+    out.started = default_start_;
   }
   return out;
 }
 
-void Gate::tell_list(const Allowance& allowed, std::vector<Event>& out) {
-  std::map<std::string, NodeEntry> wanted;
-  if (allowed.serves) {
-    for (const auto& [name, entry] : known_) {
-      wanted[name] = shown(entry, allowed);
+EndpointView::Entries EndpointView::visible_entries(const ServingPermissions& permissions) const {
+  Entries out;
+  if (permissions.may_serve) {
+    for (const auto& [address, entry] : listed_) {
+      out[address] = visible(entry, permissions);
     }
   }
+  return out;
+}
+
+// Appends the changes since the last published list. The first list is full, and so is one that follows an
+// empty list or is empty itself.
+void EndpointView::append_list(const ServingPermissions& permissions, std::vector<Event>& events) {
+  Entries entries = visible_entries(permissions);
+  const bool first = published_.empty() && !published_permissions_;
+  const bool full = published_.empty() != entries.empty() || first;
   ListReceived list;
-  const bool whole = told_.empty() != wanted.empty() || (told_.empty() && !acted_on_);
-  list.kind = whole ? ListKind::kFull : ListKind::kChanges;
-  for (const auto& [name, entry] : wanted) {
-    const auto before = told_.find(name);
-    if (whole || before == told_.end() || !same(before->second, entry)) {
+  list.kind = full ? ListKind::kFull : ListKind::kChanges;
+  for (const auto& [address, entry] : entries) {
+    const auto before = published_.find(address);
+    if (full || before == published_.end() || !same_attributes(before->second, entry)) {
       list.entries.push_back(entry);
     }
   }
-  for (const auto& [name, entry] : told_) {
-    if (!whole && !wanted.contains(name)) {
-      NodeEntry gone = entry;
-      gone.state = NodeState::kGone;
-      list.entries.push_back(std::move(gone));
+  for (const auto& [address, entry] : published_) {
+    if (!full && !entries.contains(address)) {
+      NodeEntry removed = entry;
+      removed.state = NodeState::kGone;
+      list.entries.push_back(std::move(removed));
     }
   }
-  told_ = std::move(wanted);
-  if (whole || !list.entries.empty()) {
-    out.emplace_back(std::move(list));
+  published_ = std::move(entries);
+  if (full || !list.entries.empty()) {
+    events.emplace_back(std::move(list));
   }
 }
 
-void Gate::tell_floor(Micros now, const Allowance& allowed, std::vector<Event>& out) {
-  const Micros oldest = *allowed.oldest_copy;
-  const Micros part = std::max(Micros(1), oldest / kFloorParts);
-  floor_at_ = now + part;
-  for (std::uint64_t group = 0; group < kGroups; ++group) {
+// Appends purges of all groups. Each is shorter than the limit by the time until it is renewed, so that no
+// copy older than the limit is ever served.
+void EndpointView::append_age_limit(Micros now, Micros max_copy_age, std::vector<Event>& events) {
+  const Micros renewal = std::max(Micros(1), max_copy_age / kAgeLimitParts);
+  next_age_limit_ = now + renewal;
+  for (std::uint64_t group = 0; group < kPurgeGroups; ++group) {
     Purged purged;
     purged.whole_group = true;
     purged.group = group;
-    purged.age = oldest - part;  // until it is told anew no copy older than `oldest` passes
-    out.emplace_back(purged);
+    purged.age = max_copy_age - renewal;
+    events.emplace_back(purged);
   }
 }
 
-void Gate::due(Micros now, std::vector<Event>& out) {
-  if (!listed_) {
+void EndpointView::step(Micros now, std::vector<Event>& events) {
+  if (!has_list_) {
     return;
   }
-  const Allowance allowed = readiness_.allowance(now);
-  const bool opened = !opening_.opened(now).empty();
-  if (changed_ || opened || !acted_on_ || *acted_on_ != allowed) {
-    const bool floor_begins = allowed.oldest_copy && (!acted_on_ || !acted_on_->oldest_copy);
-    floor_at_ = floor_begins ? now : floor_at_;
-    tell_list(allowed, out);
-    acted_on_ = allowed;
+  const ServingPermissions permissions = readiness_.permissions(now);
+  const bool admitted = !admission_.admit_due(now).empty();
+  if (changed_ || admitted || published_permissions_ != permissions) {
+    const bool limited_before = published_permissions_ && published_permissions_->max_copy_age;
+    if (permissions.max_copy_age && !limited_before) {
+      next_age_limit_ = now;
+    }
+    append_list(permissions, events);
+    published_permissions_ = permissions;
     changed_ = false;
   }
-  if (allowed.oldest_copy && now >= floor_at_) {
-    tell_floor(now, allowed, out);
+  if (permissions.max_copy_age && now >= next_age_limit_) {
+    append_age_limit(now, *permissions.max_copy_age, events);
   }
 }
 
-std::optional<Micros> Gate::next_due(Micros now) const {
-  std::optional<Micros> first = readiness_.changes(now);
-  const auto sooner = [&first](Micros at) { first = first ? std::min(*first, at) : at; };
-  if (const auto opens = opening_.due()) {
-    sooner(*opens);
+std::optional<Micros> EndpointView::next_step_at(Micros now) const {
+  std::optional<Micros> next = readiness_.next_change(now);
+  const auto include = [&next](Micros at) { next = next ? std::min(*next, at) : at; };
+  if (const std::optional<Micros> admission = admission_.next_admission()) {
+    include(*admission);
   }
-  if (acted_on_ && acted_on_->oldest_copy) {
-    sooner(floor_at_);
+  if (published_permissions_ && published_permissions_->max_copy_age) {
+    include(next_age_limit_);
   }
-  return first;
+  return next;
 }
 
-bool Gate::ready(Micros now) const {
-  return readiness_.allowance(now).ready &&
-         std::any_of(known_.begin(), known_.end(), [this](const auto& one) {
-           return one.second.state == NodeState::kReady && opening_.open(one.first);
-         });
+bool EndpointView::is_ready(Micros now) const {
+  if (!readiness_.permissions(now).ready) {
+    return false;
+  }
+  return std::any_of(listed_.begin(), listed_.end(), [this](const auto& item) {
+    return item.second.state == NodeState::kReady && admission_.is_admitted(item.first);
+  });
 }
 
 }  // namespace trailcourse::startup
--- a/src/startup/fleet_size.h
+++ b/src/startup/fleet_size.h
@@ -1,5 +1,6 @@
-// How many routers there are: what windows over the whole fleet are made from. Told by the platform's
-// settings, else by the operator's file, else learned from what the board says of its askers.
+// The number of routers in the fleet, from which windows over the whole fleet are derived. The operator's
+// figure goes before that of the platform's settings; without both it is learned from the number of
+// connections that the discovery service reports.
 //
 // Package `startup`.
 #pragma once
@@ -11,26 +12,28 @@
 
 class FleetSize {
  public:
-  // Either may be 0 or less: not told. The operator's figure goes before the platform's.
+  // A figure of 0 or less means that it is not configured.
   FleetSize(std::int64_t by_operator, int by_settings)
-      : told_(by_operator > 0 ? static_cast<int>(std::min<std::int64_t>(by_operator, kMost)) : by_settings) {}
-
-  // The board's figure counts only where nobody told one. It is taken at once where it is higher, and slowly
-  // where it is lower: after a fall of the board its askers come back one by one.
-  void heard(std::int64_t askers) {
-    const int now = static_cast<int>(std::clamp<std::int64_t>(askers, 1, kMost));
-    heard_ = now >= heard_ ? now : heard_ - std::max(1, (heard_ - now) / kSlowness);
+      : configured_(by_operator > 0 ? static_cast<int>(std::min<std::int64_t>(by_operator, kMaxRouters))
+                                    : by_settings) {}
+
+  // Records a number of connections that the discovery service reported. A larger one counts at once, a
+  // smaller one is approached slowly: after an outage of the service its clients come back one by one.
+  void observe(std::int64_t reported_connections) {
+    const int reported = static_cast<int>(std::clamp<std::int64_t>(reported_connections, 1, kMaxRouters));
+    observed_ =
+        reported >= observed_ ? reported : observed_ - std::max(1, (observed_ - reported) / kDecayDivisor);
   }
 
-  int routers() const { return told_ > 1 ? told_ : std::max({1, told_, heard_}); }
-  bool learned() const { return told_ <= 1 && heard_ > 1; }
+  // Returns the number of routers, 1 at least.
+  int routers() const { return configured_ > 1 ? configured_ : std::max({1, configured_, observed_}); }
 
  private:
-  static constexpr std::int64_t kMost = 1'000'000;
-  static constexpr int kSlowness = 16;
+  static constexpr std::int64_t kMaxRouters = 1'000'000;
+  static constexpr int kDecayDivisor = 16;
 
-  int told_;
-  int heard_ = 1;
+  int configured_;
+  int observed_ = 1;
 };
 
 }  // namespace trailcourse::startup
--- a/src/startup/options.cpp
+++ b/src/startup/options.cpp
@@ -12,13 +12,22 @@
 
 Micros from_ms(std::int64_t ms) { return std::chrono::milliseconds(ms); }
 
+// Reads a value of the key `unsure`, whose words the record checks.
+StalePolicy stale_policy(const std::string& unsure) {
+  if (unsure == "guard") {
+    return StalePolicy::kLimitAge;
+  }
+  return unsure == "refuse" ? StalePolicy::kReject : StalePolicy::kServe;
+}
+
 }  // namespace
 
 const config::Record<StartOptions>& start_record() {
   static const config::Record<StartOptions> kRecord = [] {
-    config::Record<StartOptions> record("startup",
-                                        "How a router starts, and comes back to what it depends on, among "
-                                        "many that do the same at that moment.");
+    config::Record<StartOptions> record(
+        "startup",
+        "How a router starts, and comes back to what it depends on, among many that do the same at that "
+        "moment.");
     record
         .flag("spread", &StartOptions::spread,
               "calls and connections are drawn over windows that the fleet's size sets; false: as a plain "
@@ -43,12 +52,10 @@
                "a node that returns within so long of its last return is a flapping one: its window doubles")
         .text("unsure", &StartOptions::unsure, "-", Words{{"serve", "guard", "refuse"}, false},
               "while the list may be old: serve as before; guard, with age limits that exclude what a purge "
-              "not "
-              "heard of may forbid; refuse at once")
+              "not heard of may forbid; refuse at once")
         .whole("told_within_ms", &StartOptions::told_within_ms, "ms", WholeRange{0, 600'000},
                "what the board tells binds so long after, heard or not; 0: the settings' purge grace, and "
-               "with unsure "
-               "`serve` no less than a call that is held takes")
+               "with unsure `serve` no less than a call that is held takes")
         .whole("lapse_ms", &StartOptions::lapse_ms, "ms", WholeRange{0, 86'400'000},
                "without a word from the board for so long all is refused; 0: never");
     return record;
@@ -56,42 +63,45 @@
   return kRecord;
 }
 
-AskingRules asking_rules(const StartOptions& options, Micros least_pause, Micros most_pause, Micros linger) {
-  AskingRules rules;
-  rules.spread = options.spread;
-  rules.calls_per_s = options.board_calls_per_s;
-  rules.least_pause = least_pause;
-  rules.most_pause = most_pause;
-  rules.most_window = from_ms(options.window_most_ms);
-  rules.reask = options.spread ? from_ms(options.reask_ms) : Micros(0);
-  rules.most_retry_after = std::chrono::seconds(options.retry_after_most_s);
-  rules.linger = linger;
-  rules.longest_linger = std::max(rules.longest_linger, linger);
-  return rules;
+PollOptions poll_options(const StartOptions& options, Micros min_backoff, Micros max_backoff,
+                         Micros long_poll_timeout) {
+  PollOptions out;
+  out.spread = options.spread;
+  out.calls_per_s = options.board_calls_per_s;
+  out.min_backoff = min_backoff;
+  out.max_backoff = max_backoff;
+  out.max_window = from_ms(options.window_most_ms);
+  out.update_jitter = options.spread ? from_ms(options.reask_ms) : Micros(0);
+  out.max_retry_after = std::chrono::seconds(options.retry_after_most_s);
+  out.long_poll_timeout = long_poll_timeout;
+  out.max_long_poll_timeout = std::max(out.max_long_poll_timeout, long_poll_timeout);
+  return out;
 }
 
-OpeningRules opening_rules(const StartOptions& options, int per_peer) {
-  OpeningRules rules;
-  rules.opens_per_s = options.spread ? options.node_opens_per_s : 0.0;
-  rules.most_window = from_ms(options.open_window_most_ms);
-  rules.node_connections = static_cast<int>(options.node_connections);
-  rules.per_peer = per_peer;
-  rules.flap_memory = std::chrono::seconds(options.flap_s);
-  return rules;
+AdmissionOptions admission_options(const StartOptions& options, int max_connections_per_router) {
+  AdmissionOptions out;
+  out.admissions_per_s = options.spread ? options.node_opens_per_s : 0.0;
+  out.max_window = from_ms(options.open_window_most_ms);
+  out.endpoint_connections = static_cast<int>(options.node_connections);
+  out.max_connections_per_router = max_connections_per_router;
+  out.flap_window = std::chrono::seconds(options.flap_s);
+  return out;
 }
 
-ReadinessRules readiness_rules(const StartOptions& options, const Settings& settings, Micros held) {
-  ReadinessRules rules;
-  rules.unsure = options.unsure == "guard"    ? ReadinessRules::Unsure::kGuard
-                 : options.unsure == "refuse" ? ReadinessRules::Unsure::kRefuse
-                                              : ReadinessRules::Unsure::kServe;
-  const bool strict = rules.unsure != ReadinessRules::Unsure::kServe;
-  rules.told_within = options.told_within_ms > 0 ? from_ms(options.told_within_ms)
-                      : strict                   ? settings.purge_grace
-                                                 : std::max(settings.purge_grace, held);
-  rules.purge_done = settings.purge_done;
-  rules.lapse = from_ms(options.lapse_ms);
-  return rules;
+ReadinessOptions readiness_options(const StartOptions& options, const Settings& settings,
+                                   Micros max_poll_duration) {
+  ReadinessOptions out;
+  out.stale_policy = stale_policy(options.unsure);
+  out.purge_completion = settings.purge_done;
+  out.expiry = from_ms(options.lapse_ms);
+  if (options.told_within_ms > 0) {
+    out.notification_bound = from_ms(options.told_within_ms);
+  } else if (out.stale_policy == StalePolicy::kServe) {
+    out.notification_bound = std::max(settings.purge_grace, max_poll_duration);
+  } else {
+    out.notification_bound = settings.purge_grace;
+  }
+  return out;
 }
 
 }  // namespace trailcourse::startup
--- a/src/startup/options.h
+++ b/src/startup/options.h
@@ -1,19 +1,22 @@
-// The figures that the start of a router goes by; the operator's section `startup`, and the settings.
+// Options of the state machines in this folder: the operator's section `startup`, and the typed options that
+// are derived from it and from the platform's settings.
 //
-// Package `startup`: state machines without I/O or clock. Time is Micros of the caller's steady clock, never
-// going back; all draws come from seeds. Not thread-safe.
+// Package `startup`: state machines without I/O or clock. Time is Micros of the caller's steady clock, which
+// never goes back. All random draws come from seeds. Not thread-safe.
 #pragma once
 
 #include <trailcourse/decider.h>
 
 #include <chrono>
 #include <cstdint>
+#include <string>
 
 #include "config/record.h"
 
 namespace trailcourse::startup {
 
-// The section `startup` of the operator's file. Without it a router starts as a plain one does.
+// The section `startup` of the operator's file; each member is a key of that name. Without the section a
+// router starts with default options and without jitter over the fleet.
 struct StartOptions {
   bool spread = false;
   std::int64_t routers = 0;
@@ -29,44 +32,59 @@
   std::int64_t told_within_ms = 0;
   std::int64_t lapse_ms = 0;
 };
+
+// Returns the declaration of the section `startup`: its keys, ranges and descriptions.
 const config::Record<StartOptions>& start_record();
 
-// When the notice board is asked.
-struct AskingRules {
-  bool spread = false;                   // over windows by the fleet's size; else as a plain router
-  double calls_per_s = 100.0;            // at the board, over all routers
-  Micros least_pause{50'000};            // the shortest window after a failure
-  Micros most_pause{400'000};            // the longest of a plain router
-  Micros most_window{60'000'000};        // the longest of a spread one
-  Micros reask{0};                       // after news, drawn from 0 to this: all were told in the same moment
-  Micros most_retry_after{120'000'000};  // a board that names a longer wait is asked after this one
-  Micros linger{2'000'000};              // how long the board may hold a call
-  Micros longest_linger{5'000'000};
-  int trial_after = 3;  // failures in a row, then single short calls until one is answered
+// Options of PollScheduler.
+struct PollOptions {
+  bool spread = false;                  // jitter over windows by the fleet's size; false: a single router's
+  double calls_per_s = 100.0;           // that the discovery service bears from all routers
+  Micros min_backoff{50'000};           // shortest window after a failure
+  Micros max_backoff{400'000};          // longest mean backoff without `spread`
+  Micros max_window{60'000'000};        // longest window with `spread`
+  Micros update_jitter{0};              // after updates the next poll is drawn from 0 to this
+  Micros max_retry_after{120'000'000};  // a longer Retry-After is cut to this
+  Micros long_poll_timeout{2'000'000};  // how long the service may hold a poll
+  Micros max_long_poll_timeout{5'000'000};  // the same where the fleet's size asks for longer polls
+  int probe_after_failures = 3;             // consecutive failures; then short probes until one succeeds
+};
+
+// Options of EndpointAdmission.
+struct AdmissionOptions {
+  double admissions_per_s = 0.0;        // that one endpoint accepts from all routers; 0: no slow start
+  Micros max_window{5'000'000};         // longest window from which an admission is drawn
+  int endpoint_connections = 0;         // that one endpoint holds from all routers; 0: no bound
+  int max_connections_per_router = 16;  // from this router to one endpoint
+  Micros flap_window{60'000'000};       // an endpoint that returns within this time counts as flapping
 };
 
-// When connections to a node are opened.
-struct OpeningRules {
-  double opens_per_s = 0.0;  // that one node can take from all routers; 0: as they come
-  Micros most_window{5'000'000};
-  int node_connections = 0;        // that one node can hold from all routers; 0: not bounded
-  int per_peer = 16;               // of this router to one node
-  Micros flap_memory{60'000'000};  // a return within this of the last one counts as a flap
+// What a router does with requests while its endpoint list may be stale.
+enum class StalePolicy {
+  kServe,     // serve as before
+  kLimitAge,  // serve, but no cached copy that an unheard purge may forbid
+  kReject     // reject all requests
 };
 
-// What a router may do by what it knows.
-struct ReadinessRules {
-  enum class Unsure { kServe, kGuard, kRefuse };
-  Unsure unsure = Unsure::kServe;
-  Micros told_within{300'000};   // what the board tells binds this long after, told or not
-  Micros purge_done{6'000'000};  // caches have dropped what was purged so long ago
-  Micros lapse{0};               // in doubt for so long: nothing is served; 0: never
+// Options of Readiness.
+struct ReadinessOptions {
+  StalePolicy stale_policy = StalePolicy::kServe;
+  Micros notification_bound{300'000};  // an event binds so long after it was published, received or not
+  Micros purge_completion{6'000'000};  // caches have dropped a purged copy so long after the purge
+  Micros expiry{0};                    // a list older than this is not used; 0: never
 };
 
-// The rules that follow from the section and the platform's settings.
-AskingRules asking_rules(const StartOptions& options, Micros least_pause, Micros most_pause, Micros linger);
-OpeningRules opening_rules(const StartOptions& options, int per_peer);
-// `held`: the longest that a call to the board takes while all is well.
-ReadinessRules readiness_rules(const StartOptions& options, const Settings& settings, Micros held);
+// Derives the options of PollScheduler. `min_backoff`, `max_backoff` and `long_poll_timeout` come from the
+// router's tuning.
+PollOptions poll_options(const StartOptions& options, Micros min_backoff, Micros max_backoff,
+                         Micros long_poll_timeout);
+
+// Derives the options of EndpointAdmission.
+AdmissionOptions admission_options(const StartOptions& options, int max_connections_per_router);
+
+// Derives the options of Readiness. `max_poll_duration` is the longest time that a poll takes while the
+// discovery service is healthy.
+ReadinessOptions readiness_options(const StartOptions& options, const Settings& settings,
+                                   Micros max_poll_duration);
 
 }  // namespace trailcourse::startup
--- a/src/startup/poll_scheduler.cpp
+++ b/src/startup/poll_scheduler.cpp
@@ -5,74 +5,60 @@
 namespace trailcourse::startup {
 namespace {
 
-constexpr int kMostDoublings = 20;
-constexpr double kMicros = 1e6;
-constexpr double kWindow = 2.4;  // over 1 + e/2: the density of first calls and of those after failures
+constexpr int kMaxDoublings = 20;
+constexpr double kMicrosPerSecond = 1e6;
+constexpr double kWindowFactor = 2.4;  // over 1 + e/2: the density of first polls and of those after failures
 
 }  // namespace
 
-const char* to_string(CallEnd end) {
-  switch (end) {
-    case CallEnd::kNews:
-      return "news";
-    case CallEnd::kNothing:
-      return "nothing new";
-    case CallEnd::kRefused:
-      return "refused";
-    case CallEnd::kSilent:
-      return "silent";
-    case CallEnd::kBroken:
-      return "broken off";
-    case CallEnd::kSpoilt:
-      break;
-  }
-  return "not usable";
-}
-
-Micros Asking::drawn(Micros longest) {
+Micros PollScheduler::jitter(Micros longest) {
   std::uniform_int_distribution<Micros::rep> even(0, std::max<Micros::rep>(0, longest.count()));
   return Micros(even(random_));
 }
 
-// W, then 2W; for a plain router twice its pause, so that the mean is that pause.
-Micros Asking::window(int doublings) const {
-  if (!rules_.spread) {
-    const int times = std::clamp(doublings, 0, kMostDoublings);
-    return 2 * std::min(rules_.most_pause, rules_.least_pause * (1 << times));
+// With `spread` W, then 2W. Without it twice the backoff, so that the mean of the draw is the backoff.
+Micros PollScheduler::backoff_window(int doublings) const {
+  if (!options_.spread) {
+    const int factor = 1 << std::clamp(doublings, 0, kMaxDoublings);
+    return 2 * std::min(options_.max_backoff, options_.min_backoff * factor);
   }
-  const double first = kWindow * routers_ / rules_.calls_per_s * kMicros;
-  const double whole =
-      std::max(first, static_cast<double>(rules_.least_pause.count())) * (doublings > 0 ? 2 : 1);
-  return Micros(static_cast<Micros::rep>(std::min(whole, static_cast<double>(rules_.most_window.count()))));
+  const double by_fleet = kWindowFactor * routers_ / options_.calls_per_s * kMicrosPerSecond;
+  const double first = std::max(by_fleet, static_cast<double>(options_.min_backoff.count()));
+  const double window = first * (doublings > 0 ? 2 : 1);
+  const auto longest = static_cast<double>(options_.max_window.count());
+  return Micros(static_cast<Micros::rep>(std::min(window, longest)));
 }
 
-// Calls that are held longer cost the board fewer of them.
-Micros Asking::linger() const {
-  if (!rules_.spread) {
-    return rules_.linger;
+// Polls that are held for longer cost the service fewer of them.
+Micros PollScheduler::long_poll_timeout() const {
+  if (!options_.spread) {
+    return options_.long_poll_timeout;
   }
-  const Micros fair(static_cast<Micros::rep>(routers_ / rules_.calls_per_s * kMicros));
-  return std::clamp(fair, rules_.linger, rules_.longest_linger);
+  const Micros by_fleet(static_cast<Micros::rep>(routers_ / options_.calls_per_s * kMicrosPerSecond));
+  return std::clamp(by_fleet, options_.long_poll_timeout, options_.max_long_poll_timeout);
 }
 
-Call Asking::first(Micros now) {
+ScheduledPoll PollScheduler::first_poll(Micros now) {
   failures_ = 0;
-  return Call{now + (rules_.spread ? drawn(window(0)) : Micros(0)), linger(), false};
+  const Micros wait = options_.spread ? jitter(backoff_window(0)) : Micros(0);
+  return ScheduledPoll{now + wait, long_poll_timeout(), false};
 }
 
-Call Asking::after(Micros asked, Micros now, CallEnd end, Micros retry_after) {
-  if (end == CallEnd::kNews || end == CallEnd::kNothing) {
+ScheduledPoll PollScheduler::next_poll(Micros started, Micros now, PollResult result, Micros retry_after) {
+  if (result == PollResult::kUpdates || result == PollResult::kNoUpdates) {
     failures_ = 0;
-    // A board that does not hold calls back is not flooded.
-    const bool hasty = end == CallEnd::kNothing && now - asked < rules_.least_pause;
-    const Micros spread = drawn(hasty ? std::max(rules_.reask, rules_.least_pause) : rules_.reask);
-    return Call{now + (hasty ? std::max(spread, rules_.least_pause) : spread), linger(), false};
+    // A service that does not hold polls must not be flooded.
+    const bool not_held = result == PollResult::kNoUpdates && now - started < options_.min_backoff;
+    const Micros min_wait = not_held ? options_.min_backoff : Micros(0);
+    const Micros wait = std::max(min_wait, jitter(std::max(options_.update_jitter, min_wait)));
+    return ScheduledPoll{now + wait, long_poll_timeout(), false};
   }
-  const int doublings = rules_.spread ? 1 : failures_;
+  const int doublings = options_.spread ? 1 : failures_;
   ++failures_;
-  const Micros asked_for = std::clamp(retry_after, Micros(0), rules_.most_retry_after);
-  const bool trial = rules_.spread && lost();
-  return Call{now + asked_for + drawn(window(doublings)), trial ? Micros(0) : linger(), trial};
+  const Micros requested = std::clamp(retry_after, Micros(0), options_.max_retry_after);
+  const bool probe = options_.spread && only_probes();
+  const Micros wait = requested + jitter(backoff_window(doublings));
+  return ScheduledPoll{now + wait, probe ? Micros(0) : long_poll_timeout(), probe};
 }
 
 }  // namespace trailcourse::startup
--- a/src/startup/poll_scheduler.h
+++ b/src/startup/poll_scheduler.h
@@ -1,11 +1,11 @@
-// When this router asks the notice board: first, after news, after a refusal, silence or a break, and after
-// the board has moved.
+// Decides when this router polls the discovery service: at the start, after updates, after a rejection, a
+// timeout or a broken connection, and after the service has moved.
 //
-// The bound (docs/cold-start.md derives it). With N routers and a board that bears R calls a second, the
-// first window is W = 2.4·N/R, and each call after one that failed is drawn evenly from a window of 2W, begun
-// no sooner than the board asked for. Whenever the routers began, and whatever made them begin, the expected
-// calls of all of them in any stretch of L seconds are N·L/W·(1 + e/2) <= R·L at most, and the draws being
-// independent the sum stays within R·L + 6·sqrt(R·L) + 12 but for one stretch in millions.
+// The bound (derived in docs/cold-start.md). With N routers and a service that bears R calls a second, the
+// first window is W = 2.4·N/R, and each poll after a failed one is drawn evenly from a window of 2W, which
+// begins no sooner than Retry-After asks. Whenever the routers began, and whatever made them begin, the
+// expected number of polls of all of them in any L seconds is N·L/W·(1 + e/2) <= R·L at most. The draws are
+// independent, so the sum stays within R·L + 6·sqrt(R·L) + 12 but for one stretch in millions.
 //
 // Package `startup`.
 #pragma once
@@ -17,49 +17,49 @@
 
 namespace trailcourse::startup {
 
-// How a call to the board ended.
-enum class CallEnd {
-  kNews,     // events that were not known
-  kNothing,  // held to its end, or answered at once, without any
-  kRefused,  // a status other than 200, with or without a time to come back
-  kSilent,   // no answer in time
-  kBroken,   // the connection was not to be had, or ended first
-  kSpoilt    // an answer that cannot be used, or one of an older number
+// How a poll of the discovery service ended.
+enum class PollResult {
+  kUpdates,       // events that were not known
+  kNoUpdates,     // no event, at once or at the end of the long poll
+  kRejected,      // a status other than 200, with or without Retry-After
+  kTimeout,       // no answer in time
+  kDisconnected,  // the connection failed, or ended before the answer
+  kInvalid        // an answer that cannot be used, or one with an older sequence number
 };
-const char* to_string(CallEnd end);
 
-struct Call {
-  Micros at{0};      // when to make it
-  Micros linger{0};  // how long the board may hold it; 0 for a trial
-  bool trial = false;
+// The next poll, as decided by PollScheduler.
+struct ScheduledPoll {
+  Micros at{0};                 // when to begin it
+  Micros long_poll_timeout{0};  // how long the service may hold it; 0 for a probe
+  bool probe = false;           // a short call that only finds out whether the service is back
 };
 
-class Asking {
+// Schedules the polls of one router so that the sum over the fleet stays within the stated bound.
+class PollScheduler {
  public:
-  Asking(const AskingRules& rules, std::uint64_t seed) : rules_(rules), random_(seed) {}
+  PollScheduler(const PollOptions& options, std::uint64_t seed) : options_(options), random_(seed) {}
 
-  // How many routers do the same; what was drawn already stands.
-  void fleet_size(int routers) { routers_ = routers > 0 ? routers : 1; }
+  // Sets the number of routers that poll the same service. Polls that are scheduled already stay as they are.
+  void set_fleet_size(int routers) { routers_ = routers > 0 ? routers : 1; }
 
-  // The first call; also to be asked after the board has moved, when nothing of the old one counts any more.
-  Call first(Micros now);
-  // The call after one that began at `asked` and ended so at `now`. `retry_after` is what the board asked
-  // for, 0 where it said nothing.
-  Call after(Micros asked, Micros now, CallEnd end, Micros retry_after);
+  // Schedules the first poll, also after the service has moved. Earlier failures are forgotten.
+  ScheduledPoll first_poll(Micros now);
 
-  int failures() const { return failures_; }
-  // Waits longer than a lost answer explains: only trials are made.
-  bool lost() const { return failures_ >= rules_.trial_after; }
-  // The window from which the next call without an answer would be drawn.
-  Micros window(int doublings) const;
-  // The calls that all routers may make in one second, as a mean; 0 where nothing bounds it.
-  double bound_per_s() const { return rules_.spread ? rules_.calls_per_s : 0.0; }
+  // Schedules the poll after one that began at `started` and ended at `now`. `retry_after` is the time that
+  // the service asked for, 0 where it named none.
+  ScheduledPoll next_poll(Micros started, Micros now, PollResult result, Micros retry_after);
+
+  int consecutive_failures() const { return failures_; }
+
+  // Returns whether so many polls failed that only probes are scheduled.
+  bool only_probes() const { return failures_ >= options_.probe_after_failures; }
 
  private:
-  Micros drawn(Micros longest);
-  Micros linger() const;
+  Micros backoff_window(int doublings) const;
+  Micros jitter(Micros longest);
+  Micros long_poll_timeout() const;
 
-  AskingRules rules_;
+  PollOptions options_;
   std::mt19937_64 random_;
   int routers_ = 1;
   int failures_ = 0;
--- a/src/startup/readiness.cpp
+++ b/src/startup/readiness.cpp
@@ -4,92 +4,92 @@
 
 namespace trailcourse::startup {
 
-const char* to_string(State state) {
-  switch (state) {
-    case State::kFresh:
+const char* to_string(Staleness staleness) {
+  switch (staleness) {
+    case Staleness::kUnknown:
       return "fresh";
-    case State::kProvisional:
+    case Staleness::kProvisional:
       return "provisional";
-    case State::kCurrent:
+    case Staleness::kCurrent:
       return "current";
-    case State::kDoubtful:
+    case Staleness::kStale:
       return "doubtful";
-    case State::kLapsed:
+    case Staleness::kExpired:
       break;
   }
   return "lapsed";
 }
 
-void Readiness::starts_with(Micros now, Micros known_at, bool surely_started) {
-  known_at_ = std::min(now, known_at);
-  heard_ = false;
-  starts_unknown_ = !surely_started;
+void Readiness::restore(Micros now, Micros current_at, bool start_times_known) {
+  current_at_ = std::min(now, current_at);
+  confirmed_ = false;
+  start_times_unknown_ = !start_times_known;
 }
 
-void Readiness::confirmed(Micros now, Micros known_at) {
-  const Micros at = std::min(now, known_at);
-  known_at_ = known_at_ && heard_ ? std::max(*known_at_, at) : at;
-  heard_ = true;
-  starts_unknown_ = false;
+void Readiness::on_confirmed(Micros now, Micros current_at) {
+  const Micros not_in_future = std::min(now, current_at);
+  current_at_ = current_at_ && confirmed_ ? std::max(*current_at_, not_in_future) : not_in_future;
+  confirmed_ = true;
+  start_times_unknown_ = false;
 }
 
-void Readiness::anew() {
-  known_at_.reset();
-  heard_ = false;
-  starts_unknown_ = true;
+void Readiness::reset() {
+  current_at_.reset();
+  confirmed_ = false;
+  start_times_unknown_ = true;
 }
 
-State Readiness::state(Micros now) const {
-  if (!known_at_) {
-    return State::kFresh;
+Staleness Readiness::staleness(Micros now) const {
+  if (!current_at_) {
+    return Staleness::kUnknown;
   }
-  const Micros old = age(now);
-  if (rules_.lapse.count() > 0 && old > rules_.lapse) {
-    return State::kLapsed;
+  const Micros list_age = age(now);
+  if (options_.expiry.count() > 0 && list_age > options_.expiry) {
+    return Staleness::kExpired;
   }
-  if (old <= rules_.told_within) {
-    return heard_ ? State::kCurrent : State::kProvisional;
+  if (!confirmed_) {
+    return Staleness::kProvisional;
   }
-  return heard_ ? State::kDoubtful : State::kProvisional;
+  return list_age <= options_.notification_bound ? Staleness::kCurrent : Staleness::kStale;
 }
 
-bool Readiness::purges_may_miss(Micros now) const {
-  // Caches drop what was purged by themselves after purge_done: only purges between that and told_within ago
-  // can be missing and bind.
-  return age(now) > rules_.told_within && rules_.told_within < rules_.purge_done;
+// Caches drop by themselves what was purged before `purge_completion`. So only purges between that and
+// `notification_bound` ago can be missing and bind.
+bool Readiness::purges_may_be_missing(Micros now) const {
+  return age(now) > options_.notification_bound && options_.notification_bound < options_.purge_completion;
 }
 
-Allowance Readiness::allowance(Micros now) const {
-  Allowance out;
-  out.state = state(now);
-  out.starts_unknown = starts_unknown_;
-  if (out.state == State::kFresh || out.state == State::kLapsed) {
+ServingPermissions Readiness::permissions(Micros now) const {
+  ServingPermissions out;
+  out.staleness = staleness(now);
+  out.start_times_unknown = start_times_unknown_;
+  if (out.staleness == Staleness::kUnknown || out.staleness == Staleness::kExpired) {
     return out;
   }
-  const bool unsure = age(now) > rules_.told_within;
-  out.serves = !unsure || rules_.unsure != ReadinessRules::Unsure::kRefuse;
-  out.ready = out.serves;
-  if (rules_.unsure == ReadinessRules::Unsure::kGuard && purges_may_miss(now)) {
-    out.oldest_copy = rules_.told_within;
+  const bool within_bound = age(now) <= options_.notification_bound;
+  out.may_serve = within_bound || options_.stale_policy != StalePolicy::kReject;
+  out.ready = out.may_serve;
+  if (options_.stale_policy == StalePolicy::kLimitAge && purges_may_be_missing(now)) {
+    out.max_copy_age = options_.notification_bound;
   }
   return out;
 }
 
-std::optional<Micros> Readiness::changes(Micros now) const {
-  if (!known_at_) {
+std::optional<Micros> Readiness::next_change(Micros now) const {
+  if (!current_at_) {
     return std::nullopt;
   }
-  // The allowance changes just behind these moments.
-  const Micros doubt = *known_at_ + rules_.told_within + Micros(1);
-  const Micros lapse = *known_at_ + rules_.lapse + Micros(1);
-  std::optional<Micros> first;
-  if (doubt > now) {
-    first = doubt;
+  // The permissions change just behind these moments.
+  const Micros stale_at = *current_at_ + options_.notification_bound + Micros(1);
+  const Micros expired_at = *current_at_ + options_.expiry + Micros(1);
+  std::optional<Micros> next;
+  if (stale_at > now) {
+    next = stale_at;
   }
-  if (rules_.lapse.count() > 0 && lapse > now) {
-    first = first ? std::min(*first, lapse) : lapse;
+  if (options_.expiry.count() > 0 && expired_at > now) {
+    next = next ? std::min(*next, expired_at) : expired_at;
   }
-  return first;
+  return next;
 }
 
 }  // namespace trailcourse::startup
