--- a/src/startup/readiness.h
+++ b/src/startup/readiness.h
@@ -1,15 +1,15 @@
-// How much of what this router knows still holds, and what it may do by that.
+// Decides how far the endpoint list of this router can be trusted, and what the router may do by that.
 //
-// | state       | it is                                                        |
-// | ----------- | ------------------------------------------------------------ |
-// | fresh       | nothing is known                                             |
-// | provisional | a list is known from before the start, no board was heard    |
-// | current     | the board, or a relay that is current, was heard lately      |
-// | doubtful    | none was heard for longer than the deployment's stated time  |
-// | lapsed      | in doubt for longer than the operator allows                 |
+// | staleness   | meaning                                                                                |
+// | ----------- | -------------------------------------------------------------------------------------- |
+// | unknown     | there is no list                                                                       |
+// | provisional | there is a list from before the start; the discovery service has not answered since    |
+// | current     | the service, or a relay that is current, has confirmed the list within the bound       |
+// | stale       | the last confirmation is older than the notification bound                             |
+// | expired     | it is older than the operator allows                                                   |
 //
-// docs/cold-start.md derives from the five rules what each may do. What follows is told to the decision
-// module by events that it has anyway (lists and purges): this machine chooses no cache, retry or refusal.
+// docs/cold-start.md derives what each state may do. The effects reach the decision module as ordinary events
+// (lists and purges): this machine chooses no cache, retry or rejection.
 //
 // Package `startup`.
 #pragma once
@@ -21,49 +21,57 @@
 
 namespace trailcourse::startup {
 
-enum class State { kFresh, kProvisional, kCurrent, kDoubtful, kLapsed };
-const char* to_string(State state);
+// How old the knowledge of this router is; the table above says what each value means.
+enum class Staleness { kUnknown, kProvisional, kCurrent, kStale, kExpired };
+
+// Returns the name that `/healthz` shows. Its words are part of the operators' interface and differ from the
+// names above: fresh, provisional, current, doubtful, lapsed.
+const char* to_string(Staleness staleness);
 
 // What a router may do now.
-struct Allowance {
-  State state = State::kFresh;
-  bool ready = false;           // /healthz says so
-  bool serves = false;          // else the module is given an empty list, and refuses at once
-  bool starts_unknown = false;  // when nodes started is not known: they are taken for cold
-  // Copies older than this may have been purged unheard; nothing where no purge can be missing.
-  std::optional<Micros> oldest_copy;
-
-  friend bool operator==(const Allowance&, const Allowance&) = default;
+struct ServingPermissions {
+  Staleness staleness = Staleness::kUnknown;
+  bool ready = false;                // `/healthz` may report readiness
+  bool may_serve = false;            // false: the module gets an empty list and rejects at once
+  bool start_times_unknown = false;  // endpoints without a start time count as just started
+  // Cached copies that are older may have been purged by an event that was not received; nothing where no
+  // such purge can be missing.
+  std::optional<Micros> max_copy_age;
+
+  friend bool operator==(const ServingPermissions&, const ServingPermissions&) = default;
 };
 
 class Readiness {
  public:
-  explicit Readiness(const ReadinessRules& rules) : rules_(rules) {}
-
-  // A list known at the start. `known_at`: when it was surely current; a platform that hands it over with the
-  // start vouches for that moment, a snapshot for the one that it names. `surely_started`: the start times of
-  // nodes in it still hold.
-  void starts_with(Micros now, Micros known_at, bool surely_started);
-  // All that the board had to tell at `known_at` is known now.
-  void confirmed(Micros now, Micros known_at);
-  // The board began anew: what was known of it holds no longer.
-  void anew();
-
-  State state(Micros now) const;
-  Allowance allowance(Micros now) const;
-  // When the allowance changes by time alone; nothing where it does not.
-  std::optional<Micros> changes(Micros now) const;
-  // How long ago all was surely known.
-  Micros age(Micros now) const { return known_at_ ? now - *known_at_ : Micros::max(); }
+  explicit Readiness(const ReadinessOptions& options) : options_(options) {}
+
+  // Records a list that is known at the start. `current_at` is the last moment at which it was certainly
+  // current: the present for a list of the platform's, the moment that a snapshot names. With
+  // `start_times_known` the start times of its endpoints still hold.
+  void restore(Micros now, Micros current_at, bool start_times_known);
+
+  // Records that everything that the service had to tell at `current_at` is known.
+  void on_confirmed(Micros now, Micros current_at);
+
+  // Forgets everything: the service has started again.
+  void reset();
+
+  Staleness staleness(Micros now) const;
+  ServingPermissions permissions(Micros now) const;
+
+  // Returns when the permissions change by time alone, or nothing where they do not.
+  std::optional<Micros> next_change(Micros now) const;
+
+  // Returns the time since the list was certainly current; Micros::max() where there is no list.
+  Micros age(Micros now) const { return current_at_ ? now - *current_at_ : Micros::max(); }
 
  private:
-  // From when on purges may be missing that bind already.
-  bool purges_may_miss(Micros now) const;
+  bool purges_may_be_missing(Micros now) const;
 
-  ReadinessRules rules_;
-  std::optional<Micros> known_at_;
-  bool heard_ = false;
-  bool starts_unknown_ = false;
+  ReadinessOptions options_;
+  std::optional<Micros> current_at_;
+  bool confirmed_ = false;
+  bool start_times_unknown_ = false;
 };
 
 }  // namespace trailcourse::startup
--- a/src/startup/relay_selector.cpp
+++ b/src/startup/relay_selector.cpp
@@ -1,102 +1,106 @@
 #include "startup/relay_selector.h"
 
 #include <algorithm>
+#include <utility>
 
 namespace trailcourse::startup {
 namespace {
 
-constexpr int kMostDoublings = 10;
-constexpr double kMicros = 1e6;
+constexpr int kMaxDoublings = 10;
+constexpr double kMicrosPerSecond = 1e6;
 
 }  // namespace
 
-Upstream::Upstream(const UpstreamRules& rules, std::vector<std::string> ancestors, std::uint64_t seed)
-    : rules_(rules), ancestors_(std::move(ancestors)), random_(seed) {}
+RelaySelector::RelaySelector(const RelaySelectorOptions& options, std::vector<std::string> ancestors,
+                             std::uint64_t seed)
+    : options_(options), ancestors_(std::move(ancestors)), random_(seed) {}
 
-bool Upstream::passed_over(Micros now, const std::string& relay) const {
+bool RelaySelector::is_quarantined(Micros now, const std::string& relay) const {
   const auto found = relays_.find(relay);
-  return found != relays_.end() && now < found->second.until;
+  return found != relays_.end() && now < found->second.quarantined_until;
 }
 
-std::optional<std::string> Upstream::choose(Micros now) const {
-  if (now < board_until_) {
+std::optional<std::string> RelaySelector::select(Micros now) const {
+  if (now < fallback_until_) {
     return std::nullopt;
   }
   for (const std::string& relay : ancestors_) {
-    if (!passed_over(now, relay)) {
+    if (!is_quarantined(now, relay)) {
       return relay;
     }
   }
   return std::nullopt;
 }
 
-// Drawn between half and whole, so that the children of one relay do not come back together.
-void Upstream::pass_over(Micros now, const std::string& relay, Micros least) {
-  Relay& known = relays_[relay];
-  const int doublings = std::min(known.failures++, kMostDoublings);
-  const Micros longest =
-      std::max(least, std::min(rules_.most_pass_over, rules_.first_pass_over * (1 << doublings)));
+// The time is drawn between half and all of its length, so that the children of one relay do not return
+// together. The length is `min_longest` at least.
+void RelaySelector::quarantine(Micros now, const std::string& name, Micros min_longest) {
+  Relay& relay = relays_[name];
+  const int doublings = std::min(relay.failures++, kMaxDoublings);
+  const Micros doubled = std::min(options_.max_quarantine, options_.initial_quarantine * (1 << doublings));
+  const Micros longest = std::max(min_longest, doubled);
   std::uniform_int_distribution<Micros::rep> even(longest.count() / 2, longest.count());
-  known.until = now + Micros(even(random_));
-  if (++in_a_row_ >= rules_.failures_to_board) {
-    board_until_ = std::max(board_until_, known.until);
+  relay.quarantined_until = now + Micros(even(random_));
+  ++failures_in_a_row_;
+  if (failures_in_a_row_ >= options_.failures_before_fallback) {
+    fallback_until_ = std::max(fallback_until_, relay.quarantined_until);
   }
 }
 
-Upstream::Belief Upstream::answered(Micros now, const std::string& relay, const std::string& self,
-                                    const Said& said) {
-  if (std::find(said.path.begin(), said.path.end(), self) != said.path.end()) {
-    pass_over(now, relay, rules_.first_pass_over);
-    return Belief::kCircle;
+RelayValidity RelaySelector::on_response(Micros now, const std::string& relay, const std::string& self,
+                                         const RelayStatus& status) {
+  if (std::find(status.path.begin(), status.path.end(), self) != status.path.end()) {
+    quarantine(now, relay, options_.initial_quarantine);
+    return RelayValidity::kLoop;
   }
-  if (said.age < Micros(0) || said.age > rules_.most_age) {
-    pass_over(now, relay, Micros(0));
-    return Belief::kTooOld;
+  if (status.age < Micros(0) || status.age > options_.max_age) {
+    quarantine(now, relay, Micros(0));
+    return RelayValidity::kStale;
   }
   relays_[relay].failures = 0;
-  in_a_row_ = 0;
-  return Belief::kGood;
+  failures_in_a_row_ = 0;
+  return RelayValidity::kValid;
 }
 
-void Upstream::failed(Micros now, const std::string& relay) { pass_over(now, relay, Micros(0)); }
+void RelaySelector::on_failure(Micros now, const std::string& relay) { quarantine(now, relay, Micros(0)); }
 
-// Even over twice the mean, from the last one on: the sum over all routers is the stated rate.
-std::optional<Micros> Upstream::audit_due(Micros now) {
-  if (ancestors_.empty() || rules_.audits_per_s <= 0.0) {
+// Evenly drawn over twice the mean, from the last audit on: the sum over all routers is the stated rate.
+std::optional<Micros> RelaySelector::next_audit_at(Micros now) {
+  if (ancestors_.empty() || options_.audits_per_s <= 0.0) {
     return std::nullopt;
   }
   if (!audit_at_) {
-    const auto longest = static_cast<Micros::rep>(2.0 * routers_ / rules_.audits_per_s * kMicros);
-    std::uniform_int_distribution<Micros::rep> even(0, longest);
+    const double longest = 2.0 * routers_ / options_.audits_per_s * kMicrosPerSecond;
+    std::uniform_int_distribution<Micros::rep> even(0, static_cast<Micros::rep>(longest));
     audit_at_ = now + Micros(even(random_));
   }
   return audit_at_;
 }
 
-void Upstream::audited(Micros now, std::uint64_t board_last, std::uint64_t own_last) {
+void RelaySelector::on_audit(Micros now, std::uint64_t service_sequence, std::uint64_t own_sequence) {
   audit_at_.reset();
-  if (open_audit_ && own_last >= open_audit_->number) {
+  if (open_audit_ && own_sequence >= open_audit_->service_sequence) {
     open_audit_.reset();
   }
-  // A later audit does not give the relay more time for what it should have told by an earlier one.
-  if (!open_audit_ && board_last > own_last) {
-    open_audit_ = Audit{board_last, now};
+  // A later audit does not give the relay more time for what an earlier one has shown.
+  if (!open_audit_ && service_sequence > own_sequence) {
+    open_audit_ = OpenAudit{service_sequence, now};
   }
 }
 
-bool Upstream::withholds(Micros now, const std::string& relay, std::uint64_t own_last) {
+bool RelaySelector::detect_withholding(Micros now, const std::string& relay, std::uint64_t own_sequence) {
   if (!open_audit_) {
     return false;
   }
-  if (own_last >= open_audit_->number) {
+  if (own_sequence >= open_audit_->service_sequence) {
     open_audit_.reset();
     return false;
   }
-  if (now - open_audit_->at <= rules_.most_age) {
+  if (now - open_audit_->at <= options_.max_age) {
     return false;
   }
   open_audit_.reset();
-  relays_[relay].until = now + rules_.distrust;
+  relays_[relay].quarantined_until = now + options_.withholding_quarantine;
   return true;
 }
 
--- a/src/startup/relay_selector.h
+++ b/src/startup/relay_selector.h
@@ -1,11 +1,11 @@
-// Whom this router asks for the board's pages: its parent in the tree, an ancestor beyond it, or the board
-// itself; and whether what a relay answered may be believed.
+// Selects whom this router polls for the pages of the discovery service: its parent in the relay tree, an
+// ancestor beyond it, or the service itself. Also judges whether the answer of a relay is valid.
 //
-// A relay may be dead, stalled, behind or lying. Each costs a stated time at most: a call to a relay ends
-// after its linger and grace, a relay that failed is passed over for a time that doubles, after two failures
-// in a row the board itself is asked, and a relay whose page is older than allowed is passed over at once.
-// One that withholds events is found out by audits: now and then, at a rate that is stated for the whole
-// fleet, a router asks the board itself whether there is anything that its relay should have told.
+// A relay may be dead, stalled, behind or faulty. Each fault costs a stated time at most: a call to a relay
+// ends after its long-poll timeout and grace; a relay that failed is quarantined for a time that doubles;
+// after two failures in a row the service itself is polled; a relay whose page is older than allowed is
+// quarantined at once. A relay that withholds events is found by audits: now and then, at a rate that is
+// stated for the whole fleet, a router asks the service itself for its last sequence number.
 //
 // Package `startup`.
 #pragma once
@@ -17,70 +17,83 @@
 #include <string>
 #include <vector>
 
-#include "startup/poll_scheduler.h"
+#include "startup/options.h"
 
 namespace trailcourse::startup {
 
-struct UpstreamRules {
-  Micros most_age{1'000'000};       // of a page that a relay passes on
-  Micros first_pass_over{500'000};  // a relay that failed; doubles
-  Micros most_pass_over{30'000'000};
-  Micros distrust{300'000'000};  // one that withheld events
-  int failures_to_board = 2;     // in a row, of whatever relays, until the board itself is asked
-  double audits_per_s = 1.0;     // of all routers together; 0: none
+struct RelaySelectorOptions {
+  Micros max_age{1'000'000};                   // of a page that a relay passes on
+  Micros initial_quarantine{500'000};          // of a relay that failed; doubles
+  Micros max_quarantine{30'000'000};           // bound of the doubling
+  Micros withholding_quarantine{300'000'000};  // of a relay that withheld events
+  int failures_before_fallback = 2;            // in a row, of any relays, until the service itself is polled
+  double audits_per_s = 1.0;                   // of all routers together; 0: no audits
 };
 
-class Upstream {
+// What the page of a relay says about itself.
+struct RelayStatus {
+  Micros age{0};                  // of the page: how long ago it certainly held all that the service had
+  std::vector<std::string> path;  // routers that it passed through, the relay first
+};
+
+// Whether the page of a relay may be used.
+enum class RelayValidity {
+  kValid,
+  kStale,  // it is older than allowed, or does not say how old it is
+  kLoop    // it has passed through this router before
+};
+
+class RelaySelector {
  public:
-  Upstream(const UpstreamRules& rules, std::vector<std::string> ancestors, std::uint64_t seed);
+  // `ancestors` are the relays of this router, nearest first.
+  RelaySelector(const RelaySelectorOptions& options, std::vector<std::string> ancestors, std::uint64_t seed);
 
-  void fleet_size(int routers) { routers_ = routers > 0 ? routers : 1; }
+  // Sets the number of routers that share the rate of audits.
+  void set_fleet_size(int routers) { routers_ = routers > 0 ? routers : 1; }
 
-  // The relay to ask next; nothing: the board itself.
-  std::optional<std::string> choose(Micros now) const;
+  // Returns the relay to poll next, or nothing where the service itself is to be polled.
+  std::optional<std::string> select(Micros now) const;
 
-  // What a relay's page says of itself.
-  struct Said {
-    Micros age{0};                  // how long ago all that the board had was surely in it
-    std::vector<std::string> path;  // the routers that it went through, the relay first
-  };
-  enum class Belief { kGood, kTooOld, kCircle };
-  // A page that a relay answered. A page that is not good counts against it.
-  Belief answered(Micros now, const std::string& relay, const std::string& self, const Said& said);
-  // A call to a relay that brought no page.
-  void failed(Micros now, const std::string& relay);
-
-  // When the board is to be asked behind the relay's back; nothing while no relay is asked.
-  std::optional<Micros> audit_due(Micros now);
-  // The board's last number, and ours, at the audit. Where the board is ahead the relay has `most_age` to
-  // catch up.
-  void audited(Micros now, std::uint64_t board_last, std::uint64_t own_last);
-  // To be called once that time is over, or on any page: whether the relay has been found to withhold.
-  bool withholds(Micros now, const std::string& relay, std::uint64_t own_last);
-
-  bool passed_over(Micros now, const std::string& relay) const;
+  // Judges the page that a relay returned. A page that is not valid quarantines the relay.
+  RelayValidity on_response(Micros now, const std::string& relay, const std::string& self,
+                            const RelayStatus& status);
+
+  // Records that a call to a relay brought no page.
+  void on_failure(Micros now, const std::string& relay);
+
+  // Returns when the service is to be audited, or nothing where there are no relays or no audits.
+  std::optional<Micros> next_audit_at(Micros now);
+
+  // Records the last sequence number of the service at an audit. Where it is beyond `own_sequence`, that of
+  // this router, the relay has `max_age` to deliver it.
+  void on_audit(Micros now, std::uint64_t service_sequence, std::uint64_t own_sequence);
+
+  // Returns whether the relay withheld events that an audit has shown, and quarantines it then. To be called
+  // from time to time.
+  bool detect_withholding(Micros now, const std::string& relay, std::uint64_t own_sequence);
 
  private:
   struct Relay {
     int failures = 0;
-    Micros until{-1};  // passed over
+    Micros quarantined_until{-1};
   };
-  struct Audit {
-    std::uint64_t number = 0;
+  struct OpenAudit {
+    std::uint64_t service_sequence = 0;
     Micros at{0};
   };
 
-  void pass_over(Micros now, const std::string& relay, Micros least);
+  bool is_quarantined(Micros now, const std::string& relay) const;
+  void quarantine(Micros now, const std::string& relay, Micros min_longest);
 
-  UpstreamRules rules_;
+  RelaySelectorOptions options_;
   std::vector<std::string> ancestors_;
   std::mt19937_64 random_;
   int routers_ = 1;
   std::map<std::string, Relay> relays_;
-  int in_a_row_ = 0;
-  Micros board_until_{-1};
+  int failures_in_a_row_ = 0;
+  Micros fallback_until_{-1};  // the service itself is polled
   std::optional<Micros> audit_at_;
-  std::optional<Audit> open_audit_;
+  std::optional<OpenAudit> open_audit_;
 };
 
 }  // namespace trailcourse::startup
--- a/src/startup/relay_tree.cpp
+++ b/src/startup/relay_tree.cpp
@@ -9,31 +9,32 @@
 namespace trailcourse::startup {
 
 RelayTree::RelayTree(const std::string& self, std::vector<std::string> peers, int degree)
-    : order_(std::move(peers)), degree_(static_cast<std::size_t>(std::max(1, degree))) {
-  order_.push_back(self);
-  std::sort(order_.begin(), order_.end(), [](const std::string& one, const std::string& other) {
-    const std::uint64_t left = mix(hash_text(one));
-    const std::uint64_t right = mix(hash_text(other));
-    return left != right ? left < right : one < other;
+    : names_(std::move(peers)), degree_(static_cast<std::size_t>(std::max(1, degree))) {
+  names_.push_back(self);
+  std::sort(names_.begin(), names_.end(), [](const std::string& left, const std::string& right) {
+    const std::uint64_t left_hash = mix(hash_text(left));
+    const std::uint64_t right_hash = mix(hash_text(right));
+    return left_hash != right_hash ? left_hash < right_hash : left < right;
   });
-  order_.erase(std::unique(order_.begin(), order_.end()), order_.end());
-  place_ =
-      static_cast<std::size_t>(std::distance(order_.begin(), std::find(order_.begin(), order_.end(), self)));
+  names_.erase(std::unique(names_.begin(), names_.end()), names_.end());
+  const auto found = std::find(names_.begin(), names_.end(), self);
+  position_ = static_cast<std::size_t>(std::distance(names_.begin(), found));
 }
 
 std::vector<std::string> RelayTree::ancestors() const {
   std::vector<std::string> out;
-  for (std::size_t at = place_; at > 0;) {
+  for (std::size_t at = position_; at > 0;) {
     at = (at - 1) / degree_;
-    out.push_back(order_[at]);
+    out.push_back(names_[at]);
   }
   return out;
 }
 
 std::vector<std::string> RelayTree::children() const {
+  const std::size_t first = position_ * degree_ + 1;
   std::vector<std::string> out;
-  for (std::size_t at = place_ * degree_ + 1; at <= place_ * degree_ + degree_ && at < order_.size(); ++at) {
-    out.push_back(order_[at]);
+  for (std::size_t at = first; at < first + degree_ && at < names_.size(); ++at) {
+    out.push_back(names_[at]);
   }
   return out;
 }
--- a/src/startup/relay_tree.h
+++ b/src/startup/relay_tree.h
@@ -1,8 +1,8 @@
-// Who passes the board's pages on to whom, where routers talk to each other: a tree of bounded degree over
-// the routers of a zone, the same in the eyes of each. Sorted by the hash of its name the router at place i
-// asks the one at place (i-1)/degree; the first asks the board. A router only ever asks places before its
-// own, so that no circle can form where all hold the same list of peers; where lists differ, pages bear the
-// names that they went through, and ages that only grow (relay_selector.h).
+// The tree by which the routers of a zone relay the pages of the discovery service to each other. It has a
+// bounded degree and is the same for each router: names are sorted by hash, the router at position i polls
+// the one at (i-1)/degree, and the first polls the service. A router polls only earlier positions, so that no
+// loop can form where all have the same list of peers. Where the lists differ, relay_selector.h detects loops
+// by the path in each page, and pages that are too old.
 //
 // Package `startup`.
 #pragma once
@@ -15,21 +15,24 @@
 
 class RelayTree {
  public:
-  // `peers`: the names of this zone's routers, with or without `self`, in any order, doubles allowed.
+  // `peers` are the names of the zone's routers, with or without `self`, in any order, duplicates allowed.
   RelayTree(const std::string& self, std::vector<std::string> peers, int degree);
 
-  // From the one that this router asks up to the first; empty for the first itself, which asks the board.
+  // Returns the routers from the parent of this one up to the first; empty for the first itself.
   std::vector<std::string> ancestors() const;
   std::vector<std::string> children() const;
-  std::size_t place() const { return place_; }
-  std::size_t size() const { return order_.size(); }
-  // Steps between this router and the board, 1 for the first.
+
+  // Returns the position of this router, 0 for the first.
+  std::size_t position() const { return position_; }
+  std::size_t size() const { return names_.size(); }
+
+  // Returns the number of hops between this router and the service, 1 for the first.
   int depth() const { return static_cast<int>(ancestors().size()) + 1; }
 
  private:
-  std::vector<std::string> order_;
+  std::vector<std::string> names_;  // by position
   std::size_t degree_;
-  std::size_t place_ = 0;
+  std::size_t position_ = 0;
 };
 
 }  // namespace trailcourse::startup
--- a/src/startup/sequence_tracker.cpp
+++ b/src/startup/sequence_tracker.cpp
@@ -1,31 +1,29 @@
 #include "startup/sequence_tracker.h"
 
-#include <utility>
-
 namespace trailcourse::startup {
 
-PageVerdict Numbering::judge(Micros now, std::uint64_t last, std::uint64_t page_last,
-                             const std::string& page_id) {
-  if (!page_id.empty() && !id_.empty() && page_id != id_) {
-    id_ = page_id;
+PageVerdict SequenceTracker::check(Micros now, std::uint64_t applied_sequence, std::uint64_t page_sequence,
+                                   const std::string& page_source_id) {
+  if (!page_source_id.empty() && !source_id_.empty() && page_source_id != source_id_) {
+    source_id_ = page_source_id;
     lower_since_.reset();
-    return last > 0 ? PageVerdict::kAnew : PageVerdict::kTake;
+    return applied_sequence > 0 ? PageVerdict::kReset : PageVerdict::kApply;
   }
-  if (!page_id.empty()) {
-    id_ = page_id;
+  if (!page_source_id.empty()) {
+    source_id_ = page_source_id;
   }
-  if (page_last >= last) {
+  if (page_sequence >= applied_sequence) {
     lower_since_.reset();
-    return PageVerdict::kTake;
+    return PageVerdict::kApply;
   }
   if (!lower_since_) {
     lower_since_ = now;
   }
-  if (now - *lower_since_ < anew_after_) {
+  if (now - *lower_since_ < reset_after_) {
     return PageVerdict::kStale;
   }
   lower_since_.reset();
-  return PageVerdict::kAnew;
+  return PageVerdict::kReset;
 }
 
 }  // namespace trailcourse::startup
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -374,7 +374,7 @@
       } else if (section == "aggregator") {
         expect_default(aggregation::aggregator_record(), key, target);
       } else if (section == "board") {
-        expect_default(board::board_record(), key, target);
+        expect_default(discovery::discovery_record(), key, target);
       } else if (section == "registry") {
         expect_default(coordination::registry_record(), key, target);
       } else if (section == "store") {
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -1,6 +1,8 @@
-// What a board does with its calls, its pages, and the same over sockets.
+// What a discovery service does with its calls and its pages.
 #include <gtest/gtest.h>
 
+#include <algorithm>
+#include <chrono>
 #include <nlohmann/json.hpp>
 #include <random>
 #include <set>
@@ -10,17 +12,19 @@
 #include "discovery/long_poll_scheduler.h"
 #include "protocol/http_client.h"
 
-namespace trailcourse::board {
+namespace trailcourse::discovery {
 namespace {
 
 using nlohmann::json;
+using std::chrono::milliseconds;
+using namespace std::chrono_literals;
 
-json list_event(std::uint64_t number, bool whole, std::vector<std::pair<std::string, std::string>> entries) {
+json list_event(std::uint64_t number, bool full, std::vector<std::pair<std::string, std::string>> entries) {
   json endpoints = json::array();
   for (const auto& [name, status] : entries) {
     endpoints.push_back({{"name", name}, {"status", status}});
   }
-  return {{"rev", number}, {"pool", {{"index", 1}, {"snapshot", whole}, {"endpoints", endpoints}}}};
+  return {{"rev", number}, {"pool", {{"index", 1}, {"snapshot", full}, {"endpoints", endpoints}}}};
 }
 json purge_event(std::uint64_t number, std::int64_t ms) {
   return {{"rev", number}, {"flush", {{"collection", 3}, {"ms", ms}}}};
@@ -29,99 +33,113 @@
   return {{"rev", last}, {"notices", events}};
 }
 
-TEST(BoardCoreTest, HoldsCallsThatKnowAllAndAnswersTheOthers) {
-  BoardCore core({}, 1);
-  EXPECT_EQ(core.call(0, 1, 4, 2'000, 5).verdict, Verdict::kAnswer);
-  EXPECT_EQ(core.call(0, 2, 5, 0, 5).verdict, Verdict::kAnswer) << "a trial is not held";
-  EXPECT_EQ(core.call(0, 3, 5, 2'000, 5).verdict, Verdict::kHold);
-  EXPECT_EQ(core.call(0, 4, 9, 2'000, 5).verdict, Verdict::kAnswer)
-      << "it knows more than there is: told so at once";
-  EXPECT_EQ(core.call(0, 5, 5, 3'600'000, 5).verdict, Verdict::kHold);
-  EXPECT_EQ(core.next_due(), 2'000);
-  EXPECT_TRUE(core.due(1'999).empty());
-  EXPECT_EQ(core.due(2'000), std::vector<CallNumber>{3});
-  EXPECT_EQ(core.next_due(), 5'000) << "a call is held for the bound at most";
-  core.gone(5);
-  EXPECT_EQ(core.next_due(), std::nullopt);
-  EXPECT_EQ(core.waiting(), 0U);
+TEST(LongPollSchedulerTest, HoldsUpToDateCallsAndAnswersTheOthers) {
+  LongPollScheduler scheduler({}, 1);
+  EXPECT_EQ(scheduler.on_call(0ms, 1, 4, 2'000ms, 5).kind, CallDecisionKind::kAnswer);
+  EXPECT_EQ(scheduler.on_call(0ms, 2, 5, 0ms, 5).kind, CallDecisionKind::kAnswer) << "a probe is not held";
+  EXPECT_EQ(scheduler.on_call(0ms, 3, 5, 2'000ms, 5).kind, CallDecisionKind::kHold);
+  EXPECT_EQ(scheduler.on_call(0ms, 4, 9, 2'000ms, 5).kind, CallDecisionKind::kAnswer)
+      << "it knows more than there is: answered at once";
 }
 
-TEST(BoardCoreTest, NewsIsToldSpreadOverTheReleaseTimeInDrawnOrder) {
-  CoreRules rules;
-  rules.release_ms = 100;
-  BoardCore core(rules, 7);
-  for (CallNumber call = 1; call <= 200; ++call) {
-    ASSERT_EQ(core.call(0, call, 5, 2'000, 5).verdict, Verdict::kHold);
+TEST(LongPollSchedulerTest, AHeldCallIsAnsweredAtItsTimeoutOrAtTheBound) {
+  LongPollScheduler scheduler({}, 1);
+  EXPECT_EQ(scheduler.on_call(0ms, 3, 5, 2'000ms, 5).kind, CallDecisionKind::kHold);
+  EXPECT_EQ(scheduler.on_call(0ms, 5, 5, 3'600'000ms, 5).kind, CallDecisionKind::kHold);
+  EXPECT_EQ(scheduler.next_step_at(), 2'000ms);
+  EXPECT_TRUE(scheduler.step(1'999ms).empty());
+  EXPECT_EQ(scheduler.step(2'000ms), std::vector<CallId>{3});
+  EXPECT_EQ(scheduler.next_step_at(), 5'000ms) << "a call is held for the bound at most";
+  scheduler.on_disconnected(5);
+  EXPECT_EQ(scheduler.next_step_at(), std::nullopt);
+  EXPECT_EQ(scheduler.held(), 0U);
+}
+
+TEST(LongPollSchedulerTest, UpdatesReleaseHeldCallsOverTheReleaseWindowInRandomOrder) {
+  LongPollOptions options;
+  options.release_window = 100ms;
+  LongPollScheduler scheduler(options, 7);
+  for (CallId call = 1; call <= 200; ++call) {
+    ASSERT_EQ(scheduler.on_call(0ms, call, 5, 2'000ms, 5).kind, CallDecisionKind::kHold);
   }
-  core.published(1'000);
-  std::size_t told = 0;
-  std::vector<CallNumber> order;
-  for (std::int64_t now = 1'000; now <= 1'100; ++now) {
-    const auto due = core.due(now);
+  scheduler.on_published(1'000ms);
+  std::size_t released = 0;
+  std::vector<CallId> order;
+  for (milliseconds now = 1'000ms; now <= 1'100ms; ++now) {
+    const auto due = scheduler.step(now);
     EXPECT_LE(due.size(), 3U);
-    told += due.size();
+    released += due.size();
     order.insert(order.end(), due.begin(), due.end());
   }
-  EXPECT_EQ(told, 200U) << "all of them within the release time";
+  EXPECT_EQ(released, 200U) << "all of them within the release window";
   EXPECT_FALSE(std::is_sorted(order.begin(), order.end()));
 }
 
-TEST(BoardCoreTest, BeyondItsRateCallsGetTurnsInALineThatGrows) {
-  CoreRules rules;
-  rules.calls_per_s = 50.0;
-  BoardCore core(rules, 1);
-  std::vector<std::int64_t> waits;
-  for (CallNumber call = 1; call <= 300; ++call) {
-    const Decision decision = core.call(1'000, call, 0, 0, 5);
-    if (decision.verdict == Verdict::kSendAway) {
-      waits.push_back(decision.retry_after_ms);
+TEST(LongPollSchedulerTest, BeyondItsRateCallsGetSlotsInAQueueThatGrows) {
+  LongPollOptions options;
+  options.calls_per_s = 50.0;
+  LongPollScheduler scheduler(options, 1);
+  std::vector<milliseconds> waits;
+  for (CallId call = 1; call <= 300; ++call) {
+    const CallDecision decision = scheduler.on_call(1'000ms, call, 0, 0ms, 5);
+    if (decision.kind == CallDecisionKind::kReject) {
+      waits.push_back(decision.retry_after);
     }
   }
-  EXPECT_EQ(core.counts().answered, 5U) << "a tenth of a second's worth at once";
+  EXPECT_EQ(scheduler.counts().answered, 5U) << "a tenth of a second's worth at once";
   ASSERT_EQ(waits.size(), 295U);
   EXPECT_TRUE(std::is_sorted(waits.begin(), waits.end()));
-  EXPECT_NEAR(static_cast<double>(waits.back()), 295.0 / 50.0 * 1'000.0, 50.0);
-  EXPECT_EQ(core.counts().in_worst_100_ms, 300U);
-  for (CallNumber call = 301; call <= 1'000; ++call) {
-    EXPECT_LE(core.call(1'000, call, 0, 0, 5).retry_after_ms, rules.most_retry_after_ms);
+  EXPECT_NEAR(static_cast<double>(waits.back().count()), 295.0 / 50.0 * 1'000.0, 50.0);
+  EXPECT_EQ(scheduler.counts().peak_in_100_ms, 300U);
+  for (CallId call = 301; call <= 1'000; ++call) {
+    EXPECT_LE(scheduler.on_call(1'000ms, call, 0, 0ms, 5).retry_after, options.max_retry_after);
   }
 }
 
-TEST(BoardCoreTest, OneCallTooManyIsSentAwayAndTheOthersAreHeld) {
-  CoreRules rules;
-  rules.most_waiting = 3;
-  BoardCore core(rules, 1);
-  for (CallNumber call = 1; call <= 3; ++call) {
-    EXPECT_EQ(core.call(0, call, 5, 2'000, 5).verdict, Verdict::kHold);
+TEST(LongPollSchedulerTest, OneCallTooManyIsRejectedAndTheOthersAreHeld) {
+  LongPollOptions options;
+  options.max_held = 3;
+  LongPollScheduler scheduler(options, 1);
+  for (CallId call = 1; call <= 3; ++call) {
+    EXPECT_EQ(scheduler.on_call(0ms, call, 5, 2'000ms, 5).kind, CallDecisionKind::kHold);
   }
-  EXPECT_EQ(core.call(0, 4, 5, 2'000, 5).verdict, Verdict::kSendAway);
-  EXPECT_EQ(core.call(0, 5, 4, 2'000, 5).verdict, Verdict::kAnswer) << "news needs no room";
-  core.gone(2);
-  EXPECT_EQ(core.call(0, 6, 5, 2'000, 5).verdict, Verdict::kHold);
+  EXPECT_EQ(scheduler.on_call(0ms, 4, 5, 2'000ms, 5).kind, CallDecisionKind::kReject);
+  EXPECT_EQ(scheduler.on_call(0ms, 5, 4, 2'000ms, 5).kind, CallDecisionKind::kAnswer)
+      << "an answer with updates needs no capacity";
+  scheduler.on_disconnected(2);
+  EXPECT_EQ(scheduler.on_call(0ms, 6, 5, 2'000ms, 5).kind, CallDecisionKind::kHold);
 }
 
-TEST(PageLogTest, OneRenderingServesAllAskersOfANumber) {
-  PageLog log("b1");
+TEST(EventLogTest, OneRenderingServesAllClientsThatPollFromOneNumber) {
+  EventLog log("b1");
   log.replace(page_of(2, {list_event(1, true, {{"a", "up"}}), purge_event(2, 1'000)}));
   for (int i = 0; i < 300; ++i) {
-    EXPECT_EQ(log.later_than(0), log.later_than(0));
+    EXPECT_EQ(log.page_after(0), log.page_after(0));
   }
-  EXPECT_EQ(log.rendered(), 1U);
-  EXPECT_EQ(log.asked(), 600U);
-  const json whole = json::parse(*log.later_than(0));
-  EXPECT_EQ(whole["rev"], 2);
-  EXPECT_EQ(whole["board"], "b1");
-  EXPECT_EQ(whole["notices"].size(), 2U);
-  EXPECT_EQ(json::parse(*log.later_than(1))["notices"].size(), 1U);
-  EXPECT_EQ(json::parse(*log.later_than(2))["notices"].size(), 0U);
+  EXPECT_EQ(log.rendered_pages(), 1U);
+  EXPECT_EQ(log.requested_pages(), 600U);
+  const json page = json::parse(*log.page_after(0));
+  EXPECT_EQ(page["rev"], 2);
+  EXPECT_EQ(page["board"], "b1");
+  EXPECT_EQ(page["notices"].size(), 2U);
+  EXPECT_EQ(json::parse(*log.page_after(1))["notices"].size(), 1U);
+  EXPECT_EQ(json::parse(*log.page_after(2))["notices"].size(), 0U);
   log.append(page_of(3, {purge_event(2, 9), purge_event(3, 1'500)}));
-  EXPECT_EQ(json::parse(*log.later_than(1))["notices"].size(), 2U);
-  EXPECT_EQ(json::parse(*log.later_than(1))["notices"][0]["flush"]["ms"], 1'000) << "known events stay";
+  EXPECT_EQ(json::parse(*log.page_after(1))["notices"].size(), 2U);
+  EXPECT_EQ(json::parse(*log.page_after(1))["notices"][0]["flush"]["ms"], 1'000)
+      << "events that are known stay";
 }
 
-// What a router makes of a page must not depend on whether old events were folded.
-std::pair<std::set<std::string>, std::set<std::int64_t>> made_of(const json& page) {
-  std::set<std::string> up;
+struct PageContent {
+  std::set<std::string> endpoints;
+  std::set<std::int64_t> purges;  // by their times
+
+  friend bool operator==(const PageContent&, const PageContent&) = default;
+};
+
+// What a router takes from a page, which must not depend on whether old events were compacted.
+PageContent content_of(const json& page) {
+  std::set<std::string> endpoints;
   std::set<std::int64_t> purges;
   for (const json& event : page["notices"]) {
     if (event.contains("flush")) {
@@ -129,21 +147,21 @@
       continue;
     }
     if (event["pool"]["snapshot"]) {
-      up.clear();
+      endpoints.clear();
     }
     for (const json& entry : event["pool"]["endpoints"]) {
       const auto name = entry["name"].get<std::string>();
-      entry["status"] == "removed" ? up.erase(name) : up.insert(name).second;
+      entry["status"] == "removed" ? endpoints.erase(name) : endpoints.insert(name).second;
     }
   }
-  return {up, purges};
+  return {endpoints, purges};
 }
 
-TEST(PageLogTest, FoldedItSaysTheSame) {
+TEST(EventLogTest, ACompactedLogMeansTheSame) {
   for (unsigned seed = 1; seed <= 300; ++seed) {
     std::mt19937 random(seed);
-    PageLog plain("b");
-    PageLog folded("b");
+    EventLog plain("b");
+    EventLog compacted("b");
     std::vector<json> events{list_event(1, true, {{"n0", "up"}})};
     for (std::uint64_t number = 2; number <= 40; ++number) {
       const std::string name = "n" + std::to_string(random() % 6);
@@ -151,47 +169,48 @@
                                          : list_event(number, random() % 9 == 0,
                                                       {{name, random() % 3 == 0 ? "removed" : "up"}}));
       plain.append(page_of(number, {events.back()}));
-      folded.append(page_of(number, {events.back()}));
+      compacted.append(page_of(number, {events.back()}));
       if (number == 2) {
         plain.append(page_of(2, {}));
       }
-      folded.fold(4, 0);
+      compacted.compact(4, UnixTime());
     }
     plain.replace(page_of(40, events));
-    PageLog whole("b");
-    whole.replace(page_of(40, events));
-    whole.fold(4, 0);
-    EXPECT_LT(whole.events(), events.size());
-    EXPECT_EQ(made_of(json::parse(*whole.later_than(0))), made_of(json::parse(*plain.later_than(0)))) << seed;
-    EXPECT_EQ(whole.last(), 40U);
-    whole.fold(0, 10'030);
-    EXPECT_EQ(made_of(json::parse(*whole.later_than(0))).first,
-              made_of(json::parse(*plain.later_than(0))).first);
-    for (const std::int64_t ms : made_of(json::parse(*whole.later_than(0))).second) {
+    EventLog at_once("b");
+    at_once.replace(page_of(40, events));
+    at_once.compact(4, UnixTime());
+    EXPECT_LT(at_once.size(), events.size());
+    EXPECT_EQ(content_of(json::parse(*at_once.page_after(0))), content_of(json::parse(*plain.page_after(0))))
+        << seed;
+    EXPECT_EQ(at_once.last_sequence(), 40U);
+    at_once.compact(0, UnixTime(10'030ms));
+    EXPECT_EQ(content_of(json::parse(*at_once.page_after(0))).endpoints,
+              content_of(json::parse(*plain.page_after(0))).endpoints);
+    for (const std::int64_t ms : content_of(json::parse(*at_once.page_after(0))).purges) {
       EXPECT_GE(ms, 10'030);
     }
   }
 }
 
-TEST(PageLogTest, NonsenseChangesNothing) {
-  PageLog log("b");
+TEST(EventLogTest, AnInvalidPageChangesNothing) {
+  EventLog log("b");
   log.replace(page_of(1, {list_event(1, true, {{"a", "up"}})}));
   for (const char* text : {"[]", "{}", R"({"rev":-1,"notices":[]})", R"({"rev":2,"notices":{}})",
                            R"({"rev":2,"notices":[1]})", R"({"rev":2,"notices":[{"pool":{}}]})"}) {
     EXPECT_THROW(log.append(json::parse(text)), std::invalid_argument) << text;
     EXPECT_THROW(log.replace(json::parse(text)), std::invalid_argument) << text;
   }
-  EXPECT_EQ(log.last(), 1U);
-  // Events of odd forms are told on as they are and stand in no one's way.
+  EXPECT_EQ(log.last_sequence(), 1U);
+  // Events of unknown forms are passed on unchanged and do no harm.
   log.append(json::parse(R"({"rev":4,"notices":[{"rev":2,"pool":7},{"rev":3,"flush":[]},
     {"rev":4,"pool":{"snapshot":"x","index":{},"endpoints":[1,{"name":2},{"name":"b","status":7}]}}]})"));
-  const json whole = log.whole(0);
-  EXPECT_EQ(whole["rev"], 4);
-  log.fold(0, 0);
-  EXPECT_EQ(log.last(), 4U);
+  const json page = log.compacted_page(UnixTime());
+  EXPECT_EQ(page["rev"], 4);
+  log.compact(0, UnixTime());
+  EXPECT_EQ(log.last_sequence(), 4U);
 }
 
-TEST(RetryAfter, SecondsOrADate) {
+TEST(RetryAfterTest, IsReadAsSecondsOrAsADate) {
   using protocol::http::read_retry_after;
   EXPECT_EQ(read_retry_after("12", 0), 12);
   EXPECT_EQ(read_retry_after("0", 0), 0);
@@ -211,4 +230,4 @@
 }
 
 }  // namespace
-}  // namespace trailcourse::board
+}  // namespace trailcourse::discovery
--- a/tests/fencing_test.cpp
+++ b/tests/fencing_test.cpp
@@ -177,27 +177,33 @@
   return {{"fence", fence}, {"id", id}, {"event", {{"flush", {{"asset", "0000000000000001"}, {"ms", 5}}}}}};
 }
 
-TEST(FencedNoticeTest, ANoticeIsTakenOnceAndUnderItsTermAlone) {
+// The word that the answer to a rejected call bears; empty where the call was accepted.
+std::string error_word(json& page, const json& call) {
+  const auto result = discovery::publish_fenced_event(page, call);
+  return result ? std::string() : discovery::to_string(result.error());
+}
+
+TEST(FencedEventTest, AnEventIsPublishedOnceAndOnlyUnderTheLatestTerm) {
   json page = json::parse(R"({"rev": 1, "notices": [{"rev": 1, "pool": {}}]})");
-  const auto first = board::post_notice(page, call_of("9:purge/0:5", "p1"));
-  EXPECT_TRUE(first.taken);
-  EXPECT_EQ(first.number, 2U);
+  const auto first = discovery::publish_fenced_event(page, call_of("9:purge/0:5", "p1")).value();
+  EXPECT_TRUE(first.page_changed);
+  EXPECT_EQ(first.sequence, 2U);
   // Sent again, as its answer was lost; and by the successor, who cannot know.
-  const auto again = board::post_notice(page, call_of("9:purge/0:5", "p1"));
-  EXPECT_TRUE(again.known);
-  EXPECT_FALSE(again.taken);
-  const auto successor = board::post_notice(page, call_of("9:purge/0:8", "p1"));
-  EXPECT_TRUE(successor.known);
-  EXPECT_TRUE(successor.taken) << "the higher term has to be kept";
-  EXPECT_EQ(successor.number, 2U);
+  const auto again = discovery::publish_fenced_event(page, call_of("9:purge/0:5", "p1")).value();
+  EXPECT_TRUE(again.duplicate);
+  EXPECT_FALSE(again.page_changed);
+  const auto successor = discovery::publish_fenced_event(page, call_of("9:purge/0:8", "p1")).value();
+  EXPECT_TRUE(successor.duplicate);
+  EXPECT_TRUE(successor.page_changed) << "the higher term has to be kept";
+  EXPECT_EQ(successor.sequence, 2U);
   // The owner of before wakes.
-  EXPECT_EQ(board::post_notice(page, call_of("9:purge/0:5", "p2")).why, "fenced");
+  EXPECT_EQ(error_word(page, call_of("9:purge/0:5", "p2")), "fenced");
   EXPECT_EQ(page["notices"].size(), 2U);
-  EXPECT_EQ(board::post_notice(page, call_of("8:purge/0:50", "p3")).why, "fence_other_store");
-  EXPECT_EQ(board::post_notice(page, call_of("x", "p3")).why, "fence_unreadable");
-  EXPECT_EQ(board::post_notice(page, {{"fence", "9:purge/0:9"}, {"id", "p"}, {"event", {{"rev", 1}}}}).why,
+  EXPECT_EQ(error_word(page, call_of("8:purge/0:50", "p3")), "fence_other_store");
+  EXPECT_EQ(error_word(page, call_of("x", "p3")), "fence_unreadable");
+  EXPECT_EQ(error_word(page, {{"fence", "9:purge/0:9"}, {"id", "p"}, {"event", {{"rev", 1}}}}),
             "not_a_notice");
-  EXPECT_EQ(board::post_notice(page, json::array()).why, "fence_unreadable");
+  EXPECT_EQ(error_word(page, json::array()), "fence_unreadable");
   EXPECT_EQ(page["rev"], 2);
 }
 
--- a/tests/fleet/cold_start_test.cpp
+++ b/tests/fleet/cold_start_test.cpp
@@ -26,8 +26,8 @@
 using std::chrono::milliseconds;
 using transport::Clock;
 
-// Calls that the fleet may have made in a time, by the bound of startup/poll_scheduler.h, and what settled routers
-// make.
+// Calls that the fleet may have made in a time, by the bound of startup/poll_scheduler.h, and what settled
+// routers make.
 std::size_t allowed_calls(int routers, double calls_per_s, Clock::duration time) {
   const double seconds = std::chrono::duration<double>(time).count();
   const double mean = calls_per_s * seconds;
@@ -506,30 +506,30 @@
     rig.fleet().kill("router0");
   };
   starts_with(good, "snapshot: taken in, event 2");
-  starts_with(good.substr(0, good.size() / 2), "not used: it is torn");
+  starts_with(good.substr(0, good.size() / 2), "not used: it is truncated");
   std::string rotten = good;
   rotten[rotten.size() / 2] = static_cast<char>(rotten[rotten.size() / 2] ^ 1);
-  starts_with(rotten, "not used: its sum does not fit");
-  starts_with("", "not used: it is torn");
+  starts_with(rotten, "not used: its checksum does not match");
+  starts_with("", "not used: it is truncated");
   const auto changed = [&](const std::function<void(snapshot::Snapshot&)>& change) {
-    const std::int64_t far = 4'000'000'000'000;
+    const milliseconds far(4'000'000'000'000);
     snapshot::Snapshot made =
-        std::get<snapshot::Snapshot>(snapshot::read_snapshot(good, {"test", "router0", far, far}));
+        snapshot::decode_snapshot(good, {"test", "router0", snapshot::UnixTime(far), far}).value();
     change(made);
-    return snapshot::write_snapshot(made);
+    return snapshot::encode_snapshot(made);
   };
   starts_with(changed([](snapshot::Snapshot& one) { one.fleet = "another"; }),
               "not used: it is of another fleet");
   starts_with(changed([](snapshot::Snapshot& one) { one.router = "router1"; }),
               "not used: it is of another router");
   // As after the clock was set back by an hour between two starts, or the machine was off for two days.
-  starts_with(changed([](snapshot::Snapshot& one) { one.saved_ms += 3'600'000; }),
+  starts_with(changed([](snapshot::Snapshot& one) { one.saved_at += std::chrono::hours(1); }),
               "not used: it is from the future");
-  starts_with(changed([](snapshot::Snapshot& one) { one.confirmed_ms -= 200'000'000; }),
+  starts_with(changed([](snapshot::Snapshot& one) { one.confirmed_at -= milliseconds(200'000'000); }),
               "not used: it is older");
   starts_with(changed([](snapshot::Snapshot& one) {
-                one.board_address = "127.0.0.1:9";
-                one.board_id.clear();
+                one.source_address = "127.0.0.1:9";
+                one.source_id.clear();
               }),
               "not used: it is of the board at 127.0.0.1:9");
   // Another process holds the folder, as a second router would by mistake.
--- a/tests/fleet/relay_test.cpp
+++ b/tests/fleet/relay_test.cpp
@@ -134,7 +134,7 @@
   std::string name;
   for (int i = 0; name.empty(); ++i) {
     const std::string candidate = "liar" + std::to_string(i);
-    name = startup::RelayTree("router0", {candidate}, 2).place() == 1 ? candidate : "";
+    name = startup::RelayTree("router0", {candidate}, 2).position() == 1 ? candidate : "";
   }
   Shape shape = spread_shape(1);
   shape.operators["relay"] = {{"audits_per_s", 20.0}, {"peers", {name + "=" + liar.address()}}};
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -186,7 +186,7 @@
 }
 
 TEST(HollowStartTest, TheBoardIsAskedWithinItsBound) {
-  startup::AskingRules rules;
+  startup::PollOptions rules;
   rules.spread = true;
   for (const Micros back : {Micros(0), 3'600 * kSecond}) {
     const BoardCalls calls = measure_board(rules, 2'000, back, 1);
