--- a/src/cache_node/node.cpp
+++ b/src/cache_node/node.cpp
@@ -76,7 +76,7 @@
   }
   if (const auto address = transport::parse_address(options.board)) {
     routing::BoardWatcher::Bounds bounds;
-    bounds.asking.most_pause = milliseconds(400);
+    bounds.asking.max_backoff = milliseconds(400);
     bounds.anew_after = Micros(0);  // taking all again changes nothing that is known
     bounds.answers.body_bytes = 64U << 20U;
     board_.emplace(scheduler, *address, *this, profile_, seed, bounds);
