--- a/src/program/start_options.h
+++ b/src/program/start_options.h
@@ -10,8 +10,8 @@
 #include "coordination/options.h"
 #include "policy/options.h"
 #include "snapshot/snapshot.h"
-#include "startup/rules.h"
-#include "startup/upstream.h"
+#include "startup/options.h"
+#include "startup/relay_selector.h"
 #include "tasks/options.h"
 
 namespace trailcourse::program {
@@ -30,7 +30,7 @@
   std::int64_t connections = 256;
 };
 const config::Record<RelayOptions>& relay_record();
-startup::UpstreamRules upstream_rules(const RelayOptions& options);
+startup::RelaySelectorOptions relay_selector_options(const RelayOptions& options);
 
 // What stands in the operator's file of a router beside its tuning.
 struct StartSections {
--- a/tests/recorded_files_test.cpp
+++ b/tests/recorded_files_test.cpp
@@ -4,6 +4,7 @@
 #include <gtest/gtest.h>
 #include <unistd.h>
 
+#include <chrono>
 #include <filesystem>
 #include <fstream>
 #include <iterator>
@@ -13,8 +14,8 @@
 #include <string>
 #include <vector>
 
-#include "board/page_log.h"
 #include "coordination/ledger_file.h"
+#include "discovery/event_log.h"
 #include "fencing/token_store.h"
 #include "membership/records.h"
 #include "ownership/work.h"
@@ -39,7 +40,7 @@
 
 constexpr const char* kPurgedObject = "5c0f6e1a2b3d4c59";
 constexpr std::int64_t kPurgedAtMs = 1'796'234'020'305;
-constexpr std::int64_t kSnapshotConfirmedMs = 1'796'234'020'016;
+constexpr snapshot::UnixTime kSnapshotConfirmedAt(std::chrono::milliseconds(1'796'234'020'016));
 constexpr std::uint64_t kStoreId = 115'066'598'373'453;
 const std::string kKeyPrefix = "trailcourse/";
 
@@ -96,9 +97,9 @@
   EXPECT_EQ(purge.at_ms, kPurgedAtMs);
   EXPECT_EQ(std::get<protocol::FlushNotice>(read.notices[2].what).group, 17U);
 
-  board::PageLog log;
+  discovery::EventLog log;
   log.replace(page);
-  EXPECT_EQ(json::parse(*log.later_than(0)), page);
+  EXPECT_EQ(json::parse(*log.page_after(0)), page);
 }
 
 TEST_F(RecordedFiles, AnEventIsAddedToABoardPageInTheSameForm) {
@@ -112,16 +113,17 @@
   EXPECT_EQ(read_file(file), expected.dump(1) + "\n");
 }
 
-TEST_F(RecordedFiles, ASnapshotIsBelievedAndWrittenWithTheSameBytes) {
+TEST_F(RecordedFiles, ASnapshotIsAcceptedAndEncodedToTheSameBytes) {
   const std::string bytes = read_file(fixture("snapshot"));
-  const auto read = snapshot::read_snapshot(bytes, {"demo", "router0", kSnapshotConfirmedMs + 1'000, 60'000});
-  ASSERT_TRUE(std::holds_alternative<snapshot::Snapshot>(read));
-  const auto& found = std::get<snapshot::Snapshot>(read);
-  EXPECT_EQ(found.last(), 3U);
-  EXPECT_EQ(found.board_id, "80e49a025244b24f");
-  EXPECT_EQ(found.confirmed_ms, kSnapshotConfirmedMs);
+  const auto read = snapshot::decode_snapshot(
+      bytes, {"demo", "router0", kSnapshotConfirmedAt + std::chrono::seconds(1), std::chrono::minutes(1)});
+  ASSERT_TRUE(read.has_value());
+  const snapshot::Snapshot& found = *read;
+  EXPECT_EQ(found.last_sequence(), 3U);
+  EXPECT_EQ(found.source_id, "80e49a025244b24f");
+  EXPECT_EQ(found.confirmed_at, kSnapshotConfirmedAt);
   EXPECT_THAT(protocol::read_notices(found.page, profile()).notices, SizeIs(3));
-  EXPECT_EQ(snapshot::write_snapshot(found), bytes);
+  EXPECT_EQ(snapshot::encode_snapshot(found), bytes);
 }
 
 // ---- The fleet's policy ----
