--- a/benchmarks/scale/aggregator_costs.cpp
+++ b/benchmarks/scale/aggregator_costs.cpp
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "aggregation/aggregator.h"
-#include "policy/change.h"
+#include "policy/rollout.h"
 #include "role_costs.h"
 
 namespace trailcourse::scale {
@@ -67,14 +67,14 @@
   void renew(std::size_t router) { aggregator_.keep_alive(now_, leases_[router]); }
   void report(int router) {
     const LeaseId lease = leases_[static_cast<std::size_t>(router)];
-    policy::Permit report;
+    policy::ParticipantReport report;
     report.incarnation = "0123456789abcdef";
     report.zone = zone_name(router);
     report.version = 812;
     report.number = ++number_;
     aggregator_.commit(now_, {{},
-                              {coordination::Put{kPrefix + policy::permit_key(router_name(router), lease),
-                                                 policy::write_permit(report), lease}},
+                              {coordination::Put{kPrefix + policy::report_key(router_name(router), lease),
+                                                 policy::write_report(report), lease}},
                               {}});
   }
   void summarize() { keep_result(aggregator_.summaries()); }
--- a/src/aggregation/aggregator_service.cpp
+++ b/src/aggregation/aggregator_service.cpp
@@ -94,7 +94,7 @@
 
 void AggregatorService::start() {
   server_.listen(*transport::parse_address(options_.listen));
-  watch_ = store_.watch(coordination::Range{prefix_ + policy::kRecords, true}, *this);
+  watch_ = store_.watch(coordination::Range{prefix_ + policy::kPolicyPrefix, true}, *this);
   schedule_step();
 }
 
--- a/src/aggregation/router_leases.h
+++ b/src/aggregation/router_leases.h
@@ -73,7 +73,8 @@
   coordination::LeaseId unused_id();
   void record_first_report(coordination::LeaseId id, const RouterReport& report);
   void record_next_report(RouterReport& stored, const RouterReport& report);
-  void count_requests(const std::string& zone, const policy::Permit& before, const policy::Permit& after);
+  void count_requests(const std::string& zone, const policy::ParticipantReport& before,
+                      const policy::ParticipantReport& after);
 
   RouterLeaseOptions options_;
   std::mt19937_64 random_;
--- a/src/aggregation/upstream_lease.h
+++ b/src/aggregation/upstream_lease.h
@@ -55,7 +55,7 @@
  private:
   // A summary as it stands in the store.
   struct StoredSummary {
-    std::optional<policy::Permit> report;  // nothing: unknown
+    std::optional<policy::ParticipantReport> report;  // nothing: unknown
     coordination::Revision revision = 0;
     std::optional<Micros> awaits_differs_since;  // since when another router is awaited than the stored one
   };
@@ -67,7 +67,7 @@
                                            const SummariesByZone& summaries);
   std::optional<UpstreamAction> summaries_step(Micros now, const SummariesByZone& summaries);
   SummariesByZone without_idle_counts(const ObservedByZone& observed, SummariesByZone summaries) const;
-  static bool needs_write(Micros now, StoredSummary& stored, const policy::Permit& report);
+  static bool needs_write(Micros now, StoredSummary& stored, const policy::ParticipantReport& report);
 
   ownership::LeaseRules options_;
   ownership::Lease lease_;
--- /dev/null
+++ b/src/discovery/long_poll_scheduler.cpp
@@ -0,0 +1,154 @@
+#include "discovery/long_poll_scheduler.h"
+
+#include <algorithm>
+
+namespace trailcourse::discovery {
+
+using config::WholeRange;
+using config::Words;
+using std::chrono::milliseconds;
+
+namespace {
+
+constexpr double kBurstSeconds = 0.1;  // of the rate, that may come at once
+constexpr milliseconds kSecond{1'000};
+constexpr milliseconds kPeakWindow{100};
+constexpr double kMillisPerSecond = 1e3;
+
+}  // namespace
+
+const config::Record<DiscoveryOptions>& discovery_record() {
+  static const config::Record<DiscoveryOptions> kRecord = [] {
+    config::Record<DiscoveryOptions> record("board",
+                                            "A notice board that many routers lean on: `trailcourse board`.");
+    record
+        .text("listen", &DiscoveryOptions::listen, "IP:PORT", Words{{}, true}, "where routers and nodes ask")
+        .text("file", &DiscoveryOptions::file, "-", Words{{}, true},
+              "what it tells, as {\"rev\":N,\"notices\":[...]}; a new one is told at once")
+        .whole("connections", &DiscoveryOptions::connections, "connections", WholeRange{1, 1'000'000},
+               "at once; one beyond is answered 503 with a time to come back, and closed")
+        .whole("waiting", &DiscoveryOptions::waiting, "calls", WholeRange{1, 1'000'000},
+               "held at once until there is news; one beyond is sent away")
+        .whole("calls_per_s", &DiscoveryOptions::calls_per_s, "calls/s", WholeRange{0, 1'000'000},
+               "answered beside those that were held; beyond it calls get a turn in a line by Retry-After; "
+               "0: as they come")
+        .whole("release_ms", &DiscoveryOptions::release_ms, "ms", WholeRange{0, 5'000},
+               "news is told to held calls spread over so long: well within the purge grace of the settings")
+        .whole("retry_after_most_s", &DiscoveryOptions::retry_after_most_s, "s", WholeRange{1, 3'600},
+               "the longest wait that a call is sent away with")
+        .whole("linger_most_ms", &DiscoveryOptions::linger_most_ms, "ms", WholeRange{0, 60'000},
+               "a call is held for so long at most, whatever it asks for");
+    return record;
+  }();
+  return kRecord;
+}
+
+LongPollOptions long_poll_options(const DiscoveryOptions& options) {
+  LongPollOptions out;
+  out.max_held = static_cast<std::size_t>(options.waiting);
+  out.calls_per_s = static_cast<double>(options.calls_per_s);
+  out.release_window = milliseconds(options.release_ms);
+  out.max_retry_after = std::chrono::seconds(options.retry_after_most_s);
+  out.max_long_poll_timeout = milliseconds(options.linger_most_ms);
+  return out;
+}
+
+void LongPollScheduler::count_call(Millis now) {
+  ++counts_.calls;
+  recent_calls_.push_back(now);
+  std::erase_if(recent_calls_, [now](Millis at) { return at <= now - kSecond; });
+  const auto in_peak_window = std::count_if(recent_calls_.begin(), recent_calls_.end(),
+                                            [now](Millis at) { return at > now - kPeakWindow; });
+  counts_.peak_in_100_ms = std::max(counts_.peak_in_100_ms, static_cast<std::uint64_t>(in_peak_window));
+  counts_.peak_in_second = std::max<std::uint64_t>(counts_.peak_in_second, recent_calls_.size());
+}
+
+void LongPollScheduler::refill_tokens(Millis now) {
+  if (!is_rate_limited()) {
+    return;
+  }
+  const double rate = options_.calls_per_s;
+  const double burst = std::max(1.0, rate * kBurstSeconds);
+  const double earned =
+      refilled_at_ ? static_cast<double>((now - *refilled_at_).count()) * rate / kMillisPerSecond : burst;
+  tokens_ = std::min(burst, tokens_ + earned);
+  refilled_at_ = now;
+}
+
+// Reserves the next slot of the virtual queue and returns the wait until then.
+LongPollScheduler::Millis LongPollScheduler::reserve_slot(Millis now) {
+  const double rate = is_rate_limited() ? options_.calls_per_s : static_cast<double>(options_.max_held);
+  const auto now_ms = static_cast<double>(now.count());
+  next_slot_ms_ = std::max(next_slot_ms_, now_ms) + kMillisPerSecond / rate;
+  const Millis wait = Millis(static_cast<Millis::rep>(next_slot_ms_)) - now + Millis(1);
+  const auto last_slot_ms = static_cast<double>((now + options_.max_retry_after).count());
+  next_slot_ms_ = std::min(next_slot_ms_, last_slot_ms);
+  return std::clamp(wait, Millis(1), options_.max_retry_after);
+}
+
+CallDecision LongPollScheduler::on_call(Millis now, CallId call, std::uint64_t known_sequence, Millis timeout,
+                                        std::uint64_t last_sequence) {
+  count_call(now);
+  refill_tokens(now);
+  const Millis hold_for = std::clamp(timeout, Millis(0), options_.max_long_poll_timeout);
+  const bool holds = known_sequence == last_sequence && hold_for > Millis(0);
+  const bool no_capacity = holds && held_.size() >= options_.max_held;
+  const bool no_token = is_rate_limited() && tokens_ < 1.0;
+  if (no_capacity || no_token) {
+    ++counts_.rejected;
+    return {CallDecisionKind::kReject, reserve_slot(now)};
+  }
+  tokens_ -= is_rate_limited() ? 1.0 : 0.0;
+  if (!holds) {
+    ++counts_.answered;
+    return {CallDecisionKind::kAnswer, Millis(0)};
+  }
+  ++counts_.held;
+  held_[call] = now + hold_for;
+  release_.emplace(now + hold_for, call);
+  return {CallDecisionKind::kHold, Millis(0)};
+}
+
+void LongPollScheduler::on_disconnected(CallId call) {
+  if (const auto found = held_.find(call); found != held_.end()) {
+    release_.erase({found->second, call});
+    held_.erase(found);
+  }
+}
+
+// Spread evenly over the release window, in random order: the first to poll is not always the first to know.
+void LongPollScheduler::on_published(Millis now) {
+  std::vector<CallId> order;
+  order.reserve(held_.size());
+  for (const auto& [call, answer_at] : held_) {
+    order.push_back(call);
+  }
+  std::shuffle(order.begin(), order.end(), random_);
+  const auto count = static_cast<Millis::rep>(order.size());
+  for (Millis::rep i = 0; i < count; ++i) {
+    Millis& answer_at = held_[order[static_cast<std::size_t>(i)]];
+    answer_at = std::min(answer_at, now + i * options_.release_window / count);
+  }
+  release_.clear();
+  for (const auto& [call, answer_at] : held_) {
+    release_.emplace(answer_at, call);
+  }
+}
+
+std::vector<CallId> LongPollScheduler::step(Millis now) {
+  std::vector<CallId> out;
+  while (!release_.empty() && release_.begin()->first <= now) {
+    const CallId call = release_.begin()->second;
+    release_.erase(release_.begin());
+    held_.erase(call);
+    out.push_back(call);
+    ++counts_.released;
+  }
+  return out;
+}
+
+std::optional<LongPollScheduler::Millis> LongPollScheduler::next_step_at() const {
+  return release_.empty() ? std::nullopt : std::optional<Millis>(release_.begin()->first);
+}
+
+}  // namespace trailcourse::discovery
--- a/tests/aggregation/aggregator_service_test.cpp
+++ b/tests/aggregation/aggregator_service_test.cpp
@@ -78,8 +78,8 @@
   ASSERT_TRUE(region.commit(router, report_write("r1", lease, report_of("east", 4, 2))).done());
   ASSERT_TRUE(region.until([&] { return region.summaries()["a1.east"].version == 4; }));
   const auto summaries = region.summaries();
-  EXPECT_EQ(summaries.at("a1.east").routers, 1U);
-  EXPECT_EQ(summaries.at("a1.east").awaits, "r1");
+  EXPECT_EQ(summaries.at("a1.east").represented_routers, 1U);
+  EXPECT_EQ(summaries.at("a1.east").waiting_for, "r1");
   EXPECT_EQ(summaries.at("a1.west").version, 5U);
   router.unwatch(watch);
 }
@@ -96,7 +96,7 @@
   ASSERT_TRUE(region.until([&] { return direct.snapshots == 1 && through_aggregator.snapshots == 1; }))
       << through_aggregator.disconnect_reason;
   for (int i = 0; i < 20; ++i) {
-    const std::string key = at(policy::kDocuments + std::to_string(i % 3));
+    const std::string key = at(policy::kDocumentPrefix + std::to_string(i % 3));
     const coordination::Step step = i % 7 == 6 ? coordination::Step(Delete{Range{key, false}})
                                                : coordination::Step(Put{key, std::to_string(i), 0});
     ASSERT_TRUE(region.commit(direct_client, Transaction{{}, {step}, {}}).done());
@@ -129,7 +129,7 @@
   expect_rejected(report_write("r1", lease, report_of("east", 0, 4)), "number");
   expect_rejected(report_write("r1", lease, report_of("north", 0, 6)), "zone");
   expect_rejected(report_write("r1", lease + 1, report_of("east", 0, 6)), "lease not found");
-  expect_rejected(Transaction{{}, {Put{at(policy::permit_key("r1", lease)), "{", lease}}, {}}, "no permit");
+  expect_rejected(Transaction{{}, {Put{at(policy::report_key("r1", lease)), "{", lease}}, {}}, "no permit");
   expect_rejected(Transaction{{}, {Put{at(policy::kCurrentKey), "9", 0}}, {}}, "permits");
   expect_rejected(Transaction{{}, {Delete{Range{at("policy/"), true}}}, {}}, "one permit");
   expect_rejected(Transaction{{}, {Get{Range{at("fleet/"), true}}}, {}}, "policy's records");
--- a/tests/aggregation/region_world.cpp
+++ b/tests/aggregation/region_world.cpp
@@ -4,8 +4,8 @@
 
 namespace trailcourse::aggregation {
 
-using policy::Ruling;
-using policy::Seen;
+using policy::EffectivePolicy;
+using policy::RolloutSnapshot;
 using std::chrono::seconds;
 using testing_support::CallRules;
 
@@ -76,16 +76,16 @@
 // ---- The end ----
 
 void RegionWorld::check_end() {
-  const Seen snapshot = rollout_snapshot();
+  const RolloutSnapshot snapshot = rollout_snapshot();
   if (completed_event_ != published_.event) {
-    const auto acknowledgements =
-        policy::read_acknowledgements_seen("", store_.commit(policy::look_at_acknowledgements("")));
+    const auto acknowledgements = policy::read_acknowledgement_snapshot(
+        "", store_.commit(policy::acknowledgement_snapshot_transaction("")));
     fail("event " + std::to_string(completed_event_) + " is completed, and event " +
          std::to_string(published_.event) + " is published" + describe(snapshot) + "\n  " +
          policy::write_acknowledgement(acknowledgements.record));
   }
-  if (snapshot.change && snapshot.change->open()) {
-    fail(std::string("a rollout is stuck: ") + policy::to_string(snapshot.change->state) +
+  if (snapshot.rollout && snapshot.rollout->is_open()) {
+    fail(std::string("a rollout is stuck: ") + policy::to_string(snapshot.rollout->state) +
          describe(snapshot));
   }
   for (const RouterProcess& router : routers_) {
@@ -93,25 +93,26 @@
   }
 }
 
-void RegionWorld::check_decides_in_force(const RouterProcess& router, const Seen& snapshot) {
-  const auto own_version = snapshot.zones.find(router.zone);
-  const std::uint64_t in_force = own_version == snapshot.zones.end() ? snapshot.current : own_version->second;
-  const Ruling ruling = router.holder->ruling(clock(router));
-  if (ruling.kind != Ruling::Kind::kVersion || ruling.version != in_force) {
+void RegionWorld::check_decides_in_force(const RouterProcess& router, const RolloutSnapshot& snapshot) {
+  const auto own_version = snapshot.zone_versions.find(router.zone);
+  const std::uint64_t in_force =
+      own_version == snapshot.zone_versions.end() ? snapshot.current_version : own_version->second;
+  const EffectivePolicy effective_policy = router.participant->effective_policy(clock(router));
+  if (effective_policy.kind != EffectivePolicy::Kind::kSingle || effective_policy.version != in_force) {
     fail("router " + std::to_string(router.index) + " does not decide under the version in force: " +
-         policy::to_string(router.holder->standing(clock(router))) + describe(snapshot));
+         policy::to_string(router.participant->state(clock(router))) + describe(snapshot));
   }
 }
 
-std::string RegionWorld::describe(const Seen& snapshot) {
+std::string RegionWorld::describe(const RolloutSnapshot& snapshot) {
   std::string out;
-  for (const auto& [name, report] : snapshot.permits) {
-    out += "\n  " + name + " " + policy::write_permit(report);
+  for (const auto& [name, report] : snapshot.reports) {
+    out += "\n  " + name + " " + policy::write_report(report);
   }
-  if (snapshot.change) {
-    out += "\n  " + policy::write_change(*snapshot.change);
+  if (snapshot.rollout) {
+    out += "\n  " + policy::write_rollout(*snapshot.rollout);
   }
-  return out + "\n  current " + std::to_string(snapshot.current);
+  return out + "\n  current " + std::to_string(snapshot.current_version);
 }
 
 }  // namespace trailcourse::aggregation
--- a/tests/aggregation/upstream_lease_test.cpp
+++ b/tests/aggregation/upstream_lease_test.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 using coordination::LeaseId;
-using policy::ChangeState;
-using policy::Permit;
+using policy::ParticipantReport;
+using policy::RolloutState;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -22,7 +22,7 @@
   load_snapshot();
   const auto actions = aggregator_.step(now_);
   ASSERT_EQ(actions.size(), 1U);
-  put_rollout(ChangeState::kPreparing);  // meanwhile
+  put_rollout(RolloutState::kPreparing);  // meanwhile
   execute(std::get<LeaseAction>(actions.front()));
   EXPECT_FALSE(aggregator_.upstream().is_active(now_));
   EXPECT_FALSE(stored_summary("edge"));
@@ -32,7 +32,7 @@
 }
 
 TEST_F(UpstreamLeaseTest, VersionOfAZoneAppliesToThatZoneOnly) {
-  put(std::string(policy::kZones) + "west", std::to_string(kNewVersion));
+  put(std::string(policy::kZonePrefix) + "west", std::to_string(kNewVersion));
   load_snapshot();
   execute_steps();
   EXPECT_EQ(stored_summary("edge")->version, kOldVersion);
@@ -44,8 +44,8 @@
   load_snapshot();
   execute_steps();
   const LeaseId lease = join("r1", "edge");
-  put_rollout(ChangeState::kHolding);
-  const Permit suspended = suspended_report("edge");
+  put_rollout(RolloutState::kSuspending);
+  const ParticipantReport suspended = suspended_report("edge");
   aggregator_.commit(now_, report_from("r1", lease, suspended));
   const std::optional<ReportSummariesAction> late = due_write();
   ASSERT_TRUE(late);
@@ -54,7 +54,7 @@
   aggregator_.commit(now_, report_from("r1", lease, report_of("edge")));
   now_ += milliseconds(200);
   execute_steps();
-  EXPECT_EQ(stored_summary("edge")->held, 0U);
+  EXPECT_EQ(stored_summary("edge")->suspended_stage, 0U);
   const auto revision = store_.revision();
   const auto out = store_.commit(summary_transaction("", "agg", lease_, *late));
   EXPECT_FALSE(out.succeeded);
@@ -68,8 +68,8 @@
   load_snapshot();
   execute_steps();
   const LeaseId lease = join("r1", "edge");
-  put_rollout(ChangeState::kHolding);
-  const Permit suspended = suspended_report("edge");
+  put_rollout(RolloutState::kSuspending);
+  const ParticipantReport suspended = suspended_report("edge");
   aggregator_.commit(now_, report_from("r1", lease, suspended));
   const std::optional<ReportSummariesAction> unanswered = due_write();
   ASSERT_TRUE(unanswered);
@@ -78,7 +78,8 @@
   aggregator_.commit(now_, report_from("r1", lease, report_of("edge")));
   now_ += milliseconds(200);
   execute_steps();
-  EXPECT_EQ(stored_summary("edge")->held, 0U) << "first a conflict, then a write over what was found";
+  EXPECT_EQ(stored_summary("edge")->suspended_stage, 0U)
+      << "first a conflict, then a write over what was found";
 }
 
 TEST_F(UpstreamLeaseTest, JoinsUnderANewLeaseAfterExpiry) {
@@ -100,7 +101,7 @@
 TEST_F(UpstreamLeaseTest, StoreRejectsASummaryUnderAnExpiredLease) {
   load_snapshot();
   execute_steps();
-  put_rollout(ChangeState::kPreparing);
+  put_rollout(RolloutState::kPreparing);
   const std::optional<ReportSummariesAction> late = due_write();
   ASSERT_TRUE(late);
   store_.expire(now_ms() + 4'000);
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -176,7 +176,7 @@
   std::string found;
   for (std::uint64_t seed = 1; seed <= 20 && found.empty(); ++seed) {
     FleetShape shape = shape_of(100, false, seed);
-    shape.router.holder.lease.margin = Micros(-4'000'000);
+    shape.router.participant.lease.margin = Micros(-4'000'000);
     const auto model = settled_fleet(shape);
     FaultOptions options;
     options.time = 40 * kSecond;
@@ -186,7 +186,7 @@
 }
 
 TEST(HollowStartTest, TheBoardIsAskedWithinItsBound) {
-  startup::AskingRules rules;
+  startup::PollOptions rules;
   rules.spread = true;
   for (const Micros back : {Micros(0), 3'600 * kSecond}) {
     const BoardCalls calls = measure_board(rules, 2'000, back, 1);
