--- a/src/program/aggregator_command.cpp
+++ b/src/program/aggregator_command.cpp
@@ -7,7 +7,7 @@
 #include <random>
 #include <utility>
 
-#include "aggregation/service.h"
+#include "aggregation/aggregator_service.h"
 #include "program/descriptors.h"
 #include "program/fleet_work.h"
 #include "program/signals.h"
@@ -20,7 +20,7 @@
 
 namespace trailcourse::program {
 
-using aggregation::Service;
+using aggregation::AggregatorService;
 using std::chrono::milliseconds;
 using tasks::TaskRunner;
 using transport::Clock;
@@ -93,7 +93,8 @@
 };
 
 // Waits until no router has permission from here, and the policy's work has gone to another.
-transport::Task<void> end_aggregator(transport::Scheduler& scheduler, Service& service, TaskRunner& runner) {
+transport::Task<void> end_aggregator(transport::Scheduler& scheduler, AggregatorService& service,
+                                     TaskRunner& runner) {
   service.drain();
   runner.drain();
   const Clock::time_point asked = Clock::now();
@@ -105,15 +106,15 @@
   scheduler.stop();
 }
 
-transport::Task<void> heed(transport::Scheduler& scheduler, Signals& signals, Service& service,
+transport::Task<void> heed(transport::Scheduler& scheduler, Signals& signals, AggregatorService& service,
                            TaskRunner& runner) {
   bool ending = false;
   for (;;) {
     const int signal = co_await signals.next();
     if (signal == SIGHUP) {
-      log_line(Level::kInfo) << service.report();
+      log_line(Level::kInfo) << service.status_line();
     } else if (!std::exchange(ending, true)) {
-      log_line(Level::kInfo) << "signal " << signal << ": draining, " << service.core().routers()
+      log_line(Level::kInfo) << "signal " << signal << ": draining, " << service.aggregator().router_count()
                              << " routers have permission";
       scheduler.spawn(end_aggregator(scheduler, service, runner));
     }
@@ -131,12 +132,12 @@
   std::random_device entropy;
   const std::uint64_t seed = (std::uint64_t{entropy()} << 32U) | entropy();
   const std::unique_ptr<coordination::SharedStore> store = open_store(scheduler, file.coordination, seed);
-  Service service(scheduler, *store, options, prefix, seed);
+  AggregatorService service(scheduler, *store, options, prefix, seed);
   tasks::BoardFollower board;
   // Of no zone: work that is bound to a zone is its routers'.
   TaskRunner runner(
       scheduler, *store, own_work(file), prefix,
-      TaskRunner::Self{options.name, service.core().identity().incarnation, "", options.listen, ""});
+      TaskRunner::Self{options.name, service.aggregator().identity().incarnation, "", options.listen, ""});
   runner.add(tasks::kPolicyWork, [&](tasks::TaskContext context) {
     return std::make_unique<tasks::PolicyChangeTask>(scheduler, *store, prefix, file.policy,
                                                      std::move(context));
@@ -155,7 +156,7 @@
   log_line(Level::kInfo) << "aggregator " << options.name << " listens on " << options.listen << ", serves "
                          << options.zones.size() << " zones";
   scheduler.run();
-  log_line(Level::kInfo) << service.report();
+  log_line(Level::kInfo) << service.status_line();
   return 0;
 }
 
--- a/src/program/start_support.h
+++ b/src/program/start_support.h
@@ -10,17 +10,17 @@
 #include <string>
 #include <vector>
 
-#include "board/page_log.h"
+#include "discovery/event_log.h"
 #include "program/configuration.h"
 #include "routing/board_watcher.h"
 #include "routing/notice_taker.h"
 #include "routing/relay.h"
 #include "routing/router.h"
-#include "snapshot/folder.h"
-#include "snapshot/writer.h"
+#include "snapshot/snapshot_directory.h"
+#include "snapshot/write_scheduler.h"
+#include "startup/endpoint_view.h"
 #include "startup/fleet_size.h"
-#include "startup/gate.h"
-#include "startup/upstream.h"
+#include "startup/relay_selector.h"
 #include "store/executor.h"
 #include "transport/alarm.h"
 #include "transport/mailbox.h"
@@ -65,14 +65,14 @@
   transport::Scheduler& scheduler_;
   const Configuration& configuration_;
   startup::FleetSize size_;
-  std::optional<startup::Gate> gate_;
-  board::PageLog log_;
-  std::optional<startup::Upstream> upstream_;
+  std::optional<startup::EndpointView> gate_;
+  discovery::EventLog log_;
+  std::optional<startup::RelaySelector> upstream_;
   std::optional<routing::Relay> relay_;
   std::unique_ptr<transport::Mailbox> mailbox_;
   std::unique_ptr<store::IoPool> pool_;
-  std::optional<snapshot::SnapshotFolder> folder_;
-  std::optional<snapshot::Writer> writer_;
+  std::optional<snapshot::SnapshotDirectory> folder_;
+  std::optional<snapshot::WriteScheduler> writer_;
   std::string snapshot_board_id_;
   Micros confirmed_steady_{-1};
   routing::Router* router_ = nullptr;
