--- a/src/aggregation/aggregator_service.cpp
+++ b/src/aggregation/aggregator_service.cpp
@@ -124,14 +124,14 @@
 void AggregatorService::silent(const std::string& reason) {
   aggregator_.set_connected(false);
   if (std::exchange(connected_, false)) {
-    log_line(Level::kWarning) << "the store is not heard: " << reason;
+    log_line(Level::kWarning) << "disconnected from the coordination store: " << reason;
   }
 }
 
 void AggregatorService::heard() {
   aggregator_.set_connected(true);
   if (!std::exchange(connected_, true)) {
-    log_line(Level::kInfo) << "the store " << store_.id() << " is heard";
+    log_line(Level::kInfo) << "connected to coordination store " << store_.id();
     schedule_step();
   }
 }
@@ -203,7 +203,7 @@
       aggregator_.upstream().on_no_response(now(), call_id);
     }
     if (response.done() && response.value.succeeded) {
-      log_line(Level::kInfo) << "has permission at revision " << response.value.revision;
+      log_line(Level::kInfo) << "acquired its lease at revision " << response.value.revision;
     } else {
       store_.revoke(lease, [](const auto&) {});
     }
--- a/src/aggregation/options.cpp
+++ b/src/aggregation/options.cpp
@@ -47,14 +47,13 @@
   const std::int64_t valid_ms = duration_cast<milliseconds>(valid).count();
   if (2 * options.renew_ms > valid_ms) {
     throw KeyError("aggregator.renew_ms", std::to_string(options.renew_ms) + " is over half of the " +
-                                              std::to_string(valid_ms) +
-                                              " ms that its permission surely holds");
+                                              std::to_string(valid_ms) + " ms that its lease surely lasts");
   }
   // So much is left just before a renewal, and a router's lease is granted for its full time or not at all.
   const std::int64_t left_ms = valid_ms - options.renew_ms;
   if (router_ttl_ms > left_ms) {
-    throw KeyError("aggregator.ttl_ms", "of the " + std::to_string(valid_ms) + " ms that it surely holds " +
-                                            std::to_string(left_ms) +
+    throw KeyError("aggregator.ttl_ms", "of the " + std::to_string(valid_ms) +
+                                            " ms that its lease surely lasts " + std::to_string(left_ms) +
                                             " are left before a renewal: a router's policy.ttl_ms, " +
                                             std::to_string(router_ttl_ms) + ", does not fit");
   }
@@ -66,26 +65,26 @@
   static const config::Record<AggregatorOptions> kRecord = [] {
     using O = AggregatorOptions;
     config::Record<O> record("aggregator",
-                             "A process between the routers of a region and the store of shared truth, which "
-                             "is that of the section coordination.");
+                             "A process between the routers of a region and the coordination store, which is "
+                             "that of the section coordination.");
     const WholeRange ms{1, 600'000};
-    record.text("listen", &O::listen, "IP:PORT", Words{{}, true}, "where the region's routers reach it")
+    record.text("listen", &O::listen, "IP:PORT", Words{{}, true}, "where the region's routers connect")
         .text("name", &O::name, "-", Words{{}, true},
               "of this aggregator; summaries stand in the store under NAME.ZONE")
-        .texts("zones", &O::zones, "-", "whose routers it takes; 1 to 64")
+        .texts("zones", &O::zones, "-", "whose routers it serves; 1 to 64")
         .text("board", &O::board, "IP:PORT", Words{},
-              "the notice board; with it this aggregator may own the fleet's work of kind acknowledge")
+              "the discovery service; with it this aggregator may own the fleet's work of kind acknowledge")
         .whole("ttl_ms", &O::ttl_ms, "ms", WholeRange{200, 600'000},
-               "of its own permission at the store: a change waits so long for an aggregator that is lost")
+               "of its own lease at the store: a rollout waits so long for an aggregator that is lost")
         .whole("renew_ms", &O::renew_ms, "ms", ms,
-               "after which it is renewed; ttl_ms holds two, and one beside a router's permission")
+               "after which it is renewed; ttl_ms must cover two, and one beside a router's lease")
         .real("drift_percent", &O::drift_percent, "%", RealRange{0.0, 20.0},
               "by which its clock and the store's may run apart")
         .whole("margin_ms", &O::margin_ms, "ms", WholeRange{0, 60'000},
-               "by which its permission ends sooner: between a look at the clock and the answer")
-        .whole("retry_ms", &O::retry_ms, "ms", ms, "after a call to the store that was lost or refused")
+               "by which its lease ends sooner: between a look at the clock and the answer")
+        .whole("retry_ms", &O::retry_ms, "ms", ms, "after a call to the store that was lost or rejected")
         .whole("routers", &O::routers, "routers", WholeRange{1, 100'000},
-               "with permission at once; others are sent on to the next aggregator")
+               "with a lease at once; others are sent on to the next aggregator")
         .whole("connections", &O::connections, "connections", WholeRange{1, 1'000'000},
                "at once; three of each router at most, two as a rule");
     return record;
@@ -117,10 +116,10 @@
   static const config::Record<AggregationOptions> kRecord = [] {
     config::Record<AggregationOptions> record(
         "aggregation",
-        "The aggregators of a router's region. With them it gets the policy and its permission there, and "
+        "The aggregators of a router's region. With them it gets the policy and its lease there, and "
         "needs the store of the section coordination only for owned work.");
     record.texts("endpoints", &AggregationOptions::endpoints, "IP:PORT",
-                 "of aggregators that serve this router's zone, the first to be asked first");
+                 "of aggregators that serve this router's zone, the first to be tried first");
     return record;
   }();
   return kRecord;
--- a/tests/aggregation/aggregator_process_test.cpp
+++ b/tests/aggregation/aggregator_process_test.cpp
@@ -32,7 +32,7 @@
   const auto logged = [&](const std::string& words) {
     return region.until([&] { return process.log().find(words) != std::string::npos; });
   };
-  ASSERT_TRUE(logged("has permission")) << process.log();
+  ASSERT_TRUE(logged("acquired its lease")) << process.log();
   EXPECT_TRUE(logged("takes on the kind policy alone"));
   SharedStore& router = region.router({listen});
   region.acquire_lease(router, milliseconds(3'000));
