--- a/src/aggregation/report_summary.cpp
+++ b/src/aggregation/report_summary.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-// The step of the open rollout that routers of the zone take part in; 0 if there is none.
-std::uint64_t open_step(const ObservedState& observed, const std::string& zone) {
+// The stage of the open rollout that routers of the zone take part in; 0 if there is none.
+std::uint64_t open_stage(const ObservedState& observed, const std::string& zone) {
   const std::optional<Rollout>& rollout = observed.rollout;
   return rollout && rollout->is_open() && rollout->applies_to(zone) ? policy::stage_id(*rollout) : 0;
 }
@@ -22,14 +22,14 @@
   ParticipantReport out;
   out.zone = zone;
   out.version = observed.version;
-  const std::uint64_t step = open_step(observed, zone);
-  if (step == 0) {
+  const std::uint64_t stage = open_stage(observed, zone);
+  if (stage == 0) {
     return out;
   }
   const RolloutState state = observed.rollout->state;
   const bool suspending = state == RolloutState::kSuspending;
-  out.ready_stage = suspending || state == RolloutState::kPreparing ? step : 0;
-  out.suspended_stage = suspending ? step : 0;
+  out.ready_stage = suspending || state == RolloutState::kPreparing ? stage : 0;
+  out.suspended_stage = suspending ? stage : 0;
   return out;
 }
 
@@ -38,55 +38,56 @@
          (completed.ready_stage == 0 || report.ready_stage == completed.ready_stage);
 }
 
-// The version that a router decides under and the step that it is suspended for. The two belong together: a
+// The version that a router decides under and the stage that it is suspended for. The two belong together: a
 // summary takes both from the same report.
-struct VersionAndStep {
+struct VersionAndStage {
   std::uint64_t version = 0;
-  std::uint64_t suspended_step = 0;
+  std::uint64_t suspended_stage = 0;
 
-  friend bool operator==(const VersionAndStep&, const VersionAndStep&) = default;
+  friend bool operator==(const VersionAndStage&, const VersionAndStage&) = default;
 };
-VersionAndStep version_and_step_of(const ParticipantReport& report) {
+VersionAndStage version_and_stage_of(const ParticipantReport& report) {
   return {report.version, report.suspended_stage};
 }
 
-// Whether the aggregator has observed the commit or the abort of the step.
-bool is_settled(const ObservedState& observed, std::uint64_t step) {
-  if (!observed.rollout || step == 0) {
+// Whether the aggregator has observed the commit or the abort of the stage.
+bool is_settled(const ObservedState& observed, std::uint64_t stage) {
+  if (!observed.rollout || stage == 0) {
     return false;
   }
-  const std::uint64_t observed_step = policy::stage_id(*observed.rollout);
+  const std::uint64_t observed_stage = policy::stage_id(*observed.rollout);
   const RolloutState state = observed.rollout->state;
   const bool settled = state != RolloutState::kPreparing && state != RolloutState::kSuspending;
-  return step < observed_step || (step == observed_step && settled);
+  return stage < observed_stage || (stage == observed_stage && settled);
 }
 
 // Whether the coordinator cannot mistake the report of this one router for that of all. A router may have
-// observed a step that the aggregator has not, and a router that joins later starts from the aggregator's
+// observed a stage that the aggregator has not, and a router that joins later starts from the aggregator's
 // state.
 bool may_stand_for_all(const ObservedState& observed, const std::string& zone,
                        const ParticipantReport& report) {
   if (report.suspended_stage != 0) {
     return is_settled(observed, report.suspended_stage);
   }
-  const bool is_target = open_step(observed, zone) != 0 && report.version == observed.rollout->target_version;
+  const bool is_target =
+      open_stage(observed, zone) != 0 && report.version == observed.rollout->target_version;
   return report.version == observed.version && !is_target;
 }
 
-VersionAndStep common_version_and_step(const ObservedState& observed, const ParticipantReport& completed,
-                                       const RouterReports& routers) {
-  VersionAndStep out = version_and_step_of(completed);
+VersionAndStage common_version_and_stage(const ObservedState& observed, const ParticipantReport& completed,
+                                         const RouterReports& routers) {
+  VersionAndStage out = version_and_stage_of(completed);
   bool all_complete = true;
   for (const auto& [lease, router] : routers) {
-    const VersionAndStep reported = version_and_step_of(router.report);
-    if (reported == version_and_step_of(completed)) {
+    const VersionAndStage reported = version_and_stage_of(router.report);
+    if (reported == version_and_stage_of(completed)) {
       continue;
     }
     if (may_stand_for_all(observed, completed.zone, router.report)) {
       return reported;
     }
     out.version = all_complete ? reported.version : out.version;
-    out.suspended_step = kRoutersDiffer;
+    out.suspended_stage = kRoutersDiffer;
     all_complete = false;
   }
   return out;
@@ -96,9 +97,9 @@
 void merge(ParticipantReport& summary, const RouterReport& router, const ParticipantReport& completed,
            std::uint64_t round) {
   const ParticipantReport& report = router.report;
-  // 0 and never an earlier step, so that the rollout is not taken to be prepared too early.
+  // 0 and never an earlier stage, so that the rollout is not taken to be prepared too early.
   summary.ready_stage = report.ready_stage == completed.ready_stage ? summary.ready_stage : 0;
-  // Also for a step that the aggregator has not observed: a rejection must not wait for its watch.
+  // Also for a stage that the aggregator has not observed: a rejection must not wait for its watch.
   if (report.rejected_stage > summary.rejected_stage) {
     summary.rejected_stage = report.rejected_stage;
     summary.rejection_reason = router.router + ": " + report.rejection_reason;
@@ -115,10 +116,10 @@
 ParticipantReport summarize(const ObservedState& observed, const std::string& zone,
                             const RouterReports& routers) {
   const ParticipantReport completed = completed_report(observed, zone);
-  const VersionAndStep common = common_version_and_step(observed, completed, routers);
+  const VersionAndStage common = common_version_and_stage(observed, completed, routers);
   ParticipantReport out = completed;
   out.version = common.version;
-  out.suspended_stage = common.suspended_step;
+  out.suspended_stage = common.suspended_stage;
   out.acknowledged_round = observed.acknowledgement.round;
   for (const auto& [lease, router] : routers) {
     merge(out, router, completed, observed.acknowledgement.round);
--- a/src/aggregation/report_summary.h
+++ b/src/aggregation/report_summary.h
@@ -26,7 +26,7 @@
 using RouterReports = std::map<coordination::LeaseId, RouterReport>;
 
 // The value of `held` in a summary whose routers decide under different versions, are suspended for different
-// steps, or have observed more than the aggregator. No rollout has a step of this number, so that the
+// stages, or have observed more than the aggregator. No rollout has a stage of this number, so that the
 // coordinator reads neither "all are suspended" nor "all have switched" from it.
 constexpr std::uint64_t kRoutersDiffer = 1;
 
--- a/tests/aggregation/aggregator_fixture.h
+++ b/tests/aggregation/aggregator_fixture.h
@@ -111,7 +111,7 @@
   }
   static policy::ParticipantReport suspended_report(const std::string& zone) {
     policy::ParticipantReport out = report_of(zone);
-    out.suspended_stage = step_in(policy::RolloutState::kSuspending);
+    out.suspended_stage = stage_in(policy::RolloutState::kSuspending);
     return out;
   }
   // Returns the router's write of its next report.
--- a/tests/aggregation/aggregator_input_test.cpp
+++ b/tests/aggregation/aggregator_input_test.cpp
@@ -90,7 +90,7 @@
   put_rollout(RolloutState::kSuspending);
   load_snapshot();
   execute_steps();
-  const std::uint64_t step = step_in(RolloutState::kSuspending);
+  const std::uint64_t stage = stage_in(RolloutState::kSuspending);
   const LeaseId witness = join("witness", "edge");
   LeaseId lease = join("r1", "edge");
   std::mt19937_64 random(21);
@@ -125,7 +125,7 @@
     }
     ASSERT_EQ(aggregator_.router_count(), 2U);
     ASSERT_EQ(aggregator_.summaries().at("edge").represented_routers, 2U);
-    ASSERT_NE(aggregator_.summaries().at("edge").suspended_stage, step) << "the witness has not reported it";
+    ASSERT_NE(aggregator_.summaries().at("edge").suspended_stage, stage) << "the witness has not reported it";
     ASSERT_EQ(aggregator_.summaries().at("west").represented_routers, 0U);
   }
   EXPECT_GT(rejected, 1'000U);
--- a/tests/aggregation/report_summary_test.cpp
+++ b/tests/aggregation/report_summary_test.cpp
@@ -23,25 +23,25 @@
 using policy::RolloutState;
 using SummariesByName = std::map<std::string, ParticipantReport>;
 
-ParticipantReport drawn_report(std::mt19937_64& random, std::uint64_t step) {
+ParticipantReport drawn_report(std::mt19937_64& random, std::uint64_t stage) {
   ParticipantReport out;
   out.zone = "edge";
   out.version = random() % 2 == 0 ? kOldVersion : kNewVersion;
-  const std::array<std::uint64_t, 4> steps{0, step - 1'000, step, step};
-  out.ready_stage = steps[random() % steps.size()];
-  out.suspended_stage = steps[random() % steps.size()];
-  out.rejected_stage = random() % 12 == 0 ? step : 0;
+  const std::array<std::uint64_t, 4> stages{0, stage - 1'000, stage, stage};
+  out.ready_stage = stages[random() % stages.size()];
+  out.suspended_stage = stages[random() % stages.size()];
+  out.rejected_stage = random() % 12 == 0 ? stage : 0;
   return out;
 }
 
 // Returns reports that mostly agree, so that all of them do often enough.
-RouterReports drawn_routers(std::mt19937_64& random, std::uint64_t step) {
+RouterReports drawn_routers(std::mt19937_64& random, std::uint64_t stage) {
   RouterReports out;
-  const ParticipantReport common = drawn_report(random, step);
+  const ParticipantReport common = drawn_report(random, stage);
   const std::size_t count = random() % 5;
   for (LeaseId lease = 1; lease <= count; ++lease) {
     const bool differs = random() % 6 == 0;
-    out[lease] = RouterReport{"r" + std::to_string(lease), differs ? drawn_report(random, step) : common};
+    out[lease] = RouterReport{"r" + std::to_string(lease), differs ? drawn_report(random, stage) : common};
   }
   return out;
 }
@@ -120,26 +120,26 @@
 
 // Otherwise a router that joins from the aggregator's state could decide under the old version, unnoticed.
 TEST(ReportSummaryTest, ClaimsNothingThatTheAggregatorHasNotObserved) {
-  const std::uint64_t step = step_in(RolloutState::kSuspending);
+  const std::uint64_t stage = stage_in(RolloutState::kSuspending);
   RouterReports routers;
   for (LeaseId lease = 1; lease <= 3; ++lease) {
     routers[lease].report.version = kOldVersion;
-    routers[lease].report.ready_stage = step;
-    routers[lease].report.suspended_stage = step;
+    routers[lease].report.ready_stage = stage;
+    routers[lease].report.suspended_stage = stage;
   }
-  EXPECT_EQ(summarize(observed_in(RolloutState::kSuspending), "edge", routers).suspended_stage, step);
+  EXPECT_EQ(summarize(observed_in(RolloutState::kSuspending), "edge", routers).suspended_stage, stage);
   EXPECT_EQ(summarize(observed_in(RolloutState::kPreparing), "edge", routers).suspended_stage,
             kRoutersDiffer);
   EXPECT_EQ(summarize(observed_in(RolloutState::kDone, 2), "edge", routers).ready_stage, 0U);
 }
 
 TEST(ReportSummaryTest, EmptyZoneReportsAsARouterThatIsComplete) {
-  const std::uint64_t step = step_in(RolloutState::kSuspending);
+  const std::uint64_t stage = stage_in(RolloutState::kSuspending);
   const ParticipantReport preparing = summarize(observed_in(RolloutState::kPreparing), "edge", {});
   EXPECT_EQ(preparing.version, kOldVersion);
-  EXPECT_EQ(preparing.ready_stage, step);
+  EXPECT_EQ(preparing.ready_stage, stage);
   EXPECT_EQ(preparing.suspended_stage, 0U);
-  EXPECT_EQ(summarize(observed_in(RolloutState::kSuspending), "edge", {}).suspended_stage, step);
+  EXPECT_EQ(summarize(observed_in(RolloutState::kSuspending), "edge", {}).suspended_stage, stage);
   const ParticipantReport committed = summarize(observed_in(RolloutState::kCommitted), "edge", {});
   EXPECT_EQ(committed.version, kNewVersion);
   EXPECT_EQ(committed.suspended_stage, 0U);
@@ -151,8 +151,8 @@
 TEST(ReportSummaryTest, StageConcernsItsOwnZoneOnly) {
   ObservedState observed = observed_in(RolloutState::kSuspending);
   observed.rollout->stages = {"edge"};
-  const std::uint64_t step = policy::stage_id(*observed.rollout);
-  EXPECT_EQ(summarize(observed, "edge", {}).suspended_stage, step);
+  const std::uint64_t stage = policy::stage_id(*observed.rollout);
+  EXPECT_EQ(summarize(observed, "edge", {}).suspended_stage, stage);
   EXPECT_EQ(summarize(observed, "west", {}).suspended_stage, 0U);
   observed.rollout->stage = 1;
   EXPECT_EQ(summarize(observed, "edge", {}).suspended_stage, 0U);
@@ -163,15 +163,15 @@
   RouterReports routers;
   routers[1] = {"first", ParticipantReport{}};
   routers[2] = {"second", ParticipantReport{}};
-  const std::uint64_t step = step_in(RolloutState::kPreparing);
+  const std::uint64_t stage = stage_in(RolloutState::kPreparing);
   for (auto& [lease, router] : routers) {
     router.report.version = kOldVersion;
   }
-  routers[1].report.ready_stage = step;
+  routers[1].report.ready_stage = stage;
   const ParticipantReport summary = summarize(observed_in(RolloutState::kPreparing), "edge", routers);
   EXPECT_EQ(summary.represented_routers, 2U);
   EXPECT_EQ(summary.waiting_for, "second");
-  routers[2].report.rejected_stage = step;
+  routers[2].report.rejected_stage = stage;
   routers[2].report.rejection_reason = "full disk";
   EXPECT_EQ(summarize(observed_in(RolloutState::kPreparing), "edge", routers).rejection_reason,
             "second: full disk");
--- a/tests/aggregation/rollout_states.h
+++ b/tests/aggregation/rollout_states.h
@@ -22,7 +22,7 @@
   return out;
 }
 
-inline std::uint64_t step_in(policy::RolloutState state) { return policy::stage_id(rollout_in(state)); }
+inline std::uint64_t stage_in(policy::RolloutState state) { return policy::stage_id(rollout_in(state)); }
 
 inline bool is_committed(policy::RolloutState state) {
   using policy::RolloutState;
--- a/tests/aggregation/router_leases_test.cpp
+++ b/tests/aggregation/router_leases_test.cpp
@@ -92,7 +92,7 @@
   EXPECT_EQ(stored_summary("edge")->ready_stage, 0U);
   EXPECT_NE(stored_summary("west")->ready_stage, 0U) << "the zone has no routers";
   ParticipantReport ready = report_of("edge");
-  ready.ready_stage = step_in(RolloutState::kPreparing);
+  ready.ready_stage = stage_in(RolloutState::kPreparing);
   aggregator_.commit(now_, report_from("r1", first, ready));
   execute_steps();
   EXPECT_EQ(stored_summary("edge")->ready_stage, 0U);
--- a/tests/fleet/aggregation_test.cpp
+++ b/tests/fleet/aggregation_test.cpp
@@ -1,6 +1,6 @@
-// Changes of policy by way of aggregators, with real processes under load and faults between them. Judged as
-// without aggregators: for each change there is a moment that separates the old version from the new over all
-// routers, whatever became of aggregators, links, routers and the store meanwhile.
+// Policy rollouts through aggregators, with real processes under load and faults between them. The check is
+// the same as without aggregators: for each rollout there is a moment that separates the old version from the
+// new one over all routers, whatever happens to aggregators, links, routers and the store meanwhile.
 #include <algorithm>
 #include <filesystem>
 #include <set>
@@ -16,7 +16,8 @@
 using fleet::Shape;
 using nlohmann::json;
 
-// A zone and a cache for each region, and so many aggregators in all; times short enough for a test.
+// Returns a fleet with a zone and a cache for each region and `aggregators` in all. Its times are short
+// enough for a test.
 Shape aggregated_shape(int routers, int regions, int aggregators) {
   Shape shape = policy_shape(routers);
   shape.zones.clear();
@@ -43,14 +44,14 @@
                  [&](const std::string& router) { return rig.layout().member(router).zone == zone; });
     return out;
   }
-  // A change that is made, and is in force at these.
-  void expect_change(const std::vector<std::string>& routers, double worth) {
-    ASSERT_EQ(propose(worth), 0) << said;
+  // Expects a rollout to complete, and its version to be in force at `routers`.
+  void expect_rollout(const std::vector<std::string>& routers, double priority_weight) {
+    ASSERT_EQ(propose(priority_weight), 0) << said;
     EXPECT_TRUE(await_change(routers, "done")) << rig.logs();
     EXPECT_TRUE(await_version(routers, version())) << rig.logs();
   }
-  // Until no router decides under any version.
-  bool await_refusal(const std::vector<std::string>& routers) {
+  // Waits until none of `routers` decides under any version.
+  bool await_rejection(const std::vector<std::string>& routers) {
     return rig.until([&] {
       return std::all_of(routers.begin(), routers.end(),
                          [&](const std::string& router) { return answer(router).policy == "-"; });
@@ -60,14 +61,14 @@
   const std::vector<std::string> all;
 };
 
-TEST(AggregationFleetTest, AChangeOfThirtyRoutersInThreeRegionsTakesHoldEverywhere) {
+TEST(AggregationFleetTest, RolloutToThirtyRoutersInThreeRegionsTakesEffectEverywhere) {
   AggregatedFleet fleet(aggregated_shape(30, 3, 3));
   ASSERT_FALSE(testing::Test::HasFailure());
-  ASSERT_NO_FATAL_FAILURE(fleet.expect_change(fleet.all, 2.0));
-  ASSERT_NO_FATAL_FAILURE(fleet.expect_change(fleet.all, 3.0));
+  ASSERT_NO_FATAL_FAILURE(fleet.expect_rollout(fleet.all, 2.0));
+  ASSERT_NO_FATAL_FAILURE(fleet.expect_rollout(fleet.all, 3.0));
   EXPECT_EQ(fleet.version(), 2U);
   EXPECT_EQ(fleet.check(), kNone);
-  // The store knows of aggregators alone, and of what they stand for.
+  // In the store there are reports of aggregators only, with the number of routers that they represent.
   json permits;
   EXPECT_TRUE(fleet.rig.until([&] {
     permits = fleet.status()["permits"];
@@ -82,17 +83,17 @@
   }
 }
 
-TEST(AggregationFleetTest, AVersionThatOneRouterCannotLiveByIsRefusedEverywhere) {
+TEST(AggregationFleetTest, VersionThatOneRouterRejectsIsAborted) {
   AggregatedFleet fleet(aggregated_shape(4, 2, 2));
   ASSERT_FALSE(testing::Test::HasFailure());
   ASSERT_EQ(fleet.propose(2.0, false, R"(,"limits":{"open_requests":9000000})"), 0) << fleet.said;
   EXPECT_TRUE(fleet.await_change(fleet.all, "aborted")) << fleet.rig.logs();
   EXPECT_NE(fleet.status()["change"].value("why", "").find("open_requests"), std::string::npos) << fleet.said;
   EXPECT_EQ(fleet.check(), kNone);
-  EXPECT_FALSE(fleet.decided().contains("1")) << "nobody decided under what was refused";
+  EXPECT_FALSE(fleet.decided().contains("1")) << "no request was decided under the rejected version";
 }
 
-// ---- Acknowledged events of the notice board ----
+// ---- Acknowledged events of the discovery service ----
 
 json purge_of(const std::string& object) { return {{"flush", {{"asset", object}, {"ms", 1}}}}; }
 
@@ -105,7 +106,7 @@
   std::uint64_t purge() { return rig.post(purge_of(fleet::object_name(7))); }
 };
 
-TEST(AcknowledgementFleetTest, APurgeOfThirtyRoutersIsKnownToBeTakenInEverywhere) {
+TEST(AcknowledgementFleetTest, PurgeIsReportedAsAppliedByAllThirtyRouters) {
   AcknowledgingFleet fleet(30, 3);
   ASSERT_FALSE(testing::Test::HasFailure());
   for (int i = 0; i < 3; ++i) {
@@ -115,9 +116,9 @@
   }
 }
 
-// A router that is stopped may have decided already what it sends when it wakes: it is awaited until its
-// permission has surely run out, and never told to have taken in what it has not.
-TEST(AcknowledgementFleetTest, AStoppedRouterIsAwaitedUntilItsPermissionIsOver) {
+// A suspended router may send, once it resumes, what it had decided before. It is awaited until its lease has
+// certainly expired, and is never reported to have applied an event that it has not.
+TEST(AcknowledgementFleetTest, SuspendedRouterIsAwaitedUntilItsLeaseExpires) {
   AcknowledgingFleet fleet(6, 2);
   ASSERT_FALSE(testing::Test::HasFailure());
   ASSERT_TRUE(fleet.await_acknowledged(fleet.purge())) << fleet.said << fleet.rig.logs();
@@ -131,40 +132,41 @@
   EXPECT_TRUE(fleet.await_version(fleet.all, 0)) << fleet.rig.logs();
 }
 
-TEST(AcknowledgementFleetTest, ARouterThatTheBoardDoesNotReachIsNamedAndHoldsTheRound) {
+TEST(AcknowledgementFleetTest, RouterCutOffFromDiscoveryIsNamedAndDelaysTheRound) {
   AcknowledgingFleet fleet(4, 2, {"router*>board"});
   ASSERT_FALSE(testing::Test::HasFailure());
   ASSERT_TRUE(fleet.await_acknowledged(fleet.purge())) << fleet.said << fleet.rig.logs();
-  const std::string deaf = fleet.all.front();
-  fleet.rig.fault("cut " + deaf + ">board both");
+  const std::string isolated = fleet.all.front();
+  fleet.rig.fault("cut " + isolated + ">board both");
   const std::uint64_t event = fleet.purge();
   EXPECT_TRUE(fleet.rig.until([&] {
     const json awaited = fleet.acknowledged().value("awaited", json::array());
-    return awaited.size() == 1 && awaited[0].get<std::string>().find(deaf) != std::string::npos;
+    return awaited.size() == 1 && awaited[0].get<std::string>().find(isolated) != std::string::npos;
   })) << fleet.said
       << fleet.rig.logs();
   EXPECT_LT(fleet.acknowledged()["done"]["event"], event);
-  fleet.rig.fault("heal " + deaf + ">board");
+  fleet.rig.fault("heal " + isolated + ">board");
   EXPECT_TRUE(fleet.await_acknowledged(event)) << fleet.said << fleet.rig.logs();
 }
 
-TEST(AcknowledgementFleetTest, WhoDrivesItMayBeKilledAndRoutersMayBeStartedAnew) {
+TEST(AcknowledgementFleetTest, RoundsContinueAfterTheCoordinatorIsKilledAndRoutersRestart) {
   AcknowledgingFleet fleet(6, 2);
   ASSERT_FALSE(testing::Test::HasFailure());
   ASSERT_TRUE(fleet.await_acknowledged(fleet.purge())) << fleet.said << fleet.rig.logs();
-  const bool first_drives = fleet.rig.fleet().log("aggregator0").find("begins events/0") != std::string::npos;
-  const std::string driver = first_drives ? "aggregator0" : "aggregator1";
-  fleet.rig.fleet().kill(driver);
+  const bool first_coordinates =
+      fleet.rig.fleet().log("aggregator0").find("begins events/0") != std::string::npos;
+  const std::string coordinator = first_coordinates ? "aggregator0" : "aggregator1";
+  fleet.rig.fleet().kill(coordinator);
   fleet.rig.fleet().kill(fleet.all.front());
   const std::uint64_t event = fleet.purge();
   fleet.rig.start(fleet.all.front());
   EXPECT_TRUE(fleet.await_acknowledged(event)) << fleet.said << fleet.rig.logs();
-  fleet.rig.start(driver);
+  fleet.rig.start(coordinator);
   EXPECT_TRUE(fleet.await_acknowledged(fleet.purge())) << fleet.said << fleet.rig.logs();
   EXPECT_TRUE(fleet.await_version(fleet.all, 0)) << fleet.rig.logs();
 }
 
-TEST(AcknowledgementFleetTest, ABoardThatBeganAnewIsAskedAboutFromItsStart) {
+TEST(AcknowledgementFleetTest, RestartedDiscoveryServiceIsFollowedFromItsFirstEvent) {
   AcknowledgingFleet fleet(4, 2);
   ASSERT_FALSE(testing::Test::HasFailure());
   for (int i = 0; i < 5; ++i) {
@@ -173,7 +175,7 @@
   ASSERT_TRUE(fleet.await_acknowledged(fleet.purge())) << fleet.said << fleet.rig.logs();
   const std::string before = fleet.acknowledged()["done"]["board"];
   fleet.rig.fleet().kill("board");
-  fleet.rig.layout().write();  // the first page alone: its numbers begin anew
+  fleet.rig.layout().write();  // the first page only: its sequence numbers start again
   fleet.rig.start("board");
   const std::uint64_t event = fleet.purge();
   EXPECT_TRUE(fleet.rig.until([&] {
@@ -183,8 +185,9 @@
       << fleet.rig.logs();
 }
 
-// Nobody asks again, and the board that was asked about is gone: only staff can let a router join.
-TEST(AcknowledgementFleetTest, WhatIsForgottenKeepsNoRouterOut) {
+// No further round is requested, and the discovery service of the last one is gone: only operators can let a
+// router join.
+TEST(AcknowledgementFleetTest, RouterJoinsAfterTheAcknowledgementIsReset) {
   AcknowledgingFleet fleet(4, 2);
   ASSERT_FALSE(testing::Test::HasFailure());
   ASSERT_TRUE(fleet.await_acknowledged(fleet.purge())) << fleet.said << fleet.rig.logs();
@@ -195,7 +198,7 @@
   fleet.rig.layout().write();
   fleet.rig.start("board");
   fleet.rig.start(router);
-  EXPECT_TRUE(fleet.await_refusal({router})) << fleet.rig.logs();
+  EXPECT_TRUE(fleet.await_rejection({router})) << fleet.rig.logs();
   program::PolicyCommand forget;
   forget.action = "acknowledged";
   forget.forget = true;
@@ -217,30 +220,30 @@
         AggregatorFault{"Ended", {"end aggregator0"}, {"start aggregator0"}},
         AggregatorFault{"CutOffAbove", {"cut aggregator0>registry both"}, {"heal aggregator0>registry"}},
         AggregatorFault{"CutOffBelow", {"cut router*>aggregator0 both"}, {"heal router*>aggregator0"}}),
-    [](const auto& one) { return one.param.name; });
+    [](const auto& fault) { return fault.param.name; });
 
-// Its routers go on at the other region's. What is made meanwhile, and after it is back, is in force
+// Its routers continue at the other region's aggregator. Rollouts meanwhile and afterwards take effect
 // everywhere.
-TEST_P(AggregatorFaultTest, ItsRoutersMoveAndChangesAreMadeMeanwhileAndAfter) {
+TEST_P(AggregatorFaultTest, RoutersMoveAndRolloutsSucceedMeanwhileAndAfterwards) {
   AggregatedFleet fleet(aggregated_shape(6, 2, 2), {"router*>aggregator*", "aggregator*>registry"});
   ASSERT_FALSE(testing::Test::HasFailure());
   for (const std::string& line : GetParam().begins) {
     fleet.rig.fault(line);
   }
-  ASSERT_NO_FATAL_FAILURE(fleet.expect_change(fleet.all, 2.0));
+  ASSERT_NO_FATAL_FAILURE(fleet.expect_rollout(fleet.all, 2.0));
   if (GetParam().name == "Ended") {
     EXPECT_TRUE(fleet.rig.until([&] { return !fleet.rig.fleet().alive("aggregator0"); })) << fleet.rig.logs();
   }
   for (const std::string& line : GetParam().ends) {
     fleet.rig.fault(line);
   }
-  ASSERT_NO_FATAL_FAILURE(fleet.expect_change(fleet.all, 3.0));
+  ASSERT_NO_FATAL_FAILURE(fleet.expect_rollout(fleet.all, 3.0));
   EXPECT_EQ(fleet.version(), 2U);
   EXPECT_EQ(fleet.check(), kNone);
 }
 
-// The same, with the change under way already.
-TEST_P(AggregatorFaultTest, InMidChangeNothingIsDecidedUnderTwoVersions) {
+// The same, with a rollout already in progress.
+TEST_P(AggregatorFaultTest, DuringARolloutNothingIsDecidedUnderTwoVersions) {
   AggregatedFleet fleet(aggregated_shape(6, 2, 2), {"router*>aggregator*", "aggregator*>registry"});
   ASSERT_FALSE(testing::Test::HasFailure());
   ASSERT_EQ(fleet.propose(2.0), 0) << fleet.said;
@@ -260,19 +263,19 @@
   for (const std::string& line : GetParam().ends) {
     fleet.rig.fault(line);
   }
-  ASSERT_NO_FATAL_FAILURE(fleet.expect_change(fleet.all, 3.0));
+  ASSERT_NO_FATAL_FAILURE(fleet.expect_rollout(fleet.all, 3.0));
   EXPECT_EQ(fleet.check(), kNone);
 }
 
-// Its aggregator loses the store, and its routers the other regions' aggregators.
-TEST(AggregationFleetTest, ARegionThatIsCutOffDecidesUnderNothingAndJoinsBehindTheChange) {
+// The region's aggregator loses the store, and its routers lose the other regions' aggregators.
+TEST(AggregationFleetTest, IsolatedRegionRejectsRequestsAndJoinsAfterTheRollout) {
   AggregatedFleet fleet(aggregated_shape(30, 3, 3), {"router*>aggregator*", "aggregator*>registry"});
   ASSERT_FALSE(testing::Test::HasFailure());
   const std::vector<std::string> cut = fleet.routers_of("zone0");
   std::vector<std::string> rest = fleet.routers_of("zone1");
   const std::vector<std::string> third = fleet.routers_of("zone2");
   rest.insert(rest.end(), third.begin(), third.end());
-  // The third region turns to the first one's aggregator where its own is lost: that way stays open.
+  // The link from the third region to the first one's aggregator, its second endpoint, stays open.
   std::vector<std::string> links{"aggregator0>registry"};
   for (const std::string& router : cut) {
     links.push_back(router + ">aggregator1");
@@ -285,7 +288,7 @@
   EXPECT_TRUE(fleet.await_version(rest, 1)) << fleet.rig.logs();
   for (const std::string& router : cut) {
     const fleet::Asked asked = fleet.answer(router);
-    EXPECT_EQ(asked.policy, "-") << "without the store it knows nothing";
+    EXPECT_EQ(asked.policy, "-") << "without the store no version is in force";
     EXPECT_EQ(asked.status, 503);
   }
   for (const std::string& link : links) {
@@ -295,12 +298,12 @@
   EXPECT_EQ(fleet.check(), kNone);
 }
 
-TEST(AggregationFleetTest, HalfOfTheRoutersAreRestartedInMidChange) {
-  constexpr int kChanges = 3;
+TEST(AggregationFleetTest, HalfOfTheRoutersRestartDuringARollout) {
+  constexpr int kRollouts = 3;
   AggregatedFleet fleet(aggregated_shape(10, 2, 2));
   ASSERT_FALSE(testing::Test::HasFailure());
   const std::vector<std::string> half(fleet.all.begin(), fleet.all.begin() + 5);
-  for (int i = 0; i < kChanges; ++i) {
+  for (int i = 0; i < kRollouts; ++i) {
     ASSERT_EQ(fleet.propose(2.0 + i), 0) << fleet.said;
     for (const std::string& router : half) {
       fleet.rig.fleet().kill(router);
@@ -311,11 +314,11 @@
     EXPECT_TRUE(fleet.await_change(fleet.all, "done")) << fleet.rig.logs();
     EXPECT_TRUE(fleet.await_version(fleet.all, fleet.version())) << fleet.rig.logs();
   }
-  EXPECT_EQ(fleet.version(), static_cast<std::uint64_t>(kChanges));
+  EXPECT_EQ(fleet.version(), static_cast<std::uint64_t>(kRollouts));
   EXPECT_EQ(fleet.check(), kNone);
 }
 
-TEST(AggregationFleetTest, RoutersThatJoinInMidChangeDecideUnderTheNewVersionOrNone) {
+TEST(AggregationFleetTest, RoutersThatJoinDuringARolloutDecideUnderTheNewVersionOrNone) {
   AggregatedFleet fleet(aggregated_shape(8, 2, 2));
   ASSERT_FALSE(testing::Test::HasFailure());
   const std::vector<std::string> joiners(fleet.all.begin() + 5, fleet.all.end());
@@ -331,7 +334,7 @@
   EXPECT_EQ(fleet.check(), kNone);
 }
 
-TEST(AggregationFleetTest, TheStoreIsKilledWhileAChangeIsMade) {
+TEST(AggregationFleetTest, StoreIsKilledDuringARollout) {
   AggregatedFleet fleet(aggregated_shape(6, 2, 2));
   ASSERT_FALSE(testing::Test::HasFailure());
   for (int i = 0; i < 3; ++i) {
@@ -347,39 +350,40 @@
   EXPECT_EQ(fleet.check(), kNone);
 }
 
-// A copy from before the change, under the same name: routers have decided under what it does not know.
-TEST(AggregationFleetTest, WithTheStorePutBackFromAnOldCopyRoutersRefuseRatherThanGoBack) {
+// The copy was made before the last rollout and has the same id: routers have decided under a version that it
+// lacks.
+TEST(AggregationFleetTest, RoutersRejectAStoreThatWasRestoredFromAnOldCopy) {
   AggregatedFleet fleet(aggregated_shape(6, 2, 2));
   ASSERT_FALSE(testing::Test::HasFailure());
   const std::string folder = fleet.rig.folder() + "/registry-store";
-  ASSERT_NO_FATAL_FAILURE(fleet.expect_change(fleet.all, 2.0));
+  ASSERT_NO_FATAL_FAILURE(fleet.expect_rollout(fleet.all, 2.0));
   fleet.rig.fleet().kill("registry");
   std::filesystem::copy(folder, folder + "-copy", std::filesystem::copy_options::recursive);
   fleet.rig.start("registry");
   EXPECT_TRUE(fleet.await_version(fleet.all, 1)) << fleet.rig.logs();
-  ASSERT_NO_FATAL_FAILURE(fleet.expect_change(fleet.all, 3.0));
+  ASSERT_NO_FATAL_FAILURE(fleet.expect_rollout(fleet.all, 3.0));
   fleet.rig.fleet().kill("registry");
   std::filesystem::remove_all(folder);
   std::filesystem::rename(folder + "-copy", folder);
   fleet.rig.start("registry");
-  EXPECT_TRUE(fleet.await_refusal(fleet.all)) << fleet.rig.logs();
-  // One that knows nothing of it asks an aggregator that does.
+  EXPECT_TRUE(fleet.await_rejection(fleet.all)) << fleet.rig.logs();
+  // A restarted router has seen no higher revision, but its aggregator has.
   fleet.rig.fleet().kill(fleet.all.front());
   fleet.rig.start(fleet.all.front());
-  EXPECT_TRUE(fleet.await_refusal({fleet.all.front()})) << fleet.rig.logs();
+  EXPECT_TRUE(fleet.await_rejection({fleet.all.front()})) << fleet.rig.logs();
   EXPECT_EQ(fleet.check(), kNone);
 }
 
-TEST(AggregationFleetTest, TwoAggregatorsOfOneNameDoNoHarm) {
+TEST(AggregationFleetTest, TwoAggregatorsOfOneNameAreHarmless) {
   Shape shape = aggregated_shape(6, 1, 2);
   shape.aggregator["name"] = "east";
   AggregatedFleet fleet(shape);
   ASSERT_FALSE(testing::Test::HasFailure());
-  ASSERT_NO_FATAL_FAILURE(fleet.expect_change(fleet.all, 2.0));
+  ASSERT_NO_FATAL_FAILURE(fleet.expect_rollout(fleet.all, 2.0));
   fleet.rig.fleet().kill("aggregator0");
-  ASSERT_NO_FATAL_FAILURE(fleet.expect_change(fleet.all, 3.0));
+  ASSERT_NO_FATAL_FAILURE(fleet.expect_rollout(fleet.all, 3.0));
   fleet.rig.start("aggregator0");
-  ASSERT_NO_FATAL_FAILURE(fleet.expect_change(fleet.all, 4.0));
+  ASSERT_NO_FATAL_FAILURE(fleet.expect_rollout(fleet.all, 4.0));
   EXPECT_EQ(fleet.version(), 3U);
   EXPECT_EQ(fleet.check(), kNone);
 }
