--- a/src/program/fleet_command.cpp
+++ b/src/program/fleet_command.cpp
@@ -399,6 +399,18 @@
              {"last_ready_ms", fleet::quantile(ready_ms_, 1.0)},
              {"first_current_ms", fleet::quantile(current_ms_, 0.0)},
              {"last_current_ms", fleet::quantile(current_ms_, 1.0)}};
+    add_links(out);
+    add_requests(out);
+    add_routers(out);
+    add_nodes(out);
+    return out;
+  }
+
+  // Calls and connections that passed the proxies, where there are any.
+  void add_links(json& out) {
+    if (scenario_->links().empty()) {
+      return;
+    }
     std::vector<Clock::time_point> calls;
     std::vector<Clock::time_point> connections;
     std::size_t node_opens = 0;
@@ -412,15 +424,17 @@
         node_opens = std::max(node_opens, fleet::most_within(seen.connections, milliseconds(1'000)));
       }
     }
-    if (!scenario_->links().empty()) {
-      out["board"] = {{"calls", calls.size()},
-                      {"connections", connections.size()},
-                      {"calls_worst_100_ms", fleet::most_within(calls, milliseconds(100))},
-                      {"calls_worst_second", fleet::most_within(calls, milliseconds(1'000))},
-                      {"connections_worst_100_ms", fleet::most_within(connections, milliseconds(100))},
-                      {"connections_worst_second", fleet::most_within(connections, milliseconds(1'000))}};
-      out["node_opens_worst_second"] = node_opens;
-    }
+    out["board"] = {{"calls", calls.size()},
+                    {"connections", connections.size()},
+                    {"calls_worst_100_ms", fleet::most_within(calls, milliseconds(100))},
+                    {"calls_worst_second", fleet::most_within(calls, milliseconds(1'000))},
+                    {"connections_worst_100_ms", fleet::most_within(connections, milliseconds(100))},
+                    {"connections_worst_second", fleet::most_within(connections, milliseconds(1'000))}};
+    out["node_opens_worst_second"] = node_opens;
+  }
+
+  // Answers of the load by kind, and how long those took that were served.
+  void add_requests(json& out) const {
     std::map<std::string, std::size_t> answers;
     std::vector<double> took;
     for (const fleet::Asked& one : load_->all()) {
@@ -435,6 +449,9 @@
     }
     out["requests"] = answers;
     out["answer_ms_p99"] = fleet::quantile(took, 0.99);
+  }
+
+  void add_routers(json& out) {
     std::vector<double> memory;
     std::vector<double> descriptors;
     for (const std::string& name : layout_.names(Kind::kRouter)) {
@@ -446,29 +463,31 @@
     }
     out["router_mb_most"] = fleet::quantile(memory, 1.0);
     out["router_descriptors_most"] = fleet::quantile(descriptors, 1.0);
-    std::uint64_t fills = 0;
-    std::uint64_t worst_fills = 0;
-    std::uint64_t worst_requests = 0;
-    for (const Kind kind : {Kind::kCache, Kind::kParent}) {
-      for (const std::string& name : layout_.names(kind)) {
-        if (scenario_->fleet().log_since_start(name).find("listens on") != std::string::npos) {
-          scenario_->fleet().signal(name, SIGHUP);
-        }
+  }
+
+  // Figures of caches and parents, which log them on SIGHUP.
+  void add_nodes(json& out) {
+    std::vector<std::string> nodes = layout_.names(Kind::kCache);
+    const std::vector<std::string> parents = layout_.names(Kind::kParent);
+    nodes.insert(nodes.end(), parents.begin(), parents.end());
+    for (const std::string& name : nodes) {
+      if (scenario_->fleet().log_since_start(name).find("listens on") != std::string::npos) {
+        scenario_->fleet().signal(name, SIGHUP);
       }
     }
     scenario_->fleet().until([] { return false; }, milliseconds(100));
-    for (const Kind kind : {Kind::kCache, Kind::kParent}) {
-      for (const std::string& name : layout_.names(kind)) {
-        const std::string log = scenario_->fleet().log(name);
-        fills += figure(log, "fills");
-        worst_fills = std::max(worst_fills, most_growth(log, "fills"));
-        worst_requests = std::max(worst_requests, most_growth(log, "requests"));
-      }
+    std::uint64_t fills = 0;
+    std::uint64_t worst_fills = 0;
+    std::uint64_t worst_requests = 0;
+    for (const std::string& name : nodes) {
+      const std::string log = scenario_->fleet().log(name);
+      fills += figure(log, "fills");
+      worst_fills = std::max(worst_fills, most_growth(log, "fills"));
+      worst_requests = std::max(worst_requests, most_growth(log, "requests"));
     }
     out["fills"] = fills;
     out["node_fills_worst_second"] = worst_fills;
     out["node_requests_worst_second"] = worst_requests;
-    return out;
   }
 
   void print_summary(const json& summary) {
--- a/src/program/policy_command.cpp
+++ b/src/program/policy_command.cpp
@@ -6,6 +6,7 @@
 #include <iterator>
 #include <map>
 #include <nlohmann/json.hpp>
+#include <optional>
 #include <ostream>
 
 #include "ownership/work.h"
@@ -136,7 +137,8 @@
     const std::string state = std::string(to_string(change.state)) + ", " +
                               std::to_string(policy::describe_pending(seen).size()) + " awaited";
     if (state != told && !command.json) {
-      out << "change " << change.id << " to version " << change.target_version << ": " << state << std::endl;
+      out << "change " << change.id << " to version " << change.target_version << ": " << state << '\n'
+          << std::flush;
       told = state;
     }
     if (!change.is_open()) {
@@ -155,15 +157,16 @@
   }
 }
 
-int propose(StoreClient& client, const PolicyCommand& command, std::ostream& out, std::ostream& errors) {
-  const auto all = documents(client);
+// The document that is proposed, without its version and parent; nothing where an earlier version is asked for that does
+// not exist. Throws policy::InvalidDocument.
+std::optional<policy::PolicyDocument> proposed_document(
+    const PolicyCommand& command, const std::map<std::uint64_t, policy::PolicyDocument>& all) {
   policy::PolicyDocument document;
   if (!command.version.empty()) {
-    const auto of = protocol::read_number<std::uint64_t>(command.version);
-    const auto found = of ? all.find(*of) : all.end();
+    const auto version = protocol::read_number<std::uint64_t>(command.version);
+    const auto found = version ? all.find(*version) : all.end();
     if (found == all.end()) {
-      errors << "trailcourse: policy: there is no version " << command.version << '\n';
-      return kBadPolicy;
+      return std::nullopt;
     }
     document = found->second;
     document.reason = "as version " + command.version;
@@ -172,6 +175,42 @@
   }
   document.author = !command.author.empty() ? command.author : document.author;
   document.reason = !command.reason.empty() ? command.reason : document.reason;
+  return document;
+}
+
+policy::Rollout proposed_rollout(const PolicyCommand& command, const policy::RolloutSnapshot& seen,
+                                 const policy::PolicyDocument& document) {
+  policy::Rollout out;
+  out.id = seen.rollout ? seen.rollout->id + 1 : 1;
+  out.target_version = document.version;
+  out.previous_version = seen.current_version;
+  out.urgent = command.urgent;
+  out.stages = command.stages;
+  out.watch_time = std::chrono::milliseconds(static_cast<std::int64_t>(command.watch_s * 1e3));
+  out.max_rejected_share = command.most_refused;
+  out.author = document.author;
+  return out;
+}
+
+// Announces the work of driving rollouts, where it is not there from an earlier one.
+void announce_policy_work(StoreClient& client) {
+  ownership::Work work;
+  work.name = tasks::kPolicyWork;
+  work.kind = tasks::kPolicyWork;
+  const std::string key = client.key(ownership::kWork + work.name);
+  coordination::Transaction announce;
+  announce.when = {coordination::absent(key)};
+  announce.then = {coordination::Put{key, ownership::write_work(work), 0}};
+  client.commit(announce);
+}
+
+int propose(StoreClient& client, const PolicyCommand& command, std::ostream& out, std::ostream& errors) {
+  const auto all = documents(client);
+  std::optional<policy::PolicyDocument> document = proposed_document(command, all);
+  if (!document) {
+    errors << "trailcourse: policy: there is no version " << command.version << '\n';
+    return kBadPolicy;
+  }
   const policy::RolloutSnapshot seen = look(client);
   const auto start = policy::check_can_begin(seen, command.urgent);
   if (!start) {
@@ -179,45 +218,29 @@
     return kChangeOpen;
   }
   const bool supersedes = *start == policy::RolloutStart::kSupersedes;
-  document.parent = seen.current_version;
-  document.version = (all.empty() ? 0 : all.rbegin()->first) + 1;
-  document.version = std::max(document.version, seen.current_version + 1);
-  policy::Rollout change;
-  change.id = seen.rollout ? seen.rollout->id + 1 : 1;
-  change.target_version = document.version;
-  change.previous_version = seen.current_version;
-  change.urgent = command.urgent;
-  change.stages = command.stages;
-  change.watch_time = std::chrono::milliseconds(static_cast<std::int64_t>(command.watch_s * 1e3));
-  change.max_rejected_share = command.most_refused;
-  change.author = document.author;
-  const std::string audit = std::to_string(unix_ms()) + " " + document.author + ": " + document.reason +
+  document->parent = seen.current_version;
+  document->version = (all.empty() ? 0 : all.rbegin()->first) + 1;
+  document->version = std::max(document->version, seen.current_version + 1);
+  const policy::Rollout rollout = proposed_rollout(command, seen, *document);
+  const std::string audit = std::to_string(unix_ms()) + " " + document->author + ": " + document->reason +
                             (supersedes ? "; supersedes change " + std::to_string(seen.rollout->id) : "");
-  coordination::Transaction write =
-      policy::begin_transaction(client.prefix(), seen, change, policy::write_document_text(document), audit);
+  const coordination::Transaction write = policy::begin_transaction(
+      client.prefix(), seen, rollout, policy::write_document_text(*document), audit);
   if (!client.commit(write).succeeded) {
     errors << "trailcourse: policy: things changed meanwhile; nothing was done\n";
     return kChangeOpen;
   }
-  // Somebody has to drive it: the work is there from the first change on.
-  ownership::Work work;
-  work.name = tasks::kPolicyWork;
-  work.kind = tasks::kPolicyWork;
-  const std::string key = client.key(ownership::kWork + work.name);
-  coordination::Transaction drive;
-  drive.when = {coordination::absent(key)};
-  drive.then = {coordination::Put{key, ownership::write_work(work), 0}};
-  client.commit(drive);
+  announce_policy_work(client);
   if (!command.json) {
-    out << "change " << change.id << " to version " << change.target_version << " is proposed\n";
+    out << "change " << rollout.id << " to version " << rollout.target_version << " is proposed\n";
     for (const std::string& line :
-         policy::describe_difference(content_in_force(all, seen.current_version), document.content)) {
+         policy::describe_difference(content_in_force(all, seen.current_version), document->content)) {
       out << "  " << line << '\n';
     }
   } else if (!command.wait) {
-    out << json{{"change", change.id}, {"version", change.target_version}}.dump() << '\n';
+    out << json{{"change", rollout.id}, {"version", rollout.target_version}}.dump() << '\n';
   }
-  return command.wait ? wait_for(client, command, change.id, out) : 0;
+  return command.wait ? wait_for(client, command, rollout.id, out) : 0;
 }
 
 int abort(StoreClient& client, const PolicyCommand& command, std::ostream& out, std::ostream& errors) {
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -232,6 +232,12 @@
     });
   }
 
+  // Opens the folder and its index. `wipe`: the index proved damaged, so nothing that stands in the folder is of use.
+  // What was found, or why the folder cannot be used, is left in `opening`.
+  void open(const Backing& backing, bool wipe, Opening& opening);
+  // The copy that `work` names, whole or in part, with the records that are not as they were written.
+  void read_copy(const Name& name, ReadWork& work);
+
   // One record, checked; nothing where it is not as it was written.
   std::optional<Record> read(const Key& key, const Location& where) {
     try {
@@ -244,6 +250,18 @@
       return std::nullopt;
     }
   }
+
+ private:
+  void empty_folder();
+  // False, with the reason in `opening`, where another version or program wrote the folder.
+  bool check_format(const std::vector<std::string>& names, Opening& opening);
+  void write_format();
+  // Opens the index, and begins an empty folder where the index is damaged: without it nothing says which copies are
+  // purged. `names` are the folder's files.
+  void open_index(const Backing& backing, std::vector<std::string>& names, Opening& opening);
+  void find_segments(const std::vector<std::string>& names, Opening& opening);
+  // The parts that are held of the copy whose manifest is `first`.
+  std::shared_ptr<PartialCopy> read_parts(const Record& first, ReadWork& work);
 };
 
 struct Store::Opening {
@@ -257,6 +275,18 @@
   std::optional<Key> after;
 };
 
+// A copy that is read in the lane: where its records stand, and what came of it.
+struct Store::ReadWork {
+  struct Part {
+    Key key;
+    std::optional<Location> location;  // nothing: it is not held
+  };
+  std::vector<Part> parts;
+  Location first;  // of the whole copy or of its manifest
+  ReadResult result;
+  std::vector<std::pair<Key, Location>> bad;  // records that are not as they were written
+};
+
 // One segment being cleared: what of it is written anew.
 struct Store::Moving {
   struct Item {
@@ -272,6 +302,150 @@
   Outcome outcome;
 };
 
+// ---- In the lanes ----
+
+void Store::Disk::open(const Backing& backing, bool wipe, Opening& opening) {
+  try {
+    files = backing.files();
+    if (wipe) {
+      empty_folder();
+    }
+    std::vector<std::string> names = files->list();
+    if (!check_format(names, opening)) {
+      return;
+    }
+    open_index(backing, names, opening);
+    opening.marks = index->marks();
+    find_segments(names, opening);
+    opening.good = true;
+  } catch (const std::exception& error) {
+    opening.why = error.what();
+  }
+}
+
+void Store::Disk::empty_folder() {
+  for (const std::string& name : files->list()) {
+    if (name != kFormatFile) {
+      files->remove(name);
+    }
+  }
+}
+
+bool Store::Disk::check_format(const std::vector<std::string>& names, Opening& opening) {
+  if (std::find(names.begin(), names.end(), kFormatFile) == names.end()) {
+    write_format();
+    return true;
+  }
+  const std::string words = files->open(kFormatFile)->read(0, 64);
+  if (words == kFormatWords) {
+    return true;
+  }
+  opening.why = "the folder holds another format: '" + words.substr(0, words.find('\n')) +
+                "'; `trailcourse store drop` empties it";
+  return false;
+}
+
+// Under another name at first: a crash must not leave an empty file, which would be another format.
+void Store::Disk::write_format() {
+  const std::string next = std::string(kFormatFile) + ".next";
+  const std::unique_ptr<File> file = files->create(next);
+  file->write(0, kFormatWords);
+  file->sync();
+  files->rename(next, kFormatFile);
+  files->sync_names();
+}
+
+void Store::Disk::open_index(const Backing& backing, std::vector<std::string>& names, Opening& opening) {
+  try {
+    index = backing.index();
+    opening.purges = index->purges();
+  } catch (const IndexError& error) {
+    if (!error.damaged()) {
+      throw;
+    }
+    opening.damaged = true;
+    opening.why = error.what();
+    index.reset();
+    empty_folder();
+    names.clear();
+    index = backing.index();
+    opening.purges = index->purges();
+  }
+}
+
+void Store::Disk::find_segments(const std::vector<std::string>& names, Opening& opening) {
+  for (const std::string& name : names) {
+    if (const std::optional<SegmentId> id = segment_of(name)) {
+      const std::unique_ptr<File> file = files->open(name);
+      const std::uint64_t size = file->size();
+      const bool good = good_segment_head(file->read(0, kSegmentHeadBytes), *id);
+      opening.segments[*id] = good ? size : 0;
+      last = std::max(last, *id);
+    }
+  }
+  const auto mark = opening.marks.find(kSegmentMark);
+  if (mark != opening.marks.end()) {
+    last = std::max(last, static_cast<SegmentId>(mark->second));
+  }
+}
+
+void Store::Disk::read_copy(const Name& name, ReadWork& work) {
+  if (work.first.stored == 0) {
+    return;
+  }
+  std::optional<Record> first = read(name.key, work.first);
+  if (!first || first->name != name.text) {
+    work.bad.emplace_back(name.key, work.first);
+    return;
+  }
+  if (first->kind == RecordKind::kWhole) {
+    work.result.status = ReadStatus::kWhole;
+    work.result.copy = Copy{std::move(first->tag), first->t0_ms, first->group,
+                            std::make_shared<const std::string>(std::move(first->payload))};
+    return;
+  }
+  std::shared_ptr<PartialCopy> partial = read_parts(*first, work);
+  if (partial->missing_bytes() > 0) {
+    work.result.status = ReadStatus::kPartial;
+    work.result.partial = std::move(partial);
+  } else if (sum_of(partial->bytes) == partial->whole_sum) {
+    work.result.status = ReadStatus::kWhole;
+    work.result.copy = Copy{partial->tag, partial->t0_ms, partial->group,
+                            std::make_shared<const std::string>(std::move(partial->bytes))};
+  } else {
+    work.bad.emplace_back(name.key, work.first);
+  }
+}
+
+std::shared_ptr<PartialCopy> Store::Disk::read_parts(const Record& first, ReadWork& work) {
+  auto partial = std::make_shared<PartialCopy>();
+  partial->tag = first.tag;
+  partial->t0_ms = first.t0_ms;
+  partial->group = first.group;
+  partial->part_bytes = first.part_bytes;
+  partial->whole_sum = first.whole_sum;
+  partial->copy = first.copy;
+  partial->bytes.resize(first.total_bytes);
+  partial->have.assign(part_count(first.total_bytes, first.part_bytes), false);
+  for (std::uint32_t i = 0; i < partial->have.size() && i < work.parts.size(); ++i) {
+    const auto& [key, location] = work.parts[i];
+    if (!location) {
+      continue;
+    }
+    const std::optional<Record> part = read(key, *location);
+    if (!part || part->kind != RecordKind::kPart || part->part != i ||
+        part->payload.size() != part_length(first.total_bytes, first.part_bytes, i)) {
+      work.bad.emplace_back(key, *location);
+      continue;
+    }
+    partial->bytes.replace(std::size_t{i} * first.part_bytes, part->payload.size(), part->payload);
+    partial->have[i] = true;
+  }
+  return partial;
+}
+
+// ---- On the thread that decides ----
+
 Store::Store(const Options& options, Executor& executor, Backing backing, Clock clock, Say say,
              std::uint64_t seed)
     : options_(options),
@@ -317,98 +491,35 @@
   executor_.run(
       Executor::Lane::kWrite,
       [disk = on_disk_, opening = opening_, backing = backing_, wipe] {
-        try {
-          disk->files = backing.files();
-          const auto empty_folder = [&disk] {
-            for (const std::string& name : disk->files->list()) {
-              if (name != kFormatFile) {
-                disk->files->remove(name);
-              }
-            }
-          };
-          if (wipe) {
-            empty_folder();
-          }
-          std::vector<std::string> names = disk->files->list();
-          const auto has = [&names](const std::string& name) {
-            return std::find(names.begin(), names.end(), name) != names.end();
-          };
-          if (has(kFormatFile)) {
-            const std::string words = disk->files->open(kFormatFile)->read(0, 64);
-            if (words != kFormatWords) {
-              opening->why = "the folder holds another format: '" + words.substr(0, words.find('\n')) +
-                             "'; `trailcourse store drop` empties it";
-              return;
-            }
-          } else {
-            // Under another name at first: a crash must not leave an empty one, which would be another
-            // format.
-            const std::string next = std::string(kFormatFile) + ".next";
-            const std::unique_ptr<File> file = disk->files->create(next);
-            file->write(0, kFormatWords);
-            file->sync();
-            disk->files->rename(next, kFormatFile);
-            disk->files->sync_names();
-          }
-          try {
-            disk->index = backing.index();
-            opening->purges = disk->index->purges();
-          } catch (const IndexError& error) {
-            if (!error.damaged()) {
-              throw;
-            }
-            // Without the index nothing says which copies are purged: what is on disk is of no use.
-            opening->damaged = true;
-            opening->why = error.what();
-            disk->index.reset();
-            empty_folder();
-            names.clear();
-            disk->index = backing.index();
-            opening->purges = disk->index->purges();
-          }
-          opening->marks = disk->index->marks();
-          for (const std::string& name : names) {
-            if (const std::optional<SegmentId> id = segment_of(name)) {
-              const std::unique_ptr<File> file = disk->files->open(name);
-              const std::uint64_t size = file->size();
-              const bool good = good_segment_head(file->read(0, kSegmentHeadBytes), *id);
-              opening->segments[*id] = good ? size : 0;
-              disk->last = std::max(disk->last, *id);
-            }
-          }
-          const auto last = opening->marks.find(kSegmentMark);
-          if (last != opening->marks.end()) {
-            disk->last = std::max(disk->last, static_cast<SegmentId>(last->second));
-          }
-          opening->good = true;
-        } catch (const std::exception& error) {
-          opening->why = error.what();
-        }
+        disk->open(backing, wipe, *opening);
       },
       [this, alive = alive_] {
-        if (!*alive) {
-          return;
-        }
-        if (!opening_->good) {
-          unusable(opening_->why);
-          return;
-        }
-        if (opening_->damaged) {
-          say_(true, "the index was damaged, all copies on disk are dropped: " + opening_->why);
-        }
-        for (const PurgeRecord& purge : opening_->purges) {
-          ledger_.add(purge);
-        }
-        heard_ = opening_->marks[kHeardMark];
-        clock_unix_.not_before(steady(), opening_->marks[kClockMark]);
-        for (const auto& [id, bytes] : opening_->segments) {
-          book_.grown(id, bytes);
-          book_.sealed(id);
+        if (*alive) {
+          folder_opened();
         }
-        load_rows();
       });
 }
 
+void Store::folder_opened() {
+  if (!opening_->good) {
+    unusable(opening_->why);
+    return;
+  }
+  if (opening_->damaged) {
+    say_(true, "the index was damaged, all copies on disk are dropped: " + opening_->why);
+  }
+  for (const PurgeRecord& purge : opening_->purges) {
+    ledger_.add(purge);
+  }
+  heard_ = opening_->marks[kHeardMark];
+  clock_unix_.not_before(steady(), opening_->marks[kClockMark]);
+  for (const auto& [id, bytes] : opening_->segments) {
+    book_.grown(id, bytes);
+    book_.sealed(id);
+  }
+  load_rows();
+}
+
 void Store::load_rows() {
   executor_.run(
       Executor::Lane::kWrite,
@@ -559,79 +670,10 @@
   Reading& reading = readings_[number];
   reading.done = std::move(done);
   reading.begun_ms = begun;
-  const auto slot = disk_.find(name.key);
-  struct Work {
-    std::vector<std::pair<Key, std::optional<Location>>> parts;
-    Location first;
-    ReadResult result;
-    std::vector<std::pair<Key, Location>> bad;
-  };
-  auto work = std::make_shared<Work>();
-  if (slot != DiskSet::kNone) {
-    work->first = disk_.at(slot).payload;
-    const int rank = disk_.at(slot).rank;
-    for (std::uint32_t i = 0; i < work->first.parts; ++i) {
-      const Key key = part_key(name.key, work->first.copy, i);
-      const auto part = disk_.find(key);
-      if (part != DiskSet::kNone) {
-        disk_.touch(part, tick(), rank);
-      }
-      work->parts.emplace_back(
-          key, part == DiskSet::kNone ? std::nullopt : std::optional<Location>(disk_.at(part).payload));
-    }
-  }
+  const auto work = std::make_shared<ReadWork>(records_of(name));
   ++reads_out_;
   executor_.run(
-      Executor::Lane::kRead,
-      [disk = on_disk_, work, name] {
-        if (work->first.stored == 0) {
-          return;
-        }
-        std::optional<Record> first = disk->read(name.key, work->first);
-        if (!first || first->name != name.text) {
-          work->bad.emplace_back(name.key, work->first);
-          return;
-        }
-        if (first->kind == RecordKind::kWhole) {
-          work->result.status = ReadStatus::kWhole;
-          work->result.copy = Copy{std::move(first->tag), first->t0_ms, first->group,
-                                   std::make_shared<const std::string>(std::move(first->payload))};
-          return;
-        }
-        auto partial = std::make_shared<PartialCopy>();
-        partial->tag = first->tag;
-        partial->t0_ms = first->t0_ms;
-        partial->group = first->group;
-        partial->part_bytes = first->part_bytes;
-        partial->whole_sum = first->whole_sum;
-        partial->copy = first->copy;
-        partial->bytes.resize(first->total_bytes);
-        partial->have.assign(part_count(first->total_bytes, first->part_bytes), false);
-        for (std::uint32_t i = 0; i < partial->have.size() && i < work->parts.size(); ++i) {
-          const auto& [key, where] = work->parts[i];
-          if (!where) {
-            continue;
-          }
-          const std::optional<Record> part = disk->read(key, *where);
-          if (!part || part->kind != RecordKind::kPart || part->part != i ||
-              part->payload.size() != part_length(first->total_bytes, first->part_bytes, i)) {
-            work->bad.emplace_back(key, *where);
-            continue;
-          }
-          partial->bytes.replace(std::size_t{i} * first->part_bytes, part->payload.size(), part->payload);
-          partial->have[i] = true;
-        }
-        if (partial->missing_bytes() > 0) {
-          work->result.status = ReadStatus::kPartial;
-          work->result.partial = std::move(partial);
-        } else if (sum_of(partial->bytes) == partial->whole_sum) {
-          work->result.status = ReadStatus::kWhole;
-          work->result.copy = Copy{partial->tag, partial->t0_ms, partial->group,
-                                   std::make_shared<const std::string>(std::move(partial->bytes))};
-        } else {
-          work->bad.emplace_back(name.key, work->first);
-        }
-      },
+      Executor::Lane::kRead, [disk = on_disk_, work, name] { disk->read_copy(name, *work); },
       [this, alive = alive_, number, begun, work] {
         if (*alive) {
           read_back(number, steady() - begun, work->result, work->bad);
@@ -640,6 +682,28 @@
   return number;
 }
 
+// Where the records of a copy stand; its parts count as asked for.
+Store::ReadWork Store::records_of(const Name& name) {
+  ReadWork out;
+  const auto slot = disk_.find(name.key);
+  if (slot == DiskSet::kNone) {
+    return out;
+  }
+  out.first = disk_.at(slot).payload;
+  const int rank = disk_.at(slot).rank;
+  for (std::uint32_t i = 0; i < out.first.parts; ++i) {
+    const Key key = part_key(name.key, out.first.copy, i);
+    const auto part = disk_.find(key);
+    if (part == DiskSet::kNone) {
+      out.parts.push_back({key, std::nullopt});
+      continue;
+    }
+    disk_.touch(part, tick(), rank);
+    out.parts.push_back({key, disk_.at(part).payload});
+  }
+  return out;
+}
+
 void Store::read_back(std::uint64_t number, std::int64_t took_ms, const ReadResult& result,
                       const std::vector<std::pair<Key, Location>>& bad) {
   --reads_out_;
@@ -746,16 +810,8 @@
     book_.restore();
     disk_limit_ = placement_.options().tier_bytes;
   }
-  const auto held = disk_.find(name.key);
   const std::uint64_t id = copy_id(copy.tag, copy.t0_ms, copy.size());
-  if (held != DiskSet::kNone && had == nullptr) {
-    const Location& where = disk_.at(held).payload;
-    if (where.copy == id || where.t0_ms > copy.t0_ms) {
-      return false;
-    }
-  }
-  if (const auto writing = being_written_.find(name.key);
-      writing != being_written_.end() && writing->second == id) {
+  if (is_held_or_written(name.key, id, copy.t0_ms, had != nullptr)) {
     return false;
   }
   const auto part_bytes = static_cast<std::uint32_t>(options_.part_kb) << 10U;
@@ -764,23 +820,12 @@
   if (had != nullptr && (!in_parts || had->size() != part_count(total, part_bytes))) {
     return false;
   }
-  std::uint64_t bytes = kRecordHeadBytes + name.text.size() + copy.tag.size();
-  for (std::uint32_t i = 0; in_parts && i < part_count(total, part_bytes); ++i) {
-    bytes += had != nullptr && (*had)[i] ? 0 : kRecordHeadBytes + part_length(total, part_bytes, i);
-  }
-  bytes += in_parts ? 0 : total;
+  const std::uint64_t bytes = bytes_to_write(name, copy, in_parts ? part_bytes : 0, had);
   if (next_->bytes + bytes > megabytes(options_.write_queue_mb)) {
     ++stats_.writes_shed;
     return false;
   }
-  Candidate candidate;
-  candidate.key = name.key;
-  candidate.bytes = bytes;
-  candidate.rank = rank;
-  candidate.held = held != DiskSet::kNone;
-  const Verdict verdict = placement_.admit(candidate, disk_.bytes(), steady());
-  ++stats_.verdicts[static_cast<std::size_t>(verdict)];
-  if (verdict != Verdict::kKeep) {
+  if (!is_admitted(name.key, bytes, rank)) {
     return false;
   }
   Record head;
@@ -795,28 +840,75 @@
   head.total_bytes = total;
   head.part_bytes = in_parts ? part_bytes : 0;
   head.whole_sum = sum_of(*copy.bytes);
+  enqueue(name, copy, head, had);
+  next_->bytes += bytes;
+  next_->names.push_back(name.key);
+  being_written_[name.key] = id;
+  dispatch();
+  return true;
+}
+
+// Whether this copy, or a later one of the name, is on disk (`completing`: but for the parts that are to be written
+// now) or on its way there.
+bool Store::is_held_or_written(const Key& key, std::uint64_t copy, std::int64_t t0_ms,
+                               bool completing) const {
+  const auto held = disk_.find(key);
+  if (held != DiskSet::kNone && !completing) {
+    const Location& where = disk_.at(held).payload;
+    if (where.copy == copy || where.t0_ms > t0_ms) {
+      return true;
+    }
+  }
+  const auto writing = being_written_.find(key);
+  return writing != being_written_.end() && writing->second == copy;
+}
+
+// The bytes of all records to be written for a copy. `part_bytes` 0: it is written in one record.
+std::uint64_t Store::bytes_to_write(const Name& name, const Copy& copy, std::uint32_t part_bytes,
+                                    const std::vector<bool>* had) {
+  const auto total = static_cast<std::uint32_t>(copy.size());
+  const std::uint64_t head = kRecordHeadBytes + name.text.size() + copy.tag.size();
+  if (part_bytes == 0) {
+    return head + total;
+  }
+  std::uint64_t out = head;
+  for (std::uint32_t i = 0; i < part_count(total, part_bytes); ++i) {
+    out += had != nullptr && (*had)[i] ? 0 : kRecordHeadBytes + part_length(total, part_bytes, i);
+  }
+  return out;
+}
+
+bool Store::is_admitted(const Key& key, std::uint64_t bytes, int rank) {
+  Candidate candidate;
+  candidate.key = key;
+  candidate.bytes = bytes;
+  candidate.rank = rank;
+  candidate.held = disk_.find(key) != DiskSet::kNone;
+  const Verdict verdict = placement_.admit(candidate, disk_.bytes(), steady());
+  ++stats_.verdicts[static_cast<std::size_t>(verdict)];
+  return verdict == Verdict::kKeep;
+}
+
+// Adds the records of a copy to the next batch. Parts come before their manifest: a manifest that is found names parts
+// that were written. `had`: which parts are on disk already, with the manifest; null where the whole copy is new.
+void Store::enqueue(const Name& name, const Copy& copy, const Record& head, const std::vector<bool>* had) {
+  const bool in_parts = head.kind == RecordKind::kManifest;
   Record part = head;
   part.kind = RecordKind::kPart;
   part.name.clear();
   part.tag.clear();
-  // Parts come before their manifest: a manifest that is found names parts that were written.
-  for (std::uint32_t i = 0; in_parts && i < part_count(total, part_bytes); ++i) {
+  for (std::uint32_t i = 0; in_parts && i < part_count(head.total_bytes, head.part_bytes); ++i) {
     if (had == nullptr || !(*had)[i]) {
-      part.key = part_key(name.key, id, i);
+      part.key = part_key(name.key, head.copy, i);
       part.part = i;
-      next_->records.push_back(Pending{part, copy.bytes, std::size_t{i} * part_bytes,
-                                       part_length(total, part_bytes, i), name.object});
+      next_->records.push_back(Pending{part, copy.bytes, std::size_t{i} * head.part_bytes,
+                                       part_length(head.total_bytes, head.part_bytes, i), name.object});
     }
   }
   if (had == nullptr) {
     next_->records.push_back(
         Pending{head, in_parts ? nullptr : copy.bytes, 0, in_parts ? 0 : copy.size(), name.object});
   }
-  next_->bytes += bytes;
-  next_->names.push_back(name.key);
-  being_written_[name.key] = id;
-  dispatch();
-  return true;
 }
 
 void Store::erase_memory(MemorySet::Slot slot) { memory_.erase(slot); }
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -169,6 +169,7 @@
     std::vector<SegmentId> sealed;
   };
   struct Opening;
+  struct ReadWork;
   struct Disk;
   using DiskSet = KeepSet<Location>;
   struct Named {
@@ -187,6 +188,7 @@
   std::int64_t steady() const { return clock_().steady_ms; }
 
   void begin_open(bool wipe);
+  void folder_opened();
   void load_rows();
   void took_rows(const std::vector<IndexRow>& rows);
   void recovered();
@@ -194,6 +196,12 @@
 
   void into_memory(const Name& name, const Copy& copy, int rank);
   bool to_disk(const Name& name, const Copy& copy, int rank, const std::vector<bool>* had);
+  bool is_held_or_written(const Key& key, std::uint64_t copy, std::int64_t t0_ms, bool completing) const;
+  static std::uint64_t bytes_to_write(const Name& name, const Copy& copy, std::uint32_t part_bytes,
+                                      const std::vector<bool>* had);
+  bool is_admitted(const Key& key, std::uint64_t bytes, int rank);
+  void enqueue(const Name& name, const Copy& copy, const Record& head, const std::vector<bool>* had);
+  ReadWork records_of(const Name& name);
   void erase_memory(MemorySet::Slot slot);
   void erase_disk(DiskSet::Slot slot);
   void erase_parts(const Key& whole, const Location& manifest);
