--- a/benchmarks/scale/aggregator_costs.cpp
+++ b/benchmarks/scale/aggregator_costs.cpp
@@ -71,7 +71,7 @@
     report.incarnation = "0123456789abcdef";
     report.zone = zone_name(router);
     report.version = 812;
-    report.number = ++number_;
+    report.sequence = ++number_;
     aggregator_.commit(now_, {{},
                               {coordination::Put{kPrefix + policy::report_key(router_name(router), lease),
                                                  policy::write_report(report), lease}},
--- a/tests/aggregation/aggregator_input_test.cpp
+++ b/tests/aggregation/aggregator_input_test.cpp
@@ -144,7 +144,7 @@
     put(policy::kRolloutKey, mutated(good, random));
     const ParticipantReport summary = aggregator_.summaries().at("edge");
     const auto read = policy::read_rollout(store_.get(Range{policy::kRolloutKey, false}).front().value);
-    const bool suspending = read && read->state == RolloutState::kSuspending && read->concerns("edge");
+    const bool suspending = read && read->state == RolloutState::kSuspending && read->applies_to("edge");
     EXPECT_EQ(summary.suspended_stage, suspending ? policy::stage_id(*read) : 0U);
   }
 }
--- a/tests/aggregation/region_world.cpp
+++ b/tests/aggregation/region_world.cpp
@@ -77,11 +77,11 @@
 
 void RegionWorld::check_end() {
   const RolloutSnapshot snapshot = rollout_snapshot();
-  if (completed_event_ != published_.event) {
+  if (completed_event_ != published_.sequence) {
     const auto acknowledgements = policy::read_acknowledgement_snapshot(
         "", store_.commit(policy::acknowledgement_snapshot_transaction("")));
     fail("event " + std::to_string(completed_event_) + " is completed, and event " +
-         std::to_string(published_.event) + " is published" + describe(snapshot) + "\n  " +
+         std::to_string(published_.sequence) + " is published" + describe(snapshot) + "\n  " +
          policy::write_acknowledgement(acknowledgements.record));
   }
   if (snapshot.rollout && snapshot.rollout->is_open()) {
--- a/tests/aggregation/region_world_coordinators.cpp
+++ b/tests/aggregation/region_world_coordinators.cpp
@@ -95,7 +95,7 @@
     if (calm_) {
       return;
     }
-    published_.event += 1 + random_() % 20;
+    published_.sequence += 1 + random_() % 20;
     for (RouterProcess& router : routers_) {
       if (router.running) {
         deliver_event(router);
--- a/tests/aggregation/region_world_routers.cpp
+++ b/tests/aggregation/region_world_routers.cpp
@@ -162,7 +162,7 @@
     if (!same()) {
       return;
     }
-    if (router.position.sequence < published_.event) {
+    if (router.position.sequence < published_.sequence) {
       deliver_event(router);
     }
     if (!router.paused && router.watched != kNotWatching) {
