--- a/benchmarks/scale/purge_costs.cpp
+++ b/benchmarks/scale/purge_costs.cpp
@@ -5,8 +5,8 @@
 #include <memory>
 #include <variant>
 
-#include "board/page_log.h"
 #include "decision/purge_times.h"
+#include "discovery/event_log.h"
 #include "protocol/notice_board.h"
 #include "role_costs.h"
 #include "sample_fleet.h"
@@ -33,9 +33,9 @@
   const protocol::Profile profile = protocol::read_profile(router_settings(1, 1));
   for (const int purges : kPageSizes) {
     // The board's name and numbers of the length that they have after a few weeks.
-    board::PageLog log("0123456789abcdef");
+    discovery::EventLog log("0123456789abcdef");
     log.replace(purge_page(200'000'000, purges, unix_ms_now()));
-    const std::string text = *log.later_than(0);
+    const std::string text = *log.page_after(0);
     bytes.points.emplace_back(purges, text.size());
     cpu.points.emplace_back(purges, cpu_us_per_call(20 + 2'000 / purges, [&] {
                               keep_result(protocol::parse_notices(text, profile));
@@ -152,8 +152,8 @@
 double limited_share(const protocol::Profile& profile, std::uint64_t seed, int purges) {
   Decider decider(profile.settings, seed);
   std::vector<Action> actions;
-  ListReceived list;
-  NodeEntry cache;
+  EndpointListReceived list;
+  Endpoint cache;
   cache.address = "cache";
   cache.zone = profile.settings.zone;
   list.entries.push_back(cache);
@@ -170,13 +170,13 @@
     RequestArrived arrived;
     arrived.id = static_cast<RequestId>(i);
     arrived.object = static_cast<ObjectId>(i);
-    arrived.due = now + 2 * kSecond;
+    arrived.deadline = now + 2 * kSecond;
     actions.clear();
     decider.handle(now, arrived, actions);
     for (const Action& action : actions) {
-      if (const Send* send = std::get_if<Send>(&action)) {
+      if (const SendAttempt* send = std::get_if<SendAttempt>(&action)) {
         ++sent;
-        limited += send->age > Micros(0) ? 1 : 0;
+        limited += send->max_age > Micros(0) ? 1 : 0;
       }
     }
     AttemptEnded ended;
--- a/src/program/operator_file.h
+++ b/src/program/operator_file.h
@@ -7,9 +7,9 @@
 #include <vector>
 
 #include "aggregation/options.h"
-#include "board/board_core.h"
 #include "cache_node/node_options.h"
 #include "coordination/options.h"
+#include "discovery/long_poll_scheduler.h"
 #include "policy/options.h"
 #include "program/configuration.h"
 #include "store/options.h"
@@ -22,7 +22,7 @@
   cache_node::NodeOptions cache;
   cache_node::ClassMap classes;
   cache_node::OriginOptions origin;
-  board::BoardOptions board;
+  discovery::DiscoveryOptions board;
   startup::StartOptions startup;
   snapshot::SnapshotOptions snapshot;
   RelayOptions relay;
