--- a/benchmarks/ownership_bench.cpp
+++ b/benchmarks/ownership_bench.cpp
@@ -28,7 +28,7 @@
 #include "fleet/fault_script.h"
 #include "fleet/term_check.h"
 #include "fleet_bench.h"
-#include "ownership/shards.h"
+#include "ownership/shard_assignment.h"
 #include "policy_measurement.h"
 #include "rest_measurement.h"
 
@@ -150,10 +150,11 @@
     std::vector<std::string> fewer(members.begin() + 1, members.end());
     std::size_t owned = 0;
     for (std::size_t i = 0; i < 1'000; ++i) {
-      owned += ownership::owner_of("w", i, members) == members[0] ? 1 : 0;
+      owned += ownership::preferred_owner("w", i, members) == members[0] ? 1 : 0;
     }
-    std::printf("%8d %10zu %10zu %14zu %14zu\n", size, ownership::moved("w", 1'000, members, fewer), owned,
-                ownership::moved("w", 1'000, fewer, members), owned);
+    std::printf("%8d %10zu %10zu %14zu %14zu\n", size,
+                ownership::count_moved_shards("w", 1'000, members, fewer), owned,
+                ownership::count_moved_shards("w", 1'000, fewer, members), owned);
   }
 }
 
--- a/benchmarks/scale/control_costs.cpp
+++ b/benchmarks/scale/control_costs.cpp
@@ -7,7 +7,7 @@
 
 #include "coordination/etcd_json.h"
 #include "coordination/ledger.h"
-#include "membership/view.h"
+#include "membership/membership_view.h"
 #include "ownership/lease_manager.h"
 #include "policy/change.h"
 #include "policy/options.h"
@@ -103,10 +103,11 @@
   return out;
 }
 
-void take(membership::View& view, const membership::Member& member, bool there, std::uint64_t revision) {
-  view.take(Micros(static_cast<std::int64_t>(revision)),
-            membership::member_key(member.name, member.incarnation),
-            there ? membership::write_member(member) : "", revision, revision);
+void take(membership::MembershipView& view, const membership::Member& member, bool there,
+          std::uint64_t revision) {
+  view.apply(Micros(static_cast<std::int64_t>(revision)),
+             membership::member_key(member.name, member.incarnation),
+             there ? membership::write_member(member) : "", revision, revision);
 }
 
 void measure_view(const CostSink& sink) {
@@ -122,7 +123,7 @@
                       {}};
   for (const int members : kMembers) {
     const auto filled = [&] {
-      auto view = std::make_unique<membership::View>(membership::ViewRules());
+      auto view = std::make_unique<membership::MembershipView>(membership::MembershipOptions());
       for (int i = 0; i < members; ++i) {
         take(*view, member_of(i), true, static_cast<std::uint64_t>(i + 1));
       }
@@ -159,18 +160,18 @@
 std::unique_ptr<ownership::LeaseManager> candidate(int members) {
   auto manager = std::make_unique<ownership::LeaseManager>(router_name(0), "0123456789abcdef", zone_name(0),
                                                            std::set<std::string>{"fill"},
-                                                           ownership::LeaseManagerRules());
-  manager->heard(Micros(1), true);
+                                                           ownership::LeaseManagerOptions());
+  manager->set_connected(Micros(1), true);
   ownership::Work work;
   work.name = "w";
   work.kind = "fill";
   work.shards = 4;
-  manager->work(Micros(1), "w", work);
+  manager->set_work(Micros(1), "w", work);
   ownership::Owner owner{router_name(1), "0123456789abcdef", 7};
   for (std::uint64_t shard = 0; shard < work.shards; ++shard) {
-    manager->owner(Micros(1), {"w", shard}, owner, 7);
+    manager->on_owner(Micros(1), {"w", shard}, owner, 7);
   }
-  manager->members(Micros(1), members_by_zone(members));
+  manager->set_members(Micros(1), members_by_zone(members));
   return manager;
 }
 
@@ -201,17 +202,18 @@
     const int calls = std::max(1, 5'000 / members);
     change.points.emplace_back(members, cpu_us_per_call(calls, [&] {
                                  now += Micros(1'000);
-                                 manager->members(now, list);
-                                 keep_result(manager->due(now));
+                                 manager->set_members(now, list);
+                                 keep_result(manager->step(now));
                                }));
     std::uint64_t revision = 8;
-    owner.points.emplace_back(
-        members, cpu_us_per_call(calls, [&] {
-          now += Micros(1'000);
-          manager->owner(now, {"w", 0}, std::nullopt, ++revision);
-          keep_result(manager->next(now));
-          manager->owner(now, {"w", 0}, ownership::Owner{router_name(1), "0123456789abcdef", 7}, ++revision);
-        }));
+    owner.points.emplace_back(members, cpu_us_per_call(calls, [&] {
+                                now += Micros(1'000);
+                                manager->on_owner(now, {"w", 0}, std::nullopt, ++revision);
+                                keep_result(manager->next_step_at(now));
+                                manager->on_owner(now, {"w", 0},
+                                                  ownership::Owner{router_name(1), "0123456789abcdef", 7},
+                                                  ++revision);
+                              }));
   }
   for (const CostSeries& series : {memory, change, owner}) {
     sink(series);
--- a/benchmarks/scale/hollow_aggregator.cpp
+++ b/benchmarks/scale/hollow_aggregator.cpp
@@ -177,18 +177,18 @@
 }
 
 void HollowAggregator::carry_out(const aggregation::AskPermission& ask) {
-  const std::uint64_t number = ask.order.number;
+  const std::uint64_t number = ask.order.call_id;
   const auto lost = [this, number] {
     changed_ = true;
     core_->uplink().lost(clock(), number);
   };
-  switch (ask.order.ask) {
-    case ownership::Ask::kAcquire:
+  switch (ask.order.kind) {
+    case ownership::LeaseCallKind::kAcquire:
       ask_grant(
           rules_.lease.ttl,
           [this, ask, lost](const Reply& reply) { reply.done ? join(ask, reply.lease) : lost(); }, lost);
       return;
-    case ownership::Ask::kRenew:
+    case ownership::LeaseCallKind::kRenew:
       ask_keep_alive(
           lease_,
           [this, number, lost](const Reply& reply) {
@@ -197,7 +197,7 @@
           },
           lost);
       return;
-    case ownership::Ask::kRelease:
+    case ownership::LeaseCallKind::kRelease:
       ask_revoke(
           lease_,
           [this, number, lost](const Reply& reply) {
@@ -211,7 +211,7 @@
 
 void HollowAggregator::join(const aggregation::AskPermission& ask, LeaseId lease) {
   lease_ = lease;
-  const std::uint64_t number = ask.order.number;
+  const std::uint64_t number = ask.order.call_id;
   const auto give_back = [this, lease] { ask_revoke(lease, [](const Reply&) {}, [] {}); };
   ask_commit(
       aggregation::join_transaction("", name(), lease, ask),
--- a/benchmarks/scale/hollow_router.cpp
+++ b/benchmarks/scale/hollow_router.cpp
@@ -92,15 +92,15 @@
 }
 
 void HollowRouter::carry_out(const policy::AskPermission& ask) {
-  const std::uint64_t number = ask.order.number;
+  const std::uint64_t number = ask.order.call_id;
   const auto lost = [this, number] { holder_->lost(clock(), number); };
-  switch (ask.order.ask) {
-    case ownership::Ask::kAcquire:
+  switch (ask.order.kind) {
+    case ownership::LeaseCallKind::kAcquire:
       ask_grant(
           rules_.holder.lease.ttl,
           [this, ask, lost](const Reply& reply) { reply.done ? join(ask, reply.lease) : lost(); }, lost);
       return;
-    case ownership::Ask::kRenew:
+    case ownership::LeaseCallKind::kRenew:
       ask_keep_alive(
           lease_,
           [this, number, lost](const Reply& reply) {
@@ -108,7 +108,7 @@
           },
           lost);
       return;
-    case ownership::Ask::kRelease:
+    case ownership::LeaseCallKind::kRelease:
       ask_revoke(
           lease_,
           [this, number, lost](const Reply& reply) {
@@ -121,7 +121,7 @@
 
 void HollowRouter::join(const policy::AskPermission& ask, LeaseId lease) {
   lease_ = lease;
-  const std::uint64_t number = ask.order.number;
+  const std::uint64_t number = ask.order.call_id;
   coordination::Transaction write;
   write.when = policy::join_conditions("", ask.known, zone_);
   write.then = {
--- a/src/aggregation/aggregator.h
+++ b/src/aggregation/aggregator.h
@@ -22,7 +22,7 @@
 namespace trailcourse::aggregation {
 
 struct AggregatorRules {
-  ownership::LeaseRules lease;  // of its own permission
+  ownership::LeaseOptions lease;  // of its own permission
   RouterLeaseRules routers;
   std::size_t permit_bytes = 4'096;
   std::size_t history = 1'000;  // changes of the policy's records kept for watches
--- a/src/aggregation/options.cpp
+++ b/src/aggregation/options.cpp
@@ -78,7 +78,7 @@
     }
   }
   const std::int64_t sure =
-      duration_cast<milliseconds>(ownership::surely_held(aggregator_rules(options).lease)).count();
+      duration_cast<milliseconds>(ownership::guaranteed_duration(aggregator_rules(options).lease)).count();
   if (2 * options.renew_ms > sure) {
     throw KeyError("aggregator.renew_ms", std::to_string(options.renew_ms) + " is over half of the " +
                                               std::to_string(sure) + " ms that its permission surely holds");
@@ -98,7 +98,7 @@
   rules.lease.drift = options.drift_percent / 100.0;
   rules.lease.margin = milliseconds(options.margin_ms);
   rules.lease.renew_after = milliseconds(options.renew_ms);
-  rules.lease.retry = milliseconds(options.retry_ms);
+  rules.lease.retry_backoff = milliseconds(options.retry_ms);
   rules.routers.most_routers = static_cast<std::size_t>(options.routers);
   return rules;
 }
--- a/src/aggregation/service.cpp
+++ b/src/aggregation/service.cpp
@@ -135,10 +135,10 @@
 }
 
 void Service::carry_out(const AskPermission& ask) {
-  const std::uint64_t number = ask.order.number;
-  if (ask.order.ask == ownership::Ask::kAcquire) {
+  const std::uint64_t number = ask.order.call_id;
+  if (ask.order.kind == ownership::LeaseCallKind::kAcquire) {
     acquire(ask);
-  } else if (ask.order.ask == ownership::Ask::kRenew) {
+  } else if (ask.order.kind == ownership::LeaseCallKind::kRenew) {
     store_.keep_alive(lease_, [this, alive = alive_, number](const auto& reply) {
       if (!*alive) {
         return;
@@ -173,7 +173,7 @@
     if (reply.done()) {
       join(ask, reply.value.id);
     } else {
-      core_.uplink().lost(now(), ask.order.number);
+      core_.uplink().lost(now(), ask.order.call_id);
       turn_soon();
     }
   });
@@ -184,7 +184,7 @@
 void Service::join(const AskPermission& ask, LeaseId lease) {
   lease_ = lease;
   store_.commit(join_transaction(prefix_, options_.name, lease, ask),
-                [this, alive = alive_, number = ask.order.number, lease](const Reply<Outcome>& reply) {
+                [this, alive = alive_, number = ask.order.call_id, lease](const Reply<Outcome>& reply) {
                   if (!*alive) {
                     return;
                   }
--- a/src/aggregation/uplink.cpp
+++ b/src/aggregation/uplink.cpp
@@ -11,9 +11,9 @@
 using coordination::Range;
 using coordination::Revision;
 using coordination::Transaction;
-using ownership::Ask;
-using ownership::Order;
-using ownership::Phase;
+using ownership::LeaseCall;
+using ownership::LeaseCallKind;
+using ownership::LeasePhase;
 using policy::Known;
 using policy::Permit;
 
@@ -62,17 +62,17 @@
 std::optional<UplinkOrder> Uplink::permission_due(Micros now, bool heard,
                                                   const std::map<std::string, Known>& known,
                                                   const std::map<std::string, Permit>& summaries) {
-  const bool candidate = lease_.phase(now) == Phase::kCandidate;
+  const bool candidate = lease_.phase(now) == LeasePhase::kCandidate;
   if (!may_ask(now, heard) || (candidate && known.size() < zones_.size())) {
     return std::nullopt;
   }
-  const std::optional<Order> order = lease_.due(now);
+  const std::optional<LeaseCall> order = lease_.step(now);
   if (!order) {
     return std::nullopt;
   }
   AskPermission ask;
   ask.order = *order;
-  if (order->ask == Ask::kAcquire) {
+  if (order->kind == LeaseCallKind::kAcquire) {
     leave();
     for (const std::string& zone : zones_) {
       ask.summaries.push_back(ZoneSummary{zone, summaries.at(zone), 0});
@@ -117,13 +117,15 @@
   return say;
 }
 
-bool Uplink::may_ask(Micros now, bool heard) const { return heard || lease_.phase(now) == Phase::kStopped; }
+bool Uplink::may_ask(Micros now, bool heard) const {
+  return heard || lease_.phase(now) == LeasePhase::kStopped;
+}
 
 // While it may not ask, only news can change that.
 std::optional<Micros> Uplink::next(Micros now, bool heard) const {
-  std::optional<Micros> out = may_ask(now, heard) ? lease_.next(now) : std::nullopt;
+  std::optional<Micros> out = may_ask(now, heard) ? lease_.next_step_at(now) : std::nullopt;
   if (lease_.may_act(now)) {
-    out = std::min(out.value_or(lease_.until()), lease_.until());
+    out = std::min(out.value_or(lease_.valid_until()), lease_.valid_until());
   }
   if (say_after_ > now) {
     out = std::min(out.value_or(say_after_), say_after_);
@@ -147,13 +149,13 @@
 
 void Uplink::joined(Micros now, std::uint64_t number, const JoinReply& reply) {
   if (!reply.joined) {
-    lease_.refused(now, number);
+    lease_.on_rejected(now, number);
     if (lease_.term() == 0) {
       leave();
     }
     return;
   }
-  lease_.granted(now, number, 1);
+  lease_.on_granted(now, number, 1);
   if (lease_.term() == 0 || joined_) {
     return;  // of a call that was given up
   }
@@ -166,24 +168,24 @@
 
 void Uplink::renewed(Micros now, std::uint64_t number, bool alive) {
   if (alive) {
-    lease_.granted(now, number, 1);
+    lease_.on_granted(now, number, 1);
     return;
   }
-  lease_.refused(now, number);
+  lease_.on_rejected(now, number);
   if (lease_.term() == 0) {
     leave();
   }
 }
 
 void Uplink::released(Micros now, std::uint64_t number) {
-  lease_.granted(now, number, 0);
-  if (lease_.over()) {
+  lease_.on_granted(now, number, 0);
+  if (lease_.released()) {
     leave();
   }
 }
 
 void Uplink::lost(Micros now, std::uint64_t number) {
-  lease_.lost(now, number);
+  lease_.on_no_response(now, number);
   if (!joined_) {
     saying_.clear();  // the summaries may stand there or not: it joins anew, under another lease
   }
@@ -205,7 +207,7 @@
       said.permit.reset();  // it is said again over whatever stands there
     }
   }
-  say_after_ = reply.result == SaidReply::Result::kUnknown ? now + rules_.retry : now;
+  say_after_ = reply.result == SaidReply::Result::kUnknown ? now + rules_.retry_backoff : now;
 }
 
 // ---- The store's calls ----
--- a/src/aggregation/uplink.h
+++ b/src/aggregation/uplink.h
@@ -35,7 +35,7 @@
 // Acquire: join with these summaries where the change and the versions are as `known` says. Renew, release:
 // the lease alone.
 struct AskPermission {
-  ownership::Order order;
+  ownership::LeaseCall order;
   std::vector<ZoneSummary> summaries;
   std::map<std::string, policy::Known> known;  // by zone
 };
@@ -65,7 +65,7 @@
 
 class Uplink {
  public:
-  Uplink(const ownership::LeaseRules& rules, std::vector<std::string> zones)
+  Uplink(const ownership::LeaseOptions& rules, std::vector<std::string> zones)
       : rules_(rules), lease_(rules), zones_(std::move(zones)) {}
 
   // What is to be done now. `heard`: whether the store is; without it permission is neither asked for nor
@@ -81,14 +81,14 @@
   void said(Micros now, std::uint64_t number, const SaidReply& reply);
 
   // Until when routers below may be given permission; before the present: not at all.
-  Micros until() const { return joined_ ? lease_.until() : Micros(-1); }
+  Micros until() const { return joined_ ? lease_.valid_until() : Micros(-1); }
   bool permitted(Micros now) const { return joined_ && lease_.may_act(now); }
   // The revision of the record of acknowledged events that has to be known before any router is given
   // permission: whoever drives it has not awaited this aggregator for what the record asked then.
   coordination::Revision record_to_know() const { return record_to_know_; }
   // Gives the permission back. Only once no router below has any.
   void stop(Micros now) { lease_.stop(now); }
-  bool stopped() const { return lease_.over(); }
+  bool stopped() const { return lease_.released(); }
 
  private:
   struct Said {
@@ -106,7 +106,7 @@
                                            const std::map<std::string, policy::Permit>& summaries);
   static bool worth_saying(Micros now, Said& said, const policy::Permit& permit);
 
-  ownership::LeaseRules rules_;
+  ownership::LeaseOptions rules_;
   ownership::Lease lease_;
   std::vector<std::string> zones_;
   bool joined_ = false;
--- a/src/board/fenced_notice.cpp
+++ b/src/board/fenced_notice.cpp
@@ -1,6 +1,6 @@
 #include "board/fenced_notice.h"
 
-#include "ownership/token.h"
+#include "ownership/fencing_token.h"
 
 namespace trailcourse::board {
 
@@ -29,7 +29,7 @@
     return call.is_object() && call.contains(name) && call[name].is_string() ? call[name].get<std::string>()
                                                                              : std::string();
   };
-  const auto token = ownership::read_token(text("fence"));
+  const auto token = ownership::parse_fencing_token(text("fence"));
   const std::string id = text("id");
   if (!token) {
     out.why = "fence_unreadable";
--- a/src/cache_node/node.cpp
+++ b/src/cache_node/node.cpp
@@ -150,16 +150,16 @@
   core_.caught_up();
 }
 
-// A command of owned work is looked at only once its term is kept: an owner of the past is told that nothing
-// was done.
-void Node::admitted(Ticket ticket, const std::string& why) {
+// A command of owned work is executed only once its term is durable; a former owner is answered that nothing was
+// done.
+void Node::on_admitted(Ticket ticket, fencing::AdmitResult result) {
   const auto found = fenced_.find(ticket);
   if (found == fenced_.end()) {
     return;  // its connection ended, or it was taken back
   }
   auto [fields, body] = std::move(found->second);
   fenced_.erase(found);
-  if (why.empty()) {
+  if (result == fencing::AdmitResult::kAdmitted) {
     if (fields.fence != std::exchange(last_fence_, fields.fence)) {
       log_line(Level::kInfo) << "carries out commands under " << last_fence_;
     }
@@ -167,10 +167,11 @@
     carry_out(actions_);
     return;
   }
+  const std::string reason = fencing::wire_word(result);
   log_line(Level::kWarning) << "refused a command under " << protocol::plain_value(fields.fence) << ": "
-                            << why;
+                            << reason;
   protocol::AnswerOut out;
-  out.why = why;
+  out.why = reason;
   server_.answer(ticket, protocol::AnswerWord::kVoid, out, nullptr);
 }
 
@@ -179,9 +180,9 @@
     const std::string fence = fields.fence;
     fenced_.emplace(ticket, std::pair(std::move(fields), std::move(body)));
     if (terms_ != nullptr) {
-      terms_->admit(fence, [this, ticket](const std::string& why) { admitted(ticket, why); });
+      terms_->admit(fence, [this, ticket](fencing::AdmitResult result) { on_admitted(ticket, result); });
     } else {
-      admitted(ticket, "fence_no_memory");
+      on_admitted(ticket, fencing::AdmitResult::kNoStorage);
     }
     return;
   }
@@ -331,7 +332,7 @@
   add("read_failures", stats.read_failures);
   if (terms_ != nullptr) {
     add("fenced_admitted", terms_->counts().admitted);
-    add("fenced_refused", terms_->counts().refused + terms_->counts().foreign);
+    add("fenced_refused", terms_->counts().rejected + terms_->counts().other_store);
   }
   return out + " disk=" + store::to_string(store_.disk_state());
 }
--- a/src/cache_node/node.h
+++ b/src/cache_node/node.h
@@ -53,7 +53,7 @@
 
  private:
   Moment now() const;
-  void admitted(Ticket ticket, const std::string& why);
+  void on_admitted(Ticket ticket, fencing::AdmitResult result);
   void carry_out(std::vector<Action>& actions);
   void perform(const Answer& answer);
   void perform(const LookUp& look_up);
--- a/src/fencing/token_store.cpp
+++ b/src/fencing/token_store.cpp
@@ -3,160 +3,207 @@
 #include <xxhash.h>
 
 #include <algorithm>
+#include <iterator>
 #include <sstream>
 #include <stdexcept>
 #include <utility>
 
 namespace trailcourse::fencing {
 
-using ownership::read_token;
+using ownership::FenceDecision;
+using ownership::parse_fencing_token;
 using ownership::Term;
-using ownership::to_string;
-using ownership::Verdict;
 
 namespace {
 
 constexpr const char* kFile = "terms";
-constexpr const char* kNext = "terms.next";
-constexpr std::size_t kMostWorks = 20'000;
+constexpr const char* kTemporaryFile = "terms.next";
+constexpr std::size_t kMaxWorks = 20'000;
 
-std::string sum_of(const std::string& text) { return std::to_string(XXH3_64bits(text.data(), text.size())); }
+std::string checksum(const std::string& text) {
+  return std::to_string(XXH3_64bits(text.data(), text.size()));
+}
+
+// Replaces the file as a whole: the new content is durable under another name before it takes its place.
+bool write_file(store::Files& files, const std::string& content) {
+  try {
+    const auto file = files.create(kTemporaryFile);
+    file->write(0, content);
+    file->sync();
+    files.rename(kTemporaryFile, kFile);
+    files.sync_names();
+    return true;
+  } catch (const std::exception&) {
+    return false;  // the commands that wait for it are rejected
+  }
+}
 
 }  // namespace
 
+const char* wire_word(AdmitResult result) {
+  switch (result) {
+    case AdmitResult::kAdmitted:
+      return "";
+    case AdmitResult::kMalformedToken:
+      return "fence_unreadable";
+    case AdmitResult::kNoStorage:
+      return "fence_no_memory";
+    case AdmitResult::kOtherStore:
+      return "fence_other_store";
+    case AdmitResult::kStaleTerm:
+      return "fenced";
+    case AdmitResult::kStorageFull:
+      return "fence_full";
+    case AdmitResult::kNotPersisted:
+      break;
+  }
+  return "fence_not_kept";
+}
+
 TokenStore::TokenStore(std::shared_ptr<store::Files> files, store::Executor& executor)
     : files_(std::move(files)), executor_(executor) {
-  if (!files_) {
-    return;
+  if (files_) {
+    load();
   }
+}
+
+TokenStore::~TokenStore() { *alive_ = false; }
+
+// Reads the file: its checksum in the first line, then a token in each line.
+void TokenStore::load() {
   const std::vector<std::string> names = files_->list();
   if (std::find(names.begin(), names.end(), kFile) == names.end()) {
     return;
   }
   const auto file = files_->open(kFile);
-  const std::string whole = file->read(0, file->size());
-  const std::size_t end = whole.find('\n');
-  const std::string body = end == std::string::npos ? "" : whole.substr(end + 1);
-  if (end == std::string::npos || whole.substr(0, end) != sum_of(body)) {
+  const std::string content = file->read(0, file->size());
+  const std::size_t end = content.find('\n');
+  const std::string body = end == std::string::npos ? "" : content.substr(end + 1);
+  if (end == std::string::npos || content.substr(0, end) != checksum(body)) {
     throw std::runtime_error(
         "the terms of fenced work cannot be read: remove the file `terms` only where no "
         "owner of before can still act");
   }
   std::istringstream lines(body);
   for (std::string line; std::getline(lines, line);) {
-    if (const auto token = read_token(line)) {
+    if (const auto token = parse_fencing_token(line)) {
       store_ = token->store;
-      fence_.kept(token->work, token->term);
+      fence_.on_persisted(token->work, token->term);
     }
   }
 }
 
-TokenStore::~TokenStore() { *alive_ = false; }
-
-std::string TokenStore::text(const Token& next) const {
-  std::string body;
-  std::map<std::string, Term> terms = fence_.all();
-  // What other works' commands wait for goes along: the last write is the one that stands.
-  for (const auto& [work, waiting] : waiting_) {
-    terms[work] = std::max(terms[work], waiting.term);
+std::string TokenStore::file_content(const FencingToken& next) const {
+  std::map<std::string, Term> terms = fence_.terms();
+  // The terms that other commands wait for are included: the last write is the one that stands.
+  for (const auto& [work, pending] : pending_) {
+    terms[work] = std::max(terms[work], pending.term);
   }
   terms[next.work] = std::max(terms[next.work], next.term);
+  std::string body;
   for (const auto& [work, term] : terms) {
-    body += to_string(Token{next.store, work, term}) + "\n";
+    body += to_string(FencingToken{next.store, work, term}) + "\n";
   }
-  return sum_of(body) + "\n" + body;
+  return checksum(body) + "\n" + body;
 }
 
-void TokenStore::admit(const std::string& token, Then then) {
-  const auto refuse = [&](std::uint64_t& count, const char* why) {
-    ++count;
-    then(why);
-  };
-  const std::optional<Token> read = read_token(token);
-  if (!read) {
-    refuse(counts_.unreadable, "fence_unreadable");
-    return;
+AdmitResult TokenStore::reject(AdmitResult reason) {
+  std::uint64_t& count = reason == AdmitResult::kMalformedToken ? counts_.malformed
+                         : reason == AdmitResult::kOtherStore   ? counts_.other_store
+                                                                : counts_.rejected;
+  ++count;
+  return reason;
+}
+
+std::optional<AdmitResult> TokenStore::decide(const std::optional<FencingToken>& token) {
+  if (!token) {
+    return reject(AdmitResult::kMalformedToken);
   }
   if (!files_) {
-    refuse(counts_.refused, "fence_no_memory");
-    return;
-  }
-  if (store_ != 0 && read->store != store_) {
-    refuse(counts_.foreign, "fence_other_store");
-    return;
-  }
-  const auto waiting = waiting_.find(read->work);
-  const Term coming = waiting == waiting_.end() ? 0 : waiting->second.term;
-  const Verdict verdict = read->term < coming ? Verdict::kRefuse : fence_.admit(read->work, read->term);
-  if (verdict == Verdict::kRefuse) {
-    refuse(counts_.refused, "fenced");
-    return;
-  }
-  if (verdict == Verdict::kCarryOut) {
-    ++counts_.admitted;
-    then("");
-    return;
-  }
-  if (fence_.all().size() + waiting_.size() >= kMostWorks && fence_.kept_term(read->work) == 0) {
-    refuse(counts_.refused, "fence_full");
+    return reject(AdmitResult::kNoStorage);
+  }
+  if (store_ != 0 && token->store != store_) {
+    return reject(AdmitResult::kOtherStore);
+  }
+  const auto pending = pending_.find(token->work);
+  const Term pending_term = pending == pending_.end() ? 0 : pending->second.term;
+  if (token->term < pending_term) {
+    return reject(AdmitResult::kStaleTerm);
+  }
+  switch (fence_.admit(token->work, token->term)) {
+    case FenceDecision::kReject:
+      return reject(AdmitResult::kStaleTerm);
+    case FenceDecision::kAccept:
+      ++counts_.admitted;
+      return AdmitResult::kAdmitted;
+    case FenceDecision::kPersistFirst:
+      break;
+  }
+  const bool is_new_work = fence_.persisted_term(token->work) == 0;
+  if (is_new_work && fence_.terms().size() + pending_.size() >= kMaxWorks) {
+    return reject(AdmitResult::kStorageFull);
+  }
+  return std::nullopt;
+}
+
+void TokenStore::admit(const std::string& text, Callback done) {
+  const std::optional<FencingToken> token = parse_fencing_token(text);
+  if (const std::optional<AdmitResult> result = decide(token)) {
+    done(*result);
     return;
   }
-  Waiting& entry = waiting_[read->work];
-  const bool begun = entry.term == read->term;
-  entry.term = read->term;
-  entry.then.emplace_back(read->term, std::move(then));
-  if (!begun) {
-    keep(*read);
+  PendingWork& pending = pending_[token->work];
+  const bool is_being_written = pending.term == token->term;
+  pending.term = token->term;
+  pending.commands.push_back(PendingCommand{token->term, std::move(done)});
+  if (!is_being_written) {
+    persist(*token);
   }
 }
 
-void TokenStore::keep(const Token& token) {
-  store_ = token.store;  // from now on: a second store's token must not slip in behind this one
-  const auto good = std::make_shared<bool>(false);
+void TokenStore::persist(const FencingToken& token) {
+  store_ = token.store;  // set now, so that a token of a second store is not admitted meanwhile
+  const auto succeeded = std::make_shared<bool>(false);
   executor_.run(
       store::Executor::Lane::kWrite,
-      [files = files_, text = text(token), good] {
-        try {
-          const auto file = files->create(kNext);
-          file->write(0, text);
-          file->sync();
-          files->rename(kNext, kFile);
-          files->sync_names();
-          *good = true;
-        } catch (const std::exception&) {
-          // Told below: nothing is carried out under a term that is not kept.
-        }
+      [files = files_, content = file_content(token), succeeded] {
+        *succeeded = write_file(*files, content);
       },
-      [this, alive = alive_, token, good] {
+      [this, alive = alive_, token, succeeded] {
         if (*alive) {
-          kept(token, *good);
+          on_persisted(token, *succeeded);
         }
       });
 }
 
-void TokenStore::kept(const Token& token, bool good) {
-  if (good) {
-    ++counts_.kept;
-    fence_.kept(token.work, token.term);
+void TokenStore::on_persisted(const FencingToken& token, bool succeeded) {
+  if (succeeded) {
+    ++counts_.persisted;
+    fence_.on_persisted(token.work, token.term);
   }
-  const auto found = waiting_.find(token.work);
-  if (found == waiting_.end()) {
+  const auto found = pending_.find(token.work);
+  if (found == pending_.end()) {
     return;
   }
-  std::vector<std::pair<Term, Then>> answered;
-  std::vector<std::pair<Term, Then>> rest;
-  for (auto& one : found->second.then) {
-    (one.first <= token.term ? answered : rest).push_back(std::move(one));
-  }
-  if (rest.empty()) {
-    waiting_.erase(found);
-  } else {
-    found->second.then = std::move(rest);
-  }
-  for (const auto& [term, then] : answered) {
-    const bool admitted = good && term == fence_.kept_term(token.work);
-    ++(admitted ? counts_.admitted : counts_.refused);
-    then(admitted ? "" : good ? "fenced" : "fence_not_kept");
+  std::vector<PendingCommand>& commands = found->second.commands;
+  const auto first_later =
+      std::stable_partition(commands.begin(), commands.end(),
+                            [&token](const PendingCommand& command) { return command.term <= token.term; });
+  std::vector<PendingCommand> decided(std::make_move_iterator(commands.begin()),
+                                      std::make_move_iterator(first_later));
+  commands.erase(commands.begin(), first_later);
+  if (commands.empty()) {
+    pending_.erase(found);
+  }
+  for (const PendingCommand& command : decided) {
+    if (!succeeded) {
+      command.done(reject(AdmitResult::kNotPersisted));
+    } else if (command.term != fence_.persisted_term(token.work)) {
+      command.done(reject(AdmitResult::kStaleTerm));
+    } else {
+      ++counts_.admitted;
+      command.done(AdmitResult::kAdmitted);
+    }
   }
 }
 
--- a/src/fleet/term_check.cpp
+++ b/src/fleet/term_check.cpp
@@ -3,7 +3,7 @@
 #include <fstream>
 #include <map>
 
-#include "ownership/token.h"
+#include "ownership/fencing_token.h"
 
 namespace trailcourse::fleet {
 
@@ -14,8 +14,9 @@
   std::map<std::string, ownership::Term> highest;
   for (std::string line; std::getline(file, line);) {
     const std::size_t at = line.find(words);
-    const auto token =
-        at == std::string::npos ? std::nullopt : ownership::read_token(line.substr(at + words.size()));
+    const auto token = at == std::string::npos
+                           ? std::nullopt
+                           : ownership::parse_fencing_token(line.substr(at + words.size()));
     if (token && token->term < highest[token->work]) {
       out.push_back(name + ": " + line);
     } else if (token) {
--- a/src/membership/member_records.cpp
+++ b/src/membership/member_records.cpp
@@ -1,7 +1,6 @@
-#include "membership/records.h"
+#include "membership/member_records.h"
 
 #include <nlohmann/json.hpp>
-#include <utility>
 
 #include "coordination/types.h"
 
@@ -12,17 +11,23 @@
 
 namespace {
 
-// The two parts of "STEM a/b".
-std::optional<std::pair<std::string, std::string>> parts_of(const std::string& key, const std::string& stem) {
-  if (!key.starts_with(stem)) {
+struct KeyParts {
+  std::string first;
+  std::string second;
+};
+
+// Splits PREFIX FIRST/SECOND.
+std::optional<KeyParts> split_key(const std::string& key, const std::string& prefix) {
+  if (!key.starts_with(prefix)) {
     return std::nullopt;
   }
-  const std::string rest = key.substr(stem.size());
+  const std::string rest = key.substr(prefix.size());
   const std::size_t slash = rest.find('/');
-  if (slash == std::string::npos || !is_name(rest.substr(0, slash)) || !is_name(rest.substr(slash + 1))) {
+  if (slash == std::string::npos) {
     return std::nullopt;
   }
-  return std::pair(rest.substr(0, slash), rest.substr(slash + 1));
+  const KeyParts parts{rest.substr(0, slash), rest.substr(slash + 1)};
+  return is_name(parts.first) && is_name(parts.second) ? std::optional<KeyParts>(parts) : std::nullopt;
 }
 
 std::string text_of(const json& from, const char* name) {
@@ -39,9 +44,12 @@
 }  // namespace
 
 std::string member_key(const std::string& name, const std::string& incarnation) {
-  return kMembers + name + "/" + incarnation;
+  return kMemberPrefix + name + "/" + incarnation;
+}
+
+std::string suspicion_key(const std::string& member, const std::string& reporter) {
+  return kSuspicionPrefix + member + "/" + reporter;
 }
-std::string doubt_key(const std::string& name, const std::string& by) { return kDoubts + name + "/" + by; }
 
 std::string write_member(const Member& member) {
   return json{{"zone", member.zone},
@@ -52,12 +60,8 @@
       .dump();
 }
 
-std::string write_doubt(const Doubt& doubt) {
-  return json{{"checks", doubt.checks}, {"fails", doubt.fails}}.dump();
-}
-
 std::optional<Member> read_member(const std::string& key, const std::string& value) {
-  const auto parts = parts_of(key, kMembers);
+  const std::optional<KeyParts> parts = split_key(key, kMemberPrefix);
   const json from = json::parse(value, nullptr, false);
   if (!parts || !from.is_object()) {
     return std::nullopt;
@@ -74,17 +78,21 @@
   return out;
 }
 
-std::optional<Doubt> read_doubt(const std::string& key, const std::string& value) {
-  const auto parts = parts_of(key, kDoubts);
+std::string write_suspicion(const Suspicion& suspicion) {
+  return json{{"checks", suspicion.probed}, {"fails", suspicion.failed}}.dump();
+}
+
+std::optional<Suspicion> read_suspicion(const std::string& key, const std::string& value) {
+  const std::optional<KeyParts> parts = split_key(key, kSuspicionPrefix);
   const json from = json::parse(value, nullptr, false);
   if (!parts || !from.is_object()) {
     return std::nullopt;
   }
-  Doubt out;
-  out.name = parts->first;
-  out.by = parts->second;
-  out.checks = number_of<int>(from, "checks");
-  out.fails = number_of<int>(from, "fails");
+  Suspicion out;
+  out.member = parts->first;
+  out.reporter = parts->second;
+  out.probed = number_of<int>(from, "checks");
+  out.failed = number_of<int>(from, "fails");
   return out;
 }
 
--- a/src/membership/member_records.h
+++ b/src/membership/member_records.h
@@ -1,7 +1,7 @@
-// Who is in the fleet, as it stands in the store: a key for each start of a router, which ends with its
-// session, and a key for each doubt of one member about another.
+// Membership of the fleet as it is stored: one record for each running process of a router, which ends with its
+// session, and one for each suspicion that a member reports of another.
 //
-// Package `membership`: knows JSON; no I/O, no clock.
+// Library `membership`: depends on JSON; no I/O and no clock.
 #pragma once
 
 #include <cstdint>
@@ -10,37 +10,42 @@
 
 namespace trailcourse::membership {
 
+// A running process of a router.
 struct Member {
   std::string name;
-  std::string incarnation;  // of this start: 16 hex digits
+  std::string incarnation;  // of this process: 16 hex digits
   std::string zone;
-  std::string address;          // where its neighbours try whether it is there
-  std::int64_t started_ms = 0;  // Unix time, for staff alone
+  std::string address;          // where peers probe it
+  std::int64_t started_ms = 0;  // Unix time, only shown to staff
   bool draining = false;
   std::string version;
 
   friend bool operator==(const Member&, const Member&) = default;
 };
 
-struct Doubt {
-  std::string name;  // of whom
-  std::string by;
-  int checks = 0;  // that the doubter makes
-  int fails = 0;   // of those that fail
+// A member's report that it cannot reach another.
+struct Suspicion {
+  std::string member;
+  std::string reporter;
+  int probed = 0;  // peers that the reporter probes
+  int failed = 0;  // how many of these it cannot reach
 
-  friend bool operator==(const Doubt&, const Doubt&) = default;
+  friend bool operator==(const Suspicion&, const Suspicion&) = default;
 };
 
-// "fleet/members/NAME/INCARNATION", "fleet/doubts/NAME/BY".
+constexpr const char* kMemberPrefix = "fleet/members/";
+constexpr const char* kSuspicionPrefix = "fleet/doubts/";
+
+// Returns "fleet/members/NAME/INCARNATION".
 std::string member_key(const std::string& name, const std::string& incarnation);
-std::string doubt_key(const std::string& name, const std::string& by);
-constexpr const char* kMembers = "fleet/members/";
-constexpr const char* kDoubts = "fleet/doubts/";
 
+// Returns "fleet/doubts/MEMBER/REPORTER".
+std::string suspicion_key(const std::string& member, const std::string& reporter);
+
+// Values as they are stored. The read functions return nothing where key and value are not a record.
 std::string write_member(const Member& member);
-std::string write_doubt(const Doubt& doubt);
-// Nothing where key and value make no record.
 std::optional<Member> read_member(const std::string& key, const std::string& value);
-std::optional<Doubt> read_doubt(const std::string& key, const std::string& value);
+std::string write_suspicion(const Suspicion& suspicion);
+std::optional<Suspicion> read_suspicion(const std::string& key, const std::string& value);
 
 }  // namespace trailcourse::membership
--- a/src/membership/membership_view.cpp
+++ b/src/membership/membership_view.cpp
@@ -1,192 +1,217 @@
-#include "membership/view.h"
+#include "membership/membership_view.h"
 
 #include <algorithm>
 #include <cmath>
 
 namespace trailcourse::membership {
 
-const char* to_string(Standing standing) {
-  switch (standing) {
-    case Standing::kIn:
+namespace {
+
+// Added to a computed time, so that rounding does not make it fall before the change.
+constexpr Micros kRoundingMargin{1'000};
+
+}  // namespace
+
+const char* to_string(MemberStatus status) {
+  switch (status) {
+    case MemberStatus::kActive:
       return "in";
-    case Standing::kDamped:
+    case MemberStatus::kDamped:
       return "damped";
-    case Standing::kDoubted:
+    case MemberStatus::kSuspected:
       return "doubted";
-    case Standing::kDraining:
+    case MemberStatus::kDraining:
       return "draining";
-    case Standing::kShadowed:
+    case MemberStatus::kSuperseded:
       break;
   }
   return "shadowed";
 }
 
-void View::begin_whole() {
-  whole_ = true;
-  named_.clear();
+void MembershipView::begin_snapshot() {
+  in_snapshot_ = true;
+  snapshot_keys_.clear();
 }
 
-void View::end_whole(Micros now, std::uint64_t revision) {
-  whole_ = false;
-  std::vector<std::pair<std::string, std::string>> gone;
-  for (const auto& [name, starts] : starts_) {
-    for (const auto& [incarnation, start] : starts) {
-      if (!named_.contains(member_key(name, incarnation))) {
-        gone.emplace_back(name, incarnation);
+void MembershipView::end_snapshot(Micros, std::uint64_t revision) {
+  in_snapshot_ = false;
+  remove_missing_sessions();
+  remove_missing_suspicions();
+  revision_ = std::max(revision_, revision);
+}
+
+void MembershipView::remove_missing_sessions() {
+  std::vector<Member> missing;
+  for (const auto& [name, sessions] : sessions_) {
+    for (const auto& [incarnation, session] : sessions) {
+      if (!snapshot_keys_.contains(member_key(name, incarnation))) {
+        missing.push_back(session.member);
       }
     }
   }
-  for (const auto& [name, incarnation] : gone) {
-    went(now, name, incarnation);
+  for (const Member& member : missing) {
+    remove_session(member.name, member.incarnation);
   }
-  for (auto& [name, by] : doubts_) {
-    std::erase_if(
-        by, [&, &whom = name](const auto& one) { return !named_.contains(doubt_key(whom, one.first)); });
+}
+
+void MembershipView::remove_missing_suspicions() {
+  for (auto& [member, by_reporter] : suspicions_) {
+    std::erase_if(by_reporter, [this, &suspected = member](const auto& entry) {
+      return !snapshot_keys_.contains(suspicion_key(suspected, entry.first));
+    });
   }
-  number_ = std::max(number_, revision);
 }
 
-void View::take(Micros now, const std::string& key, const std::string& value, std::uint64_t created,
-                std::uint64_t revision) {
-  if (whole_) {
-    named_.insert(key);
+void MembershipView::apply(Micros now, const std::string& key, const std::string& value,
+                           std::uint64_t created, std::uint64_t revision) {
+  if (in_snapshot_) {
+    snapshot_keys_.insert(key);
   }
-  number_ = std::max(number_, revision);
-  // Of what is gone the key alone tells.
-  const std::string& readable = value.empty() ? "{}" : value;
+  revision_ = std::max(revision_, revision);
+  const bool deleted = value.empty();
+  // Of a record that was deleted the key alone is known.
+  const std::string& readable = deleted ? "{}" : value;
   if (const auto member = read_member(key, readable)) {
-    if (value.empty()) {
-      went(now, member->name, member->incarnation);
+    if (deleted) {
+      remove_session(member->name, member->incarnation);
     } else {
-      came(now, *member, created);
+      add_session(now, *member, created);
     }
-  } else if (const auto doubt = read_doubt(key, readable)) {
-    if (value.empty()) {
-      doubts_[doubt->name].erase(doubt->by);
+  } else if (const auto suspicion = read_suspicion(key, readable)) {
+    if (deleted) {
+      suspicions_[suspicion->member].erase(suspicion->reporter);
     } else {
-      doubts_[doubt->name][doubt->by] = *doubt;
+      suspicions_[suspicion->member][suspicion->reporter] = *suspicion;
     }
   }
 }
 
-void View::came(Micros now, const Member& member, std::uint64_t created) {
-  Flap& flap = flaps_[member.name];
-  // What returns within the sight of this one flaps; what was there when it began to look does not.
-  if (flap.gone) {
-    flap.penalty = penalty(flap, now) + 1.0;
-    flap.at = now;
-    flap.gone = false;
-    flap.damped = flap.damped || flap.penalty >= rules_.suppress;
+void MembershipView::add_session(Micros now, const Member& member, std::uint64_t created) {
+  FlapState& flap = flaps_[member.name];
+  // A member flaps that was seen to leave and returns; one that was there at first does not.
+  if (flap.has_left) {
+    flap.penalty = flap_penalty(flap, now) + 1.0;
+    flap.updated_at = now;
+    flap.has_left = false;
+    flap.damped = flap.damped || flap.penalty >= options_.suppress;
   }
-  starts_[member.name][member.incarnation] = Start{member, created};
+  sessions_[member.name][member.incarnation] = Session{member, created};
 }
 
-void View::went(Micros, const std::string& name, const std::string& incarnation) {
-  const auto found = starts_.find(name);
-  if (found == starts_.end() || found->second.erase(incarnation) == 0) {
+void MembershipView::remove_session(const std::string& name, const std::string& incarnation) {
+  const auto found = sessions_.find(name);
+  if (found == sessions_.end() || found->second.erase(incarnation) == 0) {
     return;
   }
-  // An old start that ends behind a newer one is the rest of a restart that was counted when it came.
+  // An old session that ends behind a newer one belongs to a restart, and its member has not left.
   if (found->second.empty()) {
-    starts_.erase(found);
-    flaps_[name].gone = true;
+    sessions_.erase(found);
+    flaps_[name].has_left = true;
   }
 }
 
-const View::Start* View::latest(const std::string& name) const {
-  const auto found = starts_.find(name);
-  if (found == starts_.end()) {
+const MembershipView::Session* MembershipView::latest_session(const std::string& name) const {
+  const auto found = sessions_.find(name);
+  if (found == sessions_.end()) {
     return nullptr;
   }
-  const auto last = std::max_element(
+  const auto latest = std::max_element(
       found->second.begin(), found->second.end(),
-      [](const auto& one, const auto& other) { return one.second.created < other.second.created; });
-  return &last->second;
+      [](const auto& left, const auto& right) { return left.second.created < right.second.created; });
+  return &latest->second;
+}
+
+double MembershipView::flap_penalty(const FlapState& flap, Micros now) const {
+  return flap.penalty * std::exp2(-static_cast<double>((now - flap.updated_at).count()) /
+                                  static_cast<double>(options_.half_life.count()));
 }
 
-double View::penalty(const Flap& flap, Micros now) const {
-  return flap.penalty * std::exp2(-static_cast<double>((now - flap.at).count()) /
-                                  static_cast<double>(rules_.half_life.count()));
+bool MembershipView::is_damped(const FlapState& flap, Micros now) const {
+  return flap.damped && flap_penalty(flap, now) >= options_.reuse;
 }
 
-bool View::damped(const Flap& flap, Micros now) const {
-  return flap.damped && penalty(flap, now) >= rules_.reuse;
+// A reporter that cannot reach any of the peers that it probes is itself cut off: its report does not count.
+bool MembershipView::is_credible(const Suspicion& suspicion) const {
+  if (suspicion.reporter == suspicion.member || !sessions_.contains(suspicion.reporter)) {
+    return false;
+  }
+  return suspicion.probed < 2 || suspicion.failed < suspicion.probed;
 }
 
-// One that cannot reach any of those that it checks is the one that is cut off: its word does not count.
-int View::doubters(const std::string& name) const {
-  const auto found = doubts_.find(name);
-  if (found == doubts_.end()) {
+int MembershipView::suspecting_peers(const std::string& name) const {
+  const auto found = suspicions_.find(name);
+  if (found == suspicions_.end()) {
     return 0;
   }
-  return static_cast<int>(
-      std::count_if(found->second.begin(), found->second.end(), [this, &name](const auto& one) {
-        const Doubt& doubt = one.second;
-        return doubt.by != name && starts_.contains(doubt.by) &&
-               (doubt.checks < 2 || doubt.fails < doubt.checks);
-      }));
+  return static_cast<int>(std::count_if(found->second.begin(), found->second.end(),
+                                        [this](const auto& entry) { return is_credible(entry.second); }));
 }
 
-Standing View::standing(const Start& start, Micros now) const {
-  const std::string& name = start.member.name;
-  const Start* const last = latest(name);
-  if (last != nullptr && last->member.incarnation != start.member.incarnation) {
-    return Standing::kShadowed;
+MemberStatus MembershipView::status(const Session& session, Micros now) const {
+  const std::string& name = session.member.name;
+  if (superseded(name, session.member.incarnation)) {
+    return MemberStatus::kSuperseded;
   }
-  if (start.member.draining) {
-    return Standing::kDraining;
+  if (session.member.draining) {
+    return MemberStatus::kDraining;
   }
-  const int others = static_cast<int>(starts_.size()) - 1;
-  if (others > 0 && doubters(name) >= std::min(rules_.doubters, others)) {
-    return Standing::kDoubted;
+  const int others = static_cast<int>(sessions_.size()) - 1;
+  if (others > 0 && suspecting_peers(name) >= std::min(options_.min_suspecting_peers, others)) {
+    return MemberStatus::kSuspected;
   }
   const auto flap = flaps_.find(name);
-  return flap != flaps_.end() && damped(flap->second, now) ? Standing::kDamped : Standing::kIn;
+  return flap != flaps_.end() && is_damped(flap->second, now) ? MemberStatus::kDamped : MemberStatus::kActive;
 }
 
-std::vector<Seen> View::all(Micros now) const {
-  std::vector<Seen> out;
-  for (const auto& [name, starts] : starts_) {
+std::vector<MemberEntry> MembershipView::members(Micros now) const {
+  std::vector<MemberEntry> out;
+  for (const auto& [name, sessions] : sessions_) {
     const auto flap = flaps_.find(name);
-    for (const auto& [incarnation, start] : starts) {
-      out.push_back(Seen{start.member, start.created, standing(start, now),
-                         flap == flaps_.end() ? 0.0 : penalty(flap->second, now), doubters(name)});
+    for (const auto& [incarnation, session] : sessions) {
+      MemberEntry entry;
+      entry.member = session.member;
+      entry.joined_revision = session.created;
+      entry.status = status(session, now);
+      entry.flap_penalty = flap == flaps_.end() ? 0.0 : flap_penalty(flap->second, now);
+      entry.suspecting_peers = suspecting_peers(name);
+      out.push_back(std::move(entry));
     }
   }
   return out;
 }
 
-std::vector<std::string> View::eligible(Micros now, const std::string& zone) const {
+std::vector<std::string> MembershipView::eligible(Micros now, const std::string& zone) const {
   std::vector<std::string> out;
-  for (const auto& [name, starts] : starts_) {
-    const Start& start = *latest(name);
-    if ((zone.empty() || start.member.zone == zone) && standing(start, now) == Standing::kIn) {
+  for (const auto& [name, sessions] : sessions_) {
+    const Session& session = *latest_session(name);
+    const bool in_zone = zone.empty() || session.member.zone == zone;
+    if (in_zone && status(session, now) == MemberStatus::kActive) {
       out.push_back(name);
     }
   }
   return out;
 }
 
-bool View::shadowed(const std::string& name, const std::string& incarnation) const {
-  const auto found = starts_.find(name);
-  if (found == starts_.end() || !found->second.contains(incarnation)) {
+bool MembershipView::superseded(const std::string& name, const std::string& incarnation) const {
+  const auto found = sessions_.find(name);
+  if (found == sessions_.end() || !found->second.contains(incarnation)) {
     return false;
   }
-  return latest(name)->member.incarnation != incarnation;
+  return latest_session(name)->member.incarnation != incarnation;
 }
 
-std::optional<Micros> View::next(Micros now) const {
-  std::optional<Micros> out;
+std::optional<Micros> MembershipView::next_change_at(Micros now) const {
+  std::optional<Micros> earliest;
   for (const auto& [name, flap] : flaps_) {
-    if (starts_.contains(name) && damped(flap, now)) {
-      const double halvings = std::log2(penalty(flap, now) / rules_.reuse);
-      const Micros until =
-          now + Micros(static_cast<Micros::rep>(halvings * static_cast<double>(rules_.half_life.count()))) +
-          Micros(1'000);
-      out = std::min(out.value_or(until), until);
+    if (!sessions_.contains(name) || !is_damped(flap, now)) {
+      continue;
     }
+    const double half_lives = std::log2(flap_penalty(flap, now) / options_.reuse);
+    const double wait = half_lives * static_cast<double>(options_.half_life.count());
+    const Micros at = now + Micros(static_cast<Micros::rep>(wait)) + kRoundingMargin;
+    earliest = std::min(earliest.value_or(at), at);
   }
-  return out;
+  return earliest;
 }
 
 }  // namespace trailcourse::membership
--- a/src/membership/membership_view.h
+++ b/src/membership/membership_view.h
@@ -1,17 +1,17 @@
-// Who is in the fleet, as one member sees it: from the sessions in the store, less those that flap, that are
-// about to leave, or that their peers cannot reach though the store can. Members may see different
-// things for a while; nothing that must not be wrong stands on them agreeing (that is what leases and terms
-// are for), only who asks first for work.
+// Membership of the fleet as one member sees it: the sessions in the store, without those that flap, drain, or
+// cannot be reached by their peers although the store hears them. Members may see different memberships for a
+// while. Nothing that has to be correct depends on their agreement (leases and fencing terms serve for that);
+// the view decides only who tries first to acquire work.
 //
-// | standing | is                                                            | may be given work |
-// | -------- | ------------------------------------------------------------- | ----------------- |
-// | in       | a session in the store                                        | yes               |
-// | damped   | came and went too often of late                               | no                |
-// | doubted  | the store hears it, its peers do not                     | no                |
-// | draining | says that it ends                                             | no                |
-// | shadowed | a later start has the same name: two routers, or an old one   | no                |
+// | status     | word in outputs | meaning                                                     | may be given work |
+// | ---------- | --------------- | ----------------------------------------------------------- | ----------------- |
+// | active     | in              | has a session in the store                                  | yes               |
+// | damped     | damped          | joined and left too often lately                            | no                |
+// | suspected  | doubted         | its peers cannot reach it, though the store hears it        | no                |
+// | draining   | draining        | is shutting down gracefully                                 | no                |
+// | superseded | shadowed        | a later process has its name: a restart, or a name used twice | no                |
 //
-// Package `membership`: no I/O, no clock; time is Micros of the caller's steady clock. Not thread-safe.
+// Library `membership`: no I/O and no clock; times are Micros of the caller's steady clock. Not thread-safe.
 #pragma once
 
 #include <trailcourse/decider.h>
@@ -23,78 +23,91 @@
 #include <string>
 #include <vector>
 
-#include "membership/records.h"
+#include "membership/member_records.h"
 
 namespace trailcourse::membership {
 
-// Damping after RFC 2439: each return adds a penalty that halves with time; beyond `suppress` a member counts
-// as damped until its penalty is below `reuse`.
-struct ViewRules {
+// Flap damping after RFC 2439: each return adds 1 to a penalty that halves with time. A member is damped once
+// the penalty reaches `suppress`, until it is below `reuse`.
+struct MembershipOptions {
   double suppress = 3.0;
   double reuse = 1.0;
   Micros half_life{60'000'000};
-  int doubters = 2;  // that it takes; fewer where there are fewer others
+  int min_suspecting_peers = 2;  // that make a member suspected; fewer where there are fewer others
 };
 
-enum class Standing { kIn, kDamped, kDoubted, kDraining, kShadowed };
-const char* to_string(Standing standing);
+enum class MemberStatus { kActive, kDamped, kSuspected, kDraining, kSuperseded };
 
-struct Seen {
+// Returns the word that staff read in outputs.
+const char* to_string(MemberStatus status);
+
+// A running process of a router, as the view sees it.
+struct MemberEntry {
   Member member;
-  std::uint64_t since = 0;  // the store's revision of its coming
-  Standing standing = Standing::kIn;
-  double penalty = 0.0;
-  int doubters = 0;
+  std::uint64_t joined_revision = 0;  // of the store, when its session was created
+  MemberStatus status = MemberStatus::kActive;
+  double flap_penalty = 0.0;
+  int suspecting_peers = 0;
 };
 
-class View {
+class MembershipView {
  public:
-  explicit View(const ViewRules& rules) : rules_(rules) {}
-
-  // All sessions and doubts as they stand at a revision: at the start, and after a gap.
-  void begin_whole();
-  void end_whole(Micros now, std::uint64_t revision);
-  // One key of either kind; an empty value: it is gone. Others are passed over.
-  void take(Micros now, const std::string& key, const std::string& value, std::uint64_t created,
-            std::uint64_t revision);
-
-  // Changes with what is seen; the store's revision of the last change.
-  std::uint64_t number() const { return number_; }
-  std::vector<Seen> all(Micros now) const;
-  // Names of those that may be given work; in a zone, or in all with an empty one. Sorted.
+  explicit MembershipView(const MembershipOptions& options) : options_(options) {}
+
+  // Between these calls apply() is called for every record that stands at `revision`: at the start, and after a
+  // gap of the watch. What was not among them is gone.
+  void begin_snapshot();
+  void end_snapshot(Micros now, std::uint64_t revision);
+
+  // Applies a record of a member or a suspicion; an empty value: it was deleted. Other keys are ignored.
+  void apply(Micros now, const std::string& key, const std::string& value, std::uint64_t created,
+             std::uint64_t revision);
+
+  // Returns the store's revision of the last change that was applied.
+  std::uint64_t revision() const { return revision_; }
+
+  // Returns all running processes, by name and incarnation.
+  std::vector<MemberEntry> members(Micros now) const;
+
+  // Returns the names of the active members of a zone, or of all zones where it is empty. Sorted.
   std::vector<std::string> eligible(Micros now, const std::string& zone) const;
-  // Whether a later start has this one's name.
-  bool shadowed(const std::string& name, const std::string& incarnation) const;
-  // When a damped one may be given work again: eligible() changes then by time alone.
-  std::optional<Micros> next(Micros now) const;
+
+  // Returns whether a later process has the name of this one.
+  bool superseded(const std::string& name, const std::string& incarnation) const;
+
+  // Returns when a damped member becomes active again: eligible() changes then by time alone.
+  std::optional<Micros> next_change_at(Micros now) const;
 
  private:
-  struct Start {
+  struct Session {
     Member member;
     std::uint64_t created = 0;
   };
-  struct Flap {
+  struct FlapState {
     double penalty = 0.0;
-    Micros at{0};
-    bool gone = false;  // it was here and is not
+    Micros updated_at{0};
+    bool has_left = false;  // it was here, and has no session now
     bool damped = false;
   };
 
-  void came(Micros now, const Member& member, std::uint64_t created);
-  void went(Micros now, const std::string& name, const std::string& incarnation);
-  const Start* latest(const std::string& name) const;
-  double penalty(const Flap& flap, Micros now) const;
-  bool damped(const Flap& flap, Micros now) const;
-  int doubters(const std::string& name) const;
-  Standing standing(const Start& start, Micros now) const;
-
-  ViewRules rules_;
-  std::uint64_t number_ = 0;
-  std::map<std::string, std::map<std::string, Start>> starts_;  // by name, by incarnation
-  std::map<std::string, Flap> flaps_;
-  std::map<std::string, std::map<std::string, Doubt>> doubts_;  // by whom is doubted, by doubter
-  bool whole_ = false;
-  std::set<std::string> named_;  // keys told since begin_whole()
+  void add_session(Micros now, const Member& member, std::uint64_t created);
+  void remove_session(const std::string& name, const std::string& incarnation);
+  void remove_missing_sessions();
+  void remove_missing_suspicions();
+  const Session* latest_session(const std::string& name) const;
+  double flap_penalty(const FlapState& flap, Micros now) const;
+  bool is_damped(const FlapState& flap, Micros now) const;
+  bool is_credible(const Suspicion& suspicion) const;
+  int suspecting_peers(const std::string& name) const;
+  MemberStatus status(const Session& session, Micros now) const;
+
+  MembershipOptions options_;
+  std::uint64_t revision_ = 0;
+  std::map<std::string, std::map<std::string, Session>> sessions_;  // by name, by incarnation
+  std::map<std::string, FlapState> flaps_;
+  std::map<std::string, std::map<std::string, Suspicion>> suspicions_;  // by member, by reporter
+  bool in_snapshot_ = false;
+  std::set<std::string> snapshot_keys_;  // applied since begin_snapshot()
 };
 
 }  // namespace trailcourse::membership
--- a/src/membership/peer_prober.cpp
+++ b/src/membership/peer_prober.cpp
@@ -1,51 +1,62 @@
-#include "membership/peers.h"
+#include "membership/peer_prober.h"
 
 #include <algorithm>
-#include <utility>
+#include <cstdint>
 
 #include "decision/hashing.h"
 
 namespace trailcourse::membership {
+namespace {
 
-std::vector<std::string> Peers::to_try(const std::vector<std::string>& members) const {
-  std::vector<std::pair<std::uint64_t, std::string>> ring;
-  for (const std::string& name : members) {
-    if (name != self_) {
-      // How far along the ring from here.
-      ring.emplace_back(hash_text(name) - hash_text(self_), name);
+struct RingPosition {
+  std::uint64_t distance = 0;  // along the ring from this member
+  std::string member;
+
+  friend auto operator<=>(const RingPosition&, const RingPosition&) = default;
+};
+
+}  // namespace
+
+std::vector<std::string> PeerProber::select_targets(const std::vector<std::string>& members) const {
+  std::vector<RingPosition> ring;
+  for (const std::string& member : members) {
+    if (member != self_) {
+      ring.push_back(RingPosition{hash_text(member) - hash_text(self_), member});
     }
   }
   std::sort(ring.begin(), ring.end());
-  std::vector<std::string> out;
-  for (std::size_t i = 0; i < std::min(count_, ring.size()); ++i) {
-    out.push_back(ring[i].second);
+  ring.resize(std::min(target_count_, ring.size()));
+  std::vector<std::string> targets;
+  for (const RingPosition& position : ring) {
+    targets.push_back(position.member);
   }
-  return out;
+  return targets;
 }
 
-void Peers::watch(const std::vector<std::string>& names) {
+void PeerProber::set_targets(const std::vector<std::string>& members) {
   std::map<std::string, int> next;
-  for (const std::string& name : names) {
-    const auto found = missed_.find(name);
-    next[name] = found == missed_.end() ? 0 : found->second;
+  for (const std::string& member : members) {
+    const auto found = failures_in_a_row_.find(member);
+    next[member] = found == failures_in_a_row_.end() ? 0 : found->second;
   }
-  missed_ = std::move(next);
+  failures_in_a_row_ = std::move(next);
 }
 
-void Peers::tried(const std::string& name, bool reached) {
-  const auto found = missed_.find(name);
-  if (found != missed_.end()) {
+void PeerProber::on_probe_result(const std::string& member, bool reached) {
+  const auto found = failures_in_a_row_.find(member);
+  if (found != failures_in_a_row_.end()) {
     found->second = reached ? 0 : found->second + 1;
   }
 }
 
-std::map<std::string, Doubt> Peers::doubts() const {
-  const auto missed = [this](const auto& one) { return one.second >= misses_; };
-  const auto fails = std::count_if(missed_.begin(), missed_.end(), missed);
-  std::map<std::string, Doubt> out;
-  for (const auto& one : missed_) {
-    if (missed(one)) {
-      out[one.first] = Doubt{one.first, self_, static_cast<int>(missed_.size()), static_cast<int>(fails)};
+std::map<std::string, Suspicion> PeerProber::suspicions() const {
+  const auto is_suspected = [this](const auto& target) { return target.second >= failure_threshold_; };
+  const auto failed = std::count_if(failures_in_a_row_.begin(), failures_in_a_row_.end(), is_suspected);
+  std::map<std::string, Suspicion> out;
+  for (const auto& target : failures_in_a_row_) {
+    if (is_suspected(target)) {
+      out[target.first] = Suspicion{target.first, self_, static_cast<int>(failures_in_a_row_.size()),
+                                    static_cast<int>(failed)};
     }
   }
   return out;
--- a/src/ownership/fence.h
+++ b/src/ownership/fence.h
@@ -1,14 +1,15 @@
-// Whoever is acted upon refuses what comes under a lower term than it has seen: a late effect of an owner
-// that was stopped, or that lies in a socket's buffer, does no harm whatever its sender believes.
+// Fence of a receiver of effects: it rejects each command that comes under a lower term than it has seen. A late
+// effect of a former owner, for example one that lay in a socket's buffer, does no harm whatever its sender
+// believes.
 //
-// The highest term has to be kept before the effect of its first command: the caller writes and syncs what
-// admit() says is new, and only then carries the command out. A receiver that starts again begins with what
-// was kept.
+// The highest term has to be durable before the effect of its first command: where admit() says kPersistFirst,
+// the caller writes and syncs the term, calls on_persisted(), and only then executes the command. A receiver
+// that restarts begins with the terms that it persisted.
 //
-// Package `ownership`: no I/O, no clock.
+// Library `ownership`: no I/O and no clock. Not thread-safe.
 #pragma once
 
-#include <cstdint>
+#include <algorithm>
 #include <map>
 #include <string>
 
@@ -16,33 +17,39 @@
 
 namespace trailcourse::ownership {
 
-enum class Verdict {
-  kCarryOut,   // the term is the highest known, and kept
-  kKeepFirst,  // it is higher: keep it durably, tell kept(), then carry the command out
-  kRefuse      // a higher one was seen: the sender is an owner of the past
+enum class FenceDecision {
+  kAccept,        // the term is the highest seen, and it is durable
+  kPersistFirst,  // the term is higher: persist it, call on_persisted(), then execute the command
+  kReject         // a higher term was seen: the sender is a former owner
 };
 
+// Highest durable term of each piece of work.
 class Fence {
  public:
-  Verdict admit(const std::string& work, Term term) const {
-    const Term highest = kept_term(work);
-    return term == 0 || term < highest ? Verdict::kRefuse
-           : term == highest           ? Verdict::kCarryOut
-                                       : Verdict::kKeepFirst;
+  FenceDecision admit(const std::string& work, Term term) const {
+    const Term highest = persisted_term(work);
+    if (term == 0 || term < highest) {
+      return FenceDecision::kReject;
+    }
+    return term == highest ? FenceDecision::kAccept : FenceDecision::kPersistFirst;
   }
-  // The term is durable now.
-  void kept(const std::string& work, Term term) {
-    Term& highest = kept_[work];
-    highest = term > highest ? term : highest;
+
+  // The term is durable now. A lower one than known before changes nothing.
+  void on_persisted(const std::string& work, Term term) {
+    Term& highest = terms_[work];
+    highest = std::max(highest, term);
   }
-  Term kept_term(const std::string& work) const {
-    const auto found = kept_.find(work);
-    return found == kept_.end() ? 0 : found->second;
+
+  // Returns the highest durable term of the work, or 0.
+  Term persisted_term(const std::string& work) const {
+    const auto found = terms_.find(work);
+    return found == terms_.end() ? 0 : found->second;
   }
-  const std::map<std::string, Term>& all() const { return kept_; }
+
+  const std::map<std::string, Term>& terms() const { return terms_; }
 
  private:
-  std::map<std::string, Term> kept_;
+  std::map<std::string, Term> terms_;
 };
 
 }  // namespace trailcourse::ownership
--- a/src/ownership/fencing_token.h
+++ b/src/ownership/fencing_token.h
@@ -1,6 +1,6 @@
-// The term of owned work as it goes with an effect: which store gave it, for what, and the term itself.
+// Fencing token: the term of owned work as it is sent with an effect, together with the store that granted it.
 //
-// Package `ownership`: no I/O, no clock.
+// Library `ownership`: no I/O and no clock.
 #pragma once
 
 #include <cstdint>
@@ -12,16 +12,18 @@
 
 namespace trailcourse::ownership {
 
-struct Token {
-  std::uint64_t store = 0;
-  std::string work;  // with its shard
+struct FencingToken {
+  std::uint64_t store = 0;  // identity of the store; terms of two stores cannot be compared
+  std::string work;         // "NAME/SHARD"
   Term term = 0;
 
-  friend bool operator==(const Token&, const Token&) = default;
+  friend bool operator==(const FencingToken&, const FencingToken&) = default;
 };
 
-// "STORE:WORK/SHARD:TERM"; nothing where it is not of that form.
-std::optional<Token> read_token(std::string_view text);
-std::string to_string(const Token& token);
+// Parses "STORE:WORK/SHARD:TERM". Returns nothing where the text is malformed.
+std::optional<FencingToken> parse_fencing_token(std::string_view text);
+
+// Returns the form that parse_fencing_token() reads.
+std::string to_string(const FencingToken& token);
 
 }  // namespace trailcourse::ownership
--- a/src/ownership/lease.cpp
+++ b/src/ownership/lease.cpp
@@ -5,138 +5,141 @@
 
 namespace trailcourse::ownership {
 
-const char* to_string(Phase phase) {
+const char* to_string(LeasePhase phase) {
   switch (phase) {
-    case Phase::kCandidate:
+    case LeasePhase::kCandidate:
       return "candidate";
-    case Phase::kOwner:
+    case LeasePhase::kOwner:
       return "owner";
-    case Phase::kRenewing:
+    case LeasePhase::kRenewing:
       return "renewing";
-    case Phase::kDoubtful:
-      return "doubtful";
-    case Phase::kStopped:
+    case LeasePhase::kUncertain:
+      return "uncertain";
+    case LeasePhase::kStopped:
       break;
   }
   return "stopped";
 }
 
-Micros surely_held(const LeaseRules& rules) {
-  const double ttl = static_cast<double>(rules.ttl.count());
-  return Micros(static_cast<Micros::rep>(ttl * (1.0 - rules.drift))) - rules.margin;
+Micros guaranteed_duration(const LeaseOptions& options) {
+  const double ttl = static_cast<double>(options.ttl.count());
+  return Micros(static_cast<Micros::rep>(ttl * (1.0 - options.drift))) - options.margin;
 }
 
-std::optional<Order> Lease::due(Micros now) {
-  if (out_ || released_ || now < not_before_) {
+std::optional<LeaseCall> Lease::step(Micros now) {
+  if (in_flight_ || released_ || now < not_before_) {
     return std::nullopt;
   }
-  Order order;
+  LeaseCall call;
   if (stopping_) {
     if (term_ == 0) {
       released_ = true;
       return std::nullopt;
     }
-    order.ask = Ask::kRelease;
+    call.kind = LeaseCallKind::kRelease;
   } else if (term_ != 0) {
-    if (now < last_sent_ + rules_.renew_after) {
+    if (now < last_granted_sent_ + options_.renew_after) {
       return std::nullopt;
     }
-    order.ask = Ask::kRenew;
+    call.kind = LeaseCallKind::kRenew;
   }
-  order.number = ++last_number_;
-  order.term = term_;
-  out_ = Out{order, now};
-  return order;
+  call.call_id = ++last_call_id_;
+  call.term = term_;
+  in_flight_ = CallInFlight{call, now};
+  return call;
 }
 
-std::optional<Micros> Lease::next(Micros now) const {
-  if (out_ || released_) {
+std::optional<Micros> Lease::next_step_at(Micros now) const {
+  if (in_flight_ || released_) {
     return std::nullopt;
   }
   const bool renews = term_ != 0 && !stopping_;
-  return std::max({now, not_before_, renews ? last_sent_ + rules_.renew_after : now});
+  return std::max({now, not_before_, renews ? last_granted_sent_ + options_.renew_after : now});
 }
 
-void Lease::granted(Micros, std::uint64_t number, Term term) {
-  if (!out_ || out_->order.number != number) {
-    return;  // of a call that was given up: what it gave is found out by asking again
+std::optional<Lease::CallInFlight> Lease::take_call(std::uint64_t call_id) {
+  if (!in_flight_ || in_flight_->call.call_id != call_id) {
+    return std::nullopt;  // an earlier call that was given up: the next call shows what it did
   }
-  const Out out = *out_;
-  out_.reset();
-  if (out.order.ask == Ask::kRelease) {
-    forget();
+  return std::exchange(in_flight_, std::nullopt);
+}
+
+void Lease::on_granted(Micros, std::uint64_t call_id, Term term) {
+  const std::optional<CallInFlight> answered = take_call(call_id);
+  if (!answered) {
+    return;
+  }
+  if (answered->call.kind == LeaseCallKind::kRelease) {
+    clear_grant();
     released_ = true;
     return;
   }
-  term_ = out.order.ask == Ask::kRenew ? out.order.term : term;
-  // Timed from its sending: the store began to count then at the earliest.
-  until_ = std::max(until_, out.sent + surely_held(rules_));
-  last_sent_ = out.sent;
+  term_ = answered->call.kind == LeaseCallKind::kRenew ? answered->call.term : term;
+  // Counted from the sending: the store began to count then at the earliest.
+  valid_until_ = std::max(valid_until_, answered->sent + guaranteed_duration(options_));
+  last_granted_sent_ = answered->sent;
 }
 
-void Lease::refused(Micros now, std::uint64_t number) {
-  if (!out_ || out_->order.number != number) {
+void Lease::on_rejected(Micros now, std::uint64_t call_id) {
+  const std::optional<CallInFlight> answered = take_call(call_id);
+  if (!answered) {
     return;
   }
-  const bool released = out_->order.ask == Ask::kRelease;
-  out_.reset();
-  forget();
-  released_ = released_ || released;
-  not_before_ = now + rules_.retry;
+  clear_grant();
+  released_ = released_ || answered->call.kind == LeaseCallKind::kRelease;
+  not_before_ = now + options_.retry_backoff;
 }
 
-void Lease::lost(Micros now, std::uint64_t number) {
-  if (!out_ || out_->order.number != number) {
-    return;
+void Lease::on_no_response(Micros now, std::uint64_t call_id) {
+  if (take_call(call_id)) {
+    not_before_ = now + options_.retry_backoff;
   }
-  out_.reset();
-  not_before_ = now + rules_.retry;
 }
 
-void Lease::forget() {
+void Lease::clear_grant() {
   term_ = 0;
-  until_ = Micros(-1);
+  valid_until_ = Micros(-1);
 }
 
-bool Lease::may_act(Micros now) const { return !stopping_ && term_ != 0 && now < until_; }
+bool Lease::may_act(Micros now) const { return !stopping_ && term_ != 0 && now < valid_until_; }
 
-Phase Lease::phase(Micros now) const {
+LeasePhase Lease::phase(Micros now) const {
   if (stopping_ || released_) {
-    return Phase::kStopped;
+    return LeasePhase::kStopped;
   }
   if (term_ == 0) {
-    return Phase::kCandidate;
+    return LeasePhase::kCandidate;
   }
-  if (now >= until_) {
-    return Phase::kDoubtful;
+  if (now >= valid_until_) {
+    return LeasePhase::kUncertain;
   }
-  return out_ ? Phase::kRenewing : Phase::kOwner;
+  return in_flight_ ? LeasePhase::kRenewing : LeasePhase::kOwner;
 }
 
 std::string Lease::describe() const {
-  std::string out = std::to_string(term_) + " until " + std::to_string(until_.count()) + " sent " +
-                    std::to_string(last_sent_.count()) + " not before " +
-                    std::to_string(not_before_.count()) + " number " + std::to_string(last_number_);
-  if (out_) {
-    out += " out " + std::to_string(static_cast<int>(out_->order.ask)) + "/" +
-           std::to_string(out_->order.number) + "/" + std::to_string(out_->order.term) + "@" +
-           std::to_string(out_->sent.count());
+  std::string out = std::to_string(term_) + " until " + std::to_string(valid_until_.count()) + " sent " +
+                    std::to_string(last_granted_sent_.count()) + " not before " +
+                    std::to_string(not_before_.count()) + " call " + std::to_string(last_call_id_);
+  if (in_flight_) {
+    const LeaseCall& call = in_flight_->call;
+    out += " in flight " + std::to_string(static_cast<int>(call.kind)) + "/" + std::to_string(call.call_id) +
+           "/" + std::to_string(call.term) + "@" + std::to_string(in_flight_->sent.count());
   }
   return out + (stopping_ ? " stopping" : "") + (released_ ? " released" : "");
 }
 
-void Lease::start_again() {
-  forget();
-  last_sent_ = Micros(-1);
+void Lease::restart() {
+  clear_grant();
+  last_granted_sent_ = Micros(-1);
   stopping_ = false;
   released_ = false;
 }
 
 void Lease::stop(Micros now) {
   if (std::exchange(stopping_, true)) {
-    return;  // a release that was lost is tried again in its time
+    return;  // a release that got no response is retried after its backoff
   }
-  until_ = Micros(-1);
+  valid_until_ = Micros(-1);
   not_before_ = std::min(not_before_, now);
 }
 
--- a/src/ownership/lease_manager.h
+++ b/src/ownership/lease_manager.h
@@ -1,20 +1,28 @@
-// One router's part in all owned work: which shards it may try to own and when, what it has to ask the store,
-// when a task begins and ends, and whether an effect may be begun now. The lease of each shard (lease.h) says
-// for how long; the manager says whether at all.
+// One router's part in all owned work: which shards it tries to acquire and when, which calls to the store are
+// needed, when a task starts and stops, and whether an effect may begin now. The lease of each shard (lease.h)
+// limits for how long; the manager decides whether at all.
 //
-// A shard's life at one router:
+// | phase           | what holds                                                | followed by                     |
+// | --------------- | --------------------------------------------------------- | ------------------------------- |
+// | unassigned      | this router does not own the shard                        | acquiring, in its slot          |
+// | acquiring       | the call is in flight                                     | recording start, or unassigned  |
+// | recording start | owned; the start of the task is being written             | delayed, or parked              |
+// | delayed         | the start is written; the task waits out its backoff      | running                         |
+// | running         | the task runs                                             | releasing                       |
+// | parked          | too many starts in a row failed; staff have to resume it  | recording start, or releasing   |
+// | releasing       | the last checkpoint is being written, then the lease ends | unassigned                      |
 //
-//     away ──(nobody owns it, my time slot)──> asking ──(granted)──> recording ──(kept)──> delayed ──>
-//     running
-//      ^                                                            │                               │
-//      └──(lost, refused, let go)── yielding <──(drain, hand-over, paused, better owner)────────────┘
-//                                                                   └──> parked (too many died of it)
+// Each phase of an owned shard is followed by unassigned where the lease is lost, and by releasing where the
+// router drains, staff pause or move the work, or another member is preferred for some time.
 //
-// Who begins is written before it begins, under its term, and taken back by the first checkpoint: work whose
-// owners die is tried by fewer and fewer, with growing pauses, and then parked for staff. So a poisoned piece
-// of work takes down `most_starts` routers, and not one after the other.
+// A start is written to the store before the task begins, under the term of the owner, and is taken back by the
+// first checkpoint. Work whose owners crash is therefore started by fewer routers, with growing backoff, and is
+// then parked for staff: a poisoned piece of work takes down `max_starts` routers, and not one after the other.
 //
-// Package `ownership`: no I/O, no clock; time is Micros of the caller's steady clock. Not thread-safe.
+// Implementation: lease_manager.cpp (inputs and steps), shard_acquisition.cpp (candidate order and acquiring),
+// shard_progress.cpp (starts and checkpoints), shard_release.cpp (handing over, releasing and losing).
+//
+// Library `ownership`: no I/O and no clock; times are Micros of the caller's steady clock. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -22,170 +30,145 @@
 #include <optional>
 #include <set>
 #include <string>
-#include <variant>
 #include <vector>
 
 #include "ownership/lease.h"
-#include "ownership/shards.h"
-#include "ownership/work.h"
+#include "ownership/lease_manager_types.h"
+#include "ownership/progress_writer.h"
+#include "ownership/work_records.h"
 
 namespace trailcourse::ownership {
 
-struct LeaseManagerRules {
-  LeaseRules lease;
-  Micros slot{200'000};            // a candidate waits so long for each one before it
-  Micros longest_slot{2'000'000};  // and no longer than that in all
-  Micros settle{10'000'000};   // a better owner has to be there for so long before the shard is handed to it
-  Micros yield_most{500'000};  // for the last checkpoint, when a shard is let go
-  Micros stand_back{5'000'000};    // who let go on request does not ask again for so long
-  std::uint64_t most_starts = 3;   // owners in a row that died of it; then it is parked
-  Micros poison_pause{1'000'000};  // before the second owner begins; doubles
-  Micros longest_poison_pause{60'000'000};
-  std::size_t most_owned = 64;  // shards of one router
-};
+class LeaseManager {
+ public:
+  // `member`, `incarnation` and `zone` are those of this router; `kinds` are the kinds of work that it can do.
+  LeaseManager(std::string member, std::string incarnation, std::string zone, std::set<std::string> kinds,
+               const LeaseManagerOptions& options);
 
-enum class ShardPhase { kAway, kAsking, kRecording, kDelayed, kRunning, kYielding, kParked };
-const char* to_string(ShardPhase phase);
+  // Sets the members that may be given work, each with its zone.
+  void set_members(Micros now, std::map<std::string, std::string> zone_by_member);
 
-// What is to be done now, in order.
-struct AskLease {  // acquire, renew or release, as in lease.h
-  ShardId id;
-  Order order;
-};
-struct Write {  // progress, under the term
-  ShardId id;
-  std::uint64_t number = 0;
-  Term term = 0;
-  coordination::Revision modified = 0;
-  Progress progress;
-};
-struct Begin {  // the task, from this checkpoint
-  ShardId id;
-  Term term = 0;
-  std::string checkpoint;
-};
-struct Finish {  // the task is to come to an end, and to say its last checkpoint
-  ShardId id;
-  Term term = 0;
-};
-struct Abandon {  // the task stops at once: it does not own the shard any more, or cannot know
-  ShardId id;
-  Term term = 0;
-};
-using LeaseManagerOrder = std::variant<AskLease, Write, Begin, Finish, Abandon>;
-
-// What staff see of a shard.
-struct ShardSeen {
-  ShardId id;
-  ShardPhase phase = ShardPhase::kAway;
-  Phase lease = Phase::kCandidate;
-  Owner owner;  // as the store told last
-  bool done = false;
-  std::uint64_t starts = 0;
-};
+  // A work definition was written, or deleted where `work` is empty.
+  void set_work(Micros now, const std::string& name, std::optional<Work> work);
 
-struct LeaseManagerCounts {
-  std::uint64_t acquired = 0, lost = 0, yielded = 0, parked = 0, checkpoints = 0, refused_writes = 0;
-};
+  // The owner of a shard changed at `revision`; empty: it has none.
+  void on_owner(Micros now, const ShardId& id, std::optional<Owner> owner, coordination::Revision revision);
 
-class LeaseManager {
- public:
-  // The kinds of work that this router can do.
-  LeaseManager(std::string self, std::string incarnation, std::string zone, std::set<std::string> kinds,
-               const LeaseManagerRules& rules);
-
-  // What the store told. `members`: those that may be given work, with their zones.
-  void members(Micros now, std::map<std::string, std::string> members);
-  void work(Micros now, const std::string& name, std::optional<Work> work);
-  // `revision`: of the change that told it.
-  void owner(Micros now, const ShardId& id, std::optional<Owner> owner, coordination::Revision revision);
-  void done(Micros now, const ShardId& id, bool done);
-  // `from`: whom staff ask to let it go; empty: nobody.
-  void release_asked(Micros now, const ShardId& id, const std::string& from);
-  // Another start has this router's name: it does no owned work.
-  void shadowed(Micros now, bool shadowed);
-  // The kinds that may be owned by the policy in force; those of other kinds are let go. None said: all.
-  void allow(Micros now, std::optional<std::set<std::string>> kinds);
-  // Whether what the store tells is heard: nothing is asked for where it is not.
-  void heard(Micros now, bool heard);
-  // Lets all go; nothing is taken on again.
+  void on_done(Micros now, const ShardId& id, bool done);
+
+  // Staff request that `member` release the shard; empty: the request was withdrawn.
+  void on_release_request(Micros now, const ShardId& id, const std::string& member);
+
+  // Sets whether a later process has this router's name. A superseded router does no owned work.
+  void set_superseded(Micros now, bool superseded);
+
+  // Sets the kinds that may be owned by the policy in force; shards of other kinds are released. Empty: all.
+  void set_allowed_kinds(Micros now, std::optional<std::set<std::string>> kinds);
+
+  // Sets whether changes of the store arrive. Nothing is acquired while they do not.
+  void set_connected(Micros now, bool connected);
+
+  // Releases all shards; none is acquired any more.
   void drain(Micros now);
   bool drained() const;
 
-  // The store's answers.
-  void acquired(Micros now, const ShardId& id, std::uint64_t number, const Acquired& acquired);
-  void renewed(Micros now, const ShardId& id, std::uint64_t number, bool alive);
-  void released(Micros now, const ShardId& id, std::uint64_t number);
-  void lost(Micros now, const ShardId& id, std::uint64_t number);  // no answer to one of these
-  void recorded(Micros now, const ShardId& id, std::uint64_t number, const Recorded& recorded);
-  void record_lost(Micros now, const ShardId& id, std::uint64_t number);
-
-  // The task's words. A checkpoint is kept as soon as the one before is; `done`: nothing is left to do.
-  void checkpoint(Micros now, const ShardId& id, Term term, std::string checkpoint, bool done);
-  // It has come to its end after Finish; its last checkpoint was said before.
-  void finished(Micros now, const ShardId& id, Term term);
-  // Whether an effect under this term may be begun now: to be asked before each.
+  // Results of lease calls. Exactly one of them, or on_no_response(), follows each LeaseCallAction.
+  void on_acquire_result(Micros now, const ShardId& id, std::uint64_t call_id, const AcquireResult& result);
+  void on_renew_result(Micros now, const ShardId& id, std::uint64_t call_id, bool alive);
+  void on_release_result(Micros now, const ShardId& id, std::uint64_t call_id);
+  void on_no_response(Micros now, const ShardId& id, std::uint64_t call_id);
+
+  // Results of WriteProgressAction.
+  void on_write_result(Micros now, const ShardId& id, std::uint64_t call_id,
+                       const ProgressWriteResult& result);
+  void on_no_write_response(Micros now, const ShardId& id, std::uint64_t call_id);
+
+  // The task reports a checkpoint. It is written as soon as the write before is confirmed; a newer one replaces
+  // one that still waits. `done`: nothing is left to do.
+  void on_checkpoint(Micros now, const ShardId& id, Term term, std::string checkpoint, bool done);
+
+  // The task has come to its end after StopTaskAction; its last checkpoint was reported before.
+  void on_task_finished(Micros now, const ShardId& id, Term term);
+
+  // Returns whether an effect under this term may begin now. It has to be called before each effect.
   bool may_act(Micros now, const ShardId& id, Term term) const;
 
-  std::vector<LeaseManagerOrder> due(Micros now);
-  std::optional<Micros> next(Micros now) const;
+  // Returns what is to be done now, in order.
+  std::vector<LeaseManagerAction> step(Micros now);
+
+  // Returns when step() may next return something by time alone.
+  std::optional<Micros> next_step_at(Micros now) const;
 
-  std::vector<ShardSeen> all(Micros now) const;
+  std::vector<ShardStatus> shards(Micros now) const;
   const LeaseManagerCounts& counts() const { return counts_; }
 
  private:
   struct Shard {
-    explicit Shard(const LeaseRules& rules) : lease(rules) {}
+    explicit Shard(const LeaseOptions& options) : lease(options) {}
 
     Lease lease;
+    ShardPhase phase = ShardPhase::kUnassigned;
+    Term term = 0;  // under which it is owned; 0: it is not
+    ProgressWriter progress;
     Micros vacant_since{0};
-    ShardPhase phase = ShardPhase::kAway;
-    Term term = 0;
-    Kept kept;                        // progress as it stands, as far as is known
-    std::optional<Progress> writing;  // until it is known to be kept
-    bool write_out = false;           // a call of it is out
-    std::uint64_t write_number = 0;
-    Micros write_after{0};
-    std::optional<Progress> waiting;  // to be written next
-    Micros begin_at{0};
-    bool begun = false;  // the task was told to begin
-    bool ended = false;  // and said that it has come to its end
-    Micros yield_since{-1};
-    Micros better_since{-1};  // since when another should own it
-    Micros not_before{0};
+    Micros acquire_not_before{0};
+    Micros start_at{0};
+    bool task_started = false;
+    bool task_finished = false;  // by itself, after it was asked to stop
+    std::optional<Micros> releasing_since;
+    std::optional<Micros> preferred_elsewhere_since;  // since when another member should own it
   };
 
   Shard* find(const ShardId& id);
-  const Work* work_of(const ShardId& id) const;
+  const Work* active_work(const ShardId& id) const;
   std::vector<std::string> candidates(const Work& work) const;
-  // When it may be asked for; nothing where this router is not to.
-  std::optional<Micros> ask_at(const ShardId& id, const Shard& shard) const;
-  std::size_t held() const;
-  void leave(Micros now, const ShardId& id, Shard& shard);
-  void begin_yield(Micros now, const ShardId& id, Shard& shard);
-  void step(Micros now, const ShardId& id, Shard& shard);
-  void step_owned(Micros now, const ShardId& id, Shard& shard);
-  void record_start(Micros now, const Work& work, Shard& shard);
-  void write_next(Micros now, const ShardId& id, Shard& shard);
-  void judge_place(Micros now, const ShardId& id, Shard& shard, const Work* work);
-  Progress next_progress(const Shard& shard) const;
-  Micros pause_after(std::uint64_t starts) const;
 
-  std::string self_;
+  // Acquiring.
+  bool may_acquire(const ShardId& id, const Shard& shard, const Work& work) const;
+  std::optional<Micros> acquire_at(const ShardId& id, const Shard& shard) const;
+  std::size_t reserved_shards() const;
+
+  // Starts and checkpoints.
+  void record_start(Micros now, const Work& work, Shard& shard);
+  void on_start_written(Micros now, Shard& shard, const Progress& written);
+  void on_checkpoint_written(Shard& shard, const Progress& written);
+  void withdraw_start(Shard& shard);
+  Micros restart_backoff(std::uint64_t starts) const;
+
+  // Releasing.
+  void lose(Micros now, const ShardId& id, Shard& shard);
+  void begin_release(Micros now, const ShardId& id, Shard& shard);
+  void abort_task(const ShardId& id, Shard& shard);
+  bool take_release_request(const ShardId& id);
+  bool is_unwanted(const ShardId& id, const Work* work) const;
+  void check_assignment(Micros now, const ShardId& id, Shard& shard, const Work* work);
+
+  // Steps.
+  void step_shard(Micros now, const ShardId& id, Shard& shard);
+  void step_lease(Micros now, const ShardId& id, Shard& shard);
+  void step_owned(Micros now, const ShardId& id, Shard& shard);
+  void step_phase(Micros now, const ShardId& id, Shard& shard, const Work* work);
+  void step_uncertain(Micros now, const ShardId& id, Shard& shard);
+  void step_delayed(Micros now, const ShardId& id, Shard& shard);
+  void step_releasing(Micros now, const ShardId& id, Shard& shard);
+  std::optional<Micros> next_lease_step_at(Micros now, const ShardId& id, const Shard& shard) const;
+  std::optional<Micros> next_owned_step_at(Micros now, const Shard& shard) const;
+
+  std::string member_;
   std::string incarnation_;
   std::string zone_;
   std::set<std::string> kinds_;
-  std::optional<std::set<std::string>> allowed_;
-  LeaseManagerRules rules_;
-  std::map<std::string, std::string> members_;
+  std::optional<std::set<std::string>> allowed_kinds_;
+  LeaseManagerOptions options_;
+  std::map<std::string, std::string> zone_by_member_;
   std::map<std::string, Work> works_;
   std::map<ShardId, Shard> shards_;
-  std::map<ShardId, Owner> owners_;  // as told, also of work that is not known yet
+  std::map<ShardId, Owner> owners_;  // as reported, also of work whose definition is not known yet
   std::set<ShardId> done_;
-  std::map<ShardId, std::string> releases_;
-  std::vector<LeaseManagerOrder> out_;
-  bool shadowed_ = false;
-  bool heard_ = false;
+  std::map<ShardId, std::string> release_requests_;
+  std::vector<LeaseManagerAction> actions_;
+  bool superseded_ = false;
+  bool connected_ = false;
   bool draining_ = false;
   LeaseManagerCounts counts_;
 };
--- a/src/ownership/shard_assignment.cpp
+++ b/src/ownership/shard_assignment.cpp
@@ -1,4 +1,4 @@
-#include "ownership/shards.h"
+#include "ownership/shard_assignment.h"
 
 #include <algorithm>
 #include <utility>
@@ -12,41 +12,47 @@
   return mix(hash_text(member) ^ mix(hash_text(work) + shard));
 }
 
-// By weight, ties by name.
-bool before(const std::string& work, std::size_t shard, const std::string& one, const std::string& other) {
-  const std::uint64_t left = weight(work, shard, one);
-  const std::uint64_t right = weight(work, shard, other);
-  return left != right ? left > right : one < other;
+// Whether `member` ranks before `other`: the higher weight first, equal weights by name.
+bool ranks_before(const std::string& work, std::size_t shard, const std::string& member,
+                  const std::string& other) {
+  const std::uint64_t member_weight = weight(work, shard, member);
+  const std::uint64_t other_weight = weight(work, shard, other);
+  return member_weight != other_weight ? member_weight > other_weight : member < other;
 }
 
 }  // namespace
 
-std::string owner_of(const std::string& work, std::size_t shard, const std::vector<std::string>& members) {
-  const auto first =
-      std::min_element(members.begin(), members.end(),
-                       [&](const auto& one, const auto& other) { return before(work, shard, one, other); });
+std::string preferred_owner(const std::string& work, std::size_t shard,
+                            const std::vector<std::string>& members) {
+  const auto first = std::min_element(
+      members.begin(), members.end(),
+      [&](const auto& member, const auto& other) { return ranks_before(work, shard, member, other); });
   return first == members.end() ? std::string() : *first;
 }
 
-std::size_t slot_of(const std::string& work, std::size_t shard, const std::string& member,
-                    const std::vector<std::string>& members) {
-  return static_cast<std::size_t>(std::count_if(
-      members.begin(), members.end(),
-      [&](const std::string& other) { return other != member && before(work, shard, other, member); }));
+std::size_t candidate_rank(const std::string& work, std::size_t shard, const std::string& member,
+                           const std::vector<std::string>& members) {
+  const auto ranks_earlier = [&](const std::string& other) {
+    return other != member && ranks_before(work, shard, other, member);
+  };
+  return static_cast<std::size_t>(std::count_if(members.begin(), members.end(), ranks_earlier));
 }
 
-Micros wait_for_slot(std::size_t slot, Micros step, Micros longest) {
-  const auto most = step.count() > 0 ? static_cast<std::size_t>(longest / step) : 0;
-  return step * static_cast<Micros::rep>(std::min(slot, most));
+Micros candidate_wait(std::size_t rank, Micros slot, Micros max_wait) {
+  const auto max_slots = slot.count() > 0 ? static_cast<std::size_t>(max_wait / slot) : 0;
+  return slot * static_cast<Micros::rep>(std::min(rank, max_slots));
 }
 
-std::size_t moved(const std::string& work, std::size_t shards, const std::vector<std::string>& before_members,
-                  const std::vector<std::string>& after_members) {
-  std::size_t out = 0;
+std::size_t count_moved_shards(const std::string& work, std::size_t shards,
+                               const std::vector<std::string>& members_before,
+                               const std::vector<std::string>& members_after) {
+  std::size_t moved = 0;
   for (std::size_t shard = 0; shard < shards; ++shard) {
-    out += owner_of(work, shard, before_members) != owner_of(work, shard, after_members) ? 1 : 0;
+    const bool same =
+        preferred_owner(work, shard, members_before) == preferred_owner(work, shard, members_after);
+    moved += same ? 0 : 1;
   }
-  return out;
+  return moved;
 }
 
 }  // namespace trailcourse::ownership
--- a/src/ownership/shard_assignment.h
+++ b/src/ownership/shard_assignment.h
@@ -1,8 +1,8 @@
-// Which member is to own which shard of a piece of work: by rendezvous hashing, so that a member that comes
-// or goes moves its own shards and no others. And in which order candidates try for work whose owner is gone,
-// so that not all of them ask the store at once.
+// Assignment of shards to members by rendezvous hashing: a member that joins or leaves moves its own shards and
+// no others. It also gives the order in which candidates try to acquire a shard whose owner is gone, so that
+// they do not all call the store at once.
 //
-// Package `ownership`: no I/O, no clock.
+// Library `ownership`: no I/O and no clock.
 #pragma once
 
 #include <cstddef>
@@ -13,18 +13,21 @@
 
 namespace trailcourse::ownership {
 
-// The member that the shard belongs to; empty where there is none. The same for every order of the members.
-std::string owner_of(const std::string& work, std::size_t shard, const std::vector<std::string>& members);
+// Returns the member that should own the shard, or an empty name where there are no members. The order of
+// `members` does not matter.
+std::string preferred_owner(const std::string& work, std::size_t shard,
+                            const std::vector<std::string>& members);
 
-// The place of a member in the order of candidates for a shard, 0 for its owner by hash.
-std::size_t slot_of(const std::string& work, std::size_t shard, const std::string& member,
-                    const std::vector<std::string>& members);
+// Returns the rank of a member among the candidates for a shard; 0 is the preferred owner.
+std::size_t candidate_rank(const std::string& work, std::size_t shard, const std::string& member,
+                           const std::vector<std::string>& members);
 
-// How long a candidate waits for those before it: a step each, up to the longest.
-Micros wait_for_slot(std::size_t slot, Micros step, Micros longest);
+// Returns how long a candidate of this rank waits for those before it: one slot for each, `max_wait` at most.
+Micros candidate_wait(std::size_t rank, Micros slot, Micros max_wait);
 
-// Shards that belong to another member than before.
-std::size_t moved(const std::string& work, std::size_t shards, const std::vector<std::string>& before,
-                  const std::vector<std::string>& after);
+// Returns how many shards have another preferred owner after the change of members than before.
+std::size_t count_moved_shards(const std::string& work, std::size_t shards,
+                               const std::vector<std::string>& members_before,
+                               const std::vector<std::string>& members_after);
 
 }  // namespace trailcourse::ownership
--- a/src/ownership/work_records.cpp
+++ b/src/ownership/work_records.cpp
@@ -1,8 +1,9 @@
-#include "ownership/work.h"
+#include "ownership/work_records.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
 #include <stdexcept>
+#include <utility>
 
 namespace trailcourse::ownership {
 
@@ -16,8 +17,9 @@
 
 namespace {
 
-constexpr std::uint64_t kMostShards = 10'000;
-constexpr std::size_t kMostParams = 32U << 10U;
+constexpr std::size_t kMaxShardDigits = 5;
+constexpr std::uint64_t kMaxShards = 10'000;
+constexpr std::size_t kMaxParamsBytes = 32U << 10U;
 
 std::string text_of(const json& from, const char* name) {
   const auto found = from.find(name);
@@ -32,11 +34,11 @@
   return found != from.end() && found->is_boolean() && found->get<bool>();
 }
 
-Kept kept_of(const std::vector<coordination::Entry>& found) {
-  Kept out;
+StoredProgress stored_progress_of(const std::vector<coordination::Entry>& found) {
+  StoredProgress out;
   if (!found.empty()) {
     out.modified = found.front().modified;
-    // One that cannot be read counts as none: the next write replaces it, by its revision.
+    // A record that cannot be read counts as empty: the next write replaces it by its revision.
     out.progress = read_progress(found.front().value).value_or(Progress{});
   }
   return out;
@@ -46,37 +48,59 @@
 
 std::string to_string(const ShardId& id) { return id.work + "/" + std::to_string(id.shard); }
 
-std::optional<ShardId> read_shard_key(const std::string& key, const std::string& stem) {
-  if (!key.starts_with(stem)) {
+std::optional<ShardId> read_shard_key(const std::string& key, const std::string& prefix) {
+  if (!key.starts_with(prefix)) {
     return std::nullopt;
   }
-  const std::string rest = key.substr(stem.size());
+  const std::string rest = key.substr(prefix.size());
   const std::size_t slash = rest.find('/');
   if (slash == std::string::npos || !coordination::is_name(rest.substr(0, slash))) {
     return std::nullopt;
   }
   const std::string number = rest.substr(slash + 1);
-  const bool digits = !number.empty() && number.size() <= 5 &&
+  const bool digits = !number.empty() && number.size() <= kMaxShardDigits &&
                       std::all_of(number.begin(), number.end(), [](char c) { return c >= '0' && c <= '9'; });
   return digits ? std::optional<ShardId>(ShardId{rest.substr(0, slash), std::stoull(number)}) : std::nullopt;
 }
 
-void check_work(const Work& work) {
-  const auto fail = [](const std::string& text) { throw std::invalid_argument(text); };
+const char* to_string(WorkError error) {
+  switch (error) {
+    case WorkError::kName:
+      return "name: letters, digits, '.', '-' and '_', up to 64";
+    case WorkError::kKind:
+      return "kind: letters, digits, '.', '-' and '_', up to 64";
+    case WorkError::kZone:
+      return "zone: letters, digits, '.', '-' and '_', up to 64";
+    case WorkError::kShards:
+      return "shards: 1 to 10,000";
+    case WorkError::kParams:
+      break;
+  }
+  return "params: over 32 KB";
+}
+
+std::optional<WorkError> find_error(const Work& work) {
   if (!coordination::is_name(work.name)) {
-    fail("name: letters, digits, '.', '-' and '_', up to 64");
+    return WorkError::kName;
   }
   if (!coordination::is_name(work.kind)) {
-    fail("kind: letters, digits, '.', '-' and '_', up to 64");
+    return WorkError::kKind;
   }
   if (!work.zone.empty() && !coordination::is_name(work.zone)) {
-    fail("zone: letters, digits, '.', '-' and '_', up to 64");
+    return WorkError::kZone;
   }
-  if (work.shards < 1 || work.shards > kMostShards) {
-    fail("shards: 1 to 10,000");
+  if (work.shards < 1 || work.shards > kMaxShards) {
+    return WorkError::kShards;
   }
-  if (work.params.size() > kMostParams) {
-    fail("params: over 32 KB");
+  if (work.params.size() > kMaxParamsBytes) {
+    return WorkError::kParams;
+  }
+  return std::nullopt;
+}
+
+void check_work(const Work& work) {
+  if (const std::optional<WorkError> error = find_error(work)) {
+    throw std::invalid_argument(to_string(*error));
   }
 }
 
@@ -88,23 +112,18 @@
 
 std::optional<Work> read_work(const std::string& key, const std::string& value) {
   const json from = json::parse(value, nullptr, false);
-  if (!key.starts_with(kWork) || !from.is_object()) {
+  if (!key.starts_with(kWorkPrefix) || !from.is_object()) {
     return std::nullopt;
   }
   Work out;
-  out.name = key.substr(std::string(kWork).size());
+  out.name = key.substr(std::string(kWorkPrefix).size());
   out.kind = text_of(from, "kind");
   out.zone = text_of(from, "zone");
   out.shards = number_of(from, "shards");
   out.paused = flag_of(from, "paused");
   out.resumed = number_of(from, "resumed");
   out.params = text_of(from, "params");
-  try {
-    check_work(out);
-  } catch (const std::invalid_argument&) {
-    return std::nullopt;
-  }
-  return out;
+  return find_error(out) ? std::nullopt : std::optional<Work>(std::move(out));
 }
 
 std::string write_owner(const Owner& owner) {
@@ -148,66 +167,69 @@
   return out;
 }
 
-Transaction acquire(const std::string& prefix, const ShardId& id, const Owner& owner,
-                    coordination::LeaseId lease) {
-  const std::string key = to_string(id);
-  const std::string own = prefix + kOwn + key;
-  const Range progress{prefix + kProgress + key, false};
-  const Range done{prefix + kDone + key, false};
+Transaction acquire_transaction(const std::string& prefix, const ShardId& id, const Owner& owner,
+                                coordination::LeaseId lease) {
+  const std::string shard = to_string(id);
+  const std::string owner_key = prefix + kOwnerPrefix + shard;
+  const Range progress{prefix + kProgressPrefix + shard, false};
+  const Range done{prefix + kDonePrefix + shard, false};
+  const Range release_request{prefix + kReleasePrefix + shard, false};
   Transaction out;
-  out.when = {coordination::absent(own)};
-  out.then = {Put{own, write_owner(owner), lease}, Get{progress}, Get{done},
-              coordination::Delete{Range{prefix + kRelease + key, false}}};
-  out.otherwise = {Get{Range{own, false}}};
+  out.when = {coordination::absent(owner_key)};
+  out.then = {Put{owner_key, write_owner(owner), lease}, Get{progress}, Get{done},
+              coordination::Delete{release_request}};
+  out.otherwise = {Get{Range{owner_key, false}}};
   return out;
 }
 
-Acquired read_acquired(const Outcome& outcome) {
-  Acquired out;
+AcquireResult read_acquire_result(const Outcome& outcome) {
+  AcquireResult out;
   if (outcome.succeeded) {
     out.term = outcome.revision;
-    out.kept = kept_of(outcome.steps.at(1).found);
+    out.stored = stored_progress_of(outcome.steps.at(1).found);
     out.done = !outcome.steps.at(2).found.empty();
     return out;
   }
   const auto& found = outcome.steps.at(0).found;
   if (!found.empty()) {
-    out.other = read_owner(found.front().value, found.front().created).value_or(Owner{});
-    out.other.term = found.front().created;
+    out.current_owner = read_owner(found.front().value, found.front().created).value_or(Owner{});
+    out.current_owner.term = found.front().created;
   }
   return out;
 }
 
-Transaction record(const std::string& prefix, const ShardId& id, Term term, coordination::Revision modified,
-                   const Progress& progress) {
-  const std::string key = to_string(id);
-  const std::string own = prefix + kOwn + key;
-  const std::string at = prefix + kProgress + key;
+Transaction write_progress_transaction(const std::string& prefix, const ShardId& id, Term term,
+                                       coordination::Revision modified, const Progress& progress) {
+  const std::string shard = to_string(id);
+  const std::string owner_key = prefix + kOwnerPrefix + shard;
+  const std::string progress_key = prefix + kProgressPrefix + shard;
+  // Nothing is written of work that was deleted: if it is defined again, it begins anew.
+  const Compare work_exists{
+      prefix + kWorkPrefix + id.work, Compare::What::kCreated, Compare::How::kNotEqual, 0, {}};
   Transaction out;
-  // Of work that was taken away nothing is written any more: announced again, it begins anew.
-  out.when = {coordination::created_at(own, term), coordination::unchanged(at, modified),
-              Compare{prefix + kWork + id.work, Compare::What::kCreated, Compare::How::kNotEqual, 0, {}}};
-  out.then = {Put{at, write_progress(progress), 0}};
+  out.when = {coordination::created_at(owner_key, term), coordination::unchanged(progress_key, modified),
+              work_exists};
+  out.then = {Put{progress_key, write_progress(progress), 0}};
   if (progress.done) {
-    out.then.push_back(Put{prefix + kDone + key, progress.by, 0});
+    out.then.push_back(Put{prefix + kDonePrefix + shard, progress.by, 0});
   }
-  out.otherwise = {Get{Range{own, false}}, Get{Range{at, false}}};
+  out.otherwise = {Get{Range{owner_key, false}}, Get{Range{progress_key, false}}};
   return out;
 }
 
-Recorded read_recorded(const Outcome& outcome, Term term, const Progress& wrote) {
-  Recorded out;
+ProgressWriteResult read_progress_write_result(const Outcome& outcome, Term term, const Progress& attempted) {
+  ProgressWriteResult out;
   if (outcome.succeeded) {
     out.written = true;
     out.owned = true;
-    out.kept = Kept{wrote, outcome.revision};
+    out.stored = StoredProgress{attempted, outcome.revision};
     return out;
   }
   const auto& owner = outcome.steps.at(0).found;
   out.owned = !owner.empty() && owner.front().created == term;
-  out.kept = kept_of(outcome.steps.at(1).found);
-  // The write was done at the first try, whose answer was lost.
-  out.written = out.owned && out.kept.progress == wrote;
+  out.stored = stored_progress_of(outcome.steps.at(1).found);
+  // An earlier attempt, whose answer was lost, did write it.
+  out.written = out.owned && out.stored.progress == attempted;
   return out;
 }
 
--- a/src/ownership/work_records.h
+++ b/src/ownership/work_records.h
@@ -1,17 +1,16 @@
-// The records of owned work as they stand in the store, and the transactions that change them.
+// Records of owned work as they are stored, and the transactions that change them.
 //
-// | key                          | holds                                              | written by | |
-// ---------------------------- | -------------------------------------------------- |
-// ------------------------- | | work/NAME                    | what the work is, in how many shards, whether
-// paused | staff, or who asks for it | | own/NAME/SHARD               | who owns it; its creation is the
-// term; ends with the lease | the owner         | | progress/NAME/SHARD          | what was done of it, under
-// which term              | the owner, by compare-and-set | | done/NAME/SHARD              | that all of it
-// is done                             | the owner                 | | release/NAME/SHARD           | whom
-// staff ask to let it go                        | staff                     |
+// | key                      | value                                           | written by                      |
+// | ------------------------ | ----------------------------------------------- | ------------------------------- |
+// | fleet/work/NAME          | definition: kind, zone, shards, whether paused  | staff, or who requests the work |
+// | fleet/own/NAME/SHARD     | owner; the creation revision is the term        | the owner, bound to its lease   |
+// | progress/NAME/SHARD      | progress and the term that it was written under | the owner, by compare-and-set   |
+// | fleet/done/NAME/SHARD    | exists where the whole shard is done            | the owner                       |
+// | fleet/release/NAME/SHARD | member that is requested to release the shard   | staff                           |
 //
-// What stands under fleet/ is watched by every router; progress is read by who takes a shard on.
+// Every router watches the keys under fleet/. Progress is read only by the router that acquires a shard.
 //
-// Package `ownership`: knows JSON; no I/O, no clock.
+// Library `ownership`: depends on JSON; no I/O and no clock.
 #pragma once
 
 #include <cstdint>
@@ -23,42 +22,45 @@
 
 namespace trailcourse::ownership {
 
+// Definition of a piece of work.
 struct Work {
   std::string name;
-  std::string kind;  // which task carries it out
-  std::string zone;  // whose members may own it; empty: all
+  std::string kind;  // task that executes it
+  std::string zone;  // zone whose members may own it; empty: all zones
   std::uint64_t shards = 1;
   bool paused = false;
-  std::uint64_t resumed = 0;  // how often staff resumed it: a parked shard is tried again
-  std::string params;         // of its kind, JSON as text
+  std::uint64_t resumed = 0;  // how often staff resumed it; each time parked shards are tried again
+  std::string params;         // parameters of the kind, JSON as text
 
   friend bool operator==(const Work&, const Work&) = default;
 };
 
 struct Owner {
   std::string member;
-  std::string incarnation;
+  std::string incarnation;  // of the member's process
   Term term = 0;
 
   friend bool operator==(const Owner&, const Owner&) = default;
 };
 
+// Progress of one shard.
 struct Progress {
-  Term term = 0;              // under which it was written
-  std::uint64_t writes = 0;   // of that term: tells one write from another whose answer was lost
-  std::uint64_t starts = 0;   // owners that began since the last checkpoint: those that died of it
-  bool parked = false;        // not tried any more until staff resume it
-  std::uint64_t resumed = 0;  // the work's count when it was parked
-  std::string by;
-  std::string checkpoint;  // of the task
+  Term term = 0;              // term under which it was written
+  std::uint64_t writes = 0;   // number of the write within the term: identifies a write whose answer was lost
+  std::uint64_t starts = 0;   // owners that started since the last checkpoint
+  bool parked = false;        // not tried any more until staff resume the work
+  std::uint64_t resumed = 0;  // Work::resumed when it was parked or started
+  std::string by;             // member that wrote it
+  std::string checkpoint;     // of the task
   bool done = false;
 
   friend bool operator==(const Progress&, const Progress&) = default;
 };
-// As it stands in the store; `modified` 0: there is none.
-struct Kept {
+
+// Progress as it stands in the store.
+struct StoredProgress {
   Progress progress;
-  coordination::Revision modified = 0;
+  coordination::Revision modified = 0;  // 0: there is no record
 };
 
 struct ShardId {
@@ -67,18 +69,33 @@
 
   friend auto operator<=>(const ShardId&, const ShardId&) = default;
 };
-std::string to_string(const ShardId& id);  // "NAME/SHARD"
 
-constexpr const char* kWork = "fleet/work/";
-constexpr const char* kOwn = "fleet/own/";
-constexpr const char* kProgress = "progress/";
-constexpr const char* kDone = "fleet/done/";
-constexpr const char* kRelease = "fleet/release/";
-// Nothing where the key is none of these, without the stem.
-std::optional<ShardId> read_shard_key(const std::string& key, const std::string& stem);
+// Returns "NAME/SHARD".
+std::string to_string(const ShardId& id);
+
+constexpr const char* kWorkPrefix = "fleet/work/";
+constexpr const char* kOwnerPrefix = "fleet/own/";
+constexpr const char* kProgressPrefix = "progress/";
+constexpr const char* kDonePrefix = "fleet/done/";
+constexpr const char* kReleasePrefix = "fleet/release/";
+
+// Parses PREFIX NAME/SHARD. Returns nothing where the key is not of this form.
+std::optional<ShardId> read_shard_key(const std::string& key, const std::string& prefix);
+
+// The field of a work definition that is not valid.
+enum class WorkError { kName, kKind, kZone, kShards, kParams };
+
+// Returns the field and what is allowed for it, for staff.
+const char* to_string(WorkError error);
 
-// Throws std::invalid_argument that names the field.
+// Returns the first field that is not valid, if any.
+std::optional<WorkError> find_error(const Work& work);
+
+// Throws std::invalid_argument with the text of the error where a field is not valid.
 void check_work(const Work& work);
+
+// Values as they are stored. The read functions return nothing where the value is not a record, and for a work
+// definition also where a field is not valid.
 std::string write_work(const Work& work);
 std::optional<Work> read_work(const std::string& key, const std::string& value);
 std::string write_owner(const Owner& owner);
@@ -86,28 +103,35 @@
 std::string write_progress(const Progress& progress);
 std::optional<Progress> read_progress(const std::string& value);
 
-// The transactions, under a prefix for all keys. The answers are read by the functions beside them.
-
-// Owns the shard where nobody does; else tells who does. A release that was asked for is over with it.
-coordination::Transaction acquire(const std::string& prefix, const ShardId& id, const Owner& owner,
-                                  coordination::LeaseId lease);
-struct Acquired {
-  Term term = 0;  // 0: another owns it
-  Owner other;
-  Kept kept;
+// Result of acquire_transaction().
+struct AcquireResult {
+  Term term = 0;        // of the new owner; 0: another router owns the shard
+  Owner current_owner;  // where another router owns it
+  StoredProgress stored;
   bool done = false;
 };
-Acquired read_acquired(const coordination::Outcome& outcome);
 
-// Writes progress where the shard is owned under that term and nobody wrote since; else tells what stands.
-coordination::Transaction record(const std::string& prefix, const ShardId& id, Term term,
-                                 coordination::Revision modified, const Progress& progress);
-struct Recorded {
+// Returns the transaction that makes `owner` the owner of the shard where nobody owns it, and otherwise reads
+// the current owner. It also deletes a pending release request. `prefix` stands before all keys.
+coordination::Transaction acquire_transaction(const std::string& prefix, const ShardId& id,
+                                              const Owner& owner, coordination::LeaseId lease);
+AcquireResult read_acquire_result(const coordination::Outcome& outcome);
+
+// Result of write_progress_transaction().
+struct ProgressWriteResult {
   bool written = false;
-  bool owned = false;  // under this term, still
-  Kept kept;
+  bool owned = false;     // the shard is still owned under the term
+  StoredProgress stored;  // what stands in the store now
 };
-// `wrote`: what the transaction was to write, so that one whose answer was lost is known again.
-Recorded read_recorded(const coordination::Outcome& outcome, Term term, const Progress& wrote);
+
+// Returns the transaction that writes progress where the shard is owned under the term and nobody wrote
+// progress since revision `modified`, and otherwise reads what stands.
+coordination::Transaction write_progress_transaction(const std::string& prefix, const ShardId& id, Term term,
+                                                     coordination::Revision modified,
+                                                     const Progress& progress);
+// `attempted` is the progress that the transaction was to write: a retry of a write whose answer was lost is
+// recognised by it.
+ProgressWriteResult read_progress_write_result(const coordination::Outcome& outcome, Term term,
+                                               const Progress& attempted);
 
 }  // namespace trailcourse::ownership
--- a/src/policy/holder.cpp
+++ b/src/policy/holder.cpp
@@ -6,9 +6,9 @@
 
 namespace trailcourse::policy {
 
-using ownership::Ask;
-using ownership::Order;
-using ownership::Phase;
+using ownership::LeaseCall;
+using ownership::LeaseCallKind;
+using ownership::LeasePhase;
 
 namespace {
 
@@ -225,11 +225,11 @@
 
 void Holder::joined(Micros now, std::uint64_t number, bool joined) {
   if (!joined) {
-    lease_.refused(now, number);
+    lease_.on_rejected(now, number);
     saying_.reset();
     return;
   }
-  lease_.granted(now, number, 1);
+  lease_.on_granted(now, number, 1);
   if (lease_.term() != 0) {
     joined_ = true;
     said_ = saying_.value_or(said_);
@@ -240,10 +240,10 @@
 
 void Holder::renewed(Micros now, std::uint64_t number, bool alive) {
   if (alive) {
-    lease_.granted(now, number, 1);
+    lease_.on_granted(now, number, 1);
     return;
   }
-  lease_.refused(now, number);
+  lease_.on_rejected(now, number);
   if (lease_.term() == 0) {
     joined_ = false;
     say_out_ = false;
@@ -252,12 +252,12 @@
 }
 
 void Holder::released(Micros now, std::uint64_t number) {
-  lease_.granted(now, number, 0);
-  joined_ = joined_ && !lease_.over();
+  lease_.on_granted(now, number, 0);
+  joined_ = joined_ && !lease_.released();
 }
 
 void Holder::lost(Micros now, std::uint64_t number) {
-  lease_.lost(now, number);
+  lease_.on_no_response(now, number);
   if (!joined_) {
     saying_.reset();  // the permit may stand there or not: it joins anew, which is seen
   }
@@ -272,7 +272,7 @@
     said_ = *saying_;
     last_version_ = said_.version;
   } else {
-    say_after_ = now + rules_.lease.retry;  // it may have been done: the same is said again
+    say_after_ = now + rules_.lease.retry_backoff;  // it may have been done: the same is said again
   }
   saying_.reset();
 }
@@ -282,13 +282,13 @@
 // ---- Orders ----
 
 bool Holder::may_ask(Micros now) const {
-  const Phase phase = lease_.phase(now);
-  if (phase == Phase::kStopped) {
+  const LeasePhase phase = lease_.phase(now);
+  if (phase == LeasePhase::kStopped) {
     return true;
   }
   // Nobody comes in behind the events that are asked for.
   const bool is_up_to_date = is_told_ && has(known_.version) && acknowledged_ >= known_.acknowledgement.round;
-  return heard_ && (phase != Phase::kCandidate || is_up_to_date);
+  return heard_ && (phase != LeasePhase::kCandidate || is_up_to_date);
 }
 
 std::vector<HolderOrder> Holder::due(Micros now) {
@@ -304,10 +304,10 @@
     }
   }
   if (may_ask(now)) {
-    if (const std::optional<Order> order = lease_.due(now)) {
+    if (const std::optional<LeaseCall> order = lease_.step(now)) {
       AskPermission ask;
       ask.order = *order;
-      if (order->ask == Ask::kAcquire) {
+      if (order->kind == LeaseCallKind::kAcquire) {
         joined_ = false;
         say_out_ = false;
         saying_ = wanted();
@@ -330,7 +330,7 @@
   if (joined_ && !say_out_ && !saying_ && lease_.may_act(now) && now >= say_after_ && !(said == want)) {
     say_out_ = true;
     saying_ = want;
-    say_after_ = watched ? now + rules_.lease.retry : now;
+    say_after_ = watched ? now + rules_.lease.retry_backoff : now;
     SayPermit say{++say_number_, want};
     say.permit.number = say.number;
     out.push_back(std::move(say));
@@ -340,9 +340,9 @@
 
 // While it may not ask, only news can change that.
 std::optional<Micros> Holder::next(Micros now) const {
-  std::optional<Micros> out = may_ask(now) ? lease_.next(now) : std::nullopt;
+  std::optional<Micros> out = may_ask(now) ? lease_.next_step_at(now) : std::nullopt;
   if (lease_.may_act(now)) {
-    out = std::min(out.value_or(lease_.until()), lease_.until());
+    out = std::min(out.value_or(lease_.valid_until()), lease_.valid_until());
   }
   if (say_after_ > now) {
     out = std::min(out.value_or(say_after_), say_after_);
--- a/src/policy/holder.h
+++ b/src/policy/holder.h
@@ -54,7 +54,7 @@
 };
 
 struct HolderRules {
-  ownership::LeaseRules lease;
+  ownership::LeaseOptions lease;
   bool both = true;  // without a version alone: serve what both allow; false: refuse
 };
 
@@ -81,7 +81,7 @@
 
 // What is to be done.
 struct AskPermission {  // acquire: join, with this permit where all is as `known` says; renew; release
-  ownership::Order order;
+  ownership::LeaseCall order;
   Permit permit;
   Known known;
 };
@@ -129,11 +129,11 @@
   Standing standing(Micros now) const;
   std::vector<HolderOrder> due(Micros now);
   std::optional<Micros> next(Micros now) const;
-  Micros until() const { return lease_.until(); }
+  Micros until() const { return lease_.valid_until(); }
   // Whether requests are to be taken: it has permission, whatever is being held. /healthz says so.
   bool ready(Micros now) const;
   void stop(Micros now);
-  bool stopped() const { return lease_.over(); }
+  bool stopped() const { return lease_.released(); }
   const Known& known() const { return known_; }
 
  private:
--- a/src/policy/options.cpp
+++ b/src/policy/options.cpp
@@ -46,7 +46,7 @@
 
 void check_policy(const PolicyOptions& options) {
   const std::int64_t sure =
-      duration_cast<milliseconds>(ownership::surely_held(holder_rules(options).lease)).count();
+      duration_cast<milliseconds>(ownership::guaranteed_duration(holder_rules(options).lease)).count();
   if (2 * options.renew_ms > sure) {
     throw config::KeyError("policy.renew_ms", std::to_string(options.renew_ms) + " is over half of the " +
                                                   std::to_string(sure) +
@@ -65,7 +65,7 @@
   rules.lease.drift = options.drift_percent / 100.0;
   rules.lease.margin = milliseconds(options.margin_ms);
   rules.lease.renew_after = milliseconds(options.renew_ms);
-  rules.lease.retry = milliseconds(options.retry_ms);
+  rules.lease.retry_backoff = milliseconds(options.retry_ms);
   rules.both = options.without == "both";
   return rules;
 }
--- a/src/program/policy_command.cpp
+++ b/src/program/policy_command.cpp
@@ -8,7 +8,7 @@
 #include <nlohmann/json.hpp>
 #include <ostream>
 
-#include "ownership/work.h"
+#include "ownership/work_records.h"
 #include "policy/acknowledgement.h"
 #include "policy/change.h"
 #include "policy/document.h"
@@ -201,7 +201,7 @@
   ownership::Work work;
   work.name = tasks::kPolicyWork;
   work.kind = tasks::kPolicyWork;
-  const std::string key = client.key(ownership::kWork + work.name);
+  const std::string key = client.key(ownership::kWorkPrefix + work.name);
   coordination::Transaction drive;
   drive.when = {coordination::absent(key)};
   drive.then = {coordination::Put{key, ownership::write_work(work), 0}};
--- a/src/program/work_command.cpp
+++ b/src/program/work_command.cpp
@@ -11,8 +11,8 @@
 #include <stdexcept>
 
 #include "coordination/shared_store.h"
-#include "membership/view.h"
-#include "ownership/work.h"
+#include "membership/membership_view.h"
+#include "ownership/work_records.h"
 #include "program/store_client.h"
 #include "protocol/numbers.h"
 #include "tasks/fill_plan.h"
@@ -48,7 +48,7 @@
 
 std::map<std::string, std::pair<ownership::Work, std::vector<Row>>> read_all(StoreClient& client) {
   std::map<std::string, std::pair<ownership::Work, std::vector<Row>>> out;
-  for (const Entry& entry : client.get(ownership::kWork)) {
+  for (const Entry& entry : client.get(ownership::kWorkPrefix)) {
     if (const auto work = ownership::read_work(entry.key, entry.value)) {
       std::vector<Row> rows;
       for (std::uint64_t i = 0; i < work->shards; ++i) {
@@ -66,15 +66,15 @@
       }
     }
   };
-  each(ownership::kOwn, [](Row& row, const Entry& entry) {
+  each(ownership::kOwnerPrefix, [](Row& row, const Entry& entry) {
     row.owner =
         ownership::read_owner(entry.value, entry.created).value_or(ownership::Owner{"?", "?", entry.created});
   });
-  each(ownership::kProgress, [](Row& row, const Entry& entry) {
+  each(ownership::kProgressPrefix, [](Row& row, const Entry& entry) {
     row.progress = ownership::read_progress(entry.value).value_or(ownership::Progress{});
   });
-  each(ownership::kDone, [](Row& row, const Entry&) { row.done = true; });
-  each(ownership::kRelease, [](Row& row, const Entry& entry) { row.release = entry.value; });
+  each(ownership::kDonePrefix, [](Row& row, const Entry&) { row.done = true; });
+  each(ownership::kReleasePrefix, [](Row& row, const Entry& entry) { row.release = entry.value; });
   return out;
 }
 
@@ -158,7 +158,7 @@
 
 // Changes the work's record where it is as it was read.
 int change(StoreClient& client, const WorkCommand& command, std::ostream& out, std::ostream& errors) {
-  const std::string key = ownership::kWork + command.name;
+  const std::string key = ownership::kWorkPrefix + command.name;
   const std::vector<Entry> found = client.get(key, false);
   std::optional<ownership::Work> work =
       found.empty() ? std::nullopt : ownership::read_work(key, found.front().value);
@@ -187,11 +187,11 @@
   Transaction write;
   const std::string name = command.name;
   write.then = {
-      coordination::Delete{coordination::Range{client.key(ownership::kWork + name), false}},
-      coordination::Delete{coordination::Range{client.key(ownership::kProgress + name + "/"), true}},
+      coordination::Delete{coordination::Range{client.key(ownership::kWorkPrefix + name), false}},
+      coordination::Delete{coordination::Range{client.key(ownership::kProgressPrefix + name + "/"), true}},
       coordination::Delete{coordination::Range{client.key("lists/" + name + "/"), true}},
-      coordination::Delete{coordination::Range{client.key(ownership::kDone + name + "/"), true}},
-      coordination::Delete{coordination::Range{client.key(ownership::kRelease + name + "/"), true}}};
+      coordination::Delete{coordination::Range{client.key(ownership::kDonePrefix + name + "/"), true}},
+      coordination::Delete{coordination::Range{client.key(ownership::kReleasePrefix + name + "/"), true}}};
   // Its owners hear of it and give their leases back: the keys of ownership go with those.
   if (client.commit(write).steps.at(0).deleted == 0) {
     errors << "trailcourse: work: there is no work " << name << '\n';
@@ -216,8 +216,8 @@
     }
     Transaction write;
     const std::string shard = to_string(row.id);
-    write.when = {coordination::created_at(client.key(ownership::kOwn + shard), row.owner.term)};
-    write.then = {coordination::Put{client.key(ownership::kRelease + shard), row.owner.member, 0}};
+    write.when = {coordination::created_at(client.key(ownership::kOwnerPrefix + shard), row.owner.term)};
+    write.then = {coordination::Put{client.key(ownership::kReleasePrefix + shard), row.owner.member, 0}};
     if (client.commit(write).succeeded) {
       out << row.owner.member << " is asked to let go of " << shard << '\n';
       ++asked;
@@ -273,7 +273,7 @@
     throw std::invalid_argument("--zone: probing is of one zone");
   }
   ownership::check_work(work);
-  const std::string key = client.key(ownership::kWork + work.name);
+  const std::string key = client.key(ownership::kWorkPrefix + work.name);
   // The lists first: who takes the work on finds them there.
   std::vector<std::string> lists(work.kind == "fill" ? work.shards : 0);
   for (std::size_t i = 0; i < command.objects.size() && !lists.empty(); ++i) {
@@ -318,35 +318,36 @@
 }
 
 int members(StoreClient& client, const WorkCommand& command, std::ostream& out) {
-  membership::View view{membership::ViewRules{}};
+  membership::MembershipView view{membership::MembershipOptions{}};
   const Micros now = std::chrono::duration_cast<Micros>(Clock::now().time_since_epoch());
-  for (const char* stem : {membership::kMembers, membership::kDoubts}) {
+  for (const char* stem : {membership::kMemberPrefix, membership::kSuspicionPrefix}) {
     for (const Entry& entry : client.get(stem)) {
-      view.take(now, entry.key, entry.value, entry.created, entry.modified);
+      view.apply(now, entry.key, entry.value, entry.created, entry.modified);
     }
   }
-  const std::vector<membership::Seen> all = view.all(now);
+  const std::vector<membership::MemberEntry> all = view.members(now);
   if (command.json) {
     json rows = json::array();
-    for (const membership::Seen& seen : all) {
+    for (const membership::MemberEntry& seen : all) {
       rows.push_back({{"name", seen.member.name},
                       {"incarnation", seen.member.incarnation},
                       {"zone", seen.member.zone},
                       {"address", seen.member.address},
                       {"started_ms", seen.member.started_ms},
-                      {"standing", membership::to_string(seen.standing)},
-                      {"doubters", seen.doubters},
-                      {"since", seen.since}});
+                      {"standing", membership::to_string(seen.status)},
+                      {"doubters", seen.suspecting_peers},
+                      {"since", seen.joined_revision}});
     }
-    out << json{{"store", client.id()}, {"view", view.number()}, {"members", rows}}.dump(1) << '\n';
+    out << json{{"store", client.id()}, {"view", view.revision()}, {"members", rows}}.dump(1) << '\n';
     return 0;
   }
   row_out(out, "%-24s %-12s %-22s %-18s %10s %9s %s", "MEMBER", "ZONE", "ADDRESS", "START", "SINCE",
           "DOUBTERS", "STANDING");
-  for (const membership::Seen& seen : all) {
+  for (const membership::MemberEntry& seen : all) {
     row_out(out, "%-24s %-12s %-22s %-18s %10llu %9d %s", seen.member.name.c_str(), seen.member.zone.c_str(),
             seen.member.address.c_str(), seen.member.incarnation.c_str(),
-            static_cast<unsigned long long>(seen.since), seen.doubters, membership::to_string(seen.standing));
+            static_cast<unsigned long long>(seen.joined_revision), seen.suspecting_peers,
+            membership::to_string(seen.status));
   }
   return 0;
 }
--- a/src/tasks/options.cpp
+++ b/src/tasks/options.cpp
@@ -85,8 +85,9 @@
 }
 
 void check_ownership(const OwnershipOptions& options) {
-  const auto lease = [](const char* key, std::int64_t renew_ms, const ownership::LeaseRules& rules) {
-    const std::int64_t sure = std::chrono::duration_cast<milliseconds>(ownership::surely_held(rules)).count();
+  const auto lease = [](const char* key, std::int64_t renew_ms, const ownership::LeaseOptions& rules) {
+    const std::int64_t sure =
+        std::chrono::duration_cast<milliseconds>(ownership::guaranteed_duration(rules)).count();
     if (2 * renew_ms > sure) {
       throw config::KeyError(std::string("ownership.") + key,
                              std::to_string(renew_ms) + " is over half of the " + std::to_string(sure) +
@@ -106,37 +107,37 @@
   }
 }
 
-ownership::LeaseRules session_rules(const OwnershipOptions& options) {
-  ownership::LeaseRules rules;
+ownership::LeaseOptions session_rules(const OwnershipOptions& options) {
+  ownership::LeaseOptions rules;
   rules.ttl = milliseconds(options.member_ttl_ms);
   rules.drift = options.drift_percent / 100.0;
   rules.margin = Micros(0);
   rules.renew_after = milliseconds(options.member_renew_ms);
-  rules.retry = milliseconds(options.retry_ms);
+  rules.retry_backoff = milliseconds(options.retry_ms);
   return rules;
 }
 
-ownership::LeaseManagerRules lease_manager_rules(const OwnershipOptions& options) {
-  ownership::LeaseManagerRules rules;
+ownership::LeaseManagerOptions lease_manager_rules(const OwnershipOptions& options) {
+  ownership::LeaseManagerOptions rules;
   rules.lease.ttl = milliseconds(options.ttl_ms);
   rules.lease.drift = options.drift_percent / 100.0;
   rules.lease.margin = milliseconds(options.margin_ms);
   rules.lease.renew_after = milliseconds(options.renew_ms);
-  rules.lease.retry = milliseconds(options.retry_ms);
-  rules.slot = milliseconds(options.turn_ms);
-  rules.longest_slot = milliseconds(options.longest_turn_ms);
-  rules.settle = milliseconds(options.settle_ms);
-  rules.yield_most = milliseconds(options.yield_ms);
-  rules.stand_back = milliseconds(options.stand_back_ms);
-  rules.most_starts = static_cast<std::uint64_t>(options.most_starts);
-  rules.poison_pause = milliseconds(options.poison_pause_ms);
-  rules.longest_poison_pause = milliseconds(options.longest_poison_pause_ms);
-  rules.most_owned = static_cast<std::size_t>(options.most_owned);
+  rules.lease.retry_backoff = milliseconds(options.retry_ms);
+  rules.candidate_slot = milliseconds(options.turn_ms);
+  rules.max_candidate_wait = milliseconds(options.longest_turn_ms);
+  rules.handover_delay = milliseconds(options.settle_ms);
+  rules.release_timeout = milliseconds(options.yield_ms);
+  rules.cooldown = milliseconds(options.stand_back_ms);
+  rules.max_starts = static_cast<std::uint64_t>(options.most_starts);
+  rules.restart_backoff = milliseconds(options.poison_pause_ms);
+  rules.max_restart_backoff = milliseconds(options.longest_poison_pause_ms);
+  rules.max_owned = static_cast<std::size_t>(options.most_owned);
   return rules;
 }
 
-membership::ViewRules view_rules(const OwnershipOptions& options) {
-  membership::ViewRules rules;
+membership::MembershipOptions view_rules(const OwnershipOptions& options) {
+  membership::MembershipOptions rules;
   rules.suppress = options.flap_suppress;
   rules.reuse = options.flap_reuse;
   rules.half_life = std::chrono::seconds(options.flap_half_life_s);
--- a/src/tasks/options.h
+++ b/src/tasks/options.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "config/record.h"
-#include "membership/view.h"
+#include "membership/membership_view.h"
 #include "ownership/lease_manager.h"
 
 namespace trailcourse::tasks {
@@ -52,8 +52,8 @@
 // What one key alone cannot tell; throws config::KeyError.
 void check_ownership(const OwnershipOptions& options);
 
-ownership::LeaseManagerRules lease_manager_rules(const OwnershipOptions& options);
-ownership::LeaseRules session_rules(const OwnershipOptions& options);
-membership::ViewRules view_rules(const OwnershipOptions& options);
+ownership::LeaseManagerOptions lease_manager_rules(const OwnershipOptions& options);
+ownership::LeaseOptions session_rules(const OwnershipOptions& options);
+membership::MembershipOptions view_rules(const OwnershipOptions& options);
 
 }  // namespace trailcourse::tasks
--- a/src/tasks/owned_task.h
+++ b/src/tasks/owned_task.h
@@ -10,7 +10,7 @@
 #include <string>
 
 #include "coordination/shared_store.h"
-#include "ownership/work.h"
+#include "ownership/work_records.h"
 
 namespace trailcourse::tasks {
 
--- a/src/tasks/policy_follower.cpp
+++ b/src/tasks/policy_follower.cpp
@@ -212,14 +212,14 @@
 }
 
 void PolicyFollower::carry_out(const policy::AskPermission& ask) {
-  const std::uint64_t number = ask.order.number;
+  const std::uint64_t number = ask.order.call_id;
   const auto answered = [this, alive = alive_](auto what) {
     if (*alive) {
       what();
       turn_soon();
     }
   };
-  if (ask.order.ask == ownership::Ask::kAcquire) {
+  if (ask.order.kind == ownership::LeaseCallKind::kAcquire) {
     store_.grant(milliseconds(options_.ttl_ms), [this, answered, ask, number](const auto& reply) {
       answered([&] {
         if (reply.done()) {
@@ -229,7 +229,7 @@
         }
       });
     });
-  } else if (ask.order.ask == ownership::Ask::kRenew) {
+  } else if (ask.order.kind == ownership::LeaseCallKind::kRenew) {
     store_.keep_alive(lease_, [this, answered, number](const auto& reply) {
       answered([&] {
         if (reply.done()) {
@@ -260,7 +260,7 @@
   write.when = policy::join_conditions(prefix_, ask.known, self_.zone);
   write.then = {coordination::Put{prefix_ + policy::permit_key(self_.name, lease),
                                   policy::write_permit(ask.permit), lease}};
-  const std::uint64_t number = ask.order.number;
+  const std::uint64_t number = ask.order.call_id;
   store_.commit(std::move(write), [this, alive = alive_, number, lease](const Reply<Outcome>& reply) {
     if (!*alive) {
       return;
--- a/src/tasks/store_driver_task.cpp
+++ b/src/tasks/store_driver_task.cpp
@@ -125,7 +125,7 @@
 // The driver of the past is refused by the store, whatever it believes.
 void StoreDriverTask::write(Transaction transaction) {
   transaction.when.push_back(
-      coordination::created_at(prefix_ + ownership::kOwn + to_string(context_.id), context_.term));
+      coordination::created_at(prefix_ + ownership::kOwnerPrefix + to_string(context_.id), context_.term));
   store_.commit(std::move(transaction), [this, alive = alive_](const Reply<Outcome>& reply) {
     if (!*alive) {
       return;
--- a/src/tasks/task_runner.cpp
+++ b/src/tasks/task_runner.cpp
@@ -12,7 +12,7 @@
 using coordination::LeaseId;
 using coordination::Outcome;
 using coordination::Reply;
-using ownership::Ask;
+using ownership::LeaseCallKind;
 using ownership::ShardId;
 using std::chrono::milliseconds;
 using transport::Clock;
@@ -76,17 +76,17 @@
 }
 
 void TaskRunner::allow(std::optional<std::set<std::string>> kinds) {
-  lease_manager_.allow(now(), std::move(kinds));
+  lease_manager_.set_allowed_kinds(now(), std::move(kinds));
   turn_soon();
 }
 
-bool TaskRunner::drained() const { return draining_ && lease_manager_.drained() && session_.over(); }
+bool TaskRunner::drained() const { return draining_ && lease_manager_.drained() && session_.released(); }
 
 // ---- What the store tells ----
 
 void TaskRunner::current(coordination::Revision revision, const std::vector<coordination::Entry>& entries) {
   std::set<std::string> named;
-  view_.begin_whole();
+  view_.begin_snapshot();
   for (const coordination::Entry& entry : entries) {
     named.insert(entry.key);
     apply(Change{false, entry});
@@ -99,7 +99,7 @@
       apply(gone);
     }
   }
-  view_.end_whole(now(), revision);
+  view_.end_snapshot(now(), revision);
   heard_store();
   told();
 }
@@ -116,14 +116,14 @@
   if (std::exchange(heard_, false)) {
     log_line(Level::kWarning) << "the store is not heard: " << why;
   }
-  lease_manager_.heard(now(), false);
+  lease_manager_.set_connected(now(), false);
   turn_soon();
 }
 
 void TaskRunner::heard_store() {
   if (!std::exchange(heard_, true)) {
     log_line(Level::kInfo) << "the store " << store_.id() << " is heard";
-    lease_manager_.heard(now(), true);
+    lease_manager_.set_connected(now(), true);
     turn_soon();
   }
 }
@@ -137,17 +137,17 @@
   } else {
     known_.insert(change.entry.key);
   }
-  view_.take(at, key, value, change.entry.created, change.entry.modified);
-  if (const auto owned = ownership::read_shard_key(key, ownership::kOwn)) {
-    lease_manager_.owner(at, *owned,
-                         change.deleted ? std::nullopt : ownership::read_owner(value, change.entry.created),
-                         change.entry.modified);
-  } else if (const auto done = ownership::read_shard_key(key, ownership::kDone)) {
-    lease_manager_.done(at, *done, !change.deleted);
-  } else if (const auto release = ownership::read_shard_key(key, ownership::kRelease)) {
-    lease_manager_.release_asked(at, *release, value);
-  } else if (key.starts_with(ownership::kWork)) {
-    const std::string name = key.substr(std::string(ownership::kWork).size());
+  view_.apply(at, key, value, change.entry.created, change.entry.modified);
+  if (const auto owned = ownership::read_shard_key(key, ownership::kOwnerPrefix)) {
+    lease_manager_.on_owner(
+        at, *owned, change.deleted ? std::nullopt : ownership::read_owner(value, change.entry.created),
+        change.entry.modified);
+  } else if (const auto done = ownership::read_shard_key(key, ownership::kDonePrefix)) {
+    lease_manager_.on_done(at, *done, !change.deleted);
+  } else if (const auto release = ownership::read_shard_key(key, ownership::kReleasePrefix)) {
+    lease_manager_.on_release_request(at, *release, value);
+  } else if (key.starts_with(ownership::kWorkPrefix)) {
+    const std::string name = key.substr(std::string(ownership::kWorkPrefix).size());
     std::optional<ownership::Work> work = change.deleted ? std::nullopt : ownership::read_work(key, value);
     if (!work) {
       if (!change.deleted) {
@@ -157,7 +157,7 @@
     } else {
       works_[name] = *work;
     }
-    lease_manager_.work(at, name, std::move(work));
+    lease_manager_.set_work(at, name, std::move(work));
   } else {
     for (const auto& [stem, taker] : takers_) {
       if (key.starts_with(stem)) {
@@ -171,19 +171,19 @@
 void TaskRunner::told() {
   const Micros at = now();
   std::map<std::string, std::string> members;
-  for (const membership::Seen& seen : view_.all(at)) {
-    if (seen.standing == membership::Standing::kIn) {
+  for (const membership::MemberEntry& seen : view_.members(at)) {
+    if (seen.status == membership::MemberStatus::kActive) {
       members[seen.member.name] = seen.member.zone;
     }
   }
-  lease_manager_.members(at, std::move(members));
-  const bool shadowed = view_.shadowed(self_.name, self_.incarnation);
-  lease_manager_.shadowed(at, shadowed);
-  if (shadowed && view_told_ != view_.number()) {
+  lease_manager_.set_members(at, std::move(members));
+  const bool shadowed = view_.superseded(self_.name, self_.incarnation);
+  lease_manager_.set_superseded(at, shadowed);
+  if (shadowed && view_told_ != view_.revision()) {
     log_line(Level::kWarning) << "another start has this router's name, " << self_.name
                               << ": this one does no owned work";
   }
-  view_told_ = view_.number();
+  view_told_ = view_.revision();
   turn_soon();
 }
 
@@ -194,11 +194,11 @@
     return;
   }
   const Micros at = now();
-  if (const auto next = view_.next(at); next && *next <= at) {
+  if (const auto next = view_.next_change_at(at); next && *next <= at) {
     told();
   }
   step_session();
-  for (const ownership::LeaseManagerOrder& order : lease_manager_.due(at)) {
+  for (const ownership::LeaseManagerAction& order : lease_manager_.step(at)) {
     std::visit([this](const auto& one) { carry_out(one); }, order);
   }
   turning_ = false;
@@ -207,8 +207,8 @@
 
 void TaskRunner::set_timer() {
   const Micros at = now();
-  std::optional<Micros> due = lease_manager_.next(at);
-  for (const auto& other : {session_.next(at), view_.next(at)}) {
+  std::optional<Micros> due = lease_manager_.next_step_at(at);
+  for (const auto& other : {session_.next_step_at(at), view_.next_change_at(at)}) {
     if (other) {
       due = std::min(due.value_or(*other), *other);
     }
@@ -220,23 +220,23 @@
   timer_.set(when);
 }
 
-void TaskRunner::carry_out(const ownership::AskLease& ask) {
+void TaskRunner::carry_out(const ownership::LeaseCallAction& ask) {
   const ShardId id = ask.id;
-  const std::uint64_t number = ask.order.number;
-  if (ask.order.ask == Ask::kAcquire) {
+  const std::uint64_t number = ask.call.call_id;
+  if (ask.call.kind == LeaseCallKind::kAcquire) {
     acquire(id, number);
     return;
   }
   const LeaseId lease = leases_[id];
-  if (ask.order.ask == Ask::kRenew) {
+  if (ask.call.kind == LeaseCallKind::kRenew) {
     store_.keep_alive(lease, [this, alive = alive_, id, number](const auto& reply) {
       if (!*alive) {
         return;
       }
       if (reply.done()) {
-        lease_manager_.renewed(now(), id, number, reply.value.ttl > Micros(0));
+        lease_manager_.on_renew_result(now(), id, number, reply.value.ttl > Micros(0));
       } else {
-        lease_manager_.lost(now(), id, number);
+        lease_manager_.on_no_response(now(), id, number);
       }
       turn_soon();
     });
@@ -247,9 +247,9 @@
       return;
     }
     if (reply.done()) {
-      lease_manager_.released(now(), id, number);
+      lease_manager_.on_release_result(now(), id, number);
     } else {
-      lease_manager_.lost(now(), id, number);
+      lease_manager_.on_no_response(now(), id, number);
     }
     turn_soon();
   });
@@ -261,7 +261,7 @@
       return;
     }
     if (!reply.done()) {
-      lease_manager_.lost(now(), id, number);
+      lease_manager_.on_no_response(now(), id, number);
       turn_soon();
       return;
     }
@@ -271,52 +271,54 @@
 
 void TaskRunner::own(const ShardId& id, std::uint64_t number, LeaseId lease) {
   const ownership::Owner owner{self_.name, self_.incarnation, 0};
-  store_.commit(ownership::acquire(prefix_, id, owner, lease), [this, alive = alive_, id, number,
-                                                                lease](const Reply<Outcome>& reply) {
-    if (!*alive) {
-      return;
-    }
-    if (!reply.done()) {
-      // Whether it was done or not: without a renewal it ends, and sooner so.
-      give_up(lease);
-      lease_manager_.lost(now(), id, number);
-    } else {
-      const ownership::Acquired acquired = ownership::read_acquired(reply.value);
-      if (acquired.term == 0) {
-        give_up(lease);
-      } else {
-        leases_[id] = lease;
-        log_line(Level::kInfo) << "owner of " << to_string(id) << " under term " << acquired.term;
-      }
-      lease_manager_.acquired(now(), id, number, acquired);
-    }
-    turn_soon();
-  });
-}
-
-void TaskRunner::give_up(LeaseId lease) {
-  store_.revoke(lease, [](const auto&) {});
-}
-
-void TaskRunner::carry_out(const ownership::Write& write) {
-  const ShardId id = write.id;
-  store_.commit(ownership::record(prefix_, id, write.term, write.modified, write.progress),
-                [this, alive = alive_, write](const Reply<Outcome>& reply) {
+  store_.commit(ownership::acquire_transaction(prefix_, id, owner, lease),
+                [this, alive = alive_, id, number, lease](const Reply<Outcome>& reply) {
                   if (!*alive) {
                     return;
                   }
-                  if (reply.done()) {
-                    lease_manager_.recorded(
-                        now(), write.id, write.number,
-                        ownership::read_recorded(reply.value, write.term, write.progress));
+                  if (!reply.done()) {
+                    // Whether it was done or not: without a renewal it ends, and sooner so.
+                    give_up(lease);
+                    lease_manager_.on_no_response(now(), id, number);
                   } else {
-                    lease_manager_.record_lost(now(), write.id, write.number);
+                    const ownership::AcquireResult acquired = ownership::read_acquire_result(reply.value);
+                    if (acquired.term == 0) {
+                      give_up(lease);
+                    } else {
+                      leases_[id] = lease;
+                      log_line(Level::kInfo)
+                          << "owner of " << to_string(id) << " under term " << acquired.term;
+                    }
+                    lease_manager_.on_acquire_result(now(), id, number, acquired);
                   }
                   turn_soon();
                 });
 }
 
-TaskContext TaskRunner::context(const ownership::Begin& begin, const ownership::Work& work) {
+void TaskRunner::give_up(LeaseId lease) {
+  store_.revoke(lease, [](const auto&) {});
+}
+
+void TaskRunner::carry_out(const ownership::WriteProgressAction& write) {
+  const ShardId id = write.id;
+  store_.commit(
+      ownership::write_progress_transaction(prefix_, id, write.term, write.modified, write.progress),
+      [this, alive = alive_, write](const Reply<Outcome>& reply) {
+        if (!*alive) {
+          return;
+        }
+        if (reply.done()) {
+          lease_manager_.on_write_result(
+              now(), write.id, write.call_id,
+              ownership::read_progress_write_result(reply.value, write.term, write.progress));
+        } else {
+          lease_manager_.on_no_write_response(now(), write.id, write.call_id);
+        }
+        turn_soon();
+      });
+}
+
+TaskContext TaskRunner::context(const ownership::StartTaskAction& begin, const ownership::Work& work) {
   const ShardId id = begin.id;
   const ownership::Term term = begin.term;
   TaskContext out;
@@ -327,11 +329,11 @@
   out.fence = std::to_string(store_.id()) + ":" + to_string(id) + ":" + std::to_string(term);
   out.may_act = [this, id, term] { return lease_manager_.may_act(now(), id, term); };
   out.checkpoint_at = [this, id, term](std::string checkpoint, bool done) {
-    lease_manager_.checkpoint(now(), id, term, std::move(checkpoint), done);
+    lease_manager_.on_checkpoint(now(), id, term, std::move(checkpoint), done);
     turn_soon();
   };
   out.finished = [this, id, term] {
-    lease_manager_.finished(now(), id, term);
+    lease_manager_.on_task_finished(now(), id, term);
     drop(id, term);
     turn_soon();
   };
@@ -347,7 +349,7 @@
   };
   out.put = [this, id, term](const std::string& key, std::string value) {
     coordination::Transaction transaction;
-    transaction.when = {coordination::created_at(prefix_ + ownership::kOwn + to_string(id), term)};
+    transaction.when = {coordination::created_at(prefix_ + ownership::kOwnerPrefix + to_string(id), term)};
     if (value.empty()) {
       transaction.then = {coordination::Delete{coordination::Range{prefix_ + key, false}}};
     } else {
@@ -362,7 +364,7 @@
   return out;
 }
 
-void TaskRunner::carry_out(const ownership::Begin& begin) {
+void TaskRunner::carry_out(const ownership::StartTaskAction& begin) {
   const auto work = works_.find(begin.id.work);
   const auto maker = work == works_.end() ? makers_.end() : makers_.find(work->second.kind);
   if (maker == makers_.end()) {
@@ -376,18 +378,18 @@
   running.task->begin();
 }
 
-void TaskRunner::carry_out(const ownership::Finish& finish) {
+void TaskRunner::carry_out(const ownership::StopTaskAction& finish) {
   const auto found = running_.find(finish.id);
   if (found != running_.end() && found->second.term == finish.term) {
     log_line(Level::kInfo) << "lets go of " << to_string(finish.id) << " under term " << finish.term;
     found->second.task->finish();
   } else {
-    lease_manager_.finished(now(), finish.id, finish.term);
+    lease_manager_.on_task_finished(now(), finish.id, finish.term);
     turn_soon();
   }
 }
 
-void TaskRunner::carry_out(const ownership::Abandon& abandon) {
+void TaskRunner::carry_out(const ownership::AbortTaskAction& abandon) {
   log_line(Level::kWarning) << "stops " << to_string(abandon.id) << " under term " << abandon.term
                             << ": it is another's, or nobody knows";
   running_.erase(abandon.id);
@@ -418,15 +420,15 @@
 
 void TaskRunner::step_session() {
   const Micros at = now();
-  if (draining_ && lease_manager_.drained() && session_.phase(at) != ownership::Phase::kStopped) {
+  if (draining_ && lease_manager_.drained() && session_.phase(at) != ownership::LeasePhase::kStopped) {
     session_.stop(at);
   }
-  const std::optional<ownership::Order> order = session_.due(at);
+  const std::optional<ownership::LeaseCall> order = session_.step(at);
   if (!order) {
     return;
   }
-  const std::uint64_t number = order->number;
-  if (order->ask == Ask::kAcquire) {
+  const std::uint64_t number = order->call_id;
+  if (order->kind == LeaseCallKind::kAcquire) {
     store_.grant(milliseconds(options_.member_ttl_ms), [this, alive = alive_, number](const auto& reply) {
       if (!*alive) {
         return;
@@ -435,21 +437,21 @@
         session_lease_ = reply.value.id;
         join(number);
       } else {
-        session_.lost(now(), number);
+        session_.on_no_response(now(), number);
         turn_soon();
       }
     });
-  } else if (order->ask == Ask::kRenew) {
+  } else if (order->kind == LeaseCallKind::kRenew) {
     store_.keep_alive(session_lease_, [this, alive = alive_, number](const auto& reply) {
       if (!*alive) {
         return;
       }
       if (!reply.done()) {
-        session_.lost(now(), number);
+        session_.on_no_response(now(), number);
       } else if (reply.value.ttl > Micros(0)) {
-        session_.granted(now(), number, 0);
+        session_.on_granted(now(), number, 0);
       } else {
-        session_.refused(now(), number);
+        session_.on_rejected(now(), number);
       }
       turn_soon();
     });
@@ -459,9 +461,9 @@
         return;
       }
       if (reply.done()) {
-        session_.granted(now(), number, 0);
+        session_.on_granted(now(), number, 0);
       } else {
-        session_.lost(now(), number);
+        session_.on_no_response(now(), number);
       }
       turn_soon();
     });
@@ -480,11 +482,11 @@
       return;
     }
     if (reply.done()) {
-      session_.granted(now(), number, reply.value.revision);
+      session_.on_granted(now(), number, reply.value.revision);
       log_line(Level::kInfo) << "member of the fleet at revision " << reply.value.revision;
     } else {
       give_up(session_lease_);
-      session_.lost(now(), number);
+      session_.on_no_response(now(), number);
     }
     turn_soon();
   });
@@ -553,15 +555,15 @@
     }
     std::vector<std::string> names;
     std::map<std::string, transport::Address> addresses;
-    for (const membership::Seen& seen : view_.all(now())) {
+    for (const membership::MemberEntry& seen : view_.members(now())) {
       const auto address = transport::parse_address(seen.member.address);
-      if (address && seen.standing != membership::Standing::kShadowed && seen.member.zone == self_.zone) {
+      if (address && seen.status != membership::MemberStatus::kSuperseded && seen.member.zone == self_.zone) {
         names.push_back(seen.member.name);
         addresses[seen.member.name] = *address;
       }
     }
-    names = peers_.to_try(names);
-    peers_.watch(names);
+    names = peers_.select_targets(names);
+    peers_.set_targets(names);
     std::map<std::string, std::shared_ptr<transport::Connection>> knocks;
     for (const std::string& name : names) {
       transport::Connection::Bounds bounds;
@@ -573,7 +575,7 @@
     co_await scheduler.sleep(timeout);
     for (const auto& [name, knock] : knocks) {
       if (*alive) {
-        peers_.tried(name, knock->up());
+        peers_.on_probe_result(name, knock->up());
       }
       knock->close(transport::ConnectionEnd::kIdle);
     }
@@ -581,14 +583,14 @@
     if (!*alive) {
       co_return;
     }
-    const auto doubts = peers_.doubts();
+    const auto doubts = peers_.suspicions();
     for (const auto& [name, doubt] : doubts) {
-      keep(membership::doubt_key(name, self_.name), membership::write_doubt(doubt));
+      keep(membership::suspicion_key(name, self_.name), membership::write_suspicion(doubt));
       doubts_told_[name] = 1;
     }
     for (auto told = doubts_told_.begin(); told != doubts_told_.end();) {
       if (!doubts.contains(told->first)) {
-        keep(membership::doubt_key(told->first, self_.name), "");
+        keep(membership::suspicion_key(told->first, self_.name), "");
         told = doubts_told_.erase(told);
       } else {
         ++told;
@@ -600,16 +602,19 @@
 std::string TaskRunner::status() const {
   const Micros at = now();
   std::size_t owned = 0;
-  for (const ownership::ShardSeen& seen : lease_manager_.all(at)) {
-    owned += seen.lease == ownership::Phase::kOwner || seen.lease == ownership::Phase::kRenewing ? 1 : 0;
+  for (const ownership::ShardStatus& seen : lease_manager_.shards(at)) {
+    owned += seen.lease_phase == ownership::LeasePhase::kOwner ||
+                     seen.lease_phase == ownership::LeasePhase::kRenewing
+                 ? 1
+                 : 0;
   }
   const ownership::LeaseManagerCounts& counts = lease_manager_.counts();
   return nlohmann::json{{"store", heard_ ? "heard" : "silent"},
-                        {"members", view_.all(at).size()},
+                        {"members", view_.members(at).size()},
                         {"owned", owned},
                         {"acquired", counts.acquired},
                         {"lost", counts.lost},
-                        {"yielded", counts.yielded},
+                        {"yielded", counts.released},
                         {"parked", counts.parked},
                         {"store_calls", store_.counts().calls},
                         {"store_failed", store_.counts().failed}}
--- a/src/tasks/task_runner.h
+++ b/src/tasks/task_runner.h
@@ -13,8 +13,8 @@
 #include <string>
 
 #include "coordination/shared_store.h"
-#include "membership/peers.h"
-#include "membership/view.h"
+#include "membership/membership_view.h"
+#include "membership/peer_prober.h"
 #include "ownership/lease_manager.h"
 #include "tasks/options.h"
 #include "tasks/owned_task.h"
@@ -54,7 +54,7 @@
   // A key that ends with this router's session; kept up over new sessions. An empty value takes it back.
   void keep(const std::string& key, const std::string& value);
 
-  const membership::View& view() const { return view_; }
+  const membership::MembershipView& view() const { return view_; }
   const ownership::LeaseManager& manager() const { return lease_manager_; }
   bool heard() const { return heard_; }
   // One object of JSON, for the health check.
@@ -82,15 +82,15 @@
   void set_timer();
   void apply(const coordination::Change& change);
   void told();
-  void carry_out(const ownership::AskLease& ask);
-  void carry_out(const ownership::Write& write);
-  void carry_out(const ownership::Begin& begin);
-  void carry_out(const ownership::Finish& finish);
-  void carry_out(const ownership::Abandon& abandon);
+  void carry_out(const ownership::LeaseCallAction& ask);
+  void carry_out(const ownership::WriteProgressAction& write);
+  void carry_out(const ownership::StartTaskAction& begin);
+  void carry_out(const ownership::StopTaskAction& finish);
+  void carry_out(const ownership::AbortTaskAction& abandon);
   void acquire(const ownership::ShardId& id, std::uint64_t number);
   void own(const ownership::ShardId& id, std::uint64_t number, coordination::LeaseId lease);
   void give_up(coordination::LeaseId lease);
-  TaskContext context(const ownership::Begin& begin, const ownership::Work& work);
+  TaskContext context(const ownership::StartTaskAction& begin, const ownership::Work& work);
   void drop(const ownership::ShardId& id, ownership::Term term);
 
   void step_session();
@@ -106,8 +106,8 @@
   OwnershipOptions options_;
   std::string prefix_;
   Self self_;
-  membership::View view_;
-  membership::Peers peers_;
+  membership::MembershipView view_;
+  membership::PeerProber peers_;
   ownership::LeaseManager lease_manager_;
   ownership::Lease session_;
   coordination::LeaseId session_lease_ = 0;
--- a/tests/acknowledgement_test.cpp
+++ b/tests/acknowledgement_test.cpp
@@ -152,7 +152,7 @@
     HolderRules out;
     out.lease.ttl = Micros(3'000'000);
     out.lease.renew_after = Micros(1'000'000);
-    out.lease.retry = Micros(200'000);
+    out.lease.retry_backoff = Micros(200'000);
     return out;
   }
   void told(std::uint64_t round, const BoardPosition& asked) {
@@ -291,7 +291,7 @@
   const auto joined =
       aggregation::read_joined(store.commit(aggregation::join_transaction("", "east", lease, ask)));
   ASSERT_TRUE(joined.joined);
-  aggregator.uplink().joined(kStart, ask.order.number, joined);
+  aggregator.uplink().joined(kStart, ask.order.call_id, joined);
   EXPECT_THROW(aggregator.grant(kStart, kTtl), Refused);
   aggregator.follow(store.changes());
   EXPECT_NO_THROW(aggregator.grant(kStart, kTtl));
--- a/tests/aggregation_test.cpp
+++ b/tests/aggregation_test.cpp
@@ -209,7 +209,7 @@
   out.lease.ttl = seconds(4);
   out.lease.margin = milliseconds(20);
   out.lease.renew_after = milliseconds(500);
-  out.lease.retry = milliseconds(200);
+  out.lease.retry_backoff = milliseconds(200);
   out.routers.most_routers = 3;
   return out;
 }
@@ -255,12 +255,12 @@
   void carry_out(const AskPermission& ask) {
     store_.expire(now_ms());
     Uplink& uplink = aggregator_.uplink();
-    const std::uint64_t number = ask.order.number;
-    if (ask.order.ask == ownership::Ask::kAcquire) {
+    const std::uint64_t number = ask.order.call_id;
+    if (ask.order.kind == ownership::LeaseCallKind::kAcquire) {
       lease_ = store_.grant(now_ms(), 4'000, 0);
       const auto out = store_.commit(join_transaction("", "agg", lease_, ask));
       uplink.joined(now_, number, read_joined(out));
-    } else if (ask.order.ask == ownership::Ask::kRenew) {
+    } else if (ask.order.kind == ownership::LeaseCallKind::kRenew) {
       uplink.renewed(now_, number, store_.keep_alive(now_ms(), lease_) > 0);
     } else {
       store_.revoke(lease_);
@@ -356,7 +356,7 @@
   now_ += milliseconds(600);
   const auto orders = aggregator_.due(now_);
   ASSERT_EQ(orders.size(), 1U);
-  const std::uint64_t number = std::get<AskPermission>(orders.front()).order.number;
+  const std::uint64_t number = std::get<AskPermission>(orders.front()).order.call_id;
   const Micros sent = now_;
   now_ += seconds(10);
   aggregator_.uplink().renewed(now_, number, true);
@@ -613,10 +613,10 @@
 TEST_F(AggregatorTest, AnAnswerOfAnEarlierJoinGivesNothing) {
   hear();
   const auto first = std::get<AskPermission>(aggregator_.due(now_).front());
-  aggregator_.uplink().lost(now_, first.order.number);
+  aggregator_.uplink().lost(now_, first.order.call_id);
   now_ += milliseconds(200);
   const auto second = std::get<AskPermission>(aggregator_.due(now_).front());
-  aggregator_.uplink().joined(now_, first.order.number, {true, 9, 0});
+  aggregator_.uplink().joined(now_, first.order.call_id, {true, 9, 0});
   EXPECT_FALSE(aggregator_.uplink().permitted(now_));
   carry_out(second);
   EXPECT_TRUE(aggregator_.uplink().permitted(now_));
--- a/tests/aggregation_world_test.cpp
+++ b/tests/aggregation_world_test.cpp
@@ -210,7 +210,7 @@
     out.lease.ttl = kAggregatorTtl;
     out.lease.margin = milliseconds(20);
     out.lease.renew_after = milliseconds(500);
-    out.lease.retry = milliseconds(200);
+    out.lease.retry_backoff = milliseconds(200);
     return out;
   }
   static policy::HolderRules holder_rules() {
@@ -218,7 +218,7 @@
     out.lease.ttl = kRouterTtl;
     out.lease.margin = milliseconds(20);
     out.lease.renew_after = seconds(1);
-    out.lease.retry = milliseconds(200);
+    out.lease.retry_backoff = milliseconds(200);
     return out;
   }
 
@@ -395,9 +395,9 @@
     }
   }
   void carry_out(AggregatorProcess& one, const AskPermission& ask) {
-    const std::uint64_t number = ask.order.number;
+    const std::uint64_t number = ask.order.call_id;
     const auto lost = [this, &one, number] { one.core->uplink().lost(clock(one), number); };
-    if (ask.order.ask == ownership::Ask::kAcquire) {
+    if (ask.order.kind == ownership::LeaseCallKind::kAcquire) {
       call_store<LeaseId>(
           one, [this] { return ledger_.grant(store_ms(), kAggregatorTtl.count() / 1'000, 0); },
           [this, &one, ask, lost](const LeaseId& lease) {
@@ -408,7 +408,7 @@
       return;
     }
     const LeaseId lease = one.lease;
-    if (ask.order.ask == ownership::Ask::kRenew) {
+    if (ask.order.kind == ownership::LeaseCallKind::kRenew) {
       call_store<bool>(
           one, [this, lease] { return ledger_.keep_alive(store_ms(), lease) > 0; },
           [this, &one, number](const bool& alive) { one.core->uplink().renewed(clock(one), number, alive); },
@@ -433,7 +433,7 @@
     unfence(one, transaction, true);
     call_store<Outcome>(
         one, [this, transaction] { return commit(transaction); },
-        [this, &one, lease, number = ask.order.number](const Outcome& out) {
+        [this, &one, lease, number = ask.order.call_id](const Outcome& out) {
           report_.joins += out.succeeded ? 1 : 0;
           one.core->uplink().joined(clock(one), number, read_joined(out));
           if (!out.succeeded) {
@@ -698,10 +698,10 @@
         [this, &one, say] { one.holder->said(clock(one), say.number, false); });
   }
   void carry_out(RouterProcess& one, const policy::AskPermission& ask) {
-    const std::uint64_t number = ask.order.number;
+    const std::uint64_t number = ask.order.call_id;
     const int endpoint = one.endpoint;
     const auto lost = [this, &one, number] { one.holder->lost(clock(one), number); };
-    if (ask.order.ask == ownership::Ask::kAcquire) {
+    if (ask.order.kind == ownership::LeaseCallKind::kAcquire) {
       call_aggregator<LeaseId>(
           one,
           [this, endpoint](Aggregator& server) { return server.grant(server_clock(endpoint), kRouterTtl); },
@@ -756,7 +756,7 @@
         [this, &one, write, endpoint](Aggregator& server) {
           return take(one, server, server_clock(endpoint), write);
         },
-        [this, &one, number = ask.order.number](const Outcome& out) {
+        [this, &one, number = ask.order.call_id](const Outcome& out) {
           one.holder->joined(clock(one), number, out.succeeded);
         },
         lost);
--- a/tests/fencing_test.cpp
+++ b/tests/fencing_test.cpp
@@ -60,7 +60,7 @@
   // What admit() says; "waits" while it says nothing.
   std::string admit(const std::string& token) {
     const auto said = std::make_shared<std::string>("waits");
-    book->admit(token, [said](const std::string& why) { *said = why; });
+    book->admit(token, [said](AdmitResult result) { *said = wire_word(result); });
     last = said;
     return *said;
   }
@@ -88,7 +88,7 @@
   EXPECT_EQ(*last, "");
   EXPECT_EQ(admit("9:w/0:5"), "") << "from now on at once";
   EXPECT_EQ(admit("9:w/0:4"), "fenced");
-  EXPECT_EQ(book->counts().refused, 1U);
+  EXPECT_EQ(book->counts().rejected, 1U);
 }
 
 TEST_F(TokenStoreTest, ATermThatIsBeingKeptFencesThoseBeforeItAlready) {
@@ -114,13 +114,13 @@
   EXPECT_EQ(admit("8:other/0:500"), "fence_other_store");
   start();
   EXPECT_EQ(admit("8:w/0:500"), "fence_other_store");
-  EXPECT_EQ(book->counts().foreign, 1U);
+  EXPECT_EQ(book->counts().other_store, 1U);
 }
 
 TEST_F(TokenStoreTest, WithoutMemoryNothingIsAdmitted) {
   TokenStore none(nullptr, executor);
   std::string said;
-  none.admit("9:w/0:5", [&](const std::string& why) { said = why; });
+  none.admit("9:w/0:5", [&](AdmitResult result) { said = wire_word(result); });
   EXPECT_EQ(said, "fence_no_memory");
 }
 
@@ -147,8 +147,8 @@
     const std::string work = "w/" + std::to_string(random() % 3);
     const std::uint64_t term = 1 + random() % 200;
     const auto said = std::make_shared<std::string>();
-    book->admit("9:" + work + ":" + std::to_string(term), [&highest, work, term](const std::string& why) {
-      if (why.empty()) {
+    book->admit("9:" + work + ":" + std::to_string(term), [&highest, work, term](AdmitResult result) {
+      if (result == AdmitResult::kAdmitted) {
         EXPECT_GE(term, highest[work]) << "an effect of a lower term after one of a higher";
         highest[work] = std::max(highest[work], term);
       }
@@ -162,12 +162,12 @@
 }
 
 TEST(TokenTest, OnlyWholeTokensAreRead) {
-  using ownership::read_token;
-  EXPECT_EQ(read_token("9:w/0:5"), (Token{9, "w/0", 5}));
-  EXPECT_EQ(to_string(Token{9, "w/0", 5}), "9:w/0:5");
+  using ownership::parse_fencing_token;
+  EXPECT_EQ(parse_fencing_token("9:w/0:5"), (FencingToken{9, "w/0", 5}));
+  EXPECT_EQ(to_string(FencingToken{9, "w/0", 5}), "9:w/0:5");
   for (const char* bad : {"", "9", "9:5", "9::5", ":w:5", "9:w:", "0:w:5", "9:w:0", "9:w:x", "x:w:5",
                           "9:w w:5", "9:w:-1", "9:w:99999999999999999999"}) {
-    EXPECT_FALSE(read_token(bad)) << bad;
+    EXPECT_FALSE(parse_fencing_token(bad)) << bad;
   }
 }
 
--- a/tests/fleet/ownership_test.cpp
+++ b/tests/fleet/ownership_test.cpp
@@ -11,7 +11,7 @@
 
 #include "fleet/rig.h"
 #include "fleet/term_check.h"
-#include "ownership/work.h"
+#include "ownership/work_records.h"
 #include "program/fleet_work.h"
 #include "program/work_command.h"
 #include "protocol/cache_command.h"
--- a/tests/lease_manager_test.cpp
+++ b/tests/lease_manager_test.cpp
@@ -18,30 +18,30 @@
 class LeaseManagerTest : public testing::Test {
  protected:
   LeaseManagerTest() {
-    manager.heard(now, true);
+    manager.set_connected(now, true);
     Work work;
     work.name = "w";
     work.kind = "test";
-    manager.members(now, {{"a", "edge"}});
+    manager.set_members(now, {{"a", "edge"}});
     give(work);
   }
   void give(const Work& work) {
     given = work;
-    manager.work(now, work.name, work);
+    manager.set_work(now, work.name, work);
   }
   // Until nothing more is due now.
-  std::vector<LeaseManagerOrder> due() {
-    std::vector<LeaseManagerOrder> out;
+  std::vector<LeaseManagerAction> due() {
+    std::vector<LeaseManagerAction> out;
     for (int i = 0; i < 10; ++i) {
-      const auto more = manager.due(now);
+      const auto more = manager.step(now);
       out.insert(out.end(), more.begin(), more.end());
     }
     return out;
   }
   template <typename Kind>
-  static std::vector<Kind> of(const std::vector<LeaseManagerOrder>& orders) {
+  static std::vector<Kind> of(const std::vector<LeaseManagerAction>& orders) {
     std::vector<Kind> out;
-    for (const LeaseManagerOrder& order : orders) {
+    for (const LeaseManagerAction& order : orders) {
       if (const auto* one = std::get_if<Kind>(&order)) {
         out.push_back(*one);
       }
@@ -49,53 +49,54 @@
     return out;
   }
   // The only lease call that is due.
-  Order lease_call() {
-    const auto calls = of<AskLease>(due());
+  LeaseCall lease_call() {
+    const auto calls = of<LeaseCallAction>(due());
     EXPECT_EQ(calls.size(), 1U);
-    return calls.empty() ? Order{} : calls.front().order;
+    return calls.empty() ? LeaseCall{} : calls.front().call;
   }
-  Write write() {
-    const auto writes = of<Write>(due());
+  WriteProgressAction write() {
+    const auto writes = of<WriteProgressAction>(due());
     EXPECT_EQ(writes.size(), 1U);
-    return writes.empty() ? Write{} : writes.front();
+    return writes.empty() ? WriteProgressAction{} : writes.front();
   }
-  void acquire(Term term, const Kept& kept = {}) {
-    const Order order = lease_call();
-    EXPECT_EQ(order.ask, Ask::kAcquire);
-    Acquired acquired;
+  void acquire(Term term, const StoredProgress& kept = {}) {
+    const LeaseCall order = lease_call();
+    EXPECT_EQ(order.kind, LeaseCallKind::kAcquire);
+    AcquireResult acquired;
     acquired.term = term;
-    acquired.kept = kept;
-    manager.acquired(now, id, order.number, acquired);
+    acquired.stored = kept;
+    manager.on_acquire_result(now, id, order.call_id, acquired);
   }
   void keep(const Write& wrote, coordination::Revision revision) {
-    manager.recorded(now, id, wrote.number, Recorded{true, true, Kept{wrote.progress, revision}});
+    manager.on_write_result(now, id, wrote.call_id,
+                            ProgressWriteResult{true, true, StoredProgress{wrote.progress, revision}});
   }
   // Owned, written, running.
-  void run(Term term, const Kept& kept = {}) {
+  void run(Term term, const StoredProgress& kept = {}) {
     acquire(term, kept);
     keep(write(), term + 1);
-    const auto begun = of<Begin>(due());
+    const auto begun = of<StartTaskAction>(due());
     ASSERT_EQ(begun.size(), 1U);
     EXPECT_EQ(begun.front().term, term);
   }
-  ShardSeen seen() { return manager.all(now).at(0); }
+  ShardStatus seen() { return manager.shards(now).at(0); }
 
-  LeaseManagerRules rules;
+  LeaseManagerOptions rules;
   ShardId id{"w", 0};
   Work given;
   Micros now{1'000'000};
-  LeaseManager manager{"a", "1", "edge", {"test"}, LeaseManagerRules{}};
+  LeaseManager manager{"a", "1", "edge", {"test"}, LeaseManagerOptions{}};
 };
 
 TEST_F(LeaseManagerTest, NothingBeginsBeforeItsStartIsWritten) {
   acquire(7);
   EXPECT_FALSE(manager.may_act(now, id, 7));
-  const Write first = write();
+  const WriteProgressAction first = write();
   EXPECT_EQ(first.progress.starts, 1U);
   EXPECT_EQ(first.progress.term, 7U);
-  EXPECT_TRUE(of<Begin>(due()).empty());
+  EXPECT_TRUE(of<StartTaskAction>(due()).empty());
   keep(first, 8);
-  const auto begun = of<Begin>(due());
+  const auto begun = of<StartTaskAction>(due());
   ASSERT_EQ(begun.size(), 1U);
   EXPECT_TRUE(manager.may_act(now, id, 7));
   EXPECT_FALSE(manager.may_act(now, id, 6)) << "another term's effects are not ours";
@@ -110,100 +111,102 @@
   // A shard on which this one is not the first.
   given.shards = 20;
   give(given);
-  manager.members(now, members);
-  for (const ShardSeen& one : manager.all(now)) {
-    const std::size_t turn = slot_of("w", one.id.shard, "a", names);
-    LeaseManager other("a", "1", "edge", {"test"}, LeaseManagerRules{});
-    other.heard(now, true);
-    other.members(now, members);
-    other.work(now, "w", given);
+  manager.set_members(now, members);
+  for (const ShardStatus& one : manager.shards(now)) {
+    const std::size_t turn = candidate_rank("w", one.id.shard, "a", names);
+    LeaseManager other("a", "1", "edge", {"test"}, LeaseManagerOptions{});
+    other.set_connected(now, true);
+    other.set_members(now, members);
+    other.set_work(now, "w", given);
     for (std::uint64_t i = 0; i < 20; ++i) {
       if (i != one.id.shard) {
-        other.owner(now, ShardId{"w", i}, Owner{"b", "1", 3}, 3);
+        other.on_owner(now, ShardId{"w", i}, Owner{"b", "1", 3}, 3);
       }
     }
     if (turn > 0) {
-      EXPECT_TRUE(of<AskLease>(other.due(now)).empty());
-      EXPECT_EQ(other.next(now), now + rules.slot * static_cast<int>(turn));
+      EXPECT_TRUE(of<LeaseCallAction>(other.step(now)).empty());
+      EXPECT_EQ(other.next_step_at(now), now + rules.candidate_slot * static_cast<int>(turn));
     }
-    EXPECT_EQ(of<AskLease>(other.due(now + rules.slot * static_cast<int>(turn))).size(), 1U);
+    EXPECT_EQ(of<LeaseCallAction>(other.step(now + rules.candidate_slot * static_cast<int>(turn))).size(),
+              1U);
   }
 }
 
 TEST_F(LeaseManagerTest, NobodyIsAskedWhileAnotherOwnsItOrTheStoreIsNotHeard) {
-  manager.owner(now, id, Owner{"b", "1", 5}, 5);
+  manager.on_owner(now, id, Owner{"b", "1", 5}, 5);
   EXPECT_TRUE(due().empty());
-  manager.owner(now, id, std::nullopt, 9);
-  manager.heard(now, false);
+  manager.on_owner(now, id, std::nullopt, 9);
+  manager.set_connected(now, false);
   EXPECT_TRUE(due().empty());
-  manager.heard(now, true);
-  EXPECT_EQ(lease_call().ask, Ask::kAcquire);
+  manager.set_connected(now, true);
+  EXPECT_EQ(lease_call().kind, LeaseCallKind::kAcquire);
 }
 
 TEST_F(LeaseManagerTest, ALostAnswerToTheStartIsFoundOutByWritingItAgain) {
   acquire(7);
-  const Write first = write();
-  manager.record_lost(now, id, first.number);
-  EXPECT_TRUE(of<Write>(due()).empty()) << "not at once";
-  now += rules.lease.retry;
-  const auto again = of<Write>(due());
+  const WriteProgressAction first = write();
+  manager.on_no_write_response(now, id, first.call_id);
+  EXPECT_TRUE(of<WriteProgressAction>(due()).empty()) << "not at once";
+  now += rules.lease.retry_backoff;
+  const auto again = of<WriteProgressAction>(due());
   ASSERT_EQ(again.size(), 1U);
   EXPECT_EQ(again.front().progress, first.progress);
   EXPECT_EQ(again.front().modified, first.modified);
   // An answer to the first that comes late counts for nothing.
-  manager.recorded(now, id, first.number, Recorded{true, true, Kept{first.progress, 8}});
-  EXPECT_TRUE(of<Begin>(due()).empty());
+  manager.on_write_result(now, id, first.call_id,
+                          ProgressWriteResult{true, true, StoredProgress{first.progress, 8}});
+  EXPECT_TRUE(of<StartTaskAction>(due()).empty());
   keep(again.front(), 8);
-  EXPECT_EQ(of<Begin>(due()).size(), 1U);
+  EXPECT_EQ(of<StartTaskAction>(due()).size(), 1U);
 }
 
 TEST_F(LeaseManagerTest, WhoCannotKnowStopsAndGoesOnOnlyOnceItKnows) {
   run(7);
   now += rules.lease.renew_after;
-  const Order renewal = lease_call();
-  EXPECT_EQ(renewal.ask, Ask::kRenew);
+  const LeaseCall renewal = lease_call();
+  EXPECT_EQ(renewal.kind, LeaseCallKind::kRenew);
   now += rules.lease.ttl;
   EXPECT_FALSE(manager.may_act(now, id, 7));
-  const auto stopped = of<Abandon>(due());
+  const auto stopped = of<AbortTaskAction>(due());
   ASSERT_EQ(stopped.size(), 1U);
-  EXPECT_EQ(seen().lease, Phase::kDoubtful);
-  manager.lost(now, id, renewal.number);
-  now += rules.lease.retry;
-  const Order second = lease_call();
-  manager.renewed(now, id, second.number, true);
-  const auto begun = of<Begin>(due());
+  EXPECT_EQ(seen().lease, LeasePhase::kUncertain);
+  manager.on_no_response(now, id, renewal.call_id);
+  now += rules.lease.retry_backoff;
+  const LeaseCall second = lease_call();
+  manager.on_renew_result(now, id, second.call_id, true);
+  const auto begun = of<StartTaskAction>(due());
   ASSERT_EQ(begun.size(), 1U) << "under the same term, from the last checkpoint";
   EXPECT_EQ(begun.front().term, 7U);
-  EXPECT_TRUE(of<Write>(due()).empty()) << "it is no new start";
+  EXPECT_TRUE(of<WriteProgressAction>(due()).empty()) << "it is no new start";
 }
 
 TEST_F(LeaseManagerTest, ALeaseThatIsGoneEndsTheTaskAndItsWordsCountNoMore) {
   run(7);
   now += rules.lease.renew_after;
-  manager.renewed(now, id, lease_call().number, false);
-  EXPECT_EQ(of<Abandon>(due()).size(), 1U);
+  manager.on_renew_result(now, id, lease_call().call_id, false);
+  EXPECT_EQ(of<AbortTaskAction>(due()).size(), 1U);
   EXPECT_FALSE(manager.may_act(now, id, 7));
-  manager.checkpoint(now, id, 7, "late", false);
-  EXPECT_TRUE(of<Write>(due()).empty());
+  manager.on_checkpoint(now, id, 7, "late", false);
+  EXPECT_TRUE(of<WriteProgressAction>(due()).empty());
   EXPECT_EQ(manager.counts().lost, 1U);
 }
 
 TEST_F(LeaseManagerTest, WhatTheStoreToldOfBeforeItsTermSaysNothing) {
   acquire(13);
-  manager.owner(now, id, Owner{"b", "1", 10}, 10);
-  manager.owner(now, id, std::nullopt, 12);
-  EXPECT_EQ(of<Write>(due()).size(), 1U) << "it owns the shard still";
-  manager.owner(now, id, Owner{"a", "1", 13}, 13);
-  manager.owner(now, id, std::nullopt, 20);
+  manager.on_owner(now, id, Owner{"b", "1", 10}, 10);
+  manager.on_owner(now, id, std::nullopt, 12);
+  EXPECT_EQ(of<WriteProgressAction>(due()).size(), 1U) << "it owns the shard still";
+  manager.on_owner(now, id, Owner{"a", "1", 13}, 13);
+  manager.on_owner(now, id, std::nullopt, 20);
   EXPECT_EQ(manager.counts().lost, 1U);
-  EXPECT_EQ(seen().phase, ShardPhase::kAway);
+  EXPECT_EQ(seen().phase, ShardPhase::kUnassigned);
 }
 
 TEST_F(LeaseManagerTest, ACheckpointIsKeptUnderItsTermAndTakesTheStartBack) {
   run(7);
-  manager.checkpoint(now, id, 7, "ten", false);
-  manager.checkpoint(now, id, 7, "eleven", false);
-  const Write kept = write();
+  manager.on_checkpoint(now, id, 7, "ten", false);
+  manager.on_checkpoint(now, id, 7, "eleven", false);
+  const WriteProgressAction kept = write();
   EXPECT_EQ(kept.progress.checkpoint, "eleven") << "the newest that is known when there is room";
   EXPECT_EQ(kept.progress.starts, 0U);
   EXPECT_EQ(kept.modified, 8U);
@@ -213,28 +216,28 @@
 
 TEST_F(LeaseManagerTest, AWriteThatFindsAnotherOwnerEndsIt) {
   run(7);
-  manager.checkpoint(now, id, 7, "ten", false);
-  const Write wrote = write();
-  manager.recorded(now, id, wrote.number, Recorded{false, false, {}});
-  EXPECT_EQ(of<Abandon>(due()).size(), 1U);
+  manager.on_checkpoint(now, id, 7, "ten", false);
+  const WriteProgressAction wrote = write();
+  manager.on_write_result(now, id, wrote.call_id, ProgressWriteResult{false, false, {}});
+  EXPECT_EQ(of<AbortTaskAction>(due()).size(), 1U);
   EXPECT_EQ(manager.counts().refused_writes, 1U);
-  EXPECT_EQ(seen().phase, ShardPhase::kAway);
+  EXPECT_EQ(seen().phase, ShardPhase::kUnassigned);
 }
 
 TEST_F(LeaseManagerTest, ADrainWaitsForTheLastCheckpointAndThenGivesTheLeaseBack) {
   run(7);
   manager.drain(now);
-  EXPECT_EQ(of<Finish>(due()).size(), 1U);
+  EXPECT_EQ(of<StopTaskAction>(due()).size(), 1U);
   EXPECT_TRUE(manager.may_act(now, id, 7)) << "the step in hand may be ended";
-  manager.checkpoint(now, id, 7, "end", false);
-  manager.finished(now, id, 7);
-  const Write last = write();
+  manager.on_checkpoint(now, id, 7, "end", false);
+  manager.on_task_finished(now, id, 7);
+  const WriteProgressAction last = write();
   EXPECT_EQ(last.progress.checkpoint, "end");
   EXPECT_FALSE(manager.drained());
   keep(last, 9);
-  const Order release = lease_call();
-  EXPECT_EQ(release.ask, Ask::kRelease);
-  manager.released(now, id, release.number);
+  const LeaseCall release = lease_call();
+  EXPECT_EQ(release.kind, LeaseCallKind::kRelease);
+  manager.on_release_result(now, id, release.call_id);
   EXPECT_TRUE(manager.drained());
   EXPECT_TRUE(due().empty()) << "nothing is taken on again";
 }
@@ -242,97 +245,97 @@
 TEST_F(LeaseManagerTest, ATaskThatDoesNotEndIsNotWaitedForBeyondTheBound) {
   run(7);
   manager.drain(now);
-  EXPECT_EQ(of<Finish>(due()).size(), 1U);
-  now += rules.yield_most;
+  EXPECT_EQ(of<StopTaskAction>(due()).size(), 1U);
+  now += rules.release_timeout;
   const auto orders = due();
-  EXPECT_EQ(of<Abandon>(orders).size(), 1U);
-  ASSERT_EQ(of<AskLease>(orders).size(), 1U);
-  EXPECT_EQ(of<AskLease>(orders).front().order.ask, Ask::kRelease);
+  EXPECT_EQ(of<AbortTaskAction>(orders).size(), 1U);
+  ASSERT_EQ(of<LeaseCallAction>(orders).size(), 1U);
+  EXPECT_EQ(of<LeaseCallAction>(orders).front().call.kind, LeaseCallKind::kRelease);
   EXPECT_FALSE(manager.may_act(now, id, 7));
 }
 
 TEST_F(LeaseManagerTest, ATaskThatDidNotBeginLeavesNoStartBehind) {
-  Kept kept;
+  StoredProgress kept;
   kept.progress.starts = 1;
   kept.modified = 5;
   acquire(7, kept);
-  const Write first = write();
+  const WriteProgressAction first = write();
   EXPECT_EQ(first.progress.starts, 2U);
   manager.drain(now);
   due();
   keep(first, 8);
-  const Write back = write();
+  const WriteProgressAction back = write();
   EXPECT_EQ(back.progress.starts, 1U);
 }
 
 TEST_F(LeaseManagerTest, WorkThatItsOwnersDieOfIsTriedLaterAndThenParked) {
-  Kept kept;
+  StoredProgress kept;
   std::vector<Micros> pauses;
-  for (std::uint64_t start = 1; start <= rules.most_starts; ++start) {
+  for (std::uint64_t start = 1; start <= rules.max_starts; ++start) {
     acquire(start * 10, kept);
-    const Write wrote = write();
+    const WriteProgressAction wrote = write();
     EXPECT_EQ(wrote.progress.starts, start);
     EXPECT_FALSE(wrote.progress.parked);
     keep(wrote, start * 10 + 1);
     const Micros from = now;
-    for (auto orders = due(); of<Begin>(orders).empty(); orders = due()) {
+    for (auto orders = due(); of<StartTaskAction>(orders).empty(); orders = due()) {
       // Renewals go on meanwhile.
-      for (const AskLease& call : of<AskLease>(orders)) {
-        manager.renewed(now, id, call.order.number, true);
+      for (const LeaseCallAction& call : of<LeaseCallAction>(orders)) {
+        manager.on_renew_result(now, id, call.call.call_id, true);
       }
-      now = *manager.next(now);
+      now = *manager.next_step_at(now);
       ASSERT_LT(now - from, seconds(200));
     }
     pauses.push_back(now - from);
-    kept = Kept{wrote.progress, start * 10 + 1};
+    kept = StoredProgress{wrote.progress, start * 10 + 1};
     // It dies: another router of the same kind takes over.
-    manager = LeaseManager("a", std::to_string(start), "edge", {"test"}, LeaseManagerRules{});
-    manager.heard(now, true);
-    manager.members(now, {{"a", "edge"}});
-    manager.work(now, "w", given);
+    manager = LeaseManager("a", std::to_string(start), "edge", {"test"}, LeaseManagerOptions{});
+    manager.set_connected(now, true);
+    manager.set_members(now, {{"a", "edge"}});
+    manager.set_work(now, "w", given);
   }
   EXPECT_EQ(pauses[0], Micros(0));
-  EXPECT_GE(pauses[1], rules.poison_pause);
-  EXPECT_GE(pauses[2], 2 * rules.poison_pause);
+  EXPECT_GE(pauses[1], rules.restart_backoff);
+  EXPECT_GE(pauses[2], 2 * rules.restart_backoff);
   acquire(100, kept);
-  const Write parked = write();
+  const WriteProgressAction parked = write();
   EXPECT_TRUE(parked.progress.parked);
   keep(parked, 101);
   now += seconds(1);
-  EXPECT_TRUE(of<Begin>(due()).empty());
+  EXPECT_TRUE(of<StartTaskAction>(due()).empty());
   EXPECT_EQ(seen().phase, ShardPhase::kParked);
   // Staff resume it.
   given.resumed = 1;
   give(given);
-  const Write again = write();
+  const WriteProgressAction again = write();
   EXPECT_EQ(again.progress.starts, 1U);
   EXPECT_FALSE(again.progress.parked);
   keep(again, 103);
-  EXPECT_EQ(of<Begin>(due()).size(), 1U);
+  EXPECT_EQ(of<StartTaskAction>(due()).size(), 1U);
 }
 
 TEST_F(LeaseManagerTest, WhoAcquiresWhatIsParkedLeavesItParked) {
-  Kept kept;
+  StoredProgress kept;
   kept.progress.parked = true;
   kept.progress.starts = 3;
   kept.modified = 5;
   acquire(7, kept);
-  EXPECT_TRUE(of<Write>(due()).empty());
+  EXPECT_TRUE(of<WriteProgressAction>(due()).empty());
   EXPECT_EQ(seen().phase, ShardPhase::kParked);
 }
 
 TEST_F(LeaseManagerTest, WhatIsDoneIsNotBegunAgain) {
   run(7);
-  manager.checkpoint(now, id, 7, "all", true);
-  const Write last = write();
+  manager.on_checkpoint(now, id, 7, "all", true);
+  const WriteProgressAction last = write();
   EXPECT_TRUE(last.progress.done);
   keep(last, 9);
-  EXPECT_EQ(of<Finish>(due()).size(), 1U);
-  manager.finished(now, id, 7);
-  const Order release = lease_call();
-  EXPECT_EQ(release.ask, Ask::kRelease);
-  manager.released(now, id, release.number);
-  manager.owner(now, id, std::nullopt, 11);
+  EXPECT_EQ(of<StopTaskAction>(due()).size(), 1U);
+  manager.on_task_finished(now, id, 7);
+  const LeaseCall release = lease_call();
+  EXPECT_EQ(release.kind, LeaseCallKind::kRelease);
+  manager.on_release_result(now, id, release.call_id);
+  manager.on_owner(now, id, std::nullopt, 11);
   now += seconds(60);
   EXPECT_TRUE(due().empty());
 }
@@ -341,77 +344,77 @@
   run(7);
   std::map<std::string, std::string> members{{"a", "edge"}};
   std::vector<std::string> names{"a"};
-  for (int i = 0; owner_of("w", 0, names) == "a"; ++i) {
+  for (int i = 0; preferred_owner("w", 0, names) == "a"; ++i) {
     members["b" + std::to_string(i)] = "edge";
     names.push_back("b" + std::to_string(i));
   }
-  manager.members(now, members);
-  EXPECT_TRUE(of<Finish>(due()).empty());
+  manager.set_members(now, members);
+  EXPECT_TRUE(of<StopTaskAction>(due()).empty());
   now += rules.lease.renew_after;
-  manager.renewed(now, id, lease_call().number, true);
+  manager.on_renew_result(now, id, lease_call().call_id, true);
   // It went: nothing happens, and its time begins anew when it returns.
-  manager.members(now, {{"a", "edge"}});
+  manager.set_members(now, {{"a", "edge"}});
   due();
-  manager.members(now, members);
+  manager.set_members(now, members);
   due();
   const Micros from = now;
-  while (now < from + rules.settle) {
-    for (const AskLease& call : of<AskLease>(manager.due(now))) {
-      manager.renewed(now, id, call.order.number, true);
+  while (now < from + rules.handover_delay) {
+    for (const LeaseCallAction& call : of<LeaseCallAction>(manager.step(now))) {
+      manager.on_renew_result(now, id, call.call.call_id, true);
     }
-    EXPECT_NE(seen().phase, ShardPhase::kYielding);
-    now = std::min(*manager.next(now), from + rules.settle);
+    EXPECT_NE(seen().phase, ShardPhase::kReleasing);
+    now = std::min(*manager.next_step_at(now), from + rules.handover_delay);
   }
-  EXPECT_EQ(of<Finish>(due()).size(), 1U);
+  EXPECT_EQ(of<StopTaskAction>(due()).size(), 1U);
 }
 
 TEST_F(LeaseManagerTest, StaffCanHaveItLetGoAndItStandsBack) {
   run(7);
-  manager.release_asked(now, id, "b");
-  EXPECT_TRUE(of<Finish>(due()).empty()) << "not of this one";
-  manager.release_asked(now, id, "a");
-  EXPECT_EQ(of<Finish>(due()).size(), 1U);
-  manager.finished(now, id, 7);
+  manager.on_release_request(now, id, "b");
+  EXPECT_TRUE(of<StopTaskAction>(due()).empty()) << "not of this one";
+  manager.on_release_request(now, id, "a");
+  EXPECT_EQ(of<StopTaskAction>(due()).size(), 1U);
+  manager.on_task_finished(now, id, 7);
   keep(write(), 9);
-  manager.released(now, id, lease_call().number);
-  manager.owner(now, id, std::nullopt, 11);
-  EXPECT_TRUE(of<AskLease>(due()).empty());
-  now += rules.stand_back;
-  EXPECT_EQ(lease_call().ask, Ask::kAcquire) << "nobody else took it";
+  manager.on_release_result(now, id, lease_call().call_id);
+  manager.on_owner(now, id, std::nullopt, 11);
+  EXPECT_TRUE(of<LeaseCallAction>(due()).empty());
+  now += rules.cooldown;
+  EXPECT_EQ(lease_call().kind, LeaseCallKind::kAcquire) << "nobody else took it";
 }
 
 TEST_F(LeaseManagerTest, PausedWorkIsLetGoAndNotTakenOn) {
   run(7);
   given.paused = true;
   give(given);
-  EXPECT_EQ(of<Finish>(due()).size(), 1U);
-  manager.finished(now, id, 7);
+  EXPECT_EQ(of<StopTaskAction>(due()).size(), 1U);
+  manager.on_task_finished(now, id, 7);
   keep(write(), 9);
-  manager.released(now, id, lease_call().number);
-  manager.owner(now, id, std::nullopt, 10);
+  manager.on_release_result(now, id, lease_call().call_id);
+  manager.on_owner(now, id, std::nullopt, 10);
   now += seconds(60);
   EXPECT_TRUE(due().empty());
   given.paused = false;
   give(given);
-  EXPECT_EQ(lease_call().ask, Ask::kAcquire);
+  EXPECT_EQ(lease_call().kind, LeaseCallKind::kAcquire);
 }
 
 TEST_F(LeaseManagerTest, AShadowedRouterDoesNoOwnedWork) {
   run(7);
-  manager.shadowed(now, true);
+  manager.set_superseded(now, true);
   EXPECT_FALSE(manager.may_act(now, id, 7)) << "at once, not at the next step";
-  EXPECT_EQ(of<Finish>(due()).size(), 1U);
+  EXPECT_EQ(of<StopTaskAction>(due()).size(), 1U);
 }
 
 TEST_F(LeaseManagerTest, WorkThatIsTakenAwayIsLetGoAndForgotten) {
   run(7);
-  manager.work(now, "w", std::nullopt);
-  EXPECT_EQ(of<Finish>(due()).size(), 1U);
-  manager.finished(now, id, 7);
+  manager.set_work(now, "w", std::nullopt);
+  EXPECT_EQ(of<StopTaskAction>(due()).size(), 1U);
+  manager.on_task_finished(now, id, 7);
   keep(write(), 9);
-  manager.released(now, id, lease_call().number);
+  manager.on_release_result(now, id, lease_call().call_id);
   due();
-  EXPECT_TRUE(manager.all(now).empty());
+  EXPECT_TRUE(manager.shards(now).empty());
 }
 
 TEST_F(LeaseManagerTest, OfAnotherZonesWorkAndOfUnknownKindsNothingIsAsked) {
@@ -424,7 +427,7 @@
   unknown.name = "new";
   unknown.kind = "of a later version";
   give(unknown);
-  for (const AskLease& call : of<AskLease>(due())) {
+  for (const LeaseCallAction& call : of<LeaseCallAction>(due())) {
     EXPECT_EQ(call.id.work, "w");
   }
 }
