--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -5,8 +5,8 @@
 #include <chrono>
 #include <random>
 
-#include "membership/peers.h"
-#include "membership/view.h"
+#include "membership/membership_view.h"
+#include "membership/peer_prober.h"
 
 namespace trailcourse::membership {
 namespace {
@@ -23,37 +23,38 @@
     member.address = "127.0.0.1:4100";
     member.draining = draining;
     ++revision;
-    view.take(now, member_key(name, incarnation), write_member(member), revision, revision);
+    view.apply(now, member_key(name, incarnation), write_member(member), revision, revision);
   }
   void go(const std::string& name, const std::string& incarnation) {
-    view.take(now, member_key(name, incarnation), "", 0, ++revision);
+    view.apply(now, member_key(name, incarnation), "", 0, ++revision);
   }
   void doubt(const std::string& name, const std::string& by, int checks = 2, int fails = 1) {
     ++revision;
-    view.take(now, doubt_key(name, by), write_doubt(Doubt{name, by, checks, fails}), revision, revision);
+    view.apply(now, suspicion_key(name, by), write_suspicion(Suspicion{name, by, checks, fails}), revision,
+               revision);
   }
   std::vector<std::string> eligible(const std::string& zone = "") { return view.eligible(now, zone); }
-  Standing standing(const std::string& name, const std::string& incarnation) {
-    for (const Seen& seen : view.all(now)) {
+  MemberStatus standing(const std::string& name, const std::string& incarnation) {
+    for (const MemberEntry& seen : view.members(now)) {
       if (seen.member.name == name && seen.member.incarnation == incarnation) {
-        return seen.standing;
+        return seen.status;
       }
     }
     ADD_FAILURE() << name << " is not seen";
-    return Standing::kIn;
+    return MemberStatus::kActive;
   }
 
   using Names = std::vector<std::string>;
-  View view{ViewRules{}};
+  MembershipView view{MembershipOptions{}};
   Micros now{0};
   std::uint64_t revision = 1;
 };
 
 TEST_F(MembershipTest, ANumberGrowsWithEachChangeAndZonesAreKeptApart) {
-  const std::uint64_t before = view.number();
+  const std::uint64_t before = view.revision();
   come("a", "1", "east");
   come("b", "1", "west");
-  EXPECT_GT(view.number(), before);
+  EXPECT_GT(view.revision(), before);
   EXPECT_EQ(eligible("east"), Names{"a"});
   EXPECT_EQ(eligible(), (Names{"a", "b"}));
   go("a", "1");
@@ -63,19 +64,19 @@
 TEST_F(MembershipTest, OfTwoStartsOfOneNameTheLaterIsTheOne) {
   come("a", "first");
   come("a", "second");
-  EXPECT_TRUE(view.shadowed("a", "first"));
-  EXPECT_FALSE(view.shadowed("a", "second"));
-  EXPECT_EQ(standing("a", "first"), Standing::kShadowed);
+  EXPECT_TRUE(view.superseded("a", "first"));
+  EXPECT_FALSE(view.superseded("a", "second"));
+  EXPECT_EQ(standing("a", "first"), MemberStatus::kSuperseded);
   EXPECT_EQ(eligible(), Names{"a"});
   // The old session runs out: nobody left the fleet.
   go("a", "first");
   EXPECT_EQ(eligible(), Names{"a"});
-  EXPECT_EQ(standing("a", "second"), Standing::kIn);
+  EXPECT_EQ(standing("a", "second"), MemberStatus::kActive);
   // Had the later one gone first, the other counts again.
   come("b", "first");
   come("b", "second");
   go("b", "second");
-  EXPECT_FALSE(view.shadowed("b", "first"));
+  EXPECT_FALSE(view.superseded("b", "first"));
 }
 
 TEST_F(MembershipTest, WhoComesAndGoesTooOftenIsDampedAndComesBackWithTime) {
@@ -91,14 +92,14 @@
   go("a", "3");
   come("a", "4");
   EXPECT_EQ(eligible(), Names{"b"});
-  EXPECT_EQ(standing("a", "4"), Standing::kDamped);
-  const std::optional<Micros> back = view.next(now);
+  EXPECT_EQ(standing("a", "4"), MemberStatus::kDamped);
+  const std::optional<Micros> back = view.next_change_at(now);
   ASSERT_TRUE(back);
   now = *back - milliseconds(10);
   EXPECT_EQ(eligible(), Names{"b"});
   now = *back;
   EXPECT_EQ(eligible(), (Names{"a", "b"}));
-  EXPECT_FALSE(view.next(now));
+  EXPECT_FALSE(view.next_change_at(now));
 }
 
 TEST_F(MembershipTest, ARollingRestartDampsNobody) {
@@ -122,9 +123,9 @@
   doubt("a", "b");
   EXPECT_EQ(eligible().size(), 4U);
   doubt("a", "c");
-  EXPECT_EQ(standing("a", "0"), Standing::kDoubted);
+  EXPECT_EQ(standing("a", "0"), MemberStatus::kSuspected);
   EXPECT_EQ(eligible(), (Names{"b", "c", "d"}));
-  view.take(now, doubt_key("a", "c"), "", 0, ++revision);
+  view.apply(now, suspicion_key("a", "c"), "", 0, ++revision);
   EXPECT_EQ(eligible().size(), 4U);
 }
 
@@ -147,9 +148,9 @@
   come("a", "0");
   come("b", "0");
   doubt("a", "b");
-  view.begin_whole();
+  view.begin_snapshot();
   come("b", "0");
-  view.end_whole(now, ++revision);
+  view.end_snapshot(now, ++revision);
   EXPECT_EQ(eligible(), Names{"b"});
 }
 
@@ -157,15 +158,15 @@
   come("a", "0");
   come("a", "0", "edge", true);
   EXPECT_TRUE(eligible().empty());
-  EXPECT_EQ(standing("a", "0"), Standing::kDraining);
+  EXPECT_EQ(standing("a", "0"), MemberStatus::kDraining);
 }
 
 TEST_F(MembershipTest, RecordsThatCannotBeReadAreNobody) {
-  view.take(now, "fleet/members/a/1", "not json", 5, 5);
-  view.take(now, "fleet/members/a", "{}", 5, 5);
-  view.take(now, "fleet/members/a b/1", "{}", 5, 5);
-  view.take(now, "elsewhere/a/1", "{}", 5, 5);
-  EXPECT_TRUE(view.all(now).empty());
+  view.apply(now, "fleet/members/a/1", "not json", 5, 5);
+  view.apply(now, "fleet/members/a", "{}", 5, 5);
+  view.apply(now, "fleet/members/a b/1", "{}", 5, 5);
+  view.apply(now, "elsewhere/a/1", "{}", 5, 5);
+  EXPECT_TRUE(view.members(now).empty());
   std::mt19937_64 random(3);
   Member member;
   member.zone = "edge";
@@ -186,7 +187,7 @@
   }
   std::map<std::string, int> tried;
   for (const std::string& name : names) {
-    const auto whom = Peers(name, 3, 2).to_try(names);
+    const auto whom = PeerProber(name, 3, 2).select_targets(names);
     EXPECT_EQ(whom.size(), 3U);
     for (const std::string& one : whom) {
       EXPECT_NE(one, name);
@@ -200,20 +201,20 @@
 }
 
 TEST(PeersTest, MissesInARowMakeADoubtAndOneSuccessEndsIt) {
-  Peers neighbours("a", 2, 2);
-  neighbours.watch({"b", "c"});
-  neighbours.tried("b", false);
-  EXPECT_TRUE(neighbours.doubts().empty());
-  neighbours.tried("b", true);
-  neighbours.tried("b", false);
-  EXPECT_TRUE(neighbours.doubts().empty());
-  neighbours.tried("b", false);
-  ASSERT_EQ(neighbours.doubts().size(), 1U);
-  EXPECT_EQ(neighbours.doubts().at("b"), (Doubt{"b", "a", 2, 1}));
-  neighbours.watch({"c"});
-  EXPECT_TRUE(neighbours.doubts().empty());
-  neighbours.tried("b", false);
-  EXPECT_TRUE(neighbours.doubts().empty()) << "of one that is not tried any more";
+  PeerProber neighbours("a", 2, 2);
+  neighbours.set_targets({"b", "c"});
+  neighbours.on_probe_result("b", false);
+  EXPECT_TRUE(neighbours.suspicions().empty());
+  neighbours.on_probe_result("b", true);
+  neighbours.on_probe_result("b", false);
+  EXPECT_TRUE(neighbours.suspicions().empty());
+  neighbours.on_probe_result("b", false);
+  ASSERT_EQ(neighbours.suspicions().size(), 1U);
+  EXPECT_EQ(neighbours.suspicions().at("b"), (Suspicion{"b", "a", 2, 1}));
+  neighbours.set_targets({"c"});
+  EXPECT_TRUE(neighbours.suspicions().empty());
+  neighbours.on_probe_result("b", false);
+  EXPECT_TRUE(neighbours.suspicions().empty()) << "of one that is not tried any more";
 }
 
 }  // namespace
--- a/tests/ownership_test.cpp
+++ b/tests/ownership_test.cpp
@@ -12,7 +12,7 @@
 
 #include "ownership/fence.h"
 #include "ownership/lease.h"
-#include "ownership/shards.h"
+#include "ownership/shard_assignment.h"
 
 namespace trailcourse::ownership {
 namespace {
@@ -31,8 +31,8 @@
 constexpr std::uint64_t kCalls = 2;             // of each router
 constexpr std::size_t kMostStates = 1'500'000;  // a world that grows beyond is a mistake of this test
 
-LeaseRules world_rules() {
-  LeaseRules rules;
+LeaseOptions world_rules() {
+  LeaseOptions rules;
   rules.ttl = seconds(kTtl);
   rules.drift = kDrift;
   rules.margin = Micros(1);
@@ -43,7 +43,7 @@
 
 struct World {
   struct Request {
-    Order order;
+    LeaseCall order;
   };
   struct Response {
     std::uint64_t number = 0;
@@ -77,12 +77,12 @@
   std::string key() const {
     std::string out = std::to_string(tick) + "|" + std::to_string(owner) + "," + std::to_string(term) + "," +
                       std::to_string(revision) + "," + std::to_string(owner >= 0 ? expires : 0) + "|" +
-                      std::to_string(durable.kept_term("w")) + "," + std::to_string(applied) + "," +
+                      std::to_string(durable.persisted_term("w")) + "," + std::to_string(applied) + "," +
                       std::to_string(receiver_restarts) + std::to_string(troubles);
     for (const Node& node : nodes) {
       out += "|" + node.lease.describe() + ";" + std::to_string(node.crashes) +
              std::to_string(node.stepped_back) + std::to_string(node.effects);
-      out += node.request ? ";q" + std::to_string(node.request->order.number) : "";
+      out += node.request ? ";q" + std::to_string(node.request->order.call_id) : "";
       out += node.response ? ";a" + std::to_string(node.response->number) +
                                  (node.response->granted ? "+" : "-") + std::to_string(node.response->term)
                            : "";
@@ -130,9 +130,10 @@
       const std::string who = "router " + std::to_string(i);
       if (!node.request && !node.response) {
         World next = world;
-        if (const auto order = next.nodes[i].lease.due(world.clock(i)); order && order->number <= kCalls) {
+        if (const auto order = next.nodes[i].lease.step(world.clock(i)); order && order->call_id <= kCalls) {
           next.nodes[i].request = World::Request{*order};
-          add(next, place_, who + (order->ask == Ask::kRenew ? " sends a renewal" : " asks for the work"));
+          add(next, place_,
+              who + (order->kind == LeaseCallKind::kRenew ? " sends a renewal" : " asks for the work"));
         }
       }
       if (node.request) {
@@ -143,7 +144,7 @@
         if (world.troubles < kTroubles) {
           World lost = world;
           ++lost.troubles;
-          lost.nodes[i].lease.lost(world.clock(i), node.request->order.number);
+          lost.nodes[i].lease.on_no_response(world.clock(i), node.request->order.call_id);
           lost.nodes[i].request.reset();
           add(lost, place_, "the call of " + who + " is lost");
         }
@@ -155,7 +156,7 @@
         if (world.troubles < kTroubles) {
           World lost = world;
           ++lost.troubles;
-          lost.nodes[i].lease.lost(world.clock(i), node.response->number);
+          lost.nodes[i].lease.on_no_response(world.clock(i), node.response->number);
           lost.nodes[i].response.reset();
           add(lost, place_, "the answer to " + who + " is lost");
         }
@@ -199,16 +200,16 @@
     }
   }
 
-  static World::Response answer(World& world, int who, const Order& order) {
+  static World::Response answer(World& world, int who, const LeaseCall& order) {
     World::Response out;
-    out.number = order.number;
+    out.number = order.call_id;
     const bool mine = world.owner == who && world.term == order.term;
-    if (order.ask == Ask::kAcquire && world.owner < 0) {
+    if (order.kind == LeaseCallKind::kAcquire && world.owner < 0) {
       world.owner = who;
       world.term = ++world.revision;
       world.expires = world.tick + kTtl;
       out.granted = true;
-    } else if (order.ask == Ask::kRenew && mine) {
+    } else if (order.kind == LeaseCallKind::kRenew && mine) {
       world.expires = world.tick + kTtl;
       out.granted = true;
     }
@@ -220,28 +221,28 @@
     World::Node& node = world.nodes[who];
     const Micros now = world.clock(who);
     if (!response.granted) {
-      node.lease.refused(now, response.number);
+      node.lease.on_rejected(now, response.number);
     } else if (defect_ == Defect::kTimedFromAnswer) {
       // The same answer, to a call that is said to have been sent when it came.
-      node.lease.lost(now, response.number);
+      node.lease.on_no_response(now, response.number);
       Lease again = node.lease;
-      if (const auto order = again.due(now)) {
-        again.granted(now, order->number, response.term);
+      if (const auto order = again.step(now)) {
+        again.on_granted(now, order->call_id, response.term);
         node.lease = again;
       }
     } else {
-      node.lease.granted(now, response.number, response.term);
+      node.lease.on_granted(now, response.number, response.term);
     }
     node.response.reset();
   }
 
   void receive(World& world, Term term) {
     if (defect_ != Defect::kTermNotChecked) {
-      const Verdict verdict = world.durable.admit("w", term);
-      if (verdict == Verdict::kRefuse) {
+      const FenceDecision verdict = world.durable.admit("w", term);
+      if (verdict == FenceDecision::kReject) {
         return;
       }
-      world.durable.kept("w", term);
+      world.durable.on_persisted("w", term);
     }
     lower_applied_ = lower_applied_ || term < world.applied;
     world.applied = std::max(world.applied, term);
@@ -317,83 +318,83 @@
 }
 
 TEST(LeaseTest, APauseOfAnyLengthEndsItBeforeTheStoreMayGiveItAway) {
-  LeaseRules rules;
+  LeaseOptions rules;
   Lease lease(rules);
-  const auto order = lease.due(seconds(10));
+  const auto order = lease.step(seconds(10));
   ASSERT_TRUE(order.has_value());
-  EXPECT_FALSE(lease.due(seconds(10)).has_value()) << "one call at a time";
-  lease.granted(seconds(13), order->number, 7);  // the answer took three seconds
-  EXPECT_EQ(lease.phase(seconds(13)), Phase::kOwner);
+  EXPECT_FALSE(lease.step(seconds(10)).has_value()) << "one call at a time";
+  lease.on_granted(seconds(13), order->call_id, 7);  // the answer took three seconds
+  EXPECT_EQ(lease.phase(seconds(13)), LeasePhase::kOwner);
   EXPECT_TRUE(lease.may_act(seconds(15)));
   EXPECT_FALSE(lease.may_act(seconds(16))) << "ttl counts from the sending";
-  EXPECT_EQ(lease.phase(seconds(16)), Phase::kDoubtful);
-  const auto renewal = lease.due(seconds(20));
+  EXPECT_EQ(lease.phase(seconds(16)), LeasePhase::kUncertain);
+  const auto renewal = lease.step(seconds(20));
   ASSERT_TRUE(renewal.has_value());
-  EXPECT_EQ(renewal->ask, Ask::kRenew);
+  EXPECT_EQ(renewal->kind, LeaseCallKind::kRenew);
   EXPECT_EQ(renewal->term, 7U);
-  lease.refused(seconds(20), renewal->number);
-  EXPECT_EQ(lease.phase(seconds(20)), Phase::kCandidate);
+  lease.on_rejected(seconds(20), renewal->call_id);
+  EXPECT_EQ(lease.phase(seconds(20)), LeasePhase::kCandidate);
   EXPECT_EQ(lease.term(), 0U);
 }
 
 TEST(LeaseTest, AnswersOfEarlierCallsAndLostOnesGiveNothing) {
-  LeaseRules rules;
+  LeaseOptions rules;
   Lease lease(rules);
-  const auto first = lease.due(seconds(1));
-  lease.lost(seconds(2), first->number);
-  EXPECT_FALSE(lease.due(seconds(2)).has_value()) << "not before the retry";
-  const auto second = lease.due(seconds(3));
+  const auto first = lease.step(seconds(1));
+  lease.on_no_response(seconds(2), first->call_id);
+  EXPECT_FALSE(lease.step(seconds(2)).has_value()) << "not before the retry";
+  const auto second = lease.step(seconds(3));
   ASSERT_TRUE(second.has_value());
-  lease.granted(seconds(3), first->number, 4);
-  EXPECT_EQ(lease.phase(seconds(3)), Phase::kCandidate);
-  lease.granted(seconds(4), second->number, 5);
+  lease.on_granted(seconds(3), first->call_id, 4);
+  EXPECT_EQ(lease.phase(seconds(3)), LeasePhase::kCandidate);
+  lease.on_granted(seconds(4), second->call_id, 5);
   EXPECT_EQ(lease.term(), 5U);
-  lease.refused(seconds(4), first->number);
+  lease.on_rejected(seconds(4), first->call_id);
   EXPECT_EQ(lease.term(), 5U);
 }
 
 TEST(LeaseTest, HandedOverItActsNoMoreAndSaysSoOnce) {
-  Lease lease(LeaseRules{});
-  const auto order = lease.due(seconds(1));
-  lease.granted(seconds(1), order->number, 3);
+  Lease lease(LeaseOptions{});
+  const auto order = lease.step(seconds(1));
+  lease.on_granted(seconds(1), order->call_id, 3);
   EXPECT_TRUE(lease.may_act(seconds(2)));
   lease.stop(seconds(2));
   EXPECT_FALSE(lease.may_act(seconds(2)));
-  const auto release = lease.due(seconds(2));
+  const auto release = lease.step(seconds(2));
   ASSERT_TRUE(release.has_value());
-  EXPECT_EQ(release->ask, Ask::kRelease);
+  EXPECT_EQ(release->kind, LeaseCallKind::kRelease);
   EXPECT_EQ(release->term, 3U);
-  lease.granted(seconds(2), release->number, 0);
-  EXPECT_FALSE(lease.due(seconds(9)).has_value());
-  EXPECT_EQ(lease.phase(seconds(9)), Phase::kStopped);
+  lease.on_granted(seconds(2), release->call_id, 0);
+  EXPECT_FALSE(lease.step(seconds(9)).has_value());
+  EXPECT_EQ(lease.phase(seconds(9)), LeasePhase::kStopped);
 }
 
 // A store that does not answer is told again after a while, however often the owner is told to stop.
 TEST(LeaseTest, AReleaseThatWasLostIsTriedAgainInItsTimeAlone) {
-  LeaseRules rules;
+  LeaseOptions rules;
   Lease lease(rules);
-  lease.granted(seconds(1), lease.due(seconds(1))->number, 5);
+  lease.on_granted(seconds(1), lease.step(seconds(1))->call_id, 5);
   lease.stop(seconds(2));
-  lease.lost(seconds(2), lease.due(seconds(2))->number);
+  lease.on_no_response(seconds(2), lease.step(seconds(2))->call_id);
   lease.stop(seconds(2));
-  EXPECT_FALSE(lease.due(seconds(2)).has_value());
-  EXPECT_EQ(lease.next(seconds(2)), std::optional<Micros>(seconds(2) + rules.retry));
-  const auto again = lease.due(seconds(2) + rules.retry);
+  EXPECT_FALSE(lease.step(seconds(2)).has_value());
+  EXPECT_EQ(lease.next_step_at(seconds(2)), std::optional<Micros>(seconds(2) + rules.retry));
+  const auto again = lease.step(seconds(2) + rules.retry);
   ASSERT_TRUE(again.has_value());
-  EXPECT_EQ(again->ask, Ask::kRelease);
+  EXPECT_EQ(again->kind, LeaseCallKind::kRelease);
 }
 
 TEST(FenceTest, KeepsAHigherTermFirstAndRefusesALowerOne) {
   Fence fence;
-  EXPECT_EQ(fence.admit("fill", 0), Verdict::kRefuse);
-  EXPECT_EQ(fence.admit("fill", 4), Verdict::kKeepFirst);
-  EXPECT_EQ(fence.admit("fill", 4), Verdict::kKeepFirst) << "until it is durable";
-  fence.kept("fill", 4);
-  EXPECT_EQ(fence.admit("fill", 4), Verdict::kCarryOut);
-  EXPECT_EQ(fence.admit("fill", 3), Verdict::kRefuse);
-  EXPECT_EQ(fence.admit("probe", 1), Verdict::kKeepFirst) << "each work has its own";
-  fence.kept("fill", 2);
-  EXPECT_EQ(fence.kept_term("fill"), 4U);
+  EXPECT_EQ(fence.admit("fill", 0), FenceDecision::kReject);
+  EXPECT_EQ(fence.admit("fill", 4), FenceDecision::kPersistFirst);
+  EXPECT_EQ(fence.admit("fill", 4), FenceDecision::kPersistFirst) << "until it is durable";
+  fence.on_persisted("fill", 4);
+  EXPECT_EQ(fence.admit("fill", 4), FenceDecision::kAccept);
+  EXPECT_EQ(fence.admit("fill", 3), FenceDecision::kReject);
+  EXPECT_EQ(fence.admit("probe", 1), FenceDecision::kPersistFirst) << "each work has its own";
+  fence.on_persisted("fill", 2);
+  EXPECT_EQ(fence.persisted_term("fill"), 4U);
 }
 
 TEST(ShardsTest, LeastMovementEvenSharesAndTurns) {
@@ -404,24 +405,25 @@
   constexpr std::size_t kShards = 3'000;
   std::vector<std::string> without(members.begin(), members.end() - 1);
   std::vector<std::string> turned(members.rbegin(), members.rend());
-  EXPECT_EQ(moved("probe", kShards, members, turned), 0U);
+  EXPECT_EQ(count_moved_shards("probe", kShards, members, turned), 0U);
   std::size_t of_last = 0;
   for (std::size_t shard = 0; shard < kShards; ++shard) {
-    of_last += owner_of("probe", shard, members) == members.back() ? 1 : 0;
+    of_last += preferred_owner("probe", shard, members) == members.back() ? 1 : 0;
   }
-  EXPECT_EQ(moved("probe", kShards, members, without), of_last) << "its own shards and no others";
+  EXPECT_EQ(count_moved_shards("probe", kShards, members, without), of_last)
+      << "its own shards and no others";
   EXPECT_NEAR(static_cast<double>(of_last), kShards / 30.0, 50.0);
-  EXPECT_EQ(owner_of("probe", 1, {}), "");
+  EXPECT_EQ(preferred_owner("probe", 1, {}), "");
   std::vector<bool> turns(members.size(), false);
   for (const std::string& member : members) {
-    const std::size_t turn = slot_of("probe", 9, member, members);
+    const std::size_t turn = candidate_rank("probe", 9, member, members);
     ASSERT_LT(turn, members.size());
     EXPECT_FALSE(turns[turn]);
     turns[turn] = true;
-    EXPECT_EQ(turn == 0, member == owner_of("probe", 9, members));
+    EXPECT_EQ(turn == 0, member == preferred_owner("probe", 9, members));
   }
-  EXPECT_EQ(wait_for_slot(3, milliseconds(200), seconds(2)), milliseconds(600));
-  EXPECT_EQ(wait_for_slot(299, milliseconds(200), seconds(2)), seconds(2));
+  EXPECT_EQ(candidate_wait(3, milliseconds(200), seconds(2)), milliseconds(600));
+  EXPECT_EQ(candidate_wait(299, milliseconds(200), seconds(2)), seconds(2));
 }
 
 }  // namespace
--- a/tests/ownership_world_test.cpp
+++ b/tests/ownership_world_test.cpp
@@ -34,11 +34,11 @@
   World(std::uint64_t seed, Defect defect) : random_(seed), defect_(defect) {
     rules_.lease.ttl = seconds(3);
     rules_.lease.renew_after = seconds(1);
-    rules_.lease.retry = milliseconds(300);
-    rules_.settle = seconds(4);
-    rules_.poison_pause = milliseconds(200);
-    rules_.longest_poison_pause = milliseconds(400);
-    rules_.most_starts = 1'000;  // here routers die of what is drawn, not of the work
+    rules_.lease.retry_backoff = milliseconds(300);
+    rules_.handover_delay = seconds(4);
+    rules_.restart_backoff = milliseconds(200);
+    rules_.max_restart_backoff = milliseconds(400);
+    rules_.max_starts = 1'000;  // here routers die of what is drawn, not of the work
     if (defect == Defect::kNoDriftBound) {
       rules_.lease.drift = 0.0;
       rules_.lease.margin = Micros(0);
@@ -48,7 +48,7 @@
     work.kind = "test";
     work.shards = 3;
     commit(coordination::Transaction{
-        {}, {coordination::Put{std::string(kWork) + "w", write_work(work), 0}}, {}});
+        {}, {coordination::Put{std::string(kWorkPrefix) + "w", write_work(work), 0}}, {}});
     for (int i = 0; i < 4; ++i) {
       routers_.emplace_back();
       start(i);
@@ -243,7 +243,7 @@
           for (int i = 0; i < 4; ++i) {
             members[name(i)] = "edge";
           }
-          one.manager->members(now, members);
+          one.manager->set_members(now, members);
           std::set<std::string> named;
           for (const coordination::Entry& entry : entries) {
             named.insert(entry.key);
@@ -251,11 +251,11 @@
           }
           for (std::uint64_t shard = 0; shard < 3; ++shard) {
             const ShardId id{"w", shard};
-            if (!named.contains(kOwn + to_string(id))) {
-              one.manager->owner(now, id, std::nullopt, revision);
+            if (!named.contains(kOwnerPrefix + to_string(id))) {
+              one.manager->on_owner(now, id, std::nullopt, revision);
             }
           }
-          one.manager->heard(now, true);
+          one.manager->set_connected(now, true);
         });
       });
     });
@@ -264,19 +264,20 @@
   void apply(Router& router, const coordination::Change& change) {
     const Micros now = clock(router);
     const std::string& key = change.entry.key;
-    if (const auto id = read_shard_key(key, kOwn)) {
-      router.manager->owner(
+    if (const auto id = read_shard_key(key, kOwnerPrefix)) {
+      router.manager->on_owner(
           now, *id, change.deleted ? std::nullopt : read_owner(change.entry.value, change.entry.created),
           change.entry.modified);
-    } else if (key.starts_with(kWork)) {
-      router.manager->work(now, key.substr(std::string(kWork).size()), read_work(key, change.entry.value));
+    } else if (key.starts_with(kWorkPrefix)) {
+      router.manager->set_work(now, key.substr(std::string(kWorkPrefix).size()),
+                               read_work(key, change.entry.value));
     }
   }
 
   // Changes go to all that follow, each after a time of its own but in order.
   void tell() {
     for (const coordination::Change& change : ledger_.changes()) {
-      const auto id = read_shard_key(change.entry.key, kProgress);
+      const auto id = read_shard_key(change.entry.key, kProgressPrefix);
       if (const auto progress = id ? read_progress(change.entry.value) : std::nullopt) {
         check_progress(*id, *progress);
       }
@@ -318,40 +319,40 @@
     if (!router.manager || router.paused) {
       return;
     }
-    for (const LeaseManagerOrder& order : router.manager->due(clock(router))) {
+    for (const LeaseManagerAction& order : router.manager->step(clock(router))) {
       std::visit([this, index](const auto& one) { carry_out(index, one); }, order);
     }
   }
 
   LeaseManager& manager(int index) { return *routers_[static_cast<std::size_t>(index)].manager; }
 
-  void carry_out(int index, const AskLease& ask) {
+  void carry_out(int index, const LeaseCallAction& action) {
     Router& router = routers_[static_cast<std::size_t>(index)];
-    const ShardId id = ask.id;
-    const std::uint64_t number = ask.order.number;
+    const ShardId id = action.id;
+    const std::uint64_t number = action.call.call_id;
     const auto lost = [this, index, id, number] {
-      manager(index).lost(clock(routers_[static_cast<std::size_t>(index)]), id, number);
+      manager(index).on_no_response(clock(routers_[static_cast<std::size_t>(index)]), id, number);
     };
-    if (ask.order.ask == Ask::kAcquire) {
+    if (action.call.kind == LeaseCallKind::kAcquire) {
       const Owner owner{name(index), std::to_string(router.incarnation), 0};
       const std::int64_t ttl_ms = rules_.lease.ttl.count() / 1'000;
       call<LeaseId>(
           index, [this, ttl_ms] { return ledger_.grant(store_ms(), ttl_ms, 0); },
           [this, index, id, number, owner, lost](const LeaseId& lease) {
             routers_[static_cast<std::size_t>(index)].leases[id] = lease;
-            call<Acquired>(
+            call<AcquireResult>(
                 index,
                 [this, id, owner, lease] {
                   try {
-                    return read_acquired(ledger_.commit(acquire("", id, owner, lease)));
+                    return read_acquire_result(ledger_.commit(acquire("", id, owner, lease)));
                   } catch (const coordination::Rejected&) {
-                    return Acquired{};  // the lease ended meanwhile
+                    return AcquireResult{};  // the lease ended meanwhile
                   }
                 },
-                [this, index, id, number](const Acquired& acquired) {
+                [this, index, id, number](const AcquireResult& acquired) {
                   ++report_.owners;
-                  manager(index).acquired(clock(routers_[static_cast<std::size_t>(index)]), id, number,
-                                          acquired);
+                  manager(index).on_acquire_result(clock(routers_[static_cast<std::size_t>(index)]), id,
+                                                   number, acquired);
                 },
                 lost);
           },
@@ -359,11 +360,12 @@
       return;
     }
     const LeaseId lease = router.leases[id];
-    if (ask.order.ask == Ask::kRenew) {
+    if (action.call.kind == LeaseCallKind::kRenew) {
       call<bool>(
           index, [this, lease] { return ledger_.keep_alive(store_ms(), lease) > 0; },
           [this, index, id, number](const bool& alive) {
-            manager(index).renewed(clock(routers_[static_cast<std::size_t>(index)]), id, number, alive);
+            manager(index).on_renew_result(clock(routers_[static_cast<std::size_t>(index)]), id, number,
+                                           alive);
           },
           lost);
       return;
@@ -378,7 +380,7 @@
           return true;
         },
         [this, index, id, number](const bool&) {
-          manager(index).released(clock(routers_[static_cast<std::size_t>(index)]), id, number);
+          manager(index).on_release_result(clock(routers_[static_cast<std::size_t>(index)]), id, number);
         },
         lost);
   }
@@ -388,23 +390,23 @@
     if (defect_ == Defect::kUncheckedProgress) {
       transaction.when.clear();
     }
-    call<Recorded>(
+    call<ProgressWriteResult>(
         index,
         [this, write, transaction] {
-          return read_recorded(ledger_.commit(transaction), write.term, write.progress);
+          return read_progress_write_result(ledger_.commit(transaction), write.term, write.progress);
         },
-        [this, index, write](const Recorded& recorded) {
-          manager(index).recorded(clock(routers_[static_cast<std::size_t>(index)]), write.id, write.number,
-                                  recorded);
+        [this, index, write](const ProgressWriteResult& recorded) {
+          manager(index).on_write_result(clock(routers_[static_cast<std::size_t>(index)]), write.id,
+                                         write.call_id, recorded);
         },
         [this, index, write] {
-          manager(index).record_lost(clock(routers_[static_cast<std::size_t>(index)]), write.id,
-                                     write.number);
+          manager(index).on_no_write_response(clock(routers_[static_cast<std::size_t>(index)]), write.id,
+                                              write.call_id);
         });
   }
 
   // A task counts up; each number is an effect, then a checkpoint.
-  void carry_out(int index, const Begin& begin) {
+  void carry_out(int index, const StartTaskAction& begin) {
     Router& router = routers_[static_cast<std::size_t>(index)];
     const std::uint64_t run = ++router.last_task;
     router.tasks[begin.id] = run;
@@ -412,11 +414,11 @@
     const std::uint64_t from = begin.checkpoint.empty() ? 0 : std::stoull(begin.checkpoint);
     work_on(index, router.incarnation, run, begin.id, begin.term, from + 1);
   }
-  void carry_out(int index, const Finish& finish) {
+  void carry_out(int index, const StopTaskAction& finish) {
     routers_[static_cast<std::size_t>(index)].tasks.erase(finish.id);
-    manager(index).finished(clock(routers_[static_cast<std::size_t>(index)]), finish.id, finish.term);
+    manager(index).on_task_finished(clock(routers_[static_cast<std::size_t>(index)]), finish.id, finish.term);
   }
-  void carry_out(int index, const Abandon& abandon) {
+  void carry_out(int index, const AbortTaskAction& abandon) {
     routers_[static_cast<std::size_t>(index)].tasks.erase(abandon.id);
   }
 
@@ -437,7 +439,7 @@
         // It may lie in a socket's buffer for longer than any lease.
         const Micros late = drawn(calm_ || chance(80) ? milliseconds(20) : seconds(15));
         at(now_ + late, [this, id, term, number] { arrive(id, term, number); });
-        router.manager->checkpoint(clock(router), id, term, std::to_string(number), false);
+        router.manager->on_checkpoint(clock(router), id, term, std::to_string(number), false);
         work_on(index, incarnation, run, id, term, number + 1);
       });
     });
@@ -445,13 +447,14 @@
 
   void arrive(const ShardId& id, Term term, std::uint64_t) {
     const std::string work = to_string(id);
-    const Verdict verdict = defect_ == Defect::kNoFence ? Verdict::kCarryOut : fence_.admit(work, term);
-    if (verdict == Verdict::kRefuse) {
+    const FenceDecision verdict =
+        defect_ == Defect::kNoFence ? FenceDecision::kAccept : fence_.admit(work, term);
+    if (verdict == FenceDecision::kReject) {
       ++report_.refused;
       return;
     }
-    if (verdict == Verdict::kKeepFirst) {
-      fence_.kept(work, term);
+    if (verdict == FenceDecision::kPersistFirst) {
+      fence_.on_persisted(work, term);
     }
     ++report_.effects;
     Term& highest = highest_[work];
@@ -500,9 +503,10 @@
       if (!router.manager) {
         continue;
       }
-      for (const ShardSeen& seen : router.manager->all(clock(router))) {
+      for (const ShardStatus& seen : router.manager->shards(clock(router))) {
         out += "\n  " + name(i) + " " + to_string(seen.id) + ": " + to_string(seen.phase) + ", " +
-               to_string(seen.lease) + ", owner " + seen.owner.member + " " + std::to_string(seen.owner.term);
+               to_string(seen.lease_phase) + ", owner " + seen.owner.member + " " +
+               std::to_string(seen.owner.term);
       }
     }
     for (const coordination::Entry& entry : ledger_.get(coordination::Range{"", true})) {
@@ -538,7 +542,7 @@
         if (router.manager) {
           router.cut = true;
           router.following = false;
-          router.manager->heard(clock(router), false);
+          router.manager->set_connected(clock(router), false);
           at(now_ + drawn(seconds(8)), [this, index, incarnation] { mend(index, incarnation); });
         }
         break;
@@ -549,7 +553,7 @@
         break;
       default:  // the owner of a shard is asked to let it go
         if (router.manager && !router.paused) {
-          router.manager->release_asked(clock(router), ShardId{"w", random_() % 3}, name(index));
+          router.manager->on_release_request(clock(router), ShardId{"w", random_() % 3}, name(index));
         }
     }
     at(now_ + drawn(milliseconds(2'500)), [this] { draw_fault(); });
@@ -588,7 +592,7 @@
 
   std::mt19937_64 random_;
   Defect defect_;
-  LeaseManagerRules rules_;
+  LeaseManagerOptions rules_;
   Ledger ledger_{coordination::Limits{}};
   std::vector<Router> routers_;
   std::multimap<Micros, std::function<void()>> events_;
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -346,7 +346,7 @@
       : VirtualWorld(seed, testing_support::CallRules{}), defect_(defect) {
     rules_.lease.ttl = seconds(2);
     rules_.lease.renew_after = milliseconds(600);
-    rules_.lease.retry = milliseconds(200);
+    rules_.lease.retry_backoff = milliseconds(200);
     rules_.lease.margin = milliseconds(20);
     driver_rules_.prepare_most = seconds(6);
     driver_rules_.hold_most = seconds(8);
@@ -533,9 +533,9 @@
         [this, index, say] { of(index).holder->said(clock(of(index)), say.number, false); });
   }
   void carry(int index, const AskPermission& ask) {
-    const std::uint64_t number = ask.order.number;
+    const std::uint64_t number = ask.order.call_id;
     const auto lost = [this, index, number] { of(index).holder->lost(clock(of(index)), number); };
-    if (ask.order.ask == ownership::Ask::kAcquire) {
+    if (ask.order.kind == ownership::LeaseCallKind::kAcquire) {
       call_store<coordination::LeaseId>(
           index, [this] { return ledger_.grant(store_ms(), rules_.lease.ttl.count() / 1'000, 0); },
           [this, index, ask, number, lost](const coordination::LeaseId& lease) {
