--- a/src/fencing/token_store.h
+++ b/src/fencing/token_store.h
@@ -1,9 +1,9 @@
-// Durable fencing terms of a receiver: a term is on the disk before the first effect under it, so a receiver that
-// restarts still rejects former owners. All terms have to be of one store, because those of two stores cannot be
-// compared: the first store seen is the only one until staff remove the file.
+// Durable fencing terms of a receiver: a term is on the disk before the first effect under it, so a
+// receiver that restarts still rejects former owners. All terms have to be of one store, because those of
+// two stores cannot be compared: the first store seen is the only one until staff remove the file.
 //
-// Library `fencing`, on top of `ownership` (the fence) and `store` (files and the executor). Used by one thread
-// beside those of the executor.
+// Library `fencing`, on top of `ownership` (the fence) and `store` (files and the executor). Used by one
+// thread beside those of the executor.
 #pragma once
 
 #include <cstdint>
@@ -56,8 +56,9 @@
   TokenStore(const TokenStore&) = delete;
   TokenStore& operator=(const TokenStore&) = delete;
 
-  // Decides whether an effect under the token may be executed. `done` is called at once where nothing has to be
-  // written, and otherwise once the term is durable. It is not called after the destruction of this object.
+  // Decides whether an effect under the token may be executed. `done` is called at once where nothing has
+  // to be written, and otherwise once the term is durable. It is not called after the destruction of this
+  // object.
   using Callback = std::function<void(AdmitResult result)>;
   void admit(const std::string& token, Callback done);
 
--- a/src/membership/member_records.h
+++ b/src/membership/member_records.h
@@ -1,5 +1,5 @@
-// Membership of the fleet as it is stored: one record for each running process of a router, which ends with its
-// session, and one for each suspicion that a member reports of another.
+// Membership of the fleet as it is stored: one record for each running process of a router, which ends with
+// its session, and one for each suspicion that a member reports of another.
 //
 // Library `membership`: depends on JSON; no I/O and no clock.
 #pragma once
--- a/src/membership/membership_view.h
+++ b/src/membership/membership_view.h
@@ -1,15 +1,15 @@
-// Membership of the fleet as one member sees it: the sessions in the store, without those that flap, drain, or
-// cannot be reached by their peers although the store hears them. Members may see different memberships for a
-// while. Nothing that has to be correct depends on their agreement (leases and fencing terms serve for that);
-// the view decides only who tries first to acquire work.
+// Membership of the fleet as one member sees it: the sessions in the store, without those that flap, drain,
+// or cannot be reached by their peers although the store hears them. Members may see different memberships
+// for a while. Nothing that has to be correct depends on their agreement (leases and fencing terms serve
+// for that); the view decides only who tries first to acquire work.
 //
-// | status     | word in outputs | meaning                                                     | may be given work |
-// | ---------- | --------------- | ----------------------------------------------------------- | ----------------- |
-// | active     | in              | has a session in the store                                  | yes               |
-// | damped     | damped          | joined and left too often lately                            | no                |
-// | suspected  | doubted         | its peers cannot reach it, though the store hears it        | no                |
-// | draining   | draining        | is shutting down gracefully                                 | no                |
-// | superseded | shadowed        | a later process has its name: a restart, or a name used twice | no                |
+// | status     | as text  | meaning                                       | may be given work |
+// | ---------- | -------- | --------------------------------------------- | ----------------- |
+// | active     | in       | has a session in the store                    | yes               |
+// | damped     | damped   | joined and left too often lately              | no                |
+// | suspected  | doubted  | the store hears it, its peers cannot reach it | no                |
+// | draining   | draining | is shutting down gracefully                   | no                |
+// | superseded | shadowed | a later process has its name                  | no                |
 //
 // Library `membership`: no I/O and no clock; times are Micros of the caller's steady clock. Not thread-safe.
 #pragma once
@@ -54,8 +54,8 @@
  public:
   explicit MembershipView(const MembershipOptions& options) : options_(options) {}
 
-  // Between these calls apply() is called for every record that stands at `revision`: at the start, and after a
-  // gap of the watch. What was not among them is gone.
+  // Between these calls apply() is called for every record that stands at `revision`: at the start, and
+  // after a gap of the watch. What was not among them is gone.
   void begin_snapshot();
   void end_snapshot(Micros now, std::uint64_t revision);
 
--- a/src/membership/peer_prober.h
+++ b/src/membership/peer_prober.h
@@ -1,6 +1,6 @@
-// Probing of peers: which members this one probes, and which of them it suspects. A member that the store hears
-// but its peers cannot reach is of little use. Each member probes its successors on a ring of hashes, so that
-// each is probed by as many as it probes.
+// Probing of peers: which members this one probes, and which of them it suspects. A member that the store
+// hears but its peers cannot reach is of little use. Each member probes its successors on a ring of hashes,
+// so that each is probed by as many as it probes.
 //
 // Library `membership`: no I/O and no clock. Not thread-safe.
 #pragma once
--- a/src/ownership/fence.h
+++ b/src/ownership/fence.h
@@ -1,10 +1,10 @@
-// Fence of a receiver of effects: it rejects each command that comes under a lower term than it has seen. A late
-// effect of a former owner, for example one that lay in a socket's buffer, does no harm whatever its sender
-// believes.
+// Fence of a receiver of effects: it rejects each command that comes under a lower term than it has seen. A
+// late effect of a former owner, for example one that lay in a socket's buffer, does no harm whatever its
+// sender believes.
 //
-// The highest term has to be durable before the effect of its first command: where admit() says kPersistFirst,
-// the caller writes and syncs the term, calls on_persisted(), and only then executes the command. A receiver
-// that restarts begins with the terms that it persisted.
+// The highest term has to be durable before the effect of its first command: where admit() says
+// kPersistFirst, the caller writes and syncs the term, calls on_persisted(), and only then executes the
+// command. A receiver that restarts begins with the terms that it persisted.
 //
 // Library `ownership`: no I/O and no clock. Not thread-safe.
 #pragma once
--- a/src/ownership/fencing_token.h
+++ b/src/ownership/fencing_token.h
@@ -1,4 +1,5 @@
-// Fencing token: the term of owned work as it is sent with an effect, together with the store that granted it.
+// Fencing token: the term of owned work as it is sent with an effect, together with the store that granted
+// it.
 //
 // Library `ownership`: no I/O and no clock.
 #pragma once
--- a/src/ownership/lease.h
+++ b/src/ownership/lease.h
@@ -1,13 +1,14 @@
 // Lease of one shard of work, as seen by the router that wants or has it: when to call the store, until when
 // the router may act, and when it stops by itself.
 //
-// The store grants a lease for a time (`ttl`) under a term that only grows. A call that was sent at time S and
-// succeeded is taken to hold until S + ttl * (1 - drift) - margin by this router's own steady clock: the store
-// cannot have begun to count before S, and its clock runs faster than ours by `drift` at most. An owner has
-// therefore stopped, in true time, before the store may grant the shard to another router, whenever the answer
-// arrived and however long this process was suspended in between. This prevents two routers from beginning
-// effects at the same time. It does not prevent an effect that is already on its way from arriving late, which
-// is why each effect carries the term and its receiver rejects lower ones (fence.h).
+// The store grants a lease for a time (`ttl`) under a term that only grows. A call that was sent at time S
+// and succeeded is taken to hold until S + ttl * (1 - drift) - margin by this router's own steady clock:
+// the store cannot have begun to count before S, and its clock runs faster than ours by `drift` at most. An
+// owner has therefore stopped, in true time, before the store may grant the shard to another router,
+// whenever the answer arrived and however long this process was suspended in between. This prevents two
+// routers from beginning effects at the same time. It does not prevent an effect that is already on its way
+// from arriving late, which is why each effect carries the term and its receiver rejects lower ones
+// (fence.h).
 //
 // Library `ownership`: no I/O and no clock; times are Micros of the caller's steady clock. Not thread-safe.
 #pragma once
--- a/src/ownership/lease_manager.cpp
+++ b/src/ownership/lease_manager.cpp
@@ -267,8 +267,8 @@
   }
 }
 
-// The lease has run out and no answer says whether it was renewed: the task is aborted, and starts again under
-// the same term if it was.
+// The lease has run out and no answer says whether it was renewed: the task is aborted, and starts again
+// under the same term if it was.
 void LeaseManager::step_uncertain(Micros now, const ShardId& id, Shard& shard) {
   const bool releasing = shard.phase == ShardPhase::kReleasing;
   if (shard.task_started) {
--- a/src/ownership/lease_manager.h
+++ b/src/ownership/lease_manager.h
@@ -1,26 +1,28 @@
-// One router's part in all owned work: which shards it tries to acquire and when, which calls to the store are
-// needed, when a task starts and stops, and whether an effect may begin now. The lease of each shard (lease.h)
-// limits for how long; the manager decides whether at all.
+// One router's part in all owned work: which shards it tries to acquire and when, which calls to the store
+// are needed, when a task starts and stops, and whether an effect may begin now. The lease of each shard
+// (lease.h) limits for how long; the manager decides whether at all.
 //
-// | phase           | what holds                                                | followed by                     |
-// | --------------- | --------------------------------------------------------- | ------------------------------- |
-// | unassigned      | this router does not own the shard                        | acquiring, in its slot          |
-// | acquiring       | the call is in flight                                     | recording start, or unassigned  |
-// | recording start | owned; the start of the task is being written             | delayed, or parked              |
-// | delayed         | the start is written; the task waits out its backoff      | running                         |
-// | running         | the task runs                                             | releasing                       |
-// | parked          | too many starts in a row failed; staff have to resume it  | recording start, or releasing   |
-// | releasing       | the last checkpoint is being written, then the lease ends | unassigned                      |
+// | phase           | what holds                                           | followed by                   |
+// | --------------- | ---------------------------------------------------- | ----------------------------- |
+// | unassigned      | this router does not own the shard                   | acquiring, in its slot        |
+// | acquiring       | the call is in flight                                | recording start or unassigned |
+// | recording start | owned; the start of the task is being written        | delayed or parked             |
+// | delayed         | the start is written; the task waits for its backoff | running                       |
+// | running         | the task runs                                        | releasing                     |
+// | parked          | too many starts in a row failed; staff resume it     | recording start or releasing  |
+// | releasing       | waits for the last checkpoint, then for the release  | unassigned                    |
 //
 // Each phase of an owned shard is followed by unassigned where the lease is lost, and by releasing where the
 // router drains, staff pause or move the work, or another member is preferred for some time.
 //
-// A start is written to the store before the task begins, under the term of the owner, and is taken back by the
-// first checkpoint. Work whose owners crash is therefore started by fewer routers, with growing backoff, and is
-// then parked for staff: a poisoned piece of work takes down `max_starts` routers, and not one after the other.
+// A start is written to the store before the task begins, under the term of the owner, and is taken back by
+// the first checkpoint. Work whose owners crash is therefore started by fewer routers, with growing
+// backoff, and is then parked for staff: a poisoned piece of work takes down `max_starts` routers, and not
+// one after the other.
 //
-// Implementation: lease_manager.cpp (inputs and steps), shard_acquisition.cpp (candidate order and acquiring),
-// shard_progress.cpp (starts and checkpoints), shard_release.cpp (handing over, releasing and losing).
+// Implementation: lease_manager.cpp (inputs and steps), shard_acquisition.cpp (candidate order and
+// acquiring), shard_progress.cpp (starts and checkpoints), shard_release.cpp (handing over, releasing and
+// losing).
 //
 // Library `ownership`: no I/O and no clock; times are Micros of the caller's steady clock. Not thread-safe.
 #pragma once
@@ -41,7 +43,8 @@
 
 class LeaseManager {
  public:
-  // `member`, `incarnation` and `zone` are those of this router; `kinds` are the kinds of work that it can do.
+  // `member`, `incarnation` and `zone` are those of this router; `kinds` are the kinds of work that it can
+  // do.
   LeaseManager(std::string member, std::string incarnation, std::string zone, std::set<std::string> kinds,
                const LeaseManagerOptions& options);
 
@@ -83,8 +86,8 @@
                        const ProgressWriteResult& result);
   void on_no_write_response(Micros now, const ShardId& id, std::uint64_t call_id);
 
-  // The task reports a checkpoint. It is written as soon as the write before is confirmed; a newer one replaces
-  // one that still waits. `done`: nothing is left to do.
+  // The task reports a checkpoint. It is written as soon as the write before is confirmed; a newer one
+  // replaces one that still waits. `done`: nothing is left to do.
   void on_checkpoint(Micros now, const ShardId& id, Term term, std::string checkpoint, bool done);
 
   // The task has come to its end after StopTaskAction; its last checkpoint was reported before.
--- a/src/ownership/shard_assignment.h
+++ b/src/ownership/shard_assignment.h
@@ -1,6 +1,6 @@
-// Assignment of shards to members by rendezvous hashing: a member that joins or leaves moves its own shards and
-// no others. It also gives the order in which candidates try to acquire a shard whose owner is gone, so that
-// they do not all call the store at once.
+// Assignment of shards to members by rendezvous hashing: a member that joins or leaves moves its own shards
+// and no others. It also gives the order in which candidates try to acquire a shard whose owner is gone, so
+// that they do not all call the store at once.
 //
 // Library `ownership`: no I/O and no clock.
 #pragma once
--- a/src/ownership/shard_progress.cpp
+++ b/src/ownership/shard_progress.cpp
@@ -1,5 +1,5 @@
-// Progress of owned shards in the lease manager: the record of a start before the task begins, checkpoints, and
-// the parking of work whose owners crash.
+// Progress of owned shards in the lease manager: the record of a start before the task begins, checkpoints,
+// and the parking of work whose owners crash.
 #include <algorithm>
 #include <utility>
 
--- a/src/ownership/work_records.h
+++ b/src/ownership/work_records.h
@@ -1,12 +1,12 @@
 // Records of owned work as they are stored, and the transactions that change them.
 //
-// | key                      | value                                           | written by                      |
-// | ------------------------ | ----------------------------------------------- | ------------------------------- |
-// | fleet/work/NAME          | definition: kind, zone, shards, whether paused  | staff, or who requests the work |
-// | fleet/own/NAME/SHARD     | owner; the creation revision is the term        | the owner, bound to its lease   |
-// | progress/NAME/SHARD      | progress and the term that it was written under | the owner, by compare-and-set   |
-// | fleet/done/NAME/SHARD    | exists where the whole shard is done            | the owner                       |
-// | fleet/release/NAME/SHARD | member that is requested to release the shard   | staff                           |
+// | key                      | value                                    | written by                    |
+// | ------------------------ | ---------------------------------------- | ----------------------------- |
+// | fleet/work/NAME          | definition: kind, zone, shards, paused   | staff, or who requests it     |
+// | fleet/own/NAME/SHARD     | owner; the creation revision is the term | the owner, with its lease     |
+// | progress/NAME/SHARD      | progress, and the term of its writing    | the owner, by compare-and-set |
+// | fleet/done/NAME/SHARD    | exists where the whole shard is done     | the owner                     |
+// | fleet/release/NAME/SHARD | member that has to release the shard     | staff                         |
 //
 // Every router watches the keys under fleet/. Progress is read only by the router that acquires a shard.
 //
@@ -94,8 +94,8 @@
 // Throws std::invalid_argument with the text of the error where a field is not valid.
 void check_work(const Work& work);
 
-// Values as they are stored. The read functions return nothing where the value is not a record, and for a work
-// definition also where a field is not valid.
+// Values as they are stored. The read functions return nothing where the value is not a record, and for a
+// work definition also where a field is not valid.
 std::string write_work(const Work& work);
 std::optional<Work> read_work(const std::string& key, const std::string& value);
 std::string write_owner(const Owner& owner);
--- a/tests/fencing_test.cpp
+++ b/tests/fencing_test.cpp
@@ -1,5 +1,6 @@
-// Receivers that check the term: what a lower one, another store's, or none that can be remembered is told;
-// terms over restarts and failing disks; notices of owned work on the board.
+// Receivers that check fencing terms: what is answered to a lower term, to one of another store, and where
+// none can be persisted; terms over restarts and failing disks; events of owned work at the discovery
+// service.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -17,7 +18,7 @@
 
 using nlohmann::json;
 
-// Work is done when the test says so.
+// Executes a job when the test calls step().
 class SteppedExecutor : public store::Executor {
  public:
   void run(Lane, std::function<void()> work, std::function<void()> done) override {
@@ -33,8 +34,8 @@
     done();
     return true;
   }
-  // The process ends before the work is done.
-  void lose() { jobs_.clear(); }
+  // Drops the jobs, as when the process ends before they are done.
+  void discard() { jobs_.clear(); }
   std::size_t size() const { return jobs_.size(); }
 
  private:
@@ -49,90 +50,91 @@
     start();
   }
   ~TokenStoreTest() override {
-    book.reset();
+    tokens.reset();
     std::filesystem::remove_all(folder_);
   }
   void start() {
-    book.reset();
-    executor.lose();
-    book = std::make_unique<TokenStore>(std::shared_ptr<store::Files>(store::open_folder(folder_)), executor);
+    tokens.reset();
+    executor.discard();
+    tokens =
+        std::make_unique<TokenStore>(std::shared_ptr<store::Files>(store::open_folder(folder_)), executor);
   }
-  // What admit() says; "waits" while it says nothing.
+  // Returns the word of admit(); "waits" while it has not decided.
   std::string admit(const std::string& token) {
     const auto said = std::make_shared<std::string>("waits");
-    book->admit(token, [said](AdmitResult result) { *said = wire_word(result); });
-    last = said;
+    tokens->admit(token, [said](AdmitResult result) { *said = wire_word(result); });
+    last_word = said;
     return *said;
   }
-  // The same with all that is to be written being written.
-  std::string admit_whole(const std::string& token) {
+  // The same, with all writes done.
+  std::string admit_and_write(const std::string& token) {
     admit(token);
     while (executor.step()) {
     }
-    return *last;
+    return *last_word;
   }
 
   std::string folder_;
   SteppedExecutor executor;
-  std::unique_ptr<TokenStore> book;
-  std::shared_ptr<std::string> last;
+  std::unique_ptr<TokenStore> tokens;
+  std::shared_ptr<std::string> last_word;
 };
 
-TEST_F(TokenStoreTest, AHigherTermIsKeptBeforeItsFirstEffect) {
+TEST_F(TokenStoreTest, HigherTermIsPersistedBeforeItsFirstEffect) {
   EXPECT_EQ(admit("9:w/0:5"), "waits");
-  const auto first = last;
+  const auto first = last_word;
   EXPECT_EQ(admit("9:w/0:5"), "waits") << "the second command of the same term waits for the same write";
   EXPECT_EQ(executor.size(), 1U);
   executor.step();
   EXPECT_EQ(*first, "");
-  EXPECT_EQ(*last, "");
+  EXPECT_EQ(*last_word, "");
   EXPECT_EQ(admit("9:w/0:5"), "") << "from now on at once";
   EXPECT_EQ(admit("9:w/0:4"), "fenced");
-  EXPECT_EQ(book->counts().rejected, 1U);
+  EXPECT_EQ(tokens->counts().rejected, 1U);
 }
 
-TEST_F(TokenStoreTest, ATermThatIsBeingKeptFencesThoseBeforeItAlready) {
-  ASSERT_EQ(admit_whole("9:w/0:5"), "");
+TEST_F(TokenStoreTest, TermThatIsBeingWrittenFencesLowerOnesAlready) {
+  ASSERT_EQ(admit_and_write("9:w/0:5"), "");
   EXPECT_EQ(admit("9:w/0:7"), "waits");
   EXPECT_EQ(admit("9:w/0:6"), "fenced");
   EXPECT_EQ(admit("9:w/0:5"), "fenced");
 }
 
-TEST_F(TokenStoreTest, ARestartForgetsNothingThatWasAnswered) {
-  ASSERT_EQ(admit_whole("9:w/0:5"), "");
-  ASSERT_EQ(admit_whole("9:v/3:8"), "");
+TEST_F(TokenStoreTest, RestartForgetsNoTermThatWasAnswered) {
+  ASSERT_EQ(admit_and_write("9:w/0:5"), "");
+  ASSERT_EQ(admit_and_write("9:v/3:8"), "");
   EXPECT_EQ(admit("9:w/0:7"), "waits");
-  start();  // it dies before 7 is kept: no effect of 7 was carried out
+  start();  // it crashes before 7 is durable: no effect of 7 was executed
   EXPECT_EQ(admit("9:w/0:4"), "fenced");
   EXPECT_EQ(admit("9:v/3:7"), "fenced");
   EXPECT_EQ(admit("9:w/0:5"), "");
 }
 
-TEST_F(TokenStoreTest, AnotherStoresTermsAreNeverCompared) {
-  ASSERT_EQ(admit_whole("9:w/0:5"), "");
+TEST_F(TokenStoreTest, TermsOfAnotherStoreAreRejected) {
+  ASSERT_EQ(admit_and_write("9:w/0:5"), "");
   EXPECT_EQ(admit("8:w/0:500"), "fence_other_store");
   EXPECT_EQ(admit("8:other/0:500"), "fence_other_store");
   start();
   EXPECT_EQ(admit("8:w/0:500"), "fence_other_store");
-  EXPECT_EQ(book->counts().other_store, 1U);
+  EXPECT_EQ(tokens->counts().other_store, 1U);
 }
 
-TEST_F(TokenStoreTest, WithoutMemoryNothingIsAdmitted) {
+TEST_F(TokenStoreTest, NothingIsAdmittedWithoutStorage) {
   TokenStore none(nullptr, executor);
   std::string said;
   none.admit("9:w/0:5", [&](AdmitResult result) { said = wire_word(result); });
   EXPECT_EQ(said, "fence_no_memory");
 }
 
-TEST_F(TokenStoreTest, ATermThatCannotBeKeptAdmitsNothing) {
-  ASSERT_EQ(admit_whole("9:w/0:5"), "");
+TEST_F(TokenStoreTest, TermThatCannotBePersistedAdmitsNothing) {
+  ASSERT_EQ(admit_and_write("9:w/0:5"), "");
   std::filesystem::remove_all(folder_);
-  EXPECT_EQ(admit_whole("9:w/0:7"), "fence_not_kept");
+  EXPECT_EQ(admit_and_write("9:w/0:7"), "fence_not_kept");
   EXPECT_EQ(admit("9:w/0:5"), "") << "the owner before goes on: nothing happened under the new term";
 }
 
-TEST_F(TokenStoreTest, ASpoiltFileStopsTheReceiver) {
-  ASSERT_EQ(admit_whole("9:w/0:5"), "");
+TEST_F(TokenStoreTest, DamagedFileStopsTheReceiver) {
+  ASSERT_EQ(admit_and_write("9:w/0:5"), "");
   std::fstream file(folder_ + "/terms", std::ios::in | std::ios::out);
   file.seekp(-2, std::ios::end);
   file << "6\n";
@@ -140,14 +142,14 @@
   EXPECT_THROW(start(), std::runtime_error);
 }
 
-TEST_F(TokenStoreTest, TermsOfDrawnOrderWithDeathsNeverGoBack) {
+TEST_F(TokenStoreTest, TermsInRandomOrderWithRestartsNeverGoBack) {
   std::mt19937_64 random(11);
   std::map<std::string, std::uint64_t> highest;
   for (int round = 0; round < 3'000; ++round) {
     const std::string work = "w/" + std::to_string(random() % 3);
     const std::uint64_t term = 1 + random() % 200;
     const auto said = std::make_shared<std::string>();
-    book->admit("9:" + work + ":" + std::to_string(term), [&highest, work, term](AdmitResult result) {
+    tokens->admit("9:" + work + ":" + std::to_string(term), [&highest, work, term](AdmitResult result) {
       if (result == AdmitResult::kAdmitted) {
         EXPECT_GE(term, highest[work]) << "an effect of a lower term after one of a higher";
         highest[work] = std::max(highest[work], term);
@@ -161,7 +163,7 @@
   }
 }
 
-TEST(TokenTest, OnlyWholeTokensAreRead) {
+TEST(TokenTest, OnlyWellFormedTokensAreParsed) {
   using ownership::parse_fencing_token;
   EXPECT_EQ(parse_fencing_token("9:w/0:5"), (FencingToken{9, "w/0", 5}));
   EXPECT_EQ(to_string(FencingToken{9, "w/0", 5}), "9:w/0:5");
@@ -177,7 +179,7 @@
   return {{"fence", fence}, {"id", id}, {"event", {{"flush", {{"asset", "0000000000000001"}, {"ms", 5}}}}}};
 }
 
-TEST(FencedNoticeTest, ANoticeIsTakenOnceAndUnderItsTermAlone) {
+TEST(FencedNoticeTest, EventIsAppliedOnceAndOnlyUnderItsTerm) {
   json page = json::parse(R"({"rev": 1, "notices": [{"rev": 1, "pool": {}}]})");
   const auto first = board::post_notice(page, call_of("9:purge/0:5", "p1"));
   EXPECT_TRUE(first.taken);
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -1,5 +1,5 @@
-// Who is in the fleet: names that come twice, members that flap, and such as the store hears and their
-// neighbours do not.
+// Membership of the fleet: names that are used twice, members that flap, and members that the store hears
+// but their peers cannot reach.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -16,7 +16,7 @@
 
 class MembershipTest : public testing::Test {
  protected:
-  void come(const std::string& name, const std::string& incarnation, const std::string& zone = "edge",
+  void join(const std::string& name, const std::string& incarnation, const std::string& zone = "edge",
             bool draining = false) {
     Member member;
     member.zone = zone;
@@ -25,22 +25,22 @@
     ++revision;
     view.apply(now, member_key(name, incarnation), write_member(member), revision, revision);
   }
-  void go(const std::string& name, const std::string& incarnation) {
+  void leave(const std::string& name, const std::string& incarnation) {
     view.apply(now, member_key(name, incarnation), "", 0, ++revision);
   }
-  void doubt(const std::string& name, const std::string& by, int checks = 2, int fails = 1) {
+  void suspect(const std::string& name, const std::string& reporter, int probed = 2, int failed = 1) {
     ++revision;
-    view.apply(now, suspicion_key(name, by), write_suspicion(Suspicion{name, by, checks, fails}), revision,
-               revision);
+    view.apply(now, suspicion_key(name, reporter), write_suspicion(Suspicion{name, reporter, probed, failed}),
+               revision, revision);
   }
   std::vector<std::string> eligible(const std::string& zone = "") { return view.eligible(now, zone); }
-  MemberStatus standing(const std::string& name, const std::string& incarnation) {
-    for (const MemberEntry& seen : view.members(now)) {
-      if (seen.member.name == name && seen.member.incarnation == incarnation) {
-        return seen.status;
+  MemberStatus status(const std::string& name, const std::string& incarnation) {
+    for (const MemberEntry& entry : view.members(now)) {
+      if (entry.member.name == name && entry.member.incarnation == incarnation) {
+        return entry.status;
       }
     }
-    ADD_FAILURE() << name << " is not seen";
+    ADD_FAILURE() << name << " is not in the view";
     return MemberStatus::kActive;
   }
 
@@ -50,118 +50,118 @@
   std::uint64_t revision = 1;
 };
 
-TEST_F(MembershipTest, ANumberGrowsWithEachChangeAndZonesAreKeptApart) {
+TEST_F(MembershipTest, RevisionGrowsWithEachChangeAndZonesAreSeparate) {
   const std::uint64_t before = view.revision();
-  come("a", "1", "east");
-  come("b", "1", "west");
+  join("a", "1", "east");
+  join("b", "1", "west");
   EXPECT_GT(view.revision(), before);
   EXPECT_EQ(eligible("east"), Names{"a"});
   EXPECT_EQ(eligible(), (Names{"a", "b"}));
-  go("a", "1");
+  leave("a", "1");
   EXPECT_EQ(eligible(), Names{"b"});
 }
 
-TEST_F(MembershipTest, OfTwoStartsOfOneNameTheLaterIsTheOne) {
-  come("a", "first");
-  come("a", "second");
+TEST_F(MembershipTest, LaterProcessSupersedesAnEarlierOneOfItsName) {
+  join("a", "first");
+  join("a", "second");
   EXPECT_TRUE(view.superseded("a", "first"));
   EXPECT_FALSE(view.superseded("a", "second"));
-  EXPECT_EQ(standing("a", "first"), MemberStatus::kSuperseded);
+  EXPECT_EQ(status("a", "first"), MemberStatus::kSuperseded);
   EXPECT_EQ(eligible(), Names{"a"});
   // The old session runs out: nobody left the fleet.
-  go("a", "first");
+  leave("a", "first");
   EXPECT_EQ(eligible(), Names{"a"});
-  EXPECT_EQ(standing("a", "second"), MemberStatus::kActive);
+  EXPECT_EQ(status("a", "second"), MemberStatus::kActive);
   // Had the later one gone first, the other counts again.
-  come("b", "first");
-  come("b", "second");
-  go("b", "second");
+  join("b", "first");
+  join("b", "second");
+  leave("b", "second");
   EXPECT_FALSE(view.superseded("b", "first"));
 }
 
-TEST_F(MembershipTest, WhoComesAndGoesTooOftenIsDampedAndComesBackWithTime) {
-  come("a", "0");
-  come("b", "0");
+TEST_F(MembershipTest, FlappingMemberIsDampedAndReturnsWithTime) {
+  join("a", "0");
+  join("b", "0");
   for (int i = 0; i < 3; ++i) {
     EXPECT_EQ(eligible(), (Names{"a", "b"})) << i;
-    go("a", std::to_string(i));
+    leave("a", std::to_string(i));
     now += seconds(1);
-    come("a", std::to_string(i + 1));
+    join("a", std::to_string(i + 1));
   }
   // Three returns within seconds, a little halved: under the bound; the fourth is over it.
-  go("a", "3");
-  come("a", "4");
+  leave("a", "3");
+  join("a", "4");
   EXPECT_EQ(eligible(), Names{"b"});
-  EXPECT_EQ(standing("a", "4"), MemberStatus::kDamped);
-  const std::optional<Micros> back = view.next_change_at(now);
-  ASSERT_TRUE(back);
-  now = *back - milliseconds(10);
+  EXPECT_EQ(status("a", "4"), MemberStatus::kDamped);
+  const std::optional<Micros> returns_at = view.next_change_at(now);
+  ASSERT_TRUE(returns_at);
+  now = *returns_at - milliseconds(10);
   EXPECT_EQ(eligible(), Names{"b"});
-  now = *back;
+  now = *returns_at;
   EXPECT_EQ(eligible(), (Names{"a", "b"}));
   EXPECT_FALSE(view.next_change_at(now));
 }
 
-TEST_F(MembershipTest, ARollingRestartDampsNobody) {
+TEST_F(MembershipTest, RollingRestartDampsNobody) {
   for (const char* name : {"a", "b", "c"}) {
-    come(name, "0");
+    join(name, "0");
   }
   for (int round = 0; round < 2; ++round) {
     for (const char* name : {"a", "b", "c"}) {
-      go(name, std::to_string(round));
+      leave(name, std::to_string(round));
       now += seconds(20);
-      come(name, std::to_string(round + 1));
+      join(name, std::to_string(round + 1));
       EXPECT_EQ(eligible().size(), 3U);
     }
   }
 }
 
-TEST_F(MembershipTest, TwoPeersDoubtsTakeOneOutAndOneDoesNot) {
+TEST_F(MembershipTest, TwoSuspectingPeersExcludeAMemberAndOneDoesNot) {
   for (const char* name : {"a", "b", "c", "d"}) {
-    come(name, "0");
+    join(name, "0");
   }
-  doubt("a", "b");
+  suspect("a", "b");
   EXPECT_EQ(eligible().size(), 4U);
-  doubt("a", "c");
-  EXPECT_EQ(standing("a", "0"), MemberStatus::kSuspected);
+  suspect("a", "c");
+  EXPECT_EQ(status("a", "0"), MemberStatus::kSuspected);
   EXPECT_EQ(eligible(), (Names{"b", "c", "d"}));
   view.apply(now, suspicion_key("a", "c"), "", 0, ++revision);
   EXPECT_EQ(eligible().size(), 4U);
 }
 
-TEST_F(MembershipTest, TheWordOfOneWhoReachesNobodyDoesNotCount) {
+TEST_F(MembershipTest, SuspicionsOfAReporterThatReachesNobodyDoNotCount) {
   for (const char* name : {"a", "b", "c", "d"}) {
-    come(name, "0");
+    join(name, "0");
   }
-  // b and c are cut off: each doubts all that it tries.
-  doubt("a", "b", 2, 2);
-  doubt("a", "c", 2, 2);
-  doubt("d", "b", 2, 2);
+  // b and c are cut off: each suspects all that it probes.
+  suspect("a", "b", 2, 2);
+  suspect("a", "c", 2, 2);
+  suspect("d", "b", 2, 2);
   EXPECT_EQ(eligible().size(), 4U);
   // Of one who is not a member any more neither, nor of oneself.
-  doubt("a", "gone", 2, 1);
-  doubt("a", "a", 2, 1);
+  suspect("a", "gone", 2, 1);
+  suspect("a", "a", 2, 1);
   EXPECT_EQ(eligible().size(), 4U);
 }
 
-TEST_F(MembershipTest, WhatIsMissingFromAWholeListIsGone) {
-  come("a", "0");
-  come("b", "0");
-  doubt("a", "b");
+TEST_F(MembershipTest, RecordsMissingFromASnapshotAreRemoved) {
+  join("a", "0");
+  join("b", "0");
+  suspect("a", "b");
   view.begin_snapshot();
-  come("b", "0");
+  join("b", "0");
   view.end_snapshot(now, ++revision);
   EXPECT_EQ(eligible(), Names{"b"});
 }
 
-TEST_F(MembershipTest, ADrainingMemberKeepsItsSessionAndGetsNoWork) {
-  come("a", "0");
-  come("a", "0", "edge", true);
+TEST_F(MembershipTest, DrainingMemberKeepsItsSessionAndGetsNoWork) {
+  join("a", "0");
+  join("a", "0", "edge", true);
   EXPECT_TRUE(eligible().empty());
-  EXPECT_EQ(standing("a", "0"), MemberStatus::kDraining);
+  EXPECT_EQ(status("a", "0"), MemberStatus::kDraining);
 }
 
-TEST_F(MembershipTest, RecordsThatCannotBeReadAreNobody) {
+TEST_F(MembershipTest, MalformedRecordsAreIgnored) {
   view.apply(now, "fleet/members/a/1", "not json", 5, 5);
   view.apply(now, "fleet/members/a", "{}", 5, 5);
   view.apply(now, "fleet/members/a b/1", "{}", 5, 5);
@@ -180,41 +180,41 @@
   }
 }
 
-TEST(PeersTest, EachIsTriedByAsManyAsItTries) {
+TEST(PeerProberTest, EachMemberIsProbedByAsManyAsItProbes) {
   std::vector<std::string> names;
   for (int i = 0; i < 50; ++i) {
     names.push_back("router" + std::to_string(i));
   }
-  std::map<std::string, int> tried;
+  std::map<std::string, int> probed_by;
   for (const std::string& name : names) {
-    const auto whom = PeerProber(name, 3, 2).select_targets(names);
-    EXPECT_EQ(whom.size(), 3U);
-    for (const std::string& one : whom) {
-      EXPECT_NE(one, name);
-      ++tried[one];
+    const auto targets = PeerProber(name, 3, 2).select_targets(names);
+    EXPECT_EQ(targets.size(), 3U);
+    for (const std::string& target : targets) {
+      EXPECT_NE(target, name);
+      ++probed_by[target];
     }
   }
-  for (const auto& [name, count] : tried) {
+  for (const auto& [name, count] : probed_by) {
     EXPECT_EQ(count, 3) << name;
   }
-  EXPECT_EQ(tried.size(), names.size());
+  EXPECT_EQ(probed_by.size(), names.size());
 }
 
-TEST(PeersTest, MissesInARowMakeADoubtAndOneSuccessEndsIt) {
-  PeerProber neighbours("a", 2, 2);
-  neighbours.set_targets({"b", "c"});
-  neighbours.on_probe_result("b", false);
-  EXPECT_TRUE(neighbours.suspicions().empty());
-  neighbours.on_probe_result("b", true);
-  neighbours.on_probe_result("b", false);
-  EXPECT_TRUE(neighbours.suspicions().empty());
-  neighbours.on_probe_result("b", false);
-  ASSERT_EQ(neighbours.suspicions().size(), 1U);
-  EXPECT_EQ(neighbours.suspicions().at("b"), (Suspicion{"b", "a", 2, 1}));
-  neighbours.set_targets({"c"});
-  EXPECT_TRUE(neighbours.suspicions().empty());
-  neighbours.on_probe_result("b", false);
-  EXPECT_TRUE(neighbours.suspicions().empty()) << "of one that is not tried any more";
+TEST(PeerProberTest, FailuresInARowMakeASuspicionAndOneSuccessEndsIt) {
+  PeerProber prober("a", 2, 2);
+  prober.set_targets({"b", "c"});
+  prober.on_probe_result("b", false);
+  EXPECT_TRUE(prober.suspicions().empty());
+  prober.on_probe_result("b", true);
+  prober.on_probe_result("b", false);
+  EXPECT_TRUE(prober.suspicions().empty());
+  prober.on_probe_result("b", false);
+  ASSERT_EQ(prober.suspicions().size(), 1U);
+  EXPECT_EQ(prober.suspicions().at("b"), (Suspicion{"b", "a", 2, 1}));
+  prober.set_targets({"c"});
+  EXPECT_TRUE(prober.suspicions().empty());
+  prober.on_probe_result("b", false);
+  EXPECT_TRUE(prober.suspicions().empty()) << "of a member that is not probed any more";
 }
 
 }  // namespace
--- /dev/null
+++ b/tests/ownership_simulation.cpp
@@ -0,0 +1,497 @@
+#include "ownership_simulation.h"
+
+#include <array>
+#include <functional>
+#include <map>
+#include <set>
+
+#include "coordination/ledger.h"
+#include "ownership/lease_manager.h"
+#include "ownership_invariants.h"
+#include "ownership_simulation_options.h"
+#include "virtual_world.h"
+
+namespace trailcourse::ownership {
+namespace {
+
+using coordination::LeaseId;
+using coordination::Ledger;
+using std::chrono::milliseconds;
+using std::chrono::seconds;
+using testing_support::VirtualProcess;
+using testing_support::VirtualWorld;
+
+class OwnershipWorld : private VirtualWorld {
+ public:
+  OwnershipWorld(std::uint64_t seed, SeededDefect defect)
+      : VirtualWorld(seed, simulation_call_rules()),
+        defect_(defect),
+        options_(simulation_manager_options(defect)),
+        receiver_(defect != SeededDefect::kNoFence) {
+    Work work;
+    work.name = "w";
+    work.kind = "test";
+    work.shards = kShards;
+    commit(coordination::Transaction{
+        {}, {coordination::Put{std::string(kWorkPrefix) + "w", write_work(work), 0}}, {}});
+    for (int i = 0; i < kRouters; ++i) {
+      router(i).turn = [this, i] { step(i); };
+      start(i);
+    }
+  }
+
+  SimulationReport run() {
+    at(Micros(0), [this] { draw_fault(); });
+    at(Micros(0), [this] { expire_leases(); });
+    play(kFaultsEnd, kEnd, [this] { end_faults(); }, [this] { check_single_owners(); });
+    for (std::uint64_t shard = 0; shard < kShards; ++shard) {
+      if (!acting_router_.contains(shard)) {
+        fail("nobody owns shard " + std::to_string(shard) + " long after the last fault" + describe());
+      }
+    }
+    report_.failure = broken_;
+    report_.effects = receiver_.effects();
+    report_.rejected = receiver_.rejected();
+    report_.steps = steps_;
+    return report_;
+  }
+
+ private:
+  struct Router : VirtualProcess {
+    std::optional<LeaseManager> manager;
+    std::map<ShardId, LeaseId> leases;
+    std::map<ShardId, Term> terms;               // under which a task was started last
+    std::map<ShardId, std::uint64_t> task_runs;  // a task that goes on knows its own run
+    bool following = false;                      // changes of the store are sent to it
+    std::uint64_t last_run = 0;
+  };
+
+  Router& router(int index) { return routers_.at(static_cast<std::size_t>(index)); }
+  LeaseManager& manager(int index) { return *router(index).manager; }
+  Micros router_now(int index) { return clock(router(index)); }
+  static std::string name(int index) { return "router" + std::to_string(index); }
+
+  // ---- The store ----
+
+  coordination::Outcome commit(const coordination::Transaction& transaction) {
+    ledger_.expire(store_ms());
+    const coordination::Outcome out = ledger_.commit(transaction);
+    send_changes();
+    return out;
+  }
+
+  void expire_leases() {
+    ledger_.expire(store_ms());
+    send_changes();
+    at(now_ + kExpiryPeriod, [this] { expire_leases(); });
+  }
+
+  // A call of a router to the store.
+  template <typename Value>
+  void call_store(int index, std::function<Value()> serve, std::function<void(const Value&)> answer,
+                  std::function<void()> no_response) {
+    call<Value>(
+        router(index), nullptr, !calm_ && router(index).cut,
+        [this, serve]() -> std::optional<Value> {
+          ledger_.expire(store_ms());
+          const Value value = serve();
+          send_changes();
+          return value;
+        },
+        std::move(answer), std::move(no_response));
+  }
+
+  // Changes are sent to all that follow, each after a time of its own but in order.
+  void send_changes() {
+    for (const coordination::Change& change : ledger_.changes()) {
+      const auto id = read_shard_key(change.entry.key, kProgressPrefix);
+      if (const auto progress = id ? read_progress(change.entry.value) : std::nullopt) {
+        fail_if(progress_monitor_.observe(*id, *progress));
+      }
+      for (int i = 0; i < kRouters; ++i) {
+        if (router(i).running && router(i).following) {
+          send_change(i, change);
+        }
+      }
+    }
+  }
+
+  void send_change(int index, const coordination::Change& change) {
+    Micros& arrival = last_arrival_[index];
+    arrival = std::max(arrival, now_ + drawn(milliseconds(40)));
+    at(arrival, [this, index, same = same_incarnation(router(index)), change] {
+      deliver(router(index), [this, index, same, change] {
+        if (same() && router(index).following) {
+          apply(index, change);
+        }
+      });
+    });
+  }
+
+  void apply(int index, const coordination::Change& change) {
+    const Micros now = router_now(index);
+    const std::string& key = change.entry.key;
+    if (const auto id = read_shard_key(key, kOwnerPrefix)) {
+      manager(index).on_owner(
+          now, *id, change.deleted ? std::nullopt : read_owner(change.entry.value, change.entry.created),
+          change.entry.modified);
+    } else if (key.starts_with(kWorkPrefix)) {
+      manager(index).set_work(now, key.substr(std::string(kWorkPrefix).size()),
+                              read_work(key, change.entry.value));
+    }
+  }
+
+  // The router reads all records, and follows the changes from there on.
+  void read_snapshot(int index, const std::function<bool()>& same) {
+    at(now_ + drawn(milliseconds(30)), [this, index, same] {
+      if (!same()) {
+        return;
+      }
+      if (router(index).cut) {
+        at(now_ + milliseconds(200), [this, index, same] { read_snapshot(index, same); });
+        return;
+      }
+      const auto entries = ledger_.get(coordination::Range{"", true});
+      const coordination::Revision revision = ledger_.revision();
+      router(index).following = true;
+      at(now_ + drawn(milliseconds(30)), [this, index, same, entries, revision] {
+        deliver(router(index), [this, index, same, entries, revision] {
+          if (same()) {
+            apply_snapshot(index, entries, revision);
+          }
+        });
+      });
+    });
+  }
+
+  void apply_snapshot(int index, const std::vector<coordination::Entry>& entries,
+                      coordination::Revision revision) {
+    const Micros now = router_now(index);
+    std::map<std::string, std::string> zone_by_member;
+    for (int i = 0; i < kRouters; ++i) {
+      zone_by_member[name(i)] = "edge";
+    }
+    manager(index).set_members(now, zone_by_member);
+    std::set<std::string> keys;
+    for (const coordination::Entry& entry : entries) {
+      keys.insert(entry.key);
+      apply(index, coordination::Change{false, entry});
+    }
+    for (std::uint64_t shard = 0; shard < kShards; ++shard) {
+      const ShardId id{"w", shard};
+      if (!keys.contains(kOwnerPrefix + to_string(id))) {
+        manager(index).on_owner(now, id, std::nullopt, revision);
+      }
+    }
+    manager(index).set_connected(now, true);
+  }
+
+  // ---- Routers ----
+
+  void start(int index) {
+    Router& one = router(index);
+    begin_incarnation(one, kClockErrorPartsPerMillion, kMaxClockOffset);
+    if (defect_ == SeededDefect::kNoDriftBound) {
+      one.rate = 0.99;
+    }
+    one.manager.emplace(name(index), std::to_string(one.incarnation), "edge", std::set<std::string>{"test"},
+                        options_);
+    one.leases.clear();
+    one.task_runs.clear();
+    one.terms.clear();
+    one.cut = false;
+    one.following = false;
+    read_snapshot(index, same_incarnation(one));
+    tick(one, kStepPeriod);
+  }
+
+  void crash(int index) {
+    Router& one = router(index);
+    if (!one.running) {
+      return;
+    }
+    one.manager.reset();
+    end_incarnation(one);
+    std::erase_if(acting_router_, [index](const auto& entry) { return entry.second == index; });
+  }
+
+  void step(int index) {
+    for (const LeaseManagerAction& action : manager(index).step(router_now(index))) {
+      std::visit([this, index](const auto& one) { execute(index, one); }, action);
+    }
+  }
+
+  void execute(int index, const LeaseCallAction& action) {
+    const ShardId id = action.id;
+    const std::uint64_t call_id = action.call.call_id;
+    const auto no_response = [this, index, id, call_id] {
+      manager(index).on_no_response(router_now(index), id, call_id);
+    };
+    if (action.call.kind == LeaseCallKind::kAcquire) {
+      acquire(index, id, call_id, no_response);
+      return;
+    }
+    const LeaseId lease = router(index).leases[id];
+    if (action.call.kind == LeaseCallKind::kRenew) {
+      call_store<bool>(
+          index, [this, lease] { return ledger_.keep_alive(store_ms(), lease) > 0; },
+          [this, index, id, call_id](const bool& alive) {
+            manager(index).on_renew_result(router_now(index), id, call_id, alive);
+          },
+          no_response);
+      return;
+    }
+    call_store<bool>(
+        index,
+        [this, lease] {
+          try {
+            ledger_.revoke(lease);
+          } catch (const coordination::Rejected&) {
+          }
+          return true;
+        },
+        [this, index, id, call_id](const bool&) {
+          manager(index).on_release_result(router_now(index), id, call_id);
+        },
+        no_response);
+  }
+
+  // Two calls: a lease of the store, and the key of the owner under it.
+  void acquire(int index, const ShardId& id, std::uint64_t call_id,
+               const std::function<void()>& no_response) {
+    const Owner owner{name(index), std::to_string(router(index).incarnation), 0};
+    const std::int64_t ttl_ms = options_.lease.ttl.count() / 1'000;
+    call_store<LeaseId>(
+        index, [this, ttl_ms] { return ledger_.grant(store_ms(), ttl_ms, 0); },
+        [this, index, id, call_id, owner, no_response](const LeaseId& lease) {
+          router(index).leases[id] = lease;
+          become_owner(index, id, call_id, owner, lease, no_response);
+        },
+        no_response);
+  }
+
+  void become_owner(int index, const ShardId& id, std::uint64_t call_id, const Owner& owner, LeaseId lease,
+                    const std::function<void()>& no_response) {
+    call_store<AcquireResult>(
+        index,
+        [this, id, owner, lease] {
+          try {
+            return read_acquire_result(ledger_.commit(acquire_transaction("", id, owner, lease)));
+          } catch (const coordination::Rejected&) {
+            return AcquireResult{};  // the lease ended meanwhile
+          }
+        },
+        [this, index, id, call_id](const AcquireResult& result) {
+          ++report_.acquire_answers;
+          manager(index).on_acquire_result(router_now(index), id, call_id, result);
+        },
+        no_response);
+  }
+
+  void execute(int index, const WriteProgressAction& write) {
+    coordination::Transaction transaction =
+        write_progress_transaction("", write.id, write.term, write.modified, write.progress);
+    if (defect_ == SeededDefect::kUncheckedProgress) {
+      transaction.when.clear();
+    }
+    call_store<ProgressWriteResult>(
+        index,
+        [this, write, transaction] {
+          return read_progress_write_result(ledger_.commit(transaction), write.term, write.progress);
+        },
+        [this, index, write](const ProgressWriteResult& result) {
+          manager(index).on_write_result(router_now(index), write.id, write.call_id, result);
+        },
+        [this, index, write] {
+          manager(index).on_no_write_response(router_now(index), write.id, write.call_id);
+        });
+  }
+
+  // ---- Tasks: each counts up; every number is an effect, then a checkpoint ----
+
+  void execute(int index, const StartTaskAction& action) {
+    Router& one = router(index);
+    const std::uint64_t run = ++one.last_run;
+    one.task_runs[action.id] = run;
+    one.terms[action.id] = action.term;
+    const std::uint64_t done = action.checkpoint.empty() ? 0 : std::stoull(action.checkpoint);
+    work_on(index, run, action.id, action.term, done + 1);
+  }
+  void execute(int index, const StopTaskAction& action) {
+    router(index).task_runs.erase(action.id);
+    manager(index).on_task_finished(router_now(index), action.id, action.term);
+  }
+  void execute(int index, const AbortTaskAction& action) { router(index).task_runs.erase(action.id); }
+
+  void work_on(int index, std::uint64_t run, const ShardId& id, Term term, std::uint64_t number) {
+    at(now_ + milliseconds(100) + drawn(milliseconds(100)),
+       [this, index, run, id, term, number, same = same_incarnation(router(index))] {
+         deliver(router(index), [this, index, run, id, term, number, same] {
+           if (same() && is_current_run(index, id, run)) {
+             send_effect(index, run, id, term, number);
+           }
+         });
+       });
+  }
+
+  bool is_current_run(int index, const ShardId& id, std::uint64_t run) {
+    const auto task = router(index).task_runs.find(id);
+    return task != router(index).task_runs.end() && task->second == run;
+  }
+
+  void send_effect(int index, std::uint64_t run, const ShardId& id, Term term, std::uint64_t number) {
+    if (!manager(index).may_act(router_now(index), id, term)) {
+      work_on(index, run, id, term, number);
+      return;
+    }
+    // It may wait in a socket's buffer for longer than any lease.
+    const Micros delay = drawn(calm_ || chance(80) ? milliseconds(20) : seconds(15));
+    at(now_ + delay, [this, id, term] { fail_if(receiver_.receive(id, term)); });
+    manager(index).on_checkpoint(router_now(index), id, term, std::to_string(number), false);
+    work_on(index, run, id, term, number + 1);
+  }
+
+  // ---- Invariants ----
+
+  void fail_if(const std::optional<std::string>& violation) {
+    if (violation) {
+      fail(*violation);
+    }
+  }
+
+  void check_single_owners() {
+    std::map<std::uint64_t, int> acting;
+    for (int i = 0; i < kRouters; ++i) {
+      if (!router(i).running) {
+        continue;
+      }
+      const Micros now = router_now(i);
+      for (const auto& [id, term] : router(i).terms) {
+        if (manager(i).may_act(now, id, term) && !acting.emplace(id.shard, i).second) {
+          fail("two routers may act on shard " + std::to_string(id.shard));
+        }
+      }
+    }
+    acting_router_ = std::move(acting);
+  }
+
+  // What each router and the store hold of the shards.
+  std::string describe() {
+    std::string out;
+    for (int i = 0; i < kRouters; ++i) {
+      if (!router(i).running) {
+        continue;
+      }
+      for (const ShardStatus& status : manager(i).shards(router_now(i))) {
+        out += "\n  " + name(i) + " " + to_string(status.id) + ": " + to_string(status.phase) + ", " +
+               to_string(status.lease_phase) + ", owner " + status.owner.member + " " +
+               std::to_string(status.owner.term);
+      }
+    }
+    for (const coordination::Entry& entry : ledger_.get(coordination::Range{"", true})) {
+      out += "\n  " + entry.key + "@" + std::to_string(entry.created) + " " + entry.value;
+    }
+    return out;
+  }
+
+  // ---- Faults ----
+
+  void draw_fault() {
+    if (calm_) {
+      return;
+    }
+    const int index = static_cast<int>(random_() % kRouters);
+    switch (random_() % 6) {
+      case 0:
+      case 1:
+        suspend(index);
+        break;
+      case 2:
+        crash(index);
+        at(now_ + drawn(seconds(4)), [this, index] {
+          if (!router(index).running) {
+            start(index);
+          }
+        });
+        break;
+      case 3:
+        cut_off(index);
+        break;
+      case 4:  // the receiver restarts with what it persisted
+        if (defect_ == SeededDefect::kForgetfulFence) {
+          receiver_.forget_terms();
+        }
+        break;
+      default:  // staff request the release of a shard
+        if (router(index).running && !router(index).paused) {
+          manager(index).on_release_request(router_now(index), ShardId{"w", random_() % kShards},
+                                            name(index));
+        }
+    }
+    at(now_ + drawn(milliseconds(2'500)), [this] { draw_fault(); });
+  }
+
+  void suspend(int index) {
+    Router& one = router(index);
+    if (!one.running || one.paused) {
+      return;
+    }
+    one.paused = true;
+    at(now_ + drawn(seconds(10)), [this, index, same = same_incarnation(one)] {
+      if (same()) {
+        wake(router(index));
+      }
+    });
+  }
+
+  void cut_off(int index) {
+    Router& one = router(index);
+    if (!one.running) {
+      return;
+    }
+    one.cut = true;
+    one.following = false;
+    one.manager->set_connected(clock(one), false);
+    at(now_ + drawn(seconds(8)), [this, index, same = same_incarnation(one)] {
+      if (same()) {
+        reconnect(index);
+      }
+    });
+  }
+
+  void reconnect(int index) {
+    if (router(index).cut) {
+      router(index).cut = false;
+      read_snapshot(index, same_incarnation(router(index)));
+    }
+  }
+
+  void end_faults() {
+    for (int i = 0; i < kRouters; ++i) {
+      if (!router(i).running) {
+        start(i);
+        continue;
+      }
+      wake(router(i));
+      reconnect(i);
+    }
+  }
+
+  SeededDefect defect_;
+  LeaseManagerOptions options_;
+  Ledger ledger_{coordination::Limits{}};
+  std::array<Router, kRouters> routers_;
+  std::map<int, Micros> last_arrival_;  // of a change, by router
+  EffectReceiver receiver_;
+  ProgressMonitor progress_monitor_;
+  std::map<std::uint64_t, int> acting_router_;  // by shard
+  SimulationReport report_;
+};
+
+}  // namespace
+
+SimulationReport run_ownership_simulation(std::uint64_t seed, SeededDefect defect) {
+  return OwnershipWorld(seed, defect).run();
+}
+
+}  // namespace trailcourse::ownership
--- a/tests/ownership_test.cpp
+++ b/tests/ownership_test.cpp
@@ -1,13 +1,15 @@
-// Ownership in a small world explored whole: routers with clocks of their own rates, a store, one receiver;
-// every interleaving of calls, answers, losses, late effects, crashes and restarts. And each seeded defect
-// found with a shortest trace.
+// Exhaustive exploration of a small model of ownership: routers whose clocks run at different rates, a
+// store and one receiver, in every interleaving of calls, answers, losses, late effects, crashes and
+// restarts. Each seeded defect is found with a shortest trace. Beside it: leases, the fence and the
+// assignment of shards alone.
 #include <gtest/gtest.h>
 
 #include <algorithm>
 #include <deque>
 #include <optional>
 #include <string>
-#include <unordered_map>
+#include <unordered_set>
+#include <utility>
 #include <vector>
 
 #include "ownership/fence.h"
@@ -27,263 +29,327 @@
 constexpr int kTtl = 3;
 constexpr double kDrift = 0.2;
 constexpr int kLastTick = 4;
-constexpr int kTroubles = 1;                    // losses, deaths, restarts, clocks set back: in all
-constexpr std::uint64_t kCalls = 2;             // of each router
-constexpr std::size_t kMostStates = 1'500'000;  // a world that grows beyond is a mistake of this test
-
-LeaseOptions world_rules() {
-  LeaseOptions rules;
-  rules.ttl = seconds(kTtl);
-  rules.drift = kDrift;
-  rules.margin = Micros(1);
-  rules.renew_after = seconds(1);
-  rules.retry = Micros(0);
-  return rules;
+constexpr int kMaxFaults = 1;                  // losses, crashes, restarts, clocks set back: in all
+constexpr std::uint64_t kMaxCalls = 2;         // of each router
+constexpr int kClockSetBack = 2;               // seconds
+constexpr std::size_t kMaxStates = 1'500'000;  // a state space that grows beyond is a mistake of this test
+
+LeaseOptions lease_options() {
+  LeaseOptions options;
+  options.ttl = seconds(kTtl);
+  options.drift = kDrift;
+  options.margin = Micros(1);
+  options.renew_after = seconds(1);
+  options.retry_backoff = Micros(0);
+  return options;
 }
 
-struct World {
-  struct Request {
-    LeaseCall order;
-  };
+// One state of the routers, the store, the receiver, and the messages between them.
+struct State {
   struct Response {
-    std::uint64_t number = 0;
+    std::uint64_t call_id = 0;
     bool granted = false;
     Term term = 0;
   };
-  struct Node {
-    Lease lease{world_rules()};
-    std::optional<Request> request;    // on its way to the store
+  struct Router {
+    Lease lease{lease_options()};
+    std::optional<LeaseCall> request;  // on its way to the store
     std::optional<Response> response;  // on its way back
     std::optional<Term> effect;        // on its way to the receiver
     int effects = 0;
     int crashes = 0;
-    int stepped_back = 0;  // its wall clock, in seconds
+    int clock_set_back = 0;  // its wall clock, in seconds
   };
   int tick = 0;
-  Node nodes[kRouters];
+  Router routers[kRouters];
   int owner = -1;
   Term term = 0;
   Term revision = 0;
   int expires = 0;
-  Fence durable;
-  Term applied = 0;  // the highest that took effect
+  Fence fence;
+  Term applied = 0;  // the highest term that took effect
   int receiver_restarts = 0;
-  int troubles = 0;
+  int faults = 0;
 
-  Micros clock(int node) const {
-    const double rate = node == 1 ? 1.0 - kDrift : 1.0;
+  Micros clock(int router) const {
+    const double rate = router == 1 ? 1.0 - kDrift : 1.0;
     return Micros(static_cast<Micros::rep>(1e6 * (tick + 1) * rate));
   }
+  bool may_fail() const { return faults < kMaxFaults; }
+
+  // Differs for states that differ.
   std::string key() const {
     std::string out = std::to_string(tick) + "|" + std::to_string(owner) + "," + std::to_string(term) + "," +
                       std::to_string(revision) + "," + std::to_string(owner >= 0 ? expires : 0) + "|" +
-                      std::to_string(durable.persisted_term("w")) + "," + std::to_string(applied) + "," +
-                      std::to_string(receiver_restarts) + std::to_string(troubles);
-    for (const Node& node : nodes) {
-      out += "|" + node.lease.describe() + ";" + std::to_string(node.crashes) +
-             std::to_string(node.stepped_back) + std::to_string(node.effects);
-      out += node.request ? ";q" + std::to_string(node.request->order.call_id) : "";
-      out += node.response ? ";a" + std::to_string(node.response->number) +
-                                 (node.response->granted ? "+" : "-") + std::to_string(node.response->term)
-                           : "";
-      out += node.effect ? ";e" + std::to_string(*node.effect) : "";
+                      std::to_string(fence.persisted_term("w")) + "," + std::to_string(applied) + "," +
+                      std::to_string(receiver_restarts) + std::to_string(faults);
+    for (const Router& router : routers) {
+      out += "|" + router.lease.describe() + ";" + std::to_string(router.crashes) +
+             std::to_string(router.clock_set_back) + std::to_string(router.effects);
+      out += router.request ? ";q" + std::to_string(router.request->call_id) : "";
+      out += router.response
+                 ? ";a" + std::to_string(router.response->call_id) + (router.response->granted ? "+" : "-") +
+                       std::to_string(router.response->term)
+                 : "";
+      out += router.effect ? ";e" + std::to_string(*router.effect) : "";
     }
     return out;
   }
 };
 
+// Explores all states that can be reached, breadth first.
 class Explorer {
  public:
   explicit Explorer(Defect defect) : defect_(defect) {}
 
-  // Breadth first: the first trace that breaks an invariant is a shortest one. Empty where none does.
+  // Returns a shortest trace that breaks an invariant; empty where there is none.
   std::vector<std::string> run() {
-    add(World{}, -1, "start");
-    for (std::size_t at = 0; at < worlds_.size() && broken_.empty() && at < kMostStates; ++at) {
-      place_ = static_cast<int>(at);
-      const World world = worlds_[at];
-      expand(world);
+    add(State{}, "start");
+    for (std::size_t at = 0; at < states_.size() && violation_.empty() && at < kMaxStates; ++at) {
+      current_ = static_cast<int>(at);
+      const State state = states_[at];
+      expand(state);
     }
-    return broken_;
+    return violation_;
   }
-  std::size_t states() const { return worlds_.size(); }
-  std::size_t acted_states() const { return acted_; }
+  std::size_t states() const { return states_.size(); }
+  std::size_t acting_states() const { return acting_states_; }
 
  private:
-  Micros judged_at(const World& world, int node) const {
+  struct Transition {
+    int from = -1;
+    std::string what;
+  };
+
+  static std::string name(int router) { return "router " + std::to_string(router); }
+
+  // The time by which a router decides whether it may act.
+  Micros decision_time(const State& state, int router) const {
     // A wall clock may be set back; the steady one never is.
-    return defect_ == Defect::kWallClock ? world.clock(node) - seconds(world.nodes[node].stepped_back)
-                                         : world.clock(node);
+    return defect_ == Defect::kWallClock ? state.clock(router) - seconds(state.routers[router].clock_set_back)
+                                         : state.clock(router);
   }
 
-  void expand(const World& world) {
-    if (world.tick < kLastTick) {
-      World next = world;
-      ++next.tick;
-      if (next.owner >= 0 && next.tick >= next.expires) {
-        next.owner = -1;
-      }
-      add(next, place_, "a second passes");
-    }
+  void expand(const State& state) {
+    pass_second(state);
     for (int i = 0; i < kRouters; ++i) {
-      const World::Node& node = world.nodes[i];
-      const std::string who = "router " + std::to_string(i);
-      if (!node.request && !node.response) {
-        World next = world;
-        if (const auto order = next.nodes[i].lease.step(world.clock(i)); order && order->call_id <= kCalls) {
-          next.nodes[i].request = World::Request{*order};
-          add(next, place_,
-              who + (order->kind == LeaseCallKind::kRenew ? " sends a renewal" : " asks for the work"));
-        }
-      }
-      if (node.request) {
-        World next = world;
-        next.nodes[i].response = answer(next, i, node.request->order);
-        next.nodes[i].request.reset();
-        add(next, place_, "the store takes the call of " + who);
-        if (world.troubles < kTroubles) {
-          World lost = world;
-          ++lost.troubles;
-          lost.nodes[i].lease.on_no_response(world.clock(i), node.request->order.call_id);
-          lost.nodes[i].request.reset();
-          add(lost, place_, "the call of " + who + " is lost");
-        }
-      }
-      if (node.response) {
-        World next = world;
-        hear(next, i, *node.response);
-        add(next, place_, who + " hears the store");
-        if (world.troubles < kTroubles) {
-          World lost = world;
-          ++lost.troubles;
-          lost.nodes[i].lease.on_no_response(world.clock(i), node.response->number);
-          lost.nodes[i].response.reset();
-          add(lost, place_, "the answer to " + who + " is lost");
-        }
-      }
-      if (!node.effect && node.effects == 0 && node.lease.may_act(judged_at(world, i))) {
-        World next = world;
-        next.nodes[i].effects = 1;
-        next.nodes[i].effect = node.lease.term();
-        add(next, place_, who + " begins an effect of term " + std::to_string(node.lease.term()));
-      }
-      if (node.effect) {
-        World next = world;
-        receive(next, *node.effect);
-        next.nodes[i].effect.reset();
-        add(next, place_, "the effect of term " + std::to_string(*node.effect) + " of " + who + " arrives");
-      }
-      if (node.crashes == 0 && world.troubles < kTroubles) {
-        World next = world;
-        ++next.troubles;
-        next.nodes[i].lease = Lease(world_rules());
-        next.nodes[i].request.reset();
-        next.nodes[i].response.reset();
-        next.nodes[i].crashes = 1;
-        add(next, place_, who + " dies and starts again");
-      }
-      if (defect_ == Defect::kWallClock && node.stepped_back == 0 && world.troubles < kTroubles) {
-        World next = world;
-        ++next.troubles;
-        next.nodes[i].stepped_back = 2;
-        add(next, place_, "the clock of " + who + " is set back");
-      }
+      send_call(state, i);
+      receive_call(state, i);
+      receive_response(state, i);
+      begin_effect(state, i);
+      receive_effect(state, i);
+      crash_router(state, i);
+      set_clock_back(state, i);
     }
-    if (world.receiver_restarts == 0 && world.troubles < kTroubles) {
-      World next = world;
-      ++next.troubles;
-      next.receiver_restarts = 1;
-      if (defect_ == Defect::kTermForgotten) {
-        next.durable = Fence();
-      }
-      add(next, place_, "the receiver starts again");
+    restart_receiver(state);
+  }
+
+  void pass_second(const State& state) {
+    if (state.tick >= kLastTick) {
+      return;
+    }
+    State next = state;
+    ++next.tick;
+    if (next.owner >= 0 && next.tick >= next.expires) {
+      next.owner = -1;
     }
+    add(next, "a second passes");
   }
 
-  static World::Response answer(World& world, int who, const LeaseCall& order) {
-    World::Response out;
-    out.number = order.call_id;
-    const bool mine = world.owner == who && world.term == order.term;
-    if (order.kind == LeaseCallKind::kAcquire && world.owner < 0) {
-      world.owner = who;
-      world.term = ++world.revision;
-      world.expires = world.tick + kTtl;
+  void send_call(const State& state, int i) {
+    if (state.routers[i].request || state.routers[i].response) {
+      return;
+    }
+    State next = state;
+    const std::optional<LeaseCall> call = next.routers[i].lease.step(state.clock(i));
+    if (!call || call->call_id > kMaxCalls) {
+      return;
+    }
+    next.routers[i].request = call;
+    add(next, name(i) + (call->kind == LeaseCallKind::kRenew ? " sends a renewal" : " asks for the work"));
+  }
+
+  void receive_call(const State& state, int i) {
+    const State::Router& router = state.routers[i];
+    if (!router.request) {
+      return;
+    }
+    State next = state;
+    next.routers[i].response = serve(next, i, *router.request);
+    next.routers[i].request.reset();
+    add(next, "the store takes the call of " + name(i));
+    if (state.may_fail()) {
+      State lost = state;
+      ++lost.faults;
+      lost.routers[i].lease.on_no_response(state.clock(i), router.request->call_id);
+      lost.routers[i].request.reset();
+      add(lost, "the call of " + name(i) + " is lost");
+    }
+  }
+
+  void receive_response(const State& state, int i) {
+    const State::Router& router = state.routers[i];
+    if (!router.response) {
+      return;
+    }
+    State next = state;
+    apply_response(next, i, *router.response);
+    add(next, name(i) + " hears the store");
+    if (state.may_fail()) {
+      State lost = state;
+      ++lost.faults;
+      lost.routers[i].lease.on_no_response(state.clock(i), router.response->call_id);
+      lost.routers[i].response.reset();
+      add(lost, "the answer to " + name(i) + " is lost");
+    }
+  }
+
+  void begin_effect(const State& state, int i) {
+    const State::Router& router = state.routers[i];
+    if (router.effect || router.effects != 0 || !router.lease.may_act(decision_time(state, i))) {
+      return;
+    }
+    State next = state;
+    next.routers[i].effects = 1;
+    next.routers[i].effect = router.lease.term();
+    add(next, name(i) + " begins an effect of term " + std::to_string(router.lease.term()));
+  }
+
+  void receive_effect(const State& state, int i) {
+    const State::Router& router = state.routers[i];
+    if (!router.effect) {
+      return;
+    }
+    State next = state;
+    apply_effect(next, *router.effect);
+    next.routers[i].effect.reset();
+    add(next, "the effect of term " + std::to_string(*router.effect) + " of " + name(i) + " arrives");
+  }
+
+  void crash_router(const State& state, int i) {
+    if (state.routers[i].crashes != 0 || !state.may_fail()) {
+      return;
+    }
+    State next = state;
+    ++next.faults;
+    next.routers[i].lease = Lease(lease_options());
+    next.routers[i].request.reset();
+    next.routers[i].response.reset();
+    next.routers[i].crashes = 1;
+    add(next, name(i) + " dies and starts again");
+  }
+
+  void set_clock_back(const State& state, int i) {
+    if (defect_ != Defect::kWallClock || state.routers[i].clock_set_back != 0 || !state.may_fail()) {
+      return;
+    }
+    State next = state;
+    ++next.faults;
+    next.routers[i].clock_set_back = kClockSetBack;
+    add(next, "the clock of " + name(i) + " is set back");
+  }
+
+  void restart_receiver(const State& state) {
+    if (state.receiver_restarts != 0 || !state.may_fail()) {
+      return;
+    }
+    State next = state;
+    ++next.faults;
+    next.receiver_restarts = 1;
+    if (defect_ == Defect::kTermForgotten) {
+      next.fence = Fence();
+    }
+    add(next, "the receiver starts again");
+  }
+
+  // The store processes a call.
+  static State::Response serve(State& state, int router, const LeaseCall& call) {
+    State::Response out;
+    out.call_id = call.call_id;
+    const bool is_owner = state.owner == router && state.term == call.term;
+    if (call.kind == LeaseCallKind::kAcquire && state.owner < 0) {
+      state.owner = router;
+      state.term = ++state.revision;
+      state.expires = state.tick + kTtl;
       out.granted = true;
-    } else if (order.kind == LeaseCallKind::kRenew && mine) {
-      world.expires = world.tick + kTtl;
+    } else if (call.kind == LeaseCallKind::kRenew && is_owner) {
+      state.expires = state.tick + kTtl;
       out.granted = true;
     }
-    out.term = world.term;
+    out.term = state.term;
     return out;
   }
 
-  void hear(World& world, int who, const World::Response& response) {
-    World::Node& node = world.nodes[who];
-    const Micros now = world.clock(who);
+  void apply_response(State& state, int i, const State::Response& response) {
+    State::Router& router = state.routers[i];
+    const Micros now = state.clock(i);
     if (!response.granted) {
-      node.lease.on_rejected(now, response.number);
+      router.lease.on_rejected(now, response.call_id);
     } else if (defect_ == Defect::kTimedFromAnswer) {
-      // The same answer, to a call that is said to have been sent when it came.
-      node.lease.on_no_response(now, response.number);
-      Lease again = node.lease;
-      if (const auto order = again.step(now)) {
-        again.on_granted(now, order->call_id, response.term);
-        node.lease = again;
+      // The same answer, to a call that counts as sent when the answer came.
+      router.lease.on_no_response(now, response.call_id);
+      Lease again = router.lease;
+      if (const auto call = again.step(now)) {
+        again.on_granted(now, call->call_id, response.term);
+        router.lease = again;
       }
     } else {
-      node.lease.on_granted(now, response.number, response.term);
+      router.lease.on_granted(now, response.call_id, response.term);
     }
-    node.response.reset();
+    router.response.reset();
   }
 
-  void receive(World& world, Term term) {
+  void apply_effect(State& state, Term term) {
     if (defect_ != Defect::kTermNotChecked) {
-      const FenceDecision verdict = world.durable.admit("w", term);
-      if (verdict == FenceDecision::kReject) {
+      if (state.fence.admit("w", term) == FenceDecision::kReject) {
         return;
       }
-      world.durable.on_persisted("w", term);
+      state.fence.on_persisted("w", term);
     }
-    lower_applied_ = lower_applied_ || term < world.applied;
-    world.applied = std::max(world.applied, term);
+    lower_term_applied_ = lower_term_applied_ || term < state.applied;
+    state.applied = std::max(state.applied, term);
   }
 
-  void add(const World& world, int from, const std::string& how) {
-    const bool lower = std::exchange(lower_applied_, false);
+  // Checks the invariants of a state that follows on the current one, and queues it where it is new.
+  void add(const State& state, const std::string& what) {
+    const bool lower_term = std::exchange(lower_term_applied_, false);
     int acting = 0;
     for (int i = 0; i < kRouters; ++i) {
-      acting += world.nodes[i].lease.may_act(judged_at(world, i)) ? 1 : 0;
+      acting += state.routers[i].lease.may_act(decision_time(state, i)) ? 1 : 0;
     }
-    if (lower || acting > 1) {
-      broken_ = trace(from);
-      broken_.push_back(how);
-      broken_.push_back(lower ? "an effect of a lower term after one of a higher" : "two may act at once");
+    if (lower_term || acting > 1) {
+      violation_ = trace(current_);
+      violation_.push_back(what);
+      violation_.emplace_back(lower_term ? "an effect of a lower term after one of a higher"
+                                         : "two may act at once");
       return;
     }
-    acted_ += acting > 0 ? 1 : 0;
-    if (known_.emplace(world.key(), 0).second) {
-      worlds_.push_back(world);
-      steps_.emplace_back(from, how);
+    acting_states_ += acting > 0 ? 1 : 0;
+    if (seen_.insert(state.key()).second) {
+      states_.push_back(state);
+      transitions_.push_back(Transition{current_, what});
     }
   }
 
   std::vector<std::string> trace(int at) const {
     std::vector<std::string> out;
-    for (; at >= 0; at = steps_[static_cast<std::size_t>(at)].first) {
-      out.push_back(steps_[static_cast<std::size_t>(at)].second);
+    while (at >= 0) {
+      const Transition& transition = transitions_[static_cast<std::size_t>(at)];
+      out.push_back(transition.what);
+      at = transition.from;
     }
     std::reverse(out.begin(), out.end());
     return out;
   }
 
   Defect defect_;
-  std::deque<World> worlds_;
-  std::vector<std::pair<int, std::string>> steps_;
-  std::unordered_map<std::string, int> known_;
-  std::vector<std::string> broken_;
-  int place_ = 0;
-  bool lower_applied_ = false;
-  std::size_t acted_ = 0;
+  std::deque<State> states_;
+  std::vector<Transition> transitions_;  // by which each state was reached first
+  std::unordered_set<std::string> seen_;
+  std::vector<std::string> violation_;
+  int current_ = -1;
+  bool lower_term_applied_ = false;
+  std::size_t acting_states_ = 0;
 };
 
 std::string joined(const std::vector<std::string>& steps) {
@@ -298,32 +364,35 @@
   Explorer explorer(Defect::kNone);
   EXPECT_EQ(joined(explorer.run()), "");
   RecordProperty("states", static_cast<int>(explorer.states()));
-  EXPECT_LT(explorer.states(), kMostStates) << "the whole world was explored";
+  EXPECT_LT(explorer.states(), kMaxStates) << "the whole state space was explored";
   EXPECT_GT(explorer.states(), 10'000U);
-  EXPECT_GT(explorer.acted_states(), 1'000U) << "somebody acts in it";
+  EXPECT_GT(explorer.acting_states(), 1'000U) << "somebody acts in it";
 }
 
 TEST(OwnershipModel, EachSeededDefectIsFoundWithAShortestTrace) {
-  const std::vector<std::pair<Defect, std::string>> defects{{Defect::kTermNotChecked, "lower term"},
-                                                            {Defect::kTermForgotten, "lower term"},
-                                                            {Defect::kWallClock, "two may act"},
-                                                            {Defect::kTimedFromAnswer, "two may act"}};
-  for (const auto& [defect, words] : defects) {
+  struct Expectation {
+    Defect defect;
+    const char* violation;
+  };
+  for (const auto& [defect, violation] :
+       {Expectation{Defect::kTermNotChecked, "lower term"}, Expectation{Defect::kTermForgotten, "lower term"},
+        Expectation{Defect::kWallClock, "two may act"},
+        Expectation{Defect::kTimedFromAnswer, "two may act"}}) {
     Explorer explorer(defect);
     const std::vector<std::string> trace = explorer.run();
-    EXPECT_NE(joined(trace).find(words), std::string::npos)
+    EXPECT_NE(joined(trace).find(violation), std::string::npos)
         << static_cast<int>(defect) << " after " << explorer.states() << " states";
     EXPECT_LT(trace.size(), 30U) << joined(trace);
   }
 }
 
-TEST(LeaseTest, APauseOfAnyLengthEndsItBeforeTheStoreMayGiveItAway) {
-  LeaseOptions rules;
-  Lease lease(rules);
-  const auto order = lease.step(seconds(10));
-  ASSERT_TRUE(order.has_value());
+TEST(LeaseTest, ExpiresByItsOwnClockBeforeTheStoreMayGrantItAgain) {
+  const LeaseOptions options;
+  Lease lease(options);
+  const auto call = lease.step(seconds(10));
+  ASSERT_TRUE(call.has_value());
   EXPECT_FALSE(lease.step(seconds(10)).has_value()) << "one call at a time";
-  lease.on_granted(seconds(13), order->call_id, 7);  // the answer took three seconds
+  lease.on_granted(seconds(13), call->call_id, 7);  // the answer took three seconds
   EXPECT_EQ(lease.phase(seconds(13)), LeasePhase::kOwner);
   EXPECT_TRUE(lease.may_act(seconds(15)));
   EXPECT_FALSE(lease.may_act(seconds(16))) << "ttl counts from the sending";
@@ -337,9 +406,9 @@
   EXPECT_EQ(lease.term(), 0U);
 }
 
-TEST(LeaseTest, AnswersOfEarlierCallsAndLostOnesGiveNothing) {
-  LeaseOptions rules;
-  Lease lease(rules);
+TEST(LeaseTest, AnswersOfEarlierOrLostCallsAreIgnored) {
+  const LeaseOptions options;
+  Lease lease(options);
   const auto first = lease.step(seconds(1));
   lease.on_no_response(seconds(2), first->call_id);
   EXPECT_FALSE(lease.step(seconds(2)).has_value()) << "not before the retry";
@@ -353,10 +422,10 @@
   EXPECT_EQ(lease.term(), 5U);
 }
 
-TEST(LeaseTest, HandedOverItActsNoMoreAndSaysSoOnce) {
+TEST(LeaseTest, StoppedLeaseActsNoMoreAndIsReleasedOnce) {
   Lease lease(LeaseOptions{});
-  const auto order = lease.step(seconds(1));
-  lease.on_granted(seconds(1), order->call_id, 3);
+  const auto call = lease.step(seconds(1));
+  lease.on_granted(seconds(1), call->call_id, 3);
   EXPECT_TRUE(lease.may_act(seconds(2)));
   lease.stop(seconds(2));
   EXPECT_FALSE(lease.may_act(seconds(2)));
@@ -369,22 +438,22 @@
   EXPECT_EQ(lease.phase(seconds(9)), LeasePhase::kStopped);
 }
 
-// A store that does not answer is told again after a while, however often the owner is told to stop.
-TEST(LeaseTest, AReleaseThatWasLostIsTriedAgainInItsTimeAlone) {
-  LeaseOptions rules;
-  Lease lease(rules);
+// A release that got no response is sent again after its backoff, however often the lease is stopped.
+TEST(LeaseTest, LostReleaseIsRetriedOnlyAfterItsBackoff) {
+  const LeaseOptions options;
+  Lease lease(options);
   lease.on_granted(seconds(1), lease.step(seconds(1))->call_id, 5);
   lease.stop(seconds(2));
   lease.on_no_response(seconds(2), lease.step(seconds(2))->call_id);
   lease.stop(seconds(2));
   EXPECT_FALSE(lease.step(seconds(2)).has_value());
-  EXPECT_EQ(lease.next_step_at(seconds(2)), std::optional<Micros>(seconds(2) + rules.retry));
-  const auto again = lease.step(seconds(2) + rules.retry);
+  EXPECT_EQ(lease.next_step_at(seconds(2)), std::optional<Micros>(seconds(2) + options.retry_backoff));
+  const auto again = lease.step(seconds(2) + options.retry_backoff);
   ASSERT_TRUE(again.has_value());
   EXPECT_EQ(again->kind, LeaseCallKind::kRelease);
 }
 
-TEST(FenceTest, KeepsAHigherTermFirstAndRefusesALowerOne) {
+TEST(FenceTest, PersistsHigherTermsFirstAndRejectsLowerOnes) {
   Fence fence;
   EXPECT_EQ(fence.admit("fill", 0), FenceDecision::kReject);
   EXPECT_EQ(fence.admit("fill", 4), FenceDecision::kPersistFirst);
@@ -397,15 +466,15 @@
   EXPECT_EQ(fence.persisted_term("fill"), 4U);
 }
 
-TEST(ShardsTest, LeastMovementEvenSharesAndTurns) {
+TEST(ShardAssignmentTest, MovesFewShardsSharesEvenlyAndRanksCandidates) {
   std::vector<std::string> members;
   for (int i = 0; i < 30; ++i) {
     members.push_back("router" + std::to_string(i));
   }
   constexpr std::size_t kShards = 3'000;
   std::vector<std::string> without(members.begin(), members.end() - 1);
-  std::vector<std::string> turned(members.rbegin(), members.rend());
-  EXPECT_EQ(count_moved_shards("probe", kShards, members, turned), 0U);
+  std::vector<std::string> reversed(members.rbegin(), members.rend());
+  EXPECT_EQ(count_moved_shards("probe", kShards, members, reversed), 0U);
   std::size_t of_last = 0;
   for (std::size_t shard = 0; shard < kShards; ++shard) {
     of_last += preferred_owner("probe", shard, members) == members.back() ? 1 : 0;
@@ -414,13 +483,13 @@
       << "its own shards and no others";
   EXPECT_NEAR(static_cast<double>(of_last), kShards / 30.0, 50.0);
   EXPECT_EQ(preferred_owner("probe", 1, {}), "");
-  std::vector<bool> turns(members.size(), false);
+  std::vector<bool> ranks_taken(members.size(), false);
   for (const std::string& member : members) {
-    const std::size_t turn = candidate_rank("probe", 9, member, members);
-    ASSERT_LT(turn, members.size());
-    EXPECT_FALSE(turns[turn]);
-    turns[turn] = true;
-    EXPECT_EQ(turn == 0, member == preferred_owner("probe", 9, members));
+    const std::size_t rank = candidate_rank("probe", 9, member, members);
+    ASSERT_LT(rank, members.size());
+    EXPECT_FALSE(ranks_taken[rank]);
+    ranks_taken[rank] = true;
+    EXPECT_EQ(rank == 0, member == preferred_owner("probe", 9, members));
   }
   EXPECT_EQ(candidate_wait(3, milliseconds(200), seconds(2)), milliseconds(600));
   EXPECT_EQ(candidate_wait(299, milliseconds(200), seconds(2)), seconds(2));
--- a/tests/virtual_world.h
+++ b/tests/virtual_world.h
@@ -39,7 +39,8 @@
 struct CallRules {
   int lost_percent = 3;  // of each way
   int late_percent = 15;
-  Micros usual{10'000};  // at most
+  bool late_by_highest_draws = false;  // which draws of 0 to 99 are late: recorded seeds depend on it
+  Micros usual{10'000};                // at most
   Micros late{3'000'000};
   Micros timeout{800'000};  // then the caller takes the call to be lost
 };
@@ -203,7 +204,10 @@
   std::uint64_t steps_ = 0;
 
  private:
-  Micros way() { return drawn(calm_ || !chance(calls_.late_percent) ? calls_.usual : calls_.late); }
+  bool draws_late() {
+    return calls_.late_by_highest_draws ? !chance(100 - calls_.late_percent) : chance(calls_.late_percent);
+  }
+  Micros way() { return drawn(calm_ || !draws_late() ? calls_.usual : calls_.late); }
 
   std::multimap<Micros, std::function<void()>> events_;
 };
