--- a/benchmarks/scale/aggregator_costs.cpp
+++ b/benchmarks/scale/aggregator_costs.cpp
@@ -53,7 +53,7 @@
     aggregator_.heard(true);
     for (const aggregation::UplinkOrder& order : aggregator_.due(now_)) {
       if (const auto* ask = std::get_if<aggregation::AskPermission>(&order)) {
-        aggregator_.uplink().joined(now_, ask->order.number, {true, 9, 0});
+        aggregator_.uplink().joined(now_, ask->order.call_id, {true, 9, 0});
       }
     }
     for (int i = 0; i < routers; ++i) {
--- a/benchmarks/scale/policy_costs.cpp
+++ b/benchmarks/scale/policy_costs.cpp
@@ -72,7 +72,7 @@
   holder->kept(now, 7, "");
   for (const policy::HolderOrder& order : holder->due(now)) {
     if (const auto* ask = std::get_if<policy::AskPermission>(&order)) {
-      holder->joined(now, ask->order.number, true);
+      holder->joined(now, ask->order.call_id, true);
     }
   }
   return holder;
@@ -82,7 +82,7 @@
 void renew(policy::Holder& holder, Micros now) {
   for (const policy::HolderOrder& order : holder.due(now)) {
     if (const auto* ask = std::get_if<policy::AskPermission>(&order)) {
-      holder.renewed(now, ask->order.number, true);
+      holder.renewed(now, ask->order.call_id, true);
     }
   }
   keep_result(holder.ruling(now));
--- a/tests/acknowledgement_test.cpp
+++ b/tests/acknowledgement_test.cpp
@@ -173,7 +173,7 @@
   void join() {
     const auto ask = due<AskPermission>();
     ASSERT_TRUE(ask.has_value());
-    holder_.joined(now_, ask->order.number, true);
+    holder_.joined(now_, ask->order.call_id, true);
   }
 
   Holder holder_;
--- a/tests/lease_manager_test.cpp
+++ b/tests/lease_manager_test.cpp
@@ -8,6 +8,8 @@
 #include <chrono>
 #include <random>
 
+#include "ownership/shard_assignment.h"
+
 namespace trailcourse::ownership {
 namespace {
 
@@ -67,7 +69,7 @@
     acquired.stored = stored;
     manager.on_acquire_result(now, id, call.call_id, acquired);
   }
-  void confirm(const Write& wrote, coordination::Revision revision) {
+  void confirm(const WriteProgressAction& wrote, coordination::Revision revision) {
     manager.on_write_result(now, id, wrote.call_id,
                             ProgressWriteResult{true, true, StoredProgress{wrote.progress, revision}});
   }
@@ -170,7 +172,7 @@
   EXPECT_FALSE(manager.may_act(now, id, 7));
   const auto stopped = actions_of<AbortTaskAction>(step());
   ASSERT_EQ(stopped.size(), 1U);
-  EXPECT_EQ(status().lease, LeasePhase::kUncertain);
+  EXPECT_EQ(status().lease_phase, LeasePhase::kUncertain);
   manager.on_no_response(now, id, renewal.call_id);
   now += options.lease.retry_backoff;
   const LeaseCall second = lease_call();
@@ -221,7 +223,7 @@
   const WriteProgressAction wrote = next_write();
   manager.on_write_result(now, id, wrote.call_id, ProgressWriteResult{false, false, {}});
   EXPECT_EQ(actions_of<AbortTaskAction>(step()).size(), 1U);
-  EXPECT_EQ(manager.counts().refused_writes, 1U);
+  EXPECT_EQ(manager.counts().rejected_writes, 1U);
   EXPECT_EQ(status().phase, ShardPhase::kUnassigned);
 }
 
