--- a/src/aggregation/report_summary.h
+++ b/src/aggregation/report_summary.h
@@ -13,15 +13,15 @@
 #include <string>
 
 #include "coordination/types.h"
-#include "policy/change.h"
-#include "policy/holder.h"
+#include "policy/participant.h"
+#include "policy/rollout.h"
 
 namespace trailcourse::aggregation {
 
 // The latest report of a router, and the router that sent it.
 struct RouterReport {
   std::string router;
-  policy::Permit report;
+  policy::ParticipantReport report;
 };
 using RouterReports = std::map<coordination::LeaseId, RouterReport>;
 
@@ -34,7 +34,7 @@
 // store as the aggregator has read it. Without any router the result is that of a router with nothing left to
 // do, so that the coordinator does not wait for an empty zone. The caller fills in the number of the report
 // and the counts of requests, which are 0.
-policy::Permit summarize(const policy::Known& observed, const std::string& zone,
-                         const RouterReports& routers);
+policy::ParticipantReport summarize(const policy::ObservedState& observed, const std::string& zone,
+                                    const RouterReports& routers);
 
 }  // namespace trailcourse::aggregation
--- a/src/policy/acknowledgement.cpp
+++ b/src/policy/acknowledgement.cpp
@@ -13,113 +13,90 @@
 
 namespace {
 
-json json_of(const BoardPosition& position) { return {{"board", position.board}, {"event", position.event}}; }
+json position_json(const DiscoveryPosition& position) {
+  return {{"board", position.source}, {"event", position.sequence}};
+}
 
-std::optional<BoardPosition> position_of(const json& from, const char* name) {
-  const auto found = from.find(name);
-  if (found == from.end() || !found->is_object()) {
+std::optional<DiscoveryPosition> read_position(const json& record, const char* name) {
+  const auto found = record.find(name);
+  if (found == record.end() || !found->is_object()) {
     return std::nullopt;
   }
-  const auto board = found->find("board");
-  const auto event = found->find("event");
-  const bool usable =
-      board != found->end() && board->is_string() && event != found->end() && event->is_number_unsigned();
-  return usable ? std::optional(BoardPosition{board->get<std::string>(), event->get<std::uint64_t>()})
-                : std::nullopt;
-}
-
-bool all_acknowledge(const AcknowledgementsSeen& seen) {
-  return std::all_of(seen.permits.begin(), seen.permits.end(),
-                     [&seen](const auto& one) { return one.second.acknowledged >= seen.record.round; });
+  const auto source = found->find("board");
+  const auto sequence = found->find("event");
+  const bool is_valid = source != found->end() && source->is_string() && sequence != found->end() &&
+                        sequence->is_number_unsigned();
+  if (!is_valid) {
+    return std::nullopt;
+  }
+  return DiscoveryPosition{source->get<std::string>(), sequence->get<std::uint64_t>()};
 }
 
 }  // namespace
 
 std::string write_acknowledgement(const Acknowledgement& record) {
-  return json{{"round", record.round}, {"asked", json_of(record.asked)}, {"done", json_of(record.done)}}
+  return json{{"round", record.round},
+              {"asked", position_json(record.requested)},
+              {"done", position_json(record.completed)}}
       .dump();
 }
 
 std::optional<Acknowledgement> read_acknowledgement(const std::string& text) {
-  const json from = json::parse(text, nullptr, false);
-  if (!from.is_object()) {
+  const json record = json::parse(text, nullptr, false);
+  if (!record.is_object()) {
     return std::nullopt;
   }
-  const auto round = from.find("round");
-  const auto asked = position_of(from, "asked");
-  const auto done = position_of(from, "done");
-  const bool usable =
-      round != from.end() && round->is_number_unsigned() && round->get<std::uint64_t>() > 0 && asked && done;
-  return usable ? std::optional(Acknowledgement{round->get<std::uint64_t>(), *asked, *done}) : std::nullopt;
+  const auto round = record.find("round");
+  const bool has_round =
+      round != record.end() && round->is_number_unsigned() && round->get<std::uint64_t>() > 0;
+  const auto requested = read_position(record, "asked");
+  const auto completed = read_position(record, "done");
+  if (!has_round || !requested || !completed) {
+    return std::nullopt;
+  }
+  return Acknowledgement{round->get<std::uint64_t>(), *requested, *completed};
 }
 
-// ---- Transactions ----
+bool AcknowledgementSnapshot::is_acknowledged_by_all() const {
+  return std::all_of(reports.begin(), reports.end(),
+                     [this](const auto& entry) { return entry.second.acknowledged_round >= record.round; });
+}
 
-Transaction look_at_acknowledgements(const std::string& prefix) {
+Transaction acknowledgement_snapshot_transaction(const std::string& prefix) {
   Transaction out;
-  out.then = {Get{Range{prefix + kAcknowledgedKey, false}}, Get{Range{prefix + kPermits, true}}};
+  out.then = {Get{Range{prefix + kAcknowledgedKey, false}}, Get{Range{prefix + kReportPrefix, true}}};
   return out;
 }
 
-AcknowledgementsSeen read_acknowledgements_seen(const std::string& prefix,
-                                                const coordination::Outcome& outcome) {
-  AcknowledgementsSeen out;
+AcknowledgementSnapshot read_acknowledgement_snapshot(const std::string& prefix,
+                                                      const coordination::Outcome& outcome) {
+  AcknowledgementSnapshot out;
   if (const auto& found = outcome.steps.at(0).found; !found.empty()) {
     out.record = read_acknowledgement(found.front().value).value_or(Acknowledgement{});
     out.modified = found.front().modified;
   }
-  out.permits = read_permits(prefix, outcome.steps.at(1).found);
+  out.reports = read_reports(prefix, outcome.steps.at(1).found);
   return out;
 }
 
-Transaction write_record(const std::string& prefix, const AcknowledgementsSeen& seen,
-                         const Acknowledgement& record) {
-  Transaction out;
+Transaction write_acknowledgement_transaction(const std::string& prefix,
+                                              const AcknowledgementSnapshot& snapshot,
+                                              const Acknowledgement& record) {
   const std::string key = prefix + kAcknowledgedKey;
-  out.when = {coordination::unchanged(key, seen.modified)};
+  Transaction out;
+  out.when = {coordination::unchanged(key, snapshot.modified)};
   out.then = {Put{key, write_acknowledgement(record), 0}};
   return out;
 }
 
-Acknowledgement forgotten(const Acknowledgement& record) { return {record.round + 1, {}, {}}; }
-
-// ---- The driver ----
-
-bool AcknowledgementDriver::may_ask(Micros now) {
-  if (asked_at_ && now < *asked_at_ + least_round_) {
-    due_ = *asked_at_ + least_round_;
-    return false;
-  }
-  asked_at_ = now;
-  return true;
-}
-
-std::optional<Acknowledgement> AcknowledgementDriver::next(Micros now, const AcknowledgementsSeen& seen,
-                                                           const BoardPosition& position) {
-  due_.reset();
-  Acknowledgement out = seen.record;
-  // A board that began anew knows nothing of the events before: the open round could never end.
-  const bool other_board = position.board != out.asked.board;
-  const bool complete = out.round > 0 && all_acknowledge(seen);
-  if (complete && !other_board) {
-    out.done = out.asked;
-  }
-  const bool can_ask = position.event > 0 && (other_board || complete || out.round == 0);
-  const bool is_new = other_board || position.event > out.asked.event;
-  if (can_ask && is_new && may_ask(now)) {
-    ++out.round;
-    out.asked = position;
-    out.done = other_board ? BoardPosition{position.board, 0} : out.done;
-  }
-  return out == seen.record ? std::nullopt : std::optional(out);
-}
+Acknowledgement reset_acknowledgement(const Acknowledgement& record) { return {record.round + 1, {}, {}}; }
 
-std::vector<std::string> unacknowledged(const AcknowledgementsSeen& seen) {
+std::vector<std::string> describe_unacknowledged(const AcknowledgementSnapshot& snapshot) {
   std::vector<std::string> out;
-  for (const auto& [key, permit] : seen.permits) {
-    if (permit.acknowledged < seen.record.round) {
-      out.push_back(described_writer(key, permit) + " is to take in event " +
-                    std::to_string(seen.record.asked.event) + ", or its permission to run out");
+  for (const auto& [name, report] : snapshot.reports) {
+    if (report.acknowledged_round < snapshot.record.round) {
+      out.push_back(describe_reporter(name, report) + " is to take in event " +
+                    std::to_string(snapshot.record.requested.sequence) + ", or its permission to run out");
     }
   }
   return out;
--- a/tests/aggregation/aggregator_fixture.h
+++ b/tests/aggregation/aggregator_fixture.h
@@ -29,14 +29,14 @@
     store_.commit(coordination::Transaction{{}, {coordination::Put{key, value, 0}}, {}});
     publish_changes();
   }
-  void put_rollout(policy::ChangeState state) {
-    put(policy::kChangeKey, policy::write_change(rollout_in(state)));
+  void put_rollout(policy::RolloutState state) {
+    put(policy::kRolloutKey, policy::write_rollout(rollout_in(state)));
   }
   // Hands the aggregator what has changed since the last call, once it has a snapshot.
   void publish_changes() {
     std::vector<coordination::Change> changes;
     for (const coordination::Change& change : store_.changes()) {
-      if (change.entry.key.starts_with(policy::kRecords)) {
+      if (change.entry.key.starts_with(policy::kPolicyPrefix)) {
         changes.push_back(change);
       }
     }
@@ -45,13 +45,13 @@
     }
   }
   void load_snapshot() {
-    aggregator_.on_snapshot(store_.get(coordination::Range{policy::kRecords, true}));
+    aggregator_.on_snapshot(store_.get(coordination::Range{policy::kPolicyPrefix, true}));
     aggregator_.set_connected(true);
   }
   std::int64_t now_ms() const { return now_.count() / 1'000; }
-  std::optional<policy::Permit> stored_summary(const std::string& zone) {
+  std::optional<policy::ParticipantReport> stored_summary(const std::string& zone) {
     const auto found = store_.get(coordination::Range{summary_key("", kName, zone, lease_), false});
-    return found.empty() ? std::nullopt : policy::read_permit(found.front().value);
+    return found.empty() ? std::nullopt : policy::read_report(found.front().value);
   }
 
   // ---- The aggregator's calls ----
@@ -102,24 +102,24 @@
 
   // ---- Routers ----
 
-  static policy::Permit report_of(const std::string& zone, std::uint64_t version = kOldVersion) {
-    policy::Permit out;
+  static policy::ParticipantReport report_of(const std::string& zone, std::uint64_t version = kOldVersion) {
+    policy::ParticipantReport out;
     out.incarnation = "1";
     out.zone = zone;
     out.version = version;
     return out;
   }
-  static policy::Permit suspended_report(const std::string& zone) {
-    policy::Permit out = report_of(zone);
-    out.held = step_in(policy::ChangeState::kHolding);
+  static policy::ParticipantReport suspended_report(const std::string& zone) {
+    policy::ParticipantReport out = report_of(zone);
+    out.suspended_stage = step_in(policy::RolloutState::kSuspending);
     return out;
   }
   // Returns the router's write of its next report.
   coordination::Transaction report_from(const std::string& router, coordination::LeaseId lease,
-                                        policy::Permit report) {
-    report.number = ++report_number_;
+                                        policy::ParticipantReport report) {
+    report.sequence = ++report_number_;
     return {
-        {}, {coordination::Put{policy::permit_key(router, lease), policy::write_permit(report), lease}}, {}};
+        {}, {coordination::Put{policy::report_key(router, lease), policy::write_report(report), lease}}, {}};
   }
   coordination::LeaseId join(const std::string& router, const std::string& zone) {
     const coordination::LeaseId lease = aggregator_.grant(now_, kRouterTtl);
--- a/tests/aggregation/aggregator_input_test.cpp
+++ b/tests/aggregation/aggregator_input_test.cpp
@@ -14,8 +14,8 @@
 using coordination::Put;
 using coordination::Range;
 using coordination::Transaction;
-using policy::ChangeState;
-using policy::Permit;
+using policy::ParticipantReport;
+using policy::RolloutState;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 using Reason = RequestRejected::Reason;
@@ -52,18 +52,18 @@
     expect_rejected(reason,
                     [&] { aggregator_.commit(now_, Transaction{{}, {Put{key, value, put_lease}}, {}}); });
   };
-  const std::string key = policy::permit_key("r1", lease);
-  const std::string good = policy::write_permit(report_of("edge"));
+  const std::string key = policy::report_key("r1", lease);
+  const std::string good = policy::write_report(report_of("edge"));
   put_rejected(Reason::kMalformed, key, "no permit", lease);
   put_rejected(Reason::kMalformed, key, "{}", lease);
   put_rejected(Reason::kMalformed, key, good, other);
   put_rejected(Reason::kMalformed, key, good, 0);
   put_rejected(Reason::kMalformed, "permits/r1", good, lease);
   put_rejected(Reason::kMalformed, "permits//" + std::to_string(lease), good, lease);
-  put_rejected(Reason::kMalformed, policy::permit_key("r1/x", lease), good, lease);
+  put_rejected(Reason::kMalformed, policy::report_key("r1/x", lease), good, lease);
   put_rejected(Reason::kTooLarge, key, good + std::string(4'096, ' '), lease);
-  put_rejected(Reason::kUnknownZone, key, policy::write_permit(report_of("north")), lease);
-  put_rejected(Reason::kLeaseNotFound, policy::permit_key("r1", 1), good, 1);
+  put_rejected(Reason::kUnknownZone, key, policy::write_report(report_of("north")), lease);
+  put_rejected(Reason::kLeaseNotFound, policy::report_key("r1", 1), good, 1);
   put_rejected(Reason::kOutOfOrder, key, good, lease);  // unnumbered after a numbered one
   expect_rejected(Reason::kOutOfOrder, [&] {
     report_number_ = 0;
@@ -87,10 +87,10 @@
 // Whatever arrives is either a valid report of its lease, or rejected and counted. Other routers and the
 // validity of the summaries are not affected.
 TEST_F(AggregatorInputTest, MutatedReportsAndTransactionsAreAcceptedValidOrRejected) {
-  put_rollout(ChangeState::kHolding);
+  put_rollout(RolloutState::kSuspending);
   load_snapshot();
   execute_steps();
-  const std::uint64_t step = step_in(ChangeState::kHolding);
+  const std::uint64_t step = step_in(RolloutState::kSuspending);
   const LeaseId witness = join("witness", "edge");
   LeaseId lease = join("r1", "edge");
   std::mt19937_64 random(21);
@@ -102,19 +102,19 @@
       aggregator_.revoke(now_, lease);
       lease = join("r1", "edge");
     }
-    Permit report = suspended_report("edge");
-    report.number = ++report_number_;
-    const std::string text = policy::write_permit(report);
-    const std::string key = policy::permit_key("r1", lease);
+    ParticipantReport report = suspended_report("edge");
+    report.sequence = ++report_number_;
+    const std::string text = policy::write_report(report);
+    const std::string key = policy::report_key("r1", lease);
     Transaction transaction;
     const bool mutates_key = random() % 4 == 0;
     transaction.then.push_back(
         Put{mutates_key ? mutated(key, random) : key, mutates_key ? text : mutated(text, random), lease});
     if (random() % 8 == 0) {
-      transaction.when.push_back(coordination::unchanged(mutated(policy::kChangeKey, random), random() % 4));
+      transaction.when.push_back(coordination::unchanged(mutated(policy::kRolloutKey, random), random() % 4));
     }
     if (random() % 16 == 0) {
-      transaction.otherwise.push_back(Get{Range{mutated(policy::kChangeKey, random), random() % 2 == 0}});
+      transaction.otherwise.push_back(Get{Range{mutated(policy::kRolloutKey, random), random() % 2 == 0}});
     }
     const std::uint64_t rejected_before = aggregator_.counts().total_rejected();
     try {
@@ -124,9 +124,9 @@
       ASSERT_EQ(aggregator_.counts().total_rejected(), rejected_before + 1);
     }
     ASSERT_EQ(aggregator_.router_count(), 2U);
-    ASSERT_EQ(aggregator_.summaries().at("edge").routers, 2U);
-    ASSERT_NE(aggregator_.summaries().at("edge").held, step) << "the witness has not reported it";
-    ASSERT_EQ(aggregator_.summaries().at("west").routers, 0U);
+    ASSERT_EQ(aggregator_.summaries().at("edge").represented_routers, 2U);
+    ASSERT_NE(aggregator_.summaries().at("edge").suspended_stage, step) << "the witness has not reported it";
+    ASSERT_EQ(aggregator_.summaries().at("west").represented_routers, 0U);
   }
   EXPECT_GT(rejected, 1'000U);
   EXPECT_GT(accepted, 100U);
@@ -137,15 +137,15 @@
 // that join from its state.
 TEST_F(AggregatorInputTest, MutatedStoreRecordsAreReadValidOrNotAtAll) {
   std::mt19937_64 random(22);
-  const std::string good = policy::write_change(rollout_in(ChangeState::kHolding));
+  const std::string good = policy::write_rollout(rollout_in(RolloutState::kSuspending));
   load_snapshot();
   execute_steps();
   for (int round = 0; round < 2'000; ++round) {
-    put(policy::kChangeKey, mutated(good, random));
-    const Permit summary = aggregator_.summaries().at("edge");
-    const auto read = policy::read_change(store_.get(Range{policy::kChangeKey, false}).front().value);
-    const bool suspending = read && read->state == ChangeState::kHolding && read->concerns("edge");
-    EXPECT_EQ(summary.held, suspending ? policy::step_of(*read) : 0U);
+    put(policy::kRolloutKey, mutated(good, random));
+    const ParticipantReport summary = aggregator_.summaries().at("edge");
+    const auto read = policy::read_rollout(store_.get(Range{policy::kRolloutKey, false}).front().value);
+    const bool suspending = read && read->state == RolloutState::kSuspending && read->concerns("edge");
+    EXPECT_EQ(summary.suspended_stage, suspending ? policy::stage_id(*read) : 0U);
   }
 }
 
--- a/tests/aggregation/region_world.h
+++ b/tests/aggregation/region_world.h
@@ -18,9 +18,10 @@
 #include "aggregation/aggregator.h"
 #include "aggregation/version_order_check.h"
 #include "coordination/ledger.h"
-#include "policy/acknowledgement.h"
-#include "policy/change.h"
-#include "policy/holder.h"
+#include "policy/acknowledgement_coordinator.h"
+#include "policy/participant.h"
+#include "policy/rollout_coordinator.h"
+#include "policy/rollout_transactions.h"
 #include "virtual_world.h"
 
 namespace trailcourse::aggregation {
@@ -81,7 +82,7 @@
   struct RouterProcess : testing_support::VirtualProcess {
     int index = 0;
     std::string zone;
-    std::optional<policy::Holder> holder;
+    std::optional<policy::Participant> participant;
     coordination::LeaseId lease = 0;
     coordination::Revision min_revision = 0;
     int endpoint = 0;            // the aggregator that its calls go to
@@ -91,7 +92,7 @@
     Micros last_heartbeat{0};  // in true time
     Micros last_delivery{0};
     bool disk_fails = false;
-    policy::BoardPosition position;
+    policy::DiscoveryPosition position;
     std::uint64_t requests = 0;
     std::uint64_t failed_requests = 0;
   };
@@ -111,7 +112,7 @@
   static constexpr int kNotWatching = -1;
 
   // ---- The store (region_world_store.cpp) ----
-  policy::Seen rollout_snapshot();
+  policy::RolloutSnapshot rollout_snapshot();
   void record_versions_in_force();
   void expire_leases_periodically();
   void publish_changes();
@@ -128,9 +129,9 @@
 
   // ---- Coordinators and operators (region_world_coordinators.cpp) ----
   void run_rollout_coordinator();
-  void advance_rollout(const policy::Seen& snapshot);
+  void advance_rollout(const policy::RolloutSnapshot& snapshot);
   void propose_rollouts();
-  void propose_rollout(const policy::Seen& snapshot);
+  void propose_rollout(const policy::RolloutSnapshot& snapshot);
   void run_acknowledgement_coordinator();
   void write_acknowledgement(const coordination::Transaction& write, const policy::Acknowledgement& next);
   void publish_events();
@@ -156,10 +157,10 @@
   // ---- Routers (region_world_routers.cpp) ----
   void start(RouterProcess& router);
   void on_endpoint_failure(RouterProcess& router, int endpoint);
-  policy::Known observed_by(const AggregatorProcess& aggregator, const std::string& zone) const;
+  policy::ObservedState observed_by(const AggregatorProcess& aggregator, const std::string& zone) const;
   void start_watch(RouterProcess& router);
   void retry_watch(RouterProcess& router, int watch_id);
-  void on_observed(RouterProcess& router, const policy::Known& observed);
+  void on_observed(RouterProcess& router, const policy::ObservedState& observed);
   void publish_to_routers(const AggregatorProcess& aggregator);
   void publish_to(RouterProcess& router, const AggregatorProcess& aggregator);
   bool is_watching(const RouterProcess& router, const AggregatorProcess& aggregator) const;
@@ -169,13 +170,13 @@
   void call_aggregator(RouterProcess& router, std::function<Value(Aggregator&)> operation,
                        Handler<Value> on_answer, Job on_no_response);
   void run_step(RouterProcess& router);
-  void execute(RouterProcess& router, const policy::KeepDocument& action);
-  void execute(RouterProcess& router, const policy::SayPermit& action);
-  void execute(RouterProcess& router, const policy::AskPermission& action);
-  void acquire(RouterProcess& router, const policy::AskPermission& action);
-  void join(RouterProcess& router, const policy::AskPermission& action);
+  void execute(RouterProcess& router, const policy::PersistDocumentAction& action);
+  void execute(RouterProcess& router, const policy::ReportAction& action);
+  void execute(RouterProcess& router, const policy::LeaseAction& action);
+  void acquire(RouterProcess& router, const policy::LeaseAction& action);
+  void join(RouterProcess& router, const policy::LeaseAction& action);
   Job no_response_to(RouterProcess& router, std::uint64_t call_id);
-  coordination::Transaction report_transaction(const RouterProcess& router, policy::Permit report,
+  coordination::Transaction report_transaction(const RouterProcess& router, policy::ParticipantReport report,
                                                coordination::LeaseId lease) const;
   coordination::Outcome commit_report(const RouterProcess& router, Aggregator& aggregator, Micros now,
                                       coordination::Transaction transaction);
@@ -209,8 +210,8 @@
 
   // ---- The end (region_world.cpp) ----
   void check_end();
-  void check_decides_in_force(const RouterProcess& router, const policy::Seen& snapshot);
-  static std::string describe(const policy::Seen& snapshot);
+  void check_decides_in_force(const RouterProcess& router, const policy::RolloutSnapshot& snapshot);
+  static std::string describe(const policy::RolloutSnapshot& snapshot);
 
   Defect defect_;
   coordination::Ledger store_{coordination::Limits{}};
@@ -219,9 +220,9 @@
   bool same_name_ = false;          // of all aggregators
   std::deque<AggregatorProcess> aggregators_;
   std::deque<RouterProcess> routers_;
-  std::optional<policy::Driver> rollout_coordinator_;
-  policy::AcknowledgementDriver acknowledgement_coordinator_{std::chrono::milliseconds(200)};
-  policy::BoardPosition published_{"board", 0};
+  std::optional<policy::RolloutCoordinator> rollout_coordinator_;
+  policy::AcknowledgementCoordinator acknowledgement_coordinator_{std::chrono::milliseconds(200)};
+  policy::DiscoveryPosition published_{"board", 0};
   std::uint64_t completed_event_ = 0;  // reported as applied by every router
   coordination::Revision coordinator_min_revision_ = 0;
   std::uint64_t last_version_ = 0;
--- a/tests/aggregation/region_world_store.cpp
+++ b/tests/aggregation/region_world_store.cpp
@@ -10,17 +10,18 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-policy::Seen RegionWorld::rollout_snapshot() {
-  return policy::read_seen("", store_.commit(policy::look("")));
+policy::RolloutSnapshot RegionWorld::rollout_snapshot() {
+  return policy::read_snapshot("", store_.commit(policy::snapshot_transaction("")));
 }
 
 void RegionWorld::record_versions_in_force() {
-  const policy::Seen snapshot = rollout_snapshot();
+  const policy::RolloutSnapshot snapshot = rollout_snapshot();
   ++commit_count_;
   for (const char* zone : kZoneNames) {
-    const auto own_version = snapshot.zones.find(zone);
+    const auto own_version = snapshot.zone_versions.find(zone);
     version_order_.on_version_in_force(
-        zone, own_version == snapshot.zones.end() ? snapshot.current : own_version->second, commit_count_);
+        zone, own_version == snapshot.zone_versions.end() ? snapshot.current_version : own_version->second,
+        commit_count_);
   }
 }
 
@@ -36,7 +37,7 @@
 void RegionWorld::publish_changes() {
   Changes changes;
   for (const coordination::Change& change : store_.changes()) {
-    if (change.entry.key.starts_with(policy::kRecords)) {
+    if (change.entry.key.starts_with(policy::kPolicyPrefix)) {
       changes.push_back(change);
     }
   }
--- a/tests/aggregation/rollout_states.h
+++ b/tests/aggregation/rollout_states.h
@@ -3,8 +3,8 @@
 
 #include <cstdint>
 
-#include "policy/change.h"
-#include "policy/holder.h"
+#include "policy/participant.h"
+#include "policy/rollout.h"
 
 namespace trailcourse::aggregation {
 
@@ -13,26 +13,27 @@
 constexpr std::uint64_t kRolloutId = 3;
 
 // Returns a rollout of all zones from the old version to the new one.
-inline policy::Change rollout_in(policy::ChangeState state, std::uint64_t id = kRolloutId) {
-  policy::Change out;
+inline policy::Rollout rollout_in(policy::RolloutState state, std::uint64_t id = kRolloutId) {
+  policy::Rollout out;
   out.id = id;
-  out.version = kNewVersion;
-  out.before = kOldVersion;
+  out.target_version = kNewVersion;
+  out.previous_version = kOldVersion;
   out.state = state;
   return out;
 }
 
-inline std::uint64_t step_in(policy::ChangeState state) { return policy::step_of(rollout_in(state)); }
+inline std::uint64_t step_in(policy::RolloutState state) { return policy::stage_id(rollout_in(state)); }
 
-inline bool is_committed(policy::ChangeState state) {
-  using policy::ChangeState;
-  return state == ChangeState::kCommitted || state == ChangeState::kWatched || state == ChangeState::kDone;
+inline bool is_committed(policy::RolloutState state) {
+  using policy::RolloutState;
+  return state == RolloutState::kCommitted || state == RolloutState::kWatching ||
+         state == RolloutState::kDone;
 }
 
 // Returns what is in the store while that rollout is in the state.
-inline policy::Known observed_in(policy::ChangeState state, std::uint64_t id = kRolloutId) {
-  policy::Known out;
-  out.change = rollout_in(state, id);
+inline policy::ObservedState observed_in(policy::RolloutState state, std::uint64_t id = kRolloutId) {
+  policy::ObservedState out;
+  out.rollout = rollout_in(state, id);
   out.version = is_committed(state) ? kNewVersion : kOldVersion;
   return out;
 }
