--- a/src/startup/endpoint_view.cpp
+++ b/src/startup/endpoint_view.cpp
@@ -9,7 +9,7 @@
 constexpr std::uint64_t kPurgeGroups = 256;  // of the protocol
 constexpr int kAgeLimitParts = 3;            // an age limit is renewed so often within its length
 
-bool same_attributes(const NodeEntry& left, const NodeEntry& right) {
+bool same_attributes(const Endpoint& left, const Endpoint& right) {
   return left.zone == right.zone && left.role == right.role && left.cell == right.cell &&
          left.state == right.state && left.weight == right.weight && left.started == right.started;
 }
@@ -38,9 +38,9 @@
 }
 
 // Replaces the list by a full one. Endpoints that are missing in it are withdrawn.
-void EndpointView::replace_listed(Micros now, const std::vector<NodeEntry>& entries) {
+void EndpointView::replace_listed(Micros now, const std::vector<Endpoint>& entries) {
   Entries replacement;
-  for (const NodeEntry& entry : entries) {
+  for (const Endpoint& entry : entries) {
     replacement[entry.address] = entry;
   }
   for (const auto& [address, entry] : listed_) {
@@ -51,11 +51,11 @@
   listed_ = std::move(replacement);
 }
 
-void EndpointView::on_list(Micros now, const ListReceived& list) {
+void EndpointView::on_list(Micros now, const EndpointListReceived& list) {
   if (list.kind == ListKind::kFull) {
     replace_listed(now, list.entries);
   }
-  for (const NodeEntry& entry : list.entries) {
+  for (const Endpoint& entry : list.entries) {
     if (entry.state == NodeState::kReady) {
       admission_.on_listed(now, entry.address, entry.started.count());
     } else {
@@ -73,8 +73,8 @@
 
 // Returns the entry as the module is to see it. An endpoint whose admission is pending is draining, so that
 // it gets no new request. An unknown start time is replaced by that of the list.
-NodeEntry EndpointView::visible(const NodeEntry& entry, const ServingPermissions& permissions) const {
-  NodeEntry out = entry;
+Endpoint EndpointView::visible(const Endpoint& entry, const ServingPermissions& permissions) const {
+  Endpoint out = entry;
   if (out.state == NodeState::kReady && !admission_.is_admitted(out.address)) {
     out.state = NodeState::kDraining;
   }
@@ -100,7 +100,7 @@
   Entries entries = visible_entries(permissions);
   const bool first = published_.empty() && !published_permissions_;
   const bool full = published_.empty() != entries.empty() || first;
-  ListReceived list;
+  EndpointListReceived list;
   list.kind = full ? ListKind::kFull : ListKind::kChanges;
   for (const auto& [address, entry] : entries) {
     const auto before = published_.find(address);
@@ -110,7 +110,7 @@
   }
   for (const auto& [address, entry] : published_) {
     if (!full && !entries.contains(address)) {
-      NodeEntry removed = entry;
+      Endpoint removed = entry;
       removed.state = NodeState::kGone;
       list.entries.push_back(std::move(removed));
     }
--- a/src/startup/endpoint_view.h
+++ b/src/startup/endpoint_view.h
@@ -40,7 +40,7 @@
   void reset(Micros now);
 
   // Records a list, or changes of it, as the service sent them.
-  void on_list(Micros now, const ListReceived& list);
+  void on_list(Micros now, const EndpointListReceived& list);
 
   // Appends to `events` what the module has to see before anything else that happens at `now`, in order.
   void step(Micros now, std::vector<Event>& events);
@@ -62,10 +62,10 @@
   int max_connections() const { return admission_.max_connections(); }
 
  private:
-  using Entries = std::map<std::string, NodeEntry>;  // by address
+  using Entries = std::map<std::string, Endpoint>;  // by address
 
-  void replace_listed(Micros now, const std::vector<NodeEntry>& entries);
-  NodeEntry visible(const NodeEntry& entry, const ServingPermissions& permissions) const;
+  void replace_listed(Micros now, const std::vector<Endpoint>& entries);
+  Endpoint visible(const Endpoint& entry, const ServingPermissions& permissions) const;
   Entries visible_entries(const ServingPermissions& permissions) const;
   void append_list(const ServingPermissions& permissions, std::vector<Event>& events);
   void append_age_limit(Micros now, Micros max_copy_age, std::vector<Event>& events);
--- a/src/tasks/policy_follower.cpp
+++ b/src/tasks/policy_follower.cpp
@@ -332,9 +332,9 @@
   for (std::size_t i = 0; i < names_.size(); ++i) {
     const ClassSettings& kind = profile_.settings.classes[i];
     policy::ClassPolicy& rule = out.classes[names_[i]];
-    rule.objective_ms = std::max<std::int64_t>(1, to_ms(kind.objective));
-    rule.give_up_ms = std::max(rule.objective_ms, to_ms(kind.give_up));
-    rule.priority_weight = kind.worth;
+    rule.objective_ms = std::max<std::int64_t>(1, to_ms(kind.latency_objective));
+    rule.give_up_ms = std::max(rule.objective_ms, to_ms(kind.give_up_after));
+    rule.priority_weight = kind.priority_weight;
     rule.fresh_ms = to_ms(kind.lifetime);
     rule.grace_ms = to_ms(kind.grace);
   }
@@ -364,15 +364,15 @@
                     ? policy::intersection(content_of(effective_policy.version),
                                            content_of(effective_policy.other_version))
                     : content_of(effective_policy.version);
-  ClassesSet more;
+  ClassesUpdated more;
   more.first = set.first;
   more.classes = profile_.settings.classes;
   for (std::size_t i = 0; i < classes; ++i) {
     const policy::ClassPolicy& rule = set.content.classes.at(names_[i]);
     ClassSettings& kind = more.classes[i];
-    kind.objective = milliseconds(rule.objective_ms);
-    kind.give_up = milliseconds(rule.give_up_ms);
-    kind.worth = rule.priority_weight;
+    kind.latency_objective = milliseconds(rule.objective_ms);
+    kind.give_up_after = milliseconds(rule.give_up_ms);
+    kind.priority_weight = rule.priority_weight;
     kind.lifetime = milliseconds(rule.fresh_ms);
     kind.grace = milliseconds(rule.grace_ms);
   }
--- a/tests/endpoint_view_test.cpp
+++ b/tests/endpoint_view_test.cpp
@@ -174,8 +174,8 @@
   EXPECT_EQ(safe.permissions(seconds(30)).max_copy_age, std::nullopt);
 }
 
-NodeEntry entry(const std::string& name, NodeState state = NodeState::kReady, Micros started = Micros(0)) {
-  NodeEntry out;
+Endpoint entry(const std::string& name, NodeState state = NodeState::kReady, Micros started = Micros(0)) {
+  Endpoint out;
   out.address = name;
   out.zone = "here";
   out.state = state;
@@ -185,12 +185,12 @@
 
 class EndpointViewTest : public testing::Test {
  protected:
-  std::vector<ListReceived> lists(EndpointView& view, Micros now) {
+  std::vector<EndpointListReceived> lists(EndpointView& view, Micros now) {
     events_.clear();
     view.step(now, events_);
-    std::vector<ListReceived> out;
+    std::vector<EndpointListReceived> out;
     for (const Event& event : events_) {
-      if (const auto* list = std::get_if<ListReceived>(&event)) {
+      if (const auto* list = std::get_if<EndpointListReceived>(&event)) {
         out.push_back(*list);
       }
     }
@@ -201,9 +201,9 @@
       return std::holds_alternative<Purged>(event);
     }));
   }
-  static std::map<std::string, NodeState> states(const ListReceived& list) {
+  static std::map<std::string, NodeState> states(const EndpointListReceived& list) {
     std::map<std::string, NodeState> out;
-    for (const NodeEntry& one : list.entries) {
+    for (const Endpoint& one : list.entries) {
       out[one.address] = one.state;
     }
     return out;
