--- a/benchmarks/scale/hollow_aggregator.cpp
+++ b/benchmarks/scale/hollow_aggregator.cpp
@@ -175,15 +175,15 @@
 }
 
 void HollowAggregator::execute(const aggregation::LeaseAction& action) {
-  switch (action.call.ask) {
-    case ownership::Ask::kAcquire:
+  switch (action.call.kind) {
+    case ownership::LeaseCallKind::kAcquire:
       acquire(action);
       return;
-    case ownership::Ask::kRenew:
-      renew(action.call.number);
+    case ownership::LeaseCallKind::kRenew:
+      renew(action.call.call_id);
       return;
-    case ownership::Ask::kRelease:
-      release(action.call.number);
+    case ownership::LeaseCallKind::kRelease:
+      release(action.call.call_id);
       return;
   }
 }
@@ -194,7 +194,7 @@
 }
 
 void HollowAggregator::acquire(const aggregation::LeaseAction& action) {
-  const auto no_response = [this, call_id = action.call.number] { on_no_response(call_id); };
+  const auto no_response = [this, call_id = action.call.call_id] { on_no_response(call_id); };
   ask_grant(
       settings_.lease.ttl,
       [this, action, no_response](const Reply& reply) {
@@ -238,13 +238,13 @@
 void HollowAggregator::join(const aggregation::LeaseAction& action, LeaseId lease) {
   lease_ = lease;
   const auto revoke_lease = [this, lease] { ask_revoke(lease, [](const Reply&) {}, [] {}); };
-  const auto no_response = [this, call_id = action.call.number, revoke_lease] {
+  const auto no_response = [this, call_id = action.call.call_id, revoke_lease] {
     on_no_response(call_id);
     revoke_lease();
   };
   ask_commit(
       aggregation::join_transaction("", name(), lease, action),
-      [this, call_id = action.call.number, no_response, revoke_lease](const Reply& reply) {
+      [this, call_id = action.call.call_id, no_response, revoke_lease](const Reply& reply) {
         if (!reply.done) {
           no_response();
           return;
--- a/src/aggregation/options.cpp
+++ b/src/aggregation/options.cpp
@@ -43,7 +43,7 @@
 }
 
 void check_times(const AggregatorOptions& options, std::int64_t router_ttl_ms) {
-  const Micros valid = ownership::surely_held(aggregator_settings(options).lease);
+  const Micros valid = ownership::guaranteed_duration(aggregator_settings(options).lease);
   const std::int64_t valid_ms = duration_cast<milliseconds>(valid).count();
   if (2 * options.renew_ms > valid_ms) {
     throw KeyError("aggregator.renew_ms", std::to_string(options.renew_ms) + " is over half of the " +
@@ -107,7 +107,7 @@
   settings.lease.drift = options.drift_percent / 100.0;
   settings.lease.margin = milliseconds(options.margin_ms);
   settings.lease.renew_after = milliseconds(options.renew_ms);
-  settings.lease.retry = milliseconds(options.retry_ms);
+  settings.lease.retry_backoff = milliseconds(options.retry_ms);
   settings.routers.max_routers = static_cast<std::size_t>(options.routers);
   return settings;
 }
--- a/src/program/policy_command.cpp
+++ b/src/program/policy_command.cpp
@@ -9,7 +9,7 @@
 #include <optional>
 #include <ostream>
 
-#include "ownership/work.h"
+#include "ownership/work_records.h"
 #include "policy/acknowledgement.h"
 #include "policy/document.h"
 #include "policy/rollout_snapshot.h"
@@ -197,7 +197,7 @@
   ownership::Work work;
   work.name = tasks::kPolicyWork;
   work.kind = tasks::kPolicyWork;
-  const std::string key = client.key(ownership::kWork + work.name);
+  const std::string key = client.key(ownership::kWorkPrefix + work.name);
   coordination::Transaction announce;
   announce.when = {coordination::absent(key)};
   announce.then = {coordination::Put{key, ownership::write_work(work), 0}};
--- a/tests/aggregation/region_world_aggregators.cpp
+++ b/tests/aggregation/region_world_aggregators.cpp
@@ -12,7 +12,7 @@
 using coordination::Put;
 using coordination::Range;
 using coordination::Transaction;
-using ownership::Ask;
+using ownership::LeaseCallKind;
 using std::chrono::milliseconds;
 
 namespace {
@@ -22,7 +22,7 @@
   out.lease.ttl = kAggregatorTtl;
   out.lease.margin = kLeaseMargin;
   out.lease.renew_after = milliseconds(500);
-  out.lease.retry = kRetryBackoff;
+  out.lease.retry_backoff = kRetryBackoff;
   return out;
 }
 
@@ -124,15 +124,15 @@
 }
 
 void RegionWorld::execute(AggregatorProcess& aggregator, const LeaseAction& action) {
-  switch (action.call.ask) {
-    case Ask::kAcquire:
+  switch (action.call.kind) {
+    case LeaseCallKind::kAcquire:
       acquire(aggregator, action);
       return;
-    case Ask::kRenew:
-      renew(aggregator, action.call.number);
+    case LeaseCallKind::kRenew:
+      renew(aggregator, action.call.call_id);
       return;
-    case Ask::kRelease:
-      release(aggregator, action.call.number);
+    case LeaseCallKind::kRelease:
+      release(aggregator, action.call.call_id);
       return;
   }
 }
@@ -150,7 +150,7 @@
         aggregator.lease = lease;
         join(aggregator, action);
       },
-      no_response_to(aggregator, action.call.number));
+      no_response_to(aggregator, action.call.call_id));
 }
 
 void RegionWorld::join(AggregatorProcess& aggregator, const LeaseAction& action) {
@@ -161,7 +161,7 @@
   }
   call_store<Outcome>(
       aggregator, [this, transaction] { return commit_at_store(transaction); },
-      [this, &aggregator, lease, call_id = action.call.number](const Outcome& outcome) {
+      [this, &aggregator, lease, call_id = action.call.call_id](const Outcome& outcome) {
         result_.joins += outcome.succeeded ? 1 : 0;
         aggregator.core->upstream().on_join_result(clock(aggregator), call_id, read_join_result(outcome));
         if (!outcome.succeeded) {
@@ -169,7 +169,7 @@
               aggregator, [this, lease] { return revoke_at_store(lease); }, [](const bool&) {}, [] {});
         }
       },
-      no_response_to(aggregator, action.call.number));
+      no_response_to(aggregator, action.call.call_id));
 }
 
 void RegionWorld::renew(AggregatorProcess& aggregator, std::uint64_t call_id) {
--- a/tests/aggregation/region_world_routers.cpp
+++ b/tests/aggregation/region_world_routers.cpp
@@ -13,7 +13,7 @@
 using coordination::Outcome;
 using coordination::Put;
 using coordination::Transaction;
-using ownership::Ask;
+using ownership::LeaseCallKind;
 using policy::EffectivePolicy;
 using policy::ObservedState;
 using policy::ParticipantReport;
@@ -30,7 +30,7 @@
   out.lease.ttl = kRouterTtl;
   out.lease.margin = kLeaseMargin;
   out.lease.renew_after = seconds(1);
-  out.lease.retry = kRetryBackoff;
+  out.lease.retry_backoff = kRetryBackoff;
   return out;
 }
 
@@ -228,11 +228,11 @@
 }
 
 void RegionWorld::execute(RouterProcess& router, const policy::LeaseAction& action) {
-  if (action.order.ask == Ask::kAcquire) {
+  if (action.order.kind == LeaseCallKind::kAcquire) {
     acquire(router, action);
     return;
   }
-  const std::uint64_t call_id = action.order.number;
+  const std::uint64_t call_id = action.order.call_id;
   call_aggregator<bool>(
       router,
       [this, endpoint = router.endpoint, lease = router.lease](Aggregator& core) {
@@ -258,7 +258,7 @@
         router.lease = lease;
         join(router, action);
       },
-      no_response_to(router, action.order.number));
+      no_response_to(router, action.order.call_id));
 }
 
 void RegionWorld::join(RouterProcess& router, const policy::LeaseAction& action) {
@@ -269,10 +269,10 @@
       [this, &router, write, endpoint = router.endpoint](Aggregator& core) {
         return commit_report(router, core, clock_of(endpoint), write);
       },
-      [this, &router, call_id = action.order.number](const Outcome& outcome) {
+      [this, &router, call_id = action.order.call_id](const Outcome& outcome) {
         router.participant->on_join_result(clock(router), call_id, outcome.succeeded);
       },
-      no_response_to(router, action.order.number));
+      no_response_to(router, action.order.call_id));
 }
 
 Transaction RegionWorld::report_transaction(const RouterProcess& router, ParticipantReport report,
--- a/tests/aggregation/router_leases_test.cpp
+++ b/tests/aggregation/router_leases_test.cpp
@@ -64,7 +64,7 @@
   now_ += milliseconds(600);
   const auto actions = aggregator_.step(now_);
   ASSERT_EQ(actions.size(), 1U);
-  const std::uint64_t call_id = std::get<LeaseAction>(actions.front()).call.number;
+  const std::uint64_t call_id = std::get<LeaseAction>(actions.front()).call.call_id;
   const Micros sent = now_;
   now_ += seconds(10);
   aggregator_.upstream().on_renew_result(now_, call_id, RenewResult::kRenewed);
--- a/tests/policy_world_test.cpp
+++ b/tests/policy_world_test.cpp
@@ -37,7 +37,7 @@
       : VirtualWorld(seed, testing_support::CallRules{}), defect_(defect) {
     options_.lease.ttl = seconds(2);
     options_.lease.renew_after = milliseconds(600);
-    options_.lease.retry = milliseconds(200);
+    options_.lease.retry_backoff = milliseconds(200);
     options_.lease.margin = milliseconds(20);
     timeouts_.prepare_timeout = seconds(6);
     timeouts_.suspend_timeout = seconds(8);
@@ -234,11 +234,11 @@
         });
   }
   void execute(int index, const LeaseAction& action) {
-    const std::uint64_t number = action.order.number;
+    const std::uint64_t number = action.order.call_id;
     const auto lost = [this, index, number] {
       of(index).participant->on_no_response(clock(of(index)), number);
     };
-    if (action.order.ask == ownership::Ask::kAcquire) {
+    if (action.order.kind == ownership::LeaseCallKind::kAcquire) {
       call_store<coordination::LeaseId>(
           index, [this] { return ledger_.grant(store_ms(), options_.lease.ttl.count() / 1'000, 0); },
           [this, index, action, number, lost](const coordination::LeaseId& lease) {
