--- a/benchmarks/scale/control_costs.cpp
+++ b/benchmarks/scale/control_costs.cpp
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "coordination/etcd_json.h"
-#include "coordination/ledger.h"
+#include "coordination/key_value_state.h"
 #include "membership/view.h"
 #include "ownership/lease_manager.h"
 #include "policy/change.h"
@@ -34,8 +34,8 @@
 }
 
 // A store in which all of so many routers are ready for a change.
-coordination::Ledger ledger_with_permits(int permits) {
-  coordination::Ledger ledger{coordination::Limits()};
+coordination::KeyValueState ledger_with_permits(int permits) {
+  coordination::KeyValueState ledger{coordination::KeyValueLimits()};
   const policy::Change change = open_change();
   coordination::Transaction write;
   write.then = {coordination::Put{std::string(kPrefix) + policy::kChangeKey, policy::write_change(change), 0},
@@ -67,21 +67,21 @@
       "store.cpu.look", "that read served: found, and written as JSON", "us", "permits", "in process", {}};
   CostSeries driver{
       "driver.cpu.look", "that read taken in, and the next step found", "us", "permits", "in process", {}};
-  const etcd::Header header{0xabcd'ef01'2345, 123'456'789};
+  const etcd::ResponseHeader header{0xabcd'ef01'2345, 123'456'789};
   for (const int permits : kPermits) {
-    coordination::Ledger ledger = ledger_with_permits(permits);
+    coordination::KeyValueState ledger = ledger_with_permits(permits);
     const coordination::Transaction look = policy::look(kPrefix);
     std::string answer;
     const int calls = std::max(1, 3'000 / permits);
     store.points.emplace_back(permits, cpu_us_per_call(calls, [&] {
-                                answer = etcd::write_outcome(header, look, ledger.commit(look)).dump();
+                                answer = etcd::write_transaction_result(header, look, ledger.commit(look)).dump();
                               }));
     bytes.points.emplace_back(permits, answer.size());
     policy::Driver decides(policy::driver_rules(policy::PolicyOptions()));
     driver.points.emplace_back(permits, cpu_us_per_call(calls, [&] {
-                                 etcd::Header told;
+                                 etcd::ResponseHeader told;
                                  const auto outcome =
-                                     etcd::read_outcome(etcd::parse_object(answer), look, told);
+                                     etcd::read_transaction_result(etcd::parse_object(answer), look, told);
                                  keep_result(decides.next(Micros(1), policy::read_seen(kPrefix, outcome)));
                                }));
   }
--- a/benchmarks/scale/hollow_aggregator.cpp
+++ b/benchmarks/scale/hollow_aggregator.cpp
@@ -15,7 +15,7 @@
 constexpr double kMostDrift = 0.00095;
 
 // The model has no stages, so no zone has a version of its own.
-policy::Known known_of(const coordination::Ledger& records) {
+policy::Known known_of(const coordination::KeyValueState& records) {
   const auto entry = [&records](const std::string& key) {
     const auto found = records.entries().find(key);
     return found == records.entries().end() ? coordination::Entry{} : found->second;
@@ -25,21 +25,21 @@
 
 }  // namespace
 
-SharedNews whole_news(const coordination::Ledger& records) {
+SharedNews whole_news(const coordination::KeyValueState& records) {
   auto out = std::make_shared<News>();
   out->known = known_of(records);
   out->whole = true;
   out->entries = records.get(coordination::Range{policy::kRecords, true});
-  const coordination::etcd::Header header{1, records.revision()};
-  out->bytes = answer_bytes(coordination::etcd::write_entries(header, out->entries));
+  const coordination::etcd::ResponseHeader header{1, records.revision()};
+  out->bytes = answer_bytes(coordination::etcd::write_range_response(header, out->entries));
   return out;
 }
 
-SharedNews changed_news(const coordination::Ledger& records, std::vector<coordination::Change> changes) {
+SharedNews changed_news(const coordination::KeyValueState& records, std::vector<coordination::KeyChange> changes) {
   auto out = std::make_shared<News>();
   out->known = known_of(records);
   out->changes = std::move(changes);
-  coordination::etcd::WatchLine line;
+  coordination::etcd::WatchResponse line;
   line.header = {1, records.revision()};
   line.changes = out->changes;
   out->bytes = line_bytes(line);
--- a/benchmarks/scale/hollow_client.cpp
+++ b/benchmarks/scale/hollow_client.cpp
@@ -59,14 +59,14 @@
       endpoints_(servers_.size(), kFirstRest, kLongestRest, simulation.random()) {}
 
 void StoreClient::begin_client() {
-  endpoints_ = coordination::Endpoints(servers_.size(), kFirstRest, kLongestRest, simulation().random());
+  endpoints_ = coordination::EndpointSelector(servers_.size(), kFirstRest, kLongestRest, simulation().random());
   ++watch_;
   watch_open_ = false;
   open_watch();
 }
 
 void StoreClient::ask(Asking asking) {
-  const auto endpoint = endpoints_.pick(clock());
+  const auto endpoint = endpoints_.select(clock());
   if (!endpoint) {
     simulation().events.after(
         Micros(0), [this, incarnation = incarnation(), lost = asking.lost] { deliver(incarnation, lost); });
@@ -78,7 +78,7 @@
   call.bytes_answered = asking.bytes_answered;
   call.work = [server, work = std::move(asking.work)] { return work(*server); };
   const auto failed = [this, endpoint, lost = asking.lost] {
-    endpoints_.failed(*endpoint, clock());
+    endpoints_.on_failure(*endpoint, clock());
     lost();
   };
   call.answered = [this, endpoint, failed, answered = std::move(asking.answered)](const Reply& reply) {
@@ -86,7 +86,7 @@
       failed();
       return;
     }
-    endpoints_.worked(*endpoint);
+    endpoints_.on_success(*endpoint);
     if (simulation().network.watch_follows_calls && watch_open_ && watched_ != *endpoint) {
       watch_ended();
     }
@@ -127,7 +127,7 @@
 
 void StoreClient::open_watch() {
   const std::uint64_t watch = ++watch_;
-  const auto endpoint = endpoints_.pick(clock());
+  const auto endpoint = endpoints_.select(clock());
   const auto again = [this, watch] {
     if (watch == watch_) {
       watch_ended();
--- a/benchmarks/scale/hollow_client.h
+++ b/benchmarks/scale/hollow_client.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "coordination/judgement.h"
+#include "coordination/endpoint_selector.h"
 #include "coordination/types.h"
 #include "policy/holder.h"
 #include "scale/hollow_node.h"
@@ -23,7 +23,7 @@
   policy::Known known;                        // for any zone: the model has no stages
   bool whole = false;                         // all entries, at the beginning or after a break
   std::vector<coordination::Entry> entries;   // of what is whole
-  std::vector<coordination::Change> changes;  // of what is not
+  std::vector<coordination::KeyChange> changes;  // of what is not
   std::size_t bytes = 0;
 };
 using SharedNews = std::shared_ptr<const News>;
@@ -109,7 +109,7 @@
   bool watch_reachable() const;
 
   std::vector<PermitServer*> servers_;
-  coordination::Endpoints endpoints_;
+  coordination::EndpointSelector endpoints_;
   std::uint64_t watch_ = 0;
   bool watch_open_ = false;
   std::size_t watched_ = 0;  // the server
--- a/benchmarks/scale/hollow_driver.cpp
+++ b/benchmarks/scale/hollow_driver.cpp
@@ -25,8 +25,8 @@
     return 0;
   }
   const coordination::Entry& any = permits.front();
-  const std::size_t one = answer_bytes(coordination::etcd::write_entries({}, {any}));
-  const std::size_t two = answer_bytes(coordination::etcd::write_entries({}, {any, any}));
+  const std::size_t one = answer_bytes(coordination::etcd::write_range_response({}, {any}));
+  const std::size_t two = answer_bytes(coordination::etcd::write_range_response({}, {any, any}));
   return one + (two - one) * (permits.size() - 1);
 }
 
@@ -62,7 +62,7 @@
   call.bytes_asked = transaction_bytes(looked_at);
   call.work = [this, looked_at] {
     const Reply out = store_.commit(looked_at);
-    const auto& permits = out.outcome.steps.back().found;
+    const auto& permits = out.outcome.results.back().found;
     const std::size_t bytes = bytes_of(permits);
     counted().bytes_in += bytes;
     store_.counted_answer(bytes);
@@ -105,7 +105,7 @@
   read(
       [this](const Reply& reply) {
         // What it read is parsed first.
-        const auto entries = static_cast<double>(reply.outcome.steps.back().found.size());
+        const auto entries = static_cast<double>(reply.outcome.results.back().found.size());
         simulation().events.after(micros(simulation().costs.entry_parsed * entries),
                                   [this, incarnation = incarnation(), reply] {
                                     deliver(incarnation, [this, reply] { looked(reply); });
@@ -165,7 +165,7 @@
   return key == policy::kChangeKey || (change_open_ && key.starts_with(policy::kPermits));
 }
 
-HollowStoreDriver::Decision HollowDriver::decide(Micros now, const coordination::Outcome& outcome) {
+HollowStoreDriver::Decision HollowDriver::decide(Micros now, const coordination::TransactionResult& outcome) {
   const policy::Seen seen = policy::read_seen("", outcome);
   change_open_ = seen.change && seen.change->open();
   Decision out;
@@ -224,7 +224,7 @@
 }
 
 HollowStoreDriver::Decision HollowAcknowledgementDriver::decide(Micros now,
-                                                                const coordination::Outcome& outcome) {
+                                                                const coordination::TransactionResult& outcome) {
   const policy::AcknowledgementsSeen seen = policy::read_acknowledgements_seen("", outcome);
   round_open_ = seen.record.round > 0 && seen.record.done != seen.record.asked;
   Decision out;
--- a/benchmarks/scale/hollow_driver.h
+++ b/benchmarks/scale/hollow_driver.h
@@ -31,7 +31,7 @@
   void turn() override {}
   // What is read at each look; permits come last.
   virtual coordination::Transaction looks_at() const = 0;
-  virtual Decision decide(Micros now, const coordination::Outcome& seen) = 0;
+  virtual Decision decide(Micros now, const coordination::TransactionResult& seen) = 0;
 
   void look_soon();
   void look();
@@ -67,7 +67,7 @@
  protected:
   void started() override;
   coordination::Transaction looks_at() const override { return policy::look(""); }
-  Decision decide(Micros now, const coordination::Outcome& seen) override;
+  Decision decide(Micros now, const coordination::TransactionResult& seen) override;
 
  private:
   policy::DriverRules rules_;
@@ -90,7 +90,7 @@
 
  protected:
   coordination::Transaction looks_at() const override { return policy::look_at_acknowledgements(""); }
-  Decision decide(Micros now, const coordination::Outcome& seen) override;
+  Decision decide(Micros now, const coordination::TransactionResult& seen) override;
 
  private:
   policy::AcknowledgementDriver driver_;
--- a/benchmarks/scale/hollow_node.h
+++ b/benchmarks/scale/hollow_node.h
@@ -92,7 +92,7 @@
   bool unavailable = false;  // not done, and another server may do it
   bool succeeded = false;    // of a transaction: its conditions held; of a renewal: there is such a lease
   coordination::LeaseId lease = 0;
-  coordination::Outcome outcome;
+  coordination::TransactionResult outcome;
   std::shared_ptr<const struct News> news;  // of a watch's beginning
   Micros spent{0};                          // processor time of the server
 };
--- a/benchmarks/scale/hollow_store.cpp
+++ b/benchmarks/scale/hollow_store.cpp
@@ -10,7 +10,7 @@
 
 namespace trailcourse::scale {
 
-using coordination::Change;
+using coordination::KeyChange;
 using coordination::LeaseId;
 using coordination::Transaction;
 
@@ -20,14 +20,14 @@
 constexpr Micros kExpiryLook{10'000};
 
 // The stand-in's own bounds are lower (10,000 leases); here only time and bytes are to bind.
-coordination::Limits wide_limits() {
-  coordination::Limits out;
+coordination::KeyValueLimits wide_limits() {
+  coordination::KeyValueLimits out;
   out.leases = 1'000'000;
   out.entries = 1'000'000;
   return out;
 }
 
-bool is_policy(const Change& change) { return change.entry.key.starts_with("policy/"); }
+bool is_policy(const KeyChange& change) { return change.entry.key.starts_with("policy/"); }
 
 }  // namespace
 
@@ -37,7 +37,7 @@
     : Node(simulation, "store", kNoRegion), ledger_(wide_limits()), watches_(simulation) {
   set_clock({kFastestClock, Micros(0)});
   ledger_.commit(Transaction{{}, {coordination::Put{policy::kCurrentKey, "0", 0}}, {}});
-  ledger_.changes();
+  ledger_.take_changes();
 }
 
 void HollowStore::started() {
@@ -65,10 +65,10 @@
 }
 
 Micros HollowStore::tell(Micros before) {
-  std::vector<Change> changes = ledger_.changes();
+  std::vector<KeyChange> changes = ledger_.take_changes();
   Micros spent{0};
   for (HollowStoreDriver* driver : drivers_) {
-    const bool concerned = std::any_of(changes.begin(), changes.end(), [driver](const Change& change) {
+    const bool concerned = std::any_of(changes.begin(), changes.end(), [driver](const KeyChange& change) {
       return driver->concerns(change.entry.key);
     });
     if (!concerned) {
@@ -81,7 +81,7 @@
                                 driver->deliver(incarnation, [driver] { driver->news(); });
                               });
   }
-  std::erase_if(changes, [](const Change& change) { return !is_policy(change); });
+  std::erase_if(changes, [](const KeyChange& change) { return !is_policy(change); });
   if (changes.empty()) {
     return spent;
   }
@@ -114,7 +114,7 @@
   out.spent = call_cost();
   try {
     ledger_.revoke(lease);
-  } catch (const coordination::Rejected&) {
+  } catch (const coordination::OperationRejected&) {
     // There is none: that is what was asked for.
   }
   out.done = true;
@@ -129,11 +129,11 @@
     out.outcome = ledger_.commit(transaction);
     out.succeeded = out.outcome.succeeded;
     out.done = true;
-  } catch (const coordination::Rejected&) {
+  } catch (const coordination::OperationRejected&) {
     return out;
   }
   std::size_t read = 0;
-  for (const coordination::StepResult& step : out.outcome.steps) {
+  for (const coordination::OperationResult& step : out.outcome.results) {
     read += step.found.size();
   }
   out.spent += micros(simulation().costs.entry_read * static_cast<double>(read));
@@ -156,9 +156,9 @@
 }
 
 policy::Seen HollowStore::seen() const {
-  coordination::Outcome outcome;
-  for (const coordination::Step& step : policy::look("").then) {
-    outcome.steps.push_back({ledger_.get(std::get<coordination::Get>(step).range), 0});
+  coordination::TransactionResult outcome;
+  for (const coordination::Operation& step : policy::look("").then) {
+    outcome.results.push_back({ledger_.get(std::get<coordination::Get>(step).range), 0});
   }
   return policy::read_seen("", outcome);
 }
--- a/benchmarks/scale/hollow_store.h
+++ b/benchmarks/scale/hollow_store.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "coordination/ledger.h"
+#include "coordination/key_value_state.h"
 #include "policy/change.h"
 #include "scale/hollow_client.h"
 
@@ -44,7 +44,7 @@
   Micros tell(Micros before);
   Micros call_cost() const;
 
-  coordination::Ledger ledger_;
+  coordination::KeyValueState ledger_;
   WatchList watches_;
   std::vector<HollowStoreDriver*> drivers_;
 };
--- a/benchmarks/scale/hollow_wire.cpp
+++ b/benchmarks/scale/hollow_wire.cpp
@@ -14,21 +14,21 @@
 constexpr std::string_view kHost = "10.0.0.1:2379";
 constexpr std::size_t kChunkFrame = 7;  // length in three digits, two ends of line
 constexpr coordination::LeaseId kLease = 1'234'567'890'123'456'789;
-constexpr etcd::Header kHeader{1'234'567'890'123'456'789, 1'234'567};
+constexpr etcd::ResponseHeader kHeader{1'234'567'890'123'456'789, 1'234'567};
 constexpr std::int64_t kTtlMs = 3'000;
 
 CallSizes measured_sizes() {
   CallSizes out;
-  out.grant = call_bytes(etcd::kGrantPath, etcd::write_grant({0, kTtlMs / 1'000, kTtlMs}));
-  out.granted = answer_bytes(etcd::write_granted(kHeader, {kLease, kTtlMs}));
-  out.renewal = call_bytes(etcd::kKeepAlivePath, etcd::write_lease(kLease));
-  out.renewed = answer_bytes({{"result", etcd::write_granted(kHeader, {kLease, kTtlMs})}});
+  out.grant = call_bytes(etcd::kGrantPath, etcd::write_lease_grant_request({0, kTtlMs / 1'000, kTtlMs}));
+  out.granted = answer_bytes(etcd::write_lease_grant_response(kHeader, {kLease, kTtlMs}));
+  out.renewal = call_bytes(etcd::kKeepAlivePath, etcd::write_lease_request(kLease));
+  out.renewed = answer_bytes({{"result", etcd::write_lease_grant_response(kHeader, {kLease, kTtlMs})}});
   const coordination::Transaction write{{}, {coordination::Put{"key", "value", kLease}}, {}};
-  out.written = answer_bytes(etcd::write_outcome(
-      kHeader, write, coordination::Outcome{true, kHeader.revision, {coordination::StepResult{}}}));
+  out.written = answer_bytes(etcd::write_transaction_result(
+      kHeader, write, coordination::TransactionResult{true, kHeader.revision, {coordination::OperationResult{}}}));
   out.watch = call_bytes(etcd::kWatchPath,
-                         etcd::write_watch({coordination::Range{"trailcourse/policy/", true}, 1'234'567}));
-  etcd::WatchLine line;
+                         etcd::write_watch_request({coordination::Range{"trailcourse/policy/", true}, 1'234'567}));
+  etcd::WatchResponse line;
   line.header = kHeader;
   out.heartbeat = line_bytes(line);
   line.created = true;
@@ -46,8 +46,8 @@
   return protocol::http::write_response(200, "OK", "", body.dump()).size();
 }
 
-std::size_t line_bytes(const etcd::WatchLine& line) {
-  return etcd::write_watch_line(line).dump().size() + kChunkFrame;
+std::size_t line_bytes(const etcd::WatchResponse& line) {
+  return etcd::write_watch_response(line).dump().size() + kChunkFrame;
 }
 
 std::size_t transaction_bytes(const coordination::Transaction& transaction) {
--- a/benchmarks/scale/hollow_wire.h
+++ b/benchmarks/scale/hollow_wire.h
@@ -11,7 +11,7 @@
 
 std::size_t call_bytes(std::string_view path, const nlohmann::json& body);
 std::size_t answer_bytes(const nlohmann::json& body);
-std::size_t line_bytes(const coordination::etcd::WatchLine& line);
+std::size_t line_bytes(const coordination::etcd::WatchResponse& line);
 std::size_t transaction_bytes(const coordination::Transaction& transaction);
 
 // Of calls whose size does not depend on what they are about but for some digits.
--- a/benchmarks/scale/store_costs.cpp
+++ b/benchmarks/scale/store_costs.cpp
@@ -7,8 +7,8 @@
 #include <vector>
 
 #include "coordination/etcd_json.h"
-#include "coordination/ledger_file.h"
-#include "coordination/registry.h"
+#include "coordination/key_value_database.h"
+#include "coordination/coordination_server.h"
 #include "fleet/ports.h"
 #include "http_peers.h"
 #include "policy/change.h"
@@ -19,8 +19,8 @@
 namespace {
 
 using coordination::LeaseId;
-using coordination::Ledger;
-using coordination::LedgerFile;
+using coordination::KeyValueState;
+using coordination::KeyValueDatabase;
 using coordination::Put;
 using coordination::Transaction;
 using std::chrono::milliseconds;
@@ -31,8 +31,8 @@
 constexpr const char* kPrefix = "trailcourse/";
 
 // As the registry's, but with room for every router of the fleet.
-coordination::Limits wide_limits() {
-  coordination::Limits limits;
+coordination::KeyValueLimits wide_limits() {
+  coordination::KeyValueLimits limits;
   limits.leases = 100'000;
   return limits;
 }
@@ -56,7 +56,7 @@
 }
 
 // Routers' leases, each with its permit.
-std::vector<LeaseId> fill(Ledger& ledger, int routers) {
+std::vector<LeaseId> fill(KeyValueState& ledger, int routers) {
   std::vector<LeaseId> out;
   for (int i = 0; i < routers; ++i) {
     out.push_back(ledger.grant(0, kTtlMs, 0));
@@ -77,19 +77,19 @@
                    {}};
   for (const int leases : {1'000, 3'000, 10'000, 19'000}) {
     lease.points.emplace_back(leases, bytes_held_by([&] {
-                                auto ledger = std::make_unique<Ledger>(wide_limits());
+                                auto ledger = std::make_unique<KeyValueState>(wide_limits());
                                 for (int i = 0; i < leases; ++i) {
                                   ledger->grant(0, kTtlMs, 0);
                                 }
                                 return ledger;
                               }));
     entry.points.emplace_back(leases, bytes_held_by([&] {
-                                auto ledger = std::make_unique<Ledger>(wide_limits());
+                                auto ledger = std::make_unique<KeyValueState>(wide_limits());
                                 const auto held = fill(*ledger, leases);
                                 for (int i = 0; i < 10'000; ++i) {
                                   ledger->commit(say_permit(0, held.front(), 2));
                                 }
-                                ledger->changes();
+                                ledger->take_changes();
                                 return ledger;
                               }));
   }
@@ -113,14 +113,14 @@
                     "in process",
                     {}};
   for (const int leases : kLeases) {
-    Ledger ledger(wide_limits());
+    KeyValueState ledger(wide_limits());
     const std::vector<LeaseId> held = fill(ledger, leases);
     std::size_t at = 0;
     const auto next = [&] { return at = (at + 7'919) % held.size(); };
     commit.points.emplace_back(leases, cpu_us_per_call(500, [&] {
                                  const std::size_t place = next();
                                  ledger.commit(say_permit(static_cast<int>(place), held[place], 2));
-                                 ledger.changes();
+                                 ledger.take_changes();
                                }));
     renew.points.emplace_back(leases, cpu_us_per_call(2'000, [&] { ledger.keep_alive(1, held[next()]); }));
     expire.points.emplace_back(leases, cpu_us_per_call(20, [&] { ledger.expire(1); }));
@@ -154,10 +154,10 @@
   const std::string folder = context.folder + "/ledger";
   for (const int leases : kLeases) {
     std::filesystem::remove_all(folder);
-    LedgerFile file(folder, wide_limits(), LedgerFile::Sharing::kAlone);
-    const std::int64_t now = LedgerFile::machine_ms();
+    KeyValueDatabase file(folder, wide_limits(), KeyValueDatabase::Sharing::kExclusive);
+    const std::int64_t now = KeyValueDatabase::boot_time_ms();
     std::vector<LeaseId> held;
-    file.use(now, true, [&](Ledger& ledger) { held = fill(ledger, leases); });
+    file.use(now, true, [&](KeyValueState& ledger) { held = fill(ledger, leases); });
     std::size_t at = 0;
     const auto next = [&] { return at = (at + 7'919) % held.size(); };
     constexpr int kCalls = 30;
@@ -168,7 +168,7 @@
           const double begun = wall_us();
           for (int i = 0; i < kCalls; ++i) {
             const std::size_t place = next();
-            file.use(now, true, [&](Ledger& ledger) {
+            file.use(now, true, [&](KeyValueState& ledger) {
               ledger.commit(say_permit(static_cast<int>(place), held[place], 2));
             });
           }
@@ -183,7 +183,7 @@
                                           [&] {
                                             const LeaseId id = held[next()];
                                             file.use(now, false,
-                                                     [&](Ledger& ledger) { ledger.keep_alive(now, id); });
+                                                     [&](KeyValueState& ledger) { ledger.keep_alive(now, id); });
                                           },
                                           3));
   }
@@ -219,24 +219,24 @@
                           "permits",
                           "in process",
                           {}};
-  const etcd::Header header{0xabcd'ef01'2345, 123'456'789};
+  const etcd::ResponseHeader header{0xabcd'ef01'2345, 123'456'789};
   const LeaseId lease = (123'456'789ULL << 20U) + 77;
-  const std::string ask_renewal = etcd::write_lease(lease).dump();
+  const std::string ask_renewal = etcd::write_lease_request(lease).dump();
   const std::string ask_permit = etcd::write_transaction(say_permit(17, lease, 4'321)).dump();
   std::size_t told_renewal = 0;
   std::size_t told_permit = 0;
   const auto serve_renewal = [&] {
-    const LeaseId id = etcd::read_lease(etcd::parse_object(ask_renewal));
-    const nlohmann::json answer{{"result", etcd::write_granted(header, {id, 3'000})}};
+    const LeaseId id = etcd::read_lease_request(etcd::parse_object(ask_renewal));
+    const nlohmann::json answer{{"result", etcd::write_lease_grant_response(header, {id, 3'000})}};
     told_renewal = answer.dump().size();
   };
   const auto serve_permit = [&] {
     const Transaction asked = etcd::read_transaction(etcd::parse_object(ask_permit));
-    coordination::Outcome outcome;
+    coordination::TransactionResult outcome;
     outcome.succeeded = true;
     outcome.revision = header.revision;
-    outcome.steps.resize(1);
-    told_permit = etcd::write_outcome(header, asked, outcome).dump().size();
+    outcome.results.resize(1);
+    told_permit = etcd::write_transaction_result(header, asked, outcome).dump().size();
   };
   for (const int count : {1, 10, 100}) {
     renewal.points.emplace_back(count, count * cpu_us_per_call(2'000, serve_renewal));
@@ -276,7 +276,7 @@
 
   transport::Scheduler scheduler_;
   fleet::PortBook ports_;
-  coordination::Registry registry_;
+  coordination::CoordinationServer registry_;
   transport::Address address_;
 };
 
@@ -315,7 +315,7 @@
     const double before = allocated_bytes();
     const coordination::Range records{std::string(kPrefix) + "policy/", true};
     ListeningPeers peers(served.address(), watches,
-                         call_of(served.address(), etcd::kWatchPath, etcd::write_watch({records, 0})));
+                         call_of(served.address(), etcd::kWatchPath, etcd::write_watch_request({records, 0})));
     served.run_until([&] { return peers.counts().answers >= static_cast<std::uint64_t>(watches); });
     memory.points.emplace_back(watches, allocated_bytes() - before);
     Transaction change;
@@ -331,7 +331,7 @@
         watches, served_us(served, call_of(at, etcd::kTxnPath, etcd::write_transaction(permit)), kCalls));
     // Of a lease that is gone: the same way through the store.
     renewal.points.emplace_back(
-        watches, served_us(served, call_of(at, etcd::kKeepAlivePath, etcd::write_lease(77)), 2 * kCalls));
+        watches, served_us(served, call_of(at, etcd::kKeepAlivePath, etcd::write_lease_request(77)), 2 * kCalls));
   }
   std::filesystem::remove_all(folder);
   for (const CostSeries& series : {memory, news, quiet, renewal}) {
--- a/src/aggregation/aggregator.cpp
+++ b/src/aggregation/aggregator.cpp
@@ -7,11 +7,11 @@
 
 namespace trailcourse::aggregation {
 
-using coordination::Change;
+using coordination::KeyChange;
 using coordination::Entry;
 using coordination::Get;
 using coordination::LeaseId;
-using coordination::Outcome;
+using coordination::TransactionResult;
 using coordination::Put;
 using coordination::Revision;
 using coordination::Transaction;
@@ -19,8 +19,8 @@
 
 namespace {
 
-coordination::Limits limits_of(const AggregatorRules& rules) {
-  coordination::Limits limits;
+coordination::KeyValueLimits limits_of(const AggregatorRules& rules) {
+  coordination::KeyValueLimits limits;
   limits.history = rules.history;
   return limits;
 }
@@ -53,9 +53,9 @@
   read_known();
 }
 
-void Aggregator::follow(const std::vector<Change>& changes) {
-  for (const Change& change : changes) {
-    records_.follow(change);
+void Aggregator::follow(const std::vector<KeyChange>& changes) {
+  for (const KeyChange& change : changes) {
+    records_.apply(change);
   }
   read_known();
 }
@@ -81,7 +81,7 @@
   } catch (const Refused& error) {
     ++counts_.refused.at(static_cast<std::size_t>(error.why()));
     throw;
-  } catch (const coordination::Rejected& error) {
+  } catch (const coordination::OperationRejected& error) {
     ++counts_.refused.at(static_cast<std::size_t>(Refused::Why::kMalformed));
     throw Refused(Refused::Why::kMalformed, error.what());
   }
@@ -123,7 +123,7 @@
   });
 }
 
-Outcome Aggregator::commit(Micros now, const Transaction& transaction) {
+TransactionResult Aggregator::commit(Micros now, const Transaction& transaction) {
   return counted([&] {
     leases_.expire(now);
     check_conditions(transaction);
@@ -143,7 +143,7 @@
   }
 }
 
-Outcome Aggregator::take_permit(Micros now, const Transaction& transaction) {
+TransactionResult Aggregator::take_permit(Micros now, const Transaction& transaction) {
   const bool one_put = transaction.then.size() == 1 && transaction.otherwise.empty() &&
                        std::holds_alternative<Put>(transaction.then.front());
   if (!one_put) {
@@ -156,11 +156,11 @@
   if (!uplink_.permitted(now)) {
     refuse(Refused::Why::kNoPermission, "the aggregator has no permission itself");
   }
-  Outcome out = records_.commit(Transaction{transaction.when, {}, {}});
+  TransactionResult out = records_.commit(Transaction{transaction.when, {}, {}});
   if (out.succeeded) {
     leases_.say(router, put.lease, permit);
     ++counts_.permits;
-    out.steps.emplace_back();
+    out.results.emplace_back();
   }
   return out;
 }
@@ -188,13 +188,13 @@
   return *permit;
 }
 
-Outcome Aggregator::read_records(const Transaction& transaction) {
+TransactionResult Aggregator::read_records(const Transaction& transaction) {
   const std::string stem = identity_.prefix + policy::kRecords;
   if (!mirrored_) {
     refuse(Refused::Why::kNoPermission, "the store's records are not here yet");
   }
-  for (const std::vector<coordination::Step>* steps : {&transaction.then, &transaction.otherwise}) {
-    for (const coordination::Step& step : *steps) {
+  for (const std::vector<coordination::Operation>* steps : {&transaction.then, &transaction.otherwise}) {
+    for (const coordination::Operation& step : *steps) {
       const Get* get = std::get_if<Get>(&step);
       if (get == nullptr || !get->range.key.starts_with(stem)) {
         refuse(Refused::Why::kNotServed, "an aggregator has the policy's records, and nothing else");
--- a/src/aggregation/aggregator.h
+++ b/src/aggregation/aggregator.h
@@ -17,7 +17,7 @@
 
 #include "aggregation/router_leases.h"
 #include "aggregation/uplink.h"
-#include "coordination/ledger.h"
+#include "coordination/key_value_state.h"
 
 namespace trailcourse::aggregation {
 
@@ -54,7 +54,7 @@
   // ---- From the store above ----
   // All records of the policy, at the start and whenever changes between were missed.
   void mirror(const std::vector<coordination::Entry>& entries);
-  void follow(const std::vector<coordination::Change>& changes);
+  void follow(const std::vector<coordination::KeyChange>& changes);
   // Whether the store is heard; where it is not, its own permission is not renewed.
   void heard(bool heard) { heard_ = heard; }
 
@@ -63,9 +63,9 @@
   Micros keep_alive(Micros now, coordination::LeaseId id);
   void revoke(Micros now, coordination::LeaseId id);
   // A permit under its lease, or a reading of the policy's records; nothing else.
-  coordination::Outcome commit(Micros now, const coordination::Transaction& transaction);
+  coordination::TransactionResult commit(Micros now, const coordination::Transaction& transaction);
   // The policy's records, for watches; empty before the first mirror().
-  const coordination::Ledger& records() const { return records_; }
+  const coordination::KeyValueState& records() const { return records_; }
   bool mirrored() const { return mirrored_; }
 
   // ---- Upward ----
@@ -85,8 +85,8 @@
 
  private:
   void check_conditions(const coordination::Transaction& transaction) const;
-  coordination::Outcome take_permit(Micros now, const coordination::Transaction& transaction);
-  coordination::Outcome read_records(const coordination::Transaction& transaction);
+  coordination::TransactionResult take_permit(Micros now, const coordination::Transaction& transaction);
+  coordination::TransactionResult read_records(const coordination::Transaction& transaction);
   policy::Permit checked_permit(const coordination::Put& put, std::string& router) const;
   Micros covered_until(Micros now) const;
   bool knows_record() const;
@@ -96,7 +96,7 @@
 
   AggregatorRules rules_;
   AggregatorIdentity identity_;
-  coordination::Ledger records_;
+  coordination::KeyValueState records_;
   std::map<std::string, policy::Known> known_;  // by zone
   RouterLeases leases_;
   Uplink uplink_;
--- a/src/aggregation/service.cpp
+++ b/src/aggregation/service.cpp
@@ -11,8 +11,8 @@
 namespace trailcourse::aggregation {
 
 using coordination::LeaseId;
-using coordination::Outcome;
-using coordination::Reply;
+using coordination::TransactionResult;
+using coordination::StoreResponse;
 using nlohmann::json;
 using std::chrono::milliseconds;
 using transport::Clock;
@@ -36,22 +36,22 @@
 }
 
 // As the driver below understands it: what another aggregator may do is unavailable here.
-coordination::EtcdService::Answer refusal(const Refused& error) {
+coordination::EtcdService::Response refusal(const Refused& error) {
   const std::string text = std::string("etcdserver: ") + error.what();
   switch (error.why()) {
     case Refused::Why::kNoPermission:
     case Refused::Why::kFull:
-      return {503, etcd::write_error(etcd::Code::kUnavailable, text)};
+      return {503, etcd::write_error(etcd::ErrorCode::kUnavailable, text)};
     case Refused::Why::kUnknownLease:
-      return {404, etcd::write_error(etcd::Code::kNotFound, text)};
+      return {404, etcd::write_error(etcd::ErrorCode::kNotFound, text)};
     default:
-      return {400, etcd::write_error(etcd::Code::kInvalidArgument, text)};
+      return {400, etcd::write_error(etcd::ErrorCode::kInvalidArgument, text)};
   }
 }
 
 }  // namespace
 
-Service::Service(transport::Scheduler& scheduler, coordination::SharedStore& store,
+Service::Service(transport::Scheduler& scheduler, coordination::CoordinationStore& store,
                  const AggregatorOptions& options, const std::string& prefix, std::uint64_t seed)
     : scheduler_(scheduler),
       store_(store),
@@ -85,30 +85,30 @@
 
 // ---- From the store above ----
 
-void Service::current(coordination::Revision, const std::vector<coordination::Entry>& entries) {
+void Service::on_snapshot(coordination::Revision, const std::vector<coordination::Entry>& entries) {
   core_.mirror(entries);
   records_changed();
 }
 
-void Service::changed(coordination::Revision, const std::vector<coordination::Change>& changes) {
+void Service::on_changes(coordination::Revision, const std::vector<coordination::KeyChange>& changes) {
   core_.follow(changes);
   records_changed();
 }
 
 void Service::records_changed() {
-  server_.tell(core_.records(), header());
-  heard();
+  server_.publish(core_.records(), header());
+  on_heartbeat();
   turn_soon();
 }
 
-void Service::silent(const std::string& why) {
+void Service::on_disconnected(const std::string& why) {
   core_.heard(false);
   if (std::exchange(heard_, false)) {
     log_line(Level::kWarning) << "the store is not heard: " << why;
   }
 }
 
-void Service::heard() {
+void Service::on_heartbeat() {
   core_.heard(true);
   if (!std::exchange(heard_, true)) {
     log_line(Level::kInfo) << "the store " << store_.id() << " is heard";
@@ -143,7 +143,7 @@
       if (!*alive) {
         return;
       }
-      if (reply.done()) {
+      if (reply.ok()) {
         core_.uplink().renewed(now(), number, reply.value.ttl > Micros(0));
       } else {
         core_.uplink().lost(now(), number);
@@ -155,7 +155,7 @@
       if (!*alive) {
         return;
       }
-      if (reply.done()) {
+      if (reply.ok()) {
         core_.uplink().released(now(), number);
       } else {
         core_.uplink().lost(now(), number);
@@ -170,7 +170,7 @@
     if (!*alive) {
       return;
     }
-    if (reply.done()) {
+    if (reply.ok()) {
       join(ask, reply.value.id);
     } else {
       core_.uplink().lost(now(), ask.order.number);
@@ -184,12 +184,12 @@
 void Service::join(const AskPermission& ask, LeaseId lease) {
   lease_ = lease;
   store_.commit(join_transaction(prefix_, options_.name, lease, ask),
-                [this, alive = alive_, number = ask.order.number, lease](const Reply<Outcome>& reply) {
+                [this, alive = alive_, number = ask.order.number, lease](const StoreResponse<TransactionResult>& reply) {
                   if (!*alive) {
                     return;
                   }
-                  const bool joined = reply.done() && reply.value.succeeded;
-                  if (reply.done()) {
+                  const bool joined = reply.ok() && reply.value.succeeded;
+                  if (reply.ok()) {
                     core_.uplink().joined(now(), number, read_joined(reply.value));
                   } else {
                     core_.uplink().lost(now(), number);
@@ -205,11 +205,11 @@
 
 void Service::carry_out(const SaySummaries& say) {
   store_.commit(say_transaction(prefix_, options_.name, lease_, say),
-                [this, alive = alive_, say](const Reply<Outcome>& reply) {
+                [this, alive = alive_, say](const StoreResponse<TransactionResult>& reply) {
                   if (!*alive) {
                     return;
                   }
-                  const SaidReply said = reply.done() ? read_said(reply.value, say) : SaidReply{};
+                  const SaidReply said = reply.ok() ? read_said(reply.value, say) : SaidReply{};
                   core_.uplink().said(now(), say.number, said);
                   turn_soon();
                 });
@@ -217,14 +217,14 @@
 
 // ---- From routers ----
 
-etcd::Header Service::header() const { return {store_.id(), core_.records().revision()}; }
+etcd::ResponseHeader Service::header() const { return {store_.id(), core_.records().revision()}; }
 
-Service::Answer Service::answer(const std::string& path, const json& body) {
+Service::Response Service::handle(const std::string& path, const json& body) {
   if (store_.id() == 0) {
-    throw coordination::Unavailable("the store above was not heard yet");
+    throw coordination::ServiceUnavailable("the store above was not heard yet");
   }
   try {
-    return Answer{200, carry_out(path, body)};
+    return Response{200, carry_out(path, body)};
   } catch (const Refused& error) {
     return refusal(error);
   }
@@ -233,20 +233,20 @@
 json Service::carry_out(const std::string& path, const json& body) {
   if (path == etcd::kTxnPath) {
     const coordination::Transaction asked = etcd::read_transaction(body);
-    const Outcome outcome = core_.commit(now(), asked);
+    const TransactionResult outcome = core_.commit(now(), asked);
     turn_soon();
-    return etcd::write_outcome(header(), asked, outcome);
+    return etcd::write_transaction_result(header(), asked, outcome);
   }
   if (path == etcd::kGrantPath) {
     return grant(body);
   }
   if (path == etcd::kKeepAlivePath) {
-    const LeaseId id = etcd::read_lease(body);
+    const LeaseId id = etcd::read_lease_request(body);
     const auto left = std::chrono::duration_cast<milliseconds>(core_.keep_alive(now(), id));
-    return {{"result", etcd::write_granted(header(), {id, left.count()})}};
+    return {{"result", etcd::write_lease_grant_response(header(), {id, left.count()})}};
   }
   if (path == etcd::kRevokePath) {
-    core_.revoke(now(), etcd::read_lease(body));
+    core_.revoke(now(), etcd::read_lease_request(body));
     turn_soon();
     return {{"header", etcd::write_header(header())}};
   }
@@ -254,29 +254,29 @@
 }
 
 json Service::grant(const json& body) {
-  const etcd::GrantCall call = etcd::read_grant(body);
+  const etcd::LeaseGrantRequest call = etcd::read_lease_grant_request(body);
   if (call.id != 0) {
     throw Refused(Refused::Why::kNotServed, "an aggregator numbers leases itself");
   }
   const milliseconds ttl(call.ttl_ms > 0 ? call.ttl_ms : call.ttl_s * 1'000);
   const LeaseId id = core_.grant(now(), ttl);
   longest_ttl_ = std::max<Micros>(longest_ttl_, ttl);
-  return etcd::write_granted(header(), {id, ttl.count()});
+  return etcd::write_lease_grant_response(header(), {id, ttl.count()});
 }
 
-void Service::read(const Look& look) {
+void Service::read_state(const StateReader& reader) {
   if (!core_.mirrored() || store_.id() == 0) {
-    throw coordination::Unavailable("the store's records are not here yet");
+    throw coordination::ServiceUnavailable("the store's records are not here yet");
   }
-  look(core_.records(), header());
+  reader(core_.records(), header());
 }
 
-std::optional<Service::Answer> Service::page(const std::string& path) {
+std::optional<Service::Response> Service::handle_get(const std::string& path) {
   if (path != kHealthPage) {
     return std::nullopt;
   }
   const bool permitted = core_.uplink().permitted(now());
-  return Answer{permitted ? 200 : 503, json{{"name", options_.name},
+  return Response{permitted ? 200 : 503, json{{"name", options_.name},
                                             {"permission", permitted},
                                             {"store", heard_ ? "heard" : "silent"},
                                             {"routers", core_.routers()},
--- a/src/aggregation/service.h
+++ b/src/aggregation/service.h
@@ -11,17 +11,17 @@
 #include "aggregation/aggregator.h"
 #include "aggregation/options.h"
 #include "coordination/etcd_server.h"
-#include "coordination/shared_store.h"
+#include "coordination/coordination_store.h"
 #include "transport/alarm.h"
 #include "transport/deferred.h"
 
 namespace trailcourse::aggregation {
 
-class Service : public coordination::EtcdService, public coordination::Watcher {
+class Service : public coordination::EtcdService, public coordination::WatchObserver {
  public:
   // `options` must have been checked. `prefix`: of all keys in the store. `seed`: differs from start to
   // start. The store outlives it.
-  Service(transport::Scheduler& scheduler, coordination::SharedStore& store, const AggregatorOptions& options,
+  Service(transport::Scheduler& scheduler, coordination::CoordinationStore& store, const AggregatorOptions& options,
           const std::string& prefix, std::uint64_t seed);
   ~Service() override;
 
@@ -37,20 +37,20 @@
   const Aggregator& core() const { return core_; }
 
   // ---- From routers ----
-  Answer answer(const std::string& path, const nlohmann::json& body) override;
-  void read(const Look& look) override;
+  Response handle(const std::string& path, const nlohmann::json& body) override;
+  void read_state(const StateReader& reader) override;
   // /healthz: 200 while routers may be given permission.
-  std::optional<Answer> page(const std::string& path) override;
+  std::optional<Response> handle_get(const std::string& path) override;
 
   // ---- From the store above ----
-  void current(coordination::Revision revision, const std::vector<coordination::Entry>& entries) override;
-  void changed(coordination::Revision revision, const std::vector<coordination::Change>& changes) override;
-  void silent(const std::string& why) override;
-  void heard() override;
+  void on_snapshot(coordination::Revision revision, const std::vector<coordination::Entry>& entries) override;
+  void on_changes(coordination::Revision revision, const std::vector<coordination::KeyChange>& changes) override;
+  void on_disconnected(const std::string& why) override;
+  void on_heartbeat() override;
 
  private:
   static Micros now();
-  coordination::etcd::Header header() const;
+  coordination::etcd::ResponseHeader header() const;
   nlohmann::json carry_out(const std::string& path, const nlohmann::json& body);
   nlohmann::json grant(const nlohmann::json& body);
 
@@ -63,14 +63,14 @@
   void join(const AskPermission& ask, coordination::LeaseId lease);
 
   transport::Scheduler& scheduler_;
-  coordination::SharedStore& store_;
+  coordination::CoordinationStore& store_;
   AggregatorOptions options_;
   std::string prefix_;
   Aggregator core_;
   coordination::EtcdServer server_;
   transport::Alarm timer_;
   transport::Deferred next_turn_;
-  coordination::SharedStore::WatchId watch_ = 0;
+  coordination::CoordinationStore::WatchId watch_ = 0;
   coordination::LeaseId lease_ = 0;  // of its own permission
   Micros longest_ttl_{0};
   bool heard_ = false;
--- a/src/aggregation/uplink.cpp
+++ b/src/aggregation/uplink.cpp
@@ -235,12 +235,12 @@
   return out;
 }
 
-JoinReply read_joined(const coordination::Outcome& outcome) {
+JoinReply read_joined(const coordination::TransactionResult& outcome) {
   JoinReply out;
   out.joined = outcome.succeeded;
   out.modified = outcome.revision;
-  if (outcome.succeeded && !outcome.steps.empty()) {
-    const auto& found = outcome.steps.back().found;
+  if (outcome.succeeded && !outcome.results.empty()) {
+    const auto& found = outcome.results.back().found;
     out.acknowledged = found.empty() ? 0 : found.front().modified;
   }
   return out;
@@ -258,13 +258,13 @@
   return out;
 }
 
-SaidReply read_said(const coordination::Outcome& outcome, const SaySummaries& say) {
+SaidReply read_said(const coordination::TransactionResult& outcome, const SaySummaries& say) {
   SaidReply out;
   out.result = outcome.succeeded ? SaidReply::Result::kWritten : SaidReply::Result::kElsewise;
   for (std::size_t i = 0; i < say.summaries.size(); ++i) {
     Revision modified = outcome.revision;
     if (!outcome.succeeded) {
-      const auto& found = outcome.steps.at(i).found;
+      const auto& found = outcome.results.at(i).found;
       modified = found.empty() ? 0 : found.front().modified;
     }
     out.modified[say.summaries[i].zone] = modified;
--- a/src/aggregation/uplink.h
+++ b/src/aggregation/uplink.h
@@ -126,7 +126,7 @@
 coordination::Transaction say_transaction(const std::string& prefix, const std::string& name,
                                           coordination::LeaseId lease, const SaySummaries& say);
 // Of their outcomes.
-JoinReply read_joined(const coordination::Outcome& outcome);
-SaidReply read_said(const coordination::Outcome& outcome, const SaySummaries& say);
+JoinReply read_joined(const coordination::TransactionResult& outcome);
+SaidReply read_said(const coordination::TransactionResult& outcome, const SaySummaries& say);
 
 }  // namespace trailcourse::aggregation
--- a/src/coordination/coordination_server.h
+++ b/src/coordination/coordination_server.h
@@ -10,16 +10,16 @@
 #include <string>
 
 #include "coordination/etcd_server.h"
-#include "coordination/ledger_file.h"
+#include "coordination/key_value_database.h"
 #include "coordination/options.h"
 #include "transport/alarm.h"
 
 namespace trailcourse::coordination {
 
-class Registry : public EtcdService {
+class CoordinationServer : public EtcdService {
  public:
   // Throws std::runtime_error where the folder cannot be used.
-  Registry(transport::Scheduler& scheduler, const RegistryOptions& options);
+  CoordinationServer(transport::Scheduler& scheduler, const RegistryOptions& options);
 
   // Throws std::system_error.
   void listen(const transport::Address& address);
@@ -27,17 +27,17 @@
   // One line of figures.
   std::string report();
 
-  Answer answer(const std::string& path, const nlohmann::json& body) override;
-  void read(const Look& look) override;
+  Response handle(const std::string& path, const nlohmann::json& body) override;
+  void read_state(const StateReader& reader) override;
 
  private:
-  Answer carry_out(Ledger& ledger, const std::string& path, const nlohmann::json& body);
-  etcd::Header header(const Ledger& ledger) const { return {file_.id(), ledger.revision()}; }
+  Response carry_out(KeyValueState& ledger, const std::string& path, const nlohmann::json& body);
+  etcd::ResponseHeader header(const KeyValueState& ledger) const { return {file_.id(), ledger.revision()}; }
   // Changes to those that watch; then when the next lease ends.
   void tell();
   void end_leases();
 
-  LedgerFile file_;
+  KeyValueDatabase file_;
   EtcdServer server_;
   transport::Alarm timer_;
   std::uint64_t rejected_ = 0, renewals_ = 0, writes_ = 0;
--- a/src/coordination/coordination_store.h
+++ b/src/coordination/coordination_store.h
@@ -17,7 +17,7 @@
 
 namespace trailcourse::coordination {
 
-enum class Result {
+enum class CallStatus {
   kDone,      // and this is the answer
   kRejected,  // the store understood, and did nothing
   kNotDone,   // it never reached the store
@@ -25,35 +25,35 @@
 };
 
 template <typename Value>
-struct Reply {
-  Result result = Result::kUnknown;
+struct StoreResponse {
+  CallStatus status = CallStatus::kUnknown;
   Value value{};
-  std::string why;  // of what is not done, one line
+  std::string error;  // of what is not done, one line
 
-  bool done() const { return result == Result::kDone; }
+  bool ok() const { return status == CallStatus::kOk; }
 };
 
 struct GrantedLease {
   LeaseId id = 0;
   Micros ttl{0};  // 0: there is no such lease
 };
-struct Nothing {};
+struct Empty {};
 
 // What a watch tells, in the order of revisions; nothing is left out between two calls.
-class Watcher {
+class WatchObserver {
  public:
-  Watcher() = default;
-  Watcher(const Watcher&) = delete;
-  Watcher& operator=(const Watcher&) = delete;
-  virtual ~Watcher() = default;
+  WatchObserver() = default;
+  WatchObserver(const WatchObserver&) = delete;
+  WatchObserver& operator=(const WatchObserver&) = delete;
+  virtual ~WatchObserver() = default;
 
   // All that there is, at its start and whenever the changes between are not to be had any more.
-  virtual void current(Revision revision, const std::vector<Entry>& entries) = 0;
-  virtual void changed(Revision revision, const std::vector<Change>& changes) = 0;
+  virtual void on_snapshot(Revision revision, const std::vector<Entry>& entries) = 0;
+  virtual void on_changes(Revision revision, const std::vector<KeyChange>& changes) = 0;
   // Nothing is heard any more; what was told may be old. `current` or `changed` ends that.
-  virtual void silent(const std::string& why) = 0;
+  virtual void on_disconnected(const std::string& why) = 0;
   // The store is heard, also where nothing has changed.
-  virtual void heard() {}
+  virtual void on_heartbeat() {}
 };
 
 // What a store did so far.
@@ -61,26 +61,26 @@
   std::uint64_t calls = 0, failed = 0, unknown = 0, watches_opened = 0, changes = 0;
 };
 
-class SharedStore {
+class CoordinationStore {
  public:
   template <typename Value>
-  using Then = std::function<void(const Reply<Value>&)>;
+  using Then = std::function<void(const StoreResponse<Value>&)>;
   using WatchId = std::uint64_t;
 
-  SharedStore() = default;
-  SharedStore(const SharedStore&) = delete;
-  SharedStore& operator=(const SharedStore&) = delete;
-  virtual ~SharedStore() = default;
+  CoordinationStore() = default;
+  CoordinationStore(const CoordinationStore&) = delete;
+  CoordinationStore& operator=(const CoordinationStore&) = delete;
+  virtual ~CoordinationStore() = default;
 
   virtual void grant(Micros ttl, Then<GrantedLease> then) = 0;
   // A lease that is gone is told with 0 of time left, and is no failure.
   virtual void keep_alive(LeaseId lease, Then<GrantedLease> then) = 0;
   // Also done where there is none.
-  virtual void revoke(LeaseId lease, Then<Nothing> then) = 0;
-  virtual void commit(Transaction transaction, Then<Outcome> then) = 0;
+  virtual void revoke(LeaseId lease, Then<Empty> then) = 0;
+  virtual void commit(Transaction transaction, Then<TransactionResult> then) = 0;
 
   // The watcher outlives the watch.
-  virtual WatchId watch(const Range& range, Watcher& watcher) = 0;
+  virtual WatchId watch(const Range& range, WatchObserver& watcher) = 0;
   virtual void unwatch(WatchId watch) = 0;
 
   // The number of the store, once it was heard; 0 before.
--- a/src/coordination/embedded_store.cpp
+++ b/src/coordination/embedded_store.cpp
@@ -17,9 +17,9 @@
 EmbeddedStore::~EmbeddedStore() { state_->ended = true; }
 
 template <typename Value>
-void EmbeddedStore::call(bool durable, std::function<Value(Ledger&)> use, Then<Value> then) {
+void EmbeddedStore::call(bool durable, std::function<Value(KeyValueState&)> use, Then<Value> then) {
   ++state_->counts.calls;
-  const auto reply = std::make_shared<Reply<Value>>();
+  const auto reply = std::make_shared<StoreResponse<Value>>();
   const auto id = std::make_shared<std::uint64_t>(0);
   pool_.run(
       store::Executor::Lane::kWrite,
@@ -27,17 +27,17 @@
         try {
           if (!state->file) {
             state->file =
-                std::make_unique<LedgerFile>(state->options.folder, Limits{}, LedgerFile::Sharing::kShared);
+                std::make_unique<KeyValueDatabase>(state->options.folder, KeyValueLimits{}, KeyValueDatabase::Sharing::kShared);
           }
           *id = state->file->id();
-          state->file->use(LedgerFile::machine_ms(), durable,
-                           [&](Ledger& ledger) { reply->value = use(ledger); });
-          reply->result = Result::kDone;
-        } catch (const Rejected& error) {
-          reply->result = Result::kRejected;
-          reply->why = error.what();
+          state->file->use(KeyValueDatabase::boot_time_ms(), durable,
+                           [&](KeyValueState& ledger) { reply->value = use(ledger); });
+          reply->status = CallStatus::kOk;
+        } catch (const OperationRejected& error) {
+          reply->status = CallStatus::kRejected;
+          reply->error = error.what();
         } catch (const std::exception& error) {
-          reply->why = error.what();  // a commit that failed may stand on the disk all the same
+          reply->error = error.what();  // a commit that failed may stand on the disk all the same
         }
       },
       [state = state_, then = std::move(then), reply, id] {
@@ -46,12 +46,12 @@
         }
         const std::uint64_t expected = std::strtoull(state->options.store_id.c_str(), nullptr, 10);
         if (expected != 0 && *id != 0 && *id != expected) {
-          reply->result = Result::kUnknown;
-          reply->why = "another store stands in the folder: " + std::to_string(*id);
+          reply->status = CallStatus::kUnknown;
+          reply->error = "another store stands in the folder: " + std::to_string(*id);
         }
         state->id = *id != 0 ? *id : state->id;
-        state->counts.failed += reply->done() ? 0 : 1;
-        state->counts.unknown += reply->result == Result::kUnknown ? 1 : 0;
+        state->counts.failed += reply->ok() ? 0 : 1;
+        state->counts.unknown += reply->status == CallStatus::kUnknown ? 1 : 0;
         then(*reply);
       });
 }
@@ -59,9 +59,9 @@
 void EmbeddedStore::grant(Micros ttl, Then<GrantedLease> then) {
   call<GrantedLease>(
       false,
-      [ttl](Ledger& ledger) {
+      [ttl](KeyValueState& ledger) {
         const std::int64_t ms = std::chrono::duration_cast<milliseconds>(ttl).count();
-        return GrantedLease{ledger.grant(LedgerFile::machine_ms(), ms, 0), ttl};
+        return GrantedLease{ledger.grant(KeyValueDatabase::boot_time_ms(), ms, 0), ttl};
       },
       std::move(then));
 }
@@ -69,32 +69,32 @@
 void EmbeddedStore::keep_alive(LeaseId lease, Then<GrantedLease> then) {
   call<GrantedLease>(
       false,
-      [lease](Ledger& ledger) {
-        return GrantedLease{lease, milliseconds(ledger.keep_alive(LedgerFile::machine_ms(), lease))};
+      [lease](KeyValueState& ledger) {
+        return GrantedLease{lease, milliseconds(ledger.keep_alive(KeyValueDatabase::boot_time_ms(), lease))};
       },
       std::move(then));
 }
 
-void EmbeddedStore::revoke(LeaseId lease, Then<Nothing> then) {
-  call<Nothing>(
+void EmbeddedStore::revoke(LeaseId lease, Then<Empty> then) {
+  call<Empty>(
       true,
-      [lease](Ledger& ledger) {
+      [lease](KeyValueState& ledger) {
         ledger.revoke(lease);
-        return Nothing{};
+        return Empty{};
       },
-      [then = std::move(then)](Reply<Nothing> reply) {
-        reply.result = reply.result == Result::kRejected ? Result::kDone : reply.result;
+      [then = std::move(then)](StoreResponse<Empty> reply) {
+        reply.status = reply.status == CallStatus::kRejected ? CallStatus::kOk : reply.status;
         then(reply);
       });
 }
 
-void EmbeddedStore::commit(Transaction transaction, Then<Outcome> then) {
-  call<Outcome>(
-      true, [transaction = std::move(transaction)](Ledger& ledger) { return ledger.commit(transaction); },
+void EmbeddedStore::commit(Transaction transaction, Then<TransactionResult> then) {
+  call<TransactionResult>(
+      true, [transaction = std::move(transaction)](KeyValueState& ledger) { return ledger.commit(transaction); },
       std::move(then));
 }
 
-SharedStore::WatchId EmbeddedStore::watch(const Range& range, Watcher& watcher) {
+CoordinationStore::WatchId EmbeddedStore::watch(const Range& range, WatchObserver& watcher) {
   const WatchId id = ++state_->last_watch;
   const bool first = id == 1;
   Watching watching;
@@ -130,7 +130,7 @@
     Revision revision = 0;
     bool whole = false;
     std::vector<Entry> entries;
-    std::vector<Change> changes;
+    std::vector<KeyChange> changes;
   };
   Watching& watching = state_->watches.at(watch);
   if (std::exchange(watching.looking, true)) {
@@ -138,15 +138,15 @@
   }
   call<Seen>(
       false,
-      [range = watching.range, from = watching.from](Ledger& ledger) {
+      [range = watching.range, from = watching.from](KeyValueState& ledger) {
         Seen seen;
         seen.revision = ledger.revision();
         try {
           seen.whole = from == 0;
           if (from > 0 && from <= seen.revision) {
-            seen.changes = ledger.since(from, range);
+            seen.changes = ledger.changes_since(from, range);
           }
-        } catch (const Rejected&) {
+        } catch (const OperationRejected&) {
           seen.whole = true;  // what came between is compacted away
         }
         if (seen.whole) {
@@ -154,26 +154,26 @@
         }
         return seen;
       },
-      [state = state_, watch](const Reply<Seen>& reply) {
+      [state = state_, watch](const StoreResponse<Seen>& reply) {
         const auto found = state->watches.find(watch);
         if (found == state->watches.end()) {
           return;
         }
         Watching& at = found->second;
         at.looking = false;
-        if (!reply.done()) {
-          at.watcher->silent(reply.why);
+        if (!reply.ok()) {
+          at.watcher->on_disconnected(reply.error);
           return;
         }
         const Seen& seen = reply.value;
         at.from = seen.revision + 1;
         state->counts.changes += seen.changes.size();
         if (seen.whole) {
-          at.watcher->current(seen.revision, seen.entries);
+          at.watcher->on_snapshot(seen.revision, seen.entries);
         } else if (!seen.changes.empty()) {
-          at.watcher->changed(seen.revision, seen.changes);
+          at.watcher->on_changes(seen.revision, seen.changes);
         } else {
-          at.watcher->heard();
+          at.watcher->on_heartbeat();
         }
       });
 }
--- a/src/coordination/embedded_store.h
+++ b/src/coordination/embedded_store.h
@@ -9,24 +9,24 @@
 #include <memory>
 #include <string>
 
-#include "coordination/ledger_file.h"
+#include "coordination/key_value_database.h"
 #include "coordination/options.h"
-#include "coordination/shared_store.h"
+#include "coordination/coordination_store.h"
 #include "store/executor.h"
 #include "transport/mailbox.h"
 
 namespace trailcourse::coordination {
 
-class EmbeddedStore : public SharedStore {
+class EmbeddedStore : public CoordinationStore {
  public:
   EmbeddedStore(transport::Scheduler& scheduler, const CoordinationOptions& options);
   ~EmbeddedStore() override;
 
   void grant(Micros ttl, Then<GrantedLease> then) override;
   void keep_alive(LeaseId lease, Then<GrantedLease> then) override;
-  void revoke(LeaseId lease, Then<Nothing> then) override;
-  void commit(Transaction transaction, Then<Outcome> then) override;
-  WatchId watch(const Range& range, Watcher& watcher) override;
+  void revoke(LeaseId lease, Then<Empty> then) override;
+  void commit(Transaction transaction, Then<TransactionResult> then) override;
+  WatchId watch(const Range& range, WatchObserver& watcher) override;
   void unwatch(WatchId watch) override;
   std::uint64_t id() const override { return state_->id; }
   const StoreCounts& counts() const override { return state_->counts; }
@@ -34,14 +34,14 @@
  private:
   struct Watching {
     Range range;
-    Watcher* watcher = nullptr;
+    WatchObserver* watcher = nullptr;
     Revision from = 0;  // 0: all has to be read
     bool looking = false;
   };
   // Outlives the store for as long as a job of it is on its way.
   struct State {
     CoordinationOptions options;
-    std::unique_ptr<LedgerFile> file;  // the thread's alone
+    std::unique_ptr<KeyValueDatabase> file;  // the thread's alone
     std::uint64_t id = 0;
     StoreCounts counts;
     std::map<WatchId, Watching> watches;
@@ -51,7 +51,7 @@
 
   // Runs `use` in the thread, then `then` here.
   template <typename Value>
-  void call(bool durable, std::function<Value(Ledger&)> use, Then<Value> then);
+  void call(bool durable, std::function<Value(KeyValueState&)> use, Then<Value> then);
   transport::Task<void> look();
   void look_at(WatchId watch);
 
--- a/src/coordination/etcd_json.cpp
+++ b/src/coordination/etcd_json.cpp
@@ -169,7 +169,7 @@
   return out;
 }
 
-json write_step(const Step& step) {
+json write_step(const Operation& step) {
   if (const auto* put = std::get_if<Put>(&step)) {
     return {{"request_put", write_put(*put)}};
   }
@@ -179,7 +179,7 @@
   return {{"request_range", write_range(std::get<Get>(step).range)}};
 }
 
-Step read_step(const json& from) {
+Operation read_step(const json& from) {
   if (!from.is_object()) {
     bad("operation", "no object");
   }
@@ -269,10 +269,10 @@
   for (const Compare& one : transaction.when) {
     out["compare"].push_back(write_compare(one));
   }
-  for (const Step& step : transaction.then) {
+  for (const Operation& step : transaction.then) {
     out["success"].push_back(write_step(step));
   }
-  for (const Step& step : transaction.otherwise) {
+  for (const Operation& step : transaction.otherwise) {
     out["failure"].push_back(write_step(step));
   }
   return out;
@@ -327,7 +327,7 @@
   return Put{bytes(body, "key"), bytes(body, "value"), number(body, "lease")};
 }
 
-json write_grant(const GrantCall& call) {
+json write_lease_grant_request(const LeaseGrantRequest& call) {
   json out{{"TTL", std::to_string(call.ttl_s)}, {"ID", std::to_string(call.id)}};
   if (call.ttl_ms > 0) {
     out["TTL_MS"] = std::to_string(call.ttl_ms);
@@ -335,8 +335,8 @@
   return out;
 }
 
-GrantCall read_grant(const json& body) {
-  GrantCall out{number(body, "ID"), static_cast<std::int64_t>(number(body, "TTL")),
+LeaseGrantRequest read_lease_grant_request(const json& body) {
+  LeaseGrantRequest out{number(body, "ID"), static_cast<std::int64_t>(number(body, "TTL")),
                 static_cast<std::int64_t>(number(body, "TTL_MS"))};
   constexpr std::int64_t kMostTtl = 9'000'000'000;  // as the published limit
   if (out.ttl_s <= 0 || out.ttl_s > kMostTtl || out.ttl_ms < 0 || out.ttl_ms > kMostTtl) {
@@ -345,9 +345,9 @@
   return out;
 }
 
-json write_lease(LeaseId id) { return {{"ID", std::to_string(id)}}; }
+json write_lease_request(LeaseId id) { return {{"ID", std::to_string(id)}}; }
 
-LeaseId read_lease(const json& body) {
+LeaseId read_lease_request(const json& body) {
   const LeaseId out = number(body, "ID");
   if (out == 0) {
     bad("ID", "missing");
@@ -355,7 +355,7 @@
   return out;
 }
 
-json write_watch(const WatchCall& call) {
+json write_watch_request(const WatchRequest& call) {
   json create = write_range(call.range);
   if (call.from > 0) {
     create["start_revision"] = std::to_string(call.from);
@@ -363,34 +363,34 @@
   return {{"create_request", create}};
 }
 
-WatchCall read_watch(const json& body) {
+WatchRequest read_watch_request(const json& body) {
   const json* create = object(body, "create_request", "createRequest");
   if (create == nullptr) {
     bad("create_request", "missing");
   }
-  return WatchCall{read_range(*create), number(*create, "start_revision")};
+  return WatchRequest{read_range(*create), number(*create, "start_revision")};
 }
 
-json write_header(const Header& header) {
+json write_header(const ResponseHeader& header) {
   return {{"cluster_id", std::to_string(header.cluster)},
           {"member_id", "1"},
           {"revision", std::to_string(header.revision)},
           {"raft_term", "1"}};
 }
 
-Header read_header(const json& body) {
+ResponseHeader read_header(const json& body) {
   const json* header = object(body, "header", "header");
   if (header == nullptr) {
     bad("header", "missing");
   }
-  const Header out{number(*header, "cluster_id"), number(*header, "revision")};
+  const ResponseHeader out{number(*header, "cluster_id"), number(*header, "revision")};
   if (out.cluster == 0 || out.revision == 0) {
     bad("header", "names no store or no revision");
   }
   return out;
 }
 
-json write_entries(const Header& header, const std::vector<Entry>& entries) {
+json write_range_response(const ResponseHeader& header, const std::vector<Entry>& entries) {
   json out{{"header", write_header(header)}};
   for (const Entry& entry : entries) {
     out["kvs"].push_back(write_entry(entry));
@@ -401,14 +401,14 @@
   return out;
 }
 
-json write_outcome(const Header& header, const Transaction& asked, const Outcome& outcome) {
+json write_transaction_result(const ResponseHeader& header, const Transaction& asked, const TransactionResult& outcome) {
   json out{{"header", write_header(header)}};
   if (outcome.succeeded) {
     out["succeeded"] = true;
   }
-  const std::vector<Step>& steps = outcome.succeeded ? asked.then : asked.otherwise;
+  const std::vector<Operation>& steps = outcome.succeeded ? asked.then : asked.otherwise;
   for (std::size_t i = 0; i < steps.size(); ++i) {
-    const StepResult& result = outcome.steps[i];
+    const OperationResult& result = outcome.results[i];
     if (std::holds_alternative<Put>(steps[i])) {
       out["responses"].push_back({{"response_put", {{"header", write_header(header)}}}});
     } else if (std::holds_alternative<Delete>(steps[i])) {
@@ -418,18 +418,18 @@
       }
       out["responses"].push_back({{"response_delete_range", told}});
     } else {
-      out["responses"].push_back({{"response_range", write_entries(header, result.found)}});
+      out["responses"].push_back({{"response_range", write_range_response(header, result.found)}});
     }
   }
   return out;
 }
 
-Outcome read_outcome(const json& body, const Transaction& asked, Header& header) {
+TransactionResult read_transaction_result(const json& body, const Transaction& asked, ResponseHeader& header) {
   header = read_header(body);
-  Outcome out;
+  TransactionResult out;
   out.succeeded = flag(body, "succeeded");
   out.revision = header.revision;
-  const std::vector<Step>& steps = out.succeeded ? asked.then : asked.otherwise;
+  const std::vector<Operation>& steps = out.succeeded ? asked.then : asked.otherwise;
   const json& responses = list(body, "responses");
   if (responses.size() != steps.size()) {
     bad("responses", std::to_string(responses.size()) + " for " + std::to_string(steps.size()) + " steps");
@@ -438,7 +438,7 @@
     if (!responses[i].is_object()) {
       bad("responses", "no object");
     }
-    StepResult result;
+    OperationResult result;
     if (const auto* get = std::get_if<Get>(&steps[i])) {
       const json* told = object(responses[i], "response_range", "responseRange");
       if (told == nullptr) {
@@ -457,12 +457,12 @@
       const json* told = object(responses[i], "response_delete_range", "responseDeleteRange");
       result.deleted = told != nullptr ? number(*told, "deleted") : 0;
     }
-    out.steps.push_back(std::move(result));
+    out.results.push_back(std::move(result));
   }
   return out;
 }
 
-json write_granted(const Header& header, const Granted& granted) {
+json write_lease_grant_response(const ResponseHeader& header, const LeaseGrantResponse& granted) {
   json out{{"header", write_header(header)}, {"ID", std::to_string(granted.id)}};
   if (granted.ttl_ms > 0) {
     out["TTL"] = std::to_string((granted.ttl_ms + 999) / 1'000);
@@ -471,12 +471,12 @@
   return out;
 }
 
-Granted read_granted(const json& body, Header& header) {
+LeaseGrantResponse read_lease_grant_response(const json& body, ResponseHeader& header) {
   // A keep-alive is a stream of one: its answer stands under `result`.
   const json* inner = object(body, "result", "result");
   const json& from = inner != nullptr ? *inner : body;
   header = read_header(from);
-  Granted out;
+  LeaseGrantResponse out;
   out.id = number(from, "ID");
   const std::uint64_t ms = number(from, "TTL_MS");
   const std::uint64_t seconds = number(from, "TTL");
@@ -488,7 +488,7 @@
   return out;
 }
 
-json write_watch_line(const WatchLine& line) {
+json write_watch_response(const WatchResponse& line) {
   json result{{"header", write_header(line.header)}};
   if (line.created) {
     result["created"] = true;
@@ -499,7 +499,7 @@
   if (line.compacted > 0) {
     result["compact_revision"] = std::to_string(line.compacted);
   }
-  for (const Change& change : line.changes) {
+  for (const KeyChange& change : line.changes) {
     json event{{"kv", write_entry(change.entry)}};
     if (change.deleted) {
       event["type"] = "DELETE";
@@ -509,12 +509,12 @@
   return {{"result", result}};
 }
 
-WatchLine read_watch_line(const json& body) {
+WatchResponse read_watch_response(const json& body) {
   const json* result = object(body, "result", "result");
   if (result == nullptr) {
     bad("result", "missing");
   }
-  WatchLine out;
+  WatchResponse out;
   out.header = read_header(*result);
   out.created = flag(*result, "created");
   out.canceled = flag(*result, "canceled");
@@ -529,7 +529,7 @@
     if (type != "PUT" && type != "DELETE") {
       bad("type", "'" + type + "' is no kind of event");
     }
-    Change change{type == "DELETE", type == "DELETE" ? read_entry(*entry) : read_standing(*entry)};
+    KeyChange change{type == "DELETE", type == "DELETE" ? read_entry(*entry) : read_standing(*entry)};
     if (change.entry.key.empty() || change.entry.modified < last || change.entry.modified == 0) {
       bad("events", "out of order");
     }
@@ -539,16 +539,16 @@
   return out;
 }
 
-json write_error(Code code, const std::string& text) {
+json write_error(ErrorCode code, const std::string& text) {
   return {{"error", text}, {"code", static_cast<int>(code)}, {"message", text}};
 }
 
-std::optional<Error> read_error(const json& body) {
+std::optional<ErrorResponse> read_error(const json& body) {
   const auto found = body.find("error");
   if (found == body.end()) {
     return std::nullopt;
   }
-  Error out;
+  ErrorResponse out;
   // Of a stream the error is an object.
   if (found->is_object()) {
     out.text = found->contains("message") && (*found)["message"].is_string()
--- a/src/coordination/etcd_json.h
+++ b/src/coordination/etcd_json.h
@@ -25,11 +25,11 @@
 };
 
 // Which store answered, and where it stood.
-struct Header {
+struct ResponseHeader {
   std::uint64_t cluster = 0;
   Revision revision = 0;
 
-  friend bool operator==(const Header&, const Header&) = default;
+  friend bool operator==(const ResponseHeader&, const ResponseHeader&) = default;
 };
 
 constexpr std::string_view kTxnPath = "/v3/kv/txn";
@@ -56,57 +56,57 @@
 nlohmann::json write_put(const Put& put);
 Put read_put(const nlohmann::json& body);
 
-struct GrantCall {
+struct LeaseGrantRequest {
   LeaseId id = 0;
   std::int64_t ttl_s = 0;
   std::int64_t ttl_ms = 0;  // an addition: 0: as ttl_s says. A real etcd passes over it.
 };
-nlohmann::json write_grant(const GrantCall& call);
-GrantCall read_grant(const nlohmann::json& body);
+nlohmann::json write_lease_grant_request(const LeaseGrantRequest& call);
+LeaseGrantRequest read_lease_grant_request(const nlohmann::json& body);
 // Of keep-alive and revoke.
-nlohmann::json write_lease(LeaseId id);
-LeaseId read_lease(const nlohmann::json& body);
+nlohmann::json write_lease_request(LeaseId id);
+LeaseId read_lease_request(const nlohmann::json& body);
 
-struct WatchCall {
+struct WatchRequest {
   Range range;
   Revision from = 0;  // 0: from now on
 };
-nlohmann::json write_watch(const WatchCall& call);
-WatchCall read_watch(const nlohmann::json& body);
+nlohmann::json write_watch_request(const WatchRequest& call);
+WatchRequest read_watch_request(const nlohmann::json& body);
 
 // Answers.
-nlohmann::json write_outcome(const Header& header, const Transaction& asked, const Outcome& outcome);
+nlohmann::json write_transaction_result(const ResponseHeader& header, const Transaction& asked, const TransactionResult& outcome);
 // `asked` tells which steps were to be done.
-Outcome read_outcome(const nlohmann::json& body, const Transaction& asked, Header& header);
-nlohmann::json write_entries(const Header& header, const std::vector<Entry>& entries);
+TransactionResult read_transaction_result(const nlohmann::json& body, const Transaction& asked, ResponseHeader& header);
+nlohmann::json write_range_response(const ResponseHeader& header, const std::vector<Entry>& entries);
 
-struct Granted {
+struct LeaseGrantResponse {
   LeaseId id = 0;
   std::int64_t ttl_ms = 0;  // 0: there is no such lease
 };
-nlohmann::json write_granted(const Header& header, const Granted& granted);
-Granted read_granted(const nlohmann::json& body, Header& header);
-nlohmann::json write_header(const Header& header);
-Header read_header(const nlohmann::json& body);
+nlohmann::json write_lease_grant_response(const ResponseHeader& header, const LeaseGrantResponse& granted);
+LeaseGrantResponse read_lease_grant_response(const nlohmann::json& body, ResponseHeader& header);
+nlohmann::json write_header(const ResponseHeader& header);
+ResponseHeader read_header(const nlohmann::json& body);
 
 // One line of a watch.
-struct WatchLine {
-  Header header;
+struct WatchResponse {
+  ResponseHeader header;
   bool created = false;
   bool canceled = false;
   Revision compacted = 0;  // of a canceled one: what is earlier is not known any more
-  std::vector<Change> changes;
+  std::vector<KeyChange> changes;
 };
-nlohmann::json write_watch_line(const WatchLine& line);
-WatchLine read_watch_line(const nlohmann::json& body);
+nlohmann::json write_watch_response(const WatchResponse& line);
+WatchResponse read_watch_response(const nlohmann::json& body);
 
 // gRPC's numbers of errors (https://grpc.io/docs/guides/status-codes/), as the gateway tells them.
-enum class Code { kInvalidArgument = 3, kNotFound = 5, kOutOfRange = 11, kUnavailable = 14 };
-nlohmann::json write_error(Code code, const std::string& text);
-struct Error {
+enum class ErrorCode { kInvalidArgument = 3, kNotFound = 5, kOutOfRange = 11, kUnavailable = 14 };
+nlohmann::json write_error(ErrorCode code, const std::string& text);
+struct ErrorResponse {
   int code = 0;
   std::string text;
 };
-std::optional<Error> read_error(const nlohmann::json& body);
+std::optional<ErrorResponse> read_error(const nlohmann::json& body);
 
 }  // namespace trailcourse::coordination::etcd
--- a/src/coordination/etcd_server.cpp
+++ b/src/coordination/etcd_server.cpp
@@ -34,7 +34,7 @@
   return size + line + "\n\r\n";
 }
 
-std::string chunk(const etcd::WatchLine& line) { return chunk(etcd::write_watch_line(line).dump()); }
+std::string chunk(const etcd::WatchResponse& line) { return chunk(etcd::write_watch_response(line).dump()); }
 
 const char* reason_of(int status) {
   return status == 200           ? "OK"
@@ -56,7 +56,7 @@
     bool last = false;  // the watch ends with it
   };
 
-  News(const Ledger& ledger, const etcd::Header& header) : ledger_(ledger), header_(header) {}
+  News(const KeyValueState& ledger, const etcd::ResponseHeader& header) : ledger_(ledger), header_(header) {}
 
   const Piece& piece(const Range& range, Revision from) {
     const auto found = std::find_if(pieces_.begin(), pieces_.end(),
@@ -68,11 +68,11 @@
  private:
   Piece make(const Range& range, Revision from) const {
     Piece out{range, from, {}, false};
-    etcd::WatchLine line;
+    etcd::WatchResponse line;
     line.header = header_;
     try {
-      line.changes = ledger_.since(from, range);
-    } catch (const Rejected&) {
+      line.changes = ledger_.changes_since(from, range);
+    } catch (const OperationRejected&) {
       line.canceled = true;
       line.compacted = ledger_.compacted();
     }
@@ -83,8 +83,8 @@
     return out;
   }
 
-  const Ledger& ledger_;
-  etcd::Header header_;
+  const KeyValueState& ledger_;
+  etcd::ResponseHeader header_;
   std::vector<Piece> pieces_;
 };
 
@@ -108,7 +108,7 @@
       take(*request);
     }
     if (parser_.failed()) {
-      refuse(kBadRequest, etcd::Code::kInvalidArgument, parser_.why());
+      refuse(kBadRequest, etcd::ErrorCode::kInvalidArgument, parser_.why());
       connection_.close_when_written();
     }
   }
@@ -142,16 +142,16 @@
       if (request.method == "POST") {
         post(request);
       } else if (const auto page =
-                     request.method == "GET" ? server_.service_.page(request.path) : std::nullopt) {
+                     request.method == "GET" ? server_.service_.handle_get(request.path) : std::nullopt) {
         write(*page);
       } else {
-        refuse(kNotFound, etcd::Code::kNotFound, "POST alone is served");
+        refuse(kNotFound, etcd::ErrorCode::kNotFound, "POST alone is served");
       }
     } catch (const etcd::BadMessage& error) {
       ++server_.counts_.unreadable;
-      refuse(kBadRequest, etcd::Code::kInvalidArgument, error.what());
-    } catch (const Unavailable& error) {
-      refuse(kUnavailable, etcd::Code::kUnavailable, error.what());
+      refuse(kBadRequest, etcd::ErrorCode::kInvalidArgument, error.what());
+    } catch (const ServiceUnavailable& error) {
+      refuse(kUnavailable, etcd::ErrorCode::kUnavailable, error.what());
     }
     if (!request.keep_open && !watching_) {
       connection_.close_when_written();
@@ -161,19 +161,19 @@
   void post(const protocol::http::Request& request) {
     const json body = etcd::parse_object(request.body);
     if (request.path == etcd::kWatchPath) {
-      begin_watch(etcd::read_watch(body));
+      begin_watch(etcd::read_watch_request(body));
     } else {
-      write(server_.service_.answer(request.path, body));
+      write(server_.service_.handle(request.path, body));
     }
   }
 
-  void begin_watch(const etcd::WatchCall& call) {
-    server_.service_.read([&](const Ledger& ledger, const etcd::Header& header) {
+  void begin_watch(const etcd::WatchRequest& call) {
+    server_.service_.read_state([&](const KeyValueState& ledger, const etcd::ResponseHeader& header) {
       watching_ = true;
       range_ = call.range;
       from_ = call.from > 0 ? call.from : ledger.revision() + 1;
       send("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n");
-      etcd::WatchLine created;
+      etcd::WatchResponse created;
       created.header = header;
       created.created = true;
       send(chunk(created));
@@ -182,11 +182,11 @@
     });
   }
 
-  void write(const EtcdService::Answer& answer) {
+  void write(const EtcdService::Response& answer) {
     send(protocol::http::write_response(answer.status, reason_of(answer.status), "", answer.body.dump()));
   }
-  void refuse(int status, etcd::Code code, const std::string& why) {
-    write(EtcdService::Answer{status, etcd::write_error(code, why)});
+  void refuse(int status, etcd::ErrorCode code, const std::string& why) {
+    write(EtcdService::Response{status, etcd::write_error(code, why)});
   }
 
   EtcdServer& server_;
@@ -240,8 +240,8 @@
 
 void EtcdServer::beat() {
   try {
-    service_.read([this](const Ledger&, const etcd::Header& header) {
-      etcd::WatchLine line;
+    service_.read_state([this](const KeyValueState&, const etcd::ResponseHeader& header) {
+      etcd::WatchResponse line;
       line.header = header;
       const std::string bytes = chunk(line);
       const auto sessions = sessions_;
@@ -251,12 +251,12 @@
         }
       }
     });
-  } catch (const Unavailable& error) {
+  } catch (const ServiceUnavailable& error) {
     log_line(Level::kError) << "watches are told nothing: " << error.what();
   }
 }
 
-void EtcdServer::tell(const Ledger& ledger, const etcd::Header& header) {
+void EtcdServer::publish(const KeyValueState& ledger, const etcd::ResponseHeader& header) {
   if (ledger.revision() == told_) {
     return;
   }
--- a/src/coordination/etcd_server.h
+++ b/src/coordination/etcd_server.h
@@ -14,7 +14,7 @@
 #include <string>
 
 #include "coordination/etcd_json.h"
-#include "coordination/ledger.h"
+#include "coordination/key_value_state.h"
 #include "transport/accept_loop.h"
 #include "transport/scheduler.h"
 #include "transport/socket.h"
@@ -22,7 +22,7 @@
 namespace trailcourse::coordination {
 
 // The service cannot answer now, and did nothing; its text is one line.
-class Unavailable : public std::runtime_error {
+class ServiceUnavailable : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
@@ -30,11 +30,11 @@
 // What stands behind an EtcdServer, and outlives it.
 class EtcdService {
  public:
-  struct Answer {
+  struct Response {
     int status = 200;  // of HTTP
     nlohmann::json body;
   };
-  using Look = std::function<void(const Ledger& ledger, const etcd::Header& header)>;
+  using StateReader = std::function<void(const KeyValueState& ledger, const etcd::ResponseHeader& header)>;
 
   EtcdService() = default;
   EtcdService(const EtcdService&) = delete;
@@ -42,11 +42,11 @@
   virtual ~EtcdService() = default;
 
   // Carries out a call. Throws etcd::BadMessage where it cannot be read.
-  virtual Answer answer(const std::string& path, const nlohmann::json& body) = 0;
+  virtual Response handle(const std::string& path, const nlohmann::json& body) = 0;
   // Calls `look` with what watches are told from. Throws Unavailable.
-  virtual void read(const Look& look) = 0;
+  virtual void read_state(const StateReader& reader) = 0;
   // The answer to a GET, for staff; nothing: there is no such page.
-  virtual std::optional<Answer> page(const std::string&) { return std::nullopt; }
+  virtual std::optional<Response> handle_get(const std::string&) { return std::nullopt; }
 };
 
 struct EtcdServerCounts {
@@ -67,7 +67,7 @@
   // Throws std::system_error.
   void listen(const transport::Address& address);
   // Tells watches what is new, where the revision has moved since it was last told.
-  void tell(const Ledger& ledger, const etcd::Header& header);
+  void publish(const KeyValueState& ledger, const etcd::ResponseHeader& header);
   const EtcdServerCounts& counts() const { return counts_; }
   std::size_t connections() const { return sessions_.size(); }
 
--- a/src/coordination/etcd_store.cpp
+++ b/src/coordination/etcd_store.cpp
@@ -68,7 +68,7 @@
   explicit Watching(transport::Scheduler& scheduler) : wake(scheduler) {}
 
   Range range;
-  Watcher* watcher = nullptr;
+  WatchObserver* watcher = nullptr;
   WatchProgress progress;
   bool ended = false;
   bool moved = false;  // calls go to another endpoint: it goes on there, at once
@@ -100,16 +100,16 @@
     return link;
   }
   void worked(std::size_t endpoint) {
-    endpoints.worked(endpoint);
+    endpoints.on_success(endpoint);
     move_watches();
   }
   void failed(std::size_t endpoint) {
-    endpoints.failed(endpoint, now());
+    endpoints.on_failure(endpoint, now());
     move_watches();
   }
   // A watch on an endpoint that calls have left may tell nothing for as long as it stands.
   void move_watches() {
-    const auto endpoint = endpoints.pick(now());
+    const auto endpoint = endpoints.select(now());
     for (const auto& [id, watching] : watches) {
       if (endpoint && watching->link && watching->link->endpoint != *endpoint) {
         watching->moved = true;
@@ -123,8 +123,8 @@
 
   transport::Scheduler& scheduler;
   CoordinationOptions options;
-  Identity identity;
-  Endpoints endpoints;
+  StoreIdentity identity;
+  EndpointSelector endpoints;
   std::vector<transport::Address> addresses;
   StoreCounts counts;
   bool ended = false;
@@ -137,9 +137,9 @@
 };
 
 EtcdStore::EtcdStore(transport::Scheduler& scheduler, const CoordinationOptions& options, std::uint64_t seed,
-                     First first)
+                     FirstEndpoint first)
     : state_(std::make_shared<State>(scheduler, options, seed)) {
-  if (first == First::kAsNamed) {
+  if (first == FirstEndpoint::kFirstListed) {
     state_->endpoints.begin_with(0);
   }
 }
@@ -161,7 +161,7 @@
 
 std::uint64_t EtcdStore::id() const { return state_->identity.id(); }
 const StoreCounts& EtcdStore::counts() const { return state_->counts; }
-bool EtcdStore::went_back() const { return state_->identity.went_back(); }
+bool EtcdStore::has_regressed() const { return state_->identity.has_regressed(); }
 
 void EtcdStore::ask(const std::shared_ptr<State>& state, std::string_view path, const json& body,
                     std::function<void(Raw)> then) {
@@ -174,8 +174,8 @@
   if (state->queue.size() >= kMostQueued) {
     state->scheduler.post([call] {
       Raw raw;
-      raw.result = Result::kNotDone;
-      raw.why = "too many calls wait";
+      raw.status = CallStatus::kNotSent;
+      raw.error = "too many calls wait";
       call->then(std::move(raw));
     });
     return;
@@ -198,12 +198,12 @@
 
 transport::Task<void> EtcdStore::run(std::shared_ptr<State> state, std::shared_ptr<Call> call) {
   Raw raw;
-  raw.result = Result::kNotDone;
-  const auto endpoint = state->endpoints.pick(now());
+  raw.status = CallStatus::kNotSent;
+  const auto endpoint = state->endpoints.select(now());
   if (!endpoint) {
-    raw.why = "the store has failed and is not asked yet";
+    raw.error = "the store has failed and is not asked yet";
   } else if (Clock::now() >= call->due) {
-    raw.why = "no turn in time";
+    raw.error = "no turn in time";
   } else {
     std::shared_ptr<Link> link;
     while (!state->idle.empty() && !link) {
@@ -218,7 +218,7 @@
     }
     // What was written before the connection came up may leave as soon as it does.
     const std::uint64_t token = link->connection->write(state->post(call->path, call->body, link->endpoint));
-    raw.floor = state->identity.floor();
+    raw.floor = state->identity.min_revision();
     std::optional<protocol::http::Response> response;
     while (!state->ended && !response && link->usable() && Clock::now() < call->due) {
       co_await link->changed.wait(call->due - Clock::now());
@@ -231,32 +231,32 @@
       co_return;
     }
     if (response) {
-      raw.result = Result::kUnknown;
+      raw.status = CallStatus::kUnknown;
       raw.body = json::parse(response->body, nullptr, false);
       if (!raw.body.is_object()) {
-        raw.why = "an answer that is no JSON object, status " + std::to_string(response->status);
+        raw.error = "an answer that is no JSON object, status " + std::to_string(response->status);
         state->failed(link->endpoint);
       } else if (const auto error = etcd::read_error(raw.body)) {
         // The store is not there behind its address, or was in between: it may have been done.
-        const bool sure = error->code == static_cast<int>(etcd::Code::kInvalidArgument) ||
-                          error->code == static_cast<int>(etcd::Code::kNotFound) ||
-                          error->code == static_cast<int>(etcd::Code::kOutOfRange);
-        raw.result = sure ? Result::kRejected : Result::kUnknown;
-        raw.why = error->text;
+        const bool sure = error->code == static_cast<int>(etcd::ErrorCode::kInvalidArgument) ||
+                          error->code == static_cast<int>(etcd::ErrorCode::kNotFound) ||
+                          error->code == static_cast<int>(etcd::ErrorCode::kOutOfRange);
+        raw.status = sure ? CallStatus::kRejected : CallStatus::kUnknown;
+        raw.error = error->text;
         if (!sure) {
           state->failed(link->endpoint);
         }
       } else if (response->status != kOkay) {
-        raw.why = "status " + std::to_string(response->status);
+        raw.error = "status " + std::to_string(response->status);
         state->failed(link->endpoint);
       } else {
-        raw.result = Result::kDone;
+        raw.status = CallStatus::kOk;
         state->worked(link->endpoint);
       }
     } else {
       const bool begun = link->end ? !never_up(*link->end) : link->connection->begun(token);
-      raw.result = begun ? Result::kUnknown : Result::kNotDone;
-      raw.why = link->parser.failed() && !link->end ? "an answer that cannot be read: " + link->parser.why()
+      raw.status = begun ? CallStatus::kUnknown : CallStatus::kNotSent;
+      raw.error = link->parser.failed() && !link->end ? "an answer that cannot be read: " + link->parser.why()
                 : link->end                         ? "the connection ended"
                                                     : "no answer in time";
       state->failed(link->endpoint);
@@ -270,8 +270,8 @@
     }
   }
   --state->running;
-  state->counts.failed += raw.result == Result::kDone ? 0 : 1;
-  state->counts.unknown += raw.result == Result::kUnknown ? 1 : 0;
+  state->counts.failed += raw.status == CallStatus::kOk ? 0 : 1;
+  state->counts.unknown += raw.status == CallStatus::kUnknown ? 1 : 0;
   call->then(std::move(raw));
   start_next(state);
 }
@@ -279,30 +279,32 @@
 template <typename Value, typename Read>
 void EtcdStore::call(std::string_view path, const json& body, Then<Value> then, Read read) {
   ask(state_, path, body, [state = state_, then = std::move(then), read = std::move(read)](Raw raw) {
-    Reply<Value> reply;
-    reply.result = raw.result;
-    reply.why = raw.why;
-    if (raw.result == Result::kDone) {
+    StoreResponse<Value> reply;
+    reply.status = raw.status;
+    reply.error = raw.error;
+    if (raw.status == CallStatus::kOk) {
       try {
-        etcd::Header header;
+        etcd::ResponseHeader header;
         reply.value = read(raw.body, header);
-        reply.why = state->identity.judge(header, raw.floor);
+        if (const auto checked = state->identity.check(header, raw.floor); !checked) {
+          reply.error = checked.error().message();
+        }
       } catch (const etcd::BadMessage& error) {
-        reply.why = std::string("an answer that cannot be used: ") + error.what();
+        reply.error = std::string("an answer that cannot be used: ") + error.what();
       }
-      reply.result = reply.why.empty() ? Result::kDone : Result::kUnknown;
+      reply.status = reply.error.empty() ? CallStatus::kOk : CallStatus::kUnknown;
     }
     then(reply);
   });
 }
 
 void EtcdStore::grant(Micros ttl, Then<GrantedLease> then) {
-  etcd::GrantCall grant;
+  etcd::LeaseGrantRequest grant;
   grant.ttl_ms = std::chrono::duration_cast<milliseconds>(ttl).count();
   grant.ttl_s = std::max<std::int64_t>(1, (grant.ttl_ms + 999) / 1'000);
-  call<GrantedLease>(etcd::kGrantPath, etcd::write_grant(grant), std::move(then),
-                     [ttl](const json& body, etcd::Header& header) {
-                       const etcd::Granted granted = etcd::read_granted(body, header);
+  call<GrantedLease>(etcd::kGrantPath, etcd::write_lease_grant_request(grant), std::move(then),
+                     [ttl](const json& body, etcd::ResponseHeader& header) {
+                       const etcd::LeaseGrantResponse granted = etcd::read_lease_grant_response(body, header);
                        if (granted.id == 0 || milliseconds(granted.ttl_ms) < ttl) {
                          throw etcd::BadMessage("TTL: shorter than was asked for");
                        }
@@ -311,9 +313,9 @@
 }
 
 void EtcdStore::keep_alive(LeaseId lease, Then<GrantedLease> then) {
-  call<GrantedLease>(etcd::kKeepAlivePath, etcd::write_lease(lease), std::move(then),
-                     [lease](const json& body, etcd::Header& header) {
-                       const etcd::Granted granted = etcd::read_granted(body, header);
+  call<GrantedLease>(etcd::kKeepAlivePath, etcd::write_lease_request(lease), std::move(then),
+                     [lease](const json& body, etcd::ResponseHeader& header) {
+                       const etcd::LeaseGrantResponse granted = etcd::read_lease_grant_response(body, header);
                        if (granted.id != lease) {
                          throw etcd::BadMessage("ID: of another lease");
                        }
@@ -321,29 +323,29 @@
                      });
 }
 
-void EtcdStore::revoke(LeaseId lease, Then<Nothing> then) {
-  call<Nothing>(
-      etcd::kRevokePath, etcd::write_lease(lease),
-      [then = std::move(then)](Reply<Nothing> reply) {
+void EtcdStore::revoke(LeaseId lease, Then<Empty> then) {
+  call<Empty>(
+      etcd::kRevokePath, etcd::write_lease_request(lease),
+      [then = std::move(then)](StoreResponse<Empty> reply) {
         // There is none: that is what was asked for.
-        reply.result = reply.result == Result::kRejected ? Result::kDone : reply.result;
+        reply.status = reply.status == CallStatus::kRejected ? CallStatus::kOk : reply.status;
         then(reply);
       },
-      [](const json& body, etcd::Header& header) {
+      [](const json& body, etcd::ResponseHeader& header) {
         header = etcd::read_header(body);
-        return Nothing{};
+        return Empty{};
       });
 }
 
-void EtcdStore::commit(Transaction transaction, Then<Outcome> then) {
+void EtcdStore::commit(Transaction transaction, Then<TransactionResult> then) {
   const json body = etcd::write_transaction(transaction);
-  call<Outcome>(etcd::kTxnPath, body, std::move(then),
-                [asked = std::move(transaction)](const json& answer, etcd::Header& header) {
-                  return etcd::read_outcome(answer, asked, header);
+  call<TransactionResult>(etcd::kTxnPath, body, std::move(then),
+                [asked = std::move(transaction)](const json& answer, etcd::ResponseHeader& header) {
+                  return etcd::read_transaction_result(answer, asked, header);
                 });
 }
 
-SharedStore::WatchId EtcdStore::watch(const Range& range, Watcher& watcher) {
+CoordinationStore::WatchId EtcdStore::watch(const Range& range, WatchObserver& watcher) {
   auto watching = std::make_shared<Watching>(state_->scheduler);
   watching->range = range;
   watching->watcher = &watcher;
@@ -377,7 +379,7 @@
       continue;
     }
     const Micros rest =
-        std::max(state->endpoints.rests_until() - now(), Micros(milliseconds(state->options.rest_ms)) / 4);
+        std::max(state->endpoints.backoff_until() - now(), Micros(milliseconds(state->options.rest_ms)) / 4);
     co_await watching->wake.wait(rest);
   }
 }
@@ -385,7 +387,7 @@
 // Reads where it has to, then follows until the connection ends.
 transport::Task<void> EtcdStore::follow_once(std::shared_ptr<State> state,
                                              std::shared_ptr<Watching> watching) {
-  if (watching->progress.next() == WatchProgress::Next::kRead) {
+  if (watching->progress.next_step() == WatchProgress::NextStep::kReadSnapshot) {
     Transaction read;
     read.then.push_back(Get{watching->range});
     transport::Signal done(state->scheduler);
@@ -402,38 +404,39 @@
     if (watching->ended) {
       co_return;
     }
-    std::string why = *raw ? (*raw)->why : "no answer";
-    if (*raw && (*raw)->result == Result::kDone) {
+    std::string why = *raw ? (*raw)->error : "no answer";
+    if (*raw && (*raw)->status == CallStatus::kOk) {
       try {
-        etcd::Header header;
-        Outcome outcome = etcd::read_outcome((*raw)->body, read, header);
-        why = state->identity.judge(header, (*raw)->floor);
-        if (why.empty()) {
-          watching->progress.read(header.revision);
-          watching->watcher->current(header.revision, outcome.steps.at(0).found);
+        etcd::ResponseHeader header;
+        TransactionResult outcome = etcd::read_transaction_result((*raw)->body, read, header);
+        if (const auto checked = state->identity.check(header, (*raw)->floor); !checked) {
+          why = checked.error().message();
+        } else {
+          watching->progress.on_snapshot(header.revision);
+          watching->watcher->on_snapshot(header.revision, outcome.results.at(0).found);
         }
       } catch (const etcd::BadMessage& error) {
         why = error.what();
       }
     }
-    if (watching->progress.next() == WatchProgress::Next::kRead) {
-      watching->watcher->silent(why);
+    if (watching->progress.next_step() == WatchProgress::NextStep::kReadSnapshot) {
+      watching->watcher->on_disconnected(why);
       co_return;
     }
   }
-  const auto endpoint = state->endpoints.pick(now());
+  const auto endpoint = state->endpoints.select(now());
   if (!endpoint) {
-    watching->watcher->silent("the store has failed and is not asked yet");
+    watching->watcher->on_disconnected("the store has failed and is not asked yet");
     co_return;
   }
   ++state->counts.watches_opened;
   const std::shared_ptr<Link> link = state->open(*endpoint);
   state->open_links.insert(link);
   watching->link = link;
-  etcd::WatchCall call;
+  etcd::WatchRequest call;
   call.range = watching->range;
-  call.from = watching->progress.from();
-  link->connection->write(state->post(etcd::kWatchPath, etcd::write_watch(call).dump(), *endpoint));
+  call.from = watching->progress.next_revision();
+  link->connection->write(state->post(etcd::kWatchPath, etcd::write_watch_request(call).dump(), *endpoint));
   std::string lines;
   std::string why;
   bool begun = false;  // a store that told anything is there, whatever ended the watch
@@ -474,7 +477,7 @@
     if (!begun) {
       state->failed(*endpoint);
     }
-    watching->watcher->silent(why);
+    watching->watcher->on_disconnected(why);
   }
 }
 
@@ -485,26 +488,26 @@
     if (const auto error = etcd::read_error(body)) {
       return error->text;
     }
-    const etcd::WatchLine read = etcd::read_watch_line(body);
-    if (std::string why = state.identity.judge(read.header, 0); !why.empty()) {
-      return why;
+    const etcd::WatchResponse read = etcd::read_watch_response(body);
+    if (const auto checked = state.identity.check(read.header, 0); !checked) {
+      return checked.error().message();
     }
-    for (const Change& change : read.changes) {
+    for (const KeyChange& change : read.changes) {
       if (!watching.range.holds(change.entry.key)) {
         return "a watch tells of a key that was not asked for";
       }
     }
-    WatchProgress::Taken taken = watching.progress.take(read);
-    if (taken.restart) {
+    const WatchProgress::Update taken = watching.progress.on_response(read);
+    if (taken.snapshot_required) {
       return "what came between is compacted away";
     }
     if (taken.ended) {
       return "the store ended the watch";
     }
-    state.counts.changes += taken.news.size();
-    watching.watcher->heard();
-    if (!taken.news.empty()) {
-      watching.watcher->changed(taken.revision, taken.news);
+    state.counts.changes += taken.changes.size();
+    watching.watcher->on_heartbeat();
+    if (!taken.changes.empty()) {
+      watching.watcher->on_changes(taken.revision, taken.changes);
     }
     return {};
   } catch (const etcd::BadMessage& error) {
--- a/src/coordination/etcd_store.h
+++ b/src/coordination/etcd_store.h
@@ -16,39 +16,41 @@
 #include <string_view>
 #include <vector>
 
-#include "coordination/judgement.h"
+#include "coordination/coordination_store.h"
+#include "coordination/endpoint_selector.h"
 #include "coordination/options.h"
-#include "coordination/shared_store.h"
+#include "coordination/store_identity.h"
+#include "coordination/watch_progress.h"
 #include "transport/connection.h"
 
 namespace trailcourse::coordination {
 
-class EtcdStore : public SharedStore {
+class EtcdStore : public CoordinationStore {
  public:
   // Which endpoint is asked first: one that is drawn, so that clients spread over a cluster, or the first.
-  enum class First { kDrawn, kAsNamed };
+  enum class FirstEndpoint { kRandom, kFirstListed };
 
   // `options`' endpoints and store_id must have been checked.
   EtcdStore(transport::Scheduler& scheduler, const CoordinationOptions& options, std::uint64_t seed,
-            First first = First::kDrawn);
+            FirstEndpoint first = FirstEndpoint::kRandom);
   ~EtcdStore() override;
 
   void grant(Micros ttl, Then<GrantedLease> then) override;
   void keep_alive(LeaseId lease, Then<GrantedLease> then) override;
-  void revoke(LeaseId lease, Then<Nothing> then) override;
-  void commit(Transaction transaction, Then<Outcome> then) override;
-  WatchId watch(const Range& range, Watcher& watcher) override;
+  void revoke(LeaseId lease, Then<Empty> then) override;
+  void commit(Transaction transaction, Then<TransactionResult> then) override;
+  WatchId watch(const Range& range, WatchObserver& watcher) override;
   void unwatch(WatchId watch) override;
   std::uint64_t id() const override;
   const StoreCounts& counts() const override;
   // The store was put back to an older state while this process ran.
-  bool went_back() const;
+  bool has_regressed() const;
 
  private:
   // What the answer of a call says, or why there is none.
   struct Raw {
-    Result result = Result::kUnknown;
-    std::string why;
+    CallStatus status = CallStatus::kUnknown;
+    std::string error;
     nlohmann::json body;
     Revision floor = 0;
   };
--- a/src/coordination/key_value_database.cpp
+++ b/src/coordination/key_value_database.cpp
@@ -1,4 +1,4 @@
-#include "coordination/ledger_file.h"
+#include "coordination/key_value_database.h"
 
 #include <sys/stat.h>
 #include <time.h>
@@ -96,15 +96,15 @@
 
 }  // namespace
 
-std::int64_t LedgerFile::machine_ms() {
+std::int64_t KeyValueDatabase::boot_time_ms() {
   timespec now{};
   ::clock_gettime(CLOCK_BOOTTIME, &now);
   return static_cast<std::int64_t>(now.tv_sec) * 1'000 + now.tv_nsec / 1'000'000;
 }
 
-LedgerFile::LedgerFile(const std::string& folder, const Limits& limits, Sharing sharing)
+KeyValueDatabase::KeyValueDatabase(const std::string& folder, const KeyValueLimits& limits, Sharing sharing)
     : limits_(limits), sharing_(sharing), database_(made_folder(folder), kBusyMs), ledger_(limits) {
-  if (sharing == Sharing::kAlone) {
+  if (sharing == Sharing::kExclusive) {
     database_.run("PRAGMA locking_mode = EXCLUSIVE");
   }
   try {
@@ -128,8 +128,8 @@
     reload();
     // Leases of another run of the machine, or of the registry, go by a clock that is no more.
     const std::string boot = boot_id();
-    if (sharing == Sharing::kAlone || meta(database_, "boot") != boot) {
-      ledger_.renew_all(machine_ms());
+    if (sharing == Sharing::kExclusive || meta(database_, "boot") != boot) {
+      ledger_.renew_all(boot_time_ms());
       Statement statement(database_.get(), "INSERT OR REPLACE INTO leases (id, ttl, ends) VALUES (?, ?, ?)");
       for (const auto& [lease, one] : ledger_.leases()) {
         statement.bind(lease).bind(one.ttl_ms).bind(one.ends_ms).run();
@@ -139,12 +139,12 @@
     write.commit();
   } catch (const SqliteError& error) {
     throw std::runtime_error(folder + ": " + error.what() +
-                             (sharing == Sharing::kAlone ? "; is another registry running there?" : ""));
+                             (sharing == Sharing::kExclusive ? "; is another registry running there?" : ""));
   }
 }
 
-void LedgerFile::reload() {
-  ledger_ = Ledger(limits_);
+void KeyValueDatabase::reload() {
+  ledger_ = KeyValueState(limits_);
   std::vector<Entry> entries;
   Statement rows(database_.get(), "SELECT key, value, created, modified, version, lease FROM entries");
   while (rows.step()) {
@@ -158,7 +158,7 @@
   loaded_ = true;
 }
 
-void LedgerFile::follow_others() {
+void KeyValueDatabase::follow_others() {
   Statement first(database_.get(), "SELECT ifnull(min(seq), 0) FROM events");
   const std::uint64_t oldest = first.step() ? first.number(0) : 0;
   if (!loaded_ || oldest > followed_ + 1) {
@@ -170,16 +170,16 @@
                    "WHERE seq > ? ORDER BY seq");
   events.bind(followed_);
   while (events.step()) {
-    ledger_.follow(
-        Change{events.number(1) != 0, Entry{events.bytes(2), events.bytes(3), events.number(4),
+    ledger_.apply(
+        KeyChange{events.number(1) != 0, Entry{events.bytes(2), events.bytes(3), events.number(4),
                                             events.number(5), events.number(6), events.number(7)}});
     followed_ = events.number(0);
   }
   ledger_.set_leases(read_leases(database_));
 }
 
-void LedgerFile::keep() {
-  const std::vector<Change> changes = ledger_.changes();
+void KeyValueDatabase::keep() {
+  const std::vector<KeyChange> changes = ledger_.take_changes();
   if (!changes.empty()) {
     Statement event(database_.get(),
                     "INSERT INTO events (deleted, key, value, created, modified, version, lease) "
@@ -188,7 +188,7 @@
                   "INSERT OR REPLACE INTO entries (key, value, created, modified, version, lease) "
                   "VALUES (?, ?, ?, ?, ?, ?)");
     Statement gone(database_.get(), "DELETE FROM entries WHERE key = ?");
-    for (const Change& change : changes) {
+    for (const KeyChange& change : changes) {
       const Entry& entry = change.entry;
       event.bind(std::uint64_t{change.deleted ? 1U : 0U}).bind(entry.key).bind(entry.value);
       event.bind(entry.created).bind(entry.modified).bind(entry.version).bind(entry.lease).run();
@@ -209,10 +209,10 @@
   keep_leases();
 }
 
-void LedgerFile::keep_leases() {
-  for (const auto& [id, change] : ledger_.lease_changes()) {
+void KeyValueDatabase::keep_leases() {
+  for (const auto& [id, change] : ledger_.take_lease_changes()) {
     // A registry's leases go on in full after its restart: their ends need not be kept.
-    if (change == LeaseChange::kRenewed && sharing_ == Sharing::kAlone) {
+    if (change == LeaseChange::kRenewed && sharing_ == Sharing::kExclusive) {
       continue;
     }
     if (change == LeaseChange::kEnded) {
@@ -228,12 +228,12 @@
   }
 }
 
-void LedgerFile::use(std::int64_t now_ms, bool durable, const std::function<void(Ledger&)>& use) {
+void KeyValueDatabase::use(std::int64_t now_ms, bool durable, const std::function<void(KeyValueState&)>& use) {
   if (durable != durable_) {
     database_.run(durable ? "PRAGMA synchronous = FULL" : "PRAGMA synchronous = OFF");
     durable_ = durable;
   }
-  const auto attempt = [&](const std::function<void(Ledger&)>& what) {
+  const auto attempt = [&](const std::function<void(KeyValueState&)>& what) {
     Write write(database_);
     if (sharing_ == Sharing::kShared || !loaded_) {
       follow_others();
@@ -244,9 +244,9 @@
   };
   try {
     // What is over ends in a transaction of its own: it has happened, whatever becomes of the call.
-    const bool alone = sharing_ == Sharing::kAlone && loaded_;
+    const bool alone = sharing_ == Sharing::kExclusive && loaded_;
     if (!alone || ledger_.next_expiry().value_or(now_ms + 1) <= now_ms) {
-      attempt([now_ms](Ledger& ledger) { ledger.expire(now_ms); });
+      attempt([now_ms](KeyValueState& ledger) { ledger.expire(now_ms); });
     }
     attempt(use);
   } catch (const SqliteError&) {
--- a/src/coordination/key_value_database.h
+++ b/src/coordination/key_value_database.h
@@ -14,21 +14,21 @@
 #include <memory>
 #include <string>
 
-#include "coordination/ledger.h"
+#include "coordination/key_value_state.h"
 #include "coordination/sqlite.h"
 
 namespace trailcourse::coordination {
 
-class LedgerFile {
+class KeyValueDatabase {
  public:
   enum class Sharing {
-    kAlone,   // this process alone uses it, and leases go on in full at its start
+    kExclusive,   // this process alone uses it, and leases go on in full at its start
     kShared,  // processes of one machine; leases go by the machine's clock since it was started
   };
 
   // Makes the folder and the file where there are none. Throws SqliteError, or std::runtime_error where
   // another process has it alone.
-  LedgerFile(const std::string& folder, const Limits& limits, Sharing sharing);
+  KeyValueDatabase(const std::string& folder, const KeyValueLimits& limits, Sharing sharing);
 
   // The number that tells this store from another, drawn when it was made. 48 bits.
   std::uint64_t id() const { return id_; }
@@ -37,13 +37,13 @@
   // `use` throws goes on to the caller, with the ledger unchanged. Throws SqliteError where the changes could
   // not be kept: then nothing was done. `durable`: changes outlive a loss of power; false is for renewals,
   // which need not.
-  void use(std::int64_t now_ms, bool durable, const std::function<void(Ledger&)>& use);
+  void use(std::int64_t now_ms, bool durable, const std::function<void(KeyValueState&)>& use);
 
   // As the last use left it, which did not throw SqliteError; for one that has the file alone.
-  const Ledger& ledger() const { return ledger_; }
+  const KeyValueState& state() const { return ledger_; }
 
   // Milliseconds since the machine was started; goes on while it is suspended, and is not set.
-  static std::int64_t machine_ms();
+  static std::int64_t boot_time_ms();
 
  private:
   void reload();
@@ -51,10 +51,10 @@
   void keep();
   void keep_leases();
 
-  Limits limits_;
+  KeyValueLimits limits_;
   Sharing sharing_;
   Database database_;
-  Ledger ledger_;
+  KeyValueState ledger_;
   std::uint64_t id_ = 0;
   std::uint64_t followed_ = 0;  // the last row of events taken in
   bool loaded_ = false;
--- a/src/coordination/key_value_state.cpp
+++ b/src/coordination/key_value_state.cpp
@@ -1,4 +1,4 @@
-#include "coordination/ledger.h"
+#include "coordination/key_value_state.h"
 
 #include <algorithm>
 #include <utility>
@@ -7,7 +7,7 @@
 namespace trailcourse::coordination {
 namespace {
 
-[[noreturn]] void reject(Rejected::Why why, const std::string& text) { throw Rejected(why, text); }
+[[noreturn]] void reject(OperationRejected::Reason why, const std::string& text) { throw OperationRejected(why, text); }
 
 template <typename Value>
 bool compares(Compare::How how, const Value& is, const Value& wanted) {
@@ -26,15 +26,15 @@
 
 }  // namespace
 
-LeaseId Ledger::grant(std::int64_t now_ms, std::int64_t ttl_ms, LeaseId id) {
+LeaseId KeyValueState::grant(std::int64_t now_ms, std::int64_t ttl_ms, LeaseId id) {
   if (ttl_ms < limits_.least_ttl_ms || ttl_ms > limits_.most_ttl_ms) {
-    reject(Rejected::Why::kBadRequest, "a lease of " + std::to_string(ttl_ms) + " ms");
+    reject(OperationRejected::Reason::kInvalidRequest, "a lease of " + std::to_string(ttl_ms) + " ms");
   }
   if (leases_.size() >= limits_.leases) {
-    reject(Rejected::Why::kBadRequest, "too many leases");
+    reject(OperationRejected::Reason::kInvalidRequest, "too many leases");
   }
   if (id != 0 && leases_.contains(id)) {
-    reject(Rejected::Why::kLeaseExists, "lease already exists");
+    reject(OperationRejected::Reason::kLeaseExists, "lease already exists");
   }
   // A number that was given once must not come back, also after a restart: the revision has grown by then, or
   // no key ever stood under it.
@@ -47,7 +47,7 @@
   return id;
 }
 
-std::int64_t Ledger::keep_alive(std::int64_t now_ms, LeaseId id) {
+std::int64_t KeyValueState::keep_alive(std::int64_t now_ms, LeaseId id) {
   const auto found = leases_.find(id);
   if (found == leases_.end()) {
     return 0;
@@ -60,24 +60,24 @@
   return lease.ttl_ms;
 }
 
-void Ledger::revoke(LeaseId id) {
+void KeyValueState::revoke(LeaseId id) {
   if (!leases_.contains(id)) {
-    reject(Rejected::Why::kNoLease, "requested lease not found");
+    reject(OperationRejected::Reason::kLeaseNotFound, "requested lease not found");
   }
   end(id);
 }
 
-void Ledger::expire(std::int64_t now_ms) {
+void KeyValueState::expire(std::int64_t now_ms) {
   while (!ends_.empty() && ends_.begin()->first <= now_ms) {
     end(ends_.begin()->second);
   }
 }
 
-std::optional<std::int64_t> Ledger::next_expiry() const {
+std::optional<std::int64_t> KeyValueState::next_expiry() const {
   return ends_.empty() ? std::nullopt : std::optional<std::int64_t>(ends_.begin()->first);
 }
 
-void Ledger::end(LeaseId id) {
+void KeyValueState::end(LeaseId id) {
   const auto lease = leases_.find(id);
   ends_.erase({lease->second.ends_ms, id});
   leases_.erase(lease);
@@ -95,7 +95,7 @@
   revision_ = keys.empty() ? revision_ : at;
 }
 
-bool Ledger::holds(const Compare& compare) const {
+bool KeyValueState::holds(const Compare& compare) const {
   const auto found = entries_.find(compare.key);
   const Entry entry = found == entries_.end() ? Entry{} : found->second;
   switch (compare.what) {
@@ -115,28 +115,28 @@
 }
 
 // Of both sides: whether a request can be used must not depend on how its conditions turn out.
-void Ledger::check(const Transaction& transaction) const {
+void KeyValueState::check(const Transaction& transaction) const {
   const auto check_key = [this](const std::string& key, bool may_be_empty) {
     if ((key.empty() && !may_be_empty) || key.size() > limits_.key_bytes) {
-      reject(Rejected::Why::kBadRequest, "a key of " + std::to_string(key.size()) + " bytes");
+      reject(OperationRejected::Reason::kInvalidRequest, "a key of " + std::to_string(key.size()) + " bytes");
     }
   };
-  const auto check_steps = [&](const std::vector<Step>& steps) {
+  const auto check_steps = [&](const std::vector<Operation>& steps) {
     std::set<std::string> written;
     if (steps.size() > limits_.steps) {
-      reject(Rejected::Why::kBadRequest, "too many operations in a transaction");
+      reject(OperationRejected::Reason::kInvalidRequest, "too many operations in a transaction");
     }
-    for (const Step& step : steps) {
+    for (const Operation& step : steps) {
       if (const auto* put = std::get_if<Put>(&step)) {
         check_key(put->key, false);
         if (put->value.size() > limits_.value_bytes) {
-          reject(Rejected::Why::kBadRequest, "a value of " + std::to_string(put->value.size()) + " bytes");
+          reject(OperationRejected::Reason::kInvalidRequest, "a value of " + std::to_string(put->value.size()) + " bytes");
         }
         if (!written.insert(put->key).second) {
-          reject(Rejected::Why::kBadRequest, "duplicate key given in a transaction");
+          reject(OperationRejected::Reason::kInvalidRequest, "duplicate key given in a transaction");
         }
         if (put->lease != 0 && !leases_.contains(put->lease)) {
-          reject(Rejected::Why::kNoLease, "requested lease not found");
+          reject(OperationRejected::Reason::kLeaseNotFound, "requested lease not found");
         }
       } else if (const auto* remove = std::get_if<Delete>(&step)) {
         check_key(remove->range.key, remove->range.prefix);
@@ -146,25 +146,25 @@
       }
     }
     if (entries_.size() + written.size() > limits_.entries) {
-      reject(Rejected::Why::kBadRequest, "the store is full");
+      reject(OperationRejected::Reason::kInvalidRequest, "the store is full");
     }
   };
   if (transaction.when.size() > limits_.steps) {
-    reject(Rejected::Why::kBadRequest, "too many conditions in a transaction");
+    reject(OperationRejected::Reason::kInvalidRequest, "too many conditions in a transaction");
   }
   check_steps(transaction.then);
   check_steps(transaction.otherwise);
 }
 
-Outcome Ledger::commit(const Transaction& transaction) {
+TransactionResult KeyValueState::commit(const Transaction& transaction) {
   check(transaction);
-  Outcome out;
+  TransactionResult out;
   out.succeeded = std::all_of(transaction.when.begin(), transaction.when.end(),
                               [this](const Compare& one) { return holds(one); });
   const Revision at = revision_ + 1;
   bool changed = false;
-  for (const Step& step : out.succeeded ? transaction.then : transaction.otherwise) {
-    StepResult result;
+  for (const Operation& step : out.succeeded ? transaction.then : transaction.otherwise) {
+    OperationResult result;
     if (const auto* one = std::get_if<Put>(&step)) {
       put(*one, at);
       changed = true;
@@ -174,14 +174,14 @@
     } else {
       result.found = get(std::get<Get>(step).range);
     }
-    out.steps.push_back(std::move(result));
+    out.results.push_back(std::move(result));
   }
   revision_ = changed ? at : revision_;
   out.revision = revision_;
   return out;
 }
 
-std::vector<Entry> Ledger::get(const Range& range) const {
+std::vector<Entry> KeyValueState::get(const Range& range) const {
   std::vector<Entry> out;
   for (auto at = entries_.lower_bound(range.key); at != entries_.end() && range.holds(at->first); ++at) {
     out.push_back(at->second);
@@ -189,7 +189,7 @@
   return out;
 }
 
-void Ledger::put(const Put& put, Revision at) {
+void KeyValueState::put(const Put& put, Revision at) {
   Entry entry;
   const auto found = entries_.find(put.key);
   if (found != entries_.end()) {
@@ -201,13 +201,13 @@
   entry.modified = at;
   ++entry.version;
   entry.lease = put.lease;
-  note(Change{false, std::move(entry)});
+  note(KeyChange{false, std::move(entry)});
 }
 
-std::uint64_t Ledger::remove(const Range& range, Revision at) {
+std::uint64_t KeyValueState::remove(const Range& range, Revision at) {
   const std::vector<Entry> gone = get(range);
   for (const Entry& entry : gone) {
-    Change change{true, Entry{}};
+    KeyChange change{true, Entry{}};
     change.entry.key = entry.key;
     change.entry.modified = at;
     note(change);
@@ -215,14 +215,14 @@
   return gone.size();
 }
 
-void Ledger::note(const Change& change) {
+void KeyValueState::note(const KeyChange& change) {
   fresh_.push_back(change);
   const Revision before = revision_;
   follow(change);
   revision_ = before;  // the caller says when the transaction is whole
 }
 
-void Ledger::follow(const Change& change) {
+void KeyValueState::apply(const KeyChange& change) {
   const std::string& key = change.entry.key;
   const auto found = entries_.find(key);
   if (found != entries_.end() && found->second.lease != 0) {
@@ -246,31 +246,31 @@
   }
 }
 
-std::vector<Change> Ledger::since(Revision from, const Range& range) const {
+std::vector<KeyChange> KeyValueState::changes_since(Revision from, const Range& range) const {
   if (from < compacted_) {
-    reject(Rejected::Why::kCompacted, "required revision has been compacted");
+    reject(OperationRejected::Reason::kCompacted, "required revision has been compacted");
   }
   const auto first = std::lower_bound(
       history_.begin(), history_.end(), from,
-      [](const Change& change, Revision revision) { return change.entry.modified < revision; });
-  std::vector<Change> out;
+      [](const KeyChange& change, Revision revision) { return change.entry.modified < revision; });
+  std::vector<KeyChange> out;
   std::copy_if(first, history_.end(), std::back_inserter(out),
-               [&range](const Change& change) { return range.holds(change.entry.key); });
+               [&range](const KeyChange& change) { return range.holds(change.entry.key); });
   return out;
 }
 
-void Ledger::compact(Revision before) {
+void KeyValueState::compact(Revision before) {
   while (!history_.empty() && history_.front().entry.modified < before) {
     history_.pop_front();
   }
   compacted_ = std::max(compacted_, std::min(before, revision_ + 1));
 }
 
-std::vector<Change> Ledger::changes() { return std::exchange(fresh_, {}); }
+std::vector<KeyChange> KeyValueState::take_changes() { return std::exchange(fresh_, {}); }
 
-std::map<LeaseId, LeaseChange> Ledger::lease_changes() { return std::exchange(lease_changes_, {}); }
+std::map<LeaseId, LeaseChange> KeyValueState::take_lease_changes() { return std::exchange(lease_changes_, {}); }
 
-void Ledger::restore(std::vector<Entry> entries, Revision revision) {
+void KeyValueState::restore(std::vector<Entry> entries, Revision revision) {
   entries_.clear();
   held_.clear();
   history_.clear();
@@ -285,19 +285,19 @@
   compacted_ = revision_ + 1;
 }
 
-void Ledger::set_leases(std::map<LeaseId, Lease> leases) {
+void KeyValueState::set_leases(std::map<LeaseId, Lease> leases) {
   leases_ = std::move(leases);
   order_leases();
 }
 
-void Ledger::renew_all(std::int64_t now_ms) {
+void KeyValueState::renew_all(std::int64_t now_ms) {
   for (auto& [id, lease] : leases_) {
     lease.ends_ms = now_ms + lease.ttl_ms;
   }
   order_leases();
 }
 
-void Ledger::order_leases() {
+void KeyValueState::order_leases() {
   ends_.clear();
   lease_changes_.clear();
   for (const auto& [id, lease] : leases_) {
--- a/src/coordination/key_value_state.h
+++ b/src/coordination/key_value_state.h
@@ -2,7 +2,7 @@
 // ended and what ends with them, what a watch is told. Both stores of this project stand on it: the registry
 // keeps one ledger, the embedded store has each process follow the same history.
 //
-// Each call that changes anything leaves its changes in changes(), to be kept durably before its result is
+// Each call that changes anything leaves its changes in take_changes(), to be kept durably before its result is
 // told. A ledger that is read back from what was kept goes on where it was.
 //
 // Package `coordination`: no I/O, no clock; time is milliseconds of the caller's steady clock. Not
@@ -25,14 +25,14 @@
 namespace trailcourse::coordination {
 
 // A call that cannot be done and changed nothing; its text is one line.
-class Rejected : public std::runtime_error {
+class OperationRejected : public std::runtime_error {
  public:
-  enum class Why { kNoLease, kLeaseExists, kBadRequest, kCompacted };
-  Rejected(Why why, const std::string& text) : std::runtime_error(text), why_(why) {}
-  Why why() const { return why_; }
+  enum class Reason { kLeaseNotFound, kLeaseExists, kInvalidRequest, kCompacted };
+  OperationRejected(Reason reason, const std::string& text) : std::runtime_error(text), reason_(reason) {}
+  Reason reason() const { return reason_; }
 
  private:
-  Why why_;
+  Reason reason_;
 };
 
 struct Lease {
@@ -45,7 +45,7 @@
 // What became of a lease since its changes were taken out last.
 enum class LeaseChange { kGranted, kRenewed, kEnded };
 
-struct Limits {
+struct KeyValueLimits {
   std::size_t key_bytes = 512;
   std::size_t value_bytes = 1U << 20U;  // as etcd's requests, 1.5 MB by default, may hold
   std::size_t entries = 100'000;
@@ -56,9 +56,9 @@
   std::size_t history = 10'000;  // changes kept for watches; what is older is compacted away
 };
 
-class Ledger {
+class KeyValueState {
  public:
-  explicit Ledger(const Limits& limits) : limits_(limits) {}
+  explicit KeyValueState(const KeyValueLimits& limits) : limits_(limits) {}
 
   // Throws Rejected. `id` 0: a free one is made from the revision and a count; it is never given twice.
   LeaseId grant(std::int64_t now_ms, std::int64_t ttl_ms, LeaseId id);
@@ -72,25 +72,25 @@
   const std::map<LeaseId, Lease>& leases() const { return leases_; }
 
   // Throws Rejected; then nothing was done.
-  Outcome commit(const Transaction& transaction);
+  TransactionResult commit(const Transaction& transaction);
   std::vector<Entry> get(const Range& range) const;
 
   Revision revision() const { return revision_; }
   // Changes from this revision on are still known; earlier ones are not.
   Revision compacted() const { return compacted_; }
   // What happened in a range at `from` and later, in order. Throws Rejected where that is compacted away.
-  std::vector<Change> since(Revision from, const Range& range) const;
+  std::vector<KeyChange> changes_since(Revision from, const Range& range) const;
   void compact(Revision before);
 
   // What the last calls changed, taken out; to be kept.
-  std::vector<Change> changes();
+  std::vector<KeyChange> take_changes();
 
   // The leases that the last calls touched, taken out; those that change none are not among them.
-  std::map<LeaseId, LeaseChange> lease_changes();
+  std::map<LeaseId, LeaseChange> take_lease_changes();
 
   // Reading back: entries, then the revision; then changes that came later, in order.
   void restore(std::vector<Entry> entries, Revision revision);
-  void follow(const Change& change);
+  void apply(const KeyChange& change);
   void set_leases(std::map<LeaseId, Lease> leases);
   // The leases go on for their full time from now, as after a restart of the store: never shorter than told.
   void renew_all(std::int64_t now_ms);
@@ -99,13 +99,13 @@
  private:
   bool holds(const Compare& compare) const;
   void check(const Transaction& transaction) const;
-  void note(const Change& change);
+  void note(const KeyChange& change);
   void put(const Put& put, Revision at);
   std::uint64_t remove(const Range& range, Revision at);
   void end(LeaseId id);
   void order_leases();
 
-  Limits limits_;
+  KeyValueLimits limits_;
   Revision revision_ = 1;
   Revision compacted_ = 1;
   std::uint64_t last_grant_ = 0;
@@ -114,8 +114,8 @@
   std::set<std::pair<std::int64_t, LeaseId>> ends_;  // of all leases, the next to end first
   std::map<LeaseId, LeaseChange> lease_changes_;
   std::map<LeaseId, std::set<std::string>> held_;  // keys under each lease
-  std::deque<Change> history_;
-  std::vector<Change> fresh_;
+  std::deque<KeyChange> history_;
+  std::vector<KeyChange> fresh_;
 };
 
 }  // namespace trailcourse::coordination
--- a/src/coordination/types.h
+++ b/src/coordination/types.h
@@ -69,37 +69,37 @@
 
   friend bool operator==(const Get&, const Get&) = default;
 };
-using Step = std::variant<Put, Delete, Get>;
+using Operation = std::variant<Put, Delete, Get>;
 
 // Where all conditions hold `then` is done, else `otherwise`: at once, and whole or not at all.
 struct Transaction {
   std::vector<Compare> when;
-  std::vector<Step> then;
-  std::vector<Step> otherwise;
+  std::vector<Operation> then;
+  std::vector<Operation> otherwise;
 
   friend bool operator==(const Transaction&, const Transaction&) = default;
 };
 
-struct StepResult {
+struct OperationResult {
   std::vector<Entry> found;   // of a Get, in the order of keys
   std::uint64_t deleted = 0;  // of a Delete
 
-  friend bool operator==(const StepResult&, const StepResult&) = default;
+  friend bool operator==(const OperationResult&, const OperationResult&) = default;
 };
-struct Outcome {
+struct TransactionResult {
   bool succeeded = false;
   Revision revision = 0;  // of the store behind it
-  std::vector<StepResult> steps;
+  std::vector<OperationResult> results;
 
-  friend bool operator==(const Outcome&, const Outcome&) = default;
+  friend bool operator==(const TransactionResult&, const TransactionResult&) = default;
 };
 
 // One change, as a watch tells it; of a deletion the key alone is told.
-struct Change {
+struct KeyChange {
   bool deleted = false;
   Entry entry;  // `modified` is the revision of the change, also of a deletion
 
-  friend bool operator==(const Change&, const Change&) = default;
+  friend bool operator==(const KeyChange&, const KeyChange&) = default;
 };
 
 // Whether it can stand in a key as one part: letters, digits, '.', '-', '_', up to 64.
--- a/src/ownership/work.cpp
+++ b/src/ownership/work.cpp
@@ -8,7 +8,7 @@
 
 using coordination::Compare;
 using coordination::Get;
-using coordination::Outcome;
+using coordination::TransactionResult;
 using coordination::Put;
 using coordination::Range;
 using coordination::Transaction;
@@ -162,15 +162,15 @@
   return out;
 }
 
-Acquired read_acquired(const Outcome& outcome) {
+Acquired read_acquired(const TransactionResult& outcome) {
   Acquired out;
   if (outcome.succeeded) {
     out.term = outcome.revision;
-    out.kept = kept_of(outcome.steps.at(1).found);
-    out.done = !outcome.steps.at(2).found.empty();
+    out.kept = kept_of(outcome.results.at(1).found);
+    out.done = !outcome.results.at(2).found.empty();
     return out;
   }
-  const auto& found = outcome.steps.at(0).found;
+  const auto& found = outcome.results.at(0).found;
   if (!found.empty()) {
     out.other = read_owner(found.front().value, found.front().created).value_or(Owner{});
     out.other.term = found.front().created;
@@ -195,7 +195,7 @@
   return out;
 }
 
-Recorded read_recorded(const Outcome& outcome, Term term, const Progress& wrote) {
+Recorded read_recorded(const TransactionResult& outcome, Term term, const Progress& wrote) {
   Recorded out;
   if (outcome.succeeded) {
     out.written = true;
@@ -203,9 +203,9 @@
     out.kept = Kept{wrote, outcome.revision};
     return out;
   }
-  const auto& owner = outcome.steps.at(0).found;
+  const auto& owner = outcome.results.at(0).found;
   out.owned = !owner.empty() && owner.front().created == term;
-  out.kept = kept_of(outcome.steps.at(1).found);
+  out.kept = kept_of(outcome.results.at(1).found);
   // The write was done at the first try, whose answer was lost.
   out.written = out.owned && out.kept.progress == wrote;
   return out;
--- a/src/ownership/work.h
+++ b/src/ownership/work.h
@@ -97,7 +97,7 @@
   Kept kept;
   bool done = false;
 };
-Acquired read_acquired(const coordination::Outcome& outcome);
+Acquired read_acquired(const coordination::TransactionResult& outcome);
 
 // Writes progress where the shard is owned under that term and nobody wrote since; else tells what stands.
 coordination::Transaction record(const std::string& prefix, const ShardId& id, Term term,
@@ -108,6 +108,6 @@
   Kept kept;
 };
 // `wrote`: what the transaction was to write, so that one whose answer was lost is known again.
-Recorded read_recorded(const coordination::Outcome& outcome, Term term, const Progress& wrote);
+Recorded read_recorded(const coordination::TransactionResult& outcome, Term term, const Progress& wrote);
 
 }  // namespace trailcourse::ownership
--- a/src/policy/acknowledgement.cpp
+++ b/src/policy/acknowledgement.cpp
@@ -62,13 +62,13 @@
 }
 
 AcknowledgementsSeen read_acknowledgements_seen(const std::string& prefix,
-                                                const coordination::Outcome& outcome) {
+                                                const coordination::TransactionResult& outcome) {
   AcknowledgementsSeen out;
-  if (const auto& found = outcome.steps.at(0).found; !found.empty()) {
+  if (const auto& found = outcome.results.at(0).found; !found.empty()) {
     out.record = read_acknowledgement(found.front().value).value_or(Acknowledgement{});
     out.modified = found.front().modified;
   }
-  out.permits = read_permits(prefix, outcome.steps.at(1).found);
+  out.permits = read_permits(prefix, outcome.results.at(1).found);
   return out;
 }
 
--- a/src/policy/acknowledgement.h
+++ b/src/policy/acknowledgement.h
@@ -56,7 +56,7 @@
 };
 coordination::Transaction look_at_acknowledgements(const std::string& prefix);
 AcknowledgementsSeen read_acknowledgements_seen(const std::string& prefix,
-                                                const coordination::Outcome& outcome);
+                                                const coordination::TransactionResult& outcome);
 // Writes the record where it is as it was seen.
 coordination::Transaction write_record(const std::string& prefix, const AcknowledgementsSeen& seen,
                                        const Acknowledgement& record);
--- a/src/policy/change.cpp
+++ b/src/policy/change.cpp
@@ -418,21 +418,21 @@
   return out;
 }
 
-Seen read_seen(const std::string& prefix, const coordination::Outcome& outcome) {
+Seen read_seen(const std::string& prefix, const coordination::TransactionResult& outcome) {
   Seen out;
   const auto number = [](const std::string& text) { return std::strtoull(text.c_str(), nullptr, 10); };
-  if (const auto& found = outcome.steps.at(0).found; !found.empty()) {
+  if (const auto& found = outcome.results.at(0).found; !found.empty()) {
     out.change = read_change(found.front().value);
     out.change_modified = found.front().modified;
   }
-  if (const auto& found = outcome.steps.at(1).found; !found.empty()) {
+  if (const auto& found = outcome.results.at(1).found; !found.empty()) {
     out.current = number(found.front().value);
     out.current_modified = found.front().modified;
   }
-  for (const coordination::Entry& entry : outcome.steps.at(2).found) {
+  for (const coordination::Entry& entry : outcome.results.at(2).found) {
     out.zones[entry.key.substr(prefix.size() + std::string(kZones).size())] = number(entry.value);
   }
-  out.permits = read_permits(prefix, outcome.steps.at(3).found);
+  out.permits = read_permits(prefix, outcome.results.at(3).found);
   return out;
 }
 
--- a/src/policy/change.h
+++ b/src/policy/change.h
@@ -155,6 +155,6 @@
 coordination::Transaction carry_out(const std::string& prefix, const Seen& seen, const Step& step);
 // All that Seen is made of, and how it is read.
 coordination::Transaction look(const std::string& prefix);
-Seen read_seen(const std::string& prefix, const coordination::Outcome& outcome);
+Seen read_seen(const std::string& prefix, const coordination::TransactionResult& outcome);
 
 }  // namespace trailcourse::policy
--- a/src/program/fleet_work.cpp
+++ b/src/program/fleet_work.cpp
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-std::unique_ptr<coordination::SharedStore> open_store(transport::Scheduler& scheduler,
+std::unique_ptr<coordination::CoordinationStore> open_store(transport::Scheduler& scheduler,
                                                       const coordination::CoordinationOptions& options,
                                                       std::uint64_t seed) {
   if (options.store == "etcd") {
@@ -58,7 +58,7 @@
   if (start.policy.follow && !start.aggregation.endpoints.empty()) {
     policy_store_ = std::make_unique<coordination::EtcdStore>(
         scheduler, aggregation::through_aggregators(start.coordination, start.aggregation),
-        configuration.seed ^ kStoreSeed, coordination::EtcdStore::First::kAsNamed);
+        configuration.seed ^ kStoreSeed, coordination::EtcdStore::FirstEndpoint::kFirstListed);
   }
   if (start.policy.follow && (policy_store_ || store_)) {
     follow_policy();
--- a/src/program/fleet_work.h
+++ b/src/program/fleet_work.h
@@ -8,7 +8,7 @@
 #include <set>
 #include <string>
 
-#include "coordination/shared_store.h"
+#include "coordination/coordination_store.h"
 #include "program/configuration.h"
 #include "routing/directory.h"
 #include "routing/router.h"
@@ -20,7 +20,7 @@
 namespace trailcourse::program {
 
 // The store that the section names; null for none.
-std::unique_ptr<coordination::SharedStore> open_store(transport::Scheduler& scheduler,
+std::unique_ptr<coordination::CoordinationStore> open_store(transport::Scheduler& scheduler,
                                                       const coordination::CoordinationOptions& options,
                                                       std::uint64_t seed);
 
@@ -62,8 +62,8 @@
   routing::Router& router_;
   const routing::Directory& directory_;
   tasks::BoardFollower board_;
-  std::unique_ptr<coordination::SharedStore> store_;         // null for none
-  std::unique_ptr<coordination::SharedStore> policy_store_;  // through aggregators; null for none
+  std::unique_ptr<coordination::CoordinationStore> store_;         // null for none
+  std::unique_ptr<coordination::CoordinationStore> policy_store_;  // through aggregators; null for none
   std::optional<tasks::TaskRunner> task_runner_;
   std::optional<tasks::PolicyFollower> policy_;
   tasks::SuspectBook suspects_;
--- a/src/program/node_commands.cpp
+++ b/src/program/node_commands.cpp
@@ -8,7 +8,7 @@
 
 #include "cache_node/node.h"
 #include "cache_node/origin.h"
-#include "coordination/registry.h"
+#include "coordination/coordination_server.h"
 #include "program/board_server.h"
 #include "program/signals.h"
 #include "store/store.h"
@@ -159,7 +159,7 @@
 int run_registry(const OperatorFile& file) {
   transport::Scheduler scheduler;
   Signals signals(scheduler);
-  coordination::Registry registry(scheduler, file.registry);
+  coordination::CoordinationServer registry(scheduler, file.registry);
   registry.listen(*transport::parse_address(file.registry.listen));
   const std::function<void()> report = [&registry] { log_line(Level::kInfo) << registry.report(); };
   scheduler.spawn(heed(scheduler, signals, report));
--- a/src/program/store_client.cpp
+++ b/src/program/store_client.cpp
@@ -7,8 +7,8 @@
 
 namespace trailcourse::program {
 
-using coordination::Outcome;
-using coordination::Reply;
+using coordination::TransactionResult;
+using coordination::StoreResponse;
 using transport::Clock;
 
 namespace {
@@ -21,15 +21,15 @@
 StoreClient::StoreClient(const coordination::CoordinationOptions& options)
     : options_(options), store_(open_store(scheduler_, options, 1)) {}
 
-Outcome StoreClient::commit(const coordination::Transaction& transaction) {
-  const auto reply = std::make_shared<std::optional<Reply<Outcome>>>();
-  store_->commit(transaction, [reply](const Reply<Outcome>& told) { *reply = told; });
+TransactionResult StoreClient::commit(const coordination::Transaction& transaction) {
+  const auto reply = std::make_shared<std::optional<StoreResponse<TransactionResult>>>();
+  store_->commit(transaction, [reply](const StoreResponse<TransactionResult>& told) { *reply = told; });
   const Clock::time_point end = Clock::now() + kPatience;
   while (!*reply && Clock::now() < end) {
     scheduler_.turn(kTurn);
   }
-  if (!*reply || !(*reply)->done()) {
-    throw std::runtime_error("the store is not to be had: " + (*reply ? (*reply)->why : "no answer"));
+  if (!*reply || !(*reply)->ok()) {
+    throw std::runtime_error("the store is not to be had: " + (*reply ? (*reply)->error : "no answer"));
   }
   return (*reply)->value;
 }
@@ -37,7 +37,7 @@
 std::vector<coordination::Entry> StoreClient::get(const std::string& stem, bool prefix) {
   coordination::Transaction read;
   read.then = {coordination::Get{coordination::Range{options_.prefix + stem, prefix}}};
-  std::vector<coordination::Entry> out = commit(read).steps.at(0).found;
+  std::vector<coordination::Entry> out = commit(read).results.at(0).found;
   for (coordination::Entry& entry : out) {
     entry.key.erase(0, options_.prefix.size());
   }
--- a/src/program/store_client.h
+++ b/src/program/store_client.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "coordination/options.h"
-#include "coordination/shared_store.h"
+#include "coordination/coordination_store.h"
 #include "transport/scheduler.h"
 
 namespace trailcourse::program {
@@ -17,7 +17,7 @@
   explicit StoreClient(const coordination::CoordinationOptions& options);
 
   // Throws std::runtime_error where there is no answer within 5 s.
-  coordination::Outcome commit(const coordination::Transaction& transaction);
+  coordination::TransactionResult commit(const coordination::Transaction& transaction);
   // Entries under a stem, their keys without the prefix.
   std::vector<coordination::Entry> get(const std::string& stem, bool prefix = true);
   std::string key(const std::string& rest) const { return options_.prefix + rest; }
@@ -28,7 +28,7 @@
  private:
   transport::Scheduler scheduler_;
   coordination::CoordinationOptions options_;
-  std::unique_ptr<coordination::SharedStore> store_;
+  std::unique_ptr<coordination::CoordinationStore> store_;
 };
 
 }  // namespace trailcourse::program
--- a/src/program/work_command.cpp
+++ b/src/program/work_command.cpp
@@ -10,7 +10,7 @@
 #include <ostream>
 #include <stdexcept>
 
-#include "coordination/shared_store.h"
+#include "coordination/coordination_store.h"
 #include "membership/view.h"
 #include "ownership/work.h"
 #include "program/store_client.h"
@@ -193,7 +193,7 @@
       coordination::Delete{coordination::Range{client.key(ownership::kDone + name + "/"), true}},
       coordination::Delete{coordination::Range{client.key(ownership::kRelease + name + "/"), true}}};
   // Its owners hear of it and give their leases back: the keys of ownership go with those.
-  if (client.commit(write).steps.at(0).deleted == 0) {
+  if (client.commit(write).results.at(0).deleted == 0) {
     errors << "trailcourse: work: there is no work " << name << '\n';
     return kNoSuchWork;
   }
--- a/src/tasks/acknowledgement_task.h
+++ b/src/tasks/acknowledgement_task.h
@@ -18,14 +18,14 @@
 class AcknowledgementTask : public StoreDriverTask {
  public:
   // `board` outlives it. `least_round`: between the beginnings of two rounds.
-  AcknowledgementTask(transport::Scheduler& scheduler, coordination::SharedStore& store, std::string prefix,
+  AcknowledgementTask(transport::Scheduler& scheduler, coordination::CoordinationStore& store, std::string prefix,
                       BoardFollower& board, Micros least_round, TaskContext context);
   ~AcknowledgementTask() override;
 
  protected:
   coordination::Transaction looks_at() const override;
   std::vector<coordination::Range> follows() const override;
-  Decision decide(Micros now, const coordination::Outcome& seen) override;
+  Decision decide(Micros now, const coordination::TransactionResult& seen) override;
   bool concerns(const std::string& key) const override;
 
  private:
--- a/src/tasks/owned_task.h
+++ b/src/tasks/owned_task.h
@@ -9,7 +9,7 @@
 #include <optional>
 #include <string>
 
-#include "coordination/shared_store.h"
+#include "coordination/coordination_store.h"
 #include "ownership/work.h"
 
 namespace trailcourse::tasks {
--- a/src/tasks/policy_change_task.cpp
+++ b/src/tasks/policy_change_task.cpp
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-PolicyChangeTask::PolicyChangeTask(transport::Scheduler& scheduler, coordination::SharedStore& store,
+PolicyChangeTask::PolicyChangeTask(transport::Scheduler& scheduler, coordination::CoordinationStore& store,
                                    std::string prefix, const policy::PolicyOptions& options,
                                    TaskContext context)
     : StoreDriverTask(scheduler, store, std::move(prefix), std::move(context)),
@@ -34,7 +34,7 @@
   return change_open_ || key == policy::kChangeKey;
 }
 
-StoreDriverTask::Decision PolicyChangeTask::decide(Micros now, const coordination::Outcome& outcome) {
+StoreDriverTask::Decision PolicyChangeTask::decide(Micros now, const coordination::TransactionResult& outcome) {
   const policy::Seen seen = policy::read_seen(prefix(), outcome);
   change_open_ = seen.change && seen.change->open();
   std::optional<policy::Step> step = driver_.next(now, seen);
--- a/src/tasks/policy_change_task.h
+++ b/src/tasks/policy_change_task.h
@@ -16,13 +16,13 @@
 
 class PolicyChangeTask : public StoreDriverTask {
  public:
-  PolicyChangeTask(transport::Scheduler& scheduler, coordination::SharedStore& store, std::string prefix,
+  PolicyChangeTask(transport::Scheduler& scheduler, coordination::CoordinationStore& store, std::string prefix,
                    const policy::PolicyOptions& options, TaskContext context);
 
  protected:
   coordination::Transaction looks_at() const override;
   std::vector<coordination::Range> follows() const override;
-  Decision decide(Micros now, const coordination::Outcome& seen) override;
+  Decision decide(Micros now, const coordination::TransactionResult& seen) override;
   bool concerns(const std::string& key) const override;
 
  private:
--- a/src/tasks/policy_follower.cpp
+++ b/src/tasks/policy_follower.cpp
@@ -10,8 +10,8 @@
 
 namespace trailcourse::tasks {
 
-using coordination::Outcome;
-using coordination::Reply;
+using coordination::TransactionResult;
+using coordination::StoreResponse;
 using policy::Ruling;
 using std::chrono::milliseconds;
 using transport::Clock;
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-PolicyFollower::PolicyFollower(transport::Scheduler& scheduler, coordination::SharedStore& store,
+PolicyFollower::PolicyFollower(transport::Scheduler& scheduler, coordination::CoordinationStore& store,
                                const policy::PolicyOptions& options, std::string prefix, Self self,
                                const protocol::Profile& profile, routing::Router& router, WorkAllowed allowed)
     : scheduler_(scheduler),
@@ -111,30 +111,30 @@
   holder_.document(now(), version);
 }
 
-void PolicyFollower::current(coordination::Revision, const std::vector<coordination::Entry>& entries) {
+void PolicyFollower::on_snapshot(coordination::Revision, const std::vector<coordination::Entry>& entries) {
   keys_.clear();
   for (const coordination::Entry& entry : entries) {
     apply(entry.key.substr(prefix_.size()), entry.value, entry.modified);
   }
-  heard();
+  on_heartbeat();
   tell();
 }
 
-void PolicyFollower::changed(coordination::Revision, const std::vector<coordination::Change>& changes) {
-  for (const coordination::Change& change : changes) {
+void PolicyFollower::on_changes(coordination::Revision, const std::vector<coordination::KeyChange>& changes) {
+  for (const coordination::KeyChange& change : changes) {
     apply(change.entry.key.substr(prefix_.size()), change.deleted ? std::string() : change.entry.value,
           change.entry.modified);
   }
-  heard();
+  on_heartbeat();
   tell();
 }
 
-void PolicyFollower::silent(const std::string&) {
+void PolicyFollower::on_disconnected(const std::string&) {
   holder_.heard(now(), false);
   turn_soon();
 }
 
-void PolicyFollower::heard() {
+void PolicyFollower::on_heartbeat() {
   holder_.heard(now(), true);
   turn_soon();
 }
@@ -222,7 +222,7 @@
   if (ask.order.ask == ownership::Ask::kAcquire) {
     store_.grant(milliseconds(options_.ttl_ms), [this, answered, ask, number](const auto& reply) {
       answered([&] {
-        if (reply.done()) {
+        if (reply.ok()) {
           join(ask, reply.value.id);
         } else {
           holder_.lost(now(), number);
@@ -232,7 +232,7 @@
   } else if (ask.order.ask == ownership::Ask::kRenew) {
     store_.keep_alive(lease_, [this, answered, number](const auto& reply) {
       answered([&] {
-        if (reply.done()) {
+        if (reply.ok()) {
           holder_.renewed(now(), number, reply.value.ttl > Micros(0));
         } else {
           holder_.lost(now(), number);
@@ -242,7 +242,7 @@
   } else {
     store_.revoke(lease_, [this, answered, number](const auto& reply) {
       answered([&] {
-        if (reply.done()) {
+        if (reply.ok()) {
           holder_.released(now(), number);
         } else {
           holder_.lost(now(), number);
@@ -261,16 +261,16 @@
   write.then = {coordination::Put{prefix_ + policy::permit_key(self_.name, lease),
                                   policy::write_permit(ask.permit), lease}};
   const std::uint64_t number = ask.order.number;
-  store_.commit(std::move(write), [this, alive = alive_, number, lease](const Reply<Outcome>& reply) {
+  store_.commit(std::move(write), [this, alive = alive_, number, lease](const StoreResponse<TransactionResult>& reply) {
     if (!*alive) {
       return;
     }
-    if (!reply.done()) {
+    if (!reply.ok()) {
       holder_.lost(now(), number);
     } else {
       holder_.joined(now(), number, reply.value.succeeded);
     }
-    if (!reply.done() || !reply.value.succeeded) {
+    if (!reply.ok() || !reply.value.succeeded) {
       store_.revoke(lease, [](const auto&) {});
     }
     turn_soon();
@@ -281,9 +281,9 @@
   coordination::Transaction write;
   write.then = {coordination::Put{prefix_ + policy::permit_key(self_.name, lease_),
                                   policy::write_permit(say.permit), lease_}};
-  store_.commit(std::move(write), [this, alive = alive_, number = say.number](const Reply<Outcome>& reply) {
+  store_.commit(std::move(write), [this, alive = alive_, number = say.number](const StoreResponse<TransactionResult>& reply) {
     if (*alive) {
-      holder_.said(now(), number, reply.done());
+      holder_.said(now(), number, reply.ok());
       turn_soon();
     }
   });
--- a/src/tasks/policy_follower.h
+++ b/src/tasks/policy_follower.h
@@ -11,7 +11,7 @@
 #include <set>
 #include <string>
 
-#include "coordination/shared_store.h"
+#include "coordination/coordination_store.h"
 #include "policy/holder.h"
 #include "policy/options.h"
 #include "protocol/settings.h"
@@ -23,7 +23,7 @@
 
 namespace trailcourse::tasks {
 
-class PolicyFollower : public coordination::Watcher {
+class PolicyFollower : public coordination::WatchObserver {
  public:
   struct Self {
     std::string name;
@@ -34,7 +34,7 @@
   // Told which kinds of work the version in force allows.
   using WorkAllowed = std::function<void(std::optional<std::set<std::string>> kinds)>;
 
-  PolicyFollower(transport::Scheduler& scheduler, coordination::SharedStore& store,
+  PolicyFollower(transport::Scheduler& scheduler, coordination::CoordinationStore& store,
                  const policy::PolicyOptions& options, std::string prefix, Self self,
                  const protocol::Profile& profile, routing::Router& router, WorkAllowed allowed);
   ~PolicyFollower() override;
@@ -50,10 +50,10 @@
   // One object of JSON.
   std::string status() const;
 
-  void current(coordination::Revision revision, const std::vector<coordination::Entry>& entries) override;
-  void changed(coordination::Revision revision, const std::vector<coordination::Change>& changes) override;
-  void silent(const std::string& why) override;
-  void heard() override;
+  void on_snapshot(coordination::Revision revision, const std::vector<coordination::Entry>& entries) override;
+  void on_changes(coordination::Revision revision, const std::vector<coordination::KeyChange>& changes) override;
+  void on_disconnected(const std::string& why) override;
+  void on_heartbeat() override;
 
  private:
   static Micros now();
@@ -77,7 +77,7 @@
   void note_version();
 
   transport::Scheduler& scheduler_;
-  coordination::SharedStore& store_;
+  coordination::CoordinationStore& store_;
   policy::PolicyOptions options_;
   std::string prefix_;
   Self self_;
@@ -91,7 +91,7 @@
   std::map<std::string, coordination::Entry> keys_;  // under policy/
   policy::Holder holder_;
   coordination::LeaseId lease_ = 0;
-  coordination::SharedStore::WatchId watch_ = 0;
+  coordination::CoordinationStore::WatchId watch_ = 0;
   std::map<std::pair<std::uint64_t, std::uint64_t>, Set> sets_;
   std::uint64_t next_set_ = 1;
   std::vector<std::string> names_;  // by the settings' places
--- a/src/tasks/prober.cpp
+++ b/src/tasks/prober.cpp
@@ -69,7 +69,7 @@
   bool up_ = false;
 };
 
-Prober::Prober(transport::Scheduler& scheduler, coordination::SharedStore& store, std::string prefix,
+Prober::Prober(transport::Scheduler& scheduler, coordination::CoordinationStore& store, std::string prefix,
                const routing::Directory& directory, const OwnershipOptions& options, TaskContext context)
     : scheduler_(scheduler),
       store_(store),
@@ -116,7 +116,7 @@
   plan_.named(now(), rest.substr(0, slash), rest.substr(slash + 1), !gone);
 }
 
-void Prober::current(coordination::Revision, const std::vector<coordination::Entry>& entries) {
+void Prober::on_snapshot(coordination::Revision, const std::vector<coordination::Entry>& entries) {
   std::set<std::string> there;
   for (const coordination::Entry& entry : entries) {
     there.insert(entry.key);
@@ -130,8 +130,8 @@
   turn();
 }
 
-void Prober::changed(coordination::Revision, const std::vector<coordination::Change>& changes) {
-  for (const coordination::Change& change : changes) {
+void Prober::on_changes(coordination::Revision, const std::vector<coordination::KeyChange>& changes) {
+  for (const coordination::KeyChange& change : changes) {
     take(change.entry.key, change.deleted);
   }
   turn();
--- a/src/tasks/prober.h
+++ b/src/tasks/prober.h
@@ -24,18 +24,18 @@
 std::string suspect_key(const std::string& zone, const std::string& cache, const std::string& router);
 std::string verdict_key(const std::string& zone, const std::string& cache);
 
-class Prober : public OwnedTask, public coordination::Watcher {
+class Prober : public OwnedTask, public coordination::WatchObserver {
  public:
-  Prober(transport::Scheduler& scheduler, coordination::SharedStore& store, std::string prefix,
+  Prober(transport::Scheduler& scheduler, coordination::CoordinationStore& store, std::string prefix,
          const routing::Directory& directory, const OwnershipOptions& options, TaskContext context);
   ~Prober() override;
 
   void begin() override;
   void finish() override;
 
-  void current(coordination::Revision revision, const std::vector<coordination::Entry>& entries) override;
-  void changed(coordination::Revision revision, const std::vector<coordination::Change>& changes) override;
-  void silent(const std::string&) override {}
+  void on_snapshot(coordination::Revision revision, const std::vector<coordination::Entry>& entries) override;
+  void on_changes(coordination::Revision revision, const std::vector<coordination::KeyChange>& changes) override;
+  void on_disconnected(const std::string&) override {}
 
  private:
   class Probe;
@@ -47,14 +47,14 @@
   void probed(const std::string& cache, bool sound);
 
   transport::Scheduler& scheduler_;
-  coordination::SharedStore& store_;
+  coordination::CoordinationStore& store_;
   std::string prefix_;
   const routing::Directory& directory_;
   OwnershipOptions options_;
   TaskContext context_;
   ProbePlan plan_;
   transport::Alarm timer_;
-  coordination::SharedStore::WatchId watch_ = 0;
+  coordination::CoordinationStore::WatchId watch_ = 0;
   std::set<std::string> named_;  // keys
   std::map<std::string, std::shared_ptr<transport::Connection>> out_;
   bool checkpointed_ = false;
--- a/src/tasks/reporter.cpp
+++ b/src/tasks/reporter.cpp
@@ -8,7 +8,7 @@
 using std::chrono::milliseconds;
 using transport::Clock;
 
-Reporter::Reporter(transport::Scheduler& scheduler, coordination::SharedStore& store, std::string prefix,
+Reporter::Reporter(transport::Scheduler& scheduler, coordination::CoordinationStore& store, std::string prefix,
                    const OwnershipOptions& options, TaskContext context)
     : scheduler_(scheduler),
       store_(store),
@@ -28,9 +28,9 @@
     coordination::Transaction read;
     read.then = {coordination::Get{coordination::Range{prefix_ + kCounters, true}}};
     store_.commit(std::move(read),
-                  [this, alive = alive_](const coordination::Reply<coordination::Outcome>& reply) {
-                    if (*alive && reply.done()) {
-                      this->read(reply.value.steps.at(0).found);
+                  [this, alive = alive_](const coordination::StoreResponse<coordination::TransactionResult>& reply) {
+                    if (*alive && reply.ok()) {
+                      this->read(reply.value.results.at(0).found);
                     }
                   });
   }
--- a/src/tasks/reporter.h
+++ b/src/tasks/reporter.h
@@ -18,7 +18,7 @@
 
 class Reporter : public OwnedTask {
  public:
-  Reporter(transport::Scheduler& scheduler, coordination::SharedStore& store, std::string prefix,
+  Reporter(transport::Scheduler& scheduler, coordination::CoordinationStore& store, std::string prefix,
            const OwnershipOptions& options, TaskContext context);
   ~Reporter() override { *alive_ = false; }
 
@@ -30,7 +30,7 @@
   void read(const std::vector<coordination::Entry>& entries);
 
   transport::Scheduler& scheduler_;
-  coordination::SharedStore& store_;
+  coordination::CoordinationStore& store_;
   std::string prefix_;
   OwnershipOptions options_;
   TaskContext context_;
--- a/src/tasks/store_driver_task.cpp
+++ b/src/tasks/store_driver_task.cpp
@@ -7,8 +7,8 @@
 
 namespace trailcourse::tasks {
 
-using coordination::Outcome;
-using coordination::Reply;
+using coordination::TransactionResult;
+using coordination::StoreResponse;
 using coordination::Transaction;
 using std::chrono::milliseconds;
 using transport::Clock;
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-StoreDriverTask::StoreDriverTask(transport::Scheduler& scheduler, coordination::SharedStore& store,
+StoreDriverTask::StoreDriverTask(transport::Scheduler& scheduler, coordination::CoordinationStore& store,
                                  std::string prefix, TaskContext context)
     : store_(store),
       prefix_(std::move(prefix)),
@@ -52,7 +52,7 @@
   context_.finished();
 }
 
-void StoreDriverTask::changed(coordination::Revision, const std::vector<coordination::Change>& changes) {
+void StoreDriverTask::on_changes(coordination::Revision, const std::vector<coordination::KeyChange>& changes) {
   const bool may_matter = std::any_of(changes.begin(), changes.end(), [this](const auto& change) {
     return concerns(change.entry.key.substr(prefix_.size()));
   });
@@ -87,12 +87,12 @@
   }
   looked_at_ = Clock::now();
   look_after(kIdleLook);
-  store_.commit(looks_at(), [this, alive = alive_](const Reply<Outcome>& reply) {
+  store_.commit(looks_at(), [this, alive = alive_](const StoreResponse<TransactionResult>& reply) {
     if (!*alive) {
       return;
     }
     looking_ = false;
-    if (!reply.done()) {
+    if (!reply.ok()) {
       look_after(kLostLook);
       return;
     }
@@ -103,7 +103,7 @@
   });
 }
 
-void StoreDriverTask::looked(const Outcome& seen) {
+void StoreDriverTask::looked(const TransactionResult& seen) {
   const Micros at = now();
   Decision decision = decide(at, seen);
   if (decision.look_at) {
@@ -126,12 +126,12 @@
 void StoreDriverTask::write(Transaction transaction) {
   transaction.when.push_back(
       coordination::created_at(prefix_ + ownership::kOwn + to_string(context_.id), context_.term));
-  store_.commit(std::move(transaction), [this, alive = alive_](const Reply<Outcome>& reply) {
+  store_.commit(std::move(transaction), [this, alive = alive_](const StoreResponse<TransactionResult>& reply) {
     if (!*alive) {
       return;
     }
     // Refused, or nobody knows: what stands is looked at again.
-    if (!reply.done() || !reply.value.succeeded) {
+    if (!reply.ok() || !reply.value.succeeded) {
       look_after(kLostLook);
     } else {
       look();
--- a/src/tasks/store_driver_task.h
+++ b/src/tasks/store_driver_task.h
@@ -10,24 +10,24 @@
 #include <string>
 #include <vector>
 
-#include "coordination/shared_store.h"
+#include "coordination/coordination_store.h"
 #include "tasks/owned_task.h"
 #include "transport/alarm.h"
 
 namespace trailcourse::tasks {
 
-class StoreDriverTask : public OwnedTask, public coordination::Watcher {
+class StoreDriverTask : public OwnedTask, public coordination::WatchObserver {
  public:
-  StoreDriverTask(transport::Scheduler& scheduler, coordination::SharedStore& store, std::string prefix,
+  StoreDriverTask(transport::Scheduler& scheduler, coordination::CoordinationStore& store, std::string prefix,
                   TaskContext context);
   ~StoreDriverTask() override;
 
   void begin() override;
   void finish() override;
 
-  void current(coordination::Revision, const std::vector<coordination::Entry>&) override { look_soon(); }
-  void changed(coordination::Revision, const std::vector<coordination::Change>& changes) override;
-  void silent(const std::string&) override {}
+  void on_snapshot(coordination::Revision, const std::vector<coordination::Entry>&) override { look_soon(); }
+  void on_changes(coordination::Revision, const std::vector<coordination::KeyChange>& changes) override;
+  void on_disconnected(const std::string&) override {}
 
  protected:
   struct Decision {
@@ -39,7 +39,7 @@
   // What is read at each look, and what is followed: any news there is a reason to look.
   virtual coordination::Transaction looks_at() const = 0;
   virtual std::vector<coordination::Range> follows() const = 0;
-  virtual Decision decide(Micros now, const coordination::Outcome& seen) = 0;
+  virtual Decision decide(Micros now, const coordination::TransactionResult& seen) = 0;
   // Whether news of one key may change what is decided.
   virtual bool concerns(const std::string& key) const = 0;
 
@@ -49,15 +49,15 @@
 
  private:
   void look();
-  void looked(const coordination::Outcome& seen);
+  void looked(const coordination::TransactionResult& seen);
   void write(coordination::Transaction transaction);
   void look_after(Micros time);
 
-  coordination::SharedStore& store_;
+  coordination::CoordinationStore& store_;
   std::string prefix_;
   TaskContext context_;
   transport::Alarm timer_;
-  std::vector<coordination::SharedStore::WatchId> watches_;
+  std::vector<coordination::CoordinationStore::WatchId> watches_;
   transport::Clock::time_point looked_at_;
   bool looking_ = false;
   bool again_ = false;
--- a/src/tasks/task_runner.cpp
+++ b/src/tasks/task_runner.cpp
@@ -8,10 +8,10 @@
 
 namespace trailcourse::tasks {
 
-using coordination::Change;
+using coordination::KeyChange;
 using coordination::LeaseId;
-using coordination::Outcome;
-using coordination::Reply;
+using coordination::TransactionResult;
+using coordination::StoreResponse;
 using ownership::Ask;
 using ownership::ShardId;
 using std::chrono::milliseconds;
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-TaskRunner::TaskRunner(transport::Scheduler& scheduler, coordination::SharedStore& store,
+TaskRunner::TaskRunner(transport::Scheduler& scheduler, coordination::CoordinationStore& store,
                        const OwnershipOptions& options, std::string prefix, Self self)
     : scheduler_(scheduler),
       store_(store),
@@ -84,16 +84,16 @@
 
 // ---- What the store tells ----
 
-void TaskRunner::current(coordination::Revision revision, const std::vector<coordination::Entry>& entries) {
+void TaskRunner::on_snapshot(coordination::Revision revision, const std::vector<coordination::Entry>& entries) {
   std::set<std::string> named;
   view_.begin_whole();
   for (const coordination::Entry& entry : entries) {
     named.insert(entry.key);
-    apply(Change{false, entry});
+    apply(KeyChange{false, entry});
   }
   for (const std::string& key : std::set<std::string>(known_)) {
     if (!named.contains(key)) {
-      Change gone{true, {}};
+      KeyChange gone{true, {}};
       gone.entry.key = key;
       gone.entry.modified = revision;
       apply(gone);
@@ -104,15 +104,15 @@
   told();
 }
 
-void TaskRunner::changed(coordination::Revision, const std::vector<Change>& changes) {
-  for (const Change& change : changes) {
+void TaskRunner::on_changes(coordination::Revision, const std::vector<KeyChange>& changes) {
+  for (const KeyChange& change : changes) {
     apply(change);
   }
   heard_store();
   told();
 }
 
-void TaskRunner::silent(const std::string& why) {
+void TaskRunner::on_disconnected(const std::string& why) {
   if (std::exchange(heard_, false)) {
     log_line(Level::kWarning) << "the store is not heard: " << why;
   }
@@ -128,7 +128,7 @@
   }
 }
 
-void TaskRunner::apply(const Change& change) {
+void TaskRunner::apply(const KeyChange& change) {
   const Micros at = now();
   const std::string key = change.entry.key.substr(std::min(prefix_.size(), change.entry.key.size()));
   const std::string value = change.deleted ? std::string() : change.entry.value;
@@ -233,7 +233,7 @@
       if (!*alive) {
         return;
       }
-      if (reply.done()) {
+      if (reply.ok()) {
         lease_manager_.renewed(now(), id, number, reply.value.ttl > Micros(0));
       } else {
         lease_manager_.lost(now(), id, number);
@@ -246,7 +246,7 @@
     if (!*alive) {
       return;
     }
-    if (reply.done()) {
+    if (reply.ok()) {
       lease_manager_.released(now(), id, number);
     } else {
       lease_manager_.lost(now(), id, number);
@@ -260,7 +260,7 @@
     if (!*alive) {
       return;
     }
-    if (!reply.done()) {
+    if (!reply.ok()) {
       lease_manager_.lost(now(), id, number);
       turn_soon();
       return;
@@ -272,11 +272,11 @@
 void TaskRunner::own(const ShardId& id, std::uint64_t number, LeaseId lease) {
   const ownership::Owner owner{self_.name, self_.incarnation, 0};
   store_.commit(ownership::acquire(prefix_, id, owner, lease), [this, alive = alive_, id, number,
-                                                                lease](const Reply<Outcome>& reply) {
+                                                                lease](const StoreResponse<TransactionResult>& reply) {
     if (!*alive) {
       return;
     }
-    if (!reply.done()) {
+    if (!reply.ok()) {
       // Whether it was done or not: without a renewal it ends, and sooner so.
       give_up(lease);
       lease_manager_.lost(now(), id, number);
@@ -301,11 +301,11 @@
 void TaskRunner::carry_out(const ownership::Write& write) {
   const ShardId id = write.id;
   store_.commit(ownership::record(prefix_, id, write.term, write.modified, write.progress),
-                [this, alive = alive_, write](const Reply<Outcome>& reply) {
+                [this, alive = alive_, write](const StoreResponse<TransactionResult>& reply) {
                   if (!*alive) {
                     return;
                   }
-                  if (reply.done()) {
+                  if (reply.ok()) {
                     lease_manager_.recorded(
                         now(), write.id, write.number,
                         ownership::read_recorded(reply.value, write.term, write.progress));
@@ -338,9 +338,9 @@
   out.get = [this](const std::string& key, std::function<void(std::optional<std::string>)> then) {
     coordination::Transaction read;
     read.then = {coordination::Get{coordination::Range{prefix_ + key, false}}};
-    store_.commit(std::move(read), [then = std::move(then)](const Reply<Outcome>& reply) {
-      if (reply.done()) {
-        const auto& found = reply.value.steps.at(0).found;
+    store_.commit(std::move(read), [then = std::move(then)](const StoreResponse<TransactionResult>& reply) {
+      if (reply.ok()) {
+        const auto& found = reply.value.results.at(0).found;
         then(found.empty() ? std::nullopt : std::optional<std::string>(found.front().value));
       }
     });
@@ -353,8 +353,8 @@
     } else {
       transaction.then = {coordination::Put{prefix_ + key, std::move(value), 0}};
     }
-    store_.commit(std::move(transaction), [id, term](const Reply<Outcome>& reply) {
-      if (reply.done() && !reply.value.succeeded) {
+    store_.commit(std::move(transaction), [id, term](const StoreResponse<TransactionResult>& reply) {
+      if (reply.ok() && !reply.value.succeeded) {
         log_line(Level::kWarning) << to_string(id) << ": the store refused a write under term " << term;
       }
     });
@@ -431,7 +431,7 @@
       if (!*alive) {
         return;
       }
-      if (reply.done()) {
+      if (reply.ok()) {
         session_lease_ = reply.value.id;
         join(number);
       } else {
@@ -444,7 +444,7 @@
       if (!*alive) {
         return;
       }
-      if (!reply.done()) {
+      if (!reply.ok()) {
         session_.lost(now(), number);
       } else if (reply.value.ttl > Micros(0)) {
         session_.granted(now(), number, 0);
@@ -458,7 +458,7 @@
       if (!*alive) {
         return;
       }
-      if (reply.done()) {
+      if (reply.ok()) {
         session_.granted(now(), number, 0);
       } else {
         session_.lost(now(), number);
@@ -475,11 +475,11 @@
   for (const auto& [key, value] : kept_) {
     transaction.then.push_back(coordination::Put{prefix_ + key, value, session_lease_});
   }
-  store_.commit(std::move(transaction), [this, alive = alive_, number](const Reply<Outcome>& reply) {
+  store_.commit(std::move(transaction), [this, alive = alive_, number](const StoreResponse<TransactionResult>& reply) {
     if (!*alive) {
       return;
     }
-    if (reply.done()) {
+    if (reply.ok()) {
       session_.granted(now(), number, reply.value.revision);
       log_line(Level::kInfo) << "member of the fleet at revision " << reply.value.revision;
     } else {
--- a/src/tasks/task_runner.h
+++ b/src/tasks/task_runner.h
@@ -12,7 +12,7 @@
 #include <set>
 #include <string>
 
-#include "coordination/shared_store.h"
+#include "coordination/coordination_store.h"
 #include "membership/peers.h"
 #include "membership/view.h"
 #include "ownership/lease_manager.h"
@@ -24,7 +24,7 @@
 
 namespace trailcourse::tasks {
 
-class TaskRunner : public coordination::Watcher {
+class TaskRunner : public coordination::WatchObserver {
  public:
   struct Self {
     std::string name;
@@ -34,7 +34,7 @@
     std::string version;
   };
 
-  TaskRunner(transport::Scheduler& scheduler, coordination::SharedStore& store,
+  TaskRunner(transport::Scheduler& scheduler, coordination::CoordinationStore& store,
              const OwnershipOptions& options, std::string prefix, Self self);
   ~TaskRunner() override;
 
@@ -59,16 +59,16 @@
   bool heard() const { return heard_; }
   // One object of JSON, for the health check.
   std::string status() const;
-  coordination::SharedStore& store() { return store_; }
+  coordination::CoordinationStore& store() { return store_; }
   const std::string& prefix() const { return prefix_; }
   const Self& self() const { return self_; }
   const OwnershipOptions& options() const { return options_; }
 
-  void current(coordination::Revision revision, const std::vector<coordination::Entry>& entries) override;
-  void changed(coordination::Revision revision, const std::vector<coordination::Change>& changes) override;
-  void silent(const std::string& why) override;
+  void on_snapshot(coordination::Revision revision, const std::vector<coordination::Entry>& entries) override;
+  void on_changes(coordination::Revision revision, const std::vector<coordination::KeyChange>& changes) override;
+  void on_disconnected(const std::string& why) override;
   void heard_store();
-  void heard() override { heard_store(); }
+  void on_heartbeat() override { heard_store(); }
 
  private:
   struct Running {
@@ -80,7 +80,7 @@
   void turn();
   void turn_soon() { next_turn_.post(); }
   void set_timer();
-  void apply(const coordination::Change& change);
+  void apply(const coordination::KeyChange& change);
   void told();
   void carry_out(const ownership::AskLease& ask);
   void carry_out(const ownership::Write& write);
@@ -102,7 +102,7 @@
   class Knock;
 
   transport::Scheduler& scheduler_;
-  coordination::SharedStore& store_;
+  coordination::CoordinationStore& store_;
   OwnershipOptions options_;
   std::string prefix_;
   Self self_;
@@ -120,7 +120,7 @@
   std::map<std::string, bool> kept_out_;  // keys being written; true: changed meanwhile
   std::set<std::string> known_;           // keys under fleet/
   std::map<std::string, int> doubts_told_;
-  coordination::SharedStore::WatchId watch_ = 0;
+  coordination::CoordinationStore::WatchId watch_ = 0;
   transport::Alarm timer_;
   transport::Deferred next_turn_;
   bool heard_ = false;
--- a/tests/acknowledgement_test.cpp
+++ b/tests/acknowledgement_test.cpp
@@ -10,7 +10,7 @@
 #include "aggregation/aggregator.h"
 #include "aggregation/permit_summary.h"
 #include "aggregation/router_leases.h"
-#include "coordination/ledger.h"
+#include "coordination/key_value_state.h"
 #include "policy/holder.h"
 
 namespace trailcourse::policy {
@@ -120,7 +120,7 @@
 }
 
 TEST(AcknowledgementDriverTest, ALateOneIsRefusedByTheStore) {
-  coordination::Ledger ledger{coordination::Limits{}};
+  coordination::KeyValueState ledger{coordination::KeyValueLimits{}};
   const auto look = [&ledger] {
     return read_acknowledgements_seen("", ledger.commit(look_at_acknowledgements("")));
   };
@@ -272,7 +272,7 @@
 // of the record that stood there then.
 TEST(AcknowledgingAggregatorTest, GivesNoPermissionBeforeItKnowsTheRecordThatItJoinedBehind) {
   constexpr Micros kTtl{3'000'000};
-  coordination::Ledger store{coordination::Limits{}};
+  coordination::KeyValueState store{coordination::KeyValueLimits{}};
   const auto write = [&store](const std::string& key, const std::string& value) {
     return store.commit({{}, {coordination::Put{key, value, 0}}, {}}).revision;
   };
@@ -284,7 +284,7 @@
   aggregation::Aggregator aggregator(rules, {"east", "i1", {"edge"}, ""}, 1);
   aggregator.mirror(store.get(records));
   aggregator.heard(true);
-  store.changes();
+  store.take_changes();
   write(kAcknowledgedKey, write_acknowledgement({2, at(9), at(5)}));
   const auto ask = std::get<aggregation::AskPermission>(aggregator.due(kStart).front());
   const LeaseId lease = store.grant(0, 4'000, 0);
@@ -293,7 +293,7 @@
   ASSERT_TRUE(joined.joined);
   aggregator.uplink().joined(kStart, ask.order.number, joined);
   EXPECT_THROW(aggregator.grant(kStart, kTtl), Refused);
-  aggregator.follow(store.changes());
+  aggregator.follow(store.take_changes());
   EXPECT_NO_THROW(aggregator.grant(kStart, kTtl));
 }
 
--- a/tests/aggregation_service_test.cpp
+++ b/tests/aggregation_service_test.cpp
@@ -10,7 +10,7 @@
 
 #include "aggregation/service.h"
 #include "coordination/etcd_store.h"
-#include "coordination/registry.h"
+#include "coordination/coordination_server.h"
 #include "fleet/fault_proxy.h"
 #include "fleet/ports.h"
 #include "fleet/process.h"
@@ -19,21 +19,21 @@
 namespace trailcourse::aggregation {
 namespace {
 
-using coordination::Change;
+using coordination::KeyChange;
 using coordination::Delete;
 using coordination::Entry;
 using coordination::EtcdStore;
 using coordination::Get;
 using coordination::GrantedLease;
 using coordination::LeaseId;
-using coordination::Nothing;
-using coordination::Outcome;
+using coordination::Empty;
+using coordination::TransactionResult;
 using coordination::Put;
 using coordination::Range;
-using coordination::Reply;
-using coordination::Result;
+using coordination::StoreResponse;
+using coordination::CallStatus;
 using coordination::Revision;
-using coordination::SharedStore;
+using coordination::CoordinationStore;
 using coordination::Transaction;
 using nlohmann::json;
 using policy::Permit;
@@ -48,8 +48,8 @@
 
 std::string at(const std::string& key) { return kPrefix + key; }
 
-struct Told : coordination::Watcher {
-  void current(Revision revision, const std::vector<Entry>& entries) override {
+struct Told : coordination::WatchObserver {
+  void on_snapshot(Revision revision, const std::vector<Entry>& entries) override {
     ++currents;
     last = revision;
     state.clear();
@@ -57,9 +57,9 @@
       state[entry.key] = entry;
     }
   }
-  void changed(Revision revision, const std::vector<Change>& changes) override {
+  void on_changes(Revision revision, const std::vector<KeyChange>& changes) override {
     last = revision;
-    for (const Change& change : changes) {
+    for (const KeyChange& change : changes) {
       if (change.deleted) {
         state.erase(change.entry.key);
       } else {
@@ -67,7 +67,7 @@
       }
     }
   }
-  void silent(const std::string& why) override { reason = why; }
+  void on_disconnected(const std::string& why) override { reason = why; }
 
   std::map<std::string, Entry> state;
   std::string reason;
@@ -87,7 +87,7 @@
     coordination::RegistryOptions options;
     options.folder = folder_ + "/registry";
     store_address_ = ports_.take_text();
-    registry_ = std::make_unique<coordination::Registry>(scheduler, options);
+    registry_ = std::make_unique<coordination::CoordinationServer>(scheduler, options);
     registry_->listen(*transport::parse_address(store_address_));
   }
   ~Region() {
@@ -121,21 +121,21 @@
   }
 
   // As a router sees its aggregators.
-  SharedStore& router(std::vector<std::string> endpoints = {}) {
+  CoordinationStore& router(std::vector<std::string> endpoints = {}) {
     stores_.push_back(std::make_unique<EtcdStore>(
-        scheduler, reaching(endpoints.empty() ? endpoints_ : endpoints), 9, EtcdStore::First::kAsNamed));
+        scheduler, reaching(endpoints.empty() ? endpoints_ : endpoints), 9, EtcdStore::FirstEndpoint::kFirstListed));
     return *stores_.back();
   }
-  SharedStore& staff() { return router({store_address_}); }
+  CoordinationStore& staff() { return router({store_address_}); }
   const std::vector<std::string>& endpoints() const { return endpoints_; }
   const std::string& store_address() const { return store_address_; }
   const std::string& folder() const { return folder_; }
   std::string free_address() { return ports_.take_text(); }
 
   // Grants until it is given: an aggregator may not have its own permission yet.
-  LeaseId lease(SharedStore& store, milliseconds ttl = kLongTtl) {
-    Reply<GrantedLease> reply;
-    EXPECT_TRUE(until([&] { return (reply = grant(store, ttl)).done(); })) << reply.why;
+  LeaseId lease(CoordinationStore& store, milliseconds ttl = kLongTtl) {
+    StoreResponse<GrantedLease> reply;
+    EXPECT_TRUE(until([&] { return (reply = grant(store, ttl)).ok(); })) << reply.error;
     return reply.value.id;
   }
   bool permitted(const Service& service) {
@@ -146,7 +146,7 @@
   std::map<std::string, Permit> summaries() {
     const auto reply = commit(staff(), Transaction{{}, {Get{Range{at(policy::kPermits), true}}}, {}});
     std::map<std::string, Permit> out;
-    for (const Entry& entry : reply.done() ? reply.value.steps.at(0).found : std::vector<Entry>{}) {
+    for (const Entry& entry : reply.ok() ? reply.value.results.at(0).found : std::vector<Entry>{}) {
       const std::string name = entry.key.substr(at(policy::kPermits).size());
       out[name.substr(0, name.find('/'))] = policy::read_permit(entry.value).value_or(Permit{});
     }
@@ -156,7 +156,7 @@
 
  private:
   struct Process {
-    std::unique_ptr<SharedStore> store;
+    std::unique_ptr<CoordinationStore> store;
     std::unique_ptr<Service> service;  // goes first
   };
 
@@ -173,10 +173,10 @@
   fleet::PortBook ports_;
   std::string folder_;
   std::string store_address_;
-  std::unique_ptr<coordination::Registry> registry_;
+  std::unique_ptr<coordination::CoordinationServer> registry_;
   std::vector<std::string> endpoints_;
   std::vector<Process> aggregators_;
-  std::vector<std::unique_ptr<SharedStore>> stores_;
+  std::vector<std::unique_ptr<CoordinationStore>> stores_;
 };
 
 Permit permit_of(const std::string& zone, std::uint64_t version, std::uint64_t number = 1) {
@@ -197,36 +197,36 @@
 TEST(AggregationServiceTest, PermissionsAreGivenRenewedAndEndByTime) {
   Region region;
   const Service& service = region.add_aggregator("a1");
-  SharedStore& router = region.router();
+  CoordinationStore& router = region.router();
   const LeaseId lasting = region.lease(router);
   const auto renewed = region.renew(router, lasting);
-  ASSERT_TRUE(renewed.done()) << renewed.why;
+  ASSERT_TRUE(renewed.ok()) << renewed.error;
   EXPECT_EQ(renewed.value.ttl, Micros(kLongTtl));
   const LeaseId lease = region.lease(router, kShortTtl);
   ASSERT_TRUE(region.until([&] { return service.core().routers() == 1; })) << "nobody renews the second";
   const auto gone = region.renew(router, lease);
-  ASSERT_TRUE(gone.done()) << gone.why;
+  ASSERT_TRUE(gone.ok()) << gone.error;
   EXPECT_EQ(gone.value.ttl, Micros(0));
-  EXPECT_TRUE(region.revoke(router, lease).done()) << "there is none: that is what was asked for";
+  EXPECT_TRUE(region.revoke(router, lease).ok()) << "there is none: that is what was asked for";
 }
 
 TEST(AggregationServiceTest, APermissionThatIsGivenBackEndsAtOnce) {
   Region region;
   const Service& service = region.add_aggregator("a1");
-  SharedStore& router = region.router();
+  CoordinationStore& router = region.router();
   const LeaseId lease = region.lease(router);
-  ASSERT_TRUE(region.commit(router, say("r1", lease, permit_of("east", 0))).done());
-  ASSERT_TRUE(region.revoke(router, lease).done());
+  ASSERT_TRUE(region.commit(router, say("r1", lease, permit_of("east", 0))).ok());
+  ASSERT_TRUE(region.revoke(router, lease).ok());
   EXPECT_EQ(service.core().routers(), 0U);
-  EXPECT_EQ(region.commit(router, say("r1", lease, permit_of("east", 0, 2))).result, Result::kRejected);
+  EXPECT_EQ(region.commit(router, say("r1", lease, permit_of("east", 0, 2))).status, CallStatus::kRejected);
 }
 
 TEST(AggregationServiceTest, APermitStandsOnlyWhereRecordsAreAsTheRouterKnewThem) {
   Region region;
   region.add_aggregator("a1");
   ASSERT_TRUE(
-      region.commit(region.staff(), Transaction{{}, {Put{at(policy::kCurrentKey), "5", 0}}, {}}).done());
-  SharedStore& router = region.router();
+      region.commit(region.staff(), Transaction{{}, {Put{at(policy::kCurrentKey), "5", 0}}, {}}).ok());
+  CoordinationStore& router = region.router();
   Told told;
   const auto watch = router.watch(Range{at("policy/"), true}, told);
   ASSERT_TRUE(region.until([&] { return told.state.contains(at(policy::kCurrentKey)); })) << told.reason;
@@ -235,14 +235,14 @@
   Transaction join = say("r1", lease, permit_of("east", 5));
   join.when = {coordination::unchanged(at(policy::kCurrentKey), modified + 1)};
   const auto elsewise = region.commit(router, join);
-  ASSERT_TRUE(elsewise.done()) << elsewise.why;
+  ASSERT_TRUE(elsewise.ok()) << elsewise.error;
   EXPECT_FALSE(elsewise.value.succeeded);
   join.when = {coordination::unchanged(at(policy::kCurrentKey), modified)};
   const auto joined = region.commit(router, join);
-  ASSERT_TRUE(joined.done()) << joined.why;
+  ASSERT_TRUE(joined.ok()) << joined.error;
   EXPECT_TRUE(joined.value.succeeded);
   // One that decides under another version is what the store hears of the zone.
-  ASSERT_TRUE(region.commit(router, say("r1", lease, permit_of("east", 4, 2))).done());
+  ASSERT_TRUE(region.commit(router, say("r1", lease, permit_of("east", 4, 2))).ok());
   ASSERT_TRUE(region.until([&] { return region.summaries()["a1.east"].version == 4; }));
   const auto summaries = region.summaries();
   EXPECT_EQ(summaries.at("a1.east").routers, 1U);
@@ -254,8 +254,8 @@
 TEST(AggregationServiceTest, AWatchTellsTheStoresRecordsUnderItsRevisionsAndItsName) {
   Region region;
   region.add_aggregator("a1");
-  SharedStore& staff = region.staff();
-  SharedStore& router = region.router();
+  CoordinationStore& staff = region.staff();
+  CoordinationStore& router = region.router();
   Told direct;
   Told through;
   const auto first = staff.watch(Range{at("policy/"), true}, direct);
@@ -263,17 +263,17 @@
   ASSERT_TRUE(region.until([&] { return direct.currents == 1 && through.currents == 1; })) << through.reason;
   for (int i = 0; i < 20; ++i) {
     const std::string key = at(policy::kDocuments + std::to_string(i % 3));
-    const coordination::Step step = i % 7 == 6 ? coordination::Step(Delete{Range{key, false}})
-                                               : coordination::Step(Put{key, std::to_string(i), 0});
-    ASSERT_TRUE(region.commit(staff, Transaction{{}, {step}, {}}).done());
-    ASSERT_TRUE(region.commit(staff, Transaction{{}, {Put{at("elsewhere"), "x", 0}}, {}}).done());
+    const coordination::Operation step = i % 7 == 6 ? coordination::Operation(Delete{Range{key, false}})
+                                               : coordination::Operation(Put{key, std::to_string(i), 0});
+    ASSERT_TRUE(region.commit(staff, Transaction{{}, {step}, {}}).ok());
+    ASSERT_TRUE(region.commit(staff, Transaction{{}, {Put{at("elsewhere"), "x", 0}}, {}}).ok());
   }
   ASSERT_TRUE(region.until([&] { return !direct.state.empty() && direct.state == through.state; }));
   EXPECT_EQ(through.currents, 1) << "told change by change";
   EXPECT_EQ(router.id(), staff.id());
   const auto read = region.commit(router, Transaction{{}, {Get{Range{at("policy/"), true}}}, {}});
-  ASSERT_TRUE(read.done()) << read.why;
-  EXPECT_EQ(read.value.steps.at(0).found.size(), direct.state.size());
+  ASSERT_TRUE(read.ok()) << read.error;
+  EXPECT_EQ(read.value.results.at(0).found.size(), direct.state.size());
   staff.unwatch(first);
   router.unwatch(second);
 }
@@ -281,15 +281,15 @@
 TEST(AggregationServiceTest, WhatItDoesNotTakeIsRefusedWithAReasonAndChangesNothing) {
   Region region;
   const Service& service = region.add_aggregator("a1");
-  SharedStore& router = region.router();
+  CoordinationStore& router = region.router();
   const LeaseId lease = region.lease(router);
-  ASSERT_TRUE(region.commit(router, say("r1", lease, permit_of("east", 0, 5))).done());
+  ASSERT_TRUE(region.commit(router, say("r1", lease, permit_of("east", 0, 5))).ok());
   // A lease that was asked for before the aggregator had permission itself was refused, too.
   const std::uint64_t before = service.core().counts().refused_in_all();
   const auto refused = [&](const Transaction& transaction, const std::string& word) {
     const auto reply = region.commit(router, transaction);
-    EXPECT_EQ(reply.result, Result::kRejected) << word;
-    EXPECT_NE(reply.why.find(word), std::string::npos) << reply.why;
+    EXPECT_EQ(reply.status, CallStatus::kRejected) << word;
+    EXPECT_NE(reply.error.find(word), std::string::npos) << reply.error;
   };
   refused(say("r1", lease, permit_of("east", 0, 4)), "number");
   refused(say("r1", lease, permit_of("north", 0, 6)), "zone");
@@ -307,12 +307,12 @@
 TEST(AggregationServiceTest, MutatedCallsAreAnsweredOrRefused) {
   Region region;
   Service& service = region.add_aggregator("a1");
-  SharedStore& router = region.router();
+  CoordinationStore& router = region.router();
   const LeaseId lease = region.lease(router);
-  ASSERT_TRUE(region.commit(router, say("r1", lease, permit_of("east", 0, 1))).done());
+  ASSERT_TRUE(region.commit(router, say("r1", lease, permit_of("east", 0, 1))).ok());
   namespace etcd = coordination::etcd;
   const std::vector<std::pair<std::string, std::string>> calls{
-      {std::string(etcd::kGrantPath), etcd::write_grant({0, 3, 3'000}).dump()},
+      {std::string(etcd::kGrantPath), etcd::write_lease_grant_request({0, 3, 3'000}).dump()},
       {std::string(etcd::kTxnPath),
        etcd::write_transaction(say("r1", lease, permit_of("east", 0, 2))).dump()},
       {std::string(etcd::kTxnPath),
@@ -325,7 +325,7 @@
       text[random() % text.size()] = static_cast<char>(random() % 256);
     }
     try {
-      answered += service.answer(path, etcd::parse_object(text)).status == 200 ? 1 : 0;
+      answered += service.handle(path, etcd::parse_object(text)).status == 200 ? 1 : 0;
     } catch (const etcd::BadMessage&) {
     }
     ASSERT_GE(service.core().routers(), 1U) << "seed " << seed;
@@ -338,9 +338,9 @@
 TEST(AggregationServiceTest, NothingIsAnsweredBeforeTheStoreIsHeard) {
   Region region;
   const Service& service = region.add_aggregator("a1", region.free_address());
-  SharedStore& router = region.router();
+  CoordinationStore& router = region.router();
   const auto reply = region.grant(router, kLongTtl);
-  EXPECT_FALSE(reply.done());
+  EXPECT_FALSE(reply.ok());
   EXPECT_EQ(router.id(), 0U);
   EXPECT_EQ(service.core().routers(), 0U);
 }
@@ -356,7 +356,7 @@
   const Service& second = region.add_aggregator("a2");
   ASSERT_TRUE(region.permitted(first));
   ASSERT_TRUE(region.permitted(second));
-  SharedStore& router = region.router();
+  CoordinationStore& router = region.router();
   Told told;
   const auto watch = router.watch(Range{at("policy/"), true}, told);
   ASSERT_TRUE(region.until([&] { return told.currents == 1; })) << told.reason;
@@ -369,7 +369,7 @@
     return second.core().counts().granted > 0;
   }));
   ASSERT_TRUE(
-      region.commit(region.staff(), Transaction{{}, {Put{at(policy::kCurrentKey), "5", 0}}, {}}).done());
+      region.commit(region.staff(), Transaction{{}, {Put{at(policy::kCurrentKey), "5", 0}}, {}}).ok());
   EXPECT_TRUE(region.until([&] { return told.state.contains(at(policy::kCurrentKey)); })) << told.reason;
   // What the first gave is over by the time that its own permission ends in the store.
   ASSERT_TRUE(region.until([&] { return !region.summaries().contains("a1.east"); }));
@@ -383,11 +383,11 @@
   const Service& second = region.add_aggregator("a2");
   ASSERT_TRUE(region.permitted(first));
   ASSERT_TRUE(region.permitted(second));
-  SharedStore& router = region.router();
+  CoordinationStore& router = region.router();
   const LeaseId lease = region.lease(router);
   region.end_aggregator(0);
-  Reply<GrantedLease> renewed;
-  ASSERT_TRUE(region.until([&] { return (renewed = region.renew(router, lease)).done(); })) << renewed.why;
+  StoreResponse<GrantedLease> renewed;
+  ASSERT_TRUE(region.until([&] { return (renewed = region.renew(router, lease)).ok(); })) << renewed.error;
   EXPECT_EQ(renewed.value.ttl, Micros(0));
   region.lease(router);
   EXPECT_EQ(second.core().routers(), 1U);
@@ -398,14 +398,14 @@
 TEST(AggregationServiceTest, OneThatDrainsGivesItsPermissionBackOnceItsRoutersAreGone) {
   Region region;
   Service& service = region.add_aggregator("a1");
-  SharedStore& router = region.router();
+  CoordinationStore& router = region.router();
   const LeaseId lease = region.lease(router, kShortTtl);
   ASSERT_EQ(service.page("/healthz")->status, 200);
   ASSERT_EQ(region.summaries().count("a1.east"), 1U);
   service.drain();
   const auto renewed = region.renew(router, lease);
-  EXPECT_FALSE(renewed.done() && renewed.value.ttl > Micros(0));
-  EXPECT_FALSE(region.grant(router, kLongTtl).done());
+  EXPECT_FALSE(renewed.ok() && renewed.value.ttl > Micros(0));
+  EXPECT_FALSE(region.grant(router, kLongTtl).ok());
   ASSERT_TRUE(region.until([&] {
     EXPECT_FALSE(service.drained() && service.core().routers() > 0) << "a router may still decide by it";
     return service.drained();
@@ -433,7 +433,7 @@
   };
   ASSERT_TRUE(logged("has permission")) << process.log();
   EXPECT_TRUE(logged("takes on the kind policy alone"));
-  SharedStore& router = region.router({listen});
+  CoordinationStore& router = region.router({listen});
   region.lease(router, milliseconds(3'000));
   process.signal(SIGHUP);
   EXPECT_TRUE(logged("permission=yes revision=1 granted=1")) << process.log();
--- a/tests/aggregation_test.cpp
+++ b/tests/aggregation_test.cpp
@@ -10,11 +10,11 @@
 namespace trailcourse::aggregation {
 namespace {
 
-using coordination::Change;
+using coordination::KeyChange;
 using coordination::Entry;
 using coordination::Get;
 using coordination::LeaseId;
-using coordination::Ledger;
+using coordination::KeyValueState;
 using coordination::Put;
 using coordination::Range;
 using coordination::Transaction;
@@ -227,8 +227,8 @@
   }
   void put_change(ChangeState state) { put(policy::kChangeKey, policy::write_change(change_in(state))); }
   void tell() {
-    std::vector<Change> news;
-    for (const Change& change : store_.changes()) {
+    std::vector<KeyChange> news;
+    for (const KeyChange& change : store_.take_changes()) {
       if (change.entry.key.starts_with("policy/")) {
         news.push_back(change);
       }
@@ -311,7 +311,7 @@
     EXPECT_EQ(aggregator_.routers(), routers);
   }
 
-  Ledger store_{coordination::Limits{}};
+  KeyValueState store_{coordination::KeyValueLimits{}};
   Aggregator aggregator_;
   Micros now_{1'000'000};
   LeaseId lease_ = 0;
@@ -474,7 +474,7 @@
   const auto get = [this](const std::string& key, bool prefix) {
     return aggregator_.commit(now_, Transaction{{}, {Get{Range{key, prefix}}}, {}});
   };
-  EXPECT_EQ(get("policy/", true).steps.front().found.size(), 1U);
+  EXPECT_EQ(get("policy/", true).results.front().found.size(), 1U);
   for (const char* key : {"", "p", "policy", "permits/", "members/"}) {
     expect_refused(Refused::Why::kNotServed, [&] { get(key, true); });
   }
@@ -607,7 +607,7 @@
   ASSERT_EQ(orders.size(), 1U);
   const SaySummaries late = std::get<SaySummaries>(orders.front());
   store_.expire(now_ms() + 4'000);
-  EXPECT_THROW(store_.commit(say_transaction("", "agg", lease_, late)), coordination::Rejected);
+  EXPECT_THROW(store_.commit(say_transaction("", "agg", lease_, late)), coordination::OperationRejected);
 }
 
 TEST_F(AggregatorTest, AnAnswerOfAnEarlierJoinGivesNothing) {
--- a/tests/aggregation_world_test.cpp
+++ b/tests/aggregation_world_test.cpp
@@ -19,8 +19,8 @@
 
 using coordination::Entry;
 using coordination::LeaseId;
-using coordination::Ledger;
-using coordination::Outcome;
+using coordination::KeyValueState;
+using coordination::TransactionResult;
 using coordination::Put;
 using coordination::Range;
 using coordination::Revision;
@@ -178,7 +178,7 @@
     int watch = 0;         // number of its watch; another one's news are of an earlier one
     bool following = false;
     bool has_read = false;                                      // on this watch
-    std::vector<std::vector<coordination::Change>> early_news;  // that came before what was read
+    std::vector<std::vector<coordination::KeyChange>> early_news;  // that came before what was read
     bool cut_below = false;
     Micros told_until{0};
   };
@@ -242,8 +242,8 @@
   }
   // What changed goes to each aggregator that follows, in order.
   void tell() {
-    std::vector<coordination::Change> news;
-    for (const coordination::Change& change : ledger_.changes()) {
+    std::vector<coordination::KeyChange> news;
+    for (const coordination::KeyChange& change : ledger_.take_changes()) {
       if (change.entry.key.starts_with("policy/")) {
         news.push_back(change);
       }
@@ -353,7 +353,7 @@
         },
         again);
   }
-  void take_news(AggregatorProcess& one, int watch, const std::vector<coordination::Change>& news) {
+  void take_news(AggregatorProcess& one, int watch, const std::vector<coordination::KeyChange>& news) {
     if (watch != one.watch || !one.following) {
       return;
     }
@@ -384,7 +384,7 @@
     if (defect_ != Defect::kUnfencedSummary) {
       return;
     }
-    for (coordination::Step& step : transaction.then) {
+    for (coordination::Operation& step : transaction.then) {
       if (Put* put = std::get_if<Put>(&step)) {
         put->key = key_of(one, policy::read_permit(put->value)->zone, put->lease);
       }
@@ -422,7 +422,7 @@
   bool revoke(LeaseId lease) {
     try {
       ledger_.revoke(lease);
-    } catch (const coordination::Rejected&) {
+    } catch (const coordination::OperationRejected&) {
       // It has ended by itself.
     }
     return true;
@@ -431,9 +431,9 @@
     const LeaseId lease = one.lease;
     Transaction transaction = join_transaction("", one.name, lease, ask);
     unfence(one, transaction, true);
-    call_store<Outcome>(
+    call_store<TransactionResult>(
         one, [this, transaction] { return commit(transaction); },
-        [this, &one, lease, number = ask.order.number](const Outcome& out) {
+        [this, &one, lease, number = ask.order.number](const TransactionResult& out) {
           report_.joins += out.succeeded ? 1 : 0;
           one.core->uplink().joined(clock(one), number, read_joined(out));
           if (!out.succeeded) {
@@ -443,19 +443,19 @@
         lost);
   }
   // None where it is rejected: an answer without an outcome is no answer to the uplink.
-  std::optional<Outcome> commit(const Transaction& transaction) {
+  std::optional<TransactionResult> commit(const Transaction& transaction) {
     try {
       return ledger_.commit(transaction);
-    } catch (const coordination::Rejected&) {
+    } catch (const coordination::OperationRejected&) {
       return std::nullopt;
     }
   }
   void carry_out(AggregatorProcess& one, const SaySummaries& say) {
     Transaction transaction = say_transaction("", one.name, one.lease, say);
     unfence(one, transaction, false);
-    call_store<Outcome>(
+    call_store<TransactionResult>(
         one, [this, transaction] { return commit(transaction); },
-        [this, &one, say](const Outcome& out) {
+        [this, &one, say](const TransactionResult& out) {
           ++report_.summaries;
           one.core->uplink().said(clock(one), say.number, read_said(out, say));
         },
@@ -663,7 +663,7 @@
                  lease}},
             {}};
   }
-  Outcome take(const RouterProcess& one, Aggregator& server, Micros now, Transaction transaction) {
+  TransactionResult take(const RouterProcess& one, Aggregator& server, Micros now, Transaction transaction) {
     if (defect_ == Defect::kRouterLeftOut && one.index % 4 == 0) {
       transaction.then.clear();
     }
@@ -689,12 +689,12 @@
   void carry_out(RouterProcess& one, const policy::SayPermit& say) {
     const Transaction write = permit_write(one, say.permit, one.lease);
     const int endpoint = one.endpoint;
-    call_aggregator<Outcome>(
+    call_aggregator<TransactionResult>(
         one,
         [this, &one, write, endpoint](Aggregator& server) {
           return take(one, server, server_clock(endpoint), write);
         },
-        [this, &one, say](const Outcome&) { one.holder->said(clock(one), say.number, true); },
+        [this, &one, say](const TransactionResult&) { one.holder->said(clock(one), say.number, true); },
         [this, &one, say] { one.holder->said(clock(one), say.number, false); });
   }
   void carry_out(RouterProcess& one, const policy::AskPermission& ask) {
@@ -751,12 +751,12 @@
     Transaction write = permit_write(one, ask.permit, lease);
     write.when = policy::join_conditions("", ask.known, one.zone);
     const int endpoint = one.endpoint;
-    call_aggregator<Outcome>(
+    call_aggregator<TransactionResult>(
         one,
         [this, &one, write, endpoint](Aggregator& server) {
           return take(one, server, server_clock(endpoint), write);
         },
-        [this, &one, number = ask.order.number](const Outcome& out) {
+        [this, &one, number = ask.order.number](const TransactionResult& out) {
           one.holder->joined(clock(one), number, out.succeeded);
         },
         lost);
@@ -1077,7 +1077,7 @@
     ledger_.restore(copy_.entries, copy_.revision);
     ledger_.set_leases(copy_.leases);
     ledger_.renew_all(store_ms());
-    ledger_.changes();
+    ledger_.take_changes();
     for (AggregatorProcess& one : aggregators_) {
       if (one.floor == 0) {
         end_incarnation(one);  // it has heard no revision that it could miss: staff stop it, as anybody new
@@ -1160,7 +1160,7 @@
 
   Defect defect_;
   policy::DriverRules driver_rules_;
-  Ledger ledger_{coordination::Limits{}};
+  KeyValueState ledger_{coordination::KeyValueLimits{}};
   Copy copy_;
   bool store_went_back_ = false;
   bool one_name_ = false;  // all aggregators have the same
