--- a/tests/coordination_test.cpp
+++ b/tests/coordination_test.cpp
@@ -12,7 +12,7 @@
 
 #include "coordination/embedded_store.h"
 #include "coordination/etcd_store.h"
-#include "coordination/registry.h"
+#include "coordination/coordination_server.h"
 #include "fleet/fault_proxy.h"
 #include "fleet/ports.h"
 #include "fleet/process.h"
@@ -35,40 +35,40 @@
 }
 
 TEST(LedgerTest, ATransactionIsOneRevisionWhateverItWrites) {
-  Ledger ledger{Limits{}};
+  KeyValueState ledger{KeyValueLimits{}};
   const Revision before = ledger.revision();
-  const Outcome done = ledger.commit(Transaction{{absent("a")}, {Put{"a", "1", 0}, Put{"b", "2", 0}}, {}});
+  const TransactionResult done = ledger.commit(Transaction{{absent("a")}, {Put{"a", "1", 0}, Put{"b", "2", 0}}, {}});
   EXPECT_TRUE(done.succeeded);
   EXPECT_EQ(done.revision, before + 1);
   EXPECT_EQ(ledger.get(Range{"", true}).size(), 2U);
-  const Outcome second = ledger.commit(put_if_absent("a", "3"));
+  const TransactionResult second = ledger.commit(put_if_absent("a", "3"));
   EXPECT_FALSE(second.succeeded);
   EXPECT_EQ(second.revision, before + 1) << "a transaction that only reads makes no revision";
-  ASSERT_EQ(second.steps.at(0).found.size(), 1U);
-  EXPECT_EQ(second.steps[0].found[0].value, "1");
+  ASSERT_EQ(second.results.at(0).found.size(), 1U);
+  EXPECT_EQ(second.results[0].found[0].value, "1");
 }
 
 TEST(LedgerTest, AKeyThatCameBackHasAHigherCreationAndSoAHigherTerm) {
-  Ledger ledger{Limits{}};
+  KeyValueState ledger{KeyValueLimits{}};
   const LeaseId lease = ledger.grant(0, 1'000, 0);
   const Revision first = ledger.commit(put_if_absent("own", "x", lease)).revision;
   ledger.expire(999);
   EXPECT_EQ(ledger.get(Range{"own", false}).size(), 1U);
   ledger.expire(1'000);
   EXPECT_TRUE(ledger.get(Range{"own", false}).empty());
-  const Outcome second = ledger.commit(put_if_absent("own", "y"));
+  const TransactionResult second = ledger.commit(put_if_absent("own", "y"));
   EXPECT_TRUE(second.succeeded);
   EXPECT_GT(second.revision, first + 1) << "the end of the lease is a revision of its own";
 }
 
 TEST(LedgerTest, RejectedCallsChangeNothing) {
-  Limits limits;
+  KeyValueLimits limits;
   limits.entries = 2;
-  Ledger ledger(limits);
+  KeyValueState ledger(limits);
   ledger.commit(put("a", "1"));
   const auto rejected = [&](const Transaction& transaction) {
     const Revision before = ledger.revision();
-    EXPECT_THROW(ledger.commit(transaction), Rejected);
+    EXPECT_THROW(ledger.commit(transaction), OperationRejected);
     EXPECT_EQ(ledger.revision(), before);
     EXPECT_EQ(ledger.get(Range{"", true}).size(), 1U);
   };
@@ -79,19 +79,19 @@
   rejected(Transaction{{}, {Put{"b", "2", 0}, Put{"c", "3", 0}}, {}});
   // Also where the side that cannot be done is the one that would not be taken.
   rejected(Transaction{{absent("a")}, {Put{"b", "2", 77}}, {}});
-  EXPECT_THROW(ledger.revoke(5), Rejected);
-  EXPECT_THROW(ledger.grant(0, 0, 0), Rejected);
+  EXPECT_THROW(ledger.revoke(5), OperationRejected);
+  EXPECT_THROW(ledger.grant(0, 0, 0), OperationRejected);
 }
 
 TEST(LedgerTest, CompactedHistoryIsNotToldAsIfItWereWhole) {
-  Limits limits;
+  KeyValueLimits limits;
   limits.history = 4;
-  Ledger ledger(limits);
+  KeyValueState ledger(limits);
   for (int i = 0; i < 10; ++i) {
     ledger.commit(put("k", std::to_string(i)));
   }
-  EXPECT_THROW(ledger.since(2, Range{"k", false}), Rejected);
-  const std::vector<Change> last = ledger.since(ledger.revision() - 2, Range{"k", false});
+  EXPECT_THROW(ledger.changes_since(2, Range{"k", false}), OperationRejected);
+  const std::vector<KeyChange> last = ledger.changes_since(ledger.revision() - 2, Range{"k", false});
   ASSERT_EQ(last.size(), 3U);
   EXPECT_EQ(last.back().entry.value, "9");
   EXPECT_EQ(last.back().entry.version, 10U);
@@ -101,8 +101,8 @@
 TEST(LedgerTest, WhoFollowsTheChangesHasTheSame) {
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     std::mt19937_64 random(seed);
-    Ledger first{Limits{}};
-    Ledger second{Limits{}};
+    KeyValueState first{KeyValueLimits{}};
+    KeyValueState second{KeyValueLimits{}};
     std::int64_t now = 0;
     std::vector<LeaseId> leases;
     for (int i = 0; i < 300; ++i) {
@@ -124,10 +124,10 @@
             first.commit(
                 put_if_absent(key, std::to_string(i), leases.empty() ? 0 : leases[random() % leases.size()]));
         }
-      } catch (const Rejected&) {
+      } catch (const OperationRejected&) {
       }
-      for (const Change& change : first.changes()) {
-        second.follow(change);
+      for (const KeyChange& change : first.take_changes()) {
+        second.apply(change);
       }
       ASSERT_EQ(first.entries(), second.entries()) << "seed " << seed << " step " << i;
     }
@@ -139,8 +139,8 @@
 
 // ---- One suite for both backends ----
 
-struct Told : Watcher {
-  void current(Revision revision, const std::vector<Entry>& entries) override {
+struct Told : WatchObserver {
+  void on_snapshot(Revision revision, const std::vector<Entry>& entries) override {
     ++currents;
     last = revision;
     state.clear();
@@ -148,8 +148,8 @@
       state[entry.key] = entry.value;
     }
   }
-  void changed(Revision revision, const std::vector<Change>& changes) override {
-    for (const Change& change : changes) {
+  void on_changes(Revision revision, const std::vector<KeyChange>& changes) override {
+    for (const KeyChange& change : changes) {
       EXPECT_GE(change.entry.modified, newest) << "out of order";
       newest = change.entry.modified;
       log.push_back((change.deleted ? "-" : "+") + change.entry.key + change.entry.value);
@@ -161,11 +161,11 @@
     }
     last = revision;
   }
-  void silent(const std::string& why) override {
+  void on_disconnected(const std::string& why) override {
     ++silences;
     reason = why;
   }
-  void heard() override { ++beats; }
+  void on_heartbeat() override { ++beats; }
 
   std::map<std::string, std::string> state;
   std::vector<std::string> log;
@@ -243,7 +243,7 @@
   RegistryOptions& registry_options() { return registry_options_; }
 
   // As a router of its own sees the store.
-  SharedStore& store() {
+  CoordinationStore& store() {
     if (backend_ == Backend::kEtcd) {
       stores_.push_back(std::make_unique<EtcdStore>(scheduler, options_, 7));
     } else {
@@ -262,7 +262,7 @@
   std::unique_ptr<fleet::Process> registry_;
   std::size_t starts_ = 0;
   std::unique_ptr<fleet::FaultProxy> proxy_;
-  std::vector<std::unique_ptr<SharedStore>> stores_;
+  std::vector<std::unique_ptr<CoordinationStore>> stores_;
 };
 
 // Processes that open a new file in the same moment: SQLite tells all but one of them that it is busy, at
@@ -282,7 +282,7 @@
       openers.emplace_back([&, place = static_cast<std::size_t>(i)] {
         together.arrive_and_wait();
         try {
-          ids[place] = LedgerFile(folder, Limits{}, LedgerFile::Sharing::kShared).id();
+          ids[place] = KeyValueDatabase(folder, KeyValueLimits{}, KeyValueDatabase::Sharing::kShared).id();
         } catch (const std::exception& error) {
           whys[place] = error.what();
         }
@@ -303,7 +303,7 @@
 
 TEST_P(ConformanceTest, OfManyThatCompareAndSetOneWins) {
   World world(GetParam());
-  std::vector<SharedStore*> routers;
+  std::vector<CoordinationStore*> routers;
   for (int i = 0; i < 5; ++i) {
     routers.push_back(&world.store());
   }
@@ -312,8 +312,8 @@
     int answers = 0;
     int wins = 0;
     for (std::size_t i = 0; i < routers.size(); ++i) {
-      routers[i]->commit(put_if_absent(key, "router" + std::to_string(i)), [&](const Reply<Outcome>& reply) {
-        EXPECT_TRUE(reply.done()) << reply.why;
+      routers[i]->commit(put_if_absent(key, "router" + std::to_string(i)), [&](const StoreResponse<TransactionResult>& reply) {
+        EXPECT_TRUE(reply.ok()) << reply.error;
         wins += reply.value.succeeded ? 1 : 0;
         ++answers;
       });
@@ -327,13 +327,13 @@
 
 TEST_P(ConformanceTest, EveryKindOfConditionAndStep) {
   World world(GetParam());
-  SharedStore& store = world.store();
+  CoordinationStore& store = world.store();
   const auto first = world.commit(store, put("a/1", "x"));
-  ASSERT_TRUE(first.done()) << first.why;
+  ASSERT_TRUE(first.ok()) << first.error;
   const Revision made = first.value.revision;
   const auto holds = [&](const Compare& compare) {
     const auto reply = world.commit(store, Transaction{{compare}, {}, {}});
-    EXPECT_TRUE(reply.done()) << reply.why;
+    EXPECT_TRUE(reply.ok()) << reply.error;
     return reply.value.succeeded;
   };
   using What = Compare::What;
@@ -347,32 +347,32 @@
   EXPECT_FALSE(holds({"a/2", What::kValue, How::kNotEqual, 0, "x"})) << "no value can be compared";
   EXPECT_TRUE(holds({"a/2", What::kVersion, How::kEqual, 0, {}}));
   const std::string odd("a/\0\xff", 4);
-  ASSERT_TRUE(world.commit(store, put(odd, std::string("\0\n\x80", 3))).done());
+  ASSERT_TRUE(world.commit(store, put(odd, std::string("\0\n\x80", 3))).ok());
   const auto all = world.commit(store, Transaction{{}, {Get{Range{"a/", true}}}, {}});
-  ASSERT_EQ(all.value.steps.at(0).found.size(), 2U);
-  EXPECT_EQ(all.value.steps[0].found[0].value, std::string("\0\n\x80", 3));
+  ASSERT_EQ(all.value.results.at(0).found.size(), 2U);
+  EXPECT_EQ(all.value.results[0].found[0].value, std::string("\0\n\x80", 3));
   const auto gone = world.commit(store, Transaction{{}, {Delete{Range{"a/", true}}, Put{"b", "", 0}}, {}});
-  EXPECT_EQ(gone.value.steps.at(0).deleted, 2U);
+  EXPECT_EQ(gone.value.results.at(0).deleted, 2U);
   const auto rest = world.commit(store, Transaction{{}, {Get{Range{"", true}}}, {}});
-  ASSERT_EQ(rest.value.steps.at(0).found.size(), 1U);
-  EXPECT_EQ(rest.value.steps[0].found[0].key, "b");
-  EXPECT_EQ(world.commit(store, put("c", "", 12'345)).result, Result::kRejected);
+  ASSERT_EQ(rest.value.results.at(0).found.size(), 1U);
+  EXPECT_EQ(rest.value.results[0].found[0].key, "b");
+  EXPECT_EQ(world.commit(store, put("c", "", 12'345)).status, CallStatus::kRejected);
 }
 
 TEST_P(ConformanceTest, KeysEndWithTheirLeaseAndARenewalKeepsThem) {
   World world(GetParam());
-  SharedStore& owner = world.store();
-  SharedStore& other = world.store();
+  CoordinationStore& owner = world.store();
+  CoordinationStore& other = world.store();
   Told told;
   other.watch(Range{"own/", true}, told);
   const auto lease = world.grant(owner, milliseconds(400));
-  ASSERT_TRUE(lease.done()) << lease.why;
+  ASSERT_TRUE(lease.ok()) << lease.error;
   const auto got = world.commit(owner, put_if_absent("own/a", "owner", lease.value.id));
   ASSERT_TRUE(got.value.succeeded);
   ASSERT_TRUE(world.until([&] { return told.state.contains("own/a"); }));
   for (int i = 0; i < 6; ++i) {
     const auto renewed = world.renew(owner, lease.value.id);
-    ASSERT_TRUE(renewed.done()) << renewed.why;
+    ASSERT_TRUE(renewed.ok()) << renewed.error;
     // A busy machine may have let it end; then it must be gone for all, too.
     if (renewed.value.ttl == Micros(0)) {
       break;
@@ -386,33 +386,33 @@
 
 TEST_P(ConformanceTest, ARevokedLeaseEndsAtOnceAndTwiceIsNoFault) {
   World world(GetParam());
-  SharedStore& owner = world.store();
-  SharedStore& other = world.store();
+  CoordinationStore& owner = world.store();
+  CoordinationStore& other = world.store();
   const auto lease = world.grant(owner, std::chrono::seconds(60));
   ASSERT_TRUE(world.commit(owner, put_if_absent("own/a", "owner", lease.value.id)).value.succeeded);
   EXPECT_FALSE(world.commit(other, put_if_absent("own/a", "other")).value.succeeded);
   for (int i = 0; i < 2; ++i) {
-    EXPECT_TRUE(world.await<Nothing>([&](auto then) { owner.revoke(lease.value.id, then); }).done());
+    EXPECT_TRUE(world.await<Empty>([&](auto then) { owner.revoke(lease.value.id, then); }).ok());
   }
   EXPECT_TRUE(world.commit(other, put_if_absent("own/a", "other")).value.succeeded);
 }
 
 TEST_P(ConformanceTest, AWatchTellsEveryChangeOnceAndInOrder) {
   World world(GetParam());
-  SharedStore& writer = world.store();
-  SharedStore& reader = world.store();
-  ASSERT_TRUE(world.commit(writer, put("w/0", "before")).done());
+  CoordinationStore& writer = world.store();
+  CoordinationStore& reader = world.store();
+  ASSERT_TRUE(world.commit(writer, put("w/0", "before")).ok());
   Told told;
   const auto watch = reader.watch(Range{"w/", true}, told);
   ASSERT_TRUE(world.until([&] { return told.currents == 1; }));
   EXPECT_EQ(told.state.size(), 1U);
   std::vector<std::string> expected;
   for (int i = 0; i < 20; ++i) {
-    ASSERT_TRUE(world.commit(writer, put("w/" + std::to_string(i % 3), std::to_string(i))).done());
+    ASSERT_TRUE(world.commit(writer, put("w/" + std::to_string(i % 3), std::to_string(i))).ok());
     expected.push_back("+w/" + std::to_string(i % 3) + std::to_string(i));
-    ASSERT_TRUE(world.commit(writer, put("elsewhere", std::to_string(i))).done());
+    ASSERT_TRUE(world.commit(writer, put("elsewhere", std::to_string(i))).ok());
   }
-  ASSERT_TRUE(world.commit(writer, Transaction{{}, {Delete{Range{"w/1", false}}}, {}}).done());
+  ASSERT_TRUE(world.commit(writer, Transaction{{}, {Delete{Range{"w/1", false}}}, {}}).ok());
   expected.push_back("-w/1");
   ASSERT_TRUE(world.until([&] { return told.log.size() >= expected.size(); }));
   EXPECT_EQ(told.log, expected);
@@ -424,7 +424,7 @@
 
 TEST(EtcdStoreTest, AStoreThatStartsAgainKnowsAllAndLeasesGoOn) {
   World world(Backend::kEtcd);
-  SharedStore& store = world.store();
+  CoordinationStore& store = world.store();
   Told told;
   const auto watch = store.watch(Range{"", true}, told);
   const auto lease = world.grant(store, std::chrono::seconds(5));
@@ -435,10 +435,10 @@
   world.stop_registry();
   ASSERT_TRUE(world.until([&] { return told.silences > 0; }));
   const auto missing = world.commit(store, put("b", "1"));
-  EXPECT_NE(missing.result, Result::kDone);
+  EXPECT_NE(missing.status, CallStatus::kOk);
   world.start_registry();
-  Reply<Outcome> after;
-  ASSERT_TRUE(world.until([&] { return (after = world.commit(store, put("b", "1"))).done(); }));
+  StoreResponse<TransactionResult> after;
+  ASSERT_TRUE(world.until([&] { return (after = world.commit(store, put("b", "1"))).ok(); }));
   EXPECT_GT(after.value.revision, before.value.revision);
   EXPECT_EQ(store.id(), id);
   EXPECT_GT(world.renew(store, lease.value.id).value.ttl, Micros(0));
@@ -450,9 +450,9 @@
 
 TEST(EtcdStoreTest, AWatchWhoseChangesAreCompactedReadsAllAnew) {
   World world(Backend::kEtcd, 16);
-  SharedStore& writer = world.store();
+  CoordinationStore& writer = world.store();
   world.proxy();
-  SharedStore& reader = world.store();
+  CoordinationStore& reader = world.store();
   Told told;
   const auto watch = reader.watch(Range{"w/", true}, told);
   ASSERT_TRUE(world.until([&] { return told.currents == 1; }));
@@ -464,7 +464,7 @@
   fault("refuse router>store");
   fault("reset router>store");
   for (int i = 0; i < 60; ++i) {
-    ASSERT_TRUE(world.commit(writer, put("w/" + std::to_string(i % 4), std::to_string(i))).done());
+    ASSERT_TRUE(world.commit(writer, put("w/" + std::to_string(i % 4), std::to_string(i))).ok());
   }
   fault("heal router>store");
   ASSERT_TRUE(world.until([&] { return told.currents >= 2 && told.state["w/3"] == "59"; })) << told.reason;
@@ -475,77 +475,77 @@
 // The answer is lost, the write is not: the driver must say that it does not know.
 TEST(EtcdStoreTest, AnAnswerThatNeverComesIsUnknownAndNotUndone) {
   World world(Backend::kEtcd);
-  SharedStore& witness = world.store();
+  CoordinationStore& witness = world.store();
   world.proxy();
   world.options().call_ms = 300;
-  SharedStore& store = world.store();
-  ASSERT_TRUE(world.commit(store, put("a", "1")).done());
+  CoordinationStore& store = world.store();
+  ASSERT_TRUE(world.commit(store, put("a", "1")).ok());
   world.proxy().apply(fleet::read_script("0 cut router>store in").at(0));
   const auto lost = world.commit(store, put_if_absent("b", "1"));
-  EXPECT_EQ(lost.result, Result::kUnknown);
+  EXPECT_EQ(lost.status, CallStatus::kUnknown);
   const auto seen = world.commit(witness, Transaction{{}, {Get{Range{"b", false}}}, {}});
-  EXPECT_EQ(seen.value.steps.at(0).found.size(), 1U) << "it was done all the same";
+  EXPECT_EQ(seen.value.results.at(0).found.size(), 1U) << "it was done all the same";
   world.stop_registry();
   world.proxy().apply(fleet::read_script("0 heal router>store").at(0));
   world.options().endpoints = {"127.0.0.1:1"};
-  SharedStore& nowhere = world.store();
-  EXPECT_EQ(world.commit(nowhere, put("c", "1")).result, Result::kNotDone) << "no connection, nothing done";
+  CoordinationStore& nowhere = world.store();
+  EXPECT_EQ(world.commit(nowhere, put("c", "1")).status, CallStatus::kNotSent) << "no connection, nothing done";
 }
 
 TEST(EtcdStoreTest, AnotherStoresAnswersAreNotUsed) {
   World first(Backend::kEtcd);
   World second(Backend::kEtcd);
-  SharedStore& sound = first.store();
-  ASSERT_TRUE(first.commit(sound, put("a", "1")).done());
+  CoordinationStore& sound = first.store();
+  ASSERT_TRUE(first.commit(sound, put("a", "1")).ok());
   second.options().store_id = std::to_string(sound.id());
-  SharedStore& mistaken = second.store();
+  CoordinationStore& mistaken = second.store();
   const auto reply = second.commit(mistaken, put("a", "1"));
-  EXPECT_EQ(reply.result, Result::kUnknown);
-  EXPECT_NE(reply.why.find("another store"), std::string::npos) << reply.why;
+  EXPECT_EQ(reply.status, CallStatus::kUnknown);
+  EXPECT_NE(reply.error.find("another store"), std::string::npos) << reply.error;
 }
 
 // The folder is put back to a copy of before: revisions would be handed out a second time.
 TEST(EtcdStoreTest, AStoreThatWasPutBackIsNoticed) {
   World world(Backend::kEtcd);
-  SharedStore& store = world.store();
-  ASSERT_TRUE(world.commit(store, put("a", "1")).done());
+  CoordinationStore& store = world.store();
+  ASSERT_TRUE(world.commit(store, put("a", "1")).ok());
   world.stop_registry();
   const std::string folder = world.registry_options().folder;
   std::filesystem::copy(folder, folder + "-copy");
   world.start_registry();
-  Reply<Outcome> reply;
-  ASSERT_TRUE(world.until([&] { return (reply = world.commit(store, put("a", "2"))).done(); }));
+  StoreResponse<TransactionResult> reply;
+  ASSERT_TRUE(world.until([&] { return (reply = world.commit(store, put("a", "2"))).ok(); }));
   world.stop_registry();
   std::filesystem::remove_all(folder);
   std::filesystem::rename(folder + "-copy", folder);
   world.start_registry();
   ASSERT_TRUE(world.until([&] {
     reply = world.commit(store, Transaction{{}, {Get{Range{"a", false}}}, {}});
-    return reply.why.find("gone back") != std::string::npos;
-  })) << reply.why;
-  EXPECT_EQ(reply.result, Result::kUnknown);
-  EXPECT_TRUE(dynamic_cast<EtcdStore&>(store).went_back());
+    return reply.error.find("gone back") != std::string::npos;
+  })) << reply.error;
+  EXPECT_EQ(reply.status, CallStatus::kUnknown);
+  EXPECT_TRUE(dynamic_cast<EtcdStore&>(store).has_regressed());
 }
 
 // The first address falls silent with its connections open, as a stopped process does: calls go on at the
 // second, and so does the watch, long before it would count as silent.
 TEST(EtcdStoreTest, AWatchMovesAtOnceWithTheCalls) {
   World world(Backend::kEtcd);
-  SharedStore& witness = world.store();
+  CoordinationStore& witness = world.store();
   const std::string direct = world.options().endpoints.at(0);
   world.proxy();
   world.options().endpoints.push_back(direct);
   world.options().call_ms = 300;
   world.options().watch_silent_ms = 600'000;
-  EtcdStore store(world.scheduler, world.options(), 7, EtcdStore::First::kAsNamed);
+  EtcdStore store(world.scheduler, world.options(), 7, EtcdStore::FirstEndpoint::kFirstListed);
   Told told;
   const auto watch = store.watch(Range{"w/", true}, told);
   ASSERT_TRUE(world.until([&] { return told.currents == 1; }));
-  ASSERT_TRUE(world.commit(witness, put("w/1", "before")).done());
+  ASSERT_TRUE(world.commit(witness, put("w/1", "before")).ok());
   ASSERT_TRUE(world.until([&] { return told.state.contains("w/1"); }));
   world.proxy().apply(fleet::read_script("0 cut router>store both").at(0));
-  ASSERT_TRUE(world.until([&] { return world.commit(store, put("a", "1")).done(); }));
-  ASSERT_TRUE(world.commit(witness, put("w/1", "after")).done());
+  ASSERT_TRUE(world.until([&] { return world.commit(store, put("a", "1")).ok(); }));
+  ASSERT_TRUE(world.commit(witness, put("w/1", "after")).ok());
   EXPECT_TRUE(world.until([&] { return told.state["w/1"] == "after"; })) << "told by a dead connection alone";
   EXPECT_EQ(told.currents, 1) << "it goes on from where it was";
   EXPECT_EQ(told.silences, 0) << "the store was there all the time";
@@ -554,79 +554,79 @@
 
 TEST(RegistryTest, ASecondOneOnTheSameFolderIsRefused) {
   World world(Backend::kEtcd);
-  SharedStore& store = world.store();
-  ASSERT_TRUE(world.commit(store, put("a", "1")).done());
-  EXPECT_THROW(Registry(world.scheduler, world.registry_options()), std::runtime_error);
+  CoordinationStore& store = world.store();
+  ASSERT_TRUE(world.commit(store, put("a", "1")).ok());
+  EXPECT_THROW(CoordinationServer(world.scheduler, world.registry_options()), std::runtime_error);
 }
 
 TEST(LedgerFileTest, AFullDiskOrALostFolderLosesNothingThatWasAnswered) {
   const std::string folder = testing::TempDir() + "trailcourse-ledger-" + std::to_string(::getpid());
   std::filesystem::remove_all(folder);
   {
-    LedgerFile file(folder, Limits{}, LedgerFile::Sharing::kShared);
-    file.use(0, true, [](Ledger& ledger) { ledger.commit(put("a", "1")); });
+    KeyValueDatabase file(folder, KeyValueLimits{}, KeyValueDatabase::Sharing::kShared);
+    file.use(0, true, [](KeyValueState& ledger) { ledger.commit(put("a", "1")); });
     EXPECT_THROW(file.use(0, true,
-                          [](Ledger& ledger) {
+                          [](KeyValueState& ledger) {
                             ledger.commit(put("a", "2"));
                             throw SqliteError("drawn", nullptr);
                           }),
                  SqliteError);
-    file.use(0, true, [](Ledger& ledger) {
+    file.use(0, true, [](KeyValueState& ledger) {
       EXPECT_EQ(ledger.get(Range{"a", false}).at(0).value, "1") << "what was not kept must not be told";
     });
   }
-  LedgerFile again(folder, Limits{}, LedgerFile::Sharing::kShared);
-  again.use(0, true, [](Ledger& ledger) { EXPECT_EQ(ledger.get(Range{"a", false}).at(0).value, "1"); });
+  KeyValueDatabase again(folder, KeyValueLimits{}, KeyValueDatabase::Sharing::kShared);
+  again.use(0, true, [](KeyValueState& ledger) { EXPECT_EQ(ledger.get(Range{"a", false}).at(0).value, "1"); });
   std::filesystem::remove_all(folder);
 }
 
 // ---- Judgement ----
 
 TEST(JudgementTest, EndpointsTakeTurnsAndRestOnlyOnceAllHaveFailed) {
-  Endpoints endpoints(3, milliseconds(100), milliseconds(400), 0);
-  const std::size_t first = *endpoints.pick(Micros(0));
-  endpoints.failed(first, Micros(0));
-  const std::size_t second = *endpoints.pick(Micros(0));
+  EndpointSelector endpoints(3, milliseconds(100), milliseconds(400), 0);
+  const std::size_t first = *endpoints.select(Micros(0));
+  endpoints.on_failure(first, Micros(0));
+  const std::size_t second = *endpoints.select(Micros(0));
   EXPECT_NE(second, first);
-  endpoints.failed(first, Micros(0));
-  EXPECT_EQ(endpoints.pick(Micros(0)), second) << "an old call of the one before says nothing of this one";
-  endpoints.failed(second, Micros(0));
-  endpoints.failed(*endpoints.pick(Micros(0)), Micros(0));
-  EXPECT_FALSE(endpoints.pick(Micros(0)));
+  endpoints.on_failure(first, Micros(0));
+  EXPECT_EQ(endpoints.select(Micros(0)), second) << "an old call of the one before says nothing of this one";
+  endpoints.on_failure(second, Micros(0));
+  endpoints.on_failure(*endpoints.select(Micros(0)), Micros(0));
+  EXPECT_FALSE(endpoints.select(Micros(0)));
   Micros longest{0};
   Micros now{0};
   for (int i = 0; i < 30; ++i) {
-    now = endpoints.rests_until();
-    ASSERT_TRUE(endpoints.pick(now));
+    now = endpoints.backoff_until();
+    ASSERT_TRUE(endpoints.select(now));
     const Micros before = now;
-    endpoints.failed(*endpoints.pick(now), now);
-    longest = std::max(longest, endpoints.rests_until() - before);
+    endpoints.on_failure(*endpoints.select(now), now);
+    longest = std::max(longest, endpoints.backoff_until() - before);
   }
   EXPECT_LE(longest, milliseconds(600));
   EXPECT_GT(longest, milliseconds(200));
-  endpoints.worked(second);
-  EXPECT_EQ(endpoints.pick(now), second);
+  endpoints.on_success(second);
+  EXPECT_EQ(endpoints.select(now), second);
 }
 
 TEST(JudgementTest, AWatchSkipsWhatItHadAndNeverGoesBack) {
   WatchProgress progress;
-  EXPECT_EQ(progress.next(), WatchProgress::Next::kRead);
-  progress.read(10);
-  EXPECT_EQ(progress.from(), 11U);
-  etcd::WatchLine line;
+  EXPECT_EQ(progress.next_step(), WatchProgress::NextStep::kReadSnapshot);
+  progress.on_snapshot(10);
+  EXPECT_EQ(progress.next_revision(), 11U);
+  etcd::WatchResponse line;
   line.header = {1, 12};
   for (const Revision revision : {9U, 10U, 12U}) {
-    Change change;
+    KeyChange change;
     change.entry.key = "k";
     change.entry.modified = revision;
     line.changes.push_back(change);
   }
-  EXPECT_EQ(progress.take(line).news.size(), 1U);
-  EXPECT_EQ(progress.from(), 13U);
+  EXPECT_EQ(progress.on_response(line).changes.size(), 1U);
+  EXPECT_EQ(progress.next_revision(), 13U);
   line.changes.clear();
   line.compacted = 30;
-  EXPECT_TRUE(progress.take(line).restart);
-  EXPECT_EQ(progress.next(), WatchProgress::Next::kRead);
+  EXPECT_TRUE(progress.on_response(line).snapshot_required);
+  EXPECT_EQ(progress.next_step(), WatchProgress::NextStep::kReadSnapshot);
 }
 
 // ---- What is read from a store ----
@@ -664,35 +664,35 @@
 }
 
 TEST(EtcdJsonTest, MutatedAnswersAreReadSoundOrRefusedWithTheField) {
-  Ledger ledger{Limits{}};
+  KeyValueState ledger{KeyValueLimits{}};
   const Transaction asked{{absent("a")},
                           {Put{"a", "1", 0}, Get{Range{"a", true}}, Delete{Range{"z", false}}},
                           {Get{Range{"a", false}}}};
-  const Outcome outcome = ledger.commit(asked);
-  const std::string good = etcd::write_outcome({7, outcome.revision}, asked, outcome).dump();
-  etcd::Header header;
-  EXPECT_EQ(etcd::read_outcome(etcd::parse_object(good), asked, header), outcome);
+  const TransactionResult outcome = ledger.commit(asked);
+  const std::string good = etcd::write_transaction_result({7, outcome.revision}, asked, outcome).dump();
+  etcd::ResponseHeader header;
+  EXPECT_EQ(etcd::read_transaction_result(etcd::parse_object(good), asked, header), outcome);
   mutate(good, 1, [&](const std::string& text) {
-    const Outcome read = etcd::read_outcome(etcd::parse_object(text), asked, header);
-    EXPECT_EQ(read.steps.size(), read.succeeded ? 3U : 1U);
-    for (const Entry& entry : read.steps[read.succeeded ? 1 : 0].found) {
+    const TransactionResult read = etcd::read_transaction_result(etcd::parse_object(text), asked, header);
+    EXPECT_EQ(read.results.size(), read.succeeded ? 3U : 1U);
+    for (const Entry& entry : read.results[read.succeeded ? 1 : 0].found) {
       EXPECT_TRUE(entry.key.starts_with("a") && entry.modified <= header.revision && entry.created > 0);
     }
   });
-  etcd::WatchLine line;
+  etcd::WatchResponse line;
   line.header = {7, 9};
-  line.changes = {Change{false, Entry{"k", "v", 8, 8, 1, 3}}, Change{true, Entry{"k", "", 0, 9, 0, 0}}};
-  const std::string told = etcd::write_watch_line(line).dump();
-  EXPECT_EQ(etcd::read_watch_line(etcd::parse_object(told)).changes, line.changes);
+  line.changes = {KeyChange{false, Entry{"k", "v", 8, 8, 1, 3}}, KeyChange{true, Entry{"k", "", 0, 9, 0, 0}}};
+  const std::string told = etcd::write_watch_response(line).dump();
+  EXPECT_EQ(etcd::read_watch_response(etcd::parse_object(told)).changes, line.changes);
   mutate(told, 2, [](const std::string& text) {
     Revision last = 0;
-    for (const Change& change : etcd::read_watch_line(etcd::parse_object(text)).changes) {
+    for (const KeyChange& change : etcd::read_watch_response(etcd::parse_object(text)).changes) {
       EXPECT_GE(change.entry.modified, last);
       last = change.entry.modified;
     }
   });
-  mutate(etcd::write_granted({7, 9}, {5, 6'000}).dump(), 3, [&](const std::string& text) {
-    EXPECT_GE(etcd::read_granted(etcd::parse_object(text), header).ttl_ms, 0);
+  mutate(etcd::write_lease_grant_response({7, 9}, {5, 6'000}).dump(), 3, [&](const std::string& text) {
+    EXPECT_GE(etcd::read_lease_grant_response(etcd::parse_object(text), header).ttl_ms, 0);
   });
 }
 
@@ -704,16 +704,16 @@
   const std::string good = etcd::write_transaction(transaction).dump();
   EXPECT_EQ(etcd::read_transaction(etcd::parse_object(good)), transaction);
   mutate(good, 4, [](const std::string& text) {
-    Ledger ledger{Limits{}};
+    KeyValueState ledger{KeyValueLimits{}};
     try {
       ledger.commit(etcd::read_transaction(etcd::parse_object(text)));
-    } catch (const Rejected&) {
+    } catch (const OperationRejected&) {
     }
   });
   // The forms that the published gateway takes too: camel case, numbers as numbers, enumerations left out.
   const json camel = json::parse(
       R"({"compare":[{"key":"YQ==","version":0}],"success":[{"requestPut":{"key":"YQ==","value":"MQ=="}}]})");
-  Ledger ledger{Limits{}};
+  KeyValueState ledger{KeyValueLimits{}};
   EXPECT_TRUE(ledger.commit(etcd::read_transaction(camel)).succeeded);
   EXPECT_FALSE(ledger.commit(etcd::read_transaction(camel)).succeeded);
   EXPECT_THROW(etcd::read_range(json::parse(R"({"key":"YQ==","range_end":"eg=="})")), etcd::BadMessage);
--- a/tests/ownership_world_test.cpp
+++ b/tests/ownership_world_test.cpp
@@ -9,7 +9,7 @@
 #include <map>
 #include <random>
 
-#include "coordination/ledger.h"
+#include "coordination/key_value_state.h"
 #include "ownership/fence.h"
 #include "ownership/lease_manager.h"
 
@@ -17,7 +17,7 @@
 namespace {
 
 using coordination::LeaseId;
-using coordination::Ledger;
+using coordination::KeyValueState;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -115,9 +115,9 @@
     return static_cast<std::int64_t>(static_cast<double>(now_.count()) * 1.009 / 1e3);
   }
 
-  coordination::Outcome commit(const coordination::Transaction& transaction) {
+  coordination::TransactionResult commit(const coordination::Transaction& transaction) {
     ledger_.expire(store_ms());
-    const coordination::Outcome out = ledger_.commit(transaction);
+    const coordination::TransactionResult out = ledger_.commit(transaction);
     tell();
     return out;
   }
@@ -247,7 +247,7 @@
           std::set<std::string> named;
           for (const coordination::Entry& entry : entries) {
             named.insert(entry.key);
-            apply(one, coordination::Change{false, entry});
+            apply(one, coordination::KeyChange{false, entry});
           }
           for (std::uint64_t shard = 0; shard < 3; ++shard) {
             const ShardId id{"w", shard};
@@ -261,7 +261,7 @@
     });
   }
 
-  void apply(Router& router, const coordination::Change& change) {
+  void apply(Router& router, const coordination::KeyChange& change) {
     const Micros now = clock(router);
     const std::string& key = change.entry.key;
     if (const auto id = read_shard_key(key, kOwn)) {
@@ -275,7 +275,7 @@
 
   // Changes go to all that follow, each after a time of its own but in order.
   void tell() {
-    for (const coordination::Change& change : ledger_.changes()) {
+    for (const coordination::KeyChange& change : ledger_.take_changes()) {
       const auto id = read_shard_key(change.entry.key, kProgress);
       if (const auto progress = id ? read_progress(change.entry.value) : std::nullopt) {
         check_progress(*id, *progress);
@@ -344,7 +344,7 @@
                 [this, id, owner, lease] {
                   try {
                     return read_acquired(ledger_.commit(acquire("", id, owner, lease)));
-                  } catch (const coordination::Rejected&) {
+                  } catch (const coordination::OperationRejected&) {
                     return Acquired{};  // the lease ended meanwhile
                   }
                 },
@@ -373,7 +373,7 @@
         [this, lease] {
           try {
             ledger_.revoke(lease);
-          } catch (const coordination::Rejected&) {
+          } catch (const coordination::OperationRejected&) {
           }
           return true;
         },
@@ -589,7 +589,7 @@
   std::mt19937_64 random_;
   Defect defect_;
   LeaseManagerRules rules_;
-  Ledger ledger_{coordination::Limits{}};
+  KeyValueState ledger_{coordination::KeyValueLimits{}};
   std::vector<Router> routers_;
   std::multimap<Micros, std::function<void()>> events_;
   std::map<int, Micros> told_until_;
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -7,7 +7,7 @@
 #include <functional>
 #include <random>
 
-#include "coordination/ledger.h"
+#include "coordination/key_value_state.h"
 #include "policy/change.h"
 #include "policy/document.h"
 #include "policy/holder.h"
@@ -400,7 +400,7 @@
   }
 
   Seen look_now() {
-    const coordination::Outcome outcome = ledger_.commit(look(""));
+    const coordination::TransactionResult outcome = ledger_.commit(look(""));
     return read_seen("", outcome);
   }
   Known known_now() {
@@ -481,7 +481,7 @@
   // What changed goes to all that are heard by the store.
   void tell() {
     bool news = false;
-    for (const coordination::Change& change : ledger_.changes()) {
+    for (const coordination::KeyChange& change : ledger_.take_changes()) {
       news = news || change.entry.key.starts_with("policy/");
     }
     if (!news) {
@@ -525,7 +525,7 @@
                                                              write_permit(say.permit), lease}},
                                           {}});
             return true;
-          } catch (const coordination::Rejected&) {
+          } catch (const coordination::OperationRejected&) {
             return false;
           }
         },
@@ -552,7 +552,7 @@
                                                  write_permit(ask.permit), lease}};
                   try {
                     return ledger_.commit(join).succeeded;
-                  } catch (const coordination::Rejected&) {
+                  } catch (const coordination::OperationRejected&) {
                     return false;
                   }
                 },
@@ -739,7 +739,7 @@
   Defect defect_;
   HolderRules rules_;
   DriverRules driver_rules_;
-  coordination::Ledger ledger_{coordination::Limits{}};
+  coordination::KeyValueState ledger_{coordination::KeyValueLimits{}};
   std::deque<Router> routers_;
   std::optional<Driver> driver_;
   std::uint64_t last_version_ = 0;
--- a/tests/store_calls.h
+++ b/tests/store_calls.h
@@ -8,7 +8,7 @@
 #include <memory>
 #include <optional>
 
-#include "coordination/shared_store.h"
+#include "coordination/coordination_store.h"
 #include "transport/scheduler.h"
 
 namespace trailcourse::testing_support {
@@ -16,7 +16,7 @@
 class StoreCalls {
  public:
   template <typename Value>
-  using Reply = coordination::Reply<Value>;
+  using StoreResponse = coordination::StoreResponse<Value>;
 
   bool until(const std::function<bool()>& done) {
     const transport::Clock::time_point end = transport::Clock::now() + std::chrono::seconds(60);
@@ -29,24 +29,24 @@
     return true;
   }
   template <typename Value, typename Ask>
-  Reply<Value> await(Ask ask) {
-    const auto reply = std::make_shared<std::optional<Reply<Value>>>();
-    ask([reply](const Reply<Value>& told) { *reply = told; });
+  StoreResponse<Value> await(Ask ask) {
+    const auto reply = std::make_shared<std::optional<StoreResponse<Value>>>();
+    ask([reply](const StoreResponse<Value>& told) { *reply = told; });
     EXPECT_TRUE(until([&] { return reply->has_value(); }));
-    return reply->value_or(Reply<Value>{});
+    return reply->value_or(StoreResponse<Value>{});
   }
-  Reply<coordination::Outcome> commit(coordination::SharedStore& store,
+  StoreResponse<coordination::TransactionResult> commit(coordination::CoordinationStore& store,
                                       const coordination::Transaction& transaction) {
-    return await<coordination::Outcome>([&](auto then) { store.commit(transaction, then); });
+    return await<coordination::TransactionResult>([&](auto then) { store.commit(transaction, then); });
   }
-  Reply<coordination::GrantedLease> grant(coordination::SharedStore& store, std::chrono::milliseconds ttl) {
+  StoreResponse<coordination::GrantedLease> grant(coordination::CoordinationStore& store, std::chrono::milliseconds ttl) {
     return await<coordination::GrantedLease>([&](auto then) { store.grant(ttl, then); });
   }
-  Reply<coordination::GrantedLease> renew(coordination::SharedStore& store, coordination::LeaseId lease) {
+  StoreResponse<coordination::GrantedLease> renew(coordination::CoordinationStore& store, coordination::LeaseId lease) {
     return await<coordination::GrantedLease>([&](auto then) { store.keep_alive(lease, then); });
   }
-  Reply<coordination::Nothing> revoke(coordination::SharedStore& store, coordination::LeaseId lease) {
-    return await<coordination::Nothing>([&](auto then) { store.revoke(lease, then); });
+  StoreResponse<coordination::Empty> revoke(coordination::CoordinationStore& store, coordination::LeaseId lease) {
+    return await<coordination::Empty>([&](auto then) { store.revoke(lease, then); });
   }
 
   transport::Scheduler scheduler;
