--- a/src/routing/board_watcher.cpp
+++ b/src/routing/board_watcher.cpp
@@ -6,66 +6,65 @@
 #include <utility>
 
 #include "protocol/json_fields.h"
-#include "protocol/notice_board.h"
 #include "protocol/numbers.h"
 #include "transport/log.h"
 
 namespace trailcourse::routing {
 
-using startup::Call;
 using startup::CallEnd;
 using std::chrono::milliseconds;
 using transport::Clock;
-using transport::Connection;
 using transport::ConnectionEnd;
 using transport::Level;
 using transport::log_line;
 
 namespace {
 
-constexpr int kOkay = 200;
+constexpr int kStatusOk = 200;
+constexpr std::int64_t kMaxRetryAfterSeconds = 86'400;
+constexpr Micros kRelayCheckInterval = milliseconds(50);  // whether a relay can be polled again
 
 std::int64_t unix_seconds() {
   return std::chrono::duration_cast<std::chrono::seconds>(std::chrono::system_clock::now().time_since_epoch())
       .count();
 }
 
-startup::Upstream::Said said_by(const protocol::http::Response& response) {
-  startup::Upstream::Said said;
+startup::Upstream::Said relay_status_of(const protocol::http::Response& response) {
+  startup::Upstream::Said status;
   // A relay that does not say how old its page is says nothing that can be believed.
   const auto age = protocol::read_number<std::int64_t>(response.header("x-age-ms"));
-  said.age = age ? Micros(milliseconds(*age)) : Micros::max();
+  status.age = age ? Micros(milliseconds(*age)) : Micros::max();
   std::istringstream path(response.header("x-path"));
   for (std::string name; std::getline(path, name, ',');) {
-    said.path.push_back(name);
+    status.path.push_back(name);
   }
-  return said;
+  return status;
 }
 
-}  // namespace
-
-// A connection to the board or a relay: keeps what was read until the watcher takes it.
-class BoardWatcher::Link : public Connection::Handler {
- public:
-  Link(transport::Scheduler& scheduler, const protocol::http::Bounds& bounds)
-      : changed(scheduler), parser(bounds) {}
+// Parses the body of a watch response. Throws protocol::FormatError.
+nlohmann::json parse_page(const protocol::http::Response& response) {
+  nlohmann::json page = nlohmann::json::parse(response.body, nullptr, false);
+  if (page.is_discarded()) {
+    throw protocol::FormatError("not JSON");
+  }
+  return page;
+}
 
-  void on_bytes(std::string_view bytes) override {
-    parser.feed(bytes);
-    changed.notify();
+std::string error_of(const http::ClientConnection& connection) {
+  if (connection.end()) {
+    return std::string(to_string(*connection.end()));
   }
-  void on_end(ConnectionEnd how) override {
-    parser.feed_end();
-    end = how;
-    changed.notify();
+  return connection.malformed() ? connection.parse_error() : "silent";
+}
+
+CallEnd call_end_of(const http::ClientConnection& connection) {
+  if (connection.end()) {
+    return CallEnd::kBroken;
   }
+  return connection.malformed() ? CallEnd::kSpoilt : CallEnd::kSilent;
+}
 
-  transport::Signal changed;
-  protocol::http::ResponseParser parser;
-  std::optional<ConnectionEnd> end;
-  transport::ConnectionHandle connection;
-  transport::Address to;
-};
+}  // namespace
 
 BoardWatcher::BoardWatcher(transport::Scheduler& scheduler, const transport::Address& board,
                            NoticeSink& taker, const protocol::Profile& profile, std::uint64_t seed,
@@ -90,275 +89,276 @@
 
 Micros BoardWatcher::now() { return std::chrono::duration_cast<Micros>(Clock::now().time_since_epoch()); }
 
-// The board itself is asked only when asking.h says so; a relay, which has few askers, as soon as one may be
-// asked.
-Micros BoardWatcher::linger_of(const std::optional<std::string>& relay, Micros at_board) const {
-  if (relay) {
-    return std::chrono::duration_cast<Micros>(bounds_.relay_linger);
-  }
-  return bounds_.first_at_once && !answered_ ? Micros(0) : at_board;
-}
+// ---- Polling ----
 
 transport::Task<void> BoardWatcher::watch() {
-  constexpr Micros kRelayLook = milliseconds(50);  // whether a relay may be asked again
-  const bool relays = relays_.choice != nullptr;
-  Call board = asking_.first(now());
-  Micros relay_at = now();
-  bool drawn = true;  // the board's turn is of this want of a relay, and not of an earlier one
-  if (relays) {
+  const bool uses_relays = relays_.choice != nullptr;
+  PollSchedule schedule{asking_.first(now()), now(), true};
+  if (uses_relays) {
     scheduler_.spawn(audit());
   }
   for (;;) {
     const transport::Address at = board_;
-    const Micros until = relays ? std::min(board.at, relay_at) : board.at;
-    const Micros wait = until - now();
+    const Micros due = uses_relays ? std::min(schedule.board.at, schedule.relay_at) : schedule.board.at;
+    const Micros wait = due - now();
     if (wait > Micros(0)) {
       const bool moved = co_await moved_.wait(wait);
       if (moved || at != board_) {
-        board = asking_.first(now());
+        schedule.board = asking_.first(now());
         continue;
       }
     }
-    const Micros asked = now();
-    std::optional<std::string> relay;
-    if (relays) {
-      relay = relays_.choice->choose(asked);
-      if (!relay && asked < board.at) {
-        relay_at = asked + kRelayLook;
-        continue;
-      }
+    const Micros started = now();
+    const std::optional<std::string> relay = choose_relay(started);
+    if (uses_relays && !relay && started < schedule.board.at) {
+      schedule.relay_at = started + kRelayCheckInterval;
+      continue;
     }
-    const Micros linger = linger_of(relay, board.linger);
-    const Ended ended = co_await call(relay, linger);
+    const Poll poll{relay, started, linger_of(relay, schedule.board.linger)};
+    transport::Task<CallOutcome> calling = call(poll);
+    const CallOutcome outcome = co_await calling;
     if (at != board_) {
-      board = asking_.first(now());  // the call was broken off to ask elsewhere: no failure
+      schedule.board = asking_.first(now());  // the call was ended by move(): no failure
       continue;
     }
-    note(ended, relay);
-    const bool good = ended.end == CallEnd::kNews || ended.end == CallEnd::kNothing;
-    // A relay that holds nothing back is not flooded either.
-    const bool hasty = ended.end != CallEnd::kNews && now() - asked < linger / 2;
-    relay_at = hasty ? asked + linger / 2 : now();
-    if (!relay) {
-      board = asking_.after(asked, now(), ended.end, ended.retry_after);
-    } else if (good) {
-      drawn = false;
-    } else if (!std::exchange(drawn, true)) {
-      board = asking_.first(now());
-    }
+    log_outcome(outcome, relay);
+    schedule_next(schedule, poll, outcome);
   }
 }
 
-// Behind the relay's back the board itself is asked for its last number, now and then.
-transport::Task<void> BoardWatcher::audit() {
-  constexpr Micros kLook = milliseconds(50);
-  for (;;) {
-    co_await scheduler_.sleep(kLook);
-    const std::optional<std::string> relay = relays_.choice->choose(now());
-    if (relay && relays_.choice->withholds(now(), *relay, taker_.last())) {
-      log_line(Level::kWarning) << "relay " << *relay
-                                << " withholds what the board tells: not asked any more";
-    }
-    const std::optional<Micros> due = relays_.choice->audit_due(now());
-    if (!relay || !due || now() < *due) {
-      continue;
-    }
-    ++counts_.audits;
-    const std::shared_ptr<Link> link = link_to(board_);
-    const std::string request =
-        protocol::http::write_get(protocol::poll_path(taker_.last(), 0), transport::to_string(board_));
-    const std::optional<protocol::http::Response> response = co_await exchange(link, request, bounds_.grace);
-    link->connection.close(ConnectionEnd::kDropped);
-    std::uint64_t board_last = 0;
-    if (response && response->status == kOkay) {
-      const nlohmann::json page = nlohmann::json::parse(response->body, nullptr, false);
-      if (page.is_object() && page.contains("rev") && page["rev"].is_number_unsigned()) {
-        board_last = page["rev"].get<std::uint64_t>();
-      }
-    }
-    relays_.choice->audited(now(), board_last, taker_.last());
+std::optional<std::string> BoardWatcher::choose_relay(Micros at) const {
+  return relays_.choice != nullptr ? relays_.choice->choose(at) : std::nullopt;
+}
+
+// The board is polled only when asking.h says so; a relay, which has few clients, as soon as one can be polled.
+Micros BoardWatcher::linger_of(const std::optional<std::string>& relay, Micros at_board) const {
+  if (relay) {
+    return std::chrono::duration_cast<Micros>(bounds_.relay_linger);
   }
+  return bounds_.first_at_once && !answered_ ? Micros(0) : at_board;
 }
 
-// The call in flight and a pause both end: the old board tells nothing more, and what the new one has to
-// tell is late already. Events taken in before are known by their number.
+void BoardWatcher::schedule_next(PollSchedule& schedule, const Poll& poll, const CallOutcome& outcome) {
+  // A relay that does not hold calls is not flooded with them.
+  const bool too_early = outcome.end != CallEnd::kNews && now() - poll.started < poll.linger / 2;
+  schedule.relay_at = too_early ? poll.started + poll.linger / 2 : now();
+  if (!poll.relay) {
+    schedule.board = asking_.after(poll.started, now(), outcome.end, outcome.retry_after);
+  } else if (outcome.ok()) {
+    schedule.board_call_drawn = false;
+  } else if (!std::exchange(schedule.board_call_drawn, true)) {
+    schedule.board = asking_.first(now());
+  }
+}
+
+// Ends the call in flight and the wait: the old board sends nothing more, and what the new one has to send is late
+// already. Events that were applied before are known by their number.
 bool BoardWatcher::move(const transport::Address& board) {
   if (board == board_) {
     return false;
   }
   board_ = board;
-  if (link_) {
-    link_->connection.close(ConnectionEnd::kDropped);
+  if (connection_) {
+    connection_->close(ConnectionEnd::kDropped);
   }
   moved_.notify();
   return true;
 }
 
-std::shared_ptr<BoardWatcher::Link> BoardWatcher::link_to(const transport::Address& address) {
-  auto link = std::make_shared<Link>(scheduler_, bounds_.answers);
-  link->to = address;
-  const auto connection = Connection::connect(scheduler_, address, bounds_.connection);
-  link->connection = transport::ConnectionHandle(connection);
-  connection->start(link);
-  return link;
-}
+// ---- Calls ----
 
-// One request and its answer; nothing where none came, with the reason in why_.
-transport::Task<std::optional<protocol::http::Response>> BoardWatcher::exchange(
-    const std::shared_ptr<Link>& link, const std::string& request, Clock::duration longest) {
-  link->connection.write(request);
-  const Clock::time_point until = Clock::now() + longest;
-  for (;;) {
-    std::optional<protocol::http::Response> response = link->parser.take();
-    if (response) {
-      if (!response->keep_open) {
-        link->connection.close(ConnectionEnd::kDropped);
-      }
-      co_return response;
-    }
-    const Clock::duration left = until - Clock::now();
-    if (link->parser.failed() || link->end || left <= Clock::duration::zero()) {
-      why_ = link->end               ? std::string(to_string(*link->end))
-             : link->parser.failed() ? link->parser.why()
-                                     : "silent";
-      link->connection.close(link->parser.failed() ? ConnectionEnd::kMalformed : ConnectionEnd::kSilent);
-      co_return std::nullopt;
+transport::Task<BoardWatcher::CallOutcome> BoardWatcher::call(const Poll& poll) {
+  ++counts_.calls;
+  counts_.to_relays += poll.relay ? 1 : 0;
+  const transport::Address to = poll.relay ? relays_.addresses.at(*poll.relay) : board_;
+  if (!connection_ || connection_->closed() || connection_->peer() != to) {
+    if (connection_) {
+      connection_->close(ConnectionEnd::kDropped);
     }
-    co_await link->changed.wait(left);
+    connection_ = connection_to(to);
+  }
+  const std::shared_ptr<http::ClientConnection> connection = connection_;
+  const auto linger_ms = std::chrono::duration_cast<milliseconds>(poll.linger).count();
+  const Clock::duration longest = poll.linger + (poll.relay ? bounds_.relay_grace : bounds_.grace);
+  auto exchanging = exchange(
+      connection, protocol::http::write_get(protocol::poll_path(taker_.last(), linger_ms), to_string(to)),
+      longest);
+  const std::optional<protocol::http::Response> response = co_await exchanging;
+  if (response) {
+    co_return take_response(*response, poll);
   }
+  CallOutcome outcome{call_end_of(*connection), Micros(0), error_of(*connection)};
+  connection->close(connection->malformed() ? ConnectionEnd::kMalformed : ConnectionEnd::kSilent);
+  on_relay_failure(poll);
+  co_return outcome;
 }
 
-transport::Task<BoardWatcher::Ended> BoardWatcher::call(const std::optional<std::string>& relay,
-                                                        Micros linger) {
-  ++counts_.calls;
-  counts_.to_relays += relay ? 1 : 0;
-  const transport::Address to = relay ? relays_.addresses.at(*relay) : board_;
-  if (!link_ || link_->connection.ended() || link_->to != to) {
-    if (link_) {
-      link_->connection.close(ConnectionEnd::kDropped);
-    }
-    link_ = link_to(to);
+std::shared_ptr<http::ClientConnection> BoardWatcher::connection_to(const transport::Address& address) {
+  return http::ClientConnection::open(scheduler_, address, bounds_.connection, bounds_.answers);
+}
+
+// Writes one request and receives its response; nothing if none came.
+transport::Task<std::optional<protocol::http::Response>> BoardWatcher::exchange(
+    std::shared_ptr<http::ClientConnection> connection, std::string request, Clock::duration longest) {
+  connection->write(std::move(request));
+  auto receiving = http::ClientConnection::receive(connection, Clock::now() + longest);
+  std::optional<protocol::http::Response> response = co_await receiving;
+  if (response && !response->keep_open) {
+    connection->close(ConnectionEnd::kDropped);
   }
-  const std::shared_ptr<Link> link = link_;
-  const Micros asked = now();
-  const auto linger_ms = std::chrono::duration_cast<milliseconds>(linger).count();
-  const Clock::duration longest = linger + (relay ? bounds_.relay_grace : bounds_.grace);
-  const std::string request =
-      protocol::http::write_get(protocol::poll_path(taker_.last(), linger_ms), transport::to_string(to));
-  const std::optional<protocol::http::Response> response = co_await exchange(link, request, longest);
-  Ended out;
-  if (response) {
-    out = take(*response, relay, asked, linger);
-  } else {
-    const bool silent = !link->end && !link->parser.failed();
-    out.end = link->parser.failed() && !link->end ? CallEnd::kSpoilt
-              : silent                            ? CallEnd::kSilent
-                                                  : CallEnd::kBroken;
-    if (relay) {
-      relays_.choice->failed(now(), *relay);
-    }
+  co_return response;
+}
+
+void BoardWatcher::on_relay_failure(const Poll& poll) {
+  if (poll.relay) {
+    relays_.choice->failed(now(), *poll.relay);
   }
-  co_return out;
 }
 
-BoardWatcher::Ended BoardWatcher::take(const protocol::http::Response& response,
-                                       const std::optional<std::string>& relay, Micros asked, Micros linger) {
-  Ended out;
-  if (response.status != kOkay) {
-    why_ = "status " + std::to_string(response.status);
-    out.end = CallEnd::kRefused;
-    const auto wait = protocol::http::read_retry_after(response.header("retry-after"), unix_seconds());
-    out.retry_after = std::chrono::seconds(std::min<std::int64_t>(wait.value_or(0), 86'400));
-    if (relay) {
-      relays_.choice->failed(now(), *relay);
-    }
-    return out;
+// ---- Responses ----
+
+BoardWatcher::CallOutcome BoardWatcher::take_response(const protocol::http::Response& response,
+                                                      const Poll& poll) {
+  if (response.status != kStatusOk) {
+    return take_refusal(response, poll);
   }
-  out.end = CallEnd::kSpoilt;
   try {
-    const nlohmann::json page = nlohmann::json::parse(response.body, nullptr, false);
-    if (page.is_discarded()) {
-      throw protocol::FormatError("not JSON");
-    }
-    const protocol::NoticePage notices = protocol::read_notices(page, profile_);
-    startup::Upstream::Said said;
-    if (relay) {
-      said = said_by(response);
-      const auto belief = relays_.choice->answered(now(), *relay, relays_.self, said);
-      if (belief != startup::Upstream::Belief::kGood) {
-        why_ =
-            belief == startup::Upstream::Belief::kTooOld ? "a page too old" : "a page that came in a circle";
-        return out;
-      }
-    }
-    const std::string id = protocol::word_at(page, "board", "");
-    const std::uint64_t before = taker_.last();
-    switch (numbering_.judge(now(), before, notices.last, id)) {
-      case startup::PageVerdict::kStale:
-        ++counts_.stale;
-        why_ = "an older number, " + std::to_string(notices.last) + " after " + std::to_string(before);
-        if (relay) {
-          relays_.choice->failed(now(), *relay);  // it is behind: it may have slept
-        }
-        return out;
-      case startup::PageVerdict::kAnew:
-        log_line(Level::kWarning) << "the notice board began anew: it is at event " << notices.last
-                                  << ", we knew " << before;
-        taker_.forget_numbers();
-        if (hooks_.anew) {
-          hooks_.anew();
-        }
-        out.end = CallEnd::kNews;  // asked again at once, from its start
-        return out;
-      case startup::PageVerdict::kTake:
-        break;
-    }
-    answered_ = true;
-    taker_.take(notices);
-    const bool news = taker_.last() > before;
-    out.end = news ? CallEnd::kNews : CallEnd::kNothing;
-    // A call that brought nothing was held to its end: the board had nothing then, however late this is read.
-    // One that brought news was answered at some time since it was asked.
-    const Micros known = news ? asked : std::min(now(), asked + linger);
-    if (hooks_.page) {
-      hooks_.page(page, known - (relay ? said.age : Micros(0)), response.header("x-path"));
-    }
-    if (hooks_.taken) {
-      hooks_.taken(numbering_.id(), taker_.last());
+    return take_page(response, poll);
+  } catch (const std::exception& error) {  // whatever fails, the board is polled again
+    on_relay_failure(poll);
+    return {CallEnd::kSpoilt, Micros(0), error.what()};
+  }
+}
+
+BoardWatcher::CallOutcome BoardWatcher::take_refusal(const protocol::http::Response& response,
+                                                     const Poll& poll) {
+  const auto wait = protocol::http::read_retry_after(response.header("retry-after"), unix_seconds());
+  on_relay_failure(poll);
+  return {CallEnd::kRefused, std::chrono::seconds(std::min(wait.value_or(0), kMaxRetryAfterSeconds)),
+          "status " + std::to_string(response.status)};
+}
+
+// Throws std::exception if the response cannot be used.
+BoardWatcher::CallOutcome BoardWatcher::take_page(const protocol::http::Response& response,
+                                                  const Poll& poll) {
+  using Belief = startup::Upstream::Belief;
+  const nlohmann::json page = parse_page(response);
+  const protocol::NoticePage notices = protocol::read_notices(page, profile_);
+  Micros age{0};
+  if (poll.relay) {
+    const startup::Upstream::Said status = relay_status_of(response);
+    age = status.age;
+    const Belief belief = relays_.choice->answered(now(), *poll.relay, relays_.self, status);
+    if (belief != Belief::kGood) {
+      return {CallEnd::kSpoilt, Micros(0),
+              belief == Belief::kTooOld ? "a page too old" : "a page that came in a circle"};
     }
-    if (const auto askers = protocol::read_number<std::int64_t>(response.header("x-askers"));
-        askers && !relay && hooks_.askers) {
-      hooks_.askers(*askers);
+  }
+  const std::uint64_t before = taker_.last();
+  switch (numbering_.judge(now(), before, notices.last, protocol::word_at(page, "board", ""))) {
+    case startup::PageVerdict::kStale:
+      ++counts_.stale;
+      on_relay_failure(poll);  // it is behind: it may have been suspended
+      return {CallEnd::kSpoilt, Micros(0),
+              "an older number, " + std::to_string(notices.last) + " after " + std::to_string(before)};
+    case startup::PageVerdict::kAnew:
+      return restart_numbering(notices.last);
+    case startup::PageVerdict::kTake:
+      break;
+  }
+  return apply_page(response, poll, page, notices, age);
+}
+
+BoardWatcher::CallOutcome BoardWatcher::restart_numbering(std::uint64_t last) {
+  log_line(Level::kWarning) << "the notice board began anew: it is at event " << last << ", we knew "
+                            << taker_.last();
+  taker_.forget_numbers();
+  if (hooks_.anew) {
+    hooks_.anew();
+  }
+  return {CallEnd::kNews, Micros(0), {}};  // polled again at once, from its start
+}
+
+BoardWatcher::CallOutcome BoardWatcher::apply_page(const protocol::http::Response& response, const Poll& poll,
+                                                   const nlohmann::json& page,
+                                                   const protocol::NoticePage& notices, Micros age) {
+  answered_ = true;
+  const std::uint64_t before = taker_.last();
+  taker_.take(notices);
+  const bool news = taker_.last() > before;
+  // A call without events was held to the end of its linger: the board had none then, however late this is read. A
+  // call with events was answered at some time since it was sent.
+  const Micros known_at = (news ? poll.started : std::min(now(), poll.started + poll.linger)) - age;
+  if (hooks_.page) {
+    hooks_.page(page, known_at, response.header("x-path"));
+  }
+  if (hooks_.taken) {
+    hooks_.taken(numbering_.id(), taker_.last());
+  }
+  const auto pollers = protocol::read_number<std::int64_t>(response.header("x-askers"));
+  if (pollers && !poll.relay && hooks_.askers) {
+    hooks_.askers(*pollers);
+  }
+  return {news ? CallEnd::kNews : CallEnd::kNothing, Micros(0), {}};
+}
+
+// ---- Audit of relays ----
+
+// Reads the last number of the board itself now and then, to detect a relay that withholds events.
+transport::Task<void> BoardWatcher::audit() {
+  for (;;) {
+    co_await scheduler_.sleep(kRelayCheckInterval);
+    const std::optional<std::string> relay = choose_relay(now());
+    if (relay && relays_.choice->withholds(now(), *relay, taker_.last())) {
+      log_line(Level::kWarning) << "relay " << *relay
+                                << " withholds what the board tells: not asked any more";
     }
-  } catch (const std::exception& error) {  // whatever fails, the board is asked again
-    why_ = error.what();
-    out.end = CallEnd::kSpoilt;
-    if (relay) {
-      relays_.choice->failed(now(), *relay);
+    const std::optional<Micros> due = relays_.choice->audit_due(now());
+    if (!relay || !due || now() < *due) {
+      continue;
     }
+    transport::Task<std::uint64_t> reading = read_last_of_board();
+    const std::uint64_t last_of_board = co_await reading;
+    relays_.choice->audited(now(), last_of_board, taker_.last());
   }
-  return out;
 }
 
-// Operators are told when it is lost and when it is back, not of each try.
-void BoardWatcher::note(const Ended& ended, const std::optional<std::string>& relay) {
-  const bool good = ended.end == CallEnd::kNews || ended.end == CallEnd::kNothing;
-  counts_.failed += good ? 0 : 1;
-  counts_.refused += ended.end == CallEnd::kRefused ? 1 : 0;
+transport::Task<std::uint64_t> BoardWatcher::read_last_of_board() {
+  ++counts_.audits;
+  const std::shared_ptr<http::ClientConnection> connection = connection_to(board_);
+  auto exchanging = exchange(
+      connection, protocol::http::write_get(protocol::poll_path(taker_.last(), 0), to_string(board_)),
+      bounds_.grace);
+  const std::optional<protocol::http::Response> response = co_await exchanging;
+  connection->close(ConnectionEnd::kDropped);
+  if (!response || response->status != kStatusOk) {
+    co_return 0;
+  }
+  const nlohmann::json page = nlohmann::json::parse(response->body, nullptr, false);
+  const bool has_number = page.is_object() && page.contains("rev") && page["rev"].is_number_unsigned();
+  co_return has_number ? page["rev"].get<std::uint64_t>() : 0;
+}
+
+// ---- Log ----
+
+// Logs when the board is lost and when it is back, not each failed call.
+void BoardWatcher::log_outcome(const CallOutcome& outcome, const std::optional<std::string>& relay) {
+  counts_.failed += outcome.ok() ? 0 : 1;
+  counts_.refused += outcome.end == CallEnd::kRefused ? 1 : 0;
   if (relay) {
-    if (!good) {
-      log_line(Level::kInfo) << "relay " << *relay << ": " << why_;
+    if (!outcome.ok()) {
+      log_line(Level::kInfo) << "relay " << *relay << ": " << outcome.error;
     }
     return;
   }
   const int failures = asking_.failures();
-  if (good && failures > 0) {
+  if (outcome.ok() && failures > 0) {
     log_line(Level::kInfo) << "notice board " << to_string(board_) << " is back after " << failures
                            << " failed calls";
-  } else if (!good && failures == 0) {
-    log_line(Level::kDebug) << "notice board " << to_string(board_) << ": " << why_;
-  } else if (!good && failures == 1) {
-    log_line(Level::kWarning) << "notice board " << to_string(board_) << " is lost: " << why_;
+  } else if (!outcome.ok() && failures == 0) {
+    log_line(Level::kDebug) << "notice board " << to_string(board_) << ": " << outcome.error;
+  } else if (!outcome.ok() && failures == 1) {
+    log_line(Level::kWarning) << "notice board " << to_string(board_) << " is lost: " << outcome.error;
   }
 }
 
--- a/src/routing/board_watcher.h
+++ b/src/routing/board_watcher.h
@@ -1,6 +1,9 @@
-// Watches the notice board, itself or by way of a relay: asks for what is new, again and again. When to ask
-// is decided by startup/asking.h, whom by startup/upstream.h, whether a page goes on from what is known by
-// startup/numbering.h; this carries it out. No request ever waits for it.
+// The client of the discovery service: long-polls it, or a relay, for watch responses, and applies them. When to poll
+// is decided by startup/asking.h, whom by startup/upstream.h, and whether a response continues the sequence of events
+// by startup/numbering.h. No request ever waits for it.
+//
+// Package `routing`, over `http` and `startup`. Not thread-safe: it belongs to its scheduler's thread, and must live as
+// long as that runs its coroutines.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +14,9 @@
 #include <optional>
 #include <string>
 
+#include "http/client_connection.h"
 #include "protocol/http_client.h"
+#include "protocol/notice_board.h"
 #include "protocol/settings.h"
 #include "routing/notice_sink.h"
 #include "startup/asking.h"
@@ -26,33 +31,40 @@
  public:
   struct Bounds {
     startup::AskingRules asking;
-    transport::Clock::duration grace = std::chrono::milliseconds(1000);  // beyond the linger it is silent
+    transport::Clock::duration grace =
+        std::chrono::milliseconds(1000);  // a call times out so long after its linger
     transport::Clock::duration relay_linger = std::chrono::milliseconds(100);
     transport::Clock::duration relay_grace = std::chrono::milliseconds(100);
-    Micros anew_after = Micros::max();  // a board without a name that says lower numbers for so long
-    bool first_at_once = false;  // the board is not to hold calls before its first answer, which names it
+    Micros anew_after =
+        Micros::max();           // a board without an id that sends lower numbers for so long began anew
+    bool first_at_once = false;  // calls before the first response, which names the board, do not linger
     transport::Connection::Bounds connection;
     protocol::http::Bounds answers;
   };
-  // What else is done with what the board says; each may be empty.
+  // Observers of the responses; each may be empty.
   struct Hooks {
-    // A page was taken in. `known_at`: steady time at which all that the board had was surely in it.
+    // A response was applied. `known_at`: steady time at which it surely held all that the board had.
     std::function<void(const nlohmann::json& page, Micros known_at, const std::string& path)> page;
-    // The same, with the name of the board and the number of the last event that was taken in.
+    // The same, with the id of the board and the number of the last event that was applied.
     std::function<void(const std::string& board, std::uint64_t last)> taken;
-    // The board began anew; what it tells from now on is numbered from its start.
+    // The board began anew; its events are numbered from the start again.
     std::function<void()> anew;
-    // How many ask the board, by its own word.
+    // How many clients poll the board, as it reports.
     std::function<void(std::int64_t)> askers;
   };
-  // The relays that this router may ask, by name, and who chooses among them.
+  // The relays that this router may poll, by name, and what chooses among them.
   struct Relays {
     std::string self;
     std::map<std::string, transport::Address> addresses;
-    startup::Upstream* choice = nullptr;  // null: the board itself is asked
+    startup::Upstream* choice = nullptr;  // null: the board itself is polled
   };
   struct Counts {
-    std::uint64_t calls = 0, to_relays = 0, audits = 0, failed = 0, refused = 0, stale = 0;
+    std::uint64_t calls = 0;      // to the board and to relays
+    std::uint64_t to_relays = 0;  // of them
+    std::uint64_t audits = 0;
+    std::uint64_t failed = 0;
+    std::uint64_t refused = 0;  // of the failed ones: with another status than 200
+    std::uint64_t stale = 0;    // responses with an older number than was applied
   };
 
   BoardWatcher(transport::Scheduler& scheduler, const transport::Address& board, NoticeSink& taker,
@@ -63,10 +75,10 @@
   ~BoardWatcher();
 
   void start() { scheduler_.spawn(watch()); }
-  // The board is to be asked at this address from now on; false where that is the one in use.
+  // Polls the board at this address from now on. Returns whether that is another one than before.
   bool move(const transport::Address& board);
   void fleet_size(int routers) { asking_.fleet_size(routers); }
-  // What a snapshot knew of the board's name.
+  // Sets the id of the board that a snapshot holds.
   void starts_with(const std::string& id) { numbering_.starts_with(id); }
 
   const transport::Address& board() const { return board_; }
@@ -75,25 +87,51 @@
   bool lost() const { return asking_.failures() > 1; }
 
  private:
-  class Link;
-  struct Ended {
+  // How a call ended.
+  struct CallOutcome {
     startup::CallEnd end = startup::CallEnd::kBroken;
     Micros retry_after{0};
+    std::string error;  // of a failed call, one line for logs
+
+    bool ok() const { return end == startup::CallEnd::kNews || end == startup::CallEnd::kNothing; }
+  };
+  // What was polled, and when.
+  struct Poll {
+    std::optional<std::string> relay;  // nothing: the board itself
+    Micros started{0};
+    Micros linger{0};
+  };
+  // When the next polls are due.
+  struct PollSchedule {
+    startup::Call board;
+    Micros relay_at{0};
+    bool board_call_drawn = true;  // since the relays failed last; an earlier draw is out of date
   };
 
   transport::Task<void> watch();
+  std::optional<std::string> choose_relay(Micros at) const;
+  void schedule_next(PollSchedule& schedule, const Poll& poll, const CallOutcome& outcome);
+  Micros linger_of(const std::optional<std::string>& relay, Micros at_board) const;
+
+  // `poll` has to live until the task is done.
+  transport::Task<CallOutcome> call(const Poll& poll);
+  std::shared_ptr<http::ClientConnection> connection_to(const transport::Address& address);
+  static transport::Task<std::optional<protocol::http::Response>> exchange(
+      std::shared_ptr<http::ClientConnection> connection, std::string request,
+      transport::Clock::duration longest);
+  CallOutcome take_response(const protocol::http::Response& response, const Poll& poll);
+  CallOutcome take_refusal(const protocol::http::Response& response, const Poll& poll);
+  CallOutcome take_page(const protocol::http::Response& response, const Poll& poll);
+  CallOutcome apply_page(const protocol::http::Response& response, const Poll& poll,
+                         const nlohmann::json& page, const protocol::NoticePage& notices, Micros age);
+  CallOutcome restart_numbering(std::uint64_t last);
+  void on_relay_failure(const Poll& poll);
+  void log_outcome(const CallOutcome& outcome, const std::optional<std::string>& relay);
+
   transport::Task<void> audit();
-  // What is passed by reference has to live until the task is done.
-  transport::Task<Ended> call(const std::optional<std::string>& relay, Micros linger);
-  transport::Task<std::optional<protocol::http::Response>> exchange(const std::shared_ptr<Link>& link,
-                                                                    const std::string& request,
-                                                                    transport::Clock::duration longest);
-  std::shared_ptr<Link> link_to(const transport::Address& address);
-  Ended take(const protocol::http::Response& response, const std::optional<std::string>& relay, Micros asked,
-             Micros linger);
+  // Returns the number of the last event that the board itself has; 0 if it cannot be read.
+  transport::Task<std::uint64_t> read_last_of_board();
   static Micros now();
-  Micros linger_of(const std::optional<std::string>& relay, Micros at_board) const;
-  void note(const Ended& ended, const std::optional<std::string>& relay);
 
   transport::Scheduler& scheduler_;
   transport::Address board_;
@@ -106,9 +144,8 @@
   startup::Asking asking_;
   startup::Numbering numbering_;
   Counts counts_;
-  std::string why_;
-  bool answered_ = false;
-  std::shared_ptr<Link> link_;
+  bool answered_ = false;  // by the board or a relay
+  std::shared_ptr<http::ClientConnection> connection_;
 };
 
 }  // namespace trailcourse::routing
