--- a/benchmarks/scale/control_costs.cpp
+++ b/benchmarks/scale/control_costs.cpp
@@ -5,7 +5,8 @@
 #include <string>
 #include <vector>
 
-#include "coordination/etcd_json.h"
+#include "coordination/etcd_requests.h"
+#include "coordination/etcd_responses.h"
 #include "coordination/key_value_state.h"
 #include "membership/view.h"
 #include "ownership/lease_manager.h"
@@ -74,7 +75,8 @@
     std::string answer;
     const int calls = std::max(1, 3'000 / permits);
     store.points.emplace_back(permits, cpu_us_per_call(calls, [&] {
-                                answer = etcd::write_transaction_result(header, look, ledger.commit(look)).dump();
+                                answer =
+                                    etcd::write_transaction_result(header, look, ledger.commit(look)).dump();
                               }));
     bytes.points.emplace_back(permits, answer.size());
     policy::Driver decides(policy::driver_rules(policy::PolicyOptions()));
--- a/benchmarks/scale/hollow_aggregator.cpp
+++ b/benchmarks/scale/hollow_aggregator.cpp
@@ -35,7 +35,8 @@
   return out;
 }
 
-SharedNews changed_news(const coordination::KeyValueState& records, std::vector<coordination::KeyChange> changes) {
+SharedNews changed_news(const coordination::KeyValueState& records,
+                        std::vector<coordination::KeyChange> changes) {
   auto out = std::make_shared<News>();
   out->known = known_of(records);
   out->changes = std::move(changes);
--- a/benchmarks/scale/hollow_aggregator.h
+++ b/benchmarks/scale/hollow_aggregator.h
@@ -53,6 +53,7 @@
 
 // What stands under policy/, for those who watch it.
 SharedNews whole_news(const coordination::KeyValueState& records);
-SharedNews changed_news(const coordination::KeyValueState& records, std::vector<coordination::KeyChange> changes);
+SharedNews changed_news(const coordination::KeyValueState& records,
+                        std::vector<coordination::KeyChange> changes);
 
 }  // namespace trailcourse::scale
--- a/benchmarks/scale/hollow_client.cpp
+++ b/benchmarks/scale/hollow_client.cpp
@@ -59,7 +59,8 @@
       endpoints_(servers_.size(), kFirstRest, kLongestRest, simulation.random()) {}
 
 void StoreClient::begin_client() {
-  endpoints_ = coordination::EndpointSelector(servers_.size(), kFirstRest, kLongestRest, simulation().random());
+  endpoints_ =
+      coordination::EndpointSelector(servers_.size(), kFirstRest, kLongestRest, simulation().random());
   ++watch_;
   watch_open_ = false;
   open_watch();
--- a/benchmarks/scale/hollow_client.h
+++ b/benchmarks/scale/hollow_client.h
@@ -20,9 +20,9 @@
 
 // What a watch of the policy's records tells.
 struct News {
-  policy::Known known;                        // for any zone: the model has no stages
-  bool whole = false;                         // all entries, at the beginning or after a break
-  std::vector<coordination::Entry> entries;   // of what is whole
+  policy::Known known;                           // for any zone: the model has no stages
+  bool whole = false;                            // all entries, at the beginning or after a break
+  std::vector<coordination::Entry> entries;      // of what is whole
   std::vector<coordination::KeyChange> changes;  // of what is not
   std::size_t bytes = 0;
 };
--- a/benchmarks/scale/hollow_driver.cpp
+++ b/benchmarks/scale/hollow_driver.cpp
@@ -223,8 +223,8 @@
   return key == policy::kAcknowledgedKey || (round_open_ && key.starts_with(policy::kPermits));
 }
 
-HollowStoreDriver::Decision HollowAcknowledgementDriver::decide(Micros now,
-                                                                const coordination::TransactionResult& outcome) {
+HollowStoreDriver::Decision HollowAcknowledgementDriver::decide(
+    Micros now, const coordination::TransactionResult& outcome) {
   const policy::AcknowledgementsSeen seen = policy::read_acknowledgements_seen("", outcome);
   round_open_ = seen.record.round > 0 && seen.record.done != seen.record.asked;
   Decision out;
--- a/benchmarks/scale/hollow_store.cpp
+++ b/benchmarks/scale/hollow_store.cpp
@@ -54,7 +54,7 @@
   if (!runs()) {
     return;
   }
-  ledger_.expire(clock_ms());
+  ledger_.expire(store_clock());
   counted().busy += tell(Micros(0));
 }
 
@@ -94,7 +94,7 @@
 Reply HollowStore::grant(Micros ttl) {
   Reply out;
   out.spent = call_cost();
-  out.lease = ledger_.grant(clock_ms(), ttl.count() / 1'000, 0);
+  out.lease = ledger_.grant(store_clock(), std::chrono::duration_cast<std::chrono::milliseconds>(ttl), 0);
   out.done = true;
   return out;
 }
@@ -102,8 +102,8 @@
 Reply HollowStore::keep_alive(LeaseId lease) {
   Reply out;
   out.spent = call_cost();
-  ledger_.expire(clock_ms());
-  out.succeeded = ledger_.keep_alive(clock_ms(), lease) > 0;
+  ledger_.expire(store_clock());
+  out.succeeded = ledger_.keep_alive(store_clock(), lease) > std::chrono::milliseconds(0);
   out.done = true;
   out.spent += tell(out.spent);
   return out;
--- a/benchmarks/scale/hollow_store.h
+++ b/benchmarks/scale/hollow_store.h
@@ -39,7 +39,9 @@
 
  private:
   void expire();
-  std::int64_t clock_ms() const { return clock().count() / 1'000; }
+  std::chrono::milliseconds store_clock() const {
+    return std::chrono::duration_cast<std::chrono::milliseconds>(clock());
+  }
   // The time that telling of the last changes takes, after `before`.
   Micros tell(Micros before);
   Micros call_cost() const;
--- a/benchmarks/scale/hollow_wire.cpp
+++ b/benchmarks/scale/hollow_wire.cpp
@@ -25,9 +25,11 @@
   out.renewed = answer_bytes({{"result", etcd::write_lease_grant_response(kHeader, {kLease, kTtlMs})}});
   const coordination::Transaction write{{}, {coordination::Put{"key", "value", kLease}}, {}};
   out.written = answer_bytes(etcd::write_transaction_result(
-      kHeader, write, coordination::TransactionResult{true, kHeader.revision, {coordination::OperationResult{}}}));
-  out.watch = call_bytes(etcd::kWatchPath,
-                         etcd::write_watch_request({coordination::Range{"trailcourse/policy/", true}, 1'234'567}));
+      kHeader, write,
+      coordination::TransactionResult{true, kHeader.revision, {coordination::OperationResult{}}}));
+  out.watch =
+      call_bytes(etcd::kWatchPath,
+                 etcd::write_watch_request({coordination::Range{"trailcourse/policy/", true}, 1'234'567}));
   etcd::WatchResponse line;
   line.header = kHeader;
   out.heartbeat = line_bytes(line);
--- a/benchmarks/scale/hollow_wire.h
+++ b/benchmarks/scale/hollow_wire.h
@@ -5,7 +5,8 @@
 #include <cstddef>
 #include <string_view>
 
-#include "coordination/etcd_json.h"
+#include "coordination/etcd_requests.h"
+#include "coordination/etcd_responses.h"
 
 namespace trailcourse::scale {
 
--- a/benchmarks/scale/store_costs.cpp
+++ b/benchmarks/scale/store_costs.cpp
@@ -6,9 +6,10 @@
 #include <string>
 #include <vector>
 
-#include "coordination/etcd_json.h"
-#include "coordination/key_value_database.h"
 #include "coordination/coordination_server.h"
+#include "coordination/etcd_requests.h"
+#include "coordination/etcd_responses.h"
+#include "coordination/key_value_database.h"
 #include "fleet/ports.h"
 #include "http_peers.h"
 #include "policy/change.h"
@@ -18,16 +19,16 @@
 namespace trailcourse::scale {
 namespace {
 
-using coordination::LeaseId;
-using coordination::KeyValueState;
 using coordination::KeyValueDatabase;
+using coordination::KeyValueState;
+using coordination::LeaseId;
 using coordination::Put;
 using coordination::Transaction;
 using std::chrono::milliseconds;
 
 constexpr std::array<int, 6> kLeases{100, 300, 1'000, 3'000, 10'000, 19'000};
 constexpr std::array<int, 5> kWatches{1, 30, 100, 300, 1'000};
-constexpr std::int64_t kTtlMs = 60'000'000;  // nothing ends while it is measured
+constexpr std::chrono::milliseconds kTtl{60'000'000};  // nothing ends while it is measured
 constexpr const char* kPrefix = "trailcourse/";
 
 // As the registry's, but with room for every router of the fleet.
@@ -59,7 +60,7 @@
 std::vector<LeaseId> fill(KeyValueState& ledger, int routers) {
   std::vector<LeaseId> out;
   for (int i = 0; i < routers; ++i) {
-    out.push_back(ledger.grant(0, kTtlMs, 0));
+    out.push_back(ledger.grant(std::chrono::milliseconds(0), kTtl, 0));
     ledger.commit(say_permit(i, out.back(), 1));
   }
   return out;
@@ -79,7 +80,7 @@
     lease.points.emplace_back(leases, bytes_held_by([&] {
                                 auto ledger = std::make_unique<KeyValueState>(wide_limits());
                                 for (int i = 0; i < leases; ++i) {
-                                  ledger->grant(0, kTtlMs, 0);
+                                  ledger->grant(std::chrono::milliseconds(0), kTtl, 0);
                                 }
                                 return ledger;
                               }));
@@ -122,8 +123,11 @@
                                  ledger.commit(say_permit(static_cast<int>(place), held[place], 2));
                                  ledger.take_changes();
                                }));
-    renew.points.emplace_back(leases, cpu_us_per_call(2'000, [&] { ledger.keep_alive(1, held[next()]); }));
-    expire.points.emplace_back(leases, cpu_us_per_call(20, [&] { ledger.expire(1); }));
+    renew.points.emplace_back(leases, cpu_us_per_call(2'000, [&] {
+                                ledger.keep_alive(std::chrono::milliseconds(1), held[next()]);
+                              }));
+    expire.points.emplace_back(leases,
+                               cpu_us_per_call(20, [&] { ledger.expire(std::chrono::milliseconds(1)); }));
   }
   for (const CostSeries& series : {commit, renew, expire}) {
     sink(series);
@@ -155,9 +159,10 @@
   for (const int leases : kLeases) {
     std::filesystem::remove_all(folder);
     KeyValueDatabase file(folder, wide_limits(), KeyValueDatabase::Sharing::kExclusive);
-    const std::int64_t now = KeyValueDatabase::boot_time_ms();
+    const std::chrono::milliseconds now = KeyValueDatabase::boot_time();
     std::vector<LeaseId> held;
-    file.use(now, true, [&](KeyValueState& ledger) { held = fill(ledger, leases); });
+    file.transact(now, KeyValueDatabase::Durability::kSynced,
+                  [&](KeyValueState& ledger) { held = fill(ledger, leases); });
     std::size_t at = 0;
     const auto next = [&] { return at = (at + 7'919) % held.size(); };
     constexpr int kCalls = 30;
@@ -168,7 +173,7 @@
           const double begun = wall_us();
           for (int i = 0; i < kCalls; ++i) {
             const std::size_t place = next();
-            file.use(now, true, [&](KeyValueState& ledger) {
+            file.transact(now, KeyValueDatabase::Durability::kSynced, [&](KeyValueState& ledger) {
               ledger.commit(say_permit(static_cast<int>(place), held[place], 2));
             });
           }
@@ -182,8 +187,9 @@
                                           kCalls,
                                           [&] {
                                             const LeaseId id = held[next()];
-                                            file.use(now, false,
-                                                     [&](KeyValueState& ledger) { ledger.keep_alive(now, id); });
+                                            file.transact(
+                                                now, KeyValueDatabase::Durability::kUnsynced,
+                                                [&](KeyValueState& ledger) { ledger.keep_alive(now, id); });
                                           },
                                           3));
   }
@@ -314,8 +320,9 @@
     ServedRegistry served(folder);
     const double before = allocated_bytes();
     const coordination::Range records{std::string(kPrefix) + "policy/", true};
-    ListeningPeers peers(served.address(), watches,
-                         call_of(served.address(), etcd::kWatchPath, etcd::write_watch_request({records, 0})));
+    ListeningPeers peers(
+        served.address(), watches,
+        call_of(served.address(), etcd::kWatchPath, etcd::write_watch_request({records, 0})));
     served.run_until([&] { return peers.counts().answers >= static_cast<std::uint64_t>(watches); });
     memory.points.emplace_back(watches, allocated_bytes() - before);
     Transaction change;
@@ -331,7 +338,8 @@
         watches, served_us(served, call_of(at, etcd::kTxnPath, etcd::write_transaction(permit)), kCalls));
     // Of a lease that is gone: the same way through the store.
     renewal.points.emplace_back(
-        watches, served_us(served, call_of(at, etcd::kKeepAlivePath, etcd::write_lease_request(77)), 2 * kCalls));
+        watches,
+        served_us(served, call_of(at, etcd::kKeepAlivePath, etcd::write_lease_request(77)), 2 * kCalls));
   }
   std::filesystem::remove_all(folder);
   for (const CostSeries& series : {memory, news, quiet, renewal}) {
--- a/src/aggregation/aggregator.cpp
+++ b/src/aggregation/aggregator.cpp
@@ -7,14 +7,14 @@
 
 namespace trailcourse::aggregation {
 
-using coordination::KeyChange;
 using coordination::Entry;
 using coordination::Get;
+using coordination::KeyChange;
 using coordination::LeaseId;
-using coordination::TransactionResult;
 using coordination::Put;
 using coordination::Revision;
 using coordination::Transaction;
+using coordination::TransactionResult;
 using policy::Permit;
 
 namespace {
--- a/src/aggregation/service.cpp
+++ b/src/aggregation/service.cpp
@@ -11,8 +11,8 @@
 namespace trailcourse::aggregation {
 
 using coordination::LeaseId;
-using coordination::TransactionResult;
 using coordination::StoreResponse;
+using coordination::TransactionResult;
 using nlohmann::json;
 using std::chrono::milliseconds;
 using transport::Clock;
@@ -184,7 +184,8 @@
 void Service::join(const AskPermission& ask, LeaseId lease) {
   lease_ = lease;
   store_.commit(join_transaction(prefix_, options_.name, lease, ask),
-                [this, alive = alive_, number = ask.order.number, lease](const StoreResponse<TransactionResult>& reply) {
+                [this, alive = alive_, number = ask.order.number,
+                 lease](const StoreResponse<TransactionResult>& reply) {
                   if (!*alive) {
                     return;
                   }
@@ -277,10 +278,10 @@
   }
   const bool permitted = core_.uplink().permitted(now());
   return Response{permitted ? 200 : 503, json{{"name", options_.name},
-                                            {"permission", permitted},
-                                            {"store", heard_ ? "heard" : "silent"},
-                                            {"routers", core_.routers()},
-                                            {"revision", core_.records().revision()}}};
+                                              {"permission", permitted},
+                                              {"store", heard_ ? "heard" : "silent"},
+                                              {"routers", core_.routers()},
+                                              {"revision", core_.records().revision()}}};
 }
 
 std::string Service::report() const {
--- a/src/aggregation/service.h
+++ b/src/aggregation/service.h
@@ -10,8 +10,8 @@
 
 #include "aggregation/aggregator.h"
 #include "aggregation/options.h"
-#include "coordination/etcd_server.h"
 #include "coordination/coordination_store.h"
+#include "coordination/etcd_server.h"
 #include "transport/alarm.h"
 #include "transport/deferred.h"
 
@@ -21,8 +21,8 @@
  public:
   // `options` must have been checked. `prefix`: of all keys in the store. `seed`: differs from start to
   // start. The store outlives it.
-  Service(transport::Scheduler& scheduler, coordination::CoordinationStore& store, const AggregatorOptions& options,
-          const std::string& prefix, std::uint64_t seed);
+  Service(transport::Scheduler& scheduler, coordination::CoordinationStore& store,
+          const AggregatorOptions& options, const std::string& prefix, std::uint64_t seed);
   ~Service() override;
 
   // Begins to follow the store and to take routers. Throws std::system_error.
@@ -44,7 +44,8 @@
 
   // ---- From the store above ----
   void on_snapshot(coordination::Revision revision, const std::vector<coordination::Entry>& entries) override;
-  void on_changes(coordination::Revision revision, const std::vector<coordination::KeyChange>& changes) override;
+  void on_changes(coordination::Revision revision,
+                  const std::vector<coordination::KeyChange>& changes) override;
   void on_disconnected(const std::string& why) override;
   void on_heartbeat() override;
 
--- a/src/coordination/coordination_server.cpp
+++ b/src/coordination/coordination_server.cpp
@@ -9,14 +9,18 @@
 namespace trailcourse::coordination {
 
 using nlohmann::json;
-using std::chrono::milliseconds;
 using transport::Clock;
 using transport::Level;
 using transport::log_line;
+using Durability = KeyValueDatabase::Durability;
 
 namespace {
 
-constexpr milliseconds kRetry{200};  // after leases could not be ended
+constexpr Milliseconds kExpiryRetryInterval{200};  // after the database could not be written
+constexpr int kStatusOk = 200;
+constexpr int kStatusBadRequest = 400;
+constexpr int kStatusNotFound = 404;
+constexpr int kStatusUnavailable = 503;
 
 KeyValueLimits limits_of(const RegistryOptions& options) {
   KeyValueLimits limits;
@@ -29,123 +33,149 @@
   const std::string text = std::string("etcdserver: ") + error.what();
   switch (error.reason()) {
     case OperationRejected::Reason::kLeaseNotFound:
-      return {404, etcd::write_error(etcd::ErrorCode::kNotFound, text)};
+      return {kStatusNotFound, etcd::write_error(etcd::ErrorCode::kNotFound, text)};
     case OperationRejected::Reason::kCompacted:
-      return {400, etcd::write_error(etcd::ErrorCode::kOutOfRange, text)};
-    default:
-      return {400, etcd::write_error(etcd::ErrorCode::kInvalidArgument, text)};
+      return {kStatusBadRequest, etcd::write_error(etcd::ErrorCode::kOutOfRange, text)};
+    case OperationRejected::Reason::kLeaseExists:
+    case OperationRejected::Reason::kInvalidRequest:
+      break;
   }
+  return {kStatusBadRequest, etcd::write_error(etcd::ErrorCode::kInvalidArgument, text)};
+}
+
+EtcdService::Response header_only(const etcd::ResponseHeader& header) {
+  return {kStatusOk, json{{"header", etcd::write_header(header)}}};
 }
 
 }  // namespace
 
 CoordinationServer::CoordinationServer(transport::Scheduler& scheduler, const RegistryOptions& options)
-    : file_(options.folder, limits_of(options), KeyValueDatabase::Sharing::kExclusive),
+    : database_(options.folder, limits_of(options), KeyValueDatabase::Sharing::kExclusive),
       server_(scheduler, *this, static_cast<std::size_t>(options.connections)),
-      timer_(scheduler, [this] { end_leases(); }) {}
+      expiry_timer_(scheduler, [this] { expire_leases(); }) {}
 
 void CoordinationServer::listen(const transport::Address& address) {
   server_.listen(address);
-  end_leases();
+  expire_leases();
 }
 
+// ---- Calls ----
+
 CoordinationServer::Response CoordinationServer::handle(const std::string& path, const json& body) {
-  Response out;
+  Response response;
   const bool renewal = path == etcd::kKeepAlivePath;
   ++(renewal ? renewals_ : writes_);
   try {
-    file_.use(KeyValueDatabase::boot_time_ms(), !renewal,
-              [&](KeyValueState& ledger) { out = carry_out(ledger, path, body); });
-    tell();
+    database_.transact(KeyValueDatabase::boot_time(), renewal ? Durability::kUnsynced : Durability::kSynced,
+                       [&](KeyValueState& state) { response = execute(state, path, body); });
+    publish();
   } catch (const OperationRejected& error) {
     ++rejected_;
-    out = rejection(error);
-    tell();
+    response = rejection(error);
+    publish();
   } catch (const SqliteError& error) {
-    log_line(Level::kError) << "nothing was kept: " << error.what();
-    out = {503, etcd::write_error(etcd::ErrorCode::kUnavailable, "the registry cannot write")};
-    timer_.set(Clock::now() + kRetry);
+    log_line(Level::kError) << "changes could not be stored: " << error.what();
+    response = {kStatusUnavailable,
+                etcd::write_error(etcd::ErrorCode::kUnavailable, "the registry cannot write")};
+    expiry_timer_.set(Clock::now() + kExpiryRetryInterval);
   }
-  return out;
+  return response;
 }
 
-CoordinationServer::Response CoordinationServer::carry_out(KeyValueState& ledger, const std::string& path, const json& body) {
-  const std::int64_t now = KeyValueDatabase::boot_time_ms();
+CoordinationServer::Response CoordinationServer::execute(KeyValueState& state, const std::string& path,
+                                                         const json& body) {
+  if (path == etcd::kGrantPath || path == etcd::kKeepAlivePath || path == etcd::kRevokePath) {
+    return execute_lease_call(state, path, body);
+  }
+  return execute_key_call(state, path, body);
+}
+
+CoordinationServer::Response CoordinationServer::execute_key_call(KeyValueState& state,
+                                                                  const std::string& path, const json& body) {
   if (path == etcd::kTxnPath) {
-    const Transaction asked = etcd::read_transaction(body);
-    const TransactionResult outcome = ledger.commit(asked);
-    return {200, etcd::write_transaction_result(header(ledger), asked, outcome)};
+    const Transaction transaction = etcd::read_transaction(body);
+    const TransactionResult result = state.commit(transaction);
+    return {kStatusOk, etcd::write_transaction_result(header(state), transaction, result)};
   }
   if (path == etcd::kRangePath) {
-    return {200, etcd::write_range_response(header(ledger), ledger.get(etcd::read_range(body)))};
+    return {kStatusOk, etcd::write_range_response(header(state), state.get(etcd::read_range(body)))};
   }
   if (path == etcd::kPutPath) {
-    ledger.commit(Transaction{{}, {etcd::read_put(body)}, {}});
-    return {200, json{{"header", etcd::write_header(header(ledger))}}};
+    state.commit(Transaction{{}, {etcd::read_put(body)}, {}});
+    return header_only(header(state));
   }
   if (path == etcd::kDeletePath) {
-    const TransactionResult outcome = ledger.commit(Transaction{{}, {Delete{etcd::read_range(body)}}, {}});
-    return {200, json{{"header", etcd::write_header(header(ledger))},
-                      {"deleted", std::to_string(outcome.results.at(0).deleted)}}};
+    const TransactionResult result = state.commit(Transaction{{}, {Delete{etcd::read_range(body)}}, {}});
+    Response response = header_only(header(state));
+    response.body["deleted"] = std::to_string(result.results.at(0).deleted);
+    return response;
   }
+  if (path == etcd::kCompactPath) {
+    const auto revision = body.value("revision", std::string());
+    state.compact(revision.empty() ? 0 : std::strtoull(revision.c_str(), nullptr, 10) + 1);
+    return header_only(header(state));
+  }
+  return {kStatusNotFound, etcd::write_error(etcd::ErrorCode::kNotFound, "no such call: " + path)};
+}
+
+CoordinationServer::Response CoordinationServer::execute_lease_call(KeyValueState& state,
+                                                                    const std::string& path,
+                                                                    const json& body) {
+  const Milliseconds now = KeyValueDatabase::boot_time();
   if (path == etcd::kGrantPath) {
-    const etcd::LeaseGrantRequest call = etcd::read_lease_grant_request(body);
-    const std::int64_t ttl_ms = call.ttl_ms > 0 ? call.ttl_ms : call.ttl_s * 1'000;
-    const LeaseId id = ledger.grant(now, ttl_ms, call.id);
-    return {200, etcd::write_lease_grant_response(header(ledger), {id, ttl_ms})};
+    const etcd::LeaseGrantRequest request = etcd::read_lease_grant_request(body);
+    const Milliseconds ttl(request.ttl_ms > 0 ? request.ttl_ms : request.ttl_s * 1'000);
+    const LeaseId id = state.grant(now, ttl, request.id);
+    return {kStatusOk, etcd::write_lease_grant_response(header(state), {id, ttl.count()})};
   }
+  const LeaseId id = etcd::read_lease_request(body);
   if (path == etcd::kKeepAlivePath) {
-    const LeaseId id = etcd::read_lease_request(body);
-    return {200, json{{"result", etcd::write_lease_grant_response(header(ledger), {id, ledger.keep_alive(now, id)})}}};
-  }
-  if (path == etcd::kRevokePath) {
-    ledger.revoke(etcd::read_lease_request(body));
-    return {200, json{{"header", etcd::write_header(header(ledger))}}};
+    const Milliseconds ttl = state.keep_alive(now, id);
+    const json granted = etcd::write_lease_grant_response(header(state), {id, ttl.count()});
+    return {kStatusOk, json{{"result", granted}}};
   }
-  if (path == etcd::kCompactPath) {
-    const auto text = body.value("revision", std::string());
-    ledger.compact(text.empty() ? 0 : std::strtoull(text.c_str(), nullptr, 10) + 1);
-    return {200, json{{"header", etcd::write_header(header(ledger))}}};
-  }
-  return {404, etcd::write_error(etcd::ErrorCode::kNotFound, "no such call: " + path)};
+  state.revoke(id);
+  return header_only(header(state));
 }
 
 void CoordinationServer::read_state(const StateReader& reader) {
   try {
-    file_.use(KeyValueDatabase::boot_time_ms(), true, [&](KeyValueState& ledger) { reader(ledger, header(ledger)); });
+    database_.transact(KeyValueDatabase::boot_time(), Durability::kSynced,
+                       [&](KeyValueState& state) { reader(state, header(state)); });
   } catch (const SqliteError& error) {
     throw ServiceUnavailable(std::string("the ledger cannot be read: ") + error.what());
   }
 }
 
-// After a use that succeeded: what stands in memory stands on the disk.
-void CoordinationServer::tell() {
-  const KeyValueState& ledger = file_.state();
-  server_.publish(ledger, header(ledger));
-  std::optional<Clock::time_point> when;
-  if (const auto next = ledger.next_expiry()) {
-    when.emplace(Clock::now() + milliseconds(std::max<std::int64_t>(1, *next - KeyValueDatabase::boot_time_ms())));
+// ---- Watches and leases ----
+
+void CoordinationServer::publish() {
+  const KeyValueState& state = database_.state();
+  server_.publish(state, header(state));
+  std::optional<Clock::time_point> expiry;
+  if (const std::optional<Milliseconds> next = state.next_expiry()) {
+    expiry.emplace(Clock::now() + std::max(Milliseconds(1), *next - KeyValueDatabase::boot_time()));
   }
-  timer_.set(when);
+  expiry_timer_.set(expiry);
 }
 
-void CoordinationServer::end_leases() {
+void CoordinationServer::expire_leases() {
   try {
-    file_.use(KeyValueDatabase::boot_time_ms(), true, [](KeyValueState&) {});
-    tell();
+    database_.transact(KeyValueDatabase::boot_time(), Durability::kSynced, [](KeyValueState&) {});
+    publish();
   } catch (const std::exception& error) {
-    log_line(Level::kError) << "leases that are over stay for now: " << error.what();
-    timer_.set(Clock::now() + kRetry);
+    log_line(Level::kError) << "expired leases could not be ended: " << error.what();
+    expiry_timer_.set(Clock::now() + kExpiryRetryInterval);
   }
 }
 
 std::string CoordinationServer::report() {
   std::string out;
   const EtcdServerCounts& counts = server_.counts();
-  read_state([&](const KeyValueState& ledger, const etcd::ResponseHeader&) {
-    out = "revision=" + std::to_string(ledger.revision()) +
-          " entries=" + std::to_string(ledger.entries().size()) +
-          " leases=" + std::to_string(ledger.leases().size()) + " calls=" + std::to_string(counts.calls) +
+  read_state([&](const KeyValueState& state, const etcd::ResponseHeader&) {
+    out = "revision=" + std::to_string(state.revision()) +
+          " entries=" + std::to_string(state.entries().size()) +
+          " leases=" + std::to_string(state.leases().size()) + " calls=" + std::to_string(counts.calls) +
           " renewals=" + std::to_string(renewals_) + " writes=" + std::to_string(writes_) +
           " rejected=" + std::to_string(rejected_ + counts.unreadable) +
           " refused=" + std::to_string(counts.refused) +
--- a/src/coordination/coordination_server.h
+++ b/src/coordination/coordination_server.h
@@ -1,12 +1,13 @@
-// The store of one process: a ledger on disk behind the part of etcd's v3 interface that this project uses,
-// over HTTP with JSON. It is a stand-in for a cluster: what it answers is durable, but while its process or
-// machine is down, there is no store.
+// The coordination store of one process, run by `trailcourse registry`: a key-value database behind the part of
+// etcd's v3 interface that this project uses. It stands in for a cluster: what it answers is durable, but while its
+// process or machine is down, there is no store.
 //
-// Package `coordination`, over `transport` and `protocol`. One thread, which also writes: a call takes as
-// long as a sync of the disk.
+// Package `coordination`, over `transport` and `protocol`. Not thread-safe: it belongs to its scheduler's thread,
+// which also writes, so that a call takes as long as a sync of the disk.
 #pragma once
 
 #include <cstdint>
+#include <functional>
 #include <string>
 
 #include "coordination/etcd_server.h"
@@ -18,29 +19,35 @@
 
 class CoordinationServer : public EtcdService {
  public:
-  // Throws std::runtime_error where the folder cannot be used.
+  // Throws std::runtime_error if the folder cannot be used.
   CoordinationServer(transport::Scheduler& scheduler, const RegistryOptions& options);
 
   // Throws std::system_error.
   void listen(const transport::Address& address);
-  std::uint64_t id() const { return file_.id(); }
-  // One line of figures.
+  // Returns the number that tells this store from another one.
+  std::uint64_t id() const { return database_.id(); }
+  // Returns one line of counters.
   std::string report();
 
   Response handle(const std::string& path, const nlohmann::json& body) override;
   void read_state(const StateReader& reader) override;
 
  private:
-  Response carry_out(KeyValueState& ledger, const std::string& path, const nlohmann::json& body);
-  etcd::ResponseHeader header(const KeyValueState& ledger) const { return {file_.id(), ledger.revision()}; }
-  // Changes to those that watch; then when the next lease ends.
-  void tell();
-  void end_leases();
-
-  KeyValueDatabase file_;
+  Response execute(KeyValueState& state, const std::string& path, const nlohmann::json& body);
+  Response execute_key_call(KeyValueState& state, const std::string& path, const nlohmann::json& body);
+  Response execute_lease_call(KeyValueState& state, const std::string& path, const nlohmann::json& body);
+  etcd::ResponseHeader header(const KeyValueState& state) const { return {database_.id(), state.revision()}; }
+  // Sends changes to watches, and sets the timer to the next expiry. Only after a transaction that succeeded: then
+  // the state in memory is that of the disk.
+  void publish();
+  void expire_leases();
+
+  KeyValueDatabase database_;
   EtcdServer server_;
-  transport::Alarm timer_;
-  std::uint64_t rejected_ = 0, renewals_ = 0, writes_ = 0;
+  transport::Alarm expiry_timer_;
+  std::uint64_t rejected_ = 0;  // calls
+  std::uint64_t renewals_ = 0;
+  std::uint64_t writes_ = 0;  // all other calls
 };
 
 }  // namespace trailcourse::coordination
--- a/src/coordination/embedded_store.cpp
+++ b/src/coordination/embedded_store.cpp
@@ -1,5 +1,8 @@
 #include "coordination/embedded_store.h"
 
+#include <chrono>
+#include <cstdlib>
+#include <exception>
 #include <utility>
 
 namespace trailcourse::coordination {
@@ -14,168 +17,179 @@
   state_->options = options;
 }
 
-EmbeddedStore::~EmbeddedStore() { state_->ended = true; }
+EmbeddedStore::~EmbeddedStore() { state_->closed = true; }
+
+// ---- Calls ----
 
 template <typename Value>
-void EmbeddedStore::call(bool durable, std::function<Value(KeyValueState&)> use, Then<Value> then) {
+void EmbeddedStore::call(Durability durability, std::function<Value(KeyValueState&)> operation,
+                         Callback<Value> callback) {
   ++state_->counts.calls;
-  const auto reply = std::make_shared<StoreResponse<Value>>();
-  const auto id = std::make_shared<std::uint64_t>(0);
+  const auto job = std::make_shared<Job<Value>>();
+  job->durability = durability;
+  job->operation = std::move(operation);
   pool_.run(
-      store::Executor::Lane::kWrite,
-      [state = state_, durable, use = std::move(use), reply, id] {
-        try {
-          if (!state->file) {
-            state->file =
-                std::make_unique<KeyValueDatabase>(state->options.folder, KeyValueLimits{}, KeyValueDatabase::Sharing::kShared);
-          }
-          *id = state->file->id();
-          state->file->use(KeyValueDatabase::boot_time_ms(), durable,
-                           [&](KeyValueState& ledger) { reply->value = use(ledger); });
-          reply->status = CallStatus::kOk;
-        } catch (const OperationRejected& error) {
-          reply->status = CallStatus::kRejected;
-          reply->error = error.what();
-        } catch (const std::exception& error) {
-          reply->error = error.what();  // a commit that failed may stand on the disk all the same
-        }
-      },
-      [state = state_, then = std::move(then), reply, id] {
-        if (state->ended) {
-          return;
-        }
-        const std::uint64_t expected = std::strtoull(state->options.store_id.c_str(), nullptr, 10);
-        if (expected != 0 && *id != 0 && *id != expected) {
-          reply->status = CallStatus::kUnknown;
-          reply->error = "another store stands in the folder: " + std::to_string(*id);
-        }
-        state->id = *id != 0 ? *id : state->id;
-        state->counts.failed += reply->ok() ? 0 : 1;
-        state->counts.unknown += reply->status == CallStatus::kUnknown ? 1 : 0;
-        then(*reply);
-      });
+      store::Executor::Lane::kWrite, [state = state_, job] { execute(*state, *job); },
+      [state = state_, job, callback = std::move(callback)] { complete(*state, *job, callback); });
+}
+
+template <typename Value>
+void EmbeddedStore::execute(State& state, Job<Value>& job) {
+  StoreResponse<Value>& response = job.response;
+  try {
+    if (!state.database) {
+      state.database = std::make_unique<KeyValueDatabase>(state.options.folder, KeyValueLimits{},
+                                                          KeyValueDatabase::Sharing::kShared);
+    }
+    job.store_id = state.database->id();
+    state.database->transact(KeyValueDatabase::boot_time(), job.durability,
+                             [&](KeyValueState& key_values) { response.value = job.operation(key_values); });
+    response.status = CallStatus::kOk;
+  } catch (const OperationRejected& error) {
+    response.status = CallStatus::kRejected;
+    response.error = error.what();
+  } catch (const std::exception& error) {
+    response.error = error.what();  // the status stays kUnknown: a commit that failed may be on the disk
+  }
 }
 
-void EmbeddedStore::grant(Micros ttl, Then<GrantedLease> then) {
+template <typename Value>
+void EmbeddedStore::complete(State& state, Job<Value>& job, const Callback<Value>& callback) {
+  if (state.closed) {
+    return;
+  }
+  StoreResponse<Value>& response = job.response;
+  const std::uint64_t expected = std::strtoull(state.options.store_id.c_str(), nullptr, 10);
+  if (expected != 0 && job.store_id != 0 && job.store_id != expected) {
+    response.status = CallStatus::kUnknown;
+    response.error = "another store stands in the folder: " + std::to_string(job.store_id);
+  }
+  state.id = job.store_id != 0 ? job.store_id : state.id;
+  state.counts.failed += response.ok() ? 0 : 1;
+  state.counts.unknown += response.status == CallStatus::kUnknown ? 1 : 0;
+  callback(response);
+}
+
+void EmbeddedStore::grant(Micros ttl, Callback<GrantedLease> callback) {
   call<GrantedLease>(
-      false,
-      [ttl](KeyValueState& ledger) {
-        const std::int64_t ms = std::chrono::duration_cast<milliseconds>(ttl).count();
-        return GrantedLease{ledger.grant(KeyValueDatabase::boot_time_ms(), ms, 0), ttl};
+      Durability::kUnsynced,
+      [ttl](KeyValueState& state) {
+        const auto granted = std::chrono::duration_cast<milliseconds>(ttl);
+        return GrantedLease{state.grant(KeyValueDatabase::boot_time(), granted, 0), ttl};
       },
-      std::move(then));
+      std::move(callback));
 }
 
-void EmbeddedStore::keep_alive(LeaseId lease, Then<GrantedLease> then) {
+void EmbeddedStore::keep_alive(LeaseId lease, Callback<GrantedLease> callback) {
   call<GrantedLease>(
-      false,
-      [lease](KeyValueState& ledger) {
-        return GrantedLease{lease, milliseconds(ledger.keep_alive(KeyValueDatabase::boot_time_ms(), lease))};
+      Durability::kUnsynced,
+      [lease](KeyValueState& state) {
+        return GrantedLease{lease, state.keep_alive(KeyValueDatabase::boot_time(), lease)};
       },
-      std::move(then));
+      std::move(callback));
 }
 
-void EmbeddedStore::revoke(LeaseId lease, Then<Empty> then) {
+void EmbeddedStore::revoke(LeaseId lease, Callback<Empty> callback) {
   call<Empty>(
-      true,
-      [lease](KeyValueState& ledger) {
-        ledger.revoke(lease);
+      Durability::kSynced,
+      [lease](KeyValueState& state) {
+        state.revoke(lease);
         return Empty{};
       },
-      [then = std::move(then)](StoreResponse<Empty> reply) {
-        reply.status = reply.status == CallStatus::kRejected ? CallStatus::kOk : reply.status;
-        then(reply);
-      });
+      rejected_as_ok(std::move(callback)));
 }
 
-void EmbeddedStore::commit(Transaction transaction, Then<TransactionResult> then) {
+void EmbeddedStore::commit(Transaction transaction, Callback<TransactionResult> callback) {
   call<TransactionResult>(
-      true, [transaction = std::move(transaction)](KeyValueState& ledger) { return ledger.commit(transaction); },
-      std::move(then));
+      Durability::kSynced,
+      [transaction = std::move(transaction)](KeyValueState& state) { return state.commit(transaction); },
+      std::move(callback));
 }
 
-CoordinationStore::WatchId EmbeddedStore::watch(const Range& range, WatchObserver& watcher) {
+// ---- Watches ----
+
+CoordinationStore::WatchId EmbeddedStore::watch(const Range& range, WatchObserver& observer) {
   const WatchId id = ++state_->last_watch;
-  const bool first = id == 1;
-  Watching watching;
-  watching.range = range;
-  watching.watcher = &watcher;
-  state_->watches[id] = watching;
+  state_->watches[id] = ActiveWatch{range, &observer};
   ++state_->counts.watches_opened;
-  if (first) {
-    scheduler_.spawn(look());
+  if (id == 1) {
+    scheduler_.spawn(poll_watches());
   } else {
-    look_at(id);
+    poll(id);
   }
   return id;
 }
 
 void EmbeddedStore::unwatch(WatchId watch) { state_->watches.erase(watch); }
 
-transport::Task<void> EmbeddedStore::look() {
+transport::Task<void> EmbeddedStore::poll_watches() {
   const std::shared_ptr<State> state = state_;
   transport::Scheduler& scheduler = scheduler_;
-  const milliseconds pause(state->options.look_ms);
-  while (!state->ended) {
+  const milliseconds interval(state->options.look_ms);
+  while (!state->closed) {
     const auto watches = state->watches;
-    for (const auto& [id, watching] : watches) {
-      look_at(id);
+    for (const auto& [id, watch] : watches) {
+      poll(id);
     }
-    co_await scheduler.sleep(pause);
+    co_await scheduler.sleep(interval);
   }
 }
 
-void EmbeddedStore::look_at(WatchId watch) {
-  struct Seen {
-    Revision revision = 0;
-    bool whole = false;
-    std::vector<Entry> entries;
-    std::vector<KeyChange> changes;
-  };
-  Watching& watching = state_->watches.at(watch);
-  if (std::exchange(watching.looking, true)) {
+void EmbeddedStore::poll(WatchId watch) {
+  ActiveWatch& active = state_->watches.at(watch);
+  if (std::exchange(active.polling, true)) {
     return;
   }
-  call<Seen>(
-      false,
-      [range = watching.range, from = watching.from](KeyValueState& ledger) {
-        Seen seen;
-        seen.revision = ledger.revision();
-        try {
-          seen.whole = from == 0;
-          if (from > 0 && from <= seen.revision) {
-            seen.changes = ledger.changes_since(from, range);
-          }
-        } catch (const OperationRejected&) {
-          seen.whole = true;  // what came between is compacted away
-        }
-        if (seen.whole) {
-          seen.entries = ledger.get(range);
-        }
-        return seen;
+  call<WatchUpdate>(
+      Durability::kUnsynced,
+      [range = active.range, next_revision = active.next_revision](KeyValueState& state) {
+        return read_update(state, range, next_revision);
       },
-      [state = state_, watch](const StoreResponse<Seen>& reply) {
-        const auto found = state->watches.find(watch);
-        if (found == state->watches.end()) {
-          return;
-        }
-        Watching& at = found->second;
-        at.looking = false;
-        if (!reply.ok()) {
-          at.watcher->on_disconnected(reply.error);
-          return;
-        }
-        const Seen& seen = reply.value;
-        at.from = seen.revision + 1;
-        state->counts.changes += seen.changes.size();
-        if (seen.whole) {
-          at.watcher->on_snapshot(seen.revision, seen.entries);
-        } else if (!seen.changes.empty()) {
-          at.watcher->on_changes(seen.revision, seen.changes);
-        } else {
-          at.watcher->on_heartbeat();
-        }
+      [state = state_, watch](const StoreResponse<WatchUpdate>& response) {
+        on_poll_response(*state, watch, response);
       });
 }
 
+EmbeddedStore::WatchUpdate EmbeddedStore::read_update(const KeyValueState& state, const Range& range,
+                                                      Revision next_revision) {
+  WatchUpdate update;
+  update.revision = state.revision();
+  update.is_snapshot = next_revision == 0;
+  try {
+    if (next_revision > 0 && next_revision <= update.revision) {
+      update.changes = state.changes_since(next_revision, range);
+    }
+  } catch (const OperationRejected&) {
+    update.is_snapshot = true;  // the changes in between were compacted
+  }
+  if (update.is_snapshot) {
+    update.entries = state.get(range);
+  }
+  return update;
+}
+
+void EmbeddedStore::on_poll_response(State& state, WatchId watch,
+                                     const StoreResponse<WatchUpdate>& response) {
+  const auto found = state.watches.find(watch);
+  if (found == state.watches.end()) {
+    return;
+  }
+  ActiveWatch& active = found->second;
+  active.polling = false;
+  if (!response.ok()) {
+    active.observer->on_disconnected(response.error);
+    return;
+  }
+  const WatchUpdate& update = response.value;
+  active.next_revision = update.revision + 1;
+  state.counts.changes += update.changes.size();
+  if (update.is_snapshot) {
+    active.observer->on_snapshot(update.revision, update.entries);
+  } else if (!update.changes.empty()) {
+    active.observer->on_changes(update.revision, update.changes);
+  } else {
+    active.observer->on_heartbeat();
+  }
+}
+
 }  // namespace trailcourse::coordination
--- a/src/coordination/embedded_store.h
+++ b/src/coordination/embedded_store.h
@@ -1,17 +1,18 @@
-// A store for all routers of one machine: a ledger in a folder that they share. The calls run in a thread of
-// its own, watches look now and then.
+// A coordination store for all routers of one machine: a database in a folder that they share. The calls run in a
+// thread of the store's own; watches poll the database.
 //
-// Package `coordination`, over `transport` and `store`'s executor. One thread beside that.
+// Package `coordination`, over `transport` and the executor of `store`. Not thread-safe: it belongs to its
+// scheduler's thread.
 #pragma once
 
 #include <functional>
 #include <map>
 #include <memory>
-#include <string>
+#include <vector>
 
+#include "coordination/coordination_store.h"
 #include "coordination/key_value_database.h"
 #include "coordination/options.h"
-#include "coordination/coordination_store.h"
 #include "store/executor.h"
 #include "transport/mailbox.h"
 
@@ -22,38 +23,60 @@
   EmbeddedStore(transport::Scheduler& scheduler, const CoordinationOptions& options);
   ~EmbeddedStore() override;
 
-  void grant(Micros ttl, Then<GrantedLease> then) override;
-  void keep_alive(LeaseId lease, Then<GrantedLease> then) override;
-  void revoke(LeaseId lease, Then<Empty> then) override;
-  void commit(Transaction transaction, Then<TransactionResult> then) override;
-  WatchId watch(const Range& range, WatchObserver& watcher) override;
+  void grant(Micros ttl, Callback<GrantedLease> callback) override;
+  void keep_alive(LeaseId lease, Callback<GrantedLease> callback) override;
+  void revoke(LeaseId lease, Callback<Empty> callback) override;
+  void commit(Transaction transaction, Callback<TransactionResult> callback) override;
+  WatchId watch(const Range& range, WatchObserver& observer) override;
   void unwatch(WatchId watch) override;
   std::uint64_t id() const override { return state_->id; }
   const StoreCounts& counts() const override { return state_->counts; }
 
  private:
-  struct Watching {
+  using Durability = KeyValueDatabase::Durability;
+  struct ActiveWatch {
     Range range;
-    WatchObserver* watcher = nullptr;
-    Revision from = 0;  // 0: all has to be read
-    bool looking = false;
+    WatchObserver* observer = nullptr;
+    Revision next_revision = 0;  // 0: a snapshot has to be read
+    bool polling = false;
   };
-  // Outlives the store for as long as a job of it is on its way.
+  // Outlives the store while one of its jobs is running.
   struct State {
     CoordinationOptions options;
-    std::unique_ptr<KeyValueDatabase> file;  // the thread's alone
+    std::unique_ptr<KeyValueDatabase> database;  // used by the store's thread alone
     std::uint64_t id = 0;
     StoreCounts counts;
-    std::map<WatchId, Watching> watches;
+    std::map<WatchId, ActiveWatch> watches;
     WatchId last_watch = 0;
-    bool ended = false;
+    bool closed = false;
+  };
+  // What a poll found.
+  struct WatchUpdate {
+    Revision revision = 0;
+    bool is_snapshot = false;
+    std::vector<Entry> entries;      // of a snapshot
+    std::vector<KeyChange> changes;  // otherwise
+  };
+  // A call, shared by the store's thread that runs it and the scheduler's thread that takes its response.
+  template <typename Value>
+  struct Job {
+    Durability durability = Durability::kSynced;
+    std::function<Value(KeyValueState&)> operation;
+    StoreResponse<Value> response;
+    std::uint64_t store_id = 0;
   };
 
-  // Runs `use` in the thread, then `then` here.
+  // Runs the operation in the store's thread, then the callback in the scheduler's.
+  template <typename Value>
+  void call(Durability durability, std::function<Value(KeyValueState&)> operation, Callback<Value> callback);
+  template <typename Value>
+  static void execute(State& state, Job<Value>& job);
   template <typename Value>
-  void call(bool durable, std::function<Value(KeyValueState&)> use, Then<Value> then);
-  transport::Task<void> look();
-  void look_at(WatchId watch);
+  static void complete(State& state, Job<Value>& job, const Callback<Value>& callback);
+  transport::Task<void> poll_watches();
+  void poll(WatchId watch);
+  static WatchUpdate read_update(const KeyValueState& state, const Range& range, Revision next_revision);
+  static void on_poll_response(State& state, WatchId watch, const StoreResponse<WatchUpdate>& response);
 
   transport::Scheduler& scheduler_;
   std::shared_ptr<State> state_;
--- /dev/null
+++ b/src/coordination/etcd_client.h
@@ -0,0 +1,150 @@
+// The calls of an EtcdStore: a queue, the connections to the store's endpoints, and what a response proves.
+//
+// Package `coordination`, over `http`. Not thread-safe: it belongs to its scheduler's thread.
+#pragma once
+
+#include <cstdint>
+#include <deque>
+#include <functional>
+#include <memory>
+#include <nlohmann/json.hpp>
+#include <optional>
+#include <set>
+#include <string>
+#include <string_view>
+#include <utility>
+#include <vector>
+
+#include "coordination/coordination_store.h"
+#include "coordination/endpoint_selector.h"
+#include "coordination/etcd_responses.h"
+#include "coordination/options.h"
+#include "coordination/store_identity.h"
+#include "http/client_connection.h"
+
+namespace trailcourse::coordination {
+
+// Which endpoint is called first: a random one, so that clients spread over a cluster, or the first in the list.
+enum class FirstEndpoint { kRandom, kFirstListed };
+
+// Held by a shared_ptr: coroutines that are suspended keep it alive after close().
+class EtcdClient : public std::enable_shared_from_this<EtcdClient> {
+ public:
+  // A connection and the endpoint that it leads to.
+  struct EndpointConnection {
+    std::shared_ptr<http::ClientConnection> channel;
+    std::size_t endpoint = 0;
+  };
+  // Reads the body of a response and its header. Throws etcd::BadMessage.
+  template <typename Value>
+  using Reader = std::function<Value(const nlohmann::json& body, etcd::ResponseHeader& header)>;
+
+  // `options`: its endpoints and store_id must have been checked.
+  EtcdClient(transport::Scheduler& scheduler, const CoordinationOptions& options, std::uint64_t seed,
+             FirstEndpoint first);
+
+  // Queues a call. At most two are in flight; those for leases go before all others, since a lease that waits too
+  // long is lost. The callback runs from the scheduler, never from within this function.
+  template <typename Value>
+  void call(std::string_view path, const nlohmann::json& body, Reader<Value> read,
+            CoordinationStore::Callback<Value> callback);
+  void commit(Transaction transaction, CoordinationStore::Callback<TransactionResult> callback);
+
+  // Opens a connection for a watch; the caller ends it with disconnect().
+  std::shared_ptr<EndpointConnection> connect(std::size_t endpoint);
+  void disconnect(const std::shared_ptr<EndpointConnection>& connection);
+  // Returns the endpoint to call now, or nothing while all of them are in backoff.
+  std::optional<std::size_t> select_endpoint() const;
+  // Returns how long a watch waits before it is opened again.
+  Micros retry_delay() const;
+  void on_endpoint_failure(std::size_t endpoint);
+  // The listener is told, after each call, which endpoint is selected now. It must live until close().
+  void set_endpoint_listener(std::function<void(std::size_t endpoint)> listener) {
+    endpoint_listener_ = std::move(listener);
+  }
+  // Returns a whole HTTP request to the endpoint.
+  std::string post_request(std::string_view path, const std::string& body, std::size_t endpoint) const;
+
+  // Closes all connections and drops the calls that wait.
+  void close();
+
+  transport::Scheduler& scheduler() const { return scheduler_; }
+  const CoordinationOptions& options() const { return options_; }
+  StoreIdentity& identity() { return identity_; }
+  StoreCounts& counts() { return counts_; }
+
+ private:
+  // The response to a call before its body is interpreted, or why there is none.
+  struct RawResponse {
+    CallStatus status = CallStatus::kUnknown;
+    std::string error;
+    nlohmann::json body;
+    Revision min_revision = 0;
+  };
+  using RawCallback = std::function<void(const RawResponse&)>;
+  struct PendingCall {
+    std::string path;
+    std::string body;
+    transport::Clock::time_point deadline;
+    bool urgent = false;
+    RawCallback callback;
+  };
+
+  void enqueue(std::string_view path, const nlohmann::json& body, RawCallback callback);
+  void start_queued_calls();
+  static transport::Task<void> run(std::shared_ptr<EtcdClient> self, std::shared_ptr<PendingCall> call);
+  transport::Task<RawResponse> exchange(const PendingCall& call, std::size_t endpoint);
+  std::shared_ptr<EndpointConnection> idle_connection(std::size_t endpoint);
+  static RawResponse interpret(const protocol::http::Response& response);
+  static RawResponse no_response(const http::ClientConnection& connection,
+                                 http::ClientConnection::WriteToken request);
+  void note_endpoint_result(std::size_t endpoint, CallStatus status);
+  void tell_endpoint_listener();
+  template <typename Value>
+  StoreResponse<Value> read_response(const RawResponse& raw, const Reader<Value>& read);
+
+  transport::Scheduler& scheduler_;
+  CoordinationOptions options_;
+  StoreIdentity identity_;
+  EndpointSelector endpoints_;
+  std::vector<transport::Address> addresses_;
+  StoreCounts counts_;
+  bool closed_ = false;
+  std::deque<std::shared_ptr<PendingCall>> queue_;
+  std::size_t calls_in_flight_ = 0;
+  std::vector<std::shared_ptr<EndpointConnection>> idle_;
+  std::set<std::shared_ptr<EndpointConnection>> open_;
+  std::function<void(std::size_t)> endpoint_listener_;
+};
+
+template <typename Value>
+void EtcdClient::call(std::string_view path, const nlohmann::json& body, Reader<Value> read,
+                      CoordinationStore::Callback<Value> callback) {
+  enqueue(path, body,
+          [self = shared_from_this(), read = std::move(read), callback = std::move(callback)](
+              const RawResponse& raw) { callback(self->read_response<Value>(raw, read)); });
+}
+
+template <typename Value>
+StoreResponse<Value> EtcdClient::read_response(const RawResponse& raw, const Reader<Value>& read) {
+  StoreResponse<Value> response;
+  response.status = raw.status;
+  response.error = raw.error;
+  if (raw.status != CallStatus::kOk) {
+    return response;
+  }
+  try {
+    etcd::ResponseHeader header;
+    response.value = read(raw.body, header);
+    if (const auto checked = identity_.check(header, raw.min_revision); !checked) {
+      response.status = CallStatus::kUnknown;
+      response.error = checked.error().message();
+    }
+  } catch (const etcd::BadMessage& error) {
+    response.status = CallStatus::kUnknown;
+    response.error = std::string("an answer that cannot be used: ") + error.what();
+  }
+  return response;
+}
+
+}  // namespace trailcourse::coordination
--- /dev/null
+++ b/src/coordination/etcd_fields.h
@@ -0,0 +1,60 @@
+// Reads and writes the fields of etcd's JSON messages: bytes in Base64, 64-bit numbers as strings, default values
+// left out (https://protobuf.dev/programming-guides/json/).
+//
+// Package `coordination`: no I/O, no clock. All functions are pure, and every read function throws BadMessage if a
+// field has the wrong type.
+#pragma once
+
+#include <cstdint>
+#include <nlohmann/json.hpp>
+#include <stdexcept>
+#include <string>
+#include <string_view>
+
+#include "coordination/types.h"
+
+namespace trailcourse::coordination::etcd {
+
+// A message that cannot be used. The text names the field and what is wrong with it.
+class BadMessage : public std::runtime_error {
+ public:
+  using std::runtime_error::runtime_error;
+  BadMessage(const std::string& field, const std::string& reason) : runtime_error(field + ": " + reason) {}
+};
+
+std::string to_base64(std::string_view bytes);
+// `field` is named by the exception if the text is not Base64.
+std::string from_base64(std::string_view text, const std::string& field);
+
+// Parses a body that must be an object.
+nlohmann::json parse_object(std::string_view body);
+
+// Each of these returns the default value (0, false, nothing, an empty list) if the field is missing or null.
+std::uint64_t read_number(const nlohmann::json& from, const char* field);
+bool read_bool(const nlohmann::json& from, const char* field);
+std::string read_string(const nlohmann::json& from, const char* field);
+// Reads a string in Base64.
+std::string read_bytes(const nlohmann::json& from, const char* field);
+// Returns the object under one of two names, since the gateway accepts both forms of a name; null if there is none.
+const nlohmann::json* find_object(const nlohmann::json& from, const char* snake_case, const char* camel_case);
+// The list belongs to `from`.
+const nlohmann::json& read_list(const nlohmann::json& from, const char* field);
+
+// Reads an enumeration by its name; a missing one has `default_name`.
+template <typename Value, typename Names>
+Value read_enum(const nlohmann::json& from, const char* field, const char* default_name, const Names& names,
+                const char* error) {
+  const std::string name = from.contains(field) ? read_string(from, field) : default_name;
+  for (const auto& known : names) {
+    if (name == known.name) {
+      return known.value;
+    }
+  }
+  throw BadMessage(field, "'" + name + "' " + error);
+}
+
+// An entry, as responses hold it.
+nlohmann::json write_entry(const Entry& entry);
+Entry read_entry(const nlohmann::json& from);
+
+}  // namespace trailcourse::coordination::etcd
--- a/src/coordination/etcd_server.cpp
+++ b/src/coordination/etcd_server.cpp
@@ -20,83 +20,98 @@
 namespace {
 
 constexpr int kBacklog = 1'024;
-constexpr std::size_t kMostHead = 8'192;
-constexpr std::size_t kMostBody = 4U << 20U;
-constexpr milliseconds kAcceptPause{20};
-constexpr milliseconds kHeartbeat{3'000};
-constexpr int kBadRequest = 400;
-constexpr int kNotFound = 404;
-constexpr int kUnavailable = 503;
+constexpr std::size_t kMaxHeadBytes = 8'192;
+constexpr std::size_t kMaxBodyBytes = 4U << 20U;
+constexpr milliseconds kAcceptBackoff{20};
+constexpr milliseconds kHeartbeatInterval{3'000};
+constexpr int kStatusOk = 200;
+constexpr int kStatusBadRequest = 400;
+constexpr int kStatusNotFound = 404;
+constexpr int kStatusUnavailable = 503;
 
+// Returns one line as a chunk of a chunked body.
 std::string chunk(const std::string& line) {
   char size[20];
   std::snprintf(size, sizeof size, "%zx\r\n", line.size() + 1);
   return size + line + "\n\r\n";
 }
 
-std::string chunk(const etcd::WatchResponse& line) { return chunk(etcd::write_watch_response(line).dump()); }
+std::string chunk(const etcd::WatchResponse& response) {
+  return chunk(etcd::write_watch_response(response).dump());
+}
 
-const char* reason_of(int status) {
-  return status == 200           ? "OK"
-         : status == kBadRequest ? "Bad Request"
-         : status == kNotFound   ? "Not Found"
-                                 : "Service Unavailable";
+const char* reason_phrase(int status) {
+  switch (status) {
+    case kStatusOk:
+      return "OK";
+    case kStatusBadRequest:
+      return "Bad Request";
+    case kStatusNotFound:
+      return "Not Found";
+    default:
+      return "Service Unavailable";
+  }
 }
 
 }  // namespace
 
-// What is new for watches at one revision: written once for all that follow the same range from the same
-// place.
-class EtcdServer::News {
+// The updates of watches at one revision: each is written once for all watches that follow the same range from the
+// same revision.
+class EtcdServer::UpdateCache {
  public:
-  struct Piece {
+  struct Update {
     Range range;
     Revision from = 0;
-    std::string bytes;  // empty: nothing is new
-    bool last = false;  // the watch ends with it
+    std::string bytes;        // empty: nothing has changed
+    bool ends_watch = false;  // changes that the watch has not received were compacted
   };
 
-  News(const KeyValueState& ledger, const etcd::ResponseHeader& header) : ledger_(ledger), header_(header) {}
+  UpdateCache(const KeyValueState& state, const etcd::ResponseHeader& header)
+      : state_(state), header_(header) {}
 
-  const Piece& piece(const Range& range, Revision from) {
-    const auto found = std::find_if(pieces_.begin(), pieces_.end(),
-                                    [&](const Piece& one) { return one.from == from && one.range == range; });
-    return found != pieces_.end() ? *found : pieces_.emplace_back(make(range, from));
+  const Update& update(const Range& range, Revision from) {
+    const auto found = std::find_if(updates_.begin(), updates_.end(), [&](const Update& update) {
+      return update.from == from && update.range == range;
+    });
+    return found != updates_.end() ? *found : updates_.emplace_back(make(range, from));
   }
-  Revision next() const { return ledger_.revision() + 1; }
+  Revision next_revision() const { return state_.revision() + 1; }
 
  private:
-  Piece make(const Range& range, Revision from) const {
-    Piece out{range, from, {}, false};
-    etcd::WatchResponse line;
-    line.header = header_;
+  Update make(const Range& range, Revision from) const {
+    Update out{range, from, {}, false};
+    etcd::WatchResponse response;
+    response.header = header_;
     try {
-      line.changes = ledger_.changes_since(from, range);
+      response.changes = state_.changes_since(from, range);
     } catch (const OperationRejected&) {
-      line.canceled = true;
-      line.compacted = ledger_.compacted();
+      response.canceled = true;
+      response.compacted = state_.compacted();
     }
-    out.last = line.canceled;
-    if (line.canceled || !line.changes.empty()) {
-      out.bytes = chunk(line);
+    out.ends_watch = response.canceled;
+    if (response.canceled || !response.changes.empty()) {
+      out.bytes = chunk(response);
     }
     return out;
   }
 
-  const KeyValueState& ledger_;
+  const KeyValueState& state_;
   etcd::ResponseHeader header_;
-  std::vector<Piece> pieces_;
+  std::vector<Update> updates_;
 };
 
 // One connection: calls one after the other, or one watch to its end.
 class EtcdServer::Session : public Connection::Handler, public std::enable_shared_from_this<Session> {
  public:
   Session(EtcdServer& server, const std::shared_ptr<Connection>& connection)
-      : server_(server), alive_(server.alive_), connection_(connection), parser_({kMostHead, kMostBody}) {}
+      : server_(server),
+        alive_(server.alive_),
+        connection_(connection),
+        parser_({kMaxHeadBytes, kMaxBodyBytes}) {}
 
   void on_bytes(std::string_view bytes) override {
     if (!*alive_ || watching_) {
-      return;  // nothing more is to be said on it
+      return;  // a watch takes no further request
     }
     server_.counts_.bytes_read += bytes.size();
     parser_.feed(bytes);
@@ -105,10 +120,10 @@
       if (!request) {
         break;
       }
-      take(*request);
+      handle(*request);
     }
     if (parser_.failed()) {
-      refuse(kBadRequest, etcd::ErrorCode::kInvalidArgument, parser_.why());
+      send_error(kStatusBadRequest, etcd::ErrorCode::kInvalidArgument, parser_.why());
       connection_.close_when_written();
     }
   }
@@ -119,13 +134,13 @@
   }
 
   bool watching() const { return watching_; }
-  void tell(News& news) {
-    const News::Piece& piece = news.piece(range_, from_);
-    from_ = std::max(from_, news.next());
-    if (!piece.bytes.empty()) {
-      send(piece.bytes);
+  void send_update(UpdateCache& cache) {
+    const UpdateCache::Update& update = cache.update(range_, next_revision_);
+    next_revision_ = std::max(next_revision_, cache.next_revision());
+    if (!update.bytes.empty()) {
+      send(update.bytes);
     }
-    if (piece.last) {
+    if (update.ends_watch) {
       connection_.close_when_written();
     }
   }
@@ -136,70 +151,78 @@
   void close() { connection_.close(ConnectionEnd::kShutdown); }
 
  private:
-  void take(const protocol::http::Request& request) {
+  void handle(const protocol::http::Request& request) {
     ++server_.counts_.calls;
     try {
-      if (request.method == "POST") {
-        post(request);
-      } else if (const auto page =
-                     request.method == "GET" ? server_.service_.handle_get(request.path) : std::nullopt) {
-        write(*page);
-      } else {
-        refuse(kNotFound, etcd::ErrorCode::kNotFound, "POST alone is served");
-      }
+      dispatch(request);
     } catch (const etcd::BadMessage& error) {
       ++server_.counts_.unreadable;
-      refuse(kBadRequest, etcd::ErrorCode::kInvalidArgument, error.what());
+      send_error(kStatusBadRequest, etcd::ErrorCode::kInvalidArgument, error.what());
     } catch (const ServiceUnavailable& error) {
-      refuse(kUnavailable, etcd::ErrorCode::kUnavailable, error.what());
+      send_error(kStatusUnavailable, etcd::ErrorCode::kUnavailable, error.what());
     }
     if (!request.keep_open && !watching_) {
       connection_.close_when_written();
     }
   }
 
-  void post(const protocol::http::Request& request) {
+  void dispatch(const protocol::http::Request& request) {
+    if (request.method == "POST") {
+      handle_post(request);
+      return;
+    }
+    const std::optional<EtcdService::Response> page =
+        request.method == "GET" ? server_.service_.handle_get(request.path) : std::nullopt;
+    if (page) {
+      send_response(*page);
+    } else {
+      send_error(kStatusNotFound, etcd::ErrorCode::kNotFound, "POST alone is served");
+    }
+  }
+
+  void handle_post(const protocol::http::Request& request) {
     const json body = etcd::parse_object(request.body);
     if (request.path == etcd::kWatchPath) {
-      begin_watch(etcd::read_watch_request(body));
+      start_watch(etcd::read_watch_request(body));
     } else {
-      write(server_.service_.handle(request.path, body));
+      send_response(server_.service_.handle(request.path, body));
     }
   }
 
-  void begin_watch(const etcd::WatchRequest& call) {
-    server_.service_.read_state([&](const KeyValueState& ledger, const etcd::ResponseHeader& header) {
+  void start_watch(const etcd::WatchRequest& request) {
+    server_.service_.read_state([&](const KeyValueState& state, const etcd::ResponseHeader& header) {
       watching_ = true;
-      range_ = call.range;
-      from_ = call.from > 0 ? call.from : ledger.revision() + 1;
+      range_ = request.range;
+      next_revision_ = request.start_revision > 0 ? request.start_revision : state.revision() + 1;
       send("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n");
       etcd::WatchResponse created;
       created.header = header;
       created.created = true;
       send(chunk(created));
-      News news(ledger, header);
-      tell(news);
+      UpdateCache cache(state, header);
+      send_update(cache);
     });
   }
 
-  void write(const EtcdService::Response& answer) {
-    send(protocol::http::write_response(answer.status, reason_of(answer.status), "", answer.body.dump()));
+  void send_response(const EtcdService::Response& response) {
+    send(protocol::http::write_response(response.status, reason_phrase(response.status), "",
+                                        response.body.dump()));
   }
-  void refuse(int status, etcd::ErrorCode code, const std::string& why) {
-    write(EtcdService::Response{status, etcd::write_error(code, why)});
+  void send_error(int status, etcd::ErrorCode code, const std::string& text) {
+    send_response(EtcdService::Response{status, etcd::write_error(code, text)});
   }
 
   EtcdServer& server_;
-  std::shared_ptr<bool> alive_;  // the server's: a connection may end after it
+  std::shared_ptr<bool> alive_;  // the server's: the connection may end after the server
   transport::ConnectionHandle connection_;
   protocol::http::RequestParser parser_;
   bool watching_ = false;
   Range range_;
-  Revision from_ = 0;
+  Revision next_revision_ = 0;  // of the watch: changes before it were sent
 };
 
-EtcdServer::EtcdServer(transport::Scheduler& scheduler, EtcdService& service, std::size_t most_connections)
-    : scheduler_(scheduler), service_(service), most_connections_(most_connections) {}
+EtcdServer::EtcdServer(transport::Scheduler& scheduler, EtcdService& service, std::size_t max_connections)
+    : scheduler_(scheduler), service_(service), max_connections_(max_connections) {}
 
 EtcdServer::~EtcdServer() {
   *alive_ = false;
@@ -209,13 +232,13 @@
 }
 
 void EtcdServer::listen(const transport::Address& address) {
-  listener_.emplace(scheduler_, address, kBacklog, kAcceptPause,
-                    [this](transport::Descriptor socket) { take_in(std::move(socket)); });
-  scheduler_.spawn(heartbeat());
+  listener_.emplace(scheduler_, address, kBacklog, kAcceptBackoff,
+                    [this](transport::Descriptor socket) { accept(std::move(socket)); });
+  scheduler_.spawn(run_heartbeat());
 }
 
-void EtcdServer::take_in(transport::Descriptor socket) {
-  if (sessions_.size() >= most_connections_) {
+void EtcdServer::accept(transport::Descriptor socket) {
+  if (sessions_.size() >= max_connections_) {
     ++counts_.refused;
     return;  // closed at once
   }
@@ -225,25 +248,25 @@
   connection->start(session);
 }
 
-// So that whoever watches can tell a quiet store from a dead connection.
-transport::Task<void> EtcdServer::heartbeat() {
+// With heartbeats, a watch can tell a store without changes from a dead connection.
+transport::Task<void> EtcdServer::run_heartbeat() {
   const std::shared_ptr<bool> alive = alive_;
   transport::Scheduler& scheduler = scheduler_;
   for (;;) {
-    co_await scheduler.sleep(kHeartbeat);
+    co_await scheduler.sleep(kHeartbeatInterval);
     if (!*alive) {
       co_return;
     }
-    beat();
+    send_heartbeats();
   }
 }
 
-void EtcdServer::beat() {
+void EtcdServer::send_heartbeats() {
   try {
     service_.read_state([this](const KeyValueState&, const etcd::ResponseHeader& header) {
-      etcd::WatchResponse line;
-      line.header = header;
-      const std::string bytes = chunk(line);
+      etcd::WatchResponse heartbeat;
+      heartbeat.header = header;
+      const std::string bytes = chunk(heartbeat);
       const auto sessions = sessions_;
       for (const std::shared_ptr<Session>& session : sessions) {
         if (session->watching()) {
@@ -252,20 +275,20 @@
       }
     });
   } catch (const ServiceUnavailable& error) {
-    log_line(Level::kError) << "watches are told nothing: " << error.what();
+    log_line(Level::kError) << "heartbeats of watches could not be sent: " << error.what();
   }
 }
 
-void EtcdServer::publish(const KeyValueState& ledger, const etcd::ResponseHeader& header) {
-  if (ledger.revision() == told_) {
+void EtcdServer::publish(const KeyValueState& state, const etcd::ResponseHeader& header) {
+  if (state.revision() == published_) {
     return;
   }
-  told_ = ledger.revision();
-  News news(ledger, header);
+  published_ = state.revision();
+  UpdateCache cache(state, header);
   const auto sessions = sessions_;
   for (const std::shared_ptr<Session>& session : sessions) {
     if (session->watching()) {
-      session->tell(news);
+      session->send_update(cache);
     }
   }
 }
--- a/src/coordination/key_value_database.h
+++ b/src/coordination/key_value_database.h
@@ -1,17 +1,11 @@
-// A ledger kept in a folder by SQLite in WAL mode: the registry's memory, and what the processes of one
-// machine share. Each use is one transaction of the database: it first follows what other processes wrote,
-// and its changes are on the disk before it returns.
+// A key-value state that is stored in an SQLite database in a folder, used by one process or shared by all processes
+// of a machine.
 //
-// What SQLite guarantees: isolation by its lock on the file, which all processes of one machine see (a folder
-// on a network file system will not do, https://sqlite.org/wal.html); a transaction that was committed with
-// synchronous=FULL outlives a loss of power.
-//
-// Package `coordination`. Blocks; one thread at a time.
+// Package `coordination`. Takes no locks of its own: one thread at a time. Every call may wait for the disk.
 #pragma once
 
 #include <cstdint>
 #include <functional>
-#include <memory>
 #include <string>
 
 #include "coordination/key_value_state.h"
@@ -22,43 +16,53 @@
 class KeyValueDatabase {
  public:
   enum class Sharing {
-    kExclusive,   // this process alone uses it, and leases go on in full at its start
-    kShared,  // processes of one machine; leases go by the machine's clock since it was started
+    kExclusive,  // one process uses it; leases get their full time to live when it is opened
+    kShared,     // processes of one machine use it; leases expire by the machine's clock since boot
+  };
+  enum class Durability {
+    kSynced,    // the changes survive a loss of power
+    kUnsynced,  // they may not: enough for renewals of leases
   };
 
-  // Makes the folder and the file where there are none. Throws SqliteError, or std::runtime_error where
-  // another process has it alone.
+  // Creates the folder and the database if there are none. Throws SqliteError, or std::runtime_error if another
+  // process uses the database exclusively.
   KeyValueDatabase(const std::string& folder, const KeyValueLimits& limits, Sharing sharing);
 
-  // The number that tells this store from another, drawn when it was made. 48 bits.
+  // Returns the number that tells this store from another one, drawn when the database was created. 48 bits.
   std::uint64_t id() const { return id_; }
 
-  // Calls `use` with the ledger as it is now, leases that are over ended, and keeps what it changed. What
-  // `use` throws goes on to the caller, with the ledger unchanged. Throws SqliteError where the changes could
-  // not be kept: then nothing was done. `durable`: changes outlive a loss of power; false is for renewals,
-  // which need not.
-  void use(std::int64_t now_ms, bool durable, const std::function<void(KeyValueState&)>& use);
+  // Calls `operation` with the current state, after expired leases were ended, and stores what it changed. What
+  // `operation` throws is passed on, with the state unchanged. Throws SqliteError if the changes could not be
+  // stored: then nothing was changed. `now` is boot_time().
+  void transact(Milliseconds now, Durability durability,
+                const std::function<void(KeyValueState&)>& operation);
 
-  // As the last use left it, which did not throw SqliteError; for one that has the file alone.
-  const KeyValueState& state() const { return ledger_; }
+  // Returns the state as the last transact() left it, unless that threw SqliteError. For an exclusive database.
+  const KeyValueState& state() const { return state_; }
 
-  // Milliseconds since the machine was started; goes on while it is suspended, and is not set.
-  static std::int64_t boot_time_ms();
+  // Returns the time since the machine was booted. The clock goes on while the machine is suspended, and is never
+  // set.
+  static Milliseconds boot_time();
 
  private:
+  void create_tables();
+  void renew_stale_leases();
   void reload();
-  void follow_others();
-  void keep();
-  void keep_leases();
+  void apply_changes_of_others();
+  void run_transaction(const std::function<void(KeyValueState&)>& operation);
+  void set_durability(Durability durability);
+  void store_changes();
+  void drop_old_events(std::size_t added);
+  void store_lease_changes();
 
   KeyValueLimits limits_;
   Sharing sharing_;
   Database database_;
-  KeyValueState ledger_;
+  KeyValueState state_;
   std::uint64_t id_ = 0;
-  std::uint64_t followed_ = 0;  // the last row of events taken in
-  bool loaded_ = false;
-  bool durable_ = true;
+  std::uint64_t last_event_ = 0;  // the row of `events` that was applied last
+  bool loaded_ = false;           // the state in memory is that of the database
+  Durability durability_ = Durability::kSynced;
 };
 
 }  // namespace trailcourse::coordination
--- a/src/coordination/key_value_state.cpp
+++ b/src/coordination/key_value_state.cpp
@@ -1,182 +1,221 @@
 #include "coordination/key_value_state.h"
 
 #include <algorithm>
-#include <utility>
+#include <iterator>
 #include <variant>
 
 namespace trailcourse::coordination {
 namespace {
 
-[[noreturn]] void reject(OperationRejected::Reason why, const std::string& text) { throw OperationRejected(why, text); }
+// A lease id that the state chooses: the revision above this many bits of the count of grants.
+constexpr unsigned kGrantCountBits = 20;
+constexpr std::uint64_t kGrantCountMask = (1U << kGrantCountBits) - 1;
+
+[[noreturn]] void reject_invalid(const std::string& text) {
+  throw OperationRejected(OperationRejected::Reason::kInvalidRequest, text);
+}
+[[noreturn]] void reject_unknown_lease() {
+  throw OperationRejected(OperationRejected::Reason::kLeaseNotFound, "requested lease not found");
+}
 
 template <typename Value>
-bool compares(Compare::How how, const Value& is, const Value& wanted) {
+bool compare_values(Compare::How how, const Value& actual, const Value& wanted) {
   switch (how) {
     case Compare::How::kEqual:
-      return is == wanted;
+      return actual == wanted;
     case Compare::How::kNotEqual:
-      return is != wanted;
+      return actual != wanted;
     case Compare::How::kGreater:
-      return is > wanted;
+      return actual > wanted;
     case Compare::How::kLess:
       break;
   }
-  return is < wanted;
+  return actual < wanted;
 }
 
 }  // namespace
 
-LeaseId KeyValueState::grant(std::int64_t now_ms, std::int64_t ttl_ms, LeaseId id) {
-  if (ttl_ms < limits_.least_ttl_ms || ttl_ms > limits_.most_ttl_ms) {
-    reject(OperationRejected::Reason::kInvalidRequest, "a lease of " + std::to_string(ttl_ms) + " ms");
+// ---- Leases ----
+
+LeaseId KeyValueState::grant(Milliseconds now, Milliseconds ttl, LeaseId id) {
+  if (ttl < limits_.min_ttl || ttl > limits_.max_ttl) {
+    reject_invalid("a lease of " + std::to_string(ttl.count()) + " ms");
   }
   if (leases_.size() >= limits_.leases) {
-    reject(OperationRejected::Reason::kInvalidRequest, "too many leases");
+    reject_invalid("too many leases");
   }
   if (id != 0 && leases_.contains(id)) {
-    reject(OperationRejected::Reason::kLeaseExists, "lease already exists");
+    throw OperationRejected(OperationRejected::Reason::kLeaseExists, "lease already exists");
   }
-  // A number that was given once must not come back, also after a restart: the revision has grown by then, or
-  // no key ever stood under it.
-  for (; id == 0 || leases_.contains(id);) {
-    id = (revision_ << 20U) + (++last_grant_ & 0xfffffU);
+  // An id must not be given twice, also after a restart: by then the revision has grown, or no key was ever
+  // attached to the lease.
+  while (id == 0 || leases_.contains(id)) {
+    id = (revision_ << kGrantCountBits) + (++last_grant_ & kGrantCountMask);
   }
-  leases_[id] = Lease{ttl_ms, now_ms + ttl_ms};
-  ends_.emplace(now_ms + ttl_ms, id);
+  leases_[id] = Lease{ttl, now + ttl};
+  expiry_queue_.emplace(now + ttl, id);
   lease_changes_[id] = LeaseChange::kGranted;
   return id;
 }
 
-std::int64_t KeyValueState::keep_alive(std::int64_t now_ms, LeaseId id) {
+Milliseconds KeyValueState::keep_alive(Milliseconds now, LeaseId id) {
   const auto found = leases_.find(id);
   if (found == leases_.end()) {
-    return 0;
+    return Milliseconds(0);
   }
   Lease& lease = found->second;
-  ends_.erase({lease.ends_ms, id});
-  lease.ends_ms = now_ms + lease.ttl_ms;
-  ends_.emplace(lease.ends_ms, id);
+  expiry_queue_.erase({lease.expires_at, id});
+  lease.expires_at = now + lease.ttl;
+  expiry_queue_.emplace(lease.expires_at, id);
   lease_changes_.try_emplace(id, LeaseChange::kRenewed);
-  return lease.ttl_ms;
+  return lease.ttl;
 }
 
 void KeyValueState::revoke(LeaseId id) {
   if (!leases_.contains(id)) {
-    reject(OperationRejected::Reason::kLeaseNotFound, "requested lease not found");
+    reject_unknown_lease();
   }
-  end(id);
+  end_lease(id);
 }
 
-void KeyValueState::expire(std::int64_t now_ms) {
-  while (!ends_.empty() && ends_.begin()->first <= now_ms) {
-    end(ends_.begin()->second);
+void KeyValueState::expire(Milliseconds now) {
+  while (!expiry_queue_.empty() && expiry_queue_.begin()->first <= now) {
+    end_lease(expiry_queue_.begin()->second);
   }
 }
 
-std::optional<std::int64_t> KeyValueState::next_expiry() const {
-  return ends_.empty() ? std::nullopt : std::optional<std::int64_t>(ends_.begin()->first);
+std::optional<Milliseconds> KeyValueState::next_expiry() const {
+  return expiry_queue_.empty() ? std::nullopt : std::optional<Milliseconds>(expiry_queue_.begin()->first);
 }
 
-void KeyValueState::end(LeaseId id) {
+void KeyValueState::end_lease(LeaseId id) {
   const auto lease = leases_.find(id);
-  ends_.erase({lease->second.ends_ms, id});
+  expiry_queue_.erase({lease->second.expires_at, id});
   leases_.erase(lease);
   lease_changes_[id] = LeaseChange::kEnded;
-  const auto held = held_.find(id);
-  if (held == held_.end()) {
+  const auto attached = lease_keys_.find(id);
+  if (attached == lease_keys_.end()) {
     return;
   }
-  const std::set<std::string> keys = held->second;
-  const Revision at = revision_ + 1;
+  const std::set<std::string> keys = attached->second;
+  const Revision next = revision_ + 1;
   for (const std::string& key : keys) {
-    remove(Range{key, false}, at);
+    remove(Range{key, false}, next);
   }
-  held_.erase(id);
-  revision_ = keys.empty() ? revision_ : at;
+  lease_keys_.erase(id);
+  revision_ = keys.empty() ? revision_ : next;
+}
+
+void KeyValueState::set_leases(std::map<LeaseId, Lease> leases) {
+  leases_ = std::move(leases);
+  rebuild_expiry_queue();
 }
 
+void KeyValueState::renew_all(Milliseconds now) {
+  for (auto& [id, lease] : leases_) {
+    lease.expires_at = now + lease.ttl;
+  }
+  rebuild_expiry_queue();
+}
+
+void KeyValueState::rebuild_expiry_queue() {
+  expiry_queue_.clear();
+  lease_changes_.clear();
+  for (const auto& [id, lease] : leases_) {
+    expiry_queue_.emplace(lease.expires_at, id);
+  }
+}
+
+// ---- Transactions ----
+
 bool KeyValueState::holds(const Compare& compare) const {
   const auto found = entries_.find(compare.key);
   const Entry entry = found == entries_.end() ? Entry{} : found->second;
   switch (compare.what) {
     case Compare::What::kCreated:
-      return compares(compare.how, entry.created, compare.number);
+      return compare_values(compare.how, entry.created, compare.number);
     case Compare::What::kModified:
-      return compares(compare.how, entry.modified, compare.number);
+      return compare_values(compare.how, entry.modified, compare.number);
     case Compare::What::kVersion:
-      return compares(compare.how, entry.version, compare.number);
+      return compare_values(compare.how, entry.version, compare.number);
     case Compare::What::kLease:
-      return compares(compare.how, entry.lease, compare.number);
+      return compare_values(compare.how, entry.lease, compare.number);
     case Compare::What::kValue:
       break;
   }
-  // A key that is not there has no value that could be compared.
-  return found != entries_.end() && compares(compare.how, entry.value, compare.value);
+  // A key that does not exist has no value that could be compared.
+  return found != entries_.end() && compare_values(compare.how, entry.value, compare.value);
 }
 
-// Of both sides: whether a request can be used must not depend on how its conditions turn out.
+// Checks both branches: whether a request is valid must not depend on its conditions.
 void KeyValueState::check(const Transaction& transaction) const {
-  const auto check_key = [this](const std::string& key, bool may_be_empty) {
-    if ((key.empty() && !may_be_empty) || key.size() > limits_.key_bytes) {
-      reject(OperationRejected::Reason::kInvalidRequest, "a key of " + std::to_string(key.size()) + " bytes");
-    }
-  };
-  const auto check_steps = [&](const std::vector<Operation>& steps) {
-    std::set<std::string> written;
-    if (steps.size() > limits_.steps) {
-      reject(OperationRejected::Reason::kInvalidRequest, "too many operations in a transaction");
-    }
-    for (const Operation& step : steps) {
-      if (const auto* put = std::get_if<Put>(&step)) {
-        check_key(put->key, false);
-        if (put->value.size() > limits_.value_bytes) {
-          reject(OperationRejected::Reason::kInvalidRequest, "a value of " + std::to_string(put->value.size()) + " bytes");
-        }
-        if (!written.insert(put->key).second) {
-          reject(OperationRejected::Reason::kInvalidRequest, "duplicate key given in a transaction");
-        }
-        if (put->lease != 0 && !leases_.contains(put->lease)) {
-          reject(OperationRejected::Reason::kLeaseNotFound, "requested lease not found");
-        }
-      } else if (const auto* remove = std::get_if<Delete>(&step)) {
-        check_key(remove->range.key, remove->range.prefix);
-      } else {
-        const Range& range = std::get<Get>(step).range;
-        check_key(range.key, range.prefix);
-      }
-    }
-    if (entries_.size() + written.size() > limits_.entries) {
-      reject(OperationRejected::Reason::kInvalidRequest, "the store is full");
+  if (transaction.when.size() > limits_.operations) {
+    reject_invalid("too many conditions in a transaction");
+  }
+  check_operations(transaction.then);
+  check_operations(transaction.otherwise);
+}
+
+void KeyValueState::check_operations(const std::vector<Operation>& operations) const {
+  if (operations.size() > limits_.operations) {
+    reject_invalid("too many operations in a transaction");
+  }
+  std::set<std::string> written;
+  for (const Operation& operation : operations) {
+    if (const auto* put = std::get_if<Put>(&operation)) {
+      check_put(*put, written);
+    } else if (const auto* deletion = std::get_if<Delete>(&operation)) {
+      check_key(deletion->range.key, deletion->range.prefix);
+    } else {
+      const Range& range = std::get<Get>(operation).range;
+      check_key(range.key, range.prefix);
     }
-  };
-  if (transaction.when.size() > limits_.steps) {
-    reject(OperationRejected::Reason::kInvalidRequest, "too many conditions in a transaction");
   }
-  check_steps(transaction.then);
-  check_steps(transaction.otherwise);
+  if (entries_.size() + written.size() > limits_.entries) {
+    reject_invalid("the store is full");
+  }
+}
+
+void KeyValueState::check_put(const Put& put, std::set<std::string>& written) const {
+  check_key(put.key, false);
+  if (put.value.size() > limits_.value_bytes) {
+    reject_invalid("a value of " + std::to_string(put.value.size()) + " bytes");
+  }
+  if (!written.insert(put.key).second) {
+    reject_invalid("duplicate key given in a transaction");
+  }
+  if (put.lease != 0 && !leases_.contains(put.lease)) {
+    reject_unknown_lease();
+  }
+}
+
+void KeyValueState::check_key(const std::string& key, bool may_be_empty) const {
+  if ((key.empty() && !may_be_empty) || key.size() > limits_.key_bytes) {
+    reject_invalid("a key of " + std::to_string(key.size()) + " bytes");
+  }
 }
 
 TransactionResult KeyValueState::commit(const Transaction& transaction) {
   check(transaction);
   TransactionResult out;
   out.succeeded = std::all_of(transaction.when.begin(), transaction.when.end(),
-                              [this](const Compare& one) { return holds(one); });
-  const Revision at = revision_ + 1;
+                              [this](const Compare& compare) { return holds(compare); });
+  const Revision next = revision_ + 1;
   bool changed = false;
-  for (const Operation& step : out.succeeded ? transaction.then : transaction.otherwise) {
+  for (const Operation& operation : out.succeeded ? transaction.then : transaction.otherwise) {
     OperationResult result;
-    if (const auto* one = std::get_if<Put>(&step)) {
-      put(*one, at);
+    if (const auto* put_operation = std::get_if<Put>(&operation)) {
+      put(*put_operation, next);
       changed = true;
-    } else if (const auto* gone = std::get_if<Delete>(&step)) {
-      result.deleted = remove(gone->range, at);
+    } else if (const auto* deletion = std::get_if<Delete>(&operation)) {
+      result.deleted = remove(deletion->range, next);
       changed = changed || result.deleted > 0;
     } else {
-      result.found = get(std::get<Get>(step).range);
+      result.found = get(std::get<Get>(operation).range);
     }
     out.results.push_back(std::move(result));
   }
-  revision_ = changed ? at : revision_;
+  revision_ = changed ? next : revision_;
   out.revision = revision_;
   return out;
 }
@@ -189,7 +228,7 @@
   return out;
 }
 
-void KeyValueState::put(const Put& put, Revision at) {
+void KeyValueState::put(const Put& put, Revision revision) {
   Entry entry;
   const auto found = entries_.find(put.key);
   if (found != entries_.end()) {
@@ -197,46 +236,43 @@
   }
   entry.key = put.key;
   entry.value = put.value;
-  entry.created = entry.created == 0 ? at : entry.created;
-  entry.modified = at;
+  entry.created = entry.created == 0 ? revision : entry.created;
+  entry.modified = revision;
   ++entry.version;
   entry.lease = put.lease;
-  note(KeyChange{false, std::move(entry)});
+  record(KeyChange{false, std::move(entry)});
 }
 
-std::uint64_t KeyValueState::remove(const Range& range, Revision at) {
-  const std::vector<Entry> gone = get(range);
-  for (const Entry& entry : gone) {
+std::uint64_t KeyValueState::remove(const Range& range, Revision revision) {
+  const std::vector<Entry> removed = get(range);
+  for (const Entry& entry : removed) {
     KeyChange change{true, Entry{}};
     change.entry.key = entry.key;
-    change.entry.modified = at;
-    note(change);
+    change.entry.modified = revision;
+    record(change);
   }
-  return gone.size();
+  return removed.size();
 }
 
-void KeyValueState::note(const KeyChange& change) {
-  fresh_.push_back(change);
+// Applies a change of this state's own. The revision is advanced by the caller, once the transaction is complete.
+void KeyValueState::record(const KeyChange& change) {
+  untaken_changes_.push_back(change);
   const Revision before = revision_;
-  follow(change);
-  revision_ = before;  // the caller says when the transaction is whole
+  apply(change);
+  revision_ = before;
 }
 
+// ---- History and persistence ----
+
 void KeyValueState::apply(const KeyChange& change) {
   const std::string& key = change.entry.key;
-  const auto found = entries_.find(key);
-  if (found != entries_.end() && found->second.lease != 0) {
-    const auto held = held_.find(found->second.lease);
-    if (held != held_.end()) {
-      held->second.erase(key);
-    }
-  }
+  detach_from_lease(key);
   if (change.deleted) {
     entries_.erase(key);
   } else {
     entries_[key] = change.entry;
     if (change.entry.lease != 0) {
-      held_[change.entry.lease].insert(key);
+      lease_keys_[change.entry.lease].insert(key);
     }
   }
   revision_ = std::max(revision_, change.entry.modified);
@@ -246,9 +282,20 @@
   }
 }
 
+void KeyValueState::detach_from_lease(const std::string& key) {
+  const auto entry = entries_.find(key);
+  if (entry == entries_.end() || entry->second.lease == 0) {
+    return;
+  }
+  const auto attached = lease_keys_.find(entry->second.lease);
+  if (attached != lease_keys_.end()) {
+    attached->second.erase(key);
+  }
+}
+
 std::vector<KeyChange> KeyValueState::changes_since(Revision from, const Range& range) const {
   if (from < compacted_) {
-    reject(OperationRejected::Reason::kCompacted, "required revision has been compacted");
+    throw OperationRejected(OperationRejected::Reason::kCompacted, "required revision has been compacted");
   }
   const auto first = std::lower_bound(
       history_.begin(), history_.end(), from,
@@ -266,17 +313,19 @@
   compacted_ = std::max(compacted_, std::min(before, revision_ + 1));
 }
 
-std::vector<KeyChange> KeyValueState::take_changes() { return std::exchange(fresh_, {}); }
+std::vector<KeyChange> KeyValueState::take_changes() { return std::exchange(untaken_changes_, {}); }
 
-std::map<LeaseId, LeaseChange> KeyValueState::take_lease_changes() { return std::exchange(lease_changes_, {}); }
+std::map<LeaseId, LeaseChange> KeyValueState::take_lease_changes() {
+  return std::exchange(lease_changes_, {});
+}
 
 void KeyValueState::restore(std::vector<Entry> entries, Revision revision) {
   entries_.clear();
-  held_.clear();
+  lease_keys_.clear();
   history_.clear();
   for (Entry& entry : entries) {
     if (entry.lease != 0) {
-      held_[entry.lease].insert(entry.key);
+      lease_keys_[entry.lease].insert(entry.key);
     }
     const std::string key = entry.key;
     entries_[key] = std::move(entry);
@@ -285,24 +334,4 @@
   compacted_ = revision_ + 1;
 }
 
-void KeyValueState::set_leases(std::map<LeaseId, Lease> leases) {
-  leases_ = std::move(leases);
-  order_leases();
-}
-
-void KeyValueState::renew_all(std::int64_t now_ms) {
-  for (auto& [id, lease] : leases_) {
-    lease.ends_ms = now_ms + lease.ttl_ms;
-  }
-  order_leases();
-}
-
-void KeyValueState::order_leases() {
-  ends_.clear();
-  lease_changes_.clear();
-  for (const auto& [id, lease] : leases_) {
-    ends_.emplace(lease.ends_ms, id);
-  }
-}
-
 }  // namespace trailcourse::coordination
--- a/src/coordination/key_value_state.h
+++ b/src/coordination/key_value_state.h
@@ -1,14 +1,14 @@
-// What a store of shared truth decides: which conditions hold, what a transaction changes, which leases have
-// ended and what ends with them, what a watch is told. Both stores of this project stand on it: the registry
-// keeps one ledger, the embedded store has each process follow the same history.
+// The state machine of a coordination store: which conditions hold, what a transaction changes, which leases have
+// expired, and which changes a watch receives. The coordination server keeps one; with the embedded store, each
+// process applies the same history to its own.
 //
-// Each call that changes anything leaves its changes in take_changes(), to be kept durably before its result is
-// told. A ledger that is read back from what was kept goes on where it was.
+// After each call that changes anything, take_changes() and take_lease_changes() return the changes; they are to be
+// persisted before the call is answered. A state that is restored from them continues where it was.
 //
-// Package `coordination`: no I/O, no clock; time is milliseconds of the caller's steady clock. Not
-// thread-safe.
+// Package `coordination`: no I/O, no clock; times are read from the caller's steady clock. Not thread-safe.
 #pragma once
 
+#include <chrono>
 #include <cstddef>
 #include <cstdint>
 #include <deque>
@@ -24,7 +24,10 @@
 
 namespace trailcourse::coordination {
 
-// A call that cannot be done and changed nothing; its text is one line.
+// A point in time of the steady clock that a state's caller uses, or a duration.
+using Milliseconds = std::chrono::milliseconds;
+
+// A call that cannot be executed and changed nothing. The text is one line.
 class OperationRejected : public std::runtime_error {
  public:
   enum class Reason { kLeaseNotFound, kLeaseExists, kInvalidRequest, kCompacted };
@@ -36,74 +39,86 @@
 };
 
 struct Lease {
-  std::int64_t ttl_ms = 0;
-  std::int64_t ends_ms = 0;  // by the clock of the calls
+  Milliseconds ttl{0};
+  Milliseconds expires_at{0};
 
   friend bool operator==(const Lease&, const Lease&) = default;
 };
 
-// What became of a lease since its changes were taken out last.
+// What happened to a lease since take_lease_changes() was called last.
 enum class LeaseChange { kGranted, kRenewed, kEnded };
 
 struct KeyValueLimits {
   std::size_t key_bytes = 512;
-  std::size_t value_bytes = 1U << 20U;  // as etcd's requests, 1.5 MB by default, may hold
+  std::size_t value_bytes = 1U << 20U;  // etcd's requests hold up to 1.5 MB by default
   std::size_t entries = 100'000;
   std::size_t leases = 10'000;
-  std::size_t steps = 128;  // of a transaction, as etcd's --max-txn-ops
-  std::int64_t least_ttl_ms = 100;
-  std::int64_t most_ttl_ms = 86'400'000;
-  std::size_t history = 10'000;  // changes kept for watches; what is older is compacted away
+  std::size_t operations = 128;  // of a transaction, like etcd's --max-txn-ops
+  Milliseconds min_ttl{100};
+  Milliseconds max_ttl{86'400'000};
+  std::size_t history = 10'000;  // changes that are stored for watches; older ones are compacted
 };
 
 class KeyValueState {
  public:
   explicit KeyValueState(const KeyValueLimits& limits) : limits_(limits) {}
 
-  // Throws Rejected. `id` 0: a free one is made from the revision and a count; it is never given twice.
-  LeaseId grant(std::int64_t now_ms, std::int64_t ttl_ms, LeaseId id);
-  // The time it has from now; 0 where there is none of that number.
-  std::int64_t keep_alive(std::int64_t now_ms, LeaseId id);
-  // Deletes what stands under it. Throws Rejected.
+  // ---- Leases ----
+
+  // Throws OperationRejected. `id` 0: a new id is made of the revision and a count; no id is given twice.
+  LeaseId grant(Milliseconds now, Milliseconds ttl, LeaseId id);
+  // Returns the lease's time to live from now on; 0 if there is no such lease.
+  Milliseconds keep_alive(Milliseconds now, LeaseId id);
+  // Deletes the lease's keys. Throws OperationRejected.
   void revoke(LeaseId id);
-  // Ends what is over, as one revision a lease.
-  void expire(std::int64_t now_ms);
-  std::optional<std::int64_t> next_expiry() const;
+  // Ends the leases that have expired; one revision for each that has keys.
+  void expire(Milliseconds now);
+  std::optional<Milliseconds> next_expiry() const;
   const std::map<LeaseId, Lease>& leases() const { return leases_; }
 
-  // Throws Rejected; then nothing was done.
+  // ---- Entries ----
+
+  // Throws OperationRejected; then nothing was changed.
   TransactionResult commit(const Transaction& transaction);
   std::vector<Entry> get(const Range& range) const;
-
+  const std::map<std::string, Entry>& entries() const { return entries_; }
   Revision revision() const { return revision_; }
-  // Changes from this revision on are still known; earlier ones are not.
+
+  // ---- History ----
+
+  // Returns the first revision whose changes are still available.
   Revision compacted() const { return compacted_; }
-  // What happened in a range at `from` and later, in order. Throws Rejected where that is compacted away.
+  // Returns the changes of a range from this revision on, in order. Throws OperationRejected if they were compacted.
   std::vector<KeyChange> changes_since(Revision from, const Range& range) const;
+  // Drops the changes before this revision.
   void compact(Revision before);
 
-  // What the last calls changed, taken out; to be kept.
-  std::vector<KeyChange> take_changes();
+  // ---- Persistence ----
 
-  // The leases that the last calls touched, taken out; those that change none are not among them.
+  // Returns the changes since it was called last.
+  std::vector<KeyChange> take_changes();
+  // Returns the leases that changed since it was called last.
   std::map<LeaseId, LeaseChange> take_lease_changes();
-
-  // Reading back: entries, then the revision; then changes that came later, in order.
+  // Replaces everything but the leases.
   void restore(std::vector<Entry> entries, Revision revision);
+  // Applies a change that was made elsewhere, later than all that was restored or applied.
   void apply(const KeyChange& change);
   void set_leases(std::map<LeaseId, Lease> leases);
-  // The leases go on for their full time from now, as after a restart of the store: never shorter than told.
-  void renew_all(std::int64_t now_ms);
-  const std::map<std::string, Entry>& entries() const { return entries_; }
+  // Gives each lease its full time to live from now on, as after a restart of the store.
+  void renew_all(Milliseconds now);
 
  private:
   bool holds(const Compare& compare) const;
   void check(const Transaction& transaction) const;
-  void note(const KeyChange& change);
-  void put(const Put& put, Revision at);
-  std::uint64_t remove(const Range& range, Revision at);
-  void end(LeaseId id);
-  void order_leases();
+  void check_operations(const std::vector<Operation>& operations) const;
+  void check_put(const Put& put, std::set<std::string>& written) const;
+  void check_key(const std::string& key, bool may_be_empty) const;
+  void record(const KeyChange& change);
+  void put(const Put& put, Revision revision);
+  std::uint64_t remove(const Range& range, Revision revision);
+  void detach_from_lease(const std::string& key);
+  void end_lease(LeaseId id);
+  void rebuild_expiry_queue();
 
   KeyValueLimits limits_;
   Revision revision_ = 1;
@@ -111,11 +126,11 @@
   std::uint64_t last_grant_ = 0;
   std::map<std::string, Entry> entries_;
   std::map<LeaseId, Lease> leases_;
-  std::set<std::pair<std::int64_t, LeaseId>> ends_;  // of all leases, the next to end first
+  std::set<std::pair<Milliseconds, LeaseId>> expiry_queue_;  // of all leases, the next to expire first
   std::map<LeaseId, LeaseChange> lease_changes_;
-  std::map<LeaseId, std::set<std::string>> held_;  // keys under each lease
+  std::map<LeaseId, std::set<std::string>> lease_keys_;
   std::deque<KeyChange> history_;
-  std::vector<KeyChange> fresh_;
+  std::vector<KeyChange> untaken_changes_;
 };
 
 }  // namespace trailcourse::coordination
--- a/src/coordination/options.cpp
+++ b/src/coordination/options.cpp
@@ -9,7 +9,7 @@
   static const config::Record<CoordinationOptions> kRecord = [] {
     config::Record<CoordinationOptions> record(
         "coordination",
-        "The store of shared truth, for work that one router does for all. Off unless a store is named; no "
+        "The coordination store, for work that one router does for all. Off unless a store is named; no "
         "request ever waits for it.");
     record
         .text("store", &CoordinationOptions::store, "-", Words{{"none", "etcd", "embedded"}, false},
--- a/src/coordination/options.h
+++ b/src/coordination/options.h
@@ -1,4 +1,4 @@
-// The section `coordination` of the operator's file, and that of the registry.
+// The sections `coordination` and `registry` of the operator's file. Field names are the keys; times are milliseconds.
 //
 // Package `coordination`.
 #pragma once
@@ -11,6 +11,7 @@
 
 namespace trailcourse::coordination {
 
+// How a process reaches the coordination store. The record tells what each key means.
 struct CoordinationOptions {
   std::string store = "none";
   std::vector<std::string> endpoints;
@@ -24,8 +25,10 @@
   std::int64_t watch_silent_ms = 15'000;
   std::int64_t look_ms = 50;
 };
+// Returns the keys of the section, with their texts, units and bounds.
 const config::Record<CoordinationOptions>& coordination_record();
 
+// The coordination server that `trailcourse registry` runs.
 struct RegistryOptions {
   std::string listen;
   std::string folder;
--- a/src/coordination/sqlite.h
+++ b/src/coordination/sqlite.h
@@ -1,4 +1,4 @@
-// SQLite's handles as objects, and statements that are bound and read in order (https://sqlite.org/c3ref/).
+// Owners of SQLite's handles (https://sqlite.org/c3ref/).
 //
 // Package `coordination`. Not thread-safe: one thread at a time.
 #pragma once
@@ -13,23 +13,25 @@
 
 namespace trailcourse::coordination {
 
+// A failed call of SQLite: what failed, and SQLite's message.
 class SqliteError : public std::runtime_error {
  public:
   SqliteError(const std::string& what, sqlite3* database)
       : std::runtime_error(what + ": " + (database != nullptr ? sqlite3_errmsg(database) : "no database")) {}
 };
 
+// A prepared statement, whose parameters are bound in order.
 class Statement {
  public:
   Statement(sqlite3* database, const char* text) : database_(database) {
-    sqlite3_stmt* made = nullptr;
-    if (sqlite3_prepare_v2(database, text, -1, &made, nullptr) != SQLITE_OK) {
+    sqlite3_stmt* prepared = nullptr;
+    if (sqlite3_prepare_v2(database, text, -1, &prepared, nullptr) != SQLITE_OK) {
       throw SqliteError(text, database);
     }
-    statement_.reset(made);
+    statement_.reset(prepared);
   }
 
-  // The next parameter; 64-bit numbers are kept as SQLite's signed ones.
+  // Binds the next parameter. Numbers are stored as signed 64-bit ones. Throws SqliteError.
   Statement& bind(std::uint64_t number) {
     check(sqlite3_bind_int64(statement_.get(), ++bound_, static_cast<sqlite3_int64>(number)));
     return *this;
@@ -40,7 +42,7 @@
     return *this;
   }
 
-  // Whether there is a further row. Throws SqliteError.
+  // Moves to the next row. Returns whether there is one. Throws SqliteError.
   bool step() {
     const int code = sqlite3_step(statement_.get());
     if (code != SQLITE_ROW && code != SQLITE_DONE) {
@@ -48,13 +50,14 @@
     }
     return code == SQLITE_ROW;
   }
-  // Runs it whole; it can be bound anew then.
+  // Runs the statement to its end; it can be bound again then. Throws SqliteError.
   void run() {
     while (step()) {
     }
     sqlite3_reset(statement_.get());
     bound_ = 0;
   }
+  // Columns of the current row, from 0.
   std::uint64_t number(int column) const {
     return static_cast<std::uint64_t>(sqlite3_column_int64(statement_.get(), column));
   }
@@ -66,7 +69,7 @@
   }
 
  private:
-  struct End {
+  struct Finalize {
     void operator()(sqlite3_stmt* statement) const { sqlite3_finalize(statement); }
   };
 
@@ -77,25 +80,28 @@
   }
 
   sqlite3* database_;
-  std::unique_ptr<sqlite3_stmt, End> statement_;
+  std::unique_ptr<sqlite3_stmt, Finalize> statement_;
   int bound_ = 0;
 };
 
+// An open database, created if there is none.
 class Database {
  public:
-  // Throws SqliteError.
+  // `busy_ms`: how long a statement waits for other connections, in milliseconds. Throws SqliteError.
   Database(const std::string& path, int busy_ms) {
-    sqlite3* made = nullptr;
+    sqlite3* opened = nullptr;
     const int code = sqlite3_open_v2(
-        path.c_str(), &made, SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE | SQLITE_OPEN_FULLMUTEX, nullptr);
-    database_.reset(made);
+        path.c_str(), &opened, SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE | SQLITE_OPEN_FULLMUTEX, nullptr);
+    database_.reset(opened);
     if (code != SQLITE_OK) {
-      throw SqliteError(path, made);
+      throw SqliteError(path, opened);
     }
-    sqlite3_busy_timeout(made, busy_ms);
+    sqlite3_busy_timeout(opened, busy_ms);
   }
 
+  // The handle belongs to this object.
   sqlite3* get() const { return database_.get(); }
+  // Runs statements without parameters. Throws SqliteError.
   void run(const char* text) const {
     if (sqlite3_exec(database_.get(), text, nullptr, nullptr, nullptr) != SQLITE_OK) {
       throw SqliteError(text, database_.get());
--- a/src/coordination/store_identity.cpp
+++ b/src/coordination/store_identity.cpp
@@ -8,7 +8,8 @@
   if (kind == Kind::kOtherStore) {
     return "another store answers: " + std::to_string(received) + ", not " + std::to_string(expected);
   }
-  return "the store has gone back from revision " + std::to_string(expected) + " to " + std::to_string(received);
+  return "the store has gone back from revision " + std::to_string(expected) + " to " +
+         std::to_string(received);
 }
 
 tl::expected<void, IdentityMismatch> StoreIdentity::check(const etcd::ResponseHeader& header,
--- a/src/coordination/store_identity.h
+++ b/src/coordination/store_identity.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <tl/expected.hpp>
 
-#include "coordination/etcd_json.h"
+#include "coordination/etcd_responses.h"
 
 namespace trailcourse::coordination {
 
--- a/src/coordination/types.h
+++ b/src/coordination/types.h
@@ -1,6 +1,5 @@
-// What a store of shared truth knows: entries under revisions that only grow, transactions that compare
-// first, leases. The terms are those of etcd's published v3 interface
-// (https://etcd.io/docs/v3.5/learning/api/).
+// What a coordination store holds: entries under revisions that only grow, transactions that compare first, and
+// leases. The terms are those of etcd's v3 interface (https://etcd.io/docs/v3.5/learning/api/).
 //
 // Package `coordination`: no I/O, no clock.
 #pragma once
@@ -15,21 +14,23 @@
 
 namespace trailcourse::coordination {
 
-using Revision = std::uint64_t;  // of the whole store: one more for each transaction that changes anything
-using LeaseId = std::uint64_t;   // 0: none
+// Counts the transactions that changed anything, in the whole store.
+using Revision = std::uint64_t;
+// Names a lease; 0: none.
+using LeaseId = std::uint64_t;
 
 struct Entry {
   std::string key;
   std::string value;
-  Revision created = 0;       // when the key came into being; a key that was deleted begins anew
+  Revision created = 0;       // when the key was created; a key that is deleted and written again starts anew
   Revision modified = 0;      // when it was written last
-  std::uint64_t version = 0;  // writes since it came into being
-  LeaseId lease = 0;          // with which it ends
+  std::uint64_t version = 0;  // writes since it was created
+  LeaseId lease = 0;          // with whose end the key is deleted
 
   friend bool operator==(const Entry&, const Entry&) = default;
 };
 
-// A range: one key, or all that begin with it.
+// One key, or all keys that begin with it.
 struct Range {
   std::string key;
   bool prefix = false;
@@ -38,7 +39,7 @@
   friend bool operator==(const Range&, const Range&) = default;
 };
 
-// A condition on one key. A key that is not there has 0 in every number and an empty value.
+// A condition on one key. Of a key that does not exist every number is 0, and no condition on the value holds.
 struct Compare {
   enum class What { kCreated, kModified, kVersion, kLease, kValue };
   enum class How { kEqual, kNotEqual, kGreater, kLess };
@@ -71,7 +72,7 @@
 };
 using Operation = std::variant<Put, Delete, Get>;
 
-// Where all conditions hold `then` is done, else `otherwise`: at once, and whole or not at all.
+// If all conditions of `when` hold, `then` is executed, else `otherwise`; atomically in either case.
 struct Transaction {
   std::vector<Compare> when;
   std::vector<Operation> then;
@@ -81,43 +82,46 @@
 };
 
 struct OperationResult {
-  std::vector<Entry> found;   // of a Get, in the order of keys
-  std::uint64_t deleted = 0;  // of a Delete
+  std::vector<Entry> found;   // of a Get, sorted by key
+  std::uint64_t deleted = 0;  // keys, of a Delete
 
   friend bool operator==(const OperationResult&, const OperationResult&) = default;
 };
 struct TransactionResult {
-  bool succeeded = false;
-  Revision revision = 0;  // of the store behind it
-  std::vector<OperationResult> results;
+  bool succeeded = false;                // whether `then` was executed
+  Revision revision = 0;                 // of the store after the transaction
+  std::vector<OperationResult> results;  // one for each operation that was executed
 
   friend bool operator==(const TransactionResult&, const TransactionResult&) = default;
 };
 
-// One change, as a watch tells it; of a deletion the key alone is told.
+// One change of a key. Of a deletion, only the entry's key and `modified` are set.
 struct KeyChange {
   bool deleted = false;
-  Entry entry;  // `modified` is the revision of the change, also of a deletion
+  Entry entry;  // its `modified` is the revision of the change
 
   friend bool operator==(const KeyChange&, const KeyChange&) = default;
 };
 
-// Whether it can stand in a key as one part: letters, digits, '.', '-', '_', up to 64.
+// Returns whether the text can be one part of a key: 1 to 64 letters, digits, '.', '-' or '_'.
 inline bool is_name(std::string_view text) {
-  const auto fits = [](char c) {
+  constexpr std::size_t kMaxNameLength = 64;
+  const auto allowed = [](char c) {
     return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || c == '.' ||
            c == '-' || c == '_';
   };
-  return !text.empty() && text.size() <= 64 && std::all_of(text.begin(), text.end(), fits);
+  return !text.empty() && text.size() <= kMaxNameLength && std::all_of(text.begin(), text.end(), allowed);
 }
 
-// Conditions that are asked for most.
+// The key does not exist.
 inline Compare absent(std::string key) {
   return {std::move(key), Compare::What::kCreated, Compare::How::kEqual, 0, {}};
 }
+// The key was created at this revision, and not deleted since.
 inline Compare created_at(std::string key, Revision revision) {
   return {std::move(key), Compare::What::kCreated, Compare::How::kEqual, revision, {}};
 }
+// The key was written last at this revision.
 inline Compare unchanged(std::string key, Revision modified) {
   return {std::move(key), Compare::What::kModified, Compare::How::kEqual, modified, {}};
 }
--- a/src/coordination/watch_progress.h
+++ b/src/coordination/watch_progress.h
@@ -5,7 +5,7 @@
 
 #include <vector>
 
-#include "coordination/etcd_json.h"
+#include "coordination/etcd_responses.h"
 
 namespace trailcourse::coordination {
 
--- a/src/ownership/work.cpp
+++ b/src/ownership/work.cpp
@@ -8,10 +8,10 @@
 
 using coordination::Compare;
 using coordination::Get;
-using coordination::TransactionResult;
 using coordination::Put;
 using coordination::Range;
 using coordination::Transaction;
+using coordination::TransactionResult;
 using nlohmann::json;
 
 namespace {
--- a/src/program/aggregator_command.cpp
+++ b/src/program/aggregator_command.cpp
@@ -130,7 +130,8 @@
   Signals signals(scheduler);
   std::random_device entropy;
   const std::uint64_t seed = (std::uint64_t{entropy()} << 32U) | entropy();
-  const std::unique_ptr<coordination::CoordinationStore> store = open_store(scheduler, file.coordination, seed);
+  const std::unique_ptr<coordination::CoordinationStore> store =
+      open_store(scheduler, file.coordination, seed);
   Service service(scheduler, *store, options, prefix, seed);
   tasks::BoardFollower board;
   // Of no zone: work that is bound to a zone is its routers'.
--- a/src/program/fleet_work.cpp
+++ b/src/program/fleet_work.cpp
@@ -31,8 +31,8 @@
 }  // namespace
 
 std::unique_ptr<coordination::CoordinationStore> open_store(transport::Scheduler& scheduler,
-                                                      const coordination::CoordinationOptions& options,
-                                                      std::uint64_t seed) {
+                                                            const coordination::CoordinationOptions& options,
+                                                            std::uint64_t seed) {
   if (options.store == "etcd") {
     return std::make_unique<coordination::EtcdStore>(scheduler, options, seed ^ kStoreSeed);
   }
--- a/src/program/fleet_work.h
+++ b/src/program/fleet_work.h
@@ -21,8 +21,8 @@
 
 // The store that the section names; null for none.
 std::unique_ptr<coordination::CoordinationStore> open_store(transport::Scheduler& scheduler,
-                                                      const coordination::CoordinationOptions& options,
-                                                      std::uint64_t seed);
+                                                            const coordination::CoordinationOptions& options,
+                                                            std::uint64_t seed);
 
 class FleetWork {
  public:
--- a/src/program/store_client.cpp
+++ b/src/program/store_client.cpp
@@ -7,8 +7,8 @@
 
 namespace trailcourse::program {
 
-using coordination::TransactionResult;
 using coordination::StoreResponse;
+using coordination::TransactionResult;
 using transport::Clock;
 
 namespace {
--- a/src/program/store_client.h
+++ b/src/program/store_client.h
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "coordination/options.h"
 #include "coordination/coordination_store.h"
+#include "coordination/options.h"
 #include "transport/scheduler.h"
 
 namespace trailcourse::program {
--- a/src/tasks/acknowledgement_task.cpp
+++ b/src/tasks/acknowledgement_task.cpp
@@ -6,9 +6,9 @@
 
 using coordination::Range;
 
-AcknowledgementTask::AcknowledgementTask(transport::Scheduler& scheduler, coordination::CoordinationStore& store,
-                                         std::string prefix, BoardFollower& board, Micros least_round,
-                                         TaskContext context)
+AcknowledgementTask::AcknowledgementTask(transport::Scheduler& scheduler,
+                                         coordination::CoordinationStore& store, std::string prefix,
+                                         BoardFollower& board, Micros least_round, TaskContext context)
     : StoreDriverTask(scheduler, store, std::move(prefix), std::move(context)),
       board_(board),
       listener_(board.listen([this](const policy::BoardPosition& position) { took_in(position); })),
@@ -35,7 +35,8 @@
   return round_open_ || key == policy::kAcknowledgedKey;
 }
 
-StoreDriverTask::Decision AcknowledgementTask::decide(Micros now, const coordination::TransactionResult& outcome) {
+StoreDriverTask::Decision AcknowledgementTask::decide(Micros now,
+                                                      const coordination::TransactionResult& outcome) {
   const policy::AcknowledgementsSeen seen = policy::read_acknowledgements_seen(prefix(), outcome);
   round_open_ = seen.record.round > 0 && seen.record.done != seen.record.asked;
   asked_ = seen.record.asked;
--- a/src/tasks/acknowledgement_task.h
+++ b/src/tasks/acknowledgement_task.h
@@ -18,8 +18,8 @@
 class AcknowledgementTask : public StoreDriverTask {
  public:
   // `board` outlives it. `least_round`: between the beginnings of two rounds.
-  AcknowledgementTask(transport::Scheduler& scheduler, coordination::CoordinationStore& store, std::string prefix,
-                      BoardFollower& board, Micros least_round, TaskContext context);
+  AcknowledgementTask(transport::Scheduler& scheduler, coordination::CoordinationStore& store,
+                      std::string prefix, BoardFollower& board, Micros least_round, TaskContext context);
   ~AcknowledgementTask() override;
 
  protected:
--- a/src/tasks/policy_change_task.cpp
+++ b/src/tasks/policy_change_task.cpp
@@ -34,7 +34,8 @@
   return change_open_ || key == policy::kChangeKey;
 }
 
-StoreDriverTask::Decision PolicyChangeTask::decide(Micros now, const coordination::TransactionResult& outcome) {
+StoreDriverTask::Decision PolicyChangeTask::decide(Micros now,
+                                                   const coordination::TransactionResult& outcome) {
   const policy::Seen seen = policy::read_seen(prefix(), outcome);
   change_open_ = seen.change && seen.change->open();
   std::optional<policy::Step> step = driver_.next(now, seen);
--- a/src/tasks/policy_change_task.h
+++ b/src/tasks/policy_change_task.h
@@ -16,8 +16,8 @@
 
 class PolicyChangeTask : public StoreDriverTask {
  public:
-  PolicyChangeTask(transport::Scheduler& scheduler, coordination::CoordinationStore& store, std::string prefix,
-                   const policy::PolicyOptions& options, TaskContext context);
+  PolicyChangeTask(transport::Scheduler& scheduler, coordination::CoordinationStore& store,
+                   std::string prefix, const policy::PolicyOptions& options, TaskContext context);
 
  protected:
   coordination::Transaction looks_at() const override;
--- a/src/tasks/policy_follower.cpp
+++ b/src/tasks/policy_follower.cpp
@@ -10,8 +10,8 @@
 
 namespace trailcourse::tasks {
 
-using coordination::TransactionResult;
 using coordination::StoreResponse;
+using coordination::TransactionResult;
 using policy::Ruling;
 using std::chrono::milliseconds;
 using transport::Clock;
@@ -261,32 +261,34 @@
   write.then = {coordination::Put{prefix_ + policy::permit_key(self_.name, lease),
                                   policy::write_permit(ask.permit), lease}};
   const std::uint64_t number = ask.order.number;
-  store_.commit(std::move(write), [this, alive = alive_, number, lease](const StoreResponse<TransactionResult>& reply) {
-    if (!*alive) {
-      return;
-    }
-    if (!reply.ok()) {
-      holder_.lost(now(), number);
-    } else {
-      holder_.joined(now(), number, reply.value.succeeded);
-    }
-    if (!reply.ok() || !reply.value.succeeded) {
-      store_.revoke(lease, [](const auto&) {});
-    }
-    turn_soon();
-  });
+  store_.commit(std::move(write),
+                [this, alive = alive_, number, lease](const StoreResponse<TransactionResult>& reply) {
+                  if (!*alive) {
+                    return;
+                  }
+                  if (!reply.ok()) {
+                    holder_.lost(now(), number);
+                  } else {
+                    holder_.joined(now(), number, reply.value.succeeded);
+                  }
+                  if (!reply.ok() || !reply.value.succeeded) {
+                    store_.revoke(lease, [](const auto&) {});
+                  }
+                  turn_soon();
+                });
 }
 
 void PolicyFollower::carry_out(const policy::SayPermit& say) {
   coordination::Transaction write;
   write.then = {coordination::Put{prefix_ + policy::permit_key(self_.name, lease_),
                                   policy::write_permit(say.permit), lease_}};
-  store_.commit(std::move(write), [this, alive = alive_, number = say.number](const StoreResponse<TransactionResult>& reply) {
-    if (*alive) {
-      holder_.said(now(), number, reply.ok());
-      turn_soon();
-    }
-  });
+  store_.commit(std::move(write),
+                [this, alive = alive_, number = say.number](const StoreResponse<TransactionResult>& reply) {
+                  if (*alive) {
+                    holder_.said(now(), number, reply.ok());
+                    turn_soon();
+                  }
+                });
 }
 
 void PolicyFollower::carry_out(const policy::KeepDocument& keep) {
--- a/src/tasks/policy_follower.h
+++ b/src/tasks/policy_follower.h
@@ -51,7 +51,8 @@
   std::string status() const;
 
   void on_snapshot(coordination::Revision revision, const std::vector<coordination::Entry>& entries) override;
-  void on_changes(coordination::Revision revision, const std::vector<coordination::KeyChange>& changes) override;
+  void on_changes(coordination::Revision revision,
+                  const std::vector<coordination::KeyChange>& changes) override;
   void on_disconnected(const std::string& why) override;
   void on_heartbeat() override;
 
--- a/src/tasks/prober.h
+++ b/src/tasks/prober.h
@@ -34,7 +34,8 @@
   void finish() override;
 
   void on_snapshot(coordination::Revision revision, const std::vector<coordination::Entry>& entries) override;
-  void on_changes(coordination::Revision revision, const std::vector<coordination::KeyChange>& changes) override;
+  void on_changes(coordination::Revision revision,
+                  const std::vector<coordination::KeyChange>& changes) override;
   void on_disconnected(const std::string&) override {}
 
  private:
--- a/src/tasks/reporter.cpp
+++ b/src/tasks/reporter.cpp
@@ -8,8 +8,8 @@
 using std::chrono::milliseconds;
 using transport::Clock;
 
-Reporter::Reporter(transport::Scheduler& scheduler, coordination::CoordinationStore& store, std::string prefix,
-                   const OwnershipOptions& options, TaskContext context)
+Reporter::Reporter(transport::Scheduler& scheduler, coordination::CoordinationStore& store,
+                   std::string prefix, const OwnershipOptions& options, TaskContext context)
     : scheduler_(scheduler),
       store_(store),
       prefix_(std::move(prefix)),
@@ -27,12 +27,13 @@
   if (context_.may_act()) {
     coordination::Transaction read;
     read.then = {coordination::Get{coordination::Range{prefix_ + kCounters, true}}};
-    store_.commit(std::move(read),
-                  [this, alive = alive_](const coordination::StoreResponse<coordination::TransactionResult>& reply) {
-                    if (*alive && reply.ok()) {
-                      this->read(reply.value.results.at(0).found);
-                    }
-                  });
+    store_.commit(
+        std::move(read),
+        [this, alive = alive_](const coordination::StoreResponse<coordination::TransactionResult>& reply) {
+          if (*alive && reply.ok()) {
+            this->read(reply.value.results.at(0).found);
+          }
+        });
   }
   timer_.set(Clock::now() + milliseconds(options_.report_ms));
 }
--- a/src/tasks/store_driver_task.cpp
+++ b/src/tasks/store_driver_task.cpp
@@ -7,9 +7,9 @@
 
 namespace trailcourse::tasks {
 
-using coordination::TransactionResult;
 using coordination::StoreResponse;
 using coordination::Transaction;
+using coordination::TransactionResult;
 using std::chrono::milliseconds;
 using transport::Clock;
 
@@ -52,7 +52,8 @@
   context_.finished();
 }
 
-void StoreDriverTask::on_changes(coordination::Revision, const std::vector<coordination::KeyChange>& changes) {
+void StoreDriverTask::on_changes(coordination::Revision,
+                                 const std::vector<coordination::KeyChange>& changes) {
   const bool may_matter = std::any_of(changes.begin(), changes.end(), [this](const auto& change) {
     return concerns(change.entry.key.substr(prefix_.size()));
   });
@@ -126,17 +127,18 @@
 void StoreDriverTask::write(Transaction transaction) {
   transaction.when.push_back(
       coordination::created_at(prefix_ + ownership::kOwn + to_string(context_.id), context_.term));
-  store_.commit(std::move(transaction), [this, alive = alive_](const StoreResponse<TransactionResult>& reply) {
-    if (!*alive) {
-      return;
-    }
-    // Refused, or nobody knows: what stands is looked at again.
-    if (!reply.ok() || !reply.value.succeeded) {
-      look_after(kLostLook);
-    } else {
-      look();
-    }
-  });
+  store_.commit(std::move(transaction),
+                [this, alive = alive_](const StoreResponse<TransactionResult>& reply) {
+                  if (!*alive) {
+                    return;
+                  }
+                  // Refused, or nobody knows: what stands is looked at again.
+                  if (!reply.ok() || !reply.value.succeeded) {
+                    look_after(kLostLook);
+                  } else {
+                    look();
+                  }
+                });
 }
 
 }  // namespace trailcourse::tasks
--- a/src/tasks/task_runner.cpp
+++ b/src/tasks/task_runner.cpp
@@ -10,8 +10,8 @@
 
 using coordination::KeyChange;
 using coordination::LeaseId;
-using coordination::TransactionResult;
 using coordination::StoreResponse;
+using coordination::TransactionResult;
 using ownership::Ask;
 using ownership::ShardId;
 using std::chrono::milliseconds;
@@ -84,7 +84,8 @@
 
 // ---- What the store tells ----
 
-void TaskRunner::on_snapshot(coordination::Revision revision, const std::vector<coordination::Entry>& entries) {
+void TaskRunner::on_snapshot(coordination::Revision revision,
+                             const std::vector<coordination::Entry>& entries) {
   std::set<std::string> named;
   view_.begin_whole();
   for (const coordination::Entry& entry : entries) {
@@ -271,27 +272,28 @@
 
 void TaskRunner::own(const ShardId& id, std::uint64_t number, LeaseId lease) {
   const ownership::Owner owner{self_.name, self_.incarnation, 0};
-  store_.commit(ownership::acquire(prefix_, id, owner, lease), [this, alive = alive_, id, number,
-                                                                lease](const StoreResponse<TransactionResult>& reply) {
-    if (!*alive) {
-      return;
-    }
-    if (!reply.ok()) {
-      // Whether it was done or not: without a renewal it ends, and sooner so.
-      give_up(lease);
-      lease_manager_.lost(now(), id, number);
-    } else {
-      const ownership::Acquired acquired = ownership::read_acquired(reply.value);
-      if (acquired.term == 0) {
-        give_up(lease);
-      } else {
-        leases_[id] = lease;
-        log_line(Level::kInfo) << "owner of " << to_string(id) << " under term " << acquired.term;
-      }
-      lease_manager_.acquired(now(), id, number, acquired);
-    }
-    turn_soon();
-  });
+  store_.commit(ownership::acquire(prefix_, id, owner, lease),
+                [this, alive = alive_, id, number, lease](const StoreResponse<TransactionResult>& reply) {
+                  if (!*alive) {
+                    return;
+                  }
+                  if (!reply.ok()) {
+                    // Whether it was done or not: without a renewal it ends, and sooner so.
+                    give_up(lease);
+                    lease_manager_.lost(now(), id, number);
+                  } else {
+                    const ownership::Acquired acquired = ownership::read_acquired(reply.value);
+                    if (acquired.term == 0) {
+                      give_up(lease);
+                    } else {
+                      leases_[id] = lease;
+                      log_line(Level::kInfo)
+                          << "owner of " << to_string(id) << " under term " << acquired.term;
+                    }
+                    lease_manager_.acquired(now(), id, number, acquired);
+                  }
+                  turn_soon();
+                });
 }
 
 void TaskRunner::give_up(LeaseId lease) {
@@ -475,19 +477,20 @@
   for (const auto& [key, value] : kept_) {
     transaction.then.push_back(coordination::Put{prefix_ + key, value, session_lease_});
   }
-  store_.commit(std::move(transaction), [this, alive = alive_, number](const StoreResponse<TransactionResult>& reply) {
-    if (!*alive) {
-      return;
-    }
-    if (reply.ok()) {
-      session_.granted(now(), number, reply.value.revision);
-      log_line(Level::kInfo) << "member of the fleet at revision " << reply.value.revision;
-    } else {
-      give_up(session_lease_);
-      session_.lost(now(), number);
-    }
-    turn_soon();
-  });
+  store_.commit(std::move(transaction),
+                [this, alive = alive_, number](const StoreResponse<TransactionResult>& reply) {
+                  if (!*alive) {
+                    return;
+                  }
+                  if (reply.ok()) {
+                    session_.granted(now(), number, reply.value.revision);
+                    log_line(Level::kInfo) << "member of the fleet at revision " << reply.value.revision;
+                  } else {
+                    give_up(session_lease_);
+                    session_.lost(now(), number);
+                  }
+                  turn_soon();
+                });
 }
 
 void TaskRunner::keep(const std::string& key, const std::string& value) {
--- a/src/tasks/task_runner.h
+++ b/src/tasks/task_runner.h
@@ -65,7 +65,8 @@
   const OwnershipOptions& options() const { return options_; }
 
   void on_snapshot(coordination::Revision revision, const std::vector<coordination::Entry>& entries) override;
-  void on_changes(coordination::Revision revision, const std::vector<coordination::KeyChange>& changes) override;
+  void on_changes(coordination::Revision revision,
+                  const std::vector<coordination::KeyChange>& changes) override;
   void on_disconnected(const std::string& why) override;
   void heard_store();
   void on_heartbeat() override { heard_store(); }
--- a/tests/acknowledgement_test.cpp
+++ b/tests/acknowledgement_test.cpp
@@ -287,7 +287,7 @@
   store.take_changes();
   write(kAcknowledgedKey, write_acknowledgement({2, at(9), at(5)}));
   const auto ask = std::get<aggregation::AskPermission>(aggregator.due(kStart).front());
-  const LeaseId lease = store.grant(0, 4'000, 0);
+  const LeaseId lease = store.grant(std::chrono::milliseconds(0), std::chrono::milliseconds(4'000), 0);
   const auto joined =
       aggregation::read_joined(store.commit(aggregation::join_transaction("", "east", lease, ask)));
   ASSERT_TRUE(joined.joined);
--- a/tests/aggregation_service_test.cpp
+++ b/tests/aggregation_service_test.cpp
@@ -9,8 +9,8 @@
 #include <random>
 
 #include "aggregation/service.h"
-#include "coordination/etcd_store.h"
 #include "coordination/coordination_server.h"
+#include "coordination/etcd_store.h"
 #include "fleet/fault_proxy.h"
 #include "fleet/ports.h"
 #include "fleet/process.h"
@@ -19,22 +19,22 @@
 namespace trailcourse::aggregation {
 namespace {
 
-using coordination::KeyChange;
+using coordination::CallStatus;
+using coordination::CoordinationStore;
 using coordination::Delete;
+using coordination::Empty;
 using coordination::Entry;
 using coordination::EtcdStore;
 using coordination::Get;
 using coordination::GrantedLease;
+using coordination::KeyChange;
 using coordination::LeaseId;
-using coordination::Empty;
-using coordination::TransactionResult;
 using coordination::Put;
 using coordination::Range;
-using coordination::StoreResponse;
-using coordination::CallStatus;
 using coordination::Revision;
-using coordination::CoordinationStore;
+using coordination::StoreResponse;
 using coordination::Transaction;
+using coordination::TransactionResult;
 using nlohmann::json;
 using policy::Permit;
 using std::chrono::milliseconds;
@@ -122,8 +122,9 @@
 
   // As a router sees its aggregators.
   CoordinationStore& router(std::vector<std::string> endpoints = {}) {
-    stores_.push_back(std::make_unique<EtcdStore>(
-        scheduler, reaching(endpoints.empty() ? endpoints_ : endpoints), 9, EtcdStore::FirstEndpoint::kFirstListed));
+    stores_.push_back(std::make_unique<EtcdStore>(scheduler,
+                                                  reaching(endpoints.empty() ? endpoints_ : endpoints), 9,
+                                                  EtcdStore::FirstEndpoint::kFirstListed));
     return *stores_.back();
   }
   CoordinationStore& staff() { return router({store_address_}); }
@@ -264,7 +265,7 @@
   for (int i = 0; i < 20; ++i) {
     const std::string key = at(policy::kDocuments + std::to_string(i % 3));
     const coordination::Operation step = i % 7 == 6 ? coordination::Operation(Delete{Range{key, false}})
-                                               : coordination::Operation(Put{key, std::to_string(i), 0});
+                                                    : coordination::Operation(Put{key, std::to_string(i), 0});
     ASSERT_TRUE(region.commit(staff, Transaction{{}, {step}, {}}).ok());
     ASSERT_TRUE(region.commit(staff, Transaction{{}, {Put{at("elsewhere"), "x", 0}}, {}}).ok());
   }
@@ -400,7 +401,7 @@
   Service& service = region.add_aggregator("a1");
   CoordinationStore& router = region.router();
   const LeaseId lease = region.lease(router, kShortTtl);
-  ASSERT_EQ(service.page("/healthz")->status, 200);
+  ASSERT_EQ(service.handle_get("/healthz")->status, 200);
   ASSERT_EQ(region.summaries().count("a1.east"), 1U);
   service.drain();
   const auto renewed = region.renew(router, lease);
@@ -411,8 +412,8 @@
     return service.drained();
   }));
   EXPECT_EQ(region.summaries().count("a1.east"), 0U);
-  EXPECT_EQ(service.page("/healthz")->status, 503);
-  EXPECT_FALSE(service.page("/elsewhere").has_value());
+  EXPECT_EQ(service.handle_get("/healthz")->status, 503);
+  EXPECT_FALSE(service.handle_get("/elsewhere").has_value());
 }
 
 TEST(AggregatorProgramTest, RunsUntilItIsToldToEndAndDrains) {
--- a/tests/aggregation_test.cpp
+++ b/tests/aggregation_test.cpp
@@ -10,11 +10,11 @@
 namespace trailcourse::aggregation {
 namespace {
 
-using coordination::KeyChange;
 using coordination::Entry;
 using coordination::Get;
-using coordination::LeaseId;
+using coordination::KeyChange;
 using coordination::KeyValueState;
+using coordination::LeaseId;
 using coordination::Put;
 using coordination::Range;
 using coordination::Transaction;
@@ -241,7 +241,9 @@
     aggregator_.mirror(store_.get(Range{"policy/", true}));
     aggregator_.heard(true);
   }
-  std::int64_t now_ms() const { return now_.count() / 1'000; }
+  std::chrono::milliseconds store_clock() const {
+    return std::chrono::duration_cast<std::chrono::milliseconds>(now_);
+  }
 
   // Carries out all that is due, each call answered at once.
   void serve() {
@@ -253,15 +255,15 @@
     }
   }
   void carry_out(const AskPermission& ask) {
-    store_.expire(now_ms());
+    store_.expire(store_clock());
     Uplink& uplink = aggregator_.uplink();
     const std::uint64_t number = ask.order.number;
     if (ask.order.ask == ownership::Ask::kAcquire) {
-      lease_ = store_.grant(now_ms(), 4'000, 0);
+      lease_ = store_.grant(store_clock(), std::chrono::milliseconds(4'000), 0);
       const auto out = store_.commit(join_transaction("", "agg", lease_, ask));
       uplink.joined(now_, number, read_joined(out));
     } else if (ask.order.ask == ownership::Ask::kRenew) {
-      uplink.renewed(now_, number, store_.keep_alive(now_ms(), lease_) > 0);
+      uplink.renewed(now_, number, store_.keep_alive(store_clock(), lease_) > std::chrono::milliseconds(0));
     } else {
       store_.revoke(lease_);
       uplink.released(now_, number);
@@ -587,7 +589,7 @@
   serve();
   const LeaseId first = lease_;
   now_ += seconds(5);
-  store_.expire(now_ms());
+  store_.expire(store_clock());
   EXPECT_FALSE(aggregator_.uplink().permitted(now_));
   serve();  // its renewal finds nothing
   EXPECT_FALSE(aggregator_.uplink().permitted(now_));
@@ -606,7 +608,7 @@
   const auto orders = aggregator_.due(now_);
   ASSERT_EQ(orders.size(), 1U);
   const SaySummaries late = std::get<SaySummaries>(orders.front());
-  store_.expire(now_ms() + 4'000);
+  store_.expire(store_clock() + std::chrono::milliseconds(4'000));
   EXPECT_THROW(store_.commit(say_transaction("", "agg", lease_, late)), coordination::OperationRejected);
 }
 
--- a/tests/aggregation_world_test.cpp
+++ b/tests/aggregation_world_test.cpp
@@ -18,13 +18,13 @@
 namespace {
 
 using coordination::Entry;
-using coordination::LeaseId;
 using coordination::KeyValueState;
-using coordination::TransactionResult;
+using coordination::LeaseId;
 using coordination::Put;
 using coordination::Range;
 using coordination::Revision;
 using coordination::Transaction;
+using coordination::TransactionResult;
 using policy::ChangeState;
 using policy::Driver;
 using policy::Holder;
@@ -177,7 +177,7 @@
     Revision watched = 0;  // up to which its watch has told
     int watch = 0;         // number of its watch; another one's news are of an earlier one
     bool following = false;
-    bool has_read = false;                                      // on this watch
+    bool has_read = false;                                         // on this watch
     std::vector<std::vector<coordination::KeyChange>> early_news;  // that came before what was read
     bool cut_below = false;
     Micros told_until{0};
@@ -235,7 +235,7 @@
   }
   void expire() {
     at(now_ + milliseconds(50), [this] {
-      ledger_.expire(store_ms());
+      ledger_.expire(store_clock());
       tell();
       expire();
     });
@@ -273,7 +273,7 @@
     call<StoreAnswer<Value>>(
         one, nullptr, one.cut,
         [this, use]() -> std::optional<StoreAnswer<Value>> {
-          ledger_.expire(store_ms());
+          ledger_.expire(store_clock());
           const std::optional<Value> value = use();
           tell();
           return value ? std::optional(StoreAnswer<Value>{*value, ledger_.revision()}) : std::nullopt;
@@ -399,7 +399,11 @@
     const auto lost = [this, &one, number] { one.core->uplink().lost(clock(one), number); };
     if (ask.order.ask == ownership::Ask::kAcquire) {
       call_store<LeaseId>(
-          one, [this] { return ledger_.grant(store_ms(), kAggregatorTtl.count() / 1'000, 0); },
+          one,
+          [this] {
+            return ledger_.grant(store_clock(),
+                                 std::chrono::duration_cast<std::chrono::milliseconds>(kAggregatorTtl), 0);
+          },
           [this, &one, ask, lost](const LeaseId& lease) {
             one.lease = lease;
             join(one, ask, lost);
@@ -410,7 +414,8 @@
     const LeaseId lease = one.lease;
     if (ask.order.ask == ownership::Ask::kRenew) {
       call_store<bool>(
-          one, [this, lease] { return ledger_.keep_alive(store_ms(), lease) > 0; },
+          one,
+          [this, lease] { return ledger_.keep_alive(store_clock(), lease) > std::chrono::milliseconds(0); },
           [this, &one, number](const bool& alive) { one.core->uplink().renewed(clock(one), number, alive); },
           lost);
       return;
@@ -794,7 +799,7 @@
   }
   void drive_acknowledgements() {
     at(now_ + drawn(milliseconds(100)), [this] {
-      ledger_.expire(store_ms());
+      ledger_.expire(store_clock());
       tell();
       if (ledger_.revision() >= driver_floor_) {
         const auto seen =
@@ -810,7 +815,7 @@
   void record(const Transaction& write, const policy::Acknowledgement& next) {
     const Micros late = drawn(calm_ || chance(80) ? milliseconds(10) : seconds(4));
     at(now_ + late, [this, write, next] {
-      ledger_.expire(store_ms());
+      ledger_.expire(store_clock());
       if (ledger_.commit(write).succeeded) {
         ++report_.rounds;
         done_event_ = std::max(done_event_, next.done.event);
@@ -832,7 +837,7 @@
       if (!driver_ || (chance(2) && !calm_)) {
         driver_.emplace(driver_rules_);  // a successor
       }
-      ledger_.expire(store_ms());
+      ledger_.expire(store_clock());
       tell();
       if (ledger_.revision() >= driver_floor_) {
         driver_floor_ = ledger_.revision();
@@ -849,7 +854,7 @@
     // What it decided arrives late at times: the store may have moved on.
     const Micros late = drawn(calm_ || chance(80) ? milliseconds(10) : seconds(4));
     at(now_ + late, [this, write = policy::carry_out("", seen, *step), step = *step, seen] {
-      ledger_.expire(store_ms());
+      ledger_.expire(store_clock());
       if (ledger_.commit(write).succeeded) {
         report_.commits += step.commit ? 1 : 0;
         report_.aborts += step.change.state == ChangeState::kAborted ? 1 : 0;
@@ -1062,7 +1067,7 @@
     }
   }
   void copy_store() {
-    ledger_.expire(store_ms());
+    ledger_.expire(store_clock());
     for (const auto& [key, entry] : ledger_.entries()) {
       copy_.entries.push_back(entry);
     }
@@ -1076,7 +1081,7 @@
     store_went_back_ = true;
     ledger_.restore(copy_.entries, copy_.revision);
     ledger_.set_leases(copy_.leases);
-    ledger_.renew_all(store_ms());
+    ledger_.renew_all(store_clock());
     ledger_.take_changes();
     for (AggregatorProcess& one : aggregators_) {
       if (one.floor == 0) {
--- a/tests/ownership_world_test.cpp
+++ b/tests/ownership_world_test.cpp
@@ -16,8 +16,8 @@
 namespace trailcourse::ownership {
 namespace {
 
-using coordination::LeaseId;
 using coordination::KeyValueState;
+using coordination::LeaseId;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -111,19 +111,20 @@
     return router.offset + Micros(static_cast<Micros::rep>(static_cast<double>(now_.count()) * router.rate));
   }
   // The store's clock runs up to 1% fast: its leases end early in true time.
-  std::int64_t store_ms() const {
-    return static_cast<std::int64_t>(static_cast<double>(now_.count()) * 1.009 / 1e3);
+  std::chrono::milliseconds store_clock() const {
+    return std::chrono::milliseconds(
+        static_cast<std::int64_t>(static_cast<double>(now_.count()) * 1.009 / 1e3));
   }
 
   coordination::TransactionResult commit(const coordination::Transaction& transaction) {
-    ledger_.expire(store_ms());
+    ledger_.expire(store_clock());
     const coordination::TransactionResult out = ledger_.commit(transaction);
     tell();
     return out;
   }
 
   void end_leases() {
-    ledger_.expire(store_ms());
+    ledger_.expire(store_clock());
     tell();
     at(now_ + milliseconds(50), [this] { end_leases(); });
   }
@@ -155,7 +156,7 @@
       return;
     }
     at(now_ + there, [this, index, use, alive, over, answer, loses_answer, back] {
-      ledger_.expire(store_ms());
+      ledger_.expire(store_clock());
       const Value value = use();
       tell();
       if (loses_answer) {
@@ -334,9 +335,9 @@
     };
     if (ask.order.ask == Ask::kAcquire) {
       const Owner owner{name(index), std::to_string(router.incarnation), 0};
-      const std::int64_t ttl_ms = rules_.lease.ttl.count() / 1'000;
+      const auto ttl = std::chrono::duration_cast<std::chrono::milliseconds>(rules_.lease.ttl);
       call<LeaseId>(
-          index, [this, ttl_ms] { return ledger_.grant(store_ms(), ttl_ms, 0); },
+          index, [this, ttl] { return ledger_.grant(store_clock(), ttl, 0); },
           [this, index, id, number, owner, lost](const LeaseId& lease) {
             routers_[static_cast<std::size_t>(index)].leases[id] = lease;
             call<Acquired>(
@@ -361,7 +362,8 @@
     const LeaseId lease = router.leases[id];
     if (ask.order.ask == Ask::kRenew) {
       call<bool>(
-          index, [this, lease] { return ledger_.keep_alive(store_ms(), lease) > 0; },
+          index,
+          [this, lease] { return ledger_.keep_alive(store_clock(), lease) > std::chrono::milliseconds(0); },
           [this, index, id, number](const bool& alive) {
             manager(index).renewed(clock(routers_[static_cast<std::size_t>(index)]), id, number, alive);
           },
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -420,7 +420,7 @@
     call<Value>(
         of(index), nullptr, of(index).cut,
         [this, use]() -> std::optional<Value> {
-          ledger_.expire(store_ms());
+          ledger_.expire(store_clock());
           const Value value = use();
           tell();
           return value;
@@ -537,7 +537,11 @@
     const auto lost = [this, index, number] { of(index).holder->lost(clock(of(index)), number); };
     if (ask.order.ask == ownership::Ask::kAcquire) {
       call_store<coordination::LeaseId>(
-          index, [this] { return ledger_.grant(store_ms(), rules_.lease.ttl.count() / 1'000, 0); },
+          index,
+          [this] {
+            return ledger_.grant(store_clock(),
+                                 std::chrono::duration_cast<std::chrono::milliseconds>(rules_.lease.ttl), 0);
+          },
           [this, index, ask, number, lost](const coordination::LeaseId& lease) {
             of(index).lease = lease;
             call_store<bool>(
@@ -569,7 +573,8 @@
     }
     const coordination::LeaseId lease = of(index).lease;
     call_store<bool>(
-        index, [this, lease] { return ledger_.keep_alive(store_ms(), lease) > 0; },
+        index,
+        [this, lease] { return ledger_.keep_alive(store_clock(), lease) > std::chrono::milliseconds(0); },
         [this, index, number](const bool& alive) {
           of(index).holder->renewed(clock(of(index)), number, alive);
         },
@@ -586,7 +591,7 @@
       if (!driver_) {
         driver_.emplace(driver_rules_);
       }
-      ledger_.expire(store_ms());
+      ledger_.expire(store_clock());
       Seen seen = look_now();
       if (defect_ == Defect::kCommitEarly && seen.change && seen.change->state == ChangeState::kHolding) {
         seen.permits.clear();
@@ -596,7 +601,7 @@
         // What it decided arrives late: the store may have moved on.
         const coordination::Transaction write = carry_out("", seen, *step);
         at(now_ + drawn(chance(80) ? milliseconds(10) : seconds(4)), [this, write, step = *step] {
-          ledger_.expire(store_ms());
+          ledger_.expire(store_clock());
           if (ledger_.commit(write).succeeded) {
             report_.commits += step.commit ? 1 : 0;
             report_.aborts += step.change.state == ChangeState::kAborted ? 1 : 0;
@@ -722,7 +727,7 @@
   }
   void expire() {
     at(now_ + milliseconds(50), [this] {
-      ledger_.expire(store_ms());
+      ledger_.expire(store_clock());
       tell();
       expire();
     });
--- a/tests/store_calls.h
+++ b/tests/store_calls.h
@@ -36,16 +36,19 @@
     return reply->value_or(StoreResponse<Value>{});
   }
   StoreResponse<coordination::TransactionResult> commit(coordination::CoordinationStore& store,
-                                      const coordination::Transaction& transaction) {
+                                                        const coordination::Transaction& transaction) {
     return await<coordination::TransactionResult>([&](auto then) { store.commit(transaction, then); });
   }
-  StoreResponse<coordination::GrantedLease> grant(coordination::CoordinationStore& store, std::chrono::milliseconds ttl) {
+  StoreResponse<coordination::GrantedLease> grant(coordination::CoordinationStore& store,
+                                                  std::chrono::milliseconds ttl) {
     return await<coordination::GrantedLease>([&](auto then) { store.grant(ttl, then); });
   }
-  StoreResponse<coordination::GrantedLease> renew(coordination::CoordinationStore& store, coordination::LeaseId lease) {
+  StoreResponse<coordination::GrantedLease> renew(coordination::CoordinationStore& store,
+                                                  coordination::LeaseId lease) {
     return await<coordination::GrantedLease>([&](auto then) { store.keep_alive(lease, then); });
   }
-  StoreResponse<coordination::Empty> revoke(coordination::CoordinationStore& store, coordination::LeaseId lease) {
+  StoreResponse<coordination::Empty> revoke(coordination::CoordinationStore& store,
+                                            coordination::LeaseId lease) {
     return await<coordination::Empty>([&](auto then) { store.revoke(lease, then); });
   }
 
--- a/tests/virtual_world.h
+++ b/tests/virtual_world.h
@@ -84,8 +84,9 @@
     return process.offset +
            Micros(static_cast<Micros::rep>(static_cast<double>(now_.count()) * process.rate));
   }
-  std::int64_t store_ms() const {
-    return static_cast<std::int64_t>(static_cast<double>(now_.count()) * kStoreClockRate / 1e3);
+  std::chrono::milliseconds store_clock() const {
+    return std::chrono::milliseconds(
+        static_cast<std::int64_t>(static_cast<double>(now_.count()) * kStoreClockRate / 1e3));
   }
 
   // A new incarnation, with a clock that is up to `parts_per_million` off; what was held is gone.
