--- a/benchmarks/scale/hollow_store.cpp
+++ b/benchmarks/scale/hollow_store.cpp
@@ -155,12 +155,12 @@
   watches_.tell_one(*this, client, whole_news(ledger_), Micros(0));
 }
 
-policy::Seen HollowStore::seen() const {
+policy::RolloutSnapshot HollowStore::seen() const {
   coordination::TransactionResult outcome;
-  for (const coordination::Operation& step : policy::look("").then) {
+  for (const coordination::Operation& step : policy::snapshot_transaction("").then) {
     outcome.results.push_back({ledger_.get(std::get<coordination::Get>(step).range), 0});
   }
-  return policy::read_seen("", outcome);
+  return policy::read_snapshot("", outcome);
 }
 
 std::uint64_t HollowStore::version_in_force() const {
--- a/src/aggregation/aggregator.cpp
+++ b/src/aggregation/aggregator.cpp
@@ -17,8 +17,8 @@
 using coordination::Revision;
 using coordination::Transaction;
 using coordination::TransactionResult;
-using policy::Known;
-using policy::Permit;
+using policy::ObservedState;
+using policy::ParticipantReport;
 using Reason = RequestRejected::Reason;
 
 namespace {
@@ -72,9 +72,9 @@
     const auto found = entries.find(identity_.prefix + key);
     return found == entries.end() ? Entry{} : found->second;
   };
-  const Known observed = policy::read_known(entry_of);
+  const ObservedState observed = policy::read_observed_state(entry_of);
   for (const std::string& zone : identity_.zones) {
-    observed_[zone] = policy::known_in_zone(observed, entry_of, zone);
+    observed_[zone] = policy::observed_in_zone(observed, entry_of, zone);
   }
 }
 
@@ -103,7 +103,7 @@
 bool Aggregator::has_required_acknowledgement() const {
   const auto any_zone = observed_.begin();
   return any_zone == observed_.end() ||
-         any_zone->second.acknowledgement_modified >= upstream_.required_acknowledgement_revision();
+         any_zone->second.acknowledgement_revision >= upstream_.required_acknowledgement_revision();
 }
 
 LeaseId Aggregator::grant(Micros now, Micros ttl) {
@@ -143,7 +143,7 @@
 
 // Other keys are not replicated here, and would look as if they were absent.
 void Aggregator::check_conditions(const Transaction& transaction) const {
-  const std::string records_prefix = identity_.prefix + policy::kRecords;
+  const std::string records_prefix = identity_.prefix + policy::kPolicyPrefix;
   const auto is_replicated = [&](const Compare& compare) { return compare.key.starts_with(records_prefix); };
   if (!std::all_of(transaction.when.begin(), transaction.when.end(), is_replicated)) {
     throw RequestRejected(Reason::kUnsupported,
@@ -177,7 +177,7 @@
   if (put.value.size() > settings_.max_report_bytes) {
     throw RequestRejected(Reason::kTooLarge, "a permit of " + std::to_string(put.value.size()) + " bytes");
   }
-  const std::optional<Permit> report = policy::read_permit(put.value);
+  const std::optional<ParticipantReport> report = policy::read_report(put.value);
   if (!report || report->incarnation.empty()) {
     throw RequestRejected(Reason::kMalformed, "value: no permit");
   }
@@ -189,14 +189,14 @@
 }
 
 std::string Aggregator::checked_router(const Put& put) const {
-  const std::string reports_prefix = identity_.prefix + policy::kPermits;
+  const std::string reports_prefix = identity_.prefix + policy::kReportPrefix;
   if (!put.key.starts_with(reports_prefix)) {
     throw RequestRejected(Reason::kUnsupported, "an aggregator takes permits, and nothing else");
   }
   const std::size_t name_end = put.key.find('/', reports_prefix.size());
   const std::string router = put.key.substr(reports_prefix.size(), name_end - reports_prefix.size());
   const bool is_report_key = put.lease != 0 && coordination::is_name(router) &&
-                             put.key == identity_.prefix + policy::permit_key(router, put.lease);
+                             put.key == identity_.prefix + policy::report_key(router, put.lease);
   if (!is_report_key) {
     throw RequestRejected(Reason::kMalformed, "key: not of a router and its lease");
   }
@@ -214,7 +214,7 @@
 }
 
 void Aggregator::check_reads(const std::vector<Operation>& operations) const {
-  const std::string records_prefix = identity_.prefix + policy::kRecords;
+  const std::string records_prefix = identity_.prefix + policy::kPolicyPrefix;
   for (const Operation& operation : operations) {
     const Get* const get = std::get_if<Get>(&operation);
     if (get == nullptr || !get->range.key.starts_with(records_prefix)) {
@@ -228,11 +228,11 @@
 SummariesByZone Aggregator::summaries() const {
   SummariesByZone out;
   for (const auto& [zone, observed] : observed_) {
-    Permit summary = summarize(observed, zone, router_leases_.reports(zone));
+    ParticipantReport summary = summarize(observed, zone, router_leases_.reports(zone));
     summary.incarnation = identity_.incarnation;
     const RequestCounts counts = router_leases_.request_counts(zone);
     summary.requests = counts.requests;
-    summary.refused = counts.refused;
+    summary.failed_requests = counts.refused;
     out[zone] = std::move(summary);
   }
   return out;
@@ -248,7 +248,7 @@
   }
   const SummariesByZone current = summaries();
   for (const auto& [zone, summary] : current) {
-    router_leases_.set_min_acknowledged(zone, summary.acknowledged);
+    router_leases_.set_min_acknowledged(zone, summary.acknowledged_round);
   }
   return upstream_.step(now, connected_, observed_, current);
 }
--- a/src/aggregation/aggregator_service.cpp
+++ b/src/aggregation/aggregator_service.cpp
@@ -94,7 +94,7 @@
 
 void AggregatorService::start() {
   server_.listen(*transport::parse_address(options_.listen));
-  watch_ = store_.watch(coordination::Range{prefix_ + policy::kRecords, true}, *this);
+  watch_ = store_.watch(coordination::Range{prefix_ + policy::kPolicyPrefix, true}, *this);
   schedule_step();
 }
 
@@ -125,14 +125,14 @@
 void AggregatorService::on_disconnected(const std::string& reason) {
   aggregator_.set_connected(false);
   if (std::exchange(connected_, false)) {
-    log_line(Level::kWarning) << "the store is not heard: " << reason;
+    log_line(Level::kWarning) << "disconnected from the coordination store: " << reason;
   }
 }
 
 void AggregatorService::on_heartbeat() {
   aggregator_.set_connected(true);
   if (!std::exchange(connected_, true)) {
-    log_line(Level::kInfo) << "the store " << store_.id() << " is heard";
+    log_line(Level::kInfo) << "connected to coordination store " << store_.id();
     schedule_step();
   }
 }
@@ -205,7 +205,7 @@
       aggregator_.upstream().on_no_response(now(), call_id);
     }
     if (response.ok() && response.value.succeeded) {
-      log_line(Level::kInfo) << "has permission at revision " << response.value.revision;
+      log_line(Level::kInfo) << "acquired its lease at revision " << response.value.revision;
     } else {
       store_.revoke(lease, [](const auto&) {});
     }
--- a/src/aggregation/upstream_calls.cpp
+++ b/src/aggregation/upstream_calls.cpp
@@ -10,7 +10,7 @@
 using coordination::Revision;
 using coordination::Transaction;
 using coordination::TransactionResult;
-using policy::Known;
+using policy::ObservedState;
 
 namespace {
 
@@ -22,7 +22,7 @@
 
 std::string summary_key(const std::string& prefix, const std::string& name, const std::string& zone,
                         LeaseId lease) {
-  return prefix + policy::permit_key(name + "." + zone, lease);
+  return prefix + policy::report_key(name + "." + zone, lease);
 }
 
 // The acknowledgement record is read and not compared. It changes with every round, and an aggregator far
@@ -31,16 +31,16 @@
                              const LeaseAction& action) {
   Transaction out;
   if (!action.observed.empty()) {
-    const Known& any_zone = action.observed.begin()->second;
-    out.when = {coordination::unchanged(prefix + policy::kChangeKey, any_zone.change_modified),
-                coordination::unchanged(prefix + policy::kCurrentKey, any_zone.current_modified)};
+    const ObservedState& any_zone = action.observed.begin()->second;
+    out.when = {coordination::unchanged(prefix + policy::kRolloutKey, any_zone.rollout_revision),
+                coordination::unchanged(prefix + policy::kCurrentKey, any_zone.current_revision)};
   }
   for (const auto& [zone, observed] : action.observed) {
-    out.when.push_back(coordination::unchanged(prefix + policy::kZones + zone, observed.zone_modified));
+    out.when.push_back(coordination::unchanged(prefix + policy::kZonePrefix + zone, observed.zone_revision));
   }
   for (const ZoneSummary& summary : action.summaries) {
     const std::string key = summary_key(prefix, name, summary.zone, lease);
-    out.then.push_back(Put{key, policy::write_permit(summary.report), lease});
+    out.then.push_back(Put{key, policy::write_report(summary.report), lease});
   }
   out.then.push_back(Get{Range{prefix + policy::kAcknowledgedKey, false}});
   return out;
@@ -65,7 +65,7 @@
   for (const ZoneSummary& summary : action.summaries) {
     const std::string key = summary_key(prefix, name, summary.zone, lease);
     out.when.push_back(coordination::unchanged(key, summary.expected_revision));
-    out.then.push_back(Put{key, policy::write_permit(summary.report), lease});
+    out.then.push_back(Put{key, policy::write_report(summary.report), lease});
     out.otherwise.push_back(Get{Range{key, false}});
   }
   return out;
--- a/src/routing/board_watcher.cpp
+++ b/src/routing/board_watcher.cpp
@@ -11,7 +11,7 @@
 
 namespace trailcourse::routing {
 
-using startup::CallEnd;
+using startup::PollResult;
 using std::chrono::milliseconds;
 using transport::Clock;
 using transport::ConnectionEnd;
@@ -29,8 +29,8 @@
       .count();
 }
 
-startup::Upstream::Said relay_status_of(const protocol::http::Response& response) {
-  startup::Upstream::Said status;
+startup::RelayStatus relay_status_of(const protocol::http::Response& response) {
+  startup::RelayStatus status;
   // A relay that does not say how old its page is says nothing that can be believed.
   const auto age = protocol::read_number<std::int64_t>(response.header("x-age-ms"));
   status.age = age ? Micros(milliseconds(*age)) : Micros::max();
@@ -57,11 +57,11 @@
   return connection.malformed() ? connection.parse_error() : "silent";
 }
 
-CallEnd call_end_of(const http::ClientConnection& connection) {
+PollResult call_end_of(const http::ClientConnection& connection) {
   if (connection.end()) {
-    return CallEnd::kBroken;
+    return PollResult::kDisconnected;
   }
-  return connection.malformed() ? CallEnd::kSpoilt : CallEnd::kSilent;
+  return connection.malformed() ? PollResult::kInvalid : PollResult::kTimeout;
 }
 
 }  // namespace
@@ -82,8 +82,8 @@
       bounds_(bounds),
       hooks_(std::move(hooks)),
       relays_(std::move(relays)),
-      asking_(bounds.asking, seed),
-      numbering_(bounds.anew_after) {}
+      poll_scheduler_(bounds.asking, seed),
+      sequence_(bounds.anew_after) {}
 
 BoardWatcher::~BoardWatcher() = default;
 
@@ -93,7 +93,7 @@
 
 transport::Task<void> BoardWatcher::watch() {
   const bool uses_relays = relays_.choice != nullptr;
-  PollSchedule schedule{asking_.first(now()), now(), true};
+  PollSchedule schedule{poll_scheduler_.first_poll(now()), now(), true};
   if (uses_relays) {
     scheduler_.spawn(audit());
   }
@@ -104,7 +104,7 @@
     if (wait > Micros(0)) {
       const bool moved = co_await moved_.wait(wait);
       if (moved || at != board_) {
-        schedule.board = asking_.first(now());
+        schedule.board = poll_scheduler_.first_poll(now());
         continue;
       }
     }
@@ -114,11 +114,11 @@
       schedule.relay_at = started + kRelayCheckInterval;
       continue;
     }
-    const Poll poll{relay, started, linger_of(relay, schedule.board.linger)};
+    const Poll poll{relay, started, linger_of(relay, schedule.board.long_poll_timeout)};
     transport::Task<CallOutcome> calling = call(poll);
     const CallOutcome outcome = co_await calling;
     if (at != board_) {
-      schedule.board = asking_.first(now());  // the call was ended by move(): no failure
+      schedule.board = poll_scheduler_.first_poll(now());  // the call was ended by move(): no failure
       continue;
     }
     log_outcome(outcome, relay);
@@ -127,10 +127,10 @@
 }
 
 std::optional<std::string> BoardWatcher::choose_relay(Micros at) const {
-  return relays_.choice != nullptr ? relays_.choice->choose(at) : std::nullopt;
+  return relays_.choice != nullptr ? relays_.choice->select(at) : std::nullopt;
 }
 
-// The board is polled only when asking.h says so; a relay, which has few clients, as soon as one can be polled.
+// The board is polled only when poll_scheduler.h says so; a relay, which has few clients, as soon as one can be polled.
 Micros BoardWatcher::linger_of(const std::optional<std::string>& relay, Micros at_board) const {
   if (relay) {
     return std::chrono::duration_cast<Micros>(bounds_.relay_linger);
@@ -140,14 +140,14 @@
 
 void BoardWatcher::schedule_next(PollSchedule& schedule, const Poll& poll, const CallOutcome& outcome) {
   // A relay that does not hold calls is not flooded with them.
-  const bool too_early = outcome.end != CallEnd::kNews && now() - poll.started < poll.linger / 2;
+  const bool too_early = outcome.end != PollResult::kUpdates && now() - poll.started < poll.linger / 2;
   schedule.relay_at = too_early ? poll.started + poll.linger / 2 : now();
   if (!poll.relay) {
-    schedule.board = asking_.after(poll.started, now(), outcome.end, outcome.retry_after);
+    schedule.board = poll_scheduler_.next_poll(poll.started, now(), outcome.end, outcome.retry_after);
   } else if (outcome.ok()) {
     schedule.board_call_drawn = false;
   } else if (!std::exchange(schedule.board_call_drawn, true)) {
-    schedule.board = asking_.first(now());
+    schedule.board = poll_scheduler_.first_poll(now());
   }
 }
 
@@ -211,7 +211,7 @@
 
 void BoardWatcher::on_relay_failure(const Poll& poll) {
   if (poll.relay) {
-    relays_.choice->failed(now(), *poll.relay);
+    relays_.choice->on_failure(now(), *poll.relay);
   }
 }
 
@@ -226,7 +226,7 @@
     return take_page(response, poll);
   } catch (const std::exception& error) {  // whatever fails, the board is polled again
     on_relay_failure(poll);
-    return {CallEnd::kSpoilt, Micros(0), error.what()};
+    return {PollResult::kInvalid, Micros(0), error.what()};
   }
 }
 
@@ -234,36 +234,36 @@
                                                      const Poll& poll) {
   const auto wait = protocol::http::read_retry_after(response.header("retry-after"), unix_seconds());
   on_relay_failure(poll);
-  return {CallEnd::kRefused, std::chrono::seconds(std::min(wait.value_or(0), kMaxRetryAfterSeconds)),
+  return {PollResult::kRejected, std::chrono::seconds(std::min(wait.value_or(0), kMaxRetryAfterSeconds)),
           "status " + std::to_string(response.status)};
 }
 
 // Throws std::exception if the response cannot be used.
 BoardWatcher::CallOutcome BoardWatcher::take_page(const protocol::http::Response& response,
                                                   const Poll& poll) {
-  using Belief = startup::Upstream::Belief;
+  using startup::RelayValidity;
   const nlohmann::json page = parse_page(response);
   const protocol::NoticePage notices = protocol::read_notices(page, profile_);
   Micros age{0};
   if (poll.relay) {
-    const startup::Upstream::Said status = relay_status_of(response);
+    const startup::RelayStatus status = relay_status_of(response);
     age = status.age;
-    const Belief belief = relays_.choice->answered(now(), *poll.relay, relays_.self, status);
-    if (belief != Belief::kGood) {
-      return {CallEnd::kSpoilt, Micros(0),
-              belief == Belief::kTooOld ? "a page too old" : "a page that came in a circle"};
+    const RelayValidity validity = relays_.choice->on_response(now(), *poll.relay, relays_.self, status);
+    if (validity != RelayValidity::kValid) {
+      return {PollResult::kInvalid, Micros(0),
+              validity == RelayValidity::kStale ? "a page too old" : "a page that came in a circle"};
     }
   }
   const std::uint64_t before = taker_.last();
-  switch (numbering_.judge(now(), before, notices.last, protocol::word_at(page, "board", ""))) {
+  switch (sequence_.check(now(), before, notices.last, protocol::word_at(page, "board", ""))) {
     case startup::PageVerdict::kStale:
       ++counts_.stale;
       on_relay_failure(poll);  // it is behind: it may have been suspended
-      return {CallEnd::kSpoilt, Micros(0),
+      return {PollResult::kInvalid, Micros(0),
               "an older number, " + std::to_string(notices.last) + " after " + std::to_string(before)};
-    case startup::PageVerdict::kAnew:
+    case startup::PageVerdict::kReset:
       return restart_numbering(notices.last);
-    case startup::PageVerdict::kTake:
+    case startup::PageVerdict::kApply:
       break;
   }
   return apply_page(response, poll, page, notices, age);
@@ -276,7 +276,7 @@
   if (hooks_.anew) {
     hooks_.anew();
   }
-  return {CallEnd::kNews, Micros(0), {}};  // polled again at once, from its start
+  return {PollResult::kUpdates, Micros(0), {}};  // polled again at once, from its start
 }
 
 BoardWatcher::CallOutcome BoardWatcher::apply_page(const protocol::http::Response& response, const Poll& poll,
@@ -293,13 +293,13 @@
     hooks_.page(page, known_at, response.header("x-path"));
   }
   if (hooks_.taken) {
-    hooks_.taken(numbering_.id(), taker_.last());
+    hooks_.taken(sequence_.source_id(), taker_.last());
   }
   const auto pollers = protocol::read_number<std::int64_t>(response.header("x-askers"));
   if (pollers && !poll.relay && hooks_.askers) {
     hooks_.askers(*pollers);
   }
-  return {news ? CallEnd::kNews : CallEnd::kNothing, Micros(0), {}};
+  return {news ? PollResult::kUpdates : PollResult::kNoUpdates, Micros(0), {}};
 }
 
 // ---- Audit of relays ----
@@ -309,17 +309,17 @@
   for (;;) {
     co_await scheduler_.sleep(kRelayCheckInterval);
     const std::optional<std::string> relay = choose_relay(now());
-    if (relay && relays_.choice->withholds(now(), *relay, taker_.last())) {
+    if (relay && relays_.choice->detect_withholding(now(), *relay, taker_.last())) {
       log_line(Level::kWarning) << "relay " << *relay
                                 << " withholds what the board tells: not asked any more";
     }
-    const std::optional<Micros> due = relays_.choice->audit_due(now());
+    const std::optional<Micros> due = relays_.choice->next_audit_at(now());
     if (!relay || !due || now() < *due) {
       continue;
     }
     transport::Task<std::uint64_t> reading = read_last_of_board();
     const std::uint64_t last_of_board = co_await reading;
-    relays_.choice->audited(now(), last_of_board, taker_.last());
+    relays_.choice->on_audit(now(), last_of_board, taker_.last());
   }
 }
 
@@ -344,14 +344,14 @@
 // Logs when the board is lost and when it is back, not each failed call.
 void BoardWatcher::log_outcome(const CallOutcome& outcome, const std::optional<std::string>& relay) {
   counts_.failed += outcome.ok() ? 0 : 1;
-  counts_.refused += outcome.end == CallEnd::kRefused ? 1 : 0;
+  counts_.refused += outcome.end == PollResult::kRejected ? 1 : 0;
   if (relay) {
     if (!outcome.ok()) {
       log_line(Level::kInfo) << "relay " << *relay << ": " << outcome.error;
     }
     return;
   }
-  const int failures = asking_.failures();
+  const int failures = poll_scheduler_.consecutive_failures();
   if (outcome.ok() && failures > 0) {
     log_line(Level::kInfo) << "notice board " << to_string(board_) << " is back after " << failures
                            << " failed calls";
--- a/src/routing/board_watcher.h
+++ b/src/routing/board_watcher.h
@@ -1,6 +1,6 @@
 // The client of the discovery service: long-polls it, or a relay, for watch responses, and applies them. When to poll
-// is decided by startup/asking.h, whom by startup/upstream.h, and whether a response continues the sequence of events
-// by startup/numbering.h. No request ever waits for it.
+// is decided by startup/poll_scheduler.h, whom by startup/relay_selector.h, and whether a response continues the sequence of events
+// by startup/sequence_tracker.h. No request ever waits for it.
 //
 // Package `routing`, over `http` and `startup`. Not thread-safe: it belongs to its scheduler's thread, and must live as
 // long as that runs its coroutines.
@@ -19,9 +19,9 @@
 #include "protocol/notice_board.h"
 #include "protocol/settings.h"
 #include "routing/notice_sink.h"
-#include "startup/asking.h"
-#include "startup/numbering.h"
-#include "startup/upstream.h"
+#include "startup/poll_scheduler.h"
+#include "startup/relay_selector.h"
+#include "startup/sequence_tracker.h"
 #include "transport/connection.h"
 #include "transport/scheduler.h"
 
@@ -30,7 +30,7 @@
 class BoardWatcher {
  public:
   struct Bounds {
-    startup::AskingRules asking;
+    startup::PollOptions asking;
     transport::Clock::duration grace =
         std::chrono::milliseconds(1000);  // a call times out so long after its linger
     transport::Clock::duration relay_linger = std::chrono::milliseconds(100);
@@ -56,7 +56,7 @@
   struct Relays {
     std::string self;
     std::map<std::string, transport::Address> addresses;
-    startup::Upstream* choice = nullptr;  // null: the board itself is polled
+    startup::RelaySelector* choice = nullptr;  // null: the board itself is polled
   };
   struct Counts {
     std::uint64_t calls = 0;      // to the board and to relays
@@ -77,23 +77,23 @@
   void start() { scheduler_.spawn(watch()); }
   // Polls the board at this address from now on. Returns whether that is another one than before.
   bool move(const transport::Address& board);
-  void fleet_size(int routers) { asking_.fleet_size(routers); }
+  void fleet_size(int routers) { poll_scheduler_.set_fleet_size(routers); }
   // Sets the id of the board that a snapshot holds.
-  void starts_with(const std::string& id) { numbering_.starts_with(id); }
+  void starts_with(const std::string& id) { sequence_.restore(id); }
 
   const transport::Address& board() const { return board_; }
-  const std::string& board_id() const { return numbering_.id(); }
+  const std::string& board_id() const { return sequence_.source_id(); }
   const Counts& counts() const { return counts_; }
-  bool lost() const { return asking_.failures() > 1; }
+  bool lost() const { return poll_scheduler_.consecutive_failures() > 1; }
 
  private:
   // How a call ended.
   struct CallOutcome {
-    startup::CallEnd end = startup::CallEnd::kBroken;
+    startup::PollResult end = startup::PollResult::kDisconnected;
     Micros retry_after{0};
     std::string error;  // of a failed call, one line for logs
 
-    bool ok() const { return end == startup::CallEnd::kNews || end == startup::CallEnd::kNothing; }
+    bool ok() const { return end == startup::PollResult::kUpdates || end == startup::PollResult::kNoUpdates; }
   };
   // What was polled, and when.
   struct Poll {
@@ -103,7 +103,7 @@
   };
   // When the next polls are due.
   struct PollSchedule {
-    startup::Call board;
+    startup::ScheduledPoll board;
     Micros relay_at{0};
     bool board_call_drawn = true;  // since the relays failed last; an earlier draw is out of date
   };
@@ -141,8 +141,8 @@
   Bounds bounds_;
   Hooks hooks_;
   Relays relays_;
-  startup::Asking asking_;
-  startup::Numbering numbering_;
+  startup::PollScheduler poll_scheduler_;
+  startup::SequenceTracker sequence_;
   Counts counts_;
   bool answered_ = false;  // by the board or a relay
   std::shared_ptr<http::ClientConnection> connection_;
--- a/tests/aggregation/region.h
+++ b/tests/aggregation/region.h
@@ -133,15 +133,17 @@
     return std::chrono::duration_cast<Micros>(transport::Clock::now().time_since_epoch());
   }
   // Returns the summaries in the store, by "NAME.ZONE".
-  std::map<std::string, policy::Permit> summaries() {
-    const auto reply = commit(
-        direct_client(), coordination::Transaction{
-                             {}, {coordination::Get{coordination::Range{at(policy::kPermits), true}}}, {}});
-    std::map<std::string, policy::Permit> out;
+  std::map<std::string, policy::ParticipantReport> summaries() {
+    const auto reply =
+        commit(direct_client(),
+               coordination::Transaction{
+                   {}, {coordination::Get{coordination::Range{at(policy::kReportPrefix), true}}}, {}});
+    std::map<std::string, policy::ParticipantReport> out;
     for (const coordination::Entry& entry :
          reply.ok() ? reply.value.results.at(0).found : std::vector<coordination::Entry>{}) {
-      const std::string name = entry.key.substr(at(policy::kPermits).size());
-      out[name.substr(0, name.find('/'))] = policy::read_permit(entry.value).value_or(policy::Permit{});
+      const std::string name = entry.key.substr(at(policy::kReportPrefix).size());
+      out[name.substr(0, name.find('/'))] =
+          policy::read_report(entry.value).value_or(policy::ParticipantReport{});
     }
     stores_.pop_back();
     return out;
@@ -172,19 +174,20 @@
   std::vector<std::unique_ptr<coordination::CoordinationStore>> stores_;
 };
 
-inline policy::Permit report_of(const std::string& zone, std::uint64_t version, std::uint64_t number = 1) {
-  policy::Permit out;
+inline policy::ParticipantReport report_of(const std::string& zone, std::uint64_t version,
+                                           std::uint64_t number = 1) {
+  policy::ParticipantReport out;
   out.incarnation = "0123456789abcdef";
   out.zone = zone;
   out.version = version;
-  out.number = number;
+  out.sequence = number;
   return out;
 }
 inline coordination::Transaction report_write(const std::string& router, coordination::LeaseId lease,
-                                              const policy::Permit& report) {
+                                              const policy::ParticipantReport& report) {
   return coordination::Transaction{
       {},
-      {coordination::Put{at(policy::permit_key(router, lease)), policy::write_permit(report), lease}},
+      {coordination::Put{at(policy::report_key(router, lease)), policy::write_report(report), lease}},
       {}};
 }
 
--- a/tests/aggregation/region_world_routers.cpp
+++ b/tests/aggregation/region_world_routers.cpp
@@ -14,9 +14,9 @@
 using coordination::Transaction;
 using coordination::TransactionResult;
 using ownership::Ask;
-using policy::Known;
-using policy::Permit;
-using policy::Ruling;
+using policy::EffectivePolicy;
+using policy::ObservedState;
+using policy::ParticipantReport;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -25,8 +25,8 @@
 constexpr std::uint64_t kLaterThanAnyRound = 1'000'000;
 constexpr std::uint64_t kFaultyVersions = 4;  // of every so many versions one fails its requests
 
-policy::HolderRules participant_options() {
-  policy::HolderRules out;
+policy::ParticipantOptions participant_options() {
+  policy::ParticipantOptions out;
   out.lease.ttl = kRouterTtl;
   out.lease.margin = kLeaseMargin;
   out.lease.renew_after = seconds(1);
@@ -41,8 +41,8 @@
 void RegionWorld::start(RouterProcess& router) {
   begin_incarnation(router, kMaxDriftPartsPerMillion, kMaxClockOffset);
   router.turn = [this, &router] { run_step(router); };
-  router.holder.emplace(std::to_string(router.incarnation), router.zone, participant_options(),
-                        [](std::uint64_t) { return std::string(); });
+  router.participant.emplace(std::to_string(router.incarnation), router.zone, participant_options(),
+                             [](std::uint64_t) { return policy::PreparationResult(); });
   router.lease = 0;
   router.min_revision = 0;
   router.endpoint = router.index % kAggregators;
@@ -74,13 +74,13 @@
   });
 }
 
-Known RegionWorld::observed_by(const AggregatorProcess& aggregator, const std::string& zone) const {
+ObservedState RegionWorld::observed_by(const AggregatorProcess& aggregator, const std::string& zone) const {
   const auto& entries = aggregator.core->records().entries();
   const auto entry_of = [&](const std::string& key) {
     const auto found = entries.find(key);
     return found == entries.end() ? Entry{} : found->second;
   };
-  return policy::known_in_zone(policy::read_known(entry_of), entry_of, zone);
+  return policy::observed_in_zone(policy::read_observed_state(entry_of), entry_of, zone);
 }
 
 void RegionWorld::start_watch(RouterProcess& router) {
@@ -89,7 +89,7 @@
   router.watched = kNotWatching;
   const auto open = [this, &router, endpoint, watch_id, same = same_incarnation(router)](Aggregator& core) {
     if (!same() || watch_id != router.watch_id) {
-      return Known{};  // of a connection that was closed
+      return ObservedState{};  // of a connection that was closed
     }
     if (!core.has_snapshot()) {
       throw RequestRejected(RequestRejected::Reason::kNoUpstreamLease, "no snapshot");
@@ -100,9 +100,9 @@
     router.last_delivery = std::max(router.last_delivery, now_);
     return observed_by(aggregator, router.zone);
   };
-  call_aggregator<Known>(
+  call_aggregator<ObservedState>(
       router, open,
-      [this, &router, watch_id](const Known& observed) {
+      [this, &router, watch_id](const ObservedState& observed) {
         if (watch_id == router.watch_id) {
           on_observed(router, observed);
         }
@@ -118,13 +118,13 @@
   });
 }
 
-void RegionWorld::on_observed(RouterProcess& router, const Known& observed) {
+void RegionWorld::on_observed(RouterProcess& router, const ObservedState& observed) {
   const Micros now = clock(router);
   for (std::uint64_t version = 1; version <= last_version_; ++version) {
-    router.holder->document(now, version);
+    router.participant->on_document(now, version);
   }
-  router.holder->told(now, observed);
-  router.holder->heard(now, true);
+  router.participant->on_observed_state(now, observed);
+  router.participant->set_connected(now, true);
   router.last_heartbeat = now_;
 }
 
@@ -162,7 +162,7 @@
     if (!same()) {
       return;
     }
-    if (router.position.event < published_.event) {
+    if (router.position.sequence < published_.sequence) {
       deliver_event(router);
     }
     if (!router.paused && router.watched != kNotWatching) {
@@ -183,7 +183,7 @@
   if (!is_closed && now_ - router.last_heartbeat <= kWatchTimeout) {
     return;
   }
-  router.holder->heard(clock(router), false);
+  router.participant->set_connected(clock(router), false);
   if (router.endpoint == router.watched) {
     on_endpoint_failure(router, router.endpoint);
   }
@@ -193,15 +193,19 @@
 // ---- Calls to aggregators ----
 
 void RegionWorld::run_step(RouterProcess& router) {
-  router.holder->count(router.requests, router.failed_requests);
-  for (const policy::HolderOrder& action : router.holder->due(clock(router))) {
+  router.participant->set_request_counts(router.requests, router.failed_requests);
+  for (const policy::ParticipantAction& action : router.participant->step(clock(router))) {
     std::visit([this, &router](const auto& call) { execute(router, call); }, action);
   }
 }
 
-void RegionWorld::execute(RouterProcess& router, const policy::KeepDocument& action) {
+void RegionWorld::execute(RouterProcess& router, const policy::PersistDocumentAction& action) {
   const auto persisted = [this, &router, version = action.version] {
-    router.holder->kept(clock(router), version, router.disk_fails ? "full disk" : "");
+    router.participant->on_persist_result(
+        clock(router), version,
+        router.disk_fails
+            ? policy::preparation_failed(policy::PreparationError::Kind::kNotStored, "full disk")
+            : policy::PreparationResult());
   };
   at(now_ + drawn(milliseconds(30)), [this, &router, persisted, same = same_incarnation(router)] {
     if (same()) {
@@ -210,11 +214,11 @@
   });
 }
 
-void RegionWorld::execute(RouterProcess& router, const policy::SayPermit& action) {
-  const auto on_result = [this, &router, call_id = action.number](bool written) {
-    router.holder->said(clock(router), call_id, written);
+void RegionWorld::execute(RouterProcess& router, const policy::ReportAction& action) {
+  const auto on_result = [this, &router, call_id = action.call_id](bool written) {
+    router.participant->on_report_result(clock(router), call_id, written);
   };
-  const Transaction write = report_transaction(router, action.permit, router.lease);
+  const Transaction write = report_transaction(router, action.report, router.lease);
   call_aggregator<TransactionResult>(
       router,
       [this, &router, write, endpoint = router.endpoint](Aggregator& core) {
@@ -223,7 +227,7 @@
       [on_result](const TransactionResult&) { on_result(true); }, [on_result] { on_result(false); });
 }
 
-void RegionWorld::execute(RouterProcess& router, const policy::AskPermission& action) {
+void RegionWorld::execute(RouterProcess& router, const policy::LeaseAction& action) {
   if (action.order.ask == Ask::kAcquire) {
     acquire(router, action);
     return;
@@ -235,16 +239,16 @@
         return renew(core, endpoint, lease);
       },
       [this, &router, call_id](const bool& renewed) {
-        router.holder->renewed(clock(router), call_id, renewed);
+        router.participant->on_renew_result(clock(router), call_id, renewed);
       },
       no_response_to(router, call_id));
 }
 
 RegionWorld::Job RegionWorld::no_response_to(RouterProcess& router, std::uint64_t call_id) {
-  return [this, &router, call_id] { router.holder->lost(clock(router), call_id); };
+  return [this, &router, call_id] { router.participant->on_no_response(clock(router), call_id); };
 }
 
-void RegionWorld::acquire(RouterProcess& router, const policy::AskPermission& action) {
+void RegionWorld::acquire(RouterProcess& router, const policy::LeaseAction& action) {
   call_aggregator<LeaseId>(
       router,
       [this, endpoint = router.endpoint](Aggregator& core) {
@@ -257,26 +261,27 @@
       no_response_to(router, action.order.number));
 }
 
-void RegionWorld::join(RouterProcess& router, const policy::AskPermission& action) {
-  Transaction write = report_transaction(router, action.permit, router.lease);
-  write.when = policy::join_conditions("", action.known, router.zone);
+void RegionWorld::join(RouterProcess& router, const policy::LeaseAction& action) {
+  Transaction write = report_transaction(router, action.report, router.lease);
+  write.when = policy::join_conditions("", action.observed, router.zone);
   call_aggregator<TransactionResult>(
       router,
       [this, &router, write, endpoint = router.endpoint](Aggregator& core) {
         return commit_report(router, core, clock_of(endpoint), write);
       },
       [this, &router, call_id = action.order.number](const TransactionResult& outcome) {
-        router.holder->joined(clock(router), call_id, outcome.succeeded);
+        router.participant->on_join_result(clock(router), call_id, outcome.succeeded);
       },
       no_response_to(router, action.order.number));
 }
 
-Transaction RegionWorld::report_transaction(const RouterProcess& router, Permit report, LeaseId lease) const {
+Transaction RegionWorld::report_transaction(const RouterProcess& router, ParticipantReport report,
+                                            LeaseId lease) const {
   if (defect_ == Defect::kAcknowledgesUnseenEvents) {
-    report.acknowledged = kLaterThanAnyRound;
+    report.acknowledged_round = kLaterThanAnyRound;
   }
-  const std::string key = policy::permit_key("r" + std::to_string(router.index), lease);
-  return {{}, {Put{key, policy::write_permit(report), lease}}, {}};
+  const std::string key = policy::report_key("r" + std::to_string(router.index), lease);
+  return {{}, {Put{key, policy::write_report(report), lease}}, {}};
 }
 
 // Executed at the aggregator.
@@ -299,9 +304,9 @@
   if (record == aggregator.records().entries().end()) {
     return;
   }
-  Permit report = *policy::read_permit(put.value);
-  report.acknowledged = policy::read_acknowledgement(record->second.value)->round;
-  put.value = policy::write_permit(report);
+  ParticipantReport report = *policy::read_report(put.value);
+  report.acknowledged_round = policy::read_acknowledgement(record->second.value)->round;
+  put.value = policy::write_report(report);
 }
 
 // Executed at the aggregator. Returns whether there was such a lease.
@@ -347,29 +352,29 @@
 }
 
 void RegionWorld::handle_request(RouterProcess& router) {
-  const Ruling ruling = router.holder->ruling(clock(router));
-  if (ruling.kind == Ruling::Kind::kRefuse) {
+  const EffectivePolicy effective_policy = router.participant->effective_policy(clock(router));
+  if (effective_policy.kind == EffectivePolicy::Kind::kReject) {
     ++result_.rejected;
     return;
   }
   check_events(router);
-  if (ruling.kind == Ruling::Kind::kBoth) {
+  if (effective_policy.kind == EffectivePolicy::Kind::kIntersection) {
     ++result_.decided_by_intersection;
     return;
   }
   ++result_.decided;
   ++router.requests;
-  router.failed_requests += is_faulty(ruling.version) ? 1 : 0;
-  if (const auto violation = version_order_.on_decision(router.zone, ruling.version)) {
+  router.failed_requests += is_faulty(effective_policy.version) ? 1 : 0;
+  if (const auto violation = version_order_.on_decision(router.zone, effective_policy.version)) {
     fail("router " + std::to_string(router.index) + " of " + router.zone + " decides under version " +
-         std::to_string(ruling.version) + ", " + *violation);
+         std::to_string(effective_policy.version) + ", " + *violation);
   }
 }
 
 void RegionWorld::check_events(const RouterProcess& router) {
-  if (router.position.event < completed_event_) {
+  if (router.position.sequence < completed_event_) {
     fail("router " + std::to_string(router.index) + " decides at event " +
-         std::to_string(router.position.event) + " though " + std::to_string(completed_event_) +
+         std::to_string(router.position.sequence) + " though " + std::to_string(completed_event_) +
          " was reported as completed");
   }
 }
