--- a/benchmarks/scale/control_costs.cpp
+++ b/benchmarks/scale/control_costs.cpp
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "coordination/etcd_json.h"
-#include "coordination/ledger.h"
+#include "coordination/key_value_state.h"
 #include "membership/membership_view.h"
 #include "ownership/lease_manager.h"
 #include "policy/options.h"
@@ -34,8 +34,8 @@
 }
 
 // A store in which all of so many routers are ready for a change.
-coordination::Ledger ledger_with_permits(int permits) {
-  coordination::Ledger ledger{coordination::Limits()};
+coordination::KeyValueState ledger_with_permits(int permits) {
+  coordination::KeyValueState ledger{coordination::KeyValueLimits()};
   const policy::Rollout change = open_change();
   coordination::Transaction write;
   write.then = {
@@ -68,21 +68,21 @@
       "store.cpu.look", "that read served: found, and written as JSON", "us", "permits", "in process", {}};
   CostSeries driver{
       "driver.cpu.look", "that read taken in, and the next step found", "us", "permits", "in process", {}};
-  const etcd::Header header{0xabcd'ef01'2345, 123'456'789};
+  const etcd::ResponseHeader header{0xabcd'ef01'2345, 123'456'789};
   for (const int permits : kPermits) {
-    coordination::Ledger ledger = ledger_with_permits(permits);
+    coordination::KeyValueState ledger = ledger_with_permits(permits);
     const coordination::Transaction look = policy::snapshot_transaction(kPrefix);
     std::string answer;
     const int calls = std::max(1, 3'000 / permits);
     store.points.emplace_back(permits, cpu_us_per_call(calls, [&] {
-                                answer = etcd::write_outcome(header, look, ledger.commit(look)).dump();
+                                answer = etcd::write_transaction_result(header, look, ledger.commit(look)).dump();
                               }));
     bytes.points.emplace_back(permits, answer.size());
     policy::RolloutCoordinator decides(policy::rollout_timeouts(policy::PolicyOptions()));
     driver.points.emplace_back(
         permits, cpu_us_per_call(calls, [&] {
-          etcd::Header told;
-          const auto outcome = etcd::read_outcome(etcd::parse_object(answer), look, told);
+          etcd::ResponseHeader told;
+          const auto outcome = etcd::read_transaction_result(etcd::parse_object(answer), look, told);
           keep_result(decides.step(Micros(1), policy::read_snapshot(kPrefix, outcome)));
         }));
   }
--- a/benchmarks/scale/hollow_driver.h
+++ b/benchmarks/scale/hollow_driver.h
@@ -31,7 +31,7 @@
   void turn() override {}
   // What is read at each look; permits come last.
   virtual coordination::Transaction looks_at() const = 0;
-  virtual Decision decide(Micros now, const coordination::Outcome& seen) = 0;
+  virtual Decision decide(Micros now, const coordination::TransactionResult& seen) = 0;
 
   void look_soon();
   void look();
@@ -68,7 +68,7 @@
  protected:
   void started() override;
   coordination::Transaction looks_at() const override { return policy::snapshot_transaction(""); }
-  Decision decide(Micros now, const coordination::Outcome& seen) override;
+  Decision decide(Micros now, const coordination::TransactionResult& seen) override;
 
  private:
   policy::RolloutTimeouts rules_;
@@ -93,7 +93,7 @@
   coordination::Transaction looks_at() const override {
     return policy::acknowledgement_snapshot_transaction("");
   }
-  Decision decide(Micros now, const coordination::Outcome& seen) override;
+  Decision decide(Micros now, const coordination::TransactionResult& seen) override;
 
  private:
   policy::AcknowledgementCoordinator coordinator_;
--- a/benchmarks/scale/hollow_store.h
+++ b/benchmarks/scale/hollow_store.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "coordination/ledger.h"
+#include "coordination/key_value_state.h"
 #include "policy/rollout_snapshot.h"
 #include "scale/hollow_client.h"
 
@@ -39,12 +39,14 @@
 
  private:
   void expire();
-  std::int64_t clock_ms() const { return clock().count() / 1'000; }
+  std::chrono::milliseconds store_clock() const {
+    return std::chrono::duration_cast<std::chrono::milliseconds>(clock());
+  }
   // The time that telling of the last changes takes, after `before`.
   Micros tell(Micros before);
   Micros call_cost() const;
 
-  coordination::Ledger ledger_;
+  coordination::KeyValueState ledger_;
   WatchList watches_;
   std::vector<HollowStoreDriver*> drivers_;
 };
--- a/benchmarks/scale/hollow_wire.h
+++ b/benchmarks/scale/hollow_wire.h
@@ -5,13 +5,14 @@
 #include <cstddef>
 #include <string_view>
 
-#include "coordination/etcd_json.h"
+#include "coordination/etcd_requests.h"
+#include "coordination/etcd_responses.h"
 
 namespace trailcourse::scale {
 
 std::size_t call_bytes(std::string_view path, const nlohmann::json& body);
 std::size_t answer_bytes(const nlohmann::json& body);
-std::size_t line_bytes(const coordination::etcd::WatchLine& line);
+std::size_t line_bytes(const coordination::etcd::WatchResponse& line);
 std::size_t transaction_bytes(const coordination::Transaction& transaction);
 
 // Of calls whose size does not depend on what they are about but for some digits.
--- a/src/aggregation/aggregator.cpp
+++ b/src/aggregation/aggregator.cpp
@@ -7,16 +7,16 @@
 
 namespace trailcourse::aggregation {
 
-using coordination::Change;
 using coordination::Compare;
 using coordination::Entry;
 using coordination::Get;
+using coordination::KeyChange;
 using coordination::LeaseId;
-using coordination::Outcome;
+using coordination::Operation;
 using coordination::Put;
 using coordination::Revision;
-using coordination::Step;
 using coordination::Transaction;
+using coordination::TransactionResult;
 using policy::ObservedState;
 using policy::ParticipantReport;
 using Reason = RequestRejected::Reason;
@@ -25,13 +25,13 @@
 
 constexpr std::size_t kMaxQuotedZoneBytes = 64;  // of a zone's name in an error
 
-coordination::Limits limits_of(const AggregatorSettings& settings) {
-  coordination::Limits limits;
+coordination::KeyValueLimits limits_of(const AggregatorSettings& settings) {
+  coordination::KeyValueLimits limits;
   limits.history = settings.history;
   return limits;
 }
 
-bool is_write(const Step& operation) { return !std::holds_alternative<Get>(operation); }
+bool is_write(const Operation& operation) { return !std::holds_alternative<Get>(operation); }
 
 }  // namespace
 
@@ -59,9 +59,9 @@
   update_observed();
 }
 
-void Aggregator::on_changes(const std::vector<Change>& changes) {
-  for (const Change& change : changes) {
-    records_.follow(change);
+void Aggregator::on_changes(const std::vector<KeyChange>& changes) {
+  for (const KeyChange& change : changes) {
+    records_.apply(change);
   }
   update_observed();
 }
@@ -88,7 +88,7 @@
   } catch (const RequestRejected& error) {
     count(error.reason());
     throw;
-  } catch (const coordination::Rejected& error) {
+  } catch (const coordination::OperationRejected& error) {
     count(Reason::kMalformed);
     throw RequestRejected(Reason::kMalformed, error.what());
   }
@@ -132,7 +132,7 @@
   });
 }
 
-Outcome Aggregator::commit(Micros now, const Transaction& transaction) {
+TransactionResult Aggregator::commit(Micros now, const Transaction& transaction) {
   return count_rejections([&] {
     router_leases_.expire(now);
     check_conditions(transaction);
@@ -151,7 +151,7 @@
   }
 }
 
-Outcome Aggregator::commit_report(Micros now, const Transaction& transaction) {
+TransactionResult Aggregator::commit_report(Micros now, const Transaction& transaction) {
   const bool is_one_put = transaction.then.size() == 1 && transaction.otherwise.empty() &&
                           std::holds_alternative<Put>(transaction.then.front());
   if (!is_one_put) {
@@ -163,11 +163,11 @@
   if (!upstream_.is_active(now)) {
     throw RequestRejected(Reason::kNoUpstreamLease, "the aggregator has no permission itself");
   }
-  Outcome out = records_.commit(Transaction{transaction.when, {}, {}});
+  TransactionResult out = records_.commit(Transaction{transaction.when, {}, {}});
   if (out.succeeded) {
     router_leases_.record_report(put.lease, report);
     ++counts_.reports;
-    out.steps.emplace_back();
+    out.results.emplace_back();
   }
   return out;
 }
@@ -203,7 +203,7 @@
   return router;
 }
 
-Outcome Aggregator::read_records(const Transaction& transaction) {
+TransactionResult Aggregator::read_records(const Transaction& transaction) {
   if (!has_snapshot_) {
     throw RequestRejected(Reason::kNoUpstreamLease, "the store's records are not here yet");
   }
@@ -213,9 +213,9 @@
   return records_.commit(transaction);
 }
 
-void Aggregator::check_reads(const std::vector<Step>& operations) const {
+void Aggregator::check_reads(const std::vector<Operation>& operations) const {
   const std::string records_prefix = identity_.prefix + policy::kPolicyPrefix;
-  for (const Step& operation : operations) {
+  for (const Operation& operation : operations) {
     const Get* const get = std::get_if<Get>(&operation);
     if (get == nullptr || !get->range.key.starts_with(records_prefix)) {
       throw RequestRejected(Reason::kUnsupported, "an aggregator has the policy's records, and nothing else");
--- a/src/aggregation/aggregator.h
+++ b/src/aggregation/aggregator.h
@@ -18,7 +18,7 @@
 
 #include "aggregation/router_leases.h"
 #include "aggregation/upstream_lease.h"
-#include "coordination/ledger.h"
+#include "coordination/key_value_state.h"
 
 namespace trailcourse::aggregation {
 
@@ -57,7 +57,7 @@
 
   // Replaces the replicated records. `entries` are all records of the policy.
   void on_snapshot(const std::vector<coordination::Entry>& entries);
-  void on_changes(const std::vector<coordination::Change>& changes);
+  void on_changes(const std::vector<coordination::KeyChange>& changes);
   // Whether the store answers. While it does not, the aggregator's own lease is not renewed.
   void set_connected(bool connected) { connected_ = connected; }
 
@@ -68,9 +68,9 @@
   std::optional<Micros> keep_alive(Micros now, coordination::LeaseId id);
   void revoke(Micros now, coordination::LeaseId id);
   // Takes one report under its lease, or a read of the policy's records; nothing else.
-  coordination::Outcome commit(Micros now, const coordination::Transaction& transaction);
+  coordination::TransactionResult commit(Micros now, const coordination::Transaction& transaction);
   // The replicated records of the policy, for watches. Empty before the first snapshot.
-  const coordination::Ledger& records() const { return records_; }
+  const coordination::KeyValueState& records() const { return records_; }
   bool has_snapshot() const { return has_snapshot_; }
 
   // ---- Upward ----
@@ -96,9 +96,9 @@
   template <typename Call>
   auto count_rejections(Call call);
   void check_conditions(const coordination::Transaction& transaction) const;
-  void check_reads(const std::vector<coordination::Step>& operations) const;
-  coordination::Outcome commit_report(Micros now, const coordination::Transaction& transaction);
-  coordination::Outcome read_records(const coordination::Transaction& transaction);
+  void check_reads(const std::vector<coordination::Operation>& operations) const;
+  coordination::TransactionResult commit_report(Micros now, const coordination::Transaction& transaction);
+  coordination::TransactionResult read_records(const coordination::Transaction& transaction);
   RouterReport checked_report(const coordination::Put& put) const;
   std::string checked_router(const coordination::Put& put) const;
   // The time by which routers' leases have to end; nothing: none may be granted or renewed.
@@ -108,7 +108,7 @@
 
   AggregatorSettings settings_;
   AggregatorIdentity identity_;
-  coordination::Ledger records_;
+  coordination::KeyValueState records_;
   ObservedByZone observed_;
   RouterLeases router_leases_;
   UpstreamLease upstream_;
--- a/src/aggregation/aggregator_service.cpp
+++ b/src/aggregation/aggregator_service.cpp
@@ -11,8 +11,8 @@
 namespace trailcourse::aggregation {
 
 using coordination::LeaseId;
-using coordination::Outcome;
-using coordination::Reply;
+using coordination::TransactionResult;
+using coordination::StoreResponse;
 using nlohmann::json;
 using ownership::LeaseCallKind;
 using std::chrono::duration_cast;
@@ -43,15 +43,15 @@
 
 // A router's client tries the next aggregator after "unavailable", and gives the call up after any other
 // error.
-coordination::EtcdService::Answer answer_to(const RequestRejected& error) {
+coordination::EtcdService::Response answer_to(const RequestRejected& error) {
   const std::string text = std::string("etcdserver: ") + error.what();
   if (is_retryable_elsewhere(error.reason())) {
-    return {kServiceUnavailable, etcd::write_error(etcd::Code::kUnavailable, text)};
+    return {kServiceUnavailable, etcd::write_error(etcd::ErrorCode::kUnavailable, text)};
   }
   if (error.reason() == Reason::kLeaseNotFound) {
-    return {kNotFound, etcd::write_error(etcd::Code::kNotFound, text)};
+    return {kNotFound, etcd::write_error(etcd::ErrorCode::kNotFound, text)};
   }
-  return {kBadRequest, etcd::write_error(etcd::Code::kInvalidArgument, text)};
+  return {kBadRequest, etcd::write_error(etcd::ErrorCode::kInvalidArgument, text)};
 }
 
 std::string figure(const std::string& name, std::uint64_t value) {
@@ -70,7 +70,7 @@
 
 }  // namespace
 
-AggregatorService::AggregatorService(transport::Scheduler& scheduler, coordination::SharedStore& store,
+AggregatorService::AggregatorService(transport::Scheduler& scheduler, coordination::CoordinationStore& store,
                                      const AggregatorOptions& options, const std::string& prefix,
                                      std::uint64_t seed)
     : scheduler_(scheduler),
@@ -105,30 +105,30 @@
 
 // ---- The store's records ----
 
-void AggregatorService::current(coordination::Revision, const std::vector<coordination::Entry>& entries) {
+void AggregatorService::on_snapshot(coordination::Revision, const std::vector<coordination::Entry>& entries) {
   aggregator_.on_snapshot(entries);
   publish_records();
 }
 
-void AggregatorService::changed(coordination::Revision, const std::vector<coordination::Change>& changes) {
+void AggregatorService::on_changes(coordination::Revision, const std::vector<coordination::KeyChange>& changes) {
   aggregator_.on_changes(changes);
   publish_records();
 }
 
 void AggregatorService::publish_records() {
-  server_.tell(aggregator_.records(), header());
-  heard();
+  server_.publish(aggregator_.records(), header());
+  on_heartbeat();
   schedule_step();
 }
 
-void AggregatorService::silent(const std::string& reason) {
+void AggregatorService::on_disconnected(const std::string& reason) {
   aggregator_.set_connected(false);
   if (std::exchange(connected_, false)) {
     log_line(Level::kWarning) << "disconnected from the coordination store: " << reason;
   }
 }
 
-void AggregatorService::heard() {
+void AggregatorService::on_heartbeat() {
   aggregator_.set_connected(true);
   if (!std::exchange(connected_, true)) {
     log_line(Level::kInfo) << "connected to coordination store " << store_.id();
@@ -196,7 +196,7 @@
 // might get leases under a policy that is no longer in force.
 void AggregatorService::join(const LeaseAction& action, LeaseId lease) {
   lease_ = lease;
-  const auto on_response = [this, call_id = action.call.call_id, lease](const Reply<Outcome>& response) {
+  const auto on_response = [this, call_id = action.call.call_id, lease](const StoreResponse<TransactionResult>& response) {
     if (response.done()) {
       aggregator_.upstream().on_join_result(now(), call_id, read_join_result(response.value));
     } else {
@@ -234,7 +234,7 @@
 }
 
 void AggregatorService::execute(const ReportSummariesAction& action) {
-  const auto on_response = [this, action](const Reply<Outcome>& response) {
+  const auto on_response = [this, action](const StoreResponse<TransactionResult>& response) {
     const SummaryWriteResult result =
         response.done() ? read_write_result(response.value, action) : SummaryWriteResult{};
     aggregator_.upstream().on_write_result(now(), action.call_id, result);
@@ -244,14 +244,14 @@
 
 // ---- Calls of routers ----
 
-etcd::Header AggregatorService::header() const { return {store_.id(), aggregator_.records().revision()}; }
+etcd::ResponseHeader AggregatorService::header() const { return {store_.id(), aggregator_.records().revision()}; }
 
-AggregatorService::Answer AggregatorService::answer(const std::string& path, const json& body) {
+AggregatorService::Response AggregatorService::handle(const std::string& path, const json& body) {
   if (store_.id() == 0) {
-    throw coordination::Unavailable("the store above was not heard yet");
+    throw coordination::ServiceUnavailable("the store above was not heard yet");
   }
   try {
-    return Answer{kOk, handle_call(path, body)};
+    return Response{kOk, handle_call(path, body)};
   } catch (const RequestRejected& error) {
     return answer_to(error);
   }
@@ -275,48 +275,48 @@
 
 json AggregatorService::handle_transaction(const json& body) {
   const coordination::Transaction transaction = etcd::read_transaction(body);
-  const Outcome outcome = aggregator_.commit(now(), transaction);
+  const TransactionResult outcome = aggregator_.commit(now(), transaction);
   schedule_step();
-  return etcd::write_outcome(header(), transaction, outcome);
+  return etcd::write_transaction_result(header(), transaction, outcome);
 }
 
 json AggregatorService::handle_grant(const json& body) {
-  const etcd::GrantCall call = etcd::read_grant(body);
+  const etcd::LeaseGrantRequest call = etcd::read_lease_grant_request(body);
   if (call.id != 0) {
     throw RequestRejected(Reason::kUnsupported, "an aggregator numbers leases itself");
   }
   const milliseconds ttl(call.ttl_ms > 0 ? call.ttl_ms : call.ttl_s * 1'000);
   const LeaseId id = aggregator_.grant(now(), ttl);
   longest_ttl_ = std::max<Micros>(longest_ttl_, ttl);
-  return etcd::write_granted(header(), {id, ttl.count()});
+  return etcd::write_lease_grant_response(header(), {id, ttl.count()});
 }
 
 // On the wire a time of 0 says that there is no such lease.
 json AggregatorService::handle_keep_alive(const json& body) {
-  const LeaseId id = etcd::read_lease(body);
+  const LeaseId id = etcd::read_lease_request(body);
   const auto left = duration_cast<milliseconds>(aggregator_.keep_alive(now(), id).value_or(Micros(0)));
-  return {{"result", etcd::write_granted(header(), {id, left.count()})}};
+  return {{"result", etcd::write_lease_grant_response(header(), {id, left.count()})}};
 }
 
 json AggregatorService::handle_revoke(const json& body) {
-  aggregator_.revoke(now(), etcd::read_lease(body));
+  aggregator_.revoke(now(), etcd::read_lease_request(body));
   schedule_step();
   return {{"header", etcd::write_header(header())}};
 }
 
-void AggregatorService::read(const Look& look) {
+void AggregatorService::read_state(const StateReader& reader) {
   if (!aggregator_.has_snapshot() || store_.id() == 0) {
-    throw coordination::Unavailable("the store's records are not here yet");
+    throw coordination::ServiceUnavailable("the store's records are not here yet");
   }
   look(aggregator_.records(), header());
 }
 
-std::optional<AggregatorService::Answer> AggregatorService::page(const std::string& path) {
+std::optional<AggregatorService::Response> AggregatorService::handle_get(const std::string& path) {
   if (path != kHealthPage) {
     return std::nullopt;
   }
   const bool active = aggregator_.upstream().is_active(now());
-  return Answer{active ? kOk : kServiceUnavailable, json{{"name", options_.name},
+  return Response{active ? kOk : kServiceUnavailable, json{{"name", options_.name},
                                                          {"permission", active},
                                                          {"store", connected_ ? "heard" : "silent"},
                                                          {"routers", aggregator_.router_count()},
--- a/src/aggregation/aggregator_service.h
+++ b/src/aggregation/aggregator_service.h
@@ -12,18 +12,18 @@
 
 #include "aggregation/aggregator.h"
 #include "aggregation/options.h"
+#include "coordination/coordination_store.h"
 #include "coordination/etcd_server.h"
-#include "coordination/shared_store.h"
 #include "transport/alarm.h"
 #include "transport/deferred.h"
 
 namespace trailcourse::aggregation {
 
-class AggregatorService : public coordination::EtcdService, public coordination::Watcher {
+class AggregatorService : public coordination::EtcdService, public coordination::WatchObserver {
  public:
   // `options` must have been checked. `prefix` is that of all keys in the store. `seed` has to differ from
   // start to start. `scheduler` and `store` outlive the service.
-  AggregatorService(transport::Scheduler& scheduler, coordination::SharedStore& store,
+  AggregatorService(transport::Scheduler& scheduler, coordination::CoordinationStore& store,
                     const AggregatorOptions& options, const std::string& prefix, std::uint64_t seed);
   ~AggregatorService() override;
 
@@ -40,20 +40,21 @@
   const Aggregator& aggregator() const { return aggregator_; }
 
   // ---- coordination::EtcdService: calls of routers ----
-  Answer answer(const std::string& path, const nlohmann::json& body) override;
-  void read(const Look& look) override;
+  Response handle(const std::string& path, const nlohmann::json& body) override;
+  void read_state(const StateReader& reader) override;
   // Answers /healthz: 200 while the aggregator's own lease is valid, else 503.
-  std::optional<Answer> page(const std::string& path) override;
+  std::optional<Response> handle_get(const std::string& path) override;
 
   // ---- coordination::Watcher: the store's records ----
-  void current(coordination::Revision revision, const std::vector<coordination::Entry>& entries) override;
-  void changed(coordination::Revision revision, const std::vector<coordination::Change>& changes) override;
-  void silent(const std::string& reason) override;
-  void heard() override;
+  void on_snapshot(coordination::Revision revision, const std::vector<coordination::Entry>& entries) override;
+  void on_changes(coordination::Revision revision,
+                  const std::vector<coordination::KeyChange>& changes) override;
+  void on_disconnected(const std::string& reason) override;
+  void on_heartbeat() override;
 
  private:
   static Micros now();
-  coordination::etcd::Header header() const;
+  coordination::etcd::ResponseHeader header() const;
   nlohmann::json handle_call(const std::string& path, const nlohmann::json& body);
   nlohmann::json handle_transaction(const nlohmann::json& body);
   nlohmann::json handle_grant(const nlohmann::json& body);
@@ -76,14 +77,14 @@
   auto while_alive(Handler handler);
 
   transport::Scheduler& scheduler_;
-  coordination::SharedStore& store_;
+  coordination::CoordinationStore& store_;
   AggregatorOptions options_;
   std::string prefix_;
   Aggregator aggregator_;
   coordination::EtcdServer server_;
   transport::Alarm timer_;
   transport::Deferred next_step_;
-  coordination::SharedStore::WatchId watch_ = 0;
+  coordination::CoordinationStore::WatchId watch_ = 0;
   coordination::LeaseId lease_ = 0;  // the aggregator's own
   Micros longest_ttl_{0};
   bool connected_ = false;  // to the store
--- a/src/aggregation/upstream_calls.cpp
+++ b/src/aggregation/upstream_calls.cpp
@@ -5,11 +5,11 @@
 using coordination::Entry;
 using coordination::Get;
 using coordination::LeaseId;
-using coordination::Outcome;
 using coordination::Put;
 using coordination::Range;
 using coordination::Revision;
 using coordination::Transaction;
+using coordination::TransactionResult;
 using policy::ObservedState;
 
 namespace {
@@ -46,15 +46,15 @@
   return out;
 }
 
-JoinResult read_join_result(const Outcome& outcome) {
+JoinResult read_join_result(const TransactionResult& outcome) {
   JoinResult out;
   if (!outcome.succeeded) {
     return out;
   }
   out.status = JoinResult::Status::kJoined;
   out.written_revision = outcome.revision;
-  if (!outcome.steps.empty()) {
-    out.acknowledgement_revision = modified_revision(outcome.steps.back().found);
+  if (!outcome.results.empty()) {
+    out.acknowledgement_revision = modified_revision(outcome.results.back().found);
   }
   return out;
 }
@@ -71,13 +71,13 @@
   return out;
 }
 
-SummaryWriteResult read_write_result(const Outcome& outcome, const ReportSummariesAction& action) {
+SummaryWriteResult read_write_result(const TransactionResult& outcome, const ReportSummariesAction& action) {
   using Status = SummaryWriteResult::Status;
   SummaryWriteResult out;
   out.status = outcome.succeeded ? Status::kWritten : Status::kConflict;
   for (std::size_t i = 0; i < action.summaries.size(); ++i) {
     out.revisions[action.summaries[i].zone] =
-        outcome.succeeded ? outcome.revision : modified_revision(outcome.steps.at(i).found);
+        outcome.succeeded ? outcome.revision : modified_revision(outcome.results.at(i).found);
   }
   return out;
 }
--- a/src/aggregation/upstream_calls.h
+++ b/src/aggregation/upstream_calls.h
@@ -79,12 +79,12 @@
 
 coordination::Transaction join_transaction(const std::string& prefix, const std::string& name,
                                            coordination::LeaseId lease, const LeaseAction& action);
-JoinResult read_join_result(const coordination::Outcome& outcome);
+JoinResult read_join_result(const coordination::TransactionResult& outcome);
 
 coordination::Transaction summary_transaction(const std::string& prefix, const std::string& name,
                                               coordination::LeaseId lease,
                                               const ReportSummariesAction& action);
-SummaryWriteResult read_write_result(const coordination::Outcome& outcome,
+SummaryWriteResult read_write_result(const coordination::TransactionResult& outcome,
                                      const ReportSummariesAction& action);
 
 }  // namespace trailcourse::aggregation
--- a/src/ownership/work_records.cpp
+++ b/src/ownership/work_records.cpp
@@ -9,7 +9,7 @@
 
 using coordination::Compare;
 using coordination::Get;
-using coordination::Outcome;
+using coordination::TransactionResult;
 using coordination::Put;
 using coordination::Range;
 using coordination::Transaction;
@@ -182,15 +182,15 @@
   return out;
 }
 
-AcquireResult read_acquire_result(const Outcome& outcome) {
+AcquireResult read_acquire_result(const TransactionResult& outcome) {
   AcquireResult out;
   if (outcome.succeeded) {
     out.term = outcome.revision;
-    out.stored = stored_progress_of(outcome.steps.at(1).found);
-    out.done = !outcome.steps.at(2).found.empty();
+    out.stored = stored_progress_of(outcome.results.at(1).found);
+    out.done = !outcome.results.at(2).found.empty();
     return out;
   }
-  const auto& found = outcome.steps.at(0).found;
+  const auto& found = outcome.results.at(0).found;
   if (!found.empty()) {
     out.current_owner = read_owner(found.front().value, found.front().created).value_or(Owner{});
     out.current_owner.term = found.front().created;
@@ -217,7 +217,7 @@
   return out;
 }
 
-ProgressWriteResult read_progress_write_result(const Outcome& outcome, Term term, const Progress& attempted) {
+ProgressWriteResult read_progress_write_result(const TransactionResult& outcome, Term term, const Progress& attempted) {
   ProgressWriteResult out;
   if (outcome.succeeded) {
     out.written = true;
@@ -225,9 +225,9 @@
     out.stored = StoredProgress{attempted, outcome.revision};
     return out;
   }
-  const auto& owner = outcome.steps.at(0).found;
+  const auto& owner = outcome.results.at(0).found;
   out.owned = !owner.empty() && owner.front().created == term;
-  out.stored = stored_progress_of(outcome.steps.at(1).found);
+  out.stored = stored_progress_of(outcome.results.at(1).found);
   // An earlier attempt, whose answer was lost, did write it.
   out.written = out.owned && out.stored.progress == attempted;
   return out;
--- a/src/ownership/work_records.h
+++ b/src/ownership/work_records.h
@@ -115,7 +115,7 @@
 // the current owner. It also deletes a pending release request. `prefix` stands before all keys.
 coordination::Transaction acquire_transaction(const std::string& prefix, const ShardId& id,
                                               const Owner& owner, coordination::LeaseId lease);
-AcquireResult read_acquire_result(const coordination::Outcome& outcome);
+AcquireResult read_acquire_result(const coordination::TransactionResult& outcome);
 
 // Result of write_progress_transaction().
 struct ProgressWriteResult {
@@ -131,7 +131,7 @@
                                                      const Progress& progress);
 // `attempted` is the progress that the transaction was to write: a retry of a write whose answer was lost is
 // recognised by it.
-ProgressWriteResult read_progress_write_result(const coordination::Outcome& outcome, Term term,
+ProgressWriteResult read_progress_write_result(const coordination::TransactionResult& outcome, Term term,
                                                const Progress& attempted);
 
 }  // namespace trailcourse::ownership
--- a/src/policy/acknowledgement.cpp
+++ b/src/policy/acknowledgement.cpp
@@ -69,13 +69,13 @@
 }
 
 AcknowledgementSnapshot read_acknowledgement_snapshot(const std::string& prefix,
-                                                      const coordination::Outcome& outcome) {
+                                                      const coordination::TransactionResult& outcome) {
   AcknowledgementSnapshot out;
-  if (const auto& found = outcome.steps.at(0).found; !found.empty()) {
+  if (const auto& found = outcome.results.at(0).found; !found.empty()) {
     out.record = read_acknowledgement(found.front().value).value_or(Acknowledgement{});
     out.modified = found.front().modified;
   }
-  out.reports = read_reports(prefix, outcome.steps.at(1).found);
+  out.reports = read_reports(prefix, outcome.results.at(1).found);
   return out;
 }
 
--- a/src/policy/acknowledgement.h
+++ b/src/policy/acknowledgement.h
@@ -57,7 +57,7 @@
 coordination::Transaction acknowledgement_snapshot_transaction(const std::string& prefix);
 // Returns the snapshot of such a transaction's outcome.
 AcknowledgementSnapshot read_acknowledgement_snapshot(const std::string& prefix,
-                                                      const coordination::Outcome& outcome);
+                                                      const coordination::TransactionResult& outcome);
 
 // Writes the record if it still is as in the snapshot.
 coordination::Transaction write_acknowledgement_transaction(const std::string& prefix,
--- a/src/policy/rollout_snapshot.cpp
+++ b/src/policy/rollout_snapshot.cpp
@@ -54,21 +54,21 @@
   return out;
 }
 
-RolloutSnapshot read_snapshot(const std::string& prefix, const coordination::Outcome& outcome) {
+RolloutSnapshot read_snapshot(const std::string& prefix, const coordination::TransactionResult& outcome) {
   RolloutSnapshot out;
-  if (const auto& found = outcome.steps.at(0).found; !found.empty()) {
+  if (const auto& found = outcome.results.at(0).found; !found.empty()) {
     out.rollout = read_rollout(found.front().value);
     out.rollout_revision = found.front().modified;
   }
-  if (const auto& found = outcome.steps.at(1).found; !found.empty()) {
+  if (const auto& found = outcome.results.at(1).found; !found.empty()) {
     out.current_version = version_of(found.front());
     out.current_revision = found.front().modified;
   }
   const std::size_t prefix_size = prefix.size() + std::string_view(kZonePrefix).size();
-  for (const coordination::Entry& entry : outcome.steps.at(2).found) {
+  for (const coordination::Entry& entry : outcome.results.at(2).found) {
     out.zone_versions[entry.key.substr(prefix_size)] = version_of(entry);
   }
-  out.reports = read_reports(prefix, outcome.steps.at(3).found);
+  out.reports = read_reports(prefix, outcome.results.at(3).found);
   return out;
 }
 
--- a/src/policy/rollout_snapshot.h
+++ b/src/policy/rollout_snapshot.h
@@ -30,7 +30,7 @@
 // Reads all parts of a snapshot at one revision.
 coordination::Transaction snapshot_transaction(const std::string& prefix);
 // Returns the snapshot of such a transaction's outcome.
-RolloutSnapshot read_snapshot(const std::string& prefix, const coordination::Outcome& outcome);
+RolloutSnapshot read_snapshot(const std::string& prefix, const coordination::TransactionResult& outcome);
 
 // Describes for operators which participants an open rollout is waiting for, one line each.
 std::vector<std::string> describe_pending(const RolloutSnapshot& snapshot);
--- a/src/tasks/policy_change_task.cpp
+++ b/src/tasks/policy_change_task.cpp
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-PolicyChangeTask::PolicyChangeTask(transport::Scheduler& scheduler, coordination::SharedStore& store,
+PolicyChangeTask::PolicyChangeTask(transport::Scheduler& scheduler, coordination::CoordinationStore& store,
                                    std::string prefix, const policy::PolicyOptions& options,
                                    TaskContext context)
     : StoreDriverTask(scheduler, store, std::move(prefix), std::move(context)),
@@ -38,7 +38,8 @@
   return change_open_ || key == policy::kRolloutKey;
 }
 
-StoreDriverTask::Decision PolicyChangeTask::decide(Micros now, const coordination::Outcome& outcome) {
+StoreDriverTask::Decision PolicyChangeTask::decide(Micros now,
+                                                   const coordination::TransactionResult& outcome) {
   const policy::RolloutSnapshot seen = policy::read_snapshot(prefix(), outcome);
   change_open_ = seen.rollout && seen.rollout->is_open();
   std::optional<policy::RolloutStep> step = coordinator_.step(now, seen);
--- a/src/tasks/policy_follower.cpp
+++ b/src/tasks/policy_follower.cpp
@@ -10,8 +10,8 @@
 
 namespace trailcourse::tasks {
 
-using coordination::Outcome;
-using coordination::Reply;
+using coordination::TransactionResult;
+using coordination::StoreResponse;
 using policy::EffectivePolicy;
 using std::chrono::milliseconds;
 using transport::Clock;
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-PolicyFollower::PolicyFollower(transport::Scheduler& scheduler, coordination::SharedStore& store,
+PolicyFollower::PolicyFollower(transport::Scheduler& scheduler, coordination::CoordinationStore& store,
                                const policy::PolicyOptions& options, std::string prefix, Self self,
                                const protocol::Profile& profile, routing::Router& router, WorkAllowed allowed)
     : scheduler_(scheduler),
@@ -111,30 +111,30 @@
   participant_.on_document(now(), version);
 }
 
-void PolicyFollower::current(coordination::Revision, const std::vector<coordination::Entry>& entries) {
+void PolicyFollower::on_snapshot(coordination::Revision, const std::vector<coordination::Entry>& entries) {
   keys_.clear();
   for (const coordination::Entry& entry : entries) {
     apply(entry.key.substr(prefix_.size()), entry.value, entry.modified);
   }
-  heard();
+  on_heartbeat();
   tell();
 }
 
-void PolicyFollower::changed(coordination::Revision, const std::vector<coordination::Change>& changes) {
-  for (const coordination::Change& change : changes) {
+void PolicyFollower::on_changes(coordination::Revision, const std::vector<coordination::KeyChange>& changes) {
+  for (const coordination::KeyChange& change : changes) {
     apply(change.entry.key.substr(prefix_.size()), change.deleted ? std::string() : change.entry.value,
           change.entry.modified);
   }
-  heard();
+  on_heartbeat();
   tell();
 }
 
-void PolicyFollower::silent(const std::string&) {
+void PolicyFollower::on_disconnected(const std::string&) {
   participant_.set_connected(now(), false);
   turn_soon();
 }
 
-void PolicyFollower::heard() {
+void PolicyFollower::on_heartbeat() {
   participant_.set_connected(now(), true);
   turn_soon();
 }
@@ -227,7 +227,7 @@
   if (ask.order.kind == ownership::LeaseCallKind::kAcquire) {
     store_.grant(milliseconds(options_.ttl_ms), [this, answered, ask, number](const auto& reply) {
       answered([&] {
-        if (reply.done()) {
+        if (reply.ok()) {
           join(ask, reply.value.id);
         } else {
           participant_.on_no_response(now(), number);
@@ -237,7 +237,7 @@
   } else if (ask.order.kind == ownership::LeaseCallKind::kRenew) {
     store_.keep_alive(lease_, [this, answered, number](const auto& reply) {
       answered([&] {
-        if (reply.done()) {
+        if (reply.ok()) {
           participant_.on_renew_result(now(), number, reply.value.ttl > Micros(0));
         } else {
           participant_.on_no_response(now(), number);
@@ -247,7 +247,7 @@
   } else {
     store_.revoke(lease_, [this, answered, number](const auto& reply) {
       answered([&] {
-        if (reply.done()) {
+        if (reply.ok()) {
           participant_.on_release_result(now(), number);
         } else {
           participant_.on_no_response(now(), number);
@@ -266,16 +266,16 @@
   write.then = {coordination::Put{prefix_ + policy::report_key(self_.name, lease),
                                   policy::write_report(ask.report), lease}};
   const std::uint64_t number = ask.order.call_id;
-  store_.commit(std::move(write), [this, alive = alive_, number, lease](const Reply<Outcome>& reply) {
+  store_.commit(std::move(write), [this, alive = alive_, number, lease](const StoreResponse<TransactionResult>& reply) {
     if (!*alive) {
       return;
     }
-    if (!reply.done()) {
+    if (!reply.ok()) {
       participant_.on_no_response(now(), number);
     } else {
       participant_.on_join_result(now(), number, reply.value.succeeded);
     }
-    if (!reply.done() || !reply.value.succeeded) {
+    if (!reply.ok() || !reply.value.succeeded) {
       store_.revoke(lease, [](const auto&) {});
     }
     turn_soon();
@@ -286,9 +286,9 @@
   coordination::Transaction write;
   write.then = {coordination::Put{prefix_ + policy::report_key(self_.name, lease_),
                                   policy::write_report(say.report), lease_}};
-  store_.commit(std::move(write), [this, alive = alive_, number = say.call_id](const Reply<Outcome>& reply) {
+  store_.commit(std::move(write), [this, alive = alive_, number = say.call_id](const StoreResponse<TransactionResult>& reply) {
     if (*alive) {
-      participant_.on_report_result(now(), number, reply.done());
+      participant_.on_report_result(now(), number, reply.ok());
       turn_soon();
     }
   });
--- a/tests/acknowledgement_test.cpp
+++ b/tests/acknowledgement_test.cpp
@@ -8,7 +8,7 @@
 #include "aggregation/aggregator.h"
 #include "aggregation/report_summary.h"
 #include "aggregation/router_leases.h"
-#include "coordination/ledger.h"
+#include "coordination/key_value_state.h"
 #include "policy/acknowledgement_coordinator.h"
 #include "policy/participant.h"
 
@@ -120,7 +120,7 @@
 }
 
 TEST(AcknowledgementCoordinatorTest, ALateWriteIsRejectedByTheStore) {
-  coordination::Ledger ledger{coordination::Limits{}};
+  coordination::KeyValueState ledger{coordination::KeyValueLimits{}};
   const auto look = [&ledger] {
     return read_acknowledgement_snapshot("", ledger.commit(acknowledgement_snapshot_transaction("")));
   };
@@ -275,7 +275,7 @@
 // the record that stood there then.
 TEST(AcknowledgingAggregatorTest, GrantsNoLeaseBeforeItHasObservedTheRecordThatItJoinedBehind) {
   constexpr Micros kTtl{3'000'000};
-  coordination::Ledger store{coordination::Limits{}};
+  coordination::KeyValueState store{coordination::KeyValueLimits{}};
   const auto write = [&store](const std::string& key, const std::string& value) {
     return store.commit({{}, {coordination::Put{key, value, 0}}, {}}).revision;
   };
@@ -287,16 +287,16 @@
   aggregation::Aggregator aggregator(settings, {"east", "i1", {"edge"}, ""}, 1);
   aggregator.on_snapshot(store.get(records));
   aggregator.set_connected(true);
-  store.changes();
+  store.take_changes();
   write(kAcknowledgedKey, write_acknowledgement({2, at(9), at(5)}));
   const auto action = std::get<aggregation::LeaseAction>(aggregator.step(kStart).front());
-  const LeaseId lease = store.grant(0, 4'000, 0);
+  const LeaseId lease = store.grant(std::chrono::milliseconds(0), std::chrono::milliseconds(4'000), 0);
   const auto joined =
       aggregation::read_join_result(store.commit(aggregation::join_transaction("", "east", lease, action)));
   ASSERT_EQ(joined.status, aggregation::JoinResult::Status::kJoined);
   aggregator.upstream().on_join_result(kStart, action.call.call_id, joined);
   EXPECT_THROW(aggregator.grant(kStart, kTtl), RequestRejected);
-  aggregator.on_changes(store.changes());
+  aggregator.on_changes(store.take_changes());
   EXPECT_NO_THROW(aggregator.grant(kStart, kTtl));
 }
 
--- a/tests/aggregation/aggregator_fixture.h
+++ b/tests/aggregation/aggregator_fixture.h
@@ -11,7 +11,7 @@
 
 #include "aggregation/aggregator.h"
 #include "aggregation/rollout_states.h"
-#include "coordination/ledger.h"
+#include "coordination/key_value_state.h"
 
 namespace trailcourse::aggregation {
 
@@ -34,8 +34,8 @@
   }
   // Hands the aggregator what has changed since the last call, once it has a snapshot.
   void publish_changes() {
-    std::vector<coordination::Change> changes;
-    for (const coordination::Change& change : store_.changes()) {
+    std::vector<coordination::KeyChange> changes;
+    for (const coordination::KeyChange& change : store_.take_changes()) {
       if (change.entry.key.starts_with(policy::kPolicyPrefix)) {
         changes.push_back(change);
       }
@@ -48,7 +48,7 @@
     aggregator_.on_snapshot(store_.get(coordination::Range{policy::kPolicyPrefix, true}));
     aggregator_.set_connected(true);
   }
-  std::int64_t now_ms() const { return now_.count() / 1'000; }
+  std::chrono::milliseconds store_clock() const { return std::chrono::duration_cast<std::chrono::milliseconds>(now_); }
   std::optional<policy::ParticipantReport> stored_summary(const std::string& zone) {
     const auto found = store_.get(coordination::Range{summary_key("", kName, zone, lease_), false});
     return found.empty() ? std::nullopt : policy::read_report(found.front().value);
@@ -66,17 +66,17 @@
     }
   }
   void execute(const LeaseAction& action) {
-    store_.expire(now_ms());
+    store_.expire(store_clock());
     UpstreamLease& upstream = aggregator_.upstream();
     const std::uint64_t call_id = action.call.call_id;
     switch (action.call.kind) {
       case ownership::LeaseCallKind::kAcquire:
-        lease_ = store_.grant(now_ms(), kTtlMs, 0);
+        lease_ = store_.grant(store_clock(), kTtlMs, 0);
         upstream.on_join_result(now_, call_id,
                                 read_join_result(store_.commit(join_transaction("", kName, lease_, action))));
         return;
       case ownership::LeaseCallKind::kRenew: {
-        const bool renewed = store_.keep_alive(now_ms(), lease_) > 0;
+        const bool renewed = store_.keep_alive(store_clock(), lease_) > std::chrono::milliseconds(0);
         upstream.on_renew_result(now_, call_id,
                                  renewed ? RenewResult::kRenewed : RenewResult::kLeaseNotFound);
         return;
@@ -147,7 +147,7 @@
 
   static constexpr Micros kRouterTtl{3'000'000};
 
-  coordination::Ledger store_{coordination::Limits{}};
+  coordination::KeyValueState store_{coordination::KeyValueLimits{}};
   Aggregator aggregator_;
   Micros now_{1'000'000};
   coordination::LeaseId lease_ = 0;  // the aggregator's own
--- a/tests/aggregation/aggregator_process_test.cpp
+++ b/tests/aggregation/aggregator_process_test.cpp
@@ -12,7 +12,7 @@
 namespace trailcourse::aggregation {
 namespace {
 
-using coordination::SharedStore;
+using coordination::CoordinationStore;
 using nlohmann::json;
 using std::chrono::milliseconds;
 
@@ -34,7 +34,7 @@
   };
   ASSERT_TRUE(logged("acquired its lease")) << process.log();
   EXPECT_TRUE(logged("takes on the kind policy alone"));
-  SharedStore& router = region.router({listen});
+  CoordinationStore& router = region.router({listen});
   region.acquire_lease(router, milliseconds(3'000));
   process.signal(SIGHUP);
   EXPECT_TRUE(logged("permission=yes revision=1 granted=1")) << process.log();
--- a/tests/aggregation/aggregator_service_test.cpp
+++ b/tests/aggregation/aggregator_service_test.cpp
@@ -11,45 +11,45 @@
 namespace trailcourse::aggregation {
 namespace {
 
+using coordination::CallStatus;
+using coordination::CoordinationStore;
 using coordination::Delete;
 using coordination::Get;
 using coordination::GrantedLease;
 using coordination::LeaseId;
 using coordination::Put;
 using coordination::Range;
-using coordination::Reply;
-using coordination::Result;
 using coordination::Revision;
-using coordination::SharedStore;
+using coordination::StoreResponse;
 using coordination::Transaction;
 
 TEST(AggregatorServiceTest, LeasesAreGrantedRenewedAndExpire) {
   Region region;
   const AggregatorService& service = region.add_aggregator("a1");
-  SharedStore& router = region.router();
+  CoordinationStore& router = region.router();
   const LeaseId lasting = region.acquire_lease(router);
   const auto renewed = region.renew(router, lasting);
-  ASSERT_TRUE(renewed.done()) << renewed.why;
+  ASSERT_TRUE(renewed.ok()) << renewed.error;
   EXPECT_EQ(renewed.value.ttl, Micros(kLongTtl));
   const LeaseId lease = region.acquire_lease(router, kShortTtl);
   ASSERT_TRUE(region.until([&] { return service.aggregator().router_count() == 1; }))
       << "the second is not renewed";
   const auto gone = region.renew(router, lease);
-  ASSERT_TRUE(gone.done()) << gone.why;
+  ASSERT_TRUE(gone.ok()) << gone.error;
   EXPECT_EQ(gone.value.ttl, Micros(0));
-  EXPECT_TRUE(region.revoke(router, lease).done()) << "there is none any more, as requested";
+  EXPECT_TRUE(region.revoke(router, lease).ok()) << "there is none any more, as requested";
 }
 
 TEST(AggregatorServiceTest, RevokedLeaseEndsAtOnce) {
   Region region;
   const AggregatorService& service = region.add_aggregator("a1");
-  SharedStore& router = region.router();
+  CoordinationStore& router = region.router();
   const LeaseId lease = region.acquire_lease(router);
-  ASSERT_TRUE(region.commit(router, report_write("r1", lease, report_of("east", 0))).done());
-  ASSERT_TRUE(region.revoke(router, lease).done());
+  ASSERT_TRUE(region.commit(router, report_write("r1", lease, report_of("east", 0))).ok());
+  ASSERT_TRUE(region.revoke(router, lease).ok());
   EXPECT_EQ(service.aggregator().router_count(), 0U);
-  EXPECT_EQ(region.commit(router, report_write("r1", lease, report_of("east", 0, 2))).result,
-            Result::kRejected);
+  EXPECT_EQ(region.commit(router, report_write("r1", lease, report_of("east", 0, 2))).status,
+            CallStatus::kRejected);
 }
 
 TEST(AggregatorServiceTest, ReportIsAcceptedOnlyIfTheRecordsAreAsTheRouterObserved) {
@@ -57,8 +57,8 @@
   region.add_aggregator("a1");
   ASSERT_TRUE(
       region.commit(region.direct_client(), Transaction{{}, {Put{at(policy::kCurrentKey), "5", 0}}, {}})
-          .done());
-  SharedStore& router = region.router();
+          .ok());
+  CoordinationStore& router = region.router();
   RecordingWatcher watcher;
   const auto watch = router.watch(Range{at("policy/"), true}, watcher);
   ASSERT_TRUE(region.until([&] { return watcher.state.contains(at(policy::kCurrentKey)); }))
@@ -68,14 +68,14 @@
   Transaction join = report_write("r1", lease, report_of("east", 5));
   join.when = {coordination::unchanged(at(policy::kCurrentKey), modified + 1)};
   const auto conflicting = region.commit(router, join);
-  ASSERT_TRUE(conflicting.done()) << conflicting.why;
+  ASSERT_TRUE(conflicting.ok()) << conflicting.error;
   EXPECT_FALSE(conflicting.value.succeeded);
   join.when = {coordination::unchanged(at(policy::kCurrentKey), modified)};
   const auto joined = region.commit(router, join);
-  ASSERT_TRUE(joined.done()) << joined.why;
+  ASSERT_TRUE(joined.ok()) << joined.error;
   EXPECT_TRUE(joined.value.succeeded);
   // The summary takes over the version of a router that decides under another one.
-  ASSERT_TRUE(region.commit(router, report_write("r1", lease, report_of("east", 4, 2))).done());
+  ASSERT_TRUE(region.commit(router, report_write("r1", lease, report_of("east", 4, 2))).ok());
   ASSERT_TRUE(region.until([&] { return region.summaries()["a1.east"].version == 4; }));
   const auto summaries = region.summaries();
   EXPECT_EQ(summaries.at("a1.east").represented_routers, 1U);
@@ -87,8 +87,8 @@
 TEST(AggregatorServiceTest, WatchDeliversTheStoresRecordsRevisionsAndId) {
   Region region;
   region.add_aggregator("a1");
-  SharedStore& direct_client = region.direct_client();
-  SharedStore& router = region.router();
+  CoordinationStore& direct_client = region.direct_client();
+  CoordinationStore& router = region.router();
   RecordingWatcher direct;
   RecordingWatcher through_aggregator;
   const auto first = direct_client.watch(Range{at("policy/"), true}, direct);
@@ -97,18 +97,18 @@
       << through_aggregator.disconnect_reason;
   for (int i = 0; i < 20; ++i) {
     const std::string key = at(policy::kDocumentPrefix + std::to_string(i % 3));
-    const coordination::Step step = i % 7 == 6 ? coordination::Step(Delete{Range{key, false}})
-                                               : coordination::Step(Put{key, std::to_string(i), 0});
-    ASSERT_TRUE(region.commit(direct_client, Transaction{{}, {step}, {}}).done());
-    ASSERT_TRUE(region.commit(direct_client, Transaction{{}, {Put{at("elsewhere"), "x", 0}}, {}}).done());
+    const coordination::Operation step = i % 7 == 6 ? coordination::Operation(Delete{Range{key, false}})
+                                                    : coordination::Operation(Put{key, std::to_string(i), 0});
+    ASSERT_TRUE(region.commit(direct_client, Transaction{{}, {step}, {}}).ok());
+    ASSERT_TRUE(region.commit(direct_client, Transaction{{}, {Put{at("elsewhere"), "x", 0}}, {}}).ok());
   }
   ASSERT_TRUE(
       region.until([&] { return !direct.state.empty() && direct.state == through_aggregator.state; }));
   EXPECT_EQ(through_aggregator.snapshots, 1) << "later changes are delivered one by one";
   EXPECT_EQ(router.id(), direct_client.id());
   const auto read = region.commit(router, Transaction{{}, {Get{Range{at("policy/"), true}}}, {}});
-  ASSERT_TRUE(read.done()) << read.why;
-  EXPECT_EQ(read.value.steps.at(0).found.size(), direct.state.size());
+  ASSERT_TRUE(read.ok()) << read.error;
+  EXPECT_EQ(read.value.results.at(0).found.size(), direct.state.size());
   direct_client.unwatch(first);
   router.unwatch(second);
 }
@@ -116,15 +116,15 @@
 TEST(AggregatorServiceTest, UnsupportedCallsAreRejectedWithAReasonAndChangeNothing) {
   Region region;
   const AggregatorService& service = region.add_aggregator("a1");
-  SharedStore& router = region.router();
+  CoordinationStore& router = region.router();
   const LeaseId lease = region.acquire_lease(router);
-  ASSERT_TRUE(region.commit(router, report_write("r1", lease, report_of("east", 0, 5))).done());
+  ASSERT_TRUE(region.commit(router, report_write("r1", lease, report_of("east", 0, 5))).ok());
   // Requests for a lease before the aggregator had its own were rejected, too.
   const std::uint64_t rejected_before = service.aggregator().counts().total_rejected();
   const auto expect_rejected = [&](const Transaction& transaction, const std::string& word) {
     const auto reply = region.commit(router, transaction);
-    EXPECT_EQ(reply.result, Result::kRejected) << word;
-    EXPECT_NE(reply.why.find(word), std::string::npos) << reply.why;
+    EXPECT_EQ(reply.status, CallStatus::kRejected) << word;
+    EXPECT_NE(reply.error.find(word), std::string::npos) << reply.error;
   };
   expect_rejected(report_write("r1", lease, report_of("east", 0, 4)), "number");
   expect_rejected(report_write("r1", lease, report_of("north", 0, 6)), "zone");
@@ -142,16 +142,16 @@
 TEST(AggregatorServiceTest, MutatedCallsAreAnsweredOrRejected) {
   Region region;
   AggregatorService& service = region.add_aggregator("a1");
-  SharedStore& router = region.router();
+  CoordinationStore& router = region.router();
   const LeaseId lease = region.acquire_lease(router);
-  ASSERT_TRUE(region.commit(router, report_write("r1", lease, report_of("east", 0, 1))).done());
+  ASSERT_TRUE(region.commit(router, report_write("r1", lease, report_of("east", 0, 1))).ok());
   namespace etcd = coordination::etcd;
   struct Call {
     std::string path;
     std::string body;
   };
   const std::vector<Call> calls{
-      {std::string(etcd::kGrantPath), etcd::write_grant({0, 3, 3'000}).dump()},
+      {std::string(etcd::kGrantPath), etcd::write_lease_grant_request({0, 3, 3'000}).dump()},
       {std::string(etcd::kTxnPath),
        etcd::write_transaction(report_write("r1", lease, report_of("east", 0, 2))).dump()},
       {std::string(etcd::kTxnPath),
@@ -164,7 +164,7 @@
       body[random() % body.size()] = static_cast<char>(random() % 256);
     }
     try {
-      answered += service.answer(path, etcd::parse_object(body)).status == 200 ? 1 : 0;
+      answered += service.handle(path, etcd::parse_object(body)).status == 200 ? 1 : 0;
     } catch (const etcd::BadMessage&) {
     }
     ASSERT_GE(service.aggregator().router_count(), 1U) << "seed " << seed;
@@ -175,9 +175,9 @@
 TEST(AggregatorServiceTest, AnswersNothingBeforeTheStoreIsConnected) {
   Region region;
   const AggregatorService& service = region.add_aggregator("a1", region.free_address());
-  SharedStore& router = region.router();
+  CoordinationStore& router = region.router();
   const auto reply = region.grant(router, kLongTtl);
-  EXPECT_FALSE(reply.done());
+  EXPECT_FALSE(reply.ok());
   EXPECT_EQ(router.id(), 0U);
   EXPECT_EQ(service.aggregator().router_count(), 0U);
 }
@@ -193,7 +193,7 @@
   const AggregatorService& second = region.add_aggregator("a2");
   ASSERT_TRUE(region.await_active(first));
   ASSERT_TRUE(region.await_active(second));
-  SharedStore& router = region.router();
+  CoordinationStore& router = region.router();
   RecordingWatcher watcher;
   const auto watch = router.watch(Range{at("policy/"), true}, watcher);
   ASSERT_TRUE(region.until([&] { return watcher.snapshots == 1; })) << watcher.disconnect_reason;
@@ -207,7 +207,7 @@
   }));
   ASSERT_TRUE(
       region.commit(region.direct_client(), Transaction{{}, {Put{at(policy::kCurrentKey), "5", 0}}, {}})
-          .done());
+          .ok());
   EXPECT_TRUE(region.until([&] { return watcher.state.contains(at(policy::kCurrentKey)); }))
       << watcher.disconnect_reason;
   // All leases of the first have expired by the time that its own expires in the store.
@@ -222,11 +222,11 @@
   const AggregatorService& second = region.add_aggregator("a2");
   ASSERT_TRUE(region.await_active(first));
   ASSERT_TRUE(region.await_active(second));
-  SharedStore& router = region.router();
+  CoordinationStore& router = region.router();
   const LeaseId lease = region.acquire_lease(router);
   region.stop_aggregator(0);
-  Reply<GrantedLease> renewed;
-  ASSERT_TRUE(region.until([&] { return (renewed = region.renew(router, lease)).done(); })) << renewed.why;
+  StoreResponse<GrantedLease> renewed;
+  ASSERT_TRUE(region.until([&] { return (renewed = region.renew(router, lease)).ok(); })) << renewed.error;
   EXPECT_EQ(renewed.value.ttl, Micros(0));
   region.acquire_lease(router);
   EXPECT_EQ(second.aggregator().router_count(), 1U);
@@ -235,22 +235,22 @@
 TEST(AggregatorServiceTest, DrainingReleasesTheLeaseOnceNoRouterHasOne) {
   Region region;
   AggregatorService& service = region.add_aggregator("a1");
-  SharedStore& router = region.router();
+  CoordinationStore& router = region.router();
   const LeaseId lease = region.acquire_lease(router, kShortTtl);
-  ASSERT_EQ(service.page("/healthz")->status, 200);
+  ASSERT_EQ(service.handle_get("/healthz")->status, 200);
   ASSERT_EQ(region.summaries().count("a1.east"), 1U);
   service.drain();
   const auto renewed = region.renew(router, lease);
-  EXPECT_FALSE(renewed.done() && renewed.value.ttl > Micros(0));
-  EXPECT_FALSE(region.grant(router, kLongTtl).done());
+  EXPECT_FALSE(renewed.ok() && renewed.value.ttl > Micros(0));
+  EXPECT_FALSE(region.grant(router, kLongTtl).ok());
   ASSERT_TRUE(region.until([&] {
     EXPECT_FALSE(service.drained() && service.aggregator().router_count() > 0)
         << "a router may still decide under its lease";
     return service.drained();
   }));
   EXPECT_EQ(region.summaries().count("a1.east"), 0U);
-  EXPECT_EQ(service.page("/healthz")->status, 503);
-  EXPECT_FALSE(service.page("/elsewhere").has_value());
+  EXPECT_EQ(service.handle_get("/healthz")->status, 503);
+  EXPECT_FALSE(service.handle_get("/elsewhere").has_value());
 }
 
 }  // namespace
--- a/tests/aggregation/region.h
+++ b/tests/aggregation/region.h
@@ -15,8 +15,8 @@
 #include <vector>
 
 #include "aggregation/aggregator_service.h"
+#include "coordination/coordination_server.h"
 #include "coordination/etcd_store.h"
-#include "coordination/registry.h"
 #include "fleet/ports.h"
 #include "store_calls.h"
 
@@ -31,8 +31,9 @@
 inline std::string at(const std::string& key) { return kPrefix + key; }
 
 // Keeps the records that a watch has delivered.
-struct RecordingWatcher : coordination::Watcher {
-  void current(coordination::Revision revision, const std::vector<coordination::Entry>& entries) override {
+struct RecordingWatcher : coordination::WatchObserver {
+  void on_snapshot(coordination::Revision revision,
+                   const std::vector<coordination::Entry>& entries) override {
     ++snapshots;
     last_revision = revision;
     state.clear();
@@ -40,9 +41,10 @@
       state[entry.key] = entry;
     }
   }
-  void changed(coordination::Revision revision, const std::vector<coordination::Change>& changes) override {
+  void on_changes(coordination::Revision revision,
+                  const std::vector<coordination::KeyChange>& changes) override {
     last_revision = revision;
-    for (const coordination::Change& change : changes) {
+    for (const coordination::KeyChange& change : changes) {
       if (change.deleted) {
         state.erase(change.entry.key);
       } else {
@@ -50,7 +52,7 @@
       }
     }
   }
-  void silent(const std::string& reason) override { disconnect_reason = reason; }
+  void on_disconnected(const std::string& reason) override { disconnect_reason = reason; }
 
   std::map<std::string, coordination::Entry> state;  // by key
   std::string disconnect_reason;
@@ -70,7 +72,7 @@
     coordination::RegistryOptions options;
     options.folder = folder_ + "/registry";
     store_address_ = ports_.take_text();
-    registry_ = std::make_unique<coordination::Registry>(scheduler, options);
+    registry_ = std::make_unique<coordination::CoordinationServer>(scheduler, options);
     registry_->listen(*transport::parse_address(store_address_));
   }
   ~Region() {
@@ -104,24 +106,24 @@
   }
 
   // Returns a router's client of the aggregators, or of the given endpoints.
-  coordination::SharedStore& router(std::vector<std::string> endpoints = {}) {
+  coordination::CoordinationStore& router(std::vector<std::string> endpoints = {}) {
     stores_.push_back(std::make_unique<coordination::EtcdStore>(
         scheduler, options_for(endpoints.empty() ? endpoints_ : endpoints), 9,
-        coordination::EtcdStore::First::kAsNamed));
+        coordination::EtcdStore::FirstEndpoint::kFirstListed));
     return *stores_.back();
   }
   // Returns a client of the store itself.
-  coordination::SharedStore& direct_client() { return router({store_address_}); }
+  coordination::CoordinationStore& direct_client() { return router({store_address_}); }
   const std::vector<std::string>& endpoints() const { return endpoints_; }
   const std::string& store_address() const { return store_address_; }
   const std::string& folder() const { return folder_; }
   std::string free_address() { return ports_.take_text(); }
 
   // Requests a lease until it is granted: an aggregator may not have its own yet.
-  coordination::LeaseId acquire_lease(coordination::SharedStore& store,
+  coordination::LeaseId acquire_lease(coordination::CoordinationStore& store,
                                       std::chrono::milliseconds ttl = kLongTtl) {
-    Reply<coordination::GrantedLease> reply;
-    EXPECT_TRUE(until([&] { return (reply = grant(store, ttl)).done(); })) << reply.why;
+    coordination::StoreResponse<coordination::GrantedLease> reply;
+    EXPECT_TRUE(until([&] { return (reply = grant(store, ttl)).ok(); })) << reply.error;
     return reply.value.id;
   }
   bool await_active(const AggregatorService& service) {
@@ -138,7 +140,7 @@
                    {}, {coordination::Get{coordination::Range{at(policy::kReportPrefix), true}}}, {}});
     std::map<std::string, policy::ParticipantReport> out;
     for (const coordination::Entry& entry :
-         reply.done() ? reply.value.steps.at(0).found : std::vector<coordination::Entry>{}) {
+         reply.ok() ? reply.value.results.at(0).found : std::vector<coordination::Entry>{}) {
       const std::string name = entry.key.substr(at(policy::kReportPrefix).size());
       out[name.substr(0, name.find('/'))] =
           policy::read_report(entry.value).value_or(policy::ParticipantReport{});
@@ -149,7 +151,7 @@
 
  private:
   struct Process {
-    std::unique_ptr<coordination::SharedStore> store;
+    std::unique_ptr<coordination::CoordinationStore> store;
     std::unique_ptr<AggregatorService> service;  // destroyed before its store
   };
 
@@ -166,10 +168,10 @@
   fleet::PortBook ports_;
   std::string folder_;
   std::string store_address_;
-  std::unique_ptr<coordination::Registry> registry_;
+  std::unique_ptr<coordination::CoordinationServer> registry_;
   std::vector<std::string> endpoints_;
   std::vector<Process> aggregators_;
-  std::vector<std::unique_ptr<coordination::SharedStore>> stores_;
+  std::vector<std::unique_ptr<coordination::CoordinationStore>> stores_;
 };
 
 inline policy::ParticipantReport report_of(const std::string& zone, std::uint64_t version,
--- a/tests/aggregation/region_world.h
+++ b/tests/aggregation/region_world.h
@@ -17,7 +17,7 @@
 
 #include "aggregation/aggregator.h"
 #include "aggregation/version_order_check.h"
-#include "coordination/ledger.h"
+#include "coordination/key_value_state.h"
 #include "policy/acknowledgement_coordinator.h"
 #include "policy/participant.h"
 #include "policy/rollout_coordinator.h"
@@ -74,9 +74,9 @@
     coordination::Revision min_revision = 0;  // the highest one seen; answers of a lower one are not used
     int watch_id = 0;                         // messages of another watch are of an earlier one
     bool watching = false;
-    bool has_snapshot = false;                                     // on this watch
-    std::vector<std::vector<coordination::Change>> early_changes;  // that arrived before the snapshot
-    bool cut_below = false;                                        // from its routers
+    bool has_snapshot = false;                                        // on this watch
+    std::vector<std::vector<coordination::KeyChange>> early_changes;  // that arrived before the snapshot
+    bool cut_below = false;                                           // from its routers
     Micros last_delivery{0};  // of its watch; later messages do not overtake it
   };
   struct RouterProcess : testing_support::VirtualProcess {
@@ -105,7 +105,7 @@
     std::vector<coordination::Entry> entries;
     coordination::Revision revision = 0;
   };
-  using Changes = std::vector<coordination::Change>;
+  using Changes = std::vector<coordination::KeyChange>;
   using Job = std::function<void()>;
   template <typename Value>
   using Handler = std::function<void(const Value&)>;
@@ -117,7 +117,8 @@
   void expire_leases_periodically();
   void publish_changes();
   bool revoke_at_store(coordination::LeaseId lease);
-  std::optional<coordination::Outcome> commit_at_store(const coordination::Transaction& transaction);
+  std::optional<coordination::TransactionResult> commit_at_store(
+      const coordination::Transaction& transaction);
   Micros delivery_time(Micros& last_delivery, Micros max_lag);
   Micros coordinator_delay();
   template <typename Value>
@@ -178,8 +179,8 @@
   Job no_response_to(RouterProcess& router, std::uint64_t call_id);
   coordination::Transaction report_transaction(const RouterProcess& router, policy::ParticipantReport report,
                                                coordination::LeaseId lease) const;
-  coordination::Outcome commit_report(const RouterProcess& router, Aggregator& aggregator, Micros now,
-                                      coordination::Transaction transaction);
+  coordination::TransactionResult commit_report(const RouterProcess& router, Aggregator& aggregator,
+                                                Micros now, coordination::Transaction transaction);
   static void acknowledge_latest_round(const Aggregator& aggregator, coordination::Put& put);
   bool renew(Aggregator& aggregator, int endpoint, coordination::LeaseId lease);
   void drop_lease(AggregatorProcess& aggregator, coordination::LeaseId lease);
@@ -214,7 +215,7 @@
   static std::string describe(const policy::RolloutSnapshot& snapshot);
 
   Defect defect_;
-  coordination::Ledger store_{coordination::Limits{}};
+  coordination::KeyValueState store_{coordination::KeyValueLimits{}};
   StoreBackup backup_;
   bool store_is_restored_ = false;  // and not everybody is restarted yet
   bool same_name_ = false;          // of all aggregators
@@ -245,7 +246,7 @@
   call<Answer>(
       aggregator, nullptr, aggregator.cut,
       [this, operation]() -> std::optional<Answer> {
-        store_.expire(store_ms());
+        store_.expire(store_clock());
         const std::optional<Value> value = operation();
         publish_changes();
         return value ? std::optional(Answer{*value, store_.revision()}) : std::nullopt;
--- a/tests/aggregation/region_world_aggregators.cpp
+++ b/tests/aggregation/region_world_aggregators.cpp
@@ -8,7 +8,7 @@
 namespace trailcourse::aggregation {
 
 using coordination::LeaseId;
-using coordination::Outcome;
+using coordination::TransactionResult;
 using coordination::Put;
 using coordination::Range;
 using coordination::Transaction;
@@ -145,7 +145,7 @@
 
 void RegionWorld::acquire(AggregatorProcess& aggregator, const LeaseAction& action) {
   call_store<LeaseId>(
-      aggregator, [this] { return store_.grant(store_ms(), kAggregatorTtl.count() / 1'000, 0); },
+      aggregator, [this] { return store_.grant(store_clock(), std::chrono::duration_cast<std::chrono::milliseconds>(kAggregatorTtl), 0); },
       [this, &aggregator, action](const LeaseId& lease) {
         aggregator.lease = lease;
         join(aggregator, action);
@@ -159,9 +159,9 @@
   if (defect_ == Defect::kUnfencedSummary) {
     remove_fence(aggregator, transaction);
   }
-  call_store<Outcome>(
+  call_store<TransactionResult>(
       aggregator, [this, transaction] { return commit_at_store(transaction); },
-      [this, &aggregator, lease, call_id = action.call.call_id](const Outcome& outcome) {
+      [this, &aggregator, lease, call_id = action.call.call_id](const TransactionResult& outcome) {
         result_.joins += outcome.succeeded ? 1 : 0;
         aggregator.core->upstream().on_join_result(clock(aggregator), call_id, read_join_result(outcome));
         if (!outcome.succeeded) {
@@ -174,7 +174,7 @@
 
 void RegionWorld::renew(AggregatorProcess& aggregator, std::uint64_t call_id) {
   call_store<bool>(
-      aggregator, [this, lease = aggregator.lease] { return store_.keep_alive(store_ms(), lease) > 0; },
+      aggregator, [this, lease = aggregator.lease] { return store_.keep_alive(store_clock(), lease) > std::chrono::milliseconds(0); },
       [this, &aggregator, call_id](const bool& renewed) {
         aggregator.core->upstream().on_renew_result(
             clock(aggregator), call_id, renewed ? RenewResult::kRenewed : RenewResult::kLeaseNotFound);
@@ -201,9 +201,9 @@
   const auto on_result = [this, &aggregator, call_id = action.call_id](const SummaryWriteResult& result) {
     aggregator.core->upstream().on_write_result(clock(aggregator), call_id, result);
   };
-  call_store<Outcome>(
+  call_store<TransactionResult>(
       aggregator, [this, transaction] { return commit_at_store(transaction); },
-      [this, action, on_result](const Outcome& outcome) {
+      [this, action, on_result](const TransactionResult& outcome) {
         ++result_.summaries;
         on_result(read_write_result(outcome, action));
       },
@@ -213,7 +213,7 @@
 // Writes summaries under keys that do not name their lease.
 void RegionWorld::remove_fence(const AggregatorProcess& aggregator, Transaction& transaction) const {
   constexpr LeaseId kAnyLease = 1;
-  for (coordination::Step& operation : transaction.then) {
+  for (coordination::Operation& operation : transaction.then) {
     if (Put* const put = std::get_if<Put>(&operation)) {
       put->key = summary_key("", aggregator.name, policy::read_report(put->value)->zone, kAnyLease);
     }
--- a/tests/aggregation/region_world_coordinators.cpp
+++ b/tests/aggregation/region_world_coordinators.cpp
@@ -32,7 +32,7 @@
     if (!rollout_coordinator_ || (chance(2) && !calm_)) {
       rollout_coordinator_.emplace(rollout_timeouts());  // a successor
     }
-    store_.expire(store_ms());
+    store_.expire(store_clock());
     publish_changes();
     if (store_.revision() >= coordinator_min_revision_) {
       coordinator_min_revision_ = store_.revision();
@@ -49,7 +49,7 @@
   }
   at(now_ + coordinator_delay(),
      [this, write = policy::execute_transaction("", snapshot, *step), step = *step, snapshot] {
-       store_.expire(store_ms());
+       store_.expire(store_clock());
        if (store_.commit(write).succeeded) {
          result_.commits += step.commit ? 1 : 0;
          result_.aborts += step.rollout.state == RolloutState::kAborted ? 1 : 0;
@@ -122,7 +122,7 @@
 
 void RegionWorld::run_acknowledgement_coordinator() {
   at(now_ + drawn(milliseconds(100)), [this] {
-    store_.expire(store_ms());
+    store_.expire(store_clock());
     publish_changes();
     if (store_.revision() >= coordinator_min_revision_) {
       const auto snapshot = policy::read_acknowledgement_snapshot(
@@ -138,7 +138,7 @@
 void RegionWorld::write_acknowledgement(const coordination::Transaction& write,
                                         const policy::Acknowledgement& next) {
   at(now_ + coordinator_delay(), [this, write, next] {
-    store_.expire(store_ms());
+    store_.expire(store_clock());
     if (store_.commit(write).succeeded) {
       ++result_.acknowledgement_rounds;
       completed_event_ = std::max(completed_event_, next.completed.sequence);
--- a/tests/aggregation/region_world_routers.cpp
+++ b/tests/aggregation/region_world_routers.cpp
@@ -10,7 +10,7 @@
 
 using coordination::Entry;
 using coordination::LeaseId;
-using coordination::Outcome;
+using coordination::TransactionResult;
 using coordination::Put;
 using coordination::Transaction;
 using ownership::LeaseCallKind;
@@ -219,12 +219,12 @@
     router.participant->on_report_result(clock(router), call_id, written);
   };
   const Transaction write = report_transaction(router, action.report, router.lease);
-  call_aggregator<Outcome>(
+  call_aggregator<TransactionResult>(
       router,
       [this, &router, write, endpoint = router.endpoint](Aggregator& core) {
         return commit_report(router, core, clock_of(endpoint), write);
       },
-      [on_result](const Outcome&) { on_result(true); }, [on_result] { on_result(false); });
+      [on_result](const TransactionResult&) { on_result(true); }, [on_result] { on_result(false); });
 }
 
 void RegionWorld::execute(RouterProcess& router, const policy::LeaseAction& action) {
@@ -264,12 +264,12 @@
 void RegionWorld::join(RouterProcess& router, const policy::LeaseAction& action) {
   Transaction write = report_transaction(router, action.report, router.lease);
   write.when = policy::join_conditions("", action.observed, router.zone);
-  call_aggregator<Outcome>(
+  call_aggregator<TransactionResult>(
       router,
       [this, &router, write, endpoint = router.endpoint](Aggregator& core) {
         return commit_report(router, core, clock_of(endpoint), write);
       },
-      [this, &router, call_id = action.order.call_id](const Outcome& outcome) {
+      [this, &router, call_id = action.order.call_id](const TransactionResult& outcome) {
         router.participant->on_join_result(clock(router), call_id, outcome.succeeded);
       },
       no_response_to(router, action.order.call_id));
@@ -285,7 +285,7 @@
 }
 
 // Executed at the aggregator.
-Outcome RegionWorld::commit_report(const RouterProcess& router, Aggregator& aggregator, Micros now,
+TransactionResult RegionWorld::commit_report(const RouterProcess& router, Aggregator& aggregator, Micros now,
                                    Transaction transaction) {
   if (defect_ == Defect::kRouterMissingFromSummary && router.index % 4 == 0) {
     transaction.then.clear();
--- a/tests/aggregation/region_world_store.cpp
+++ b/tests/aggregation/region_world_store.cpp
@@ -5,8 +5,8 @@
 namespace trailcourse::aggregation {
 
 using coordination::LeaseId;
-using coordination::Outcome;
 using coordination::Transaction;
+using coordination::TransactionResult;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -27,7 +27,7 @@
 
 void RegionWorld::expire_leases_periodically() {
   at(now_ + milliseconds(50), [this] {
-    store_.expire(store_ms());
+    store_.expire(store_clock());
     publish_changes();
     expire_leases_periodically();
   });
@@ -36,7 +36,7 @@
 // Sends what has changed to each aggregator that watches, in order.
 void RegionWorld::publish_changes() {
   Changes changes;
-  for (const coordination::Change& change : store_.changes()) {
+  for (const coordination::KeyChange& change : store_.take_changes()) {
     if (change.entry.key.starts_with(policy::kPolicyPrefix)) {
       changes.push_back(change);
     }
@@ -62,17 +62,17 @@
 bool RegionWorld::revoke_at_store(LeaseId lease) {
   try {
     store_.revoke(lease);
-  } catch (const coordination::Rejected&) {
+  } catch (const coordination::OperationRejected&) {
     // It has expired.
   }
   return true;
 }
 
 // A rejection is no outcome, and so no answer to the aggregator.
-std::optional<Outcome> RegionWorld::commit_at_store(const Transaction& transaction) {
+std::optional<TransactionResult> RegionWorld::commit_at_store(const Transaction& transaction) {
   try {
     return store_.commit(transaction);
-  } catch (const coordination::Rejected&) {
+  } catch (const coordination::OperationRejected&) {
     return std::nullopt;
   }
 }
@@ -80,7 +80,7 @@
 // ---- Restoration from an old copy ----
 
 void RegionWorld::back_up_store() {
-  store_.expire(store_ms());
+  store_.expire(store_clock());
   for (const auto& [key, entry] : store_.entries()) {
     backup_.entries.push_back(entry);
   }
@@ -95,8 +95,8 @@
   store_is_restored_ = true;
   store_.restore(backup_.entries, backup_.revision);
   store_.set_leases(backup_.leases);
-  store_.renew_all(store_ms());
-  store_.changes();
+  store_.renew_all(store_clock());
+  store_.take_changes();
   for (AggregatorProcess& aggregator : aggregators_) {
     if (aggregator.min_revision == 0) {
       end_incarnation(aggregator);  // it has seen no revision by which it could notice: it counts as new
--- a/tests/aggregation/router_leases_test.cpp
+++ b/tests/aggregation/router_leases_test.cpp
@@ -187,7 +187,7 @@
   const auto get = [this](const std::string& key, bool prefix) {
     return aggregator_.commit(now_, Transaction{{}, {Get{Range{key, prefix}}}, {}});
   };
-  EXPECT_EQ(get(policy::kPolicyPrefix, true).steps.front().found.size(), 1U);
+  EXPECT_EQ(get(policy::kPolicyPrefix, true).results.front().found.size(), 1U);
   for (const char* key : {"", "p", "policy", "permits/", "members/"}) {
     expect_rejected(Reason::kUnsupported, [&] { get(key, true); });
   }
--- a/tests/aggregation/upstream_lease_test.cpp
+++ b/tests/aggregation/upstream_lease_test.cpp
@@ -87,7 +87,7 @@
   execute_steps();
   const LeaseId first = lease_;
   now_ += seconds(5);
-  store_.expire(now_ms());
+  store_.expire(store_clock());
   EXPECT_FALSE(aggregator_.upstream().is_active(now_));
   execute_steps();  // the renewal finds no lease
   EXPECT_FALSE(aggregator_.upstream().is_active(now_));
@@ -104,8 +104,8 @@
   put_rollout(RolloutState::kPreparing);
   const std::optional<ReportSummariesAction> late = due_write();
   ASSERT_TRUE(late);
-  store_.expire(now_ms() + 4'000);
-  EXPECT_THROW(store_.commit(summary_transaction("", "agg", lease_, *late)), coordination::Rejected);
+  store_.expire(store_clock() + std::chrono::milliseconds(4'000));
+  EXPECT_THROW(store_.commit(summary_transaction("", "agg", lease_, *late)), coordination::OperationRejected);
 }
 
 TEST_F(UpstreamLeaseTest, AnswerToAnEarlierJoinIsIgnored) {
--- a/tests/ownership_simulation.cpp
+++ b/tests/ownership_simulation.cpp
@@ -5,7 +5,7 @@
 #include <map>
 #include <set>
 
-#include "coordination/ledger.h"
+#include "coordination/key_value_state.h"
 #include "ownership/lease_manager.h"
 #include "ownership_invariants.h"
 #include "ownership_simulation_options.h"
@@ -15,7 +15,7 @@
 namespace {
 
 using coordination::LeaseId;
-using coordination::Ledger;
+using coordination::KeyValueState;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 using testing_support::VirtualProcess;
@@ -73,9 +73,9 @@
 
   // ---- The store ----
 
-  coordination::Outcome commit(const coordination::Transaction& transaction) {
+  coordination::TransactionResult commit(const coordination::Transaction& transaction) {
     ledger_.expire(store_ms());
-    const coordination::Outcome out = ledger_.commit(transaction);
+    const coordination::TransactionResult out = ledger_.commit(transaction);
     send_changes();
     return out;
   }
@@ -103,7 +103,7 @@
 
   // Changes are sent to all that follow, each after a time of its own but in order.
   void send_changes() {
-    for (const coordination::Change& change : ledger_.changes()) {
+    for (const coordination::KeyChange& change : ledger_.changes()) {
       const auto id = read_shard_key(change.entry.key, kProgressPrefix);
       if (const auto progress = id ? read_progress(change.entry.value) : std::nullopt) {
         fail_if(progress_monitor_.observe(*id, *progress));
@@ -116,7 +116,7 @@
     }
   }
 
-  void send_change(int index, const coordination::Change& change) {
+  void send_change(int index, const coordination::KeyChange& change) {
     Micros& arrival = last_arrival_[index];
     arrival = std::max(arrival, now_ + drawn(milliseconds(40)));
     at(arrival, [this, index, same = same_incarnation(router(index)), change] {
@@ -128,7 +128,7 @@
     });
   }
 
-  void apply(int index, const coordination::Change& change) {
+  void apply(int index, const coordination::KeyChange& change) {
     const Micros now = router_now(index);
     const std::string& key = change.entry.key;
     if (const auto id = read_shard_key(key, kOwnerPrefix)) {
@@ -175,7 +175,7 @@
     std::set<std::string> keys;
     for (const coordination::Entry& entry : entries) {
       keys.insert(entry.key);
-      apply(index, coordination::Change{false, entry});
+      apply(index, coordination::KeyChange{false, entry});
     }
     for (std::uint64_t shard = 0; shard < kShards; ++shard) {
       const ShardId id{"w", shard};
@@ -246,7 +246,7 @@
         [this, lease] {
           try {
             ledger_.revoke(lease);
-          } catch (const coordination::Rejected&) {
+          } catch (const coordination::OperationRejected&) {
           }
           return true;
         },
@@ -277,7 +277,7 @@
         [this, id, owner, lease] {
           try {
             return read_acquire_result(ledger_.commit(acquire_transaction("", id, owner, lease)));
-          } catch (const coordination::Rejected&) {
+          } catch (const coordination::OperationRejected&) {
             return AcquireResult{};  // the lease ended meanwhile
           }
         },
@@ -479,7 +479,7 @@
 
   SeededDefect defect_;
   LeaseManagerOptions options_;
-  Ledger ledger_{coordination::Limits{}};
+  KeyValueState ledger_{coordination::KeyValueLimits{}};
   std::array<Router, kRouters> routers_;
   std::map<int, Micros> last_arrival_;  // of a change, by router
   EffectReceiver receiver_;
--- a/tests/policy_world_test.cpp
+++ b/tests/policy_world_test.cpp
@@ -7,7 +7,7 @@
 #include <functional>
 #include <set>
 
-#include "coordination/ledger.h"
+#include "coordination/key_value_state.h"
 #include "policy/participant.h"
 #include "policy/rollout_coordinator.h"
 #include "policy/rollout_transactions.h"
@@ -92,7 +92,7 @@
   }
 
   RolloutSnapshot read_store() {
-    const coordination::Outcome outcome = ledger_.commit(snapshot_transaction(""));
+    const coordination::TransactionResult outcome = ledger_.commit(snapshot_transaction(""));
     return read_snapshot("", outcome);
   }
   ObservedState observed_now() {
@@ -175,7 +175,7 @@
   // What changed goes to all that are heard by the store.
   void notify_all() {
     bool changed = false;
-    for (const coordination::Change& change : ledger_.changes()) {
+    for (const coordination::KeyChange& change : ledger_.changes()) {
       changed = changed || change.entry.key.starts_with("policy/");
     }
     if (!changed) {
@@ -222,7 +222,7 @@
                                                              write_report(action.report), lease}},
                                           {}});
             return true;
-          } catch (const coordination::Rejected&) {
+          } catch (const coordination::OperationRejected&) {
             return false;
           }
         },
@@ -255,7 +255,7 @@
                                                  write_report(action.report), lease}};
                   try {
                     return ledger_.commit(join).succeeded;
-                  } catch (const coordination::Rejected&) {
+                  } catch (const coordination::OperationRejected&) {
                     return false;
                   }
                 },
@@ -442,7 +442,7 @@
   Defect defect_;
   ParticipantOptions options_;
   RolloutTimeouts timeouts_;
-  coordination::Ledger ledger_{coordination::Limits{}};
+  coordination::KeyValueState ledger_{coordination::KeyValueLimits{}};
   std::deque<Router> routers_;
   std::optional<RolloutCoordinator> coordinator_;
   std::uint64_t last_version_ = 0;
--- a/tests/recorded_files_test.cpp
+++ b/tests/recorded_files_test.cpp
@@ -14,7 +14,7 @@
 #include <string>
 #include <vector>
 
-#include "coordination/ledger_file.h"
+#include "coordination/key_value_database.h"
 #include "discovery/event_log.h"
 #include "fencing/token_store.h"
 #include "membership/member_records.h"
@@ -154,15 +154,15 @@
 class RecordedRegistry : public RecordedFiles {
  protected:
   RecordedRegistry()
-      : file_(copy_of_fixture("registry"), coordination::Limits{},
-              coordination::LedgerFile::Sharing::kAlone) {}
+      : file_(copy_of_fixture("registry"), coordination::KeyValueLimits{},
+              coordination::KeyValueDatabase::Sharing::kExclusive) {}
 
   std::string value(const std::string& key) const {
     const auto found = file_.ledger().entries().find(kKeyPrefix + key);
     return found == file_.ledger().entries().end() ? "no such entry" : found->second.value;
   }
 
-  coordination::LedgerFile file_;
+  coordination::KeyValueDatabase file_;
 };
 
 TEST_F(RecordedRegistry, KeepsItsIdRevisionEntriesAndLeases) {
@@ -181,7 +181,7 @@
 
 TEST_F(RecordedRegistry, GoesOnFromItsRevisionAndKeepsWhatIsWritten) {
   coordination::Revision revision = 0;
-  file_.use(coordination::LedgerFile::machine_ms(), true, [&](coordination::Ledger& ledger) {
+  file_.use(coordination::KeyValueDatabase::boot_time(), true, [&](coordination::KeyValueState& ledger) {
     coordination::Transaction transaction;
     transaction.then = {coordination::Put{kKeyPrefix + "fleet/work/new", "value", 0}};
     ledger.commit(transaction);
