--- a/benchmarks/scale/hollow_driver.cpp
+++ b/benchmarks/scale/hollow_driver.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// Of tasks::StoreDriverTask.
+// Of tasks::ReconcileTask.
 constexpr Micros kIdleLook{5'000'000};
 constexpr Micros kLostLook{200'000};
 constexpr Micros kBetweenLooks{20'000};
--- a/benchmarks/scale/hollow_driver.h
+++ b/benchmarks/scale/hollow_driver.h
@@ -1,4 +1,4 @@
-// Whoever drives records of the store in a simulated fleet, as tasks::StoreDriverTask does: changes of policy
+// Whoever drives records of the store in a simulated fleet, as tasks::ReconcileTask does: changes of policy
 // by the real policy::Driver, acknowledged events by the real policy::AcknowledgementDriver.
 #pragma once
 
--- a/src/program/aggregator_command.cpp
+++ b/src/program/aggregator_command.cpp
@@ -13,8 +13,8 @@
 #include "program/signals.h"
 #include "routing/board_watcher.h"
 #include "tasks/acknowledgement_task.h"
-#include "tasks/board_follower.h"
-#include "tasks/policy_change_task.h"
+#include "tasks/discovery_progress.h"
+#include "tasks/policy_rollout_task.h"
 #include "tasks/task_runner.h"
 #include "transport/log.h"
 
@@ -66,7 +66,7 @@
 class BoardListener {
  public:
   BoardListener(transport::Scheduler& scheduler, const transport::Address& address, std::uint64_t seed,
-                tasks::BoardFollower& follower)
+                tasks::DiscoveryProgress& follower)
       : watcher_(scheduler, address, numbers_, profile_, seed, bounds(), hooks(follower), {}) {
     watcher_.start();
   }
@@ -79,7 +79,7 @@
     out.first_at_once = true;
     return out;
   }
-  static routing::BoardWatcher::Hooks hooks(tasks::BoardFollower& follower) {
+  static routing::BoardWatcher::Hooks hooks(tasks::DiscoveryProgress& follower) {
     routing::BoardWatcher::Hooks out;
     out.taken = [&follower](const std::string& board, std::uint64_t last) {
       follower.took_in({board, last});
@@ -132,19 +132,19 @@
   const std::uint64_t seed = (std::uint64_t{entropy()} << 32U) | entropy();
   const std::unique_ptr<coordination::SharedStore> store = open_store(scheduler, file.coordination, seed);
   Service service(scheduler, *store, options, prefix, seed);
-  tasks::BoardFollower board;
+  tasks::DiscoveryProgress board;
   // Of no zone: work that is bound to a zone is its routers'.
   TaskRunner runner(
       scheduler, *store, own_work(file), prefix,
       TaskRunner::Self{options.name, service.core().identity().incarnation, "", options.listen, ""});
-  runner.add(tasks::kPolicyWork, [&](tasks::TaskContext context) {
-    return std::make_unique<tasks::PolicyChangeTask>(scheduler, *store, prefix, file.policy,
-                                                     std::move(context));
+  runner.register_kind(tasks::kPolicyWork, [&](tasks::TaskContext context) {
+    return std::make_unique<tasks::PolicyRolloutTask>(scheduler, *store, prefix, file.policy,
+                                                      std::move(context));
   });
   std::optional<BoardListener> listener;
   if (const auto address = transport::parse_address(options.board)) {
     listener.emplace(scheduler, *address, seed, board);
-    runner.add(tasks::kAcknowledgeWork, [&](tasks::TaskContext context) {
+    runner.register_kind(tasks::kAcknowledgeWork, [&](tasks::TaskContext context) {
       return std::make_unique<tasks::AcknowledgementTask>(
           scheduler, *store, prefix, board, milliseconds(file.ownership.acknowledge_ms), std::move(context));
     });
--- a/src/program/fleet_work.cpp
+++ b/src/program/fleet_work.cpp
@@ -6,10 +6,10 @@
 #include "coordination/embedded_store.h"
 #include "coordination/etcd_store.h"
 #include "tasks/acknowledgement_task.h"
-#include "tasks/filler.h"
-#include "tasks/policy_change_task.h"
-#include "tasks/prober.h"
-#include "tasks/reporter.h"
+#include "tasks/fleet_report_task.h"
+#include "tasks/health_check_task.h"
+#include "tasks/policy_rollout_task.h"
+#include "tasks/prefetch_task.h"
 #include "transport/log.h"
 
 namespace trailcourse::program {
@@ -72,26 +72,26 @@
       scheduler_, *store_, options, prefix,
       tasks::TaskRunner::Self{configuration_.name, incarnation_of(configuration_.seed),
                               configuration_.profile.settings.zone, to_string(configuration_.listen), ""});
-  task_runner_->add("probe", [this, prefix, options](tasks::TaskContext context) {
-    return std::make_unique<tasks::Prober>(scheduler_, *store_, prefix, directory_, options,
-                                           std::move(context));
+  task_runner_->register_kind("probe", [this, prefix, options](tasks::TaskContext context) {
+    return std::make_unique<tasks::HealthCheckTask>(scheduler_, *store_, prefix, directory_, options,
+                                                    std::move(context));
   });
-  task_runner_->add("fill", [this, options](tasks::TaskContext context) {
-    return std::make_unique<tasks::Filler>(scheduler_, router_, configuration_.profile, options,
-                                           configuration_.seed ^ kFillSeed, std::move(context));
+  task_runner_->register_kind("fill", [this, options](tasks::TaskContext context) {
+    return std::make_unique<tasks::PrefetchTask>(scheduler_, router_, configuration_.profile, options,
+                                                 configuration_.seed ^ kFillSeed, std::move(context));
   });
-  task_runner_->add("report", [this, prefix, options](tasks::TaskContext context) {
-    return std::make_unique<tasks::Reporter>(scheduler_, *store_, prefix, options, std::move(context));
+  task_runner_->register_kind("report", [this, prefix, options](tasks::TaskContext context) {
+    return std::make_unique<tasks::FleetReportTask>(scheduler_, *store_, prefix, options, std::move(context));
   });
-  task_runner_->add(tasks::kPolicyWork, [this, prefix](tasks::TaskContext context) {
-    return std::make_unique<tasks::PolicyChangeTask>(scheduler_, *store_, prefix, configuration_.start.policy,
-                                                     std::move(context));
+  task_runner_->register_kind(tasks::kPolicyWork, [this, prefix](tasks::TaskContext context) {
+    return std::make_unique<tasks::PolicyRolloutTask>(scheduler_, *store_, prefix,
+                                                      configuration_.start.policy, std::move(context));
   });
-  task_runner_->add(tasks::kAcknowledgeWork, [this, prefix, options](tasks::TaskContext context) {
+  task_runner_->register_kind(tasks::kAcknowledgeWork, [this, prefix, options](tasks::TaskContext context) {
     return std::make_unique<tasks::AcknowledgementTask>(
         scheduler_, *store_, prefix, board_, milliseconds(options.acknowledge_ms), std::move(context));
   });
-  task_runner_->tell_keys(tasks::kVerdicts, [this](const std::string& key, const std::string& value) {
+  task_runner_->observe_keys(tasks::kVerdictPrefix, [this](const std::string& key, const std::string& value) {
     hear_verdict(key, value);
   });
   router_.watch_attempts(
@@ -99,9 +99,9 @@
 }
 
 void FleetWork::follow_policy() {
-  const tasks::PolicyFollower::Self self{configuration_.name, incarnation_of(configuration_.seed),
-                                         configuration_.profile.settings.zone,
-                                         static_cast<std::int64_t>(configuration_.most_open_requests())};
+  const tasks::PolicyClient::Self self{configuration_.name, incarnation_of(configuration_.seed),
+                                       configuration_.profile.settings.zone,
+                                       static_cast<std::int64_t>(configuration_.most_open_requests())};
   policy_.emplace(scheduler_, policy_store_ ? *policy_store_ : *store_, configuration_.start.policy,
                   configuration_.start.coordination.prefix, self, configuration_.profile, router_,
                   [this](std::optional<std::set<std::string>> kinds) { allow(std::move(kinds)); });
@@ -116,7 +116,7 @@
   if (kinds) {
     kinds->insert(tasks::kPolicyWork);  // else no policy could ever be changed
   }
-  task_runner_->allow(std::move(kinds));
+  task_runner_->set_allowed_kinds(std::move(kinds));
 }
 
 FleetWork::~FleetWork() { *alive_ = false; }
@@ -160,12 +160,12 @@
 void FleetWork::tell_suspects() {
   const std::string& zone = configuration_.profile.settings.zone;
   for (const auto& [cache, suspect] : suspects_.changes()) {
-    task_runner_->keep(tasks::suspect_key(zone, cache, configuration_.name), suspect ? "1" : "");
+    task_runner_->set_session_key(tasks::suspect_key(zone, cache, configuration_.name), suspect ? "1" : "");
   }
 }
 
 void FleetWork::hear_verdict(const std::string& key, const std::string& value) {
-  const std::string stem = tasks::kVerdicts + configuration_.profile.settings.zone + "/";
+  const std::string stem = tasks::kVerdictPrefix + configuration_.profile.settings.zone + "/";
   if (!key.starts_with(stem)) {
     return;  // another zone's
   }
@@ -207,7 +207,8 @@
                        {"left", counts.left},
                        {"attempts", counts.attempts},
                        {"attempts_failed", counts.attempts_failed}};
-    task_runner_->keep(tasks::kCounters + configuration_.name, tasks::write_counters(counters));
+    task_runner_->set_session_key(tasks::kCounterPrefix + configuration_.name,
+                                  tasks::write_counters(counters));
   }
 }
 
--- a/src/program/fleet_work.h
+++ b/src/program/fleet_work.h
@@ -12,9 +12,9 @@
 #include "program/configuration.h"
 #include "routing/directory.h"
 #include "routing/router.h"
-#include "tasks/board_follower.h"
-#include "tasks/policy_follower.h"
-#include "tasks/suspects.h"
+#include "tasks/discovery_progress.h"
+#include "tasks/health_check_plan.h"
+#include "tasks/policy_client.h"
 #include "tasks/task_runner.h"
 
 namespace trailcourse::program {
@@ -61,13 +61,13 @@
   const Configuration& configuration_;
   routing::Router& router_;
   const routing::Directory& directory_;
-  tasks::BoardFollower board_;
+  tasks::DiscoveryProgress board_;
   std::unique_ptr<coordination::SharedStore> store_;         // null for none
   std::unique_ptr<coordination::SharedStore> policy_store_;  // through aggregators; null for none
   std::optional<tasks::TaskRunner> task_runner_;
-  std::optional<tasks::PolicyFollower> policy_;
-  tasks::SuspectBook suspects_;
-  tasks::VerdictBook verdicts_;
+  std::optional<tasks::PolicyClient> policy_;
+  tasks::OutlierTracker suspects_;
+  tasks::VerdictTracker verdicts_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/program/policy_command.cpp
+++ b/src/program/policy_command.cpp
@@ -14,7 +14,7 @@
 #include "policy/document.h"
 #include "program/store_client.h"
 #include "protocol/numbers.h"
-#include "tasks/policy_change_task.h"
+#include "tasks/policy_rollout_task.h"
 
 namespace trailcourse::program {
 
--- a/src/program/work_command.cpp
+++ b/src/program/work_command.cpp
@@ -15,8 +15,8 @@
 #include "ownership/work.h"
 #include "program/store_client.h"
 #include "protocol/numbers.h"
-#include "tasks/fill_plan.h"
-#include "tasks/reporter.h"
+#include "tasks/fleet_report_task.h"
+#include "tasks/prefetch_plan.h"
 
 namespace trailcourse::program {
 
@@ -257,17 +257,17 @@
   work.zone = command.zone;
   work.shards = static_cast<std::uint64_t>(std::max(0, command.shards));
   if (work.kind == "fill") {
-    tasks::FillOrder order;
+    tasks::PrefetchOrder order;
     order.request_class = command.request_class;
     order.at_ms = at_ms(command.at);
     order.objects_per_s = command.objects_per_s;
     order.objects = command.objects;
-    tasks::read_fill_order(tasks::write_fill_order(order));  // names what cannot be used
+    tasks::read_prefetch_order(tasks::write_prefetch_order(order));  // names what cannot be used
     if (order.objects.empty()) {
       throw std::invalid_argument("--objects: none are listed");
     }
     order.objects.clear();
-    work.params = tasks::write_fill_order(order);
+    work.params = tasks::write_prefetch_order(order);
   }
   if (work.kind == "probe" && work.zone.empty()) {
     throw std::invalid_argument("--zone: probing is of one zone");
@@ -282,7 +282,7 @@
   for (std::size_t i = 0; i < lists.size(); ++i) {
     Transaction list;
     list.when = {coordination::absent(key)};
-    list.then = {coordination::Put{client.key(tasks::fill_list_key(work.name, i)), lists[i], 0}};
+    list.then = {coordination::Put{client.key(tasks::prefetch_list_key(work.name, i)), lists[i], 0}};
     client.commit(list);
   }
   Transaction write;
@@ -297,7 +297,7 @@
 }
 
 int report(StoreClient& client, const WorkCommand& command, std::ostream& out, std::ostream& errors) {
-  const std::vector<Entry> found = client.get(tasks::kReport, false);
+  const std::vector<Entry> found = client.get(tasks::kFleetReportKey, false);
   const json text = found.empty() ? json() : json::parse(found.front().value, nullptr, false);
   if (!text.is_object()) {
     errors << "trailcourse: work: there is no report yet\n";
--- a/src/tasks/acknowledgement_task.cpp
+++ b/src/tasks/acknowledgement_task.cpp
@@ -7,9 +7,9 @@
 using coordination::Range;
 
 AcknowledgementTask::AcknowledgementTask(transport::Scheduler& scheduler, coordination::SharedStore& store,
-                                         std::string prefix, BoardFollower& board, Micros least_round,
+                                         std::string prefix, DiscoveryProgress& board, Micros least_round,
                                          TaskContext context)
-    : StoreDriverTask(scheduler, store, std::move(prefix), std::move(context)),
+    : ReconcileTask(scheduler, store, std::move(prefix), std::move(context)),
       board_(board),
       listener_(board.listen([this](const policy::BoardPosition& position) { took_in(position); })),
       driver_(least_round) {}
@@ -35,7 +35,7 @@
   return round_open_ || key == policy::kAcknowledgedKey;
 }
 
-StoreDriverTask::Decision AcknowledgementTask::decide(Micros now, const coordination::Outcome& outcome) {
+ReconcileTask::Decision AcknowledgementTask::decide(Micros now, const coordination::Outcome& outcome) {
   const policy::AcknowledgementsSeen seen = policy::read_acknowledgements_seen(prefix(), outcome);
   round_open_ = seen.record.round > 0 && seen.record.done != seen.record.asked;
   asked_ = seen.record.asked;
--- a/src/tasks/acknowledgement_task.h
+++ b/src/tasks/acknowledgement_task.h
@@ -8,18 +8,18 @@
 #include <vector>
 
 #include "policy/acknowledgement.h"
-#include "tasks/board_follower.h"
-#include "tasks/store_driver_task.h"
+#include "tasks/discovery_progress.h"
+#include "tasks/reconcile_task.h"
 
 namespace trailcourse::tasks {
 
 constexpr const char* kAcknowledgeWork = "acknowledge";  // kind of the work
 
-class AcknowledgementTask : public StoreDriverTask {
+class AcknowledgementTask : public ReconcileTask {
  public:
   // `board` outlives it. `least_round`: between the beginnings of two rounds.
   AcknowledgementTask(transport::Scheduler& scheduler, coordination::SharedStore& store, std::string prefix,
-                      BoardFollower& board, Micros least_round, TaskContext context);
+                      DiscoveryProgress& board, Micros least_round, TaskContext context);
   ~AcknowledgementTask() override;
 
  protected:
@@ -31,8 +31,8 @@
  private:
   void took_in(const policy::BoardPosition& position);
 
-  BoardFollower& board_;
-  BoardFollower::ListenerId listener_;
+  DiscoveryProgress& board_;
+  DiscoveryProgress::ListenerId listener_;
   policy::AcknowledgementDriver driver_;
   bool round_open_ = true;       // as it was seen last; true before
   policy::BoardPosition asked_;  // the same
--- a/src/tasks/board_follower.h
+++ b/src/tasks/discovery_progress.h
@@ -11,7 +11,7 @@
 
 namespace trailcourse::tasks {
 
-class BoardFollower {
+class DiscoveryProgress {
  public:
   using Listener = std::function<void(const policy::BoardPosition&)>;
   using ListenerId = std::uint64_t;
--- a/src/tasks/reporter.cpp
+++ b/src/tasks/fleet_report_task.cpp
@@ -1,4 +1,4 @@
-#include "tasks/reporter.h"
+#include "tasks/fleet_report_task.h"
 
 #include <nlohmann/json.hpp>
 #include <utility>
@@ -8,8 +8,8 @@
 using std::chrono::milliseconds;
 using transport::Clock;
 
-Reporter::Reporter(transport::Scheduler& scheduler, coordination::SharedStore& store, std::string prefix,
-                   const OwnershipOptions& options, TaskContext context)
+FleetReportTask::FleetReportTask(transport::Scheduler& scheduler, coordination::SharedStore& store,
+                                 std::string prefix, const OwnershipOptions& options, TaskContext context)
     : scheduler_(scheduler),
       store_(store),
       prefix_(std::move(prefix)),
@@ -18,15 +18,15 @@
       report_(context_.checkpoint),
       timer_(scheduler, [this] { turn(); }) {}
 
-void Reporter::finish() {
+void FleetReportTask::finish() {
   timer_.set(std::nullopt);
   context_.finished();
 }
 
-void Reporter::turn() {
+void FleetReportTask::turn() {
   if (context_.may_act()) {
     coordination::Transaction read;
-    read.then = {coordination::Get{coordination::Range{prefix_ + kCounters, true}}};
+    read.then = {coordination::Get{coordination::Range{prefix_ + kCounterPrefix, true}}};
     store_.commit(std::move(read),
                   [this, alive = alive_](const coordination::Reply<coordination::Outcome>& reply) {
                     if (*alive && reply.done()) {
@@ -37,9 +37,9 @@
   timer_.set(Clock::now() + milliseconds(options_.report_ms));
 }
 
-void Reporter::read(const std::vector<coordination::Entry>& entries) {
+void FleetReportTask::read(const std::vector<coordination::Entry>& entries) {
   std::map<std::string, Counters> routers;
-  const std::size_t stem = prefix_.size() + std::string(kCounters).size();
+  const std::size_t stem = prefix_.size() + std::string(kCounterPrefix).size();
   for (const coordination::Entry& entry : entries) {
     if (auto counters = read_counters(entry.value)) {
       routers[entry.key.substr(stem)] = std::move(*counters);
@@ -53,7 +53,7 @@
       {"at_ms",
        std::chrono::duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch()).count()},
       {"sums", report_.sums()}};
-  context_.put(kReport, text.dump());
+  context_.put(kFleetReportKey, text.dump());
   context_.checkpoint_at(report_.checkpoint(), false);
 }
 
--- a/src/tasks/reporter.h
+++ b/src/tasks/fleet_report_task.h
@@ -13,14 +13,14 @@
 
 namespace trailcourse::tasks {
 
-constexpr const char* kCounters = "counters/";  // counters/ROUTER
-constexpr const char* kReport = "report/fleet";
+constexpr const char* kCounterPrefix = "counters/";  // counters/ROUTER
+constexpr const char* kFleetReportKey = "report/fleet";
 
-class Reporter : public OwnedTask {
+class FleetReportTask : public OwnedTask {
  public:
-  Reporter(transport::Scheduler& scheduler, coordination::SharedStore& store, std::string prefix,
-           const OwnershipOptions& options, TaskContext context);
-  ~Reporter() override { *alive_ = false; }
+  FleetReportTask(transport::Scheduler& scheduler, coordination::SharedStore& store, std::string prefix,
+                  const OwnershipOptions& options, TaskContext context);
+  ~FleetReportTask() override { *alive_ = false; }
 
   void begin() override { turn(); }
   void finish() override;
--- a/src/tasks/suspects.cpp
+++ b/src/tasks/health_check_plan.cpp
@@ -1,4 +1,4 @@
-#include "tasks/suspects.h"
+#include "tasks/health_check_plan.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
@@ -8,9 +8,9 @@
 
 using nlohmann::json;
 
-// ---- SuspectBook ----
+// ---- OutlierTracker ----
 
-void SuspectBook::ended(const std::string& cache, bool sound) {
+void OutlierTracker::ended(const std::string& cache, bool sound) {
   if (sound) {
     failures_.erase(cache);
     suspects_.erase(cache);
@@ -19,14 +19,14 @@
   }
 }
 
-void SuspectBook::forget(const std::string& cache) {
+void OutlierTracker::forget(const std::string& cache) {
   failures_.erase(cache);
   suspects_.erase(cache);
 }
 
-void SuspectBook::cleared(const std::string& cache) { forget(cache); }
+void OutlierTracker::cleared(const std::string& cache) { forget(cache); }
 
-std::map<std::string, bool> SuspectBook::changes() {
+std::map<std::string, bool> OutlierTracker::changes() {
   std::map<std::string, bool> out;
   for (const std::string& cache : suspects_) {
     if (!told_.contains(cache)) {
@@ -80,9 +80,9 @@
   return out;
 }
 
-// ---- ProbePlan ----
+// ---- HealthCheckPlan ----
 
-void ProbePlan::named(Micros now, const std::string& cache, const std::string& router, bool suspect) {
+void HealthCheckPlan::named(Micros now, const std::string& cache, const std::string& router, bool suspect) {
   if (!suspect) {
     const auto found = suspects_.find(cache);
     if (found != suspects_.end()) {
@@ -98,13 +98,13 @@
   found->second.routers.insert(router);
 }
 
-void ProbePlan::inherited(const Verdict& verdict) {
+void HealthCheckPlan::inherited(const Verdict& verdict) {
   Suspect& suspect = suspects_[verdict.cache];
   suspect.said = verdict.sound;
   suspect.last = verdict.sound;
 }
 
-std::vector<std::string> ProbePlan::due(Micros now) {
+std::vector<std::string> HealthCheckPlan::due(Micros now) {
   std::vector<std::string> out;
   std::size_t busy = static_cast<std::size_t>(
       std::count_if(suspects_.begin(), suspects_.end(), [](const auto& one) { return one.second.out; }));
@@ -119,7 +119,7 @@
   return out;
 }
 
-void ProbePlan::probed(Micros now, const std::string& cache, bool sound) {
+void HealthCheckPlan::probed(Micros now, const std::string& cache, bool sound) {
   const auto found = suspects_.find(cache);
   if (found == suspects_.end() || !found->second.out) {
     return;
@@ -133,7 +133,7 @@
   suspect.over = suspect.routers.empty() && sound && suspect.in_row >= rules_.sure;
 }
 
-std::vector<Verdict> ProbePlan::news(Micros now) {
+std::vector<Verdict> HealthCheckPlan::news(Micros now) {
   std::vector<Verdict> out;
   for (auto one = suspects_.begin(); one != suspects_.end();) {
     Suspect& suspect = one->second;
@@ -161,7 +161,7 @@
   return out;
 }
 
-std::optional<Micros> ProbePlan::next(Micros now) const {
+std::optional<Micros> HealthCheckPlan::next(Micros now) const {
   std::optional<Micros> out;
   for (const auto& [cache, suspect] : suspects_) {
     if (!suspect.out) {
@@ -171,11 +171,11 @@
   return out;
 }
 
-std::size_t ProbePlan::suspects() const { return suspects_.size(); }
+std::size_t HealthCheckPlan::suspects() const { return suspects_.size(); }
 
-// ---- VerdictBook ----
+// ---- VerdictTracker ----
 
-std::optional<Observed> VerdictBook::heard(Micros now, const Verdict& verdict) {
+std::optional<Observed> VerdictTracker::heard(Micros now, const Verdict& verdict) {
   Last& last = last_[verdict.cache];
   if (std::pair(verdict.term, verdict.number) <= std::pair(last.term, last.number)) {
     return std::nullopt;
@@ -184,7 +184,7 @@
   return Observed{verdict.cache, verdict.sound, holds_};
 }
 
-void VerdictBook::withdrawn(const std::string& cache) {
+void VerdictTracker::withdrawn(const std::string& cache) {
   // The term stays known: a late verdict of an earlier prober counts for nothing.
   const auto found = last_.find(cache);
   if (found != last_.end()) {
@@ -192,7 +192,7 @@
   }
 }
 
-std::optional<bool> VerdictBook::stands(Micros now, const std::string& cache) const {
+std::optional<bool> VerdictTracker::stands(Micros now, const std::string& cache) const {
   const auto found = last_.find(cache);
   const bool known = found != last_.end() && now - found->second.at < holds_;
   return known ? std::optional<bool>(found->second.sound) : std::nullopt;
--- a/src/tasks/suspects.h
+++ b/src/tasks/health_check_plan.h
@@ -20,9 +20,9 @@
 
 // ---- At each router: whom it suspects ----
 
-class SuspectBook {
+class OutlierTracker {
  public:
-  explicit SuspectBook(int after) : after_(after) {}
+  explicit OutlierTracker(int after) : after_(after) {}
 
   // An attempt at a cache ended. Outcomes that say nothing of the cache are not told.
   void ended(const std::string& cache, bool sound);
@@ -58,16 +58,16 @@
 std::string write_verdict(const Verdict& verdict);
 std::optional<Verdict> read_verdict(const std::string& cache, const std::string& value);
 
-struct ProbeRules {
+struct HealthCheckOptions {
   Micros pause{1'000'000};    // between two probes of one cache
   Micros repeat{2'500'000};   // a verdict is said again, while the cache is suspected
   std::uint64_t sure = 2;     // probes in a row that change a verdict
   std::size_t most_out = 16;  // probes at once
 };
 
-class ProbePlan {
+class HealthCheckPlan {
  public:
-  ProbePlan(const ProbeRules& rules, ownership::Term term) : rules_(rules), term_(term) {}
+  HealthCheckPlan(const HealthCheckOptions& rules, ownership::Term term) : rules_(rules), term_(term) {}
 
   // A router names a cache, or takes it back.
   void named(Micros now, const std::string& cache, const std::string& router, bool suspect);
@@ -95,7 +95,7 @@
     bool over = false;  // nobody suspects it any more: its verdict is to be taken back
   };
 
-  ProbeRules rules_;
+  HealthCheckOptions rules_;
   ownership::Term term_;
   std::map<std::string, Suspect> suspects_;
   std::uint64_t number_ = 0;
@@ -106,9 +106,9 @@
 
 // A verdict counts once, for the time it was made: one that is older in term or number than the last one
 // heard of that cache is passed over. It is an observation among the router's own, and never replaces one.
-class VerdictBook {
+class VerdictTracker {
  public:
-  explicit VerdictBook(Micros holds) : holds_(holds) {}
+  explicit VerdictTracker(Micros holds) : holds_(holds) {}
 
   // What the decision module is to be told now.
   std::optional<Observed> heard(Micros now, const Verdict& verdict);
--- a/src/tasks/prober.cpp
+++ b/src/tasks/health_check_task.cpp
@@ -1,4 +1,4 @@
-#include "tasks/prober.h"
+#include "tasks/health_check_task.h"
 
 #include <nlohmann/json.hpp>
 #include <utility>
@@ -17,8 +17,8 @@
 
 namespace {
 
-ProbeRules rules_of(const OwnershipOptions& options) {
-  ProbeRules rules;
+HealthCheckOptions rules_of(const OwnershipOptions& options) {
+  HealthCheckOptions rules;
   rules.pause = milliseconds(options.probe_ms);
   rules.repeat = milliseconds(options.verdict_ms) / 2;
   return rules;
@@ -27,14 +27,14 @@
 }  // namespace
 
 std::string suspect_key(const std::string& zone, const std::string& cache, const std::string& router) {
-  return kSuspects + zone + "/" + cache + "/" + router;
+  return kSuspectPrefix + zone + "/" + cache + "/" + router;
 }
 std::string verdict_key(const std::string& zone, const std::string& cache) {
-  return kVerdicts + zone + "/" + cache;
+  return kVerdictPrefix + zone + "/" + cache;
 }
 
 // One probe: `health`, and four words back, of which the second is UP or DOWN.
-class Prober::Probe : public Connection::Handler {
+class HealthCheckTask::Probe : public Connection::Handler {
  public:
   using Told = std::function<void(bool sound)>;
   explicit Probe(Told told) : told_(std::move(told)), parser_(bounds()) {}
@@ -69,8 +69,9 @@
   bool up_ = false;
 };
 
-Prober::Prober(transport::Scheduler& scheduler, coordination::SharedStore& store, std::string prefix,
-               const routing::Directory& directory, const OwnershipOptions& options, TaskContext context)
+HealthCheckTask::HealthCheckTask(transport::Scheduler& scheduler, coordination::SharedStore& store,
+                                 std::string prefix, const routing::Directory& directory,
+                                 const OwnershipOptions& options, TaskContext context)
     : scheduler_(scheduler),
       store_(store),
       prefix_(std::move(prefix)),
@@ -80,7 +81,7 @@
       plan_(rules_of(options), context_.term),
       timer_(scheduler, [this] { turn(); }) {}
 
-Prober::~Prober() {
+HealthCheckTask::~HealthCheckTask() {
   *alive_ = false;
   if (watch_ != 0) {
     store_.unwatch(watch_);
@@ -90,19 +91,20 @@
   }
 }
 
-Micros Prober::now() { return std::chrono::duration_cast<Micros>(Clock::now().time_since_epoch()); }
+Micros HealthCheckTask::now() { return std::chrono::duration_cast<Micros>(Clock::now().time_since_epoch()); }
 
-void Prober::begin() {
-  watch_ = store_.watch(coordination::Range{prefix_ + kSuspects + context_.work.zone + "/", true}, *this);
+void HealthCheckTask::begin() {
+  watch_ =
+      store_.watch(coordination::Range{prefix_ + kSuspectPrefix + context_.work.zone + "/", true}, *this);
 }
 
-void Prober::finish() {
+void HealthCheckTask::finish() {
   context_.checkpoint_at("let go after " + std::to_string(plan_.probes()) + " probes", false);
   context_.finished();
 }
 
-void Prober::take(const std::string& key, bool gone) {
-  const std::string stem = prefix_ + kSuspects + context_.work.zone + "/";
+void HealthCheckTask::take(const std::string& key, bool gone) {
+  const std::string stem = prefix_ + kSuspectPrefix + context_.work.zone + "/";
   const std::string rest = key.substr(std::min(stem.size(), key.size()));
   const std::size_t slash = rest.find('/');
   if (slash == std::string::npos || slash == 0 || slash + 1 == rest.size()) {
@@ -116,7 +118,7 @@
   plan_.named(now(), rest.substr(0, slash), rest.substr(slash + 1), !gone);
 }
 
-void Prober::current(coordination::Revision, const std::vector<coordination::Entry>& entries) {
+void HealthCheckTask::current(coordination::Revision, const std::vector<coordination::Entry>& entries) {
   std::set<std::string> there;
   for (const coordination::Entry& entry : entries) {
     there.insert(entry.key);
@@ -130,14 +132,14 @@
   turn();
 }
 
-void Prober::changed(coordination::Revision, const std::vector<coordination::Change>& changes) {
+void HealthCheckTask::changed(coordination::Revision, const std::vector<coordination::Change>& changes) {
   for (const coordination::Change& change : changes) {
     take(change.entry.key, change.deleted);
   }
   turn();
 }
 
-void Prober::turn() {
+void HealthCheckTask::turn() {
   const Micros at = now();
   if (!context_.may_act()) {
     // Nothing is begun; the runner ends this one, or it may go on soon.
@@ -170,7 +172,7 @@
   timer_.set(when);
 }
 
-void Prober::probe(const std::string& cache) {
+void HealthCheckTask::probe(const std::string& cache) {
   const std::optional<transport::Address> address = directory_.find(cache);
   const auto told = [this, alive = alive_, cache](bool sound) {
     if (*alive) {
@@ -198,7 +200,7 @@
                 });
 }
 
-void Prober::probed(const std::string& cache, bool sound) {
+void HealthCheckTask::probed(const std::string& cache, bool sound) {
   const auto found = out_.find(cache);
   if (found != out_.end()) {
     found->second->close(ConnectionEnd::kIdle);
--- a/src/tasks/prober.h
+++ b/src/tasks/health_check_task.h
@@ -11,24 +11,24 @@
 #include <memory>
 
 #include "routing/directory.h"
+#include "tasks/health_check_plan.h"
 #include "tasks/options.h"
 #include "tasks/owned_task.h"
-#include "tasks/suspects.h"
 #include "transport/alarm.h"
 #include "transport/connection.h"
 
 namespace trailcourse::tasks {
 
-constexpr const char* kSuspects = "suspects/";        // suspects/ZONE/CACHE/ROUTER
-constexpr const char* kVerdicts = "fleet/verdicts/";  // fleet/verdicts/ZONE/CACHE
+constexpr const char* kSuspectPrefix = "suspects/";        // suspects/ZONE/CACHE/ROUTER
+constexpr const char* kVerdictPrefix = "fleet/verdicts/";  // fleet/verdicts/ZONE/CACHE
 std::string suspect_key(const std::string& zone, const std::string& cache, const std::string& router);
 std::string verdict_key(const std::string& zone, const std::string& cache);
 
-class Prober : public OwnedTask, public coordination::Watcher {
+class HealthCheckTask : public OwnedTask, public coordination::Watcher {
  public:
-  Prober(transport::Scheduler& scheduler, coordination::SharedStore& store, std::string prefix,
-         const routing::Directory& directory, const OwnershipOptions& options, TaskContext context);
-  ~Prober() override;
+  HealthCheckTask(transport::Scheduler& scheduler, coordination::SharedStore& store, std::string prefix,
+                  const routing::Directory& directory, const OwnershipOptions& options, TaskContext context);
+  ~HealthCheckTask() override;
 
   void begin() override;
   void finish() override;
@@ -52,7 +52,7 @@
   const routing::Directory& directory_;
   OwnershipOptions options_;
   TaskContext context_;
-  ProbePlan plan_;
+  HealthCheckPlan plan_;
   transport::Alarm timer_;
   coordination::SharedStore::WatchId watch_ = 0;
   std::set<std::string> named_;  // keys
--- a/src/tasks/owned_task.h
+++ b/src/tasks/owned_task.h
@@ -50,6 +50,6 @@
   virtual void finish() = 0;
 };
 
-using OwnedTaskMaker = std::function<std::unique_ptr<OwnedTask>(TaskContext)>;
+using OwnedTaskFactory = std::function<std::unique_ptr<OwnedTask>(TaskContext)>;
 
 }  // namespace trailcourse::tasks
--- a/src/tasks/policy_follower.cpp
+++ b/src/tasks/policy_client.cpp
@@ -1,4 +1,4 @@
-#include "tasks/policy_follower.h"
+#include "tasks/policy_client.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
@@ -27,9 +27,9 @@
 
 }  // namespace
 
-PolicyFollower::PolicyFollower(transport::Scheduler& scheduler, coordination::SharedStore& store,
-                               const policy::PolicyOptions& options, std::string prefix, Self self,
-                               const protocol::Profile& profile, routing::Router& router, WorkAllowed allowed)
+PolicyClient::PolicyClient(transport::Scheduler& scheduler, coordination::SharedStore& store,
+                           const policy::PolicyOptions& options, std::string prefix, Self self,
+                           const protocol::Profile& profile, routing::Router& router, WorkAllowed allowed)
     : scheduler_(scheduler),
       store_(store),
       options_(options),
@@ -58,21 +58,21 @@
   router.rule_by([this](int request_class) { return rule(request_class); });
 }
 
-PolicyFollower::~PolicyFollower() {
+PolicyClient::~PolicyClient() {
   *alive_ = false;
   if (watch_ != 0) {
     store_.unwatch(watch_);
   }
 }
 
-Micros PolicyFollower::now() { return std::chrono::duration_cast<Micros>(Clock::now().time_since_epoch()); }
+Micros PolicyClient::now() { return std::chrono::duration_cast<Micros>(Clock::now().time_since_epoch()); }
 
-void PolicyFollower::start() {
+void PolicyClient::start() {
   watch_ = store_.watch(coordination::Range{prefix_ + policy::kRecords, true}, *this);
   turn_soon();
 }
 
-void PolicyFollower::stop() {
+void PolicyClient::stop() {
   if (!std::exchange(stopping_, true)) {
     holder_.stop(now());
     turn_soon();
@@ -80,12 +80,11 @@
 }
 
 // While it drains it goes on being ready for what is on its way, as before.
-bool PolicyFollower::ready() const { return holder_.ready(now()); }
+bool PolicyClient::ready() const { return holder_.ready(now()); }
 
 // ---- What the store tells ----
 
-void PolicyFollower::apply(const std::string& key, const std::string& value,
-                           coordination::Revision modified) {
+void PolicyClient::apply(const std::string& key, const std::string& value, coordination::Revision modified) {
   if (value.empty()) {
     keys_.erase(key);
     return;
@@ -111,7 +110,7 @@
   holder_.document(now(), version);
 }
 
-void PolicyFollower::current(coordination::Revision, const std::vector<coordination::Entry>& entries) {
+void PolicyClient::current(coordination::Revision, const std::vector<coordination::Entry>& entries) {
   keys_.clear();
   for (const coordination::Entry& entry : entries) {
     apply(entry.key.substr(prefix_.size()), entry.value, entry.modified);
@@ -120,7 +119,7 @@
   tell();
 }
 
-void PolicyFollower::changed(coordination::Revision, const std::vector<coordination::Change>& changes) {
+void PolicyClient::changed(coordination::Revision, const std::vector<coordination::Change>& changes) {
   for (const coordination::Change& change : changes) {
     apply(change.entry.key.substr(prefix_.size()), change.deleted ? std::string() : change.entry.value,
           change.entry.modified);
@@ -129,22 +128,22 @@
   tell();
 }
 
-void PolicyFollower::silent(const std::string&) {
+void PolicyClient::silent(const std::string&) {
   holder_.heard(now(), false);
   turn_soon();
 }
 
-void PolicyFollower::heard() {
+void PolicyClient::heard() {
   holder_.heard(now(), true);
   turn_soon();
 }
 
-void PolicyFollower::took_in(const policy::BoardPosition& position) {
+void PolicyClient::took_in(const policy::BoardPosition& position) {
   holder_.took_in(now(), position);
   turn_soon();
 }
 
-void PolicyFollower::tell() {
+void PolicyClient::tell() {
   const auto entry_of = [this](const std::string& key) {
     const auto found = keys_.find(key);
     return found == keys_.end() ? coordination::Entry{} : found->second;
@@ -153,7 +152,7 @@
   turn_soon();
 }
 
-std::string PolicyFollower::judge(std::uint64_t version) const {
+std::string PolicyClient::judge(std::uint64_t version) const {
   if (const auto bad = unreadable_.find(version); bad != unreadable_.end()) {
     return bad->second;
   }
@@ -169,7 +168,7 @@
 
 // ---- Orders ----
 
-void PolicyFollower::turn() {
+void PolicyClient::turn() {
   if (std::exchange(turning_, true)) {
     return;
   }
@@ -189,7 +188,7 @@
 }
 
 // The log, and what work may be owned.
-void PolicyFollower::note_version() {
+void PolicyClient::note_version() {
   const Micros at = now();
   const policy::Standing standing = holder_.standing(at);
   if (standing != told_standing_) {
@@ -211,7 +210,7 @@
   allowed_(std::set<std::string>(work.begin(), work.end()));
 }
 
-void PolicyFollower::carry_out(const policy::AskPermission& ask) {
+void PolicyClient::carry_out(const policy::AskPermission& ask) {
   const std::uint64_t number = ask.order.number;
   const auto answered = [this, alive = alive_](auto what) {
     if (*alive) {
@@ -254,7 +253,7 @@
 
 // The permit stands only where all is as this router knew it: else it would decide under what may not be in
 // force.
-void PolicyFollower::join(const policy::AskPermission& ask, coordination::LeaseId lease) {
+void PolicyClient::join(const policy::AskPermission& ask, coordination::LeaseId lease) {
   lease_ = lease;
   coordination::Transaction write;
   write.when = policy::join_conditions(prefix_, ask.known, self_.zone);
@@ -277,7 +276,7 @@
   });
 }
 
-void PolicyFollower::carry_out(const policy::SayPermit& say) {
+void PolicyClient::carry_out(const policy::SayPermit& say) {
   coordination::Transaction write;
   write.then = {coordination::Put{prefix_ + policy::permit_key(self_.name, lease_),
                                   policy::write_permit(say.permit), lease_}};
@@ -289,7 +288,7 @@
   });
 }
 
-void PolicyFollower::carry_out(const policy::KeepDocument& keep) {
+void PolicyClient::carry_out(const policy::KeepDocument& keep) {
   const auto found = documents_.find(keep.version);
   if (!pool_ || found == documents_.end()) {
     holder_.kept(now(), keep.version, "");
@@ -321,7 +320,7 @@
 
 // ---- Requests ----
 
-policy::Content PolicyFollower::content_of(std::uint64_t version) const {
+policy::Content PolicyClient::content_of(std::uint64_t version) const {
   policy::Content out;
   for (std::size_t i = 0; i < names_.size(); ++i) {
     const ClassSettings& kind = profile_.settings.classes[i];
@@ -343,7 +342,7 @@
   return out;
 }
 
-const PolicyFollower::Set& PolicyFollower::set_of(const Ruling& ruling) {
+const PolicyClient::Set& PolicyClient::set_of(const Ruling& ruling) {
   const std::pair<std::uint64_t, std::uint64_t> key(ruling.version, ruling.other);
   const auto found = sets_.find(key);
   if (found != sets_.end()) {
@@ -373,7 +372,7 @@
   return set;
 }
 
-routing::Rule PolicyFollower::rule(int request_class) {
+routing::Rule PolicyClient::rule(int request_class) {
   routing::Rule out;
   const Ruling ruling = holder_.ruling(now());
   if (ruling.kind == Ruling::Kind::kRefuse) {
@@ -397,7 +396,7 @@
   return out;
 }
 
-std::string PolicyFollower::status() const {
+std::string PolicyClient::status() const {
   const Micros at = now();
   const Ruling ruling = holder_.ruling(at);
   return nlohmann::json{
--- a/src/tasks/policy_follower.h
+++ b/src/tasks/policy_client.h
@@ -23,7 +23,7 @@
 
 namespace trailcourse::tasks {
 
-class PolicyFollower : public coordination::Watcher {
+class PolicyClient : public coordination::Watcher {
  public:
   struct Self {
     std::string name;
@@ -34,10 +34,10 @@
   // Told which kinds of work the version in force allows.
   using WorkAllowed = std::function<void(std::optional<std::set<std::string>> kinds)>;
 
-  PolicyFollower(transport::Scheduler& scheduler, coordination::SharedStore& store,
-                 const policy::PolicyOptions& options, std::string prefix, Self self,
-                 const protocol::Profile& profile, routing::Router& router, WorkAllowed allowed);
-  ~PolicyFollower() override;
+  PolicyClient(transport::Scheduler& scheduler, coordination::SharedStore& store,
+               const policy::PolicyOptions& options, std::string prefix, Self self,
+               const protocol::Profile& profile, routing::Router& router, WorkAllowed allowed);
+  ~PolicyClient() override;
 
   void start();
   // All events of the notice board up to here are taken in.
--- a/src/tasks/policy_change_task.cpp
+++ b/src/tasks/policy_rollout_task.cpp
@@ -1,4 +1,4 @@
-#include "tasks/policy_change_task.h"
+#include "tasks/policy_rollout_task.h"
 
 #include <chrono>
 #include <utility>
@@ -17,24 +17,24 @@
 
 }  // namespace
 
-PolicyChangeTask::PolicyChangeTask(transport::Scheduler& scheduler, coordination::SharedStore& store,
-                                   std::string prefix, const policy::PolicyOptions& options,
-                                   TaskContext context)
-    : StoreDriverTask(scheduler, store, std::move(prefix), std::move(context)),
+PolicyRolloutTask::PolicyRolloutTask(transport::Scheduler& scheduler, coordination::SharedStore& store,
+                                     std::string prefix, const policy::PolicyOptions& options,
+                                     TaskContext context)
+    : ReconcileTask(scheduler, store, std::move(prefix), std::move(context)),
       driver_(policy::driver_rules(options)) {}
 
-coordination::Transaction PolicyChangeTask::looks_at() const { return policy::look(prefix()); }
+coordination::Transaction PolicyRolloutTask::looks_at() const { return policy::look(prefix()); }
 
-std::vector<Range> PolicyChangeTask::follows() const {
+std::vector<Range> PolicyRolloutTask::follows() const {
   return {Range{prefix() + policy::kPermits, true}, Range{prefix() + policy::kChangeKey, false}};
 }
 
 // Permits say nothing to it while no change is open: they may be written for other reasons.
-bool PolicyChangeTask::concerns(const std::string& key) const {
+bool PolicyRolloutTask::concerns(const std::string& key) const {
   return change_open_ || key == policy::kChangeKey;
 }
 
-StoreDriverTask::Decision PolicyChangeTask::decide(Micros now, const coordination::Outcome& outcome) {
+ReconcileTask::Decision PolicyRolloutTask::decide(Micros now, const coordination::Outcome& outcome) {
   const policy::Seen seen = policy::read_seen(prefix(), outcome);
   change_open_ = seen.change && seen.change->open();
   std::optional<policy::Step> step = driver_.next(now, seen);
--- a/src/tasks/policy_change_task.h
+++ b/src/tasks/policy_rollout_task.h
@@ -8,16 +8,16 @@
 
 #include "policy/change.h"
 #include "policy/options.h"
-#include "tasks/store_driver_task.h"
+#include "tasks/reconcile_task.h"
 
 namespace trailcourse::tasks {
 
 constexpr const char* kPolicyWork = "policy";  // name and kind of the work
 
-class PolicyChangeTask : public StoreDriverTask {
+class PolicyRolloutTask : public ReconcileTask {
  public:
-  PolicyChangeTask(transport::Scheduler& scheduler, coordination::SharedStore& store, std::string prefix,
-                   const policy::PolicyOptions& options, TaskContext context);
+  PolicyRolloutTask(transport::Scheduler& scheduler, coordination::SharedStore& store, std::string prefix,
+                    const policy::PolicyOptions& options, TaskContext context);
 
  protected:
   coordination::Transaction looks_at() const override;
--- a/src/tasks/fill_plan.cpp
+++ b/src/tasks/prefetch_plan.cpp
@@ -1,4 +1,4 @@
-#include "tasks/fill_plan.h"
+#include "tasks/prefetch_plan.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
@@ -26,12 +26,12 @@
 
 }  // namespace
 
-FillOrder read_fill_order(const std::string& params) {
+PrefetchOrder read_prefetch_order(const std::string& params) {
   const json from = json::parse(params, nullptr, false);
   if (!from.is_object()) {
     throw std::invalid_argument("params: no JSON object");
   }
-  FillOrder out;
+  PrefetchOrder out;
   const auto fail = [](const std::string& text) { throw std::invalid_argument(text); };
   for (const auto& [name, value] : from.items()) {
     if (name == "class" && value.is_string()) {
@@ -57,7 +57,7 @@
   return out;
 }
 
-std::string write_fill_order(const FillOrder& order) {
+std::string write_prefetch_order(const PrefetchOrder& order) {
   json out{{"class", order.request_class}, {"at_ms", order.at_ms}, {"objects_per_s", order.objects_per_s}};
   if (!order.objects.empty()) {
     out["objects"] = order.objects;
@@ -65,11 +65,11 @@
   return out.dump();
 }
 
-std::string fill_list_key(const std::string& work, std::uint64_t shard) {
+std::string prefetch_list_key(const std::string& work, std::uint64_t shard) {
   return "lists/" + work + "/" + std::to_string(shard);
 }
 
-std::vector<std::string> read_fill_list(const std::string& text) {
+std::vector<std::string> read_prefetch_list(const std::string& text) {
   std::vector<std::string> out;
   std::istringstream lines(text);
   for (std::string line; std::getline(lines, line) && out.size() < kMostObjects;) {
@@ -80,8 +80,8 @@
   return out;
 }
 
-FillPlan::FillPlan(const FillOrder& order, std::uint64_t shard, std::uint64_t shards, const FillRules& rules,
-                   const std::string& checkpoint)
+PrefetchPlan::PrefetchPlan(const PrefetchOrder& order, std::uint64_t shard, std::uint64_t shards,
+                           const PrefetchOptions& rules, const std::string& checkpoint)
     : rules_(rules) {
   for (std::size_t i = shard; i < order.objects.size(); i += std::max<std::uint64_t>(1, shards)) {
     objects_.push_back(order.objects[i]);
@@ -120,7 +120,7 @@
   progress_.failed = number("failed");
 }
 
-std::vector<std::size_t> FillPlan::due(Micros now) {
+std::vector<std::size_t> PrefetchPlan::due(Micros now) {
   std::vector<std::size_t> out;
   for (auto& [place, retry] : retries_) {
     if (out_.size() < rules_.open && !out_.contains(place) && retry.at <= now) {
@@ -140,7 +140,7 @@
   return out;
 }
 
-void FillPlan::ended(Micros now, std::size_t place, End end, Micros retry_after) {
+void PrefetchPlan::ended(Micros now, std::size_t place, End end, Micros retry_after) {
   if (out_.erase(place) == 0) {
     return;
   }
@@ -167,7 +167,7 @@
   }
 }
 
-std::optional<Micros> FillPlan::next(Micros now) const {
+std::optional<Micros> PrefetchPlan::next(Micros now) const {
   if (out_.size() >= rules_.open) {
     return std::nullopt;
   }
@@ -183,7 +183,7 @@
   return out;
 }
 
-std::string FillPlan::checkpoint() const {
+std::string PrefetchPlan::checkpoint() const {
   return json{{"all_before", all_before_}, {"beyond", beyond_},          {"filled", progress_.filled},
               {"held", progress_.held},    {"failed", progress_.failed}, {"of", progress_.of}}
       .dump();
--- a/src/tasks/fill_plan.h
+++ b/src/tasks/prefetch_plan.h
@@ -21,7 +21,7 @@
 namespace trailcourse::tasks {
 
 // What staff announce: the params of work of kind `fill`.
-struct FillOrder {
+struct PrefetchOrder {
   std::string request_class;
   std::int64_t at_ms = 0;      // Unix time before which nothing is asked for; 0: now
   double objects_per_s = 0.0;  // of each shard; 0: as they are answered
@@ -29,33 +29,33 @@
   // themselves, so that not every router is told a long list.
   std::vector<std::string> objects;
 
-  friend bool operator==(const FillOrder&, const FillOrder&) = default;
+  friend bool operator==(const PrefetchOrder&, const PrefetchOrder&) = default;
 };
 // Where the objects of one shard stand, one a line; under the prefix.
-std::string fill_list_key(const std::string& work, std::uint64_t shard);
-std::vector<std::string> read_fill_list(const std::string& text);
+std::string prefetch_list_key(const std::string& work, std::uint64_t shard);
+std::vector<std::string> read_prefetch_list(const std::string& text);
 // Throws std::invalid_argument that names the field.
-FillOrder read_fill_order(const std::string& params);
-std::string write_fill_order(const FillOrder& order);
+PrefetchOrder read_prefetch_order(const std::string& params);
+std::string write_prefetch_order(const PrefetchOrder& order);
 
-struct FillRules {
+struct PrefetchOptions {
   std::size_t open = 4;
   int tries = 5;
   Micros retry{500'000};  // doubles
 };
 
-struct FillProgress {
+struct PrefetchProgress {
   std::uint64_t filled = 0;
   std::uint64_t held = 0;  // of those filled: the cache had them
   std::uint64_t failed = 0;
   std::uint64_t of = 0;
 };
 
-class FillPlan {
+class PrefetchPlan {
  public:
   // The objects of one shard of so many. A checkpoint that cannot be read counts as none.
-  FillPlan(const FillOrder& order, std::uint64_t shard, std::uint64_t shards, const FillRules& rules,
-           const std::string& checkpoint);
+  PrefetchPlan(const PrefetchOrder& order, std::uint64_t shard, std::uint64_t shards,
+               const PrefetchOptions& rules, const std::string& checkpoint);
 
   // The objects to ask for now, by their places; each counts as out until ended().
   std::vector<std::size_t> due(Micros now);
@@ -68,7 +68,7 @@
   bool done() const { return progress_.filled + progress_.failed == progress_.of; }
   bool idle() const { return out_.empty(); }
   std::string checkpoint() const;
-  const FillProgress& progress() const { return progress_; }
+  const PrefetchProgress& progress() const { return progress_; }
 
  private:
   struct Retry {
@@ -76,7 +76,7 @@
     Micros at{0};
   };
 
-  FillRules rules_;
+  PrefetchOptions rules_;
   Micros pace_{0};
   std::vector<std::string> objects_;
   std::size_t next_ = 0;  // the first that was never asked for
@@ -85,7 +85,7 @@
   std::map<std::size_t, Retry> retries_;
   std::size_t all_before_ = 0;
   std::set<std::size_t> beyond_;  // dealt with, from all_before_ on
-  FillProgress progress_;
+  PrefetchProgress progress_;
 };
 
 }  // namespace trailcourse::tasks
--- a/src/tasks/filler.cpp
+++ b/src/tasks/prefetch_task.cpp
@@ -1,4 +1,4 @@
-#include "tasks/filler.h"
+#include "tasks/prefetch_task.h"
 
 #include <cstdio>
 #include <utility>
@@ -24,24 +24,24 @@
 }  // namespace
 
 // The final answer of one fill. The body is not needed.
-class Filler::Answer : public routing::Reply {
+class PrefetchTask::Answer : public routing::Reply {
  public:
-  Answer(Filler& filler, std::size_t place) : filler_(filler), place_(place), alive_(filler.alive_) {}
+  Answer(PrefetchTask& filler, std::size_t place) : filler_(filler), place_(place), alive_(filler.alive_) {}
 
   void served(std::string, bool, const routing::ServedBy& by) override {
-    end(shows_hit(by.note) ? FillPlan::End::kHeld : FillPlan::End::kFilled, Micros(0));
+    end(shows_hit(by.note) ? PrefetchPlan::End::kHeld : PrefetchPlan::End::kFilled, Micros(0));
   }
-  void refused(Micros retry_after) override { end(FillPlan::End::kRefused, retry_after); }
-  void failed() override { end(FillPlan::End::kFailed, Micros(0)); }
+  void refused(Micros retry_after) override { end(PrefetchPlan::End::kRefused, retry_after); }
+  void failed() override { end(PrefetchPlan::End::kFailed, Micros(0)); }
   void begin(bool) override {}
   void piece(std::string_view) override {}
   void finish(bool whole) override {
-    end(whole ? FillPlan::End::kFilled : FillPlan::End::kFailed, Micros(0));
+    end(whole ? PrefetchPlan::End::kFilled : PrefetchPlan::End::kFailed, Micros(0));
   }
 
  private:
   // Later: the router is in the middle of its own step.
-  void end(FillPlan::End how, Micros retry_after) {
+  void end(PrefetchPlan::End how, Micros retry_after) {
     if (*alive_) {
       filler_.scheduler_.post([&filler = filler_, place = place_, alive = alive_, how, retry_after] {
         if (*alive) {
@@ -51,13 +51,14 @@
     }
   }
 
-  Filler& filler_;
+  PrefetchTask& filler_;
   std::size_t place_;
   std::shared_ptr<bool> alive_;
 };
 
-Filler::Filler(transport::Scheduler& scheduler, routing::Router& router, const protocol::Profile& profile,
-               const OwnershipOptions& options, std::uint64_t seed, TaskContext context)
+PrefetchTask::PrefetchTask(transport::Scheduler& scheduler, routing::Router& router,
+                           const protocol::Profile& profile, const OwnershipOptions& options,
+                           std::uint64_t seed, TaskContext context)
     : scheduler_(scheduler),
       router_(router),
       profile_(profile),
@@ -66,18 +67,18 @@
       last_id_(seed ^ context_.term),
       timer_(scheduler, [this] { turn(); }) {}
 
-Filler::~Filler() {
+PrefetchTask::~PrefetchTask() {
   *alive_ = false;
   for (const auto& [place, id] : std::exchange(out_, {})) {
     router_.leave(id);
   }
 }
 
-Micros Filler::now() { return std::chrono::duration_cast<Micros>(Clock::now().time_since_epoch()); }
+Micros PrefetchTask::now() { return std::chrono::duration_cast<Micros>(Clock::now().time_since_epoch()); }
 
-void Filler::begin() {
+void PrefetchTask::begin() {
   try {
-    order_ = read_fill_order(context_.work.params);
+    order_ = read_prefetch_order(context_.work.params);
     const auto found = profile_.class_index.find(order_->request_class);
     if (found == profile_.class_index.end()) {
       throw std::invalid_argument("class: '" + order_->request_class + "' is not served here");
@@ -99,20 +100,20 @@
 }
 
 // Nobody can do it: it is over, and the log says why.
-void Filler::cannot(const std::string& why) {
+void PrefetchTask::cannot(const std::string& why) {
   log_line(Level::kError) << to_string(context_.id) << " cannot be done: " << why;
   context_.checkpoint_at("cannot be done: " + why, true);
   said_done_ = true;
 }
 
 // The shard's own list. Asked for again until the store answers.
-void Filler::load() {
-  context_.get(fill_list_key(context_.id.work, context_.id.shard),
+void PrefetchTask::load() {
+  context_.get(prefetch_list_key(context_.id.work, context_.id.shard),
                [this, alive = alive_](const std::optional<std::string>& text) {
                  if (!*alive || plan_ || said_done_ || finishing_) {
                    return;
                  }
-                 order_->objects = read_fill_list(text.value_or(""));
+                 order_->objects = read_prefetch_list(text.value_or(""));
                  if (order_->objects.empty()) {
                    cannot("objects: none are listed for this shard");
                  } else {
@@ -122,8 +123,8 @@
   timer_.set(Clock::now() + milliseconds(1'000));
 }
 
-void Filler::plan(std::uint64_t shard, std::uint64_t shards) {
-  FillRules rules;
+void PrefetchTask::plan(std::uint64_t shard, std::uint64_t shards) {
+  PrefetchOptions rules;
   rules.open = static_cast<std::size_t>(options_.fill_open);
   rules.tries = static_cast<int>(options_.fill_tries);
   rules.retry = milliseconds(options_.fill_retry_ms);
@@ -131,7 +132,7 @@
   turn();
 }
 
-void Filler::finish() {
+void PrefetchTask::finish() {
   finishing_ = true;
   for (const auto& [place, id] : std::exchange(out_, {})) {
     router_.leave(id);
@@ -142,16 +143,16 @@
   context_.finished();
 }
 
-void Filler::say(bool done) {
+void PrefetchTask::say(bool done) {
   if (done && !std::exchange(said_done_, true)) {
-    const FillProgress& progress = plan_->progress();
+    const PrefetchProgress& progress = plan_->progress();
     log_line(Level::kInfo) << to_string(context_.id) << " is done: filled " << progress.filled << " (held "
                            << progress.held << "), failed " << progress.failed << " of " << progress.of;
   }
   context_.checkpoint_at(plan_->checkpoint(), done);
 }
 
-void Filler::turn() {
+void PrefetchTask::turn() {
   if (finishing_ || said_done_) {
     return;
   }
@@ -186,7 +187,7 @@
   timer_.set(when);
 }
 
-void Filler::ask(std::size_t place) {
+void PrefetchTask::ask(std::size_t place) {
   const std::string& object = plan_->object(place);
   const std::size_t slash = object.find('/');
   auto passed = std::make_shared<protocol::Passed>();
@@ -209,7 +210,7 @@
   }
 }
 
-void Filler::answered(std::size_t place, FillPlan::End end, Micros retry_after) {
+void PrefetchTask::answered(std::size_t place, PrefetchPlan::End end, Micros retry_after) {
   out_.erase(place);
   if (finishing_ || !plan_) {
     return;
--- a/src/tasks/filler.h
+++ b/src/tasks/prefetch_task.h
@@ -13,18 +13,18 @@
 
 #include "protocol/settings.h"
 #include "routing/router.h"
-#include "tasks/fill_plan.h"
 #include "tasks/options.h"
 #include "tasks/owned_task.h"
+#include "tasks/prefetch_plan.h"
 #include "transport/alarm.h"
 
 namespace trailcourse::tasks {
 
-class Filler : public OwnedTask {
+class PrefetchTask : public OwnedTask {
  public:
-  Filler(transport::Scheduler& scheduler, routing::Router& router, const protocol::Profile& profile,
-         const OwnershipOptions& options, std::uint64_t seed, TaskContext context);
-  ~Filler() override;
+  PrefetchTask(transport::Scheduler& scheduler, routing::Router& router, const protocol::Profile& profile,
+               const OwnershipOptions& options, std::uint64_t seed, TaskContext context);
+  ~PrefetchTask() override;
 
   void begin() override;
   void finish() override;
@@ -38,7 +38,7 @@
   void plan(std::uint64_t shard, std::uint64_t shards);
   void turn();
   void ask(std::size_t place);
-  void answered(std::size_t place, FillPlan::End end, Micros retry_after);
+  void answered(std::size_t place, PrefetchPlan::End end, Micros retry_after);
   void say(bool done);
 
   transport::Scheduler& scheduler_;
@@ -47,8 +47,8 @@
   OwnershipOptions options_;
   TaskContext context_;
   std::uint64_t last_id_;
-  std::optional<FillOrder> order_;
-  std::optional<FillPlan> plan_;
+  std::optional<PrefetchOrder> order_;
+  std::optional<PrefetchPlan> plan_;
   int request_class_ = -1;
   std::map<std::size_t, RequestId> out_;
   transport::Alarm timer_;
--- a/src/tasks/store_driver_task.cpp
+++ b/src/tasks/reconcile_task.cpp
@@ -1,4 +1,4 @@
-#include "tasks/store_driver_task.h"
+#include "tasks/reconcile_task.h"
 
 #include <algorithm>
 #include <utility>
@@ -25,34 +25,34 @@
 
 }  // namespace
 
-StoreDriverTask::StoreDriverTask(transport::Scheduler& scheduler, coordination::SharedStore& store,
-                                 std::string prefix, TaskContext context)
+ReconcileTask::ReconcileTask(transport::Scheduler& scheduler, coordination::SharedStore& store,
+                             std::string prefix, TaskContext context)
     : store_(store),
       prefix_(std::move(prefix)),
       context_(std::move(context)),
       timer_(scheduler, [this] { look(); }) {}
 
-StoreDriverTask::~StoreDriverTask() {
+ReconcileTask::~ReconcileTask() {
   *alive_ = false;
   for (const auto watch : watches_) {
     store_.unwatch(watch);
   }
 }
 
-void StoreDriverTask::begin() {
+void ReconcileTask::begin() {
   context_.checkpoint_at("driving", false);
   for (const coordination::Range& range : follows()) {
     watches_.push_back(store_.watch(range, *this));
   }
 }
 
-void StoreDriverTask::finish() {
+void ReconcileTask::finish() {
   finishing_ = true;
   timer_.set(std::nullopt);
   context_.finished();
 }
 
-void StoreDriverTask::changed(coordination::Revision, const std::vector<coordination::Change>& changes) {
+void ReconcileTask::changed(coordination::Revision, const std::vector<coordination::Change>& changes) {
   const bool may_matter = std::any_of(changes.begin(), changes.end(), [this](const auto& change) {
     return concerns(change.entry.key.substr(prefix_.size()));
   });
@@ -61,11 +61,11 @@
   }
 }
 
-void StoreDriverTask::look_after(Micros time) {
+void ReconcileTask::look_after(Micros time) {
   timer_.set(Clock::now() + std::chrono::duration_cast<Clock::duration>(std::max(time, kLeastPause)));
 }
 
-void StoreDriverTask::look_soon() {
+void ReconcileTask::look_soon() {
   const Clock::time_point earliest = looked_at_ + kBetweenLooks;
   const Clock::time_point at = Clock::now();
   if (looking_) {
@@ -77,7 +77,7 @@
   }
 }
 
-void StoreDriverTask::look() {
+void ReconcileTask::look() {
   if (finishing_) {
     return;
   }
@@ -103,7 +103,7 @@
   });
 }
 
-void StoreDriverTask::looked(const Outcome& seen) {
+void ReconcileTask::looked(const Outcome& seen) {
   const Micros at = now();
   Decision decision = decide(at, seen);
   if (decision.look_at) {
@@ -123,7 +123,7 @@
 }
 
 // The driver of the past is refused by the store, whatever it believes.
-void StoreDriverTask::write(Transaction transaction) {
+void ReconcileTask::write(Transaction transaction) {
   transaction.when.push_back(
       coordination::created_at(prefix_ + ownership::kOwn + to_string(context_.id), context_.term));
   store_.commit(std::move(transaction), [this, alive = alive_](const Reply<Outcome>& reply) {
--- a/src/tasks/store_driver_task.h
+++ b/src/tasks/reconcile_task.h
@@ -16,11 +16,11 @@
 
 namespace trailcourse::tasks {
 
-class StoreDriverTask : public OwnedTask, public coordination::Watcher {
+class ReconcileTask : public OwnedTask, public coordination::Watcher {
  public:
-  StoreDriverTask(transport::Scheduler& scheduler, coordination::SharedStore& store, std::string prefix,
-                  TaskContext context);
-  ~StoreDriverTask() override;
+  ReconcileTask(transport::Scheduler& scheduler, coordination::SharedStore& store, std::string prefix,
+                TaskContext context);
+  ~ReconcileTask() override;
 
   void begin() override;
   void finish() override;
--- a/src/tasks/task_runner.h
+++ b/src/tasks/task_runner.h
@@ -39,10 +39,10 @@
   ~TaskRunner() override;
 
   // Before start().
-  void add(const std::string& kind, OwnedTaskMaker maker) { makers_[kind] = std::move(maker); }
+  void add(const std::string& kind, OwnedTaskFactory maker) { makers_[kind] = std::move(maker); }
   // Keys under fleet/ that are neither members nor work; an empty value: gone.
-  using KeyTaker = std::function<void(const std::string& key, const std::string& value)>;
-  void tell_keys(const std::string& stem, KeyTaker taker) { takers_[stem] = std::move(taker); }
+  using KeyObserver = std::function<void(const std::string& key, const std::string& value)>;
+  void observe_keys(const std::string& stem, KeyObserver taker) { takers_[stem] = std::move(taker); }
   void start();
 
   // Lets all work go and then leaves the fleet.
@@ -114,8 +114,8 @@
   std::map<ownership::ShardId, coordination::LeaseId> leases_;
   std::map<ownership::ShardId, Running> running_;
   std::map<std::string, ownership::Work> works_;
-  std::map<std::string, OwnedTaskMaker> makers_;
-  std::map<std::string, KeyTaker> takers_;
+  std::map<std::string, OwnedTaskFactory> makers_;
+  std::map<std::string, KeyObserver> takers_;
   std::map<std::string, std::string> kept_;
   std::map<std::string, bool> kept_out_;  // keys being written; true: changed meanwhile
   std::set<std::string> known_;           // keys under fleet/
--- a/tests/tasks_test.cpp
+++ b/tests/tasks_test.cpp
@@ -6,10 +6,10 @@
 #include <random>
 
 #include "config/record.h"
-#include "tasks/fill_plan.h"
 #include "tasks/fleet_report.h"
+#include "tasks/health_check_plan.h"
 #include "tasks/options.h"
-#include "tasks/suspects.h"
+#include "tasks/prefetch_plan.h"
 
 namespace trailcourse::tasks {
 namespace {
@@ -19,8 +19,8 @@
 
 // ---- Suspects ----
 
-TEST(SuspectBookTest, FailuresInARowMakeASuspectAndAreToldOnce) {
-  SuspectBook book(3);
+TEST(OutlierTrackerTest, FailuresInARowMakeASuspectAndAreToldOnce) {
+  OutlierTracker book(3);
   book.ended("a", false);
   book.ended("a", false);
   book.ended("a", true);
@@ -40,8 +40,8 @@
   EXPECT_TRUE(book.changes().empty());
 }
 
-TEST(ProbePlanTest, ManyRoutersSuspicionIsOneProbe) {
-  ProbePlan plan(ProbeRules{}, 7);
+TEST(HealthCheckPlanTest, ManyRoutersSuspicionIsOneProbe) {
+  HealthCheckPlan plan(HealthCheckOptions{}, 7);
   Micros now{0};
   for (int i = 0; i < 100; ++i) {
     plan.named(now, "a", "router" + std::to_string(i), true);
@@ -61,9 +61,9 @@
   EXPECT_EQ(plan.probes(), 2U);
 }
 
-TEST(ProbePlanTest, AVerdictIsSaidAgainWhileTheSuspicionStandsAndTakenBackAfter) {
-  ProbeRules rules;
-  ProbePlan plan(rules, 7);
+TEST(HealthCheckPlanTest, AVerdictIsSaidAgainWhileTheSuspicionStandsAndTakenBackAfter) {
+  HealthCheckOptions rules;
+  HealthCheckPlan plan(rules, 7);
   Micros now{0};
   plan.named(now, "a", "r", true);
   std::vector<Verdict> said;
@@ -98,8 +98,8 @@
   EXPECT_FALSE(plan.next(now)) << "nothing is probed that nobody suspects";
 }
 
-TEST(ProbePlanTest, ACacheThatIsDownIsProbedOnThoughItsReportersAreGone) {
-  ProbePlan plan(ProbeRules{}, 7);
+TEST(HealthCheckPlanTest, ACacheThatIsDownIsProbedOnThoughItsReportersAreGone) {
+  HealthCheckPlan plan(HealthCheckOptions{}, 7);
   plan.named(Micros(0), "a", "r", true);
   plan.named(Micros(0), "a", "r", false);
   EXPECT_EQ(plan.due(Micros(0)).size(), 1U);
@@ -107,10 +107,10 @@
   EXPECT_EQ(plan.due(seconds(1)).size(), 1U);
 }
 
-TEST(ProbePlanTest, ProbesAtOnceAreBounded) {
-  ProbeRules rules;
+TEST(HealthCheckPlanTest, ProbesAtOnceAreBounded) {
+  HealthCheckOptions rules;
   rules.most_out = 4;
-  ProbePlan plan(rules, 7);
+  HealthCheckPlan plan(rules, 7);
   for (int i = 0; i < 50; ++i) {
     plan.named(Micros(0), "c" + std::to_string(i), "r", true);
   }
@@ -120,8 +120,8 @@
   EXPECT_EQ(plan.due(Micros(0)).size(), 1U);
 }
 
-TEST(VerdictBookTest, ALaterTermGoesBeforeAndNothingCountsTwice) {
-  VerdictBook book(seconds(5));
+TEST(VerdictTrackerTest, ALaterTermGoesBeforeAndNothingCountsTwice) {
+  VerdictTracker book(seconds(5));
   const auto verdict = [](bool sound, ownership::Term term, std::uint64_t number) {
     Verdict out;
     out.cache = "a";
@@ -162,8 +162,8 @@
 
 // ---- Filling ----
 
-FillOrder order_of(int objects) {
-  FillOrder order;
+PrefetchOrder order_of(int objects) {
+  PrefetchOrder order;
   order.request_class = "media";
   for (int i = 0; i < objects; ++i) {
     char text[17];
@@ -173,18 +173,18 @@
   return order;
 }
 
-TEST(FillPlanTest, AllObjectsOfAllShardsOnce) {
-  const FillOrder order = order_of(23);
+TEST(PrefetchPlanTest, AllObjectsOfAllShardsOnce) {
+  const PrefetchOrder order = order_of(23);
   std::map<std::string, int> asked;
   for (std::uint64_t shard = 0; shard < 4; ++shard) {
-    FillPlan plan(order, shard, 4, FillRules{}, "");
+    PrefetchPlan plan(order, shard, 4, PrefetchOptions{}, "");
     while (!plan.done()) {
       const auto due = plan.due(Micros(0));
       ASSERT_FALSE(due.empty());
-      EXPECT_LE(due.size(), FillRules{}.open);
+      EXPECT_LE(due.size(), PrefetchOptions{}.open);
       for (const std::size_t place : due) {
         ++asked[plan.object(place)];
-        plan.ended(Micros(0), place, FillPlan::End::kFilled, Micros(0));
+        plan.ended(Micros(0), place, PrefetchPlan::End::kFilled, Micros(0));
       }
     }
   }
@@ -196,17 +196,17 @@
 
 // Owners that die at drawn moments: nothing that was checkpointed is asked for again, all is asked for, and
 // what is asked for twice was out at a death.
-TEST(FillPlanTest, ASuccessorGoesOnFromTheCheckpoint) {
+TEST(PrefetchPlanTest, ASuccessorGoesOnFromTheCheckpoint) {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     std::mt19937_64 random(seed);
-    const FillOrder order = order_of(40);
+    const PrefetchOrder order = order_of(40);
     std::map<std::string, int> answered;
     std::string checkpoint;
     std::size_t repeated = 0;
     int deaths = 0;
     bool done = false;
     while (!done) {
-      FillPlan plan(order, 0, 1, FillRules{}, checkpoint);
+      PrefetchPlan plan(order, 0, 1, PrefetchOptions{}, checkpoint);
       std::vector<std::size_t> out;
       for (bool alive = true; alive && !(done = plan.done());) {
         for (const std::size_t place : plan.due(Micros(0))) {
@@ -217,7 +217,7 @@
         const std::size_t place = out[which];
         out.erase(out.begin() + static_cast<std::ptrdiff_t>(which));
         repeated += ++answered[plan.object(place)] > 1 ? 1 : 0;
-        plan.ended(Micros(0), place, FillPlan::End::kFilled, Micros(0));
+        plan.ended(Micros(0), place, PrefetchPlan::End::kFilled, Micros(0));
         const bool dies = random() % 12 == 0 && deaths < 20;
         if (!dies || random() % 2 == 0) {
           checkpoint = plan.checkpoint();
@@ -232,31 +232,31 @@
   }
 }
 
-TEST(FillPlanTest, RefusalsAreTriedLaterAsOftenAsToldAndNoMore) {
-  FillRules rules;
+TEST(PrefetchPlanTest, RefusalsAreTriedLaterAsOftenAsToldAndNoMore) {
+  PrefetchOptions rules;
   rules.tries = 3;
-  FillPlan plan(order_of(1), 0, 1, rules, "");
+  PrefetchPlan plan(order_of(1), 0, 1, rules, "");
   Micros now{0};
   ASSERT_EQ(plan.due(now).size(), 1U);
-  plan.ended(now, 0, FillPlan::End::kRefused, seconds(3));
+  plan.ended(now, 0, PrefetchPlan::End::kRefused, seconds(3));
   EXPECT_EQ(plan.next(now), seconds(3)) << "no sooner than the refusal says";
   now = seconds(3);
   ASSERT_EQ(plan.due(now).size(), 1U);
-  plan.ended(now, 0, FillPlan::End::kFailed, Micros(0));
+  plan.ended(now, 0, PrefetchPlan::End::kFailed, Micros(0));
   EXPECT_EQ(plan.next(now), now + 2 * rules.retry);
   now += 2 * rules.retry;
   ASSERT_EQ(plan.due(now).size(), 1U);
-  plan.ended(now, 0, FillPlan::End::kFailed, Micros(0));
+  plan.ended(now, 0, PrefetchPlan::End::kFailed, Micros(0));
   EXPECT_TRUE(plan.done());
   EXPECT_EQ(plan.progress().failed, 1U);
 }
 
-TEST(FillPlanTest, APaceIsKeptAndNotMadeUpFor) {
-  FillOrder order = order_of(100);
+TEST(PrefetchPlanTest, APaceIsKeptAndNotMadeUpFor) {
+  PrefetchOrder order = order_of(100);
   order.objects_per_s = 10.0;
-  FillRules rules;
+  PrefetchOptions rules;
   rules.open = 100;
-  FillPlan plan(order, 0, 1, rules, "");
+  PrefetchPlan plan(order, 0, 1, rules, "");
   EXPECT_EQ(plan.due(Micros(0)).size(), 1U);
   EXPECT_EQ(plan.next(Micros(0)), milliseconds(100));
   std::size_t asked = 1;
@@ -269,43 +269,43 @@
   EXPECT_LE(plan.due(seconds(10)).size(), 2U);
 }
 
-TEST(FillPlanTest, ACheckpointOfAnotherAnnouncementOrNonsenseCountsAsNone) {
-  FillPlan first(order_of(10), 0, 1, FillRules{}, "");
+TEST(PrefetchPlanTest, ACheckpointOfAnotherAnnouncementOrNonsenseCountsAsNone) {
+  PrefetchPlan first(order_of(10), 0, 1, PrefetchOptions{}, "");
   for (const std::size_t place : first.due(Micros(0))) {
-    first.ended(Micros(0), place, FillPlan::End::kHeld, Micros(0));
+    first.ended(Micros(0), place, PrefetchPlan::End::kHeld, Micros(0));
   }
   const std::string good = first.checkpoint();
-  EXPECT_EQ(FillPlan(order_of(10), 0, 1, FillRules{}, good).progress().held, 4U);
-  EXPECT_EQ(FillPlan(order_of(11), 0, 1, FillRules{}, good).progress().filled, 0U);
+  EXPECT_EQ(PrefetchPlan(order_of(10), 0, 1, PrefetchOptions{}, good).progress().held, 4U);
+  EXPECT_EQ(PrefetchPlan(order_of(11), 0, 1, PrefetchOptions{}, good).progress().filled, 0U);
   std::mt19937_64 random(4);
   for (int round = 0; round < 3'000; ++round) {
     std::string text = good;
     text[random() % text.size()] = "0123456789\"{}[]:,-"[random() % 18];
-    FillPlan plan(order_of(10), 0, 1, FillRules{}, text);
+    PrefetchPlan plan(order_of(10), 0, 1, PrefetchOptions{}, text);
     // Whatever it says, the plan ends, and counts no more than there is.
     for (int i = 0; i < 20 && !plan.done(); ++i) {
       for (const std::size_t place : plan.due(Micros(0))) {
-        plan.ended(Micros(0), place, FillPlan::End::kFilled, Micros(0));
+        plan.ended(Micros(0), place, PrefetchPlan::End::kFilled, Micros(0));
       }
     }
     EXPECT_TRUE(plan.done()) << text;
   }
 }
 
-TEST(FillOrderTest, WhatCannotBeUsedIsNamed) {
+TEST(PrefetchOrderTest, WhatCannotBeUsedIsNamed) {
   const auto why = [](const std::string& params) -> std::string {
     try {
-      read_fill_order(params);
+      read_prefetch_order(params);
     } catch (const std::invalid_argument& error) {
       return error.what();
     }
     return "";
   };
-  EXPECT_EQ(why(write_fill_order(order_of(3))), "");
+  EXPECT_EQ(why(write_prefetch_order(order_of(3))), "");
   EXPECT_NE(why("[]").find("params"), std::string::npos);
   EXPECT_NE(why(R"({"class":"media","objects":["xyz"]})").find("objects"), std::string::npos);
   EXPECT_NE(why(R"({"class":"media","objects":[]})").find("objects"), std::string::npos);
-  EXPECT_EQ(read_fill_list("0000000000000001\nxyz\n0000000000000002/3\n").size(), 2U);
+  EXPECT_EQ(read_prefetch_list("0000000000000001\nxyz\n0000000000000002/3\n").size(), 2U);
   EXPECT_NE(why(R"({"objects":["0000000000000001"]})").find("class"), std::string::npos);
   EXPECT_NE(why(R"({"class":"media","rate":1,"objects":["0000000000000001"]})").find("rate"),
             std::string::npos);
