--- a/benchmarks/ownership_bench.cpp
+++ b/benchmarks/ownership_bench.cpp
@@ -59,7 +59,7 @@
 // ---- Without an owner ----
 
 constexpr std::int64_t kTakeoverTtlMs = 2'000;
-constexpr const char* kOwnerBegins = "begins w/0";
+constexpr const char* kOwnerBegins = "starts w/0";
 
 fleet::Shape takeover_shape(int candidates) {
   fleet::Shape shape = bench::flat_shape(candidates);
--- a/benchmarks/rest_measurement.cpp
+++ b/benchmarks/rest_measurement.cpp
@@ -20,7 +20,7 @@
 constexpr milliseconds kSettling{8'000};
 constexpr milliseconds kSpan{20'000};
 constexpr double kSpanSeconds = 20.0;
-constexpr const char* kOwnerBegins = "begins w/0";
+constexpr const char* kOwnerBegins = "starts w/0";
 
 enum class Row { kWithoutStore, kTasks, kTasksAndPolicy, kAggregators };
 
--- a/src/program/aggregator_command.cpp
+++ b/src/program/aggregator_command.cpp
@@ -82,7 +82,7 @@
   static routing::BoardWatcher::Hooks hooks(tasks::DiscoveryProgress& follower) {
     routing::BoardWatcher::Hooks out;
     out.taken = [&follower](const std::string& board, std::uint64_t last) {
-      follower.took_in({board, last});
+      follower.set_position({board, last});
     };
     return out;
   }
@@ -136,7 +136,7 @@
   // Of no zone: work that is bound to a zone is its routers'.
   TaskRunner runner(
       scheduler, *store, own_work(file), prefix,
-      TaskRunner::Self{options.name, service.core().identity().incarnation, "", options.listen, ""});
+      tasks::MemberIdentity{options.name, service.core().identity().incarnation, "", options.listen, ""});
   runner.register_kind(tasks::kPolicyWork, [&](tasks::TaskContext context) {
     return std::make_unique<tasks::PolicyRolloutTask>(scheduler, *store, prefix, file.policy,
                                                       std::move(context));
--- a/src/program/fleet_work.cpp
+++ b/src/program/fleet_work.cpp
@@ -49,7 +49,7 @@
       router_(router),
       directory_(directory),
       store_(open_store(scheduler, configuration.start.coordination, configuration.seed)),
-      suspects_(static_cast<int>(configuration.start.ownership.suspect_after)),
+      outliers_(static_cast<int>(configuration.start.ownership.suspect_after)),
       verdicts_(milliseconds(configuration.start.ownership.verdict_ms)) {
   if (store_) {
     take_on_work();
@@ -70,8 +70,8 @@
   const std::string& prefix = configuration_.start.coordination.prefix;
   task_runner_.emplace(
       scheduler_, *store_, options, prefix,
-      tasks::TaskRunner::Self{configuration_.name, incarnation_of(configuration_.seed),
-                              configuration_.profile.settings.zone, to_string(configuration_.listen), ""});
+      tasks::MemberIdentity{configuration_.name, incarnation_of(configuration_.seed),
+                            configuration_.profile.settings.zone, to_string(configuration_.listen), ""});
   task_runner_->register_kind("probe", [this, prefix, options](tasks::TaskContext context) {
     return std::make_unique<tasks::HealthCheckTask>(scheduler_, *store_, prefix, directory_, options,
                                                     std::move(context));
@@ -99,13 +99,14 @@
 }
 
 void FleetWork::follow_policy() {
-  const tasks::PolicyClient::Self self{configuration_.name, incarnation_of(configuration_.seed),
-                                       configuration_.profile.settings.zone,
-                                       static_cast<std::int64_t>(configuration_.most_open_requests())};
+  const tasks::PolicyClient::Identity identity{
+      configuration_.name, incarnation_of(configuration_.seed), configuration_.profile.settings.zone,
+      static_cast<std::int64_t>(configuration_.most_open_requests())};
   policy_.emplace(scheduler_, policy_store_ ? *policy_store_ : *store_, configuration_.start.policy,
-                  configuration_.start.coordination.prefix, self, configuration_.profile, router_,
+                  configuration_.start.coordination.prefix, identity, configuration_.profile, router_,
                   [this](std::optional<std::set<std::string>> kinds) { allow(std::move(kinds)); });
-  board_.listen([this](const policy::BoardPosition& position) { policy_->took_in(position); });
+  board_.subscribe(
+      [this](const policy::BoardPosition& position) { policy_->on_discovery_position(position); });
 }
 
 // What work the policy in force lets this router own.
@@ -148,9 +149,9 @@
   const bool failed = status == Status::kConnectFailed || status == Status::kReset ||
                       status == Status::kTimeout || status == Status::kError;
   if (status == Status::kOk) {
-    suspects_.ended(cache, true);
+    outliers_.on_attempt_result(cache, true);
   } else if (failed && !tells_of_source(note)) {
-    suspects_.ended(cache, false);
+    outliers_.on_attempt_result(cache, false);
   } else {
     return;
   }
@@ -159,8 +160,9 @@
 
 void FleetWork::tell_suspects() {
   const std::string& zone = configuration_.profile.settings.zone;
-  for (const auto& [cache, suspect] : suspects_.changes()) {
-    task_runner_->set_session_key(tasks::suspect_key(zone, cache, configuration_.name), suspect ? "1" : "");
+  for (const tasks::SuspicionChange& change : outliers_.take_changes()) {
+    const std::string key = tasks::suspect_key(zone, change.cache, configuration_.name);
+    task_runner_->set_session_key(key, change.suspected ? "1" : "");
   }
 }
 
@@ -171,18 +173,18 @@
   }
   const std::string cache = key.substr(stem.size());
   if (value.empty()) {
-    verdicts_.withdrawn(cache);
+    verdicts_.on_withdrawn(cache);
     return;
   }
   const std::optional<tasks::Verdict> verdict = tasks::read_verdict(cache, value);
   const Micros now = std::chrono::duration_cast<Micros>(Clock::now().time_since_epoch());
-  const std::optional<Observed> seen = verdict ? verdicts_.heard(now, *verdict) : std::nullopt;
+  const std::optional<Observed> seen = verdict ? verdicts_.on_verdict(now, *verdict) : std::nullopt;
   if (!seen) {
     return;
   }
   router_.observed(*seen);
   if (seen->sound) {
-    suspects_.cleared(cache);
+    outliers_.on_healthy_verdict(cache);
     tell_suspects();
   }
 }
@@ -199,7 +201,7 @@
     }
     const routing::RouterCounts& counts = router_.counts();
     tasks::Counters counters;
-    counters.incarnation = task_runner_->self().incarnation;
+    counters.incarnation = task_runner_->identity().incarnation;
     counters.values = {{"requests", counts.requests},
                        {"served", counts.served},
                        {"refused", counts.refused},
--- a/src/program/fleet_work.h
+++ b/src/program/fleet_work.h
@@ -13,9 +13,10 @@
 #include "routing/directory.h"
 #include "routing/router.h"
 #include "tasks/discovery_progress.h"
-#include "tasks/health_check_plan.h"
+#include "tasks/outlier_tracker.h"
 #include "tasks/policy_client.h"
 #include "tasks/task_runner.h"
+#include "tasks/verdict_tracker.h"
 
 namespace trailcourse::program {
 
@@ -40,7 +41,7 @@
   // Whether requests may be taken, as far as the fleet's policy goes.
   bool ready() const { return !policy_ || policy_->ready(); }
   // This router has taken in the notice board up to here.
-  void took_in(const policy::BoardPosition& position) { board_.took_in(position); }
+  void took_in(const policy::BoardPosition& position) { board_.set_position(position); }
   // Gives the permission of the policy back: nothing arrives any more.
   void leave();
   bool left() const { return !policy_ || policy_->stopped(); }
@@ -66,7 +67,7 @@
   std::unique_ptr<coordination::SharedStore> policy_store_;  // through aggregators; null for none
   std::optional<tasks::TaskRunner> task_runner_;
   std::optional<tasks::PolicyClient> policy_;
-  tasks::OutlierTracker suspects_;
+  tasks::OutlierTracker outliers_;
   tasks::VerdictTracker verdicts_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/program/work_command.cpp
+++ b/src/program/work_command.cpp
@@ -16,7 +16,7 @@
 #include "program/store_client.h"
 #include "protocol/numbers.h"
 #include "tasks/fleet_report_task.h"
-#include "tasks/prefetch_plan.h"
+#include "tasks/prefetch_order.h"
 
 namespace trailcourse::program {
 
--- a/src/tasks/acknowledgement_task.h
+++ b/src/tasks/acknowledgement_task.h
@@ -1,5 +1,5 @@
-// The task of finding out which events of the notice board every router has taken in, by
-// policy::AcknowledgementDriver. It asks for what its own process has taken in.
+// Owned work of kind `acknowledge`: finds out which events of the discovery service every router has applied,
+// by policy::AcknowledgementDriver. Each round asks for the events that this process has applied itself.
 //
 // Package `tasks`, over `policy`. One thread.
 #pragma once
@@ -15,27 +15,29 @@
 
 constexpr const char* kAcknowledgeWork = "acknowledge";  // kind of the work
 
+// Scheduler, store and progress outlive it.
 class AcknowledgementTask : public ReconcileTask {
  public:
-  // `board` outlives it. `least_round`: between the beginnings of two rounds.
+  // `min_round_interval` lies between the starts of two rounds.
   AcknowledgementTask(transport::Scheduler& scheduler, coordination::SharedStore& store, std::string prefix,
-                      DiscoveryProgress& board, Micros least_round, TaskContext context);
+                      DiscoveryProgress& progress, Micros min_round_interval, TaskContext context);
   ~AcknowledgementTask() override;
 
  protected:
-  coordination::Transaction looks_at() const override;
-  std::vector<coordination::Range> follows() const override;
-  Decision decide(Micros now, const coordination::Outcome& seen) override;
-  bool concerns(const std::string& key) const override;
+  coordination::Transaction snapshot_transaction() const override;
+  std::vector<coordination::Range> watched_ranges() const override;
+  bool is_relevant(const std::string& key) const override;
+  Decision decide(Micros now, const coordination::Outcome& outcome) override;
 
  private:
-  void took_in(const policy::BoardPosition& position);
+  void on_progress(const policy::BoardPosition& position);
 
-  DiscoveryProgress& board_;
-  DiscoveryProgress::ListenerId listener_;
+  DiscoveryProgress& progress_;
+  DiscoveryProgress::SubscriptionId subscription_;
   policy::AcknowledgementDriver driver_;
-  bool round_open_ = true;       // as it was seen last; true before
-  policy::BoardPosition asked_;  // the same
+  // Of the last snapshot.
+  bool round_open_ = true;  // also before the first one
+  policy::BoardPosition requested_;
 };
 
 }  // namespace trailcourse::tasks
--- a/src/tasks/discovery_progress.h
+++ b/src/tasks/discovery_progress.h
@@ -1,4 +1,4 @@
-// How far this process has taken in the notice board, and who is told whenever that has grown.
+// How far this process has applied the events of the discovery service.
 //
 // Package `tasks`. One thread.
 #pragma once
@@ -6,39 +6,43 @@
 #include <cstdint>
 #include <functional>
 #include <map>
+#include <utility>
 
 #include "policy/acknowledgement.h"
 
 namespace trailcourse::tasks {
 
+// Holds the position up to which all events are applied, and notifies subscribers when it changes.
 class DiscoveryProgress {
  public:
-  using Listener = std::function<void(const policy::BoardPosition&)>;
-  using ListenerId = std::uint64_t;
+  using Subscriber = std::function<void(const policy::BoardPosition&)>;
+  using SubscriptionId = std::uint64_t;
 
-  void took_in(const policy::BoardPosition& position) {
+  // Sets the position, and calls the subscribers if it is another one.
+  void set_position(const policy::BoardPosition& position) {
     if (position == position_) {
       return;
     }
     position_ = position;
-    const auto listeners = listeners_;  // one of them may leave meanwhile
-    for (const auto& [id, listener] : listeners) {
-      listener(position_);
+    const auto subscribers = subscribers_;  // a copy: one of them may unsubscribe meanwhile
+    for (const auto& [id, subscriber] : subscribers) {
+      subscriber(position_);
     }
   }
+
   const policy::BoardPosition& position() const { return position_; }
 
-  // The listener is called until it leaves; it must not outlive what it refers to.
-  ListenerId listen(Listener listener) {
-    listeners_[++last_] = std::move(listener);
-    return last_;
+  // The subscriber is called until unsubscribe(); what it refers to must live as long.
+  SubscriptionId subscribe(Subscriber subscriber) {
+    subscribers_[++last_id_] = std::move(subscriber);
+    return last_id_;
   }
-  void leave(ListenerId id) { listeners_.erase(id); }
+  void unsubscribe(SubscriptionId id) { subscribers_.erase(id); }
 
  private:
   policy::BoardPosition position_;
-  std::map<ListenerId, Listener> listeners_;
-  ListenerId last_ = 0;
+  std::map<SubscriptionId, Subscriber> subscribers_;
+  SubscriptionId last_id_ = 0;
 };
 
 }  // namespace trailcourse::tasks
--- a/src/tasks/fleet_report.cpp
+++ b/src/tasks/fleet_report.cpp
@@ -9,71 +9,80 @@
 
 namespace {
 
-std::map<std::string, std::uint64_t> values_of(const json& from) {
-  std::map<std::string, std::uint64_t> out;
-  if (from.is_object()) {
-    for (const auto& [name, value] : from.items()) {
-      if (value.is_number_unsigned()) {
-        out[name] = value.get<std::uint64_t>();
-      }
+// Leaves out what is no unsigned number.
+CounterValues values_from_json(const json& object) {
+  CounterValues values;
+  if (!object.is_object()) {
+    return values;
+  }
+  for (const auto& [name, value] : object.items()) {
+    if (value.is_number_unsigned()) {
+      values[name] = value.get<std::uint64_t>();
     }
   }
-  return out;
+  return values;
 }
 
-json json_of(const Counters& counters) {
+json counters_to_json(const Counters& counters) {
   return {{"incarnation", counters.incarnation}, {"values", counters.values}};
 }
 
-std::optional<Counters> counters_of(const json& from) {
-  if (!from.is_object() || !from.contains("incarnation") || !from["incarnation"].is_string()) {
+std::optional<Counters> counters_from_json(const json& object) {
+  if (!object.is_object() || !object.contains("incarnation") || !object["incarnation"].is_string()) {
     return std::nullopt;
   }
-  return Counters{from["incarnation"].get<std::string>(), values_of(from.value("values", json::object()))};
+  return Counters{object["incarnation"].get<std::string>(),
+                  values_from_json(object.value("values", json::object()))};
 }
 
 }  // namespace
 
-std::string write_counters(const Counters& counters) { return json_of(counters).dump(); }
+std::string write_counters(const Counters& counters) { return counters_to_json(counters).dump(); }
 
 std::optional<Counters> read_counters(const std::string& value) {
-  return counters_of(json::parse(value, nullptr, false));
+  return counters_from_json(json::parse(value, nullptr, false));
 }
 
 FleetReport::FleetReport(const std::string& checkpoint) {
-  const json from = json::parse(checkpoint, nullptr, false);
-  if (!from.is_object()) {
+  const json saved = json::parse(checkpoint, nullptr, false);
+  if (!saved.is_object()) {
+    return;
+  }
+  sums_ = values_from_json(saved.value("sums", json::object()));
+  const json last = saved.value("last", json::object());
+  if (!last.is_object()) {
     return;
   }
-  sums_ = values_of(from.value("sums", json::object()));
-  const json last = from.value("last", json::object());
-  if (last.is_object()) {
-    for (const auto& [name, value] : last.items()) {
-      if (auto counters = counters_of(value)) {
-        last_[name] = std::move(*counters);
-      }
+  for (const auto& [router, record] : last.items()) {
+    if (auto counters = counters_from_json(record)) {
+      last_counters_[router] = std::move(*counters);
     }
   }
 }
 
-void FleetReport::take(const std::map<std::string, Counters>& routers) {
-  present_ = routers.size();
-  for (const auto& [name, counters] : routers) {
-    Counters& before = last_[name];
-    const bool same = before.incarnation == counters.incarnation;
-    for (const auto& [key, value] : counters.values) {
-      const auto old = before.values.find(key);
-      const std::uint64_t from = same && old != before.values.end() && old->second <= value ? old->second : 0;
-      sums_[key] += value - from;
-    }
-    before = counters;
+void FleetReport::update(const std::map<std::string, Counters>& routers) {
+  router_count_ = routers.size();
+  for (const auto& [router, counters] : routers) {
+    Counters& previous = last_counters_[router];
+    add_increase(previous, counters);
+    previous = counters;
+  }
+}
+
+// A counter of another incarnation, or one that decreased, began at 0 again.
+void FleetReport::add_increase(const Counters& previous, const Counters& current) {
+  const bool same_start = previous.incarnation == current.incarnation;
+  for (const auto& [name, value] : current.values) {
+    const auto before = previous.values.find(name);
+    const bool continued = same_start && before != previous.values.end() && before->second <= value;
+    sums_[name] += value - (continued ? before->second : 0);
   }
 }
 
 std::string FleetReport::checkpoint() const {
   json last = json::object();
-  for (const auto& [name, counters] : last_) {
-    last[name] = json_of(counters);
+  for (const auto& [router, counters] : last_counters_) {
+    last[router] = counters_to_json(counters);
   }
   return json{{"sums", sums_}, {"last", last}}.dump();
 }
--- a/src/tasks/fleet_report.h
+++ b/src/tasks/fleet_report.h
@@ -1,43 +1,55 @@
-// The fleet's counters in one report: what each router counts, and the sum that the owner of the work writes.
+// The counters of the whole fleet in one report: the record of what each router counts, and their sum.
 //
-// Package `tasks`: knows JSON; no I/O, no clock.
+// Package `tasks`: knows JSON; no I/O, no clock. Not thread-safe.
 #pragma once
 
 #include <cstdint>
 #include <map>
 #include <optional>
 #include <string>
-#include <vector>
 
 namespace trailcourse::tasks {
 
-// By name. What one router counted since its start; a new start begins at 0.
+using CounterValues = std::map<std::string, std::uint64_t>;  // by name of the counter
+
+// What one router counted since its start; each start (incarnation) begins at 0.
 struct Counters {
   std::string incarnation;
-  std::map<std::string, std::uint64_t> values;
+  CounterValues values;
 
   friend bool operator==(const Counters&, const Counters&) = default;
 };
+
+// Writes the record as JSON.
 std::string write_counters(const Counters& counters);
+
+// Returns nothing if the record is malformed.
 std::optional<Counters> read_counters(const std::string& value);
 
-// Adds up what routers counted: over restarts, and without losing what one counted that is gone. What is kept
-// between two reports is the checkpoint, so that a successor goes on where the last owner was.
+// Adds up the counters of all routers, across their restarts, and keeps what routers counted that are gone.
+// The checkpoint holds all state between two reports, so that a successor goes on from there.
 class FleetReport {
  public:
-  // A checkpoint that cannot be read counts as none.
+  // A checkpoint that is malformed counts as none.
   explicit FleetReport(const std::string& checkpoint);
 
-  // What the routers that are there say now, by name.
-  void take(const std::map<std::string, Counters>& routers);
-  const std::map<std::string, std::uint64_t>& sums() const { return sums_; }
-  std::size_t routers() const { return present_; }
+  // Takes in the counters of the routers that are present, by name of the router. Sums never decrease.
+  void update(const std::map<std::string, Counters>& routers);
+
+  const CounterValues& sums() const { return sums_; }
+
+  // Returns the number of routers in the last update.
+  std::size_t router_count() const { return router_count_; }
+
+  // Returns the state as JSON.
   std::string checkpoint() const;
 
  private:
-  std::map<std::string, std::uint64_t> sums_;
-  std::map<std::string, Counters> last_;
-  std::size_t present_ = 0;
+  void add_increase(const Counters& previous, const Counters& current);
+
+  CounterValues sums_;
+  std::map<std::string, Counters> last_counters_;  // by name of the router
+  std::size_t router_count_ = 0;
 };
 
 }  // namespace trailcourse::tasks
--- a/src/tasks/fleet_report_task.cpp
+++ b/src/tasks/fleet_report_task.cpp
@@ -1,8 +1,12 @@
 #include "tasks/fleet_report_task.h"
 
+#include <map>
 #include <nlohmann/json.hpp>
+#include <string_view>
 #include <utility>
 
+#include "tasks/clock.h"
+
 namespace trailcourse::tasks {
 
 using std::chrono::milliseconds;
@@ -10,51 +14,49 @@
 
 FleetReportTask::FleetReportTask(transport::Scheduler& scheduler, coordination::SharedStore& store,
                                  std::string prefix, const OwnershipOptions& options, TaskContext context)
-    : scheduler_(scheduler),
-      store_(store),
+    : store_(store),
       prefix_(std::move(prefix)),
       options_(options),
       context_(std::move(context)),
       report_(context_.checkpoint),
-      timer_(scheduler, [this] { turn(); }) {}
+      timer_(scheduler, [this] { run_step(); }) {}
 
-void FleetReportTask::finish() {
+void FleetReportTask::stop() {
   timer_.set(std::nullopt);
-  context_.finished();
+  context_.on_stopped();
 }
 
-void FleetReportTask::turn() {
-  if (context_.may_act()) {
-    coordination::Transaction read;
-    read.then = {coordination::Get{coordination::Range{prefix_ + kCounterPrefix, true}}};
-    store_.commit(std::move(read),
-                  [this, alive = alive_](const coordination::Reply<coordination::Outcome>& reply) {
-                    if (*alive && reply.done()) {
-                      this->read(reply.value.steps.at(0).found);
-                    }
-                  });
-  }
+void FleetReportTask::run_step() {
   timer_.set(Clock::now() + milliseconds(options_.report_ms));
+  if (!context_.may_act()) {
+    return;
+  }
+  coordination::Transaction read;
+  read.then = {coordination::Get{coordination::Range{prefix_ + kCounterPrefix, true}}};
+  store_.commit(std::move(read),
+                [this, alive = alive_](const coordination::Reply<coordination::Outcome>& reply) {
+                  if (*alive && reply.done()) {
+                    write_report(reply.value.steps.at(0).found);
+                  }
+                });
 }
 
-void FleetReportTask::read(const std::vector<coordination::Entry>& entries) {
+void FleetReportTask::write_report(const std::vector<coordination::Entry>& counter_entries) {
   std::map<std::string, Counters> routers;
-  const std::size_t stem = prefix_.size() + std::string(kCounterPrefix).size();
-  for (const coordination::Entry& entry : entries) {
+  const std::size_t prefix_size = prefix_.size() + std::string_view(kCounterPrefix).size();
+  for (const coordination::Entry& entry : counter_entries) {
     if (auto counters = read_counters(entry.value)) {
-      routers[entry.key.substr(stem)] = std::move(*counters);
+      routers[entry.key.substr(prefix_size)] = std::move(*counters);
     }
   }
-  report_.take(routers);
-  const nlohmann::json text{
-      {"term", context_.term},
-      {"number", ++number_},
-      {"routers", report_.routers()},
-      {"at_ms",
-       std::chrono::duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch()).count()},
-      {"sums", report_.sums()}};
-  context_.put(kFleetReportKey, text.dump());
-  context_.checkpoint_at(report_.checkpoint(), false);
+  report_.update(routers);
+  const nlohmann::json report{{"term", context_.term},
+                              {"number", ++last_sequence_},
+                              {"routers", report_.router_count()},
+                              {"at_ms", unix_now_ms()},
+                              {"sums", report_.sums()}};
+  context_.write_key(kFleetReportKey, report.dump());
+  context_.save_checkpoint(report_.checkpoint());
 }
 
 }  // namespace trailcourse::tasks
--- a/src/tasks/fleet_report_task.h
+++ b/src/tasks/fleet_report_task.h
@@ -1,11 +1,15 @@
-// The task of the fleet's report: reads what the routers count, adds it up, writes one report under its term.
-// A second writer is refused by the store, so there is one report, and it never goes back.
+// Owned work of kind `report`: reads the counters of all routers from the store, adds them up, and writes one
+// report under its term. The store rejects a second writer, so there is one report, and its sums never
+// decrease.
 //
 // Package `tasks`. One thread.
 #pragma once
 
 #include <memory>
+#include <string>
+#include <vector>
 
+#include "coordination/shared_store.h"
 #include "tasks/fleet_report.h"
 #include "tasks/options.h"
 #include "tasks/owned_task.h"
@@ -16,26 +20,27 @@
 constexpr const char* kCounterPrefix = "counters/";  // counters/ROUTER
 constexpr const char* kFleetReportKey = "report/fleet";
 
+// Scheduler and store outlive it.
 class FleetReportTask : public OwnedTask {
  public:
   FleetReportTask(transport::Scheduler& scheduler, coordination::SharedStore& store, std::string prefix,
                   const OwnershipOptions& options, TaskContext context);
   ~FleetReportTask() override { *alive_ = false; }
 
-  void begin() override { turn(); }
-  void finish() override;
+  void start() override { run_step(); }
+  void stop() override;
 
  private:
-  void turn();
-  void read(const std::vector<coordination::Entry>& entries);
+  // Reads the counters, and sets the timer for the next report.
+  void run_step();
+  void write_report(const std::vector<coordination::Entry>& counter_entries);
 
-  transport::Scheduler& scheduler_;
   coordination::SharedStore& store_;
   std::string prefix_;
   OwnershipOptions options_;
   TaskContext context_;
   FleetReport report_;
-  std::uint64_t number_ = 0;
+  std::uint64_t last_sequence_ = 0;
   transport::Alarm timer_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/tasks/health_check_plan.cpp
+++ b/src/tasks/health_check_plan.cpp
@@ -1,201 +1,100 @@
 #include "tasks/health_check_plan.h"
 
 #include <algorithm>
-#include <nlohmann/json.hpp>
-#include <utility>
 
 namespace trailcourse::tasks {
 
-using nlohmann::json;
-
-// ---- OutlierTracker ----
-
-void OutlierTracker::ended(const std::string& cache, bool sound) {
-  if (sound) {
-    failures_.erase(cache);
-    suspects_.erase(cache);
-  } else if (++failures_[cache] >= after_) {
-    suspects_.insert(cache);
-  }
-}
-
-void OutlierTracker::forget(const std::string& cache) {
-  failures_.erase(cache);
-  suspects_.erase(cache);
-}
-
-void OutlierTracker::cleared(const std::string& cache) { forget(cache); }
-
-std::map<std::string, bool> OutlierTracker::changes() {
-  std::map<std::string, bool> out;
-  for (const std::string& cache : suspects_) {
-    if (!told_.contains(cache)) {
-      out[cache] = true;
-    }
-  }
-  for (const std::string& cache : told_) {
-    if (!suspects_.contains(cache)) {
-      out[cache] = false;
-    }
-  }
-  told_ = suspects_;
-  return out;
-}
-
-// ---- Verdicts ----
-
-std::string write_verdict(const Verdict& verdict) {
-  return json{{"sound", verdict.sound},
-              {"probes", verdict.probes},
-              {"term", verdict.term},
-              {"number", verdict.number},
-              {"at_ms", verdict.at_ms}}
-      .dump();
-}
-
-std::optional<Verdict> read_verdict(const std::string& cache, const std::string& value) {
-  const json from = json::parse(value, nullptr, false);
-  if (!from.is_object() || cache.empty()) {
-    return std::nullopt;
-  }
-  const auto number = [&from](const char* name) -> std::optional<std::uint64_t> {
-    const auto found = from.find(name);
-    return found != from.end() && found->is_number_unsigned()
-               ? std::optional<std::uint64_t>(found->get<std::uint64_t>())
-               : std::nullopt;
-  };
-  const auto sound = from.find("sound");
-  const auto term = number("term");
-  const auto count = number("number");
-  if (sound == from.end() || !sound->is_boolean() || !term || !count || *term == 0) {
-    return std::nullopt;
-  }
-  Verdict out;
-  out.cache = cache;
-  out.sound = sound->get<bool>();
-  out.probes = number("probes").value_or(0);
-  out.term = *term;
-  out.number = *count;
-  out.at_ms = static_cast<std::int64_t>(number("at_ms").value_or(0));
-  return out;
-}
-
-// ---- HealthCheckPlan ----
-
-void HealthCheckPlan::named(Micros now, const std::string& cache, const std::string& router, bool suspect) {
-  if (!suspect) {
-    const auto found = suspects_.find(cache);
-    if (found != suspects_.end()) {
-      found->second.routers.erase(router);
-    }
-    return;
-  }
+void HealthCheckPlan::on_suspected(Micros now, const std::string& cache, const std::string& router) {
   const auto [found, added] = suspects_.try_emplace(cache);
-  if (added || found->second.over) {
-    found->second.probe_at = now;
+  Suspect& suspect = found->second;
+  if (added || suspect.cleared) {
+    suspect.next_check_at = now;
   }
-  found->second.over = false;
-  found->second.routers.insert(router);
+  suspect.cleared = false;
+  suspect.reporters.insert(router);
 }
 
-void HealthCheckPlan::inherited(const Verdict& verdict) {
-  Suspect& suspect = suspects_[verdict.cache];
-  suspect.said = verdict.sound;
-  suspect.last = verdict.sound;
+void HealthCheckPlan::on_suspicion_ended(const std::string& cache, const std::string& router) {
+  const auto found = suspects_.find(cache);
+  if (found != suspects_.end()) {
+    found->second.reporters.erase(router);
+  }
 }
 
-std::vector<std::string> HealthCheckPlan::due(Micros now) {
-  std::vector<std::string> out;
-  std::size_t busy = static_cast<std::size_t>(
-      std::count_if(suspects_.begin(), suspects_.end(), [](const auto& one) { return one.second.out; }));
+std::vector<std::string> HealthCheckPlan::start_checks(Micros now) {
+  auto in_flight = static_cast<std::size_t>(std::count_if(
+      suspects_.begin(), suspects_.end(), [](const auto& entry) { return entry.second.check_in_flight; }));
+  std::vector<std::string> caches;
   for (auto& [cache, suspect] : suspects_) {
-    if (!suspect.out && !suspect.over && suspect.probe_at <= now && busy < rules_.most_out) {
-      suspect.out = true;
-      ++busy;
-      ++probes_;
-      out.push_back(cache);
+    const bool due = !suspect.check_in_flight && !suspect.cleared && suspect.next_check_at <= now;
+    if (due && in_flight < options_.max_in_flight) {
+      suspect.check_in_flight = true;
+      ++in_flight;
+      ++checks_started_;
+      caches.push_back(cache);
     }
   }
-  return out;
+  return caches;
 }
 
-void HealthCheckPlan::probed(Micros now, const std::string& cache, bool sound) {
+void HealthCheckPlan::on_check_result(Micros now, const std::string& cache, bool healthy) {
   const auto found = suspects_.find(cache);
-  if (found == suspects_.end() || !found->second.out) {
+  if (found == suspects_.end() || !found->second.check_in_flight) {
     return;
   }
   Suspect& suspect = found->second;
-  suspect.out = false;
-  suspect.probe_at = now + rules_.pause;
-  suspect.in_row = suspect.last == sound ? suspect.in_row + 1 : 1;
-  suspect.last = sound;
-  // One that nobody names and that is sound for as long as it takes is no suspect.
-  suspect.over = suspect.routers.empty() && sound && suspect.in_row >= rules_.sure;
+  suspect.check_in_flight = false;
+  suspect.next_check_at = now + options_.interval;
+  suspect.consecutive_results = suspect.last_result == healthy ? suspect.consecutive_results + 1 : 1;
+  suspect.last_result = healthy;
+  const bool confirmed = suspect.consecutive_results >= options_.confirmations;
+  suspect.cleared = suspect.reporters.empty() && healthy && confirmed;
+}
+
+bool HealthCheckPlan::is_verdict_due(Micros now, const Suspect& suspect) const {
+  if (!suspect.last_result || suspect.consecutive_results < options_.confirmations) {
+    return false;
+  }
+  return suspect.published != suspect.last_result ||
+         now >= suspect.published_at + options_.republish_interval;
 }
 
-std::vector<Verdict> HealthCheckPlan::news(Micros now) {
-  std::vector<Verdict> out;
-  for (auto one = suspects_.begin(); one != suspects_.end();) {
-    Suspect& suspect = one->second;
-    Verdict verdict;
-    verdict.cache = one->first;
-    verdict.term = term_;
-    if (suspect.over) {
-      if (suspect.said) {
-        out.push_back(verdict);  // without probes: taken back
+std::vector<VerdictUpdate> HealthCheckPlan::take_verdict_updates(Micros now) {
+  std::vector<VerdictUpdate> updates;
+  for (auto entry = suspects_.begin(); entry != suspects_.end();) {
+    Suspect& suspect = entry->second;
+    VerdictUpdate update;
+    update.verdict.cache = entry->first;
+    update.verdict.term = term_;
+    if (suspect.cleared) {
+      if (suspect.published) {
+        update.kind = VerdictUpdate::Kind::kWithdraw;
+        updates.push_back(update);
       }
-      one = suspects_.erase(one);
+      entry = suspects_.erase(entry);
       continue;
     }
-    const bool sure = suspect.last && suspect.in_row >= rules_.sure;
-    if (sure && (suspect.said != suspect.last || now >= suspect.said_at + rules_.repeat)) {
-      suspect.said = suspect.last;
-      suspect.said_at = now;
-      verdict.sound = *suspect.last;
-      verdict.probes = suspect.in_row;
-      verdict.number = ++number_;
-      out.push_back(verdict);
+    if (is_verdict_due(now, suspect)) {
+      suspect.published = suspect.last_result;
+      suspect.published_at = now;
+      update.verdict.healthy = *suspect.last_result;
+      update.verdict.consecutive_checks = suspect.consecutive_results;
+      update.verdict.sequence = ++last_sequence_;
+      updates.push_back(update);
     }
-    ++one;
+    ++entry;
   }
-  return out;
+  return updates;
 }
 
-std::optional<Micros> HealthCheckPlan::next(Micros now) const {
-  std::optional<Micros> out;
+std::optional<Micros> HealthCheckPlan::next_step_at(Micros now) const {
+  std::optional<Micros> earliest;
   for (const auto& [cache, suspect] : suspects_) {
-    if (!suspect.out) {
-      out = std::min(out.value_or(Micros::max()), std::max(now, suspect.probe_at));
+    if (!suspect.check_in_flight) {
+      earliest = std::min(earliest.value_or(Micros::max()), std::max(now, suspect.next_check_at));
     }
   }
-  return out;
-}
-
-std::size_t HealthCheckPlan::suspects() const { return suspects_.size(); }
-
-// ---- VerdictTracker ----
-
-std::optional<Observed> VerdictTracker::heard(Micros now, const Verdict& verdict) {
-  Last& last = last_[verdict.cache];
-  if (std::pair(verdict.term, verdict.number) <= std::pair(last.term, last.number)) {
-    return std::nullopt;
-  }
-  last = Last{verdict.term, verdict.number, verdict.sound, now};
-  return Observed{verdict.cache, verdict.sound, holds_};
-}
-
-void VerdictTracker::withdrawn(const std::string& cache) {
-  // The term stays known: a late verdict of an earlier prober counts for nothing.
-  const auto found = last_.find(cache);
-  if (found != last_.end()) {
-    found->second.at = Micros(INT64_MIN / 2);
-  }
-}
-
-std::optional<bool> VerdictTracker::stands(Micros now, const std::string& cache) const {
-  const auto found = last_.find(cache);
-  const bool known = found != last_.end() && now - found->second.at < holds_;
-  return known ? std::optional<bool>(found->second.sound) : std::nullopt;
+  return earliest;
 }
 
 }  // namespace trailcourse::tasks
--- a/src/tasks/health_check_plan.h
+++ b/src/tasks/health_check_plan.h
@@ -1,8 +1,6 @@
-// Which caches this router names to the prober of its zone: those that failed it a few times in a row. And
-// what the prober makes of what it is told and of its probes; and what a router makes of the prober's
-// verdicts.
+// Plans the health checks of the caches that routers of a zone suspect, and derives the verdicts to publish.
 //
-// Package `tasks`: no I/O, no clock; time is Micros of the caller's steady clock.
+// Package `tasks`: no I/O, no clock; time is Micros of the caller's steady clock. Not thread-safe.
 #pragma once
 
 #include <trailcourse/decider.h>
@@ -15,116 +13,71 @@
 #include <vector>
 
 #include "ownership/lease.h"
+#include "tasks/verdict.h"
 
 namespace trailcourse::tasks {
 
-// ---- At each router: whom it suspects ----
-
-class OutlierTracker {
- public:
-  explicit OutlierTracker(int after) : after_(after) {}
-
-  // An attempt at a cache ended. Outcomes that say nothing of the cache are not told.
-  void ended(const std::string& cache, bool sound);
-  // It is not listed any more.
-  void forget(const std::string& cache);
-  // A verdict that it is sound ends a suspicion: what fails here may be this router's own path, and is
-  // suspected again after as many failures.
-  void cleared(const std::string& cache);
-
-  // What changed since the last call: named now, or not any more.
-  std::map<std::string, bool> changes();
-  const std::set<std::string>& suspects() const { return suspects_; }
-
- private:
-  int after_;
-  std::map<std::string, int> failures_;  // in a row
-  std::set<std::string> suspects_;
-  std::set<std::string> told_;
+struct HealthCheckOptions {
+  Micros interval{1'000'000};            // between two checks of one cache
+  Micros republish_interval{2'500'000};  // of a verdict that stands
+  std::uint64_t confirmations = 2;       // consecutive equal results that a verdict takes
+  std::size_t max_in_flight = 16;        // checks at once
 };
 
-// ---- At the prober ----
-
-struct Verdict {
-  std::string cache;
-  bool sound = false;
-  std::uint64_t probes = 0;  // in a row that said so
-  ownership::Term term = 0;  // of the prober
-  std::uint64_t number = 0;  // of the verdict under that term
-  std::int64_t at_ms = 0;    // Unix time, for staff alone
-
-  friend bool operator==(const Verdict&, const Verdict&) = default;
-};
-std::string write_verdict(const Verdict& verdict);
-std::optional<Verdict> read_verdict(const std::string& cache, const std::string& value);
+// A verdict that is to be written to the store, or to be deleted there.
+struct VerdictUpdate {
+  enum class Kind { kPublish, kWithdraw };
 
-struct HealthCheckOptions {
-  Micros pause{1'000'000};    // between two probes of one cache
-  Micros repeat{2'500'000};   // a verdict is said again, while the cache is suspected
-  std::uint64_t sure = 2;     // probes in a row that change a verdict
-  std::size_t most_out = 16;  // probes at once
+  Kind kind = Kind::kPublish;
+  Verdict verdict;  // with the cache and the term alone if it is withdrawn
 };
 
+// Checks each suspect in turn, however many routers suspect it, until no router does and the checks find it
+// healthy.
 class HealthCheckPlan {
  public:
-  HealthCheckPlan(const HealthCheckOptions& rules, ownership::Term term) : rules_(rules), term_(term) {}
-
-  // A router names a cache, or takes it back.
-  void named(Micros now, const std::string& cache, const std::string& router, bool suspect);
-  // Verdicts of probers before that still stand.
-  void inherited(const Verdict& verdict);
-  // The caches to probe now; each counts as out until probed().
-  std::vector<std::string> due(Micros now);
-  void probed(Micros now, const std::string& cache, bool sound);
-  // The verdicts to be said now, and those to be taken back (without probes).
-  std::vector<Verdict> news(Micros now);
-  std::optional<Micros> next(Micros now) const;
-
-  std::size_t suspects() const;
-  std::uint64_t probes() const { return probes_; }
+  // `term` is the one under which this router owns the work; verdicts carry it.
+  HealthCheckPlan(const HealthCheckOptions& options, ownership::Term term) : options_(options), term_(term) {}
 
- private:
-  struct Suspect {
-    std::set<std::string> routers;
-    bool out = false;
-    Micros probe_at{0};
-    std::optional<bool> last;
-    std::uint64_t in_row = 0;
-    std::optional<bool> said;
-    Micros said_at{0};
-    bool over = false;  // nobody suspects it any more: its verdict is to be taken back
-  };
+  // A router reports that it suspects the cache.
+  void on_suspected(Micros now, const std::string& cache, const std::string& router);
 
-  HealthCheckOptions rules_;
-  ownership::Term term_;
-  std::map<std::string, Suspect> suspects_;
-  std::uint64_t number_ = 0;
-  std::uint64_t probes_ = 0;
-};
+  // The router does not suspect the cache any more.
+  void on_suspicion_ended(const std::string& cache, const std::string& router);
 
-// ---- At each router again: what it makes of verdicts ----
+  // Returns the caches to check now. Each counts as in flight until on_check_result().
+  std::vector<std::string> start_checks(Micros now);
 
-// A verdict counts once, for the time it was made: one that is older in term or number than the last one
-// heard of that cache is passed over. It is an observation among the router's own, and never replaces one.
-class VerdictTracker {
- public:
-  explicit VerdictTracker(Micros holds) : holds_(holds) {}
+  void on_check_result(Micros now, const std::string& cache, bool healthy);
+
+  // Returns the verdicts to publish or to withdraw now.
+  std::vector<VerdictUpdate> take_verdict_updates(Micros now);
 
-  // What the decision module is to be told now.
-  std::optional<Observed> heard(Micros now, const Verdict& verdict);
-  void withdrawn(const std::string& cache);
-  // The verdict that stands, if any.
-  std::optional<bool> stands(Micros now, const std::string& cache) const;
+  // Returns when start_checks() may return something by time alone, or nothing.
+  std::optional<Micros> next_step_at(Micros now) const;
+
+  std::size_t suspect_count() const { return suspects_.size(); }
+  std::uint64_t checks_started() const { return checks_started_; }
 
  private:
-  struct Last {
-    ownership::Term term = 0;
-    std::uint64_t number = 0;
-    bool sound = false;
-    Micros at{0};
+  struct Suspect {
+    std::set<std::string> reporters;  // routers
+    bool check_in_flight = false;
+    bool cleared = false;  // no suspect any more; its verdict is to be withdrawn
+    Micros next_check_at{0};
+    std::optional<bool> last_result;
+    std::uint64_t consecutive_results = 0;  // equal to the last one
+    std::optional<bool> published;
+    Micros published_at{0};
   };
-  Micros holds_;
-  std::map<std::string, Last> last_;
+
+  bool is_verdict_due(Micros now, const Suspect& suspect) const;
+
+  HealthCheckOptions options_;
+  ownership::Term term_;
+  std::map<std::string, Suspect> suspects_;  // by cache
+  std::uint64_t last_sequence_ = 0;
+  std::uint64_t checks_started_ = 0;
 };
 
 }  // namespace trailcourse::tasks
--- a/src/tasks/health_check_task.cpp
+++ b/src/tasks/health_check_task.cpp
@@ -1,9 +1,10 @@
 #include "tasks/health_check_task.h"
 
-#include <nlohmann/json.hpp>
+#include <functional>
 #include <utility>
 
 #include "protocol/resp.h"
+#include "tasks/clock.h"
 #include "transport/log.h"
 
 namespace trailcourse::tasks {
@@ -17,54 +18,56 @@
 
 namespace {
 
-HealthCheckOptions rules_of(const OwnershipOptions& options) {
-  HealthCheckOptions rules;
-  rules.pause = milliseconds(options.probe_ms);
-  rules.repeat = milliseconds(options.verdict_ms) / 2;
-  return rules;
+HealthCheckOptions plan_options(const OwnershipOptions& options) {
+  HealthCheckOptions plan;
+  plan.interval = milliseconds(options.probe_ms);
+  plan.republish_interval = milliseconds(options.verdict_ms) / 2;
+  return plan;
 }
 
-}  // namespace
-
-std::string suspect_key(const std::string& zone, const std::string& cache, const std::string& router) {
-  return kSuspectPrefix + zone + "/" + cache + "/" + router;
-}
-std::string verdict_key(const std::string& zone, const std::string& cache) {
-  return kVerdictPrefix + zone + "/" + cache;
+const char* describe(const VerdictUpdate& update) {
+  if (update.kind == VerdictUpdate::Kind::kWithdraw) {
+    return "withdrawn";
+  }
+  return update.verdict.healthy ? "healthy" : "unhealthy";
 }
 
-// One probe: `health`, and four words back, of which the second is UP or DOWN.
-class HealthCheckTask::Probe : public Connection::Handler {
+}  // namespace
+
+// One check: sends `health`, and expects an array of up to four words, of which the second is UP or DOWN.
+class HealthCheckTask::CheckHandler : public Connection::Handler {
  public:
-  using Told = std::function<void(bool sound)>;
-  explicit Probe(Told told) : told_(std::move(told)), parser_(bounds()) {}
+  using ResultHandler = std::function<void(bool healthy)>;
+  explicit CheckHandler(ResultHandler on_result) : on_result_(std::move(on_result)), parser_(bounds()) {}
 
   void on_bytes(std::string_view bytes) override {
     parser_.feed(bytes, [this](const protocol::resp::Event& event) {
       if (const auto* head = std::get_if<protocol::resp::ArrayHead>(&event)) {
         up_ = head->words.size() >= 2 && head->words[0] == "probe" && head->words[1] == "UP";
       } else if (std::holds_alternative<protocol::resp::ArrayEnd>(event)) {
-        tell(up_);
+        report(up_);
       } else if (std::holds_alternative<protocol::resp::Unreadable>(event)) {
-        tell(false);
+        report(false);
       }
     });
   }
-  void on_end(ConnectionEnd) override { tell(false); }
-  void tell(bool sound) {
-    if (const Told told = std::exchange(told_, nullptr)) {
-      told(sound);
+  void on_end(ConnectionEnd) override { report(false); }
+
+  // Reports the first result; later ones are ignored.
+  void report(bool healthy) {
+    if (const ResultHandler on_result = std::exchange(on_result_, nullptr)) {
+      on_result(healthy);
     }
   }
 
  private:
   static protocol::resp::Bounds bounds() {
-    protocol::resp::Bounds out;
-    out.words = 4;
-    return out;
+    protocol::resp::Bounds bounds;
+    bounds.words = 4;
+    return bounds;
   }
 
-  Told told_;
+  ResultHandler on_result_;
   protocol::resp::Parser parser_;
   bool up_ = false;
 };
@@ -78,136 +81,145 @@
       directory_(directory),
       options_(options),
       context_(std::move(context)),
-      plan_(rules_of(options), context_.term),
-      timer_(scheduler, [this] { turn(); }) {}
+      plan_(plan_options(options), context_.term),
+      timer_(scheduler, [this] { run_step(); }) {}
 
 HealthCheckTask::~HealthCheckTask() {
   *alive_ = false;
   if (watch_ != 0) {
     store_.unwatch(watch_);
   }
-  for (const auto& [cache, connection] : std::exchange(out_, {})) {
+  for (const auto& [cache, connection] : std::exchange(connections_, {})) {
     connection->close(ConnectionEnd::kShutdown);
   }
 }
 
-Micros HealthCheckTask::now() { return std::chrono::duration_cast<Micros>(Clock::now().time_since_epoch()); }
+void HealthCheckTask::start() { watch_ = store_.watch(coordination::Range{suspects_prefix(), true}, *this); }
 
-void HealthCheckTask::begin() {
-  watch_ =
-      store_.watch(coordination::Range{prefix_ + kSuspectPrefix + context_.work.zone + "/", true}, *this);
+void HealthCheckTask::stop() {
+  context_.save_checkpoint("let go after " + std::to_string(plan_.checks_started()) + " probes");
+  context_.on_stopped();
 }
 
-void HealthCheckTask::finish() {
-  context_.checkpoint_at("let go after " + std::to_string(plan_.probes()) + " probes", false);
-  context_.finished();
+// ---- Suspects ----
+
+std::string HealthCheckTask::suspects_prefix() const {
+  return prefix_ + kSuspectPrefix + context_.work.zone + "/";
 }
 
-void HealthCheckTask::take(const std::string& key, bool gone) {
-  const std::string stem = prefix_ + kSuspectPrefix + context_.work.zone + "/";
-  const std::string rest = key.substr(std::min(stem.size(), key.size()));
-  const std::size_t slash = rest.find('/');
-  if (slash == std::string::npos || slash == 0 || slash + 1 == rest.size()) {
+void HealthCheckTask::apply_suspect_key(const std::string& key, bool deleted) {
+  const std::string prefix = suspects_prefix();
+  const std::string cache_and_router = key.substr(std::min(prefix.size(), key.size()));
+  const std::size_t slash = cache_and_router.find('/');
+  if (slash == std::string::npos || slash == 0 || slash + 1 == cache_and_router.size()) {
     return;
   }
-  if (gone) {
-    named_.erase(key);
+  const std::string cache = cache_and_router.substr(0, slash);
+  const std::string router = cache_and_router.substr(slash + 1);
+  if (deleted) {
+    suspect_keys_.erase(key);
+    plan_.on_suspicion_ended(cache, router);
   } else {
-    named_.insert(key);
+    suspect_keys_.insert(key);
+    plan_.on_suspected(steady_now(), cache, router);
   }
-  plan_.named(now(), rest.substr(0, slash), rest.substr(slash + 1), !gone);
 }
 
 void HealthCheckTask::current(coordination::Revision, const std::vector<coordination::Entry>& entries) {
-  std::set<std::string> there;
+  std::set<std::string> present;
   for (const coordination::Entry& entry : entries) {
-    there.insert(entry.key);
-    take(entry.key, false);
+    present.insert(entry.key);
+    apply_suspect_key(entry.key, false);
   }
-  for (const std::string& key : std::set<std::string>(named_)) {
-    if (!there.contains(key)) {
-      take(key, true);
+  for (const std::string& key : std::set<std::string>(suspect_keys_)) {
+    if (!present.contains(key)) {
+      apply_suspect_key(key, true);
     }
   }
-  turn();
+  run_step();
 }
 
 void HealthCheckTask::changed(coordination::Revision, const std::vector<coordination::Change>& changes) {
   for (const coordination::Change& change : changes) {
-    take(change.entry.key, change.deleted);
+    apply_suspect_key(change.entry.key, change.deleted);
   }
-  turn();
+  run_step();
 }
 
-void HealthCheckTask::turn() {
-  const Micros at = now();
+// ---- Checks and verdicts ----
+
+void HealthCheckTask::run_step() {
+  const Micros now = steady_now();
   if (!context_.may_act()) {
-    // Nothing is begun; the runner ends this one, or it may go on soon.
+    // Either the runner ends this task, or it may act again soon.
     timer_.set(Clock::now() + milliseconds(options_.probe_ms));
     return;
   }
-  for (const std::string& cache : plan_.due(at)) {
-    probe(cache);
-  }
-  for (const Verdict& told : plan_.news(at)) {
-    Verdict verdict = told;
-    verdict.at_ms =
-        std::chrono::duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch()).count();
-    const bool back = verdict.probes == 0;
-    log_line(Level::kInfo) << "verdict on cache " << verdict.cache << ": "
-                           << (back            ? "none any more"
-                               : verdict.sound ? "sound"
-                                               : "not to be had")
-                           << ", term " << context_.term;
-    context_.put(verdict_key(context_.work.zone, verdict.cache), back ? "" : write_verdict(verdict));
-  }
-  if (!std::exchange(checkpointed_, true)) {
-    context_.checkpoint_at("probing", false);  // it stands: nobody died of it
-  }
-  const std::optional<Micros> next = plan_.next(at);
-  std::optional<Clock::time_point> when;
-  if (next) {
-    when.emplace(std::chrono::duration_cast<Clock::duration>(*next));
-  }
-  timer_.set(when);
+  for (const std::string& cache : plan_.start_checks(now)) {
+    start_check(cache);
+  }
+  for (const VerdictUpdate& update : plan_.take_verdict_updates(now)) {
+    publish(update);
+  }
+  if (!std::exchange(start_recorded_, true)) {
+    context_.save_checkpoint("probing");  // so that this start does not count as a crash
+  }
+  std::optional<Clock::time_point> wake_up;
+  if (const auto next = plan_.next_step_at(now)) {
+    wake_up = steady_time_point(*next);
+  }
+  timer_.set(wake_up);
+}
+
+void HealthCheckTask::publish(const VerdictUpdate& update) {
+  Verdict verdict = update.verdict;
+  log_line(Level::kInfo) << "verdict on cache " << verdict.cache << ": " << describe(update) << ", term "
+                         << context_.term;
+  const std::string key = verdict_key(context_.work.zone, verdict.cache);
+  if (update.kind == VerdictUpdate::Kind::kWithdraw) {
+    context_.delete_key(key);
+    return;
+  }
+  verdict.at_ms = unix_now_ms();
+  context_.write_key(key, write_verdict(verdict));
 }
 
-void HealthCheckTask::probe(const std::string& cache) {
-  const std::optional<transport::Address> address = directory_.find(cache);
-  const auto told = [this, alive = alive_, cache](bool sound) {
+void HealthCheckTask::start_check(const std::string& cache) {
+  const auto on_result = [this, alive = alive_, cache](bool healthy) {
     if (*alive) {
-      probed(cache, sound);
+      on_check_result(cache, healthy);
     }
   };
+  const std::optional<transport::Address> address = directory_.find(cache);
   if (!address) {
-    // Not listed here (any more): nobody is to be sent there, and nobody asks.
-    scheduler_.post([told] { told(false); });
+    // The cache is not in the endpoint list (any more), so no router sends requests there.
+    scheduler_.post([on_result] { on_result(false); });
     return;
   }
+  const milliseconds timeout(options_.probe_timeout_ms);
   Connection::Bounds bounds;
-  bounds.connect_timeout = milliseconds(options_.probe_timeout_ms);
+  bounds.connect_timeout = timeout;
   const auto connection = Connection::connect(scheduler_, *address, bounds);
-  const auto handler = std::make_shared<Probe>(told);
+  const auto handler = std::make_shared<CheckHandler>(on_result);
   connection->start(handler);
   connection->write(protocol::resp::write_array({"health", "probe"}));
-  out_[cache] = connection;
-  scheduler_.at(Clock::now() + 2 * milliseconds(options_.probe_timeout_ms),
-                [weak = std::weak_ptr<Probe>(handler), connection] {
-                  if (const auto late = weak.lock()) {
-                    late->tell(false);
-                  }
-                  connection->close(ConnectionEnd::kIdle);
-                });
+  connections_[cache] = connection;
+  scheduler_.at(Clock::now() + 2 * timeout, [weak = std::weak_ptr<CheckHandler>(handler), connection] {
+    if (const auto unanswered = weak.lock()) {
+      unanswered->report(false);
+    }
+    connection->close(ConnectionEnd::kIdle);
+  });
 }
 
-void HealthCheckTask::probed(const std::string& cache, bool sound) {
-  const auto found = out_.find(cache);
-  if (found != out_.end()) {
+void HealthCheckTask::on_check_result(const std::string& cache, bool healthy) {
+  const auto found = connections_.find(cache);
+  if (found != connections_.end()) {
     found->second->close(ConnectionEnd::kIdle);
-    out_.erase(found);
+    connections_.erase(found);
   }
-  plan_.probed(now(), cache, sound);
-  turn();
+  plan_.on_check_result(steady_now(), cache, healthy);
+  run_step();
 }
 
 }  // namespace trailcourse::tasks
--- a/src/tasks/health_check_task.h
+++ b/src/tasks/health_check_task.h
@@ -1,15 +1,19 @@
-// The task of probing: of the caches that routers of a zone suspect, each is asked for its health by one
-// router for all, and the verdict goes to the store, from where every router hears it.
+// Owned work of kind `probe`: checks the health of the caches that routers of a zone suspect, one router for
+// all, and publishes the verdicts in the store.
 //
-// A probe changes nothing and is harmless twice, so its receiver need not check the term; verdicts bear it,
-// and a router passes over one of an earlier term (suspects.h). A cache that drains or is gone is not probed:
-// rule 3 goes before.
+// A check changes nothing at the cache and is harmless if two routers make it, so the cache need not check
+// the term. Verdicts carry it, and a router rejects one of an earlier term (verdict_tracker.h).
 //
 // Package `tasks`, over `routing` and `transport`. One thread.
 #pragma once
 
+#include <map>
 #include <memory>
+#include <set>
+#include <string>
+#include <vector>
 
+#include "coordination/shared_store.h"
 #include "routing/directory.h"
 #include "tasks/health_check_plan.h"
 #include "tasks/options.h"
@@ -19,32 +23,30 @@
 
 namespace trailcourse::tasks {
 
-constexpr const char* kSuspectPrefix = "suspects/";        // suspects/ZONE/CACHE/ROUTER
-constexpr const char* kVerdictPrefix = "fleet/verdicts/";  // fleet/verdicts/ZONE/CACHE
-std::string suspect_key(const std::string& zone, const std::string& cache, const std::string& router);
-std::string verdict_key(const std::string& zone, const std::string& cache);
-
+// Scheduler, store and directory outlive it.
 class HealthCheckTask : public OwnedTask, public coordination::Watcher {
  public:
   HealthCheckTask(transport::Scheduler& scheduler, coordination::SharedStore& store, std::string prefix,
                   const routing::Directory& directory, const OwnershipOptions& options, TaskContext context);
   ~HealthCheckTask() override;
 
-  void begin() override;
-  void finish() override;
+  void start() override;
+  void stop() override;
 
+  // The watch over the suspects that routers of the zone report.
   void current(coordination::Revision revision, const std::vector<coordination::Entry>& entries) override;
   void changed(coordination::Revision revision, const std::vector<coordination::Change>& changes) override;
   void silent(const std::string&) override {}
 
  private:
-  class Probe;
+  class CheckHandler;
 
-  static Micros now();
-  void take(const std::string& key, bool gone);
-  void turn();
-  void probe(const std::string& cache);
-  void probed(const std::string& cache, bool sound);
+  std::string suspects_prefix() const;
+  void apply_suspect_key(const std::string& key, bool deleted);
+  void run_step();
+  void publish(const VerdictUpdate& update);
+  void start_check(const std::string& cache);
+  void on_check_result(const std::string& cache, bool healthy);
 
   transport::Scheduler& scheduler_;
   coordination::SharedStore& store_;
@@ -55,9 +57,10 @@
   HealthCheckPlan plan_;
   transport::Alarm timer_;
   coordination::SharedStore::WatchId watch_ = 0;
-  std::set<std::string> named_;  // keys
-  std::map<std::string, std::shared_ptr<transport::Connection>> out_;
-  bool checkpointed_ = false;
+  std::set<std::string> suspect_keys_;  // as the watch last showed them
+  std::map<std::string, std::shared_ptr<transport::Connection>>
+      connections_;  // of checks in flight, by cache
+  bool start_recorded_ = false;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- /dev/null
+++ b/src/tasks/lease_calls.cpp
@@ -0,0 +1,83 @@
+#include "tasks/lease_calls.h"
+
+#include <memory>
+#include <utility>
+
+namespace trailcourse::tasks {
+
+using coordination::LeaseId;
+using coordination::SharedStore;
+using ownership::Ask;
+
+namespace {
+
+using Handlers = std::shared_ptr<const LeaseCallHandlers>;
+
+void revoke(SharedStore& store, LeaseId lease) {
+  store.revoke(lease, [](const auto&) {});
+}
+
+void acquire_under(SharedStore& store, StepLoop& loop, LeaseId lease, const Handlers& handlers) {
+  store.commit(handlers->make_transaction(lease),
+               loop.then_step([&store, lease, handlers](const auto& reply) {
+                 if (!reply.done()) {
+                   // The transaction may have been executed or not. Without the lease it has no effect for
+                   // long.
+                   revoke(store, lease);
+                   handlers->on_no_response();
+                 } else if (!handlers->on_acquire_result(lease, reply.value)) {
+                   revoke(store, lease);
+                 }
+               }));
+}
+
+void acquire(SharedStore& store, StepLoop& loop, Micros ttl, const Handlers& handlers) {
+  store.grant(ttl, loop.guard([&store, &loop, handlers](const auto& reply) {
+    if (reply.done()) {
+      acquire_under(store, loop, reply.value.id, handlers);
+    } else {
+      handlers->on_no_response();
+      loop.schedule();
+    }
+  }));
+}
+
+void renew(SharedStore& store, StepLoop& loop, LeaseId lease, const Handlers& handlers) {
+  store.keep_alive(lease, loop.then_step([handlers](const auto& reply) {
+    if (reply.done()) {
+      handlers->on_renew_result(reply.value.ttl > Micros(0));
+    } else {
+      handlers->on_no_response();
+    }
+  }));
+}
+
+void release(SharedStore& store, StepLoop& loop, LeaseId lease, const Handlers& handlers) {
+  store.revoke(lease, loop.then_step([handlers](const auto& reply) {
+    if (reply.done()) {
+      handlers->on_released();
+    } else {
+      handlers->on_no_response();
+    }
+  }));
+}
+
+}  // namespace
+
+void make_lease_call(SharedStore& store, StepLoop& loop, Ask kind, Micros ttl, LeaseId lease,
+                     LeaseCallHandlers handlers) {
+  const auto shared = std::make_shared<const LeaseCallHandlers>(std::move(handlers));
+  switch (kind) {
+    case Ask::kAcquire:
+      acquire(store, loop, ttl, shared);
+      break;
+    case Ask::kRenew:
+      renew(store, loop, lease, shared);
+      break;
+    case Ask::kRelease:
+      release(store, loop, lease, shared);
+      break;
+  }
+}
+
+}  // namespace trailcourse::tasks
--- a/src/tasks/options.h
+++ b/src/tasks/options.h
@@ -1,4 +1,4 @@
-// The section `ownership` of the operator's file: what a router does of the fleet's work, and by which times.
+// The section `ownership` of the operator's file: the work that a router does for the whole fleet.
 //
 // Package `tasks`.
 #pragma once
@@ -13,6 +13,7 @@
 
 namespace trailcourse::tasks {
 
+// The values of the section, named as its keys; ownership_record() has their units and ranges.
 struct OwnershipOptions {
   std::vector<std::string> kinds{"probe", "fill", "report", "policy", "acknowledge"};
   std::int64_t ttl_ms = 6'000;
@@ -48,12 +49,16 @@
   std::int64_t fill_retry_ms = 500;
   std::int64_t fill_patience_ms = 3'000;
 };
+
+// Returns the description of the section's keys.
 const config::Record<OwnershipOptions>& ownership_record();
-// What one key alone cannot tell; throws config::KeyError.
+
+// Checks what depends on more than one key. Throws config::KeyError.
 void check_ownership(const OwnershipOptions& options);
 
-ownership::LeaseManagerRules lease_manager_rules(const OwnershipOptions& options);
-ownership::LeaseRules session_rules(const OwnershipOptions& options);
-membership::ViewRules view_rules(const OwnershipOptions& options);
+// The options of the lease manager, of the lease of the process's session, and of its membership view.
+ownership::LeaseManagerRules lease_manager_options(const OwnershipOptions& options);
+ownership::LeaseRules session_lease_options(const OwnershipOptions& options);
+membership::ViewRules membership_options(const OwnershipOptions& options);
 
 }  // namespace trailcourse::tasks
--- a/src/tasks/owned_task.h
+++ b/src/tasks/owned_task.h
@@ -1,7 +1,8 @@
-// One shard of owned work being done: what carries it out is told where to begin and when to stop, says how
-// far it is, and asks before each effect whether it still may.
+// The interface between the task runner and one shard of owned work that this router does: the runner says
+// when the task starts and stops; the task reports its progress, and asks before each effect whether it may
+// still have it.
 //
-// Package `tasks`.
+// Package `tasks`. One thread.
 #pragma once
 
 #include <functional>
@@ -9,47 +10,61 @@
 #include <optional>
 #include <string>
 
-#include "coordination/shared_store.h"
 #include "ownership/work.h"
 
 namespace trailcourse::tasks {
 
-// What a task is given. The calls may be made for as long as the task lives; they have no effect once the
-// shard is owned by another.
+// What the task runner gives to a task. The functions may be called for as long as the task lives; they have
+// no effect once another router owns the shard.
 struct TaskContext {
   ownership::Work work;
   ownership::ShardId id;
   ownership::Term term = 0;
-  std::string checkpoint;  // where the last one was; empty at the very beginning
-  // With every effect that a receiver of this project's takes: "STORE:WORK/SHARD:TERM".
-  std::string fence;
+  std::string checkpoint;  // the last one saved; empty at the very beginning
 
-  // Whether an effect may be begun now; it has to leave at once.
+  // Goes with every effect on a receiver that checks it: "STORE:WORK/SHARD:TERM".
+  std::string fencing_token;
+
+  // Returns whether an effect may begin now. It has to leave this process at once.
   std::function<bool()> may_act;
-  // So far is what was done. `done`: nothing is left.
-  std::function<void(std::string checkpoint, bool done)> checkpoint_at;
-  // After finish(): the last checkpoint is said, the task may go.
-  std::function<void()> finished;
-  // Reads a key of the store; nothing where it is not there. Not called back where the store does not answer:
-  // the task asks again.
-  std::function<void(std::string key, std::function<void(std::optional<std::string>)> then)> get;
-  // Writes a key under the term: refused by the store once another owns the shard. An empty value deletes it.
-  std::function<void(std::string key, std::string value)> put;
+
+  // Saves how far the work is. A later checkpoint replaces one that is not saved yet.
+  std::function<void(std::string checkpoint)> save_checkpoint;
+
+  // Saves the last checkpoint of the shard: nothing of it is left to do.
+  std::function<void(std::string checkpoint)> save_completion;
+
+  // Reports, after stop(), that the last checkpoint was given and the task may be destroyed.
+  std::function<void()> on_stopped;
+
+  // Reads a key of the store; nothing if there is none. The handler is not called if the store does not
+  // answer: the task has to repeat the call.
+  std::function<void(const std::string& key, std::function<void(std::optional<std::string>)> handler)>
+      read_key;
+
+  // Writes a key under the term; the store rejects it once another router owns the shard.
+  std::function<void(const std::string& key, std::string value)> write_key;
+
+  // Deletes a key under the term, as write_key.
+  std::function<void(const std::string& key)> delete_key;
 };
 
+// One shard of work of some kind. Its destructor ends it at once, with all that is in flight.
 class OwnedTask {
  public:
   OwnedTask() = default;
   OwnedTask(const OwnedTask&) = delete;
   OwnedTask& operator=(const OwnedTask&) = delete;
-  // It stops at once: what it has out is given up.
   virtual ~OwnedTask() = default;
 
-  virtual void begin() = 0;
-  // It is to come to an end soon, and to say finished().
-  virtual void finish() = 0;
+  // Called once, after construction.
+  virtual void start() = 0;
+
+  // The task has to end soon, and to call `on_stopped` of its context.
+  virtual void stop() = 0;
 };
 
+// Makes the task of one shard.
 using OwnedTaskFactory = std::function<std::unique_ptr<OwnedTask>(TaskContext)>;
 
 }  // namespace trailcourse::tasks
--- /dev/null
+++ b/src/tasks/peer_health_checks.h
@@ -0,0 +1,59 @@
+// Checks now and then whether this member's peers can be reached, and reports those that cannot: the store
+// may still hear them.
+//
+// Package `tasks`, over `membership` and `transport`. One thread.
+#pragma once
+
+#include <functional>
+#include <map>
+#include <memory>
+#include <set>
+#include <string>
+#include <vector>
+
+#include "membership/peers.h"
+#include "membership/view.h"
+#include "tasks/fleet_session.h"
+#include "tasks/options.h"
+#include "transport/connection.h"
+#include "transport/scheduler.h"
+#include "transport/task.h"
+
+namespace trailcourse::tasks {
+
+// Scheduler, view and session outlive it.
+class PeerHealthChecks {
+ public:
+  PeerHealthChecks(transport::Scheduler& scheduler, const membership::View& view, FleetSession& session,
+                   const OwnershipOptions& options);
+  ~PeerHealthChecks() { *alive_ = false; }
+  PeerHealthChecks(const PeerHealthChecks&) = delete;
+  PeerHealthChecks& operator=(const PeerHealthChecks&) = delete;
+
+  // Begins to check, unless the options name no peers.
+  void start();
+
+  // Begins no further round of checks.
+  void stop() { stopped_ = true; }
+
+ private:
+  using Connections = std::map<std::string, std::shared_ptr<transport::Connection>>;  // by name of the peer
+
+  transport::Task<void> run();
+  Connections connect_to_peers();
+  void record_results(const Connections& connections);
+  void report_doubts();
+
+  transport::Scheduler& scheduler_;
+  const membership::View& view_;
+  FleetSession& session_;
+  membership::Peers peers_;
+  std::size_t peer_count_;
+  Micros interval_;
+  Micros timeout_;
+  std::set<std::string> reported_;  // peers that stand as doubted in the store
+  bool stopped_ = false;
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+};
+
+}  // namespace trailcourse::tasks
--- a/src/tasks/policy_rollout_task.h
+++ b/src/tasks/policy_rollout_task.h
@@ -1,4 +1,4 @@
-// The task of driving changes of policy, by policy::Driver.
+// Owned work of kind `policy`: carries rollouts of policy versions to their end, by policy::Driver.
 //
 // Package `tasks`, over `policy`. One thread.
 #pragma once
@@ -14,20 +14,21 @@
 
 constexpr const char* kPolicyWork = "policy";  // name and kind of the work
 
+// Scheduler and store outlive it.
 class PolicyRolloutTask : public ReconcileTask {
  public:
   PolicyRolloutTask(transport::Scheduler& scheduler, coordination::SharedStore& store, std::string prefix,
                     const policy::PolicyOptions& options, TaskContext context);
 
  protected:
-  coordination::Transaction looks_at() const override;
-  std::vector<coordination::Range> follows() const override;
-  Decision decide(Micros now, const coordination::Outcome& seen) override;
-  bool concerns(const std::string& key) const override;
+  coordination::Transaction snapshot_transaction() const override;
+  std::vector<coordination::Range> watched_ranges() const override;
+  bool is_relevant(const std::string& key) const override;
+  Decision decide(Micros now, const coordination::Outcome& outcome) override;
 
  private:
   policy::Driver driver_;
-  bool change_open_ = true;  // as it was seen last; true before
+  bool rollout_open_ = true;  // by the last snapshot; also before the first one
 };
 
 }  // namespace trailcourse::tasks
--- a/src/tasks/prefetch_plan.cpp
+++ b/src/tasks/prefetch_plan.cpp
@@ -2,10 +2,6 @@
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
-#include <sstream>
-#include <stdexcept>
-
-#include "protocol/numbers.h"
 
 namespace trailcourse::tasks {
 
@@ -13,180 +9,150 @@
 
 namespace {
 
-constexpr std::size_t kMostObjects = 100'000;
-constexpr std::size_t kItemDigits = 16;
-
-bool usable(const std::string& object) {
-  const std::size_t slash = object.find('/');
-  const std::string item = object.substr(0, slash);
-  const bool part = slash == std::string::npos ||
-                    protocol::read_number<std::uint32_t>(object.substr(slash + 1)).has_value();
-  return part && item.size() == kItemDigits && protocol::read_hex<std::uint64_t>(item).has_value();
+// Returns 0 for a field that is missing or no unsigned number.
+std::uint64_t read_unsigned(const json& object, const char* name) {
+  const auto found = object.find(name);
+  return found != object.end() && found->is_number_unsigned() ? found->get<std::uint64_t>() : 0;
 }
 
-}  // namespace
-
-PrefetchOrder read_prefetch_order(const std::string& params) {
-  const json from = json::parse(params, nullptr, false);
-  if (!from.is_object()) {
-    throw std::invalid_argument("params: no JSON object");
-  }
-  PrefetchOrder out;
-  const auto fail = [](const std::string& text) { throw std::invalid_argument(text); };
-  for (const auto& [name, value] : from.items()) {
-    if (name == "class" && value.is_string()) {
-      out.request_class = value.get<std::string>();
-    } else if (name == "at_ms" && value.is_number_integer() && value.get<std::int64_t>() >= 0) {
-      out.at_ms = value.get<std::int64_t>();
-    } else if (name == "objects_per_s" && value.is_number() && value.get<double>() >= 0.0) {
-      out.objects_per_s = value.get<double>();
-    } else if (name == "objects" && value.is_array() && !value.empty() && value.size() <= kMostObjects) {
-      for (const json& object : value) {
-        if (!object.is_string() || !usable(object.get<std::string>())) {
-          fail("objects: " + object.dump() + " is not of the form ITEM or ITEM/PART, ITEM 16 hex digits");
-        }
-        out.objects.push_back(object.get<std::string>());
-      }
-    } else {
-      fail(name + ": no such field, or a value that cannot be used");
-    }
-  }
-  if (out.request_class.empty()) {
-    fail("class: missing");
+// Reads the indices from `first` on that are below `size`.
+std::set<std::size_t> read_indices(const json& object, const char* name, std::size_t first,
+                                   std::size_t size) {
+  std::set<std::size_t> indices;
+  const auto found = object.find(name);
+  if (found == object.end() || !found->is_array()) {
+    return indices;
   }
-  return out;
-}
-
-std::string write_prefetch_order(const PrefetchOrder& order) {
-  json out{{"class", order.request_class}, {"at_ms", order.at_ms}, {"objects_per_s", order.objects_per_s}};
-  if (!order.objects.empty()) {
-    out["objects"] = order.objects;
-  }
-  return out.dump();
-}
-
-std::string prefetch_list_key(const std::string& work, std::uint64_t shard) {
-  return "lists/" + work + "/" + std::to_string(shard);
-}
-
-std::vector<std::string> read_prefetch_list(const std::string& text) {
-  std::vector<std::string> out;
-  std::istringstream lines(text);
-  for (std::string line; std::getline(lines, line) && out.size() < kMostObjects;) {
-    if (usable(line)) {
-      out.push_back(line);
+  for (const json& value : *found) {
+    if (!value.is_number_unsigned()) {
+      continue;
+    }
+    const auto index = value.get<std::size_t>();
+    if (index >= first && index < size) {
+      indices.insert(index);
     }
   }
-  return out;
+  return indices;
 }
 
+}  // namespace
+
 PrefetchPlan::PrefetchPlan(const PrefetchOrder& order, std::uint64_t shard, std::uint64_t shards,
-                           const PrefetchOptions& rules, const std::string& checkpoint)
-    : rules_(rules) {
-  for (std::size_t i = shard; i < order.objects.size(); i += std::max<std::uint64_t>(1, shards)) {
+                           const PrefetchOptions& options, const std::string& checkpoint)
+    : options_(options) {
+  const std::uint64_t stride = std::max<std::uint64_t>(1, shards);
+  for (std::size_t i = shard; i < order.objects.size(); i += stride) {
     objects_.push_back(order.objects[i]);
   }
-  pace_ = order.objects_per_s > 0.0 ? Micros(static_cast<Micros::rep>(1e6 / order.objects_per_s)) : Micros(0);
-  progress_.of = objects_.size();
-  const json from = json::parse(checkpoint, nullptr, false);
-  if (!from.is_object()) {
-    return;
+  if (order.objects_per_s > 0.0) {
+    pacing_interval_ = Micros(static_cast<Micros::rep>(1e6 / order.objects_per_s));
   }
-  const auto number = [&from](const char* name) {
-    const auto found = from.find(name);
-    return found != from.end() && found->is_number_unsigned() ? found->get<std::uint64_t>() : 0;
-  };
-  const std::uint64_t before = number("all_before");
-  std::set<std::size_t> beyond;
-  if (const auto found = from.find("beyond"); found != from.end() && found->is_array()) {
-    for (const json& one : *found) {
-      if (one.is_number_unsigned() && one.get<std::size_t>() < objects_.size()) {
-        beyond.insert(one.get<std::size_t>());
-      }
-    }
+  progress_.total = objects_.size();
+  restore(checkpoint);
+}
+
+void PrefetchPlan::restore(const std::string& checkpoint) {
+  const json saved = json::parse(checkpoint, nullptr, false);
+  if (!saved.is_object()) {
+    return;
   }
-  std::erase_if(beyond, [before](std::size_t place) { return place < before; });
-  // Of an announcement that was changed meanwhile nothing is known.
-  const bool fits = before <= objects_.size() && number("of") == objects_.size() &&
-                    number("filled") + number("failed") == before + beyond.size();
-  if (!fits) {
+  PrefetchProgress progress;
+  progress.filled = read_unsigned(saved, "filled");
+  progress.already_cached = read_unsigned(saved, "held");
+  progress.failed = read_unsigned(saved, "failed");
+  progress.total = read_unsigned(saved, "of");
+  const std::uint64_t prefix = read_unsigned(saved, "all_before");
+  std::set<std::size_t> beyond = read_indices(saved, "beyond", prefix, objects_.size());
+  // The checkpoint of an order that was changed since says nothing about this one.
+  const bool consistent = prefix <= objects_.size() && progress.total == objects_.size() &&
+                          progress.finished() == prefix + beyond.size();
+  if (!consistent) {
     return;
   }
-  all_before_ = before;
-  beyond_ = std::move(beyond);
-  next_ = all_before_;
-  progress_.filled = number("filled");
-  progress_.held = number("held");
-  progress_.failed = number("failed");
+  finished_prefix_ = prefix;
+  finished_beyond_ = std::move(beyond);
+  next_index_ = prefix;
+  progress_ = progress;
 }
 
-std::vector<std::size_t> PrefetchPlan::due(Micros now) {
-  std::vector<std::size_t> out;
-  for (auto& [place, retry] : retries_) {
-    if (out_.size() < rules_.open && !out_.contains(place) && retry.at <= now) {
-      out_.insert(place);
-      out.push_back(place);
+std::vector<std::size_t> PrefetchPlan::start_requests(Micros now) {
+  std::vector<std::size_t> indices;
+  for (const auto& [index, retry] : retries_) {
+    if (has_capacity() && !in_flight_.contains(index) && retry.not_before <= now) {
+      in_flight_.insert(index);
+      indices.push_back(index);
     }
   }
-  while (out_.size() < rules_.open && next_ < objects_.size() && pace_at_ <= now) {
-    const std::size_t place = next_++;
-    if (beyond_.contains(place)) {
+  while (has_capacity() && next_index_ < objects_.size() && next_paced_at_ <= now) {
+    const std::size_t index = next_index_++;
+    if (finished_beyond_.contains(index)) {
       continue;
     }
-    out_.insert(place);
-    out.push_back(place);
-    pace_at_ = std::max(pace_at_, now - pace_) + pace_;
+    in_flight_.insert(index);
+    indices.push_back(index);
+    // A pause is not made up for by a burst.
+    next_paced_at_ = std::max(next_paced_at_, now - pacing_interval_) + pacing_interval_;
   }
-  return out;
+  return indices;
 }
 
-void PrefetchPlan::ended(Micros now, std::size_t place, End end, Micros retry_after) {
-  if (out_.erase(place) == 0) {
+void PrefetchPlan::on_result(Micros now, std::size_t index, PrefetchResult result, Micros retry_after) {
+  if (in_flight_.erase(index) == 0) {
     return;
   }
-  const bool good = end == End::kFilled || end == End::kHeld;
-  if (!good) {
-    Retry& retry = retries_[place];
-    ++retry.tries;
-    if (end != End::kGivenUp && retry.tries < rules_.tries) {
-      Micros wait = rules_.retry;
-      for (int i = 1; i < retry.tries; ++i) {
-        wait *= 2;
-      }
-      retry.at = now + std::max(wait, retry_after);
-      return;
-    }
+  const bool already_cached = result == PrefetchResult::kAlreadyCached;
+  const bool success = already_cached || result == PrefetchResult::kFilled;
+  if (success || !schedule_retry(now, index, retry_after)) {
+    finish(index, success, already_cached);
+  }
+}
+
+bool PrefetchPlan::schedule_retry(Micros now, std::size_t index, Micros retry_after) {
+  Retry& retry = retries_[index];
+  ++retry.attempts;
+  if (retry.attempts >= options_.max_attempts) {
+    return false;
   }
-  retries_.erase(place);
-  progress_.filled += good ? 1 : 0;
-  progress_.held += end == End::kHeld ? 1 : 0;
-  progress_.failed += good ? 0 : 1;
-  beyond_.insert(place);
-  while (beyond_.erase(all_before_) > 0) {
-    ++all_before_;
+  Micros backoff = options_.retry_backoff;
+  for (int attempt = 1; attempt < retry.attempts; ++attempt) {
+    backoff *= 2;
+  }
+  retry.not_before = now + std::max(backoff, retry_after);
+  return true;
+}
+
+void PrefetchPlan::finish(std::size_t index, bool success, bool already_cached) {
+  retries_.erase(index);
+  progress_.filled += success ? 1 : 0;
+  progress_.already_cached += already_cached ? 1 : 0;
+  progress_.failed += success ? 0 : 1;
+  finished_beyond_.insert(index);
+  while (finished_beyond_.erase(finished_prefix_) > 0) {
+    ++finished_prefix_;
   }
 }
 
-std::optional<Micros> PrefetchPlan::next(Micros now) const {
-  if (out_.size() >= rules_.open) {
+std::optional<Micros> PrefetchPlan::next_step_at(Micros now) const {
+  if (!has_capacity()) {
     return std::nullopt;
   }
-  std::optional<Micros> out;
-  for (const auto& [place, retry] : retries_) {
-    if (!out_.contains(place)) {
-      out = std::min(out.value_or(Micros::max()), std::max(now, retry.at));
+  std::optional<Micros> earliest;
+  for (const auto& [index, retry] : retries_) {
+    if (!in_flight_.contains(index)) {
+      earliest = std::min(earliest.value_or(Micros::max()), std::max(now, retry.not_before));
     }
   }
-  if (next_ < objects_.size()) {
-    out = std::min(out.value_or(Micros::max()), std::max(now, pace_at_));
+  if (next_index_ < objects_.size()) {
+    earliest = std::min(earliest.value_or(Micros::max()), std::max(now, next_paced_at_));
   }
-  return out;
+  return earliest;
 }
 
 std::string PrefetchPlan::checkpoint() const {
-  return json{{"all_before", all_before_}, {"beyond", beyond_},          {"filled", progress_.filled},
-              {"held", progress_.held},    {"failed", progress_.failed}, {"of", progress_.of}}
-      .dump();
+  const json progress{{"all_before", finished_prefix_}, {"beyond", finished_beyond_},
+                      {"filled", progress_.filled},     {"held", progress_.already_cached},
+                      {"failed", progress_.failed},     {"of", progress_.total}};
+  return progress.dump();
 }
 
 }  // namespace trailcourse::tasks
--- a/src/tasks/prefetch_task.cpp
+++ b/src/tasks/prefetch_task.cpp
@@ -1,10 +1,12 @@
 #include "tasks/prefetch_task.h"
 
+#include <algorithm>
 #include <cstdio>
 #include <utility>
 
 #include "protocol/cache_answer.h"
 #include "protocol/numbers.h"
+#include "tasks/clock.h"
 #include "transport/log.h"
 
 namespace trailcourse::tasks {
@@ -16,43 +18,50 @@
 
 namespace {
 
-std::int64_t unix_ms() {
-  return std::chrono::duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch())
-      .count();
+constexpr milliseconds kListRetry{1'000};     // until the store answers
+constexpr milliseconds kMaxStartWait{1'000};  // between two looks at the wall clock
+constexpr milliseconds kPermissionRetry{50};  // while the lease is uncertain
+constexpr milliseconds kMinStepInterval{1};
+
+std::string format_request_id(std::uint64_t id) {
+  char text[17];
+  std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(id));
+  return text;
 }
 
 }  // namespace
 
-// The final answer of one fill. The body is not needed.
+// Takes the final answer of one request. The body is not needed.
 class PrefetchTask::Answer : public routing::Reply {
  public:
-  Answer(PrefetchTask& filler, std::size_t place) : filler_(filler), place_(place), alive_(filler.alive_) {}
+  Answer(PrefetchTask& task, std::size_t index) : task_(task), index_(index), alive_(task.alive_) {}
 
   void served(std::string, bool, const routing::ServedBy& by) override {
-    end(shows_hit(by.note) ? PrefetchPlan::End::kHeld : PrefetchPlan::End::kFilled, Micros(0));
+    report(shows_hit(by.note) ? PrefetchResult::kAlreadyCached : PrefetchResult::kFilled, Micros(0));
   }
-  void refused(Micros retry_after) override { end(PrefetchPlan::End::kRefused, retry_after); }
-  void failed() override { end(PrefetchPlan::End::kFailed, Micros(0)); }
+  void refused(Micros retry_after) override { report(PrefetchResult::kRejected, retry_after); }
+  void failed() override { report(PrefetchResult::kFailed, Micros(0)); }
   void begin(bool) override {}
   void piece(std::string_view) override {}
   void finish(bool whole) override {
-    end(whole ? PrefetchPlan::End::kFilled : PrefetchPlan::End::kFailed, Micros(0));
+    report(whole ? PrefetchResult::kFilled : PrefetchResult::kFailed, Micros(0));
   }
 
  private:
-  // Later: the router is in the middle of its own step.
-  void end(PrefetchPlan::End how, Micros retry_after) {
-    if (*alive_) {
-      filler_.scheduler_.post([&filler = filler_, place = place_, alive = alive_, how, retry_after] {
-        if (*alive) {
-          filler.answered(place, how, retry_after);
-        }
-      });
+  // Posts the result, since the router is in the middle of its own step.
+  void report(PrefetchResult result, Micros retry_after) {
+    if (!*alive_) {
+      return;
     }
+    task_.scheduler_.post([&task = task_, index = index_, alive = alive_, result, retry_after] {
+      if (*alive) {
+        task.on_answer(index, result, retry_after);
+      }
+    });
   }
 
-  PrefetchTask& filler_;
-  std::size_t place_;
+  PrefetchTask& task_;
+  std::size_t index_;
   std::shared_ptr<bool> alive_;
 };
 
@@ -64,163 +73,182 @@
       profile_(profile),
       options_(options),
       context_(std::move(context)),
-      last_id_(seed ^ context_.term),
-      timer_(scheduler, [this] { turn(); }) {}
+      last_request_id_(seed ^ context_.term),
+      timer_(scheduler, [this] { run_step(); }) {}
 
 PrefetchTask::~PrefetchTask() {
   *alive_ = false;
-  for (const auto& [place, id] : std::exchange(out_, {})) {
+  abandon_requests();
+}
+
+void PrefetchTask::abandon_requests() {
+  for (const auto& [index, id] : std::exchange(open_requests_, {})) {
     router_.leave(id);
   }
 }
 
-Micros PrefetchTask::now() { return std::chrono::duration_cast<Micros>(Clock::now().time_since_epoch()); }
+// ---- Start and stop ----
 
-void PrefetchTask::begin() {
+void PrefetchTask::start() {
   try {
-    order_ = read_prefetch_order(context_.work.params);
-    const auto found = profile_.class_index.find(order_->request_class);
-    if (found == profile_.class_index.end()) {
-      throw std::invalid_argument("class: '" + order_->request_class + "' is not served here");
-    }
-    const ClassSettings& kind = profile_.settings.classes[static_cast<std::size_t>(found->second)];
-    if (kind.effect != Effect::kSafe || kind.uncached) {
-      throw std::invalid_argument("class: '" + order_->request_class + "' is not one that caches keep");
-    }
-    request_class_ = found->second;
-  } catch (const std::invalid_argument& error) {
-    cannot(error.what());
+    read_order();
+  } catch (const InvalidPrefetchOrder& error) {
+    fail(error.what());
     return;
   }
   if (order_->objects.empty()) {
-    load();
+    load_list();
   } else {
-    plan(context_.id.shard, context_.work.shards);
+    make_plan(context_.id.shard, context_.work.shards);
+  }
+}
+
+void PrefetchTask::read_order() {
+  order_ = read_prefetch_order(context_.work.params);
+  const std::string& name = order_->request_class;
+  const auto found = profile_.class_index.find(name);
+  if (found == profile_.class_index.end()) {
+    throw InvalidPrefetchOrder("class", "'" + name + "' is not served here");
+  }
+  const ClassSettings& settings = profile_.settings.classes[static_cast<std::size_t>(found->second)];
+  if (settings.effect != Effect::kSafe || settings.uncached) {
+    throw InvalidPrefetchOrder("class", "'" + name + "' is not one that caches keep");
   }
+  request_class_ = found->second;
 }
 
-// Nobody can do it: it is over, and the log says why.
-void PrefetchTask::cannot(const std::string& why) {
-  log_line(Level::kError) << to_string(context_.id) << " cannot be done: " << why;
-  context_.checkpoint_at("cannot be done: " + why, true);
-  said_done_ = true;
+// No other router could do the work either, so it is completed as it is.
+void PrefetchTask::fail(const std::string& reason) {
+  log_line(Level::kError) << to_string(context_.id) << " cannot be done: " << reason;
+  context_.save_completion("cannot be done: " + reason);
+  completed_ = true;
 }
 
-// The shard's own list. Asked for again until the store answers.
-void PrefetchTask::load() {
-  context_.get(prefetch_list_key(context_.id.work, context_.id.shard),
-               [this, alive = alive_](const std::optional<std::string>& text) {
-                 if (!*alive || plan_ || said_done_ || finishing_) {
-                   return;
-                 }
-                 order_->objects = read_prefetch_list(text.value_or(""));
-                 if (order_->objects.empty()) {
-                   cannot("objects: none are listed for this shard");
-                 } else {
-                   plan(0, 1);
-                 }
-               });
-  timer_.set(Clock::now() + milliseconds(1'000));
+void PrefetchTask::load_list() {
+  const auto on_list = [this, alive = alive_](const std::optional<std::string>& text) {
+    if (!*alive || plan_ || completed_ || stopping_) {
+      return;
+    }
+    order_->objects = read_prefetch_list(text.value_or(""));
+    if (order_->objects.empty()) {
+      fail("objects: none are listed for this shard");
+    } else {
+      make_plan(0, 1);  // the list is of this shard alone
+    }
+  };
+  context_.read_key(prefetch_list_key(context_.id.work, context_.id.shard), on_list);
+  wake_up_in(kListRetry);
 }
 
-void PrefetchTask::plan(std::uint64_t shard, std::uint64_t shards) {
-  PrefetchOptions rules;
-  rules.open = static_cast<std::size_t>(options_.fill_open);
-  rules.tries = static_cast<int>(options_.fill_tries);
-  rules.retry = milliseconds(options_.fill_retry_ms);
-  plan_.emplace(*order_, shard, shards, rules, context_.checkpoint);
-  turn();
+void PrefetchTask::make_plan(std::uint64_t shard, std::uint64_t shards) {
+  PrefetchOptions options;
+  options.max_in_flight = static_cast<std::size_t>(options_.fill_open);
+  options.max_attempts = static_cast<int>(options_.fill_tries);
+  options.retry_backoff = milliseconds(options_.fill_retry_ms);
+  plan_.emplace(*order_, shard, shards, options, context_.checkpoint);
+  run_step();
 }
 
-void PrefetchTask::finish() {
-  finishing_ = true;
-  for (const auto& [place, id] : std::exchange(out_, {})) {
-    router_.leave(id);
-  }
-  if (plan_ && !said_done_) {
-    say(plan_->done());
+void PrefetchTask::stop() {
+  stopping_ = true;
+  abandon_requests();
+  if (plan_ && !completed_) {
+    save_progress();
   }
-  context_.finished();
+  context_.on_stopped();
 }
 
-void PrefetchTask::say(bool done) {
-  if (done && !std::exchange(said_done_, true)) {
+void PrefetchTask::save_progress() {
+  if (!plan_->done()) {
+    context_.save_checkpoint(plan_->checkpoint());
+    return;
+  }
+  if (!std::exchange(completed_, true)) {
     const PrefetchProgress& progress = plan_->progress();
-    log_line(Level::kInfo) << to_string(context_.id) << " is done: filled " << progress.filled << " (held "
-                           << progress.held << "), failed " << progress.failed << " of " << progress.of;
+    log_line(Level::kInfo) << "completes " << to_string(context_.id) << ": filled " << progress.filled << " ("
+                           << progress.already_cached << " already cached), failed " << progress.failed
+                           << " of " << progress.total;
   }
-  context_.checkpoint_at(plan_->checkpoint(), done);
+  context_.save_completion(plan_->checkpoint());
 }
 
-void PrefetchTask::turn() {
-  if (finishing_ || said_done_) {
+// ---- Steps ----
+
+void PrefetchTask::wake_up_in(Micros time) { timer_.set(Clock::now() + time); }
+
+void PrefetchTask::run_step() {
+  if (stopping_ || completed_) {
     return;
   }
   if (!plan_) {
-    load();
-    return;
-  }
-  const std::int64_t wait_ms = order_->at_ms - unix_ms();
-  if (wait_ms > 0) {
-    if (!std::exchange(waited_, true)) {
-      say(false);  // owners that go before its time did not die of it
-    }
-    timer_.set(Clock::now() + milliseconds(std::min<std::int64_t>(wait_ms, 1'000)));
+    load_list();
+  } else if (!has_start_time_come()) {
     return;
+  } else if (plan_->done()) {
+    save_progress();
+  } else if (!context_.may_act()) {
+    wake_up_in(kPermissionRetry);
+  } else {
+    start_requests();
   }
-  if (plan_->done()) {
-    say(true);
-    return;
+}
+
+bool PrefetchTask::has_start_time_come() {
+  const milliseconds wait(order_->at_ms - unix_now_ms());
+  if (wait <= milliseconds(0)) {
+    return true;
   }
-  if (!context_.may_act()) {
-    timer_.set(Clock::now() + milliseconds(50));
-    return;
+  if (!std::exchange(waits_for_start_, true)) {
+    context_.save_checkpoint(
+        plan_->checkpoint());  // so that an owner that leaves meanwhile counts as no crash
   }
-  for (const std::size_t place : plan_->due(now())) {
-    ask(place);
+  wake_up_in(std::min(wait, kMaxStartWait));
+  return false;
+}
+
+void PrefetchTask::start_requests() {
+  for (const std::size_t index : plan_->start_requests(steady_now())) {
+    request_object(index);
   }
-  const std::optional<Micros> next = plan_->next(now());
-  std::optional<Clock::time_point> when;
-  if (next) {
-    when.emplace(std::max(Clock::now() + milliseconds(1), Clock::time_point(*next)));
+  std::optional<Clock::time_point> wake_up;
+  if (const auto next = plan_->next_step_at(steady_now())) {
+    wake_up = std::max(Clock::now() + kMinStepInterval, steady_time_point(*next));
   }
-  timer_.set(when);
+  timer_.set(wake_up);
 }
 
-void PrefetchTask::ask(std::size_t place) {
-  const std::string& object = plan_->object(place);
+void PrefetchTask::request_object(std::size_t index) {
+  const std::string& object = plan_->object(index);
   const std::size_t slash = object.find('/');
   auto passed = std::make_shared<protocol::Passed>();
-  char id[17];
-  std::snprintf(id, sizeof id, "%016llx", static_cast<unsigned long long>(++last_id_));
-  passed->id = id;
+  passed->id = format_request_id(++last_request_id_);
   passed->request_class = order_->request_class;
   passed->object = object.substr(0, slash);
   passed->part = slash == std::string::npos ? "" : object.substr(slash + 1);
-  passed->fence = context_.fence;
+  passed->fence = context_.fencing_token;
   routing::ClientRequest request;
   request.told.request_class = request_class_;
   request.told.object = protocol::read_hex<ObjectId>(passed->object).value_or(0);
   request.told.part = protocol::read_number<std::uint32_t>(passed->part).value_or(0);
   request.patience = milliseconds(options_.fill_patience_ms);
   request.passed = std::move(passed);
-  const RequestId number = router_.arrive(std::move(request), std::make_shared<Answer>(*this, place));
-  if (number != 0) {
-    out_[place] = number;
+  const RequestId id = router_.arrive(std::move(request), std::make_shared<Answer>(*this, index));
+  if (id != 0) {
+    open_requests_[index] = id;
   }
 }
 
-void PrefetchTask::answered(std::size_t place, PrefetchPlan::End end, Micros retry_after) {
-  out_.erase(place);
-  if (finishing_ || !plan_) {
+void PrefetchTask::on_answer(std::size_t index, PrefetchResult result, Micros retry_after) {
+  open_requests_.erase(index);
+  if (stopping_ || !plan_) {
     return;
   }
-  const std::uint64_t before = plan_->progress().filled + plan_->progress().failed;
-  plan_->ended(now(), place, end, retry_after);
-  if (plan_->progress().filled + plan_->progress().failed != before) {
-    say(plan_->done());
+  const std::uint64_t finished_before = plan_->progress().finished();
+  plan_->on_result(steady_now(), index, result, retry_after);
+  if (plan_->progress().finished() != finished_before) {
+    save_progress();
   }
-  turn();
+  run_step();
 }
 
 }  // namespace trailcourse::tasks
--- a/src/tasks/prefetch_task.h
+++ b/src/tasks/prefetch_task.h
@@ -1,6 +1,6 @@
-// The task of announced filling: one shard's objects asked for through this router's own decisions, as a
-// client would. The term goes with each command, so that a cache node of this project refuses an owner of the
-// past; a cache that cannot check fills twice at worst.
+// Owned work of kind `fill`: prefetches one shard's objects into caches. Each is requested through this
+// router's own decisions, as a client would. The fencing token goes with each command, so that a cache node
+// of this project rejects a former owner; other caches are filled twice at worst.
 //
 // Package `tasks`, over `routing`. One thread.
 #pragma once
@@ -9,7 +9,6 @@
 #include <memory>
 #include <optional>
 #include <string>
-#include <unordered_map>
 
 #include "protocol/settings.h"
 #include "routing/router.h"
@@ -20,41 +19,51 @@
 
 namespace trailcourse::tasks {
 
+// Scheduler, router and profile outlive it.
 class PrefetchTask : public OwnedTask {
  public:
+  // `seed` keeps the ids of its requests apart from those of other routers.
   PrefetchTask(transport::Scheduler& scheduler, routing::Router& router, const protocol::Profile& profile,
                const OwnershipOptions& options, std::uint64_t seed, TaskContext context);
   ~PrefetchTask() override;
 
-  void begin() override;
-  void finish() override;
+  void start() override;
+  void stop() override;
 
  private:
   class Answer;
 
-  static Micros now();
-  void cannot(const std::string& why);
-  void load();
-  void plan(std::uint64_t shard, std::uint64_t shards);
-  void turn();
-  void ask(std::size_t place);
-  void answered(std::size_t place, PrefetchPlan::End end, Micros retry_after);
-  void say(bool done);
+  // Reads the order from the work's parameters. Throws InvalidPrefetchOrder if no router can carry it out.
+  void read_order();
+  void fail(const std::string& reason);
+  void load_list();
+  void make_plan(std::uint64_t shard, std::uint64_t shards);
+
+  void run_step();
+  // Returns whether the announced time has come. If not, sets the timer.
+  bool has_start_time_come();
+  void start_requests();
+  void request_object(std::size_t index);
+  void on_answer(std::size_t index, PrefetchResult result, Micros retry_after);
+
+  void wake_up_in(Micros time);
+  void save_progress();
+  void abandon_requests();
 
   transport::Scheduler& scheduler_;
   routing::Router& router_;
   const protocol::Profile& profile_;
   OwnershipOptions options_;
   TaskContext context_;
-  std::uint64_t last_id_;
+  std::uint64_t last_request_id_;
   std::optional<PrefetchOrder> order_;
-  std::optional<PrefetchPlan> plan_;
+  std::optional<PrefetchPlan> plan_;  // once the objects are known
   int request_class_ = -1;
-  std::map<std::size_t, RequestId> out_;
+  std::map<std::size_t, RequestId> open_requests_;  // by index of the object
   transport::Alarm timer_;
-  bool finishing_ = false;
-  bool said_done_ = false;
-  bool waited_ = false;
+  bool stopping_ = false;
+  bool completed_ = false;
+  bool waits_for_start_ = false;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/tasks/reconcile_task.cpp
+++ b/src/tasks/reconcile_task.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <utility>
 
+#include "tasks/clock.h"
 #include "transport/log.h"
 
 namespace trailcourse::tasks {
@@ -15,13 +16,11 @@
 
 namespace {
 
-constexpr milliseconds kIdleLook{5'000};  // also without news
-constexpr milliseconds kLostLook{200};
-constexpr Micros kLeastPause{1'000};
-// A look reads all permits, and in a large fleet news of them come without pause.
-constexpr milliseconds kBetweenLooks{20};
-
-Micros now() { return std::chrono::duration_cast<Micros>(Clock::now().time_since_epoch()); }
+constexpr milliseconds kMaxInterval{5'000};  // between two snapshots, also without changes
+constexpr milliseconds kRetryInterval{200};  // after a call that failed, or a write that was rejected
+constexpr Micros kMinDelay{1'000};
+// A snapshot reads the reports of all routers, and in a large fleet these change all the time.
+constexpr milliseconds kMinInterval{20};
 
 }  // namespace
 
@@ -30,7 +29,7 @@
     : store_(store),
       prefix_(std::move(prefix)),
       context_(std::move(context)),
-      timer_(scheduler, [this] { look(); }) {}
+      timer_(scheduler, [this] { reconcile(); }) {}
 
 ReconcileTask::~ReconcileTask() {
   *alive_ = false;
@@ -39,90 +38,88 @@
   }
 }
 
-void ReconcileTask::begin() {
-  context_.checkpoint_at("driving", false);
-  for (const coordination::Range& range : follows()) {
+void ReconcileTask::start() {
+  context_.save_checkpoint("driving");
+  for (const coordination::Range& range : watched_ranges()) {
     watches_.push_back(store_.watch(range, *this));
   }
 }
 
-void ReconcileTask::finish() {
-  finishing_ = true;
+void ReconcileTask::stop() {
+  stopping_ = true;
   timer_.set(std::nullopt);
-  context_.finished();
+  context_.on_stopped();
 }
 
 void ReconcileTask::changed(coordination::Revision, const std::vector<coordination::Change>& changes) {
-  const bool may_matter = std::any_of(changes.begin(), changes.end(), [this](const auto& change) {
-    return concerns(change.entry.key.substr(prefix_.size()));
+  const bool relevant = std::any_of(changes.begin(), changes.end(), [this](const auto& change) {
+    return is_relevant(change.entry.key.substr(prefix_.size()));
   });
-  if (may_matter) {
-    look_soon();
+  if (relevant) {
+    schedule_reconcile();
   }
 }
 
-void ReconcileTask::look_after(Micros time) {
-  timer_.set(Clock::now() + std::chrono::duration_cast<Clock::duration>(std::max(time, kLeastPause)));
-}
+void ReconcileTask::reconcile_in(Micros time) { timer_.set(Clock::now() + std::max(time, kMinDelay)); }
 
-void ReconcileTask::look_soon() {
-  const Clock::time_point earliest = looked_at_ + kBetweenLooks;
-  const Clock::time_point at = Clock::now();
-  if (looking_) {
-    again_ = true;
-  } else if (at < earliest && !finishing_) {
-    look_after(std::chrono::duration_cast<Micros>(earliest - at));
+void ReconcileTask::schedule_reconcile() {
+  const Clock::time_point earliest = last_snapshot_at_ + kMinInterval;
+  const Clock::time_point now = Clock::now();
+  if (snapshot_in_flight_) {
+    reconcile_again_ = true;
+  } else if (now < earliest && !stopping_) {
+    reconcile_in(std::chrono::duration_cast<Micros>(earliest - now));
   } else {
-    look();
+    reconcile();
   }
 }
 
-void ReconcileTask::look() {
-  if (finishing_) {
+void ReconcileTask::reconcile() {
+  if (stopping_) {
     return;
   }
-  if (std::exchange(looking_, true)) {
-    again_ = true;
+  if (std::exchange(snapshot_in_flight_, true)) {
+    reconcile_again_ = true;
     return;
   }
-  looked_at_ = Clock::now();
-  look_after(kIdleLook);
-  store_.commit(looks_at(), [this, alive = alive_](const Reply<Outcome>& reply) {
+  last_snapshot_at_ = Clock::now();
+  reconcile_in(kMaxInterval);
+  store_.commit(snapshot_transaction(), [this, alive = alive_](const Reply<Outcome>& reply) {
     if (!*alive) {
       return;
     }
-    looking_ = false;
+    snapshot_in_flight_ = false;
     if (!reply.done()) {
-      look_after(kLostLook);
+      reconcile_in(kRetryInterval);
       return;
     }
-    looked(reply.value);
-    if (std::exchange(again_, false)) {
-      look_soon();
+    on_snapshot(reply.value);
+    if (std::exchange(reconcile_again_, false)) {
+      schedule_reconcile();
     }
   });
 }
 
-void ReconcileTask::looked(const Outcome& seen) {
-  const Micros at = now();
-  Decision decision = decide(at, seen);
-  if (decision.look_at) {
-    look_after(std::min<Micros>(*decision.look_at - at, kIdleLook));
+void ReconcileTask::on_snapshot(const Outcome& snapshot) {
+  const Micros now = steady_now();
+  Decision decision = decide(now, snapshot);
+  if (decision.next_step_at) {
+    reconcile_in(std::min<Micros>(*decision.next_step_at - now, kMaxInterval));
   }
   if (!decision.write) {
     return;
   }
   if (!context_.may_act()) {
-    look_after(kLostLook);
+    reconcile_in(kRetryInterval);
     return;
   }
-  if (!decision.step.empty()) {
-    transport::log_line(transport::Level::kInfo) << decision.step;
+  if (!decision.log_text.empty()) {
+    transport::log_line(transport::Level::kInfo) << decision.log_text;
   }
   write(std::move(*decision.write));
 }
 
-// The driver of the past is refused by the store, whatever it believes.
+// The store rejects the write of a former owner, whatever that owner believes.
 void ReconcileTask::write(Transaction transaction) {
   transaction.when.push_back(
       coordination::created_at(prefix_ + ownership::kOwn + to_string(context_.id), context_.term));
@@ -130,11 +127,11 @@
     if (!*alive) {
       return;
     }
-    // Refused, or nobody knows: what stands is looked at again.
+    // If the write was rejected, or its outcome is unknown, the next snapshot shows what stands.
     if (!reply.done() || !reply.value.succeeded) {
-      look_after(kLostLook);
+      reconcile_in(kRetryInterval);
     } else {
-      look();
+      reconcile();
     }
   });
 }
--- a/src/tasks/reconcile_task.h
+++ b/src/tasks/reconcile_task.h
@@ -1,6 +1,6 @@
-// Owned work that drives a record of the store from state to state: looks at what stands there, decides on
-// the next state, and writes it where all is as it was seen and this process still owns the work. Nothing is
-// known beside what stands in the store, so that a successor goes on from there.
+// Owned work that moves a record of the store from state to state: reads a snapshot, decides on the next
+// state, and writes it if the snapshot still stands and this process still owns the work. All state is in the
+// store, so that a successor goes on from there.
 //
 // Package `tasks`. One thread.
 #pragma once
@@ -16,52 +16,62 @@
 
 namespace trailcourse::tasks {
 
+// Scheduler and store outlive it.
 class ReconcileTask : public OwnedTask, public coordination::Watcher {
  public:
   ReconcileTask(transport::Scheduler& scheduler, coordination::SharedStore& store, std::string prefix,
                 TaskContext context);
   ~ReconcileTask() override;
 
-  void begin() override;
-  void finish() override;
+  void start() override;
+  void stop() override;
 
-  void current(coordination::Revision, const std::vector<coordination::Entry>&) override { look_soon(); }
+  // The watch over watched_ranges().
+  void current(coordination::Revision, const std::vector<coordination::Entry>&) override {
+    schedule_reconcile();
+  }
   void changed(coordination::Revision, const std::vector<coordination::Change>& changes) override;
   void silent(const std::string&) override {}
 
  protected:
   struct Decision {
     std::optional<coordination::Transaction> write;
-    std::string step;               // what is written, for the log; empty: it is not worth a line
-    std::optional<Micros> look_at;  // steady time at which it may decide otherwise, by time alone
+    std::string log_text;                // on what is written; empty: no log line
+    std::optional<Micros> next_step_at;  // steady time at which the decision may change by time alone
   };
 
-  // What is read at each look, and what is followed: any news there is a reason to look.
-  virtual coordination::Transaction looks_at() const = 0;
-  virtual std::vector<coordination::Range> follows() const = 0;
-  virtual Decision decide(Micros now, const coordination::Outcome& seen) = 0;
-  // Whether news of one key may change what is decided.
-  virtual bool concerns(const std::string& key) const = 0;
+  // Returns the transaction that reads the snapshot.
+  virtual coordination::Transaction snapshot_transaction() const = 0;
+
+  // Returns the ranges whose changes are a reason to read the snapshot again.
+  virtual std::vector<coordination::Range> watched_ranges() const = 0;
+
+  // Returns whether a change of the key (without the store's prefix) may change the decision.
+  virtual bool is_relevant(const std::string& key) const = 0;
+
+  // Decides by the answer to snapshot_transaction().
+  virtual Decision decide(Micros now, const coordination::Outcome& snapshot) = 0;
+
+  // Reconciles now, or as soon as the minimum interval between two snapshots has passed.
+  void schedule_reconcile();
 
-  // Looks now, or once as much time as lies between two looks at least has passed.
-  void look_soon();
   const std::string& prefix() const { return prefix_; }
 
  private:
-  void look();
-  void looked(const coordination::Outcome& seen);
+  void reconcile();
+  void on_snapshot(const coordination::Outcome& snapshot);
   void write(coordination::Transaction transaction);
-  void look_after(Micros time);
+  void reconcile_in(Micros time);
 
   coordination::SharedStore& store_;
   std::string prefix_;
   TaskContext context_;
   transport::Alarm timer_;
   std::vector<coordination::SharedStore::WatchId> watches_;
-  transport::Clock::time_point looked_at_;
-  bool looking_ = false;
-  bool again_ = false;
-  bool finishing_ = false;
+  transport::Clock::time_point last_snapshot_at_;
+  bool snapshot_in_flight_ = false;
+  bool reconcile_again_ = false;  // after the snapshot in flight
+  bool stopping_ = false;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- /dev/null
+++ b/src/tasks/request_policy.h
@@ -0,0 +1,60 @@
+// Applies the effective policy to requests: the classes that the decision module knows for each version, and
+// the rule for a request that arrives.
+//
+// Package `tasks`, over `policy` and `routing`. One thread.
+#pragma once
+
+#include <compare>
+#include <cstdint>
+#include <map>
+#include <string>
+#include <vector>
+
+#include "policy/holder.h"
+#include "protocol/settings.h"
+#include "routing/router.h"
+#include "tasks/policy_documents.h"
+
+namespace trailcourse::tasks {
+
+// All arguments of the constructor outlive it.
+class RequestPolicy {
+ public:
+  RequestPolicy(const protocol::Profile& profile, routing::Router& router, const PolicyDocuments& documents);
+
+  // Returns the rule for a request of one of the settings' classes. The first call for a policy adds its
+  // classes to the decision module.
+  routing::Rule rule(const policy::Ruling& effective, int request_class);
+
+  // Returns what a version says: the settings, and its document above them.
+  policy::Content content_of(std::uint64_t version) const;
+
+  // Returns the names of the settings' classes, by index.
+  const std::vector<std::string>& class_names() const { return class_names_; }
+
+ private:
+  // The versions that rule; `other` is 0 unless there are two.
+  struct Key {
+    std::uint64_t version = 0;
+    std::uint64_t other = 0;
+
+    friend auto operator<=>(const Key&, const Key&) = default;
+  };
+  // The classes of one policy at the decision module.
+  struct ClassSet {
+    std::size_t first_class = 0;  // index at the decision module
+    policy::Content content;
+  };
+
+  const ClassSet& class_set(const policy::Ruling& effective);
+  void add_classes(const ClassSet& set);
+
+  const protocol::Profile& profile_;
+  routing::Router& router_;
+  const PolicyDocuments& documents_;
+  std::vector<std::string> class_names_;
+  std::map<Key, ClassSet> class_sets_;
+  std::uint64_t next_set_ = 1;
+};
+
+}  // namespace trailcourse::tasks
--- /dev/null
+++ b/src/tasks/task_host.h
@@ -0,0 +1,62 @@
+// Holds the tasks that run at this process: makes, stops and destroys them as the lease manager asks.
+//
+// Package `tasks`, over `coordination` and `ownership`. One thread.
+#pragma once
+
+#include <map>
+#include <memory>
+#include <optional>
+#include <string>
+
+#include "coordination/shared_store.h"
+#include "ownership/lease_manager.h"
+#include "tasks/owned_task.h"
+#include "tasks/step_loop.h"
+#include "transport/scheduler.h"
+
+namespace trailcourse::tasks {
+
+// All arguments of the constructor outlive it.
+class TaskHost {
+ public:
+  TaskHost(transport::Scheduler& scheduler, coordination::SharedStore& store, std::string prefix,
+           ownership::LeaseManager& lease_manager, StepLoop& loop);
+  ~TaskHost() { *alive_ = false; }
+  TaskHost(const TaskHost&) = delete;
+  TaskHost& operator=(const TaskHost&) = delete;
+
+  // Names the factory of the tasks of one kind of work.
+  void register_kind(const std::string& kind, OwnedTaskFactory factory);
+
+  // The work of that name as it stands in the store; nothing if it is gone or malformed.
+  void set_work(const std::string& name, const std::optional<ownership::Work>& work);
+
+  void execute(const ownership::Begin& action);
+  void execute(const ownership::Finish& action);
+  void execute(const ownership::Abandon& action);
+
+ private:
+  struct Running {
+    std::unique_ptr<OwnedTask> task;
+    ownership::Term term = 0;
+  };
+
+  TaskContext make_context(const ownership::Begin& action, const ownership::Work& work);
+  void add_progress_functions(TaskContext& context);
+  void add_store_functions(TaskContext& context);
+  void read_key(const std::string& key, std::function<void(std::optional<std::string>)> handler);
+  void commit_under_term(const ownership::ShardId& id, ownership::Term term, coordination::Step operation);
+  void destroy_later(const ownership::ShardId& id, ownership::Term term);
+
+  transport::Scheduler& scheduler_;
+  coordination::SharedStore& store_;
+  std::string prefix_;
+  ownership::LeaseManager& lease_manager_;
+  StepLoop& loop_;
+  std::map<std::string, OwnedTaskFactory> factories_;  // by kind
+  std::map<std::string, ownership::Work> works_;       // by name
+  std::map<ownership::ShardId, Running> running_;
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+};
+
+}  // namespace trailcourse::tasks
--- a/src/tasks/task_runner.cpp
+++ b/src/tasks/task_runner.cpp
@@ -1,9 +1,13 @@
 #include "tasks/task_runner.h"
 
+#include <algorithm>
 #include <nlohmann/json.hpp>
+#include <string_view>
 #include <utility>
 #include <variant>
 
+#include "tasks/clock.h"
+#include "tasks/lease_calls.h"
 #include "transport/log.h"
 
 namespace trailcourse::tasks {
@@ -11,601 +15,295 @@
 using coordination::Change;
 using coordination::LeaseId;
 using coordination::Outcome;
-using coordination::Reply;
-using ownership::Ask;
 using ownership::ShardId;
 using std::chrono::milliseconds;
-using transport::Clock;
 using transport::Level;
 using transport::log_line;
 
 namespace {
 
-constexpr const char* kFleet = "fleet/";
+constexpr const char* kFleetPrefix = "fleet/";
+constexpr Micros kMinStepInterval{500};
 
-std::set<std::string> set_of(const std::vector<std::string>& words) { return {words.begin(), words.end()}; }
+std::set<std::string> to_set(const std::vector<std::string>& values) {
+  return {values.begin(), values.end()};
+}
 
 }  // namespace
 
 TaskRunner::TaskRunner(transport::Scheduler& scheduler, coordination::SharedStore& store,
-                       const OwnershipOptions& options, std::string prefix, Self self)
-    : scheduler_(scheduler),
-      store_(store),
+                       const OwnershipOptions& options, std::string prefix, MemberIdentity identity)
+    : store_(store),
       options_(options),
       prefix_(std::move(prefix)),
-      self_(std::move(self)),
-      view_(view_rules(options)),
-      peers_(self_.name, static_cast<std::size_t>(options.neighbours),
-             static_cast<int>(options.neighbour_misses)),
-      lease_manager_(self_.name, self_.incarnation, self_.zone, set_of(options.kinds),
-                     lease_manager_rules(options)),
-      session_(session_rules(options)),
-      timer_(scheduler, [this] { turn(); }),
-      next_turn_(scheduler, [this] { turn(); }) {}
+      loop_(scheduler, kMinStepInterval, [this] { return run_step(); }),
+      view_(membership_options(options)),
+      session_(store, loop_, options, prefix_, std::move(identity)),
+      peer_checks_(scheduler, view_, session_, options),
+      lease_manager_(session_.identity().name, session_.identity().incarnation, session_.identity().zone,
+                     to_set(options.kinds), lease_manager_options(options)),
+      task_host_(scheduler, store, prefix_, lease_manager_, loop_) {}
 
 TaskRunner::~TaskRunner() {
-  *alive_ = false;
   if (watch_ != 0) {
     store_.unwatch(watch_);
   }
 }
 
-Micros TaskRunner::now() { return std::chrono::duration_cast<Micros>(Clock::now().time_since_epoch()); }
+void TaskRunner::register_kind(const std::string& kind, OwnedTaskFactory factory) {
+  task_host_.register_kind(kind, std::move(factory));
+}
+
+void TaskRunner::observe_keys(const std::string& key_prefix, KeyObserver observer) {
+  observers_[key_prefix] = std::move(observer);
+}
 
 void TaskRunner::start() {
-  watch_ = store_.watch(coordination::Range{prefix_ + kFleet, true}, *this);
-  if (options_.neighbours > 0) {
-    scheduler_.spawn(try_peers());
-  }
-  turn_soon();
+  watch_ = store_.watch(coordination::Range{prefix_ + kFleetPrefix, true}, *this);
+  peer_checks_.start();
+  loop_.schedule();
 }
 
 void TaskRunner::drain() {
   if (std::exchange(draining_, true)) {
     return;
   }
-  lease_manager_.drain(now());
-  if (session_.term() != 0) {
-    // The others give it nothing more while it ends.
-    coordination::Transaction leaving;
-    leaving.then = {coordination::Put{prefix_ + membership::member_key(self_.name, self_.incarnation),
-                                      member_value(), session_lease_}};
-    store_.commit(std::move(leaving), [](const auto&) {});
-  }
-  turn_soon();
+  lease_manager_.drain(steady_now());
+  session_.announce_draining();
+  peer_checks_.stop();
+  loop_.schedule();
 }
 
-void TaskRunner::allow(std::optional<std::set<std::string>> kinds) {
-  lease_manager_.allow(now(), std::move(kinds));
-  turn_soon();
-}
+bool TaskRunner::drained() const { return draining_ && lease_manager_.drained() && session_.ended(); }
 
-bool TaskRunner::drained() const { return draining_ && lease_manager_.drained() && session_.over(); }
+void TaskRunner::set_allowed_kinds(std::optional<std::set<std::string>> kinds) {
+  lease_manager_.allow(steady_now(), std::move(kinds));
+  loop_.schedule();
+}
 
-// ---- What the store tells ----
+// ---- What the store shows ----
 
 void TaskRunner::current(coordination::Revision revision, const std::vector<coordination::Entry>& entries) {
-  std::set<std::string> named;
+  std::set<std::string> present;
   view_.begin_whole();
   for (const coordination::Entry& entry : entries) {
-    named.insert(entry.key);
+    present.insert(entry.key);
     apply(Change{false, entry});
   }
-  for (const std::string& key : std::set<std::string>(known_)) {
-    if (!named.contains(key)) {
-      Change gone{true, {}};
-      gone.entry.key = key;
-      gone.entry.modified = revision;
-      apply(gone);
+  for (const std::string& key : std::set<std::string>(observed_keys_)) {
+    if (!present.contains(key)) {
+      Change deletion{true, {}};
+      deletion.entry.key = key;
+      deletion.entry.modified = revision;
+      apply(deletion);
     }
   }
-  view_.end_whole(now(), revision);
-  heard_store();
-  told();
+  view_.end_whole(steady_now(), revision);
+  on_connected();
+  update_members();
 }
 
 void TaskRunner::changed(coordination::Revision, const std::vector<Change>& changes) {
   for (const Change& change : changes) {
     apply(change);
   }
-  heard_store();
-  told();
+  on_connected();
+  update_members();
 }
 
 void TaskRunner::silent(const std::string& why) {
-  if (std::exchange(heard_, false)) {
-    log_line(Level::kWarning) << "the store is not heard: " << why;
+  if (std::exchange(connected_, false)) {
+    log_line(Level::kWarning) << "disconnected from the coordination store: " << why;
   }
-  lease_manager_.heard(now(), false);
-  turn_soon();
+  lease_manager_.heard(steady_now(), false);
+  loop_.schedule();
 }
 
-void TaskRunner::heard_store() {
-  if (!std::exchange(heard_, true)) {
-    log_line(Level::kInfo) << "the store " << store_.id() << " is heard";
-    lease_manager_.heard(now(), true);
-    turn_soon();
+void TaskRunner::on_connected() {
+  if (!std::exchange(connected_, true)) {
+    log_line(Level::kInfo) << "connected to coordination store " << store_.id();
+    lease_manager_.heard(steady_now(), true);
+    loop_.schedule();
   }
 }
 
 void TaskRunner::apply(const Change& change) {
-  const Micros at = now();
+  if (change.deleted) {
+    observed_keys_.erase(change.entry.key);
+  } else {
+    observed_keys_.insert(change.entry.key);
+  }
   const std::string key = change.entry.key.substr(std::min(prefix_.size(), change.entry.key.size()));
   const std::string value = change.deleted ? std::string() : change.entry.value;
-  if (change.deleted) {
-    known_.erase(change.entry.key);
+  view_.take(steady_now(), key, value, change.entry.created, change.entry.modified);
+  if (apply_shard_record(key, change)) {
+    return;
+  }
+  if (key.starts_with(ownership::kWork)) {
+    apply_work(key, change);
   } else {
-    known_.insert(change.entry.key);
+    notify_observers(key, value);
   }
-  view_.take(at, key, value, change.entry.created, change.entry.modified);
+}
+
+// Returns whether the key is a record of one shard.
+bool TaskRunner::apply_shard_record(const std::string& key, const Change& change) {
+  const Micros now = steady_now();
+  const std::string value = change.deleted ? std::string() : change.entry.value;
   if (const auto owned = ownership::read_shard_key(key, ownership::kOwn)) {
-    lease_manager_.owner(at, *owned,
-                         change.deleted ? std::nullopt : ownership::read_owner(value, change.entry.created),
-                         change.entry.modified);
+    const auto owner = change.deleted ? std::nullopt : ownership::read_owner(value, change.entry.created);
+    lease_manager_.owner(now, *owned, owner, change.entry.modified);
   } else if (const auto done = ownership::read_shard_key(key, ownership::kDone)) {
-    lease_manager_.done(at, *done, !change.deleted);
+    lease_manager_.done(now, *done, !change.deleted);
   } else if (const auto release = ownership::read_shard_key(key, ownership::kRelease)) {
-    lease_manager_.release_asked(at, *release, value);
-  } else if (key.starts_with(ownership::kWork)) {
-    const std::string name = key.substr(std::string(ownership::kWork).size());
-    std::optional<ownership::Work> work = change.deleted ? std::nullopt : ownership::read_work(key, value);
+    lease_manager_.release_asked(now, *release, value);
+  } else {
+    return false;
+  }
+  return true;
+}
+
+void TaskRunner::apply_work(const std::string& key, const Change& change) {
+  const std::string name = key.substr(std::string_view(ownership::kWork).size());
+  std::optional<ownership::Work> work;
+  if (!change.deleted) {
+    work = ownership::read_work(key, change.entry.value);
     if (!work) {
-      if (!change.deleted) {
-        log_line(Level::kWarning) << "work " << name << " cannot be read and is not done";
-      }
-      works_.erase(name);
-    } else {
-      works_[name] = *work;
+      log_line(Level::kWarning) << "work " << name << " is malformed and is not done";
     }
-    lease_manager_.work(at, name, std::move(work));
-  } else {
-    for (const auto& [stem, taker] : takers_) {
-      if (key.starts_with(stem)) {
-        taker(key, value);
-      }
+  }
+  task_host_.set_work(name, work);
+  lease_manager_.work(steady_now(), name, std::move(work));
+}
+
+void TaskRunner::notify_observers(const std::string& key, const std::string& value) {
+  for (const auto& [key_prefix, observer] : observers_) {
+    if (key.starts_with(key_prefix)) {
+      observer(key, value);
     }
   }
 }
 
-// The manager hears who may be given work.
-void TaskRunner::told() {
-  const Micros at = now();
-  std::map<std::string, std::string> members;
-  for (const membership::Seen& seen : view_.all(at)) {
-    if (seen.standing == membership::Standing::kIn) {
-      members[seen.member.name] = seen.member.zone;
+// Gives the lease manager the members that may be given work.
+void TaskRunner::update_members() {
+  const Micros now = steady_now();
+  std::map<std::string, std::string> zones;
+  for (const membership::Seen& entry : view_.all(now)) {
+    if (entry.standing == membership::Standing::kIn) {
+      zones[entry.member.name] = entry.member.zone;
     }
   }
-  lease_manager_.members(at, std::move(members));
-  const bool shadowed = view_.shadowed(self_.name, self_.incarnation);
-  lease_manager_.shadowed(at, shadowed);
-  if (shadowed && view_told_ != view_.number()) {
-    log_line(Level::kWarning) << "another start has this router's name, " << self_.name
+  lease_manager_.members(now, std::move(zones));
+  const bool superseded = view_.shadowed(identity().name, identity().incarnation);
+  lease_manager_.shadowed(now, superseded);
+  if (superseded && last_view_version_ != view_.number()) {
+    log_line(Level::kWarning) << "another instance has this router's name, " << identity().name
                               << ": this one does no owned work";
   }
-  view_told_ = view_.number();
-  turn_soon();
+  last_view_version_ = view_.number();
+  loop_.schedule();
 }
 
-// ---- The manager's orders ----
+// ---- The lease manager's actions ----
 
-void TaskRunner::turn() {
-  if (std::exchange(turning_, true)) {
-    return;
+std::optional<Micros> TaskRunner::run_step() {
+  const Micros now = steady_now();
+  if (const auto next = view_.next(now); next && *next <= now) {
+    update_members();
   }
-  const Micros at = now();
-  if (const auto next = view_.next(at); next && *next <= at) {
-    told();
+  if (draining_ && lease_manager_.drained()) {
+    session_.end(now);
   }
-  step_session();
-  for (const ownership::LeaseManagerOrder& order : lease_manager_.due(at)) {
-    std::visit([this](const auto& one) { carry_out(one); }, order);
+  session_.step(now);
+  for (const ownership::LeaseManagerOrder& action : lease_manager_.due(now)) {
+    execute(action);
   }
-  turning_ = false;
-  set_timer();
+  return next_step_at(steady_now());
 }
 
-void TaskRunner::set_timer() {
-  const Micros at = now();
-  std::optional<Micros> due = lease_manager_.next(at);
-  for (const auto& other : {session_.next(at), view_.next(at)}) {
-    if (other) {
-      due = std::min(due.value_or(*other), *other);
+std::optional<Micros> TaskRunner::next_step_at(Micros now) const {
+  std::optional<Micros> earliest;
+  for (const auto& next : {lease_manager_.next(now), session_.next_step_at(now), view_.next(now)}) {
+    if (next) {
+      earliest = std::min(earliest.value_or(*next), *next);
     }
   }
-  std::optional<Clock::time_point> when;
-  if (due) {
-    when.emplace(std::chrono::duration_cast<Clock::duration>(std::max(*due, at + Micros(500))));
-  }
-  timer_.set(when);
+  return earliest;
 }
 
-void TaskRunner::carry_out(const ownership::AskLease& ask) {
-  const ShardId id = ask.id;
-  const std::uint64_t number = ask.order.number;
-  if (ask.order.ask == Ask::kAcquire) {
-    acquire(id, number);
-    return;
+void TaskRunner::execute(const ownership::LeaseManagerOrder& action) {
+  if (const auto* call = std::get_if<ownership::AskLease>(&action)) {
+    execute_lease_call(*call);
+  } else if (const auto* write = std::get_if<ownership::Write>(&action)) {
+    write_progress(*write);
+  } else if (const auto* start = std::get_if<ownership::Begin>(&action)) {
+    task_host_.execute(*start);
+  } else if (const auto* stop = std::get_if<ownership::Finish>(&action)) {
+    task_host_.execute(*stop);
+  } else if (const auto* abort = std::get_if<ownership::Abandon>(&action)) {
+    task_host_.execute(*abort);
   }
-  const LeaseId lease = leases_[id];
-  if (ask.order.ask == Ask::kRenew) {
-    store_.keep_alive(lease, [this, alive = alive_, id, number](const auto& reply) {
-      if (!*alive) {
-        return;
-      }
-      if (reply.done()) {
-        lease_manager_.renewed(now(), id, number, reply.value.ttl > Micros(0));
-      } else {
-        lease_manager_.lost(now(), id, number);
-      }
-      turn_soon();
-    });
-    return;
-  }
-  store_.revoke(lease, [this, alive = alive_, id, number](const auto& reply) {
-    if (!*alive) {
-      return;
-    }
-    if (reply.done()) {
-      lease_manager_.released(now(), id, number);
-    } else {
-      lease_manager_.lost(now(), id, number);
-    }
-    turn_soon();
-  });
 }
 
-void TaskRunner::acquire(const ShardId& id, std::uint64_t number) {
-  store_.grant(milliseconds(options_.ttl_ms), [this, alive = alive_, id, number](const auto& reply) {
-    if (!*alive) {
-      return;
-    }
-    if (!reply.done()) {
-      lease_manager_.lost(now(), id, number);
-      turn_soon();
-      return;
-    }
-    own(id, number, reply.value.id);
-  });
-}
-
-void TaskRunner::own(const ShardId& id, std::uint64_t number, LeaseId lease) {
-  const ownership::Owner owner{self_.name, self_.incarnation, 0};
-  store_.commit(ownership::acquire(prefix_, id, owner, lease), [this, alive = alive_, id, number,
-                                                                lease](const Reply<Outcome>& reply) {
-    if (!*alive) {
-      return;
-    }
-    if (!reply.done()) {
-      // Whether it was done or not: without a renewal it ends, and sooner so.
-      give_up(lease);
-      lease_manager_.lost(now(), id, number);
-    } else {
-      const ownership::Acquired acquired = ownership::read_acquired(reply.value);
-      if (acquired.term == 0) {
-        give_up(lease);
-      } else {
-        leases_[id] = lease;
-        log_line(Level::kInfo) << "owner of " << to_string(id) << " under term " << acquired.term;
-      }
-      lease_manager_.acquired(now(), id, number, acquired);
-    }
-    turn_soon();
-  });
+void TaskRunner::execute_lease_call(const ownership::AskLease& action) {
+  const ShardId id = action.id;
+  const std::uint64_t call_id = action.order.number;
+  LeaseCallHandlers handlers;
+  handlers.make_transaction = [this, id](LeaseId lease) {
+    const ownership::Owner self{identity().name, identity().incarnation, 0};
+    return ownership::acquire(prefix_, id, self, lease);
+  };
+  handlers.on_acquire_result = [this, id, call_id](LeaseId lease, const Outcome& outcome) {
+    return on_acquire_result(id, call_id, lease, outcome);
+  };
+  handlers.on_renew_result = [this, id, call_id](bool valid) {
+    lease_manager_.renewed(steady_now(), id, call_id, valid);
+  };
+  handlers.on_released = [this, id, call_id] { lease_manager_.released(steady_now(), id, call_id); };
+  handlers.on_no_response = [this, id, call_id] { lease_manager_.lost(steady_now(), id, call_id); };
+  const auto lease = shard_leases_.find(id);
+  make_lease_call(store_, loop_, action.order.ask, milliseconds(options_.ttl_ms),
+                  lease == shard_leases_.end() ? 0 : lease->second, std::move(handlers));
 }
 
-void TaskRunner::give_up(LeaseId lease) {
-  store_.revoke(lease, [](const auto&) {});
+// Returns whether the shard is owned now.
+bool TaskRunner::on_acquire_result(const ShardId& id, std::uint64_t call_id, LeaseId lease,
+                                   const Outcome& outcome) {
+  const ownership::Acquired acquired = ownership::read_acquired(outcome);
+  const bool owned = acquired.term != 0;
+  if (owned) {
+    shard_leases_[id] = lease;
+    log_line(Level::kInfo) << "owner of " << to_string(id) << " under term " << acquired.term;
+  }
+  lease_manager_.acquired(steady_now(), id, call_id, acquired);
+  return owned;
 }
 
-void TaskRunner::carry_out(const ownership::Write& write) {
-  const ShardId id = write.id;
-  store_.commit(ownership::record(prefix_, id, write.term, write.modified, write.progress),
-                [this, alive = alive_, write](const Reply<Outcome>& reply) {
-                  if (!*alive) {
-                    return;
-                  }
+void TaskRunner::write_progress(const ownership::Write& action) {
+  store_.commit(ownership::record(prefix_, action.id, action.term, action.modified, action.progress),
+                loop_.then_step([this, action](const auto& reply) {
+                  const Micros now = steady_now();
                   if (reply.done()) {
                     lease_manager_.recorded(
-                        now(), write.id, write.number,
-                        ownership::read_recorded(reply.value, write.term, write.progress));
+                        now, action.id, action.number,
+                        ownership::read_recorded(reply.value, action.term, action.progress));
                   } else {
-                    lease_manager_.record_lost(now(), write.id, write.number);
+                    lease_manager_.record_lost(now, action.id, action.number);
                   }
-                  turn_soon();
-                });
-}
-
-TaskContext TaskRunner::context(const ownership::Begin& begin, const ownership::Work& work) {
-  const ShardId id = begin.id;
-  const ownership::Term term = begin.term;
-  TaskContext out;
-  out.work = work;
-  out.id = id;
-  out.term = term;
-  out.checkpoint = begin.checkpoint;
-  out.fence = std::to_string(store_.id()) + ":" + to_string(id) + ":" + std::to_string(term);
-  out.may_act = [this, id, term] { return lease_manager_.may_act(now(), id, term); };
-  out.checkpoint_at = [this, id, term](std::string checkpoint, bool done) {
-    lease_manager_.checkpoint(now(), id, term, std::move(checkpoint), done);
-    turn_soon();
-  };
-  out.finished = [this, id, term] {
-    lease_manager_.finished(now(), id, term);
-    drop(id, term);
-    turn_soon();
-  };
-  out.get = [this](const std::string& key, std::function<void(std::optional<std::string>)> then) {
-    coordination::Transaction read;
-    read.then = {coordination::Get{coordination::Range{prefix_ + key, false}}};
-    store_.commit(std::move(read), [then = std::move(then)](const Reply<Outcome>& reply) {
-      if (reply.done()) {
-        const auto& found = reply.value.steps.at(0).found;
-        then(found.empty() ? std::nullopt : std::optional<std::string>(found.front().value));
-      }
-    });
-  };
-  out.put = [this, id, term](const std::string& key, std::string value) {
-    coordination::Transaction transaction;
-    transaction.when = {coordination::created_at(prefix_ + ownership::kOwn + to_string(id), term)};
-    if (value.empty()) {
-      transaction.then = {coordination::Delete{coordination::Range{prefix_ + key, false}}};
-    } else {
-      transaction.then = {coordination::Put{prefix_ + key, std::move(value), 0}};
-    }
-    store_.commit(std::move(transaction), [id, term](const Reply<Outcome>& reply) {
-      if (reply.done() && !reply.value.succeeded) {
-        log_line(Level::kWarning) << to_string(id) << ": the store refused a write under term " << term;
-      }
-    });
-  };
-  return out;
-}
-
-void TaskRunner::carry_out(const ownership::Begin& begin) {
-  const auto work = works_.find(begin.id.work);
-  const auto maker = work == works_.end() ? makers_.end() : makers_.find(work->second.kind);
-  if (maker == makers_.end()) {
-    return;
-  }
-  log_line(Level::kInfo) << "begins " << to_string(begin.id) << " under term " << begin.term
-                         << (begin.checkpoint.empty() ? "" : ", from " + begin.checkpoint);
-  Running& running = running_[begin.id];
-  running.term = begin.term;
-  running.task = maker->second(context(begin, work->second));
-  running.task->begin();
-}
-
-void TaskRunner::carry_out(const ownership::Finish& finish) {
-  const auto found = running_.find(finish.id);
-  if (found != running_.end() && found->second.term == finish.term) {
-    log_line(Level::kInfo) << "lets go of " << to_string(finish.id) << " under term " << finish.term;
-    found->second.task->finish();
-  } else {
-    lease_manager_.finished(now(), finish.id, finish.term);
-    turn_soon();
-  }
-}
-
-void TaskRunner::carry_out(const ownership::Abandon& abandon) {
-  log_line(Level::kWarning) << "stops " << to_string(abandon.id) << " under term " << abandon.term
-                            << ": it is another's, or nobody knows";
-  running_.erase(abandon.id);
-}
-
-// Later: a task may say its end from within its own call.
-void TaskRunner::drop(const ShardId& id, ownership::Term term) {
-  scheduler_.post([this, alive = alive_, id, term] {
-    const auto found = *alive ? running_.find(id) : running_.end();
-    if (*alive && found != running_.end() && found->second.term == term) {
-      running_.erase(found);
-    }
-  });
-}
-
-// ---- The session ----
-
-std::string TaskRunner::member_value() const {
-  membership::Member member;
-  member.zone = self_.zone;
-  member.address = self_.address;
-  member.version = self_.version;
-  member.draining = draining_;
-  member.started_ms =
-      std::chrono::duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch()).count();
-  return membership::write_member(member);
-}
-
-void TaskRunner::step_session() {
-  const Micros at = now();
-  if (draining_ && lease_manager_.drained() && session_.phase(at) != ownership::Phase::kStopped) {
-    session_.stop(at);
-  }
-  const std::optional<ownership::Order> order = session_.due(at);
-  if (!order) {
-    return;
-  }
-  const std::uint64_t number = order->number;
-  if (order->ask == Ask::kAcquire) {
-    store_.grant(milliseconds(options_.member_ttl_ms), [this, alive = alive_, number](const auto& reply) {
-      if (!*alive) {
-        return;
-      }
-      if (reply.done()) {
-        session_lease_ = reply.value.id;
-        join(number);
-      } else {
-        session_.lost(now(), number);
-        turn_soon();
-      }
-    });
-  } else if (order->ask == Ask::kRenew) {
-    store_.keep_alive(session_lease_, [this, alive = alive_, number](const auto& reply) {
-      if (!*alive) {
-        return;
-      }
-      if (!reply.done()) {
-        session_.lost(now(), number);
-      } else if (reply.value.ttl > Micros(0)) {
-        session_.granted(now(), number, 0);
-      } else {
-        session_.refused(now(), number);
-      }
-      turn_soon();
-    });
-  } else {
-    store_.revoke(session_lease_, [this, alive = alive_, number](const auto& reply) {
-      if (!*alive) {
-        return;
-      }
-      if (reply.done()) {
-        session_.granted(now(), number, 0);
-      } else {
-        session_.lost(now(), number);
-      }
-      turn_soon();
-    });
-  }
-}
-
-void TaskRunner::join(std::uint64_t number) {
-  coordination::Transaction transaction;
-  transaction.then.push_back(coordination::Put{
-      prefix_ + membership::member_key(self_.name, self_.incarnation), member_value(), session_lease_});
-  for (const auto& [key, value] : kept_) {
-    transaction.then.push_back(coordination::Put{prefix_ + key, value, session_lease_});
-  }
-  store_.commit(std::move(transaction), [this, alive = alive_, number](const Reply<Outcome>& reply) {
-    if (!*alive) {
-      return;
-    }
-    if (reply.done()) {
-      session_.granted(now(), number, reply.value.revision);
-      log_line(Level::kInfo) << "member of the fleet at revision " << reply.value.revision;
-    } else {
-      give_up(session_lease_);
-      session_.lost(now(), number);
-    }
-    turn_soon();
-  });
-}
-
-void TaskRunner::keep(const std::string& key, const std::string& value) {
-  const auto found = kept_.find(key);
-  if (value.empty() ? found == kept_.end() : found != kept_.end() && found->second == value) {
-    return;
-  }
-  if (value.empty()) {
-    kept_.erase(found);
-  } else {
-    kept_[key] = value;
-  }
-  put_kept(key);
+                }));
 }
 
-void TaskRunner::put_kept(const std::string& key) {
-  if (session_.term() == 0) {
-    return;  // it goes with the next session
-  }
-  // One write of a key at a time: behind a slow store the last value is what counts, not each.
-  if (const auto out = kept_out_.find(key); out != kept_out_.end()) {
-    out->second = true;
-    return;
-  }
-  kept_out_[key] = false;
-  coordination::Transaction transaction;
-  const auto found = kept_.find(key);
-  if (found == kept_.end()) {
-    transaction.then = {coordination::Delete{coordination::Range{prefix_ + key, false}}};
-  } else {
-    transaction.then = {coordination::Put{prefix_ + key, found->second, session_lease_}};
-  }
-  store_.commit(std::move(transaction), [this, alive = alive_, key](const auto&) {
-    if (!*alive) {
-      return;
-    }
-    const auto out = kept_out_.find(key);
-    const bool again = out != kept_out_.end() && out->second;
-    kept_out_.erase(key);
-    if (again) {
-      put_kept(key);
-    }
-  });
-}
-
-// ---- Peers ----
-
-class TaskRunner::Knock : public transport::Connection::Handler {
- public:
-  void on_bytes(std::string_view) override {}
-  void on_end(transport::ConnectionEnd) override {}
-};
-
-transport::Task<void> TaskRunner::try_peers() {
-  const std::shared_ptr<bool> alive = alive_;
-  transport::Scheduler& scheduler = scheduler_;
-  const milliseconds pause(options_.neighbour_ms);
-  const milliseconds timeout(options_.probe_timeout_ms);
-  for (;;) {
-    co_await scheduler.sleep(pause);
-    if (!*alive || draining_) {
-      co_return;
-    }
-    std::vector<std::string> names;
-    std::map<std::string, transport::Address> addresses;
-    for (const membership::Seen& seen : view_.all(now())) {
-      const auto address = transport::parse_address(seen.member.address);
-      if (address && seen.standing != membership::Standing::kShadowed && seen.member.zone == self_.zone) {
-        names.push_back(seen.member.name);
-        addresses[seen.member.name] = *address;
-      }
-    }
-    names = peers_.to_try(names);
-    peers_.watch(names);
-    std::map<std::string, std::shared_ptr<transport::Connection>> knocks;
-    for (const std::string& name : names) {
-      transport::Connection::Bounds bounds;
-      bounds.connect_timeout = timeout;
-      const auto knock = transport::Connection::connect(scheduler, addresses[name], bounds);
-      knock->start(std::make_shared<Knock>());
-      knocks[name] = knock;
-    }
-    co_await scheduler.sleep(timeout);
-    for (const auto& [name, knock] : knocks) {
-      if (*alive) {
-        peers_.tried(name, knock->up());
-      }
-      knock->close(transport::ConnectionEnd::kIdle);
-    }
-    knocks.clear();
-    if (!*alive) {
-      co_return;
-    }
-    const auto doubts = peers_.doubts();
-    for (const auto& [name, doubt] : doubts) {
-      keep(membership::doubt_key(name, self_.name), membership::write_doubt(doubt));
-      doubts_told_[name] = 1;
-    }
-    for (auto told = doubts_told_.begin(); told != doubts_told_.end();) {
-      if (!doubts.contains(told->first)) {
-        keep(membership::doubt_key(told->first, self_.name), "");
-        told = doubts_told_.erase(told);
-      } else {
-        ++told;
-      }
-    }
-  }
-}
+// ---- Status ----
 
 std::string TaskRunner::status() const {
-  const Micros at = now();
+  const Micros now = steady_now();
   std::size_t owned = 0;
-  for (const ownership::ShardSeen& seen : lease_manager_.all(at)) {
-    owned += seen.lease == ownership::Phase::kOwner || seen.lease == ownership::Phase::kRenewing ? 1 : 0;
+  for (const ownership::ShardSeen& shard : lease_manager_.all(now)) {
+    owned += shard.lease == ownership::Phase::kOwner || shard.lease == ownership::Phase::kRenewing ? 1 : 0;
   }
   const ownership::LeaseManagerCounts& counts = lease_manager_.counts();
-  return nlohmann::json{{"store", heard_ ? "heard" : "silent"},
-                        {"members", view_.all(at).size()},
+  return nlohmann::json{{"store", connected_ ? "heard" : "silent"},
+                        {"members", view_.all(now).size()},
                         {"owned", owned},
                         {"acquired", counts.acquired},
                         {"lost", counts.lost},
--- a/src/tasks/task_runner.h
+++ b/src/tasks/task_runner.h
@@ -1,133 +1,100 @@
-// One router's part in the fleet's work, carried out: its session in the store, what it sees of the others,
-// and the orders of its manager as calls and tasks. It decides nothing by itself; manager, view and lease do.
+// A process's part in the work that one member of the fleet does for all: its session at the store, what the
+// store shows of the fleet, and the actions of its lease manager as calls and tasks. It decides nothing
+// itself: lease manager, membership view and leases do.
 //
-// Package `tasks`, over `coordination`, `membership` and `ownership`. One thread. No request ever waits for
-// it.
+// Package `tasks`, over `coordination`, `membership` and `ownership`. One thread. No request waits for it.
 #pragma once
 
 #include <functional>
 #include <map>
-#include <memory>
 #include <optional>
 #include <set>
 #include <string>
+#include <vector>
 
 #include "coordination/shared_store.h"
-#include "membership/peers.h"
 #include "membership/view.h"
 #include "ownership/lease_manager.h"
+#include "tasks/fleet_session.h"
 #include "tasks/options.h"
 #include "tasks/owned_task.h"
-#include "transport/alarm.h"
-#include "transport/connection.h"
-#include "transport/deferred.h"
+#include "tasks/peer_health_checks.h"
+#include "tasks/step_loop.h"
+#include "tasks/task_host.h"
 
 namespace trailcourse::tasks {
 
+// Scheduler and store outlive it.
 class TaskRunner : public coordination::Watcher {
  public:
-  struct Self {
-    std::string name;
-    std::string incarnation;
-    std::string zone;
-    std::string address;
-    std::string version;
-  };
-
   TaskRunner(transport::Scheduler& scheduler, coordination::SharedStore& store,
-             const OwnershipOptions& options, std::string prefix, Self self);
+             const OwnershipOptions& options, std::string prefix, MemberIdentity identity);
   ~TaskRunner() override;
 
-  // Before start().
-  void add(const std::string& kind, OwnedTaskFactory maker) { makers_[kind] = std::move(maker); }
-  // Keys under fleet/ that are neither members nor work; an empty value: gone.
+  // Names the factory of the tasks of one kind of work. To be called before start().
+  void register_kind(const std::string& kind, OwnedTaskFactory factory);
+
+  // Is called with keys under fleet/ that are neither members nor work; an empty value: the key is gone.
   using KeyObserver = std::function<void(const std::string& key, const std::string& value)>;
-  void observe_keys(const std::string& stem, KeyObserver taker) { takers_[stem] = std::move(taker); }
+
+  // Observes the keys that begin with `key_prefix`. To be called before start().
+  void observe_keys(const std::string& key_prefix, KeyObserver observer);
+
   void start();
 
-  // Lets all work go and then leaves the fleet.
+  // Releases all work, and then leaves the fleet.
   void drain();
   bool drained() const;
 
-  // The kinds that the policy in force allows.
-  void allow(std::optional<std::set<std::string>> kinds);
-  // A key that ends with this router's session; kept up over new sessions. An empty value takes it back.
-  void keep(const std::string& key, const std::string& value);
+  // The kinds of work that the policy in force allows; nothing: all.
+  void set_allowed_kinds(std::optional<std::set<std::string>> kinds);
 
-  const membership::View& view() const { return view_; }
-  const ownership::LeaseManager& manager() const { return lease_manager_; }
-  bool heard() const { return heard_; }
-  // One object of JSON, for the health check.
+  // Keeps a key that ends with this process's session, across new sessions. An empty value deletes it.
+  void set_session_key(const std::string& key, const std::string& value) { session_.set_key(key, value); }
+
+  // Returns one object of JSON, for the health page.
   std::string status() const;
-  coordination::SharedStore& store() { return store_; }
-  const std::string& prefix() const { return prefix_; }
-  const Self& self() const { return self_; }
-  const OwnershipOptions& options() const { return options_; }
 
+  const MemberIdentity& identity() const { return session_.identity(); }
+
+  // The watch over all keys under fleet/.
   void current(coordination::Revision revision, const std::vector<coordination::Entry>& entries) override;
   void changed(coordination::Revision revision, const std::vector<coordination::Change>& changes) override;
   void silent(const std::string& why) override;
-  void heard_store();
-  void heard() override { heard_store(); }
+  void heard() override { on_connected(); }
 
  private:
-  struct Running {
-    std::unique_ptr<OwnedTask> task;
-    ownership::Term term = 0;
-  };
-
-  static Micros now();
-  void turn();
-  void turn_soon() { next_turn_.post(); }
-  void set_timer();
+  void on_connected();
   void apply(const coordination::Change& change);
-  void told();
-  void carry_out(const ownership::AskLease& ask);
-  void carry_out(const ownership::Write& write);
-  void carry_out(const ownership::Begin& begin);
-  void carry_out(const ownership::Finish& finish);
-  void carry_out(const ownership::Abandon& abandon);
-  void acquire(const ownership::ShardId& id, std::uint64_t number);
-  void own(const ownership::ShardId& id, std::uint64_t number, coordination::LeaseId lease);
-  void give_up(coordination::LeaseId lease);
-  TaskContext context(const ownership::Begin& begin, const ownership::Work& work);
-  void drop(const ownership::ShardId& id, ownership::Term term);
-
-  void step_session();
-  void join(std::uint64_t number);
-  std::string member_value() const;
-  void put_kept(const std::string& key);
-
-  transport::Task<void> try_peers();
-  class Knock;
-
-  transport::Scheduler& scheduler_;
+  bool apply_shard_record(const std::string& key, const coordination::Change& change);
+  void apply_work(const std::string& key, const coordination::Change& change);
+  void notify_observers(const std::string& key, const std::string& value);
+  void update_members();
+
+  std::optional<Micros> run_step();
+  std::optional<Micros> next_step_at(Micros now) const;
+  void execute(const ownership::LeaseManagerOrder& action);
+  void execute_lease_call(const ownership::AskLease& action);
+  bool on_acquire_result(const ownership::ShardId& id, std::uint64_t call_id, coordination::LeaseId lease,
+                         const coordination::Outcome& outcome);
+  void write_progress(const ownership::Write& action);
+
   coordination::SharedStore& store_;
   OwnershipOptions options_;
   std::string prefix_;
-  Self self_;
+  StepLoop loop_;
   membership::View view_;
-  membership::Peers peers_;
+  FleetSession session_;
+  PeerHealthChecks peer_checks_;
   ownership::LeaseManager lease_manager_;
-  ownership::Lease session_;
-  coordination::LeaseId session_lease_ = 0;
-  std::map<ownership::ShardId, coordination::LeaseId> leases_;
-  std::map<ownership::ShardId, Running> running_;
-  std::map<std::string, ownership::Work> works_;
-  std::map<std::string, OwnedTaskFactory> makers_;
-  std::map<std::string, KeyObserver> takers_;
-  std::map<std::string, std::string> kept_;
-  std::map<std::string, bool> kept_out_;  // keys being written; true: changed meanwhile
-  std::set<std::string> known_;           // keys under fleet/
-  std::map<std::string, int> doubts_told_;
+  TaskHost task_host_;
+  std::map<ownership::ShardId, coordination::LeaseId> shard_leases_;
+  std::map<std::string, KeyObserver> observers_;  // by prefix of the keys
+  std::set<std::string> observed_keys_;           // all under fleet/, with the store's prefix
   coordination::SharedStore::WatchId watch_ = 0;
-  transport::Alarm timer_;
-  transport::Deferred next_turn_;
-  bool heard_ = false;
+  bool connected_ = false;
   bool draining_ = false;
-  bool turning_ = false;
-  std::uint64_t view_told_ = 0;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  std::uint64_t last_view_version_ = 0;  // of the view that the lease manager was given
 };
 
 }  // namespace trailcourse::tasks
--- a/tests/fleet/aggregation_test.cpp
+++ b/tests/fleet/aggregation_test.cpp
@@ -152,7 +152,7 @@
   AcknowledgingFleet fleet(6, 2);
   ASSERT_FALSE(testing::Test::HasFailure());
   ASSERT_TRUE(fleet.await_acknowledged(fleet.purge())) << fleet.said << fleet.rig.logs();
-  const bool first_drives = fleet.rig.fleet().log("aggregator0").find("begins events/0") != std::string::npos;
+  const bool first_drives = fleet.rig.fleet().log("aggregator0").find("starts events/0") != std::string::npos;
   const std::string driver = first_drives ? "aggregator0" : "aggregator1";
   fleet.rig.fleet().kill(driver);
   fleet.rig.fleet().kill(fleet.all.front());
@@ -246,7 +246,7 @@
   ASSERT_EQ(fleet.propose(2.0), 0) << fleet.said;
   ASSERT_TRUE(fleet.until_loaded(fleet.all, [&] {
     const std::string log = fleet.rig.fleet().log("aggregator0") + fleet.rig.fleet().log("aggregator1");
-    return log.find("begins policy/0") != std::string::npos;
+    return log.find("starts policy/0") != std::string::npos;
   })) << fleet.rig.logs();
   for (const std::string& line : GetParam().begins) {
     fleet.rig.fault(line);
--- a/tests/fleet/ownership_test.cpp
+++ b/tests/fleet/ownership_test.cpp
@@ -153,7 +153,7 @@
   // The token under which a router last began a piece of work, as it stands in its log.
   std::string fence_of(const std::string& router, const std::string& shard) {
     const std::string log = rig.fleet().log(router);
-    const std::string words = "begins " + shard + " under term ";
+    const std::string words = "starts " + shard + " under term ";
     const std::size_t at = log.rfind(words);
     const std::string rest = at == std::string::npos ? "" : log.substr(at + words.size());
     const std::string heard = log.substr(log.find("the store ") + 10);
@@ -339,7 +339,7 @@
   EXPECT_EQ(fleet.rig.fleet().log(first).find("stops evening/0"), std::string::npos);
   for (const std::string& router : fleet.rig.routers()) {
     if (router != first) {
-      EXPECT_EQ(fleet.rig.fleet().log(router).find("begins evening"), std::string::npos) << router;
+      EXPECT_EQ(fleet.rig.fleet().log(router).find("starts evening"), std::string::npos) << router;
     }
   }
 }
@@ -481,9 +481,9 @@
                 "--operator",        fleet.rig.layout().operator_file(first)};
   spec.log = fleet.rig.folder() + "/twin.log";
   fleet::Process process(spec);
-  EXPECT_TRUE(fleet.rig.fleet().await_log(first, "another start has this router's name", kAwaited))
+  EXPECT_TRUE(fleet.rig.fleet().await_log(first, "another instance has this router's name", kAwaited))
       << fleet.rig.logs();
-  EXPECT_TRUE(fleet.rig.fleet().await_log(first, "lets go of evening/0", kAwaited)) << fleet.rig.logs();
+  EXPECT_TRUE(fleet.rig.fleet().await_log(first, "releases evening/0", kAwaited)) << fleet.rig.logs();
   EXPECT_EQ(fleet.work("members", ""), 0);
   const json members = json::parse(fleet.said)["members"];
   EXPECT_EQ(std::count_if(members.begin(), members.end(),
@@ -509,7 +509,7 @@
     ASSERT_TRUE(fleet.rig.until([&] {
       for (const std::string& router : fleet.rig.routers()) {
         if (!died.contains(router) &&
-            fleet.rig.fleet().log(router).find("begins poison/0") != std::string::npos) {
+            fleet.rig.fleet().log(router).find("starts poison/0") != std::string::npos) {
           victim = router;
         }
       }
@@ -529,7 +529,7 @@
   EXPECT_TRUE(fleet.rig.until([&] {
     return std::any_of(routers.begin(), routers.end(), [&](const std::string& router) {
       return !died.contains(router) &&
-             fleet.rig.fleet().log(router).find("begins poison/0") != std::string::npos;
+             fleet.rig.fleet().log(router).find("starts poison/0") != std::string::npos;
     });
   })) << fleet.rig.logs();
 }
@@ -557,9 +557,9 @@
       return log.find("verdict on cache cache1: " + words) != std::string::npos;
     });
   };
-  EXPECT_TRUE(says("not to be had")) << fleet.rig.logs();
+  EXPECT_TRUE(says("unhealthy")) << fleet.rig.logs();
   fleet.rig.start("cache1");
-  EXPECT_TRUE(says("sound") || says("none any more")) << fleet.rig.logs();
+  EXPECT_TRUE(says("healthy") || says("withdrawn")) << fleet.rig.logs();
   for (const std::string& router : fleet.rig.routers()) {
     if (router != owner) {
       EXPECT_EQ(fleet.rig.fleet().log(router).find("verdict on"), std::string::npos)
--- a/tests/fleet/policy_test.cpp
+++ b/tests/fleet/policy_test.cpp
@@ -104,7 +104,7 @@
 };
 class DriverFaultTest : public testing::TestWithParam<Kill> {};
 INSTANTIATE_TEST_SUITE_P(Steps, DriverFaultTest,
-                         testing::Values(Kill{"KilledAsItBegins", "begins policy/0", false},
+                         testing::Values(Kill{"KilledAsItBegins", "starts policy/0", false},
                                          Kill{"KilledAsAllHold", "routers hold", false},
                                          Kill{"KilledAtTheCommit", ": committed", false},
                                          Kill{"StoppedAsAllHold", "routers hold", true},
