--- a/src/tasks/policy_documents.cpp
+++ b/src/tasks/policy_documents.cpp
@@ -46,7 +46,7 @@
   } catch (const policy::BadDocument& error) {
     invalid_[version] = error.what();
     transport::log_line(transport::Level::kError)
-        << "version " << version << " of the policy cannot be used here: " << error.what();
+        << "policy version " << version << " cannot be used here: " << error.what();
   }
 }
 
