--- a/benchmarks/scale/purge_costs.cpp
+++ b/benchmarks/scale/purge_costs.cpp
@@ -5,8 +5,8 @@
 #include <memory>
 #include <variant>
 
-#include "board/page_log.h"
 #include "decision/purge_times.h"
+#include "discovery/event_log.h"
 #include "protocol/notice_board.h"
 #include "role_costs.h"
 #include "sample_fleet.h"
@@ -33,9 +33,9 @@
   const protocol::Profile profile = protocol::read_profile(router_settings(1, 1));
   for (const int purges : kPageSizes) {
     // The board's name and numbers of the length that they have after a few weeks.
-    board::PageLog log("0123456789abcdef");
+    discovery::EventLog log("0123456789abcdef");
     log.replace(purge_page(200'000'000, purges, unix_ms_now()));
-    const std::string text = *log.later_than(0);
+    const std::string text = *log.page_after(0);
     bytes.points.emplace_back(purges, text.size());
     cpu.points.emplace_back(purges, cpu_us_per_call(20 + 2'000 / purges, [&] {
                               keep_result(protocol::parse_notices(text, profile));
--- a/src/program/fleet_work.cpp
+++ b/src/program/fleet_work.cpp
@@ -106,7 +106,7 @@
                   configuration_.start.coordination.prefix, identity, configuration_.profile, router_,
                   [this](std::optional<std::set<std::string>> kinds) { allow(std::move(kinds)); });
   board_.subscribe(
-      [this](const policy::BoardPosition& position) { policy_->on_discovery_position(position); });
+      [this](const policy::DiscoveryPosition& position) { policy_->on_discovery_position(position); });
 }
 
 // What work the policy in force lets this router own.
--- a/src/tasks/acknowledgement_task.cpp
+++ b/src/tasks/acknowledgement_task.cpp
@@ -12,24 +12,24 @@
     : ReconcileTask(scheduler, store, std::move(prefix), std::move(context)),
       progress_(progress),
       subscription_(
-          progress.subscribe([this](const policy::BoardPosition& position) { on_progress(position); })),
-      driver_(min_round_interval) {}
+          progress.subscribe([this](const policy::DiscoveryPosition& position) { on_progress(position); })),
+      coordinator_(min_round_interval) {}
 
 AcknowledgementTask::~AcknowledgementTask() { progress_.unsubscribe(subscription_); }
 
 // The end of an open round is a reason to reconcile anyway.
-void AcknowledgementTask::on_progress(const policy::BoardPosition& position) {
-  if (!round_open_ || position.board != requested_.board) {
+void AcknowledgementTask::on_progress(const policy::DiscoveryPosition& position) {
+  if (!round_open_ || position.source != requested_.source) {
     schedule_reconcile();
   }
 }
 
 coordination::Transaction AcknowledgementTask::snapshot_transaction() const {
-  return policy::look_at_acknowledgements(prefix());
+  return policy::acknowledgement_snapshot_transaction(prefix());
 }
 
 std::vector<Range> AcknowledgementTask::watched_ranges() const {
-  return {Range{prefix() + policy::kPermits, true}, Range{prefix() + policy::kAcknowledgedKey, false}};
+  return {Range{prefix() + policy::kReportPrefix, true}, Range{prefix() + policy::kAcknowledgedKey, false}};
 }
 
 bool AcknowledgementTask::is_relevant(const std::string& key) const {
@@ -37,14 +37,14 @@
 }
 
 ReconcileTask::Decision AcknowledgementTask::decide(Micros now, const coordination::Outcome& outcome) {
-  const policy::AcknowledgementsSeen snapshot = policy::read_acknowledgements_seen(prefix(), outcome);
-  round_open_ = snapshot.record.round > 0 && snapshot.record.done != snapshot.record.asked;
-  requested_ = snapshot.record.asked;
+  const policy::AcknowledgementSnapshot snapshot = policy::read_acknowledgement_snapshot(prefix(), outcome);
+  round_open_ = snapshot.record.round > 0 && snapshot.record.completed != snapshot.record.requested;
+  requested_ = snapshot.record.requested;
   Decision decision;
-  if (const auto next = driver_.next(now, snapshot, progress_.position())) {
-    decision.write = policy::write_record(prefix(), snapshot, *next);
+  if (const auto next = coordinator_.step(now, snapshot, progress_.position())) {
+    decision.write = policy::write_acknowledgement_transaction(prefix(), snapshot, *next);
   }
-  decision.next_step_at = driver_.due();
+  decision.next_step_at = coordinator_.next_step_at();
   return decision;
 }
 
--- a/src/tasks/acknowledgement_task.h
+++ b/src/tasks/acknowledgement_task.h
@@ -1,5 +1,5 @@
 // Owned work of kind `acknowledge`: finds out which events of the discovery service every router has applied,
-// by policy::AcknowledgementDriver. Each round asks for the events that this process has applied itself.
+// by policy::AcknowledgementCoordinator. Each round asks for the events that this process has applied itself.
 //
 // Package `tasks`, over `policy`. One thread.
 #pragma once
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "policy/acknowledgement.h"
+#include "policy/acknowledgement_coordinator.h"
 #include "tasks/discovery_progress.h"
 #include "tasks/reconcile_task.h"
 
@@ -30,14 +30,14 @@
   Decision decide(Micros now, const coordination::Outcome& outcome) override;
 
  private:
-  void on_progress(const policy::BoardPosition& position);
+  void on_progress(const policy::DiscoveryPosition& position);
 
   DiscoveryProgress& progress_;
   DiscoveryProgress::SubscriptionId subscription_;
-  policy::AcknowledgementDriver driver_;
+  policy::AcknowledgementCoordinator coordinator_;
   // Of the last snapshot.
   bool round_open_ = true;  // also before the first one
-  policy::BoardPosition requested_;
+  policy::DiscoveryPosition requested_;
 };
 
 }  // namespace trailcourse::tasks
--- a/src/tasks/discovery_progress.h
+++ b/src/tasks/discovery_progress.h
@@ -15,11 +15,11 @@
 // Holds the position up to which all events are applied, and notifies subscribers when it changes.
 class DiscoveryProgress {
  public:
-  using Subscriber = std::function<void(const policy::BoardPosition&)>;
+  using Subscriber = std::function<void(const policy::DiscoveryPosition&)>;
   using SubscriptionId = std::uint64_t;
 
   // Sets the position, and calls the subscribers if it is another one.
-  void set_position(const policy::BoardPosition& position) {
+  void set_position(const policy::DiscoveryPosition& position) {
     if (position == position_) {
       return;
     }
@@ -30,7 +30,7 @@
     }
   }
 
-  const policy::BoardPosition& position() const { return position_; }
+  const policy::DiscoveryPosition& position() const { return position_; }
 
   // The subscriber is called until unsubscribe(); what it refers to must live as long.
   SubscriptionId subscribe(Subscriber subscriber) {
@@ -40,7 +40,7 @@
   void unsubscribe(SubscriptionId id) { subscribers_.erase(id); }
 
  private:
-  policy::BoardPosition position_;
+  policy::DiscoveryPosition position_;
   std::map<SubscriptionId, Subscriber> subscribers_;
   SubscriptionId last_id_ = 0;
 };
--- a/src/tasks/policy_client.cpp
+++ b/src/tasks/policy_client.cpp
@@ -15,7 +15,7 @@
 using coordination::LeaseId;
 using coordination::Outcome;
 using coordination::Transaction;
-using policy::Ruling;
+using policy::EffectivePolicy;
 using std::chrono::milliseconds;
 using transport::Level;
 using transport::log_line;
@@ -24,13 +24,13 @@
 
 constexpr Micros kMinStepInterval{1'000};
 
-const char* describe(Ruling::Kind kind) {
+const char* describe(EffectivePolicy::Kind kind) {
   switch (kind) {
-    case Ruling::Kind::kVersion:
+    case EffectivePolicy::Kind::kSingle:
       return "version";
-    case Ruling::Kind::kBoth:
+    case EffectivePolicy::Kind::kIntersection:
       return "both";
-    case Ruling::Kind::kRefuse:
+    case EffectivePolicy::Kind::kReject:
       break;
   }
   return "nothing";
@@ -50,11 +50,11 @@
       on_allowed_kinds_(std::move(on_allowed_kinds)),
       documents_(scheduler, options.folder),
       request_policy_(profile, router, documents_),
-      participant_(identity_.incarnation, identity_.zone, policy::holder_rules(options),
-                   [this](std::uint64_t version) { return objection(version); }),
+      participant_(identity_.incarnation, identity_.zone, policy::participant_options(options),
+                   [this](std::uint64_t version) { return check_document(version); }),
       loop_(scheduler, kMinStepInterval, [this] { return run_step(); }) {
   router.rule_by([this](int request_class) {
-    return request_policy_.rule(participant_.ruling(steady_now()), request_class);
+    return request_policy_.rule(participant_.effective_policy(steady_now()), request_class);
   });
 }
 
@@ -65,7 +65,7 @@
 }
 
 void PolicyClient::start() {
-  watch_ = store_.watch(coordination::Range{prefix_ + policy::kRecords, true}, *this);
+  watch_ = store_.watch(coordination::Range{prefix_ + policy::kPolicyPrefix, true}, *this);
   loop_.schedule();
 }
 
@@ -78,8 +78,8 @@
 
 bool PolicyClient::ready() const { return participant_.ready(steady_now()); }
 
-void PolicyClient::on_discovery_position(const policy::BoardPosition& position) {
-  participant_.took_in(steady_now(), position);
+void PolicyClient::on_discovery_position(const policy::DiscoveryPosition& position) {
+  participant_.on_events_applied(steady_now(), position);
   loop_.schedule();
 }
 
@@ -104,12 +104,12 @@
 }
 
 void PolicyClient::silent(const std::string&) {
-  participant_.heard(steady_now(), false);
+  participant_.set_connected(steady_now(), false);
   loop_.schedule();
 }
 
 void PolicyClient::heard() {
-  participant_.heard(steady_now(), true);
+  participant_.set_connected(steady_now(), true);
   loop_.schedule();
 }
 
@@ -121,11 +121,11 @@
   coordination::Entry& record = records_[key];
   record.value = value;
   record.modified = modified;
-  if (key.starts_with(policy::kDocuments)) {
-    const std::string number = key.substr(std::string_view(policy::kDocuments).size());
+  if (key.starts_with(policy::kDocumentPrefix)) {
+    const std::string number = key.substr(std::string_view(policy::kDocumentPrefix).size());
     const std::uint64_t version = std::strtoull(number.c_str(), nullptr, 10);
     documents_.add(version, value);
-    participant_.document(steady_now(), version);
+    participant_.on_document(steady_now(), version);
   }
 }
 
@@ -134,16 +134,17 @@
     const auto found = records_.find(key);
     return found == records_.end() ? coordination::Entry{} : found->second;
   };
-  participant_.told(steady_now(),
-                    policy::known_in_zone(policy::read_known(record_of), record_of, identity_.zone));
+  participant_.on_observed_state(
+      steady_now(),
+      policy::observed_in_zone(policy::read_observed_state(record_of), record_of, identity_.zone));
   loop_.schedule();
 }
 
-std::string PolicyClient::objection(std::uint64_t version) const {
-  policy::Ability ability;
-  ability.classes = request_policy_.class_names();
-  ability.open_requests = identity_.open_requests;
-  return documents_.objection(version, ability);
+policy::PreparationResult PolicyClient::check_document(std::uint64_t version) const {
+  policy::RouterCapabilities capabilities;
+  capabilities.classes = request_policy_.class_names();
+  capabilities.max_open_requests = identity_.open_requests;
+  return documents_.check(version, capabilities);
 }
 
 // ---- The participant's actions ----
@@ -151,16 +152,16 @@
 std::optional<Micros> PolicyClient::run_step() {
   const Micros now = steady_now();
   const routing::RouterCounts& counts = router_.counts();
-  participant_.count(counts.requests, counts.refused + counts.failed);
-  for (const policy::HolderOrder& action : participant_.due(now)) {
+  participant_.set_request_counts(counts.requests, counts.refused + counts.failed);
+  for (const policy::ParticipantAction& action : participant_.step(now)) {
     std::visit([this](const auto& alternative) { execute(alternative); }, action);
   }
   log_state(now);
   log_effective_version(now);
-  return participant_.next(steady_now());
+  return participant_.next_step_at(steady_now());
 }
 
-void PolicyClient::execute(const policy::AskPermission& action) {
+void PolicyClient::execute(const policy::LeaseAction& action) {
   const std::uint64_t call_id = action.order.number;
   LeaseCallHandlers handlers;
   handlers.make_transaction = [this, action](LeaseId lease) {
@@ -168,57 +169,58 @@
     return join_transaction(action);
   };
   handlers.on_acquire_result = [this, call_id](LeaseId, const Outcome& outcome) {
-    participant_.joined(steady_now(), call_id, outcome.succeeded);
+    participant_.on_join_result(steady_now(), call_id, outcome.succeeded);
     return outcome.succeeded;
   };
   handlers.on_renew_result = [this, call_id](bool valid) {
-    participant_.renewed(steady_now(), call_id, valid);
+    participant_.on_renew_result(steady_now(), call_id, valid);
   };
-  handlers.on_released = [this, call_id] { participant_.released(steady_now(), call_id); };
-  handlers.on_no_response = [this, call_id] { participant_.lost(steady_now(), call_id); };
+  handlers.on_released = [this, call_id] { participant_.on_release_result(steady_now(), call_id); };
+  handlers.on_no_response = [this, call_id] { participant_.on_no_response(steady_now(), call_id); };
   make_lease_call(store_, loop_, action.order.ask, milliseconds(options_.ttl_ms), lease_,
                   std::move(handlers));
 }
 
 // The report is written only if all is as this router knew it: else it would decide under a policy that may
 // not be in force.
-Transaction PolicyClient::join_transaction(const policy::AskPermission& action) const {
+Transaction PolicyClient::join_transaction(const policy::LeaseAction& action) const {
   Transaction join;
-  join.when = policy::join_conditions(prefix_, action.known, identity_.zone);
-  join.then = {coordination::Put{prefix_ + policy::permit_key(identity_.name, lease_),
-                                 policy::write_permit(action.permit), lease_}};
+  join.when = policy::join_conditions(prefix_, action.observed, identity_.zone);
+  join.then = {coordination::Put{prefix_ + policy::report_key(identity_.name, lease_),
+                                 policy::write_report(action.report), lease_}};
   return join;
 }
 
-void PolicyClient::execute(const policy::SayPermit& action) {
+void PolicyClient::execute(const policy::ReportAction& action) {
   Transaction report;
-  report.then = {coordination::Put{prefix_ + policy::permit_key(identity_.name, lease_),
-                                   policy::write_permit(action.permit), lease_}};
-  store_.commit(std::move(report), loop_.then_step([this, call_id = action.number](const auto& reply) {
-    participant_.said(steady_now(), call_id, reply.done());
+  report.then = {coordination::Put{prefix_ + policy::report_key(identity_.name, lease_),
+                                   policy::write_report(action.report), lease_}};
+  store_.commit(std::move(report), loop_.then_step([this, call_id = action.call_id](const auto& reply) {
+    participant_.on_report_result(steady_now(), call_id, reply.done());
   }));
 }
 
-void PolicyClient::execute(const policy::KeepDocument& action) {
-  documents_.persist(action.version,
-                     loop_.then_step([this, version = action.version](const std::string& error) {
-                       participant_.kept(steady_now(), version, error);
-                     }));
+void PolicyClient::execute(const policy::PersistDocumentAction& action) {
+  documents_.persist(
+      action.version,
+      loop_.then_step([this, version = action.version](const policy::PreparationResult& result) {
+        participant_.on_persist_result(steady_now(), version, result);
+      }));
 }
 
 // ---- Log and status ----
 
 void PolicyClient::log_state(Micros now) {
-  const policy::Standing state = participant_.standing(now);
+  const policy::ParticipantState state = participant_.state(now);
   if (state != std::exchange(logged_state_, state)) {
-    log_line(state == policy::Standing::kOutside ? Level::kWarning : Level::kInfo)
-        << "policy: " << policy::to_string(state) << ", version " << participant_.known().version;
+    log_line(state == policy::ParticipantState::kNoLease ? Level::kWarning : Level::kInfo)
+        << "policy: " << policy::to_string(state) << ", version " << participant_.observed().version;
   }
 }
 
 void PolicyClient::log_effective_version(Micros now) {
-  const Ruling effective = participant_.ruling(now);
-  if (effective.kind != Ruling::Kind::kVersion || effective.version == logged_version_) {
+  const EffectivePolicy effective = participant_.effective_policy(now);
+  if (effective.kind != EffectivePolicy::Kind::kSingle || effective.version == logged_version_) {
     return;
   }
   logged_version_ = effective.version;
@@ -233,12 +235,12 @@
 
 std::string PolicyClient::status() const {
   const Micros now = steady_now();
-  const policy::Known& observed = participant_.known();
-  return nlohmann::json{{"standing", policy::to_string(participant_.standing(now))},
+  const policy::ObservedState& observed = participant_.observed();
+  return nlohmann::json{{"standing", policy::to_string(participant_.state(now))},
                         {"version", observed.version},
-                        {"serves", describe(participant_.ruling(now).kind)},
-                        {"change", observed.change ? policy::to_string(observed.change->state) : "none"},
-                        {"events_done", observed.acknowledgement.done.event}}
+                        {"serves", describe(participant_.effective_policy(now).kind)},
+                        {"change", observed.rollout ? policy::to_string(observed.rollout->state) : "none"},
+                        {"events_done", observed.acknowledgement.completed.sequence}}
       .dump();
 }
 
--- a/src/tasks/policy_client.h
+++ b/src/tasks/policy_client.h
@@ -1,4 +1,4 @@
-// A router's side of the fleet's policy: gives its participant (policy/holder.h) what the store shows,
+// A router's side of the fleet's policy: gives its participant (policy/participant.h) what the store shows,
 // executes the participant's actions, and rules on the requests that arrive.
 //
 // Package `tasks`, over `coordination`, `policy` and `routing`. One thread.
@@ -13,8 +13,8 @@
 #include <vector>
 
 #include "coordination/shared_store.h"
-#include "policy/holder.h"
 #include "policy/options.h"
+#include "policy/participant.h"
 #include "protocol/settings.h"
 #include "routing/router.h"
 #include "tasks/policy_documents.h"
@@ -44,7 +44,7 @@
   void start();
 
   // All events of the discovery service up to the position are applied.
-  void on_discovery_position(const policy::BoardPosition& position);
+  void on_discovery_position(const policy::DiscoveryPosition& position);
 
   // Releases the lease, so that a rollout need not wait for this router, which then decides under no policy.
   void stop();
@@ -66,13 +66,13 @@
  private:
   void apply(const std::string& key, const std::string& value, coordination::Revision modified);
   void update_participant();
-  std::string objection(std::uint64_t version) const;
+  policy::PreparationResult check_document(std::uint64_t version) const;
 
   std::optional<Micros> run_step();
-  void execute(const policy::AskPermission& action);
-  void execute(const policy::SayPermit& action);
-  void execute(const policy::KeepDocument& action);
-  coordination::Transaction join_transaction(const policy::AskPermission& action) const;
+  void execute(const policy::LeaseAction& action);
+  void execute(const policy::ReportAction& action);
+  void execute(const policy::PersistDocumentAction& action);
+  coordination::Transaction join_transaction(const policy::LeaseAction& action) const;
 
   void log_state(Micros now);
   void log_effective_version(Micros now);
@@ -86,11 +86,11 @@
   PolicyDocuments documents_;
   RequestPolicy request_policy_;
   std::map<std::string, coordination::Entry> records_;  // by key, without the store's prefix
-  policy::Holder participant_;
+  policy::Participant participant_;
   coordination::LeaseId lease_ = 0;
   coordination::SharedStore::WatchId watch_ = 0;
   std::optional<std::uint64_t> logged_version_;
-  policy::Standing logged_state_ = policy::Standing::kOutside;
+  policy::ParticipantState logged_state_ = policy::ParticipantState::kNoLease;
   bool stopping_ = false;
   StepLoop loop_;
 };
--- a/src/tasks/policy_documents.cpp
+++ b/src/tasks/policy_documents.cpp
@@ -8,10 +8,13 @@
 
 namespace trailcourse::tasks {
 
+using ErrorKind = policy::PreparationError::Kind;
+
 namespace {
 
-// Replaces the file at once and durably. Returns the error, or an empty string.
-std::string write_file(const std::string& folder, const std::string& name, const std::string& text) {
+// Replaces the file at once and durably.
+policy::PreparationResult write_file(const std::string& folder, const std::string& name,
+                                     const std::string& text) {
   const std::string new_name = name + ".next";
   try {
     const auto files = store::open_folder(folder);
@@ -21,9 +24,9 @@
     files->rename(new_name, name);
     files->sync_names();
   } catch (const std::exception& error) {
-    return std::string("cannot be kept: ") + error.what();
+    return policy::preparation_failed(ErrorKind::kNotStored, std::string("cannot be kept: ") + error.what());
   }
-  return "";
+  return {};
 }
 
 }  // namespace
@@ -38,45 +41,51 @@
 
 void PolicyDocuments::add(std::uint64_t version, const std::string& text) {
   try {
-    policy::Document document = policy::read_document(text);
+    policy::PolicyDocument document = policy::read_document(text);
     if (document.version != version) {
-      throw policy::BadDocument("version: of another");
+      throw policy::InvalidDocument("version: of another");
     }
     documents_[version] = std::move(document);
-  } catch (const policy::BadDocument& error) {
+  } catch (const policy::InvalidDocument& error) {
     invalid_[version] = error.what();
     transport::log_line(transport::Level::kError)
         << "policy version " << version << " cannot be used here: " << error.what();
   }
 }
 
-const policy::Document* PolicyDocuments::find(std::uint64_t version) const {
+const policy::PolicyDocument* PolicyDocuments::find(std::uint64_t version) const {
   const auto found = documents_.find(version);
   return found == documents_.end() ? nullptr : &found->second;
 }
 
-std::string PolicyDocuments::objection(std::uint64_t version, const policy::Ability& ability) const {
+policy::PreparationResult PolicyDocuments::check(std::uint64_t version,
+                                                 const policy::RouterCapabilities& capabilities) const {
   if (const auto invalid = invalid_.find(version); invalid != invalid_.end()) {
-    return invalid->second;
+    return policy::preparation_failed(ErrorKind::kUnreadable, invalid->second);
   }
-  if (const policy::Document* document = find(version)) {
-    return policy::objection(*document, ability);
+  const policy::PolicyDocument* document = find(version);
+  if (document == nullptr) {
+    return version == 0 ? policy::PreparationResult()
+                        : policy::preparation_failed(ErrorKind::kMissing, "its text is not here");
   }
-  return version == 0 ? "" : "its text is not here";
+  const auto supported = policy::check_capabilities(*document, capabilities);
+  return supported ? policy::PreparationResult()
+                   : policy::preparation_failed(ErrorKind::kUnsupported, policy::describe(supported.error()));
 }
 
-void PolicyDocuments::persist(std::uint64_t version, std::function<void(const std::string&)> on_done) {
-  const policy::Document* document = find(version);
+void PolicyDocuments::persist(std::uint64_t version,
+                              std::function<void(const policy::PreparationResult&)> on_done) {
+  const policy::PolicyDocument* document = find(version);
   if (!pool_ || document == nullptr) {
-    on_done("");
+    on_done({});
     return;
   }
-  const auto error = std::make_shared<std::string>();
+  const auto result = std::make_shared<policy::PreparationResult>();
   const auto write = [folder = folder_, name = "version-" + std::to_string(version),
-                      text = policy::write_text(*document),
-                      error] { *error = write_file(folder, name, text); };
+                      text = policy::write_document_text(*document),
+                      result] { *result = write_file(folder, name, text); };
   pool_->run(store::Executor::Lane::kWrite, write,
-             [on_done = std::move(on_done), error] { on_done(*error); });
+             [on_done = std::move(on_done), result] { on_done(*result); });
 }
 
 }  // namespace trailcourse::tasks
--- a/src/tasks/policy_documents.h
+++ b/src/tasks/policy_documents.h
@@ -10,6 +10,7 @@
 #include <string>
 
 #include "policy/document.h"
+#include "policy/document_preparation.h"
 #include "store/executor.h"
 #include "transport/mailbox.h"
 #include "transport/scheduler.h"
@@ -26,21 +27,22 @@
   void add(std::uint64_t version, const std::string& text);
 
   // Returns nullptr if the version has no text here that can be used. Valid until the next add().
-  const policy::Document* find(std::uint64_t version) const;
+  const policy::PolicyDocument* find(std::uint64_t version) const;
 
-  // Returns why a router cannot decide under the version, or an empty string if it can. Version 0 stands for
-  // the settings without any document.
-  std::string objection(std::uint64_t version, const policy::Ability& ability) const;
+  // Returns whether a router can decide under the version, or the error. Version 0 stands for the settings
+  // without any document.
+  policy::PreparationResult check(std::uint64_t version,
+                                  const policy::RouterCapabilities& capabilities) const;
 
-  // Writes the document to disk, and then calls `on_done` on the scheduler's thread, with the error or an
-  // empty string. Called at once if there is no folder or no document.
-  void persist(std::uint64_t version, std::function<void(const std::string& error)> on_done);
+  // Writes the document to disk, and then calls `on_done` on the scheduler's thread. Called at once if there
+  // is no folder or no document.
+  void persist(std::uint64_t version, std::function<void(const policy::PreparationResult&)> on_done);
 
  private:
   std::string folder_;
   transport::Mailbox mailbox_;
   std::unique_ptr<store::IoPool> pool_;  // null if nothing is persisted
-  std::map<std::uint64_t, policy::Document> documents_;
+  std::map<std::uint64_t, policy::PolicyDocument> documents_;
   std::map<std::uint64_t, std::string> invalid_;  // why they cannot be used
 };
 
--- a/src/tasks/policy_rollout_task.cpp
+++ b/src/tasks/policy_rollout_task.cpp
@@ -2,6 +2,7 @@
 
 #include <utility>
 
+#include "policy/rollout_transactions.h"
 #include "tasks/clock.h"
 
 namespace trailcourse::tasks {
@@ -12,32 +13,34 @@
                                      std::string prefix, const policy::PolicyOptions& options,
                                      TaskContext context)
     : ReconcileTask(scheduler, store, std::move(prefix), std::move(context)),
-      driver_(policy::driver_rules(options)) {}
+      coordinator_(policy::rollout_timeouts(options)) {}
 
-coordination::Transaction PolicyRolloutTask::snapshot_transaction() const { return policy::look(prefix()); }
+coordination::Transaction PolicyRolloutTask::snapshot_transaction() const {
+  return policy::snapshot_transaction(prefix());
+}
 
 std::vector<Range> PolicyRolloutTask::watched_ranges() const {
-  return {Range{prefix() + policy::kPermits, true}, Range{prefix() + policy::kChangeKey, false}};
+  return {Range{prefix() + policy::kReportPrefix, true}, Range{prefix() + policy::kRolloutKey, false}};
 }
 
 // Without an open rollout, routers write their reports for other reasons.
 bool PolicyRolloutTask::is_relevant(const std::string& key) const {
-  return rollout_open_ || key == policy::kChangeKey;
+  return rollout_open_ || key == policy::kRolloutKey;
 }
 
 ReconcileTask::Decision PolicyRolloutTask::decide(Micros now, const coordination::Outcome& outcome) {
-  const policy::Seen snapshot = policy::read_seen(prefix(), outcome);
-  rollout_open_ = snapshot.change && snapshot.change->open();
-  std::optional<policy::Step> step = driver_.next(now, snapshot);
+  const policy::RolloutSnapshot snapshot = policy::read_snapshot(prefix(), outcome);
+  rollout_open_ = snapshot.rollout && snapshot.rollout->is_open();
+  std::optional<policy::RolloutStep> step = coordinator_.step(now, snapshot);
   Decision decision;
   if (!step) {
-    decision.next_step_at = driver_.due();
+    decision.next_step_at = coordinator_.next_step_at();
     return decision;
   }
-  decision.log_text = "change " + std::to_string(step->change.id) + " to version " +
-                      std::to_string(step->change.version) + ": " + step->audit;
+  decision.log_text = "rollout " + std::to_string(step->rollout.id) + " to version " +
+                      std::to_string(step->rollout.target_version) + ": " + step->audit;
   step->audit = std::to_string(unix_now_ms()) + " " + step->audit;
-  decision.write = policy::carry_out(prefix(), snapshot, *step);
+  decision.write = policy::execute_transaction(prefix(), snapshot, *step);
   return decision;
 }
 
--- a/src/tasks/policy_rollout_task.h
+++ b/src/tasks/policy_rollout_task.h
@@ -1,4 +1,5 @@
-// Owned work of kind `policy`: carries rollouts of policy versions to their end, by policy::Driver.
+// Owned work of kind `policy`: carries rollouts of policy versions to their end, by
+// policy::RolloutCoordinator.
 //
 // Package `tasks`, over `policy`. One thread.
 #pragma once
@@ -6,8 +7,8 @@
 #include <string>
 #include <vector>
 
-#include "policy/change.h"
 #include "policy/options.h"
+#include "policy/rollout_coordinator.h"
 #include "tasks/reconcile_task.h"
 
 namespace trailcourse::tasks {
@@ -27,7 +28,7 @@
   Decision decide(Micros now, const coordination::Outcome& outcome) override;
 
  private:
-  policy::Driver driver_;
+  policy::RolloutCoordinator coordinator_;
   bool rollout_open_ = true;  // by the last snapshot; also before the first one
 };
 
--- a/src/tasks/request_policy.cpp
+++ b/src/tasks/request_policy.cpp
@@ -5,7 +5,7 @@
 
 namespace trailcourse::tasks {
 
-using policy::Ruling;
+using policy::EffectivePolicy;
 using std::chrono::milliseconds;
 
 namespace {
@@ -20,7 +20,7 @@
   policy::ClassPolicy out;
   out.objective_ms = std::max<std::int64_t>(1, to_ms(settings.objective));
   out.give_up_ms = std::max(out.objective_ms, to_ms(settings.give_up));
-  out.worth = settings.worth;
+  out.priority_weight = settings.worth;
   out.fresh_ms = to_ms(settings.lifetime);
   out.grace_ms = to_ms(settings.grace);
   return out;
@@ -29,19 +29,19 @@
 void apply_policy(const policy::ClassPolicy& policy, ClassSettings& settings) {
   settings.objective = milliseconds(policy.objective_ms);
   settings.give_up = milliseconds(policy.give_up_ms);
-  settings.worth = policy.worth;
+  settings.worth = policy.priority_weight;
   settings.lifetime = milliseconds(policy.fresh_ms);
   settings.grace = milliseconds(policy.grace_ms);
 }
 
 // Returns the version, "A+B" for what both allow, "-" for none.
-std::string describe(const Ruling& effective) {
+std::string describe(const EffectivePolicy& effective) {
   switch (effective.kind) {
-    case Ruling::Kind::kVersion:
+    case EffectivePolicy::Kind::kSingle:
       return std::to_string(effective.version);
-    case Ruling::Kind::kBoth:
-      return std::to_string(effective.version) + "+" + std::to_string(effective.other);
-    case Ruling::Kind::kRefuse:
+    case EffectivePolicy::Kind::kIntersection:
+      return std::to_string(effective.version) + "+" + std::to_string(effective.other_version);
+    case EffectivePolicy::Kind::kReject:
       break;
   }
   return "-";
@@ -62,12 +62,12 @@
   class_sets_[Key{0, 0}] = ClassSet{0, content_of(0)};
 }
 
-policy::Content RequestPolicy::content_of(std::uint64_t version) const {
-  policy::Content content;
+policy::PolicyContent RequestPolicy::content_of(std::uint64_t version) const {
+  policy::PolicyContent content;
   for (std::size_t i = 0; i < class_names_.size(); ++i) {
     content.classes[class_names_[i]] = policy_of(profile_.settings.classes[i]);
   }
-  const policy::Document* document = documents_.find(version);
+  const policy::PolicyDocument* document = documents_.find(version);
   if (document == nullptr) {
     return content;
   }
@@ -78,8 +78,8 @@
   return content;
 }
 
-const RequestPolicy::ClassSet& RequestPolicy::class_set(const Ruling& effective) {
-  const Key key{effective.version, effective.other};
+const RequestPolicy::ClassSet& RequestPolicy::class_set(const EffectivePolicy& effective) {
+  const Key key{effective.version, effective.other_version};
   const auto found = class_sets_.find(key);
   if (found != class_sets_.end()) {
     return found->second;
@@ -89,8 +89,8 @@
   std::erase_if(class_sets_, [&](const auto& entry) { return entry.second.first_class == first_class; });
   ClassSet& set = class_sets_[key];
   set.first_class = first_class;
-  set.content = effective.kind == Ruling::Kind::kBoth
-                    ? policy::both(content_of(effective.version), content_of(effective.other))
+  set.content = effective.kind == EffectivePolicy::Kind::kIntersection
+                    ? policy::intersection(content_of(effective.version), content_of(effective.other_version))
                     : content_of(effective.version);
   add_classes(set);
   return set;
@@ -106,10 +106,10 @@
   router_.set_classes(update);
 }
 
-routing::Rule RequestPolicy::rule(const Ruling& effective, int request_class) {
+routing::Rule RequestPolicy::rule(const EffectivePolicy& effective, int request_class) {
   routing::Rule rule;
   rule.words = describe(effective);
-  if (effective.kind == Ruling::Kind::kRefuse) {
+  if (effective.kind == EffectivePolicy::Kind::kReject) {
     rule.refuse = true;
     return rule;
   }
@@ -117,7 +117,7 @@
   const auto index = static_cast<std::size_t>(request_class);
   rule.refuse = !set.content.classes.at(class_names_[index]).serve;
   rule.request_class = static_cast<int>(set.first_class + index);
-  const bool settings_alone = effective.kind == Ruling::Kind::kVersion && effective.version == 0;
+  const bool settings_alone = effective.kind == EffectivePolicy::Kind::kSingle && effective.version == 0;
   if (!settings_alone) {
     rule.open_requests = static_cast<std::size_t>(set.content.limits.open_requests);
     rule.retry_after_most = milliseconds(set.content.limits.retry_after_ms);
--- a/src/tasks/request_policy.h
+++ b/src/tasks/request_policy.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "policy/holder.h"
+#include "policy/participant.h"
 #include "protocol/settings.h"
 #include "routing/router.h"
 #include "tasks/policy_documents.h"
@@ -24,10 +24,10 @@
 
   // Returns the rule for a request of one of the settings' classes. The first call for a policy adds its
   // classes to the decision module.
-  routing::Rule rule(const policy::Ruling& effective, int request_class);
+  routing::Rule rule(const policy::EffectivePolicy& effective, int request_class);
 
   // Returns what a version says: the settings, and its document above them.
-  policy::Content content_of(std::uint64_t version) const;
+  policy::PolicyContent content_of(std::uint64_t version) const;
 
   // Returns the names of the settings' classes, by index.
   const std::vector<std::string>& class_names() const { return class_names_; }
@@ -43,10 +43,10 @@
   // The classes of one policy at the decision module.
   struct ClassSet {
     std::size_t first_class = 0;  // index at the decision module
-    policy::Content content;
+    policy::PolicyContent content;
   };
 
-  const ClassSet& class_set(const policy::Ruling& effective);
+  const ClassSet& class_set(const policy::EffectivePolicy& effective);
   void add_classes(const ClassSet& set);
 
   const protocol::Profile& profile_;
