--- a/src/program/fleet_work.cpp
+++ b/src/program/fleet_work.cpp
@@ -150,7 +150,7 @@
                       status == Status::kTimeout || status == Status::kError;
   if (status == Status::kOk) {
     outliers_.on_attempt_result(cache, true);
-  } else if (failed && !tells_of_source(note)) {
+  } else if (failed && !implicates_source(note)) {
     outliers_.on_attempt_result(cache, false);
   } else {
     return;
@@ -178,12 +178,12 @@
   }
   const std::optional<tasks::Verdict> verdict = tasks::read_verdict(cache, value);
   const Micros now = std::chrono::duration_cast<Micros>(Clock::now().time_since_epoch());
-  const std::optional<Observed> seen = verdict ? verdicts_.on_verdict(now, *verdict) : std::nullopt;
+  const std::optional<HealthCheckResult> seen = verdict ? verdicts_.on_verdict(now, *verdict) : std::nullopt;
   if (!seen) {
     return;
   }
   router_.observed(*seen);
-  if (seen->sound) {
+  if (seen->healthy) {
     outliers_.on_healthy_verdict(cache);
     tell_suspects();
   }
--- a/src/tasks/prefetch_task.cpp
+++ b/src/tasks/prefetch_task.cpp
@@ -37,7 +37,7 @@
   Answer(PrefetchTask& task, std::size_t index) : task_(task), index_(index), alive_(task.alive_) {}
 
   void served(std::string, bool, const routing::ServedBy& by) override {
-    report(shows_hit(by.note) ? PrefetchResult::kAlreadyCached : PrefetchResult::kFilled, Micros(0));
+    report(indicates_hit(by.note) ? PrefetchResult::kAlreadyCached : PrefetchResult::kFilled, Micros(0));
   }
   void refused(Micros retry_after) override { report(PrefetchResult::kRejected, retry_after); }
   void failed() override { report(PrefetchResult::kFailed, Micros(0)); }
@@ -111,7 +111,7 @@
     throw InvalidPrefetchOrder("class", "'" + name + "' is not served here");
   }
   const ClassSettings& settings = profile_.settings.classes[static_cast<std::size_t>(found->second)];
-  if (settings.effect != Effect::kSafe || settings.uncached) {
+  if (settings.idempotency != Idempotency::kSafe || settings.uncached) {
     throw InvalidPrefetchOrder("class", "'" + name + "' is not one that caches keep");
   }
   request_class_ = found->second;
--- a/src/tasks/request_policy.cpp
+++ b/src/tasks/request_policy.cpp
@@ -18,18 +18,18 @@
 
 policy::ClassPolicy policy_of(const ClassSettings& settings) {
   policy::ClassPolicy out;
-  out.objective_ms = std::max<std::int64_t>(1, to_ms(settings.objective));
-  out.give_up_ms = std::max(out.objective_ms, to_ms(settings.give_up));
-  out.priority_weight = settings.worth;
+  out.objective_ms = std::max<std::int64_t>(1, to_ms(settings.latency_objective));
+  out.give_up_ms = std::max(out.objective_ms, to_ms(settings.give_up_after));
+  out.priority_weight = settings.priority_weight;
   out.fresh_ms = to_ms(settings.lifetime);
   out.grace_ms = to_ms(settings.grace);
   return out;
 }
 
 void apply_policy(const policy::ClassPolicy& policy, ClassSettings& settings) {
-  settings.objective = milliseconds(policy.objective_ms);
-  settings.give_up = milliseconds(policy.give_up_ms);
-  settings.worth = policy.priority_weight;
+  settings.latency_objective = milliseconds(policy.objective_ms);
+  settings.give_up_after = milliseconds(policy.give_up_ms);
+  settings.priority_weight = policy.priority_weight;
   settings.lifetime = milliseconds(policy.fresh_ms);
   settings.grace = milliseconds(policy.grace_ms);
 }
@@ -97,7 +97,7 @@
 }
 
 void RequestPolicy::add_classes(const ClassSet& set) {
-  ClassesSet update;
+  ClassesUpdated update;
   update.first = set.first_class;
   update.classes = profile_.settings.classes;
   for (std::size_t i = 0; i < class_names_.size(); ++i) {
--- a/src/tasks/verdict_tracker.cpp
+++ b/src/tasks/verdict_tracker.cpp
@@ -4,13 +4,13 @@
 
 namespace trailcourse::tasks {
 
-std::optional<Observed> VerdictTracker::on_verdict(Micros now, const Verdict& verdict) {
+std::optional<HealthCheckResult> VerdictTracker::on_verdict(Micros now, const Verdict& verdict) {
   Accepted& last = last_accepted_[verdict.cache];
   if (std::tie(verdict.term, verdict.sequence) <= std::tie(last.term, last.sequence)) {
     return std::nullopt;
   }
   last = Accepted{verdict.term, verdict.sequence, verdict.healthy, now};
-  return Observed{verdict.cache, verdict.healthy, validity_};
+  return HealthCheckResult{verdict.cache, verdict.healthy, validity_};
 }
 
 void VerdictTracker::on_withdrawn(const std::string& cache) {
--- a/src/tasks/verdict_tracker.h
+++ b/src/tasks/verdict_tracker.h
@@ -23,7 +23,7 @@
 
   // Takes in a verdict. Returns the result for the decision module, or nothing if the verdict is a duplicate
   // or out of date.
-  std::optional<Observed> on_verdict(Micros now, const Verdict& verdict);
+  std::optional<HealthCheckResult> on_verdict(Micros now, const Verdict& verdict);
 
   // Invalidates the last verdict on the cache. Its term and sequence are still compared with later ones, so
   // that a late verdict of an earlier owner is rejected.
