--- a/src/program/fleet_work.cpp
+++ b/src/program/fleet_work.cpp
@@ -6,10 +6,10 @@
 #include "coordination/embedded_store.h"
 #include "coordination/etcd_store.h"
 #include "tasks/acknowledgement_task.h"
-#include "tasks/filler.h"
-#include "tasks/policy_change_task.h"
-#include "tasks/prober.h"
-#include "tasks/reporter.h"
+#include "tasks/fleet_report_task.h"
+#include "tasks/health_check_task.h"
+#include "tasks/policy_rollout_task.h"
+#include "tasks/prefetch_task.h"
 #include "transport/log.h"
 
 namespace trailcourse::program {
@@ -49,7 +49,7 @@
       router_(router),
       directory_(directory),
       store_(open_store(scheduler, configuration.start.coordination, configuration.seed)),
-      suspects_(static_cast<int>(configuration.start.ownership.suspect_after)),
+      outliers_(static_cast<int>(configuration.start.ownership.suspect_after)),
       verdicts_(milliseconds(configuration.start.ownership.verdict_ms)) {
   if (store_) {
     take_on_work();
@@ -70,28 +70,28 @@
   const std::string& prefix = configuration_.start.coordination.prefix;
   task_runner_.emplace(
       scheduler_, *store_, options, prefix,
-      tasks::TaskRunner::Self{configuration_.name, incarnation_of(configuration_.seed),
-                              configuration_.profile.settings.zone, to_string(configuration_.listen), ""});
-  task_runner_->add("probe", [this, prefix, options](tasks::TaskContext context) {
-    return std::make_unique<tasks::Prober>(scheduler_, *store_, prefix, directory_, options,
-                                           std::move(context));
+      tasks::MemberIdentity{configuration_.name, incarnation_of(configuration_.seed),
+                            configuration_.profile.settings.zone, to_string(configuration_.listen), ""});
+  task_runner_->register_kind("probe", [this, prefix, options](tasks::TaskContext context) {
+    return std::make_unique<tasks::HealthCheckTask>(scheduler_, *store_, prefix, directory_, options,
+                                                    std::move(context));
   });
-  task_runner_->add("fill", [this, options](tasks::TaskContext context) {
-    return std::make_unique<tasks::Filler>(scheduler_, router_, configuration_.profile, options,
-                                           configuration_.seed ^ kFillSeed, std::move(context));
+  task_runner_->register_kind("fill", [this, options](tasks::TaskContext context) {
+    return std::make_unique<tasks::PrefetchTask>(scheduler_, router_, configuration_.profile, options,
+                                                 configuration_.seed ^ kFillSeed, std::move(context));
   });
-  task_runner_->add("report", [this, prefix, options](tasks::TaskContext context) {
-    return std::make_unique<tasks::Reporter>(scheduler_, *store_, prefix, options, std::move(context));
+  task_runner_->register_kind("report", [this, prefix, options](tasks::TaskContext context) {
+    return std::make_unique<tasks::FleetReportTask>(scheduler_, *store_, prefix, options, std::move(context));
   });
-  task_runner_->add(tasks::kPolicyWork, [this, prefix](tasks::TaskContext context) {
-    return std::make_unique<tasks::PolicyChangeTask>(scheduler_, *store_, prefix, configuration_.start.policy,
-                                                     std::move(context));
+  task_runner_->register_kind(tasks::kPolicyWork, [this, prefix](tasks::TaskContext context) {
+    return std::make_unique<tasks::PolicyRolloutTask>(scheduler_, *store_, prefix,
+                                                      configuration_.start.policy, std::move(context));
   });
-  task_runner_->add(tasks::kAcknowledgeWork, [this, prefix, options](tasks::TaskContext context) {
+  task_runner_->register_kind(tasks::kAcknowledgeWork, [this, prefix, options](tasks::TaskContext context) {
     return std::make_unique<tasks::AcknowledgementTask>(
         scheduler_, *store_, prefix, board_, milliseconds(options.acknowledge_ms), std::move(context));
   });
-  task_runner_->tell_keys(tasks::kVerdicts, [this](const std::string& key, const std::string& value) {
+  task_runner_->observe_keys(tasks::kVerdictPrefix, [this](const std::string& key, const std::string& value) {
     hear_verdict(key, value);
   });
   router_.watch_attempts(
@@ -99,13 +99,14 @@
 }
 
 void FleetWork::follow_policy() {
-  const tasks::PolicyFollower::Self self{configuration_.name, incarnation_of(configuration_.seed),
-                                         configuration_.profile.settings.zone,
-                                         static_cast<std::int64_t>(configuration_.most_open_requests())};
+  const tasks::PolicyClient::Identity identity{
+      configuration_.name, incarnation_of(configuration_.seed), configuration_.profile.settings.zone,
+      static_cast<std::int64_t>(configuration_.most_open_requests())};
   policy_.emplace(scheduler_, policy_store_ ? *policy_store_ : *store_, configuration_.start.policy,
-                  configuration_.start.coordination.prefix, self, configuration_.profile, router_,
+                  configuration_.start.coordination.prefix, identity, configuration_.profile, router_,
                   [this](std::optional<std::set<std::string>> kinds) { allow(std::move(kinds)); });
-  board_.listen([this](const policy::DiscoveryPosition& position) { policy_->took_in(position); });
+  board_.subscribe(
+      [this](const policy::DiscoveryPosition& position) { policy_->on_discovery_position(position); });
 }
 
 // What work the policy in force lets this router own.
@@ -116,7 +117,7 @@
   if (kinds) {
     kinds->insert(tasks::kPolicyWork);  // else no policy could ever be changed
   }
-  task_runner_->allow(std::move(kinds));
+  task_runner_->set_allowed_kinds(std::move(kinds));
 }
 
 FleetWork::~FleetWork() { *alive_ = false; }
@@ -148,9 +149,9 @@
   const bool failed = status == Status::kConnectFailed || status == Status::kReset ||
                       status == Status::kTimeout || status == Status::kError;
   if (status == Status::kOk) {
-    suspects_.ended(cache, true);
+    outliers_.on_attempt_result(cache, true);
   } else if (failed && !implicates_source(note)) {
-    suspects_.ended(cache, false);
+    outliers_.on_attempt_result(cache, false);
   } else {
     return;
   }
@@ -159,30 +160,31 @@
 
 void FleetWork::tell_suspects() {
   const std::string& zone = configuration_.profile.settings.zone;
-  for (const auto& [cache, suspect] : suspects_.changes()) {
-    task_runner_->keep(tasks::suspect_key(zone, cache, configuration_.name), suspect ? "1" : "");
+  for (const tasks::SuspicionChange& change : outliers_.take_changes()) {
+    const std::string key = tasks::suspect_key(zone, change.cache, configuration_.name);
+    task_runner_->set_session_key(key, change.suspected ? "1" : "");
   }
 }
 
 void FleetWork::hear_verdict(const std::string& key, const std::string& value) {
-  const std::string stem = tasks::kVerdicts + configuration_.profile.settings.zone + "/";
+  const std::string stem = tasks::kVerdictPrefix + configuration_.profile.settings.zone + "/";
   if (!key.starts_with(stem)) {
     return;  // another zone's
   }
   const std::string cache = key.substr(stem.size());
   if (value.empty()) {
-    verdicts_.withdrawn(cache);
+    verdicts_.on_withdrawn(cache);
     return;
   }
   const std::optional<tasks::Verdict> verdict = tasks::read_verdict(cache, value);
   const Micros now = std::chrono::duration_cast<Micros>(Clock::now().time_since_epoch());
-  const std::optional<HealthCheckResult> seen = verdict ? verdicts_.heard(now, *verdict) : std::nullopt;
+  const std::optional<HealthCheckResult> seen = verdict ? verdicts_.on_verdict(now, *verdict) : std::nullopt;
   if (!seen) {
     return;
   }
   router_.observed(*seen);
   if (seen->healthy) {
-    suspects_.cleared(cache);
+    outliers_.on_healthy_verdict(cache);
     tell_suspects();
   }
 }
@@ -199,7 +201,7 @@
     }
     const routing::RouterCounts& counts = router_.counts();
     tasks::Counters counters;
-    counters.incarnation = task_runner_->self().incarnation;
+    counters.incarnation = task_runner_->identity().incarnation;
     counters.values = {{"requests", counts.requests},
                        {"served", counts.served},
                        {"refused", counts.refused},
@@ -207,7 +209,8 @@
                        {"left", counts.left},
                        {"attempts", counts.attempts},
                        {"attempts_failed", counts.attempts_failed}};
-    task_runner_->keep(tasks::kCounters + configuration_.name, tasks::write_counters(counters));
+    task_runner_->set_session_key(tasks::kCounterPrefix + configuration_.name,
+                                  tasks::write_counters(counters));
   }
 }
 
--- a/src/program/fleet_work.h
+++ b/src/program/fleet_work.h
@@ -12,10 +12,11 @@
 #include "program/configuration.h"
 #include "routing/directory.h"
 #include "routing/router.h"
-#include "tasks/board_follower.h"
-#include "tasks/policy_follower.h"
-#include "tasks/suspects.h"
+#include "tasks/discovery_progress.h"
+#include "tasks/outlier_tracker.h"
+#include "tasks/policy_client.h"
 #include "tasks/task_runner.h"
+#include "tasks/verdict_tracker.h"
 
 namespace trailcourse::program {
 
@@ -40,7 +41,7 @@
   // Whether requests may be taken, as far as the fleet's policy goes.
   bool ready() const { return !policy_ || policy_->ready(); }
   // This router has taken in the notice board up to here.
-  void took_in(const policy::DiscoveryPosition& position) { board_.took_in(position); }
+  void took_in(const policy::DiscoveryPosition& position) { board_.set_position(position); }
   // Gives the permission of the policy back: nothing arrives any more.
   void leave();
   bool left() const { return !policy_ || policy_->stopped(); }
@@ -61,13 +62,13 @@
   const Configuration& configuration_;
   routing::Router& router_;
   const routing::Directory& directory_;
-  tasks::BoardFollower board_;
+  tasks::DiscoveryProgress board_;
   std::unique_ptr<coordination::CoordinationStore> store_;         // null for none
   std::unique_ptr<coordination::CoordinationStore> policy_store_;  // through aggregators; null for none
   std::optional<tasks::TaskRunner> task_runner_;
-  std::optional<tasks::PolicyFollower> policy_;
-  tasks::SuspectBook suspects_;
-  tasks::VerdictBook verdicts_;
+  std::optional<tasks::PolicyClient> policy_;
+  tasks::OutlierTracker outliers_;
+  tasks::VerdictTracker verdicts_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/program/policy_command.cpp
+++ b/src/program/policy_command.cpp
@@ -16,7 +16,7 @@
 #include "policy/rollout_transactions.h"
 #include "program/store_client.h"
 #include "protocol/numbers.h"
-#include "tasks/policy_change_task.h"
+#include "tasks/policy_rollout_task.h"
 
 namespace trailcourse::program {
 
--- a/src/tasks/acknowledgement_task.cpp
+++ b/src/tasks/acknowledgement_task.cpp
@@ -6,46 +6,46 @@
 
 using coordination::Range;
 
-AcknowledgementTask::AcknowledgementTask(transport::Scheduler& scheduler,
-                                         coordination::CoordinationStore& store, std::string prefix,
-                                         BoardFollower& board, Micros least_round, TaskContext context)
-    : StoreDriverTask(scheduler, store, std::move(prefix), std::move(context)),
-      board_(board),
-      listener_(board.listen([this](const policy::DiscoveryPosition& position) { took_in(position); })),
-      coordinator_(least_round) {}
-
-AcknowledgementTask::~AcknowledgementTask() { board_.leave(listener_); }
-
-// While a round is open, its end is a reason to look anyhow.
-void AcknowledgementTask::took_in(const policy::DiscoveryPosition& position) {
-  if (!round_open_ || position.source != asked_.source) {
-    look_soon();
+AcknowledgementTask::AcknowledgementTask(transport::Scheduler& scheduler, coordination::CoordinationStore& store,
+                                         std::string prefix, DiscoveryProgress& progress,
+                                         Micros min_round_interval, TaskContext context)
+    : ReconcileTask(scheduler, store, std::move(prefix), std::move(context)),
+      progress_(progress),
+      subscription_(
+          progress.subscribe([this](const policy::DiscoveryPosition& position) { on_progress(position); })),
+      coordinator_(min_round_interval) {}
+
+AcknowledgementTask::~AcknowledgementTask() { progress_.unsubscribe(subscription_); }
+
+// The end of an open round is a reason to reconcile anyway.
+void AcknowledgementTask::on_progress(const policy::DiscoveryPosition& position) {
+  if (!round_open_ || position.source != requested_.source) {
+    schedule_reconcile();
   }
 }
 
-coordination::Transaction AcknowledgementTask::looks_at() const {
+coordination::Transaction AcknowledgementTask::snapshot_transaction() const {
   return policy::acknowledgement_snapshot_transaction(prefix());
 }
 
-std::vector<Range> AcknowledgementTask::follows() const {
+std::vector<Range> AcknowledgementTask::watched_ranges() const {
   return {Range{prefix() + policy::kReportPrefix, true}, Range{prefix() + policy::kAcknowledgedKey, false}};
 }
 
-bool AcknowledgementTask::concerns(const std::string& key) const {
+bool AcknowledgementTask::is_relevant(const std::string& key) const {
   return round_open_ || key == policy::kAcknowledgedKey;
 }
 
-StoreDriverTask::Decision AcknowledgementTask::decide(Micros now,
-                                                      const coordination::TransactionResult& outcome) {
-  const policy::AcknowledgementSnapshot seen = policy::read_acknowledgement_snapshot(prefix(), outcome);
-  round_open_ = seen.record.round > 0 && seen.record.completed != seen.record.requested;
-  asked_ = seen.record.requested;
-  Decision out;
-  if (const auto next = coordinator_.step(now, seen, board_.position())) {
-    out.write = policy::write_acknowledgement_transaction(prefix(), seen, *next);
+ReconcileTask::Decision AcknowledgementTask::decide(Micros now, const coordination::TransactionResult& outcome) {
+  const policy::AcknowledgementSnapshot snapshot = policy::read_acknowledgement_snapshot(prefix(), outcome);
+  round_open_ = snapshot.record.round > 0 && snapshot.record.completed != snapshot.record.requested;
+  requested_ = snapshot.record.requested;
+  Decision decision;
+  if (const auto next = coordinator_.step(now, snapshot, progress_.position())) {
+    decision.write = policy::write_acknowledgement_transaction(prefix(), snapshot, *next);
   }
-  out.look_at = coordinator_.next_step_at();
-  return out;
+  decision.next_step_at = coordinator_.next_step_at();
+  return decision;
 }
 
 }  // namespace trailcourse::tasks
--- a/src/tasks/acknowledgement_task.h
+++ b/src/tasks/acknowledgement_task.h
@@ -1,5 +1,5 @@
-// The task of finding out which events of the notice board every router has taken in, by
-// policy::AcknowledgementCoordinator. It asks for what its own process has taken in.
+// Owned work of kind `acknowledge`: finds out which events of the discovery service every router has applied,
+// by policy::AcknowledgementCoordinator. Each round asks for the events that this process has applied itself.
 //
 // Package `tasks`, over `policy`. One thread.
 #pragma once
@@ -8,34 +8,36 @@
 #include <vector>
 
 #include "policy/acknowledgement_coordinator.h"
-#include "tasks/board_follower.h"
-#include "tasks/store_driver_task.h"
+#include "tasks/discovery_progress.h"
+#include "tasks/reconcile_task.h"
 
 namespace trailcourse::tasks {
 
 constexpr const char* kAcknowledgeWork = "acknowledge";  // kind of the work
 
-class AcknowledgementTask : public StoreDriverTask {
+// Scheduler, store and progress outlive it.
+class AcknowledgementTask : public ReconcileTask {
  public:
-  // `board` outlives it. `least_round`: between the beginnings of two rounds.
-  AcknowledgementTask(transport::Scheduler& scheduler, coordination::CoordinationStore& store,
-                      std::string prefix, BoardFollower& board, Micros least_round, TaskContext context);
+  // `min_round_interval` lies between the starts of two rounds.
+  AcknowledgementTask(transport::Scheduler& scheduler, coordination::CoordinationStore& store, std::string prefix,
+                      DiscoveryProgress& progress, Micros min_round_interval, TaskContext context);
   ~AcknowledgementTask() override;
 
  protected:
-  coordination::Transaction looks_at() const override;
-  std::vector<coordination::Range> follows() const override;
-  Decision decide(Micros now, const coordination::TransactionResult& seen) override;
-  bool concerns(const std::string& key) const override;
+  coordination::Transaction snapshot_transaction() const override;
+  std::vector<coordination::Range> watched_ranges() const override;
+  bool is_relevant(const std::string& key) const override;
+  Decision decide(Micros now, const coordination::TransactionResult& outcome) override;
 
  private:
-  void took_in(const policy::DiscoveryPosition& position);
+  void on_progress(const policy::DiscoveryPosition& position);
 
-  BoardFollower& board_;
-  BoardFollower::ListenerId listener_;
+  DiscoveryProgress& progress_;
+  DiscoveryProgress::SubscriptionId subscription_;
   policy::AcknowledgementCoordinator coordinator_;
-  bool round_open_ = true;           // as it was seen last; true before
-  policy::DiscoveryPosition asked_;  // the same
+  // Of the last snapshot.
+  bool round_open_ = true;  // also before the first one
+  policy::DiscoveryPosition requested_;
 };
 
 }  // namespace trailcourse::tasks
--- /dev/null
+++ b/src/tasks/discovery_progress.h
@@ -0,0 +1,48 @@
+// How far this process has applied the events of the discovery service.
+//
+// Package `tasks`. One thread.
+#pragma once
+
+#include <cstdint>
+#include <functional>
+#include <map>
+#include <utility>
+
+#include "policy/acknowledgement.h"
+
+namespace trailcourse::tasks {
+
+// Holds the position up to which all events are applied, and notifies subscribers when it changes.
+class DiscoveryProgress {
+ public:
+  using Subscriber = std::function<void(const policy::DiscoveryPosition&)>;
+  using SubscriptionId = std::uint64_t;
+
+  // Sets the position, and calls the subscribers if it is another one.
+  void set_position(const policy::DiscoveryPosition& position) {
+    if (position == position_) {
+      return;
+    }
+    position_ = position;
+    const auto subscribers = subscribers_;  // a copy: one of them may unsubscribe meanwhile
+    for (const auto& [id, subscriber] : subscribers) {
+      subscriber(position_);
+    }
+  }
+
+  const policy::DiscoveryPosition& position() const { return position_; }
+
+  // The subscriber is called until unsubscribe(); what it refers to must live as long.
+  SubscriptionId subscribe(Subscriber subscriber) {
+    subscribers_[++last_id_] = std::move(subscriber);
+    return last_id_;
+  }
+  void unsubscribe(SubscriptionId id) { subscribers_.erase(id); }
+
+ private:
+  policy::DiscoveryPosition position_;
+  std::map<SubscriptionId, Subscriber> subscribers_;
+  SubscriptionId last_id_ = 0;
+};
+
+}  // namespace trailcourse::tasks
--- /dev/null
+++ b/src/tasks/health_check_plan.h
@@ -0,0 +1,83 @@
+// Plans the health checks of the caches that routers of a zone suspect, and derives the verdicts to publish.
+//
+// Package `tasks`: no I/O, no clock; time is Micros of the caller's steady clock. Not thread-safe.
+#pragma once
+
+#include <trailcourse/decider.h>
+
+#include <cstdint>
+#include <map>
+#include <optional>
+#include <set>
+#include <string>
+#include <vector>
+
+#include "ownership/lease.h"
+#include "tasks/verdict.h"
+
+namespace trailcourse::tasks {
+
+struct HealthCheckOptions {
+  Micros interval{1'000'000};            // between two checks of one cache
+  Micros republish_interval{2'500'000};  // of a verdict that stands
+  std::uint64_t confirmations = 2;       // consecutive equal results that a verdict takes
+  std::size_t max_in_flight = 16;        // checks at once
+};
+
+// A verdict that is to be written to the store, or to be deleted there.
+struct VerdictUpdate {
+  enum class Kind { kPublish, kWithdraw };
+
+  Kind kind = Kind::kPublish;
+  Verdict verdict;  // with the cache and the term alone if it is withdrawn
+};
+
+// Checks each suspect in turn, however many routers suspect it, until no router does and the checks find it
+// healthy.
+class HealthCheckPlan {
+ public:
+  // `term` is the one under which this router owns the work; verdicts carry it.
+  HealthCheckPlan(const HealthCheckOptions& options, ownership::Term term) : options_(options), term_(term) {}
+
+  // A router reports that it suspects the cache.
+  void on_suspected(Micros now, const std::string& cache, const std::string& router);
+
+  // The router does not suspect the cache any more.
+  void on_suspicion_ended(const std::string& cache, const std::string& router);
+
+  // Returns the caches to check now. Each counts as in flight until on_check_result().
+  std::vector<std::string> start_checks(Micros now);
+
+  void on_check_result(Micros now, const std::string& cache, bool healthy);
+
+  // Returns the verdicts to publish or to withdraw now.
+  std::vector<VerdictUpdate> take_verdict_updates(Micros now);
+
+  // Returns when start_checks() may return something by time alone, or nothing.
+  std::optional<Micros> next_step_at(Micros now) const;
+
+  std::size_t suspect_count() const { return suspects_.size(); }
+  std::uint64_t checks_started() const { return checks_started_; }
+
+ private:
+  struct Suspect {
+    std::set<std::string> reporters;  // routers
+    bool check_in_flight = false;
+    bool cleared = false;  // no suspect any more; its verdict is to be withdrawn
+    Micros next_check_at{0};
+    std::optional<bool> last_result;
+    std::uint64_t consecutive_results = 0;  // equal to the last one
+    std::optional<bool> published;
+    Micros published_at{0};
+  };
+
+  bool is_verdict_due(Micros now, const Suspect& suspect) const;
+
+  HealthCheckOptions options_;
+  ownership::Term term_;
+  std::map<std::string, Suspect> suspects_;  // by cache
+  std::uint64_t last_sequence_ = 0;
+  std::uint64_t checks_started_ = 0;
+};
+
+}  // namespace trailcourse::tasks
--- /dev/null
+++ b/src/tasks/health_check_task.h
@@ -0,0 +1,67 @@
+// Owned work of kind `probe`: checks the health of the caches that routers of a zone suspect, one router for
+// all, and publishes the verdicts in the store.
+//
+// A check changes nothing at the cache and is harmless if two routers make it, so the cache need not check
+// the term. Verdicts carry it, and a router rejects one of an earlier term (verdict_tracker.h).
+//
+// Package `tasks`, over `routing` and `transport`. One thread.
+#pragma once
+
+#include <map>
+#include <memory>
+#include <set>
+#include <string>
+#include <vector>
+
+#include "coordination/coordination_store.h"
+#include "routing/directory.h"
+#include "tasks/health_check_plan.h"
+#include "tasks/options.h"
+#include "tasks/owned_task.h"
+#include "transport/alarm.h"
+#include "transport/connection.h"
+
+namespace trailcourse::tasks {
+
+// Scheduler, store and directory outlive it.
+class HealthCheckTask : public OwnedTask, public coordination::WatchObserver {
+ public:
+  HealthCheckTask(transport::Scheduler& scheduler, coordination::CoordinationStore& store, std::string prefix,
+                  const routing::Directory& directory, const OwnershipOptions& options, TaskContext context);
+  ~HealthCheckTask() override;
+
+  void start() override;
+  void stop() override;
+
+  // The watch over the suspects that routers of the zone report.
+  void on_snapshot(coordination::Revision revision, const std::vector<coordination::Entry>& entries) override;
+  void on_changes(coordination::Revision revision, const std::vector<coordination::KeyChange>& changes) override;
+  void on_disconnected(const std::string&) override {}
+
+ private:
+  class CheckHandler;
+
+  std::string suspects_prefix() const;
+  void apply_suspect_key(const std::string& key, bool deleted);
+  void run_step();
+  void publish(const VerdictUpdate& update);
+  void start_check(const std::string& cache);
+  void on_check_result(const std::string& cache, bool healthy);
+
+  transport::Scheduler& scheduler_;
+  coordination::CoordinationStore& store_;
+  std::string prefix_;
+  const routing::Directory& directory_;
+  OwnershipOptions options_;
+  TaskContext context_;
+  HealthCheckPlan plan_;
+  transport::Alarm timer_;
+  coordination::CoordinationStore::WatchId watch_ = 0;
+  std::set<std::string> suspect_keys_;  // as the watch last showed them
+  std::map<std::string, std::shared_ptr<transport::Connection>>
+      connections_;  // of checks in flight, by cache
+  bool start_recorded_ = false;
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+};
+
+}  // namespace trailcourse::tasks
--- /dev/null
+++ b/src/tasks/policy_client.h
@@ -0,0 +1,98 @@
+// A router's side of the fleet's policy: gives its participant (policy/participant.h) what the store shows,
+// executes the participant's actions, and rules on the requests that arrive.
+//
+// Package `tasks`, over `coordination`, `policy` and `routing`. One thread.
+#pragma once
+
+#include <cstdint>
+#include <functional>
+#include <map>
+#include <optional>
+#include <set>
+#include <string>
+#include <vector>
+
+#include "coordination/coordination_store.h"
+#include "policy/options.h"
+#include "policy/participant.h"
+#include "protocol/settings.h"
+#include "routing/router.h"
+#include "tasks/policy_documents.h"
+#include "tasks/request_policy.h"
+#include "tasks/step_loop.h"
+
+namespace trailcourse::tasks {
+
+// Scheduler, store, profile and router outlive it.
+class PolicyClient : public coordination::WatchObserver {
+ public:
+  struct Identity {
+    std::string name;
+    std::string incarnation;  // of this start: 16 hex digits
+    std::string zone;
+    std::int64_t open_requests = 0;  // that this router's memory and sockets bear
+  };
+  // Is called with the kinds of work that the effective policy allows; nothing: all.
+  using AllowedKindsHandler = std::function<void(std::optional<std::set<std::string>> kinds)>;
+
+  PolicyClient(transport::Scheduler& scheduler, coordination::CoordinationStore& store,
+               const policy::PolicyOptions& options, std::string prefix, Identity identity,
+               const protocol::Profile& profile, routing::Router& router,
+               AllowedKindsHandler on_allowed_kinds);
+  ~PolicyClient() override;
+
+  void start();
+
+  // All events of the discovery service up to the position are applied.
+  void on_discovery_position(const policy::DiscoveryPosition& position);
+
+  // Releases the lease, so that a rollout need not wait for this router, which then decides under no policy.
+  void stop();
+  bool stopped() const { return !stopping_ || participant_.stopped(); }
+
+  // Returns whether requests may be accepted: the router knows the policy in force. This holds while it
+  // drains, too, for the requests that are on their way.
+  bool ready() const;
+
+  // Returns one object of JSON, for the health page.
+  std::string status() const;
+
+  // The watch over the records of the policy.
+  void on_snapshot(coordination::Revision revision, const std::vector<coordination::Entry>& entries) override;
+  void on_changes(coordination::Revision revision, const std::vector<coordination::KeyChange>& changes) override;
+  void on_disconnected(const std::string& why) override;
+  void on_heartbeat() override;
+
+ private:
+  void apply(const std::string& key, const std::string& value, coordination::Revision modified);
+  void update_participant();
+  policy::PreparationResult check_document(std::uint64_t version) const;
+
+  std::optional<Micros> run_step();
+  void execute(const policy::LeaseAction& action);
+  void execute(const policy::ReportAction& action);
+  void execute(const policy::PersistDocumentAction& action);
+  coordination::Transaction join_transaction(const policy::LeaseAction& action) const;
+
+  void log_state(Micros now);
+  void log_effective_version(Micros now);
+
+  coordination::CoordinationStore& store_;
+  policy::PolicyOptions options_;
+  std::string prefix_;
+  Identity identity_;
+  routing::Router& router_;
+  AllowedKindsHandler on_allowed_kinds_;
+  PolicyDocuments documents_;
+  RequestPolicy request_policy_;
+  std::map<std::string, coordination::Entry> records_;  // by key, without the store's prefix
+  policy::Participant participant_;
+  coordination::LeaseId lease_ = 0;
+  coordination::CoordinationStore::WatchId watch_ = 0;
+  std::optional<std::uint64_t> logged_version_;
+  policy::ParticipantState logged_state_ = policy::ParticipantState::kNoLease;
+  bool stopping_ = false;
+  StepLoop loop_;
+};
+
+}  // namespace trailcourse::tasks
--- /dev/null
+++ b/src/tasks/policy_rollout_task.h
@@ -0,0 +1,35 @@
+// Owned work of kind `policy`: carries rollouts of policy versions to their end, by
+// policy::RolloutCoordinator.
+//
+// Package `tasks`, over `policy`. One thread.
+#pragma once
+
+#include <string>
+#include <vector>
+
+#include "policy/options.h"
+#include "policy/rollout_coordinator.h"
+#include "tasks/reconcile_task.h"
+
+namespace trailcourse::tasks {
+
+constexpr const char* kPolicyWork = "policy";  // name and kind of the work
+
+// Scheduler and store outlive it.
+class PolicyRolloutTask : public ReconcileTask {
+ public:
+  PolicyRolloutTask(transport::Scheduler& scheduler, coordination::CoordinationStore& store, std::string prefix,
+                    const policy::PolicyOptions& options, TaskContext context);
+
+ protected:
+  coordination::Transaction snapshot_transaction() const override;
+  std::vector<coordination::Range> watched_ranges() const override;
+  bool is_relevant(const std::string& key) const override;
+  Decision decide(Micros now, const coordination::TransactionResult& outcome) override;
+
+ private:
+  policy::RolloutCoordinator coordinator_;
+  bool rollout_open_ = true;  // by the last snapshot; also before the first one
+};
+
+}  // namespace trailcourse::tasks
--- /dev/null
+++ b/src/tasks/prefetch_task.cpp
@@ -0,0 +1,254 @@
+#include "tasks/prefetch_task.h"
+
+#include <algorithm>
+#include <cstdio>
+#include <utility>
+
+#include "protocol/cache_answer.h"
+#include "protocol/numbers.h"
+#include "tasks/clock.h"
+#include "transport/log.h"
+
+namespace trailcourse::tasks {
+
+using std::chrono::milliseconds;
+using transport::Clock;
+using transport::Level;
+using transport::log_line;
+
+namespace {
+
+constexpr milliseconds kListRetry{1'000};     // until the store answers
+constexpr milliseconds kMaxStartWait{1'000};  // between two looks at the wall clock
+constexpr milliseconds kPermissionRetry{50};  // while the lease is uncertain
+constexpr milliseconds kMinStepInterval{1};
+
+std::string format_request_id(std::uint64_t id) {
+  char text[17];
+  std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(id));
+  return text;
+}
+
+}  // namespace
+
+// Takes the final answer of one request. The body is not needed.
+class PrefetchTask::Answer : public routing::Reply {
+ public:
+  Answer(PrefetchTask& task, std::size_t index) : task_(task), index_(index), alive_(task.alive_) {}
+
+  void served(std::string, bool, const routing::ServedBy& by) override {
+    report(indicates_hit(by.note) ? PrefetchResult::kAlreadyCached : PrefetchResult::kFilled, Micros(0));
+  }
+  void refused(Micros retry_after) override { report(PrefetchResult::kRejected, retry_after); }
+  void failed() override { report(PrefetchResult::kFailed, Micros(0)); }
+  void begin(bool) override {}
+  void piece(std::string_view) override {}
+  void finish(bool whole) override {
+    report(whole ? PrefetchResult::kFilled : PrefetchResult::kFailed, Micros(0));
+  }
+
+ private:
+  // Posts the result, since the router is in the middle of its own step.
+  void report(PrefetchResult result, Micros retry_after) {
+    if (!*alive_) {
+      return;
+    }
+    task_.scheduler_.post([&task = task_, index = index_, alive = alive_, result, retry_after] {
+      if (*alive) {
+        task.on_answer(index, result, retry_after);
+      }
+    });
+  }
+
+  PrefetchTask& task_;
+  std::size_t index_;
+  std::shared_ptr<bool> alive_;
+};
+
+PrefetchTask::PrefetchTask(transport::Scheduler& scheduler, routing::Router& router,
+                           const protocol::Profile& profile, const OwnershipOptions& options,
+                           std::uint64_t seed, TaskContext context)
+    : scheduler_(scheduler),
+      router_(router),
+      profile_(profile),
+      options_(options),
+      context_(std::move(context)),
+      last_request_id_(seed ^ context_.term),
+      timer_(scheduler, [this] { run_step(); }) {}
+
+PrefetchTask::~PrefetchTask() {
+  *alive_ = false;
+  abandon_requests();
+}
+
+void PrefetchTask::abandon_requests() {
+  for (const auto& [index, id] : std::exchange(open_requests_, {})) {
+    router_.leave(id);
+  }
+}
+
+// ---- Start and stop ----
+
+void PrefetchTask::start() {
+  try {
+    read_order();
+  } catch (const InvalidPrefetchOrder& error) {
+    fail(error.what());
+    return;
+  }
+  if (order_->objects.empty()) {
+    load_list();
+  } else {
+    make_plan(context_.id.shard, context_.work.shards);
+  }
+}
+
+void PrefetchTask::read_order() {
+  order_ = read_prefetch_order(context_.work.params);
+  const std::string& name = order_->request_class;
+  const auto found = profile_.class_index.find(name);
+  if (found == profile_.class_index.end()) {
+    throw InvalidPrefetchOrder("class", "'" + name + "' is not served here");
+  }
+  const ClassSettings& settings = profile_.settings.classes[static_cast<std::size_t>(found->second)];
+  if (settings.idempotency != Idempotency::kSafe || settings.uncached) {
+    throw InvalidPrefetchOrder("class", "'" + name + "' is not one that caches keep");
+  }
+  request_class_ = found->second;
+}
+
+// No other router could do the work either, so it is completed as it is.
+void PrefetchTask::fail(const std::string& reason) {
+  log_line(Level::kError) << to_string(context_.id) << " cannot be done: " << reason;
+  context_.save_completion("cannot be done: " + reason);
+  completed_ = true;
+}
+
+void PrefetchTask::load_list() {
+  const auto on_list = [this, alive = alive_](const std::optional<std::string>& text) {
+    if (!*alive || plan_ || completed_ || stopping_) {
+      return;
+    }
+    order_->objects = read_prefetch_list(text.value_or(""));
+    if (order_->objects.empty()) {
+      fail("objects: none are listed for this shard");
+    } else {
+      make_plan(0, 1);  // the list is of this shard alone
+    }
+  };
+  context_.read_key(prefetch_list_key(context_.id.work, context_.id.shard), on_list);
+  wake_up_in(kListRetry);
+}
+
+void PrefetchTask::make_plan(std::uint64_t shard, std::uint64_t shards) {
+  PrefetchOptions options;
+  options.max_in_flight = static_cast<std::size_t>(options_.fill_open);
+  options.max_attempts = static_cast<int>(options_.fill_tries);
+  options.retry_backoff = milliseconds(options_.fill_retry_ms);
+  plan_.emplace(*order_, shard, shards, options, context_.checkpoint);
+  run_step();
+}
+
+void PrefetchTask::stop() {
+  stopping_ = true;
+  abandon_requests();
+  if (plan_ && !completed_) {
+    save_progress();
+  }
+  context_.on_stopped();
+}
+
+void PrefetchTask::save_progress() {
+  if (!plan_->done()) {
+    context_.save_checkpoint(plan_->checkpoint());
+    return;
+  }
+  if (!std::exchange(completed_, true)) {
+    const PrefetchProgress& progress = plan_->progress();
+    log_line(Level::kInfo) << "completes " << to_string(context_.id) << ": filled " << progress.filled << " ("
+                           << progress.already_cached << " already cached), failed " << progress.failed
+                           << " of " << progress.total;
+  }
+  context_.save_completion(plan_->checkpoint());
+}
+
+// ---- Steps ----
+
+void PrefetchTask::wake_up_in(Micros time) { timer_.set(Clock::now() + time); }
+
+void PrefetchTask::run_step() {
+  if (stopping_ || completed_) {
+    return;
+  }
+  if (!plan_) {
+    load_list();
+  } else if (!has_start_time_come()) {
+    return;
+  } else if (plan_->done()) {
+    save_progress();
+  } else if (!context_.may_act()) {
+    wake_up_in(kPermissionRetry);
+  } else {
+    start_requests();
+  }
+}
+
+bool PrefetchTask::has_start_time_come() {
+  const milliseconds wait(order_->at_ms - unix_now_ms());
+  if (wait <= milliseconds(0)) {
+    return true;
+  }
+  if (!std::exchange(waits_for_start_, true)) {
+    context_.save_checkpoint(
+        plan_->checkpoint());  // so that an owner that leaves meanwhile counts as no crash
+  }
+  wake_up_in(std::min(wait, kMaxStartWait));
+  return false;
+}
+
+void PrefetchTask::start_requests() {
+  for (const std::size_t index : plan_->start_requests(steady_now())) {
+    request_object(index);
+  }
+  std::optional<Clock::time_point> wake_up;
+  if (const auto next = plan_->next_step_at(steady_now())) {
+    wake_up = std::max(Clock::now() + kMinStepInterval, steady_time_point(*next));
+  }
+  timer_.set(wake_up);
+}
+
+void PrefetchTask::request_object(std::size_t index) {
+  const std::string& object = plan_->object(index);
+  const std::size_t slash = object.find('/');
+  auto passed = std::make_shared<protocol::Passed>();
+  passed->id = format_request_id(++last_request_id_);
+  passed->request_class = order_->request_class;
+  passed->object = object.substr(0, slash);
+  passed->part = slash == std::string::npos ? "" : object.substr(slash + 1);
+  passed->fence = context_.fencing_token;
+  routing::ClientRequest request;
+  request.told.request_class = request_class_;
+  request.told.object = protocol::read_hex<ObjectId>(passed->object).value_or(0);
+  request.told.part = protocol::read_number<std::uint32_t>(passed->part).value_or(0);
+  request.patience = milliseconds(options_.fill_patience_ms);
+  request.passed = std::move(passed);
+  const RequestId id = router_.arrive(std::move(request), std::make_shared<Answer>(*this, index));
+  if (id != 0) {
+    open_requests_[index] = id;
+  }
+}
+
+void PrefetchTask::on_answer(std::size_t index, PrefetchResult result, Micros retry_after) {
+  open_requests_.erase(index);
+  if (stopping_ || !plan_) {
+    return;
+  }
+  const std::uint64_t finished_before = plan_->progress().finished();
+  plan_->on_result(steady_now(), index, result, retry_after);
+  if (plan_->progress().finished() != finished_before) {
+    save_progress();
+  }
+  run_step();
+}
+
+}  // namespace trailcourse::tasks
--- a/tests/fleet/aggregation_test.cpp
+++ b/tests/fleet/aggregation_test.cpp
@@ -154,7 +154,7 @@
   ASSERT_FALSE(testing::Test::HasFailure());
   ASSERT_TRUE(fleet.await_acknowledged(fleet.purge())) << fleet.said << fleet.rig.logs();
   const bool first_coordinates =
-      fleet.rig.fleet().log("aggregator0").find("begins events/0") != std::string::npos;
+      fleet.rig.fleet().log("aggregator0").find("starts events/0") != std::string::npos;
   const std::string coordinator = first_coordinates ? "aggregator0" : "aggregator1";
   fleet.rig.fleet().kill(coordinator);
   fleet.rig.fleet().kill(fleet.all.front());
@@ -249,7 +249,7 @@
   ASSERT_EQ(fleet.propose(2.0), 0) << fleet.said;
   ASSERT_TRUE(fleet.until_loaded(fleet.all, [&] {
     const std::string log = fleet.rig.fleet().log("aggregator0") + fleet.rig.fleet().log("aggregator1");
-    return log.find("begins policy/0") != std::string::npos;
+    return log.find("starts policy/0") != std::string::npos;
   })) << fleet.rig.logs();
   for (const std::string& line : GetParam().begins) {
     fleet.rig.fault(line);
--- a/tests/fleet/ownership_test.cpp
+++ b/tests/fleet/ownership_test.cpp
@@ -153,11 +153,12 @@
   // The token under which a router last began a piece of work, as it stands in its log.
   std::string fence_of(const std::string& router, const std::string& shard) {
     const std::string log = rig.fleet().log(router);
-    const std::string words = "begins " + shard + " under term ";
+    const std::string words = "starts " + shard + " under term ";
     const std::size_t at = log.rfind(words);
     const std::string rest = at == std::string::npos ? "" : log.substr(at + words.size());
-    const std::string heard = log.substr(log.find("the store ") + 10);
-    return heard.substr(0, heard.find(' ')) + ":" + shard + ":" +
+    const std::string connected = "connected to coordination store ";
+    const std::string store = log.substr(log.find(connected) + connected.size());
+    return store.substr(0, store.find_first_not_of("0123456789")) + ":" + shard + ":" +
            rest.substr(0, rest.find_first_not_of("0123456789"));
   }
 
@@ -245,7 +246,7 @@
   EXPECT_NE(fields.find("fenced"), std::string::npos) << fields;
   fleet.rig.fault("cont " + first);
   fleet.rig.fault("heal " + first + ">registry");
-  EXPECT_TRUE(fleet.rig.fleet().await_log(first, "stops evening/0", kAwaited)) << fleet.rig.logs();
+  EXPECT_TRUE(fleet.rig.fleet().await_log(first, "aborts evening/0", kAwaited)) << fleet.rig.logs();
   EXPECT_TRUE(fleet.await_state("evening", "done")) << fleet.rig.logs();
   EXPECT_EQ(fleet.broken_terms(), kNone);
   EXPECT_EQ(fleet.filled("evening"), 60U);
@@ -316,7 +317,7 @@
   ASSERT_TRUE(fleet.await_filled("evening", 2));
   fleet.rig.fault("cut " + first + ">registry both");
   const std::string second = fleet.await_owner("evening", first);
-  EXPECT_TRUE(fleet.rig.fleet().await_log(first, "stops evening/0", kAwaited)) << fleet.rig.logs();
+  EXPECT_TRUE(fleet.rig.fleet().await_log(first, "aborts evening/0", kAwaited)) << fleet.rig.logs();
   // It serves on.
   EXPECT_EQ(ask_all(fleet.rig, {first}, 5), kNone);
   fleet.rig.fault("heal " + first + ">registry");
@@ -336,10 +337,10 @@
     }
   }
   EXPECT_TRUE(fleet.await_state("evening", "done")) << fleet.rig.logs();
-  EXPECT_EQ(fleet.rig.fleet().log(first).find("stops evening/0"), std::string::npos);
+  EXPECT_EQ(fleet.rig.fleet().log(first).find("aborts evening/0"), std::string::npos);
   for (const std::string& router : fleet.rig.routers()) {
     if (router != first) {
-      EXPECT_EQ(fleet.rig.fleet().log(router).find("begins evening"), std::string::npos) << router;
+      EXPECT_EQ(fleet.rig.fleet().log(router).find("starts evening"), std::string::npos) << router;
     }
   }
 }
@@ -354,7 +355,7 @@
   ASSERT_TRUE(fleet.await_filled("evening", 2));
   fleet.rig.fleet().kill("registry");
   EXPECT_EQ(ask_all(fleet.rig, fleet.rig.routers(), 10), kNone);
-  EXPECT_TRUE(fleet.rig.fleet().await_log(first, "stops evening/0", kAwaited)) << fleet.rig.logs();
+  EXPECT_TRUE(fleet.rig.fleet().await_log(first, "aborts evening/0", kAwaited)) << fleet.rig.logs();
   EXPECT_EQ(ask_all(fleet.rig, fleet.rig.routers(), 10), kNone);
   // A router that starts without the store is ready, and serves.
   const std::string other = fleet.rig.routers()[0] == first ? fleet.rig.routers()[1] : fleet.rig.routers()[0];
@@ -392,7 +393,7 @@
   const std::string first = fleet.await_owner("evening");
   fleet.rig.fault("delay " + first + ">registry 250");  // each way
   EXPECT_TRUE(fleet.await_state("evening", "done")) << fleet.rig.logs();
-  EXPECT_EQ(fleet.rig.fleet().log(first).find("stops evening/0"), std::string::npos) << fleet.rig.logs();
+  EXPECT_EQ(fleet.rig.fleet().log(first).find("aborts evening/0"), std::string::npos) << fleet.rig.logs();
 }
 
 TEST(OwnershipFleetTest, ReceiversRefuseOwnersOfASecondStore) {
@@ -481,9 +482,9 @@
                 "--operator",        fleet.rig.layout().operator_file(first)};
   spec.log = fleet.rig.folder() + "/twin.log";
   fleet::Process process(spec);
-  EXPECT_TRUE(fleet.rig.fleet().await_log(first, "another start has this router's name", kAwaited))
+  EXPECT_TRUE(fleet.rig.fleet().await_log(first, "another instance has this router's name", kAwaited))
       << fleet.rig.logs();
-  EXPECT_TRUE(fleet.rig.fleet().await_log(first, "lets go of evening/0", kAwaited)) << fleet.rig.logs();
+  EXPECT_TRUE(fleet.rig.fleet().await_log(first, "releases evening/0", kAwaited)) << fleet.rig.logs();
   EXPECT_EQ(fleet.work("members", ""), 0);
   const json members = json::parse(fleet.said)["members"];
   EXPECT_EQ(std::count_if(members.begin(), members.end(),
@@ -509,7 +510,7 @@
     ASSERT_TRUE(fleet.rig.until([&] {
       for (const std::string& router : fleet.rig.routers()) {
         if (!died.contains(router) &&
-            fleet.rig.fleet().log(router).find("begins poison/0") != std::string::npos) {
+            fleet.rig.fleet().log(router).find("starts poison/0") != std::string::npos) {
           victim = router;
         }
       }
@@ -529,7 +530,7 @@
   EXPECT_TRUE(fleet.rig.until([&] {
     return std::any_of(routers.begin(), routers.end(), [&](const std::string& router) {
       return !died.contains(router) &&
-             fleet.rig.fleet().log(router).find("begins poison/0") != std::string::npos;
+             fleet.rig.fleet().log(router).find("starts poison/0") != std::string::npos;
     });
   })) << fleet.rig.logs();
 }
@@ -557,9 +558,9 @@
       return log.find("verdict on cache cache1: " + words) != std::string::npos;
     });
   };
-  EXPECT_TRUE(says("not to be had")) << fleet.rig.logs();
+  EXPECT_TRUE(says("unhealthy")) << fleet.rig.logs();
   fleet.rig.start("cache1");
-  EXPECT_TRUE(says("sound") || says("none any more")) << fleet.rig.logs();
+  EXPECT_TRUE(says("healthy") || says("withdrawn")) << fleet.rig.logs();
   for (const std::string& router : fleet.rig.routers()) {
     if (router != owner) {
       EXPECT_EQ(fleet.rig.fleet().log(router).find("verdict on"), std::string::npos)
