--- a/src/tasks/fleet_session.cpp
+++ b/src/tasks/fleet_session.cpp
@@ -26,7 +26,7 @@
 // ---- The lease ----
 
 void FleetSession::step(Micros now) {
-  const std::optional<ownership::LeaseCall> call = lease_.due(now);
+  const std::optional<ownership::LeaseCall> call = lease_.step(now);
   if (!call) {
     return;
   }
@@ -37,19 +37,19 @@
     return join_transaction();
   };
   handlers.on_acquire_result = [this, call_id](LeaseId, const TransactionResult& outcome) {
-    lease_.granted(steady_now(), call_id, outcome.revision);
+    lease_.on_granted(steady_now(), call_id, outcome.revision);
     transport::log_line(transport::Level::kInfo) << "member of the fleet at revision " << outcome.revision;
     return true;
   };
   handlers.on_renew_result = [this, call_id](bool valid) {
     if (valid) {
-      lease_.granted(steady_now(), call_id, 0);
+      lease_.on_granted(steady_now(), call_id, 0);
     } else {
-      lease_.refused(steady_now(), call_id);
+      lease_.on_rejected(steady_now(), call_id);
     }
   };
-  handlers.on_released = [this, call_id] { lease_.granted(steady_now(), call_id, 0); };
-  handlers.on_no_response = [this, call_id] { lease_.lost(steady_now(), call_id); };
+  handlers.on_released = [this, call_id] { lease_.on_granted(steady_now(), call_id, 0); };
+  handlers.on_no_response = [this, call_id] { lease_.on_no_response(steady_now(), call_id); };
   make_lease_call(store_, loop_, call->kind, ttl_, lease_id_, std::move(handlers));
 }
 
--- a/src/tasks/fleet_session.h
+++ b/src/tasks/fleet_session.h
@@ -33,14 +33,14 @@
   void step(Micros now);
 
   // Returns when step() has to be called again by time alone, or nothing.
-  std::optional<Micros> next_step_at(Micros now) const { return lease_.next(now); }
+  std::optional<Micros> next_step_at(Micros now) const { return lease_.next_step_at(now); }
 
   // Writes into the member record that this process is draining: it is given no more work.
   void announce_draining();
 
   // Ends the session: its lease is released, and all keys under it go.
   void end(Micros now);
-  bool ended() const { return lease_.over(); }
+  bool ended() const { return lease_.released(); }
 
   // Keeps a key that ends with the session, across new sessions. An empty value deletes it.
   void set_key(const std::string& key, const std::string& value);
--- a/src/tasks/lease_calls.cpp
+++ b/src/tasks/lease_calls.cpp
@@ -64,17 +64,17 @@
 
 }  // namespace
 
-void make_lease_call(CoordinationStore& store, StepLoop& loop, Ask kind, Micros ttl, LeaseId lease,
+void make_lease_call(CoordinationStore& store, StepLoop& loop, LeaseCallKind kind, Micros ttl, LeaseId lease,
                      LeaseCallHandlers handlers) {
   const auto shared = std::make_shared<const LeaseCallHandlers>(std::move(handlers));
   switch (kind) {
-    case Ask::kAcquire:
+    case LeaseCallKind::kAcquire:
       acquire(store, loop, ttl, shared);
       break;
-    case Ask::kRenew:
+    case LeaseCallKind::kRenew:
       renew(store, loop, lease, shared);
       break;
-    case Ask::kRelease:
+    case LeaseCallKind::kRelease:
       release(store, loop, lease, shared);
       break;
   }
--- a/src/tasks/options.cpp
+++ b/src/tasks/options.cpp
@@ -137,7 +137,7 @@
   out.drift = options.drift_percent / 100.0;
   out.margin = Micros(0);
   out.renew_after = milliseconds(options.member_renew_ms);
-  out.retry = milliseconds(options.retry_ms);
+  out.retry_backoff = milliseconds(options.retry_ms);
   return out;
 }
 
@@ -148,15 +148,15 @@
   out.lease.margin = milliseconds(options.margin_ms);
   out.lease.renew_after = milliseconds(options.renew_ms);
   out.lease.retry_backoff = milliseconds(options.retry_ms);
-  out.slot = milliseconds(options.turn_ms);
-  out.longest_slot = milliseconds(options.longest_turn_ms);
-  out.settle = milliseconds(options.settle_ms);
-  out.yield_most = milliseconds(options.yield_ms);
-  out.stand_back = milliseconds(options.stand_back_ms);
-  out.most_starts = static_cast<std::uint64_t>(options.most_starts);
-  out.poison_pause = milliseconds(options.poison_pause_ms);
-  out.longest_poison_pause = milliseconds(options.longest_poison_pause_ms);
-  out.most_owned = static_cast<std::size_t>(options.most_owned);
+  out.candidate_slot = milliseconds(options.turn_ms);
+  out.max_candidate_wait = milliseconds(options.longest_turn_ms);
+  out.handover_delay = milliseconds(options.settle_ms);
+  out.release_timeout = milliseconds(options.yield_ms);
+  out.cooldown = milliseconds(options.stand_back_ms);
+  out.max_starts = static_cast<std::uint64_t>(options.most_starts);
+  out.restart_backoff = milliseconds(options.poison_pause_ms);
+  out.max_restart_backoff = milliseconds(options.longest_poison_pause_ms);
+  out.max_owned = static_cast<std::size_t>(options.most_owned);
   return out;
 }
 
--- a/src/tasks/peer_health_checks.cpp
+++ b/src/tasks/peer_health_checks.cpp
@@ -69,17 +69,17 @@
 PeerHealthChecks::Connections PeerHealthChecks::connect_to_peers() {
   std::vector<std::string> names;
   std::map<std::string, transport::Address> addresses;
-  for (const membership::MemberEntry& entry : view_.all(steady_now())) {
+  for (const membership::MemberEntry& entry : view_.members(steady_now())) {
     const membership::Member& member = entry.member;
     const auto address = transport::parse_address(member.address);
     const bool is_peer = member.zone == session_.identity().zone;
-    if (address && is_peer && entry.standing != membership::MemberStatus::kSuperseded) {
+    if (address && is_peer && entry.status != membership::MemberStatus::kSuperseded) {
       names.push_back(member.name);
       addresses[member.name] = *address;
     }
   }
-  names = peers_.to_try(names);
-  peers_.watch(names);
+  names = peers_.select_targets(names);
+  peers_.set_targets(names);
   Connections connections;
   for (const std::string& name : names) {
     Connection::Bounds bounds;
@@ -93,13 +93,13 @@
 
 void PeerHealthChecks::record_results(const Connections& connections) {
   for (const auto& [name, connection] : connections) {
-    peers_.tried(name, connection->up());
+    peers_.on_probe_result(name, connection->up());
   }
 }
 
 void PeerHealthChecks::report_doubts() {
   const std::string& self = session_.identity().name;
-  const auto doubts = peers_.doubts();
+  const auto doubts = peers_.suspicions();
   for (const auto& [name, doubt] : doubts) {
     session_.set_key(membership::suspicion_key(name, self), membership::write_suspicion(doubt));
     reported_.insert(name);
--- a/src/tasks/policy_client.cpp
+++ b/src/tasks/policy_client.cpp
@@ -162,7 +162,7 @@
 }
 
 void PolicyClient::execute(const policy::LeaseAction& action) {
-  const std::uint64_t call_id = action.order.call_id;
+  const std::uint64_t call_id = action.call.call_id;
   LeaseCallHandlers handlers;
   handlers.make_transaction = [this, action](LeaseId lease) {
     lease_ = lease;
@@ -177,7 +177,7 @@
   };
   handlers.on_released = [this, call_id] { participant_.on_release_result(steady_now(), call_id); };
   handlers.on_no_response = [this, call_id] { participant_.on_no_response(steady_now(), call_id); };
-  make_lease_call(store_, loop_, action.order.kind, milliseconds(options_.ttl_ms), lease_,
+  make_lease_call(store_, loop_, action.call.kind, milliseconds(options_.ttl_ms), lease_,
                   std::move(handlers));
 }
 
--- a/src/tasks/task_runner.cpp
+++ b/src/tasks/task_runner.cpp
@@ -189,7 +189,7 @@
   const Micros now = steady_now();
   std::map<std::string, std::string> zones;
   for (const membership::MemberEntry& entry : view_.members(now)) {
-    if (entry.standing == membership::MemberStatus::kActive) {
+    if (entry.status == membership::MemberStatus::kActive) {
       zones[entry.member.name] = entry.member.zone;
     }
   }
@@ -247,7 +247,7 @@
 
 void TaskRunner::execute_lease_call(const ownership::LeaseCallAction& action) {
   const ShardId id = action.id;
-  const std::uint64_t call_id = action.order.call_id;
+  const std::uint64_t call_id = action.call.call_id;
   LeaseCallHandlers handlers;
   handlers.make_transaction = [this, id](LeaseId lease) {
     const ownership::Owner self{identity().name, identity().incarnation, 0};
@@ -262,7 +262,7 @@
   handlers.on_released = [this, id, call_id] { lease_manager_.on_release_result(steady_now(), id, call_id); };
   handlers.on_no_response = [this, id, call_id] { lease_manager_.on_no_response(steady_now(), id, call_id); };
   const auto lease = shard_leases_.find(id);
-  make_lease_call(store_, loop_, action.order.kind, milliseconds(options_.ttl_ms),
+  make_lease_call(store_, loop_, action.call.kind, milliseconds(options_.ttl_ms),
                   lease == shard_leases_.end() ? 0 : lease->second, std::move(handlers));
 }
 
@@ -285,10 +285,10 @@
                   const Micros now = steady_now();
                   if (reply.ok()) {
                     lease_manager_.on_write_result(
-                        now, action.id, action.number,
+                        now, action.id, action.call_id,
                         ownership::read_progress_write_result(reply.value, action.term, action.progress));
                   } else {
-                    lease_manager_.on_no_write_response(now, action.id, action.number);
+                    lease_manager_.on_no_write_response(now, action.id, action.call_id);
                   }
                 }));
 }
@@ -299,7 +299,7 @@
   const Micros now = steady_now();
   std::size_t owned = 0;
   for (const ownership::ShardStatus& shard : lease_manager_.shards(now)) {
-    owned += shard.lease == ownership::LeasePhase::kOwner || shard.lease == ownership::LeasePhase::kRenewing ? 1 : 0;
+    owned += shard.lease_phase == ownership::LeasePhase::kOwner || shard.lease_phase == ownership::LeasePhase::kRenewing ? 1 : 0;
   }
   const ownership::LeaseManagerCounts& counts = lease_manager_.counts();
   return nlohmann::json{{"store", connected_ ? "heard" : "silent"},
