--- a/src/snapshot/snapshot.h
+++ b/src/snapshot/snapshot.h
@@ -39,8 +39,8 @@
   std::string router;
   std::string source_address;  // of the discovery service
   std::string source_id;       // its identifier; empty where it has none
-  UnixTime confirmed_at{};     // the page was certainly current then
-  UnixTime saved_at{};
+  UnixTime confirmed_at;       // the page was certainly current then
+  UnixTime saved_at;
   nlohmann::json page;  // {"rev":N,"notices":[...]}, compacted
 
   // Returns the sequence number of the page, 0 where it has none.
@@ -69,7 +69,7 @@
 struct SnapshotContext {
   std::string fleet;
   std::string router;
-  UnixTime now{};
+  UnixTime now;
   std::chrono::milliseconds max_age{0};  // since it was confirmed
 };
 
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -19,7 +19,10 @@
 using std::chrono::milliseconds;
 using namespace std::chrono_literals;
 
-json list_event(std::uint64_t number, bool full, std::vector<std::pair<std::string, std::string>> entries) {
+// A name and the status that the list gives it.
+using ListedEndpoint = std::pair<std::string, std::string>;
+
+json list_event(std::uint64_t number, bool full, const std::vector<ListedEndpoint>& entries) {
   json endpoints = json::array();
   for (const auto& [name, status] : entries) {
     endpoints.push_back({{"name", name}, {"status", status}});
--- a/tests/relay_selector_test.cpp
+++ b/tests/relay_selector_test.cpp
@@ -46,6 +46,7 @@
 TEST(RelayTreeTest, EveryRouterSeesTheSameTreeWithoutLoopsAndOfBoundedDegree) {
   for (const int count : {1, 2, 3, 9, 10, 150}) {
     std::vector<std::string> names;
+    names.reserve(static_cast<std::size_t>(count));
     for (int i = 0; i < count; ++i) {
       names.push_back("router" + std::to_string(i));
     }
--- a/tests/snapshot_test.cpp
+++ b/tests/snapshot_test.cpp
@@ -169,11 +169,13 @@
 }
 
 class SnapshotDirectoryTest : public testing::Test {
- protected:
+ public:
   SnapshotDirectoryTest() : path_(testing::TempDir() + "trailcourse-snapshot-" + std::to_string(::getpid())) {
     std::filesystem::remove_all(path_);
   }
   ~SnapshotDirectoryTest() override { std::filesystem::remove_all(path_); }
+
+ protected:
   std::string path_;
 };
 
