--- a/src/cache_node/node_core.cpp
+++ b/src/cache_node/node_core.cpp
@@ -296,6 +296,25 @@
   return fill;
 }
 
+namespace {
+
+// Whether a source answered OK with a body and with the time at which the origin gave out the copy.
+bool is_complete_answer(const FetchResult& result) {
+  return result.end == FetchResult::End::kAnswered && result.word == AnswerWord::kOk && result.body &&
+         result.fields.t0_ms > 0;
+}
+
+// Puts the bytes of an answered span in their place, and marks the parts that they make up.
+void fill_hole(store::PartialCopy& partial, const protocol::Span& span, const std::string& bytes) {
+  partial.bytes.replace(span.from, bytes.size(), bytes);
+  for (std::size_t part = span.from / partial.part_bytes;
+       part < partial.have.size() && part * partial.part_bytes < span.from + bytes.size(); ++part) {
+    partial.have[part] = true;
+  }
+}
+
+}  // namespace
+
 void NodeCore::fetched(const Moment& now, FillNumber number, const FetchResult& result,
                        std::vector<Action>& out) {
   const auto at = fills_.find(number);
@@ -321,47 +340,52 @@
     filled(now, number, copy, fields.note, out);
     return;
   }
-  const bool whole = answered && result.word == AnswerWord::kOk && result.body && fields.t0_ms > 0;
-  if (whole && !fields.span) {
+  if (is_complete_answer(result) && !fields.span) {
     Copy copy{fields.tag, fields.t0_ms, fields.group, result.body};
     fill.partial.reset();
     filled(now, number, copy, fields.note, out);
     return;
   }
-  if (fill.partial) {
-    store::PartialCopy& partial = *fill.partial;
-    const std::optional<protocol::Span> wanted = fill.fields.span;
-    const bool fits = whole && fields.span == wanted && size == wanted->length && fields.tag == partial.tag &&
-                      fields.whole == partial.bytes.size() && fields.t0_ms >= partial.t0_ms;
-    if (fits) {
-      partial.bytes.replace(wanted->from, size, *result.body);
-      for (std::size_t part = wanted->from / partial.part_bytes;
-           part < partial.have.size() && part * partial.part_bytes < wanted->from + size; ++part) {
-        partial.have[part] = true;
-      }
-      if (next_hole(number, fill, out)) {
-        return;
-      }
-      // The parts may have come from two copies that bear one tag; then they are not served.
-      if (store::sum_of(partial.bytes) == partial.whole_sum) {
-        const Copy copy{partial.tag, partial.t0_ms, partial.group,
-                        std::make_shared<const std::string>(partial.bytes)};
-        filled(now, number, copy, fields.note, out);
-        return;
-      }
-      out.emplace_back(Drop{fill.name});
+  if (fill.partial && part_fetched(now, number, fill, result, out)) {
+    return;
+  }
+  fill_failed(now, number, result, out);
+}
+
+// An answer to a fill of missing parts. Returns whether the fill goes on or is over; else it has failed.
+bool NodeCore::part_fetched(const Moment& now, FillNumber number, Fill& fill, const FetchResult& result,
+                            std::vector<Action>& out) {
+  store::PartialCopy& partial = *fill.partial;
+  const AnswerOut& fields = result.fields;
+  const std::optional<protocol::Span> wanted = fill.fields.span;
+  const bool fits = is_complete_answer(result) && fields.span == wanted &&
+                    result.body->size() == wanted->length && fields.tag == partial.tag &&
+                    fields.whole == partial.bytes.size() && fields.t0_ms >= partial.t0_ms;
+  if (fits) {
+    fill_hole(partial, *wanted, *result.body);
+    if (next_hole(number, fill, out)) {
+      return true;
     }
-    const bool other_copy = answered && (result.word == AnswerWord::kMiss || result.word == AnswerWord::kOk);
-    if (other_copy) {
-      // The source has another copy by now: all of it is fetched.
-      fill.partial.reset();
-      fill.fields.span.reset();
-      fill.fields.match.clear();
-      fetch(number, fill, "", out);
-      return;
+    // The parts may have come from two copies that bear one tag; then they are not served.
+    if (store::sum_of(partial.bytes) == partial.whole_sum) {
+      const Copy copy{partial.tag, partial.t0_ms, partial.group,
+                      std::make_shared<const std::string>(partial.bytes)};
+      filled(now, number, copy, fields.note, out);
+      return true;
     }
+    out.emplace_back(Drop{fill.name});
   }
-  fill_failed(now, number, result, out);
+  const bool other_copy = result.end == FetchResult::End::kAnswered &&
+                          (result.word == AnswerWord::kMiss || result.word == AnswerWord::kOk);
+  if (!other_copy) {
+    return false;
+  }
+  // The source has another copy by now: all of it is fetched.
+  fill.partial.reset();
+  fill.fields.span.reset();
+  fill.fields.match.clear();
+  fetch(number, fill, "", out);
+  return true;
 }
 
 void NodeCore::filled(const Moment& now, FillNumber number, const Copy& copy, Note source_note,
--- a/src/cache_node/node_core.h
+++ b/src/cache_node/node_core.h
@@ -195,6 +195,8 @@
                   std::vector<Action>& out);
   void renew(const Moment& now, const Request& request, const store::Copy& copy, std::vector<Action>& out);
   void fetch(FillNumber number, Fill& fill, const std::string& body, std::vector<Action>& out);
+  bool part_fetched(const Moment& now, FillNumber number, Fill& fill, const FetchResult& result,
+                    std::vector<Action>& out);
   bool next_hole(FillNumber number, Fill& fill, std::vector<Action>& out);
   void filled(const Moment& now, FillNumber number, const store::Copy& copy, Note source_note,
               std::vector<Action>& out);
--- a/src/routing/front.cpp
+++ b/src/routing/front.cpp
@@ -110,87 +110,120 @@
   return value != nullptr ? *value : std::string();
 }
 
-}  // namespace
+// The field at fault; nothing where all that was read is usable.
+using FieldFault = std::optional<std::string_view>;
 
-ReadRequest read_request(fastcgi::RequestRead&& read, const std::unordered_map<std::string, int>& class_index,
-                         const Settings& settings) {
-  ReadRequest out;
-  const auto fault = [&out](std::string text) {
-    out.fault = std::move(text);
-    return out;
-  };
-  auto passed = std::make_shared<protocol::Passed>();
-  const std::string path = field(read.parameters, "SCRIPT_NAME");
+FieldFault read_class(const fastcgi::Parameters& parameters,
+                      const std::unordered_map<std::string, int>& class_index, protocol::Passed& passed,
+                      RequestArrived& arrived) {
+  const std::string path = field(parameters, "SCRIPT_NAME");
   if (!path.starts_with(kPathPrefix)) {
-    return fault("SCRIPT_NAME");
-  }
-  passed->request_class = path.substr(kPathPrefix.size());
-  const auto type = class_index.find(passed->request_class);
-  if (type == class_index.end() || !all_of(passed->request_class, is_plain)) {
-    return fault("an unknown class");
-  }
-  RequestArrived& told = out.request.told;
-  told.request_class = type->second;
-  const ClassSettings& kind = settings.classes[static_cast<std::size_t>(type->second)];
-  told.write = kind.uncached;
-  passed->id = field(read.parameters, "HTTP_X_CALL_ID");
-  if (passed->id.size() != kHexDigits || !all_of(passed->id, is_hex)) {
-    return fault("X-Call-Id");
-  }
-  out.call = protocol::read_hex<std::uint64_t>(passed->id).value_or(0);
+    return "SCRIPT_NAME";
+  }
+  passed.request_class = path.substr(kPathPrefix.size());
+  const auto type = class_index.find(passed.request_class);
+  if (type == class_index.end() || !all_of(passed.request_class, is_plain)) {
+    return "an unknown class";
+  }
+  arrived.request_class = type->second;
+  return std::nullopt;
+}
+
+FieldFault read_call(const fastcgi::RequestRead& read, protocol::Passed& passed, ReadRequest& out) {
+  passed.id = field(read.parameters, "HTTP_X_CALL_ID");
+  if (passed.id.size() != kHexDigits || !all_of(passed.id, is_hex)) {
+    return "X-Call-Id";
+  }
+  out.call = protocol::read_hex<std::uint64_t>(passed.id).value_or(0);
   const std::string length_text = field(read.parameters, "CONTENT_LENGTH");
   if (!length_text.empty() && protocol::read_number<std::size_t>(length_text) != read.body.size()) {
-    return fault("CONTENT_LENGTH");
+    return "CONTENT_LENGTH";
   }
   const std::string patience_text = field(read.parameters, "HTTP_X_PATIENCE_MS");
   const std::optional<std::int64_t> patience = protocol::read_number<std::int64_t>(patience_text);
   if (!patience || *patience <= 0 || *patience > kMostPatienceMs) {
-    return fault("X-Patience-Ms");
+    return "X-Patience-Ms";
   }
   out.request.patience = std::chrono::milliseconds(*patience);
-  passed->object = field(read.parameters, "HTTP_X_ENTITY");
-  if (!passed->object.empty() || !kind.uncached) {
-    const std::optional<ObjectId> object = protocol::read_hex<ObjectId>(passed->object);
-    if (!object || passed->object.size() != kHexDigits) {
-      return fault("X-Entity");
+  return std::nullopt;
+}
+
+FieldFault read_object(const fastcgi::Parameters& parameters, const ClassSettings& kind,
+                       protocol::Passed& passed, RequestArrived& arrived) {
+  passed.object = field(parameters, "HTTP_X_ENTITY");
+  if (!passed.object.empty() || !kind.uncached) {
+    const std::optional<ObjectId> object = protocol::read_hex<ObjectId>(passed.object);
+    if (!object || passed.object.size() != kHexDigits) {
+      return "X-Entity";
     }
-    told.object = *object;
+    arrived.object = *object;
   }
-  passed->part = field(read.parameters, "HTTP_X_NTH");
-  if (!passed->part.empty()) {
-    const std::optional<std::uint32_t> part = protocol::read_number<std::uint32_t>(passed->part);
+  passed.part = field(parameters, "HTTP_X_NTH");
+  if (!passed.part.empty()) {
+    const std::optional<std::uint32_t> part = protocol::read_number<std::uint32_t>(passed.part);
     if (!part) {
-      return fault("X-Nth");
+      return "X-Nth";
     }
-    told.part = *part;
+    arrived.part = *part;
   }
-  const std::string group_text = field(read.parameters, "HTTP_X_BATCH");
+  return std::nullopt;
+}
+
+FieldFault read_group_and_size(const fastcgi::Parameters& parameters, RequestArrived& arrived) {
+  const std::string group_text = field(parameters, "HTTP_X_BATCH");
   if (!group_text.empty()) {
     const std::optional<std::uint64_t> group = protocol::read_number<std::uint64_t>(group_text);
     if (!group || *group > kMostGroup) {
-      return fault("X-Batch");
+      return "X-Batch";
     }
-    told.purge_group = *group;
+    arrived.purge_group = *group;
   }
-  const std::string size_text = field(read.parameters, "HTTP_X_HEAP_KB");
+  const std::string size_text = field(parameters, "HTTP_X_HEAP_KB");
   if (!size_text.empty()) {
     const std::optional<double> size = protocol::read_number<double>(size_text);
     if (!size || *size < 0.0) {
-      return fault("X-Heap-Kb");
+      return "X-Heap-Kb";
     }
-    told.size_kb = *size;
+    arrived.size_kb = *size;
+  }
+  return std::nullopt;
+}
+
+FieldFault read_key_and_tag(const fastcgi::Parameters& parameters, const ClassSettings& kind,
+                            protocol::Passed& passed) {
+  const bool key_needed = kind.idempotency == Idempotency::kKeyed;
+  passed.dedupe_key = field(parameters, "HTTP_X_DEDUPE_KEY");
+  if ((key_needed || !passed.dedupe_key.empty()) && !all_of(passed.dedupe_key, is_plain)) {
+    return "X-Dedupe-Key";
   }
-  passed->dedupe_key = field(read.parameters, "HTTP_X_DEDUPE_KEY");
-  if (kind.idempotency == Idempotency::kKeyed
-          ? !all_of(passed->dedupe_key, is_plain)
-          : !passed->dedupe_key.empty() && !all_of(passed->dedupe_key, is_plain)) {
-    return fault("X-Dedupe-Key");
+  passed.held_tag = field(parameters, "HTTP_X_GOT");
+  if (!passed.held_tag.empty() && !all_of(passed.held_tag, is_plain)) {
+    return "X-Got";
   }
-  passed->held_tag = field(read.parameters, "HTTP_X_GOT");
-  if (!passed->held_tag.empty() && !all_of(passed->held_tag, is_plain)) {
-    return fault("X-Got");
+  return std::nullopt;
+}
+
+}  // namespace
+
+ReadRequest read_request(fastcgi::RequestRead&& read, const std::unordered_map<std::string, int>& class_index,
+                         const Settings& settings) {
+  ReadRequest out;
+  RequestArrived& arrived = out.request.told;
+  auto passed = std::make_shared<protocol::Passed>();
+  FieldFault fault = read_class(read.parameters, class_index, *passed, arrived);
+  if (!fault) {
+    const ClassSettings& kind = settings.classes[static_cast<std::size_t>(arrived.request_class)];
+    arrived.write = kind.uncached;
+    fault = read_call(read, *passed, out);
+    fault = fault ? fault : read_object(read.parameters, kind, *passed, arrived);
+    fault = fault ? fault : read_group_and_size(read.parameters, arrived);
+    fault = fault ? fault : read_key_and_tag(read.parameters, kind, *passed);
+  }
+  if (fault) {
+    out.fault = *fault;
+    return out;
   }
-  told.is_retry = field(read.parameters, "HTTP_X_REPEAT") == "1";
+  arrived.is_retry = field(read.parameters, "HTTP_X_REPEAT") == "1";
   passed->body = std::move(read.body);
   out.request.body_bytes = passed->body.size();
   out.request.passed = std::move(passed);
