--- a/src/aggregation/upstream_lease.h
+++ b/src/aggregation/upstream_lease.h
@@ -21,7 +21,7 @@
 
 class UpstreamLease {
  public:
-  UpstreamLease(const ownership::LeaseRules& options, std::vector<std::string> zones)
+  UpstreamLease(const ownership::LeaseOptions& options, std::vector<std::string> zones)
       : options_(options), lease_(options), zones_(std::move(zones)) {}
 
   // Returns the calls to make now. `connected` says whether the store answers; the lease is neither acquired
@@ -50,7 +50,7 @@
   }
   // Releases the lease. May be called only once no router has a lease any more.
   void stop(Micros now) { lease_.stop(now); }
-  bool stopped() const { return lease_.over(); }
+  bool stopped() const { return lease_.released(); }
 
  private:
   // A summary as it stands in the store.
@@ -69,7 +69,7 @@
   SummariesByZone without_idle_counts(const ObservedByZone& observed, SummariesByZone summaries) const;
   static bool needs_write(Micros now, StoredSummary& stored, const policy::ParticipantReport& report);
 
-  ownership::LeaseRules options_;
+  ownership::LeaseOptions options_;
   ownership::Lease lease_;
   std::vector<std::string> zones_;
   bool joined_ = false;
--- a/src/discovery/fenced_event.cpp
+++ b/src/discovery/fenced_event.cpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <utility>
 
-#include "ownership/token.h"
+#include "ownership/fencing_token.h"
 
 namespace trailcourse::discovery {
 
@@ -80,7 +80,7 @@
 }
 
 tl::expected<FencedEventResult, FencedEventError> publish_fenced_event(json& page, const json& call) {
-  const auto token = ownership::read_token(text_at(call, "fence"));
+  const auto token = ownership::parse_fencing_token(text_at(call, "fence"));
   if (!token) {
     return tl::unexpected(FencedEventError::kInvalidToken);
   }
--- a/tests/aggregation/aggregator_fixture.h
+++ b/tests/aggregation/aggregator_fixture.h
@@ -68,20 +68,20 @@
   void execute(const LeaseAction& action) {
     store_.expire(now_ms());
     UpstreamLease& upstream = aggregator_.upstream();
-    const std::uint64_t call_id = action.call.number;
-    switch (action.call.ask) {
-      case ownership::Ask::kAcquire:
+    const std::uint64_t call_id = action.call.call_id;
+    switch (action.call.kind) {
+      case ownership::LeaseCallKind::kAcquire:
         lease_ = store_.grant(now_ms(), kTtlMs, 0);
         upstream.on_join_result(now_, call_id,
                                 read_join_result(store_.commit(join_transaction("", kName, lease_, action))));
         return;
-      case ownership::Ask::kRenew: {
+      case ownership::LeaseCallKind::kRenew: {
         const bool renewed = store_.keep_alive(now_ms(), lease_) > 0;
         upstream.on_renew_result(now_, call_id,
                                  renewed ? RenewResult::kRenewed : RenewResult::kLeaseNotFound);
         return;
       }
-      case ownership::Ask::kRelease:
+      case ownership::LeaseCallKind::kRelease:
         store_.revoke(lease_);
         upstream.on_release_result(now_, call_id);
         return;
@@ -111,7 +111,7 @@
   }
   static policy::ParticipantReport suspended_report(const std::string& zone) {
     policy::ParticipantReport out = report_of(zone);
-    out.suspended_stage = step_in(policy::RolloutState::kSuspending);
+    out.suspended_stage = stage_in(policy::RolloutState::kSuspending);
     return out;
   }
   // Returns the router's write of its next report.
@@ -163,7 +163,7 @@
     out.lease.ttl = std::chrono::milliseconds(kTtlMs);
     out.lease.margin = std::chrono::milliseconds(20);
     out.lease.renew_after = std::chrono::milliseconds(500);
-    out.lease.retry = std::chrono::milliseconds(200);
+    out.lease.retry_backoff = std::chrono::milliseconds(200);
     out.routers.max_routers = kMaxRouters;
     return out;
   }
