--- a/src/aggregation/aggregator.h
+++ b/src/aggregation/aggregator.h
@@ -23,7 +23,7 @@
 namespace trailcourse::aggregation {
 
 struct AggregatorSettings {
-  ownership::LeaseRules lease;  // the aggregator's own
+  ownership::LeaseOptions lease;  // the aggregator's own
   RouterLeaseOptions routers;
   std::size_t max_report_bytes = 4'096;
   std::size_t history = 1'000;  // changes of the policy's records that watches can resume from
--- a/src/aggregation/aggregator_service.cpp
+++ b/src/aggregation/aggregator_service.cpp
@@ -14,7 +14,7 @@
 using coordination::Outcome;
 using coordination::Reply;
 using nlohmann::json;
-using ownership::Ask;
+using ownership::LeaseCallKind;
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 using transport::Clock;
@@ -124,14 +124,14 @@
 void AggregatorService::silent(const std::string& reason) {
   aggregator_.set_connected(false);
   if (std::exchange(connected_, false)) {
-    log_line(Level::kWarning) << "the store is not heard: " << reason;
+    log_line(Level::kWarning) << "disconnected from the coordination store: " << reason;
   }
 }
 
 void AggregatorService::heard() {
   aggregator_.set_connected(true);
   if (!std::exchange(connected_, true)) {
-    log_line(Level::kInfo) << "the store " << store_.id() << " is heard";
+    log_line(Level::kInfo) << "connected to coordination store " << store_.id();
     schedule_step();
   }
 }
@@ -169,15 +169,15 @@
 }
 
 void AggregatorService::execute(const LeaseAction& action) {
-  switch (action.call.ask) {
-    case Ask::kAcquire:
+  switch (action.call.kind) {
+    case LeaseCallKind::kAcquire:
       acquire(action);
       return;
-    case Ask::kRenew:
-      renew(action.call.number);
+    case LeaseCallKind::kRenew:
+      renew(action.call.call_id);
       return;
-    case Ask::kRelease:
-      release(action.call.number);
+    case LeaseCallKind::kRelease:
+      release(action.call.call_id);
       return;
   }
 }
@@ -187,7 +187,7 @@
                  if (response.done()) {
                    join(action, response.value.id);
                  } else {
-                   aggregator_.upstream().on_no_response(now(), action.call.number);
+                   aggregator_.upstream().on_no_response(now(), action.call.call_id);
                  }
                }));
 }
@@ -196,14 +196,14 @@
 // might get leases under a policy that is no longer in force.
 void AggregatorService::join(const LeaseAction& action, LeaseId lease) {
   lease_ = lease;
-  const auto on_response = [this, call_id = action.call.number, lease](const Reply<Outcome>& response) {
+  const auto on_response = [this, call_id = action.call.call_id, lease](const Reply<Outcome>& response) {
     if (response.done()) {
       aggregator_.upstream().on_join_result(now(), call_id, read_join_result(response.value));
     } else {
       aggregator_.upstream().on_no_response(now(), call_id);
     }
     if (response.done() && response.value.succeeded) {
-      log_line(Level::kInfo) << "has permission at revision " << response.value.revision;
+      log_line(Level::kInfo) << "acquired its lease at revision " << response.value.revision;
     } else {
       store_.revoke(lease, [](const auto&) {});
     }
--- a/src/aggregation/upstream_calls.h
+++ b/src/aggregation/upstream_calls.h
@@ -34,7 +34,7 @@
 // A call for the aggregator's own lease. An acquisition also writes `summaries`, provided that the rollout
 // and the versions in the store are as in `observed`. A renewal and a release have neither.
 struct LeaseAction {
-  ownership::Order call;
+  ownership::LeaseCall call;
   std::vector<ZoneSummary> summaries;
   ObservedByZone observed;
 };
--- a/src/cache_node/node_core.cpp
+++ b/src/cache_node/node_core.cpp
@@ -142,7 +142,7 @@
   if (const std::optional<protocol::Span>& span = request.fields.span) {
     const bool within = span->from < copy.size() && span->length <= copy.size() - span->from;
     if (request.fields.match != copy.tag || !within) {
-      turn_away(number, AnswerWord::kMiss, Note::kSourceLacks, "another_copy", out);
+      turn_away(number, AnswerWord::kMiss, Note::kNotAtSource, "another_copy", out);
       return;
     }
     fields.span = span;
@@ -182,7 +182,7 @@
     }
   }
   if (fills_.size() >= rules_.most_fills || bytes_ + now.waiting_bytes >= rules_.most_bytes) {
-    turn_away(number, AnswerWord::kBusy, Note::kNoFillPlace, "no_fill_place", out);
+    turn_away(number, AnswerWord::kBusy, Note::kNoFillCapacity, "no_fill_place", out);
     return;
   }
   Fill fill;
@@ -296,6 +296,25 @@
   return fill;
 }
 
+namespace {
+
+// Whether a source answered OK with a body and with the time at which the origin gave out the copy.
+bool is_complete_answer(const FetchResult& result) {
+  return result.end == FetchResult::End::kAnswered && result.word == AnswerWord::kOk && result.body &&
+         result.fields.t0_ms > 0;
+}
+
+// Puts the bytes of an answered span in their place, and marks the parts that they make up.
+void fill_hole(store::PartialCopy& partial, const protocol::Span& span, const std::string& bytes) {
+  partial.bytes.replace(span.from, bytes.size(), bytes);
+  for (std::size_t part = span.from / partial.part_bytes;
+       part < partial.have.size() && part * partial.part_bytes < span.from + bytes.size(); ++part) {
+    partial.have[part] = true;
+  }
+}
+
+}  // namespace
+
 void NodeCore::fetched(const Moment& now, FillNumber number, const FetchResult& result,
                        std::vector<Action>& out) {
   const auto at = fills_.find(number);
@@ -321,53 +340,58 @@
     filled(now, number, copy, fields.note, out);
     return;
   }
-  const bool whole = answered && result.word == AnswerWord::kOk && result.body && fields.t0_ms > 0;
-  if (whole && !fields.span) {
+  if (is_complete_answer(result) && !fields.span) {
     Copy copy{fields.tag, fields.t0_ms, fields.group, result.body};
     fill.partial.reset();
     filled(now, number, copy, fields.note, out);
     return;
   }
-  if (fill.partial) {
-    store::PartialCopy& partial = *fill.partial;
-    const std::optional<protocol::Span> wanted = fill.fields.span;
-    const bool fits = whole && fields.span == wanted && size == wanted->length && fields.tag == partial.tag &&
-                      fields.whole == partial.bytes.size() && fields.t0_ms >= partial.t0_ms;
-    if (fits) {
-      partial.bytes.replace(wanted->from, size, *result.body);
-      for (std::size_t part = wanted->from / partial.part_bytes;
-           part < partial.have.size() && part * partial.part_bytes < wanted->from + size; ++part) {
-        partial.have[part] = true;
-      }
-      if (next_hole(number, fill, out)) {
-        return;
-      }
-      // The parts may have come from two copies that bear one tag; then they are not served.
-      if (store::sum_of(partial.bytes) == partial.whole_sum) {
-        const Copy copy{partial.tag, partial.t0_ms, partial.group,
-                        std::make_shared<const std::string>(partial.bytes)};
-        filled(now, number, copy, fields.note, out);
-        return;
-      }
-      out.emplace_back(Drop{fill.name});
+  if (fill.partial && part_fetched(now, number, fill, result, out)) {
+    return;
+  }
+  fill_failed(now, number, result, out);
+}
+
+// An answer to a fill of missing parts. Returns whether the fill goes on or is over; else it has failed.
+bool NodeCore::part_fetched(const Moment& now, FillNumber number, Fill& fill, const FetchResult& result,
+                            std::vector<Action>& out) {
+  store::PartialCopy& partial = *fill.partial;
+  const AnswerOut& fields = result.fields;
+  const std::optional<protocol::Span> wanted = fill.fields.span;
+  const bool fits = is_complete_answer(result) && fields.span == wanted &&
+                    result.body->size() == wanted->length && fields.tag == partial.tag &&
+                    fields.whole == partial.bytes.size() && fields.t0_ms >= partial.t0_ms;
+  if (fits) {
+    fill_hole(partial, *wanted, *result.body);
+    if (next_hole(number, fill, out)) {
+      return true;
     }
-    const bool other_copy = answered && (result.word == AnswerWord::kMiss || result.word == AnswerWord::kOk);
-    if (other_copy) {
-      // The source has another copy by now: all of it is fetched.
-      fill.partial.reset();
-      fill.fields.span.reset();
-      fill.fields.match.clear();
-      fetch(number, fill, "", out);
-      return;
+    // The parts may have come from two copies that bear one tag; then they are not served.
+    if (store::sum_of(partial.bytes) == partial.whole_sum) {
+      const Copy copy{partial.tag, partial.t0_ms, partial.group,
+                      std::make_shared<const std::string>(partial.bytes)};
+      filled(now, number, copy, fields.note, out);
+      return true;
     }
+    out.emplace_back(Drop{fill.name});
   }
-  fill_failed(now, number, result, out);
+  const bool other_copy = result.end == FetchResult::End::kAnswered &&
+                          (result.word == AnswerWord::kMiss || result.word == AnswerWord::kOk);
+  if (!other_copy) {
+    return false;
+  }
+  // The source has another copy by now: all of it is fetched.
+  fill.partial.reset();
+  fill.fields.span.reset();
+  fill.fields.match.clear();
+  fetch(number, fill, "", out);
+  return true;
 }
 
 void NodeCore::filled(const Moment& now, FillNumber number, const Copy& copy, Note source_note,
                       std::vector<Action>& out) {
   const Fill fill = take_fill(number);
-  const bool deep = fill.source == rules_.origin || shows_fill(source_note);
+  const bool deep = fill.source == rules_.origin || indicates_fill(source_note);
   const bool forbidden = copy.t0_ms <= forbidden_until_(fill.name, copy.group);
   if (fill.keeps && !forbidden) {
     if (fill.partial) {
@@ -385,7 +409,7 @@
       // It was begun before a purge, or its source handed on what is too old for this request.
       ++counts_.too_old;
       request.old = std::make_shared<const Copy>(copy);
-      again_or_miss(now, waiter, Note::kSourceLacks, out);
+      again_or_miss(now, waiter, Note::kNotAtSource, out);
     }
   }
 }
@@ -413,10 +437,10 @@
   if (result.end == FetchResult::End::kAnswered) {
     switch (result.word) {
       case AnswerWord::kMiss:
-        note = tells_of_source(result.fields.note) ? result.fields.note : Note::kSourceLacks;
+        note = implicates_source(result.fields.note) ? result.fields.note : Note::kNotAtSource;
         break;
       case AnswerWord::kBusy:
-        note = Note::kSourceRefused;
+        note = Note::kSourceRejected;
         break;
       case AnswerWord::kVoid:
         again = true;  // its time was that of the first who waited
@@ -424,14 +448,14 @@
       case AnswerWord::kError:
       case AnswerWord::kOk:
       case AnswerWord::kSame:
-        note = origin                                ? Note::kOriginFailed
-               : tells_of_source(result.fields.note) ? result.fields.note
-                                                     : Note::kSourceRefused;
+        note = origin                                  ? Note::kOriginFailed
+               : implicates_source(result.fields.note) ? result.fields.note
+                                                       : Note::kSourceRejected;
         word = AnswerWord::kError;
         break;
     }
   } else if (result.end == FetchResult::End::kSpoilt) {
-    note = origin ? Note::kOriginFailed : Note::kSourceRefused;
+    note = origin ? Note::kOriginFailed : Note::kSourceRejected;
   }
   for (const RequestNumber waiter : fill.waiters) {
     if (again) {
@@ -475,10 +499,10 @@
     fields.meter.clear();
     fields.waited_ms = now.steady_ms - requests_.at(waiter).arrived_ms;
     if (result.end == FetchResult::End::kAnswered) {
-      fields.note = shows_hit(fields.note) || fields.note == Note::kNone
+      fields.note = indicates_hit(fields.note) || fields.note == Note::kNone
                         ? (fill.source == rules_.origin ? Note::kFilledFromOrigin : Note::kFilled)
                         : fields.note;
-      fields.note = result.word == AnswerWord::kBusy ? Note::kSourceRefused : fields.note;
+      fields.note = result.word == AnswerWord::kBusy ? Note::kSourceRejected : fields.note;
       const bool has_body = result.word == AnswerWord::kOk;
       answer(waiter, result.word, fields, has_body ? result.body : nullptr, out);
     } else if (result.end == FetchResult::End::kUnreachable) {
--- a/src/policy/participant.cpp
+++ b/src/policy/participant.cpp
@@ -5,9 +5,9 @@
 
 namespace trailcourse::policy {
 
-using ownership::Ask;
-using ownership::Order;
-using ownership::Phase;
+using ownership::LeaseCall;
+using ownership::LeaseCallKind;
+using ownership::LeasePhase;
 
 namespace {
 
@@ -184,11 +184,11 @@
 
 void Participant::on_join_result(Micros now, std::uint64_t call_id, bool joined) {
   if (!joined) {
-    lease_.refused(now, call_id);
+    lease_.on_rejected(now, call_id);
     pending_.reset();
     return;
   }
-  lease_.granted(now, call_id, kGranted);
+  lease_.on_granted(now, call_id, kGranted);
   if (lease_.term() != 0) {
     joined_ = true;
     reported_ = pending_.value_or(reported_);
@@ -199,10 +199,10 @@
 
 void Participant::on_renew_result(Micros now, std::uint64_t call_id, bool alive) {
   if (alive) {
-    lease_.granted(now, call_id, kGranted);
+    lease_.on_granted(now, call_id, kGranted);
     return;
   }
-  lease_.refused(now, call_id);
+  lease_.on_rejected(now, call_id);
   if (lease_.term() == 0) {
     joined_ = false;
     report_in_flight_ = false;
@@ -211,12 +211,12 @@
 }
 
 void Participant::on_release_result(Micros now, std::uint64_t call_id) {
-  lease_.granted(now, call_id, kReleased);
-  joined_ = joined_ && !lease_.over();
+  lease_.on_granted(now, call_id, kReleased);
+  joined_ = joined_ && !lease_.released();
 }
 
 void Participant::on_no_response(Micros now, std::uint64_t call_id) {
-  lease_.lost(now, call_id);
+  lease_.on_no_response(now, call_id);
   if (!joined_) {
     pending_.reset();  // the report may have been written or not: this router joins anew under another lease
   }
@@ -231,7 +231,7 @@
     reported_ = *pending_;
     last_version_ = reported_.version;
   } else {
-    report_not_before_ = now + options_.lease.retry;  // it may have been written: it is written again
+    report_not_before_ = now + options_.lease.retry_backoff;  // it may have been written: it is written again
   }
   pending_.reset();
 }
@@ -243,13 +243,13 @@
 // Returns whether the lease may be acquired, renewed or released now. A router that joins must know the
 // version in force and must have applied all events that were requested.
 bool Participant::may_call_for_lease(Micros now) const {
-  const Phase phase = lease_.phase(now);
-  if (phase == Phase::kStopped) {
+  const LeasePhase phase = lease_.phase(now);
+  if (phase == LeasePhase::kStopped) {
     return true;
   }
   const bool is_up_to_date = has_observed_ && documents_.is_prepared(observed_.version) &&
                              acknowledged_round_ >= observed_.acknowledgement.round;
-  return connected_ && (phase != Phase::kCandidate || is_up_to_date);
+  return connected_ && (phase != LeasePhase::kCandidate || is_up_to_date);
 }
 
 std::vector<ParticipantAction> Participant::step(Micros now) {
@@ -275,13 +275,13 @@
   if (!may_call_for_lease(now)) {
     return;
   }
-  const std::optional<Order> order = lease_.due(now);
+  const std::optional<LeaseCall> order = lease_.step(now);
   if (!order) {
     return;
   }
   LeaseAction action;
   action.order = *order;
-  if (order->ask == Ask::kAcquire) {
+  if (order->kind == LeaseCallKind::kAcquire) {
     joined_ = false;
     report_in_flight_ = false;
     pending_ = desired_report();
@@ -309,7 +309,7 @@
   }
   report_in_flight_ = true;
   pending_ = desired;
-  report_not_before_ = watched ? now + options_.lease.retry : now;
+  report_not_before_ = watched ? now + options_.lease.retry_backoff : now;
   ReportAction action{++last_report_id_, desired};
   action.report.sequence = action.call_id;
   actions.emplace_back(std::move(action));
@@ -317,9 +317,9 @@
 
 // While no call for the lease may be made, only an event can change that.
 std::optional<Micros> Participant::next_step_at(Micros now) const {
-  std::optional<Micros> out = may_call_for_lease(now) ? lease_.next(now) : std::nullopt;
+  std::optional<Micros> out = may_call_for_lease(now) ? lease_.next_step_at(now) : std::nullopt;
   if (lease_.may_act(now)) {
-    out = std::min(out.value_or(lease_.until()), lease_.until());
+    out = std::min(out.value_or(lease_.valid_until()), lease_.valid_until());
   }
   if (report_not_before_ > now) {
     out = std::min(out.value_or(report_not_before_), report_not_before_);
--- a/tests/aggregation/aggregator_input_test.cpp
+++ b/tests/aggregation/aggregator_input_test.cpp
@@ -90,7 +90,7 @@
   put_rollout(RolloutState::kSuspending);
   load_snapshot();
   execute_steps();
-  const std::uint64_t step = step_in(RolloutState::kSuspending);
+  const std::uint64_t stage = stage_in(RolloutState::kSuspending);
   const LeaseId witness = join("witness", "edge");
   LeaseId lease = join("r1", "edge");
   std::mt19937_64 random(21);
@@ -125,7 +125,7 @@
     }
     ASSERT_EQ(aggregator_.router_count(), 2U);
     ASSERT_EQ(aggregator_.summaries().at("edge").represented_routers, 2U);
-    ASSERT_NE(aggregator_.summaries().at("edge").suspended_stage, step) << "the witness has not reported it";
+    ASSERT_NE(aggregator_.summaries().at("edge").suspended_stage, stage) << "the witness has not reported it";
     ASSERT_EQ(aggregator_.summaries().at("west").represented_routers, 0U);
   }
   EXPECT_GT(rejected, 1'000U);
@@ -144,7 +144,7 @@
     put(policy::kRolloutKey, mutated(good, random));
     const ParticipantReport summary = aggregator_.summaries().at("edge");
     const auto read = policy::read_rollout(store_.get(Range{policy::kRolloutKey, false}).front().value);
-    const bool suspending = read && read->state == RolloutState::kSuspending && read->concerns("edge");
+    const bool suspending = read && read->state == RolloutState::kSuspending && read->applies_to("edge");
     EXPECT_EQ(summary.suspended_stage, suspending ? policy::stage_id(*read) : 0U);
   }
 }
--- a/tests/aggregation/upstream_lease_test.cpp
+++ b/tests/aggregation/upstream_lease_test.cpp
@@ -111,10 +111,10 @@
 TEST_F(UpstreamLeaseTest, AnswerToAnEarlierJoinIsIgnored) {
   load_snapshot();
   const auto first = std::get<LeaseAction>(aggregator_.step(now_).front());
-  aggregator_.upstream().on_no_response(now_, first.call.number);
+  aggregator_.upstream().on_no_response(now_, first.call.call_id);
   now_ += milliseconds(200);
   const auto second = std::get<LeaseAction>(aggregator_.step(now_).front());
-  aggregator_.upstream().on_join_result(now_, first.call.number, {JoinResult::Status::kJoined, 9, 0});
+  aggregator_.upstream().on_join_result(now_, first.call.call_id, {JoinResult::Status::kJoined, 9, 0});
   EXPECT_FALSE(aggregator_.upstream().is_active(now_));
   execute(second);
   EXPECT_TRUE(aggregator_.upstream().is_active(now_));
