--- a/src/discovery/discovery_server.h
+++ b/src/discovery/discovery_server.h
@@ -29,6 +29,7 @@
   std::string body;  // JSON
 };
 
+// Serves the pages of an EventLog to clients that poll for them.
 class DiscoveryServer {
  public:
   struct Limits {
--- a/src/discovery/event_log.h
+++ b/src/discovery/event_log.h
@@ -33,6 +33,7 @@
 // Throws PageFormatError where the page is not of that form.
 void validate_page(const nlohmann::json& page);
 
+// Holds events by sequence number and renders pages of them.
 class EventLog {
  public:
   using Page = std::shared_ptr<const std::string>;
--- a/src/discovery/long_poll_scheduler.h
+++ b/src/discovery/long_poll_scheduler.h
@@ -42,6 +42,7 @@
 // Identifies a poll while it is held; chosen by the caller, never used twice.
 using CallId = std::uint64_t;
 
+// Options of LongPollScheduler.
 struct LongPollOptions {
   std::size_t max_held = 4'096;
   double calls_per_s = 0.0;                                // answered beside held ones; 0: no bound
@@ -53,6 +54,7 @@
 // Derives the options from the operator's section.
 LongPollOptions long_poll_options(const DiscoveryOptions& options);
 
+// Whether a poll is answered at once, held or rejected.
 enum class CallDecisionKind { kAnswer, kHold, kReject };
 
 // What to do with a poll.
@@ -72,6 +74,7 @@
   std::uint64_t peak_in_second = 0;  // most calls in any second
 };
 
+// Decides on the polls of all clients of one service.
 class LongPollScheduler {
  public:
   using Millis = std::chrono::milliseconds;  // of the caller's steady clock, or a duration
--- a/src/routing/relay.h
+++ b/src/routing/relay.h
@@ -23,6 +23,7 @@
 
 namespace trailcourse::routing {
 
+// Serves the pages that this router has received.
 class Relay {
  public:
   struct Options {
--- a/src/snapshot/snapshot.h
+++ b/src/snapshot/snapshot.h
@@ -34,6 +34,7 @@
 // Returns the declaration of the section `snapshot`: its keys, ranges and descriptions.
 const config::Record<SnapshotOptions>& snapshot_record();
 
+// The content of a snapshot.
 struct Snapshot {
   std::string fleet;
   std::string router;
--- a/src/snapshot/snapshot_directory.h
+++ b/src/snapshot/snapshot_directory.h
@@ -11,6 +11,7 @@
 
 namespace trailcourse::snapshot {
 
+// Owns the lock on the directory.
 class SnapshotDirectory {
  public:
   // Creates the directory where it does not exist, and locks it for the lifetime of the object. Throws
--- a/src/snapshot/write_scheduler.h
+++ b/src/snapshot/write_scheduler.h
@@ -13,6 +13,7 @@
 
 namespace trailcourse::snapshot {
 
+// Schedules the writes of one router's snapshot.
 class WriteScheduler {
  public:
   using Millis = std::chrono::milliseconds;
--- a/src/startup/endpoint_admission.h
+++ b/src/startup/endpoint_admission.h
@@ -23,6 +23,7 @@
 
 namespace trailcourse::startup {
 
+// Admits the endpoints of one router's list.
 class EndpointAdmission {
  public:
   EndpointAdmission(const AdmissionOptions& options, std::uint64_t seed) : options_(options), random_(seed) {}
--- a/src/startup/endpoint_view.h
+++ b/src/startup/endpoint_view.h
@@ -23,6 +23,7 @@
 
 namespace trailcourse::startup {
 
+// Derives the events that the decision module sees from the list of the discovery service.
 class EndpointView {
  public:
   EndpointView(const AdmissionOptions& admission, const ReadinessOptions& readiness, std::uint64_t seed)
--- a/src/startup/fleet_size.h
+++ b/src/startup/fleet_size.h
@@ -10,6 +10,7 @@
 
 namespace trailcourse::startup {
 
+// Holds what is known of the number of routers.
 class FleetSize {
  public:
   // A figure of 0 or less means that it is not configured.
--- a/src/startup/readiness.h
+++ b/src/startup/readiness.h
@@ -41,6 +41,7 @@
   friend bool operator==(const ServingPermissions&, const ServingPermissions&) = default;
 };
 
+// Tracks when the endpoint list was last certainly current.
 class Readiness {
  public:
   explicit Readiness(const ReadinessOptions& options) : options_(options) {}
--- a/src/startup/relay_selector.h
+++ b/src/startup/relay_selector.h
@@ -21,6 +21,7 @@
 
 namespace trailcourse::startup {
 
+// Options of RelaySelector.
 struct RelaySelectorOptions {
   Micros max_age{1'000'000};                   // of a page that a relay passes on
   Micros initial_quarantine{500'000};          // of a relay that failed; doubles
@@ -43,6 +44,7 @@
   kLoop    // it has passed through this router before
 };
 
+// Selects among the ancestors of one router in the relay tree.
 class RelaySelector {
  public:
   // `ancestors` are the relays of this router, nearest first.
--- a/src/startup/relay_tree.h
+++ b/src/startup/relay_tree.h
@@ -13,6 +13,7 @@
 
 namespace trailcourse::startup {
 
+// The relay tree as one router sees it. Immutable.
 class RelayTree {
  public:
   // `peers` are the names of the zone's routers, with or without `self`, in any order, duplicates allowed.
