--- a/src/cache_node/node.cpp
+++ b/src/cache_node/node.cpp
@@ -118,19 +118,7 @@
   std::vector<store::PurgeRecord> purges;
   for (const protocol::Notice& notice : page.notices) {
     if (const auto* pool = std::get_if<protocol::PoolNotice>(&notice.what)) {
-      for (const protocol::ListedCache& cache : pool->caches) {
-        const std::string& name = cache.entry.address;
-        const auto address = transport::parse_address(cache.address);
-        if (cache.entry.state == NodeState::kGone || !address) {
-          sources_.drop(name);
-          directory_.remove(name);
-        } else {
-          if (directory_.find(name) != address) {
-            sources_.drop(name);
-          }
-          directory_.set(name, *address);
-        }
-      }
+      take(*pool);
     } else if (const auto* flush = std::get_if<protocol::FlushNotice>(&notice.what)) {
       store::PurgeRecord purge;
       purge.kind = flush->whole_group ? store::PurgeRecord::Kind::kGroup : store::PurgeRecord::Kind::kObject;
@@ -150,6 +138,23 @@
   core_.caught_up();
 }
 
+// Where sources are reached from now on; connections to one that is gone or has moved are dropped.
+void Node::take(const protocol::PoolNotice& pool) {
+  for (const protocol::ListedCache& cache : pool.caches) {
+    const std::string& name = cache.entry.address;
+    const auto address = transport::parse_address(cache.address);
+    if (cache.entry.state == NodeState::kGone || !address) {
+      sources_.drop(name);
+      directory_.remove(name);
+      continue;
+    }
+    if (directory_.find(name) != address) {
+      sources_.drop(name);
+    }
+    directory_.set(name, *address);
+  }
+}
+
 // A command of owned work is executed only once its term is durable; a former owner is answered that nothing was
 // done.
 void Node::on_admitted(Ticket ticket, fencing::AdmitResult result) {
--- a/src/cache_node/node.h
+++ b/src/cache_node/node.h
@@ -52,6 +52,7 @@
   std::string report() const;
 
  private:
+  void take(const protocol::PoolNotice& pool);
   Moment now() const;
   void on_admitted(Ticket ticket, fencing::AdmitResult result);
   void carry_out(std::vector<Action>& actions);
--- a/src/fleet/scenario.cpp
+++ b/src/fleet/scenario.cpp
@@ -67,6 +67,7 @@
 
 std::vector<FaultProxy*> Scenario::links() {
   std::vector<FaultProxy*> out;
+  out.reserve(proxies_.size());
   for (const auto& proxy : proxies_) {
     out.push_back(proxy.get());
   }
--- a/src/store/maintenance.cpp
+++ b/src/store/maintenance.cpp
@@ -156,82 +156,125 @@
   return out;
 }
 
-CompactReport compact_folder(Files& files, Index& index, double least_share, std::uint64_t segment_bytes,
-                             const Progress& progress) {
-  CompactReport out;
-  std::map<SegmentId, std::uint64_t> live;
-  std::map<SegmentId, std::vector<IndexRow>> rows;
-  each_row(index, [&](const IndexRow& row) {
-    live[row.location.segment] += row.location.stored;
-    rows[row.location.segment].push_back(row);
-  });
-  std::vector<SegmentId> victims;
-  const IndexMarks marks = index.marks();
-  const auto mark = marks.find(kSegmentMark);
-  SegmentId last = mark == marks.end() ? 0 : static_cast<SegmentId>(mark->second);
-  for (const std::string& name : files.list()) {
-    if (const std::optional<SegmentId> id = segment_of(name)) {
-      const std::uint64_t size = files.open(name)->size();
-      ++out.segments_before;
-      out.bytes_before += size;
-      last = std::max(last, *id);
-      if (static_cast<double>(live[*id]) < least_share * static_cast<double>(size)) {
-        victims.push_back(*id);
+namespace {
+
+// Moves the live records of segments of little use to new segments. Rows are committed to the index once the new segment
+// is synced, and a segment is removed once none of its rows stands in the index.
+class Compaction {
+ public:
+  Compaction(Files& files, Index& index, std::uint64_t segment_bytes)
+      : files_(files), index_(index), segment_bytes_(segment_bytes) {
+    each_row(index_, [&](const IndexRow& row) {
+      live_[row.location.segment] += row.location.stored;
+      rows_[row.location.segment].push_back(row);
+    });
+    const IndexMarks marks = index_.marks();
+    const auto mark = marks.find(kSegmentMark);
+    last_ = mark == marks.end() ? 0 : static_cast<SegmentId>(mark->second);
+  }
+
+  // The segments of which less than this share is live; counts all that stand in the folder.
+  std::vector<SegmentId> choose(double least_share) {
+    std::vector<SegmentId> out;
+    for (const std::string& name : files_.list()) {
+      if (const std::optional<SegmentId> id = segment_of(name)) {
+        const std::uint64_t size = files_.open(name)->size();
+        ++report_.segments_before;
+        report_.bytes_before += size;
+        last_ = std::max(last_, *id);
+        if (static_cast<double>(live_[*id]) < least_share * static_cast<double>(size)) {
+          out.push_back(*id);
+        }
       }
     }
+    return out;
   }
-  std::unique_ptr<File> active;
-  std::uint64_t end = 0;
-  IndexBatch changes;
-  const auto commit = [&] {
-    if (active) {
-      active->sync();
-      files.sync_names();
-    }
-    changes.marks[kSegmentMark] = last;
-    index.commit(changes);
-    changes = IndexBatch();
-  };
-  std::uint64_t done = 0;
-  for (const SegmentId id : victims) {
-    const std::unique_ptr<File> file = files.open(segment_name(id));
-    for (const IndexRow& row : rows[id]) {
-      const std::string bytes = file->read(row.location.offset, row.location.stored);
-      if (!active || end + bytes.size() > segment_bytes) {
-        commit();
-        active = files.create(segment_name(++last));
-        active->write(0, encode_segment_head(last));
-        end = kSegmentHeadBytes;
-      }
-      const std::optional<std::string> anew = moved_record(bytes, id, row.location.offset, last, end);
-      if (!anew) {
-        changes.erase.push_back(row.key);
-        ++out.dropped;
-        continue;
-      }
-      active->write(end, *anew);
-      IndexRow moved = row;
-      moved.location.segment = last;
-      moved.location.offset = static_cast<std::uint32_t>(end);
-      changes.put.push_back(moved);
-      end += anew->size();
-      ++out.moved;
-      if (changes.put.size() >= kCommitAtOnce) {
-        commit();
+
+  void clear(SegmentId id) {
+    const std::unique_ptr<File> file = files_.open(segment_name(id));
+    for (const IndexRow& row : rows_[id]) {
+      move(row, file->read(row.location.offset, row.location.stored));
+    }
+    commit();
+    files_.remove(segment_name(id));
+  }
+
+  CompactReport finish() {
+    index_.compact();
+    for (const std::string& name : files_.list()) {
+      if (segment_of(name)) {
+        ++report_.segments_after;
+        report_.bytes_after += files_.open(name)->size();
       }
     }
+    return report_;
+  }
+
+ private:
+  void move(const IndexRow& row, const std::string& bytes) {
+    if (!active_ || end_ + bytes.size() > segment_bytes_) {
+      begin_segment();
+    }
+    const std::optional<std::string> anew =
+        moved_record(bytes, row.location.segment, row.location.offset, last_, end_);
+    if (!anew) {
+      changes_.erase.push_back(row.key);
+      ++report_.dropped;
+      return;
+    }
+    active_->write(end_, *anew);
+    IndexRow moved = row;
+    moved.location.segment = last_;
+    moved.location.offset = static_cast<std::uint32_t>(end_);
+    changes_.put.push_back(moved);
+    end_ += anew->size();
+    ++report_.moved;
+    if (changes_.put.size() >= kCommitAtOnce) {
+      commit();
+    }
+  }
+
+  void begin_segment() {
     commit();
-    files.remove(segment_name(id));
-    progress(++done, victims.size());
+    active_ = files_.create(segment_name(++last_));
+    active_->write(0, encode_segment_head(last_));
+    end_ = kSegmentHeadBytes;
   }
-  index.compact();
-  for (const std::string& name : files.list()) {
-    if (segment_of(name)) {
-      ++out.segments_after;
-      out.bytes_after += files.open(name)->size();
+
+  void commit() {
+    if (active_) {
+      active_->sync();
+      files_.sync_names();
     }
+    changes_.marks[kSegmentMark] = last_;
+    index_.commit(changes_);
+    changes_ = IndexBatch();
   }
-  return out;
+
+  Files& files_;
+  Index& index_;
+  std::uint64_t segment_bytes_;
+  std::map<SegmentId, std::uint64_t> live_;  // bytes
+  std::map<SegmentId, std::vector<IndexRow>> rows_;
+  SegmentId last_ = 0;
+  std::unique_ptr<File> active_;
+  std::uint64_t end_ = 0;  // of the active segment
+  IndexBatch changes_;
+  CompactReport report_;
+};
+
+}  // namespace
+
+CompactReport compact_folder(Files& files, Index& index, double least_share, std::uint64_t segment_bytes,
+                             const Progress& progress) {
+  Compaction compaction(files, index, segment_bytes);
+  const std::vector<SegmentId> victims = compaction.choose(least_share);
+  std::uint64_t done = 0;
+  for (const SegmentId id : victims) {
+    compaction.clear(id);
+    progress(++done, victims.size());
+  }
+  return compaction.finish();
 }
 
 std::uint64_t drop_folder(Files& files) {
