--- a/src/program/start_support.cpp
+++ b/src/program/start_support.cpp
@@ -70,6 +70,7 @@
   }
   if (start.has_relay && !start.relay.peers.empty()) {
     std::vector<std::string> names;
+    names.reserve(start.relay.peers.size());
     for (const std::string& peer : start.relay.peers) {
       names.push_back(name_of(peer));
     }
@@ -126,8 +127,9 @@
   taker.take(configuration_.known);
   try {
     log_.replace(nlohmann::json::parse(configuration_.known_text));
-  } catch (const std::exception&) {
-    // what the reader of notices could use it has used; a relay begins with the board's first page
+  } catch (const std::exception& error) {
+    // What could be used of it was used above; a relay begins with the discovery service's first page.
+    log_line(Level::kDebug) << "known is not passed on to relays: " << error.what();
   }
   if (configuration_.start.has_snapshot && !configuration_.start.snapshot.folder.empty()) {
     load_snapshot(taker);
