--- a/src/program/work_command.cpp
+++ b/src/program/work_command.cpp
@@ -51,6 +51,7 @@
   for (const Entry& entry : client.get(ownership::kWorkPrefix)) {
     if (const auto work = ownership::read_work(entry.key, entry.value)) {
       std::vector<Row> rows;
+      rows.reserve(work->shards);
       for (std::uint64_t i = 0; i < work->shards; ++i) {
         rows.push_back(Row{ownership::ShardId{work->name, i}, {}, {}, false, {}});
       }
