--- /dev/null
+++ b/src/decision/cache_selection.cpp
@@ -0,0 +1,55 @@
+#include "cache_selection.h"
+
+#include <vector>
+
+#include "rendezvous.h"
+
+namespace trailcourse {
+namespace {
+
+constexpr int kCandidates = 2;  // healthy caches in hash order among which load may choose
+constexpr double kLoadAdvantage =
+    0.5;  // of the first one's load that the second may have: a departure costs a fill
+
+}  // namespace
+
+int CacheSelection::select(const Request& request) {
+  const std::vector<int> order = rendezvous_order(context_.nodes, Role::kCache, request.object_key);
+  const bool general_failure = outliers_.mostly_ejected(order);
+  const double cost = slow_start_.cost(request);
+  int best = -1;
+  int last_resort = -1;
+  int candidates = 0;
+  for (const int index : order) {
+    if (!usable(request, index, cost)) {
+      continue;
+    }
+    const Node& node = context_.nodes.at(index);
+    if (!outliers_.healthy(node) && (!general_failure || node.health.connect_failed)) {
+      last_resort = better_resort(last_resort, index);
+      continue;
+    }
+    if (best < 0 || loads_.load(node) < kLoadAdvantage * loads_.load(context_.nodes.at(best))) {
+      best = index;
+    }
+    if (!loads_.crowded(context_.nodes.at(best)) || ++candidates >= kCandidates) {
+      break;
+    }
+  }
+  return best >= 0 ? best : last_resort;
+}
+
+bool CacheSelection::usable(const Request& request, int index, double cost) {
+  Node& node = context_.nodes.at(index);
+  return !request.avoids(index) && slow_start_.admits(node, cost) && idempotency_.may_send(request, node);
+}
+
+// Returns the one of two unhealthy caches that failed longer ago, if it may be tried now.
+int CacheSelection::better_resort(int resort, int candidate) const {
+  const NodeHealth& health = context_.nodes.at(candidate).health;
+  const bool may_be_tried = !health.trial_in_flight || health.connect_refused;
+  const bool longer_ago = resort < 0 || health.last_failure < context_.nodes.at(resort).health.last_failure;
+  return may_be_tried && longer_ago ? candidate : resort;
+}
+
+}  // namespace trailcourse
--- /dev/null
+++ b/src/decision/decision_context.h
@@ -0,0 +1,43 @@
+// What all parts of the decision module share: the settings, the time of the current event, the nodes and the
+// source of random numbers. It decides nothing.
+#pragma once
+
+#include <trailcourse/decider.h>
+
+#include <cstddef>
+#include <cstdint>
+#include <random>
+#include <utility>
+
+#include "node_table.h"
+#include "request.h"
+
+namespace trailcourse {
+
+struct DecisionContext {
+  // Addresses beyond this number reuse the slots of nodes that are gone and idle.
+  static constexpr std::size_t kMaxNodes = 4096;
+
+  DecisionContext(Settings initial_settings, std::uint64_t seed)
+      : settings(std::move(initial_settings)), random(seed) {}
+  DecisionContext(const DecisionContext&) = delete;
+  DecisionContext& operator=(const DecisionContext&) = delete;
+
+  const ClassSettings& class_of(const Request& request) const {
+    return settings.classes[static_cast<std::size_t>(request.arrival.request_class)];
+  }
+  // Returns whether caches may keep the answer.
+  bool cacheable(const Request& request) const {
+    return !class_of(request).uncached && !request.arrival.write;
+  }
+
+  // Returns a uniformly distributed random number.
+  double draw(double from, double to) { return std::uniform_real_distribution<double>(from, to)(random); }
+
+  Settings settings;
+  Micros now{0};
+  std::mt19937_64 random;
+  NodeTable nodes{kMaxNodes};
+};
+
+}  // namespace trailcourse
--- /dev/null
+++ b/src/decision/keep_rank.cpp
@@ -0,0 +1,63 @@
+#include "keep_rank.h"
+
+#include <algorithm>
+#include <cstddef>
+
+#include "time_units.h"
+
+namespace trailcourse {
+namespace {
+
+using std::chrono::seconds;
+
+// The weights of the score.
+constexpr double kAlpha = 1.0;  // of 1 / request count
+constexpr double kBeta = 0.9;   // of the size
+constexpr double kMu = 0.3;     // of the known holders
+constexpr double kNu = 0.6;     // of the idle time
+
+constexpr double kTopCut = 1.2;                  // scores below get the top rank
+constexpr double kMiddleCut = 2.0;               // scores below get the middle rank
+constexpr double kTopShare = 0.25;               // of the bytes asked for that may hold the top rank
+constexpr double kByteDecay = 0.9995;            // a request; the byte shares look back over some thousands
+constexpr Micros kCountHalfLife = seconds(60);   // a known holder is forgotten after the same time
+constexpr Micros kDefaultMaxIdle = seconds(30);  // tmax of a class without a lifetime
+
+enum Rank { kLowestRank = 1, kMiddleRank = 2, kTopRank = 3 };
+
+}  // namespace
+
+int KeepRank::rank(const Request& request) {
+  const double value = score(request);
+  const int wanted = value < kTopCut ? kTopRank : value < kMiddleCut ? kMiddleRank : kLowestRank;
+  const double size_kb = std::max(1.0, request.arrival.size_kb);
+  const bool top = top_bytes_.add(size_kb, wanted == kTopRank, kTopShare, kByteDecay);
+  return top ? kTopRank : std::min<int>(wanted, kMiddleRank);
+}
+
+double KeepRank::score(const Request& request) {
+  ObjectEntry& entry = objects_.touch(request.object_key);
+  const double idle = idle_share(entry, request);
+  entry.age_count(context_.now, kCountHalfLife);
+  entry.forget_holders(context_.now - kCountHalfLife);
+  entry.request_count += request.arrival.is_retry && entry.request_count > 0.0 ? 0.0 : 1.0;
+  entry.last_request = context_.now;
+  largest_kb_ = std::max(largest_kb_, request.arrival.size_kb);
+  const double size = largest_kb_ > 0.0 ? request.arrival.size_kb / largest_kb_ : 0.0;
+  return kAlpha / std::max(1.0, entry.request_count) + kBeta * size + kMu * holder_share(entry) + kNu * idle;
+}
+
+// The time since the last request over tmax, at most 1, which is also the value of a first request.
+double KeepRank::idle_share(const ObjectEntry& entry, const Request& request) const {
+  const double lifetime = to_seconds(context_.class_of(request).lifetime);
+  const double max_idle = lifetime > 0.0 ? lifetime : to_seconds(kDefaultMaxIdle);
+  return entry.request_count > 0.0 ? std::min(1.0, to_seconds(context_.now - entry.last_request) / max_idle)
+                                   : 1.0;
+}
+
+double KeepRank::holder_share(const ObjectEntry& entry) const {
+  const std::size_t parents = std::max<std::size_t>(1, context_.nodes.members(Role::kParent).size());
+  return std::min(1.0, static_cast<double>(entry.holders.size()) / static_cast<double>(parents));
+}
+
+}  // namespace trailcourse
--- /dev/null
+++ b/src/decision/load_shedding.h
@@ -0,0 +1,64 @@
+// Load shedding: a request whose predicted answer misses its latency objective is rejected early, large
+// objects first. No size is answered far less often than the rest of its class: a large object that is
+// rejected however often it is asked for would never come.
+#pragma once
+
+#include <array>
+#include <cstddef>
+#include <vector>
+
+#include "idempotency.h"
+#include "latency_model.h"
+#include "sending_times.h"
+
+namespace trailcourse {
+
+class LoadShedding {
+ public:
+  // All arguments but `classes` have to outlive this object.
+  LoadShedding(const IdempotencyRules& idempotency, const LatencyModel& latency, const LoadEstimate& loads,
+               const SendingTimes& sending_times, std::size_t classes)
+      : idempotency_(idempotency),
+        latency_(latency),
+        loads_(loads),
+        sending_times_(sending_times),
+        answered_(classes) {}
+
+  // Returns whether the request should be rejected instead of being sent to the node.
+  bool sheds(const Request& request, const Node& node) const {
+    return misses_objective(request, node) && !underserved(request);
+  }
+
+  // Returns whether the request is large and its size is answered far less often than its class.
+  bool underserved(const Request& request) const;
+
+  // Returns the sending time that the request counts with in the fill window: that of its class if
+  // underserved.
+  double counted_work(const Request& request) const {
+    return underserved(request) ? sending_times_.mean(request) : request.work;
+  }
+
+  // Records whether a request was answered.
+  void record(const Request& request, bool answered);
+
+  // Makes room for `classes` classes in all.
+  void resize(std::size_t classes) { answered_.resize(classes); }
+
+ private:
+  // Smoothed shares of the requests of a class that were answered, in time or late.
+  struct AnsweredShares {
+    double all = 1.0;
+    std::array<double, 3> by_size{1.0, 1.0, 1.0};  // below the class's mean, from it, from twice the mean on
+  };
+
+  bool misses_objective(const Request& request, const Node& node) const;
+  std::size_t size_step(const Request& request) const;
+
+  const IdempotencyRules& idempotency_;
+  const LatencyModel& latency_;
+  const LoadEstimate& loads_;
+  const SendingTimes& sending_times_;
+  std::vector<AnsweredShares> answered_;
+};
+
+}  // namespace trailcourse
--- a/src/decision/lru_map.h
+++ b/src/decision/lru_map.h
@@ -1,4 +1,4 @@
-// A map of bounded size that forgets what was used longest ago; a plain container, nothing is decided here.
+// A map of bounded size that forgets the entry used longest ago. It decides nothing.
 #pragma once
 
 #include <cstddef>
@@ -13,36 +13,37 @@
  public:
   explicit LruMap(std::size_t capacity) : capacity_(capacity) {}
 
-  // The value of `key`, made anew if there was none, and used most recently from now on.
+  // Returns the value of `key`, which becomes the one used most recently. A new value is added if there is
+  // none.
   Value& touch(const Key& key) {
-    const auto found = places_.find(key);
-    if (found != places_.end()) {
-      order_.splice(order_.begin(), order_, found->second);
-      return order_.front().second;
+    const auto found = positions_.find(key);
+    if (found != positions_.end()) {
+      entries_.splice(entries_.begin(), entries_, found->second);
+      return entries_.front().second;
     }
-    if (!order_.empty() && order_.size() >= capacity_) {
-      places_.erase(order_.back().first);
-      order_.pop_back();
+    if (!entries_.empty() && entries_.size() >= capacity_) {
+      positions_.erase(entries_.back().first);
+      entries_.pop_back();
     }
-    order_.emplace_front(key, Value{});
-    places_.emplace(key, order_.begin());
-    return order_.front().second;
+    entries_.emplace_front(key, Value{});
+    positions_.emplace(key, entries_.begin());
+    return entries_.front().second;
   }
 
-  // The value of `key`, or null; its place in the order of use stays.
+  // Returns the value of `key`, or null, and leaves the order of use.
   Value* find(const Key& key) {
-    const auto found = places_.find(key);
-    return found == places_.end() ? nullptr : &found->second->second;
+    const auto found = positions_.find(key);
+    return found == positions_.end() ? nullptr : &found->second->second;
   }
   const Value* find(const Key& key) const {
-    const auto found = places_.find(key);
-    return found == places_.end() ? nullptr : &found->second->second;
+    const auto found = positions_.find(key);
+    return found == positions_.end() ? nullptr : &found->second->second;
   }
 
  private:
   std::size_t capacity_;
-  std::list<std::pair<Key, Value>> order_;
-  std::unordered_map<Key, typename std::list<std::pair<Key, Value>>::iterator> places_;
+  std::list<std::pair<Key, Value>> entries_;  // the most recently used first
+  std::unordered_map<Key, typename std::list<std::pair<Key, Value>>::iterator> positions_;
 };
 
 }  // namespace trailcourse
--- a/src/decision/node_table.h
+++ b/src/decision/node_table.h
@@ -1,33 +1,38 @@
-// The nodes that the lists have named, in slots of bounded number, and the listed ones by role; a plain
-// container, nothing is decided here.
+// A bounded table of the nodes that endpoint lists have named, and the listed ones by role. It decides
+// nothing.
 #pragma once
 
 #include <array>
 #include <cstddef>
 #include <string>
 #include <unordered_map>
-#include <utility>
 #include <vector>
 
 #include "hashing.h"
-#include "state.h"
+#include "node.h"
 
 namespace trailcourse {
 
 class NodeTable {
  public:
+  // A node and whether it has just been added.
+  struct Lookup {
+    Node& node;
+    bool added;
+  };
+
   explicit NodeTable(std::size_t capacity) : capacity_(capacity) {}
 
   Node& at(int index) { return nodes_[static_cast<std::size_t>(index)]; }
   const Node& at(int index) const { return nodes_[static_cast<std::size_t>(index)]; }
   std::vector<Node>& all() { return nodes_; }
 
-  // Listed nodes of one role; caches: of this router's zone.
+  // Returns the indices of the listed nodes of a role; of caches only those of this router's zone.
   const std::vector<int>& members(Role role) const { return members_[static_cast<std::size_t>(role)]; }
 
-  // The node of an address and whether its slot is new. Beyond the capacity slots not listed and idle are
-  // used again.
-  std::pair<Node&, bool> find_or_add(const std::string& address) {
+  // Returns the node of an address. A full table reuses the slot of a node that is neither listed nor in use.
+  // References to nodes are invalid after the next call.
+  Lookup find_or_add(const std::string& address) {
     const auto [found, added] = index_.try_emplace(address, 0);
     if (added) {
       found->second = free_slot();
@@ -37,13 +42,13 @@
     return {at(found->second), added};
   }
 
-  // To be called once a list has been taken in.
-  void sort_by_role() {
+  // Rebuilds the lists of members; to be called after each change to `listed`.
+  void update_members() {
     members_ = {};
     for (int i = 0; i < static_cast<int>(nodes_.size()); ++i) {
       const Node& node = at(i);
-      if (node.listed && (node.local || node.entry.role != Role::kCache)) {
-        members_[static_cast<std::size_t>(node.entry.role)].push_back(i);
+      if (node.listed && (node.in_own_zone || node.endpoint.role != Role::kCache)) {
+        members_[static_cast<std::size_t>(node.endpoint.role)].push_back(i);
       }
     }
   }
@@ -52,7 +57,7 @@
   int free_slot() {
     for (std::size_t i = 0; nodes_.size() >= capacity_ && i < nodes_.size(); ++i) {
       if (!nodes_[i].listed && nodes_[i].in_flight == 0) {
-        index_.erase(nodes_[i].entry.address);
+        index_.erase(nodes_[i].endpoint.address);
         return static_cast<int>(i);
       }
     }
--- /dev/null
+++ b/src/decision/slow_start.cpp
@@ -0,0 +1,89 @@
+#include "slow_start.h"
+
+#include <cmath>
+
+#include "hashing.h"
+
+namespace trailcourse {
+namespace {
+
+constexpr double kBudgetShare = 0.7;  // of the overload budget, over all time slots of all routers
+constexpr double kSlotLength = 1.0;   // of the overload span that a time slot stays open
+constexpr double kMinPeriod = 0.25;   // of the overload span from one slot of a router to its next, or more
+constexpr double kMinPause = 0.999;   // of a period before the next slot: none is lost to rounding
+constexpr double kPeriodStep = 0.5;   // octaves: one period for all routers whose means differ a little
+constexpr double kMinCapacityShare = 0.01;
+constexpr double kGoldenRatio = 0.6180339887498949;  // its multiples lie evenly, whatever their number
+
+}  // namespace
+
+SlowStart::SlowStart(const DecisionContext& context, const SendingTimes& sending_times, std::uint64_t seed)
+    : context_(context),
+      sending_times_(sending_times),
+      phase_(context.settings.self_index >= 0 ? context.settings.self_index * kGoldenRatio
+                                              : to_unit_interval(seed)) {}
+
+double SlowStart::rising_share(const Node& node) const {
+  const Settings& settings = context_.settings;
+  const bool parent = node.endpoint.role == Role::kParent;
+  const double from = parent ? settings.parent_slow_start_from : settings.slow_start_from;
+  const double span = to_seconds(parent ? settings.parent_slow_start_span : settings.slow_start_span);
+  if (node.endpoint.role == Role::kOrigin || span <= 0.0) {
+    return 1.0;
+  }
+  return std::min(1.0, std::max(from, kMinCapacityShare) + (1.0 - from) * age(node) / span);
+}
+
+double SlowStart::age(const Node& node) const {
+  return std::max(0.0, to_seconds(context_.now - node.endpoint.started));
+}
+
+bool SlowStart::slot_open(const Node& node) const {
+  return context_.now <
+         node.slow_start.begin + from_seconds(kSlotLength * to_seconds(context_.settings.overload_span));
+}
+
+bool SlowStart::fits_slot(Node& node, double cost) const {
+  const Settings& settings = context_.settings;
+  const bool parent = node.endpoint.role == Role::kParent;
+  const int routers = std::max(1, parent ? settings.routers : settings.routers_in_zone);
+  const double rate =
+      kBudgetShare * overload_factor(node) * capacity_share(node) * node.transfer_capacity / routers;
+  const double period = slot_period(rate);
+  const double phase = phase_ + to_unit_interval(node.hash);
+  const double periods = age(node) / period + phase;
+  const double elapsed = period * (periods - std::floor(periods));
+  const Micros begin = context_.now - from_seconds(elapsed);
+  SlowStartSlot& slot = node.slow_start;
+  if (begin >= slot.next_begin) {
+    slot.begin = begin;
+    slot.next_begin = begin + from_seconds(kMinPause * period);
+    slot.tokens = rate * period;
+  }
+  return slot.tokens >= cost && slot_open(node);
+}
+
+// The seconds between two slots: long enough that the budget of `rate` pays for the most expensive request.
+double SlowStart::slot_period(double rate) const {
+  const double span = to_seconds(context_.settings.overload_span);
+  const double octaves = std::log2(sending_times_.largest_upper_mean() / (rate * kMinPeriod * span));
+  return kMinPeriod * span * std::exp2(kPeriodStep * std::ceil(std::max(0.0, octaves) / kPeriodStep));
+}
+
+double SlowStart::charge(Node& node, double cost) const {
+  const double charged = limits(node) ? cost : 0.0;
+  node.slow_start.tokens -= charged;
+  return charged;
+}
+
+void SlowStart::refund(Node& node, const Attempt& attempt, double cost) {
+  node.slow_start.tokens += attempt.sent >= node.slow_start.begin ? cost : 0.0;
+}
+
+bool SlowStart::may_begin(const Node& node, const Attempt& attempt) const {
+  const bool paid =
+      attempt.sent >= node.slow_start.begin && node.slow_start.begin > Micros(0) && slot_open(node);
+  return paid || !limits(node);
+}
+
+}  // namespace trailcourse
--- /dev/null
+++ b/tests/decision/outlier_detection_test.cpp
@@ -0,0 +1,186 @@
+// Outlier detection: which failures eject a node, and for how long.
+#include <gtest/gtest.h>
+
+#include <cstddef>
+#include <set>
+#include <string>
+#include <vector>
+
+#include "decision/decision_fixture.h"
+
+namespace trailcourse::decision_testing {
+namespace {
+
+TEST(OutlierDetection, EjectsASilentCacheAndRetriesItsRequestElsewhere) {
+  TestRouter router;
+  router.receive_list(default_endpoints());
+  const auto timers = actions_of<SetTimer>(router.request(1));
+  const std::string silent = router.sends[1][0].cache;
+  router.now += timers.back().delay;
+  ASSERT_EQ(count<SendAttempt>(router.handle(TimerFired{timers.back().token})), 1);
+  EXPECT_NE(router.sends[1][1].cache, silent);
+  EXPECT_NE(router.serve(2).cache, silent);
+  EXPECT_EQ(count<Cancel>(router.end_attempt(1, 1, Status::kOk)), 1);  // the first is called off
+  EXPECT_TRUE(router.end_attempt(1, 0, Status::kTimeout).empty());
+}
+
+TEST(OutlierDetection, EndsAnEjectionForSilenceWithTheNextAnswer) {
+  TestRouter router;
+  router.receive_list(default_endpoints());
+  const auto timers = actions_of<SetTimer>(router.request(1));
+  const std::string slow = router.sends[1][0].cache;
+  router.now += timers.back().delay;
+  router.handle(TimerFired{timers.back().token});
+  router.end_attempt(1, 0, Status::kOk);
+  EXPECT_EQ(router.serve(2).cache, slow);
+}
+
+TEST(OutlierDetection, PenalisesTheSourceOfAnOverdueFillWhereTheCacheAnswersOthers) {
+  TestRouter router;
+  router.receive_list(default_endpoints());
+  ObjectId other = 8;
+  const auto timers = actions_of<SetTimer>(router.request(1, kVideo, 7));
+  router.now += milliseconds(100);
+  for (RequestId id = 100; id < 140; ++id, ++other) {
+    router.serve(id, kVideo, other);
+  }
+  router.now += timers.back().delay;
+  ASSERT_EQ(count<SendAttempt>(router.handle(TimerFired{timers.back().token})), 1);
+  EXPECT_EQ(router.sends[1][1].cache, router.sends[1][0].cache);
+  EXPECT_NE(router.sends[1][1].source, router.sends[1][0].source);
+}
+
+TEST(OutlierDetection, CountsABrokenConnectionOnceAndRetriesTheSameCache) {
+  TestRouter router;
+  router.receive_list(default_endpoints());
+  std::vector<RequestId> on_it;
+  router.request(1, kVideo, 7);
+  const std::string home = router.sends[1][0].cache;
+  for (RequestId id = 2; id <= 6; ++id) {
+    router.request(id, kVideo, 7);
+  }
+  for (RequestId id = 1; id <= 6; ++id) {
+    router.end_attempt(id, 0, Status::kReset);
+    ASSERT_EQ(router.sends[id].size(), 2U);
+    EXPECT_EQ(router.sends[id][1].cache, home);
+  }
+}
+
+TEST(OutlierDetection, EjectsACacheThatFailsOften) {
+  TestRouter router;
+  router.receive_list(default_endpoints());
+  const std::string home = router.serve(1).cache;
+  for (RequestId id = 10; id < 13; ++id) {
+    router.request(id);
+    router.end_attempt(id, 0, Status::kError);
+    router.end_attempt(id, 1, Status::kOk);
+    router.now += milliseconds(20);
+  }
+  EXPECT_NE(router.serve(20).cache, home);
+}
+
+// An answer that never comes from a cache that answers others: the next one is asked before the client's time
+// is up, and nobody is blamed. Where the cache is crowded the answer is only slow, and asking twice adds to
+// that.
+TEST(OutlierDetection, RetriesALostAnswerElsewhereWithoutPenalty) {
+  for (const double crowd : {2.0, 200.0}) {
+    TestRouter router;
+    router.receive_list(default_endpoints());
+    const std::string home = router.serve(1).cache;
+    const auto asked = router.request(2);
+    router.now += seconds(2);
+    router.request(3);
+    LoadReport load;
+    load.concurrent = crowd;
+    router.end_attempt(3, 0, Status::kOk, Note::kFilled,
+                       load);  // it goes on answering others, and so does its source
+    for (const SetTimer& timer : actions_of<SetTimer>(asked)) {
+      if (timer.delay < seconds(4)) {
+        router.handle(TimerFired{timer.token});
+      }
+    }
+    ASSERT_EQ(router.sends[2].size(), crowd > 100.0 ? 1U : 2U);
+    if (crowd < 100.0) {
+      EXPECT_NE(router.sends[2][1].cache, home);
+      EXPECT_EQ(router.serve(4).cache, home) << "it is not left out for it";
+    }
+  }
+}
+
+// On days of resets every cache breaks some connections off; two in a row say nothing against one that
+// answers.
+TEST(OutlierDetection, ToleratesAFewConsecutiveResets) {
+  TestRouter router;
+  router.receive_list(default_endpoints());
+  const std::string home = router.serve(1).cache;
+  for (RequestId id = 10; id < 13; ++id) {
+    router.request(id);
+    router.end_attempt(id, 0, Status::kReset);
+    router.handle(ClientLeft{id});
+    router.now += milliseconds(20);
+  }
+  EXPECT_EQ(router.serve(20).cache, home);
+}
+
+TEST(OutlierDetection, EjectsACacheThatResetsEveryConnection) {
+  TestRouter router;
+  router.receive_list(default_endpoints());
+  const std::string home = router.serve(1).cache;
+  for (RequestId id = 10; id < 20; ++id) {
+    router.request(id);
+    router.end_attempt(id, 0, Status::kReset);
+    router.handle(ClientLeft{id});
+    router.now += milliseconds(20);
+  }
+  EXPECT_NE(router.serve(30).cache, home);
+}
+
+TEST(OutlierDetection, AGeneralFailureEjectsNobody) {
+  TestRouter router;
+  router.receive_list(default_endpoints());
+  for (RequestId id = 1; id <= 200; ++id) {
+    router.request(id, kVideo, id);
+    for (int attempt = 0; attempt < static_cast<int>(router.sends[id].size()); ++attempt) {
+      router.end_attempt(id, attempt, Status::kError);
+    }
+    router.now += milliseconds(20);
+  }
+  std::set<std::string> caches;
+  for (RequestId id = 1001; id <= 1100; ++id) {
+    router.request(id, kVideo, id);
+    if (!router.sends[id].empty()) {
+      caches.insert(router.sends[id][0].cache);
+    }
+    router.end_attempt(id, 0, Status::kOk);
+  }
+  EXPECT_GE(caches.size(), 3U);
+}
+
+// Fills from p1, and from p2 too if `both`, are refused without a note; how many of the last hundred still
+// name p1.
+int refused_fills_named(bool both) {
+  Settings settings = default_settings();
+  settings.notes = NoteLevel::kHit;
+  TestRouter router(settings);
+  router.receive_list(default_endpoints());
+  int named = 0;
+  for (RequestId id = 1; id <= 600; ++id) {
+    router.request(id, kVideo, id, 5.0);
+    for (std::size_t i = 0; i < router.sends[id].size(); ++i) {
+      const std::string source = router.sends[id][i].source;
+      const bool refused = source == "p1" || (both && source == "p2");
+      router.end_attempt(id, static_cast<int>(i), refused ? Status::kFull : Status::kOk, Note::kNone);
+      named += source == "p1" && id > 500 ? 1 : 0;
+    }
+    router.now += milliseconds(20);
+  }
+  return named;
+}
+
+TEST(OutlierDetection, ADeadParentStandsOutAndARejectingOriginDoesNot) {
+  EXPECT_LT(refused_fills_named(false), 20);
+  EXPECT_GT(refused_fills_named(true), 20);
+}
+
+}  // namespace
+}  // namespace trailcourse::decision_testing
