--- a/adapter/wire.cpp
+++ b/adapter/wire.cpp
@@ -125,10 +125,10 @@
     return head("UndoSend", instance) + ",\"Ref\":" + std::to_string(cancel.id) +
            ",\"Try\":" + std::to_string(cancel.attempt) + "}\n";
   }
-  std::string operator()(const Reject& refuse) const {
-    std::string line = head("NotNow", instance) + ",\"Ref\":" + std::to_string(refuse.id);
-    if (refuse.retry_after.count() > 0) {
-      line += ",\"WaitS\":" + seconds_text(refuse.retry_after);
+  std::string operator()(const Reject& reject) const {
+    std::string line = head("NotNow", instance) + ",\"Ref\":" + std::to_string(reject.id);
+    if (reject.retry_after.count() > 0) {
+      line += ",\"WaitS\":" + seconds_text(reject.retry_after);
     }
     return line + "}\n";
   }
--- a/benchmarks/decision_trace.cpp
+++ b/benchmarks/decision_trace.cpp
@@ -85,9 +85,9 @@
     add(cancel.id);
     add(static_cast<std::uint64_t>(cancel.attempt));
   }
-  void operator()(const Reject& refuse) {
-    add(refuse.id);
-    add(refuse.retry_after);
+  void operator()(const Reject& reject) {
+    add(reject.id);
+    add(reject.retry_after);
   }
   void operator()(const Fail& fail) { add(fail.id); }
   void operator()(const SetTimer& timer) {
@@ -323,7 +323,7 @@
     }
   }
 
-  void execute(const Reject& refuse) { finish(refuse.id); }
+  void execute(const Reject& reject) { finish(reject.id); }
   void execute(const Fail& fail) { finish(fail.id); }
   void execute(const SetTimer& timer) { schedule(now_ + timer.delay, TimerFired{timer.token}); }
   void execute(const Subscribe&) { subscribed_ = true; }
