--- a/benchmarks/scale/aggregator_costs.cpp
+++ b/benchmarks/scale/aggregator_costs.cpp
@@ -53,7 +53,7 @@
     aggregator_.set_connected(true);
     for (const aggregation::UpstreamAction& action : aggregator_.step(now_)) {
       if (const auto* lease = std::get_if<aggregation::LeaseAction>(&action)) {
-        aggregator_.upstream().on_join_result(now_, lease->call.number,
+        aggregator_.upstream().on_join_result(now_, lease->call.call_id,
                                               {aggregation::JoinResult::Status::kJoined, 9, 0});
       }
     }
@@ -71,7 +71,7 @@
     report.incarnation = "0123456789abcdef";
     report.zone = zone_name(router);
     report.version = 812;
-    report.number = ++number_;
+    report.sequence = ++number_;
     aggregator_.commit(now_, {{},
                               {coordination::Put{kPrefix + policy::report_key(router_name(router), lease),
                                                  policy::write_report(report), lease}},
--- a/tests/acknowledgement_test.cpp
+++ b/tests/acknowledgement_test.cpp
@@ -153,7 +153,7 @@
     ParticipantOptions out;
     out.lease.ttl = Micros(3'000'000);
     out.lease.renew_after = Micros(1'000'000);
-    out.lease.retry = Micros(200'000);
+    out.lease.retry_backoff = Micros(200'000);
     return out;
   }
   void observe(std::uint64_t round, const DiscoveryPosition& requested) {
@@ -174,7 +174,7 @@
   void join() {
     const auto lease_call = action<LeaseAction>();
     ASSERT_TRUE(lease_call.has_value());
-    participant_.on_join_result(now_, lease_call->order.number, true);
+    participant_.on_join_result(now_, lease_call->order.call_id, true);
   }
 
   Participant participant_;
@@ -294,7 +294,7 @@
   const auto joined =
       aggregation::read_join_result(store.commit(aggregation::join_transaction("", "east", lease, action)));
   ASSERT_EQ(joined.status, aggregation::JoinResult::Status::kJoined);
-  aggregator.upstream().on_join_result(kStart, action.call.number, joined);
+  aggregator.upstream().on_join_result(kStart, action.call.call_id, joined);
   EXPECT_THROW(aggregator.grant(kStart, kTtl), RequestRejected);
   aggregator.on_changes(store.changes());
   EXPECT_NO_THROW(aggregator.grant(kStart, kTtl));
--- a/tests/aggregation/router_leases_test.cpp
+++ b/tests/aggregation/router_leases_test.cpp
@@ -64,7 +64,7 @@
   now_ += milliseconds(600);
   const auto actions = aggregator_.step(now_);
   ASSERT_EQ(actions.size(), 1U);
-  const std::uint64_t call_id = std::get<LeaseAction>(actions.front()).call.number;
+  const std::uint64_t call_id = std::get<LeaseAction>(actions.front()).call.call_id;
   const Micros sent = now_;
   now_ += seconds(10);
   aggregator_.upstream().on_renew_result(now_, call_id, RenewResult::kRenewed);
@@ -92,7 +92,7 @@
   EXPECT_EQ(stored_summary("edge")->ready_stage, 0U);
   EXPECT_NE(stored_summary("west")->ready_stage, 0U) << "the zone has no routers";
   ParticipantReport ready = report_of("edge");
-  ready.ready_stage = step_in(RolloutState::kPreparing);
+  ready.ready_stage = stage_in(RolloutState::kPreparing);
   aggregator_.commit(now_, report_from("r1", first, ready));
   execute_steps();
   EXPECT_EQ(stored_summary("edge")->ready_stage, 0U);
