--- a/src/policy/participant.cpp
+++ b/src/policy/participant.cpp
@@ -135,12 +135,12 @@
   // From the moment that the record says so this router decides under neither version alone, ready or not.
   report.suspended_stage = is_suspending ? stage : 0;
   const std::uint64_t target = rollout->target_version;
-  if (observed_.version == target) {
-    report.ready_stage = stage;  // it decides under the target version already
-  } else if (const PreparationError* const error = documents_.error(target)) {
+  const bool decides_under_target = observed_.version == target;
+  const PreparationError* const error = documents_.error(target);
+  if (!decides_under_target && error != nullptr) {
     report.rejected_stage = stage;
     report.rejection_reason = error->message;
-  } else if (documents_.is_prepared(target)) {
+  } else if (decides_under_target || documents_.is_prepared(target)) {
     report.ready_stage = stage;
   }
 }
--- a/tests/policy_document_test.cpp
+++ b/tests/policy_document_test.cpp
@@ -139,9 +139,11 @@
 // The texts that earlier versions of the program wrote.
 TEST(PolicyDocumentTest, StoredFormIsThatOfEarlierVersions) {
   const std::string text =
-      R"({"author":"ops","content":{"classes":{"media":{"fresh_ms":0,"give_up_ms":4000,"grace_ms":0,"objective_ms":1000,"serve":true,"worth":1.0}},)"
+      R"({"author":"ops","content":{"classes":{"media":{"fresh_ms":0,"give_up_ms":4000,"grace_ms":0,)"
+      R"("objective_ms":1000,"serve":true,"worth":1.0}},)"
       R"("limits":{"open_requests":0,"retry_after_ms":60000,"work":["probe","fill","report"]}},)"
-      R"("digest":"9da779c079628e45f248087ac842580e2d9d8efaa68e6e18ac251c9f8e18c9a6","parent":6,"reason":"evening","schema":1,"version":7})";
+      R"("digest":"9da779c079628e45f248087ac842580e2d9d8efaa68e6e18ac251c9f8e18c9a6","parent":6,)"
+      R"("reason":"evening","schema":1,"version":7})";
   EXPECT_EQ(write_document_text(document_of(7, 6)), text);
   EXPECT_EQ(read_document(text), document_of(7, 6));
 }
