--- a/src/cache_node/node.cpp
+++ b/src/cache_node/node.cpp
@@ -155,8 +155,8 @@
   }
 }
 
-// A command of owned work is executed only once its term is durable; a former owner is answered that nothing was
-// done.
+// A command of owned work is executed only once its term is durable; a former owner is answered that nothing
+// was done.
 void Node::on_admitted(Ticket ticket, fencing::AdmitResult result) {
   const auto found = fenced_.find(ticket);
   if (found == fenced_.end()) {
--- a/src/program/policy_command.cpp
+++ b/src/program/policy_command.cpp
@@ -157,8 +157,8 @@
   }
 }
 
-// The document that is proposed, without its version and parent; nothing where an earlier version is asked for that does
-// not exist. Throws policy::InvalidDocument.
+// The document that is proposed, without its version and parent; nothing where an earlier version is asked
+// for that does not exist. Throws policy::InvalidDocument.
 std::optional<policy::PolicyDocument> proposed_document(
     const PolicyCommand& command, const std::map<std::uint64_t, policy::PolicyDocument>& all) {
   policy::PolicyDocument document;
--- a/src/store/maintenance.cpp
+++ b/src/store/maintenance.cpp
@@ -158,8 +158,8 @@
 
 namespace {
 
-// Moves the live records of segments of little use to new segments. Rows are committed to the index once the new segment
-// is synced, and a segment is removed once none of its rows stands in the index.
+// Moves the live records of segments of little use to new segments. Rows are committed to the index once the
+// new segment is synced, and a segment is removed once none of its rows stands in the index.
 class Compaction {
  public:
   Compaction(Files& files, Index& index, std::uint64_t segment_bytes)
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -232,8 +232,8 @@
     });
   }
 
-  // Opens the folder and its index. `wipe`: the index proved damaged, so nothing that stands in the folder is of use.
-  // What was found, or why the folder cannot be used, is left in `opening`.
+  // Opens the folder and its index. `wipe`: the index proved damaged, so nothing that stands in the folder is
+  // of use. What was found, or why the folder cannot be used, is left in `opening`.
   void open(const Backing& backing, bool wipe, Opening& opening);
   // The copy that `work` names, whole or in part, with the records that are not as they were written.
   void read_copy(const Name& name, ReadWork& work);
@@ -256,8 +256,8 @@
   // False, with the reason in `opening`, where another version or program wrote the folder.
   bool check_format(const std::vector<std::string>& names, Opening& opening);
   void write_format();
-  // Opens the index, and begins an empty folder where the index is damaged: without it nothing says which copies are
-  // purged. `names` are the folder's files.
+  // Opens the index, and begins an empty folder where the index is damaged: without it nothing says which
+  // copies are purged. `names` are the folder's files.
   void open_index(const Backing& backing, std::vector<std::string>& names, Opening& opening);
   void find_segments(const std::vector<std::string>& names, Opening& opening);
   // The parts that are held of the copy whose manifest is `first`.
@@ -848,8 +848,8 @@
   return true;
 }
 
-// Whether this copy, or a later one of the name, is on disk (`completing`: but for the parts that are to be written
-// now) or on its way there.
+// Whether this copy, or a later one of the name, is on disk (`completing`: but for the parts that are to be
+// written now) or on its way there.
 bool Store::is_held_or_written(const Key& key, std::uint64_t copy, std::int64_t t0_ms,
                                bool completing) const {
   const auto held = disk_.find(key);
@@ -889,8 +889,9 @@
   return verdict == Verdict::kKeep;
 }
 
-// Adds the records of a copy to the next batch. Parts come before their manifest: a manifest that is found names parts
-// that were written. `had`: which parts are on disk already, with the manifest; null where the whole copy is new.
+// Adds the records of a copy to the next batch. Parts come before their manifest: a manifest that is found
+// names parts that were written. `had`: which parts are on disk already, with the manifest; null where the
+// whole copy is new.
 void Store::enqueue(const Name& name, const Copy& copy, const Record& head, const std::vector<bool>* had) {
   const bool in_parts = head.kind == RecordKind::kManifest;
   Record part = head;
