--- a/src/aggregation/aggregator_service.cpp
+++ b/src/aggregation/aggregator_service.cpp
@@ -14,7 +14,7 @@
 using coordination::Outcome;
 using coordination::Reply;
 using nlohmann::json;
-using ownership::Ask;
+using ownership::LeaseCallKind;
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 using transport::Clock;
@@ -169,15 +169,15 @@
 }
 
 void AggregatorService::execute(const LeaseAction& action) {
-  switch (action.call.ask) {
-    case Ask::kAcquire:
+  switch (action.call.kind) {
+    case LeaseCallKind::kAcquire:
       acquire(action);
       return;
-    case Ask::kRenew:
-      renew(action.call.number);
+    case LeaseCallKind::kRenew:
+      renew(action.call.call_id);
       return;
-    case Ask::kRelease:
-      release(action.call.number);
+    case LeaseCallKind::kRelease:
+      release(action.call.call_id);
       return;
   }
 }
@@ -187,7 +187,7 @@
                  if (response.done()) {
                    join(action, response.value.id);
                  } else {
-                   aggregator_.upstream().on_no_response(now(), action.call.number);
+                   aggregator_.upstream().on_no_response(now(), action.call.call_id);
                  }
                }));
 }
@@ -196,7 +196,7 @@
 // might get leases under a policy that is no longer in force.
 void AggregatorService::join(const LeaseAction& action, LeaseId lease) {
   lease_ = lease;
-  const auto on_response = [this, call_id = action.call.number, lease](const Reply<Outcome>& response) {
+  const auto on_response = [this, call_id = action.call.call_id, lease](const Reply<Outcome>& response) {
     if (response.done()) {
       aggregator_.upstream().on_join_result(now(), call_id, read_join_result(response.value));
     } else {
--- a/src/tasks/fleet_session.cpp
+++ b/src/tasks/fleet_session.cpp
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "membership/records.h"
+#include "membership/member_records.h"
 #include "tasks/clock.h"
 #include "tasks/lease_calls.h"
 #include "transport/log.h"
@@ -26,35 +26,35 @@
 // ---- The lease ----
 
 void FleetSession::step(Micros now) {
-  const std::optional<ownership::Order> call = lease_.due(now);
+  const std::optional<ownership::LeaseCall> call = lease_.step(now);
   if (!call) {
     return;
   }
-  const std::uint64_t call_id = call->number;
+  const std::uint64_t call_id = call->call_id;
   LeaseCallHandlers handlers;
   handlers.make_transaction = [this](LeaseId lease) {
     lease_id_ = lease;
     return join_transaction();
   };
   handlers.on_acquire_result = [this, call_id](LeaseId, const Outcome& outcome) {
-    lease_.granted(steady_now(), call_id, outcome.revision);
+    lease_.on_granted(steady_now(), call_id, outcome.revision);
     transport::log_line(transport::Level::kInfo) << "member of the fleet at revision " << outcome.revision;
     return true;
   };
   handlers.on_renew_result = [this, call_id](bool valid) {
     if (valid) {
-      lease_.granted(steady_now(), call_id, 0);
+      lease_.on_granted(steady_now(), call_id, 0);
     } else {
-      lease_.refused(steady_now(), call_id);
+      lease_.on_rejected(steady_now(), call_id);
     }
   };
-  handlers.on_released = [this, call_id] { lease_.granted(steady_now(), call_id, 0); };
-  handlers.on_no_response = [this, call_id] { lease_.lost(steady_now(), call_id); };
-  make_lease_call(store_, loop_, call->ask, ttl_, lease_id_, std::move(handlers));
+  handlers.on_released = [this, call_id] { lease_.on_granted(steady_now(), call_id, 0); };
+  handlers.on_no_response = [this, call_id] { lease_.on_no_response(steady_now(), call_id); };
+  make_lease_call(store_, loop_, call->kind, ttl_, lease_id_, std::move(handlers));
 }
 
 void FleetSession::end(Micros now) {
-  if (lease_.phase(now) != ownership::Phase::kStopped) {
+  if (lease_.phase(now) != ownership::LeasePhase::kStopped) {
     lease_.stop(now);
   }
 }
--- a/src/tasks/options.cpp
+++ b/src/tasks/options.cpp
@@ -60,7 +60,7 @@
       .whole("neighbours", &O::neighbours, "routers", WholeRange{0, 10}, "that each tries to reach; 0: none")
       .whole("neighbour_ms", &O::neighbour_ms, "ms", kMilliseconds, "how often")
       .whole("neighbour_misses", &O::neighbour_misses, "tries", WholeRange{1, 100},
-             "in a row that make a doubt; two neighbours' doubts take a router out of owned work")
+             "in a row that make a doubt; two neighbours' suspicions take a router out of owned work")
       .real("flap_suppress", &O::flap_suppress, "returns", RealRange{1.0, 1'000.0},
             "of late beyond which a router is given no work")
       .real("flap_reuse", &O::flap_reuse, "returns", RealRange{0.01, 1'000.0},
@@ -92,9 +92,9 @@
 }
 
 // Throws config::KeyError if one lost renewal would end the lease.
-void check_renewal(const std::string& key, std::int64_t renew_ms, const ownership::LeaseRules& lease) {
+void check_renewal(const std::string& key, std::int64_t renew_ms, const ownership::LeaseOptions& lease) {
   const std::int64_t valid_ms =
-      std::chrono::duration_cast<milliseconds>(ownership::surely_held(lease)).count();
+      std::chrono::duration_cast<milliseconds>(ownership::guaranteed_duration(lease)).count();
   if (2 * renew_ms > valid_ms) {
     throw config::KeyError("ownership." + key,
                            std::to_string(renew_ms) + " is over half of the " + std::to_string(valid_ms) +
@@ -131,37 +131,37 @@
   }
 }
 
-ownership::LeaseRules session_lease_options(const OwnershipOptions& options) {
-  ownership::LeaseRules out;
+ownership::LeaseOptions session_lease_options(const OwnershipOptions& options) {
+  ownership::LeaseOptions out;
   out.ttl = milliseconds(options.member_ttl_ms);
   out.drift = options.drift_percent / 100.0;
   out.margin = Micros(0);
   out.renew_after = milliseconds(options.member_renew_ms);
-  out.retry = milliseconds(options.retry_ms);
+  out.retry_backoff = milliseconds(options.retry_ms);
   return out;
 }
 
-ownership::LeaseManagerRules lease_manager_options(const OwnershipOptions& options) {
-  ownership::LeaseManagerRules out;
+ownership::LeaseManagerOptions lease_manager_options(const OwnershipOptions& options) {
+  ownership::LeaseManagerOptions out;
   out.lease.ttl = milliseconds(options.ttl_ms);
   out.lease.drift = options.drift_percent / 100.0;
   out.lease.margin = milliseconds(options.margin_ms);
   out.lease.renew_after = milliseconds(options.renew_ms);
-  out.lease.retry = milliseconds(options.retry_ms);
-  out.slot = milliseconds(options.turn_ms);
-  out.longest_slot = milliseconds(options.longest_turn_ms);
-  out.settle = milliseconds(options.settle_ms);
-  out.yield_most = milliseconds(options.yield_ms);
-  out.stand_back = milliseconds(options.stand_back_ms);
-  out.most_starts = static_cast<std::uint64_t>(options.most_starts);
-  out.poison_pause = milliseconds(options.poison_pause_ms);
-  out.longest_poison_pause = milliseconds(options.longest_poison_pause_ms);
-  out.most_owned = static_cast<std::size_t>(options.most_owned);
+  out.lease.retry_backoff = milliseconds(options.retry_ms);
+  out.candidate_slot = milliseconds(options.turn_ms);
+  out.max_candidate_wait = milliseconds(options.longest_turn_ms);
+  out.handover_delay = milliseconds(options.settle_ms);
+  out.release_timeout = milliseconds(options.yield_ms);
+  out.cooldown = milliseconds(options.stand_back_ms);
+  out.max_starts = static_cast<std::uint64_t>(options.most_starts);
+  out.restart_backoff = milliseconds(options.poison_pause_ms);
+  out.max_restart_backoff = milliseconds(options.longest_poison_pause_ms);
+  out.max_owned = static_cast<std::size_t>(options.most_owned);
   return out;
 }
 
-membership::ViewRules membership_options(const OwnershipOptions& options) {
-  membership::ViewRules out;
+membership::MembershipOptions membership_options(const OwnershipOptions& options) {
+  membership::MembershipOptions out;
   out.suppress = options.flap_suppress;
   out.reuse = options.flap_reuse;
   out.half_life = std::chrono::seconds(options.flap_half_life_s);
--- a/src/tasks/options.h
+++ b/src/tasks/options.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "config/record.h"
-#include "membership/view.h"
+#include "membership/membership_view.h"
 #include "ownership/lease_manager.h"
 
 namespace trailcourse::tasks {
@@ -57,8 +57,8 @@
 void check_ownership(const OwnershipOptions& options);
 
 // The options of the lease manager, of the lease of the process's session, and of its membership view.
-ownership::LeaseManagerRules lease_manager_options(const OwnershipOptions& options);
-ownership::LeaseRules session_lease_options(const OwnershipOptions& options);
-membership::ViewRules membership_options(const OwnershipOptions& options);
+ownership::LeaseManagerOptions lease_manager_options(const OwnershipOptions& options);
+ownership::LeaseOptions session_lease_options(const OwnershipOptions& options);
+membership::MembershipOptions membership_options(const OwnershipOptions& options);
 
 }  // namespace trailcourse::tasks
--- a/src/tasks/owned_task.h
+++ b/src/tasks/owned_task.h
@@ -10,7 +10,7 @@
 #include <optional>
 #include <string>
 
-#include "ownership/work.h"
+#include "ownership/work_records.h"
 
 namespace trailcourse::tasks {
 
--- a/src/tasks/peer_health_checks.cpp
+++ b/src/tasks/peer_health_checks.cpp
@@ -3,7 +3,7 @@
 #include <chrono>
 #include <string_view>
 
-#include "membership/records.h"
+#include "membership/member_records.h"
 #include "tasks/clock.h"
 
 namespace trailcourse::tasks {
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-PeerHealthChecks::PeerHealthChecks(transport::Scheduler& scheduler, const membership::View& view,
+PeerHealthChecks::PeerHealthChecks(transport::Scheduler& scheduler, const membership::MembershipView& view,
                                    FleetSession& session, const OwnershipOptions& options)
     : scheduler_(scheduler),
       view_(view),
@@ -62,24 +62,24 @@
     if (!*alive) {
       co_return;
     }
-    report_doubts();
+    report_suspicions();
   }
 }
 
 PeerHealthChecks::Connections PeerHealthChecks::connect_to_peers() {
   std::vector<std::string> names;
   std::map<std::string, transport::Address> addresses;
-  for (const membership::Seen& entry : view_.all(steady_now())) {
+  for (const membership::MemberEntry& entry : view_.members(steady_now())) {
     const membership::Member& member = entry.member;
     const auto address = transport::parse_address(member.address);
     const bool is_peer = member.zone == session_.identity().zone;
-    if (address && is_peer && entry.standing != membership::Standing::kShadowed) {
+    if (address && is_peer && entry.status != membership::MemberStatus::kSuperseded) {
       names.push_back(member.name);
       addresses[member.name] = *address;
     }
   }
-  names = peers_.to_try(names);
-  peers_.watch(names);
+  names = peers_.select_targets(names);
+  peers_.set_targets(names);
   Connections connections;
   for (const std::string& name : names) {
     Connection::Bounds bounds;
@@ -93,23 +93,23 @@
 
 void PeerHealthChecks::record_results(const Connections& connections) {
   for (const auto& [name, connection] : connections) {
-    peers_.tried(name, connection->up());
+    peers_.on_probe_result(name, connection->up());
   }
 }
 
-void PeerHealthChecks::report_doubts() {
+void PeerHealthChecks::report_suspicions() {
   const std::string& self = session_.identity().name;
-  const auto doubts = peers_.doubts();
-  for (const auto& [name, doubt] : doubts) {
-    session_.set_key(membership::doubt_key(name, self), membership::write_doubt(doubt));
+  const auto suspicions = peers_.suspicions();
+  for (const auto& [name, suspicion] : suspicions) {
+    session_.set_key(membership::suspicion_key(name, self), membership::write_suspicion(suspicion));
     reported_.insert(name);
   }
   for (auto name = reported_.begin(); name != reported_.end();) {
-    if (doubts.contains(*name)) {
+    if (suspicions.contains(*name)) {
       ++name;
       continue;
     }
-    session_.set_key(membership::doubt_key(*name, self), "");
+    session_.set_key(membership::suspicion_key(*name, self), "");
     name = reported_.erase(name);
   }
 }
--- a/src/tasks/reconcile_task.cpp
+++ b/src/tasks/reconcile_task.cpp
@@ -122,7 +122,7 @@
 // The store rejects the write of a former owner, whatever that owner believes.
 void ReconcileTask::write(Transaction transaction) {
   transaction.when.push_back(
-      coordination::created_at(prefix_ + ownership::kOwn + to_string(context_.id), context_.term));
+      coordination::created_at(prefix_ + ownership::kOwnerPrefix + to_string(context_.id), context_.term));
   store_.commit(std::move(transaction), [this, alive = alive_](const Reply<Outcome>& reply) {
     if (!*alive) {
       return;
--- a/src/tasks/task_host.cpp
+++ b/src/tasks/task_host.cpp
@@ -37,7 +37,7 @@
 
 // ---- The lease manager's actions ----
 
-void TaskHost::execute(const ownership::Begin& action) {
+void TaskHost::execute(const ownership::StartTaskAction& action) {
   const auto work = works_.find(action.id.work);
   const auto factory = work == works_.end() ? factories_.end() : factories_.find(work->second.kind);
   if (factory == factories_.end()) {
@@ -51,18 +51,18 @@
   running.task->start();
 }
 
-void TaskHost::execute(const ownership::Finish& action) {
+void TaskHost::execute(const ownership::StopTaskAction& action) {
   const auto found = running_.find(action.id);
   if (found != running_.end() && found->second.term == action.term) {
     log_line(Level::kInfo) << "releases " << to_string(action.id) << " under term " << action.term;
     found->second.task->stop();
   } else {
-    lease_manager_.finished(steady_now(), action.id, action.term);
+    lease_manager_.on_task_finished(steady_now(), action.id, action.term);
     loop_.schedule();
   }
 }
 
-void TaskHost::execute(const ownership::Abandon& action) {
+void TaskHost::execute(const ownership::AbortTaskAction& action) {
   log_line(Level::kWarning) << "aborts " << to_string(action.id) << " under term " << action.term
                             << ": its lease is lost, or cannot be confirmed";
   running_.erase(action.id);
@@ -83,7 +83,7 @@
 
 // ---- What a task is given ----
 
-TaskContext TaskHost::make_context(const ownership::Begin& action, const ownership::Work& work) {
+TaskContext TaskHost::make_context(const ownership::StartTaskAction& action, const ownership::Work& work) {
   TaskContext context;
   context.work = work;
   context.id = action.id;
@@ -101,15 +101,15 @@
   const Term term = context.term;
   context.may_act = [this, id, term] { return lease_manager_.may_act(steady_now(), id, term); };
   context.save_checkpoint = [this, id, term](std::string checkpoint) {
-    lease_manager_.checkpoint(steady_now(), id, term, std::move(checkpoint), false);
+    lease_manager_.on_checkpoint(steady_now(), id, term, std::move(checkpoint), false);
     loop_.schedule();
   };
   context.save_completion = [this, id, term](std::string checkpoint) {
-    lease_manager_.checkpoint(steady_now(), id, term, std::move(checkpoint), true);
+    lease_manager_.on_checkpoint(steady_now(), id, term, std::move(checkpoint), true);
     loop_.schedule();
   };
   context.on_stopped = [this, id, term] {
-    lease_manager_.finished(steady_now(), id, term);
+    lease_manager_.on_task_finished(steady_now(), id, term);
     destroy_later(id, term);
     loop_.schedule();
   };
@@ -143,7 +143,7 @@
 
 void TaskHost::commit_under_term(const ShardId& id, Term term, coordination::Step operation) {
   coordination::Transaction transaction;
-  transaction.when = {coordination::created_at(prefix_ + ownership::kOwn + to_string(id), term)};
+  transaction.when = {coordination::created_at(prefix_ + ownership::kOwnerPrefix + to_string(id), term)};
   transaction.then = {std::move(operation)};
   store_.commit(std::move(transaction), [id, term](const Reply<Outcome>& reply) {
     if (reply.done() && !reply.value.succeeded) {
--- a/src/tasks/task_host.h
+++ b/src/tasks/task_host.h
@@ -31,9 +31,9 @@
   // The work of that name as it stands in the store; nothing if it is gone or malformed.
   void set_work(const std::string& name, const std::optional<ownership::Work>& work);
 
-  void execute(const ownership::Begin& action);
-  void execute(const ownership::Finish& action);
-  void execute(const ownership::Abandon& action);
+  void execute(const ownership::StartTaskAction& action);
+  void execute(const ownership::StopTaskAction& action);
+  void execute(const ownership::AbortTaskAction& action);
 
  private:
   struct Running {
@@ -41,7 +41,7 @@
     ownership::Term term = 0;
   };
 
-  TaskContext make_context(const ownership::Begin& action, const ownership::Work& work);
+  TaskContext make_context(const ownership::StartTaskAction& action, const ownership::Work& work);
   void add_progress_functions(TaskContext& context);
   void add_store_functions(TaskContext& context);
   void read_key(const std::string& key, std::function<void(std::optional<std::string>)> handler);
--- a/src/tasks/task_runner.cpp
+++ b/src/tasks/task_runner.cpp
@@ -77,7 +77,7 @@
 bool TaskRunner::drained() const { return draining_ && lease_manager_.drained() && session_.ended(); }
 
 void TaskRunner::set_allowed_kinds(std::optional<std::set<std::string>> kinds) {
-  lease_manager_.allow(steady_now(), std::move(kinds));
+  lease_manager_.set_allowed_kinds(steady_now(), std::move(kinds));
   loop_.schedule();
 }
 
@@ -85,7 +85,7 @@
 
 void TaskRunner::current(coordination::Revision revision, const std::vector<coordination::Entry>& entries) {
   std::set<std::string> present;
-  view_.begin_whole();
+  view_.begin_snapshot();
   for (const coordination::Entry& entry : entries) {
     present.insert(entry.key);
     apply(Change{false, entry});
@@ -98,7 +98,7 @@
       apply(deletion);
     }
   }
-  view_.end_whole(steady_now(), revision);
+  view_.end_snapshot(steady_now(), revision);
   on_connected();
   update_members();
 }
@@ -115,14 +115,14 @@
   if (std::exchange(connected_, false)) {
     log_line(Level::kWarning) << "disconnected from the coordination store: " << why;
   }
-  lease_manager_.heard(steady_now(), false);
+  lease_manager_.set_connected(steady_now(), false);
   loop_.schedule();
 }
 
 void TaskRunner::on_connected() {
   if (!std::exchange(connected_, true)) {
     log_line(Level::kInfo) << "connected to coordination store " << store_.id();
-    lease_manager_.heard(steady_now(), true);
+    lease_manager_.set_connected(steady_now(), true);
     loop_.schedule();
   }
 }
@@ -135,11 +135,11 @@
   }
   const std::string key = change.entry.key.substr(std::min(prefix_.size(), change.entry.key.size()));
   const std::string value = change.deleted ? std::string() : change.entry.value;
-  view_.take(steady_now(), key, value, change.entry.created, change.entry.modified);
+  view_.apply(steady_now(), key, value, change.entry.created, change.entry.modified);
   if (apply_shard_record(key, change)) {
     return;
   }
-  if (key.starts_with(ownership::kWork)) {
+  if (key.starts_with(ownership::kWorkPrefix)) {
     apply_work(key, change);
   } else {
     notify_observers(key, value);
@@ -150,13 +150,13 @@
 bool TaskRunner::apply_shard_record(const std::string& key, const Change& change) {
   const Micros now = steady_now();
   const std::string value = change.deleted ? std::string() : change.entry.value;
-  if (const auto owned = ownership::read_shard_key(key, ownership::kOwn)) {
+  if (const auto owned = ownership::read_shard_key(key, ownership::kOwnerPrefix)) {
     const auto owner = change.deleted ? std::nullopt : ownership::read_owner(value, change.entry.created);
-    lease_manager_.owner(now, *owned, owner, change.entry.modified);
-  } else if (const auto done = ownership::read_shard_key(key, ownership::kDone)) {
-    lease_manager_.done(now, *done, !change.deleted);
-  } else if (const auto release = ownership::read_shard_key(key, ownership::kRelease)) {
-    lease_manager_.release_asked(now, *release, value);
+    lease_manager_.on_owner(now, *owned, owner, change.entry.modified);
+  } else if (const auto done = ownership::read_shard_key(key, ownership::kDonePrefix)) {
+    lease_manager_.on_done(now, *done, !change.deleted);
+  } else if (const auto release = ownership::read_shard_key(key, ownership::kReleasePrefix)) {
+    lease_manager_.on_release_request(now, *release, value);
   } else {
     return false;
   }
@@ -164,7 +164,7 @@
 }
 
 void TaskRunner::apply_work(const std::string& key, const Change& change) {
-  const std::string name = key.substr(std::string_view(ownership::kWork).size());
+  const std::string name = key.substr(std::string_view(ownership::kWorkPrefix).size());
   std::optional<ownership::Work> work;
   if (!change.deleted) {
     work = ownership::read_work(key, change.entry.value);
@@ -173,7 +173,7 @@
     }
   }
   task_host_.set_work(name, work);
-  lease_manager_.work(steady_now(), name, std::move(work));
+  lease_manager_.set_work(steady_now(), name, std::move(work));
 }
 
 void TaskRunner::notify_observers(const std::string& key, const std::string& value) {
@@ -188,19 +188,19 @@
 void TaskRunner::update_members() {
   const Micros now = steady_now();
   std::map<std::string, std::string> zones;
-  for (const membership::Seen& entry : view_.all(now)) {
-    if (entry.standing == membership::Standing::kIn) {
+  for (const membership::MemberEntry& entry : view_.members(now)) {
+    if (entry.status == membership::MemberStatus::kActive) {
       zones[entry.member.name] = entry.member.zone;
     }
   }
-  lease_manager_.members(now, std::move(zones));
-  const bool superseded = view_.shadowed(identity().name, identity().incarnation);
-  lease_manager_.shadowed(now, superseded);
-  if (superseded && last_view_version_ != view_.number()) {
+  lease_manager_.set_members(now, std::move(zones));
+  const bool superseded = view_.superseded(identity().name, identity().incarnation);
+  lease_manager_.set_superseded(now, superseded);
+  if (superseded && last_view_version_ != view_.revision()) {
     log_line(Level::kWarning) << "another instance has this router's name, " << identity().name
                               << ": this one does no owned work";
   }
-  last_view_version_ = view_.number();
+  last_view_version_ = view_.revision();
   loop_.schedule();
 }
 
@@ -208,14 +208,14 @@
 
 std::optional<Micros> TaskRunner::run_step() {
   const Micros now = steady_now();
-  if (const auto next = view_.next(now); next && *next <= now) {
+  if (const auto next = view_.next_change_at(now); next && *next <= now) {
     update_members();
   }
   if (draining_ && lease_manager_.drained()) {
     session_.end(now);
   }
   session_.step(now);
-  for (const ownership::LeaseManagerOrder& action : lease_manager_.due(now)) {
+  for (const ownership::LeaseManagerAction& action : lease_manager_.step(now)) {
     execute(action);
   }
   return next_step_at(steady_now());
@@ -223,7 +223,8 @@
 
 std::optional<Micros> TaskRunner::next_step_at(Micros now) const {
   std::optional<Micros> earliest;
-  for (const auto& next : {lease_manager_.next(now), session_.next_step_at(now), view_.next(now)}) {
+  for (const auto& next :
+       {lease_manager_.next_step_at(now), session_.next_step_at(now), view_.next_change_at(now)}) {
     if (next) {
       earliest = std::min(earliest.value_or(*next), *next);
     }
@@ -231,64 +232,65 @@
   return earliest;
 }
 
-void TaskRunner::execute(const ownership::LeaseManagerOrder& action) {
-  if (const auto* call = std::get_if<ownership::AskLease>(&action)) {
+void TaskRunner::execute(const ownership::LeaseManagerAction& action) {
+  if (const auto* call = std::get_if<ownership::LeaseCallAction>(&action)) {
     execute_lease_call(*call);
-  } else if (const auto* write = std::get_if<ownership::Write>(&action)) {
+  } else if (const auto* write = std::get_if<ownership::WriteProgressAction>(&action)) {
     write_progress(*write);
-  } else if (const auto* start = std::get_if<ownership::Begin>(&action)) {
+  } else if (const auto* start = std::get_if<ownership::StartTaskAction>(&action)) {
     task_host_.execute(*start);
-  } else if (const auto* stop = std::get_if<ownership::Finish>(&action)) {
+  } else if (const auto* stop = std::get_if<ownership::StopTaskAction>(&action)) {
     task_host_.execute(*stop);
-  } else if (const auto* abort = std::get_if<ownership::Abandon>(&action)) {
+  } else if (const auto* abort = std::get_if<ownership::AbortTaskAction>(&action)) {
     task_host_.execute(*abort);
   }
 }
 
-void TaskRunner::execute_lease_call(const ownership::AskLease& action) {
+void TaskRunner::execute_lease_call(const ownership::LeaseCallAction& action) {
   const ShardId id = action.id;
-  const std::uint64_t call_id = action.order.number;
+  const std::uint64_t call_id = action.call.call_id;
   LeaseCallHandlers handlers;
   handlers.make_transaction = [this, id](LeaseId lease) {
     const ownership::Owner self{identity().name, identity().incarnation, 0};
-    return ownership::acquire(prefix_, id, self, lease);
+    return ownership::acquire_transaction(prefix_, id, self, lease);
   };
   handlers.on_acquire_result = [this, id, call_id](LeaseId lease, const Outcome& outcome) {
     return on_acquire_result(id, call_id, lease, outcome);
   };
   handlers.on_renew_result = [this, id, call_id](bool valid) {
-    lease_manager_.renewed(steady_now(), id, call_id, valid);
+    lease_manager_.on_renew_result(steady_now(), id, call_id, valid);
   };
-  handlers.on_released = [this, id, call_id] { lease_manager_.released(steady_now(), id, call_id); };
-  handlers.on_no_response = [this, id, call_id] { lease_manager_.lost(steady_now(), id, call_id); };
+  handlers.on_released = [this, id, call_id] { lease_manager_.on_release_result(steady_now(), id, call_id); };
+  handlers.on_no_response = [this, id, call_id] { lease_manager_.on_no_response(steady_now(), id, call_id); };
   const auto lease = shard_leases_.find(id);
-  make_lease_call(store_, loop_, action.order.ask, milliseconds(options_.ttl_ms),
+  make_lease_call(store_, loop_, action.call.kind, milliseconds(options_.ttl_ms),
                   lease == shard_leases_.end() ? 0 : lease->second, std::move(handlers));
 }
 
 // Returns whether the shard is owned now.
 bool TaskRunner::on_acquire_result(const ShardId& id, std::uint64_t call_id, LeaseId lease,
                                    const Outcome& outcome) {
-  const ownership::Acquired acquired = ownership::read_acquired(outcome);
+  const ownership::AcquireResult acquired = ownership::read_acquire_result(outcome);
   const bool owned = acquired.term != 0;
   if (owned) {
     shard_leases_[id] = lease;
     log_line(Level::kInfo) << "owner of " << to_string(id) << " under term " << acquired.term;
   }
-  lease_manager_.acquired(steady_now(), id, call_id, acquired);
+  lease_manager_.on_acquire_result(steady_now(), id, call_id, acquired);
   return owned;
 }
 
-void TaskRunner::write_progress(const ownership::Write& action) {
-  store_.commit(ownership::record(prefix_, action.id, action.term, action.modified, action.progress),
+void TaskRunner::write_progress(const ownership::WriteProgressAction& action) {
+  store_.commit(ownership::write_progress_transaction(prefix_, action.id, action.term, action.modified,
+                                                      action.progress),
                 loop_.then_step([this, action](const auto& reply) {
                   const Micros now = steady_now();
                   if (reply.done()) {
-                    lease_manager_.recorded(
-                        now, action.id, action.number,
-                        ownership::read_recorded(reply.value, action.term, action.progress));
+                    lease_manager_.on_write_result(
+                        now, action.id, action.call_id,
+                        ownership::read_progress_write_result(reply.value, action.term, action.progress));
                   } else {
-                    lease_manager_.record_lost(now, action.id, action.number);
+                    lease_manager_.on_no_write_response(now, action.id, action.call_id);
                   }
                 }));
 }
@@ -298,16 +300,19 @@
 std::string TaskRunner::status() const {
   const Micros now = steady_now();
   std::size_t owned = 0;
-  for (const ownership::ShardSeen& shard : lease_manager_.all(now)) {
-    owned += shard.lease == ownership::Phase::kOwner || shard.lease == ownership::Phase::kRenewing ? 1 : 0;
+  for (const ownership::ShardStatus& shard : lease_manager_.shards(now)) {
+    owned += shard.lease_phase == ownership::LeasePhase::kOwner ||
+                     shard.lease_phase == ownership::LeasePhase::kRenewing
+                 ? 1
+                 : 0;
   }
   const ownership::LeaseManagerCounts& counts = lease_manager_.counts();
   return nlohmann::json{{"store", connected_ ? "heard" : "silent"},
-                        {"members", view_.all(now).size()},
+                        {"members", view_.members(now).size()},
                         {"owned", owned},
                         {"acquired", counts.acquired},
                         {"lost", counts.lost},
-                        {"yielded", counts.yielded},
+                        {"yielded", counts.released},
                         {"parked", counts.parked},
                         {"store_calls", store_.counts().calls},
                         {"store_failed", store_.counts().failed}}
--- a/src/tasks/task_runner.h
+++ b/src/tasks/task_runner.h
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "coordination/shared_store.h"
-#include "membership/view.h"
+#include "membership/membership_view.h"
 #include "ownership/lease_manager.h"
 #include "tasks/fleet_session.h"
 #include "tasks/options.h"
@@ -73,17 +73,17 @@
 
   std::optional<Micros> run_step();
   std::optional<Micros> next_step_at(Micros now) const;
-  void execute(const ownership::LeaseManagerOrder& action);
-  void execute_lease_call(const ownership::AskLease& action);
+  void execute(const ownership::LeaseManagerAction& action);
+  void execute_lease_call(const ownership::LeaseCallAction& action);
   bool on_acquire_result(const ownership::ShardId& id, std::uint64_t call_id, coordination::LeaseId lease,
                          const coordination::Outcome& outcome);
-  void write_progress(const ownership::Write& action);
+  void write_progress(const ownership::WriteProgressAction& action);
 
   coordination::SharedStore& store_;
   OwnershipOptions options_;
   std::string prefix_;
   StepLoop loop_;
-  membership::View view_;
+  membership::MembershipView view_;
   FleetSession session_;
   PeerHealthChecks peer_checks_;
   ownership::LeaseManager lease_manager_;
--- a/tests/recorded_files_test.cpp
+++ b/tests/recorded_files_test.cpp
@@ -17,10 +17,10 @@
 #include "coordination/ledger_file.h"
 #include "discovery/event_log.h"
 #include "fencing/token_store.h"
-#include "membership/records.h"
-#include "ownership/work.h"
-#include "policy/rollout.h"
+#include "membership/member_records.h"
+#include "ownership/work_records.h"
 #include "policy/document.h"
+#include "policy/rollout.h"
 #include "program/board_server.h"
 #include "program/operator_file.h"
 #include "protocol/notice_board.h"
@@ -324,7 +324,7 @@
   EXPECT_EQ(tokens.terms().at("evening/0"), 7U);
   std::string answer = "none";
   tokens.admit(std::to_string(kStoreId) + ":evening/0:6",
-               [&answer](const std::string& why) { answer = why; });
+               [&answer](fencing::AdmitResult result) { answer = fencing::wire_word(result); });
   EXPECT_EQ(answer, "fenced");
 }
 
--- a/tests/task_runner_test.cpp
+++ b/tests/task_runner_test.cpp
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "coordination/embedded_store.h"
-#include "ownership/work.h"
+#include "ownership/work_records.h"
 #include "store_calls.h"
 #include "tasks/step_loop.h"
 
@@ -84,7 +84,7 @@
     ownership::Work work;
     work.name = name;
     work.kind = kKind;
-    put(ownership::kWork + name, ownership::write_work(work));
+    put(ownership::kWorkPrefix + name, ownership::write_work(work));
   }
 
   void put(const std::string& key, const std::string& value) {
@@ -102,7 +102,7 @@
   }
 
   std::optional<ownership::Progress> progress(const std::string& shard) {
-    const auto record = get(ownership::kProgress + shard);
+    const auto record = get(ownership::kProgressPrefix + shard);
     return record ? ownership::read_progress(*record) : std::nullopt;
   }
 
