--- a/src/tasks/lease_calls.h
+++ b/src/tasks/lease_calls.h
@@ -30,7 +30,7 @@
 
 // Makes a call. `ttl` is that of a lease to acquire, `lease` the one to renew or to release. The store
 // outlives the loop.
-void make_lease_call(coordination::CoordinationStore& store, StepLoop& loop, ownership::LeaseCallKind kind, Micros ttl,
-                     coordination::LeaseId lease, LeaseCallHandlers handlers);
+void make_lease_call(coordination::CoordinationStore& store, StepLoop& loop, ownership::LeaseCallKind kind,
+                     Micros ttl, coordination::LeaseId lease, LeaseCallHandlers handlers);
 
 }  // namespace trailcourse::tasks
--- a/src/tasks/peer_health_checks.cpp
+++ b/src/tasks/peer_health_checks.cpp
@@ -62,7 +62,7 @@
     if (!*alive) {
       co_return;
     }
-    report_doubts();
+    report_suspicions();
   }
 }
 
@@ -97,15 +97,15 @@
   }
 }
 
-void PeerHealthChecks::report_doubts() {
+void PeerHealthChecks::report_suspicions() {
   const std::string& self = session_.identity().name;
-  const auto doubts = peers_.suspicions();
-  for (const auto& [name, doubt] : doubts) {
-    session_.set_key(membership::suspicion_key(name, self), membership::write_suspicion(doubt));
+  const auto suspicions = peers_.suspicions();
+  for (const auto& [name, suspicion] : suspicions) {
+    session_.set_key(membership::suspicion_key(name, self), membership::write_suspicion(suspicion));
     reported_.insert(name);
   }
   for (auto name = reported_.begin(); name != reported_.end();) {
-    if (doubts.contains(*name)) {
+    if (suspicions.contains(*name)) {
       ++name;
       continue;
     }
--- a/src/tasks/peer_health_checks.h
+++ b/src/tasks/peer_health_checks.h
@@ -11,8 +11,8 @@
 #include <string>
 #include <vector>
 
-#include "membership/peer_prober.h"
 #include "membership/membership_view.h"
+#include "membership/peer_prober.h"
 #include "tasks/fleet_session.h"
 #include "tasks/options.h"
 #include "transport/connection.h"
@@ -24,8 +24,8 @@
 // Scheduler, view and session outlive it.
 class PeerHealthChecks {
  public:
-  PeerHealthChecks(transport::Scheduler& scheduler, const membership::MembershipView& view, FleetSession& session,
-                   const OwnershipOptions& options);
+  PeerHealthChecks(transport::Scheduler& scheduler, const membership::MembershipView& view,
+                   FleetSession& session, const OwnershipOptions& options);
   ~PeerHealthChecks() { *alive_ = false; }
   PeerHealthChecks(const PeerHealthChecks&) = delete;
   PeerHealthChecks& operator=(const PeerHealthChecks&) = delete;
@@ -42,7 +42,7 @@
   transport::Task<void> run();
   Connections connect_to_peers();
   void record_results(const Connections& connections);
-  void report_doubts();
+  void report_suspicions();
 
   transport::Scheduler& scheduler_;
   const membership::MembershipView& view_;
@@ -51,7 +51,7 @@
   std::size_t peer_count_;
   Micros interval_;
   Micros timeout_;
-  std::set<std::string> reported_;  // peers that stand as doubted in the store
+  std::set<std::string> reported_;  // peers that stand as suspected in the store
   bool stopped_ = false;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/tasks/task_runner.cpp
+++ b/src/tasks/task_runner.cpp
@@ -223,7 +223,8 @@
 
 std::optional<Micros> TaskRunner::next_step_at(Micros now) const {
   std::optional<Micros> earliest;
-  for (const auto& next : {lease_manager_.next_step_at(now), session_.next_step_at(now), view_.next_change_at(now)}) {
+  for (const auto& next :
+       {lease_manager_.next_step_at(now), session_.next_step_at(now), view_.next_change_at(now)}) {
     if (next) {
       earliest = std::min(earliest.value_or(*next), *next);
     }
@@ -280,7 +281,8 @@
 }
 
 void TaskRunner::write_progress(const ownership::WriteProgressAction& action) {
-  store_.commit(ownership::write_progress_transaction(prefix_, action.id, action.term, action.modified, action.progress),
+  store_.commit(ownership::write_progress_transaction(prefix_, action.id, action.term, action.modified,
+                                                      action.progress),
                 loop_.then_step([this, action](const auto& reply) {
                   const Micros now = steady_now();
                   if (reply.ok()) {
@@ -299,7 +301,10 @@
   const Micros now = steady_now();
   std::size_t owned = 0;
   for (const ownership::ShardStatus& shard : lease_manager_.shards(now)) {
-    owned += shard.lease_phase == ownership::LeasePhase::kOwner || shard.lease_phase == ownership::LeasePhase::kRenewing ? 1 : 0;
+    owned += shard.lease_phase == ownership::LeasePhase::kOwner ||
+                     shard.lease_phase == ownership::LeasePhase::kRenewing
+                 ? 1
+                 : 0;
   }
   const ownership::LeaseManagerCounts& counts = lease_manager_.counts();
   return nlohmann::json{{"store", connected_ ? "heard" : "silent"},
