--- a/src/aggregation/aggregator_service.cpp
+++ b/src/aggregation/aggregator_service.cpp
@@ -184,7 +184,7 @@
 
 void AggregatorService::acquire(const LeaseAction& action) {
   store_.grant(milliseconds(options_.ttl_ms), while_alive([this, action](const auto& response) {
-                 if (response.done()) {
+                 if (response.ok()) {
                    join(action, response.value.id);
                  } else {
                    aggregator_.upstream().on_no_response(now(), action.call.call_id);
@@ -197,12 +197,12 @@
 void AggregatorService::join(const LeaseAction& action, LeaseId lease) {
   lease_ = lease;
   const auto on_response = [this, call_id = action.call.call_id, lease](const StoreResponse<TransactionResult>& response) {
-    if (response.done()) {
+    if (response.ok()) {
       aggregator_.upstream().on_join_result(now(), call_id, read_join_result(response.value));
     } else {
       aggregator_.upstream().on_no_response(now(), call_id);
     }
-    if (response.done() && response.value.succeeded) {
+    if (response.ok() && response.value.succeeded) {
       log_line(Level::kInfo) << "acquired its lease at revision " << response.value.revision;
     } else {
       store_.revoke(lease, [](const auto&) {});
@@ -213,7 +213,7 @@
 
 void AggregatorService::renew(std::uint64_t call_id) {
   store_.keep_alive(lease_, while_alive([this, call_id](const auto& response) {
-                      if (!response.done()) {
+                      if (!response.ok()) {
                         aggregator_.upstream().on_no_response(now(), call_id);
                         return;
                       }
@@ -225,7 +225,7 @@
 
 void AggregatorService::release(std::uint64_t call_id) {
   store_.revoke(lease_, while_alive([this, call_id](const auto& response) {
-                  if (response.done()) {
+                  if (response.ok()) {
                     aggregator_.upstream().on_release_result(now(), call_id);
                   } else {
                     aggregator_.upstream().on_no_response(now(), call_id);
@@ -236,7 +236,7 @@
 void AggregatorService::execute(const ReportSummariesAction& action) {
   const auto on_response = [this, action](const StoreResponse<TransactionResult>& response) {
     const SummaryWriteResult result =
-        response.done() ? read_write_result(response.value, action) : SummaryWriteResult{};
+        response.ok() ? read_write_result(response.value, action) : SummaryWriteResult{};
     aggregator_.upstream().on_write_result(now(), action.call_id, result);
   };
   store_.commit(summary_transaction(prefix_, options_.name, lease_, action), while_alive(on_response));
@@ -308,7 +308,7 @@
   if (!aggregator_.has_snapshot() || store_.id() == 0) {
     throw coordination::ServiceUnavailable("the store's records are not here yet");
   }
-  look(aggregator_.records(), header());
+  reader(aggregator_.records(), header());
 }
 
 std::optional<AggregatorService::Response> AggregatorService::handle_get(const std::string& path) {
