--- a/tests/policy_world_test.cpp
+++ b/tests/policy_world_test.cpp
@@ -112,7 +112,7 @@
     call<Value>(
         of(index), nullptr, of(index).cut,
         [this, use]() -> std::optional<Value> {
-          ledger_.expire(store_ms());
+          ledger_.expire(store_clock());
           const Value value = use();
           notify_all();
           return value;
@@ -175,7 +175,7 @@
   // What changed goes to all that are heard by the store.
   void notify_all() {
     bool changed = false;
-    for (const coordination::KeyChange& change : ledger_.changes()) {
+    for (const coordination::KeyChange& change : ledger_.take_changes()) {
       changed = changed || change.entry.key.starts_with("policy/");
     }
     if (!changed) {
@@ -240,7 +240,11 @@
     };
     if (action.order.ask == ownership::Ask::kAcquire) {
       call_store<coordination::LeaseId>(
-          index, [this] { return ledger_.grant(store_ms(), options_.lease.ttl.count() / 1'000, 0); },
+          index,
+          [this] {
+            return ledger_.grant(
+                store_clock(), std::chrono::duration_cast<std::chrono::milliseconds>(options_.lease.ttl), 0);
+          },
           [this, index, action, number, lost](const coordination::LeaseId& lease) {
             of(index).lease = lease;
             call_store<bool>(
@@ -272,7 +276,8 @@
     }
     const coordination::LeaseId lease = of(index).lease;
     call_store<bool>(
-        index, [this, lease] { return ledger_.keep_alive(store_ms(), lease) > 0; },
+        index,
+        [this, lease] { return ledger_.keep_alive(store_clock(), lease) > std::chrono::milliseconds(0); },
         [this, index, number](const bool& alive) {
           of(index).participant->on_renew_result(clock(of(index)), number, alive);
         },
@@ -289,7 +294,7 @@
       if (!coordinator_) {
         coordinator_.emplace(timeouts_);
       }
-      ledger_.expire(store_ms());
+      ledger_.expire(store_clock());
       RolloutSnapshot snapshot = read_store();
       if (defect_ == Defect::kCommitEarly && snapshot.rollout &&
           snapshot.rollout->state == RolloutState::kSuspending) {
@@ -300,7 +305,7 @@
         // What it decided arrives late: the store may have moved on.
         const coordination::Transaction write = execute_transaction("", snapshot, *step);
         at(now_ + drawn(chance(80) ? milliseconds(10) : seconds(4)), [this, write, step = *step] {
-          ledger_.expire(store_ms());
+          ledger_.expire(store_clock());
           if (ledger_.commit(write).succeeded) {
             report_.commits += step.commit ? 1 : 0;
             report_.aborts += step.rollout.state == RolloutState::kAborted ? 1 : 0;
@@ -425,7 +430,7 @@
   }
   void expire() {
     at(now_ + milliseconds(50), [this] {
-      ledger_.expire(store_ms());
+      ledger_.expire(store_clock());
       notify_all();
       expire();
     });
