--- a/benchmarks/scale/hollow_router.cpp
+++ b/benchmarks/scale/hollow_router.cpp
@@ -93,15 +93,15 @@
 }
 
 void HollowRouter::carry_out(const policy::LeaseAction& ask) {
-  const std::uint64_t number = ask.order.number;
+  const std::uint64_t number = ask.order.call_id;
   const auto lost = [this, number] { participant_->on_no_response(clock(), number); };
-  switch (ask.order.ask) {
-    case ownership::Ask::kAcquire:
+  switch (ask.order.kind) {
+    case ownership::LeaseCallKind::kAcquire:
       ask_grant(
           rules_.participant.lease.ttl,
           [this, ask, lost](const Reply& reply) { reply.done ? join(ask, reply.lease) : lost(); }, lost);
       return;
-    case ownership::Ask::kRenew:
+    case ownership::LeaseCallKind::kRenew:
       ask_keep_alive(
           lease_,
           [this, number, lost](const Reply& reply) {
@@ -109,7 +109,7 @@
           },
           lost);
       return;
-    case ownership::Ask::kRelease:
+    case ownership::LeaseCallKind::kRelease:
       ask_revoke(
           lease_,
           [this, number, lost](const Reply& reply) {
@@ -122,7 +122,7 @@
 
 void HollowRouter::join(const policy::LeaseAction& ask, LeaseId lease) {
   lease_ = lease;
-  const std::uint64_t number = ask.order.number;
+  const std::uint64_t number = ask.order.call_id;
   coordination::Transaction write;
   write.when = policy::join_conditions("", ask.observed, zone_);
   write.then = {
--- a/src/aggregation/upstream_lease.cpp
+++ b/src/aggregation/upstream_lease.cpp
@@ -4,9 +4,9 @@
 
 namespace trailcourse::aggregation {
 
-using ownership::Ask;
-using ownership::Order;
-using ownership::Phase;
+using ownership::LeaseCall;
+using ownership::LeaseCallKind;
+using ownership::LeasePhase;
 using policy::ObservedState;
 using policy::ParticipantReport;
 
@@ -75,17 +75,17 @@
 std::optional<UpstreamAction> UpstreamLease::lease_step(Micros now, bool connected,
                                                         const ObservedByZone& observed,
                                                         const SummariesByZone& summaries) {
-  const bool candidate = lease_.phase(now) == Phase::kCandidate;
+  const bool candidate = lease_.phase(now) == LeasePhase::kCandidate;
   if (!may_call(now, connected) || (candidate && observed.size() < zones_.size())) {
     return std::nullopt;
   }
-  const std::optional<Order> call = lease_.due(now);
+  const std::optional<LeaseCall> call = lease_.step(now);
   if (!call) {
     return std::nullopt;
   }
   LeaseAction action;
   action.call = *call;
-  if (call->ask == Ask::kAcquire) {
+  if (call->kind == LeaseCallKind::kAcquire) {
     forget_summaries();
     for (const std::string& zone : zones_) {
       action.summaries.push_back(ZoneSummary{zone, summaries.at(zone), 0});
@@ -130,14 +130,14 @@
 
 // A lease that is to be released is released also while the store does not answer.
 bool UpstreamLease::may_call(Micros now, bool connected) const {
-  return connected || lease_.phase(now) == Phase::kStopped;
+  return connected || lease_.phase(now) == LeasePhase::kStopped;
 }
 
 // While no call may be made, time alone changes nothing: only a message from the store does.
 std::optional<Micros> UpstreamLease::next_step_at(Micros now, bool connected) const {
-  std::optional<Micros> out = may_call(now, connected) ? lease_.next(now) : std::nullopt;
+  std::optional<Micros> out = may_call(now, connected) ? lease_.next_step_at(now) : std::nullopt;
   if (lease_.may_act(now)) {
-    out = earlier(out, lease_.until());
+    out = earlier(out, lease_.valid_until());
   }
   if (next_write_at_ > now) {
     out = earlier(out, next_write_at_);
@@ -151,7 +151,7 @@
 }
 
 std::optional<Micros> UpstreamLease::valid_until() const {
-  return joined_ ? std::optional<Micros>(lease_.until()) : std::nullopt;
+  return joined_ ? std::optional<Micros>(lease_.valid_until()) : std::nullopt;
 }
 
 // ---- Answers ----
@@ -165,13 +165,13 @@
 
 void UpstreamLease::on_join_result(Micros now, std::uint64_t call_id, const JoinResult& result) {
   if (result.status != JoinResult::Status::kJoined) {
-    lease_.refused(now, call_id);
+    lease_.on_rejected(now, call_id);
     if (lease_.term() == 0) {
       forget_summaries();
     }
     return;
   }
-  lease_.granted(now, call_id, kTerm);
+  lease_.on_granted(now, call_id, kTerm);
   if (lease_.term() == 0 || joined_) {
     return;  // the answer to a call that is no longer awaited
   }
@@ -184,24 +184,24 @@
 
 void UpstreamLease::on_renew_result(Micros now, std::uint64_t call_id, RenewResult result) {
   if (result == RenewResult::kRenewed) {
-    lease_.granted(now, call_id, kTerm);
+    lease_.on_granted(now, call_id, kTerm);
     return;
   }
-  lease_.refused(now, call_id);
+  lease_.on_rejected(now, call_id);
   if (lease_.term() == 0) {
     forget_summaries();
   }
 }
 
 void UpstreamLease::on_release_result(Micros now, std::uint64_t call_id) {
-  lease_.granted(now, call_id, kReleasedTerm);
-  if (lease_.over()) {
+  lease_.on_granted(now, call_id, kReleasedTerm);
+  if (lease_.released()) {
     forget_summaries();
   }
 }
 
 void UpstreamLease::on_no_response(Micros now, std::uint64_t call_id) {
-  lease_.lost(now, call_id);
+  lease_.on_no_response(now, call_id);
   if (!joined_) {
     in_flight_.clear();  // whether or not they were written: the next join has another lease and other keys
   }
@@ -224,7 +224,7 @@
     }
   }
   const bool retries_later = result.status == SummaryWriteResult::Status::kUnknown;
-  next_write_at_ = retries_later ? now + options_.retry : now;
+  next_write_at_ = retries_later ? now + options_.retry_backoff : now;
 }
 
 }  // namespace trailcourse::aggregation
--- a/src/policy/participant.h
+++ b/src/policy/participant.h
@@ -57,13 +57,13 @@
 };
 
 struct ParticipantOptions {
-  ownership::LeaseRules lease;
+  ownership::LeaseOptions lease;
   bool serve_intersection = true;  // while in doubt; false: reject requests
 };
 
 // A call for the lease that is to be made now.
 struct LeaseAction {
-  ownership::Order order;
+  ownership::LeaseCall order;
   ParticipantReport report;  // of an acquisition: to be written if the store still is as in `observed`
   ObservedState observed;
 };
@@ -117,12 +117,12 @@
   std::vector<ParticipantAction> step(Micros now);
   // Returns when step() may return something by time alone, or the state may change.
   std::optional<Micros> next_step_at(Micros now) const;
-  Micros lease_end() const { return lease_.until(); }
+  Micros lease_end() const { return lease_.valid_until(); }
   // Returns whether the router should receive requests: it has a lease, suspended or not.
   bool ready(Micros now) const;
   // Releases the lease; step() gives the call.
   void stop(Micros now);
-  bool stopped() const { return lease_.over(); }
+  bool stopped() const { return lease_.released(); }
   const ObservedState& observed() const { return observed_; }
 
  private:
--- a/tests/participant_test.cpp
+++ b/tests/participant_test.cpp
@@ -60,7 +60,7 @@
   void join() {
     const auto action = next<LeaseAction>();
     ASSERT_TRUE(action.has_value());
-    participant.on_join_result(kNow, action->order.number, true);
+    participant.on_join_result(kNow, action->order.call_id, true);
   }
   // Returns the report that is written now.
   ParticipantReport report() {
