--- a/src/aggregation/aggregator_service.cpp
+++ b/src/aggregation/aggregator_service.cpp
@@ -11,8 +11,8 @@
 namespace trailcourse::aggregation {
 
 using coordination::LeaseId;
-using coordination::TransactionResult;
 using coordination::StoreResponse;
+using coordination::TransactionResult;
 using nlohmann::json;
 using ownership::LeaseCallKind;
 using std::chrono::duration_cast;
@@ -110,7 +110,8 @@
   publish_records();
 }
 
-void AggregatorService::on_changes(coordination::Revision, const std::vector<coordination::KeyChange>& changes) {
+void AggregatorService::on_changes(coordination::Revision,
+                                   const std::vector<coordination::KeyChange>& changes) {
   aggregator_.on_changes(changes);
   publish_records();
 }
@@ -196,7 +197,8 @@
 // might get leases under a policy that is no longer in force.
 void AggregatorService::join(const LeaseAction& action, LeaseId lease) {
   lease_ = lease;
-  const auto on_response = [this, call_id = action.call.call_id, lease](const StoreResponse<TransactionResult>& response) {
+  const auto on_response = [this, call_id = action.call.call_id,
+                            lease](const StoreResponse<TransactionResult>& response) {
     if (response.ok()) {
       aggregator_.upstream().on_join_result(now(), call_id, read_join_result(response.value));
     } else {
@@ -244,7 +246,9 @@
 
 // ---- Calls of routers ----
 
-etcd::ResponseHeader AggregatorService::header() const { return {store_.id(), aggregator_.records().revision()}; }
+etcd::ResponseHeader AggregatorService::header() const {
+  return {store_.id(), aggregator_.records().revision()};
+}
 
 AggregatorService::Response AggregatorService::handle(const std::string& path, const json& body) {
   if (store_.id() == 0) {
@@ -317,10 +321,10 @@
   }
   const bool active = aggregator_.upstream().is_active(now());
   return Response{active ? kOk : kServiceUnavailable, json{{"name", options_.name},
-                                                         {"permission", active},
-                                                         {"store", connected_ ? "heard" : "silent"},
-                                                         {"routers", aggregator_.router_count()},
-                                                         {"revision", aggregator_.records().revision()}}};
+                                                           {"permission", active},
+                                                           {"store", connected_ ? "heard" : "silent"},
+                                                           {"routers", aggregator_.router_count()},
+                                                           {"revision", aggregator_.records().revision()}}};
 }
 
 std::string AggregatorService::status_line() const {
--- a/src/ownership/work_records.cpp
+++ b/src/ownership/work_records.cpp
@@ -9,10 +9,10 @@
 
 using coordination::Compare;
 using coordination::Get;
-using coordination::TransactionResult;
 using coordination::Put;
 using coordination::Range;
 using coordination::Transaction;
+using coordination::TransactionResult;
 using nlohmann::json;
 
 namespace {
@@ -217,7 +217,8 @@
   return out;
 }
 
-ProgressWriteResult read_progress_write_result(const TransactionResult& outcome, Term term, const Progress& attempted) {
+ProgressWriteResult read_progress_write_result(const TransactionResult& outcome, Term term,
+                                               const Progress& attempted) {
   ProgressWriteResult out;
   if (outcome.succeeded) {
     out.written = true;
--- a/tests/aggregation/aggregator_fixture.h
+++ b/tests/aggregation/aggregator_fixture.h
@@ -48,7 +48,9 @@
     aggregator_.on_snapshot(store_.get(coordination::Range{policy::kPolicyPrefix, true}));
     aggregator_.set_connected(true);
   }
-  std::chrono::milliseconds store_clock() const { return std::chrono::duration_cast<std::chrono::milliseconds>(now_); }
+  std::chrono::milliseconds store_clock() const {
+    return std::chrono::duration_cast<std::chrono::milliseconds>(now_);
+  }
   std::optional<policy::ParticipantReport> stored_summary(const std::string& zone) {
     const auto found = store_.get(coordination::Range{summary_key("", kName, zone, lease_), false});
     return found.empty() ? std::nullopt : policy::read_report(found.front().value);
@@ -71,7 +73,7 @@
     const std::uint64_t call_id = action.call.call_id;
     switch (action.call.kind) {
       case ownership::LeaseCallKind::kAcquire:
-        lease_ = store_.grant(store_clock(), kTtlMs, 0);
+        lease_ = store_.grant(store_clock(), kTtl, 0);
         upstream.on_join_result(now_, call_id,
                                 read_join_result(store_.commit(join_transaction("", kName, lease_, action))));
         return;
@@ -156,11 +158,11 @@
  private:
   static constexpr const char* kName = "agg";
   static constexpr std::uint64_t kSeed = 5;  // of the ids of routers' leases
-  static constexpr std::int64_t kTtlMs = 4'000;
+  static constexpr std::chrono::milliseconds kTtl{4'000};
 
   static AggregatorSettings settings() {
     AggregatorSettings out;
-    out.lease.ttl = std::chrono::milliseconds(kTtlMs);
+    out.lease.ttl = kTtl;
     out.lease.margin = std::chrono::milliseconds(20);
     out.lease.renew_after = std::chrono::milliseconds(500);
     out.lease.retry_backoff = std::chrono::milliseconds(200);
--- a/tests/aggregation/region_world_aggregators.cpp
+++ b/tests/aggregation/region_world_aggregators.cpp
@@ -8,10 +8,10 @@
 namespace trailcourse::aggregation {
 
 using coordination::LeaseId;
-using coordination::TransactionResult;
 using coordination::Put;
 using coordination::Range;
 using coordination::Transaction;
+using coordination::TransactionResult;
 using ownership::LeaseCallKind;
 using std::chrono::milliseconds;
 
@@ -145,7 +145,11 @@
 
 void RegionWorld::acquire(AggregatorProcess& aggregator, const LeaseAction& action) {
   call_store<LeaseId>(
-      aggregator, [this] { return store_.grant(store_clock(), std::chrono::duration_cast<std::chrono::milliseconds>(kAggregatorTtl), 0); },
+      aggregator,
+      [this] {
+        return store_.grant(store_clock(),
+                            std::chrono::duration_cast<std::chrono::milliseconds>(kAggregatorTtl), 0);
+      },
       [this, &aggregator, action](const LeaseId& lease) {
         aggregator.lease = lease;
         join(aggregator, action);
@@ -174,7 +178,10 @@
 
 void RegionWorld::renew(AggregatorProcess& aggregator, std::uint64_t call_id) {
   call_store<bool>(
-      aggregator, [this, lease = aggregator.lease] { return store_.keep_alive(store_clock(), lease) > std::chrono::milliseconds(0); },
+      aggregator,
+      [this, lease = aggregator.lease] {
+        return store_.keep_alive(store_clock(), lease) > std::chrono::milliseconds(0);
+      },
       [this, &aggregator, call_id](const bool& renewed) {
         aggregator.core->upstream().on_renew_result(
             clock(aggregator), call_id, renewed ? RenewResult::kRenewed : RenewResult::kLeaseNotFound);
--- a/tests/aggregation/region_world_routers.cpp
+++ b/tests/aggregation/region_world_routers.cpp
@@ -10,9 +10,9 @@
 
 using coordination::Entry;
 using coordination::LeaseId;
-using coordination::TransactionResult;
 using coordination::Put;
 using coordination::Transaction;
+using coordination::TransactionResult;
 using ownership::LeaseCallKind;
 using policy::EffectivePolicy;
 using policy::ObservedState;
@@ -286,7 +286,7 @@
 
 // Executed at the aggregator.
 TransactionResult RegionWorld::commit_report(const RouterProcess& router, Aggregator& aggregator, Micros now,
-                                   Transaction transaction) {
+                                             Transaction transaction) {
   if (defect_ == Defect::kRouterMissingFromSummary && router.index % 4 == 0) {
     transaction.then.clear();
   }
--- a/tests/ownership_simulation.cpp
+++ b/tests/ownership_simulation.cpp
@@ -14,8 +14,8 @@
 namespace trailcourse::ownership {
 namespace {
 
-using coordination::LeaseId;
 using coordination::KeyValueState;
+using coordination::LeaseId;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 using testing_support::VirtualProcess;
@@ -74,14 +74,14 @@
   // ---- The store ----
 
   coordination::TransactionResult commit(const coordination::Transaction& transaction) {
-    ledger_.expire(store_ms());
+    ledger_.expire(store_clock());
     const coordination::TransactionResult out = ledger_.commit(transaction);
     send_changes();
     return out;
   }
 
   void expire_leases() {
-    ledger_.expire(store_ms());
+    ledger_.expire(store_clock());
     send_changes();
     at(now_ + kExpiryPeriod, [this] { expire_leases(); });
   }
@@ -93,7 +93,7 @@
     call<Value>(
         router(index), nullptr, !calm_ && router(index).cut,
         [this, serve]() -> std::optional<Value> {
-          ledger_.expire(store_ms());
+          ledger_.expire(store_clock());
           const Value value = serve();
           send_changes();
           return value;
@@ -103,7 +103,7 @@
 
   // Changes are sent to all that follow, each after a time of its own but in order.
   void send_changes() {
-    for (const coordination::KeyChange& change : ledger_.changes()) {
+    for (const coordination::KeyChange& change : ledger_.take_changes()) {
       const auto id = read_shard_key(change.entry.key, kProgressPrefix);
       if (const auto progress = id ? read_progress(change.entry.value) : std::nullopt) {
         fail_if(progress_monitor_.observe(*id, *progress));
@@ -234,7 +234,8 @@
     const LeaseId lease = router(index).leases[id];
     if (action.call.kind == LeaseCallKind::kRenew) {
       call_store<bool>(
-          index, [this, lease] { return ledger_.keep_alive(store_ms(), lease) > 0; },
+          index,
+          [this, lease] { return ledger_.keep_alive(store_clock(), lease) > std::chrono::milliseconds(0); },
           [this, index, id, call_id](const bool& alive) {
             manager(index).on_renew_result(router_now(index), id, call_id, alive);
           },
@@ -260,9 +261,9 @@
   void acquire(int index, const ShardId& id, std::uint64_t call_id,
                const std::function<void()>& no_response) {
     const Owner owner{name(index), std::to_string(router(index).incarnation), 0};
-    const std::int64_t ttl_ms = options_.lease.ttl.count() / 1'000;
+    const auto ttl = std::chrono::duration_cast<std::chrono::milliseconds>(options_.lease.ttl);
     call_store<LeaseId>(
-        index, [this, ttl_ms] { return ledger_.grant(store_ms(), ttl_ms, 0); },
+        index, [this, ttl] { return ledger_.grant(store_clock(), ttl, 0); },
         [this, index, id, call_id, owner, no_response](const LeaseId& lease) {
           router(index).leases[id] = lease;
           become_owner(index, id, call_id, owner, lease, no_response);
