--- a/benchmarks/scale/control_costs.cpp
+++ b/benchmarks/scale/control_costs.cpp
@@ -5,7 +5,8 @@
 #include <string>
 #include <vector>
 
-#include "coordination/etcd_json.h"
+#include "coordination/etcd_fields.h"
+#include "coordination/etcd_responses.h"
 #include "coordination/key_value_state.h"
 #include "membership/membership_view.h"
 #include "ownership/lease_manager.h"
--- a/tests/recorded_files_test.cpp
+++ b/tests/recorded_files_test.cpp
@@ -1,5 +1,5 @@
-// Files that an earlier version recorded (tests/fixtures/README.md): this version reads each of them, and
-// writes the same bytes from what it read.
+// Files that an earlier version recorded (tests/fixtures/README.md): this version reads each of them, and writes the
+// same bytes from what it read.
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 #include <unistd.h>
@@ -158,8 +158,8 @@
               coordination::KeyValueDatabase::Sharing::kExclusive) {}
 
   std::string value(const std::string& key) const {
-    const auto found = file_.ledger().entries().find(kKeyPrefix + key);
-    return found == file_.ledger().entries().end() ? "no such entry" : found->second.value;
+    const auto found = file_.state().entries().find(kKeyPrefix + key);
+    return found == file_.state().entries().end() ? "no such entry" : found->second.value;
   }
 
   coordination::KeyValueDatabase file_;
@@ -167,26 +167,28 @@
 
 TEST_F(RecordedRegistry, KeepsItsIdRevisionEntriesAndLeases) {
   EXPECT_EQ(file_.id(), kStoreId);
-  EXPECT_EQ(file_.ledger().revision(), 22U);
-  EXPECT_THAT(file_.ledger().entries(), SizeIs(20));
+  EXPECT_EQ(file_.state().revision(), 22U);
+  EXPECT_THAT(file_.state().entries(), SizeIs(20));
   std::vector<std::int64_t> ttls;
-  for (const auto& [id, lease] : file_.ledger().leases()) {
-    ttls.push_back(lease.ttl_ms);
+  for (const auto& [id, lease] : file_.state().leases()) {
+    ttls.push_back(lease.ttl.count());
   }
   EXPECT_THAT(ttls, ElementsAre(10'000, 10'000, 6'000, 6'000));
-  const coordination::Entry& owner = file_.ledger().entries().at(kKeyPrefix + "fleet/own/counts/0");
+  const coordination::Entry& owner = file_.state().entries().at(kKeyPrefix + "fleet/own/counts/0");
   EXPECT_EQ(owner.created, 9U);
   EXPECT_EQ(owner.lease, 7'340'036U);
 }
 
 TEST_F(RecordedRegistry, GoesOnFromItsRevisionAndKeepsWhatIsWritten) {
   coordination::Revision revision = 0;
-  file_.use(coordination::KeyValueDatabase::boot_time(), true, [&](coordination::KeyValueState& ledger) {
-    coordination::Transaction transaction;
-    transaction.then = {coordination::Put{kKeyPrefix + "fleet/work/new", "value", 0}};
-    ledger.commit(transaction);
-    revision = ledger.revision();
-  });
+  file_.transact(coordination::KeyValueDatabase::boot_time(),
+                 coordination::KeyValueDatabase::Durability::kSynced,
+                 [&](coordination::KeyValueState& state) {
+                   coordination::Transaction transaction;
+                   transaction.then = {coordination::Put{kKeyPrefix + "fleet/work/new", "value", 0}};
+                   state.commit(transaction);
+                   revision = state.revision();
+                 });
   EXPECT_EQ(revision, 23U);
   EXPECT_EQ(value("fleet/work/new"), "value");
 }
--- a/tests/task_runner_test.cpp
+++ b/tests/task_runner_test.cpp
@@ -90,7 +90,7 @@
   void put(const std::string& key, const std::string& value) {
     coordination::Transaction write;
     write.then = {coordination::Put{kPrefix + key, value, 0}};
-    ASSERT_TRUE(calls_.commit(*store_, write).done());
+    ASSERT_TRUE(calls_.commit(*store_, write).ok());
   }
 
   std::optional<std::string> get(const std::string& key) {
@@ -166,7 +166,7 @@
   // The shard is taken from this owner.
   coordination::Transaction disown;
   disown.then = {coordination::Delete{coordination::Range{kPrefix + std::string("fleet/own/work/0"), false}}};
-  ASSERT_TRUE(calls_.commit(*store_, disown).done());
+  ASSERT_TRUE(calls_.commit(*store_, disown).ok());
   context.write_key("result", "2");
   std::optional<std::string> read_back = "not read";
   context.read_key("result", [&](std::optional<std::string> value) { read_back = std::move(value); });
@@ -205,7 +205,7 @@
   deletion.then = {
       coordination::Delete{coordination::Range{kPrefix + std::string("fleet/verdicts/zone/cache"), false}}};
   ASSERT_TRUE(calls_.until([&] { return observed.size() == 1; }));
-  ASSERT_TRUE(calls_.commit(*store_, deletion).done());
+  ASSERT_TRUE(calls_.commit(*store_, deletion).ok());
   ASSERT_TRUE(calls_.until([&] { return observed.size() == 2; }));
   EXPECT_EQ(observed,
             (std::vector<std::string>{"fleet/verdicts/zone/cache=1", "fleet/verdicts/zone/cache="}));
