--- a/src/tasks/options.cpp
+++ b/src/tasks/options.cpp
@@ -60,7 +60,7 @@
       .whole("neighbours", &O::neighbours, "routers", WholeRange{0, 10}, "that each tries to reach; 0: none")
       .whole("neighbour_ms", &O::neighbour_ms, "ms", kMilliseconds, "how often")
       .whole("neighbour_misses", &O::neighbour_misses, "tries", WholeRange{1, 100},
-             "in a row that make a doubt; two neighbours' suspicions take a router out of owned work")
+             "in a row that make a suspicion; two neighbours' suspicions take a router out of owned work")
       .real("flap_suppress", &O::flap_suppress, "returns", RealRange{1.0, 1'000.0},
             "of late beyond which a router is given no work")
       .real("flap_reuse", &O::flap_reuse, "returns", RealRange{0.01, 1'000.0},
