--- a/benchmarks/scale/control_costs.cpp
+++ b/benchmarks/scale/control_costs.cpp
@@ -76,7 +76,8 @@
     std::string answer;
     const int calls = std::max(1, 3'000 / permits);
     store.points.emplace_back(permits, cpu_us_per_call(calls, [&] {
-                                answer = etcd::write_transaction_result(header, look, ledger.commit(look)).dump();
+                                answer =
+                                    etcd::write_transaction_result(header, look, ledger.commit(look)).dump();
                               }));
     bytes.points.emplace_back(permits, answer.size());
     policy::RolloutCoordinator decides(policy::rollout_timeouts(policy::PolicyOptions()));
@@ -151,7 +152,7 @@
 
 // ---- Candidates for the fleet's work ----
 
-std::map<std::string, std::string> members_by_zone(int members) {
+ownership::MemberZones member_zones(int members) {
   std::map<std::string, std::string> out;
   for (int i = 0; i < members; ++i) {
     out[router_name(i)] = zone_name(i);
@@ -173,7 +174,7 @@
   for (std::uint64_t shard = 0; shard < work.shards; ++shard) {
     manager->on_owner(Micros(1), {"w", shard}, owner, 7);
   }
-  manager->set_members(Micros(1), members_by_zone(members));
+  manager->set_members(Micros(1), member_zones(members));
   return manager;
 }
 
@@ -199,7 +200,7 @@
   for (const int members : kMembers) {
     memory.points.emplace_back(members, bytes_held_by([&] { return candidate(members); }));
     const auto manager = candidate(members);
-    const auto list = members_by_zone(members);
+    const auto list = member_zones(members);
     Micros now(1'000'000);
     const int calls = std::max(1, 5'000 / members);
     change.points.emplace_back(members, cpu_us_per_call(calls, [&] {
--- a/src/aggregation/aggregator.cpp
+++ b/src/aggregation/aggregator.cpp
@@ -159,7 +159,7 @@
   }
   const Put& put = std::get<Put>(transaction.then.front());
   const RouterReport report = checked_report(put);
-  // Draining does not matter here: a router that still has a lease has to be heard.
+  // Draining does not matter here: a router that still has a lease has to be able to report.
   if (!upstream_.is_active(now)) {
     throw RequestRejected(Reason::kNoUpstreamLease, "the aggregator has no permission itself");
   }
--- a/src/aggregation/aggregator_service.cpp
+++ b/src/aggregation/aggregator_service.cpp
@@ -295,7 +295,7 @@
   return etcd::write_lease_grant_response(header(), {id, ttl.count()});
 }
 
-// On the wire a time of 0 says that there is no such lease.
+// On the wire a time of 0 means that there is no such lease.
 json AggregatorService::handle_keep_alive(const json& body) {
   const LeaseId id = etcd::read_lease_request(body);
   const auto left = duration_cast<milliseconds>(aggregator_.keep_alive(now(), id).value_or(Micros(0)));
--- a/src/aggregation/router_leases.cpp
+++ b/src/aggregation/router_leases.cpp
@@ -44,7 +44,7 @@
   }
   const LeaseId id = unused_id();
   leases_[id] = RouterLease{ttl, now + ttl, {}};
-  expiries_.emplace(now + ttl, id);
+  expiries_.insert({now + ttl, id});
   return id;
 }
 
@@ -65,7 +65,7 @@
   check_within_upstream_lease(now, lease.ttl, upstream_end);
   expiries_.erase({lease.ends_at, id});
   lease.ends_at = now + lease.ttl;
-  expiries_.emplace(lease.ends_at, id);
+  expiries_.insert({lease.ends_at, id});
   return lease.ttl;
 }
 
@@ -136,13 +136,13 @@
 }
 
 void RouterLeases::expire(Micros now) {
-  while (!expiries_.empty() && expiries_.begin()->first <= now) {
-    end(expiries_.begin()->second);
+  while (!expiries_.empty() && expiries_.begin()->ends_at <= now) {
+    end(expiries_.begin()->id);
   }
 }
 
 std::optional<Micros> RouterLeases::next_expiry() const {
-  return expiries_.empty() ? std::nullopt : std::optional<Micros>(expiries_.begin()->first);
+  return expiries_.empty() ? std::nullopt : std::optional<Micros>(expiries_.begin()->ends_at);
 }
 
 const RouterReports& RouterLeases::reports(const std::string& zone) const {
--- a/src/aggregation/router_leases.h
+++ b/src/aggregation/router_leases.h
@@ -10,13 +10,13 @@
 
 #include <trailcourse/decider.h>
 
+#include <compare>
 #include <cstdint>
 #include <map>
 #include <optional>
 #include <random>
 #include <set>
 #include <string>
-#include <utility>
 
 #include "aggregation/report_summary.h"
 #include "aggregation/request_rejected.h"
@@ -63,6 +63,12 @@
   std::size_t size() const { return leases_.size(); }
 
  private:
+  struct Expiry {
+    Micros ends_at{0};
+    coordination::LeaseId id = 0;
+
+    friend auto operator<=>(const Expiry&, const Expiry&) = default;
+  };
   struct RouterLease {
     Micros ttl{0};
     Micros ends_at{0};
@@ -79,10 +85,10 @@
   RouterLeaseOptions options_;
   std::mt19937_64 random_;
   std::map<coordination::LeaseId, RouterLease> leases_;
-  std::set<std::pair<Micros, coordination::LeaseId>> expiries_;  // of all leases, the earliest first
-  std::map<std::string, RouterReports> reports_;                 // by zone
-  std::map<std::string, RequestCounts> request_counts_;          // by zone
-  std::map<std::string, std::uint64_t> min_acknowledged_;        // round, by zone
+  std::set<Expiry> expiries_;                              // of all leases, the earliest first
+  std::map<std::string, RouterReports> reports_;           // by zone
+  std::map<std::string, RequestCounts> request_counts_;    // by zone
+  std::map<std::string, std::uint64_t> min_acknowledged_;  // round, by zone
 };
 
 }  // namespace trailcourse::aggregation
--- a/src/aggregation/upstream_calls.h
+++ b/src/aggregation/upstream_calls.h
@@ -24,7 +24,7 @@
 using ObservedByZone = std::map<std::string, policy::ObservedState>;
 using SummariesByZone = std::map<std::string, policy::ParticipantReport>;
 
-// A zone's summary as it is to stand in the store.
+// A zone's summary that is to be written to the store.
 struct ZoneSummary {
   std::string zone;
   policy::ParticipantReport report;
--- a/src/aggregation/upstream_lease.cpp
+++ b/src/aggregation/upstream_lease.cpp
@@ -59,7 +59,7 @@
   return out;
 }
 
-// Counts of requests alone are worth a write only while the coordinator watches them.
+// Counts of requests alone are written only while the coordinator watches them.
 SummariesByZone UpstreamLease::without_idle_counts(const ObservedByZone& observed,
                                                    SummariesByZone summaries) const {
   for (auto& [zone, report] : summaries) {
--- a/src/aggregation/upstream_lease.h
+++ b/src/aggregation/upstream_lease.h
@@ -24,7 +24,7 @@
   UpstreamLease(const ownership::LeaseOptions& options, std::vector<std::string> zones)
       : options_(options), lease_(options), zones_(std::move(zones)) {}
 
-  // Returns the calls to make now. `connected` says whether the store answers; the lease is neither acquired
+  // Returns the calls to make now. `connected`: whether the store answers; the lease is neither acquired
   // nor renewed while it does not. `observed` and `summaries` are the current ones.
   std::vector<UpstreamAction> step(Micros now, bool connected, const ObservedByZone& observed,
                                    const SummariesByZone& summaries);
--- a/src/policy/json_fields.h
+++ b/src/coordination/record_fields.h
@@ -1,14 +1,14 @@
 // Lenient access to fields of a stored JSON record: a field that is missing or of another type has its
 // default.
 //
-// Internal to package `policy`.
+// Package `coordination`: no I/O, no clock. All functions are pure; none throws for a field of another type.
 #pragma once
 
 #include <cstdint>
 #include <nlohmann/json.hpp>
 #include <string>
 
-namespace trailcourse::policy {
+namespace trailcourse::coordination {
 
 // Returns an unsigned field, or 0.
 inline std::uint64_t unsigned_field(const nlohmann::json& record, const char* name) {
@@ -16,6 +16,13 @@
   return found != record.end() && found->is_number_unsigned() ? found->get<std::uint64_t>() : 0;
 }
 
+// Returns an integer field, which may be negative, or 0.
+template <typename Integer>
+Integer integer_field(const nlohmann::json& record, const char* name) {
+  const auto found = record.find(name);
+  return found != record.end() && found->is_number_integer() ? found->get<Integer>() : Integer{};
+}
+
 // Returns a text field, or an empty text.
 inline std::string text_field(const nlohmann::json& record, const char* name) {
   const auto found = record.find(name);
@@ -34,4 +41,4 @@
   return found != record.end() && found->is_number() ? found->get<double>() : otherwise;
 }
 
-}  // namespace trailcourse::policy
+}  // namespace trailcourse::coordination
--- a/src/membership/member_records.cpp
+++ b/src/membership/member_records.cpp
@@ -2,11 +2,14 @@
 
 #include <nlohmann/json.hpp>
 
+#include "coordination/record_fields.h"
 #include "coordination/types.h"
 
 namespace trailcourse::membership {
 
+using coordination::integer_field;
 using coordination::is_name;
+using coordination::text_field;
 using nlohmann::json;
 
 namespace {
@@ -30,17 +33,6 @@
   return is_name(parts.first) && is_name(parts.second) ? std::optional<KeyParts>(parts) : std::nullopt;
 }
 
-std::string text_of(const json& from, const char* name) {
-  const auto found = from.find(name);
-  return found != from.end() && found->is_string() ? found->get<std::string>() : std::string();
-}
-
-template <typename Number>
-Number number_of(const json& from, const char* name) {
-  const auto found = from.find(name);
-  return found != from.end() && found->is_number_integer() ? found->get<Number>() : Number{};
-}
-
 }  // namespace
 
 std::string member_key(const std::string& name, const std::string& incarnation) {
@@ -69,10 +61,10 @@
   Member out;
   out.name = parts->first;
   out.incarnation = parts->second;
-  out.zone = text_of(from, "zone");
-  out.address = text_of(from, "address");
-  out.started_ms = number_of<std::int64_t>(from, "started_ms");
-  out.version = text_of(from, "version");
+  out.zone = text_field(from, "zone");
+  out.address = text_field(from, "address");
+  out.started_ms = integer_field<std::int64_t>(from, "started_ms");
+  out.version = text_field(from, "version");
   const auto draining = from.find("draining");
   out.draining = draining != from.end() && draining->is_boolean() && draining->get<bool>();
   return out;
@@ -91,8 +83,8 @@
   Suspicion out;
   out.member = parts->first;
   out.reporter = parts->second;
-  out.probed = number_of<int>(from, "checks");
-  out.failed = number_of<int>(from, "fails");
+  out.probed = integer_field<int>(from, "checks");
+  out.failed = integer_field<int>(from, "fails");
   return out;
 }
 
--- a/src/ownership/fence.h
+++ b/src/ownership/fence.h
@@ -2,7 +2,7 @@
 // late effect of a former owner, for example one that lay in a socket's buffer, does no harm whatever its
 // sender believes.
 //
-// The highest term has to be durable before the effect of its first command: where admit() says
+// The highest term has to be durable before the effect of its first command: where admit() returns
 // kPersistFirst, the caller writes and syncs the term, calls on_persisted(), and only then executes the
 // command. A receiver that restarts begins with the terms that it persisted.
 //
@@ -34,7 +34,7 @@
     return term == highest ? FenceDecision::kAccept : FenceDecision::kPersistFirst;
   }
 
-  // The term is durable now. A lower one than known before changes nothing.
+  // The term is durable now. A lower one than was persisted before changes nothing.
   void on_persisted(const std::string& work, Term term) {
     Term& highest = terms_[work];
     highest = std::max(highest, term);
--- a/src/ownership/fencing_token.h
+++ b/src/ownership/fencing_token.h
@@ -1,4 +1,4 @@
-// Fencing token: the term of owned work as it is sent with an effect, together with the store that granted
+// Fencing token: the term of owned work that is sent with an effect, together with the store that granted
 // it.
 //
 // Library `ownership`: no I/O and no clock.
--- a/src/ownership/lease.h
+++ b/src/ownership/lease.h
@@ -42,7 +42,7 @@
 // | candidate | try to acquire the lease; no effects                                         |
 // | owner     | begin effects under its term; may_act() is checked for each                  |
 // | renewing  | the same, while a renewal is in flight                                       |
-// | uncertain | no effects: the lease has run out, and whether it was renewed is not known   |
+// | uncertain | no effects: the lease has run out, and whether it was renewed is unknown     |
 // | stopped   | nothing; the lease is being released or has been                             |
 enum class LeasePhase { kCandidate, kOwner, kRenewing, kUncertain, kStopped };
 
@@ -58,7 +58,7 @@
   Term term = 0;              // of a renewal or release
 };
 
-// State machine of one lease. Calls step() for the next call, and is told its result by exactly one of the
+// State machine of one lease. Calls step() for the next call, and receives its result by exactly one of the
 // on_...() functions. At most one call is in flight.
 class Lease {
  public:
@@ -85,13 +85,13 @@
 
   LeasePhase phase(Micros now) const;
 
-  // Returns the term of effects that may begin, or 0 where the lease is not held.
+  // Returns the term of effects that may begin, or 0 where the lease has ended.
   Term term() const { return term_; }
 
-  // Returns until when effects may begin, as far as is known; a negative time where none may.
+  // Returns until when effects may begin, by the last confirmed renewal; a negative time where none may.
   Micros valid_until() const { return valid_until_; }
 
-  // Returns the whole state as text, for logs and for tests that enumerate states.
+  // Returns the complete state as text, for logs and for tests that enumerate states.
   std::string describe() const;
 
   // Stops all effects at once and releases the lease by the next step(). Calling it again has no effect.
--- a/src/ownership/lease_manager.cpp
+++ b/src/ownership/lease_manager.cpp
@@ -35,9 +35,7 @@
 
 // ---- Changes reported by the store and by the router ----
 
-void LeaseManager::set_members(Micros, std::map<std::string, std::string> zone_by_member) {
-  zone_by_member_ = std::move(zone_by_member);
-}
+void LeaseManager::set_members(Micros, MemberZones zones) { member_zones_ = std::move(zones); }
 
 void LeaseManager::set_work(Micros now, const std::string& name, std::optional<Work> work) {
   if (!work) {
@@ -69,7 +67,7 @@
     shard->vacant_since = now;
   }
   // A change behind this router's own term that names another owner, or none, ends its ownership. A change
-  // before its term says nothing about it.
+  // before its term does not concern it.
   const bool lost = shard->term != 0 && revision > shard->term && (!owner || owner->term != shard->term);
   if (lost) {
     ++counts_.lost;
@@ -267,7 +265,7 @@
   }
 }
 
-// The lease has run out and no answer says whether it was renewed: the task is aborted, and starts again
+// The lease has run out and no answer shows whether it was renewed: the task is aborted, and starts again
 // under the same term if it was.
 void LeaseManager::step_uncertain(Micros now, const ShardId& id, Shard& shard) {
   const bool releasing = shard.phase == ShardPhase::kReleasing;
--- a/src/ownership/lease_manager.h
+++ b/src/ownership/lease_manager.h
@@ -49,7 +49,7 @@
                const LeaseManagerOptions& options);
 
   // Sets the members that may be given work, each with its zone.
-  void set_members(Micros now, std::map<std::string, std::string> zone_by_member);
+  void set_members(Micros now, MemberZones zones);
 
   // A work definition was written, or deleted where `work` is empty.
   void set_work(Micros now, const std::string& name, std::optional<Work> work);
@@ -163,10 +163,10 @@
   std::set<std::string> kinds_;
   std::optional<std::set<std::string>> allowed_kinds_;
   LeaseManagerOptions options_;
-  std::map<std::string, std::string> zone_by_member_;
+  MemberZones member_zones_;
   std::map<std::string, Work> works_;
   std::map<ShardId, Shard> shards_;
-  std::map<ShardId, Owner> owners_;  // as reported, also of work whose definition is not known yet
+  std::map<ShardId, Owner> owners_;  // as reported, also of work whose definition has not arrived yet
   std::set<ShardId> done_;
   std::map<ShardId, std::string> release_requests_;
   std::vector<LeaseManagerAction> actions_;
--- a/src/ownership/lease_manager_types.h
+++ b/src/ownership/lease_manager_types.h
@@ -5,6 +5,7 @@
 
 #include <cstddef>
 #include <cstdint>
+#include <map>
 #include <string>
 #include <variant>
 
@@ -13,6 +14,9 @@
 
 namespace trailcourse::ownership {
 
+// The members that may be given work: the zone of each by its name.
+using MemberZones = std::map<std::string, std::string>;
+
 struct LeaseManagerOptions {
   LeaseOptions lease;
   Micros candidate_slot{200'000};        // a candidate waits so long for each one that ranks before it
@@ -56,7 +60,7 @@
   ShardId id;
   Term term = 0;
 };
-// Aborts the task at once: the shard is not owned any more, or whether it is cannot be known.
+// Aborts the task at once: the shard is not owned any more, or its ownership cannot be determined.
 struct AbortTaskAction {
   ShardId id;
   Term term = 0;
--- a/src/ownership/progress_writer.h
+++ b/src/ownership/progress_writer.h
@@ -18,7 +18,7 @@
 // on_no_response().
 class ProgressWriter {
  public:
-  // Progress as it stands in the store, as far as is known.
+  // Progress as last observed in the store.
   const StoredProgress& stored() const { return stored_; }
   void set_stored(const StoredProgress& stored) { stored_ = stored; }
 
@@ -30,7 +30,7 @@
   void clear_queue() { queued_.reset(); }
   bool has_queued() const { return queued_.has_value(); }
 
-  // Returns whether a write was begun whose result is not known.
+  // Returns whether a write was begun whose result is unknown.
   bool has_unconfirmed() const { return unconfirmed_.has_value(); }
 
   // Returns whether nothing is left to write.
--- a/src/ownership/shard_acquisition.cpp
+++ b/src/ownership/shard_acquisition.cpp
@@ -11,7 +11,7 @@
 // Returns the members that may own the work, sorted by name.
 std::vector<std::string> LeaseManager::candidates(const Work& work) const {
   std::vector<std::string> out;
-  for (const auto& [member, zone] : zone_by_member_) {
+  for (const auto& [member, zone] : member_zones_) {
     if (work.zone.empty() || zone == work.zone) {
       out.push_back(member);
     }
--- a/src/ownership/shard_release.cpp
+++ b/src/ownership/shard_release.cpp
@@ -97,7 +97,7 @@
   shard.task_started = false;
 }
 
-// The shard is not owned any more. A lease that is still held is released.
+// The shard is not owned any more. A lease that has not ended yet is released.
 void LeaseManager::lose(Micros now, const ShardId& id, Shard& shard) {
   if (shard.task_started) {
     abort_task(id, shard);
--- a/src/ownership/work_records.cpp
+++ b/src/ownership/work_records.cpp
@@ -5,14 +5,19 @@
 #include <stdexcept>
 #include <utility>
 
+#include "coordination/record_fields.h"
+
 namespace trailcourse::ownership {
 
+using coordination::bool_field;
 using coordination::Compare;
 using coordination::Get;
 using coordination::Put;
 using coordination::Range;
+using coordination::text_field;
 using coordination::Transaction;
 using coordination::TransactionResult;
+using coordination::unsigned_field;
 using nlohmann::json;
 
 namespace {
@@ -21,19 +26,6 @@
 constexpr std::uint64_t kMaxShards = 10'000;
 constexpr std::size_t kMaxParamsBytes = 32U << 10U;
 
-std::string text_of(const json& from, const char* name) {
-  const auto found = from.find(name);
-  return found != from.end() && found->is_string() ? found->get<std::string>() : std::string();
-}
-std::uint64_t number_of(const json& from, const char* name) {
-  const auto found = from.find(name);
-  return found != from.end() && found->is_number_unsigned() ? found->get<std::uint64_t>() : 0;
-}
-bool flag_of(const json& from, const char* name) {
-  const auto found = from.find(name);
-  return found != from.end() && found->is_boolean() && found->get<bool>();
-}
-
 StoredProgress stored_progress_of(const std::vector<coordination::Entry>& found) {
   StoredProgress out;
   if (!found.empty()) {
@@ -117,12 +109,12 @@
   }
   Work out;
   out.name = key.substr(std::string(kWorkPrefix).size());
-  out.kind = text_of(from, "kind");
-  out.zone = text_of(from, "zone");
-  out.shards = number_of(from, "shards");
-  out.paused = flag_of(from, "paused");
-  out.resumed = number_of(from, "resumed");
-  out.params = text_of(from, "params");
+  out.kind = text_field(from, "kind");
+  out.zone = text_field(from, "zone");
+  out.shards = unsigned_field(from, "shards");
+  out.paused = bool_field(from, "paused");
+  out.resumed = unsigned_field(from, "resumed");
+  out.params = text_field(from, "params");
   return find_error(out) ? std::nullopt : std::optional<Work>(std::move(out));
 }
 
@@ -135,7 +127,7 @@
   if (!from.is_object()) {
     return std::nullopt;
   }
-  return Owner{text_of(from, "member"), text_of(from, "incarnation"), term};
+  return Owner{text_field(from, "member"), text_field(from, "incarnation"), term};
 }
 
 std::string write_progress(const Progress& progress) {
@@ -156,14 +148,14 @@
     return std::nullopt;
   }
   Progress out;
-  out.term = number_of(from, "term");
-  out.writes = number_of(from, "writes");
-  out.starts = number_of(from, "starts");
-  out.parked = flag_of(from, "parked");
-  out.resumed = number_of(from, "resumed");
-  out.by = text_of(from, "by");
-  out.checkpoint = text_of(from, "checkpoint");
-  out.done = flag_of(from, "done");
+  out.term = unsigned_field(from, "term");
+  out.writes = unsigned_field(from, "writes");
+  out.starts = unsigned_field(from, "starts");
+  out.parked = bool_field(from, "parked");
+  out.resumed = unsigned_field(from, "resumed");
+  out.by = text_field(from, "by");
+  out.checkpoint = text_field(from, "checkpoint");
+  out.done = bool_field(from, "done");
   return out;
 }
 
--- a/src/ownership/work_records.h
+++ b/src/ownership/work_records.h
@@ -5,7 +5,7 @@
 // | fleet/work/NAME          | definition: kind, zone, shards, paused   | staff, or who requests it     |
 // | fleet/own/NAME/SHARD     | owner; the creation revision is the term | the owner, with its lease     |
 // | progress/NAME/SHARD      | progress, and the term of its writing    | the owner, by compare-and-set |
-// | fleet/done/NAME/SHARD    | exists where the whole shard is done     | the owner                     |
+// | fleet/done/NAME/SHARD    | exists where the entire shard is done    | the owner                     |
 // | fleet/release/NAME/SHARD | member that has to release the shard     | staff                         |
 //
 // Every router watches the keys under fleet/. Progress is read only by the router that acquires a shard.
--- a/src/policy/acknowledgement.cpp
+++ b/src/policy/acknowledgement.cpp
@@ -96,7 +96,7 @@
   for (const auto& [name, report] : snapshot.reports) {
     if (report.acknowledged_round < snapshot.record.round) {
       out.push_back(describe_reporter(name, report) + " is to take in event " +
-                    std::to_string(snapshot.record.requested.sequence) + ", or its permission to run out");
+                    std::to_string(snapshot.record.requested.sequence) + ", or its lease to run out");
     }
   }
   return out;
--- a/src/policy/acknowledgement_coordinator.h
+++ b/src/policy/acknowledgement_coordinator.h
@@ -17,7 +17,7 @@
   // `min_round_interval`: the least time between the starts of two rounds.
   explicit AcknowledgementCoordinator(Micros min_round_interval) : min_round_interval_(min_round_interval) {}
 
-  // Returns the record as it is to be written, or nothing if it is to stay as it is. `position` is that of
+  // Returns the record as it is to be written, or nothing if it does not change. `position` is that of
   // the coordinator's own process; a round requests no more than that.
   std::optional<Acknowledgement> step(Micros now, const AcknowledgementSnapshot& snapshot,
                                       const DiscoveryPosition& position);
--- a/src/policy/document.cpp
+++ b/src/policy/document.cpp
@@ -179,9 +179,9 @@
   std::string digest;
   try {
     for (const auto& [field, field_value] : value.items()) {
-      const bool is_known = read_draft_field(field, field_value, out) ||
-                            (form == Form::kStored && read_stored_field(field, field_value, out, digest));
-      if (!is_known) {
+      const bool is_read = read_draft_field(field, field_value, out) ||
+                           (form == Form::kStored && read_stored_field(field, field_value, out, digest));
+      if (!is_read) {
         throw InvalidDocument(field + ": no such field" + (form == Form::kDraft ? " of a draft" : ""));
       }
     }
--- a/src/policy/document.h
+++ b/src/policy/document.h
@@ -1,6 +1,6 @@
 // The operators' policy as one versioned document. (Not the decision module's files, which
 // deploy/balancer.toml names under a key of that name.) One version is in force at a time in a zone;
-// rollout.h says how it is replaced.
+// rollout.h describes how it is replaced.
 //
 // Package `policy`: knows JSON; no I/O, no clock.
 #pragma once
@@ -36,7 +36,7 @@
   using std::runtime_error::runtime_error;
 };
 
-// Returns the SHA-256 of all that a document says, as 64 hex digits. It does not depend on the order of keys
+// Returns the SHA-256 of a document's contents, as 64 hex digits. It does not depend on the order of keys
 // or on spaces.
 std::string digest_of(const PolicyDocument& document);
 // Returns the document with its digest.
--- a/src/policy/document_preparation.h
+++ b/src/policy/document_preparation.h
@@ -44,7 +44,8 @@
   bool is_applicable(std::uint64_t version) const;
   // Returns whether the document was received and stored.
   bool is_prepared(std::uint64_t version) const;
-  // Returns why the version cannot be applied, if that is known. The pointer is valid until the next change.
+  // Returns why the version cannot be applied, or null if no error was found. The pointer is valid until the
+  // next change.
   const PreparationError* error(std::uint64_t version) const;
 
   // Forgets versions below `version` that are not needed, and errors of storing of any that are not.
--- a/src/policy/options.cpp
+++ b/src/policy/options.cpp
@@ -17,23 +17,21 @@
     const WholeRange ms{1, 600'000};
     record
         .flag("follow", &O::follow,
-              "this router decides only by the policy in force, and with its permission")
+              "this router decides only by the policy in force, and while it has its lease")
         .text("without", &O::without, "-", Words{{"both", "refuse"}, false},
               "what it does between two versions: serve what both allow, or refuse at once; without the "
-              "store it "
-              "refuses")
+              "store it refuses")
         .text("folder", &O::folder, "path", Words{},
-              "where versions are kept before they are said to be ready; none: they are not kept")
+              "where versions are stored before they are reported as ready; none: they are not stored")
         .whole(
             "ttl_ms", &O::ttl_ms, "ms", WholeRange{200, 600'000},
-            "of a permission: a change waits so long for a router that is stopped, and a router without the "
-            "store "
+            "of a lease: a change waits so long for a router that is stopped, and a router without the store "
             "serves no longer")
         .whole("renew_ms", &O::renew_ms, "ms", ms, "after which it is renewed; ttl_ms holds two at least")
         .real("drift_percent", &O::drift_percent, "%", RealRange{0.0, 20.0},
               "by which two clocks may run apart")
         .whole("margin_ms", &O::margin_ms, "ms", WholeRange{0, 60'000},
-               "by which a permission ends sooner: between a look at the clock and the decision")
+               "by which a lease ends sooner: between a look at the clock and the decision")
         .whole("retry_ms", &O::retry_ms, "ms", ms, "after a call to the store that was lost or refused")
         .whole("prepare_most_ms", &O::prepare_most_ms, "ms", WholeRange{100, 3'600'000},
                "for which a change waits until all are ready; then it is aborted")
@@ -50,7 +48,7 @@
   if (2 * options.renew_ms > sure) {
     throw config::KeyError("policy.renew_ms", std::to_string(options.renew_ms) + " is over half of the " +
                                                   std::to_string(sure) +
-                                                  " ms that a permission surely holds");
+                                                  " ms for which a lease is guaranteed");
   }
   if (options.hold_most_ms <= options.ttl_ms) {
     throw config::KeyError(
--- a/src/policy/participant.cpp
+++ b/src/policy/participant.cpp
@@ -132,7 +132,7 @@
     return;
   }
   const StageId stage = stage_id(*rollout);
-  // From the moment that the record says so this router decides under neither version alone, ready or not.
+  // From the moment of that record on this router decides under neither version alone, ready or not.
   report.suspended_stage = is_suspending ? stage : 0;
   const std::uint64_t target = rollout->target_version;
   const bool decides_under_target = observed_.version == target;
@@ -171,8 +171,8 @@
   }
   const std::uint64_t previous = observed_.rollout->previous_version;
   const std::uint64_t target = observed_.rollout->target_version;
-  const bool are_both_known = documents_.is_received(previous) && documents_.is_applicable(target);
-  if (observed_.version == previous && are_both_known) {
+  const bool are_both_available = documents_.is_received(previous) && documents_.is_applicable(target);
+  if (observed_.version == previous && are_both_available) {
     return {EffectivePolicy::Kind::kIntersection, previous, target};
   }
   return {};
@@ -300,7 +300,7 @@
   ParticipantReport reported = reported_;
   const bool watched = is_watched();
   if (!watched) {
-    // A change of the counts alone is not worth a write.
+    // A change of the counts alone does not cause a write.
     reported.requests = desired.requests;
     reported.failed_requests = desired.failed_requests;
   }
--- a/src/policy/participant.h
+++ b/src/policy/participant.h
@@ -151,7 +151,7 @@
   bool connected_ = false;
 
   bool joined_ = false;                       // the report of this lease is in the store
-  ParticipantReport reported_;                // as it is in the store, as far as is known
+  ParticipantReport reported_;                // as last observed in the store
   std::optional<ParticipantReport> pending_;  // the report of the call in flight: a join or a report
   bool report_in_flight_ = false;
   std::uint64_t last_report_id_ = 0;
--- a/src/policy/participant_report.cpp
+++ b/src/policy/participant_report.cpp
@@ -3,10 +3,12 @@
 #include <nlohmann/json.hpp>
 #include <string_view>
 
-#include "policy/json_fields.h"
+#include "coordination/record_fields.h"
 
 namespace trailcourse::policy {
 
+using coordination::text_field;
+using coordination::unsigned_field;
 using nlohmann::json;
 
 std::string report_key(const std::string& router, coordination::LeaseId lease) {
--- a/src/policy/policy_content.cpp
+++ b/src/policy/policy_content.cpp
@@ -127,7 +127,7 @@
     config::Record<ClassPolicy> record("classes", "Of one class of requests; by the names of the settings.");
     record.flag("serve", &ClassPolicy::serve, "false: requests of it are refused at once")
         .whole("objective_ms", &ClassPolicy::objective_ms, "ms", WholeRange{1, kMaxTimeoutMs},
-               "within which an answer earns its worth")
+               "within which an answer counts as in time")
         .whole("give_up_ms", &ClassPolicy::give_up_ms, "ms", WholeRange{1, kMaxTimeoutMs},
                "after which clients do not wait any more")
         .real("worth", &ClassPolicy::priority_weight, "-", RealRange{0.0, 1e6},
@@ -146,9 +146,10 @@
     config::Record<LimitPolicy> record("limits", "Of each router.");
     record
         .whole("open_requests", &LimitPolicy::open_requests, "requests", WholeRange{0, 10'000'000},
-               "open at once; a router that cannot bear so many says no; 0: as its memory and sockets bear")
+               "open at once; a router that cannot bear so many rejects the version; 0: as its memory and "
+               "sockets bear")
         .whole("retry_after_ms", &LimitPolicy::retry_after_ms, "ms", WholeRange{0, 600'000},
-               "the longest wait that refused clients are told")
+               "the longest wait that rejected clients are sent")
         .texts("work", &LimitPolicy::work, "-", "kinds of the fleet's work that may be owned");
     return record;
   }();
--- a/src/policy/rollout.cpp
+++ b/src/policy/rollout.cpp
@@ -5,10 +5,14 @@
 #include <chrono>
 #include <nlohmann/json.hpp>
 
-#include "policy/json_fields.h"
+#include "coordination/record_fields.h"
 
 namespace trailcourse::policy {
 
+using coordination::bool_field;
+using coordination::number_field;
+using coordination::text_field;
+using coordination::unsigned_field;
 using nlohmann::json;
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
--- a/src/policy/rollout.h
+++ b/src/policy/rollout.h
@@ -46,7 +46,7 @@
   bool urgent = false;
   std::vector<std::string> stages;  // zones, one after the other; all other zones follow in a last stage
   std::uint64_t stage = 0;          // index of the current stage; stages.size() is the last one
-  Micros watch_time{0};             // how long each stage but the last is watched; whole milliseconds
+  Micros watch_time{0};  // how long each stage but the last is watched; a multiple of a millisecond
   double max_rejected_share = 1.0;  // of a watched stage's requests; above it the rollout is reverted
   std::string reason;               // of an abort or a revert, for operators
   std::string author;
--- a/src/policy/rollout_snapshot.cpp
+++ b/src/policy/rollout_snapshot.cpp
@@ -20,12 +20,12 @@
   const StageId stage = stage_id(rollout);
   switch (rollout.state) {
     case RolloutState::kPreparing:
-      return report.ready_stage != stage ? " is to say that it is ready" : "";
+      return report.ready_stage != stage ? " is to report that it is ready" : "";
     case RolloutState::kSuspending:
-      return report.suspended_stage != stage ? " is to hold, or its permission to run out" : "";
+      return report.suspended_stage != stage ? " is to suspend, or its lease to run out" : "";
     case RolloutState::kCommitted:
       return report.version != rollout.target_version || report.suspended_stage != 0
-                 ? " is to switch, or its permission to run out; it holds"
+                 ? " is to switch, or its lease to run out; it is suspended"
                  : "";
     case RolloutState::kWatching:
     case RolloutState::kDone:
--- a/src/tasks/fleet_report.h
+++ b/src/tasks/fleet_report.h
@@ -1,4 +1,4 @@
-// The counters of the whole fleet in one report: the record of what each router counts, and their sum.
+// The counters of the entire fleet in one report: the record of what each router counts, and their sum.
 //
 // Package `tasks`: knows JSON; no I/O, no clock. Not thread-safe.
 #pragma once
--- a/src/tasks/health_check_plan.h
+++ b/src/tasks/health_check_plan.h
@@ -32,8 +32,8 @@
   Verdict verdict;  // with the cache and the term alone if it is withdrawn
 };
 
-// Checks each suspect in turn, however many routers suspect it, until no router does and the checks find it
-// healthy.
+// Checks each suspect, one after another and however many routers suspect it, until no router does and the
+// checks find it healthy.
 class HealthCheckPlan {
  public:
   // `term` is the one under which this router owns the work; verdicts carry it.
--- a/src/tasks/options.cpp
+++ b/src/tasks/options.cpp
@@ -37,9 +37,9 @@
       .whole("settle_ms", &O::settle_ms, "ms", WholeRange{0, 3'600'000},
              "for which a better owner has to stand before it is given a shard")
       .whole("yield_ms", &O::yield_ms, "ms", WholeRange{0, 10'000},
-             "for the last checkpoint when a shard is let go, also while this router drains")
+             "for the last checkpoint when a shard is released, also while this router drains")
       .whole("stand_back_ms", &O::stand_back_ms, "ms", kMilliseconds,
-             "for which who let go on request does not ask again")
+             "for which a router that released a shard on request does not acquire it again")
       .whole("most_starts", &O::most_starts, "owners", WholeRange{1, 100},
              "in a row that died of a shard; then it is parked until staff resume it")
       .whole("poison_pause_ms", &O::poison_pause_ms, "ms", kMilliseconds,
@@ -54,9 +54,9 @@
   using O = OwnershipOptions;
   record
       .whole("member_ttl_ms", &O::member_ttl_ms, "ms", WholeRange{200, 600'000},
-             "after which a router that is not heard counts as gone")
+             "after which a router that does not renew counts as gone")
       .whole("member_renew_ms", &O::member_renew_ms, "ms", kMilliseconds,
-             "after which it says that it is there")
+             "after which it renews its presence")
       .whole("neighbours", &O::neighbours, "routers", WholeRange{0, 10}, "that each tries to reach; 0: none")
       .whole("neighbour_ms", &O::neighbour_ms, "ms", kMilliseconds, "how often")
       .whole("neighbour_misses", &O::neighbour_misses, "tries", WholeRange{1, 100},
@@ -79,11 +79,11 @@
       .whole("probe_timeout_ms", &O::probe_timeout_ms, "ms", kMilliseconds,
              "for a probe's connection, and for its answer")
       .whole("verdict_ms", &O::verdict_ms, "ms", kMilliseconds,
-             "for which a verdict counts; the prober says it again in half of that")
+             "for which a verdict counts; the prober renews it after half of that")
       .whole("report_ms", &O::report_ms, "ms", WholeRange{100, 600'000},
              "between two counts of a router, and two reports of the fleet")
       .whole("acknowledge_ms", &O::acknowledge_ms, "ms", WholeRange{10, 600'000},
-             "at least between two rounds in which all routers acknowledge events of the notice board")
+             "at least between two rounds in which all routers acknowledge events of the discovery service")
       .whole("fill_open", &O::fill_open, "requests", WholeRange{1, 1'000},
              "of announced filling open at once, of each shard")
       .whole("fill_tries", &O::fill_tries, "tries", WholeRange{1, 1'000}, "of one object")
--- a/src/tasks/prefetch_plan.cpp
+++ b/src/tasks/prefetch_plan.cpp
@@ -3,18 +3,15 @@
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
+#include "coordination/record_fields.h"
+
 namespace trailcourse::tasks {
 
+using coordination::unsigned_field;
 using nlohmann::json;
 
 namespace {
 
-// Returns 0 for a field that is missing or no unsigned number.
-std::uint64_t read_unsigned(const json& object, const char* name) {
-  const auto found = object.find(name);
-  return found != object.end() && found->is_number_unsigned() ? found->get<std::uint64_t>() : 0;
-}
-
 // Reads the indices from `first` on that are below `size`.
 std::set<std::size_t> read_indices(const json& object, const char* name, std::size_t first,
                                    std::size_t size) {
@@ -57,13 +54,13 @@
     return;
   }
   PrefetchProgress progress;
-  progress.filled = read_unsigned(saved, "filled");
-  progress.already_cached = read_unsigned(saved, "held");
-  progress.failed = read_unsigned(saved, "failed");
-  progress.total = read_unsigned(saved, "of");
-  const std::uint64_t prefix = read_unsigned(saved, "all_before");
+  progress.filled = unsigned_field(saved, "filled");
+  progress.already_cached = unsigned_field(saved, "held");
+  progress.failed = unsigned_field(saved, "failed");
+  progress.total = unsigned_field(saved, "of");
+  const std::uint64_t prefix = unsigned_field(saved, "all_before");
   std::set<std::size_t> beyond = read_indices(saved, "beyond", prefix, objects_.size());
-  // The checkpoint of an order that was changed since says nothing about this one.
+  // The checkpoint of an order that was changed since does not apply to this one.
   const bool consistent = prefix <= objects_.size() && progress.total == objects_.size() &&
                           progress.finished() == prefix + beyond.size();
   if (!consistent) {
--- a/src/tasks/prefetch_task.cpp
+++ b/src/tasks/prefetch_task.cpp
@@ -43,8 +43,8 @@
   void failed() override { report(PrefetchResult::kFailed, Micros(0)); }
   void begin(bool) override {}
   void piece(std::string_view) override {}
-  void finish(bool whole) override {
-    report(whole ? PrefetchResult::kFilled : PrefetchResult::kFailed, Micros(0));
+  void finish(bool complete) override {
+    report(complete ? PrefetchResult::kFilled : PrefetchResult::kFailed, Micros(0));
   }
 
  private:
@@ -117,7 +117,7 @@
   request_class_ = found->second;
 }
 
-// No other router could do the work either, so it is completed as it is.
+// No other router could do the work either, so it is recorded as completed.
 void PrefetchTask::fail(const std::string& reason) {
   log_line(Level::kError) << to_string(context_.id) << " cannot be done: " << reason;
   context_.save_completion("cannot be done: " + reason);
--- a/src/tasks/prefetch_task.h
+++ b/src/tasks/prefetch_task.h
@@ -57,7 +57,7 @@
   TaskContext context_;
   std::uint64_t last_request_id_;
   std::optional<PrefetchOrder> order_;
-  std::optional<PrefetchPlan> plan_;  // once the objects are known
+  std::optional<PrefetchPlan> plan_;  // once the list of objects was read
   int request_class_ = -1;
   std::map<std::size_t, RequestId> open_requests_;  // by index of the object
   transport::Alarm timer_;
--- a/src/tasks/request_policy.h
+++ b/src/tasks/request_policy.h
@@ -26,7 +26,7 @@
   // classes to the decision module.
   routing::Rule rule(const policy::EffectivePolicy& effective, int request_class);
 
-  // Returns what a version says: the settings, and its document above them.
+  // Returns the contents of a version: the settings, and its document above them.
   policy::PolicyContent content_of(std::uint64_t version) const;
 
   // Returns the names of the settings' classes, by index.
--- a/src/tasks/task_runner.cpp
+++ b/src/tasks/task_runner.cpp
@@ -83,7 +83,8 @@
 
 // ---- What the store shows ----
 
-void TaskRunner::on_snapshot(coordination::Revision revision, const std::vector<coordination::Entry>& entries) {
+void TaskRunner::on_snapshot(coordination::Revision revision,
+                             const std::vector<coordination::Entry>& entries) {
   std::set<std::string> present;
   view_.begin_snapshot();
   for (const coordination::Entry& entry : entries) {
@@ -187,7 +188,7 @@
 // Gives the lease manager the members that may be given work.
 void TaskRunner::update_members() {
   const Micros now = steady_now();
-  std::map<std::string, std::string> zones;
+  ownership::MemberZones zones;
   for (const membership::MemberEntry& entry : view_.members(now)) {
     if (entry.status == membership::MemberStatus::kActive) {
       zones[entry.member.name] = entry.member.zone;
--- a/tests/acknowledgement_test.cpp
+++ b/tests/acknowledgement_test.cpp
@@ -69,7 +69,7 @@
 
 TEST(AcknowledgementCoordinatorTest, RequestsItsOwnPositionAndCompletesTheRoundOnceAllAcknowledge) {
   AcknowledgementCoordinator coordinator(kMinRoundInterval);
-  EXPECT_FALSE(coordinator.step(kStart, seen({}, {0, 0}), {}).has_value()) << "no position is known yet";
+  EXPECT_FALSE(coordinator.step(kStart, seen({}, {0, 0}), {}).has_value()) << "no position was observed yet";
   const auto first = coordinator.step(kStart, seen({}, {0, 0}), at(5));
   ASSERT_TRUE(first.has_value());
   EXPECT_EQ(*first, (Acknowledgement{1, at(5), at(0)}));
@@ -120,13 +120,13 @@
 }
 
 TEST(AcknowledgementCoordinatorTest, ALateWriteIsRejectedByTheStore) {
-  coordination::KeyValueState ledger{coordination::KeyValueLimits{}};
-  const auto look = [&ledger] {
-    return read_acknowledgement_snapshot("", ledger.commit(acknowledgement_snapshot_transaction("")));
+  coordination::KeyValueState store{coordination::KeyValueLimits{}};
+  const auto look = [&store] {
+    return read_acknowledgement_snapshot("", store.commit(acknowledgement_snapshot_transaction("")));
   };
   const AcknowledgementSnapshot empty = look();
-  EXPECT_TRUE(ledger.commit(write_acknowledgement_transaction("", empty, {1, at(5), at(0)})).succeeded);
-  EXPECT_FALSE(ledger.commit(write_acknowledgement_transaction("", empty, {1, at(3), at(0)})).succeeded);
+  EXPECT_TRUE(store.commit(write_acknowledgement_transaction("", empty, {1, at(5), at(0)})).succeeded);
+  EXPECT_FALSE(store.commit(write_acknowledgement_transaction("", empty, {1, at(3), at(0)})).succeeded);
   EXPECT_EQ(look().record.requested, at(5));
 }
 
@@ -138,7 +138,7 @@
   one.reports["east.edge/9"] = summary;
   EXPECT_EQ(describe_unacknowledged(one),
             std::vector<std::string>{"east.edge for 40 routers, among them r17, is to take in event 70, or "
-                                     "its permission to run out"});
+                                     "its lease to run out"});
 }
 
 // ---- A participant ----
--- a/tests/aggregation/aggregator_service_test.cpp
+++ b/tests/aggregation/aggregator_service_test.cpp
@@ -157,6 +157,7 @@
       {std::string(etcd::kTxnPath),
        etcd::write_transaction(Transaction{{}, {Get{Range{at("policy/"), true}}}, {}}).dump()}};
   int answered = 0;
+  int malformed = 0;
   for (std::uint64_t seed = 1; seed <= 6'000; ++seed) {
     std::mt19937_64 random(seed);
     auto [path, body] = calls[random() % calls.size()];
@@ -166,10 +167,12 @@
     try {
       answered += service.handle(path, etcd::parse_object(body)).status == 200 ? 1 : 0;
     } catch (const etcd::BadMessage&) {
+      ++malformed;
     }
     ASSERT_GE(service.aggregator().router_count(), 1U) << "seed " << seed;
   }
   EXPECT_GT(answered, 0);
+  EXPECT_GT(malformed, 0);
 }
 
 TEST(AggregatorServiceTest, AnswersNothingBeforeTheStoreIsConnected) {
--- a/tests/aggregation/region_world.h
+++ b/tests/aggregation/region_world.h
@@ -62,7 +62,7 @@
  public:
   RegionWorld(std::uint64_t seed, Defect defect);
 
-  // Plays the whole run.
+  // Plays the run to its end.
   WorldResult run();
 
  private:
@@ -122,8 +122,8 @@
   Micros delivery_time(Micros& last_delivery, Micros max_lag);
   Micros coordinator_delay();
   template <typename Value>
-  void call_store(AggregatorProcess& aggregator, std::function<std::optional<Value>()> operation,
-                  Handler<Value> on_answer, Job on_no_response);
+  void call_store(AggregatorProcess& aggregator, const std::function<std::optional<Value>()>& operation,
+                  const Handler<Value>& on_answer, const Job& on_no_response);
   void back_up_store();
   void restore_store();
   void restart_all_after_restore();
@@ -168,8 +168,8 @@
   void send_heartbeats(RouterProcess& router);
   void check_watch(RouterProcess& router);
   template <typename Value>
-  void call_aggregator(RouterProcess& router, std::function<Value(Aggregator&)> operation,
-                       Handler<Value> on_answer, Job on_no_response);
+  void call_aggregator(RouterProcess& router, const std::function<Value(Aggregator&)>& operation,
+                       const Handler<Value>& on_answer, const Job& on_no_response);
   void run_step(RouterProcess& router);
   void execute(RouterProcess& router, const policy::PersistDocumentAction& action);
   void execute(RouterProcess& router, const policy::ReportAction& action);
@@ -236,8 +236,9 @@
 
 // Answers of a store that was restored from an old copy are not used.
 template <typename Value>
-void RegionWorld::call_store(AggregatorProcess& aggregator, std::function<std::optional<Value>()> operation,
-                             Handler<Value> on_answer, Job on_no_response) {
+void RegionWorld::call_store(AggregatorProcess& aggregator,
+                             const std::function<std::optional<Value>()>& operation,
+                             const Handler<Value>& on_answer, const Job& on_no_response) {
   struct Answer {
     Value value{};
     coordination::Revision revision = 0;
@@ -262,11 +263,11 @@
       on_no_response);
 }
 
-// A call that fails, or is answered by an aggregator that lags behind, is lost. The router turns to the next
-// one.
+// A call that fails, or is answered by an aggregator that lags behind, is lost. The router switches to
+// the next one.
 template <typename Value>
-void RegionWorld::call_aggregator(RouterProcess& router, std::function<Value(Aggregator&)> operation,
-                                  Handler<Value> on_answer, Job on_no_response) {
+void RegionWorld::call_aggregator(RouterProcess& router, const std::function<Value(Aggregator&)>& operation,
+                                  const Handler<Value>& on_answer, const Job& on_no_response) {
   enum class Status { kOk, kRejected, kUnavailable };
   struct Answer {
     Status status = Status::kOk;
--- a/tests/aggregation/region_world_aggregators.cpp
+++ b/tests/aggregation/region_world_aggregators.cpp
@@ -30,7 +30,7 @@
 
 void RegionWorld::start(AggregatorProcess& aggregator) {
   begin_incarnation(aggregator, kMaxDriftPartsPerMillion, kMaxClockOffset);
-  aggregator.turn = [this, &aggregator] { run_step(aggregator); };
+  aggregator.run_step = [this, &aggregator] { run_step(aggregator); };
   const std::uint64_t start = defect_ == Defect::kLeaseIdsRepeated ? 0 : aggregator.incarnation;
   const std::uint64_t lease_seed = 1'000'000 + 1'000 * aggregator.index + start;
   const AggregatorIdentity identity{
--- a/tests/aggregation/region_world_routers.cpp
+++ b/tests/aggregation/region_world_routers.cpp
@@ -40,7 +40,7 @@
 
 void RegionWorld::start(RouterProcess& router) {
   begin_incarnation(router, kMaxDriftPartsPerMillion, kMaxClockOffset);
-  router.turn = [this, &router] { run_step(router); };
+  router.run_step = [this, &router] { run_step(router); };
   router.participant.emplace(std::to_string(router.incarnation), router.zone, participant_options(),
                              [](std::uint64_t) { return policy::PreparationResult(); });
   router.lease = 0;
@@ -333,8 +333,10 @@
 void RegionWorld::drop_lease(AggregatorProcess& aggregator, LeaseId lease) {
   try {
     aggregator.core->revoke(clock(aggregator), lease);
-  } catch (const RequestRejected&) {
-    // It has no such lease.
+  } catch (const RequestRejected& error) {
+    if (error.reason() != RequestRejected::Reason::kLeaseNotFound) {
+      throw;
+    }
   }
 }
 
--- a/tests/aggregation/region_world_store.cpp
+++ b/tests/aggregation/region_world_store.cpp
@@ -60,10 +60,8 @@
 }
 
 bool RegionWorld::revoke_at_store(LeaseId lease) {
-  try {
+  if (store_.leases().contains(lease)) {
     store_.revoke(lease);
-  } catch (const coordination::OperationRejected&) {
-    // It has expired.
   }
   return true;
 }
--- a/tests/lease_manager_test.cpp
+++ b/tests/lease_manager_test.cpp
@@ -1,4 +1,4 @@
-// The lease manager of one router, answer by answer: candidate order, starts that are recorded first, lost
+// The lease manager_ of one router, answer by answer: candidate order, starts that are recorded first, lost
 // answers, leases that run out, releases, and work whose owners crash.
 #include "ownership/lease_manager.h"
 
@@ -20,22 +20,22 @@
 class LeaseManagerTest : public testing::Test {
  protected:
   LeaseManagerTest() {
-    manager.set_connected(now, true);
+    manager_.set_connected(now_, true);
     Work work;
     work.name = "w";
     work.kind = "test";
-    manager.set_members(now, {{"a", "edge"}});
+    manager_.set_members(now_, {{"a", "edge"}});
     set_work(work);
   }
   void set_work(const Work& work) {
-    current_work = work;
-    manager.set_work(now, work.name, work);
+    current_work_ = work;
+    manager_.set_work(now_, work.name, work);
   }
-  // Steps until nothing more is to be done now.
+  // Steps until nothing more is to be done now_.
   std::vector<LeaseManagerAction> step() {
     std::vector<LeaseManagerAction> out;
     for (int i = 0; i < 10; ++i) {
-      const auto more = manager.step(now);
+      const auto more = manager_.step(now_);
       out.insert(out.end(), more.begin(), more.end());
     }
     return out;
@@ -50,7 +50,7 @@
     }
     return out;
   }
-  // The only lease call that is to be made now.
+  // The only lease call that is to be made now_.
   LeaseCall lease_call() {
     const auto calls = actions_of<LeaseCallAction>(step());
     EXPECT_EQ(calls.size(), 1U);
@@ -67,11 +67,11 @@
     AcquireResult acquired;
     acquired.term = term;
     acquired.stored = stored;
-    manager.on_acquire_result(now, id, call.call_id, acquired);
+    manager_.on_acquire_result(now_, id_, call.call_id, acquired);
   }
   void confirm(const WriteProgressAction& wrote, coordination::Revision revision) {
-    manager.on_write_result(now, id, wrote.call_id,
-                            ProgressWriteResult{true, true, StoredProgress{wrote.progress, revision}});
+    manager_.on_write_result(now_, id_, wrote.call_id,
+                             ProgressWriteResult{true, true, StoredProgress{wrote.progress, revision}});
   }
   // Acquires the shard, records the start and starts the task.
   void run(Term term, const StoredProgress& stored = {}) {
@@ -81,18 +81,18 @@
     ASSERT_EQ(started.size(), 1U);
     EXPECT_EQ(started.front().term, term);
   }
-  ShardStatus status() { return manager.shards(now).at(0); }
+  ShardStatus status() { return manager_.shards(now_).at(0); }
 
-  LeaseManagerOptions options;
-  ShardId id{"w", 0};
-  Work current_work;
-  Micros now{1'000'000};
-  LeaseManager manager{"a", "1", "edge", {"test"}, LeaseManagerOptions{}};
+  LeaseManagerOptions options_;
+  ShardId id_{"w", 0};
+  Work current_work_;
+  Micros now_{1'000'000};
+  LeaseManager manager_{"a", "1", "edge", {"test"}, LeaseManagerOptions{}};
 };
 
 TEST_F(LeaseManagerTest, TaskStartsOnlyAfterItsStartIsRecorded) {
   acquire(7);
-  EXPECT_FALSE(manager.may_act(now, id, 7));
+  EXPECT_FALSE(manager_.may_act(now_, id_, 7));
   const WriteProgressAction first = next_write();
   EXPECT_EQ(first.progress.starts, 1U);
   EXPECT_EQ(first.progress.term, 7U);
@@ -100,64 +100,64 @@
   confirm(first, 8);
   const auto started = actions_of<StartTaskAction>(step());
   ASSERT_EQ(started.size(), 1U);
-  EXPECT_TRUE(manager.may_act(now, id, 7));
-  EXPECT_FALSE(manager.may_act(now, id, 6)) << "another term's effects are not ours";
+  EXPECT_TRUE(manager_.may_act(now_, id_, 7));
+  EXPECT_FALSE(manager_.may_act(now_, id_, 6)) << "another term's effects are not ours";
 }
 
 TEST_F(LeaseManagerTest, CandidateWaitsForThoseThatRankBeforeIt) {
-  std::map<std::string, std::string> members;
+  MemberZones members;
   for (const char* name : {"a", "b", "c", "d", "e"}) {
     members[name] = "edge";
   }
   std::vector<std::string> names{"a", "b", "c", "d", "e"};
   // A shard on which this one is not the first.
-  current_work.shards = 20;
-  set_work(current_work);
-  manager.set_members(now, members);
-  for (const ShardStatus& shard : manager.shards(now)) {
+  current_work_.shards = 20;
+  set_work(current_work_);
+  manager_.set_members(now_, members);
+  for (const ShardStatus& shard : manager_.shards(now_)) {
     const std::size_t rank = candidate_rank("w", shard.id.shard, "a", names);
     LeaseManager other("a", "1", "edge", {"test"}, LeaseManagerOptions{});
-    other.set_connected(now, true);
-    other.set_members(now, members);
-    other.set_work(now, "w", current_work);
+    other.set_connected(now_, true);
+    other.set_members(now_, members);
+    other.set_work(now_, "w", current_work_);
     for (std::uint64_t i = 0; i < 20; ++i) {
       if (i != shard.id.shard) {
-        other.on_owner(now, ShardId{"w", i}, Owner{"b", "1", 3}, 3);
+        other.on_owner(now_, ShardId{"w", i}, Owner{"b", "1", 3}, 3);
       }
     }
     if (rank > 0) {
-      EXPECT_TRUE(actions_of<LeaseCallAction>(other.step(now)).empty());
-      EXPECT_EQ(other.next_step_at(now), now + options.candidate_slot * static_cast<int>(rank));
+      EXPECT_TRUE(actions_of<LeaseCallAction>(other.step(now_)).empty());
+      EXPECT_EQ(other.next_step_at(now_), now_ + options_.candidate_slot * static_cast<int>(rank));
     }
-    EXPECT_EQ(
-        actions_of<LeaseCallAction>(other.step(now + options.candidate_slot * static_cast<int>(rank))).size(),
-        1U);
+    EXPECT_EQ(actions_of<LeaseCallAction>(other.step(now_ + options_.candidate_slot * static_cast<int>(rank)))
+                  .size(),
+              1U);
   }
 }
 
 TEST_F(LeaseManagerTest, NothingIsAcquiredWhileAnotherOwnsItOrTheStoreIsDisconnected) {
-  manager.on_owner(now, id, Owner{"b", "1", 5}, 5);
+  manager_.on_owner(now_, id_, Owner{"b", "1", 5}, 5);
   EXPECT_TRUE(step().empty());
-  manager.on_owner(now, id, std::nullopt, 9);
-  manager.set_connected(now, false);
+  manager_.on_owner(now_, id_, std::nullopt, 9);
+  manager_.set_connected(now_, false);
   EXPECT_TRUE(step().empty());
-  manager.set_connected(now, true);
+  manager_.set_connected(now_, true);
   EXPECT_EQ(lease_call().kind, LeaseCallKind::kAcquire);
 }
 
 TEST_F(LeaseManagerTest, LostAnswerToAStartIsResolvedByWritingItAgain) {
   acquire(7);
   const WriteProgressAction first = next_write();
-  manager.on_no_write_response(now, id, first.call_id);
+  manager_.on_no_write_response(now_, id_, first.call_id);
   EXPECT_TRUE(actions_of<WriteProgressAction>(step()).empty()) << "not at once";
-  now += options.lease.retry_backoff;
+  now_ += options_.lease.retry_backoff;
   const auto again = actions_of<WriteProgressAction>(step());
   ASSERT_EQ(again.size(), 1U);
   EXPECT_EQ(again.front().progress, first.progress);
   EXPECT_EQ(again.front().modified, first.modified);
   // An answer to the first that comes late counts for nothing.
-  manager.on_write_result(now, id, first.call_id,
-                          ProgressWriteResult{true, true, StoredProgress{first.progress, 8}});
+  manager_.on_write_result(now_, id_, first.call_id,
+                           ProgressWriteResult{true, true, StoredProgress{first.progress, 8}});
   EXPECT_TRUE(actions_of<StartTaskAction>(step()).empty());
   confirm(again.front(), 8);
   EXPECT_EQ(actions_of<StartTaskAction>(step()).size(), 1U);
@@ -165,18 +165,18 @@
 
 TEST_F(LeaseManagerTest, UncertainLeaseAbortsTheTaskUntilItsRenewalIsConfirmed) {
   run(7);
-  now += options.lease.renew_after;
+  now_ += options_.lease.renew_after;
   const LeaseCall renewal = lease_call();
   EXPECT_EQ(renewal.kind, LeaseCallKind::kRenew);
-  now += options.lease.ttl;
-  EXPECT_FALSE(manager.may_act(now, id, 7));
+  now_ += options_.lease.ttl;
+  EXPECT_FALSE(manager_.may_act(now_, id_, 7));
   const auto stopped = actions_of<AbortTaskAction>(step());
   ASSERT_EQ(stopped.size(), 1U);
   EXPECT_EQ(status().lease_phase, LeasePhase::kUncertain);
-  manager.on_no_response(now, id, renewal.call_id);
-  now += options.lease.retry_backoff;
+  manager_.on_no_response(now_, id_, renewal.call_id);
+  now_ += options_.lease.retry_backoff;
   const LeaseCall second = lease_call();
-  manager.on_renew_result(now, id, second.call_id, true);
+  manager_.on_renew_result(now_, id_, second.call_id, true);
   const auto started = actions_of<StartTaskAction>(step());
   ASSERT_EQ(started.size(), 1U) << "under the same term, from the last checkpoint";
   EXPECT_EQ(started.front().term, 7U);
@@ -185,76 +185,76 @@
 
 TEST_F(LeaseManagerTest, LostLeaseAbortsTheTaskAndItsCheckpointsAreIgnored) {
   run(7);
-  now += options.lease.renew_after;
-  manager.on_renew_result(now, id, lease_call().call_id, false);
+  now_ += options_.lease.renew_after;
+  manager_.on_renew_result(now_, id_, lease_call().call_id, false);
   EXPECT_EQ(actions_of<AbortTaskAction>(step()).size(), 1U);
-  EXPECT_FALSE(manager.may_act(now, id, 7));
-  manager.on_checkpoint(now, id, 7, "late", false);
+  EXPECT_FALSE(manager_.may_act(now_, id_, 7));
+  manager_.on_checkpoint(now_, id_, 7, "late", false);
   EXPECT_TRUE(actions_of<WriteProgressAction>(step()).empty());
-  EXPECT_EQ(manager.counts().lost, 1U);
+  EXPECT_EQ(manager_.counts().lost, 1U);
 }
 
 TEST_F(LeaseManagerTest, OwnerChangesBeforeItsTermAreIgnored) {
   acquire(13);
-  manager.on_owner(now, id, Owner{"b", "1", 10}, 10);
-  manager.on_owner(now, id, std::nullopt, 12);
+  manager_.on_owner(now_, id_, Owner{"b", "1", 10}, 10);
+  manager_.on_owner(now_, id_, std::nullopt, 12);
   EXPECT_EQ(actions_of<WriteProgressAction>(step()).size(), 1U) << "it owns the shard still";
-  manager.on_owner(now, id, Owner{"a", "1", 13}, 13);
-  manager.on_owner(now, id, std::nullopt, 20);
-  EXPECT_EQ(manager.counts().lost, 1U);
+  manager_.on_owner(now_, id_, Owner{"a", "1", 13}, 13);
+  manager_.on_owner(now_, id_, std::nullopt, 20);
+  EXPECT_EQ(manager_.counts().lost, 1U);
   EXPECT_EQ(status().phase, ShardPhase::kUnassigned);
 }
 
 TEST_F(LeaseManagerTest, CheckpointIsWrittenUnderItsTermAndResetsTheStarts) {
   run(7);
-  manager.on_checkpoint(now, id, 7, "ten", false);
-  manager.on_checkpoint(now, id, 7, "eleven", false);
+  manager_.on_checkpoint(now_, id_, 7, "ten", false);
+  manager_.on_checkpoint(now_, id_, 7, "eleven", false);
   const WriteProgressAction stored = next_write();
-  EXPECT_EQ(stored.progress.checkpoint, "eleven") << "the newest that is known when there is room";
+  EXPECT_EQ(stored.progress.checkpoint, "eleven") << "the newest one when the write before is confirmed";
   EXPECT_EQ(stored.progress.starts, 0U);
   EXPECT_EQ(stored.modified, 8U);
   confirm(stored, 9);
-  EXPECT_EQ(manager.counts().checkpoints, 1U);
+  EXPECT_EQ(manager_.counts().checkpoints, 1U);
 }
 
 TEST_F(LeaseManagerTest, WriteThatFindsAnotherOwnerEndsOwnership) {
   run(7);
-  manager.on_checkpoint(now, id, 7, "ten", false);
+  manager_.on_checkpoint(now_, id_, 7, "ten", false);
   const WriteProgressAction wrote = next_write();
-  manager.on_write_result(now, id, wrote.call_id, ProgressWriteResult{false, false, {}});
+  manager_.on_write_result(now_, id_, wrote.call_id, ProgressWriteResult{false, false, {}});
   EXPECT_EQ(actions_of<AbortTaskAction>(step()).size(), 1U);
-  EXPECT_EQ(manager.counts().rejected_writes, 1U);
+  EXPECT_EQ(manager_.counts().rejected_writes, 1U);
   EXPECT_EQ(status().phase, ShardPhase::kUnassigned);
 }
 
 TEST_F(LeaseManagerTest, DrainWaitsForTheLastCheckpointThenReleasesTheLease) {
   run(7);
-  manager.drain(now);
+  manager_.drain(now_);
   EXPECT_EQ(actions_of<StopTaskAction>(step()).size(), 1U);
-  EXPECT_TRUE(manager.may_act(now, id, 7)) << "the step in hand may be ended";
-  manager.on_checkpoint(now, id, 7, "end", false);
-  manager.on_task_finished(now, id, 7);
+  EXPECT_TRUE(manager_.may_act(now_, id_, 7)) << "the step in hand may be ended";
+  manager_.on_checkpoint(now_, id_, 7, "end", false);
+  manager_.on_task_finished(now_, id_, 7);
   const WriteProgressAction last = next_write();
   EXPECT_EQ(last.progress.checkpoint, "end");
-  EXPECT_FALSE(manager.drained());
+  EXPECT_FALSE(manager_.drained());
   confirm(last, 9);
   const LeaseCall release = lease_call();
   EXPECT_EQ(release.kind, LeaseCallKind::kRelease);
-  manager.on_release_result(now, id, release.call_id);
-  EXPECT_TRUE(manager.drained());
+  manager_.on_release_result(now_, id_, release.call_id);
+  EXPECT_TRUE(manager_.drained());
   EXPECT_TRUE(step().empty()) << "nothing is taken on again";
 }
 
 TEST_F(LeaseManagerTest, TaskThatDoesNotFinishIsAbortedAtTheReleaseTimeout) {
   run(7);
-  manager.drain(now);
+  manager_.drain(now_);
   EXPECT_EQ(actions_of<StopTaskAction>(step()).size(), 1U);
-  now += options.release_timeout;
+  now_ += options_.release_timeout;
   const auto actions = step();
   EXPECT_EQ(actions_of<AbortTaskAction>(actions).size(), 1U);
   ASSERT_EQ(actions_of<LeaseCallAction>(actions).size(), 1U);
   EXPECT_EQ(actions_of<LeaseCallAction>(actions).front().call.kind, LeaseCallKind::kRelease);
-  EXPECT_FALSE(manager.may_act(now, id, 7));
+  EXPECT_FALSE(manager_.may_act(now_, id_, 7));
 }
 
 TEST_F(LeaseManagerTest, TaskThatNeverStartedWithdrawsItsStart) {
@@ -264,7 +264,7 @@
   acquire(7, stored);
   const WriteProgressAction first = next_write();
   EXPECT_EQ(first.progress.starts, 2U);
-  manager.drain(now);
+  manager_.drain(now_);
   step();
   confirm(first, 8);
   const WriteProgressAction back = next_write();
@@ -274,42 +274,42 @@
 TEST_F(LeaseManagerTest, WorkWhoseOwnersCrashIsDelayedAndThenParked) {
   StoredProgress stored;
   std::vector<Micros> pauses;
-  for (std::uint64_t start = 1; start <= options.max_starts; ++start) {
+  for (std::uint64_t start = 1; start <= options_.max_starts; ++start) {
     acquire(start * 10, stored);
     const WriteProgressAction wrote = next_write();
     EXPECT_EQ(wrote.progress.starts, start);
     EXPECT_FALSE(wrote.progress.parked);
     confirm(wrote, start * 10 + 1);
-    const Micros from = now;
+    const Micros from = now_;
     for (auto actions = step(); actions_of<StartTaskAction>(actions).empty(); actions = step()) {
       // Renewals go on meanwhile.
       for (const LeaseCallAction& call : actions_of<LeaseCallAction>(actions)) {
-        manager.on_renew_result(now, id, call.call.call_id, true);
+        manager_.on_renew_result(now_, id_, call.call.call_id, true);
       }
-      now = *manager.next_step_at(now);
-      ASSERT_LT(now - from, seconds(200));
+      now_ = *manager_.next_step_at(now_);
+      ASSERT_LT(now_ - from, seconds(200));
     }
-    pauses.push_back(now - from);
+    pauses.push_back(now_ - from);
     stored = StoredProgress{wrote.progress, start * 10 + 1};
     // It dies: another router of the same kind takes over.
-    manager = LeaseManager("a", std::to_string(start), "edge", {"test"}, LeaseManagerOptions{});
-    manager.set_connected(now, true);
-    manager.set_members(now, {{"a", "edge"}});
-    manager.set_work(now, "w", current_work);
+    manager_ = LeaseManager("a", std::to_string(start), "edge", {"test"}, LeaseManagerOptions{});
+    manager_.set_connected(now_, true);
+    manager_.set_members(now_, {{"a", "edge"}});
+    manager_.set_work(now_, "w", current_work_);
   }
   EXPECT_EQ(pauses[0], Micros(0));
-  EXPECT_GE(pauses[1], options.restart_backoff);
-  EXPECT_GE(pauses[2], 2 * options.restart_backoff);
+  EXPECT_GE(pauses[1], options_.restart_backoff);
+  EXPECT_GE(pauses[2], 2 * options_.restart_backoff);
   acquire(100, stored);
   const WriteProgressAction parked = next_write();
   EXPECT_TRUE(parked.progress.parked);
   confirm(parked, 101);
-  now += seconds(1);
+  now_ += seconds(1);
   EXPECT_TRUE(actions_of<StartTaskAction>(step()).empty());
   EXPECT_EQ(status().phase, ShardPhase::kParked);
   // Staff resume it.
-  current_work.resumed = 1;
-  set_work(current_work);
+  current_work_.resumed = 1;
+  set_work(current_work_);
   const WriteProgressAction again = next_write();
   EXPECT_EQ(again.progress.starts, 1U);
   EXPECT_FALSE(again.progress.parked);
@@ -329,95 +329,95 @@
 
 TEST_F(LeaseManagerTest, DoneShardIsNotStartedAgain) {
   run(7);
-  manager.on_checkpoint(now, id, 7, "all", true);
+  manager_.on_checkpoint(now_, id_, 7, "all", true);
   const WriteProgressAction last = next_write();
   EXPECT_TRUE(last.progress.done);
   confirm(last, 9);
   EXPECT_EQ(actions_of<StopTaskAction>(step()).size(), 1U);
-  manager.on_task_finished(now, id, 7);
+  manager_.on_task_finished(now_, id_, 7);
   const LeaseCall release = lease_call();
   EXPECT_EQ(release.kind, LeaseCallKind::kRelease);
-  manager.on_release_result(now, id, release.call_id);
-  manager.on_owner(now, id, std::nullopt, 11);
-  now += seconds(60);
+  manager_.on_release_result(now_, id_, release.call_id);
+  manager_.on_owner(now_, id_, std::nullopt, 11);
+  now_ += seconds(60);
   EXPECT_TRUE(step().empty());
 }
 
 TEST_F(LeaseManagerTest, PreferredOwnerIsGivenTheShardAfterTheHandoverDelay) {
   run(7);
-  std::map<std::string, std::string> members{{"a", "edge"}};
+  MemberZones members{{"a", "edge"}};
   std::vector<std::string> names{"a"};
   for (int i = 0; preferred_owner("w", 0, names) == "a"; ++i) {
     members["b" + std::to_string(i)] = "edge";
     names.push_back("b" + std::to_string(i));
   }
-  manager.set_members(now, members);
+  manager_.set_members(now_, members);
   EXPECT_TRUE(actions_of<StopTaskAction>(step()).empty());
-  now += options.lease.renew_after;
-  manager.on_renew_result(now, id, lease_call().call_id, true);
+  now_ += options_.lease.renew_after;
+  manager_.on_renew_result(now_, id_, lease_call().call_id, true);
   // It went: nothing happens, and its time begins anew when it returns.
-  manager.set_members(now, {{"a", "edge"}});
+  manager_.set_members(now_, {{"a", "edge"}});
   step();
-  manager.set_members(now, members);
+  manager_.set_members(now_, members);
   step();
-  const Micros from = now;
-  while (now < from + options.handover_delay) {
-    for (const LeaseCallAction& call : actions_of<LeaseCallAction>(manager.step(now))) {
-      manager.on_renew_result(now, id, call.call.call_id, true);
+  const Micros from = now_;
+  while (now_ < from + options_.handover_delay) {
+    for (const LeaseCallAction& call : actions_of<LeaseCallAction>(manager_.step(now_))) {
+      manager_.on_renew_result(now_, id_, call.call.call_id, true);
     }
     EXPECT_NE(status().phase, ShardPhase::kReleasing);
-    now = std::min(*manager.next_step_at(now), from + options.handover_delay);
+    now_ = std::min(*manager_.next_step_at(now_), from + options_.handover_delay);
   }
   EXPECT_EQ(actions_of<StopTaskAction>(step()).size(), 1U);
 }
 
 TEST_F(LeaseManagerTest, RequestedReleaseIsFollowedByACooldown) {
   run(7);
-  manager.on_release_request(now, id, "b");
+  manager_.on_release_request(now_, id_, "b");
   EXPECT_TRUE(actions_of<StopTaskAction>(step()).empty()) << "not of this one";
-  manager.on_release_request(now, id, "a");
+  manager_.on_release_request(now_, id_, "a");
   EXPECT_EQ(actions_of<StopTaskAction>(step()).size(), 1U);
-  manager.on_task_finished(now, id, 7);
+  manager_.on_task_finished(now_, id_, 7);
   confirm(next_write(), 9);
-  manager.on_release_result(now, id, lease_call().call_id);
-  manager.on_owner(now, id, std::nullopt, 11);
+  manager_.on_release_result(now_, id_, lease_call().call_id);
+  manager_.on_owner(now_, id_, std::nullopt, 11);
   EXPECT_TRUE(actions_of<LeaseCallAction>(step()).empty());
-  now += options.cooldown;
+  now_ += options_.cooldown;
   EXPECT_EQ(lease_call().kind, LeaseCallKind::kAcquire) << "nobody else took it";
 }
 
 TEST_F(LeaseManagerTest, PausedWorkIsReleasedAndNotAcquired) {
   run(7);
-  current_work.paused = true;
-  set_work(current_work);
+  current_work_.paused = true;
+  set_work(current_work_);
   EXPECT_EQ(actions_of<StopTaskAction>(step()).size(), 1U);
-  manager.on_task_finished(now, id, 7);
+  manager_.on_task_finished(now_, id_, 7);
   confirm(next_write(), 9);
-  manager.on_release_result(now, id, lease_call().call_id);
-  manager.on_owner(now, id, std::nullopt, 10);
-  now += seconds(60);
+  manager_.on_release_result(now_, id_, lease_call().call_id);
+  manager_.on_owner(now_, id_, std::nullopt, 10);
+  now_ += seconds(60);
   EXPECT_TRUE(step().empty());
-  current_work.paused = false;
-  set_work(current_work);
+  current_work_.paused = false;
+  set_work(current_work_);
   EXPECT_EQ(lease_call().kind, LeaseCallKind::kAcquire);
 }
 
 TEST_F(LeaseManagerTest, SupersededRouterDoesNoOwnedWork) {
   run(7);
-  manager.set_superseded(now, true);
-  EXPECT_FALSE(manager.may_act(now, id, 7)) << "at once, not at the next step";
+  manager_.set_superseded(now_, true);
+  EXPECT_FALSE(manager_.may_act(now_, id_, 7)) << "at once, not at the next step";
   EXPECT_EQ(actions_of<StopTaskAction>(step()).size(), 1U);
 }
 
 TEST_F(LeaseManagerTest, DeletedWorkIsReleasedAndForgotten) {
   run(7);
-  manager.set_work(now, "w", std::nullopt);
+  manager_.set_work(now_, "w", std::nullopt);
   EXPECT_EQ(actions_of<StopTaskAction>(step()).size(), 1U);
-  manager.on_task_finished(now, id, 7);
+  manager_.on_task_finished(now_, id_, 7);
   confirm(next_write(), 9);
-  manager.on_release_result(now, id, lease_call().call_id);
+  manager_.on_release_result(now_, id_, lease_call().call_id);
   step();
-  EXPECT_TRUE(manager.shards(now).empty());
+  EXPECT_TRUE(manager_.shards(now_).empty());
 }
 
 TEST_F(LeaseManagerTest, WorkOfOtherZonesAndUnknownKindsIsNotAcquired) {
--- a/tests/ownership_simulation.cpp
+++ b/tests/ownership_simulation.cpp
@@ -35,7 +35,7 @@
     commit(coordination::Transaction{
         {}, {coordination::Put{std::string(kWorkPrefix) + "w", write_work(work), 0}}, {}});
     for (int i = 0; i < kRouters; ++i) {
-      router(i).turn = [this, i] { step(i); };
+      router(i).run_step = [this, i] { step(i); };
       start(i);
     }
   }
@@ -74,36 +74,36 @@
   // ---- The store ----
 
   coordination::TransactionResult commit(const coordination::Transaction& transaction) {
-    ledger_.expire(store_clock());
-    const coordination::TransactionResult out = ledger_.commit(transaction);
+    store_.expire(store_clock());
+    const coordination::TransactionResult out = store_.commit(transaction);
     send_changes();
     return out;
   }
 
   void expire_leases() {
-    ledger_.expire(store_clock());
+    store_.expire(store_clock());
     send_changes();
     at(now_ + kExpiryPeriod, [this] { expire_leases(); });
   }
 
   // A call of a router to the store.
   template <typename Value>
-  void call_store(int index, std::function<Value()> serve, std::function<void(const Value&)> answer,
-                  std::function<void()> no_response) {
+  void call_store(int index, const std::function<Value()>& serve,
+                  const std::function<void(const Value&)>& answer, const std::function<void()>& no_response) {
     call<Value>(
         router(index), nullptr, !calm_ && router(index).cut,
         [this, serve]() -> std::optional<Value> {
-          ledger_.expire(store_clock());
-          const Value value = serve();
+          store_.expire(store_clock());
+          Value value = serve();
           send_changes();
           return value;
         },
-        std::move(answer), std::move(no_response));
+        answer, no_response);
   }
 
   // Changes are sent to all that follow, each after a time of its own but in order.
   void send_changes() {
-    for (const coordination::KeyChange& change : ledger_.take_changes()) {
+    for (const coordination::KeyChange& change : store_.take_changes()) {
       const auto id = read_shard_key(change.entry.key, kProgressPrefix);
       if (const auto progress = id ? read_progress(change.entry.value) : std::nullopt) {
         fail_if(progress_monitor_.observe(*id, *progress));
@@ -151,8 +151,8 @@
         at(now_ + milliseconds(200), [this, index, same] { read_snapshot(index, same); });
         return;
       }
-      const auto entries = ledger_.get(coordination::Range{"", true});
-      const coordination::Revision revision = ledger_.revision();
+      const auto entries = store_.get(coordination::Range{"", true});
+      const coordination::Revision revision = store_.revision();
       router(index).following = true;
       at(now_ + drawn(milliseconds(30)), [this, index, same, entries, revision] {
         deliver(router(index), [this, index, same, entries, revision] {
@@ -167,11 +167,11 @@
   void apply_snapshot(int index, const std::vector<coordination::Entry>& entries,
                       coordination::Revision revision) {
     const Micros now = router_now(index);
-    std::map<std::string, std::string> zone_by_member;
+    MemberZones zones;
     for (int i = 0; i < kRouters; ++i) {
-      zone_by_member[name(i)] = "edge";
+      zones[name(i)] = "edge";
     }
-    manager(index).set_members(now, zone_by_member);
+    manager(index).set_members(now, zones);
     std::set<std::string> keys;
     for (const coordination::Entry& entry : entries) {
       keys.insert(entry.key);
@@ -235,7 +235,7 @@
     if (action.call.kind == LeaseCallKind::kRenew) {
       call_store<bool>(
           index,
-          [this, lease] { return ledger_.keep_alive(store_clock(), lease) > std::chrono::milliseconds(0); },
+          [this, lease] { return store_.keep_alive(store_clock(), lease) > std::chrono::milliseconds(0); },
           [this, index, id, call_id](const bool& alive) {
             manager(index).on_renew_result(router_now(index), id, call_id, alive);
           },
@@ -245,9 +245,8 @@
     call_store<bool>(
         index,
         [this, lease] {
-          try {
-            ledger_.revoke(lease);
-          } catch (const coordination::OperationRejected&) {
+          if (store_.leases().contains(lease)) {
+            store_.revoke(lease);
           }
           return true;
         },
@@ -263,7 +262,7 @@
     const Owner owner{name(index), std::to_string(router(index).incarnation), 0};
     const auto ttl = std::chrono::duration_cast<std::chrono::milliseconds>(options_.lease.ttl);
     call_store<LeaseId>(
-        index, [this, ttl] { return ledger_.grant(store_clock(), ttl, 0); },
+        index, [this, ttl] { return store_.grant(store_clock(), ttl, 0); },
         [this, index, id, call_id, owner, no_response](const LeaseId& lease) {
           router(index).leases[id] = lease;
           become_owner(index, id, call_id, owner, lease, no_response);
@@ -277,7 +276,7 @@
         index,
         [this, id, owner, lease] {
           try {
-            return read_acquire_result(ledger_.commit(acquire_transaction("", id, owner, lease)));
+            return read_acquire_result(store_.commit(acquire_transaction("", id, owner, lease)));
           } catch (const coordination::OperationRejected&) {
             return AcquireResult{};  // the lease ended meanwhile
           }
@@ -298,7 +297,7 @@
     call_store<ProgressWriteResult>(
         index,
         [this, write, transaction] {
-          return read_progress_write_result(ledger_.commit(transaction), write.term, write.progress);
+          return read_progress_write_result(store_.commit(transaction), write.term, write.progress);
         },
         [this, index, write](const ProgressWriteResult& result) {
           manager(index).on_write_result(router_now(index), write.id, write.call_id, result);
@@ -389,7 +388,7 @@
                std::to_string(status.owner.term);
       }
     }
-    for (const coordination::Entry& entry : ledger_.get(coordination::Range{"", true})) {
+    for (const coordination::Entry& entry : store_.get(coordination::Range{"", true})) {
       out += "\n  " + entry.key + "@" + std::to_string(entry.created) + " " + entry.value;
     }
     return out;
@@ -480,7 +479,7 @@
 
   SeededDefect defect_;
   LeaseManagerOptions options_;
-  KeyValueState ledger_{coordination::KeyValueLimits{}};
+  KeyValueState store_{coordination::KeyValueLimits{}};
   std::array<Router, kRouters> routers_;
   std::map<int, Micros> last_arrival_;  // of a change, by router
   EffectReceiver receiver_;
--- a/tests/ownership_test.cpp
+++ b/tests/ownership_test.cpp
@@ -364,7 +364,7 @@
   Explorer explorer(Defect::kNone);
   EXPECT_EQ(joined(explorer.run()), "");
   RecordProperty("states", static_cast<int>(explorer.states()));
-  EXPECT_LT(explorer.states(), kMaxStates) << "the whole state space was explored";
+  EXPECT_LT(explorer.states(), kMaxStates) << "the entire state space was explored";
   EXPECT_GT(explorer.states(), 10'000U);
   EXPECT_GT(explorer.acting_states(), 1'000U) << "somebody acts in it";
 }
@@ -467,8 +467,10 @@
 }
 
 TEST(ShardAssignmentTest, MovesFewShardsSharesEvenlyAndRanksCandidates) {
+  constexpr std::size_t kMembers = 30;
   std::vector<std::string> members;
-  for (int i = 0; i < 30; ++i) {
+  members.reserve(kMembers);
+  for (std::size_t i = 0; i < kMembers; ++i) {
     members.push_back("router" + std::to_string(i));
   }
   constexpr std::size_t kShards = 3'000;
--- a/tests/ownership_world_test.cpp
+++ b/tests/ownership_world_test.cpp
@@ -1,5 +1,5 @@
 // Invariants of owned work in a randomised simulation (ownership_simulation.h), and seeded defects that it
-// finds. A seed determines a whole run: TRAILCOURSE_SEED=N runs one alone, TRAILCOURSE_SEEDS=N the first so
+// finds. A seed determines an entire run: TRAILCOURSE_SEED=N runs one alone, TRAILCOURSE_SEEDS=N the first so
 // many.
 #include <gtest/gtest.h>
 
--- a/tests/policy_world_test.cpp
+++ b/tests/policy_world_test.cpp
@@ -92,7 +92,7 @@
   }
 
   RolloutSnapshot read_store() {
-    const coordination::TransactionResult outcome = ledger_.commit(snapshot_transaction(""));
+    const coordination::TransactionResult outcome = store_.commit(snapshot_transaction(""));
     return read_snapshot("", outcome);
   }
   ObservedState observed_now() {
@@ -107,23 +107,24 @@
 
   // To the store and back.
   template <typename Value>
-  void call_store(int index, std::function<Value()> use, std::function<void(const Value&)> answer,
-                  std::function<void()> lost) {
+  void call_store(int index, const std::function<Value()>& operation,
+                  const std::function<void(const Value&)>& on_answer,
+                  const std::function<void()>& on_no_response) {
     call<Value>(
-        of(index), nullptr, of(index).cut,
-        [this, use]() -> std::optional<Value> {
-          ledger_.expire(store_clock());
-          const Value value = use();
+        router_at(index), nullptr, router_at(index).cut,
+        [this, operation]() -> std::optional<Value> {
+          store_.expire(store_clock());
+          Value value = operation();
           notify_all();
           return value;
         },
-        answer, lost);
+        on_answer, on_no_response);
   }
 
   void start(int index) {
     Router& router = routers_[static_cast<std::size_t>(index)];
     begin_incarnation(router, 950, seconds(50));
-    router.turn = [this, index] { run_step(index); };
+    router.run_step = [this, index] { run_step(index); };
     router.bad_disk = false;
     if (defect_ == Defect::kTimedFromAnswer) {
       options_.lease.margin = -seconds(1);  // as if the time began when the answer came
@@ -152,7 +153,7 @@
     router.notified_until =
         std::max(router.notified_until, now_ + drawn(chance(90) ? milliseconds(20) : seconds(1)));
     at(router.notified_until, [this, index, incarnation, observed] {
-      deliver(of(index), [this, index, incarnation, observed] {
+      deliver(router_at(index), [this, index, incarnation, observed] {
         Router& one = routers_[static_cast<std::size_t>(index)];
         if (one.incarnation != incarnation) {
           return;
@@ -165,17 +166,17 @@
         if (defect_ == Defect::kAbortedKept && mine.rollout &&
             mine.rollout->state == RolloutState::kAborted &&
             one.participant->state(now) == ParticipantState::kInDoubt) {
-          mine.version = mine.rollout->target_version;  // as if what it holds were in force
+          mine.version = mine.rollout->target_version;  // as if the version that it prepared were in force
         }
         one.participant->on_observed_state(now, mine);
         one.participant->set_connected(now, true);
       });
     });
   }
-  // What changed goes to all that are heard by the store.
+  // Changes are sent to all routers that are connected to the store.
   void notify_all() {
     bool changed = false;
-    for (const coordination::KeyChange& change : ledger_.take_changes()) {
+    for (const coordination::KeyChange& change : store_.take_changes()) {
       changed = changed || change.entry.key.starts_with("policy/");
     }
     if (!changed) {
@@ -195,28 +196,28 @@
       std::visit([this, index](const auto& one) { execute(index, one); }, action);
     }
   }
-  Router& of(int index) { return routers_[static_cast<std::size_t>(index)]; }
+  Router& router_at(int index) { return routers_[static_cast<std::size_t>(index)]; }
 
   void execute(int index, const PersistDocumentAction& action) {
-    const int incarnation = of(index).incarnation;
+    const int incarnation = router_at(index).incarnation;
     at(now_ + drawn(milliseconds(30)), [this, index, incarnation, action] {
-      deliver(of(index), [this, index, incarnation, action] {
-        if (of(index).incarnation == incarnation) {
-          of(index).participant->on_persist_result(
-              clock(of(index)), action.version,
-              of(index).bad_disk ? preparation_failed(PreparationError::Kind::kNotStored, "full disk")
-                                 : PreparationResult());
+      deliver(router_at(index), [this, index, incarnation, action] {
+        if (router_at(index).incarnation == incarnation) {
+          router_at(index).participant->on_persist_result(
+              clock(router_at(index)), action.version,
+              router_at(index).bad_disk ? preparation_failed(PreparationError::Kind::kNotStored, "full disk")
+                                        : PreparationResult());
         }
       });
     });
   }
   void execute(int index, const ReportAction& action) {
-    const coordination::LeaseId lease = of(index).lease;
+    const coordination::LeaseId lease = router_at(index).lease;
     call_store<bool>(
         index,
         [this, index, action, lease] {
           try {
-            ledger_.commit(
+            store_.commit(
                 coordination::Transaction{{},
                                           {coordination::Put{report_key(std::to_string(index), lease),
                                                              write_report(action.report), lease}},
@@ -227,26 +228,26 @@
           }
         },
         [this, index, action](const bool& done) {
-          of(index).participant->on_report_result(clock(of(index)), action.call_id, done);
+          router_at(index).participant->on_report_result(clock(router_at(index)), action.call_id, done);
         },
         [this, index, action] {
-          of(index).participant->on_report_result(clock(of(index)), action.call_id, false);
+          router_at(index).participant->on_report_result(clock(router_at(index)), action.call_id, false);
         });
   }
   void execute(int index, const LeaseAction& action) {
-    const std::uint64_t number = action.order.call_id;
-    const auto lost = [this, index, number] {
-      of(index).participant->on_no_response(clock(of(index)), number);
+    const std::uint64_t call_id = action.order.call_id;
+    const auto on_no_response = [this, index, call_id] {
+      router_at(index).participant->on_no_response(clock(router_at(index)), call_id);
     };
     if (action.order.kind == ownership::LeaseCallKind::kAcquire) {
       call_store<coordination::LeaseId>(
           index,
           [this] {
-            return ledger_.grant(
-                store_clock(), std::chrono::duration_cast<std::chrono::milliseconds>(options_.lease.ttl), 0);
+            return store_.grant(store_clock(),
+                                std::chrono::duration_cast<std::chrono::milliseconds>(options_.lease.ttl), 0);
           },
-          [this, index, action, number, lost](const coordination::LeaseId& lease) {
-            of(index).lease = lease;
+          [this, index, action, call_id, on_no_response](const coordination::LeaseId& lease) {
+            router_at(index).lease = lease;
             call_store<bool>(
                 index,
                 [this, index, action, lease] {
@@ -258,30 +259,30 @@
                   join.then = {coordination::Put{report_key(std::to_string(index), lease),
                                                  write_report(action.report), lease}};
                   try {
-                    return ledger_.commit(join).succeeded;
+                    return store_.commit(join).succeeded;
                   } catch (const coordination::OperationRejected&) {
                     return false;
                   }
                 },
-                [this, index, number](const bool& joined) {
-                  of(index).participant->on_join_result(clock(of(index)), number, joined);
+                [this, index, call_id](const bool& joined) {
+                  router_at(index).participant->on_join_result(clock(router_at(index)), call_id, joined);
                   if (!joined) {
-                    watch(index, of(index).incarnation);
+                    watch(index, router_at(index).incarnation);
                   }
                 },
-                lost);
+                on_no_response);
           },
-          lost);
+          on_no_response);
       return;
     }
-    const coordination::LeaseId lease = of(index).lease;
+    const coordination::LeaseId lease = router_at(index).lease;
     call_store<bool>(
         index,
-        [this, lease] { return ledger_.keep_alive(store_clock(), lease) > std::chrono::milliseconds(0); },
-        [this, index, number](const bool& alive) {
-          of(index).participant->on_renew_result(clock(of(index)), number, alive);
+        [this, lease] { return store_.keep_alive(store_clock(), lease) > std::chrono::milliseconds(0); },
+        [this, index, call_id](const bool& alive) {
+          router_at(index).participant->on_renew_result(clock(router_at(index)), call_id, alive);
         },
-        lost);
+        on_no_response);
   }
 
   // ---- The coordinator, and staff ----
@@ -294,31 +295,38 @@
       if (!coordinator_) {
         coordinator_.emplace(timeouts_);
       }
-      ledger_.expire(store_clock());
-      RolloutSnapshot snapshot = read_store();
-      if (defect_ == Defect::kCommitEarly && snapshot.rollout &&
-          snapshot.rollout->state == RolloutState::kSuspending) {
-        snapshot.reports.clear();
-      }
-      const auto step = coordinator_->step(now_, snapshot);
-      if (step) {
-        // What it decided arrives late: the store may have moved on.
-        const coordination::Transaction write = execute_transaction("", snapshot, *step);
-        at(now_ + drawn(chance(80) ? milliseconds(10) : seconds(4)), [this, write, step = *step] {
-          ledger_.expire(store_clock());
-          if (ledger_.commit(write).succeeded) {
-            report_.commits += step.commit ? 1 : 0;
-            report_.aborts += step.rollout.state == RolloutState::kAborted ? 1 : 0;
-            if (step.rollout.state == RolloutState::kAborted) {
-              aborted_.insert(step.rollout.target_version);
-            }
-          }
-          notify_all();
-        });
-      }
+      run_coordinator_step();
       run_coordinator();
     });
   }
+  void run_coordinator_step() {
+    store_.expire(store_clock());
+    RolloutSnapshot snapshot = read_store();
+    if (defect_ == Defect::kCommitEarly && snapshot.rollout &&
+        snapshot.rollout->state == RolloutState::kSuspending) {
+      snapshot.reports.clear();
+    }
+    const std::optional<RolloutStep> step = coordinator_->step(now_, snapshot);
+    if (!step) {
+      return;
+    }
+    // What it decided arrives late: the store may have moved on.
+    const coordination::Transaction write = execute_transaction("", snapshot, *step);
+    at(now_ + drawn(chance(80) ? milliseconds(10) : seconds(4)),
+       [this, write, step = *step] { commit_step(write, step); });
+  }
+  void commit_step(const coordination::Transaction& write, const RolloutStep& step) {
+    store_.expire(store_clock());
+    if (store_.commit(write).succeeded) {
+      const bool is_aborted = step.rollout.state == RolloutState::kAborted;
+      report_.commits += step.commit ? 1 : 0;
+      report_.aborts += is_aborted ? 1 : 0;
+      if (is_aborted) {
+        aborted_.insert(step.rollout.target_version);
+      }
+    }
+    notify_all();
+  }
   void propose() {
     at(now_ + milliseconds(500) + drawn(seconds(6)), [this] {
       if (!calm_) {
@@ -332,7 +340,7 @@
           rollout.id = snapshot.rollout ? snapshot.rollout->id + 1 : 1;
           rollout.target_version = ++last_version_;
           rollout.previous_version = snapshot.current_version;
-          if (ledger_.commit(begin_transaction("", snapshot, rollout, "document", "")).succeeded) {
+          if (store_.commit(begin_transaction("", snapshot, rollout, "document", "")).succeeded) {
             ++report_.changes;
           }
           notify_all();
@@ -383,7 +391,7 @@
         return;
       }
       const int index = static_cast<int>(random_() % routers_.size());
-      Router& router = of(index);
+      Router& router = router_at(index);
       const int incarnation = router.incarnation;
       switch (random_() % 4) {
         case 0:
@@ -407,7 +415,7 @@
     });
   }
   void wake(int index, int incarnation) {
-    Router& router = of(index);
+    Router& router = router_at(index);
     if (router.incarnation == incarnation && router.paused) {
       // Requests that waited in its buffers are decided the moment it resumes, before anything else is read.
       const EffectivePolicy effective_policy = router.participant->effective_policy(clock(router));
@@ -418,7 +426,7 @@
     }
   }
   void mend(int index, int incarnation) {
-    Router& router = of(index);
+    Router& router = router_at(index);
     if (router.cut) {
       router.cut = false;
       if (router.incarnation == incarnation) {
@@ -430,16 +438,16 @@
   }
   void expire() {
     at(now_ + milliseconds(50), [this] {
-      ledger_.expire(store_clock());
+      store_.expire(store_clock());
       notify_all();
       expire();
     });
   }
   void become_calm() {
     for (int i = 0; i < static_cast<int>(routers_.size()); ++i) {
-      of(i).bad_disk = false;
-      wake(i, of(i).incarnation);
-      mend(i, of(i).incarnation);
+      router_at(i).bad_disk = false;
+      wake(i, router_at(i).incarnation);
+      mend(i, router_at(i).incarnation);
       start(i);  // staff restart those whose disk was full
     }
   }
@@ -447,7 +455,7 @@
   Defect defect_;
   ParticipantOptions options_;
   RolloutTimeouts timeouts_;
-  coordination::KeyValueState ledger_{coordination::KeyValueLimits{}};
+  coordination::KeyValueState store_{coordination::KeyValueLimits{}};
   std::deque<Router> routers_;
   std::optional<RolloutCoordinator> coordinator_;
   std::uint64_t last_version_ = 0;
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -54,7 +54,7 @@
   snapshot.reports["a1.edge/9"].waiting_for = "r7";
   const std::vector<std::string> lines = describe_pending(snapshot);
   ASSERT_EQ(lines.size(), 1U);
-  EXPECT_EQ(lines[0], "a1.edge for 40 routers, among them r7, is to say that it is ready");
+  EXPECT_EQ(lines[0], "a1.edge for 40 routers, among them r7, is to report that it is ready");
 }
 
 TEST_F(RolloutCoordinatorTest, CommitsOnlyOnceAllAreReadyAndThenSuspended) {
@@ -70,7 +70,7 @@
   apply(*transition);
   suspended("a");
   EXPECT_FALSE(coordinator.step(now, snapshot));
-  // The other one's permission runs out: it does not decide, and is not waited for.
+  // The other one's lease runs out: it does not decide, and is not waited for.
   snapshot.reports.erase("b");
   transition = coordinator.step(now, snapshot);
   ASSERT_TRUE(transition);
--- a/tests/store_calls.h
+++ b/tests/store_calls.h
@@ -28,10 +28,10 @@
     }
     return true;
   }
-  template <typename Value, typename Ask>
-  StoreResponse<Value> await(Ask ask) {
+  template <typename Value, typename Call>
+  StoreResponse<Value> await(Call call) {
     const auto reply = std::make_shared<std::optional<StoreResponse<Value>>>();
-    ask([reply](const StoreResponse<Value>& told) { *reply = told; });
+    call([reply](const StoreResponse<Value>& response) { *reply = response; });
     EXPECT_TRUE(until([&] { return reply->has_value(); }));
     return reply->value_or(StoreResponse<Value>{});
   }
--- a/tests/virtual_world.h
+++ b/tests/virtual_world.h
@@ -1,6 +1,6 @@
 // What the drawn worlds share: processes with clocks of their own in virtual time, calls between them that
-// are late or lost on either way, and pauses in which whatever arrives is held until the process wakes. One
-// seed draws a whole run, and the same seed draws it again.
+// are late or lost on either way, and pauses in which whatever arrives is queued until the process wakes. One
+// seed draws an entire run, and the same seed draws it again.
 #pragma once
 
 #include <trailcourse/decider.h>
@@ -29,9 +29,9 @@
   Micros offset{0};
   bool running = true;
   bool paused = false;
-  bool cut = false;                         // its calls do not arrive
-  std::vector<std::function<void()>> held;  // what came while it was paused
-  std::function<void()> turn;               // after anything was delivered
+  bool cut = false;                           // its calls do not arrive
+  std::vector<std::function<void()>> queued;  // what arrived while it was paused
+  std::function<void()> run_step;             // after anything was delivered
 };
 
 // What becomes of calls while faults are drawn. Each way is drawn on its own, so that calls overtake each
@@ -90,7 +90,7 @@
         static_cast<std::int64_t>(static_cast<double>(now_.count()) * kStoreClockRate / 1e3));
   }
 
-  // A new incarnation, with a clock that is up to `parts_per_million` off; what was held is gone.
+  // A new incarnation, with a clock that is up to `parts_per_million` off; what was queued is dropped.
   void begin_incarnation(VirtualProcess& process, int parts_per_million, Micros most_offset) {
     ++process.incarnation;
     const auto drawn_parts = static_cast<double>(random_() % (2U * parts_per_million + 1U));
@@ -98,13 +98,13 @@
     process.offset = drawn(most_offset) + std::chrono::seconds(1);
     process.running = true;
     process.paused = false;
-    process.held.clear();
+    process.queued.clear();
   }
   void end_incarnation(VirtualProcess& process) {
     ++process.incarnation;
     process.running = false;
     process.paused = false;
-    process.held.clear();
+    process.queued.clear();
   }
 
   // Whether the process is still the one that it was when this was asked for.
@@ -120,22 +120,22 @@
       return;
     }
     if (process.paused) {
-      process.held.push_back(std::move(job));
+      process.queued.push_back(std::move(job));
       return;
     }
     job();
-    take_turn(process);
+    step_process(process);
   }
-  void take_turn(VirtualProcess& process) {
+  void step_process(VirtualProcess& process) {
     if (process.running && !process.paused) {
-      process.turn();
+      process.run_step();
     }
   }
-  // A turn every `period` for as long as this incarnation runs.
+  // Runs a step every `period` for as long as this incarnation runs.
   void tick(VirtualProcess& process, Micros period) {
     at(now_ + period, [this, &process, period, same = same_incarnation(process)] {
       if (same()) {
-        take_turn(process);
+        step_process(process);
         tick(process, period);
       }
     });
@@ -144,46 +144,46 @@
     if (!std::exchange(process.paused, false)) {
       return;
     }
-    for (const auto& job : std::exchange(process.held, {})) {
+    for (const auto& job : std::exchange(process.queued, {})) {
       job();
     }
-    take_turn(process);
+    step_process(process);
   }
 
-  // A call and its answer, each late or lost; exactly one of `answer` and `lost` follows, unless the caller's
-  // incarnation ends. `serve` is carried out where it arrives; without a value it is not answered. `server`:
-  // a process, or null for one that is always there. `cut`: it does not arrive.
+  // A call and its answer, each late or lost; exactly one of `on_answer` and `on_no_response` follows, unless
+  // the caller's incarnation ends. `operation` is executed where it arrives; without a value it is not
+  // answered. `server`: a process, or null for one that is always there. `cut`: it does not arrive.
   template <typename Value>
   void call(VirtualProcess& caller, VirtualProcess* server, bool cut,
-            std::function<std::optional<Value>()> serve, std::function<void(const Value&)> answer,
-            std::function<void()> lost) {
+            const std::function<std::optional<Value>()>& operation,
+            const std::function<void(const Value&)>& on_answer, const std::function<void()>& on_no_response) {
     const auto over = std::make_shared<bool>(false);
     const auto awaited = [over, same = same_incarnation(caller)] { return same() && !*over; };
     const bool loses_call = cut || (!calm_ && chance(calls_.lost_percent));
     const bool loses_answer = !calm_ && chance(calls_.lost_percent);
     const Micros there = way();
     const Micros back = way();
-    at(now_ + calls_.timeout, [this, &caller, awaited, over, lost] {
-      deliver(caller, [awaited, over, lost] {
+    at(now_ + calls_.timeout, [this, &caller, awaited, over, on_no_response] {
+      deliver(caller, [awaited, over, on_no_response] {
         if (awaited()) {
           *over = true;
-          lost();
+          on_no_response();
         }
       });
     });
     if (loses_call) {
       return;
     }
-    const auto arrive = [this, &caller, awaited, over, serve, answer, loses_answer, back] {
-      const std::optional<Value> value = serve();
+    const auto arrive = [this, &caller, awaited, over, operation, on_answer, loses_answer, back] {
+      const std::optional<Value> value = operation();
       if (!value || loses_answer) {
         return;
       }
-      at(now_ + back, [this, &caller, awaited, over, answer, value = *value] {
-        deliver(caller, [awaited, over, answer, value] {
+      at(now_ + back, [this, &caller, awaited, over, on_answer, value = *value] {
+        deliver(caller, [awaited, over, on_answer, value] {
           if (awaited()) {
             *over = true;
-            answer(value);
+            on_answer(value);
           }
         });
       });
