--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -21,11 +21,11 @@
     rollout.id = 3;
     rollout.target_version = 8;
     rollout.previous_version = 7;
-    snapshot.rollout = rollout;
-    snapshot.rollout_revision = 40;
-    snapshot.current_version = 7;
-    snapshot.reports["a"] = report("edge");
-    snapshot.reports["b"] = report("edge");
+    snapshot_.rollout = rollout;
+    snapshot_.rollout_revision = 40;
+    snapshot_.current_version = 7;
+    snapshot_.reports["a"] = report("edge");
+    snapshot_.reports["b"] = report("edge");
   }
   static ParticipantReport report(const std::string& zone) {
     ParticipantReport out;
@@ -33,70 +33,70 @@
     out.version = 7;
     return out;
   }
-  std::uint64_t stage() const { return stage_id(*snapshot.rollout); }
-  void ready(const std::string& name) { snapshot.reports[name].ready_stage = stage(); }
-  void suspended(const std::string& name) { snapshot.reports[name].suspended_stage = stage(); }
+  std::uint64_t stage() const { return stage_id(*snapshot_.rollout); }
+  void ready(const std::string& name) { snapshot_.reports[name].ready_stage = stage(); }
+  void suspended(const std::string& name) { snapshot_.reports[name].suspended_stage = stage(); }
   // Carries the step out, as the store would.
   void apply(const RolloutStep& transition) {
-    snapshot.rollout = transition.rollout;
-    ++snapshot.rollout_revision;
+    snapshot_.rollout = transition.rollout;
+    ++snapshot_.rollout_revision;
   }
 
-  RolloutCoordinator coordinator{RolloutTimeouts{}};
-  RolloutSnapshot snapshot;
-  Micros now{0};
+  RolloutCoordinator coordinator_{RolloutTimeouts{}};
+  RolloutSnapshot snapshot_;
+  Micros now_{0};
 };
 
 TEST_F(RolloutCoordinatorTest, APendingAggregatorIsDescribedWithTheRouterThatItWaitsFor) {
-  snapshot.reports.clear();
-  snapshot.reports["a1.edge/9"] = report("edge");
-  snapshot.reports["a1.edge/9"].represented_routers = 40;
-  snapshot.reports["a1.edge/9"].waiting_for = "r7";
-  const std::vector<std::string> lines = describe_pending(snapshot);
+  snapshot_.reports.clear();
+  snapshot_.reports["a1.edge/9"] = report("edge");
+  snapshot_.reports["a1.edge/9"].represented_routers = 40;
+  snapshot_.reports["a1.edge/9"].waiting_for = "r7";
+  const std::vector<std::string> lines = describe_pending(snapshot_);
   ASSERT_EQ(lines.size(), 1U);
   EXPECT_EQ(lines[0], "a1.edge for 40 routers, among them r7, is to report that it is ready");
 }
 
 TEST_F(RolloutCoordinatorTest, CommitsOnlyOnceAllAreReadyAndThenSuspended) {
-  EXPECT_FALSE(coordinator.step(now, snapshot));
-  EXPECT_EQ(describe_pending(snapshot).size(), 2U);
+  EXPECT_FALSE(coordinator_.step(now_, snapshot_));
+  EXPECT_EQ(describe_pending(snapshot_).size(), 2U);
   ready("a");
-  EXPECT_FALSE(coordinator.step(now, snapshot));
+  EXPECT_FALSE(coordinator_.step(now_, snapshot_));
   ready("b");
-  auto transition = coordinator.step(now, snapshot);
+  auto transition = coordinator_.step(now_, snapshot_);
   ASSERT_TRUE(transition);
   EXPECT_EQ(transition->rollout.state, RolloutState::kSuspending);
   EXPECT_FALSE(transition->commit);
   apply(*transition);
   suspended("a");
-  EXPECT_FALSE(coordinator.step(now, snapshot));
+  EXPECT_FALSE(coordinator_.step(now_, snapshot_));
   // The other one's lease runs out: it does not decide, and is not waited for.
-  snapshot.reports.erase("b");
-  transition = coordinator.step(now, snapshot);
+  snapshot_.reports.erase("b");
+  transition = coordinator_.step(now_, snapshot_);
   ASSERT_TRUE(transition);
   EXPECT_TRUE(transition->commit);
   apply(*transition);
-  EXPECT_FALSE(coordinator.step(now, snapshot));
-  snapshot.reports["a"].version = 8;
-  EXPECT_FALSE(coordinator.step(now, snapshot)) << "it says that it holds still";
-  snapshot.reports["a"].suspended_stage = 0;
-  transition = coordinator.step(now, snapshot);
+  EXPECT_FALSE(coordinator_.step(now_, snapshot_));
+  snapshot_.reports["a"].version = 8;
+  EXPECT_FALSE(coordinator_.step(now_, snapshot_)) << "it says that it holds still";
+  snapshot_.reports["a"].suspended_stage = 0;
+  transition = coordinator_.step(now_, snapshot_);
   ASSERT_TRUE(transition);
   EXPECT_EQ(transition->rollout.state, RolloutState::kDone);
 }
 
 TEST_F(RolloutCoordinatorTest, ARejectionOrATimeoutAborts) {
   ready("a");
-  snapshot.reports["b"].rejected_stage = stage();
-  snapshot.reports["b"].rejection_reason = "full disk";
-  auto transition = coordinator.step(now, snapshot);
+  snapshot_.reports["b"].rejected_stage = stage();
+  snapshot_.reports["b"].rejection_reason = "full disk";
+  auto transition = coordinator_.step(now_, snapshot_);
   ASSERT_TRUE(transition);
   EXPECT_EQ(transition->rollout.state, RolloutState::kAborted);
   EXPECT_EQ(transition->rollout.reason, "b says no: full disk");
-  snapshot.reports["b"].rejected_stage = 0;
-  EXPECT_FALSE(coordinator.step(now, snapshot));
-  ASSERT_TRUE(coordinator.next_step_at());
-  transition = coordinator.step(*coordinator.next_step_at(), snapshot);
+  snapshot_.reports["b"].rejected_stage = 0;
+  EXPECT_FALSE(coordinator_.step(now_, snapshot_));
+  ASSERT_TRUE(coordinator_.next_step_at());
+  transition = coordinator_.step(*coordinator_.next_step_at(), snapshot_);
   ASSERT_TRUE(transition);
   EXPECT_EQ(transition->rollout.reason, "not ready in time: b");
 }
@@ -104,62 +104,62 @@
 TEST_F(RolloutCoordinatorTest, ARejectionOfAnEarlierRolloutIsIgnored) {
   ready("a");
   ready("b");
-  snapshot.reports["b"].rejected_stage = stage() - 1'000;
-  const auto transition = coordinator.step(now, snapshot);
+  snapshot_.reports["b"].rejected_stage = stage() - 1'000;
+  const auto transition = coordinator_.step(now_, snapshot_);
   ASSERT_TRUE(transition);
   EXPECT_EQ(transition->rollout.state, RolloutState::kSuspending);
 }
 
 TEST_F(RolloutCoordinatorTest, StagesFollowZoneByZoneAndAllOtherZonesAtTheEnd) {
-  snapshot.rollout->stages = {"edge"};
-  snapshot.rollout->watch_time = milliseconds(1'000);
-  snapshot.reports["c"] = report("west");
+  snapshot_.rollout->stages = {"edge"};
+  snapshot_.rollout->watch_time = milliseconds(1'000);
+  snapshot_.reports["c"] = report("west");
   ready("a");
   ready("b");
-  apply(*coordinator.step(now, snapshot));
+  apply(*coordinator_.step(now_, snapshot_));
   suspended("a");
   suspended("b");
-  auto transition = coordinator.step(now, snapshot);
+  auto transition = coordinator_.step(now_, snapshot_);
   ASSERT_TRUE(transition);
   EXPECT_TRUE(transition->commit) << "the other zone is not asked";
   apply(*transition);
   for (const char* name : {"a", "b"}) {
-    snapshot.reports[name] = report("edge");
-    snapshot.reports[name].version = 8;
+    snapshot_.reports[name] = report("edge");
+    snapshot_.reports[name].version = 8;
   }
-  apply(*coordinator.step(now, snapshot));
-  EXPECT_EQ(snapshot.rollout->state, RolloutState::kWatching);
-  EXPECT_FALSE(coordinator.step(now, snapshot));
-  now += seconds(1);
-  apply(*coordinator.step(now, snapshot));
-  EXPECT_EQ(snapshot.rollout->state, RolloutState::kPreparing);
-  EXPECT_EQ(snapshot.rollout->stage, 1U);
-  EXPECT_FALSE(coordinator.step(now, snapshot));
+  apply(*coordinator_.step(now_, snapshot_));
+  EXPECT_EQ(snapshot_.rollout->state, RolloutState::kWatching);
+  EXPECT_FALSE(coordinator_.step(now_, snapshot_));
+  now_ += seconds(1);
+  apply(*coordinator_.step(now_, snapshot_));
+  EXPECT_EQ(snapshot_.rollout->state, RolloutState::kPreparing);
+  EXPECT_EQ(snapshot_.rollout->stage, 1U);
+  EXPECT_FALSE(coordinator_.step(now_, snapshot_));
   ready("c");
-  apply(*coordinator.step(now, snapshot));
+  apply(*coordinator_.step(now_, snapshot_));
   suspended("c");
-  transition = coordinator.step(now, snapshot);
+  transition = coordinator_.step(now_, snapshot_);
   ASSERT_TRUE(transition);
   EXPECT_TRUE(transition->commit);
 }
 
 TEST_F(RolloutCoordinatorTest, AStageOverItsRejectedShareIsReverted) {
-  snapshot.rollout->stages = {"edge"};
-  snapshot.rollout->watch_time = milliseconds(60'000);
-  snapshot.rollout->max_rejected_share = 0.1;
-  snapshot.rollout->state = RolloutState::kWatching;
+  snapshot_.rollout->stages = {"edge"};
+  snapshot_.rollout->watch_time = milliseconds(60'000);
+  snapshot_.rollout->max_rejected_share = 0.1;
+  snapshot_.rollout->state = RolloutState::kWatching;
   for (const char* name : {"a", "b"}) {
-    snapshot.reports[name].version = 8;
-    snapshot.reports[name].requests = 1'000;
-    snapshot.reports[name].failed_requests = 900;  // before: does not count
+    snapshot_.reports[name].version = 8;
+    snapshot_.reports[name].requests = 1'000;
+    snapshot_.reports[name].failed_requests = 900;  // before: does not count
   }
-  EXPECT_FALSE(coordinator.step(now, snapshot));
-  snapshot.reports["a"].requests += 50;
-  snapshot.reports["a"].failed_requests += 4;
-  EXPECT_FALSE(coordinator.step(now, snapshot));
-  snapshot.reports["b"].requests += 50;
-  snapshot.reports["b"].failed_requests += 20;
-  const auto transition = coordinator.step(now, snapshot);
+  EXPECT_FALSE(coordinator_.step(now_, snapshot_));
+  snapshot_.reports["a"].requests += 50;
+  snapshot_.reports["a"].failed_requests += 4;
+  EXPECT_FALSE(coordinator_.step(now_, snapshot_));
+  snapshot_.reports["b"].requests += 50;
+  snapshot_.reports["b"].failed_requests += 20;
+  const auto transition = coordinator_.step(now_, snapshot_);
   ASSERT_TRUE(transition);
   EXPECT_EQ(transition->rollout.id, 4U);
   EXPECT_EQ(transition->rollout.target_version, 7U);
@@ -167,20 +167,20 @@
 }
 
 TEST_F(RolloutCoordinatorTest, OnlyAnUrgentRolloutSupersedesOneThatHasNotCommitted) {
-  const auto refused = check_can_begin(snapshot, false);
+  const auto refused = check_can_begin(snapshot_, false);
   ASSERT_FALSE(refused.has_value());
   EXPECT_EQ(describe(refused.error()), "change 3 to version 8 is preparing; wait, abort it, or say --urgent");
-  const auto urgent = check_can_begin(snapshot, true);
+  const auto urgent = check_can_begin(snapshot_, true);
   ASSERT_TRUE(urgent.has_value());
   EXPECT_EQ(*urgent, RolloutStart::kSupersedes);
 
-  snapshot.rollout->state = RolloutState::kCommitted;
-  const auto too_late = check_can_begin(snapshot, true);
+  snapshot_.rollout->state = RolloutState::kCommitted;
+  const auto too_late = check_can_begin(snapshot_, true);
   ASSERT_FALSE(too_late.has_value());
   EXPECT_EQ(describe(too_late.error()), "change 3 to version 8 is committed and has committed");
 
-  snapshot.rollout->state = RolloutState::kDone;
-  const auto idle = check_can_begin(snapshot, false);
+  snapshot_.rollout->state = RolloutState::kDone;
+  const auto idle = check_can_begin(snapshot_, false);
   ASSERT_TRUE(idle.has_value());
   EXPECT_EQ(*idle, RolloutStart::kIdle);
 }
