--- a/benchmarks/scale/role_costs.cpp
+++ b/benchmarks/scale/role_costs.cpp
@@ -110,12 +110,12 @@
       continue;
     }
     if (shows_progress) {
-      std::cerr << "measuring " << group << " ..." << std::endl;
+      std::cerr << "measuring " << group << " ...\n";
     }
     try {
       one.run(context, [&](const CostSeries& series) { take(series, group); });
     } catch (const std::exception& error) {
-      std::cerr << "role_costs: " << group << ": " << error.what() << std::endl;
+      std::cerr << "role_costs: " << group << ": " << error.what() << '\n';
       ++out.failed;
     }
   }
--- a/benchmarks/scale/scale_bench.cpp
+++ b/benchmarks/scale/scale_bench.cpp
@@ -26,9 +26,34 @@
 
 namespace {
 
-using namespace trailcourse::scale;
 using nlohmann::json;
 using trailcourse::Micros;
+using trailcourse::scale::AcknowledgementOptions;
+using trailcourse::scale::AcknowledgementSeries;
+using trailcourse::scale::applies;
+using trailcourse::scale::BoardCalls;
+using trailcourse::scale::ChangeSeries;
+using trailcourse::scale::Condition;
+using trailcourse::scale::FaultFigures;
+using trailcourse::scale::FaultOptions;
+using trailcourse::scale::FleetModel;
+using trailcourse::scale::FleetShape;
+using trailcourse::scale::kConditions;
+using trailcourse::scale::loopback;
+using trailcourse::scale::measure_acknowledgements;
+using trailcourse::scale::measure_board;
+using trailcourse::scale::measure_changes;
+using trailcourse::scale::measure_queue;
+using trailcourse::scale::measure_rest;
+using trailcourse::scale::measured_here;
+using trailcourse::scale::QueueFigures;
+using trailcourse::scale::RestFigures;
+using trailcourse::scale::run_faults;
+using trailcourse::scale::save_slopes;
+using trailcourse::scale::SeriesOptions;
+using trailcourse::scale::shape_of;
+using trailcourse::scale::Slope;
+using trailcourse::scale::to_string;
 
 constexpr Micros kStartSpread{1'000'000};
 constexpr Micros kSettle{60'000'000};
@@ -205,7 +230,7 @@
         line += (line.empty() ? "" : "  ") + key + "=" +
                 (value.is_string() ? value.get<std::string>() : value.dump());
       }
-      std::cout << line << std::endl;
+      std::cout << line << '\n' << std::flush;
     }
     rows_.push_back(std::move(row));
   }
@@ -217,7 +242,7 @@
   }
   void finish() const {
     if (options_.as_json) {
-      std::cout << rows_.dump(1) << std::endl;
+      std::cout << rows_.dump(1) << '\n' << std::flush;
     }
     SlopeTable slopes;
     for (const json& row : rows_) {
@@ -464,7 +489,7 @@
   void check(const std::string& broken) {
     if (!broken.empty()) {
       sound_ = false;
-      std::cerr << "BROKEN: " << broken << std::endl;
+      std::cerr << "BROKEN: " << broken << '\n';
     }
   }
 
@@ -525,7 +550,7 @@
     const Options options = read_options(argc, argv);
     return Bench(options).run() ? 0 : 1;
   } catch (const std::exception& error) {
-    std::cerr << "scale_bench: " << error.what() << std::endl;
+    std::cerr << "scale_bench: " << error.what() << '\n';
     return 2;
   }
 }
--- a/benchmarks/storage_bench.cpp
+++ b/benchmarks/storage_bench.cpp
@@ -153,6 +153,7 @@
   constexpr std::size_t kSize = 100'000;
   std::printf("| round | plain pwrite + fdatasync | store | share |\n| --- | --- | --- | --- |\n");
   std::vector<std::shared_ptr<const std::string>> values;
+  values.reserve(64);
   for (std::size_t i = 0; i < 64; ++i) {
     values.push_back(std::make_shared<const std::string>(noise(kSize, i)));
   }
@@ -202,82 +203,117 @@
   return all[std::min(all.size() - 1, static_cast<std::size_t>(share * static_cast<double>(all.size())))];
 }
 
-// `cold`: the system's cache is told to forget the bytes before each read, so that they come from the disk.
-void read_bench(const std::string& folder, bool cold) {
-  constexpr std::size_t kCount = 4'000;
-  const std::size_t kReads = cold ? 4'000 : 20'000;
-  std::printf(
-      "| value | plain pread p50, p99 | disk hit p50, p99 | p99 ratio |\n| --- | --- | --- | --- |\n");
-  for (const std::size_t size : {4'096U, 64U << 10U, 240'000U}) {
-    std::filesystem::remove_all(folder);
-    Rig rig(folder, bench_options(4'096));
-    rig.open();
-    for (std::size_t i = 0; i < kCount; ++i) {
-      rig.store.find(numbered(i), 2);
-      rig.store.keep(numbered(i), Copy{"tag", 1, 3, std::make_shared<const std::string>(noise(size, i))}, 2);
+constexpr std::size_t kReadCopies = 4'000;
+
+// Reads of one size of value: by the store, and the same bytes by a plain pread in the same pool.
+class ReadComparison {
+ public:
+  // `cold`: the system's cache is told to forget the bytes before each read, so that they come from the disk.
+  ReadComparison(const std::string& folder, std::size_t size, bool cold)
+      : folder_(folder), size_(size), cold_(cold), rig_(folder, bench_options(4'096)) {
+    rig_.open();
+    fill();
+    open_segments();
+  }
+
+  // Reads in turns, so that what else the machine does falls on both. A plain read is run in the pool too: the way there
+  // and back is that of any program that must not block.
+  void run() {
+    const std::size_t reads = cold_ ? 4'000 : 20'000;
+    std::mt19937 random(3);
+    for (std::size_t i = 0; i < reads; ++i) {
+      read_plainly(rows_[random() % rows_.size()].location);
+      read_by_store(numbered(random() % kReadCopies));
+    }
+  }
+
+  void print() {
+    const double plain_99 = quantile(plain_us_, 0.99);
+    const double ours_99 = quantile(ours_us_, 0.99);
+    std::printf("| %zu bytes | %.0f, %.0f us | %.0f, %.0f us | %.2f |\n", size_, quantile(plain_us_, 0.5),
+                plain_99, quantile(ours_us_, 0.5), ours_99, ours_99 / plain_99);
+  }
+
+ private:
+  void fill() {
+    for (std::size_t i = 0; i < kReadCopies; ++i) {
+      rig_.store.find(numbered(i), 2);
+      rig_.store.keep(numbered(i), Copy{"tag", 1, 3, std::make_shared<const std::string>(noise(size_, i))},
+                      2);
       if (i % 50 == 49) {
-        rig.loop.run_until([&rig, i] { return rig.store.stats().disk_copies + 100 > i; });
+        rig_.loop.run_until([this, i] { return rig_.store.stats().disk_copies + 100 > i; });
       }
     }
-    rig.flush();
-    const auto files = look_into_folder(folder);
-    const auto index = open_sqlite_index(folder, true);
-    const std::vector<IndexRow> rows = index->rows(nullptr, kCount);
-    std::map<SegmentId, int> open_files;
-    for (const IndexRow& row : rows) {
+    rig_.flush();
+  }
+
+  void open_segments() {
+    rows_ = open_sqlite_index(folder_, true)->rows(nullptr, kReadCopies);
+    for (const IndexRow& row : rows_) {
+      locations_[row.key] = row.location;
       char name[32];
       std::snprintf(name, sizeof name, "/seg-%010u.dat", row.location.segment);
-      if (!open_files.contains(row.location.segment)) {
-        open_files[row.location.segment] = ::open((folder + name).c_str(), O_RDONLY);
+      if (!open_files_.contains(row.location.segment)) {
+        open_files_[row.location.segment] = ::open((folder_ + name).c_str(), O_RDONLY);
       }
     }
-    std::map<Key, Location> places;
-    for (const IndexRow& row : rows) {
-      places[row.key] = row.location;
+  }
+
+  void forget_if_cold(const Location& where) {
+    if (cold_) {
+      ::posix_fadvise(open_files_[where.segment], 0, 0, POSIX_FADV_DONTNEED);
     }
-    const auto forget = [&](const Location& where) {
-      if (cold) {
-        ::posix_fadvise(open_files[where.segment], 0, 0, POSIX_FADV_DONTNEED);
-      }
-    };
-    std::mt19937 random(3);
-    std::vector<double> plain;
-    std::vector<double> ours;
-    // Taken in turns, so that what else the machine does falls on both. A plain read is run in the pool too:
-    // the way there and back is that of any program that must not block.
-    for (std::size_t i = 0; i < kReads; ++i) {
-      const IndexRow& row = rows[random() % rows.size()];
-      bool done = false;
-      forget(row.location);
-      Clock::time_point begun = Clock::now();
-      rig.pool.run(
-          Executor::Lane::kRead,
-          [&] {
-            std::string buffer(row.location.stored, '\0');
-            if (::pread(open_files[row.location.segment], buffer.data(), buffer.size(), row.location.offset) <
-                0) {
-              std::perror("pread");
-            }
-          },
-          [&done] { done = true; });
-      rig.loop.run_until([&done] { return done; });
-      plain.push_back(seconds_since(begun) * 1e6);
-      const Name name = numbered(random() % kCount);
-      done = false;
-      forget(places[name.key]);
-      begun = Clock::now();
-      if (rig.store.find(name, 2).where != Store::Where::kDisk) {
-        std::fprintf(stderr, "not on disk\n");
-        continue;
-      }
-      rig.store.read(name, [&done](const ReadResult& result) { done = result.status == ReadStatus::kWhole; });
-      rig.loop.run_until([&done] { return done; });
-      ours.push_back(seconds_since(begun) * 1e6);
+  }
+
+  void read_plainly(const Location& where) {
+    bool done = false;
+    forget_if_cold(where);
+    const Clock::time_point begun = Clock::now();
+    rig_.pool.run(
+        Executor::Lane::kRead,
+        [this, &where] {
+          std::string buffer(where.stored, '\0');
+          if (::pread(open_files_[where.segment], buffer.data(), buffer.size(), where.offset) < 0) {
+            std::perror("pread");
+          }
+        },
+        [&done] { done = true; });
+    rig_.loop.run_until([&done] { return done; });
+    plain_us_.push_back(seconds_since(begun) * 1e6);
+  }
+
+  void read_by_store(const Name& name) {
+    bool done = false;
+    forget_if_cold(locations_[name.key]);
+    const Clock::time_point begun = Clock::now();
+    if (rig_.store.find(name, 2).where != Store::Where::kDisk) {
+      std::fprintf(stderr, "not on disk\n");
+      return;
     }
-    const double plain_99 = quantile(plain, 0.99);
-    const double ours_99 = quantile(ours, 0.99);
-    std::printf("| %zu bytes | %.0f, %.0f us | %.0f, %.0f us | %.2f |\n", size, quantile(plain, 0.5),
-                plain_99, quantile(ours, 0.5), ours_99, ours_99 / plain_99);
+    rig_.store.read(name, [&done](const ReadResult& result) { done = result.status == ReadStatus::kWhole; });
+    rig_.loop.run_until([&done] { return done; });
+    ours_us_.push_back(seconds_since(begun) * 1e6);
+  }
+
+  std::string folder_;
+  std::size_t size_;
+  bool cold_;
+  Rig rig_;
+  std::vector<IndexRow> rows_;
+  std::map<SegmentId, int> open_files_;
+  std::map<Key, Location> locations_;
+  std::vector<double> plain_us_;
+  std::vector<double> ours_us_;
+};
+
+void read_bench(const std::string& folder, bool cold) {
+  std::printf(
+      "| value | plain pread p50, p99 | disk hit p50, p99 | p99 ratio |\n| --- | --- | --- | --- |\n");
+  for (const std::size_t size : {4'096U, 64U << 10U, 240'000U}) {
+    std::filesystem::remove_all(folder);
+    ReadComparison comparison(folder, size, cold);
+    comparison.run();
+    comparison.print();
   }
 }
 
@@ -607,6 +643,7 @@
     index->commit(batch);
   }
   const double took = seconds_since(begun);
+  const std::size_t commits = count / kBatch;
   begun = Clock::now();
   std::size_t rows = 0;
   std::optional<Key> after;
@@ -619,7 +656,7 @@
     after = some.back().key;
   }
   std::printf("| %zu rows | %.1f us a commit of %zu | scan %.0f ms | %.0f MB on disk | %llu KB of memory |\n",
-              rows, took / static_cast<double>(count / kBatch) * 1e6, kBatch, seconds_since(begun) * 1e3,
+              rows, took / static_cast<double>(commits) * 1e6, kBatch, seconds_since(begun) * 1e3,
               static_cast<double>(std::filesystem::file_size(folder + "/index.sqlite")) / 1e6,
               static_cast<unsigned long long>(anonymous_kb() - before));
 }
--- a/tests/cache_node_test.cpp
+++ b/tests/cache_node_test.cpp
@@ -250,6 +250,9 @@
 };
 
 class CacheNodeTest : public testing::Test {
+ public:
+  ~CacheNodeTest() override { std::filesystem::remove_all(folder_); }
+
  protected:
   CacheNodeTest()
       : folder_(testing::TempDir() + "trailcourse-disk-" + std::to_string(::getpid()) + "-" +
@@ -257,7 +260,6 @@
         origin_([this](const CacheRequest& request) { return answer(request); }) {
     std::filesystem::remove_all(folder_);
   }
-  ~CacheNodeTest() override { std::filesystem::remove_all(folder_); }
 
   std::optional<std::string> answer(const CacheRequest& request) {
     if (request.command != "serve") {
@@ -336,6 +338,7 @@
     version_ = round + 2;
     std::atomic<bool> stop = false;
     std::vector<std::thread> load;
+    load.reserve(2);
     for (std::uint32_t thread = 0; thread < 2; ++thread) {
       load.emplace_back([&, seed = random() + thread] {
         std::mt19937 draw(seed);
@@ -468,6 +471,7 @@
   };
   // Made once: the children of this process have them, too.
   std::vector<store::Copy> copies;
+  copies.reserve(48);
   for (int i = 0; i < 48; ++i) {
     copies.push_back(copy_of(i % 12, i, 120'000, 1'000 + i));
   }
@@ -717,6 +721,7 @@
   rlimit few{48, 48};
   ASSERT_EQ(::prlimit(node.pid(), RLIMIT_NOFILE, &few, nullptr), 0);
   std::vector<std::unique_ptr<Peer>> idle;
+  idle.reserve(120);
   for (int i = 0; i < 120; ++i) {
     idle.push_back(std::make_unique<Peer>(node.port()));
   }
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -103,7 +103,8 @@
     }
     try {
       evaluate(text, names);
-    } catch (const FormulaError&) {
+    } catch (const FormulaError& error) {
+      EXPECT_STRNE(error.what(), "") << text;
     }
   }
 }
--- a/tests/cold_sum_test.cpp
+++ b/tests/cold_sum_test.cpp
@@ -308,15 +308,10 @@
   return world;
 }
 
-std::vector<World> worlds() {
+// Worlds whose caches hold what they are asked for.
+std::vector<World> plain_worlds() {
   World plain;
   plain.name = "plain";
-  const World small = like(plain, "small_caches", [](World& w) {
-    w.transfers = 3.0;
-    w.factor = 1.5;
-    w.span_s = 1.0;
-    w.requests_per_s = 20.0;
-  });
   return {plain,
           like(plain, "uneven_and_busy",
                [](World& w) {
@@ -349,7 +344,39 @@
                  w.requests_per_s = 4.0;
                  w.all_restart_at_3 = true;
                }),
-          small,
+          like(plain, "large_caches",
+               [](World& w) {
+                 w.transfers = 60.0;
+                 w.requests_per_s = 40.0;
+               }),
+          like(plain, "three_routers",
+               [](World& w) {
+                 w.routers = 3;
+                 w.requests_per_s = 100.0;
+               }),
+          like(plain, "twenty_routers",
+               [](World& w) {
+                 w.routers = 20;
+                 w.restarts_per_s = 4.0;
+                 w.requests_per_s = 20.0;
+               }),
+          like(plain, "three_hundred_routers", [](World& w) {
+            w.routers = 300;
+            w.requests_per_s = 3.0;
+            w.all_restart_at_3 = true;
+            w.length_s = 10.0;
+          })};
+}
+
+// Worlds whose caches are small for what they are asked for.
+std::vector<World> small_cache_worlds() {
+  const World small = like(World(), "small_caches", [](World& w) {
+    w.transfers = 3.0;
+    w.factor = 1.5;
+    w.span_s = 1.0;
+    w.requests_per_s = 20.0;
+  });
+  return {small,
           like(small, "small_caches_with_restarts",
                [](World& w) {
                  w.restarts_per_s = 10.0;
@@ -384,29 +411,15 @@
                  w.span_s = 1.0;
                }),
           like(small, "every_third_router_is_here", [](World& w) { w.stride = 3; }),
-          like(small, "every_eighth_router_is_here", [](World& w) { w.stride = 8; }),
-          like(plain, "large_caches",
-               [](World& w) {
-                 w.transfers = 60.0;
-                 w.requests_per_s = 40.0;
-               }),
-          like(plain, "three_routers",
-               [](World& w) {
-                 w.routers = 3;
-                 w.requests_per_s = 100.0;
-               }),
-          like(plain, "twenty_routers",
-               [](World& w) {
-                 w.routers = 20;
-                 w.restarts_per_s = 4.0;
-                 w.requests_per_s = 20.0;
-               }),
-          like(plain, "three_hundred_routers", [](World& w) {
-            w.routers = 300;
-            w.requests_per_s = 3.0;
-            w.all_restart_at_3 = true;
-            w.length_s = 10.0;
-          })};
+          like(small, "every_eighth_router_is_here", [](World& w) { w.stride = 8; })};
+}
+
+std::vector<World> worlds() {
+  std::vector<World> all = plain_worlds();
+  for (World& world : small_cache_worlds()) {
+    all.push_back(std::move(world));
+  }
+  return all;
 }
 
 class ColdSum : public testing::TestWithParam<World> {};
--- a/tests/crash_states.h
+++ b/tests/crash_states.h
@@ -3,6 +3,7 @@
 // made or removed and not synced, there or not; and the index at any commit up to then.
 #pragma once
 
+#include <algorithm>
 #include <cstddef>
 #include <functional>
 #include <map>
@@ -41,83 +42,125 @@
   }
 }
 
-// Calls `look` with each state of the folder and the number of the index's state; gives how many there were.
-inline std::size_t each_crash_state(const std::vector<FileOp>& history,
-                                    const std::function<void(const Folder&, std::size_t commit)>& look) {
-  std::size_t count = 0;
-  for (std::size_t length = 0; length <= history.size(); ++length) {
-    Folder durable;  // names and bytes that are sure to be there
-    std::vector<FileOp> writes;
-    std::vector<FileOp> names;
-    std::map<std::string, std::string> removed;
-    std::size_t commits = 0;
-    for (std::size_t i = 0; i < length; ++i) {
-      const FileOp& op = history[i];
-      switch (op.kind) {
-        case FileOp::Kind::kCreate:
-        case FileOp::Kind::kRemove:
-          if (op.kind == FileOp::Kind::kRemove) {
-            removed[op.name] = durable[op.name];
-            std::erase_if(writes, [&op](const FileOp& one) { return one.name == op.name; });
-          }
-          names.push_back(op);
-          durable[op.name].clear();
-          break;
-        case FileOp::Kind::kWrite:
-          writes.push_back(op);
-          break;
-        case FileOp::Kind::kSync:
-          for (const FileOp& write : writes) {
-            if (write.name == op.name) {
-              apply_torn(durable[op.name], write, kWhole);
-            }
-          }
-          std::erase_if(writes, [&op](const FileOp& one) { return one.name == op.name; });
-          break;
-        case FileOp::Kind::kSyncNames:
-          for (const FileOp& name : names) {
-            if (name.kind == FileOp::Kind::kRemove) {
-              durable.erase(name.name);
-            }
-          }
-          names.clear();
-          break;
-        case FileOp::Kind::kRename:
-          break;
-        case FileOp::Kind::kCommit:
-          ++commits;
-          break;
-      }
+// What a folder is sure to hold after a prefix of its history, and what a crash then may leave there or undo.
+struct HistoryPrefix {
+  Folder durable;  // names and bytes that are sure to be there
+  std::vector<FileOp> unsynced_writes;
+  std::vector<FileOp> unsynced_names;          // created or removed
+  std::map<std::string, std::string> removed;  // bytes of files whose removal may be undone
+  std::size_t commits = 0;
+
+  void apply(const FileOp& op) {
+    switch (op.kind) {
+      case FileOp::Kind::kCreate:
+        change_name(op);
+        break;
+      case FileOp::Kind::kRemove:
+        removed[op.name] = durable[op.name];
+        forget_writes(op.name);
+        change_name(op);
+        break;
+      case FileOp::Kind::kWrite:
+        unsynced_writes.push_back(op);
+        break;
+      case FileOp::Kind::kSync:
+        sync(op.name);
+        break;
+      case FileOp::Kind::kSyncNames:
+        sync_names();
+        break;
+      case FileOp::Kind::kRename:
+        break;
+      case FileOp::Kind::kCommit:
+        ++commits;
+        break;
     }
+  }
+
+  // In how many ways the unsynced writes can be there, together.
+  std::size_t write_ways() const {
     std::size_t ways = 1;
-    for (const FileOp& write : writes) {
+    for (const FileOp& write : unsynced_writes) {
       ways *= torn_ways(write);
     }
-    for (std::size_t way = 0; way < ways; ++way) {
-      for (std::size_t name_way = 0; name_way < (std::size_t{1} << names.size()); ++name_way) {
-        Folder folder = durable;
-        std::size_t digits = way;
-        for (const FileOp& write : writes) {
-          apply_torn(folder[write.name], write, digits % torn_ways(write));
-          digits /= torn_ways(write);
-        }
-        for (std::size_t i = 0; i < names.size(); ++i) {
-          const bool done = ((name_way >> i) & 1U) != 0;
-          const bool removal = names[i].kind == FileOp::Kind::kRemove;
-          if (removal && !done) {
-            folder[names[i].name] = removed[names[i].name];
-          } else if (removal == done) {
-            folder.erase(names[i].name);
-          }
-        }
-        for (std::size_t commit = 0; commit <= commits; ++commit) {
-          look(folder, commit);
-          ++count;
-        }
+    return ways;
+  }
+  // In how many ways the unsynced names can be there, together.
+  std::size_t name_ways() const { return std::size_t{1} << unsynced_names.size(); }
+
+  // The folder as a crash leaves it, for one of the ways of the writes and one of the names.
+  Folder after_crash(std::size_t write_way, std::size_t name_way) const {
+    Folder folder = durable;
+    for (const FileOp& write : unsynced_writes) {
+      apply_torn(folder[write.name], write, write_way % torn_ways(write));
+      write_way /= torn_ways(write);
+    }
+    for (std::size_t i = 0; i < unsynced_names.size(); ++i) {
+      const FileOp& change = unsynced_names[i];
+      const bool done = ((name_way >> i) & 1U) != 0;
+      const bool removal = change.kind == FileOp::Kind::kRemove;
+      if (removal && !done) {
+        folder[change.name] = removed.at(change.name);
+      } else if (removal == done) {
+        folder.erase(change.name);
+      }
+    }
+    return folder;
+  }
+
+ private:
+  void change_name(const FileOp& op) {
+    unsynced_names.push_back(op);
+    durable[op.name].clear();
+  }
+  void forget_writes(const std::string& name) {
+    std::erase_if(unsynced_writes, [&name](const FileOp& write) { return write.name == name; });
+  }
+  void sync(const std::string& name) {
+    for (const FileOp& write : unsynced_writes) {
+      if (write.name == name) {
+        apply_torn(durable[name], write, kWhole);
+      }
+    }
+    forget_writes(name);
+  }
+  void sync_names() {
+    for (const FileOp& change : unsynced_names) {
+      if (change.kind == FileOp::Kind::kRemove) {
+        durable.erase(change.name);
+      }
+    }
+    unsynced_names.clear();
+  }
+};
+
+// Calls `look` with each state that a crash after this prefix can leave, and each number of the index's commits up to
+// then. Returns how many there were.
+inline std::size_t each_crash_state_after(
+    const HistoryPrefix& prefix, const std::function<void(const Folder&, std::size_t commit)>& look) {
+  std::size_t count = 0;
+  for (std::size_t write_way = 0; write_way < prefix.write_ways(); ++write_way) {
+    for (std::size_t name_way = 0; name_way < prefix.name_ways(); ++name_way) {
+      const Folder folder = prefix.after_crash(write_way, name_way);
+      for (std::size_t commit = 0; commit <= prefix.commits; ++commit) {
+        look(folder, commit);
+        ++count;
       }
     }
   }
   return count;
 }
 
+// Calls `look` with each state of the folder and the number of the index's state; gives how many there were.
+inline std::size_t each_crash_state(const std::vector<FileOp>& history,
+                                    const std::function<void(const Folder&, std::size_t commit)>& look) {
+  HistoryPrefix prefix;
+  std::size_t count = each_crash_state_after(prefix, look);
+  for (const FileOp& op : history) {
+    prefix.apply(op);
+    count += each_crash_state_after(prefix, look);
+  }
+  return count;
+}
+
 }  // namespace trailcourse::testing_support
--- a/tests/fleet/aggregation_test.cpp
+++ b/tests/fleet/aggregation_test.cpp
@@ -12,7 +12,6 @@
 namespace trailcourse::testing_support {
 namespace {
 
-using fleet::Kind;
 using fleet::Shape;
 using nlohmann::json;
 
@@ -211,6 +210,8 @@
   std::vector<std::string> begins;
   std::vector<std::string> ends;
 };
+void PrintTo(const AggregatorFault& fault, std::ostream* out) { *out << fault.name; }
+
 class AggregatorFaultTest : public testing::TestWithParam<AggregatorFault> {};
 INSTANTIATE_TEST_SUITE_P(
     Faults, AggregatorFaultTest,
--- a/tests/fleet/ownership_test.cpp
+++ b/tests/fleet/ownership_test.cpp
@@ -179,7 +179,6 @@
   fields.admit = 1;
   fields.fence = fence;
   const std::string command = protocol::write_serve("0000000000000abc", fields, "");
-  std::string bytes;
   std::vector<std::string> words;
   protocol::resp::Parser parser({});
   for (int tries = 0, sent = 0; tries < 4'000 && words.empty(); ++tries) {
@@ -208,6 +207,8 @@
   std::string name;
   std::vector<std::string> before;  // faults just before the owner is stopped
 };
+void PrintTo(const Stop& fault, std::ostream* out) { *out << fault.name; }
+
 class StoppedOwnerTest : public testing::TestWithParam<Stop> {};
 INSTANTIATE_TEST_SUITE_P(Steps, StoppedOwnerTest,
                          testing::Values(Stop{"InItsWork", {}},
@@ -234,7 +235,7 @@
   }
   fleet.rig.run_for(milliseconds(150));
   fleet.rig.fault("stop " + first);
-  const std::string second = fleet.await_owner("evening", first);
+  EXPECT_NE(fleet.await_owner("evening", first), first);
   if (GetParam().name == "WithEffectsOnTheWay") {
     fleet.rig.fault("heal *>cache0");
   }
@@ -316,7 +317,7 @@
   const std::string first = fleet.await_owner("evening");
   ASSERT_TRUE(fleet.await_filled("evening", 2));
   fleet.rig.fault("cut " + first + ">registry both");
-  const std::string second = fleet.await_owner("evening", first);
+  EXPECT_NE(fleet.await_owner("evening", first), first);
   EXPECT_TRUE(fleet.rig.fleet().await_log(first, "aborts evening/0", kAwaited)) << fleet.rig.logs();
   // It serves on.
   EXPECT_EQ(ask_all(fleet.rig, {first}, 5), kNone);
--- a/tests/fleet/policy_test.cpp
+++ b/tests/fleet/policy_test.cpp
@@ -11,7 +11,6 @@
 namespace trailcourse::testing_support {
 namespace {
 
-using fleet::Kind;
 using fleet::Shape;
 using nlohmann::json;
 using std::chrono::milliseconds;
@@ -102,6 +101,8 @@
   std::string words;  // in a driver's log, at which it is killed or stopped
   bool stop;
 };
+void PrintTo(const Kill& fault, std::ostream* out) { *out << fault.name; }
+
 class DriverFaultTest : public testing::TestWithParam<Kill> {};
 INSTANTIATE_TEST_SUITE_P(Steps, DriverFaultTest,
                          testing::Values(Kill{"KilledAsItBegins", "starts policy/0", false},
@@ -152,7 +153,7 @@
   const std::vector<std::string> all = fleet.rig.routers();
   for (int i = 0; i < kChanges; ++i) {
     ASSERT_EQ(fleet.propose(1.0 + i), 0) << fleet.said;
-    const std::string victim = all[random() % all.size()];
+    const std::string& victim = all[random() % all.size()];
     fleet.until_loaded(all, [] { return true; }, milliseconds(random() % 150));
     fleet.rig.fleet().kill(victim);
     fleet.until_loaded(all, [] { return false; }, milliseconds(random() % 200));
--- a/tests/integration_test.cpp
+++ b/tests/integration_test.cpp
@@ -596,6 +596,7 @@
   list_all();
   start({{"limits", {{"sockets", 64}}}});
   std::vector<std::unique_ptr<Client>> idle;
+  idle.reserve(80);
   for (int i = 0; i < 80; ++i) {
     idle.push_back(std::make_unique<Client>(program_->port()));
   }
--- a/tests/ownership_simulation.cpp
+++ b/tests/ownership_simulation.cpp
@@ -88,13 +88,13 @@
 
   // A call of a router to the store.
   template <typename Value>
-  void call_store(int index, std::function<Value()> serve, std::function<void(const Value&)> answer,
+  void call_store(int index, const std::function<Value()>& serve, std::function<void(const Value&)> answer,
                   std::function<void()> no_response) {
     call<Value>(
         router(index), nullptr, !calm_ && router(index).cut,
         [this, serve]() -> std::optional<Value> {
           ledger_.expire(store_clock());
-          const Value value = serve();
+          Value value = serve();
           send_changes();
           return value;
         },
@@ -247,9 +247,10 @@
         [this, lease] {
           try {
             ledger_.revoke(lease);
+            return true;
           } catch (const coordination::OperationRejected&) {
+            return false;  // it has expired: as good as revoked
           }
-          return true;
         },
         [this, index, id, call_id](const bool&) {
           manager(index).on_release_result(router_now(index), id, call_id);
--- a/tests/recorded_files_test.cpp
+++ b/tests/recorded_files_test.cpp
@@ -65,12 +65,14 @@
 
 // Opens copies of the recorded files, so that the recorded ones stay as they are.
 class RecordedFiles : public testing::Test {
+ public:
+  ~RecordedFiles() override { std::filesystem::remove_all(folder_); }
+
  protected:
   RecordedFiles() : folder_(testing::TempDir() + "trailcourse-recorded-" + std::to_string(::getpid())) {
     std::filesystem::remove_all(folder_);
     std::filesystem::create_directories(folder_);
   }
-  ~RecordedFiles() override { std::filesystem::remove_all(folder_); }
 
   std::string copy_of_fixture(const std::string& name) const {
     std::filesystem::copy(fixture(name), folder_ / name, std::filesystem::copy_options::recursive);
--- a/tests/run_line_test.cpp
+++ b/tests/run_line_test.cpp
@@ -79,6 +79,7 @@
   // ptrace answers to the thread that started the process, so that one does all of it.
   void trace() {
     std::vector<char*> environment;
+    environment.reserve(environment_.size() + 1);
     for (std::string& one : environment_) {
       environment.push_back(one.data());
     }
@@ -220,6 +221,8 @@
 
   static void read_from(pid_t who, std::uint64_t address, void* into, std::size_t size) {
     iovec here{into, size};
+    // An address of the traced process is a number here, and the call takes it as a pointer.
+    // NOLINTNEXTLINE(performance-no-int-to-ptr): process_vm_readv has no other form
     iovec there{reinterpret_cast<void*>(address), size};
     ::process_vm_readv(who, &here, 1, &there, 1, 0);
   }
@@ -294,6 +297,9 @@
 }
 
 class RunLineTest : public testing::Test {
+ public:
+  ~RunLineTest() override { std::filesystem::remove_all(root_); }
+
  protected:
   // The root as `run` sees it: its `build` is the folder of the program under test.
   RunLineTest() : root_(testing::TempDir() + "trailcourse-root-" + std::to_string(::getpid())) {
@@ -302,7 +308,6 @@
     std::filesystem::create_directory_symlink(std::filesystem::path(TRAILCOURSE_PROGRAM).parent_path(),
                                               root_ + "/build");
   }
-  ~RunLineTest() override { std::filesystem::remove_all(root_); }
 
   std::vector<std::string> environment(const std::string& config) const {
     const char* path = std::getenv("PATH");
--- a/tests/stand_ins.cpp
+++ b/tests/stand_ins.cpp
@@ -180,57 +180,84 @@
   });
 }
 
-void CacheStandIn::serve(int socket) {
-  protocol::resp::Parser parser{protocol::resp::Bounds()};
-  CacheRequest request;
-  std::vector<CacheRequest> whole;
-  const auto take = [&](const protocol::resp::Event& event) {
+namespace {
+
+// Puts the events of the parser together to whole requests.
+class RequestReader {
+ public:
+  void take(const protocol::resp::Event& event) {
     if (const auto* head = std::get_if<protocol::resp::ArrayHead>(&event)) {
-      request = CacheRequest();
-      request.command = head->words.at(0);
-      request.id = head->words.size() > 1 ? head->words[1] : "";
-      std::string list = head->words.size() > 2 ? head->words[2] : "";
-      while (!list.empty()) {
-        const std::string field = list.substr(0, list.find(','));
-        list.erase(0, field.size() + 1);
-        request.fields[field.substr(0, field.find('='))] = field.substr(field.find('=') + 1);
-      }
+      begin(*head);
     } else if (const auto* piece = std::get_if<protocol::resp::ArrayPiece>(&event)) {
-      request.body += piece->bytes;
+      request_.body += piece->bytes;
     } else if (std::holds_alternative<protocol::resp::ArrayEnd>(event)) {
-      if (request.id.empty()) {
-        request.id = std::exchange(request.body, {});
+      if (request_.id.empty()) {
+        request_.id = std::exchange(request_.body, {});
       }
-      whole.push_back(request);
+      whole_.push_back(request_);
     }
-  };
+  }
+
+  // The requests that are complete since the last call.
+  std::vector<CacheRequest> take_whole() { return std::exchange(whole_, {}); }
+
+ private:
+  void begin(const protocol::resp::ArrayHead& head) {
+    request_ = CacheRequest();
+    request_.command = head.words.at(0);
+    request_.id = head.words.size() > 1 ? head.words[1] : "";
+    std::string list = head.words.size() > 2 ? head.words[2] : "";
+    while (!list.empty()) {
+      const std::string field = list.substr(0, list.find(','));
+      list.erase(0, field.size() + 1);
+      request_.fields[field.substr(0, field.find('='))] = field.substr(field.find('=') + 1);
+    }
+  }
+
+  CacheRequest request_;
+  std::vector<CacheRequest> whole_;
+};
+
+}  // namespace
+
+void CacheStandIn::serve(int socket) {
+  protocol::resp::Parser parser{protocol::resp::Bounds()};
+  RequestReader reader;
   char buffer[65536];
   for (;;) {
     const ssize_t count = ::recv(socket, buffer, sizeof buffer, 0);
     if (count <= 0) {
       return;
     }
-    parser.feed(std::string_view(buffer, static_cast<std::size_t>(count)), take);
-    for (const CacheRequest& one : std::exchange(whole, {})) {
-      Script script;
-      {
-        const std::lock_guard lock(mutex_);
-        seen_.push_back(one);
-        script = script_;
-      }
-      changed_.notify_all();
-      std::optional<std::string> reply = one.command == "serve" ? script(one) : std::nullopt;
-      const bool then_close = reply && reply->ends_with(kThenClose);
-      if (then_close) {
-        reply->resize(reply->size() - std::string_view(kThenClose).size());
-      }
-      if (reply && (!send_all(socket, *reply) || then_close)) {
+    parser.feed(std::string_view(buffer, static_cast<std::size_t>(count)),
+                [&reader](const protocol::resp::Event& event) { reader.take(event); });
+    for (const CacheRequest& request : reader.take_whole()) {
+      if (!reply_to(socket, request)) {
         return;
       }
     }
   }
 }
 
+bool CacheStandIn::reply_to(int socket, const CacheRequest& request) {
+  Script script;
+  {
+    const std::lock_guard lock(mutex_);
+    seen_.push_back(request);
+    script = script_;
+  }
+  changed_.notify_all();
+  std::optional<std::string> reply = request.command == "serve" ? script(request) : std::nullopt;
+  if (!reply) {
+    return true;
+  }
+  const bool then_close = reply->ends_with(kThenClose);
+  if (then_close) {
+    reply->resize(reply->size() - std::string_view(kThenClose).size());
+  }
+  return send_all(socket, *reply) && !then_close;
+}
+
 void BoardStandIn::post(json event) {
   {
     const std::lock_guard lock(mutex_);
@@ -452,6 +479,7 @@
   std::vector<std::string> words{TRAILCOURSE_PROGRAM, "serve", "--config", base_ + ".json"};
   words.insert(words.end(), flags.begin(), flags.end());
   std::vector<char*> raw;
+  raw.reserve(words.size() + 1);
   for (std::string& word : words) {
     raw.push_back(word.data());
   }
@@ -476,17 +504,26 @@
   std::remove((base_ + ".log").c_str());
 }
 
+namespace {
+
+// The status that the program at this port answers its health check with; nothing where it does not listen yet.
+std::optional<int> health_status(std::uint16_t port) {
+  try {
+    Client client(port);
+    const std::optional<Answer> answer = client.ask(1, {{"SCRIPT_NAME", "/healthz"}});
+    return answer ? std::optional<int>(answer->status) : std::nullopt;
+  } catch (const std::runtime_error&) {
+    return std::nullopt;
+  }
+}
+
+}  // namespace
+
 bool Program::await_health(int status) const {
   const Clock::time_point until = Clock::now() + kPatience;
   while (Clock::now() < until) {
-    try {
-      Client client(port_);
-      const std::optional<Answer> answer = client.ask(1, {{"SCRIPT_NAME", "/healthz"}});
-      if (answer && answer->status == status) {
-        return true;
-      }
-    } catch (const std::runtime_error&) {
-      // it does not listen yet
+    if (health_status(port_) == status) {
+      return true;
     }
     std::this_thread::sleep_for(milliseconds(5));
   }
--- a/tests/stand_ins.h
+++ b/tests/stand_ins.h
@@ -98,6 +98,9 @@
   void serve(int socket) override;
 
  private:
+  // Notes the request and sends what the script gives for it; returns whether the connection goes on.
+  bool reply_to(int socket, const CacheRequest& request);
+
   mutable std::mutex mutex_;
   mutable std::condition_variable changed_;
   Script script_;
--- a/tests/store_parts_test.cpp
+++ b/tests/store_parts_test.cpp
@@ -233,7 +233,8 @@
       written += 100;
     }
   }
-  EXPECT_LE(written, 2U * 2'000 + 100 * kSeconds + 100) << "the burst, once overdrawn, and the rate";
+  EXPECT_LE(written, std::int64_t{2} * 2'000 + 100 * kSeconds + 100)
+      << "the burst, once overdrawn, and the rate";
   EXPECT_GE(written, 100U * kSeconds);
 }
 
@@ -338,7 +339,7 @@
   SegmentBook book(1'000, 200);
   for (SegmentId id = 1; id <= 3; ++id) {
     book.grown(id, 200);
-    book.live_added(id, 50 * id);
+    book.live_added(id, std::uint64_t{50} * id);
   }
   book.sealed(2);
   book.sealed(3);
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -621,13 +621,15 @@
 // ---- On a real folder, with the real index.
 
 class StoreFolder : public testing::Test {
+ public:
+  ~StoreFolder() override { std::filesystem::remove_all(path_); }
+
  protected:
   StoreFolder()
       : path_(testing::TempDir() + "trailcourse-store-" + std::to_string(::getpid()) + "-" +
               testing::UnitTest::GetInstance()->current_test_info()->name()) {
     std::filesystem::remove_all(path_);
   }
-  ~StoreFolder() override { std::filesystem::remove_all(path_); }
 
   // A store over the real folder, run step by step.
   std::unique_ptr<Store> open(StoreRig& rig) {
--- a/tests/transport_test.cpp
+++ b/tests/transport_test.cpp
@@ -219,6 +219,7 @@
     listener_ = listen_on(kAnyPort, 0);
     address_ = local_of(listener_.descriptor.get());
     std::vector<Opened> fillers;
+    fillers.reserve(8);
     for (int i = 0; i < 8; ++i) {
       fillers.push_back(start_connect(address_));
     }
