--- a/benchmarks/scale/store_costs.cpp
+++ b/benchmarks/scale/store_costs.cpp
@@ -136,25 +136,17 @@
 
 // ---- The ledger on its file ----
 
+// A series of the ledger on its file, without points.
+CostSeries file_series(const std::string& name, const std::string& what) {
+  return {name, what, "us", "leases", "in process", {}};
+}
+
 void measure_file(const CostContext& context, const CostSink& sink) {
-  CostSeries commit{"store.cpu.file.transaction",
-                    "a permit written durably, processor time",
-                    "us",
-                    "leases",
-                    "in process",
-                    {}};
-  CostSeries wall{"store.time.file.transaction",
-                  "a permit written durably, until it is on disk",
-                  "us",
-                  "leases",
-                  "in process",
-                  {}};
-  CostSeries renew{"store.cpu.file.renewal",
-                   "a lease renewed through the file, processor time",
-                   "us",
-                   "leases",
-                   "in process",
-                   {}};
+  CostSeries commit = file_series("store.cpu.file.transaction", "a permit written durably, processor time");
+  CostSeries wall =
+      file_series("store.time.file.transaction", "a permit written durably, until it is on disk");
+  CostSeries renew =
+      file_series("store.cpu.file.renewal", "a lease renewed through the file, processor time");
   const std::string folder = context.folder + "/ledger";
   for (const int leases : kLeases) {
     std::filesystem::remove_all(folder);
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -33,10 +33,12 @@
 }
 
 class ConfigurationTest : public testing::Test {
+ public:
+  ~ConfigurationTest() override { std::remove(path_.c_str()); }
+
  protected:
   ConfigurationTest()
       : path_(testing::TempDir() + "trailcourse-config-" + std::to_string(::getpid()) + ".json") {}
-  ~ConfigurationTest() override { std::remove(path_.c_str()); }
 
   Configuration read(const json& config) { return read_text(config.dump()); }
   Configuration read_text(const std::string& text) {
--- a/tests/fleet_parts_test.cpp
+++ b/tests/fleet_parts_test.cpp
@@ -115,9 +115,11 @@
 }
 
 class ProcessTest : public testing::Test {
+ public:
+  ~ProcessTest() override { std::filesystem::remove(log_); }
+
  protected:
   ProcessTest() : log_(testing::TempDir() + "trailcourse-process-" + std::to_string(::getpid())) {}
-  ~ProcessTest() override { std::filesystem::remove(log_); }
   std::string log_;
 };
 
@@ -191,6 +193,7 @@
 
 std::vector<std::string> names_of(const std::vector<Endpoint>& endpoints) {
   std::vector<std::string> out;
+  out.reserve(endpoints.size());
   for (const Endpoint& endpoint : endpoints) {
     out.push_back(endpoint.name);
   }
--- a/tests/task_runner_test.cpp
+++ b/tests/task_runner_test.cpp
@@ -53,6 +53,9 @@
 };
 
 class TaskRunnerTest : public testing::Test {
+ public:
+  ~TaskRunnerTest() override { std::filesystem::remove_all(folder_); }
+
  protected:
   TaskRunnerTest() {
     const testing::TestInfo* test = testing::UnitTest::GetInstance()->current_test_info();
@@ -68,7 +71,6 @@
     options_.longest_turn_ms = 0;
     options_.neighbours = 0;
   }
-  ~TaskRunnerTest() override { std::filesystem::remove_all(folder_); }
 
   std::unique_ptr<TaskRunner> make_runner(const std::string& name) {
     auto runner = std::make_unique<TaskRunner>(
