--- /dev/null
+++ b/benchmarks/decision_trace_profiles.h
@@ -0,0 +1,28 @@
+// The settings profiles of the decision trace.
+#pragma once
+
+#include <trailcourse/decider.h>
+
+#include <cstdint>
+#include <string>
+#include <vector>
+
+namespace trailcourse::decision_trace {
+
+// One deployment and the load on it.
+struct Profile {
+  std::string name;
+  Settings settings;
+  std::uint64_t objects = 500;
+  int caches = 6;
+  int parents = 3;
+  int origins = 1;
+  Micros between_requests{8'000};
+  double mean_size_kb = 150.0;
+  double restarts = 0.04;  // of the disturbances
+  double event_share = 1.0;
+};
+// Returns the profiles in the order in which the trace runs them.
+std::vector<Profile> profiles();
+
+}  // namespace trailcourse::decision_trace
--- /dev/null
+++ b/benchmarks/decision_trace_world.cpp
@@ -0,0 +1,289 @@
+// The requests and attempts of the simulated deployment.
+#include "decision_trace_world.h"
+
+#include <algorithm>
+#include <cmath>
+#include <limits>
+#include <utility>
+
+namespace trailcourse::decision_trace {
+namespace {
+
+using std::chrono::milliseconds;
+using std::chrono::seconds;
+
+}  // namespace
+
+AttemptEnded ended_with(RequestId id, int attempt, Status status) {
+  AttemptEnded ended;
+  ended.id = id;
+  ended.attempt = attempt;
+  ended.status = status;
+  return ended;
+}
+
+World::World(const Profile& profile, std::uint64_t seed, TraceHash& hash)
+    : profile_(profile), random_(seed), hash_(hash), decider_(profile.settings, random_.next()) {
+  for (int i = 0; i < profile.caches; ++i) {
+    endpoints_.push_back(new_endpoint(Role::kCache));
+  }
+  for (int i = 0; i < profile.parents; ++i) {
+    endpoints_.push_back(new_endpoint(Role::kParent));
+  }
+  for (int i = 0; i < profile.origins; ++i) {
+    endpoints_.push_back(new_endpoint(Role::kOrigin));
+  }
+}
+
+std::uint64_t World::run(std::uint64_t events) {
+  handle(EndpointListReceived{ListKind::kRestored, endpoints_});
+  handle(EndpointListReceived{ListKind::kFull, endpoints_});
+  schedule(now_, Arrival{});
+  schedule(now_, Disturbance{});
+  while (handled_ < events && !jobs_.empty()) {
+    Job job = jobs_.top();
+    jobs_.pop();
+    now_ = std::max(now_, job.when);
+    std::visit([this](const auto& step) { perform(step); }, job.step);
+  }
+  return handled_;
+}
+
+void World::handle(const Event& event) {
+  ++handled_;
+  std::vector<Action> actions;
+  decider_.handle(now_, event, actions);
+  hash_.add(actions.size());
+  for (const Action& action : actions) {
+    hash_.add(action.index());
+    std::visit(hash_, action);
+    std::visit([this](const auto& one) { execute(one); }, action);
+  }
+}
+
+void World::perform(const Arrival&) {
+  schedule(now_ + random_.exponential(profile_.between_requests / arrival_factor_), Arrival{});
+  RequestArrived request;
+  request.id = ++last_id_;
+  const std::uint64_t classes = class_count_;
+  request.request_class = random_.chance(0.0005) ? 99 : static_cast<int>(random_.below(classes));
+  const double skewed = random_.uniform() * random_.uniform() * random_.uniform();
+  request.object = static_cast<std::uint64_t>(skewed * static_cast<double>(profile_.objects));
+  request.part = random_.chance(0.3) ? static_cast<std::uint32_t>(random_.below(4)) : 0;
+  request.purge_group = request.object % 16;
+  request.size_kb = draw_size();
+  const bool short_of_time = random_.chance(0.1);
+  request.deadline = now_ + (short_of_time ? random_.exponential(milliseconds(60)) : Micros(seconds(5)));
+  request.is_retry = random_.chance(0.08);
+  request.write = random_.chance(0.03);
+  RequestState& state = requests_[request.id];
+  state.size_kb = request.size_kb;
+  state.deadline = request.deadline;
+  state.streaming_class = random_.chance(0.1);
+  schedule(request.deadline + profile_.settings.answer_slack, ClientLeft{request.id});
+  if (random_.chance(0.02)) {
+    schedule(now_ + random_.exponential(milliseconds(80)), ClientLeft{request.id});
+  }
+  handle(request);
+}
+
+double World::draw_size() {
+  if (random_.chance(0.05)) {
+    return 0.0;
+  }
+  if (random_.chance(0.002)) {
+    return 1e12;
+  }
+  return profile_.mean_size_kb * std::exp(2.0 * (random_.uniform() + random_.uniform() - 1.0));
+}
+
+void World::perform(const ClientLeft& left) {
+  const auto found = requests_.find(left.id);
+  if (found == requests_.end() || found->second.finished) {
+    return;
+  }
+  if (std::any_of(found->second.attempts.begin(), found->second.attempts.end(),
+                  [](const AttemptState& attempt) { return attempt.stream_started && !attempt.ended; })) {
+    return;  // a stream has no deadline
+  }
+  finish(left.id);
+  handle(left);
+}
+
+void World::perform(const StreamStarted& started) {
+  if (AttemptState* attempt = open_attempt(started.id, started.attempt)) {
+    attempt->stream_started = true;
+    handle(started);
+  }
+}
+
+void World::execute(const SendAttempt& send) {
+  RequestState& request = requests_[send.id];
+  const int attempt = static_cast<int>(request.attempts.size());
+  request.attempts.emplace_back();
+  FirstByte first{send.id, attempt, {}, Micros(0), false};
+  first.outcome = draw_outcome(send, request);
+  first.outcome.id = send.id;
+  first.outcome.attempt = attempt;
+  first.answer_time = first.outcome.latency;
+  first.streamed = request.streaming_class && first.outcome.status == Status::kOk;
+  const bool waits = random_.chance(0.15);
+  schedule(now_ + (waits ? random_.exponential(milliseconds(60)) : Micros(0)), first);
+}
+
+void World::perform(const FirstByte& first) {
+  if (open_attempt(first.id, first.attempt) == nullptr) {
+    return;
+  }
+  const bool may_begin = decider_.may_begin(now_, first.id, first.attempt);
+  hash_.add(may_begin ? 1U : 0U);
+  AttemptEnded outcome = first.outcome;
+  if (!may_begin) {
+    outcome = ended_with(first.id, first.attempt, Status::kNotSent);
+    schedule(now_, outcome);
+    return;
+  }
+  if (first.streamed) {
+    schedule(now_ + first.answer_time / 2, StreamStarted{first.id, first.attempt});
+  }
+  schedule(now_ + first.answer_time, outcome);
+}
+
+void World::perform(AttemptEnded ended) {
+  AttemptState* attempt = open_attempt(ended.id, ended.attempt);
+  if (attempt == nullptr) {
+    return;
+  }
+  attempt->ended = true;
+  RequestState& request = requests_[ended.id];
+  const bool answered = ended.status == Status::kOk || attempt->stream_started;
+  ended.finished = request.finished || answered;
+  if (ended.finished) {
+    finish(ended.id);
+  }
+  handle(ended);
+  forget_if_over(ended.id);
+}
+
+void World::execute(const Cancel& cancel) {
+  const AttemptState* attempt = open_attempt(cancel.id, cancel.attempt);
+  if (attempt != nullptr && !attempt->stream_started && !random_.chance(0.1)) {
+    AttemptEnded ended = ended_with(cancel.id, cancel.attempt, Status::kCancelled);
+    ended.latency = milliseconds(1);
+    schedule(now_ + milliseconds(1), ended);
+  }
+}
+
+World::AttemptState* World::open_attempt(RequestId id, int attempt) {
+  const auto found = requests_.find(id);
+  const auto index = static_cast<std::size_t>(attempt);
+  const bool made = found != requests_.end() && index < found->second.attempts.size();
+  return made && !found->second.attempts[index].ended ? &found->second.attempts[index] : nullptr;
+}
+
+void World::finish(RequestId id) {
+  requests_[id].finished = true;
+  forget_if_over(id);
+}
+
+void World::forget_if_over(RequestId id) {
+  const auto found = requests_.find(id);
+  if (found != requests_.end() && found->second.finished &&
+      std::all_of(found->second.attempts.begin(), found->second.attempts.end(),
+                  [](const AttemptState& attempt) { return attempt.ended; })) {
+    requests_.erase(found);
+  }
+}
+
+AttemptEnded World::draw_outcome(const SendAttempt& send, const RequestState& request) {
+  AttemptEnded ended;
+  const double work_s = (request.size_kb < 1e9 ? request.size_kb : 100.0) / 1000.0;
+  const double slow =
+      trouble_[send.cache] == Trouble::kSlow || trouble_[send.source] == Trouble::kSlow ? 12 : 1;
+  ended.latency = milliseconds(2) + random_.exponential(milliseconds(12)) +
+                  Micros(static_cast<std::int64_t>(work_s * load_factor_ * slow * 1e6));
+  ended.source_first_byte_time = ended.latency / static_cast<std::int64_t>(1 + random_.below(6));
+  ended.load = draw_report();
+  ended.status = draw_status(send, ended);
+  const bool late = send.timeout > Micros(0) && ended.latency > send.timeout;
+  if (late) {
+    ended.status = Status::kTimeout;
+    ended.latency = send.timeout;
+  }
+  ended.note = draw_note(send, ended.status);
+  return ended;
+}
+
+Status World::draw_status(const SendAttempt& send, AttemptEnded& ended) {
+  switch (trouble_[send.cache]) {
+    case Trouble::kDead:
+      ended.latency = Micros(static_cast<std::int64_t>(300 + random_.below(500)));
+      return Status::kConnectFailed;
+    case Trouble::kUnreachable:
+      ended.latency = milliseconds(400);
+      return Status::kConnectFailed;
+    case Trouble::kSilent:
+      ended.latency = seconds(30);
+      return Status::kTimeout;
+    case Trouble::kResets:
+      return random_.chance(0.6) ? Status::kReset : Status::kOk;
+    case Trouble::kErrors:
+      return random_.chance(0.6) ? Status::kError : Status::kOk;
+    case Trouble::kFull:
+      return random_.chance(0.6) ? Status::kFull : Status::kOk;
+    default:
+      break;
+  }
+  if (send.only_if_cached || send.source == send.cache) {
+    return random_.chance(0.5) ? Status::kNotCached : Status::kOk;
+  }
+  const Trouble source = trouble_[send.source];
+  if (source != Trouble::kNone && source != Trouble::kSlow && random_.chance(0.7)) {
+    return Status::kFull;
+  }
+  const double luck = random_.uniform();
+  const std::vector<Status> rare{Status::kError,     Status::kReset,        Status::kFull,
+                                 Status::kNotCached, Status::kNotSent,      Status::kError,
+                                 Status::kCancelled, Status::kConnectFailed};
+  return luck < failure_rate_ ? random_.pick(rare) : Status::kOk;
+}
+
+Note World::draw_note(const SendAttempt& send, Status status) {
+  const NoteLevel level = profile_.settings.notes;
+  if (level == NoteLevel::kNone) {
+    return Note::kNone;
+  }
+  if (status == Status::kOk) {
+    const std::vector<Note> answers{Note::kHit,    Note::kHit,    Note::kFilled, Note::kFilledFromOrigin,
+                                    Note::kFilled, Note::kJoined, Note::kStale,  Note::kFilledFromOrigin};
+    const Note note = random_.pick(answers);
+    return level == NoteLevel::kHit && note == Note::kFilledFromOrigin ? Note::kFilled : note;
+  }
+  if (level == NoteLevel::kHit || random_.chance(0.3)) {
+    return Note::kNone;
+  }
+  if (status == Status::kNotCached && !random_.chance(0.3)) {
+    return Note::kNotAtSource;
+  }
+  const bool fill = send.source != send.cache;
+  const std::vector<Note> failures{Note::kSourceRejected, Note::kSourceUnreachable, Note::kNoFillCapacity,
+                                   Note::kOriginFailed};
+  return fill && status == Status::kFull ? random_.pick(failures) : Note::kNone;
+}
+
+LoadReport World::draw_report() {
+  LoadReport report;
+  if (random_.chance(0.3)) {
+    return report;
+  }
+  const std::vector<double> absurd{-5.0, 1e300, std::numeric_limits<double>::infinity(),
+                                   std::numeric_limits<double>::quiet_NaN()};
+  report.utilisation = random_.chance(0.01) ? random_.pick(absurd) : random_.uniform();
+  report.concurrent = random_.chance(0.5) ? -1.0 : 3.0 * load_factor_ * random_.uniform();
+  report.hit_share = random_.uniform();
+  report.link_or_fetches =
+      random_.chance(0.3) ? -1.0 : std::min(1.2, 0.2 * load_factor_ + random_.uniform() / 2);
+  return report;
+}
+
+}  // namespace trailcourse::decision_trace
--- /dev/null
+++ b/benchmarks/decision_trace_world.h
@@ -0,0 +1,134 @@
+// The simulated deployment of the decision trace: clients, nodes and disturbances, drawn from one seed.
+#pragma once
+
+#include <trailcourse/decider.h>
+
+#include <cstdint>
+#include <queue>
+#include <string>
+#include <unordered_map>
+#include <utility>
+#include <variant>
+#include <vector>
+
+#include "decision_trace_hash.h"
+#include "decision_trace_profiles.h"
+#include "decision_trace_random.h"
+
+namespace trailcourse::decision_trace {
+
+// Returns the end of an attempt with the status; its other fields have their defaults.
+AttemptEnded ended_with(RequestId id, int attempt, Status status);
+
+// How a node answers at present.
+enum class Trouble { kNone, kDead, kUnreachable, kSilent, kResets, kErrors, kFull, kSlow, kCount };
+
+// A deployment that runs one profile and adds all actions of the decision module to the hash. The profile and the hash have to
+// outlive this object.
+class World {
+ public:
+  World(const Profile& profile, std::uint64_t seed, TraceHash& hash);
+
+  // Returns the number of events handled, which is at least `events`.
+  std::uint64_t run(std::uint64_t events);
+
+ private:
+  struct Arrival {};
+  struct Disturbance {};
+  // The first byte of an attempt is about to be sent; `outcome` is how it ends if it may begin.
+  struct FirstByte {
+    RequestId id;
+    int attempt;
+    AttemptEnded outcome;
+    Micros answer_time;
+    bool streamed;
+  };
+  using Step =
+      std::variant<Arrival, Disturbance, FirstByte, AttemptEnded, StreamStarted, ClientLeft, TimerFired>;
+  struct Job {
+    Micros when;
+    std::uint64_t order;
+    Step step;
+    friend bool operator<(const Job& a, const Job& b) {
+      return a.when != b.when ? a.when > b.when : a.order > b.order;
+    }
+  };
+  struct AttemptState {
+    bool ended = false;
+    bool stream_started = false;
+  };
+  struct RequestState {
+    bool finished = false;
+    bool streaming_class = false;
+    double size_kb = 0.0;
+    Micros deadline{0};
+    std::vector<AttemptState> attempts;
+  };
+
+  void schedule(Micros when, Step step) { jobs_.push(Job{when, ++order_, std::move(step)}); }
+
+  void handle(const Event& event);
+
+  // ---- Requests ----
+  void perform(const Arrival&);
+  double draw_size();
+  void perform(const ClientLeft& left);
+  void perform(const TimerFired& timer) { handle(timer); }
+
+  void perform(const StreamStarted& started);
+
+  // ---- Attempts ----
+  void execute(const SendAttempt& send);
+  void perform(const FirstByte& first);
+  void perform(AttemptEnded ended);
+  void execute(const Cancel& cancel);
+  void execute(const Reject& reject) { finish(reject.id); }
+  void execute(const Fail& fail) { finish(fail.id); }
+  void execute(const SetTimer& timer) { schedule(now_ + timer.delay, TimerFired{timer.token}); }
+  void execute(const Subscribe&) { subscribed_ = true; }
+
+  AttemptState* open_attempt(RequestId id, int attempt);
+  void finish(RequestId id);
+  void forget_if_over(RequestId id);
+  AttemptEnded draw_outcome(const SendAttempt& send, const RequestState& request);
+  Status draw_status(const SendAttempt& send, AttemptEnded& ended);
+  Note draw_note(const SendAttempt& send, Status status);
+  LoadReport draw_report();
+
+  // ---- Disturbances of the deployment ----
+  void perform(const Disturbance&);
+  void purge();
+  void purge_flood();
+  void health_check();
+  void change_trouble();
+  void change_load();
+  void change_list();
+  void restart_endpoint();
+  void full_list();
+  void rare_list();
+  void stray_events();
+  void change_classes();
+  void pause();
+  Endpoint new_endpoint(Role role);
+
+  const Profile& profile_;
+  Random random_;
+  TraceHash& hash_;
+  Decider decider_;
+  Micros now_{std::chrono::seconds(1'000)};
+  std::uint64_t handled_ = 0;
+  std::uint64_t order_ = 0;
+  RequestId last_id_ = 0;
+  int last_endpoint_ = 0;
+  std::size_t class_count_ = profile_.settings.classes.size();
+  std::vector<Endpoint> endpoints_;
+  std::unordered_map<std::string, Trouble> trouble_;
+  std::unordered_map<RequestId, RequestState> requests_;
+  std::priority_queue<Job> jobs_;
+  double load_factor_ = 1.0;    // multiplies sending times and reported loads
+  double failure_rate_ = 0.01;  // share of attempts at healthy nodes that fail
+  int arrival_factor_ = 1;      // multiplies the rate of requests
+  bool subscribed_ = false;
+};
+
+}  // namespace trailcourse::decision_trace
