--- a/adapter/main.cpp
+++ b/adapter/main.cpp
@@ -1,3 +1,4 @@
+// The adapter process: reads the lines of the bench protocol from standard input, replies on standard output.
 #include <exception>
 #include <iostream>
 #include <string>
@@ -11,7 +12,7 @@
   try {
     while (std::getline(std::cin, line)) {
       if (!line.empty()) {
-        adapter.take_line(line);
+        adapter.handle_line(line);
       }
     }
   } catch (const std::exception& error) {
--- a/adapter/wire.cpp
+++ b/adapter/wire.cpp
@@ -43,8 +43,8 @@
 
 Note read_note(const json& message) {
   const std::int64_t code = whole_at(message, "Remark", 0);
-  const bool known = code >= 0 && code <= static_cast<std::int64_t>(Note::kOriginFailed);
-  return known ? static_cast<Note>(code) : Note::kNone;
+  const bool valid = code >= 0 && code <= static_cast<std::int64_t>(Note::kOriginFailed);
+  return valid ? static_cast<Note>(code) : Note::kNone;
 }
 
 LoadReport report_of(const json& message, const Profile& profile) {
@@ -217,21 +217,21 @@
   return found->second.faulted ? nullptr : &found->second;
 }
 
-void Adapter::run(std::int64_t number, Instance& instance, const Event& event) {
+void Adapter::run(std::int64_t id, Instance& instance, const Event& event) {
   actions_.clear();
   try {
     instance.handler(now_, event, actions_);
   } catch (const std::exception& error) {
     instance.faulted = true;
-    reply_ += head("Fault", number) + ",\"Text\":" + quoted(error.what()) + "}\n";
+    reply_ += head("Fault", id) + ",\"Text\":" + quoted(error.what()) + "}\n";
     return;
   }
   for (const Action& action : actions_) {
-    reply_ += write_action(number, action);
+    reply_ += write_action(id, action);
   }
 }
 
-void Adapter::take_event(const std::string& type, const json& message) {
+void Adapter::handle_event(const std::string& type, const json& message) {
   using Reader = Event (*)(const Adapter&, const json&, const Profile&);
   static const std::map<std::string, Reader> kReaders{
       {"Discovery",
@@ -252,7 +252,7 @@
        }}};
   const auto reader = kReaders.find(type);
   if (reader == kReaders.end()) {
-    return;  // a kind of event this build does not know
+    return;  // an event type that this version does not handle
   }
   Instance* instance = find_instance(message);
   if (instance != nullptr) {
@@ -267,7 +267,7 @@
   in_batch_ = false;
 }
 
-void Adapter::take_line(std::string_view line) {
+void Adapter::handle_line(std::string_view line) {
   json message;
   try {
     message = json::parse(line);
@@ -296,7 +296,7 @@
   } else if (type == "Down") {
     instances_.erase(whole(need(message, "I"), "I"));
   } else {
-    take_event(type, message);
+    handle_event(type, message);
   }
 }
 
--- a/adapter/wire.h
+++ b/adapter/wire.h
@@ -1,5 +1,5 @@
-// The bench wire: JSON lines in, decider events out, and decider actions back as JSON lines. Mechanical on
-// purpose.
+// The adapter between the bench protocol and the decision module: it parses JSON lines into events, and
+// writes the actions back as JSON lines. It makes no decisions.
 #pragma once
 
 #include <trailcourse/decider.h>
@@ -20,25 +20,35 @@
 
 namespace trailcourse::wire {
 
-// A line that cannot be used; the process ends with its text.
+// Thrown for a line that violates the protocol. The process ends with its text.
 using WireError = protocol::FormatError;
 using protocol::Profile;
 using protocol::read_profile;
 
+// Returns the load report in `values`, an array whose elements are named by `fields`. Unknown fields and
+// elements that are not numbers are skipped. Throws WireError if `values` is not an array.
 LoadReport read_report(const nlohmann::json& values, const std::vector<std::string>& fields);
+
+// Returns the line that asks the bench to execute the action for the instance, with its line break.
 std::string write_action(std::int64_t instance, const Action& action);
 
-// Takes one event of an instance and appends its actions.
+// Handles one event of an instance at the given time and appends the actions.
 using Handler = std::function<void(Micros, const Event&, std::vector<Action>&)>;
+// Returns the handler of a new instance with the settings and the seed of its random draws.
 using MakeHandler = std::function<Handler(const Settings&, std::uint64_t seed)>;
+// Returns a handler with a Decider of its own.
 Handler make_decider(const Settings& settings, std::uint64_t seed);
 
+// Runs the instances of the bench protocol. Not thread-safe.
 class Adapter {
  public:
+  // Writes replies to `out`, which has to outlive this object. `make` creates the handlers of instances.
   explicit Adapter(std::ostream& out, MakeHandler make = make_decider) : out_(out), make_(std::move(make)) {}
 
-  // Takes one line; writes the whole reply when the batch is complete.
-  void take_line(std::string_view line);
+  // Handles one line of input. At the end of a batch, writes the reply to all of it. Throws WireError if the
+  // line violates the protocol. An exception of a handler faults its instance alone, which is reported and
+  // gets no further events.
+  void handle_line(std::string_view line);
 
  private:
   struct Instance {
@@ -50,8 +60,8 @@
   void begin_instance(const nlohmann::json& message);
   void store_list(const nlohmann::json& message);
   void finish_batch();
-  void take_event(const std::string& type, const nlohmann::json& message);
-  void run(std::int64_t number, Instance& instance, const Event& event);
+  void handle_event(const std::string& type, const nlohmann::json& message);
+  void run(std::int64_t id, Instance& instance, const Event& event);
   Instance* find_instance(const nlohmann::json& message);
   EndpointListReceived read_list(const nlohmann::json& message, const Profile& profile) const;
 
--- a/tests/adapter_test.cpp
+++ b/tests/adapter_test.cpp
@@ -1,4 +1,4 @@
-// The bench wire: lines in, lines out.
+// The adapter of the bench protocol: lines in, lines out.
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
@@ -49,14 +49,15 @@
   return line;
 }
 
-// Plays one batch and gives the lines of the reply.
-std::vector<json> play(Adapter& adapter, std::ostringstream& out, const std::vector<std::string>& lines) {
+// Sends one batch and returns the lines of the reply.
+std::vector<json> send_batch(Adapter& adapter, std::ostringstream& out,
+                             const std::vector<std::string>& lines) {
   out.str("");
-  adapter.take_line(R"({"event_type":"Frame","ClockS":1.5,"serial":3})");
+  adapter.handle_line(R"({"event_type":"Frame","ClockS":1.5,"serial":3})");
   for (const std::string& line : lines) {
-    adapter.take_line(without_breaks(line));
+    adapter.handle_line(without_breaks(line));
   }
-  adapter.take_line(R"({"event_type":"EofBatch"})");
+  adapter.handle_line(R"({"event_type":"EofBatch"})");
   std::vector<json> reply;
   std::istringstream in(out.str());
   for (std::string line; std::getline(in, line);) {
@@ -77,13 +78,15 @@
 
 class AdapterTest : public testing::Test {
  protected:
-  std::vector<json> play(const std::vector<std::string>& lines) { return wire::play(adapter_, out_, lines); }
+  std::vector<json> send_batch(const std::vector<std::string>& lines) {
+    return wire::send_batch(adapter_, out_, lines);
+  }
   std::ostringstream out_;
   Adapter adapter_{out_};
 };
 
 TEST_F(AdapterTest, AnEmptyBatchIsAcknowledged) {
-  const auto reply = play({});
+  const auto reply = send_batch({});
   ASSERT_EQ(reply.size(), 1U);
   EXPECT_EQ(reply[0], json::parse(R"({"event_type":"Ack","serial":3})"));
 }
@@ -102,7 +105,7 @@
 }
 
 TEST_F(AdapterTest, ARequestBecomesAnAttempt) {
-  const auto sent = of_type(play({begin(1), pool(0, "a:1"), discovery(1, 0), item(1, 7)}), "Obtain");
+  const auto sent = of_type(send_batch({begin(1), pool(0, "a:1"), discovery(1, 0), item(1, 7)}), "Obtain");
   ASSERT_EQ(sent.size(), 1U);
   EXPECT_EQ(sent[0].at("I"), 1);
   EXPECT_EQ(sent[0].at("Ref"), 7);
@@ -111,31 +114,31 @@
   EXPECT_NEAR(sent[0].at("AgeSpanS").get<double>(), 20.0, 1e-6);
 }
 
-TEST_F(AdapterTest, AListNumberUsedAgainInABatchIsReadInOrder) {
-  const auto sent = of_type(play({begin(1), begin(2), pool(0, "a:1"), discovery(1, 0), pool(0, "b:1"),
-                                  discovery(2, 0), item(1, 7), item(2, 8)}),
+TEST_F(AdapterTest, AReusedListNumberRefersToTheLatestList) {
+  const auto sent = of_type(send_batch({begin(1), begin(2), pool(0, "a:1"), discovery(1, 0), pool(0, "b:1"),
+                                        discovery(2, 0), item(1, 7), item(2, 8)}),
                             "Obtain");
   ASSERT_EQ(sent.size(), 2U);
   EXPECT_EQ(sent[0].at("Cache"), "a:1");
   EXPECT_EQ(sent[1].at("Cache"), "b:1");
 }
 
-TEST_F(AdapterTest, AStopAndANewStartInOneBatchForgetEverything) {
-  play({begin(1), pool(0, "a:1"), discovery(1, 0), item(1, 7)});
-  const auto reply = play({R"({"event_type":"Down","I":1})", begin(1), item(1, 9)});
+TEST_F(AdapterTest, AStopAndANewStartInOneBatchResetTheInstance) {
+  send_batch({begin(1), pool(0, "a:1"), discovery(1, 0), item(1, 7)});
+  const auto reply = send_batch({R"({"event_type":"Down","I":1})", begin(1), item(1, 9)});
   EXPECT_EQ(of_type(reply, "Obtain").size(), 0U);  // no list yet
   EXPECT_EQ(of_type(reply, "NotNow").size(), 1U);
-  EXPECT_EQ(play({R"({"event_type":"Left","I":1,"Ref":7})"}).size(), 1U);
+  EXPECT_EQ(send_batch({R"({"event_type":"Left","I":1,"Ref":7})"}).size(), 1U);
 }
 
 TEST_F(AdapterTest, UnknownEventsAndKeysAreSkipped) {
-  const auto reply = play({begin(1), R"({"event_type":"Weather","I":1,"Sun":true})",
-                           R"({"event_type":"Bell","I":1,"Handle":77,"Extra":[1]})"});
+  const auto reply = send_batch({begin(1), R"({"event_type":"Weather","I":1,"Sun":true})",
+                                 R"({"event_type":"Bell","I":1,"Handle":77,"Extra":[1]})"});
   EXPECT_EQ(reply.size(), 1U);
 }
 
-TEST_F(AdapterTest, WhatIsKnownButUnusableEndsWithAPlainMessage) {
-  play({begin(1), pool(0, "a:1"), discovery(1, 0)});
+TEST_F(AdapterTest, InvalidMessagesThrowWireError) {
+  send_batch({begin(1), pool(0, "a:1"), discovery(1, 0)});
   const std::vector<std::string> bad = {
       "{not json",
       "[1,2]",
@@ -152,16 +155,16 @@
       R"({"event_type":"Begin","I":1,"Nonce64":1})",
       R"({"event_type":"Frame","ClockS":1e300,"serial":1})"};
   for (const std::string& line : bad) {
-    EXPECT_THROW(adapter_.take_line(line), WireError) << line;
+    EXPECT_THROW(adapter_.handle_line(line), WireError) << line;
   }
 }
 
-TEST_F(AdapterTest, AMessageOutsideABatchIsRefused) {
-  EXPECT_THROW(adapter_.take_line(item(1, 1)), WireError);
+TEST_F(AdapterTest, AMessageOutsideABatchIsRejected) {
+  EXPECT_THROW(adapter_.handle_line(item(1, 1)), WireError);
 }
 
-TEST_F(AdapterTest, OutcomesForIdsNotHeldChangeNothing) {
-  const auto reply = play({begin(1), R"({"event_type":"Returned","I":1,"Ref":4,"Try":0,"Cache":"a:1",
+TEST_F(AdapterTest, OutcomesOfUnknownRequestsChangeNothing) {
+  const auto reply = send_batch({begin(1), R"({"event_type":"Returned","I":1,"Ref":4,"Try":0,"Cache":"a:1",
       "Status":"OK","LatencyS":0.1,"Finished":true,"Remark":99,"Telemetry":[null,1,2,3]})"});
   EXPECT_EQ(reply.size(), 1U);
 }
@@ -176,9 +179,9 @@
       actions.emplace_back(Fail{1});
     };
   });
-  std::string sound = begin(2);
-  sound.replace(sound.find("\"Nonce64\":5"), 11, "\"Nonce64\":6");
-  const auto reply = play(adapter, out, {begin(1), sound, item(1, 7), item(1, 8), item(2, 9)});
+  std::string other_seed = begin(2);
+  other_seed.replace(other_seed.find("\"Nonce64\":5"), 11, "\"Nonce64\":6");
+  const auto reply = send_batch(adapter, out, {begin(1), other_seed, item(1, 7), item(1, 8), item(2, 9)});
   ASSERT_EQ(of_type(reply, "Fault").size(), 1U);
   EXPECT_EQ(of_type(reply, "Fault")[0].at("Text"), "broken \"table\"");
   EXPECT_EQ(of_type(reply, "Fail").size(), 1U);
@@ -194,7 +197,7 @@
   EXPECT_EQ(other.hit_share, 0.25);
 }
 
-TEST(Actions, AreWrittenAsTheWireWantsThem) {
+TEST(Actions, AreWrittenInTheFormOfTheProtocol) {
   SendAttempt send;
   send.id = 4;
   send.cache = "a:1";
