--- a/benchmarks/decision_trace_profiles.h
+++ b/benchmarks/decision_trace_profiles.h
@@ -22,6 +22,7 @@
   double restarts = 0.04;  // of the disturbances
   double event_share = 1.0;
 };
+
 // Returns the profiles in the order in which the trace runs them.
 std::vector<Profile> profiles();
 
--- a/benchmarks/decision_trace_world.h
+++ b/benchmarks/decision_trace_world.h
@@ -7,7 +7,6 @@
 #include <queue>
 #include <string>
 #include <unordered_map>
-#include <utility>
 #include <variant>
 #include <vector>
 
@@ -23,8 +22,8 @@
 // How a node answers at present.
 enum class Trouble { kNone, kDead, kUnreachable, kSilent, kResets, kErrors, kFull, kSlow, kCount };
 
-// A deployment that runs one profile and adds all actions of the decision module to the hash. The profile and the hash have to
-// outlive this object.
+// A deployment that runs one profile and adds all actions of the decision module to the hash. The profile and
+// the hash have to outlive this object.
 class World {
  public:
   World(const Profile& profile, std::uint64_t seed, TraceHash& hash);
@@ -65,7 +64,7 @@
     std::vector<AttemptState> attempts;
   };
 
-  void schedule(Micros when, Step step) { jobs_.push(Job{when, ++order_, std::move(step)}); }
+  void schedule(Micros when, const Step& step) { jobs_.push(Job{when, ++order_, step}); }
 
   void handle(const Event& event);
 
--- a/benchmarks/scale/purge_costs.cpp
+++ b/benchmarks/scale/purge_costs.cpp
@@ -5,7 +5,7 @@
 #include <memory>
 #include <variant>
 
-#include "decision/purge_times.h"
+#include "decision/purge_history.h"
 #include "discovery/event_log.h"
 #include "protocol/notice_board.h"
 #include "role_costs.h"
@@ -99,15 +99,15 @@
 
 // Whether so many purges a second, each binding for so long, ever fold into one for all objects.
 bool folds(int rate, Micros binding) {
-  PurgeTimes times(kCapacity, binding);
+  PurgeHistory history(kCapacity, binding);
   const Micros step = kSecond / rate;
   Micros now = kSecond;
   constexpr std::uint64_t kNeverPurged = 0;
   const auto events = static_cast<std::uint64_t>(4 * kCapacity);
   for (std::uint64_t event = 1; event <= events; ++event) {
     now += step;
-    times.add(event, now, now);
-    if (times.last(kNeverPurged, now) >= Micros(0)) {
+    history.add(event, now, now);
+    if (history.latest(kNeverPurged, now) >= Micros(0)) {
       return true;
     }
   }
@@ -116,13 +116,13 @@
 
 // The longest binding time that never folds at a rate, to a hundredth of a second.
 double longest_binding_s(int rate) {
-  double sound = 0.0;
+  double not_folding = 0.0;
   double folding = 4.0 * kCapacity / rate;
-  while (folding - sound > 0.01) {
-    const double middle = (sound + folding) / 2.0;
-    (folds(rate, Micros(static_cast<std::int64_t>(middle * 1e6))) ? folding : sound) = middle;
+  while (folding - not_folding > 0.01) {
+    const double middle = (not_folding + folding) / 2.0;
+    (folds(rate, Micros(static_cast<std::int64_t>(middle * 1e6))) ? folding : not_folding) = middle;
   }
-  return sound;
+  return not_folding;
 }
 
 void measure_fold(const CostSink& sink) {
--- a/src/decision/attempt_planner.cpp
+++ b/src/decision/attempt_planner.cpp
@@ -31,7 +31,7 @@
 
 bool AttemptPlanner::may_ask_parent(int target, int source) const {
   const Node& node = context_.nodes.at(source);
-  return !loads_.crowded(context_.nodes.at(target)) && !loads_.link_busy() &&
+  return !loads_.overloaded(context_.nodes.at(target)) && !loads_.link_busy() &&
          node.endpoint.role == Role::kParent && outliers_.healthy(node);
 }
 
--- a/src/decision/attempt_planner.h
+++ b/src/decision/attempt_planner.h
@@ -24,8 +24,8 @@
         sources_(sources),
         fills_(fills) {}
 
-  // Returns the index of the target of the next attempt, or -1. What caches never keep goes straight to the
-  // origin where that is allowed, else by way of a cache.
+  // Returns the index of the target of the next attempt, or -1. Uncacheable requests go straight to the
+  // origin if the settings allow it, otherwise by way of a cache.
   int select_target(const Request& request);
 
   // Plans an attempt at the target. Beyond the fill window it only asks for what the cache or a healthy home
--- a/src/decision/cache_selection.cpp
+++ b/src/decision/cache_selection.cpp
@@ -18,7 +18,7 @@
   const bool general_failure = outliers_.mostly_ejected(order);
   const double cost = slow_start_.cost(request);
   int best = -1;
-  int last_resort = -1;
+  int fallback = -1;
   int candidates = 0;
   for (const int index : order) {
     if (!usable(request, index, cost)) {
@@ -26,17 +26,17 @@
     }
     const Node& node = context_.nodes.at(index);
     if (!outliers_.healthy(node) && (!general_failure || node.health.connect_failed)) {
-      last_resort = better_resort(last_resort, index);
+      fallback = better_fallback(fallback, index);
       continue;
     }
     if (best < 0 || loads_.load(node) < kLoadAdvantage * loads_.load(context_.nodes.at(best))) {
       best = index;
     }
-    if (!loads_.crowded(context_.nodes.at(best)) || ++candidates >= kCandidates) {
+    if (!loads_.overloaded(context_.nodes.at(best)) || ++candidates >= kCandidates) {
       break;
     }
   }
-  return best >= 0 ? best : last_resort;
+  return best >= 0 ? best : fallback;
 }
 
 bool CacheSelection::usable(const Request& request, int index, double cost) {
@@ -45,11 +45,12 @@
 }
 
 // Returns the one of two unhealthy caches that failed longer ago, if it may be tried now.
-int CacheSelection::better_resort(int resort, int candidate) const {
+int CacheSelection::better_fallback(int fallback, int candidate) const {
   const NodeHealth& health = context_.nodes.at(candidate).health;
   const bool may_be_tried = !health.trial_in_flight || health.connect_refused;
-  const bool longer_ago = resort < 0 || health.last_failure < context_.nodes.at(resort).health.last_failure;
-  return may_be_tried && longer_ago ? candidate : resort;
+  const bool longer_ago =
+      fallback < 0 || health.last_failure < context_.nodes.at(fallback).health.last_failure;
+  return may_be_tried && longer_ago ? candidate : fallback;
 }
 
 }  // namespace trailcourse
--- a/src/decision/cache_selection.h
+++ b/src/decision/cache_selection.h
@@ -20,14 +20,14 @@
         outliers_(outliers),
         loads_(loads) {}
 
-  // Returns the index of the cache for the next attempt, or -1. With no healthy cache it is the last resort:
-  // the one that failed longest ago, which may be back. That one gets one request at a time, or all of them
-  // where it refuses connections at once, which costs no time.
+  // Returns the index of the cache for the next attempt, or -1. Without a healthy cache it is the fallback:
+  // the one that failed longest ago, which may have recovered. The fallback gets one request at a time, or
+  // all of them if it refuses connections immediately, which costs no time.
   int select(const Request& request);
 
  private:
   bool usable(const Request& request, int index, double cost);
-  int better_resort(int resort, int candidate) const;
+  int better_fallback(int fallback, int candidate) const;
 
   DecisionContext& context_;
   const SlowStart& slow_start_;
--- a/src/decision/decider.cpp
+++ b/src/decision/decider.cpp
@@ -1,4 +1,4 @@
-// The decision module's dispatch of events, in the order in which its parts rule on a request: first the
+// The decision module's dispatch of events, in the order in which its parts decide on a request: first the
 // rules (drains, slow start, purges, idempotency), then the ordinary path (keep rank, cache and source
 // selection), then the exceptions (fill window, load shedding, outliers, retries).
 #include <trailcourse/decider.h>
@@ -167,7 +167,7 @@
   attempt_or_answer(request);
 }
 
-// A size that could not be sent within the client's time is taken for one that is not known.
+// A size that could not be sent within the client's time counts as unknown.
 void Decider::Impl::learn_size(Request& request) {
   const double stream_kb_per_s = context_.settings.stream_kb_per_s;
   const double size_kb = request.arrival.size_kb;
--- a/src/decision/decision_context.h
+++ b/src/decision/decision_context.h
@@ -26,7 +26,7 @@
   const ClassSettings& class_of(const Request& request) const {
     return settings.classes[static_cast<std::size_t>(request.arrival.request_class)];
   }
-  // Returns whether caches may keep the answer.
+  // Returns whether caches may store the answer.
   bool cacheable(const Request& request) const {
     return !class_of(request).uncached && !request.arrival.write;
   }
--- a/src/decision/failure_attribution.cpp
+++ b/src/decision/failure_attribution.cpp
@@ -20,7 +20,7 @@
     sources_.record_fill(source, true, from_cache ? FillOrigin::kSource : FillOrigin::kOrigin);
     return;
   }
-  if (loads_.crowded(context_.nodes.at(attempt.node))) {
+  if (loads_.overloaded(context_.nodes.at(attempt.node))) {
     return;
   }
   const bool began_soon =
@@ -83,7 +83,7 @@
   Node& source = context_.nodes.at(attempt.source);
   const bool silent = node.health.last_success < attempt.sent;
   attempt.avoid_source = !silent && attempt.fills() && source.health.last_success < attempt.sent;
-  const bool lost = !attempt.avoid_source && !fills_.fills_failing() && !loads_.crowded(node);
+  const bool lost = !attempt.avoid_source && !fills_.fills_failing() && !loads_.overloaded(node);
   attempt.avoid_node = silent || lost;
   if (silent) {
     outliers_.eject_for_silence(node);
--- a/src/decision/failure_attribution.h
+++ b/src/decision/failure_attribution.h
@@ -1,5 +1,5 @@
-// Failure attribution: which node the outcome of an attempt speaks of, and which ones the request avoids from
-// now on. The note of an answer tells a failing source from a failing cache.
+// Failure attribution: which node the outcome of an attempt counts for or against, and which nodes the
+// request avoids from now on. The note of an answer distinguishes a failing source from a failing cache.
 #pragma once
 
 #include "fill_window.h"
@@ -22,18 +22,18 @@
         outliers_(outliers),
         sources_(sources) {}
 
-  // Credits the nodes of an answered attempt. A late fill through a cache that is not crowded counts against
-  // its source if that had the object cached, or if the fill began soon and was then slow, as over a slow
-  // link; else against the origin.
+  // Credits the nodes of an answered attempt. A late fill through a cache that is not overloaded counts
+  // against its source if that had the object cached, or if the fill began soon and was then slow, as over a
+  // slow link; else against the origin.
   void on_success(const Request& request, const Attempt& attempt, const AttemptEnded& ended);
 
   // Penalises the node or the source of a failed attempt, and excludes them for the request.
   void on_failure(Attempt& attempt, const AttemptEnded& ended);
 
   // Judges an attempt that is overdue. If its cache has answered nothing since, the machine is silent; if
-  // only its source has not, the source is; if both have and neither fills fail nor the cache is crowded, the
-  // answer is lost, for which nobody is penalised. Returns whether another attempt should be made; if not,
-  // the answer is slow, and waiting is best.
+  // only its source has not, the source is; if both have and neither fills fail nor the cache is overloaded,
+  // the answer is lost, for which nobody is penalised. Returns whether another attempt should be made; if
+  // not, the answer is slow, and waiting is best.
   bool on_overdue(Attempt& attempt);
 
  private:
--- a/src/decision/fill_window.cpp
+++ b/src/decision/fill_window.cpp
@@ -8,9 +8,9 @@
 // Of the window: seconds of this router's offered sending that may wait on fills at once.
 constexpr double kMinWindow = 0.03;
 constexpr double kMaxWindow = 5.0;
-constexpr double kGrowth = 0.04;  // for a window's worth of good fills
+constexpr double kGrowth = 0.04;  // per window of successful fills
 constexpr double kShrinkFactor = 0.8;
-constexpr Micros kShrinkPause = std::chrono::milliseconds(300);  // between two shrinkings
+constexpr Micros kShrinkPause = std::chrono::milliseconds(300);  // between two reductions
 
 constexpr double kMinOfferSpan = 1.0;       // seconds over which a first few requests are spread
 constexpr double kOfferDecay = 0.998;       // a request; the offered rate looks back over some hundreds
@@ -35,26 +35,26 @@
 
 bool FillWindow::exceeded_by(const Request& request) {
   const double cost = shedding_.counted_work(request) + LatencyModel::kOverhead;
-  const double room = window_ * offered() - reserved_;
-  return idempotency_.may_reject(request) && room < cost &&
-         (reserved_ > 0.0 || room < cost * context_.draw(0.0, 1.0));
+  const double available = window_ * offered() - reserved_;
+  return idempotency_.may_reject(request) && available < cost &&
+         (reserved_ > 0.0 || available < cost * context_.draw(0.0, 1.0));
 }
 
 void FillWindow::on_attempt_ended(const Request& request, const Attempt& attempt, const AttemptEnded& ended) {
   reserved_ = std::max(0.0, reserved_ - attempt.fill_work);
-  if (!speaks_of_fill(request, attempt, ended)) {
+  if (!concerns_fill(request, attempt, ended)) {
     return;
   }
   const bool good = ended.status == Status::kOk && latency_.on_time(request);
   if (good && shows_holder(context_.settings, ended.note)) {
-    return;  // a parent had it cached: that says nothing of the origin
+    return;  // a parent had it cached: the answer gives no evidence about the origin
   }
   failure_rate_ += kFailureSmoothing * ((good ? 0.0 : 1.0) - failure_rate_);
   adapt(attempt, good);
 }
 
-bool FillWindow::speaks_of_fill(const Request& request, const Attempt& attempt,
-                                const AttemptEnded& ended) const {
+bool FillWindow::concerns_fill(const Request& request, const Attempt& attempt,
+                               const AttemptEnded& ended) const {
   if (attempt.fill_work <= 0.0 || indicates_hit(ended.note)) {
     return false;
   }
--- a/src/decision/fill_window.h
+++ b/src/decision/fill_window.h
@@ -12,8 +12,8 @@
 
 namespace trailcourse {
 
-// Returns whether the answer shows that a parent had the object cached. Where answers do not tell a fill by
-// way of the origin apart, they do not show a holder.
+// Returns whether the answer shows that a parent had the object cached. Answers that do not distinguish a
+// fill by way of the origin never show this.
 inline bool shows_holder(const Settings& settings, Note note) {
   return note == Note::kFilled && settings.notes == NoteLevel::kAll;
 }
@@ -33,8 +33,8 @@
   // Counts a request towards the sending that clients ask for.
   void on_request(const Request& request);
 
-  // Returns whether the cache probably lacks the object: another one answered last, or its copy is void by
-  // now.
+  // Returns whether the cache probably lacks the object: another cache answered last, or the copy is no
+  // longer valid.
   bool probable_miss(const Request& request, int cache) const;
 
   // Returns whether a fill for the request would not fit the window. May draw a random number.
@@ -54,7 +54,7 @@
 
  private:
   double offered() const;
-  bool speaks_of_fill(const Request& request, const Attempt& attempt, const AttemptEnded& ended) const;
+  bool concerns_fill(const Request& request, const Attempt& attempt, const AttemptEnded& ended) const;
   void adapt(const Attempt& attempt, bool good);
 
   DecisionContext& context_;
--- a/src/decision/idempotency.h
+++ b/src/decision/idempotency.h
@@ -10,7 +10,7 @@
   // The context has to outlive this object.
   explicit IdempotencyRules(const DecisionContext& context) : context_(context) {}
 
-  // Returns whether the request may be rejected, which tells the client that a retry does no harm.
+  // Returns whether the request may be rejected, which promises the client that a retry does no harm.
   bool may_reject(const Request& request) const;
 
   // Returns whether an attempt may be sent to the node beside or after the others. `own` is the attempt in
--- a/src/decision/keep_rank.cpp
+++ b/src/decision/keep_rank.cpp
@@ -13,14 +13,14 @@
 // The weights of the score.
 constexpr double kAlpha = 1.0;  // of 1 / request count
 constexpr double kBeta = 0.9;   // of the size
-constexpr double kMu = 0.3;     // of the known holders
+constexpr double kMu = 0.3;     // of the parents observed to have the object
 constexpr double kNu = 0.6;     // of the idle time
 
 constexpr double kTopCut = 1.2;                  // scores below get the top rank
 constexpr double kMiddleCut = 2.0;               // scores below get the middle rank
 constexpr double kTopShare = 0.25;               // of the bytes asked for that may hold the top rank
 constexpr double kByteDecay = 0.9995;            // a request; the byte shares look back over some thousands
-constexpr Micros kCountHalfLife = seconds(60);   // a known holder is forgotten after the same time
+constexpr Micros kCountHalfLife = seconds(60);   // observed holders expire after the same time
 constexpr Micros kDefaultMaxIdle = seconds(30);  // tmax of a class without a lifetime
 
 enum Rank { kLowestRank = 1, kMiddleRank = 2, kTopRank = 3 };
@@ -39,7 +39,7 @@
   ObjectEntry& entry = objects_.touch(request.object_key);
   const double idle = idle_share(entry, request);
   entry.age_count(context_.now, kCountHalfLife);
-  entry.forget_holders(context_.now - kCountHalfLife);
+  entry.remove_holders(context_.now - kCountHalfLife);
   entry.request_count += request.arrival.is_retry && entry.request_count > 0.0 ? 0.0 : 1.0;
   entry.last_request = context_.now;
   largest_kb_ = std::max(largest_kb_, request.arrival.size_kb);
--- a/src/decision/keep_rank.h
+++ b/src/decision/keep_rank.h
@@ -1,5 +1,5 @@
 // The keep rank of a request: the paper's Criteria Weighted score, V = alpha/f + beta*s/smax + mu*r/rmax +
-// nu*t/tmax, mapped to the three ranks at which caches keep a copy.
+// nu*t/tmax, mapped to the three ranks at which caches store a copy.
 #pragma once
 
 #include <cstddef>
@@ -10,7 +10,7 @@
 
 namespace trailcourse {
 
-// Objects that the table remembers.
+// The capacity of the object table.
 inline constexpr std::size_t kMaxObjects = 50'000;
 
 class KeepRank {
@@ -29,7 +29,7 @@
   const DecisionContext& context_;
   ObjectTable& objects_;
   double largest_kb_ = 0.0;
-  BoundedShare top_bytes_;  // kilobytes asked for that got the top rank
+  BoundedShare top_bytes_;  // requested kilobytes that got the top rank
 };
 
 }  // namespace trailcourse
--- a/src/decision/load_estimate.h
+++ b/src/decision/load_estimate.h
@@ -17,17 +17,17 @@
     return (node.in_flight + node.foreign_load) / (node.transfer_capacity * slow_start_.capacity_share(node));
   }
 
-  // Returns whether a node has so many transfers that another one should be looked at.
-  bool crowded(const Node& node) const { return load(node) >= kCrowdedLoad; }
+  // Returns whether a node is so loaded that another one should be considered.
+  bool overloaded(const Node& node) const { return load(node) >= kOverloadedLoad; }
 
-  // Returns whether the zone's link is too busy to fetch anything on the chance of a hit.
+  // Returns whether the zone's link is too busy for fetches that only may hit.
   bool link_busy() const { return link_use_ >= kBusyLink; }
 
-  // Takes in the load report that came with an answer of the node; it may be empty or absurd.
+  // Takes in the load report that came with an answer of the node; it may be empty or implausible.
   void observe(Node& node, const LoadReport& report);
 
  private:
-  static constexpr double kCrowdedLoad = 2.0;
+  static constexpr double kOverloadedLoad = 2.0;
   static constexpr double kBusyLink = 0.7;  // of its capacity
 
   double reported_requests(const Node& node, const LoadReport& report) const;
--- a/src/decision/load_shedding.cpp
+++ b/src/decision/load_shedding.cpp
@@ -10,7 +10,7 @@
 constexpr double kObjectiveShare = 0.9;  // of the objective that a predicted answer may take
 constexpr double kMinAnsweredShare =
     0.6;  // of its class's answered share, below which a large object is underserved
-constexpr double kMaxSizeStep = 2.0;  // sizes over the class's mean that are told apart: from 1, from 2
+constexpr double kMaxSizeStep = 2.0;  // largest size over the class's mean with a statistic of its own
 constexpr double kSmoothing = 0.05;   // weight of a new answer
 
 }  // namespace
--- a/src/decision/load_shedding.h
+++ b/src/decision/load_shedding.h
@@ -41,7 +41,7 @@
   // Records whether a request was answered.
   void record(const Request& request, bool answered);
 
-  // Makes room for `classes` classes in all.
+  // Sets the number of classes to `classes`; new ones start without observations.
   void resize(std::size_t classes) { answered_.resize(classes); }
 
  private:
--- a/src/decision/node.h
+++ b/src/decision/node.h
@@ -1,4 +1,4 @@
-// What a router remembers of one node (a cache, a parent or an origin).
+// The state of one node as this router observes it (a cache, a parent or an origin).
 #pragma once
 
 #include <trailcourse/decider.h>
--- a/src/decision/object_table.h
+++ b/src/decision/object_table.h
@@ -1,5 +1,4 @@
-// What a router remembers of the objects asked for lately, counted by part, as caches keep them. It decides
-// nothing.
+// The history of recently requested objects, one entry per part, as caches store them. It decides nothing.
 #pragma once
 
 #include <trailcourse/decider.h>
@@ -13,7 +12,7 @@
 namespace trailcourse {
 
 // A parent whose answer showed that it has the object cached.
-struct KnownHolder {
+struct ObservedHolder {
   int node = -1;
   Micros seen{0};
 };
@@ -23,7 +22,7 @@
   double request_count = 0.0;
   Micros halved_at{0};
   Micros last_request{0};
-  std::vector<KnownHolder> holders;
+  std::vector<ObservedHolder> holders;
   int cached_at = -1;  // the cache that answered last
   Micros cached_since{0};
 
@@ -35,16 +34,16 @@
     halved_at += times * interval;
   }
   void add_holder(int node, Micros now) {
-    std::erase_if(holders, [node](const KnownHolder& holder) { return holder.node == node; });
+    std::erase_if(holders, [node](const ObservedHolder& holder) { return holder.node == node; });
     holders.push_back({node, now});
   }
-  // Forgets the holders last seen at `time` or before.
-  void forget_holders(Micros time) {
-    std::erase_if(holders, [time](const KnownHolder& holder) { return holder.seen <= time; });
+  // Removes the holders last seen at `time` or before.
+  void remove_holders(Micros time) {
+    std::erase_if(holders, [time](const ObservedHolder& holder) { return holder.seen <= time; });
   }
 };
 
-// The entries by the key of object and part; the entry used longest ago makes room for a new one.
+// The entries by the key of object and part; a new one evicts the least recently used one.
 using ObjectTable = LruMap<std::uint64_t, ObjectEntry>;
 
 }  // namespace trailcourse
--- a/src/decision/outlier_detection.h
+++ b/src/decision/outlier_detection.h
@@ -32,7 +32,7 @@
   // Returns whether an attempt that is being sent is the node's trial.
   static bool start_trial(Node& node);
 
-  // Records whether a connection to the target was to be had, and the end of trials.
+  // Records whether a connection to the target was made, and the end of trials.
   static void on_attempt_ended(Node& node, Node& source, const Attempt& attempt, const AttemptEnded& ended);
 
   // Records a success. It works off one ejection, and ends one for silence at once. It does not end one for
@@ -43,7 +43,7 @@
   // all attempts that it carries.
   void record_failure(Node& node, double penalty);
 
-  // Records a rejection that may be due to the source, to the origin behind it or to the cache itself. It
+  // Records a rejection that the source may have caused, the origin behind it or the cache itself. It
   // ejects a parent only if that one stands out from the best of the others, as a dead one does.
   void record_ambiguous_rejection(Node& source);
 
--- a/src/decision/purge_floors.cpp
+++ b/src/decision/purge_floors.cpp
@@ -22,15 +22,15 @@
     : context_(context), purges_(kMaxPurges, context.settings.purge_done + kPurgeMargin) {}
 
 void PurgeFloors::on_purged(const Purged& purged) {
-  const Micros made = context_.now - std::max(Micros(0), purged.age);
+  const Micros purged_at = context_.now - std::max(Micros(0), purged.age);
   const std::uint64_t key = purged.whole_group ? group_key(purged.group) : object_key(purged.object);
-  purges_.add(key, made, context_.now);
+  purges_.add(key, purged_at, context_.now);
 }
 
 // Returns the time of the latest purge that binds the request's object, or a negative time.
 Micros PurgeFloors::last_purge(const Request& request) const {
-  return std::max(purges_.last(group_key(request.arrival.purge_group), context_.now),
-                  purges_.last(object_key(request.arrival.object), context_.now));
+  return std::max(purges_.latest(group_key(request.arrival.purge_group), context_.now),
+                  purges_.latest(object_key(request.arrival.object), context_.now));
 }
 
 Micros PurgeFloors::max_age(const Request& request, bool allow_stale) const {
--- a/src/decision/purge_floors.h
+++ b/src/decision/purge_floors.h
@@ -4,7 +4,7 @@
 #include <trailcourse/decider.h>
 
 #include "decision_context.h"
-#include "purge_times.h"
+#include "purge_history.h"
 
 namespace trailcourse {
 
@@ -13,6 +13,7 @@
   // The context has to outlive this object.
   explicit PurgeFloors(const DecisionContext& context);
 
+  // Records a purge, dated back by its age.
   void on_purged(const Purged& purged);
 
   // Returns the greatest age of a copy that may answer the request now; 0: any age. `allow_stale` adds the
@@ -26,7 +27,7 @@
   Micros last_purge(const Request& request) const;
 
   const DecisionContext& context_;
-  PurgeTimes purges_;
+  PurgeHistory purges_;
 };
 
 }  // namespace trailcourse
--- a/src/decision/purge_history.h
+++ b/src/decision/purge_history.h
@@ -1,4 +1,4 @@
-// When what was purged last; a container of bounded size, nothing is decided here.
+// The times of recent purges by key; a container of bounded size that decides nothing.
 #pragma once
 
 #include <trailcourse/decider.h>
@@ -10,36 +10,37 @@
 
 namespace trailcourse {
 
-// Times older than the span that a purge binds may be forgotten. Where too many bind at once, they fold into
-// one time for all names, the latest.
-class PurgeTimes {
+// Remembers the latest purge of each key for the retention period. When the capacity is exceeded and many
+// purges are still within the period, they are replaced by a single purge of all keys. Not thread-safe.
+class PurgeHistory {
  public:
-  PurgeTimes(std::size_t capacity, Micros binding) : capacity_(capacity), binding_(binding) {}
-
-  void add(std::uint64_t name, Micros made, Micros now) {
-    Micros& last = times_.try_emplace(name, made).first->second;
-    last = std::max(last, made);
-    if (times_.size() > capacity_) {
-      std::erase_if(times_, [&](const auto& one) { return now >= one.second + binding_; });
-      if (times_.size() > capacity_ / 2) {
-        for_all_ = now;
-        times_.clear();
+  PurgeHistory(std::size_t capacity, Micros retention) : capacity_(capacity), retention_(retention) {}
+
+  // Records that the key was purged at `purged_at`. `now` must not be earlier than in previous calls.
+  void add(std::uint64_t key, Micros purged_at, Micros now) {
+    Micros& latest = purged_at_.try_emplace(key, purged_at).first->second;
+    latest = std::max(latest, purged_at);
+    if (purged_at_.size() > capacity_) {
+      std::erase_if(purged_at_, [&](const auto& entry) { return now >= entry.second + retention_; });
+      if (purged_at_.size() > capacity_ / 2) {
+        all_purged_at_ = now;
+        purged_at_.clear();
       }
     }
   }
 
-  // The last purge of a name that still binds, or a negative time.
-  Micros last(std::uint64_t name, Micros now) const {
-    const auto found = times_.find(name);
-    const Micros made = found == times_.end() ? for_all_ : std::max(for_all_, found->second);
-    return now < made + binding_ ? made : Micros(-1);
+  // Returns the time of the latest purge of the key, or a negative time if it is past the retention period.
+  Micros latest(std::uint64_t key, Micros now) const {
+    const auto found = purged_at_.find(key);
+    const Micros time = found == purged_at_.end() ? all_purged_at_ : std::max(all_purged_at_, found->second);
+    return now < time + retention_ ? time : Micros(-1);
   }
 
  private:
   std::size_t capacity_;
-  Micros binding_;
-  std::unordered_map<std::uint64_t, Micros> times_;
-  Micros for_all_{-1};
+  Micros retention_;
+  std::unordered_map<std::uint64_t, Micros> purged_at_;
+  Micros all_purged_at_{-1};  // of the purge that replaced earlier ones
 };
 
 }  // namespace trailcourse
--- a/src/decision/running_statistics.h
+++ b/src/decision/running_statistics.h
@@ -69,10 +69,10 @@
   double tokens_;
 };
 
-// A part of a total that may hold no more than a given share of it. Both decay with each addition.
+// A part of a total that may not exceed a given share of it. Both decay with each addition.
 class BoundedShare {
  public:
-  // Adds `amount` to the total, and to the part if that is `wanted` and keeps the part within `max_share` of
+  // Adds `amount` to the total, and to the part if that is `wanted` and the part stays within `max_share` of
   // the total. Returns whether it was added to the part.
   bool add(double amount, bool wanted, double max_share, double decay) {
     total_ = decay * total_ + amount;
--- a/src/decision/sending_times.h
+++ b/src/decision/sending_times.h
@@ -1,4 +1,4 @@
-// The mean sending time of each request class, learnt from the sizes of requests.
+// The mean sending time of each request class, estimated from the sizes of requests.
 #pragma once
 
 #include <algorithm>
@@ -10,16 +10,19 @@
 
 namespace trailcourse {
 
+// Not thread-safe. Classes are numbered from 0; a request of another class must not be passed.
 class SendingTimes {
  public:
   explicit SendingTimes(std::size_t classes) : means_(classes) {}
 
+  // Adds an observed sending time to the mean of the request's class.
   void add(const Request& request, double seconds) { mean_of(request).add(seconds); }
 
   // Returns the mean sending time of the request's class in seconds.
   double mean(const Request& request) const { return mean_of(request).value(kDefaultSeconds); }
 
-  // Returns the same with a margin for a mean of few requests: what a request may cost a node in slow start.
+  // Returns the mean plus a margin that shrinks with the number of observations: the cost of a request at a
+  // node in slow start.
   double upper_mean(const Request& request) const {
     return mean_of(request).upper_value(kDefaultSeconds, kUncertainty);
   }
@@ -36,14 +39,14 @@
     return largest;
   }
 
-  // Makes room for `classes` classes in all.
+  // Sets the number of classes to `classes`; new ones start without observations.
   void resize(std::size_t classes) { means_.resize(classes); }
 
-  // Starts the class `to` with what the class `from` has learnt.
+  // Copies the observations of the class `from` to the class `to`.
   void copy_class(std::size_t from, std::size_t to) { means_[to] = means_[from]; }
 
  private:
-  static constexpr double kDefaultSeconds = 0.2;  // of sending where nothing is known yet
+  static constexpr double kDefaultSeconds = 0.2;  // of sending before the first observation
   static constexpr double kUncertainty = 1.0;     // of the mean, over the root of the requests seen
 
   Mean& mean_of(const Request& request) {
--- a/src/decision/slow_start.h
+++ b/src/decision/slow_start.h
@@ -2,8 +2,8 @@
 // lately.
 //
 // The time slots of all routers at one node lie evenly over time, by the routers' indices and the start of
-// the node, which all routers know alike, so that their sum is even in every window. A slot holds what one
-// request may need, and comes as often as that fits the router's part of the budget.
+// the node, which all routers have in common, so that their sum is even in every window. A slot admits what
+// one request may need, and comes as often as that fits the router's part of the budget.
 #pragma once
 
 #include <algorithm>
@@ -32,7 +32,8 @@
            context_.settings.overload_span > Micros(0);
   }
 
-  // Returns whether `cost` seconds of sending fit this router's slot at the node; begins a new slot when due.
+  // Returns whether `cost` seconds of sending fit this router's slot at the node; begins a new slot once its
+  // time has come.
   bool admits(Node& node, double cost) const { return !limits(node) || fits_slot(node, cost); }
 
   // Takes `cost` from the slot and returns what was taken: nothing at a node without a budget.
--- a/src/decision/source_selection.cpp
+++ b/src/decision/source_selection.cpp
@@ -31,7 +31,7 @@
   return order.empty() ? cache : order.back();
 }
 
-// Returns the parents, then the origins; only the origins for what no cache keeps.
+// Returns the parents, then the origins; only the origins for uncacheable requests.
 std::vector<int> SourceSelection::candidates(const Request& request) const {
   std::vector<int> origins = rendezvous_order(context_.nodes, Role::kOrigin, request.object_key);
   if (!context_.cacheable(request)) {
--- a/src/decision/source_selection.h
+++ b/src/decision/source_selection.h
@@ -2,8 +2,8 @@
 // one is ejected, in slow start or has just failed the request.
 //
 // A source whose fills are rejected, late or missing takes only a quota of the objects. Every router lets the
-// same objects go on to the next source, so that a slow or crowded one keeps what it can carry. Where all are
-// slow alike it does harm: the origin gets more, up to its own quota.
+// same objects go on to the next source, so that a slow or overloaded one serves as much as it can. If all
+// sources are slow, this shifts more load to the origin, up to its own quota.
 #pragma once
 
 #include <vector>
@@ -14,7 +14,7 @@
 
 namespace trailcourse {
 
-// Whom the outcome of a fill speaks of: the source itself, or the origin behind it.
+// What the outcome of a fill counts for or against: the source itself, or the origin behind it.
 enum class FillOrigin { kSource, kOrigin };
 
 class SourceSelection {
@@ -23,8 +23,8 @@
   SourceSelection(DecisionContext& context, const SlowStart& slow_start, const OutlierDetection& outliers)
       : context_(context), slow_start_(slow_start), outliers_(outliers) {}
 
-  // Returns the index of the source that a miss at the cache is filled from. With no healthy source the fault
-  // is elsewhere, and it is the first that can be used. Without any source it is the cache itself.
+  // Returns the index of the source that a miss at the cache is filled from. With no healthy source the cause
+  // lies elsewhere, and it is the first usable one. Without any source it is the cache itself.
   int select(const Request& request, int cache);
 
   // Raises or lowers the quota of the source, or of the origin behind it.
--- a/tests/cold_sum_test.cpp
+++ b/tests/cold_sum_test.cpp
@@ -12,6 +12,7 @@
 #include <queue>
 #include <random>
 #include <string>
+#include <tuple>
 #include <vector>
 
 namespace trailcourse {
@@ -23,7 +24,7 @@
 double seconds_of(Micros time) { return static_cast<double>(time.count()) * 1e-6; }
 Micros micros_of(double time) { return Micros(static_cast<std::int64_t>(time * 1e6)); }
 
-// One deployment and day, by the settings' names and figures.
+// One deployment and its load, by the settings' names and figures.
 struct World {
   std::string name;
   int routers = 30;
@@ -38,7 +39,7 @@
   double unevenness = 0.9;      // sigma of the routers' parts
   double fails = 0.1;           // of the attempts: full, which brings a further one
   double restarts_per_s = 0.0;  // of routers, over all
-  double quiet_until_s = 0.0;   // hardly any load before: what was saved up must not be spent at once
+  double quiet_until_s = 0.0;   // hardly any load before: unused budget must not accumulate
   bool all_restart_at_3 = false;
   int stride = 1;  // of the routers' indices, as where every third stands in this zone
   std::vector<double> work = {0.37, 0.06};  // seconds of sending by class, and its part of the requests
@@ -47,7 +48,7 @@
   double length_s = 14.0;
 };
 
-// As it is told where a test of it is listed or fails.
+// Prints the name, which GoogleTest shows in lists of tests and in failures.
 void PrintTo(const World& world, std::ostream* out) { *out << world.name; }
 
 struct Arrival {
@@ -57,7 +58,7 @@
 
 struct Outcome {
   double worst = 0.0;   // the fullest window over N + 2 sqrt(N) + 2, in requests of mean work
-  double most = 0.0;    // what came in it
+  double work = 0.0;    // that arrived in it
   double budget = 0.0;  // its N
   double used = 0.0;    // of all that the settings allow while cold
 };
@@ -117,8 +118,8 @@
     }
   }
 
-  // Plays the day; what reached each cold node, worst first.
-  std::vector<Outcome> play() {
+  // Runs the simulation and returns what reached each cold node, worst first.
+  std::vector<Outcome> run() {
     routers_.resize(static_cast<std::size_t>(world_.routers));
     const Micros end = kStart + micros_of(world_.length_s);
     for (int i = 0; i < world_.routers; ++i) {
@@ -145,7 +146,7 @@
     std::vector<Outcome> out;
     for (const Endpoint& entry : list_) {
       if (entry.started > Micros(0)) {
-        out.push_back(judge(entry));
+        out.push_back(measure(entry));
       }
     }
     std::sort(out.begin(), out.end(), [](const Outcome& a, const Outcome& b) { return a.worst > b.worst; });
@@ -159,12 +160,12 @@
     std::uint64_t order;
     std::function<void()> run;
     friend bool operator<(const Job& a, const Job& b) {
-      return std::pair(a.when, a.order) > std::pair(b.when, b.order);
+      return std::tie(a.when, a.order) > std::tie(b.when, b.order);
     }
   };
-  struct One {
+  struct Router {
     std::unique_ptr<Decider> decider;
-    int life = 0;
+    int generation = 0;  // incremented by each start
     std::map<RequestId, int> classes;
     std::map<RequestId, int> attempts;
   };
@@ -173,14 +174,14 @@
   void at(Micros when, std::function<void()> run) { jobs_.push(Job{when, ++order_, std::move(run)}); }
 
   void start_router(int i) {
-    One& one = routers_[static_cast<std::size_t>(i)];
+    Router& router = routers_[static_cast<std::size_t>(i)];
     Settings settings = settings_;
     settings.self_index = world_.stride * i;
-    one.decider = std::make_unique<Decider>(settings, random_());
-    ++one.life;
-    one.classes.clear();
-    one.attempts.clear();
-    tell(i, EndpointListReceived{ListKind::kFull, list_});
+    router.decider = std::make_unique<Decider>(settings, random_());
+    ++router.generation;
+    router.classes.clear();
+    router.attempts.clear();
+    handle(i, EndpointListReceived{ListKind::kFull, list_});
   }
 
   void next_request(int i, Micros from) {
@@ -196,42 +197,43 @@
   }
 
   void request(int i) {
-    One& one = routers_[static_cast<std::size_t>(i)];
-    RequestArrived told;
-    told.id = ++last_id_;
+    Router& router = routers_[static_cast<std::size_t>(i)];
+    RequestArrived arrival;
+    arrival.id = ++last_id_;
     const auto type = std::discrete_distribution<int>(world_.part.begin(), world_.part.end())(random_);
-    told.request_class = type;
-    told.object = random_();
-    told.purge_group = told.object % 256;
+    arrival.request_class = type;
+    arrival.object = random_();
+    arrival.purge_group = arrival.object % 256;
     const double size =
         std::lognormal_distribution<double>(-world_.sigma * world_.sigma / 2, world_.sigma)(random_);
-    told.size_kb = 1000.0 * size * world_.work[static_cast<std::size_t>(type)];
-    told.deadline = now_ + seconds(6);
-    one.classes[told.id] = type;
-    tell(i, told);
+    arrival.size_kb = 1000.0 * size * world_.work[static_cast<std::size_t>(type)];
+    arrival.deadline = now_ + seconds(6);
+    router.classes[arrival.id] = type;
+    handle(i, arrival);
   }
 
-  void tell(int i, const Event& event) {
-    One& one = routers_[static_cast<std::size_t>(i)];
+  void handle(int i, const Event& event) {
+    Router& router = routers_[static_cast<std::size_t>(i)];
     std::vector<Action> actions;
-    one.decider->handle(now_, event, actions);
+    router.decider->handle(now_, event, actions);
     for (const Action& action : actions) {
       if (const auto* send = std::get_if<SendAttempt>(&action)) {
-        sent(i, *send);
+        record_attempt(i, *send);
       } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
-        at(now_ + std::max(Micros(1), timer->delay), [this, i, life = one.life, token = timer->token] {
-          if (routers_[static_cast<std::size_t>(i)].life == life) {
-            tell(i, TimerFired{token});
-          }
-        });
+        at(now_ + std::max(Micros(1), timer->delay),
+           [this, i, generation = router.generation, token = timer->token] {
+             if (routers_[static_cast<std::size_t>(i)].generation == generation) {
+               handle(i, TimerFired{token});
+             }
+           });
       }
     }
   }
 
-  void sent(int i, const SendAttempt& send) {
-    One& one = routers_[static_cast<std::size_t>(i)];
-    const double work = world_.work[static_cast<std::size_t>(one.classes[send.id])];
-    const int attempt = one.attempts[send.id]++;
+  void record_attempt(int i, const SendAttempt& send) {
+    Router& router = routers_[static_cast<std::size_t>(i)];
+    const double work = world_.work[static_cast<std::size_t>(router.classes[send.id])];
+    const int attempt = router.attempts[send.id]++;
     const bool fails = uniform(0.0, 1.0) < world_.fails;
     arrivals_[send.cache].push_back(Arrival{now_, work});
     if (send.source != send.cache && !fails) {
@@ -244,14 +246,14 @@
     ended.finished = !fails;
     ended.note = fails ? Note::kNoFillCapacity : Note::kFilled;
     ended.latency = micros_of(fails ? 0.004 : 0.06);
-    at(now_ + ended.latency, [this, i, life = one.life, ended] {
-      if (routers_[static_cast<std::size_t>(i)].life == life) {
-        tell(i, ended);
+    at(now_ + ended.latency, [this, i, generation = router.generation, ended] {
+      if (routers_[static_cast<std::size_t>(i)].generation == generation) {
+        handle(i, ended);
       }
     });
   }
 
-  Outcome judge(const Endpoint& entry) const {
+  Outcome measure(const Endpoint& entry) const {
     double mean = 0.0;
     for (std::size_t i = 0; i < world_.work.size(); ++i) {
       mean += world_.work[i] * world_.part[i];
@@ -266,25 +268,25 @@
     const auto found = arrivals_.find(entry.address);
     const std::vector<Arrival> none;
     const std::vector<Arrival>& all = found == arrivals_.end() ? none : found->second;
-    double held = 0.0;
+    double in_window = 0.0;
     double total = 0.0;
     for (std::size_t i = 0, j = 0; i < all.size(); ++i) {
-      held += all[i].work / mean;
+      in_window += all[i].work / mean;
       total += all[i].at < warm ? all[i].work / mean : 0.0;
       while (all[i].at - all[j].at > micros_of(world_.span_s)) {
-        held -= all[j++].work / mean;
+        in_window -= all[j++].work / mean;
       }
       const double budget = allowed(all[j].at);  // as at the window's begin, the least of it
-      const double ratio = held / (budget + 2.0 * std::sqrt(budget) + 2.0);
+      const double ratio = in_window / (budget + 2.0 * std::sqrt(budget) + 2.0);
       if (all[i].at < warm && ratio > out.worst) {
         out.worst = ratio;
-        out.most = held;
+        out.work = in_window;
         out.budget = budget;
       }
     }
-    const double whole = (allowed(entry.started) + allowed(warm)) / 2.0 *
-                         std::min(world_.cold_s, world_.length_s) / world_.span_s;
-    out.used = total / whole;
+    const double total_budget = (allowed(entry.started) + allowed(warm)) / 2.0 *
+                                std::min(world_.cold_s, world_.length_s) / world_.span_s;
+    out.used = total / total_budget;
     return out;
   }
 
@@ -293,7 +295,7 @@
   Settings settings_;
   std::vector<Endpoint> list_;
   std::vector<double> rates_;
-  std::vector<One> routers_;
+  std::vector<Router> routers_;
   std::priority_queue<Job> jobs_;
   std::uint64_t order_ = 0;
   Micros now_{0};
@@ -301,107 +303,66 @@
   std::map<std::string, std::vector<Arrival>> arrivals_;
 };
 
-// A world like another, but for what `change` sets.
-World like(World world, const std::string& name, const std::function<void(World&)>& change) {
+// Returns a copy of the world with the name and the changes that `change` makes.
+World variant_of(World world, const std::string& name, const std::function<void(World&)>& change) {
   world.name = name;
   change(world);
   return world;
 }
 
-std::vector<World> worlds() {
+// Returns the worlds with caches of the default size.
+std::vector<World> default_worlds() {
   World plain;
   plain.name = "plain";
-  const World small = like(plain, "small_caches", [](World& w) {
-    w.transfers = 3.0;
-    w.factor = 1.5;
-    w.span_s = 1.0;
-    w.requests_per_s = 20.0;
-  });
   return {plain,
-          like(plain, "uneven_and_busy",
-               [](World& w) {
-                 w.unevenness = 1.5;
-                 w.requests_per_s = 30.0;
-               }),
-          like(plain, "routers_restart",
-               [](World& w) {
-                 w.restarts_per_s = 10.0;
-                 w.requests_per_s = 20.0;
-               }),
-          like(plain, "all_routers_restart_at_once",
-               [](World& w) {
-                 w.all_restart_at_3 = true;
-                 w.requests_per_s = 20.0;
-               }),
-          like(plain, "quiet_then_busy",
-               [](World& w) {
-                 w.quiet_until_s = 4.0;
-                 w.requests_per_s = 40.0;
-               }),
-          like(plain, "half_of_the_attempts_fail",
-               [](World& w) {
-                 w.fails = 0.5;
-                 w.requests_per_s = 20.0;
-               }),
-          like(plain, "sizes_of_a_long_tail",
-               [](World& w) {
-                 w.sigma = 1.6;
-                 w.requests_per_s = 4.0;
-                 w.all_restart_at_3 = true;
-               }),
-          small,
-          like(small, "small_caches_with_restarts",
-               [](World& w) {
-                 w.restarts_per_s = 10.0;
-                 w.fails = 0.3;
-               }),
-          like(small, "tiny_caches",
-               [](World& w) {
-                 w.transfers = 2.0;
-                 w.factor = 1.2;
-               }),
-          like(small, "small_caches_quiet_then_busy",
-               [](World& w) {
-                 w.quiet_until_s = 4.0;
-                 w.requests_per_s = 40.0;
-               }),
-          like(small, "three_hundred_routers_small_caches",
-               [](World& w) {
-                 w.routers = 300;
-                 w.requests_per_s = 5.0;
-                 w.length_s = 10.0;
-               }),
-          like(small, "three_routers_small_caches",
-               [](World& w) {
-                 w.routers = 3;
-                 w.requests_per_s = 100.0;
-               }),
-          like(small, "twenty_routers_middle_caches",
-               [](World& w) {
-                 w.routers = 20;
-                 w.transfers = 8.0;
-                 w.factor = 2.0;
-                 w.span_s = 1.0;
-               }),
-          like(small, "every_third_router_is_here", [](World& w) { w.stride = 3; }),
-          like(small, "every_eighth_router_is_here", [](World& w) { w.stride = 8; }),
-          like(plain, "large_caches",
-               [](World& w) {
-                 w.transfers = 60.0;
-                 w.requests_per_s = 40.0;
-               }),
-          like(plain, "three_routers",
-               [](World& w) {
-                 w.routers = 3;
-                 w.requests_per_s = 100.0;
-               }),
-          like(plain, "twenty_routers",
-               [](World& w) {
-                 w.routers = 20;
-                 w.restarts_per_s = 4.0;
-                 w.requests_per_s = 20.0;
-               }),
-          like(plain, "three_hundred_routers", [](World& w) {
+          variant_of(plain, "uneven_and_busy",
+                     [](World& w) {
+                       w.unevenness = 1.5;
+                       w.requests_per_s = 30.0;
+                     }),
+          variant_of(plain, "routers_restart",
+                     [](World& w) {
+                       w.restarts_per_s = 10.0;
+                       w.requests_per_s = 20.0;
+                     }),
+          variant_of(plain, "all_routers_restart_at_once",
+                     [](World& w) {
+                       w.all_restart_at_3 = true;
+                       w.requests_per_s = 20.0;
+                     }),
+          variant_of(plain, "quiet_then_busy",
+                     [](World& w) {
+                       w.quiet_until_s = 4.0;
+                       w.requests_per_s = 40.0;
+                     }),
+          variant_of(plain, "half_of_the_attempts_fail",
+                     [](World& w) {
+                       w.fails = 0.5;
+                       w.requests_per_s = 20.0;
+                     }),
+          variant_of(plain, "sizes_of_a_long_tail",
+                     [](World& w) {
+                       w.sigma = 1.6;
+                       w.requests_per_s = 4.0;
+                       w.all_restart_at_3 = true;
+                     }),
+          variant_of(plain, "large_caches",
+                     [](World& w) {
+                       w.transfers = 60.0;
+                       w.requests_per_s = 40.0;
+                     }),
+          variant_of(plain, "three_routers",
+                     [](World& w) {
+                       w.routers = 3;
+                       w.requests_per_s = 100.0;
+                     }),
+          variant_of(plain, "twenty_routers",
+                     [](World& w) {
+                       w.routers = 20;
+                       w.restarts_per_s = 4.0;
+                       w.requests_per_s = 20.0;
+                     }),
+          variant_of(plain, "three_hundred_routers", [](World& w) {
             w.routers = 300;
             w.requests_per_s = 3.0;
             w.all_restart_at_3 = true;
@@ -409,6 +370,59 @@
           })};
 }
 
+// Returns the worlds with caches of few transfers and a tight budget.
+std::vector<World> small_cache_worlds() {
+  const World small = variant_of(World{}, "small_caches", [](World& w) {
+    w.transfers = 3.0;
+    w.factor = 1.5;
+    w.span_s = 1.0;
+    w.requests_per_s = 20.0;
+  });
+  return {small,
+          variant_of(small, "small_caches_with_restarts",
+                     [](World& w) {
+                       w.restarts_per_s = 10.0;
+                       w.fails = 0.3;
+                     }),
+          variant_of(small, "tiny_caches",
+                     [](World& w) {
+                       w.transfers = 2.0;
+                       w.factor = 1.2;
+                     }),
+          variant_of(small, "small_caches_quiet_then_busy",
+                     [](World& w) {
+                       w.quiet_until_s = 4.0;
+                       w.requests_per_s = 40.0;
+                     }),
+          variant_of(small, "three_hundred_routers_small_caches",
+                     [](World& w) {
+                       w.routers = 300;
+                       w.requests_per_s = 5.0;
+                       w.length_s = 10.0;
+                     }),
+          variant_of(small, "three_routers_small_caches",
+                     [](World& w) {
+                       w.routers = 3;
+                       w.requests_per_s = 100.0;
+                     }),
+          variant_of(small, "twenty_routers_middle_caches",
+                     [](World& w) {
+                       w.routers = 20;
+                       w.transfers = 8.0;
+                       w.factor = 2.0;
+                       w.span_s = 1.0;
+                     }),
+          variant_of(small, "every_third_router_is_here", [](World& w) { w.stride = 3; }),
+          variant_of(small, "every_eighth_router_is_here", [](World& w) { w.stride = 8; })};
+}
+
+std::vector<World> worlds() {
+  std::vector<World> all = default_worlds();
+  const std::vector<World> small = small_cache_worlds();
+  all.insert(all.end(), small.begin(), small.end());
+  return all;
+}
+
 class ColdSum : public testing::TestWithParam<World> {};
 
 TEST_P(ColdSum, NoWindowOfAllRoutersTogetherIsOverTheBudget) {
@@ -417,18 +431,18 @@
   int nodes = 0;
   Outcome fullest;
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
-    for (const Outcome& outcome : Fleet(GetParam(), seed).play()) {
+    for (const Outcome& outcome : Fleet(GetParam(), seed).run()) {
       fullest = outcome.worst > worst ? outcome : fullest;
       worst = std::max(worst, outcome.worst);
       used += outcome.used;
       ++nodes;
     }
   }
-  std::cout << GetParam().name << ": worst " << worst << " of N + 2 sqrt(N) + 2, " << fullest.most
+  std::cout << GetParam().name << ": worst " << worst << " of N + 2 sqrt(N) + 2, " << fullest.work
             << " requests of mean work with N " << fullest.budget << "; used " << used / nodes
             << " of the budget\n";
   EXPECT_LE(worst, 1.0);
-  EXPECT_GT(used / nodes, 0.1) << "the node is to be used";
+  EXPECT_GT(used / nodes, 0.1) << "the node takes part of the load";
 }
 
 INSTANTIATE_TEST_SUITE_P(Worlds, ColdSum, testing::ValuesIn(worlds()),
--- a/tests/decision/cache_selection_test.cpp
+++ b/tests/decision/cache_selection_test.cpp
@@ -57,7 +57,7 @@
   return failed["c1"] < failed["c2"] ? "c1" : "c2";
 }
 
-// Provokes: a cache that was killed and is back while the other is killed. Left out for its whole ejection,
+// A cache that was killed and is back while the other is killed. Skipped for its full ejection,
 // it costs every request of that time though it would serve.
 TEST(CacheSelection, LastResortIsTheCacheThatFailedLongestAgo) {
   TestRouter router;
--- a/tests/decision/fill_window_test.cpp
+++ b/tests/decision/fill_window_test.cpp
@@ -116,7 +116,7 @@
   const auto after = router.end_attempt(asked, 0, Status::kNotCached, Note::kNotAtSource);
   EXPECT_EQ(final_answers(after) + count<SendAttempt>(after), 1);
   for (const SendAttempt& send : actions_of<SendAttempt>(after)) {
-    EXPECT_FALSE(send.only_if_cached);  // let in by chance; what is held was asked for already
+    EXPECT_FALSE(send.only_if_cached);  // admitted at random; the cached copy was requested already
   }
 }
 
--- a/tests/decision/keep_rank_test.cpp
+++ b/tests/decision/keep_rank_test.cpp
@@ -28,10 +28,10 @@
     }
     return ranks;
   };
-  EXPECT_EQ(ranks_after(1e12), ranks_after(0.0)) << "it counts as one that was not told";
+  EXPECT_EQ(ranks_after(1e12), ranks_after(0.0)) << "it counts as an unknown size";
 }
 
-// Bytes of large first requests, so that the top share has room.
+// Bytes of large first requests, so that the top share is not exhausted.
 void make_room(TestRouter& router, double size_kb = 300.0) {
   for (RequestId id = 9000; id < 9040; ++id) {
     router.serve(id, kVideo, id, size_kb);
--- a/tests/decision/load_shedding_test.cpp
+++ b/tests/decision/load_shedding_test.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 // One cache of four transfers that holds `count` requests.
-void crowd(TestRouter& router, RequestId count, double size_kb) {
+void add_load(TestRouter& router, RequestId count, double size_kb) {
   router.receive_list(
       {endpoint("c1", Role::kCache, 4.0), endpoint("p1", Role::kParent), endpoint("o", Role::kOrigin)});
   for (RequestId id = 1; id <= count; ++id) {
@@ -17,14 +17,14 @@
 
 TEST(LoadShedding, RejectsLargeObjectsFirst) {
   TestRouter router;
-  crowd(router, 8, 300.0);
+  add_load(router, 8, 300.0);
   EXPECT_EQ(count<Reject>(router.request(100, kVideo, 100, 3000.0)), 1);
   EXPECT_EQ(count<SendAttempt>(router.request(101, kVideo, 101, 20.0)), 1);
 }
 
 TEST(LoadShedding, RejectsObjectsAboveTheMeanSizeFromASmallerPartOfTheirObjective) {
   TestRouter router;
-  crowd(router, 6, 200.0);
+  add_load(router, 6, 200.0);
   // At one and a half times its capacity the cache would send 1.5 s of work in 2.3 s, within 0.9 of 3 s.
   EXPECT_EQ(count<Reject>(router.request(100, kVideo, 100, 1500.0)), 1);
   EXPECT_EQ(count<SendAttempt>(router.request(101, kVideo, 101, 200.0)), 1);
@@ -43,7 +43,7 @@
 }
 
 // The parts answered of large requests and of all, where nine of ten are small and the caches are so busy
-// that a large answer will miss its aim.
+// that a large answer will miss its objective.
 struct AnsweredParts {
   double large = 0.0;
   double all = 0.0;
--- a/tests/decision/outlier_detection_test.cpp
+++ b/tests/decision/outlier_detection_test.cpp
@@ -80,10 +80,10 @@
 }
 
 // An answer that never comes from a cache that answers others: the next one is asked before the client's time
-// is up, and nobody is blamed. Where the cache is crowded the answer is only slow, and asking twice adds to
-// that.
+// is up, and no node is penalised. Where the cache is overloaded the answer is only slow, and asking twice
+// adds to that.
 TEST(OutlierDetection, RetriesALostAnswerElsewhereWithoutPenalty) {
-  for (const double crowd : {2.0, 200.0}) {
+  for (const double concurrent : {2.0, 200.0}) {
     TestRouter router;
     router.receive_list(default_endpoints());
     const std::string home = router.serve(1).cache;
@@ -91,7 +91,7 @@
     router.now += seconds(2);
     router.request(3);
     LoadReport load;
-    load.concurrent = crowd;
+    load.concurrent = concurrent;
     router.end_attempt(3, 0, Status::kOk, Note::kFilled,
                        load);  // it goes on answering others, and so does its source
     for (const SetTimer& timer : actions_of<SetTimer>(asked)) {
@@ -99,10 +99,10 @@
         router.handle(TimerFired{timer.token});
       }
     }
-    ASSERT_EQ(router.sends[2].size(), crowd > 100.0 ? 1U : 2U);
-    if (crowd < 100.0) {
+    ASSERT_EQ(router.sends[2].size(), concurrent > 100.0 ? 1U : 2U);
+    if (concurrent < 100.0) {
       EXPECT_NE(router.sends[2][1].cache, home);
-      EXPECT_EQ(router.serve(4).cache, home) << "it is not left out for it";
+      EXPECT_EQ(router.serve(4).cache, home) << "it is not skipped for it";
     }
   }
 }
