--- a/benchmarks/storage_bench.cpp
+++ b/benchmarks/storage_bench.cpp
@@ -216,8 +216,8 @@
     open_segments();
   }
 
-  // Reads in turns, so that what else the machine does falls on both. A plain read is run in the pool too: the way there
-  // and back is that of any program that must not block.
+  // Reads in turns, so that what else the machine does falls on both. A plain read is run in the pool too:
+  // the way there and back is that of any program that must not block.
   void run() {
     const std::size_t reads = cold_ ? 4'000 : 20'000;
     std::mt19937 random(3);
--- a/src/coordination/coordination_server.h
+++ b/src/coordination/coordination_server.h
@@ -1,9 +1,9 @@
-// The coordination store of one process, run by `trailcourse registry`: a key-value database behind the part of
-// etcd's v3 interface that this project uses. It stands in for a cluster: what it answers is durable, but while its
-// process or machine is down, there is no store.
+// The coordination store of one process, run by `trailcourse registry`: a key-value database behind the part
+// of etcd's v3 interface that this project uses. It stands in for a cluster: what it answers is durable, but
+// while its process or machine is down, there is no store.
 //
-// Package `coordination`, over `transport` and `protocol`. Not thread-safe: it belongs to its scheduler's thread,
-// which also writes, so that a call takes as long as a sync of the disk.
+// Package `coordination`, over `transport` and `protocol`. Not thread-safe: it belongs to its scheduler's
+// thread, which also writes, so that a call takes as long as a sync of the disk.
 #pragma once
 
 #include <cstdint>
@@ -37,8 +37,8 @@
   Response execute_key_call(KeyValueState& state, const std::string& path, const nlohmann::json& body);
   Response execute_lease_call(KeyValueState& state, const std::string& path, const nlohmann::json& body);
   etcd::ResponseHeader header(const KeyValueState& state) const { return {database_.id(), state.revision()}; }
-  // Sends changes to watches, and sets the timer to the next expiry. Only after a transaction that succeeded: then
-  // the state in memory is that of the disk.
+  // Sends changes to watches, and sets the timer to the next expiry. Only after a transaction that succeeded:
+  // then the state in memory is that of the disk.
   void publish();
   void expire_leases();
 
--- a/src/coordination/coordination_store.h
+++ b/src/coordination/coordination_store.h
@@ -1,9 +1,10 @@
-// The interface of a coordination store: transactions that compare first, leases, and watches over a range of keys.
-// Callers need not know which backend it is; both pass one conformance suite (tests/coordination_test.cpp).
+// The interface of a coordination store: transactions that compare first, leases, and watches over a range of
+// keys. Callers need not know which backend it is; both pass one conformance suite
+// (tests/coordination_test.cpp).
 //
-// Package `coordination`. Not thread-safe: a store belongs to its scheduler's thread. Callbacks and observers are
-// called from the scheduler, never from within a call of this interface. Every call ends in time, and none is
-// retried here: only the caller knows what executing it twice would mean.
+// Package `coordination`. Not thread-safe: a store belongs to its scheduler's thread. Callbacks and observers
+// are called from the scheduler, never from within a call of this interface. Every call ends in time, and
+// none is retried here: only the caller knows what executing it twice would mean.
 #pragma once
 
 #include <trailcourse/decider.h>
--- a/src/coordination/embedded_store.h
+++ b/src/coordination/embedded_store.h
@@ -1,5 +1,5 @@
-// A coordination store for all routers of one machine: a database in a folder that they share. The calls run in a
-// thread of the store's own; watches poll the database.
+// A coordination store for all routers of one machine: a database in a folder that they share. The calls run
+// in a thread of the store's own; watches poll the database.
 //
 // Package `coordination`, over `transport` and the executor of `store`. Not thread-safe: it belongs to its
 // scheduler's thread.
--- a/src/coordination/endpoint_selector.cpp
+++ b/src/coordination/endpoint_selector.cpp
@@ -35,8 +35,8 @@
   }
 }
 
-// Exponential backoff with a jitter from a half to one and a half: clients that lost the store in one moment do
-// not return in one.
+// Exponential backoff with a jitter from a half to one and a half: clients that lost the store in one moment
+// do not return in one.
 Micros EndpointSelector::next_backoff() {
   Micros backoff = first_backoff_;
   for (int round = 0; round < failed_rounds_ && backoff < max_backoff_; ++round) {
--- a/src/coordination/endpoint_selector.h
+++ b/src/coordination/endpoint_selector.h
@@ -11,11 +11,12 @@
 
 namespace trailcourse::coordination {
 
-// Prefers the endpoint that answered last and moves on to the next one after a failure. Once every endpoint has
-// failed in a row, no endpoint is called for a backoff that doubles with each such round.
+// Prefers the endpoint that answered last and moves on to the next one after a failure. Once every endpoint
+// has failed in a row, no endpoint is called for a backoff that doubles with each such round.
 class EndpointSelector {
  public:
-  // `count` endpoints are numbered from 0; none counts as one. `seed` draws the first endpoint and the jitter.
+  // `count` endpoints are numbered from 0; none counts as one. `seed` draws the first endpoint and the
+  // jitter.
   EndpointSelector(std::size_t count, Micros first_backoff, Micros max_backoff, std::uint64_t seed);
 
   // Starts with this endpoint instead of a drawn one. To be called before the first select().
--- a/src/coordination/etcd_client.h
+++ b/src/coordination/etcd_client.h
@@ -24,7 +24,8 @@
 
 namespace trailcourse::coordination {
 
-// Which endpoint is called first: a random one, so that clients spread over a cluster, or the first in the list.
+// Which endpoint is called first: a random one, so that clients spread over a cluster, or the first in the
+// list.
 enum class FirstEndpoint { kRandom, kFirstListed };
 
 // Held by a shared_ptr: coroutines that are suspended keep it alive after close().
@@ -43,8 +44,8 @@
   EtcdClient(transport::Scheduler& scheduler, const CoordinationOptions& options, std::uint64_t seed,
              FirstEndpoint first);
 
-  // Queues a call. At most two are in flight; those for leases go before all others, since a lease that waits too
-  // long is lost. The callback runs from the scheduler, never from within this function.
+  // Queues a call. At most two are in flight; those for leases go before all others, since a lease that waits
+  // too long is lost. The callback runs from the scheduler, never from within this function.
   template <typename Value>
   void call(std::string_view path, const nlohmann::json& body, Reader<Value> read,
             CoordinationStore::Callback<Value> callback);
--- a/src/coordination/etcd_fields.h
+++ b/src/coordination/etcd_fields.h
@@ -1,8 +1,8 @@
-// Reads and writes the fields of etcd's JSON messages: bytes in Base64, 64-bit numbers as strings, default values
-// left out (https://protobuf.dev/programming-guides/json/).
+// Reads and writes the fields of etcd's JSON messages: bytes in Base64, 64-bit numbers as strings, default
+// values left out (https://protobuf.dev/programming-guides/json/).
 //
-// Package `coordination`: no I/O, no clock. All functions are pure, and every read function throws BadMessage if a
-// field has the wrong type.
+// Package `coordination`: no I/O, no clock. All functions are pure, and every read function throws BadMessage
+// if a field has the wrong type.
 #pragma once
 
 #include <cstdint>
@@ -35,7 +35,8 @@
 std::string read_string(const nlohmann::json& from, const char* field);
 // Reads a string in Base64.
 std::string read_bytes(const nlohmann::json& from, const char* field);
-// Returns the object under one of two names, since the gateway accepts both forms of a name; null if there is none.
+// Returns the object under one of two names, since the gateway accepts both forms of a name; null if there is
+// none.
 const nlohmann::json* find_object(const nlohmann::json& from, const char* snake_case, const char* camel_case);
 // The list belongs to `from`.
 const nlohmann::json& read_list(const nlohmann::json& from, const char* field);
--- a/src/coordination/etcd_responses.h
+++ b/src/coordination/etcd_responses.h
@@ -1,8 +1,9 @@
 // The responses of etcd's v3 interface as JSON, as its gateway writes them (messages in
-// api/etcdserverpb/rpc.proto). Both directions are here, so that the client and the server are tested against each
-// other.
+// api/etcdserverpb/rpc.proto). Both directions are here, so that the client and the server are tested against
+// each other.
 //
-// Package `coordination`: no I/O, no clock. Every read function checks the whole message and throws BadMessage.
+// Package `coordination`: no I/O, no clock. Every read function checks the whole message and throws
+// BadMessage.
 #pragma once
 
 #include <cstdint>
--- a/src/coordination/etcd_server.cpp
+++ b/src/coordination/etcd_server.cpp
@@ -55,8 +55,8 @@
 
 }  // namespace
 
-// The updates of watches at one revision: each is written once for all watches that follow the same range from the
-// same revision.
+// The updates of watches at one revision: each is written once for all watches that follow the same range
+// from the same revision.
 class EtcdServer::UpdateCache {
  public:
   struct Update {
--- a/src/coordination/etcd_server.h
+++ b/src/coordination/etcd_server.h
@@ -1,7 +1,8 @@
-// The HTTP side of a store that speaks etcd's v3 interface: connections, calls, watches and their heartbeats. What a
-// call does is up to the service: the coordination server and an aggregator are two.
+// The HTTP side of a store that speaks etcd's v3 interface: connections, calls, watches and their heartbeats.
+// What a call does is up to the service: the coordination server and an aggregator are two.
 //
-// Package `coordination`, over `transport` and `protocol`. Not thread-safe: it belongs to its scheduler's thread.
+// Package `coordination`, over `transport` and `protocol`. Not thread-safe: it belongs to its scheduler's
+// thread.
 #pragma once
 
 #include <cstdint>
--- a/src/coordination/etcd_store.h
+++ b/src/coordination/etcd_store.h
@@ -1,5 +1,6 @@
-// A coordination store that speaks etcd's v3 interface over HTTP with JSON: an etcd cluster, `trailcourse registry`,
-// or an aggregator. It holds at most two connections for calls and one for each watch, opened when needed.
+// A coordination store that speaks etcd's v3 interface over HTTP with JSON: an etcd cluster, `trailcourse
+// registry`, or an aggregator. It holds at most two connections for calls and one for each watch, opened when
+// needed.
 //
 // Status of a call without a usable response: kNotSent if no connection was established; otherwise kUnknown.
 //
@@ -19,8 +20,8 @@
  public:
   using FirstEndpoint = coordination::FirstEndpoint;
 
-  // `options`: its endpoints and store_id must have been checked. `seed` draws the first endpoint and the jitter of
-  // backoffs.
+  // `options`: its endpoints and store_id must have been checked. `seed` draws the first endpoint and the
+  // jitter of backoffs.
   EtcdStore(transport::Scheduler& scheduler, const CoordinationOptions& options, std::uint64_t seed,
             FirstEndpoint first = FirstEndpoint::kRandom);
   ~EtcdStore() override;
--- a/src/coordination/key_value_database.cpp
+++ b/src/coordination/key_value_database.cpp
@@ -123,8 +123,8 @@
   bool committed_ = false;
 };
 
-// While another connection is switching a new file to this mode, SQLite returns SQLITE_BUSY at once, without its
-// busy timeout: the statement is retried here for as long.
+// While another connection is switching a new file to this mode, SQLite returns SQLITE_BUSY at once, without
+// its busy timeout: the statement is retried here for as long.
 void use_write_ahead_log(const Database& database) {
   const auto deadline = std::chrono::steady_clock::now() + std::chrono::milliseconds(kBusyTimeoutMs);
   for (;;) {
@@ -187,8 +187,8 @@
   }
 }
 
-// The leases of an earlier boot, or of an earlier process that had the database exclusively, expire by a clock that
-// does not exist any more.
+// The leases of an earlier boot, or of an earlier process that had the database exclusively, expire by a
+// clock that does not exist any more.
 void KeyValueDatabase::renew_stale_leases() {
   const std::string boot = boot_id();
   if (sharing_ != Sharing::kExclusive && read_meta(database_, "boot") == boot) {
--- a/src/coordination/key_value_database.h
+++ b/src/coordination/key_value_database.h
@@ -1,5 +1,5 @@
-// A key-value state that is stored in an SQLite database in a folder, used by one process or shared by all processes
-// of a machine.
+// A key-value state that is stored in an SQLite database in a folder, used by one process or shared by all
+// processes of a machine.
 //
 // Package `coordination`. Takes no locks of its own: one thread at a time. Every call may wait for the disk.
 #pragma once
@@ -24,24 +24,26 @@
     kUnsynced,  // they may not: enough for renewals of leases
   };
 
-  // Creates the folder and the database if there are none. Throws SqliteError, or std::runtime_error if another
-  // process uses the database exclusively.
+  // Creates the folder and the database if there are none. Throws SqliteError, or std::runtime_error if
+  // another process uses the database exclusively.
   KeyValueDatabase(const std::string& folder, const KeyValueLimits& limits, Sharing sharing);
 
   // Returns the number that tells this store from another one, drawn when the database was created. 48 bits.
   std::uint64_t id() const { return id_; }
 
-  // Calls `operation` with the current state, after expired leases were ended, and stores what it changed. What
+  // Calls `operation` with the current state, after expired leases were ended, and stores what it changed.
+  // What
   // `operation` throws is passed on, with the state unchanged. Throws SqliteError if the changes could not be
   // stored: then nothing was changed. `now` is boot_time().
   void transact(Milliseconds now, Durability durability,
                 const std::function<void(KeyValueState&)>& operation);
 
-  // Returns the state as the last transact() left it, unless that threw SqliteError. For an exclusive database.
+  // Returns the state as the last transact() left it, unless that threw SqliteError. For an exclusive
+  // database.
   const KeyValueState& state() const { return state_; }
 
-  // Returns the time since the machine was booted. The clock goes on while the machine is suspended, and is never
-  // set.
+  // Returns the time since the machine was booted. The clock goes on while the machine is suspended, and is
+  // never set.
   static Milliseconds boot_time();
 
  private:
--- a/src/coordination/key_value_state.cpp
+++ b/src/coordination/key_value_state.cpp
@@ -254,7 +254,8 @@
   return removed.size();
 }
 
-// Applies a change of this state's own. The revision is advanced by the caller, once the transaction is complete.
+// Applies a change of this state's own. The revision is advanced by the caller, once the transaction is
+// complete.
 void KeyValueState::record(const KeyChange& change) {
   untaken_changes_.push_back(change);
   const Revision before = revision_;
--- a/src/coordination/key_value_state.h
+++ b/src/coordination/key_value_state.h
@@ -1,9 +1,9 @@
-// The state machine of a coordination store: which conditions hold, what a transaction changes, which leases have
-// expired, and which changes a watch receives. The coordination server keeps one; with the embedded store, each
-// process applies the same history to its own.
+// The state machine of a coordination store: which conditions hold, what a transaction changes, which leases
+// have expired, and which changes a watch receives. The coordination server keeps one; with the embedded
+// store, each process applies the same history to its own.
 //
-// After each call that changes anything, take_changes() and take_lease_changes() return the changes; they are to be
-// persisted before the call is answered. A state that is restored from them continues where it was.
+// After each call that changes anything, take_changes() and take_lease_changes() return the changes; they are
+// to be persisted before the call is answered. A state that is restored from them continues where it was.
 //
 // Package `coordination`: no I/O, no clock; times are read from the caller's steady clock. Not thread-safe.
 #pragma once
@@ -88,7 +88,8 @@
 
   // Returns the first revision whose changes are still available.
   Revision compacted() const { return compacted_; }
-  // Returns the changes of a range from this revision on, in order. Throws OperationRejected if they were compacted.
+  // Returns the changes of a range from this revision on, in order. Throws OperationRejected if they were
+  // compacted.
   std::vector<KeyChange> changes_since(Revision from, const Range& range) const;
   // Drops the changes before this revision.
   void compact(Revision before);
--- a/src/coordination/options.h
+++ b/src/coordination/options.h
@@ -1,4 +1,5 @@
-// The sections `coordination` and `registry` of the operator's file. Field names are the keys; times are milliseconds.
+// The sections `coordination` and `registry` of the operator's file. Field names are the keys; times are
+// milliseconds.
 //
 // Package `coordination`.
 #pragma once
--- a/src/coordination/store_identity.h
+++ b/src/coordination/store_identity.h
@@ -25,8 +25,8 @@
   std::string message() const;
 };
 
-// The first store that answers is the one that is used, unless the operator named it. Lease terms of two stores
-// cannot be compared, so the responses of any other store are rejected.
+// The first store that answers is the one that is used, unless the operator named it. Lease terms of two
+// stores cannot be compared, so the responses of any other store are rejected.
 class StoreIdentity {
  public:
   // `expected`: the cluster id that the operator named; 0 accepts the store that answers first.
@@ -35,8 +35,8 @@
   // Returns the lowest revision that the response to a call sent now may have.
   Revision min_revision() const { return highest_; }
 
-  // Checks the header of a response, and remembers its store and revision if it is accepted. `min_revision` is
-  // what min_revision() returned when the call was sent, and 0 for a watch response.
+  // Checks the header of a response, and remembers its store and revision if it is accepted. `min_revision`
+  // is what min_revision() returned when the call was sent, and 0 for a watch response.
   tl::expected<void, IdentityMismatch> check(const etcd::ResponseHeader& header, Revision min_revision);
 
   // Returns the cluster id; 0 before the first response, if the operator named none.
--- a/src/coordination/types.h
+++ b/src/coordination/types.h
@@ -1,5 +1,5 @@
-// What a coordination store holds: entries under revisions that only grow, transactions that compare first, and
-// leases. The terms are those of etcd's v3 interface (https://etcd.io/docs/v3.5/learning/api/).
+// What a coordination store holds: entries under revisions that only grow, transactions that compare first,
+// and leases. The terms are those of etcd's v3 interface (https://etcd.io/docs/v3.5/learning/api/).
 //
 // Package `coordination`: no I/O, no clock.
 #pragma once
@@ -39,7 +39,8 @@
   friend bool operator==(const Range&, const Range&) = default;
 };
 
-// A condition on one key. Of a key that does not exist every number is 0, and no condition on the value holds.
+// A condition on one key. Of a key that does not exist every number is 0, and no condition on the value
+// holds.
 struct Compare {
   enum class What { kCreated, kModified, kVersion, kLease, kValue };
   enum class How { kEqual, kNotEqual, kGreater, kLess };
--- a/src/http/client_connection.h
+++ b/src/http/client_connection.h
@@ -15,9 +15,9 @@
 
 namespace trailcourse::http {
 
-// Keeps what was received until the waiting coroutine takes it. The transport connection owns this handler until
-// it has ended; the handler refers to it weakly. One coroutine waits at a time, and holds a shared_ptr to this
-// object while it does.
+// Keeps what was received until the waiting coroutine takes it. The transport connection owns this handler
+// until it has ended; the handler refers to it weakly. One coroutine waits at a time, and holds a shared_ptr
+// to this object while it does.
 class ClientConnection : public transport::Connection::Handler {
  public:
   // Names a request that was written, for may_have_sent().
@@ -32,7 +32,8 @@
                    const protocol::http::Bounds& response_bounds)
       : changed_(scheduler), parser_(response_bounds), peer_(to) {}
 
-  // Returns whether a request may be written: the connection has not ended, and all that came was readable HTTP.
+  // Returns whether a request may be written: the connection has not ended, and all that came was readable
+  // HTTP.
   bool usable() const { return !end_ && !parser_.failed(); }
   // Returns whether the connection has ended, also if on_end() is still to be called.
   bool closed() const;
@@ -51,12 +52,13 @@
   bool may_have_sent(WriteToken request) const;
   void close(transport::ConnectionEnd end);
 
-  // Waits for the next complete response, until the deadline. Returns nothing if the connection ended, a response
-  // was malformed, or the deadline passed; end() and malformed() tell which.
+  // Waits for the next complete response, until the deadline. Returns nothing if the connection ended, a
+  // response was malformed, or the deadline passed; end() and malformed() tell which.
   static transport::Task<std::optional<protocol::http::Response>> receive(
       std::shared_ptr<ClientConnection> connection, transport::Clock::time_point deadline);
 
-  // Awaitable: true once anything was received, the connection ended, or wake() was called; false after `longest`.
+  // Awaitable: true once anything was received, the connection ended, or wake() was called; false after
+  // `longest`.
   transport::Signal::Wait wait(transport::Clock::duration longest) { return changed_.wait(longest); }
   void wake() { changed_.notify(); }
   // Takes what was received so far of the body of a response that goes on, as a stream is read.
--- a/src/routing/board_watcher.cpp
+++ b/src/routing/board_watcher.cpp
@@ -130,7 +130,8 @@
   return relays_.choice != nullptr ? relays_.choice->select(at) : std::nullopt;
 }
 
-// The board is polled only when poll_scheduler.h says so; a relay, which has few clients, as soon as one can be polled.
+// The board is polled only when poll_scheduler.h says so; a relay, which has few clients, as soon as one can
+// be polled.
 Micros BoardWatcher::linger_of(const std::optional<std::string>& relay, Micros at_board) const {
   if (relay) {
     return std::chrono::duration_cast<Micros>(bounds_.relay_linger);
@@ -151,8 +152,8 @@
   }
 }
 
-// Ends the call in flight and the wait: the old board sends nothing more, and what the new one has to send is late
-// already. Events that were applied before are known by their number.
+// Ends the call in flight and the wait: the old board sends nothing more, and what the new one has to send is
+// late already. Events that were applied before are known by their number.
 bool BoardWatcher::move(const transport::Address& board) {
   if (board == board_) {
     return false;
@@ -286,8 +287,8 @@
   const std::uint64_t before = taker_.last();
   taker_.take(notices);
   const bool news = taker_.last() > before;
-  // A call without events was held to the end of its linger: the board had none then, however late this is read. A
-  // call with events was answered at some time since it was sent.
+  // A call without events was held to the end of its linger: the board had none then, however late this is
+  // read. A call with events was answered at some time since it was sent.
   const Micros known_at = (news ? poll.started : std::min(now(), poll.started + poll.linger)) - age;
   if (hooks_.page) {
     hooks_.page(page, known_at, response.header("x-path"));
--- a/src/routing/board_watcher.h
+++ b/src/routing/board_watcher.h
@@ -1,9 +1,9 @@
-// The client of the discovery service: long-polls it, or a relay, for watch responses, and applies them. When to poll
-// is decided by startup/poll_scheduler.h, whom by startup/relay_selector.h, and whether a response continues the sequence of events
-// by startup/sequence_tracker.h. No request ever waits for it.
+// The client of the discovery service: long-polls it, or a relay, for watch responses, and applies them. When
+// to poll is decided by startup/poll_scheduler.h, whom by startup/relay_selector.h, and whether a response
+// continues the sequence of events by startup/sequence_tracker.h. No request ever waits for it.
 //
-// Package `routing`, over `http` and `startup`. Not thread-safe: it belongs to its scheduler's thread, and must live as
-// long as that runs its coroutines.
+// Package `routing`, over `http` and `startup`. Not thread-safe: it belongs to its scheduler's thread, and
+// must live as long as that runs its coroutines.
 #pragma once
 
 #include <cstdint>
--- a/src/tasks/acknowledgement_task.cpp
+++ b/src/tasks/acknowledgement_task.cpp
@@ -6,9 +6,10 @@
 
 using coordination::Range;
 
-AcknowledgementTask::AcknowledgementTask(transport::Scheduler& scheduler, coordination::CoordinationStore& store,
-                                         std::string prefix, DiscoveryProgress& progress,
-                                         Micros min_round_interval, TaskContext context)
+AcknowledgementTask::AcknowledgementTask(transport::Scheduler& scheduler,
+                                         coordination::CoordinationStore& store, std::string prefix,
+                                         DiscoveryProgress& progress, Micros min_round_interval,
+                                         TaskContext context)
     : ReconcileTask(scheduler, store, std::move(prefix), std::move(context)),
       progress_(progress),
       subscription_(
@@ -36,7 +37,8 @@
   return round_open_ || key == policy::kAcknowledgedKey;
 }
 
-ReconcileTask::Decision AcknowledgementTask::decide(Micros now, const coordination::TransactionResult& outcome) {
+ReconcileTask::Decision AcknowledgementTask::decide(Micros now,
+                                                    const coordination::TransactionResult& outcome) {
   const policy::AcknowledgementSnapshot snapshot = policy::read_acknowledgement_snapshot(prefix(), outcome);
   round_open_ = snapshot.record.round > 0 && snapshot.record.completed != snapshot.record.requested;
   requested_ = snapshot.record.requested;
--- a/src/tasks/acknowledgement_task.h
+++ b/src/tasks/acknowledgement_task.h
@@ -19,8 +19,9 @@
 class AcknowledgementTask : public ReconcileTask {
  public:
   // `min_round_interval` lies between the starts of two rounds.
-  AcknowledgementTask(transport::Scheduler& scheduler, coordination::CoordinationStore& store, std::string prefix,
-                      DiscoveryProgress& progress, Micros min_round_interval, TaskContext context);
+  AcknowledgementTask(transport::Scheduler& scheduler, coordination::CoordinationStore& store,
+                      std::string prefix, DiscoveryProgress& progress, Micros min_round_interval,
+                      TaskContext context);
   ~AcknowledgementTask() override;
 
  protected:
--- a/src/tasks/fleet_report_task.cpp
+++ b/src/tasks/fleet_report_task.cpp
@@ -33,12 +33,13 @@
   }
   coordination::Transaction read;
   read.then = {coordination::Get{coordination::Range{prefix_ + kCounterPrefix, true}}};
-  store_.commit(std::move(read),
-                [this, alive = alive_](const coordination::StoreResponse<coordination::TransactionResult>& reply) {
-                  if (*alive && reply.ok()) {
-                    write_report(reply.value.results.at(0).found);
-                  }
-                });
+  store_.commit(
+      std::move(read),
+      [this, alive = alive_](const coordination::StoreResponse<coordination::TransactionResult>& reply) {
+        if (*alive && reply.ok()) {
+          write_report(reply.value.results.at(0).found);
+        }
+      });
 }
 
 void FleetReportTask::write_report(const std::vector<coordination::Entry>& counter_entries) {
--- a/src/tasks/fleet_session.cpp
+++ b/src/tasks/fleet_session.cpp
@@ -10,12 +10,12 @@
 namespace trailcourse::tasks {
 
 using coordination::LeaseId;
-using coordination::TransactionResult;
 using coordination::Put;
 using coordination::Transaction;
+using coordination::TransactionResult;
 
-FleetSession::FleetSession(coordination::CoordinationStore& store, StepLoop& loop, const OwnershipOptions& options,
-                           std::string prefix, MemberIdentity identity)
+FleetSession::FleetSession(coordination::CoordinationStore& store, StepLoop& loop,
+                           const OwnershipOptions& options, std::string prefix, MemberIdentity identity)
     : store_(store),
       loop_(loop),
       ttl_(std::chrono::milliseconds(options.member_ttl_ms)),
--- a/src/tasks/health_check_task.cpp
+++ b/src/tasks/health_check_task.cpp
@@ -139,7 +139,8 @@
   run_step();
 }
 
-void HealthCheckTask::on_changes(coordination::Revision, const std::vector<coordination::KeyChange>& changes) {
+void HealthCheckTask::on_changes(coordination::Revision,
+                                 const std::vector<coordination::KeyChange>& changes) {
   for (const coordination::KeyChange& change : changes) {
     apply_suspect_key(change.entry.key, change.deleted);
   }
--- a/src/tasks/health_check_task.h
+++ b/src/tasks/health_check_task.h
@@ -35,7 +35,8 @@
 
   // The watch over the suspects that routers of the zone report.
   void on_snapshot(coordination::Revision revision, const std::vector<coordination::Entry>& entries) override;
-  void on_changes(coordination::Revision revision, const std::vector<coordination::KeyChange>& changes) override;
+  void on_changes(coordination::Revision revision,
+                  const std::vector<coordination::KeyChange>& changes) override;
   void on_disconnected(const std::string&) override {}
 
  private:
--- a/src/tasks/lease_calls.cpp
+++ b/src/tasks/lease_calls.cpp
@@ -5,8 +5,8 @@
 
 namespace trailcourse::tasks {
 
-using coordination::LeaseId;
 using coordination::CoordinationStore;
+using coordination::LeaseId;
 using ownership::LeaseCallKind;
 
 namespace {
--- a/src/tasks/lease_calls.h
+++ b/src/tasks/lease_calls.h
@@ -17,7 +17,8 @@
   std::function<coordination::Transaction(coordination::LeaseId lease)> make_transaction;
 
   // The transaction was answered. Returns whether it acquired anything; if not, the lease is revoked.
-  std::function<bool(coordination::LeaseId lease, const coordination::TransactionResult& outcome)> on_acquire_result;
+  std::function<bool(coordination::LeaseId lease, const coordination::TransactionResult& outcome)>
+      on_acquire_result;
 
   // `valid`: the store still had the lease.
   std::function<void(bool valid)> on_renew_result;
--- a/src/tasks/policy_client.cpp
+++ b/src/tasks/policy_client.cpp
@@ -13,8 +13,8 @@
 namespace trailcourse::tasks {
 
 using coordination::LeaseId;
-using coordination::TransactionResult;
 using coordination::Transaction;
+using coordination::TransactionResult;
 using policy::EffectivePolicy;
 using std::chrono::milliseconds;
 using transport::Level;
--- a/src/tasks/policy_client.h
+++ b/src/tasks/policy_client.h
@@ -59,7 +59,8 @@
 
   // The watch over the records of the policy.
   void on_snapshot(coordination::Revision revision, const std::vector<coordination::Entry>& entries) override;
-  void on_changes(coordination::Revision revision, const std::vector<coordination::KeyChange>& changes) override;
+  void on_changes(coordination::Revision revision,
+                  const std::vector<coordination::KeyChange>& changes) override;
   void on_disconnected(const std::string& why) override;
   void on_heartbeat() override;
 
--- a/src/tasks/policy_rollout_task.cpp
+++ b/src/tasks/policy_rollout_task.cpp
@@ -28,7 +28,8 @@
   return rollout_open_ || key == policy::kRolloutKey;
 }
 
-ReconcileTask::Decision PolicyRolloutTask::decide(Micros now, const coordination::TransactionResult& outcome) {
+ReconcileTask::Decision PolicyRolloutTask::decide(Micros now,
+                                                  const coordination::TransactionResult& outcome) {
   const policy::RolloutSnapshot snapshot = policy::read_snapshot(prefix(), outcome);
   rollout_open_ = snapshot.rollout && snapshot.rollout->is_open();
   std::optional<policy::RolloutStep> step = coordinator_.step(now, snapshot);
--- a/src/tasks/policy_rollout_task.h
+++ b/src/tasks/policy_rollout_task.h
@@ -18,8 +18,8 @@
 // Scheduler and store outlive it.
 class PolicyRolloutTask : public ReconcileTask {
  public:
-  PolicyRolloutTask(transport::Scheduler& scheduler, coordination::CoordinationStore& store, std::string prefix,
-                    const policy::PolicyOptions& options, TaskContext context);
+  PolicyRolloutTask(transport::Scheduler& scheduler, coordination::CoordinationStore& store,
+                    std::string prefix, const policy::PolicyOptions& options, TaskContext context);
 
  protected:
   coordination::Transaction snapshot_transaction() const override;
--- a/src/tasks/prefetch_order.h
+++ b/src/tasks/prefetch_order.h
@@ -15,8 +15,8 @@
   std::string request_class;
   std::int64_t at_ms = 0;      // Unix time before which nothing is requested; 0: now
   double objects_per_s = 0.0;  // of each shard; 0: no limit
-  // "ITEM" or "ITEM/PART", distributed round-robin over the shards. If there are none, each shard has a list of
-  // its own in the store, so that not every router is sent a long one.
+  // "ITEM" or "ITEM/PART", distributed round-robin over the shards. If there are none, each shard has a list
+  // of its own in the store, so that not every router is sent a long one.
   std::vector<std::string> objects;
 
   friend bool operator==(const PrefetchOrder&, const PrefetchOrder&) = default;
--- a/src/tasks/reconcile_task.cpp
+++ b/src/tasks/reconcile_task.cpp
@@ -8,9 +8,9 @@
 
 namespace trailcourse::tasks {
 
-using coordination::TransactionResult;
 using coordination::StoreResponse;
 using coordination::Transaction;
+using coordination::TransactionResult;
 using std::chrono::milliseconds;
 using transport::Clock;
 
@@ -84,20 +84,21 @@
   }
   last_snapshot_at_ = Clock::now();
   reconcile_in(kMaxInterval);
-  store_.commit(snapshot_transaction(), [this, alive = alive_](const StoreResponse<TransactionResult>& reply) {
-    if (!*alive) {
-      return;
-    }
-    snapshot_in_flight_ = false;
-    if (!reply.ok()) {
-      reconcile_in(kRetryInterval);
-      return;
-    }
-    on_snapshot(reply.value);
-    if (std::exchange(reconcile_again_, false)) {
-      schedule_reconcile();
-    }
-  });
+  store_.commit(snapshot_transaction(),
+                [this, alive = alive_](const StoreResponse<TransactionResult>& reply) {
+                  if (!*alive) {
+                    return;
+                  }
+                  snapshot_in_flight_ = false;
+                  if (!reply.ok()) {
+                    reconcile_in(kRetryInterval);
+                    return;
+                  }
+                  on_snapshot(reply.value);
+                  if (std::exchange(reconcile_again_, false)) {
+                    schedule_reconcile();
+                  }
+                });
 }
 
 void ReconcileTask::on_snapshot(const TransactionResult& snapshot) {
@@ -123,17 +124,19 @@
 void ReconcileTask::write(Transaction transaction) {
   transaction.when.push_back(
       coordination::created_at(prefix_ + ownership::kOwnerPrefix + to_string(context_.id), context_.term));
-  store_.commit(std::move(transaction), [this, alive = alive_](const StoreResponse<TransactionResult>& reply) {
-    if (!*alive) {
-      return;
-    }
-    // If the write was rejected, or its outcome is unknown, the next snapshot shows what stands.
-    if (!reply.ok() || !reply.value.succeeded) {
-      reconcile_in(kRetryInterval);
-    } else {
-      reconcile();
-    }
-  });
+  store_.commit(std::move(transaction),
+                [this, alive = alive_](const StoreResponse<TransactionResult>& reply) {
+                  if (!*alive) {
+                    return;
+                  }
+                  // If the write was rejected, or its outcome is unknown, the next snapshot shows what
+                  // stands.
+                  if (!reply.ok() || !reply.value.succeeded) {
+                    reconcile_in(kRetryInterval);
+                  } else {
+                    reconcile();
+                  }
+                });
 }
 
 }  // namespace trailcourse::tasks
--- a/src/tasks/task_host.cpp
+++ b/src/tasks/task_host.cpp
@@ -7,16 +7,16 @@
 
 namespace trailcourse::tasks {
 
-using coordination::TransactionResult;
 using coordination::Range;
 using coordination::StoreResponse;
+using coordination::TransactionResult;
 using ownership::ShardId;
 using ownership::Term;
 using transport::Level;
 using transport::log_line;
 
-TaskHost::TaskHost(transport::Scheduler& scheduler, coordination::CoordinationStore& store, std::string prefix,
-                   ownership::LeaseManager& lease_manager, StepLoop& loop)
+TaskHost::TaskHost(transport::Scheduler& scheduler, coordination::CoordinationStore& store,
+                   std::string prefix, ownership::LeaseManager& lease_manager, StepLoop& loop)
     : scheduler_(scheduler),
       store_(store),
       prefix_(std::move(prefix)),
@@ -132,13 +132,14 @@
 void TaskHost::read_key(const std::string& key, std::function<void(std::optional<std::string>)> handler) {
   coordination::Transaction read;
   read.then = {coordination::Get{Range{prefix_ + key, false}}};
-  store_.commit(std::move(read), [handler = std::move(handler)](const StoreResponse<TransactionResult>& reply) {
-    if (!reply.ok()) {
-      return;
-    }
-    const auto& found = reply.value.results.at(0).found;
-    handler(found.empty() ? std::nullopt : std::optional<std::string>(found.front().value));
-  });
+  store_.commit(std::move(read),
+                [handler = std::move(handler)](const StoreResponse<TransactionResult>& reply) {
+                  if (!reply.ok()) {
+                    return;
+                  }
+                  const auto& found = reply.value.results.at(0).found;
+                  handler(found.empty() ? std::nullopt : std::optional<std::string>(found.front().value));
+                });
 }
 
 void TaskHost::commit_under_term(const ShardId& id, Term term, coordination::Operation operation) {
--- a/src/tasks/task_host.h
+++ b/src/tasks/task_host.h
@@ -45,7 +45,8 @@
   void add_progress_functions(TaskContext& context);
   void add_store_functions(TaskContext& context);
   void read_key(const std::string& key, std::function<void(std::optional<std::string>)> handler);
-  void commit_under_term(const ownership::ShardId& id, ownership::Term term, coordination::Operation operation);
+  void commit_under_term(const ownership::ShardId& id, ownership::Term term,
+                         coordination::Operation operation);
   void destroy_later(const ownership::ShardId& id, ownership::Term term);
 
   transport::Scheduler& scheduler_;
--- a/src/tasks/task_runner.h
+++ b/src/tasks/task_runner.h
@@ -59,7 +59,8 @@
 
   // The watch over all keys under fleet/.
   void on_snapshot(coordination::Revision revision, const std::vector<coordination::Entry>& entries) override;
-  void on_changes(coordination::Revision revision, const std::vector<coordination::KeyChange>& changes) override;
+  void on_changes(coordination::Revision revision,
+                  const std::vector<coordination::KeyChange>& changes) override;
   void on_disconnected(const std::string& why) override;
   void on_heartbeat() override { on_connected(); }
 
--- a/tests/crash_states.h
+++ b/tests/crash_states.h
@@ -134,8 +134,8 @@
   }
 };
 
-// Calls `look` with each state that a crash after this prefix can leave, and each number of the index's commits up to
-// then. Returns how many there were.
+// Calls `look` with each state that a crash after this prefix can leave, and each number of the index's
+// commits up to then. Returns how many there were.
 inline std::size_t each_crash_state_after(
     const HistoryPrefix& prefix, const std::function<void(const Folder&, std::size_t commit)>& look) {
   std::size_t count = 0;
--- a/tests/etcd_store_test.cpp
+++ b/tests/etcd_store_test.cpp
@@ -1,5 +1,5 @@
-// The client of an etcd store over the network: what it makes of a store that is slow, gone, restored from an old copy,
-// or another one; which endpoint it calls, and where a watch resumes.
+// The client of an etcd store over the network: what it makes of a store that is slow, gone, restored from an
+// old copy, or another one; which endpoint it calls, and where a watch resumes.
 #include <gtest/gtest.h>
 
 #include <filesystem>
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -22,7 +22,8 @@
 
 class ClientConnectionTest : public testing::Test {
  protected:
-  // Answers all that is received with the text of the fixture, and closes the connection if that is asked for.
+  // Answers all that is received with the text of the fixture, and closes the connection if that is asked
+  // for.
   class ServerHandler : public Connection::Handler {
    public:
     ServerHandler(ClientConnectionTest& fixture, const std::shared_ptr<Connection>& connection)
--- a/tests/key_value_state_test.cpp
+++ b/tests/key_value_state_test.cpp
@@ -79,8 +79,8 @@
   EXPECT_EQ(last.back().entry.version, 10U);
 }
 
-// A second state applies the changes of a first one, which are drawn: both have the same entries, also of keys with
-// leases.
+// A second state applies the changes of a first one, which are drawn: both have the same entries, also of
+// keys with leases.
 TEST(KeyValueStateTest, ReplicaThatAppliesTheChangesHasTheSameEntries) {
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     std::mt19937_64 random(seed);
--- a/tests/recorded_files_test.cpp
+++ b/tests/recorded_files_test.cpp
@@ -1,5 +1,5 @@
-// Files that an earlier version recorded (tests/fixtures/README.md): this version reads each of them, and writes the
-// same bytes from what it read.
+// Files that an earlier version recorded (tests/fixtures/README.md): this version reads each of them, and
+// writes the same bytes from what it read.
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 #include <unistd.h>
--- a/tests/stand_ins.cpp
+++ b/tests/stand_ins.cpp
@@ -506,7 +506,8 @@
 
 namespace {
 
-// The status that the program at this port answers its health check with; nothing where it does not listen yet.
+// The status that the program at this port answers its health check with; nothing where it does not listen
+// yet.
 std::optional<int> health_status(std::uint16_t port) {
   try {
     Client client(port);
