--- a/benchmarks/cold_start_model.cpp
+++ b/benchmarks/cold_start_model.cpp
@@ -15,11 +15,15 @@
 
 namespace {
 
-using trailcourse::Micros;
-using trailcourse::fleet::most_within;
-using namespace trailcourse::startup;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
+using trailcourse::Micros;
+using trailcourse::fleet::most_within;
+using trailcourse::startup::AdmissionOptions;
+using trailcourse::startup::EndpointAdmission;
+using trailcourse::startup::PollOptions;
+using trailcourse::startup::PollResult;
+using trailcourse::startup::PollScheduler;
 
 struct Sums {
   std::size_t calls = 0;
--- a/benchmarks/ownership_bench.cpp
+++ b/benchmarks/ownership_bench.cpp
@@ -38,7 +38,6 @@
 using bench::FleetBench;
 using bench::in_ms;
 using bench::kAwaited;
-using bench::NotMeasured;
 using fleet::Kind;
 using nlohmann::json;
 using std::chrono::milliseconds;
@@ -108,6 +107,7 @@
   bench.fill("w", 10'000, 20.0);
   bench.await("the first owner", [&] { return bench.begun(kOwnerBegins).second > 0; });
   std::vector<double> times;
+  times.reserve(static_cast<std::size_t>(rounds));
   for (int round = 0; round < rounds; ++round) {
     times.push_back(take_over_once(bench, fault));
   }
@@ -144,6 +144,7 @@
   std::printf("%8s %10s %10s %14s %14s\n", "members", "goes", "least", "comes", "least");
   for (const int size : {3, 10, 30, 100, 300}) {
     std::vector<std::string> members;
+    members.reserve(static_cast<std::size_t>(size));
     for (int i = 0; i < size; ++i) {
       members.push_back("router" + std::to_string(i));
     }
@@ -168,7 +169,8 @@
   return bench.work(command, said) == 0 ? json::parse(said)["shards"][0] : json::object();
 }
 
-int run_schedule(const std::string& program, std::uint64_t seed, std::string& what) {
+// Four routers with times so short that leases end within a schedule.
+fleet::Shape schedule_shape() {
   fleet::Shape shape = bench::flat_shape(4);
   shape.ownership = {{"ttl_ms", 1'500},
                      {"renew_ms", 400},
@@ -186,9 +188,10 @@
                      {"fill_retry_ms", 50},
                      {"flap_suppress", 1'000.0}};
   shape.coordination = {{"call_ms", 400}, {"rest_ms", 50}, {"longest_rest_ms", 300}};
-  FleetBench bench(shape, program, {"router*>registry", "*>cache0"});
-  bench.let_store_end();
-  bench.fill("w", 150, 20.0);
+  return shape;
+}
+
+std::vector<fleet::Fault> drawn_schedule(FleetBench& bench, std::uint64_t seed) {
   fleet::Draw draw;
   draw.processes = bench.layout().names(Kind::kRouter);
   draw.processes.push_back("registry");
@@ -199,7 +202,25 @@
   draw.length_ms = 9'000;
   draw.faults = 8;
   draw.longest_ms = 3'000;
-  const std::vector<fleet::Fault> script = fleet::draw_script(draw, seed);
+  return fleet::draw_script(draw, seed);
+}
+
+// The script and the logs of all processes.
+std::string evidence_of(FleetBench& bench, const std::vector<fleet::Fault>& script) {
+  std::string out = "\n" + fleet::write_script(script);
+  for (const fleet::Member& member : bench.layout().members()) {
+    std::ifstream file(bench.layout().log_file(member.name));
+    out += "== " + member.name + "\n" +
+           std::string{std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
+  }
+  return out;
+}
+
+int run_schedule(const std::string& program, std::uint64_t seed, std::string& what) {
+  FleetBench bench(schedule_shape(), program, {"router*>registry", "*>cache0"});
+  bench.let_store_end();
+  bench.fill("w", 150, 20.0);
+  const std::vector<fleet::Fault> script = drawn_schedule(bench, seed);
   bench.scenario().begin(script);
   std::uint64_t most = 0;
   const auto look = [&]() -> bool {
@@ -233,12 +254,7 @@
     what = "the work was not done long after the last fault";
   }
   if (!what.empty()) {
-    what += "\n" + fleet::write_script(script);
-    for (const fleet::Member& member : bench.layout().members()) {
-      std::ifstream file(bench.layout().log_file(member.name));
-      what += "== " + member.name + "\n" +
-              std::string{std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
-    }
+    what += evidence_of(bench, script);
   }
   return what.empty() ? 0 : 1;
 }
--- a/benchmarks/rest_measurement.cpp
+++ b/benchmarks/rest_measurement.cpp
@@ -107,6 +107,7 @@
     bench_.run_for(kSettling);
     const std::vector<std::string> routers = bench_.layout().names(Kind::kRouter);
     std::vector<double> cpu_before;
+    cpu_before.reserve(routers.size());
     for (const std::string& router : routers) {
       cpu_before.push_back(cpu_ms(proc_of(bench_, router)));
     }
--- a/benchmarks/scale/board_costs.cpp
+++ b/benchmarks/scale/board_costs.cpp
@@ -74,7 +74,7 @@
     for (int round = 0; round < 5; ++round) {
       discovery::LongPollScheduler core(open_rules(), context.seed);
       for (int i = 0; i < held; ++i) {
-        core.on_call(milliseconds(i), static_cast<discovery::CallId>(i + 1), 7, milliseconds(60'000), 7);
+        core.on_call(milliseconds(i), static_cast<discovery::CallId>(i) + 1, 7, milliseconds(60'000), 7);
       }
       const double before = thread_cpu_us();
       core.on_published(milliseconds(held));
--- a/benchmarks/scale/control_costs.cpp
+++ b/benchmarks/scale/control_costs.cpp
@@ -126,7 +126,7 @@
     const auto filled = [&] {
       auto view = std::make_unique<membership::MembershipView>(membership::MembershipOptions());
       for (int i = 0; i < members; ++i) {
-        take(*view, member_of(i), true, static_cast<std::uint64_t>(i + 1));
+        take(*view, member_of(i), true, static_cast<std::uint64_t>(i) + 1);
       }
       return view;
     };
--- a/benchmarks/scale/hollow_driver.cpp
+++ b/benchmarks/scale/hollow_driver.cpp
@@ -179,8 +179,8 @@
   return out;
 }
 
-void HollowDriver::propose(bool urgent, std::function<void(std::uint64_t)> begun,
-                           std::function<void()> refused) {
+void HollowDriver::propose(bool urgent, const std::function<void(std::uint64_t)>& begun,
+                           const std::function<void()>& refused) {
   const std::uint64_t version = ++last_version_;
   read(
       [this, urgent, begun, refused, version](const Reply& reply) {
--- a/benchmarks/scale/hollow_driver.h
+++ b/benchmarks/scale/hollow_driver.h
@@ -59,7 +59,8 @@
                Stepped stepped);
 
   // Staff propose a change; `refused` where one is open and this one is not urgent.
-  void propose(bool urgent, std::function<void(std::uint64_t version)> begun, std::function<void()> refused);
+  void propose(bool urgent, const std::function<void(std::uint64_t version)>& begun,
+               const std::function<void()>& refused);
   // Another one takes over: it knows what stands in the store.
   void replace();
   std::uint64_t last_version() const { return last_version_; }
