--- a/benchmarks/rest_measurement.cpp
+++ b/benchmarks/rest_measurement.cpp
@@ -135,9 +135,10 @@
   }
 
  private:
-  static fleet::Shape shape_of(Row row, int routers, const Topology& topology) {
-    fleet::Shape shape = row == Row::kAggregators ? aggregated_shape(routers, topology.regions_for(routers))
-                                                  : flat_shape(routers);
+  static fleet::FleetSpec shape_of(Row row, int routers, const Topology& topology) {
+    fleet::FleetSpec shape = row == Row::kAggregators
+                                 ? aggregated_shape(routers, topology.regions_for(routers))
+                                 : flat_shape(routers);
     shape.registry = row != Row::kWithoutStore;
     shape.sockets = 256;
     if (row == Row::kTasksAndPolicy) {
--- a/src/discovery/discovery_server.h
+++ b/src/discovery/discovery_server.h
@@ -18,8 +18,8 @@
 #include "discovery/event_log.h"
 #include "discovery/long_poll_scheduler.h"
 #include "transport/accept_loop.h"
-#include "transport/alarm.h"
 #include "transport/connection.h"
+#include "transport/timer.h"
 
 namespace trailcourse::discovery {
 
--- a/src/tasks/health_check_task.h
+++ b/src/tasks/health_check_task.h
@@ -14,12 +14,12 @@
 #include <vector>
 
 #include "coordination/coordination_store.h"
-#include "routing/directory.h"
+#include "routing/endpoint_directory.h"
 #include "tasks/health_check_plan.h"
 #include "tasks/options.h"
 #include "tasks/owned_task.h"
-#include "transport/alarm.h"
 #include "transport/connection.h"
+#include "transport/timer.h"
 
 namespace trailcourse::tasks {
 
