--- a/include/trailcourse/decider.h
+++ b/include/trailcourse/decider.h
@@ -1,7 +1,9 @@
-// The interface of the decision module: settings in, events in, actions out. It knows no wire and no clock of
-// its own; a router, the bench adapter or another protocol feeds it events and executes the actions in order.
+// The interface of the decision module: it decides which cache serves a request, which source fills a miss,
+// and when a request is retried or rejected. It takes settings and events, and returns actions. It does no
+// I/O and reads no clock: its caller (a router or the bench adapter) passes each event with the current time
+// and executes the returned actions in order.
 //
-// Unless stated otherwise, sizes are in kilobytes and a field that a deployment does not report is 0.
+// Sizes are in kilobytes. A field that a deployment does not report is 0 unless its comment states otherwise.
 #pragma once
 
 #include <chrono>
@@ -15,46 +17,82 @@
 namespace trailcourse {
 
 using Micros = std::chrono::microseconds;
+// Identifies a request. Chosen by the caller: less than 2^63, and never reused with the same decider.
 using RequestId = std::uint64_t;
+// Identifies an object; the same for all routers.
 using ObjectId = std::uint64_t;
+// Identifies a timer; chosen by the decider.
 using TimerToken = std::uint64_t;
 
-// Whether a request may be executed more than once: any number of times, with an idempotency key, or never.
-enum class Idempotency { kSafe, kKeyed, kUnsafe };
+// Whether a request may be executed more than once.
+enum class Idempotency {
+  kSafe,   // any number of times
+  kKeyed,  // within the idempotency window, since nodes recognise its idempotency key
+  kUnsafe  // at most once
+};
 
-// The nodes among which an idempotency key is recognised: all, those of one zone, or those of one cell.
-enum class RetryScope { kAll, kZone, kCell };
+// The nodes that recognise an idempotency key from an earlier attempt.
+enum class RetryScope {
+  kAll,
+  kZone,  // the nodes in the zone of the earlier attempt's target
+  kCell   // the nodes in the cell of the earlier attempt's target
+};
 
 // Which notes the answers of a deployment carry.
-enum class NoteLevel { kNone, kHit, kAll };
+enum class NoteLevel {
+  kNone,
+  kHit,  // notes on successful answers only; a fill is not distinguished by its origin
+  kAll
+};
 
-// Which other caches may be the source of a fill: none, those of the own location, or any.
-enum class SiblingSources { kNone, kLocation, kAny };
+// Which other caches may be the source of a fill.
+enum class SiblingSources {
+  kNone,
+  kLocation,  // caches of the same location
+  kAny
+};
 
+// The tier of a node. A miss at a cache is filled from a parent or the origin; a miss at a parent is filled
+// from the origin.
 enum class Role { kCache, kParent, kOrigin };
+
+// The state of a node in an endpoint list. Only a ready node gets new attempts.
 enum class NodeState { kReady, kDraining, kGone };
 
-// What an endpoint list holds: changes to the current one, the whole list, the whole list as it was stored
-// before a restart, or nothing because the subscription was lost.
-enum class ListKind { kChanges, kFull, kRestored, kLost };
+// What an endpoint list contains.
+enum class ListKind {
+  kChanges,   // the entries that changed; all others stay as they are
+  kFull,      // all entries; a node without an entry is gone
+  kRestored,  // all entries, as stored before a restart
+  kLost       // no entries: the subscription was lost, and the current list stays in use
+};
 
-// How an attempt ended. kFull: rejected for want of capacity; kNotSent: not a byte of it was sent;
-// kNotCached: the copy asked for is not cached.
-enum class Status { kOk, kError, kFull, kTimeout, kConnectFailed, kReset, kCancelled, kNotSent, kNotCached };
+// How an attempt ended.
+enum class Status {
+  kOk,
+  kError,          // the node answered with an error
+  kFull,           // the node rejected the attempt for lack of capacity
+  kTimeout,        // no answer arrived within the timeout of the attempt
+  kConnectFailed,  // no connection could be established
+  kReset,          // the connection broke before the answer was complete
+  kCancelled,      // a Cancel action ended the attempt
+  kNotSent,        // no byte of the attempt was sent
+  kNotCached       // only a cached copy was accepted, and there is none
+};
 
-// What an answer reports of the copy or of the fill; kNone where the deployment reports nothing.
+// What an answer reports about the copy or the fill.
 enum class Note {
-  kNone,
-  kHit,
-  kFilled,            // by a parent that had it cached, or by any source where notes do not tell them apart
-  kFilledFromOrigin,  // by way of the origin
-  kJoined,            // by a fill that was under way
-  kStale,             // from a copy past its lifetime
-  kSourceRejected,
-  kSourceUnreachable,
-  kNotAtSource,
-  kNoFillCapacity,  // the cache cannot take one more fill
-  kOriginFailed
+  kNone,               // the deployment reports nothing
+  kHit,                // the cache had a fresh copy
+  kFilled,             // a parent filled the miss from its cache; under NoteLevel::kHit any source filled it
+  kFilledFromOrigin,   // the miss was filled from the origin, directly or through a parent
+  kJoined,             // a fill that was already in progress filled the miss
+  kStale,              // the cache answered with a copy past its lifetime
+  kSourceRejected,     // the source rejected the fill
+  kSourceUnreachable,  // the cache could not connect to the source
+  kNotAtSource,        // the source was limited to cached copies and has none
+  kNoFillCapacity,     // the cache has no capacity for another fill
+  kOriginFailed        // the source could not get the object from the origin
 };
 
 // Returns whether the status proves that the attempt never had an effect.
@@ -69,60 +107,62 @@
 }
 // Returns whether the answer came from a cached copy.
 inline bool indicates_hit(Note note) { return note == Note::kHit || note == Note::kStale; }
-// Returns whether the answer came by way of a fill.
+// Returns whether the answer came from a fill.
 inline bool indicates_fill(Note note) {
   return note == Note::kFilled || note == Note::kFilledFromOrigin || note == Note::kJoined;
 }
 
-// The rules of a class of requests.
+// The rules for a class of requests.
 struct ClassSettings {
   Idempotency idempotency = Idempotency::kSafe;
-  RetryScope retry_scope = RetryScope::kAll;  // of a keyed class
-  Micros idempotency_window{0};               // from the first send; in it a keyed request may be repeated
-  Micros latency_objective{0};
-  double latency_objective_stretch = 0.0;  // added to the objective for each second of sending
-  Micros give_up_after{0};                 // the client's patience
-  double priority_weight = 1.0;
-  double late_priority_share = 0.0;  // of the priority weight that a late answer earns
-  bool streaming = false;
-  Micros lifetime{0};  // 0: a copy is good until purged
-  Micros grace{0};     // how far past its lifetime a copy may be accepted
-  bool segmented = false;
-  bool uncached = false;
+  RetryScope retry_scope = RetryScope::kAll;  // for kKeyed only
+  Micros idempotency_window{0};  // for kKeyed only: time from the first send in which a retry is recognised
+  Micros latency_objective{0};   // time from arrival in which a request should be answered
+  double latency_objective_stretch = 0.0;  // seconds added to the objective for each second of sending
+  Micros give_up_after{0};                 // time after which a client abandons the request
+  double priority_weight = 1.0;            // value of an answer relative to the other classes
+  double late_priority_share = 0.0;        // share of the priority weight that a late answer has, 0 to 1
+  bool streaming = false;                  // answers are streamed and have no deadline once they have begun
+  Micros lifetime{0};                      // age up to which a copy is fresh; 0: until it is purged
+  Micros grace{0};                         // how long past its lifetime a copy may be accepted
+  bool segmented = false;                  // objects are requested and cached in parts
+  bool uncached = false;                   // caches do not store the answers
 };
 
-// The settings of a deployment.
+// The settings of a deployment, as one router sees it.
 struct Settings {
-  int self_index = -1;  // among all routers; negative: not known
-  int routers = 1;
-  std::string zone;
-  int routers_in_zone = 1;
-  double zone_link_kb_per_s = 0.0;  // 0: not known
-  std::vector<ClassSettings> classes;
-
-  bool must_subscribe = false;  // endpoint lists come only after a Subscribe action
-  bool direct = false;          // requests may go straight to a parent or the origin
-  bool can_join_fills = false;
+  int self_index = -1;                 // index of this router among all routers, from 0; negative: not known
+  int routers = 1;                     // number of routers in all zones
+  std::string zone;                    // zone of this router; only caches of this zone get its attempts
+  int routers_in_zone = 1;             // number of routers in this router's zone
+  double zone_link_kb_per_s = 0.0;     // capacity of the link of this router's zone; 0: not known
+  std::vector<ClassSettings> classes;  // indexed by RequestArrived::request_class
+
+  bool must_subscribe = false;  // endpoint lists arrive only after a Subscribe action
+  bool direct = false;          // requests may be sent to a parent or the origin without a cache in between
+  bool can_join_fills = false;  // a request may wait for a fill that is already in progress
   SiblingSources siblings = SiblingSources::kNone;
   NoteLevel notes = NoteLevel::kNone;
-  bool weights_are_sizes = false;  // weights count the transfers that a node sends at full pace
-  double stream_kb_per_s = 0.0;    // of one transfer to a client, at most
-
-  int max_attempts = 1;  // of one request
-  bool may_cancel = false;
-  bool parallel_attempts = false;  // two attempts of one request may be in flight together
-  Micros max_retry_after{0};       // the longest that clients heed; 0: they are given none
-  Micros answer_slack{0};          // past the deadline in which a final answer still counts
-
-  Micros drain_grace{0};  // within which attempts at a draining or gone node must end
-  Micros purge_grace{0};  // after which an attempt must not be answered from a purged copy
-  Micros purge_done{0};   // within which all nodes have dropped the purged copies
-  // The share of its capacity that a cache has at its start, the time until it has all of it, and the
-  // multiple of its present capacity that it bears over the overload span; then the same of parents.
+  bool weights_are_sizes = false;  // endpoint weights are the numbers of transfers sent at full rate at once
+  double stream_kb_per_s = 0.0;    // full rate of one transfer to a client, in kilobytes per second
+
+  int max_attempts = 1;            // maximum number of attempts per request
+  bool may_cancel = false;         // attempts in flight can be cancelled
+  bool parallel_attempts = false;  // two attempts of one request may be in flight at the same time
+  Micros max_retry_after{0};       // longest Retry-After that clients follow; 0: a Reject carries none
+  Micros answer_slack{0};          // time past the deadline within which a final answer still counts
+
+  Micros drain_grace{0};  // time within which attempts at a draining or gone node must end
+  Micros purge_grace{0};  // time after a purge from which no attempt may be answered from a purged copy
+  Micros purge_done{0};   // time after a purge within which all nodes have dropped the purged copies
+
+  // Slow start of caches, then of parents. The share of its capacity that a node has reached rises linearly
+  // from `slow_start_from` (0 to 1) at its start to 1 after `slow_start_span`. In each overload span all
+  // routers together may send it `overload_factor` times its capacity at that time; 0: no limit.
   double slow_start_from = 1.0;
   Micros slow_start_span{0};
   double overload_factor = 1.0;
-  Micros overload_span{0};
+  Micros overload_span{0};  // for caches and parents
   double parent_slow_start_from = 1.0;
   Micros parent_slow_start_span{0};
   double parent_overload_factor = 1.0;
@@ -130,87 +170,91 @@
 
 // An entry of an endpoint list.
 struct Endpoint {
-  std::string address;
+  std::string address;  // host and port; identifies the node
   std::string zone;
   Role role = Role::kCache;
-  int cell = 0;
+  int cell = 0;  // group of nodes that share their idempotency keys (RetryScope::kCell)
   NodeState state = NodeState::kReady;
-  double weight = 1.0;
-  Micros started{0};  // 0: long ago
+  double weight = 1.0;  // transfers at full rate at once if Settings::weights_are_sizes; otherwise not used
+  Micros started{0};    // when its process started, by the clock of the events; 0: long ago
 };
 
-// A load report; a field that the deployment does not report is negative.
+// A load report of a node. A field that the deployment does not report is negative.
 struct LoadReport {
-  double utilisation = -1.0;
-  double concurrent = -1.0;
-  double hit_share = -1.0;
-  double link_or_fetches = -1.0;
+  double utilisation = -1.0;      // share of the node's cores in use, 0 to 1
+  double concurrent = -1.0;       // number of requests in progress at the node, from all routers
+  double hit_share = -1.0;        // share of the node's requests that are hits, 0 to 1
+  double link_or_fetches = -1.0;  // of a cache: share of its zone's link in use; of others: not used here
 };
 
 // ---- Events ----
 
+// The discovery service sent an endpoint list, or the subscription to it was lost.
 struct EndpointListReceived {
   ListKind kind = ListKind::kFull;
   std::vector<Endpoint> entries;
 };
 
-// A client's request, which is owed one final answer: a success, a Reject or a Fail.
+// A client's request. It gets exactly one final answer (a successful attempt, a Reject or a Fail) unless the
+// client leaves first.
 struct RequestArrived {
   RequestId id = 0;
-  int request_class = 0;
+  int request_class = 0;  // index into Settings::classes
   ObjectId object = 0;
-  std::uint32_t part = 0;
-  std::uint64_t purge_group = 0;
-  double size_kb = 0.0;  // 0: not known
-  Micros deadline{0};    // by the caller's clock
-  bool is_retry = false;
-  bool write = false;
+  std::uint32_t part = 0;         // part of a segmented object, from 0
+  std::uint64_t purge_group = 0;  // group of objects that are purged together
+  double size_kb = 0.0;           // size of the answer; 0: not known
+  Micros deadline{0};             // when the final answer is due, by the clock of the events
+  bool is_retry = false;          // the client repeats an earlier request
+  bool write = false;             // the request changes the object; caches do not store its answer
 };
 
+// The client closed its connection or gave up. The request needs no final answer any more.
 struct ClientLeft {
   RequestId id = 0;
 };
 
-// The end of an attempt; each attempt has exactly one.
+// An attempt ended. The caller reports this exactly once for each SendAttempt action.
 struct AttemptEnded {
   RequestId id = 0;
-  int attempt = 0;  // from 0, in the order of the SendAttempt actions of the request
+  int attempt = 0;  // number of the SendAttempt action among those of the request, from 0
   Status status = Status::kOk;
-  Micros latency{0};
-  bool finished = false;  // the request has its final answer
+  Micros latency{0};      // time from the send to the end of the attempt
+  bool finished = false;  // the client has received its final answer
   Note note = Note::kNone;
-  Micros source_first_byte_time{0};  // from the start of the fill to the source's first byte or failure
-  LoadReport load;
+  Micros source_first_byte_time{0};  // time from the start of the fill to the source's first byte or failure
+  LoadReport load;                   // of the node that answered
 };
 
-// The answer of a streamed class has begun; from now on it has no deadline.
+// The answer of a streaming class has begun. From now on the request has no deadline.
 struct StreamStarted {
   RequestId id = 0;
   int attempt = 0;
 };
 
-// An object or a whole purge group was purged at the origin, `age` ago.
+// An object or a purge group was purged at the origin.
 struct Purged {
-  bool whole_group = false;
+  bool whole_group = false;  // all objects of `group` were purged; otherwise only `object`
   ObjectId object = 0;
   std::uint64_t group = 0;
-  Micros age{0};
+  Micros age{0};  // time since the purge
 };
 
-// The result of another router's health check of a cache or parent. It adds to this router's own observations
-// and replaces none of them.
+// The result of another router's health check of a cache or parent. It supplements this router's own
+// observations and does not replace them.
 struct HealthCheckResult {
   std::string address;
   bool healthy = false;
-  Micros valid_for{0};  // until the next one is due
+  Micros valid_for{0};  // time until the next result is due
 };
 
+// The timer of a SetTimer action expired.
 struct TimerFired {
   TimerToken token = 0;
 };
 
-// New rules for the classes from `first` on. They start with the statistics of the classes from `based_on`
-// on. Requests keep the class that they came with.
+// Adds classes, or replaces their rules: classes[i] gets the index `first` + i and starts with the statistics
+// of the class at the index `based_on` + i, which has to exist. Requests keep the index of their class.
 struct ClassesUpdated {
   std::size_t first = 0;
   std::size_t based_on = 0;
@@ -222,56 +266,58 @@
 
 // ---- Actions ----
 
-// Sends an attempt. `source` names where a miss is filled from: a parent, the origin, a sibling, or the cache
-// itself for no fill.
+// Sends an attempt to a cache, or directly to the origin (see Settings::direct).
 struct SendAttempt {
   RequestId id = 0;
-  std::string cache;
-  std::string source;
-  Micros timeout{0};
-  int keep_rank = 0;            // 0: the cache keeps nothing; 1: dropped first, to 3: dropped last
-  Micros max_age{0};            // oldest copy that is accepted; 0: the class's lifetime
-  bool join_fill = false;       // it may join a fill that is under way
-  bool only_if_cached = false;  // the source gives only what it has cached
+  std::string cache;            // address of the target
+  std::string source;           // address that a miss is filled from; the same as `cache`: no fill
+  Micros timeout{0};            // time from now until the deadline of the request
+  int keep_rank = 0;            // 0: the answer is not stored; 1 (evicted first) to 3 (evicted last)
+  Micros max_age{0};            // greatest age of a copy that may answer; 0: the class's lifetime
+  bool join_fill = false;       // the attempt may wait for a fill that is already in progress
+  bool only_if_cached = false;  // the source may answer a fill only with a cached copy
 };
+// Cancels an attempt in flight.
 struct Cancel {
   RequestId id = 0;
-  int attempt = 0;
+  int attempt = 0;  // numbered as in AttemptEnded
 };
-// A final answer that promises the client that a retry does no harm.
+// Gives the final answer that the request was rejected. It guarantees that the client may retry safely.
 struct Reject {
   RequestId id = 0;
-  Micros retry_after{0};
+  Micros retry_after{0};  // time after which the client should retry; 0: none is given
 };
-// A final answer without a promise about effects.
+// Gives the final answer that the request failed. The request may have had an effect.
 struct Fail {
   RequestId id = 0;
 };
+// Requests a TimerFired event with the same token after the delay.
 struct SetTimer {
   TimerToken token = 0;
   Micros delay{0};
 };
-// Subscribes to endpoint lists anew.
+// Subscribes to endpoint lists again.
 struct Subscribe {};
 
 using Action = std::variant<SendAttempt, Cancel, Reject, Fail, SetTimer, Subscribe>;
 
-// The decisions of one router. Not thread-safe.
+// Makes the decisions of one router. Not thread-safe.
 class Decider {
  public:
-  // `seed` sets all random draws: the same events give the same actions.
+  // `seed` initialises the random numbers. The same settings, seed and events give the same actions.
   Decider(Settings settings, std::uint64_t seed);
   ~Decider();
   Decider(const Decider&) = delete;
   Decider& operator=(const Decider&) = delete;
 
-  // Handles one event at `now`, by the caller's clock, which never goes back, and appends the actions to
-  // `out` in the order in which they are to be executed.
+  // Handles one event and appends the actions to `out` in the order in which they have to be executed. `now`
+  // is the time of the caller's steady clock.
   void handle(Micros now, const Event& event, std::vector<Action>& out);
 
-  // Returns whether an attempt ordered before may be sent now. The caller asks just before the first byte,
-  // since what the attempt was decided on may have changed while it waited, as for a connection. If not, not
-  // a byte may be sent, and the attempt ends as kNotSent.
+  // Returns whether the attempt of an earlier SendAttempt action may still be sent. The caller has to check
+  // this just before it sends the first byte, since the conditions may have changed while the attempt waited,
+  // for example for a connection. If it returns false, the caller must send no byte and report the attempt as
+  // ended with kNotSent. Throws std::out_of_range if the request is open and has no such attempt.
   bool may_begin(Micros now, RequestId id, int attempt);
 
  private:
--- a/src/decision/attempt_planner.h
+++ b/src/decision/attempt_planner.h
@@ -1,4 +1,5 @@
-// Planning of one attempt: its target, its fill source, what it accepts and what it reserves.
+// Plans one attempt: its target, its fill source, which copies it accepts and what it reserves in the fill
+// window.
 #pragma once
 
 #include "cache_selection.h"
@@ -24,12 +25,12 @@
         sources_(sources),
         fills_(fills) {}
 
-  // Returns the index of the target of the next attempt, or -1. Uncacheable requests go straight to the
-  // origin if the settings allow it, otherwise by way of a cache.
+  // Returns the index of the target of the next attempt, or -1 if there is none. An uncacheable request is
+  // sent directly to the origin if the settings allow it, otherwise to a cache.
   int select_target(const Request& request);
 
-  // Plans an attempt at the target. Beyond the fill window it only asks for what the cache or a healthy home
-  // parent has cached, to spare the origin.
+  // Returns the plan of an attempt at the target. If its fill does not fit the fill window, the attempt
+  // accepts only what the cache or the selected healthy parent has cached, to take load off the origin.
   Attempt plan(const Request& request, int target);
 
   // Returns the action that sends the attempt.
--- a/src/decision/cache_selection.cpp
+++ b/src/decision/cache_selection.cpp
@@ -7,9 +7,9 @@
 namespace trailcourse {
 namespace {
 
-constexpr int kCandidates = 2;  // healthy caches in hash order among which load may choose
-constexpr double kLoadAdvantage =
-    0.5;  // of the first one's load that the second may have: a departure costs a fill
+constexpr int kCandidates = 2;  // healthy caches in hash order whose loads are compared
+// The second cache is used if its load is less than this share of the first one's, since it needs a fill.
+constexpr double kLoadAdvantage = 0.5;
 
 }  // namespace
 
--- a/src/decision/cache_selection.h
+++ b/src/decision/cache_selection.h
@@ -1,5 +1,5 @@
-// Cache selection: the first cache in rendezvous order; another only where that one fails, is in slow start
-// or far busier.
+// Selects the cache for an attempt: the first in rendezvous order, or another one if the first fails, is in
+// slow start or is far busier.
 #pragma once
 
 #include "idempotency.h"
@@ -20,9 +20,9 @@
         outliers_(outliers),
         loads_(loads) {}
 
-  // Returns the index of the cache for the next attempt, or -1. Without a healthy cache it is the fallback:
-  // the one that failed longest ago, which may have recovered. The fallback gets one request at a time, or
-  // all of them if it refuses connections immediately, which costs no time.
+  // Returns the index of the cache for the next attempt, or -1 if there is none. If no cache is healthy, it
+  // is the one that failed longest ago, which may have recovered. That cache gets one request at a time, or
+  // all of them if it refuses connections immediately, since a refused connection costs no time.
   int select(const Request& request);
 
  private:
--- a/src/decision/decider.cpp
+++ b/src/decision/decider.cpp
@@ -1,6 +1,6 @@
-// The decision module's dispatch of events, in the order in which its parts decide on a request: first the
-// rules (drains, slow start, purges, idempotency), then the ordinary path (keep rank, cache and source
-// selection), then the exceptions (fill window, load shedding, outliers, retries).
+// Dispatches events to the parts of the decision module. A request passes them in this order: first the rules
+// (drains, slow start, purges, idempotency), then normal operation (keep rank, cache and source selection),
+// then overload and failures (fill window, load shedding, outliers, retries).
 #include <trailcourse/decider.h>
 
 #include <algorithm>
@@ -31,8 +31,8 @@
 namespace trailcourse {
 namespace {
 
-constexpr double kUnknownCapacity = 8.0;  // transfers of a node whose weight says nothing
-constexpr Micros kRejectionRetryAfter = std::chrono::milliseconds(400);  // named where clients heed it
+constexpr double kDefaultTransferCapacity = 8.0;  // transfers, of a node whose weight does not give it
+constexpr Micros kRejectionRetryAfter = std::chrono::milliseconds(400);  // at most `max_retry_after`
 
 }  // namespace
 
@@ -64,12 +64,12 @@
   void on(const ClassesUpdated& update);
 
   void apply_endpoint(const Endpoint& endpoint);
-  void learn_size(Request& request);
+  void determine_size(Request& request);
   void attempt_or_answer(Request& request);
   void send(Request& request, Attempt attempt);
   void retry(Request& request, const Attempt& last, Status status);
-  void learn(const Request& request, Attempt& attempt, const AttemptEnded& ended);
-  void remember_location(const Request& request, const Attempt& attempt, Note note);
+  void record_outcome(const Request& request, Attempt& attempt, const AttemptEnded& ended);
+  void record_location(const Request& request, const Attempt& attempt, Note note);
   void on_overdue(Request& request);
   void answer_failure(Request& request);
   void close(Request& request);
@@ -84,7 +84,7 @@
   SlowStart slow_start_;
   PurgeFloors purges_{context_};
   IdempotencyRules idempotency_{context_};
-  // The ordinary path.
+  // Normal operation.
   ObjectTable objects_{kMaxObjects};
   KeepRank keep_rank_{context_, objects_};
   // Load, failures and retries.
@@ -100,7 +100,7 @@
   RetryBudget retries_{context_};
 };
 
-// ---- Endpoint lists: drains and removals bind at once, for targets and for sources. ----
+// ---- Endpoint lists: drains and removals apply immediately to targets and sources. ----
 
 void Decider::Impl::on(const EndpointListReceived& list) {
   const bool unsubscribed = list.kind == ListKind::kRestored || list.kind == ListKind::kLost;
@@ -120,7 +120,7 @@
 void Decider::Impl::apply_endpoint(const Endpoint& endpoint) {
   const auto [node, added] = context_.nodes.find_or_add(endpoint.address);
   if (added || endpoint.started != node.endpoint.started) {
-    // Another process: it is in slow start, and not responsible for the failures of the last one.
+    // A new process at this address: it is in slow start, and the failures of the last one do not count.
     Node fresh;
     fresh.hash = node.hash;
     fresh.in_flight = node.in_flight;
@@ -132,7 +132,7 @@
   node.listed = endpoint.state == NodeState::kReady;
   const bool has_size =
       context_.settings.weights_are_sizes && std::isfinite(endpoint.weight) && endpoint.weight > 0.0;
-  node.transfer_capacity = has_size ? endpoint.weight : kUnknownCapacity;
+  node.transfer_capacity = has_size ? endpoint.weight : kDefaultTransferCapacity;
 }
 
 void Decider::Impl::on(const ClassesUpdated& update) {
@@ -158,7 +158,7 @@
   request.object_key = mix(arrival.object ^ mix(arrival.part));
   request.arrived_at = context_.now;
   retries_.on_request();
-  learn_size(request);
+  determine_size(request);
   if (context_.cacheable(request)) {
     request.keep_rank = keep_rank_.rank(request);
   }
@@ -167,8 +167,9 @@
   attempt_or_answer(request);
 }
 
-// A size that could not be sent within the client's time counts as unknown.
-void Decider::Impl::learn_size(Request& request) {
+// Sets the size and the sending time of the request. A size that cannot be sent before the deadline counts as
+// unknown: such a value would distort the statistics of the class.
+void Decider::Impl::determine_size(Request& request) {
   const double stream_kb_per_s = context_.settings.stream_kb_per_s;
   const double size_kb = request.arrival.size_kb;
   const double time_left = to_seconds(request.arrival.deadline - context_.now);
@@ -189,7 +190,7 @@
   }
   const Attempt attempt = planner_.plan(request, target);
   if (attempt.only_if_cached && !request.attempts.empty()) {
-    answer_failure(request);  // what is cached is asked for only once
+    answer_failure(request);  // only a first attempt may be limited to cached copies
   } else {
     send(request, attempt);
   }
@@ -217,7 +218,8 @@
   }
 }
 
-// The one place where client, deadline, drain, purge, idempotency and slow start are checked once more.
+// The only place that checks client, deadline, drain, purge, idempotency and slow start again before the
+// first byte.
 bool Decider::Impl::may_begin(Micros now, RequestId id, int index) {
   context_.now = std::max(context_.now, now);
   Request* request = requests_.find_open(id);
@@ -226,7 +228,7 @@
   }
   Attempt& attempt = request->attempts.at(static_cast<std::size_t>(index));
   const auto accepts = [&](const Node& node) { return node.listed && slow_start_.may_begin(node, attempt); };
-  attempt.revoked = attempt.done || purges_.overtook(*request, attempt) ||
+  attempt.revoked = attempt.done || purges_.invalidates(*request, attempt) ||
                     past_deadline(context_, *request) || !accepts(at(attempt.node)) ||
                     (attempt.fills() && !accepts(at(attempt.source))) ||
                     !idempotency_.may_send(*request, at(attempt.node), &attempt);
@@ -250,9 +252,9 @@
   Attempt& attempt = request->attempts[index];
   attempt.done = true;
   attempt.proved_not_executed = proves_not_executed(ended.status);
-  learn(*request, attempt, ended);
+  record_outcome(*request, attempt, ended);
   if (!request->open) {
-    requests_.forget_if_over(*request);
+    requests_.remove_if_finished(*request);
   } else if (ended.finished || ended.status == Status::kOk) {
     shedding_.record(*request, ended.status == Status::kOk);
     close(*request);
@@ -261,25 +263,25 @@
   }
 }
 
-void Decider::Impl::learn(const Request& request, Attempt& attempt, const AttemptEnded& ended) {
+void Decider::Impl::record_outcome(const Request& request, Attempt& attempt, const AttemptEnded& ended) {
   Node& node = at(attempt.node);
   Node& source = at(attempt.source);
   node.in_flight = std::max(0, node.in_flight - 1);
   OutlierDetection::on_attempt_ended(node, source, attempt, ended);
   if (indicates_hit(ended.note)) {
-    SlowStart::refund(source, attempt, attempt.source_slow_start_cost);  // the source was not asked
+    SlowStart::refund(source, attempt, attempt.source_slow_start_cost);  // a hit does not contact the source
   }
   loads_.observe(node, ended.load);
   fills_.on_attempt_ended(request, attempt, ended);
   if (ended.status == Status::kOk) {
     failures_.on_success(request, attempt, ended);
-    remember_location(request, attempt, ended.note);
+    record_location(request, attempt, ended.note);
   } else {
     failures_.on_failure(attempt, ended);
   }
 }
 
-void Decider::Impl::remember_location(const Request& request, const Attempt& attempt, Note note) {
+void Decider::Impl::record_location(const Request& request, const Attempt& attempt, Note note) {
   ObjectEntry* entry = objects_.find(request.object_key);
   if (entry == nullptr) {
     return;
@@ -293,15 +295,15 @@
   }
 }
 
-// Where fills fail in general, a rejected one is not attempted with the next source, which only loads the
-// origin further. An attempt that only asked for what is cached, and one that was never sent, cost no retry
-// budget.
+// While fills fail in general, a rejected fill is not retried with the next source, since that only adds load
+// to the origin. A retry is not charged to the retry budget if the last attempt accepted only cached copies
+// and was rejected, or if it was never sent.
 void Decider::Impl::retry(Request& request, const Attempt& last, Status status) {
   const bool not_cached = last.only_if_cached && (status == Status::kNotCached || status == Status::kFull);
   const bool rejected_fill = last.fills() && status == Status::kFull && context_.cacheable(request);
-  const bool free_of_charge = not_cached || status == Status::kNotSent;
+  const bool exempt = not_cached || status == Status::kNotSent;
   if (!idempotency_.may_retry(request) || (rejected_fill && fills_.fills_failing()) ||
-      (!free_of_charge && !retries_.take())) {
+      (!exempt && !retries_.try_consume())) {
     answer_failure(request);
   } else {
     attempt_or_answer(request);
@@ -329,7 +331,7 @@
   }
   if (attempt.fill_work > 0.0 && fills_.fills_failing() && !latency_.on_time(request) &&
       idempotency_.may_reject(request)) {
-    answer_failure(request);  // it would be late, and reserves what could serve another one in time
+    answer_failure(request);  // the answer would be late; its reservation can serve another request in time
     return;
   }
   if (!failures_.on_overdue(attempt)) {
@@ -339,14 +341,14 @@
     actions_->push_back(Cancel{request.arrival.id, static_cast<int>(request.attempts.size()) - 1});
   }
   const int target = retries_.attempts_left(request) ? caches_.select(request) : -1;
-  if (target >= 0 && retries_.take()) {
+  if (target >= 0 && retries_.try_consume()) {
     send(request, planner_.plan(request, target));
   }
 }
 
 // ---- Final answers ----
 
-// Rejects the request, or fails it where an attempt may have had an effect.
+// Rejects the request, or fails it if an attempt may have had an effect.
 void Decider::Impl::answer_failure(Request& request) {
   if (idempotency_.may_reject(request)) {
     const Micros retry_after = std::min(kRejectionRetryAfter, context_.settings.max_retry_after);
@@ -358,7 +360,7 @@
   close(request);
 }
 
-// Ends the request; attempts in flight are only cancelled, and the record goes with the last of them.
+// Marks the request as answered and cancels its attempts in flight. It is removed when the last of them ends.
 void Decider::Impl::close(Request& request) {
   request.open = false;
   const bool cancels = context_.settings.may_cancel && !request.streaming;
@@ -367,7 +369,7 @@
       actions_->push_back(Cancel{request.arrival.id, static_cast<int>(i)});
     }
   }
-  requests_.forget_if_over(request);
+  requests_.remove_if_finished(request);
 }
 
 void Decider::Impl::on(const ClientLeft& left) {
--- a/src/decision/decision_context.h
+++ b/src/decision/decision_context.h
@@ -1,5 +1,5 @@
-// What all parts of the decision module share: the settings, the time of the current event, the nodes and the
-// source of random numbers. It decides nothing.
+// The state that all parts of the decision module share: the settings, the time of the current event, the
+// nodes and the random number generator. It makes no decisions.
 #pragma once
 
 #include <trailcourse/decider.h>
@@ -14,8 +14,9 @@
 
 namespace trailcourse {
 
+// Not thread-safe; has to outlive the parts that refer to it.
 struct DecisionContext {
-  // Addresses beyond this number reuse the slots of nodes that are gone and idle.
+  // Maximum number of addresses; further ones reuse the slots of nodes that are not listed and idle.
   static constexpr std::size_t kMaxNodes = 4096;
 
   DecisionContext(Settings initial_settings, std::uint64_t seed)
@@ -23,6 +24,7 @@
   DecisionContext(const DecisionContext&) = delete;
   DecisionContext& operator=(const DecisionContext&) = delete;
 
+  // Returns the rules of the request's class.
   const ClassSettings& class_of(const Request& request) const {
     return settings.classes[static_cast<std::size_t>(request.arrival.request_class)];
   }
@@ -31,7 +33,7 @@
     return !class_of(request).uncached && !request.arrival.write;
   }
 
-  // Returns a uniformly distributed random number.
+  // Returns a random number, uniformly distributed over [`from`, `to`).
   double draw(double from, double to) { return std::uniform_real_distribution<double>(from, to)(random); }
 
   Settings settings;
--- a/src/decision/failure_attribution.cpp
+++ b/src/decision/failure_attribution.cpp
@@ -6,12 +6,12 @@
                                     const AttemptEnded& ended) {
   outliers_.record_success(context_.nodes.at(attempt.node));
   if (attempt.fills() && indicates_fill(ended.note)) {
-    judge_fill(request, attempt, ended);
+    attribute_fill(request, attempt, ended);
   }
 }
 
-void FailureAttribution::judge_fill(const Request& request, const Attempt& attempt,
-                                    const AttemptEnded& ended) {
+void FailureAttribution::attribute_fill(const Request& request, const Attempt& attempt,
+                                        const AttemptEnded& ended) {
   Node& source = context_.nodes.at(attempt.source);
   const bool from_cache = shows_holder(context_.settings, ended.note);
   if (latency_.on_time(request)) {
@@ -37,8 +37,8 @@
     penalise_source(attempt, ended.note);
     return;
   }
-  // Without a note a rejection is both nodes' for this request. A broken connection says little of the cache:
-  // the same one, which may have the object cached, is asked again.
+  // Without a note, the request avoids both nodes after a rejection. A broken connection gives little
+  // evidence against the cache: the request may retry it, since it may have the object cached.
   const bool rejected = ended.status == Status::kFull || ended.status == Status::kNotCached;
   attempt.avoid_source = attempt.fills() && rejected && ended.note != Note::kNoFillCapacity;
   attempt.avoid_node = ended.status != Status::kReset && !attempt.revoked && (attempt.fills() || !rejected);
--- a/src/decision/failure_attribution.h
+++ b/src/decision/failure_attribution.h
@@ -1,5 +1,5 @@
-// Failure attribution: which node the outcome of an attempt counts for or against, and which nodes the
-// request avoids from now on. The note of an answer distinguishes a failing source from a failing cache.
+// Attributes the outcome of an attempt to a node, and determines which nodes the request avoids afterwards.
+// The note of an answer distinguishes a failing source from a failing cache.
 #pragma once
 
 #include "fill_window.h"
@@ -22,22 +22,26 @@
         outliers_(outliers),
         sources_(sources) {}
 
-  // Credits the nodes of an answered attempt. A late fill through a cache that is not overloaded counts
-  // against its source if that had the object cached, or if the fill began soon and was then slow, as over a
-  // slow link; else against the origin.
+  // Records a success of the nodes of an answered attempt. A late fill through a cache that is not overloaded
+  // counts against its source if the source had the object cached, or if the first byte came early and the
+  // transfer was slow, as over a slow link; otherwise it counts against the origin.
   void on_success(const Request& request, const Attempt& attempt, const AttemptEnded& ended);
 
-  // Penalises the node or the source of a failed attempt, and excludes them for the request.
+  // Records a failure of the target or the source of a failed attempt, and sets which of them the request
+  // avoids.
   void on_failure(Attempt& attempt, const AttemptEnded& ended);
 
-  // Judges an attempt that is overdue. If its cache has answered nothing since, the machine is silent; if
-  // only its source has not, the source is; if both have and neither fills fail nor the cache is overloaded,
-  // the answer is lost, for which nobody is penalised. Returns whether another attempt should be made; if
-  // not, the answer is slow, and waiting is best.
+  // Handles an attempt that is overdue:
+  // - If its cache has answered nothing since the send, the cache is ejected as silent.
+  // - If its cache has answered others but its source has not, the failure counts against the source.
+  // - If both have answered others, fills do not fail and the cache is not overloaded, the answer is taken as
+  //   lost, and no node is penalised.
+  // - Otherwise the answer is only slow.
+  // Returns whether another attempt should be made, which is so in all cases but the last.
   bool on_overdue(Attempt& attempt);
 
  private:
-  void judge_fill(const Request& request, const Attempt& attempt, const AttemptEnded& ended);
+  void attribute_fill(const Request& request, const Attempt& attempt, const AttemptEnded& ended);
   void penalise_source(Attempt& attempt, Note note);
   void penalise_node(Attempt& attempt, Status status);
 
--- a/src/decision/fill_window.cpp
+++ b/src/decision/fill_window.cpp
@@ -5,23 +5,23 @@
 namespace trailcourse {
 namespace {
 
-// Of the window: seconds of this router's offered sending that may wait on fills at once.
+// The window is in seconds: times the offered rate, it is the sending work that may wait for fills at once.
 constexpr double kMinWindow = 0.03;
 constexpr double kMaxWindow = 5.0;
-constexpr double kGrowth = 0.04;  // per window of successful fills
+constexpr double kGrowth = 0.04;  // seconds per window of successful fills
 constexpr double kShrinkFactor = 0.8;
 constexpr Micros kShrinkPause = std::chrono::milliseconds(300);  // between two reductions
 
-constexpr double kMinOfferSpan = 1.0;       // seconds over which a first few requests are spread
-constexpr double kOfferDecay = 0.998;       // a request; the offered rate looks back over some hundreds
-constexpr double kFailureSmoothing = 0.05;  // weight of a new fill in the share of failures
-constexpr double kFailingThreshold = 0.2;   // share of failures from which the window shrinks
+constexpr double kMinOfferSpan = 1.0;       // seconds; minimum span over which the offered rate is averaged
+constexpr double kOfferDecay = 0.998;       // per request, so the offered rate covers the last few hundred
+constexpr double kFailureSmoothing = 0.05;  // weight of a new fill in the failure rate
+constexpr double kFailingThreshold = 0.2;   // failure rate above which the window shrinks
 
 }  // namespace
 
 void FillWindow::on_request(const Request& request) { offered_.add(request.work, context_.now, kOfferDecay); }
 
-// Returns the seconds of sending that clients ask of this router in a second, lately.
+// Returns the offered rate: seconds of sending that clients have requested from this router per second.
 double FillWindow::offered() const { return offered_.per_second(kMinOfferSpan); }
 
 bool FillWindow::fills_failing() const { return failure_rate_ > kFailingThreshold; }
@@ -34,7 +34,7 @@
 }
 
 bool FillWindow::exceeded_by(const Request& request) {
-  const double cost = shedding_.counted_work(request) + LatencyModel::kOverhead;
+  const double cost = shedding_.fill_window_work(request) + LatencyModel::kOverhead;
   const double available = window_ * offered() - reserved_;
   return idempotency_.may_reject(request) && available < cost &&
          (reserved_ > 0.0 || available < cost * context_.draw(0.0, 1.0));
@@ -47,7 +47,7 @@
   }
   const bool good = ended.status == Status::kOk && latency_.on_time(request);
   if (good && shows_holder(context_.settings, ended.note)) {
-    return;  // a parent had it cached: the answer gives no evidence about the origin
+    return;  // a parent had the object cached, which gives no evidence about the origin
   }
   failure_rate_ += kFailureSmoothing * ((good ? 0.0 : 1.0) - failure_rate_);
   adapt(attempt, good);
@@ -58,8 +58,8 @@
   if (attempt.fill_work <= 0.0 || indicates_hit(ended.note)) {
     return false;
   }
-  const bool replaced =
-      attempt.avoid_node || attempt.avoid_source;  // cancelled for another: judged by itself
+  // An attempt that was cancelled in favour of another one; the outcome of that one counts instead.
+  const bool replaced = attempt.avoid_node || attempt.avoid_source;
   switch (ended.status) {
     case Status::kCancelled:
       return !replaced && !latency_.on_time(request);
--- a/src/decision/fill_window.h
+++ b/src/decision/fill_window.h
@@ -1,6 +1,6 @@
-// The window of fills: how much sending may wait on fills at once. Where fills fail or come late, whatever
-// the cause (the origin, parents, the link, a mass purge), the window shrinks; requests beyond it only ask
-// for what is cached.
+// The fill window limits the sending work that may wait for fills at once. It shrinks while fills fail or are
+// late, whatever the cause (the origin, parents, the link, a mass purge). Requests that do not fit it accept
+// only cached copies.
 #pragma once
 
 #include "idempotency.h"
@@ -12,8 +12,8 @@
 
 namespace trailcourse {
 
-// Returns whether the answer shows that a parent had the object cached. Answers that do not distinguish a
-// fill by way of the origin never show this.
+// Returns whether the answer shows that a parent had the object cached. Below NoteLevel::kAll no answer shows
+// this, since notes do not distinguish fills from the origin.
 inline bool shows_holder(const Settings& settings, Note note) {
   return note == Note::kFilled && settings.notes == NoteLevel::kAll;
 }
@@ -30,14 +30,15 @@
         purges_(purges),
         objects_(objects) {}
 
-  // Counts a request towards the sending that clients ask for.
+  // Counts a request towards the offered rate.
   void on_request(const Request& request);
 
-  // Returns whether the cache probably lacks the object: another cache answered last, or the copy is no
-  // longer valid.
+  // Returns whether the cache probably lacks the object: this router has no record of an answer, another
+  // cache gave the last answer, or the copy may no longer answer.
   bool probable_miss(const Request& request, int cache) const;
 
-  // Returns whether a fill for the request would not fit the window. May draw a random number.
+  // Returns whether a fill for the request does not fit the window. May draw a random number: a fill larger
+  // than an empty window is admitted with a probability, so that recovery is noticed.
   bool exceeded_by(const Request& request);
 
   // Returns what a fill for the request reserves in the window, in seconds of sending.
@@ -46,10 +47,10 @@
   // Reserves the fill work of an attempt that is being sent.
   void reserve(const Attempt& attempt) { reserved_ += attempt.fill_work; }
 
-  // Releases the fill work of an attempt that ended and adapts the window to its outcome.
+  // Releases the reserved fill work of an attempt that ended, and adapts the window to the outcome.
   void on_attempt_ended(const Request& request, const Attempt& attempt, const AttemptEnded& ended);
 
-  // Returns whether so many fills fail or come late that the cause is a general one.
+  // Returns whether so many fills fail or are late that the cause is not a single node.
   bool fills_failing() const;
 
  private:
@@ -63,13 +64,13 @@
   const LoadShedding& shedding_;
   const PurgeFloors& purges_;
   const ObjectTable& objects_;
-  Rate offered_;  // seconds of sending
-  double reserved_ = 0.0;
-  double window_ = kInitialWindow;  // seconds of this router's offered sending
-  double failure_rate_ = 0.0;
+  Rate offered_;                    // in seconds of sending
+  double reserved_ = 0.0;           // seconds of sending that wait for fills now
+  double window_ = kInitialWindow;  // seconds, times the offered rate
+  double failure_rate_ = 0.0;       // smoothed share of fills that failed or were late
   Micros shrunk_at_{0};
 
-  static constexpr double kInitialWindow = 2;
+  static constexpr double kInitialWindow = 2;  // seconds
 };
 
 }  // namespace trailcourse
--- a/src/decision/idempotency.cpp
+++ b/src/decision/idempotency.cpp
@@ -5,8 +5,8 @@
 namespace trailcourse {
 namespace {
 
-// A keyed attempt has to arrive inside the idempotency window, so it is sent no later than this before its
-// end.
+// A keyed attempt has to arrive within the idempotency window, so it is sent at least this long before the
+// window ends.
 constexpr Micros kWindowMargin = std::chrono::milliseconds(100);
 
 }  // namespace
--- a/src/decision/idempotency.h
+++ b/src/decision/idempotency.h
@@ -1,4 +1,5 @@
-// What the idempotency of a request class allows after the attempts made so far: no effect may happen twice.
+// Determines which attempts and answers the idempotency of a request class allows after the earlier attempts,
+// so that no effect happens twice.
 #pragma once
 
 #include "decision_context.h"
@@ -10,14 +11,14 @@
   // The context has to outlive this object.
   explicit IdempotencyRules(const DecisionContext& context) : context_(context) {}
 
-  // Returns whether the request may be rejected, which promises the client that a retry does no harm.
+  // Returns whether the request may be rejected, which guarantees that the client may retry safely.
   bool may_reject(const Request& request) const;
 
-  // Returns whether an attempt may be sent to the node beside or after the others. `own` is the attempt in
-  // question if the request lists it already.
+  // Returns whether an attempt may be sent to the node, given the other attempts of the request. `own` is the
+  // attempt itself if it is already among those of the request.
   bool may_send(const Request& request, const Node& node, const Attempt* own = nullptr) const;
 
-  // Returns whether a failed request may be attempted again at all.
+  // Returns whether another attempt may follow a failed one, at whatever node.
   bool may_retry(const Request& request) const;
 
  private:
--- a/src/decision/keep_rank.cpp
+++ b/src/decision/keep_rank.cpp
@@ -13,14 +13,14 @@
 // The weights of the score.
 constexpr double kAlpha = 1.0;  // of 1 / request count
 constexpr double kBeta = 0.9;   // of the size
-constexpr double kMu = 0.3;     // of the parents observed to have the object
+constexpr double kMu = 0.3;     // of the share of the parents that are known holders
 constexpr double kNu = 0.6;     // of the idle time
 
 constexpr double kTopCut = 1.2;                  // scores below get the top rank
 constexpr double kMiddleCut = 2.0;               // scores below get the middle rank
-constexpr double kTopShare = 0.25;               // of the bytes asked for that may hold the top rank
-constexpr double kByteDecay = 0.9995;            // a request; the byte shares look back over some thousands
-constexpr Micros kCountHalfLife = seconds(60);   // observed holders expire after the same time
+constexpr double kTopShare = 0.25;               // maximum share of the requested bytes with the top rank
+constexpr double kByteDecay = 0.9995;            // per request, so that share covers the last few thousand
+constexpr Micros kCountHalfLife = seconds(60);   // known holders expire after the same time
 constexpr Micros kDefaultMaxIdle = seconds(30);  // tmax of a class without a lifetime
 
 enum Rank { kLowestRank = 1, kMiddleRank = 2, kTopRank = 3 };
@@ -47,7 +47,7 @@
   return kAlpha / std::max(1.0, entry.request_count) + kBeta * size + kMu * holder_share(entry) + kNu * idle;
 }
 
-// The time since the last request over tmax, at most 1, which is also the value of a first request.
+// Returns the idle time divided by tmax, at most 1. A first request has the value 1.
 double KeepRank::idle_share(const ObjectEntry& entry, const Request& request) const {
   const double lifetime = to_seconds(context_.class_of(request).lifetime);
   const double max_idle = lifetime > 0.0 ? lifetime : to_seconds(kDefaultMaxIdle);
@@ -55,6 +55,7 @@
                                    : 1.0;
 }
 
+// Returns the share of the parents that are known holders.
 double KeepRank::holder_share(const ObjectEntry& entry) const {
   const std::size_t parents = std::max<std::size_t>(1, context_.nodes.members(Role::kParent).size());
   return std::min(1.0, static_cast<double>(entry.holders.size()) / static_cast<double>(parents));
--- a/src/decision/keep_rank.h
+++ b/src/decision/keep_rank.h
@@ -1,5 +1,6 @@
-// The keep rank of a request: the paper's Criteria Weighted score, V = alpha/f + beta*s/smax + mu*r/rmax +
-// nu*t/tmax, mapped to the three ranks at which caches store a copy.
+// The keep rank of a request: the Criteria Weighted score V = alpha/f + beta*s/smax + mu*r/rmax + nu*t/tmax,
+// mapped to the three ranks with which caches store a copy. f is the request count, s the size, r the number
+// of known holders among the rmax parents, and t the idle time.
 #pragma once
 
 #include <cstddef>
@@ -10,7 +11,7 @@
 
 namespace trailcourse {
 
-// The capacity of the object table.
+// Maximum number of entries in the object table.
 inline constexpr std::size_t kMaxObjects = 50'000;
 
 class KeepRank {
@@ -18,7 +19,7 @@
   // The context and the objects have to outlive this object.
   KeepRank(const DecisionContext& context, ObjectTable& objects) : context_(context), objects_(objects) {}
 
-  // Counts the request of a cacheable object and returns its rank, from 1 (dropped first) to 3.
+  // Counts a request for a cacheable object and returns its keep rank, from 1 (evicted first) to 3.
   int rank(const Request& request);
 
  private:
@@ -28,8 +29,8 @@
 
   const DecisionContext& context_;
   ObjectTable& objects_;
-  double largest_kb_ = 0.0;
-  BoundedShare top_bytes_;  // requested kilobytes that got the top rank
+  double largest_kb_ = 0.0;  // smax
+  BoundedShare top_bytes_;   // requested kilobytes, and those of them with the top rank
 };
 
 }  // namespace trailcourse
--- a/src/decision/latency_model.h
+++ b/src/decision/latency_model.h
@@ -1,4 +1,4 @@
-// Predicted latencies and the latency objective of a request.
+// Predicts the latency of an attempt, and compares the latency of a request with its objective.
 #pragma once
 
 #include <algorithm>
@@ -11,9 +11,9 @@
 
 class LatencyModel {
  public:
-  static constexpr double kOverhead = 0.04;  // seconds of an answer beside its sending time
+  static constexpr double kOverhead = 0.04;  // seconds that an answer takes in addition to its sending time
 
-  // The context and the loads have to outlive this object.
+  // The arguments have to outlive this object.
   LatencyModel(const DecisionContext& context, const LoadEstimate& loads)
       : context_(context), loads_(loads) {}
 
--- a/src/decision/load_estimate.cpp
+++ b/src/decision/load_estimate.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr double kSmoothing = 0.3;          // weight of a new report
-constexpr double kMaxForeignLoad = 1000.0;  // requests; beyond, a report is absurd
-constexpr double kMaxUtilisation = 0.9;     // of a cache's cores; nearer to 1 its queue cannot be estimated
+constexpr double kMaxForeignLoad = 1000.0;  // requests; a higher report is not plausible
+constexpr double kMaxUtilisation = 0.9;     // nearer to 1 the queue cannot be estimated from it
 
 bool usable(double value) { return std::isfinite(value) && value >= 0.0; }
 
@@ -24,8 +24,9 @@
   node.foreign_load += kSmoothing * (foreign - node.foreign_load);
 }
 
-// Returns the requests at the node: as reported; else, from the use of its cores, those that run and those
-// that then wait; else as many from each router as from this one, which says little where routers are many.
+// Returns the number of requests at the node: the reported number; or else, from its reported utilisation, an
+// estimate of the running and the waiting ones; or else as many from each router as from this one, which is
+// inaccurate where there are many routers.
 double LoadEstimate::reported_requests(const Node& node, const LoadReport& report) const {
   const double routers = std::max(1, context_.settings.routers_in_zone);
   const double extrapolated = node.in_flight * routers;
--- a/src/decision/load_shedding.h
+++ b/src/decision/load_shedding.h
@@ -1,6 +1,6 @@
-// Load shedding: a request whose predicted answer misses its latency objective is rejected early, large
-// objects first. No size is answered far less often than the rest of its class: a large object that is
-// rejected however often it is asked for would never come.
+// Load shedding: a request whose predicted latency misses its objective is rejected early, large objects
+// first. No size is answered far less often than the rest of its class, since otherwise every retry for a
+// large object would be rejected as well.
 #pragma once
 
 #include <array>
@@ -32,9 +32,9 @@
   // Returns whether the request is large and its size is answered far less often than its class.
   bool underserved(const Request& request) const;
 
-  // Returns the sending time that the request counts with in the fill window: that of its class if
-  // underserved.
-  double counted_work(const Request& request) const {
+  // Returns the sending time in seconds that the fill window assumes for the request: the mean of its class
+  // if it is underserved.
+  double fill_window_work(const Request& request) const {
     return underserved(request) ? sending_times_.mean(request) : request.work;
   }
 
@@ -45,14 +45,15 @@
   void resize(std::size_t classes) { answered_.resize(classes); }
 
  private:
-  // Smoothed shares of the requests of a class that were answered, in time or late.
+  // Smoothed shares of the requests of a class that were answered, on time or late.
   struct AnsweredShares {
     double all = 1.0;
-    std::array<double, 3> by_size{1.0, 1.0, 1.0};  // below the class's mean, from it, from twice the mean on
+    // By size: below the mean of the class, from the mean, and from twice the mean.
+    std::array<double, 3> by_size{1.0, 1.0, 1.0};
   };
 
   bool misses_objective(const Request& request, const Node& node) const;
-  std::size_t size_step(const Request& request) const;
+  std::size_t size_bucket(const Request& request) const;
 
   const IdempotencyRules& idempotency_;
   const LatencyModel& latency_;
--- a/src/decision/lru_map.h
+++ b/src/decision/lru_map.h
@@ -1,4 +1,4 @@
-// A map of bounded size that evicts the least recently used entry. It decides nothing.
+// A map of bounded size that evicts the least recently used entry.
 #pragma once
 
 #include <cstddef>
--- a/src/decision/node_table.h
+++ b/src/decision/node_table.h
@@ -1,5 +1,4 @@
-// A bounded table of the nodes that endpoint lists have named, and the listed ones by role. It decides
-// nothing.
+// A bounded table of the nodes that appeared in endpoint lists, with the listed ones by role.
 #pragma once
 
 #include <array>
@@ -13,9 +12,11 @@
 
 namespace trailcourse {
 
+// Not thread-safe. Nodes are identified by their index, which stays the same while the node is listed or has
+// attempts in flight.
 class NodeTable {
  public:
-  // A node and whether it has just been added.
+  // A node, and whether this lookup added it.
   struct Lookup {
     Node& node;
     bool added;
@@ -27,11 +28,12 @@
   const Node& at(int index) const { return nodes_[static_cast<std::size_t>(index)]; }
   std::vector<Node>& all() { return nodes_; }
 
-  // Returns the indices of the listed nodes of a role; of caches only those of this router's zone.
+  // Returns the indices of the listed nodes with the role; for caches only those in this router's zone.
   const std::vector<int>& members(Role role) const { return members_[static_cast<std::size_t>(role)]; }
 
-  // Returns the node of an address. A full table reuses the slot of a node that is neither listed nor in use.
-  // References to nodes are invalid after the next call.
+  // Returns the node with the address, and adds it if there is none. A full table reuses the slot of a node
+  // that is neither listed nor has attempts in flight, and grows beyond its capacity if there is no such
+  // slot. The call invalidates earlier references to nodes.
   Lookup find_or_add(const std::string& address) {
     const auto [found, added] = index_.try_emplace(address, 0);
     if (added) {
@@ -42,7 +44,7 @@
     return {at(found->second), added};
   }
 
-  // Rebuilds the lists of members; to be called after each change to `listed`.
+  // Rebuilds the lists that members() returns. Has to be called after each change to `Node::listed`.
   void update_members() {
     members_ = {};
     for (int i = 0; i < static_cast<int>(nodes_.size()); ++i) {
--- a/src/decision/outlier_detection.cpp
+++ b/src/decision/outlier_detection.cpp
@@ -11,15 +11,17 @@
 constexpr double kMaxConsecutiveFailures = 3.0;  // from which a node is ejected
 constexpr double kMaxFailureRate = 0.4;          // above which a node is ejected
 constexpr double kRateSmoothing = 0.1;           // weight of a new outcome in the failure rate
-constexpr double kDeadParentRate =
-    0.75;                               // of rejections that only a dead parent shows: one that runs has hits
-constexpr double kOutlierFactor = 3.0;  // times the rate of the best parent that stands out
 
-constexpr double kFirstEjection = 1.0;  // seconds; doubles with each further one
+// A parent is an outlier if its failure rate is above kDeadParentRate, which a running parent does not reach
+// since some of its answers are hits, and above kOutlierFactor times the lowest rate of the other parents.
+constexpr double kDeadParentRate = 0.75;
+constexpr double kOutlierFactor = 3.0;
+
+constexpr double kFirstEjection = 1.0;  // seconds; doubles with each further ejection
 constexpr int kMaxDoublings = 3;
-constexpr double kEjectionJitter = 0.25;  // of its length, so that routers do not come back together
+constexpr double kEjectionJitter = 0.25;  // of the length, so that routers do not retry at the same time
 
-// A connection refused within this time costs a request next to nothing.
+// A connection refused within this time costs a request almost no time.
 constexpr Micros kImmediateRefusal = std::chrono::milliseconds(50);
 
 }  // namespace
@@ -99,8 +101,8 @@
   health.failure_rate *= 0.5;
 }
 
-// A failed check is one failure more, and puts off the next trial of a node that has failed here; a good one
-// lets the trial come now.
+// A failed check counts as a failure, or postpones the next trial of a node that was ejected by this router.
+// A successful check permits the trial now.
 void OutlierDetection::on_health_check(const HealthCheckResult& result) {
   for (Node& node : context_.nodes.all()) {
     if (!node.listed || node.endpoint.address != result.address) {
--- a/src/decision/purge_floors.cpp
+++ b/src/decision/purge_floors.cpp
@@ -8,9 +8,9 @@
 namespace trailcourse {
 namespace {
 
-constexpr std::size_t kMaxPurges = 20'000;  // beyond, they fold into one floor for all objects
-constexpr Micros kPurgeMargin =
-    std::chrono::seconds(1);  // past the stated end of dropping, against late clocks
+constexpr std::size_t kMaxPurges = 20'000;  // more are replaced by a single floor for all objects
+// A purge floor applies this long past `Settings::purge_done`, in case clocks are late.
+constexpr Micros kPurgeMargin = std::chrono::seconds(1);
 constexpr Micros kNoPurge{-1};
 
 std::uint64_t group_key(std::uint64_t group) { return mix(group); }
@@ -27,7 +27,7 @@
   purges_.add(key, purged_at, context_.now);
 }
 
-// Returns the time of the latest purge that binds the request's object, or a negative time.
+// Returns the time of the latest purge that applies to the request's object, or a negative time.
 Micros PurgeFloors::last_purge(const Request& request) const {
   return std::max(purges_.latest(group_key(request.arrival.purge_group), context_.now),
                   purges_.latest(object_key(request.arrival.object), context_.now));
@@ -45,7 +45,7 @@
   return age;
 }
 
-bool PurgeFloors::overtook(const Request& request, const Attempt& attempt) const {
+bool PurgeFloors::invalidates(const Request& request, const Attempt& attempt) const {
   const Micros purge = context_.cacheable(request) ? last_purge(request) : kNoPurge;
   return purge >= Micros(0) && (attempt.max_age == Micros(0) || attempt.sent - attempt.max_age < purge);
 }
--- a/src/decision/purge_floors.h
+++ b/src/decision/purge_floors.h
@@ -1,4 +1,4 @@
-// Purge floors: the latest purge that still binds an object sets the oldest copy that may answer for it.
+// Purge floors: no copy from before the latest purge of an object may answer a request for it.
 #pragma once
 
 #include <trailcourse/decider.h>
@@ -13,15 +13,16 @@
   // The context has to outlive this object.
   explicit PurgeFloors(const DecisionContext& context);
 
-  // Records a purge, dated back by its age.
+  // Records a purge at the time `Purged::age` ago.
   void on_purged(const Purged& purged);
 
-  // Returns the greatest age of a copy that may answer the request now; 0: any age. `allow_stale` adds the
-  // grace of the class to its lifetime, but never admits a copy older than a purge.
+  // Returns the maximum age of a copy that may answer the request now; 0: any age. `allow_stale` adds the
+  // grace of the class to its lifetime, but does not permit a copy from before a purge.
   Micros max_age(const Request& request, bool allow_stale) const;
 
-  // Returns whether a purge that came after the attempt was sent makes the age that it accepts too great.
-  bool overtook(const Request& request, const Attempt& attempt) const;
+  // Returns whether the attempt must not be sent any more, since its maximum age permits a copy from before a
+  // purge that was reported later.
+  bool invalidates(const Request& request, const Attempt& attempt) const;
 
  private:
   Micros last_purge(const Request& request) const;
--- a/src/decision/purge_history.h
+++ b/src/decision/purge_history.h
@@ -1,4 +1,4 @@
-// The times of recent purges by key; a container of bounded size that decides nothing.
+// The times of recent purges by key, in a container of bounded size.
 #pragma once
 
 #include <trailcourse/decider.h>
@@ -10,7 +10,7 @@
 
 namespace trailcourse {
 
-// Remembers the latest purge of each key for the retention period. When the capacity is exceeded and many
+// Stores the latest purge of each key for the retention period. When the capacity is exceeded and many
 // purges are still within the period, they are replaced by a single purge of all keys. Not thread-safe.
 class PurgeHistory {
  public:
@@ -40,7 +40,7 @@
   std::size_t capacity_;
   Micros retention_;
   std::unordered_map<std::uint64_t, Micros> purged_at_;
-  Micros all_purged_at_{-1};  // of the purge that replaced earlier ones
+  Micros all_purged_at_{-1};  // time of the purge of all keys; negative: none
 };
 
 }  // namespace trailcourse
--- a/src/decision/request_table.h
+++ b/src/decision/request_table.h
@@ -1,4 +1,4 @@
-// A table of the requests that the router still answers for. It decides nothing.
+// A table of the requests in progress.
 #pragma once
 
 #include <unordered_map>
@@ -7,29 +7,30 @@
 
 namespace trailcourse {
 
+// Not thread-safe.
 class RequestTable {
  public:
-  // Adds a request; the reference is valid until the request is forgotten.
+  // Adds a request. The reference is valid until the request is removed.
   Request& add(const RequestArrived& arrival) {
     Request& request = requests_.insert_or_assign(arrival.id, Request{}).first->second;
     request.arrival = arrival;
     return request;
   }
 
-  // Returns a request that is open or has attempts in flight, or null.
+  // Returns the request if it is open or has attempts in flight, otherwise null.
   Request* find(RequestId id) {
     const auto found = requests_.find(id);
     return found == requests_.end() ? nullptr : &found->second;
   }
 
-  // Returns a request whose final answer is still owed, or null.
+  // Returns the request if its final answer has not been given yet, otherwise null.
   Request* find_open(RequestId id) {
     Request* request = find(id);
     return request != nullptr && request->open ? request : nullptr;
   }
 
-  // Removes the request if it is answered and no attempt is in flight; `request` is invalid then.
-  void forget_if_over(const Request& request) {
+  // Removes the request if it is answered and no attempt is in flight; `request` is then invalid.
+  void remove_if_finished(const Request& request) {
     if (!request.open && !request.in_flight()) {
       requests_.erase(RequestId(request.arrival.id));
     }
--- a/src/decision/retry_budget.h
+++ b/src/decision/retry_budget.h
@@ -1,4 +1,4 @@
-// The retry budget: further attempts are a bounded share of the requests, so that a general failure does not
+// The retry budget limits further attempts to a share of the requests, so that a general failure does not
 // multiply the load.
 #pragma once
 
@@ -12,18 +12,18 @@
   // The context has to outlive this object.
   explicit RetryBudget(const DecisionContext& context) : context_(context) {}
 
-  // Earns the share of a further attempt that each request allows.
+  // Adds the share of a further attempt that each request allows.
   void on_request() { tokens_.add(kAttemptsPerRequest); }
 
-  // Takes a further attempt from the budget and returns true, or returns false if none is left.
-  bool take() { return tokens_.take(); }
+  // Charges a further attempt to the budget and returns true, or returns false if none is left.
+  bool try_consume() { return tokens_.try_consume(); }
 
-  // Returns whether the request has attempts and time left.
+  // Returns whether the request may have another attempt by the maximum number and by its deadline.
   bool attempts_left(const Request& request) const;
 
  private:
   static constexpr double kAttemptsPerRequest = 0.25;
-  static constexpr double kBurst = 30.0;
+  static constexpr double kBurst = 30.0;  // attempts
 
   const DecisionContext& context_;
   TokenBucket tokens_{kBurst};
--- a/src/decision/running_statistics.h
+++ b/src/decision/running_statistics.h
@@ -1,4 +1,4 @@
-// Running statistics: means, rates, token buckets and bounded shares. Plain arithmetic without decisions.
+// Running statistics: means, rates, token buckets and bounded shares.
 #pragma once
 
 #include <trailcourse/decider.h>
@@ -18,11 +18,12 @@
     count_ += 1.0;
   }
 
-  // Returns the mean, or `fallback` before anything was added.
+  // Returns the mean, or `fallback` if there are no values.
   double value(double fallback) const { return count_ > 0.0 ? sum_ / count_ : fallback; }
 
-  // Returns the mean plus a margin that shrinks with the root of the number of values. `margin` is a fraction
-  // of the mean. Where sizes have a long tail, the mean of a few values usually lies below the true one.
+  // Returns the mean plus a margin that shrinks with the square root of the number of values. `margin` is a
+  // fraction of the mean. For a long-tailed distribution, the mean of a few values is usually below the true
+  // mean.
   double upper_value(double fallback, double margin) const {
     return value(fallback) * (1.0 + margin / std::sqrt(1.0 + count_));
   }
@@ -32,7 +33,8 @@
   double count_ = 0.0;
 };
 
-// The amount added per second. Each addition multiplies the weight of all earlier ones by its `decay`.
+// An average rate: the amount added per second. Each addition multiplies the weight of all earlier ones by
+// its `decay`.
 class Rate {
  public:
   void add(double amount, Micros now, double decay) {
@@ -58,7 +60,7 @@
   void add(double amount) { tokens_ = std::min(capacity_, tokens_ + amount); }
 
   // Takes one token and returns true, or returns false if less than one is left.
-  bool take() {
+  bool try_consume() {
     const bool granted = tokens_ >= 1.0;
     tokens_ -= granted ? 1.0 : 0.0;
     return granted;
@@ -69,11 +71,11 @@
   double tokens_;
 };
 
-// A part of a total that may not exceed a given share of it. Both decay with each addition.
+// A total and a part of it that may not exceed a given share. Both decay with each addition.
 class BoundedShare {
  public:
-  // Adds `amount` to the total, and to the part if that is `wanted` and the part stays within `max_share` of
-  // the total. Returns whether it was added to the part.
+  // Adds `amount` to the total, and also to the part if `wanted` is true and the part stays within
+  // `max_share` of the total. Returns whether it was added to the part.
   bool add(double amount, bool wanted, double max_share, double decay) {
     total_ = decay * total_ + amount;
     part_ *= decay;
--- a/src/decision/sending_times.h
+++ b/src/decision/sending_times.h
@@ -10,7 +10,7 @@
 
 namespace trailcourse {
 
-// Not thread-safe. Classes are numbered from 0; a request of another class must not be passed.
+// Not thread-safe. Classes are numbered from 0; the class of a passed request has to exist.
 class SendingTimes {
  public:
   explicit SendingTimes(std::size_t classes) : means_(classes) {}
@@ -21,8 +21,8 @@
   // Returns the mean sending time of the request's class in seconds.
   double mean(const Request& request) const { return mean_of(request).value(kDefaultSeconds); }
 
-  // Returns the mean plus a margin that shrinks with the number of observations: the cost of a request at a
-  // node in slow start.
+  // Returns the mean plus a margin that shrinks with the number of observations, in seconds. It is the cost
+  // of a request at a node in slow start.
   double upper_mean(const Request& request) const {
     return mean_of(request).upper_value(kDefaultSeconds, kUncertainty);
   }
@@ -46,8 +46,8 @@
   void copy_class(std::size_t from, std::size_t to) { means_[to] = means_[from]; }
 
  private:
-  static constexpr double kDefaultSeconds = 0.2;  // of sending before the first observation
-  static constexpr double kUncertainty = 1.0;     // of the mean, over the root of the requests seen
+  static constexpr double kDefaultSeconds = 0.2;  // mean of a class without observations
+  static constexpr double kUncertainty = 1.0;     // margin of `upper_mean`, as a fraction of the mean
 
   Mean& mean_of(const Request& request) {
     return means_[static_cast<std::size_t>(request.arrival.request_class)];
--- a/src/decision/slow_start.cpp
+++ b/src/decision/slow_start.cpp
@@ -7,13 +7,13 @@
 namespace trailcourse {
 namespace {
 
-constexpr double kBudgetShare = 0.7;  // of the overload budget, over all time slots of all routers
+constexpr double kBudgetShare = 0.7;  // of the overload budget that the slots of all routers give out
 constexpr double kSlotLength = 1.0;   // of the overload span that a time slot stays open
-constexpr double kMinPeriod = 0.25;   // of the overload span from one slot of a router to its next, or more
-constexpr double kMinPause = 0.999;   // of a period before the next slot: none is lost to rounding
-constexpr double kPeriodStep = 0.5;   // octaves: one period for all routers whose means differ a little
+constexpr double kMinPeriod = 0.25;   // of the overload span, from one slot of a router to its next
+constexpr double kMinPause = 0.999;   // of a period; less than 1, so that rounding skips no slot
+constexpr double kPeriodStep = 0.5;   // octaves, so that routers with similar means have the same period
 constexpr double kMinCapacityShare = 0.01;
-constexpr double kGoldenRatio = 0.6180339887498949;  // its multiples lie evenly, whatever their number
+constexpr double kGoldenRatio = 0.6180339887498949;  // any number of its multiples is evenly spaced modulo 1
 
 }  // namespace
 
--- a/src/decision/source_selection.cpp
+++ b/src/decision/source_selection.cpp
@@ -8,8 +8,8 @@
 namespace trailcourse {
 namespace {
 
-constexpr double kQuotaCut = 0.8;      // factor for a bad fill
-constexpr double kQuotaGrowth = 0.02;  // for a good fill
+constexpr double kQuotaCut = 0.8;      // factor after a bad fill
+constexpr double kQuotaGrowth = 0.02;  // added after a good fill
 constexpr double kMinQuota = 0.05;
 
 }  // namespace
--- a/src/decision/source_selection.h
+++ b/src/decision/source_selection.h
@@ -1,9 +1,10 @@
-// Source selection: the home parent of an object over all listed ones; the next, then the origin, where that
-// one is ejected, in slow start or has just failed the request.
+// Selects the source of a fill: the home parent of the object, which is the first listed parent in rendezvous
+// order. If that one is ejected, in slow start or has just failed the request, the next parent is used, and
+// after the parents the origin.
 //
-// A source whose fills are rejected, late or missing takes only a quota of the objects. Every router lets the
-// same objects go on to the next source, so that a slow or overloaded one serves as much as it can. If all
-// sources are slow, this shifts more load to the origin, up to its own quota.
+// A source whose fills are rejected, late or missing serves only a quota of the objects. All routers move the
+// same objects to the next source, so that a slow or overloaded source serves as much as it can. If all
+// parents are slow, this shifts more load to the origin, up to its own quota.
 #pragma once
 
 #include <vector>
@@ -14,7 +15,7 @@
 
 namespace trailcourse {
 
-// What the outcome of a fill counts for or against: the source itself, or the origin behind it.
+// The node whose quota the outcome of a fill changes: the source itself, or the origin behind it.
 enum class FillOrigin { kSource, kOrigin };
 
 class SourceSelection {
@@ -23,8 +24,9 @@
   SourceSelection(DecisionContext& context, const SlowStart& slow_start, const OutlierDetection& outliers)
       : context_(context), slow_start_(slow_start), outliers_(outliers) {}
 
-  // Returns the index of the source that a miss at the cache is filled from. With no healthy source the cause
-  // lies elsewhere, and it is the first usable one. Without any source it is the cache itself.
+  // Returns the index of the source that a miss at the cache is filled from. If no source is healthy and
+  // within its quota, the cause is probably elsewhere, and it is the first usable one. If no source is
+  // usable, it is the last candidate, and if none is listed, the cache itself.
   int select(const Request& request, int cache);
 
   // Raises or lowers the quota of the source, or of the origin behind it.
--- a/src/decision/time_units.h
+++ b/src/decision/time_units.h
@@ -1,4 +1,4 @@
-// Times as seconds in floating point, for arithmetic with rates.
+// Conversions between durations and seconds in floating point, for arithmetic with rates.
 #pragma once
 
 #include <trailcourse/decider.h>
@@ -11,7 +11,7 @@
 // Returns the duration in seconds.
 inline double to_seconds(Micros time) { return static_cast<double>(time.count()) * 1e-6; }
 
-// Returns a duration of `time` seconds, cut to the range from 0 to 4,000.
+// Returns a duration of `time` seconds, clamped to the range from 0 to 4,000.
 inline Micros from_seconds(double time) {
   return Micros(static_cast<std::int64_t>(std::clamp(time, 0.0, 4e3) * 1e6));
 }
