--- a/adapter/main.cpp
+++ b/adapter/main.cpp
@@ -1,4 +1,4 @@
-// The adapter process: reads the lines of the bench protocol from standard input, replies on standard output.
+// The adapter process: reads lines of the bench protocol from standard input and replies on standard output.
 #include <exception>
 #include <iostream>
 #include <string>
--- a/adapter/wire.cpp
+++ b/adapter/wire.cpp
@@ -25,7 +25,7 @@
 using protocol::whole_at;
 using protocol::word_at;
 
-constexpr std::array<std::pair<const char*, Status>, 9> kStatusWords{{{"OK", Status::kOk},
+constexpr std::array<std::pair<const char*, Status>, 9> kStatusNames{{{"OK", Status::kOk},
                                                                       {"INTERNAL", Status::kError},
                                                                       {"RESOURCE_EXHAUSTED", Status::kFull},
                                                                       {"DEADLINE_EXCEEDED", Status::kTimeout},
@@ -34,12 +34,12 @@
                                                                       {"CANCELLED", Status::kCancelled},
                                                                       {"TOO_LATE", Status::kNotSent},
                                                                       {"NOT_FOUND", Status::kNotCached}}};
-constexpr std::array<std::pair<const char*, NodeState>, 3> kStateWords{
+constexpr std::array<std::pair<const char*, NodeState>, 3> kNodeStateNames{
     {{"ready", NodeState::kReady}, {"draining", NodeState::kDraining}, {"gone", NodeState::kGone}}};
-constexpr std::array<std::pair<const char*, ListKind>, 4> kListWords{{{"incr", ListKind::kChanges},
-                                                                      {"total", ListKind::kFull},
-                                                                      {"warm_copy", ListKind::kRestored},
-                                                                      {"lost", ListKind::kLost}}};
+constexpr std::array<std::pair<const char*, ListKind>, 4> kListKindNames{{{"incr", ListKind::kChanges},
+                                                                          {"total", ListKind::kFull},
+                                                                          {"warm_copy", ListKind::kRestored},
+                                                                          {"lost", ListKind::kLost}}};
 
 Note read_note(const json& message) {
   const std::int64_t code = whole_at(message, "Remark", 0);
@@ -47,7 +47,7 @@
   return valid ? static_cast<Note>(code) : Note::kNone;
 }
 
-LoadReport report_of(const json& message, const Profile& profile) {
+LoadReport read_load(const json& message, const Profile& profile) {
   const json* values = find(message, "Telemetry");
   return values == nullptr ? LoadReport{} : read_report(*values, profile.report_fields);
 }
@@ -56,12 +56,12 @@
   AttemptEnded ended;
   ended.id = id_at(message, "Ref");
   ended.attempt = small_at(message, "Try", 0);
-  ended.status = look_up(kStatusWords, text_at(message, "Status"));
+  ended.status = look_up(kStatusNames, text_at(message, "Status"));
   ended.latency = seconds_at(message, "LatencyS");
   ended.finished = flag_at(message, "Finished");
   ended.note = read_note(message);
   ended.source_first_byte_time = seconds_at(message, "UpstreamWaitS");
-  ended.load = report_of(message, profile);
+  ended.load = read_load(message, profile);
   return ended;
 }
 
@@ -69,7 +69,7 @@
   const std::string name = text_at(message, "Kind");
   const auto found = profile.class_index.find(name);
   if (found == profile.class_index.end()) {
-    throw WireError("unknown class: " + name);
+    throw WireError("unknown request class: " + name);
   }
   RequestArrived request;
   request.id = id_at(message, "Ref");
@@ -101,7 +101,7 @@
 
 std::string quoted(const std::string& value) { return json(value).dump(); }
 
-std::string head(const char* type, std::int64_t instance) {
+std::string line_prefix(const char* type, std::int64_t instance) {
   return std::string("{\"event_type\":\"") + type + "\",\"I\":" + std::to_string(instance);
 }
 
@@ -110,7 +110,7 @@
 
   std::string operator()(const SendAttempt& send) const {
     const int options = (send.join_fill ? 1 : 0) | (send.only_if_cached ? 2 : 0);
-    std::string line = head("Obtain", instance) + ",\"Ref\":" + std::to_string(send.id);
+    std::string line = line_prefix("Obtain", instance) + ",\"Ref\":" + std::to_string(send.id);
     line += ",\"Cache\":" + quoted(send.cache) + ",\"TryForS\":" + seconds_text(send.timeout);
     line += ",\"MissFrom\":" + quoted(send.source) + ",\"Keep\":" + std::to_string(send.keep_rank);
     if (send.max_age.count() > 0) {
@@ -122,24 +122,26 @@
     return line + "}\n";
   }
   std::string operator()(const Cancel& cancel) const {
-    return head("UndoSend", instance) + ",\"Ref\":" + std::to_string(cancel.id) +
+    return line_prefix("UndoSend", instance) + ",\"Ref\":" + std::to_string(cancel.id) +
            ",\"Try\":" + std::to_string(cancel.attempt) + "}\n";
   }
   std::string operator()(const Reject& reject) const {
-    std::string line = head("NotNow", instance) + ",\"Ref\":" + std::to_string(reject.id);
+    std::string line = line_prefix("NotNow", instance) + ",\"Ref\":" + std::to_string(reject.id);
     if (reject.retry_after.count() > 0) {
       line += ",\"WaitS\":" + seconds_text(reject.retry_after);
     }
     return line + "}\n";
   }
   std::string operator()(const Fail& fail) const {
-    return head("Fail", instance) + ",\"Ref\":" + std::to_string(fail.id) + "}\n";
+    return line_prefix("Fail", instance) + ",\"Ref\":" + std::to_string(fail.id) + "}\n";
   }
   std::string operator()(const SetTimer& timer) const {
-    return head("WakeAt", instance) + ",\"Handle\":" + std::to_string(timer.token) +
+    return line_prefix("WakeAt", instance) + ",\"Handle\":" + std::to_string(timer.token) +
            ",\"OffsetS\":" + seconds_text(timer.delay) + "}\n";
   }
-  std::string operator()(const Subscribe&) const { return head("Observe", instance) + ",\"On\":true}\n"; }
+  std::string operator()(const Subscribe&) const {
+    return line_prefix("Observe", instance) + ",\"On\":true}\n";
+  }
 };
 
 }  // namespace
@@ -147,7 +149,7 @@
 LoadReport read_report(const json& values, const std::vector<std::string>& fields) {
   LoadReport report;
   if (!values.is_array()) {
-    throw WireError("not a load report");
+    throw WireError("load report is not an array");
   }
   for (std::size_t i = 0; i < values.size() && i < fields.size(); ++i) {
     if (!values[i].is_number()) {
@@ -172,7 +174,7 @@
   Instance instance;
   instance.profile = read_profile(need(message, "ProfileData"));
   const std::uint64_t seed = id_at(message, "Nonce64");
-  instance.handler = make_(instance.profile.settings, seed);
+  instance.handler = make_handler_(instance.profile.settings, seed);
   instances_.insert_or_assign(whole(need(message, "I"), "I"), std::move(instance));
 }
 
@@ -186,20 +188,21 @@
 
 EndpointListReceived Adapter::read_list(const json& message, const Profile& profile) const {
   EndpointListReceived list;
-  list.kind = look_up(kListWords, text_at(message, "Mode"));
+  list.kind = look_up(kListKindNames, text_at(message, "Mode"));
   if (list.kind == ListKind::kLost) {
     return list;
   }
-  const auto found = lists_.find(whole(need(message, "Table"), "Table"));
+  const std::int64_t table = whole(need(message, "Table"), "Table");
+  const auto found = lists_.find(table);
   if (found == lists_.end()) {
-    throw WireError("unknown list number");
+    throw WireError("unknown endpoint list: " + std::to_string(table));
   }
   for (const json& source : found->second) {
     Endpoint entry;
     entry.address = text_at(source, "Cache");
     entry.zone = word_at(source, "Zone", "");
     entry.cell = small_at(source, "Cohort", 0);
-    entry.state = look_up(kStateWords, word_at(source, "Lifecycle", "ready"));
+    entry.state = look_up(kNodeStateNames, word_at(source, "Lifecycle", "ready"));
     entry.weight = number_at(source, "Weight", 1.0);
     entry.started = seconds_at(source, "ReadyAtS");
     const std::string kind = word_at(source, "Type", "");
@@ -210,9 +213,10 @@
 }
 
 Adapter::Instance* Adapter::find_instance(const json& message) {
-  const auto found = instances_.find(whole(need(message, "I"), "I"));
+  const std::int64_t id = whole(need(message, "I"), "I");
+  const auto found = instances_.find(id);
   if (found == instances_.end()) {
-    throw WireError("event for an instance that was not begun");
+    throw WireError("event for an unknown instance: " + std::to_string(id));
   }
   return found->second.faulted ? nullptr : &found->second;
 }
@@ -223,7 +227,7 @@
     instance.handler(now_, event, actions_);
   } catch (const std::exception& error) {
     instance.faulted = true;
-    reply_ += head("Fault", id) + ",\"Text\":" + quoted(error.what()) + "}\n";
+    reply_ += line_prefix("Fault", id) + ",\"Text\":" + quoted(error.what()) + "}\n";
     return;
   }
   for (const Action& action : actions_) {
@@ -252,7 +256,7 @@
        }}};
   const auto reader = kReaders.find(type);
   if (reader == kReaders.end()) {
-    return;  // an event type that this version does not handle
+    return;  // unknown event types are ignored
   }
   Instance* instance = find_instance(message);
   if (instance != nullptr) {
@@ -272,10 +276,10 @@
   try {
     message = json::parse(line);
   } catch (const json::exception& error) {
-    throw WireError(std::string("not a message: ") + error.what());
+    throw WireError(std::string("invalid JSON: ") + error.what());
   }
   if (!message.is_object()) {
-    throw WireError("not a message object");
+    throw WireError("message is not a JSON object");
   }
   const std::string type = text_at(message, "event_type");
   if (type == "Frame") {
