--- a/benchmarks/decision_trace.cpp
+++ b/benchmarks/decision_trace.cpp
@@ -1,6 +1,6 @@
-// A trace of the decision module: seeded random event sequences under several settings profiles, and one hash
-// of all actions with all their fields. Two builds of the module decide alike if their hashes are equal. The
-// program also prints the CPU time, which compares the cost of two builds on the same machine.
+// Runs the decision module on seeded random event sequences under several settings profiles, and prints a
+// hash of all actions with all their fields. Two builds of the module that print the same hash made the same
+// decisions. The program also prints the CPU time, to compare the cost of two builds on the same machine.
 //
 // Usage: decision_trace [EVENTS_PER_PROFILE]
 #include <cstdint>
--- a/benchmarks/decision_trace_disturbances.cpp
+++ b/benchmarks/decision_trace_disturbances.cpp
@@ -1,4 +1,4 @@
-// The disturbances of the simulated deployment: purges, health checks, failures, load and list changes.
+// The disturbances of the simulated deployment: purges, health checks, faults, and changes of load and lists.
 #include <algorithm>
 #include <limits>
 
@@ -13,21 +13,24 @@
 }  // namespace
 
 void World::perform(const Disturbance&) {
-  schedule(now_ + random_.exponential(profile_.between_requests * 12), Disturbance{});
+  schedule(now_ + random_.exponential(profile_.mean_request_interval * 12), Disturbance{});
   if (subscribed_) {
     subscribed_ = false;
     handle(EndpointListReceived{random_.chance(0.3) ? ListKind::kLost : ListKind::kFull, endpoints_});
   }
-  if (random_.chance(profile_.restarts)) {
+  if (random_.chance(profile_.restart_share)) {
     restart_endpoint();
     return;
   }
   using Member = void (World::*)();
-  const std::vector<Member> kinds{&World::purge,          &World::purge,          &World::purge,
-                                  &World::health_check,   &World::change_trouble, &World::change_trouble,
-                                  &World::change_load,    &World::change_list,    &World::full_list,
-                                  &World::rare_list,      &World::stray_events,   &World::health_check,
-                                  &World::change_classes, &World::purge_flood,    &World::pause};
+  const std::vector<Member> kinds{&World::purge,          &World::purge,
+                                  &World::purge,          &World::health_check,
+                                  &World::change_fault,   &World::change_fault,
+                                  &World::change_load,    &World::change_endpoints,
+                                  &World::full_list,      &World::lost_or_restored_list,
+                                  &World::stray_events,   &World::health_check,
+                                  &World::change_classes, &World::purge_flood,
+                                  &World::pause};
   (this->*random_.pick(kinds))();
 }
 
@@ -49,19 +52,19 @@
 void World::health_check() {
   HealthCheckResult result;
   result.address = random_.chance(0.05) ? "unknown" : random_.pick(endpoints_).address;
-  const Trouble trouble = trouble_[result.address];
-  result.healthy = random_.chance(0.05) || trouble == Trouble::kNone;
+  const NodeFault fault = faults_[result.address];
+  result.healthy = random_.chance(0.05) || fault == NodeFault::kNone;
   result.valid_for = random_.exponential(seconds(2));
   handle(result);
 }
 
-void World::change_trouble() {
+void World::change_fault() {
   if (random_.chance(0.5)) {
-    trouble_.clear();
+    faults_.clear();
     return;
   }
-  const auto kinds = static_cast<std::uint64_t>(Trouble::kCount);
-  trouble_[random_.pick(endpoints_).address] = static_cast<Trouble>(random_.below(kinds));
+  const auto kinds = static_cast<std::uint64_t>(NodeFault::kCount);
+  faults_[random_.pick(endpoints_).address] = static_cast<NodeFault>(random_.below(kinds));
 }
 
 void World::change_load() {
@@ -70,7 +73,7 @@
   arrival_factor_ = static_cast<int>(1 + random_.below(5));
 }
 
-void World::change_list() {
+void World::change_endpoints() {
   EndpointListReceived list{ListKind::kChanges, {}};
   for (std::uint64_t i = random_.below(3) + 1; i > 0; --i) {
     Endpoint& endpoint = endpoints_[random_.below(endpoints_.size())];
@@ -111,7 +114,7 @@
   handle(EndpointListReceived{ListKind::kFull, endpoints_});
 }
 
-void World::rare_list() {
+void World::lost_or_restored_list() {
   if (random_.chance(0.5)) {
     handle(EndpointListReceived{ListKind::kLost, {}});
   } else {
--- a/benchmarks/decision_trace_hash.h
+++ b/benchmarks/decision_trace_hash.h
@@ -1,4 +1,4 @@
-// The hash of a decision trace.
+// Hashes the actions of a decision trace.
 #pragma once
 
 #include <trailcourse/decider.h>
@@ -9,7 +9,7 @@
 
 namespace trailcourse::decision_trace {
 
-// Hashes all fields of the actions that the decision module returned, in their order.
+// A hash of the actions of the decision module with all their fields, in their order.
 class TraceHash {
  public:
   TraceHash() : state_(XXH64_createState()) { XXH64_reset(state_, 0); }
--- a/benchmarks/decision_trace_profiles.cpp
+++ b/benchmarks/decision_trace_profiles.cpp
@@ -76,35 +76,36 @@
   direct.name = "direct writes";
   direct.settings.direct = true;
   direct.settings.weights_are_sizes = false;
-  direct.between_requests = Micros(20'000);
+  direct.mean_request_interval = Micros(20'000);
   Profile restarts = plain;
   restarts.name = "many restarts";
-  restarts.restarts = 0.4;
+  restarts.restart_share = 0.4;
   restarts.settings.routers = 40;
   restarts.settings.routers_in_zone = 20;
   Profile many_objects = plain;
   many_objects.name = "more objects than entries";
   many_objects.objects = 400'000;
   many_objects.mean_size_kb = 15.0;
-  many_objects.between_requests = Micros(1'000);
+  many_objects.mean_request_interval = Micros(1'000);
   Profile overload = plain;
   overload.name = "overload";
-  overload.between_requests = Micros(2'000);
+  overload.mean_request_interval = Micros(2'000);
   overload.mean_size_kb = 400.0;
   Profile parentless = plain;
   parentless.name = "no parents";
   parentless.parents = 0;
   parentless.settings.slow_start_span = Micros(0);
-  Profile one_try = plain;
-  one_try.name = "one attempt, no origin";
-  one_try.origins = 0;
-  one_try.settings.max_attempts = 1;
-  one_try.settings.overload_factor = 0.0;
+  Profile single_attempt = plain;
+  single_attempt.name = "one attempt, no origin";
+  single_attempt.origins = 0;
+  single_attempt.settings.max_attempts = 1;
+  single_attempt.settings.overload_factor = 0.0;
   Profile large = plain;
   large.name = "more nodes than slots";
   large.caches = 4'500;
   large.event_share = 0.02;
-  return {plain, one_at_a_time, bare, direct, restarts, many_objects, overload, parentless, one_try, large};
+  return {plain,        one_at_a_time, bare,       direct,         restarts,
+          many_objects, overload,      parentless, single_attempt, large};
 }
 
 }  // namespace trailcourse::decision_trace
--- a/benchmarks/decision_trace_profiles.h
+++ b/benchmarks/decision_trace_profiles.h
@@ -9,18 +9,18 @@
 
 namespace trailcourse::decision_trace {
 
-// One deployment and the load on it.
+// The settings of one deployment, its nodes and the load on it.
 struct Profile {
   std::string name;
   Settings settings;
-  std::uint64_t objects = 500;
+  std::uint64_t objects = 500;  // number of different objects
   int caches = 6;
   int parents = 3;
   int origins = 1;
-  Micros between_requests{8'000};
+  Micros mean_request_interval{8'000};
   double mean_size_kb = 150.0;
-  double restarts = 0.04;  // of the disturbances
-  double event_share = 1.0;
+  double restart_share = 0.04;  // of the disturbances
+  double event_share = 1.0;     // of the events per profile that the trace was started with
 };
 
 // Returns the profiles in the order in which the trace runs them.
--- a/benchmarks/decision_trace_random.h
+++ b/benchmarks/decision_trace_random.h
@@ -1,4 +1,4 @@
-// Random numbers of the decision trace, which are the same with every standard library.
+// The random numbers of the decision trace, which are the same for every standard library.
 #pragma once
 
 #include <trailcourse/decider.h>
@@ -9,7 +9,7 @@
 
 namespace trailcourse::decision_trace {
 
-// A seeded generator of random numbers.
+// A seeded random number generator (SplitMix64).
 class Random {
  public:
   explicit Random(std::uint64_t seed) : state_(seed) {}
@@ -25,11 +25,13 @@
   std::uint64_t below(std::uint64_t bound) { return next() % bound; }
   // Returns a number in [0, 1).
   double uniform() { return static_cast<double>(next() >> 11) * 0x1.0p-53; }
+  // Returns true with the given probability.
   bool chance(double probability) { return uniform() < probability; }
   // Returns an exponentially distributed duration.
   Micros exponential(Micros mean) {
     return Micros(static_cast<std::int64_t>(-std::log(1.0 - uniform()) * static_cast<double>(mean.count())));
   }
+  // Returns one of the items, all with the same probability.
   template <typename Item>
   const Item& pick(const std::vector<Item>& items) {
     return items[below(items.size())];
--- a/benchmarks/decision_trace_world.cpp
+++ b/benchmarks/decision_trace_world.cpp
@@ -62,7 +62,7 @@
 }
 
 void World::perform(const Arrival&) {
-  schedule(now_ + random_.exponential(profile_.between_requests / arrival_factor_), Arrival{});
+  schedule(now_ + random_.exponential(profile_.mean_request_interval / arrival_factor_), Arrival{});
   RequestArrived request;
   request.id = ++last_id_;
   const std::uint64_t classes = class_count_;
@@ -72,8 +72,8 @@
   request.part = random_.chance(0.3) ? static_cast<std::uint32_t>(random_.below(4)) : 0;
   request.purge_group = request.object % 16;
   request.size_kb = draw_size();
-  const bool short_of_time = random_.chance(0.1);
-  request.deadline = now_ + (short_of_time ? random_.exponential(milliseconds(60)) : Micros(seconds(5)));
+  const bool short_deadline = random_.chance(0.1);
+  request.deadline = now_ + (short_deadline ? random_.exponential(milliseconds(60)) : Micros(seconds(5)));
   request.is_retry = random_.chance(0.08);
   request.write = random_.chance(0.03);
   RequestState& state = requests_[request.id];
@@ -162,7 +162,7 @@
     finish(ended.id);
   }
   handle(ended);
-  forget_if_over(ended.id);
+  remove_if_finished(ended.id);
 }
 
 void World::execute(const Cancel& cancel) {
@@ -183,10 +183,10 @@
 
 void World::finish(RequestId id) {
   requests_[id].finished = true;
-  forget_if_over(id);
+  remove_if_finished(id);
 }
 
-void World::forget_if_over(RequestId id) {
+void World::remove_if_finished(RequestId id) {
   const auto found = requests_.find(id);
   if (found != requests_.end() && found->second.finished &&
       std::all_of(found->second.attempts.begin(), found->second.attempts.end(),
@@ -199,7 +199,7 @@
   AttemptEnded ended;
   const double work_s = (request.size_kb < 1e9 ? request.size_kb : 100.0) / 1000.0;
   const double slow =
-      trouble_[send.cache] == Trouble::kSlow || trouble_[send.source] == Trouble::kSlow ? 12 : 1;
+      faults_[send.cache] == NodeFault::kSlow || faults_[send.source] == NodeFault::kSlow ? 12 : 1;
   ended.latency = milliseconds(2) + random_.exponential(milliseconds(12)) +
                   Micros(static_cast<std::int64_t>(work_s * load_factor_ * slow * 1e6));
   ended.source_first_byte_time = ended.latency / static_cast<std::int64_t>(1 + random_.below(6));
@@ -215,21 +215,21 @@
 }
 
 Status World::draw_status(const SendAttempt& send, AttemptEnded& ended) {
-  switch (trouble_[send.cache]) {
-    case Trouble::kDead:
+  switch (faults_[send.cache]) {
+    case NodeFault::kDead:
       ended.latency = Micros(static_cast<std::int64_t>(300 + random_.below(500)));
       return Status::kConnectFailed;
-    case Trouble::kUnreachable:
+    case NodeFault::kUnreachable:
       ended.latency = milliseconds(400);
       return Status::kConnectFailed;
-    case Trouble::kSilent:
+    case NodeFault::kSilent:
       ended.latency = seconds(30);
       return Status::kTimeout;
-    case Trouble::kResets:
+    case NodeFault::kResets:
       return random_.chance(0.6) ? Status::kReset : Status::kOk;
-    case Trouble::kErrors:
+    case NodeFault::kErrors:
       return random_.chance(0.6) ? Status::kError : Status::kOk;
-    case Trouble::kFull:
+    case NodeFault::kFull:
       return random_.chance(0.6) ? Status::kFull : Status::kOk;
     default:
       break;
@@ -237,15 +237,15 @@
   if (send.only_if_cached || send.source == send.cache) {
     return random_.chance(0.5) ? Status::kNotCached : Status::kOk;
   }
-  const Trouble source = trouble_[send.source];
-  if (source != Trouble::kNone && source != Trouble::kSlow && random_.chance(0.7)) {
+  const NodeFault source = faults_[send.source];
+  if (source != NodeFault::kNone && source != NodeFault::kSlow && random_.chance(0.7)) {
     return Status::kFull;
   }
-  const double luck = random_.uniform();
+  const double draw = random_.uniform();
   const std::vector<Status> rare{Status::kError,     Status::kReset,        Status::kFull,
                                  Status::kNotCached, Status::kNotSent,      Status::kError,
                                  Status::kCancelled, Status::kConnectFailed};
-  return luck < failure_rate_ ? random_.pick(rare) : Status::kOk;
+  return draw < failure_rate_ ? random_.pick(rare) : Status::kOk;
 }
 
 Note World::draw_note(const SendAttempt& send, Status status) {
@@ -276,9 +276,9 @@
   if (random_.chance(0.3)) {
     return report;
   }
-  const std::vector<double> absurd{-5.0, 1e300, std::numeric_limits<double>::infinity(),
-                                   std::numeric_limits<double>::quiet_NaN()};
-  report.utilisation = random_.chance(0.01) ? random_.pick(absurd) : random_.uniform();
+  const std::vector<double> implausible{-5.0, 1e300, std::numeric_limits<double>::infinity(),
+                                        std::numeric_limits<double>::quiet_NaN()};
+  report.utilisation = random_.chance(0.01) ? random_.pick(implausible) : random_.uniform();
   report.concurrent = random_.chance(0.5) ? -1.0 : 3.0 * load_factor_ * random_.uniform();
   report.hit_share = random_.uniform();
   report.link_or_fetches =
--- a/benchmarks/decision_trace_world.h
+++ b/benchmarks/decision_trace_world.h
@@ -1,4 +1,5 @@
-// The simulated deployment of the decision trace: clients, nodes and disturbances, drawn from one seed.
+// The simulated deployment of the decision trace: clients, nodes and disturbances. One seed sets all random
+// numbers.
 #pragma once
 
 #include <trailcourse/decider.h>
@@ -16,11 +17,11 @@
 
 namespace trailcourse::decision_trace {
 
-// Returns the end of an attempt with the status; its other fields have their defaults.
+// Returns an AttemptEnded event with the status; its other fields have their defaults.
 AttemptEnded ended_with(RequestId id, int attempt, Status status);
 
-// How a node answers at present.
-enum class Trouble { kNone, kDead, kUnreachable, kSilent, kResets, kErrors, kFull, kSlow, kCount };
+// The fault that a simulated node has.
+enum class NodeFault { kNone, kDead, kUnreachable, kSilent, kResets, kErrors, kFull, kSlow, kCount };
 
 // A deployment that runs one profile and adds all actions of the decision module to the hash. The profile and
 // the hash have to outlive this object.
@@ -28,13 +29,13 @@
  public:
   World(const Profile& profile, std::uint64_t seed, TraceHash& hash);
 
-  // Returns the number of events handled, which is at least `events`.
+  // Runs the simulation until at least `events` events were handled. Returns how many were.
   std::uint64_t run(std::uint64_t events);
 
  private:
   struct Arrival {};
   struct Disturbance {};
-  // The first byte of an attempt is about to be sent; `outcome` is how it ends if it may begin.
+  // An attempt is about to send its first byte; it ends with `outcome` if it may begin.
   struct FirstByte {
     RequestId id;
     int attempt;
@@ -46,7 +47,7 @@
       std::variant<Arrival, Disturbance, FirstByte, AttemptEnded, StreamStarted, ClientLeft, TimerFired>;
   struct Job {
     Micros when;
-    std::uint64_t order;
+    std::uint64_t order;  // breaks ties in the order of scheduling
     Step step;
     friend bool operator<(const Job& a, const Job& b) {
       return a.when != b.when ? a.when > b.when : a.order > b.order;
@@ -88,7 +89,7 @@
 
   AttemptState* open_attempt(RequestId id, int attempt);
   void finish(RequestId id);
-  void forget_if_over(RequestId id);
+  void remove_if_finished(RequestId id);
   AttemptEnded draw_outcome(const SendAttempt& send, const RequestState& request);
   Status draw_status(const SendAttempt& send, AttemptEnded& ended);
   Note draw_note(const SendAttempt& send, Status status);
@@ -99,12 +100,12 @@
   void purge();
   void purge_flood();
   void health_check();
-  void change_trouble();
+  void change_fault();
   void change_load();
-  void change_list();
+  void change_endpoints();
   void restart_endpoint();
   void full_list();
-  void rare_list();
+  void lost_or_restored_list();
   void stray_events();
   void change_classes();
   void pause();
@@ -121,7 +122,7 @@
   int last_endpoint_ = 0;
   std::size_t class_count_ = profile_.settings.classes.size();
   std::vector<Endpoint> endpoints_;
-  std::unordered_map<std::string, Trouble> trouble_;
+  std::unordered_map<std::string, NodeFault> faults_;
   std::unordered_map<RequestId, RequestState> requests_;
   std::priority_queue<Job> jobs_;
   double load_factor_ = 1.0;    // multiplies sending times and reported loads
--- a/tests/adapter_test.cpp
+++ b/tests/adapter_test.cpp
@@ -1,4 +1,4 @@
-// The adapter of the bench protocol: lines in, lines out.
+// The adapter of the bench protocol: input lines and the lines of its replies.
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
@@ -66,6 +66,7 @@
   return reply;
 }
 
+// Returns the lines of the reply with the event type.
 std::vector<json> of_type(const std::vector<json>& reply, const std::string& type) {
   std::vector<json> found;
   for (const json& line : reply) {
@@ -123,15 +124,15 @@
   EXPECT_EQ(sent[1].at("Cache"), "b:1");
 }
 
-TEST_F(AdapterTest, AStopAndANewStartInOneBatchResetTheInstance) {
+TEST_F(AdapterTest, AStopAndAStartInTheSameBatchResetTheInstance) {
   send_batch({begin(1), pool(0, "a:1"), discovery(1, 0), item(1, 7)});
   const auto reply = send_batch({R"({"event_type":"Down","I":1})", begin(1), item(1, 9)});
-  EXPECT_EQ(of_type(reply, "Obtain").size(), 0U);  // no list yet
+  EXPECT_EQ(of_type(reply, "Obtain").size(), 0U);  // the new instance has no endpoint list yet
   EXPECT_EQ(of_type(reply, "NotNow").size(), 1U);
   EXPECT_EQ(send_batch({R"({"event_type":"Left","I":1,"Ref":7})"}).size(), 1U);
 }
 
-TEST_F(AdapterTest, UnknownEventsAndKeysAreSkipped) {
+TEST_F(AdapterTest, UnknownEventsAndKeysAreIgnored) {
   const auto reply = send_batch({begin(1), R"({"event_type":"Weather","I":1,"Sun":true})",
                                  R"({"event_type":"Bell","I":1,"Handle":77,"Extra":[1]})"});
   EXPECT_EQ(reply.size(), 1U);
@@ -169,7 +170,7 @@
   EXPECT_EQ(reply.size(), 1U);
 }
 
-TEST(AdapterFault, AnExceptionEndsThatInstanceAlone) {
+TEST(AdapterFault, AnExceptionFaultsOnlyItsInstance) {
   std::ostringstream out;
   Adapter adapter(out, [](const Settings&, std::uint64_t seed) -> Handler {
     return [seed](Micros, const Event&, std::vector<Action>& actions) {
@@ -187,7 +188,7 @@
   EXPECT_EQ(of_type(reply, "Fail").size(), 1U);
 }
 
-TEST(Reports, FieldsComeInAnyOrderAndMayBeAbsent) {
+TEST(Reports, FieldsMayHaveAnyOrderAndBeAbsent) {
   const LoadReport report = read_report(json::parse("[0.5, 7]"), {"load_share", "concurrent", "x0"});
   EXPECT_EQ(report.utilisation, 0.5);
   EXPECT_EQ(report.concurrent, 7.0);
@@ -197,7 +198,7 @@
   EXPECT_EQ(other.hit_share, 0.25);
 }
 
-TEST(Actions, AreWrittenInTheFormOfTheProtocol) {
+TEST(Actions, AreWrittenAsTheProtocolSpecifies) {
   SendAttempt send;
   send.id = 4;
   send.cache = "a:1";
--- a/tests/cold_sum_test.cpp
+++ b/tests/cold_sum_test.cpp
@@ -1,5 +1,6 @@
-// What all routers together send a cold cache or parent: many instances of the decision module in one world,
-// uneven load, sizes of a long tail, restarted routers, failed attempts, fills; every window is counted.
+// The load that all routers together put on a cache or parent in slow start. Each scenario simulates many
+// deciders with uneven load, long-tailed sizes, router restarts, failed attempts and fills, and checks every
+// overload span.
 #include <gtest/gtest.h>
 #include <trailcourse/decider.h>
 
@@ -21,80 +22,83 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-double seconds_of(Micros time) { return static_cast<double>(time.count()) * 1e-6; }
-Micros micros_of(double time) { return Micros(static_cast<std::int64_t>(time * 1e6)); }
+double to_seconds(Micros time) { return static_cast<double>(time.count()) * 1e-6; }
+Micros from_seconds(double time) { return Micros(static_cast<std::int64_t>(time * 1e6)); }
 
-// One deployment and its load, by the settings' names and figures.
-struct World {
+// One deployment and the load on it.
+struct Scenario {
   std::string name;
   int routers = 30;
-  int cold_caches = 2;
+  int cold_caches = 2;  // caches in slow start
   int warm_caches = 4;
-  double transfers = 12.0;  // of each cache
-  double cold_from = 0.31;
-  double cold_s = 12.0;
-  double factor = 4.0;
-  double span_s = 2.0;
-  double requests_per_s = 6.0;  // a router, in the mean
-  double unevenness = 0.9;      // sigma of the routers' parts
-  double fails = 0.1;           // of the attempts: full, which brings a further one
-  double restarts_per_s = 0.0;  // of routers, over all
-  double quiet_until_s = 0.0;   // hardly any load before: unused budget must not accumulate
-  bool all_restart_at_3 = false;
-  int stride = 1;  // of the routers' indices, as where every third stands in this zone
-  std::vector<double> work = {0.37, 0.06};  // seconds of sending by class, and its part of the requests
-  std::vector<double> part = {0.55, 0.45};
-  double sigma = 1.0;  // of the sizes
+  double transfers = 12.0;        // capacity of each cache and parent
+  double slow_start_from = 0.31;  // share of the capacity
+  double slow_start_s = 12.0;
+  double overload_factor = 4.0;
+  double overload_span_s = 2.0;
+  double requests_per_s = 6.0;    // mean per router
+  double rate_sigma = 0.9;        // of the log-normal distribution of the request rates of routers
+  double failure_share = 0.1;     // of the attempts: rejected as full, so that another attempt follows
+  double restarts_per_s = 0.0;    // of all routers together
+  double low_load_until_s = 0.0;  // a tenth of the load until then: unused budget must not accumulate
+  bool all_restart_at_3 = false;  // all routers restart 3 s after the start of the caches
+  int index_stride = 1;           // between the router indices, e.g. 3 if every third router is in this zone
+  std::vector<double> work = {0.37, 0.06};         // mean seconds of sending by class
+  std::vector<double> class_share = {0.55, 0.45};  // share of the requests by class
+  double size_sigma = 1.0;                         // of the log-normal distribution of the sizes
   double length_s = 14.0;
 };
 
-// Prints the name, which GoogleTest shows in lists of tests and in failures.
-void PrintTo(const World& world, std::ostream* out) { *out << world.name; }
+// Prints the name in GoogleTest's lists of tests and in failures.
+void PrintTo(const Scenario& scenario, std::ostream* out) { *out << scenario.name; }
 
+// An attempt or fill that reached a node.
 struct Arrival {
   Micros at{0};
-  double work = 0.0;
+  double work = 0.0;  // seconds of sending
 };
 
+// The load on a node in slow start. All amounts are in requests of mean work. N is the overload budget of a
+// window, and N + 2 sqrt(N) + 2 the limit that is checked.
 struct Outcome {
-  double worst = 0.0;   // the fullest window over N + 2 sqrt(N) + 2, in requests of mean work
-  double work = 0.0;    // that arrived in it
-  double budget = 0.0;  // its N
-  double used = 0.0;    // of all that the settings allow while cold
+  double worst = 0.0;   // work of the fullest window, divided by its limit
+  double work = 0.0;    // work that arrived in this window
+  double budget = 0.0;  // N of this window
+  double used = 0.0;    // share of the total budget of the slow start that was used
 };
 
-class Fleet {
+class Simulation {
  public:
-  Fleet(const World& world, std::uint64_t seed) : world_(world), random_(seed) {
+  Simulation(const Scenario& scenario, std::uint64_t seed) : scenario_(scenario), random_(seed) {
     settings_.zone = "here";
-    settings_.routers = world.routers;
-    settings_.routers_in_zone = world.routers;
+    settings_.routers = scenario.routers;
+    settings_.routers_in_zone = scenario.routers;
     settings_.weights_are_sizes = true;
     settings_.notes = NoteLevel::kAll;
     settings_.stream_kb_per_s = 1000.0;
     settings_.max_attempts = 8;
     settings_.may_cancel = true;
     settings_.parallel_attempts = true;
-    settings_.slow_start_from = world.cold_from;
-    settings_.slow_start_span = micros_of(world.cold_s);
-    settings_.overload_factor = world.factor;
-    settings_.overload_span = micros_of(world.span_s);
-    settings_.parent_slow_start_from = world.cold_from;
-    settings_.parent_slow_start_span = micros_of(world.cold_s);
-    settings_.parent_overload_factor = world.factor;
-    for (std::size_t i = 0; i < world.work.size(); ++i) {
+    settings_.slow_start_from = scenario.slow_start_from;
+    settings_.slow_start_span = from_seconds(scenario.slow_start_s);
+    settings_.overload_factor = scenario.overload_factor;
+    settings_.overload_span = from_seconds(scenario.overload_span_s);
+    settings_.parent_slow_start_from = scenario.slow_start_from;
+    settings_.parent_slow_start_span = from_seconds(scenario.slow_start_s);
+    settings_.parent_overload_factor = scenario.overload_factor;
+    for (std::size_t i = 0; i < scenario.work.size(); ++i) {
       ClassSettings type;
       type.latency_objective = seconds(3);
       type.latency_objective_stretch = 2.0;
       type.give_up_after = seconds(6);
       settings_.classes.push_back(type);
     }
-    for (int i = 0; i < world.warm_caches + world.cold_caches; ++i) {
+    for (int i = 0; i < scenario.warm_caches + scenario.cold_caches; ++i) {
       Endpoint entry;
       entry.address = "cache-" + std::to_string(seed) + "-" + std::to_string(i);
       entry.zone = "here";
-      entry.weight = world.transfers;
-      entry.started = i < world.cold_caches ? kStart : Micros(0);
+      entry.weight = scenario.transfers;
+      entry.started = i < scenario.cold_caches ? kStart : Micros(0);
       list_.push_back(entry);
     }
     for (int i = 0; i < 3; ++i) {
@@ -102,7 +106,7 @@
       entry.address = "parent-" + std::to_string(seed) + "-" + std::to_string(i);
       entry.zone = "hub";
       entry.role = Role::kParent;
-      entry.weight = world.transfers;
+      entry.weight = scenario.transfers;
       entry.started = i == 0 ? kStart : Micros(0);
       list_.push_back(entry);
     }
@@ -112,30 +116,30 @@
     origin.zone = "hub";
     list_.push_back(origin);
     std::normal_distribution<double> normal;
-    for (int i = 0; i < world.routers; ++i) {
-      rates_.push_back(world.requests_per_s * std::exp(world.unevenness * normal(random_) -
-                                                       world.unevenness * world.unevenness / 2));
+    for (int i = 0; i < scenario.routers; ++i) {
+      rates_.push_back(scenario.requests_per_s * std::exp(scenario.rate_sigma * normal(random_) -
+                                                          scenario.rate_sigma * scenario.rate_sigma / 2));
     }
   }
 
-  // Runs the simulation and returns what reached each cold node, worst first.
+  // Runs the simulation and returns the load on each node in slow start, the fullest first.
   std::vector<Outcome> run() {
-    routers_.resize(static_cast<std::size_t>(world_.routers));
-    const Micros end = kStart + micros_of(world_.length_s);
-    for (int i = 0; i < world_.routers; ++i) {
-      // Each learns of the start a little later than the last.
-      at(kStart + micros_of(uniform(0.02, 0.33)), [this, i] { start_router(i); });
+    routers_.resize(static_cast<std::size_t>(scenario_.routers));
+    const Micros end = kStart + from_seconds(scenario_.length_s);
+    for (int i = 0; i < scenario_.routers; ++i) {
+      // Each router gets its endpoint list at a different time after the start of the caches.
+      at(kStart + from_seconds(uniform(0.02, 0.33)), [this, i] { start_router(i); });
       next_request(i, kStart);
     }
-    if (world_.all_restart_at_3) {
-      for (int i = 0; i < world_.routers; ++i) {
-        at(kStart + seconds(3) + micros_of(uniform(0.0, 0.4)), [this, i] { start_router(i); });
+    if (scenario_.all_restart_at_3) {
+      for (int i = 0; i < scenario_.routers; ++i) {
+        at(kStart + seconds(3) + from_seconds(uniform(0.0, 0.4)), [this, i] { start_router(i); });
       }
     }
-    for (double t = 0.5; world_.restarts_per_s > 0.0 && t < world_.length_s;
-         t += std::exponential_distribution<double>(world_.restarts_per_s)(random_)) {
-      const int which = static_cast<int>(uniform(0.0, world_.routers));
-      at(kStart + micros_of(t), [this, which] { start_router(which); });
+    for (double t = 0.5; scenario_.restarts_per_s > 0.0 && t < scenario_.length_s;
+         t += std::exponential_distribution<double>(scenario_.restarts_per_s)(random_)) {
+      const int router = static_cast<int>(uniform(0.0, scenario_.routers));
+      at(kStart + from_seconds(t), [this, router] { start_router(router); });
     }
     while (!jobs_.empty() && jobs_.top().when < end) {
       const Job job = jobs_.top();
@@ -157,7 +161,7 @@
   static constexpr Micros kStart = seconds(1000);
   struct Job {
     Micros when;
-    std::uint64_t order;
+    std::uint64_t order;  // breaks ties in the order of scheduling
     std::function<void()> run;
     friend bool operator<(const Job& a, const Job& b) {
       return std::tie(a.when, a.order) > std::tie(b.when, b.order);
@@ -176,7 +180,7 @@
   void start_router(int i) {
     Router& router = routers_[static_cast<std::size_t>(i)];
     Settings settings = settings_;
-    settings.self_index = world_.stride * i;
+    settings.self_index = scenario_.index_stride * i;
     router.decider = std::make_unique<Decider>(settings, random_());
     ++router.generation;
     router.classes.clear();
@@ -185,9 +189,9 @@
   }
 
   void next_request(int i, Micros from) {
-    const double busy = seconds_of(from - kStart) < world_.quiet_until_s ? 0.1 : 1.0;
+    const double busy = to_seconds(from - kStart) < scenario_.low_load_until_s ? 0.1 : 1.0;
     const double rate = rates_[static_cast<std::size_t>(i)] * busy;
-    const Micros when = from + micros_of(std::exponential_distribution<double>(rate)(random_));
+    const Micros when = from + from_seconds(std::exponential_distribution<double>(rate)(random_));
     at(std::max(when, from + Micros(1)), [this, i, when] {
       if (routers_[static_cast<std::size_t>(i)].decider) {
         request(i);
@@ -200,13 +204,14 @@
     Router& router = routers_[static_cast<std::size_t>(i)];
     RequestArrived arrival;
     arrival.id = ++last_id_;
-    const auto type = std::discrete_distribution<int>(world_.part.begin(), world_.part.end())(random_);
+    const auto type =
+        std::discrete_distribution<int>(scenario_.class_share.begin(), scenario_.class_share.end())(random_);
     arrival.request_class = type;
     arrival.object = random_();
     arrival.purge_group = arrival.object % 256;
-    const double size =
-        std::lognormal_distribution<double>(-world_.sigma * world_.sigma / 2, world_.sigma)(random_);
-    arrival.size_kb = 1000.0 * size * world_.work[static_cast<std::size_t>(type)];
+    const double size = std::lognormal_distribution<double>(-scenario_.size_sigma * scenario_.size_sigma / 2,
+                                                            scenario_.size_sigma)(random_);
+    arrival.size_kb = 1000.0 * size * scenario_.work[static_cast<std::size_t>(type)];
     arrival.deadline = now_ + seconds(6);
     router.classes[arrival.id] = type;
     handle(i, arrival);
@@ -232,9 +237,9 @@
 
   void record_attempt(int i, const SendAttempt& send) {
     Router& router = routers_[static_cast<std::size_t>(i)];
-    const double work = world_.work[static_cast<std::size_t>(router.classes[send.id])];
+    const double work = scenario_.work[static_cast<std::size_t>(router.classes[send.id])];
     const int attempt = router.attempts[send.id]++;
-    const bool fails = uniform(0.0, 1.0) < world_.fails;
+    const bool fails = uniform(0.0, 1.0) < scenario_.failure_share;
     arrivals_[send.cache].push_back(Arrival{now_, work});
     if (send.source != send.cache && !fails) {
       arrivals_[send.source].push_back(Arrival{now_, work});
@@ -245,7 +250,7 @@
     ended.status = fails ? Status::kFull : Status::kOk;
     ended.finished = !fails;
     ended.note = fails ? Note::kNoFillCapacity : Note::kFilled;
-    ended.latency = micros_of(fails ? 0.004 : 0.06);
+    ended.latency = from_seconds(fails ? 0.004 : 0.06);
     at(now_ + ended.latency, [this, i, generation = router.generation, ended] {
       if (routers_[static_cast<std::size_t>(i)].generation == generation) {
         handle(i, ended);
@@ -255,16 +260,18 @@
 
   Outcome measure(const Endpoint& entry) const {
     double mean = 0.0;
-    for (std::size_t i = 0; i < world_.work.size(); ++i) {
-      mean += world_.work[i] * world_.part[i];
+    for (std::size_t i = 0; i < scenario_.work.size(); ++i) {
+      mean += scenario_.work[i] * scenario_.class_share[i];
     }
-    const auto allowed = [&](Micros when) {  // requests of mean work in one span, as at `when`
-      const double age = std::max(0.0, seconds_of(when - entry.started));
-      const double share = std::min(1.0, world_.cold_from + (1.0 - world_.cold_from) * age / world_.cold_s);
-      return world_.factor * share * world_.transfers * world_.span_s / mean;
+    // Returns the overload budget at `when`, in requests of mean work per span.
+    const auto budget_at = [&](Micros when) {
+      const double age = std::max(0.0, to_seconds(when - entry.started));
+      const double share = std::min(
+          1.0, scenario_.slow_start_from + (1.0 - scenario_.slow_start_from) * age / scenario_.slow_start_s);
+      return scenario_.overload_factor * share * scenario_.transfers * scenario_.overload_span_s / mean;
     };
     Outcome out;
-    const Micros warm = entry.started + micros_of(world_.cold_s);
+    const Micros warm = entry.started + from_seconds(scenario_.slow_start_s);
     const auto found = arrivals_.find(entry.address);
     const std::vector<Arrival> none;
     const std::vector<Arrival>& all = found == arrivals_.end() ? none : found->second;
@@ -273,10 +280,11 @@
     for (std::size_t i = 0, j = 0; i < all.size(); ++i) {
       in_window += all[i].work / mean;
       total += all[i].at < warm ? all[i].work / mean : 0.0;
-      while (all[i].at - all[j].at > micros_of(world_.span_s)) {
+      while (all[i].at - all[j].at > from_seconds(scenario_.overload_span_s)) {
         in_window -= all[j++].work / mean;
       }
-      const double budget = allowed(all[j].at);  // as at the window's begin, the least of it
+      // The capacity rises, so the budget is lowest at the beginning of the window.
+      const double budget = budget_at(all[j].at);
       const double ratio = in_window / (budget + 2.0 * std::sqrt(budget) + 2.0);
       if (all[i].at < warm && ratio > out.worst) {
         out.worst = ratio;
@@ -284,13 +292,14 @@
         out.budget = budget;
       }
     }
-    const double total_budget = (allowed(entry.started) + allowed(warm)) / 2.0 *
-                                std::min(world_.cold_s, world_.length_s) / world_.span_s;
+    const double total_budget = (budget_at(entry.started) + budget_at(warm)) / 2.0 *
+                                std::min(scenario_.slow_start_s, scenario_.length_s) /
+                                scenario_.overload_span_s;
     out.used = total / total_budget;
     return out;
   }
 
-  World world_;
+  Scenario scenario_;
   std::mt19937_64 random_;
   Settings settings_;
   std::vector<Endpoint> list_;
@@ -303,135 +312,136 @@
   std::map<std::string, std::vector<Arrival>> arrivals_;
 };
 
-// Returns a copy of the world with the name and the changes that `change` makes.
-World variant_of(World world, const std::string& name, const std::function<void(World&)>& change) {
-  world.name = name;
-  change(world);
-  return world;
+// Returns a copy of the scenario with a new name and the changes that `change` makes.
+Scenario variant_of(Scenario scenario, const std::string& name,
+                    const std::function<void(Scenario&)>& change) {
+  scenario.name = name;
+  change(scenario);
+  return scenario;
 }
 
-// Returns the worlds with caches of the default size.
-std::vector<World> default_worlds() {
-  World plain;
+// Returns the scenarios with caches of the default capacity.
+std::vector<Scenario> default_scenarios() {
+  Scenario plain;
   plain.name = "plain";
   return {plain,
           variant_of(plain, "uneven_and_busy",
-                     [](World& w) {
-                       w.unevenness = 1.5;
-                       w.requests_per_s = 30.0;
+                     [](Scenario& s) {
+                       s.rate_sigma = 1.5;
+                       s.requests_per_s = 30.0;
                      }),
           variant_of(plain, "routers_restart",
-                     [](World& w) {
-                       w.restarts_per_s = 10.0;
-                       w.requests_per_s = 20.0;
+                     [](Scenario& s) {
+                       s.restarts_per_s = 10.0;
+                       s.requests_per_s = 20.0;
                      }),
           variant_of(plain, "all_routers_restart_at_once",
-                     [](World& w) {
-                       w.all_restart_at_3 = true;
-                       w.requests_per_s = 20.0;
+                     [](Scenario& s) {
+                       s.all_restart_at_3 = true;
+                       s.requests_per_s = 20.0;
                      }),
-          variant_of(plain, "quiet_then_busy",
-                     [](World& w) {
-                       w.quiet_until_s = 4.0;
-                       w.requests_per_s = 40.0;
+          variant_of(plain, "low_then_high_load",
+                     [](Scenario& s) {
+                       s.low_load_until_s = 4.0;
+                       s.requests_per_s = 40.0;
                      }),
           variant_of(plain, "half_of_the_attempts_fail",
-                     [](World& w) {
-                       w.fails = 0.5;
-                       w.requests_per_s = 20.0;
+                     [](Scenario& s) {
+                       s.failure_share = 0.5;
+                       s.requests_per_s = 20.0;
                      }),
           variant_of(plain, "sizes_of_a_long_tail",
-                     [](World& w) {
-                       w.sigma = 1.6;
-                       w.requests_per_s = 4.0;
-                       w.all_restart_at_3 = true;
+                     [](Scenario& s) {
+                       s.size_sigma = 1.6;
+                       s.requests_per_s = 4.0;
+                       s.all_restart_at_3 = true;
                      }),
           variant_of(plain, "large_caches",
-                     [](World& w) {
-                       w.transfers = 60.0;
-                       w.requests_per_s = 40.0;
+                     [](Scenario& s) {
+                       s.transfers = 60.0;
+                       s.requests_per_s = 40.0;
                      }),
           variant_of(plain, "three_routers",
-                     [](World& w) {
-                       w.routers = 3;
-                       w.requests_per_s = 100.0;
+                     [](Scenario& s) {
+                       s.routers = 3;
+                       s.requests_per_s = 100.0;
                      }),
           variant_of(plain, "twenty_routers",
-                     [](World& w) {
-                       w.routers = 20;
-                       w.restarts_per_s = 4.0;
-                       w.requests_per_s = 20.0;
+                     [](Scenario& s) {
+                       s.routers = 20;
+                       s.restarts_per_s = 4.0;
+                       s.requests_per_s = 20.0;
                      }),
-          variant_of(plain, "three_hundred_routers", [](World& w) {
-            w.routers = 300;
-            w.requests_per_s = 3.0;
-            w.all_restart_at_3 = true;
-            w.length_s = 10.0;
+          variant_of(plain, "three_hundred_routers", [](Scenario& s) {
+            s.routers = 300;
+            s.requests_per_s = 3.0;
+            s.all_restart_at_3 = true;
+            s.length_s = 10.0;
           })};
 }
 
-// Returns the worlds with caches of few transfers and a tight budget.
-std::vector<World> small_cache_worlds() {
-  const World small = variant_of(World{}, "small_caches", [](World& w) {
-    w.transfers = 3.0;
-    w.factor = 1.5;
-    w.span_s = 1.0;
-    w.requests_per_s = 20.0;
+// Returns the scenarios with caches of small capacity and a small overload factor.
+std::vector<Scenario> small_cache_scenarios() {
+  const Scenario small = variant_of(Scenario{}, "small_caches", [](Scenario& s) {
+    s.transfers = 3.0;
+    s.overload_factor = 1.5;
+    s.overload_span_s = 1.0;
+    s.requests_per_s = 20.0;
   });
   return {small,
           variant_of(small, "small_caches_with_restarts",
-                     [](World& w) {
-                       w.restarts_per_s = 10.0;
-                       w.fails = 0.3;
+                     [](Scenario& s) {
+                       s.restarts_per_s = 10.0;
+                       s.failure_share = 0.3;
                      }),
           variant_of(small, "tiny_caches",
-                     [](World& w) {
-                       w.transfers = 2.0;
-                       w.factor = 1.2;
+                     [](Scenario& s) {
+                       s.transfers = 2.0;
+                       s.overload_factor = 1.2;
                      }),
-          variant_of(small, "small_caches_quiet_then_busy",
-                     [](World& w) {
-                       w.quiet_until_s = 4.0;
-                       w.requests_per_s = 40.0;
+          variant_of(small, "small_caches_low_then_high_load",
+                     [](Scenario& s) {
+                       s.low_load_until_s = 4.0;
+                       s.requests_per_s = 40.0;
                      }),
           variant_of(small, "three_hundred_routers_small_caches",
-                     [](World& w) {
-                       w.routers = 300;
-                       w.requests_per_s = 5.0;
-                       w.length_s = 10.0;
+                     [](Scenario& s) {
+                       s.routers = 300;
+                       s.requests_per_s = 5.0;
+                       s.length_s = 10.0;
                      }),
           variant_of(small, "three_routers_small_caches",
-                     [](World& w) {
-                       w.routers = 3;
-                       w.requests_per_s = 100.0;
+                     [](Scenario& s) {
+                       s.routers = 3;
+                       s.requests_per_s = 100.0;
                      }),
           variant_of(small, "twenty_routers_middle_caches",
-                     [](World& w) {
-                       w.routers = 20;
-                       w.transfers = 8.0;
-                       w.factor = 2.0;
-                       w.span_s = 1.0;
+                     [](Scenario& s) {
+                       s.routers = 20;
+                       s.transfers = 8.0;
+                       s.overload_factor = 2.0;
+                       s.overload_span_s = 1.0;
                      }),
-          variant_of(small, "every_third_router_is_here", [](World& w) { w.stride = 3; }),
-          variant_of(small, "every_eighth_router_is_here", [](World& w) { w.stride = 8; })};
+          variant_of(small, "every_third_router_is_here", [](Scenario& s) { s.index_stride = 3; }),
+          variant_of(small, "every_eighth_router_is_here", [](Scenario& s) { s.index_stride = 8; })};
 }
 
-std::vector<World> worlds() {
-  std::vector<World> all = default_worlds();
-  const std::vector<World> small = small_cache_worlds();
+std::vector<Scenario> scenarios() {
+  std::vector<Scenario> all = default_scenarios();
+  const std::vector<Scenario> small = small_cache_scenarios();
   all.insert(all.end(), small.begin(), small.end());
   return all;
 }
 
-class ColdSum : public testing::TestWithParam<World> {};
+class CombinedSlowStart : public testing::TestWithParam<Scenario> {};
 
-TEST_P(ColdSum, NoWindowOfAllRoutersTogetherIsOverTheBudget) {
+TEST_P(CombinedSlowStart, NoOverloadSpanExceedsTheBudgetOfAllRoutersTogether) {
   double worst = 0.0;
   double used = 0.0;
   int nodes = 0;
   Outcome fullest;
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
-    for (const Outcome& outcome : Fleet(GetParam(), seed).run()) {
+    for (const Outcome& outcome : Simulation(GetParam(), seed).run()) {
       fullest = outcome.worst > worst ? outcome : fullest;
       worst = std::max(worst, outcome.worst);
       used += outcome.used;
@@ -442,11 +452,11 @@
             << " requests of mean work with N " << fullest.budget << "; used " << used / nodes
             << " of the budget\n";
   EXPECT_LE(worst, 1.0);
-  EXPECT_GT(used / nodes, 0.1) << "the node takes part of the load";
+  EXPECT_GT(used / nodes, 0.1) << "the node takes a part of the load";
 }
 
-INSTANTIATE_TEST_SUITE_P(Worlds, ColdSum, testing::ValuesIn(worlds()),
-                         [](const auto& one) { return one.param.name; });
+INSTANTIATE_TEST_SUITE_P(Scenarios, CombinedSlowStart, testing::ValuesIn(scenarios()),
+                         [](const auto& scenario) { return scenario.param.name; });
 
 }  // namespace
 }  // namespace trailcourse
--- a/tests/decision/attempt_planner_test.cpp
+++ b/tests/decision/attempt_planner_test.cpp
@@ -1,4 +1,4 @@
-// The plan of an attempt: target, source and what it accepts.
+// The plan of an attempt: its target, its source and its keep rank.
 #include <gtest/gtest.h>
 
 #include "decision/decision_fixture.h"
@@ -6,18 +6,18 @@
 namespace trailcourse::decision_testing {
 namespace {
 
-TEST(AttemptPlanner, SendsWritesToTheOriginAndKeepsNone) {
+TEST(AttemptPlanner, SendsWritesToTheOriginAndStoresNoAnswer) {
   Settings settings = default_settings();
-  TestRouter by_cache(settings);
-  by_cache.receive_list(default_endpoints());
-  by_cache.request(1, kWrite);
-  EXPECT_EQ(by_cache.sends[1][0].source, "o");
-  EXPECT_EQ(by_cache.sends[1][0].keep_rank, 0);
+  TestRouter through_cache(settings);
+  through_cache.receive_list(default_endpoints());
+  through_cache.request(1, kWrite);
+  EXPECT_EQ(through_cache.sends[1][0].source, "o");
+  EXPECT_EQ(through_cache.sends[1][0].keep_rank, 0);
   settings.direct = true;
-  TestRouter straight(settings);
-  straight.receive_list(default_endpoints());
-  straight.request(1, kWrite);
-  EXPECT_EQ(straight.sends[1][0].cache, "o");
+  TestRouter direct(settings);
+  direct.receive_list(default_endpoints());
+  direct.request(1, kWrite);
+  EXPECT_EQ(direct.sends[1][0].cache, "o");
 }
 
 }  // namespace
--- a/tests/decision/decider_test.cpp
+++ b/tests/decision/decider_test.cpp
@@ -1,4 +1,4 @@
-// Dispatch of events, final answers, endpoint lists and the clock.
+// Final answers, endpoint lists, clock jumps and reproducible decisions.
 #include <gtest/gtest.h>
 
 #include <cstddef>
@@ -40,7 +40,7 @@
   EXPECT_EQ(count<Cancel>(last), 1);
 }
 
-TEST(FinalAnswer, IsFollowedByNothing) {
+TEST(FinalAnswer, NoActionFollowsAfterTheClientLeft) {
   TestRouter router;
   router.receive_list(default_endpoints());
   const auto timers = actions_of<SetTimer>(router.request(1));
@@ -53,7 +53,7 @@
   EXPECT_TRUE(router.handle(ClientLeft{1}).empty());
 }
 
-TEST(FinalAnswer, IsGivenWithoutAnyUsableNode) {
+TEST(FinalAnswer, IsGivenIfNoNodeIsUsable) {
   TestRouter router;
   EXPECT_EQ(final_answers(router.request(1)), 1);
   router.receive_list({});
@@ -65,18 +65,19 @@
   router.receive_list(draining);
   EXPECT_EQ(final_answers(router.request(3)), 1);
   EXPECT_EQ(final_answers(router.request(4, kWrite)), 1);
-  RequestArrived odd;
-  odd.id = 5;
-  odd.request_class = 99;
-  EXPECT_EQ(final_answers(router.handle(odd)), 1);
+  RequestArrived unknown_class;
+  unknown_class.id = 5;
+  unknown_class.request_class = 99;
+  EXPECT_EQ(final_answers(router.handle(unknown_class)), 1);
 }
 
-TEST(FinalAnswer, IsGivenWithoutParentsAndOrigin) {
+TEST(FinalAnswer, IsGivenIfNoParentAndNoOriginIsListed) {
   TestRouter router;
   router.receive_list({endpoint("c1")});
   ASSERT_EQ(count<SendAttempt>(router.request(1)), 1);
   EXPECT_EQ(router.sends[1][0].source, "c1");
-  const auto after = router.end_attempt(1, 0, Status::kNotCached);  // asking once more would find no more
+  const auto after =
+      router.end_attempt(1, 0, Status::kNotCached);  // a second attempt would find no copy either
   EXPECT_EQ(final_answers(after), 1);
   EXPECT_EQ(count<SendAttempt>(after), 0);
 }
@@ -91,7 +92,7 @@
   EXPECT_TRUE(router.end_attempt(1, 0, Status::kOk).empty());
 }
 
-TEST(FinalAnswer, HasNoDeadlineOnceAStreamStarted) {
+TEST(FinalAnswer, HasNoDeadlineAfterAStreamStarted) {
   TestRouter router;
   router.receive_list(default_endpoints());
   const auto timers = actions_of<SetTimer>(router.request(1));
@@ -115,7 +116,7 @@
     EXPECT_NE(send.source, "p1");
   }
   router.receive_list(
-      {endpoint("c1"), endpoint("p2", Role::kParent)});  // a full list without the others: they are gone
+      {endpoint("c1"), endpoint("p2", Role::kParent)});  // the other nodes are gone from the full list
   for (RequestId id = 301; id <= 400; ++id) {
     const SendAttempt send = router.serve(id, kVideo, id);
     EXPECT_EQ(send.cache, "c1");
@@ -123,7 +124,7 @@
   }
 }
 
-TEST(EndpointList, BindsFurtherAttemptsToo) {
+TEST(EndpointList, ExcludesDrainingNodesFromFurtherAttempts) {
   TestRouter router;
   router.receive_list(default_endpoints());
   router.request(1);
@@ -155,7 +156,7 @@
   EXPECT_EQ(caches.count("c1"), 1U);
 }
 
-TEST(EndpointList, MayReplaceHalfTheNodesAndExceedTheTable) {
+TEST(EndpointList, MayReplaceHalfOfTheNodesAndExceedTheTableCapacity) {
   TestRouter router;
   std::vector<Endpoint> list;
   for (int i = 0; i < 6000; ++i) {
@@ -177,7 +178,7 @@
   }
 }
 
-TEST(EndpointList, IsSubscribedToWhereItIsNotPushed) {
+TEST(EndpointList, IsSubscribedToIfTheDeploymentRequiresIt) {
   Settings settings = default_settings();
   settings.must_subscribe = true;
   TestRouter router(settings);
@@ -187,7 +188,7 @@
   EXPECT_EQ(count<SendAttempt>(router.request(1)), 1);
 }
 
-TEST(Clock, MayJumpAheadWithoutLosingAnAnswer) {
+TEST(Clock, AJumpAheadLosesNoFinalAnswer) {
   TestRouter router;
   router.receive_list(default_endpoints());
   const auto timers = actions_of<SetTimer>(router.request(1));
@@ -197,7 +198,7 @@
 }
 
 TEST(Replay, GivesTheSameActionsForTheSameEvents) {
-  const auto play = [] {
+  const auto run = [] {
     TestRouter router(default_settings(), 5);
     router.receive_list(default_endpoints());
     std::string text;
@@ -210,7 +211,7 @@
     }
     return text;
   };
-  EXPECT_EQ(play(), play());
+  EXPECT_EQ(run(), run());
 }
 
 }  // namespace
--- a/tests/decision/decision_fixture.h
+++ b/tests/decision/decision_fixture.h
@@ -1,4 +1,4 @@
-// A fixture for tests of the decision module alone: events in, actions out.
+// Fixtures for tests of the decision module without the rest of the router.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -16,10 +16,11 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
+// The request classes of default_settings().
 inline constexpr int kVideo = 0;  // cached until purged
-inline constexpr int kImage = 1;  // lifetime 20 s, 20 s of grace
-inline constexpr int kWrite = 2;
-inline constexpr int kKeyed = 3;
+inline constexpr int kImage = 1;  // lifetime 20 s, grace 20 s
+inline constexpr int kWrite = 2;  // uncacheable, never retried
+inline constexpr int kKeyed = 3;  // uncacheable, with an idempotency key
 
 inline Settings default_settings() {
   Settings settings;
@@ -70,6 +71,7 @@
   return out;
 }
 
+// Returns four caches, two parents and an origin, all ready and long started.
 inline std::vector<Endpoint> default_endpoints() {
   return {endpoint("c1"),
           endpoint("c2"),
@@ -80,12 +82,13 @@
           endpoint("o", Role::kOrigin)};
 }
 
-// One decider with a clock of its own, and the attempts that it sent.
+// A decider with its own clock, which records the attempts that it sends.
 class TestRouter {
  public:
   explicit TestRouter(Settings settings = default_settings(), std::uint64_t seed = 1)
       : decider_(settings, seed) {}
 
+  // Handles the event now and returns the actions.
   std::vector<Action> handle(const Event& event) {
     std::vector<Action> out;
     decider_.handle(now, event, out);
@@ -121,12 +124,12 @@
     ended.load = load;
     return handle(ended);
   }
-  // Makes a request that is answered at once, and returns its attempt.
+  // Makes a request whose first attempt is answered immediately, and returns that attempt.
   SendAttempt serve(RequestId id, int type = kVideo, ObjectId object = 7, double size_kb = 100.0,
                     Note note = Note::kHit) {
     request(id, type, object, size_kb);
     if (sends[id].empty()) {
-      ADD_FAILURE() << "nothing was sent for " << id;
+      ADD_FAILURE() << "no attempt was sent for request " << id;
       return {};
     }
     end_attempt(id, 0, Status::kOk, note);
@@ -137,28 +140,32 @@
   bool may_begin(RequestId id, int attempt = 0) { return decider_.may_begin(now, id, attempt); }
 
   Micros now{seconds(100)};
-  std::map<RequestId, std::vector<SendAttempt>> sends;
+  std::map<RequestId, std::vector<SendAttempt>> sends;  // attempts of each request in their order
 
  private:
   Decider decider_;
 };
 
+// Returns the number of actions of the kind.
 template <typename Kind>
 int count(const std::vector<Action>& actions) {
-  return static_cast<int>(std::count_if(actions.begin(), actions.end(),
-                                        [](const Action& one) { return std::holds_alternative<Kind>(one); }));
+  return static_cast<int>(std::count_if(actions.begin(), actions.end(), [](const Action& action) {
+    return std::holds_alternative<Kind>(action);
+  }));
 }
 
+// Returns the number of final answers that the decider gave itself.
 inline int final_answers(const std::vector<Action>& actions) {
   return count<Reject>(actions) + count<Fail>(actions);
 }
 
+// Returns the actions of the kind in their order.
 template <typename Kind>
 std::vector<Kind> actions_of(const std::vector<Action>& actions) {
   std::vector<Kind> found;
   for (const Action& action : actions) {
-    if (const auto* one = std::get_if<Kind>(&action)) {
-      found.push_back(*one);
+    if (const auto* match = std::get_if<Kind>(&action)) {
+      found.push_back(*match);
     }
   }
   return found;
--- a/tests/decision/failure_attribution_test.cpp
+++ b/tests/decision/failure_attribution_test.cpp
@@ -1,4 +1,4 @@
-// The attribution of failures to nodes, with the parts that it uses but without the decider.
+// Attribution of failures to nodes, without the decider.
 #include "decision/failure_attribution.h"
 
 #include <gtest/gtest.h>
@@ -79,13 +79,13 @@
   EXPECT_FALSE(attempt_.avoid_source);
 }
 
-TEST_F(FailureAttributionTest, AResetLeavesTheTargetAvailableToTheRequest) {
+TEST_F(FailureAttributionTest, AResetDoesNotExcludeTheTargetForTheRequest) {
   fail(Status::kReset);
   EXPECT_DOUBLE_EQ(cache().health.consecutive_failures, FailurePenalty::kReset);
   EXPECT_FALSE(attempt_.avoid_node);
 }
 
-TEST_F(FailureAttributionTest, AnUnreachableSourceCountsAgainstTheSourceAlone) {
+TEST_F(FailureAttributionTest, AnUnreachableSourceCountsOnlyAgainstTheSource) {
   fail(Status::kFull, Note::kSourceUnreachable);
   EXPECT_DOUBLE_EQ(parent().health.consecutive_failures, FailurePenalty::kFailure);
   EXPECT_LT(parent().source_quota, 1.0);
@@ -109,7 +109,7 @@
   EXPECT_DOUBLE_EQ(cache().health.failure_rate, 0.0);
 }
 
-TEST_F(FailureAttributionTest, AFillInTimeCountsForBothNodes) {
+TEST_F(FailureAttributionTest, AFillOnTimeIsASuccessOfBothNodes) {
   succeed_after(milliseconds(100), Note::kFilled);
   EXPECT_EQ(cache().health.last_success, context_.now);
   EXPECT_EQ(parent().health.last_success, context_.now);
@@ -164,7 +164,7 @@
   EXPECT_DOUBLE_EQ(parent().health.failure_rate, 0.0);
 }
 
-TEST_F(FailureAttributionTest, AnOverloadedCacheIsOnlySlow) {
+TEST_F(FailureAttributionTest, AnOverdueAttemptAtAnOverloadedCacheIsNotReplaced) {
   context_.now += seconds(1);
   cache().health.last_success = context_.now;
   parent().health.last_success = context_.now;
--- a/tests/decision/fill_window_test.cpp
+++ b/tests/decision/fill_window_test.cpp
@@ -1,4 +1,4 @@
-// The window of fills while fills fail or come late.
+// The fill window while fills fail or are late.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 namespace trailcourse::decision_testing {
 namespace {
 
-// Requests `first` to `last`, each for an object of its own, all attempts of which are refused.
+// Makes the requests `first` to `last`, each for a different object, and rejects all their attempts.
 void reject_fills(TestRouter& router, RequestId first, RequestId last, double size_kb, Note note) {
   for (RequestId id = first; id <= last; ++id) {
     router.request(id, kVideo, id, size_kb);
@@ -21,7 +21,7 @@
   }
 }
 
-// Whether a source is to give the object whether it holds it or not.
+// Returns whether the source may fill a miss with an object that it does not have cached.
 bool may_fill(const SendAttempt& send) { return !send.only_if_cached && send.source != send.cache; }
 
 TEST(FillWindow, ARejectedFillIsNotRetriedWhileFillsFail) {
@@ -39,7 +39,7 @@
   EXPECT_LE(attempts, 100U);
 }
 
-TEST(FillWindow, UnknownObjectsOnlyAskForCachedCopiesWhileFillsFail) {
+TEST(FillWindow, LimitsUnknownObjectsToCachedCopiesWhileFillsFail) {
   TestRouter router;
   router.receive_list(default_endpoints());
   reject_fills(router, 1, 300, 400.0, Note::kSourceRejected);
@@ -49,10 +49,10 @@
     only_if_cached += !router.sends[id].empty() && !may_fill(router.sends[id][0]) ? 1 : 0;
   }
   EXPECT_GT(only_if_cached, 0);
-  EXPECT_LT(only_if_cached, 400);  // some still try, so that recovery shows
+  EXPECT_LT(only_if_cached, 400);  // some still fill, which detects a recovery
 }
 
-TEST(FillWindow, ShrinksWhereCachesHaveNoFillCapacity) {
+TEST(FillWindow, ShrinksIfCachesHaveNoFillCapacity) {
   TestRouter router;
   router.receive_list(default_endpoints());
   reject_fills(router, 1, 100, 400.0, Note::kNoFillCapacity);
@@ -66,11 +66,11 @@
       router.end_attempt(id, i, Status::kFull, Note::kNoFillCapacity);
     }
   }
-  EXPECT_LT(fills, 100);  // without it each request is a fill, and some are tried in turn
+  EXPECT_LT(fills, 100);  // without the window each request is a fill, and some are retried
   EXPECT_LE(attempts, 200);
 }
 
-TEST(FillWindow, StaleCopiesButNotPurgedOnesAreAcceptedWhileFillsFail) {
+TEST(FillWindow, StaleButNotPurgedCopiesAreAcceptedWhileFillsFail) {
   TestRouter router;
   router.receive_list(default_endpoints());
   EXPECT_EQ(router.serve(1, kImage, 500).max_age, Micros(seconds(20)));
@@ -91,7 +91,7 @@
     RequestId id = 1001;
     std::vector<SetTimer> timers = actions_of<SetTimer>(router.request(id, kVideo, id));
     while (router.sends[id].empty() || !may_fill(router.sends[id][0])) {
-      ASSERT_LT(id, 3000U);  // let in by chance
+      ASSERT_LT(id, 3000U);  // a fill beyond the window is admitted at random
       ++id;
       timers = actions_of<SetTimer>(router.request(id, kVideo, id));
     }
@@ -102,21 +102,21 @@
   }
 }
 
-TEST(FillWindow, BeyondItAHealthyParentIsAskedForCachedCopies) {
+TEST(FillWindow, BeyondTheWindowAHealthyParentMayFillFromItsCache) {
   TestRouter router;
   router.receive_list(default_endpoints());
   reject_fills(router, 1, 200, 400.0, Note::kOriginFailed);
-  RequestId asked = 0;
-  for (RequestId id = 1001; id <= 1010 && asked == 0; ++id) {
+  RequestId limited = 0;  // the request that is limited to cached copies
+  for (RequestId id = 1001; id <= 1010 && limited == 0; ++id) {
     router.request(id, kVideo, id, 400.0);
-    asked = !router.sends[id].empty() && router.sends[id][0].only_if_cached ? id : 0;
+    limited = !router.sends[id].empty() && router.sends[id][0].only_if_cached ? id : 0;
   }
-  ASSERT_NE(asked, 0U);
-  EXPECT_EQ(router.sends[asked][0].source.front(), 'p');
-  const auto after = router.end_attempt(asked, 0, Status::kNotCached, Note::kNotAtSource);
+  ASSERT_NE(limited, 0U);
+  EXPECT_EQ(router.sends[limited][0].source.front(), 'p');
+  const auto after = router.end_attempt(limited, 0, Status::kNotCached, Note::kNotAtSource);
   EXPECT_EQ(final_answers(after) + count<SendAttempt>(after), 1);
   for (const SendAttempt& send : actions_of<SendAttempt>(after)) {
-    EXPECT_FALSE(send.only_if_cached);  // admitted at random; the cached copy was requested already
+    EXPECT_FALSE(send.only_if_cached);  // only a first attempt may be limited to cached copies
   }
 }
 
--- a/tests/decision/idempotency_test.cpp
+++ b/tests/decision/idempotency_test.cpp
@@ -1,4 +1,4 @@
-// What the idempotency of a request class allows after the attempts made so far.
+// The attempts and answers that the idempotency of a request class allows after earlier attempts.
 #include <gtest/gtest.h>
 
 #include <cstddef>
@@ -8,7 +8,7 @@
 namespace trailcourse::decision_testing {
 namespace {
 
-TEST(Idempotency, UnsafeIsRetriedOrRejectedOnlyIfProvedNotExecuted) {
+TEST(Idempotency, AnUnsafeRequestIsRetriedOrRejectedOnlyIfProvedNotExecuted) {
   for (const Status status : {Status::kError, Status::kTimeout, Status::kReset, Status::kCancelled}) {
     TestRouter router;
     router.receive_list(default_endpoints());
@@ -26,7 +26,7 @@
   }
 }
 
-TEST(Idempotency, OverdueUnsafeRequestIsNeitherRepeatedNorRejected) {
+TEST(Idempotency, AnOverdueUnsafeRequestIsNeitherRetriedNorRejected) {
   TestRouter router;
   router.receive_list(default_endpoints());
   const auto timers = actions_of<SetTimer>(router.request(1, kWrite));
@@ -38,7 +38,7 @@
   }
 }
 
-TEST(Idempotency, KeyedIsRetriedOnlyInsideItsWindow) {
+TEST(Idempotency, AKeyedRequestIsRetriedOnlyWithinItsIdempotencyWindow) {
   TestRouter early;
   early.receive_list(default_endpoints());
   early.request(1, kKeyed);
@@ -53,7 +53,7 @@
   EXPECT_EQ(final_answers(after), 1);
 }
 
-TEST(Idempotency, KeyedStaysInItsRetryScope) {
+TEST(Idempotency, AKeyedRequestIsRetriedOnlyWithinItsRetryScope) {
   Settings settings = default_settings();
   settings.classes[kKeyed].retry_scope = RetryScope::kCell;
   TestRouter router(settings);
@@ -69,7 +69,7 @@
   EXPECT_EQ(count<Fail>(after), 1);
 }
 
-TEST(Idempotency, AttemptsDoNotOverlapWhereForbidden) {
+TEST(Idempotency, AttemptsDoNotOverlapIfTheSettingsForbidIt) {
   Settings settings = default_settings();
   settings.parallel_attempts = false;
   TestRouter router(settings);
--- a/tests/decision/keep_rank_test.cpp
+++ b/tests/decision/keep_rank_test.cpp
@@ -1,4 +1,4 @@
-// The keep rank: score, cuts, top share and the object table.
+// The keep rank: its score, its thresholds, the share of the top rank, and the object table.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -10,8 +10,8 @@
 namespace trailcourse::decision_testing {
 namespace {
 
-// A size that nothing could send within the client's time must not shift what is thought of all others.
-TEST(KeepRank, IgnoresAbsurdSizes) {
+// A size that cannot be sent before the deadline must not change the ranks of other objects.
+TEST(KeepRank, IgnoresImplausibleSizes) {
   const auto ranks_after = [](double size_kb) {
     TestRouter router;
     router.receive_list(default_endpoints());
@@ -28,11 +28,11 @@
     }
     return ranks;
   };
-  EXPECT_EQ(ranks_after(1e12), ranks_after(0.0)) << "it counts as an unknown size";
+  EXPECT_EQ(ranks_after(1e12), ranks_after(0.0)) << "an implausible size counts as unknown";
 }
 
-// Bytes of large first requests, so that the top share is not exhausted.
-void make_room(TestRouter& router, double size_kb = 300.0) {
+// Requests other objects, so that the share of the top rank is not exhausted.
+void add_requested_bytes(TestRouter& router, double size_kb = 300.0) {
   for (RequestId id = 9000; id < 9040; ++id) {
     router.serve(id, kVideo, id, size_kb);
   }
@@ -41,7 +41,7 @@
 TEST(KeepRank, FollowsCountSizeAndIdleTime) {
   TestRouter router;
   router.receive_list(default_endpoints());
-  make_room(router);
+  add_requested_bytes(router);
   EXPECT_EQ(router.serve(1, kVideo, 1, 300.0).keep_rank, 1);  // 1 + 0.9 + 0.6
   EXPECT_EQ(router.serve(2, kVideo, 2, 30.0).keep_rank, 2);   // 1 + 0.09 + 0.6
   EXPECT_EQ(router.serve(3, kVideo, 2, 30.0).keep_rank, 3);   // 0.5 + 0.09 + 0
@@ -51,7 +51,7 @@
   EXPECT_EQ(router.serve(6, kVideo, 1, 300.0).keep_rank, 2);  // 0.33 + 0.9 + 0.6
 }
 
-TEST(KeepRank, TopRankHoldsASmallShareOfTheBytes) {
+TEST(KeepRank, TheTopRankGetsALimitedShareOfTheBytes) {
   TestRouter router;
   router.receive_list(default_endpoints());
   double top = 0.0;
@@ -65,18 +65,18 @@
 TEST(KeepRank, CountsHalveEachMinute) {
   TestRouter router;
   router.receive_list(default_endpoints());
-  make_room(router);
+  add_requested_bytes(router);
   router.serve(1, kVideo, 1, 240.0);
   router.serve(2, kVideo, 1, 240.0);
   router.now += seconds(185);
-  EXPECT_EQ(router.serve(3, kVideo, 1, 240.0).keep_rank,
-            1);  // 1 / 1.25 + 0.72 + 0.6; unhalved it would be middle
+  // 1 / 1.25 + 0.72 + 0.6; without halving it would be the middle rank
+  EXPECT_EQ(router.serve(3, kVideo, 1, 240.0).keep_rank, 1);
 }
 
-TEST(KeepRank, CountsPartsOfOneObjectApart) {
+TEST(KeepRank, CountsThePartsOfAnObjectSeparately) {
   TestRouter router;
   router.receive_list(default_endpoints());
-  make_room(router);
+  add_requested_bytes(router);
   std::set<std::string> caches;
   for (std::uint32_t part = 0; part < 40; ++part) {
     RequestArrived request;
@@ -93,10 +93,10 @@
   EXPECT_GT(caches.size(), 2U);
 }
 
-TEST(KeepRank, ForgetsTheObjectUsedLongestAgo) {
+TEST(KeepRank, EvictsTheLeastRecentlyUsedObjectFromTheTable) {
   TestRouter router;
   router.receive_list(default_endpoints());
-  make_room(router, 200.0);
+  add_requested_bytes(router, 200.0);
   EXPECT_EQ(router.serve(1, kVideo, 1, 100.0).keep_rank, 1);  // 1 + 0.45 + 0.6
   EXPECT_EQ(router.serve(2, kVideo, 1, 100.0).keep_rank, 3);  // 0.5 + 0.45 + 0
   for (ObjectId object = 100'000; object < 150'000; ++object) {
@@ -106,20 +106,20 @@
   EXPECT_EQ(router.serve(3, kVideo, 1, 100.0).keep_rank, 1);
 }
 
-// The rank of a second request after the first was answered with `note`: top without a holder, middle with
-// one.
+// Returns the rank of a second request after the first was answered with `note`: the top rank without a known
+// holder, the middle rank with one.
 int rank_after(NoteLevel level, Note note, Micros pause = Micros(0)) {
   Settings settings = default_settings();
   settings.notes = level;
   TestRouter router(settings);
   router.receive_list(default_endpoints());
-  make_room(router);
+  add_requested_bytes(router);
   router.serve(1, kVideo, 1, 200.0, note);
   router.now += pause;
   return router.serve(2, kVideo, 1, 200.0).keep_rank;  // 0.5 + 0.6, and 0.15 for one holder of two parents
 }
 
-TEST(KeepRank, CountsHoldersOnlyWhereAnswersShowThem) {
+TEST(KeepRank, CountsKnownHoldersOnlyIfNotesShowThem) {
   EXPECT_EQ(rank_after(NoteLevel::kAll, Note::kFilled), 2);
   EXPECT_EQ(rank_after(NoteLevel::kAll, Note::kFilledFromOrigin), 3);
   EXPECT_EQ(rank_after(NoteLevel::kAll, Note::kHit), 3);
--- a/tests/decision/latency_model_test.cpp
+++ b/tests/decision/latency_model_test.cpp
@@ -1,4 +1,4 @@
-// Predicted latencies and latency objectives, without the parts that use them.
+// Predicted latencies and latency objectives, without the decider.
 #include "decision/latency_model.h"
 
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
  protected:
   LatencyModelTest() {
     context_.now = seconds(100);
-    request_.arrival.request_class = kVideo;  // 0.6 s and 1.6 s for each second of sending
+    request_.arrival.request_class = kVideo;  // objective 0.6 s, and 1.6 s for each second of sending
     request_.arrived_at = context_.now;
     request_.work = 0.1;
     node_.transfer_capacity = 2.0;
@@ -29,7 +29,7 @@
   Node node_;
 };
 
-TEST_F(LatencyModelTest, AnIdleNodeSendsAtFullPace) {
+TEST_F(LatencyModelTest, ANodeWithSpareCapacitySendsAtFullRate) {
   EXPECT_NEAR(latency_.expected(request_, node_), LatencyModel::kOverhead + 0.1, kTolerance);
   node_.in_flight = 2;
   EXPECT_NEAR(latency_.expected(request_, node_), LatencyModel::kOverhead + 0.1, kTolerance);
--- a/tests/decision/load_estimate_test.cpp
+++ b/tests/decision/load_estimate_test.cpp
@@ -11,9 +11,9 @@
 namespace trailcourse::decision_testing {
 namespace {
 
-// One object, served many times by a router that shares its zone with 17 others, while two more requests for
-// it are out; the caches report only the use of their cores. How many caches it was sent to.
-std::size_t caches_asked(double use) {
+// Returns the number of caches that get requests for one object while two other requests for it are in
+// flight. The router shares its zone with 17 others, and the caches report only their utilisation.
+std::size_t caches_used(double utilisation) {
   Settings settings = default_settings();
   settings.routers_in_zone = 18;
   TestRouter router(settings);
@@ -22,31 +22,31 @@
                        endpoint("o", Role::kOrigin)});
   router.request(1);
   router.request(2);
-  std::set<std::string> asked;
+  std::set<std::string> caches;
   for (RequestId id = 3; id <= 40; ++id) {
     router.request(id);
-    asked.insert(router.sends[id].at(0).cache);
-    router.end_attempt(id, 0, Status::kOk, Note::kHit, {.utilisation = use});
+    caches.insert(router.sends[id].at(0).cache);
+    router.end_attempt(id, 0, Status::kOk, Note::kHit, {.utilisation = utilisation});
   }
-  return asked.size();
+  return caches.size();
 }
 
-TEST(LoadEstimate, UsesUtilisationWhereRequestsAreNotReported) {
-  EXPECT_EQ(caches_asked(0.2), 1U);  // two of its own say nothing of 17 others
-  EXPECT_GT(caches_asked(1.0), 1U);
+TEST(LoadEstimate, UsesUtilisationIfTheNumberOfRequestsIsNotReported) {
+  EXPECT_EQ(caches_used(0.2), 1U);  // two own requests give no evidence about 17 other routers
+  EXPECT_GT(caches_used(1.0), 1U);
 }
 
-TEST(LoadEstimate, IgnoresAbsurdReports) {
+TEST(LoadEstimate, IgnoresImplausibleReports) {
   TestRouter router;
   router.receive_list(default_endpoints());
-  const double absurd[] = {-5.0, 1e300, std::numeric_limits<double>::infinity(),
-                           std::numeric_limits<double>::quiet_NaN(), 0.0};
+  const double implausible[] = {-5.0, 1e300, std::numeric_limits<double>::infinity(),
+                                std::numeric_limits<double>::quiet_NaN(), 0.0};
   RequestId id = 1;
   const auto report = [&](double value) {
     router.request(id, kVideo, id);
     router.end_attempt(id++, 0, Status::kOk, Note::kNone, {.utilisation = value, .concurrent = value});
   };
-  for (const double value : absurd) {
+  for (const double value : implausible) {
     report(value);
   }
   for (int i = 0; i < 200; ++i) {
--- a/tests/decision/load_shedding_test.cpp
+++ b/tests/decision/load_shedding_test.cpp
@@ -1,4 +1,4 @@
-// Load shedding by predicted latency and size.
+// Load shedding by predicted latency and object size.
 #include <gtest/gtest.h>
 
 #include "decision/decision_fixture.h"
@@ -6,7 +6,7 @@
 namespace trailcourse::decision_testing {
 namespace {
 
-// One cache of four transfers that holds `count` requests.
+// Sends `count` requests to a single cache with a capacity of four transfers.
 void add_load(TestRouter& router, RequestId count, double size_kb) {
   router.receive_list(
       {endpoint("c1", Role::kCache, 4.0), endpoint("p1", Role::kParent), endpoint("o", Role::kOrigin)});
@@ -22,57 +22,58 @@
   EXPECT_EQ(count<SendAttempt>(router.request(101, kVideo, 101, 20.0)), 1);
 }
 
-TEST(LoadShedding, RejectsObjectsAboveTheMeanSizeFromASmallerPartOfTheirObjective) {
+TEST(LoadShedding, RejectsObjectsAboveTheMeanSizeAtASmallerPartOfTheirObjective) {
   TestRouter router;
   add_load(router, 6, 200.0);
-  // At one and a half times its capacity the cache would send 1.5 s of work in 2.3 s, within 0.9 of 3 s.
+  // At 1.5 times its capacity the cache would send 1.5 s of work in 2.3 s, which is less than 0.9 times 3 s.
   EXPECT_EQ(count<Reject>(router.request(100, kVideo, 100, 1500.0)), 1);
   EXPECT_EQ(count<SendAttempt>(router.request(101, kVideo, 101, 200.0)), 1);
 }
 
-TEST(LoadShedding, NamesARetryTimeOnlyWhereClientsHeedIt) {
-  TestRouter heeded;
-  const auto rejections = actions_of<Reject>(heeded.request(1));
+TEST(LoadShedding, GivesARetryTimeOnlyIfClientsFollowIt) {
+  TestRouter with_retry_after;
+  const auto rejections = actions_of<Reject>(with_retry_after.request(1));
   ASSERT_EQ(rejections.size(), 1U);
   EXPECT_GT(rejections[0].retry_after, Micros(0));
   EXPECT_LE(rejections[0].retry_after, Micros(seconds(1)));
   Settings settings = default_settings();
   settings.max_retry_after = Micros(0);
-  TestRouter unheeded(settings);
-  EXPECT_EQ(actions_of<Reject>(unheeded.request(1)).at(0).retry_after, Micros(0));
+  TestRouter without_retry_after(settings);
+  EXPECT_EQ(actions_of<Reject>(without_retry_after.request(1)).at(0).retry_after, Micros(0));
 }
 
-// The parts answered of large requests and of all, where nine of ten are small and the caches are so busy
-// that a large answer will miss its objective.
-struct AnsweredParts {
+// The shares of the large requests and of all requests that are answered.
+struct AnsweredShares {
   double large = 0.0;
   double all = 0.0;
 };
 
-AnsweredParts answered_parts(double large_kb) {
+// Runs a load in which nine of ten requests are small and the cache is so busy that a large answer would miss
+// its objective.
+AnsweredShares answered_shares(double large_kb) {
   TestRouter router;
   router.receive_list({endpoint("c1", Role::kCache, 4.0), endpoint("o", Role::kOrigin)});
   LoadReport busy;
   busy.concurrent = 16.0;
-  AnsweredParts out;
+  AnsweredShares shares;
   for (RequestId id = 1; id <= 2'000; ++id) {
     const bool large = id % 10 == 0;
     router.request(id, kVideo, id % 5, large ? large_kb : 50.0);
     if (!router.sends[id].empty()) {
       router.end_attempt(id, 0, Status::kOk, Note::kHit, busy);
-      out.all += 1.0 / 2'000;
-      out.large += large ? 1.0 / 200 : 0.0;
+      shares.all += 1.0 / 2'000;
+      shares.large += large ? 1.0 / 200 : 0.0;
     }
     router.now += milliseconds(20);
   }
-  return out;
+  return shares;
 }
 
-TEST(LoadShedding, ShedsNoSizeFarMoreThanItsClass) {
+TEST(LoadShedding, RejectsNoSizeFarMoreOftenThanItsClass) {
   for (const double size : {100.0, 200.0, 300.0, 600.0, 1'200.0}) {
-    const AnsweredParts parts = answered_parts(size);
-    EXPECT_GT(parts.all, 0.8) << size;
-    EXPECT_GE(parts.large, 0.5 * parts.all) << size;
+    const AnsweredShares shares = answered_shares(size);
+    EXPECT_GT(shares.all, 0.8) << size;
+    EXPECT_GE(shares.large, 0.5 * shares.all) << size;
   }
 }
 
--- a/tests/decision/may_begin_test.cpp
+++ b/tests/decision/may_begin_test.cpp
@@ -8,7 +8,7 @@
 namespace trailcourse::decision_testing {
 namespace {
 
-TEST(MayBegin, WhileNothingHasChanged) {
+TEST(MayBegin, PermitsTheAttemptWhileNothingHasChanged) {
   TestRouter router;
   router.receive_list(default_endpoints());
   router.request(1);
@@ -17,7 +17,7 @@
   EXPECT_TRUE(router.may_begin(1));
 }
 
-TEST(MayBegin, NotAfterTheClientLeftNorPastItsDeadline) {
+TEST(MayBegin, RevokesTheAttemptAfterTheClientLeftOrTheDeadlinePassed) {
   for (const bool may_cancel : {true, false}) {
     Settings settings = default_settings();
     settings.may_cancel = may_cancel;
@@ -34,7 +34,7 @@
   }
 }
 
-TEST(MayBegin, NotAtADrainingGoneOrRestartedTargetOrSource) {
+TEST(MayBegin, RevokesTheAttemptIfItsTargetOrSourceIsDrainingGoneOrRestarted) {
   for (const bool source : {false, true}) {
     for (const NodeState state : {NodeState::kDraining, NodeState::kGone, NodeState::kReady}) {
       TestRouter router;
@@ -52,23 +52,23 @@
   }
 }
 
-TEST(MayBegin, NotWithAMaxAgeThatAPurgeOvertook) {
+TEST(MayBegin, RevokesTheAttemptIfItsMaxAgePermitsAPurgedCopy) {
   TestRouter router;
   router.receive_list(default_endpoints());
   router.request(1, kVideo, 7);
   router.now += milliseconds(10);
   router.handle(Purged{false, 8, 0, Micros(0)});
-  EXPECT_TRUE(router.may_begin(1)) << "another object's";
+  EXPECT_TRUE(router.may_begin(1)) << "the purge concerns another object";
   router.handle(Purged{false, 7, 3, Micros(0)});
   EXPECT_FALSE(router.may_begin(1));
   router.now += milliseconds(10);
   router.request(2, kVideo, 7);
-  EXPECT_TRUE(router.may_begin(2)) << "its age already says so";
+  EXPECT_TRUE(router.may_begin(2)) << "its maximum age already excludes purged copies";
   router.now += milliseconds(10);
   EXPECT_TRUE(router.may_begin(2));
 }
 
-TEST(MayBegin, NotPastTheIdempotencyWindow) {
+TEST(MayBegin, RevokesTheAttemptNearTheEndOfTheIdempotencyWindow) {
   Settings settings = default_settings();
   settings.direct = true;
   settings.classes[kKeyed].idempotency_window = milliseconds(600);
@@ -82,10 +82,10 @@
   router.now += milliseconds(300);
   EXPECT_TRUE(router.may_begin(1, 1));
   router.now += milliseconds(110);
-  EXPECT_FALSE(router.may_begin(1, 1)) << "it would arrive past the 600 ms since the first one's send";
+  EXPECT_FALSE(router.may_begin(1, 1)) << "it would arrive more than 600 ms after the first send";
 }
 
-TEST(MayBegin, NotOutsideTheSlowStartSlotThatPaidForIt) {
+TEST(MayBegin, RevokesTheAttemptAfterItsSlowStartSlotClosed) {
   TestRouter router;
   auto list = default_endpoints();
   list[0].started = router.now;
@@ -99,10 +99,10 @@
   ASSERT_EQ(router.sends[id][0].cache, "c1");
   EXPECT_TRUE(router.may_begin(id));
   router.now += seconds(3);
-  EXPECT_FALSE(router.may_begin(id)) << "it waited for longer than a slot is open";
+  EXPECT_FALSE(router.may_begin(id)) << "the attempt waited longer than a slot is open";
 }
 
-TEST(MayBegin, ARevokedAttemptIsReplacedAtNoCost) {
+TEST(MayBegin, ARevokedAttemptIsReplacedAtTheSameCache) {
   TestRouter router;
   router.receive_list(default_endpoints());
   router.request(1, kVideo, 7);
@@ -113,7 +113,7 @@
   ASSERT_FALSE(router.may_begin(1));
   router.end_attempt(1, 0, Status::kNotSent);
   ASSERT_EQ(router.sends[1].size(), 2U);
-  EXPECT_EQ(router.sends[1][1].cache, first) << "nothing speaks against the cache";
+  EXPECT_EQ(router.sends[1][1].cache, first) << "the cache is not avoided";
   EXPECT_GT(router.sends[1][1].max_age, Micros(0));
   EXPECT_TRUE(router.may_begin(1, 1));
 }
--- a/tests/decision/outlier_detection_test.cpp
+++ b/tests/decision/outlier_detection_test.cpp
@@ -1,4 +1,4 @@
-// Outlier detection: which failures eject a node, and for how long.
+// Outlier detection: which failures eject a node.
 #include <gtest/gtest.h>
 
 #include <cstddef>
@@ -20,7 +20,7 @@
   ASSERT_EQ(count<SendAttempt>(router.handle(TimerFired{timers.back().token})), 1);
   EXPECT_NE(router.sends[1][1].cache, silent);
   EXPECT_NE(router.serve(2).cache, silent);
-  EXPECT_EQ(count<Cancel>(router.end_attempt(1, 1, Status::kOk)), 1);  // the first is called off
+  EXPECT_EQ(count<Cancel>(router.end_attempt(1, 1, Status::kOk)), 1);  // the first attempt is cancelled
   EXPECT_TRUE(router.end_attempt(1, 0, Status::kTimeout).empty());
 }
 
@@ -35,7 +35,7 @@
   EXPECT_EQ(router.serve(2).cache, slow);
 }
 
-TEST(OutlierDetection, PenalisesTheSourceOfAnOverdueFillWhereTheCacheAnswersOthers) {
+TEST(OutlierDetection, PenalisesTheSourceOfAnOverdueFillIfTheCacheAnswersOtherRequests) {
   TestRouter router;
   router.receive_list(default_endpoints());
   ObjectId other = 8;
@@ -79,22 +79,22 @@
   EXPECT_NE(router.serve(20).cache, home);
 }
 
-// An answer that never comes from a cache that answers others: the next one is asked before the client's time
-// is up, and no node is penalised. Where the cache is overloaded the answer is only slow, and asking twice
-// adds to that.
+// An answer is lost although its cache answers other requests: another cache gets an attempt before the
+// deadline, and no node is penalised. If the cache is overloaded, the answer is only slow, and a second
+// attempt would add to the overload.
 TEST(OutlierDetection, RetriesALostAnswerElsewhereWithoutPenalty) {
   for (const double concurrent : {2.0, 200.0}) {
     TestRouter router;
     router.receive_list(default_endpoints());
     const std::string home = router.serve(1).cache;
-    const auto asked = router.request(2);
+    const auto actions = router.request(2);
     router.now += seconds(2);
     router.request(3);
     LoadReport load;
     load.concurrent = concurrent;
-    router.end_attempt(3, 0, Status::kOk, Note::kFilled,
-                       load);  // it goes on answering others, and so does its source
-    for (const SetTimer& timer : actions_of<SetTimer>(asked)) {
+    // The cache and its source still answer other requests.
+    router.end_attempt(3, 0, Status::kOk, Note::kFilled, load);
+    for (const SetTimer& timer : actions_of<SetTimer>(actions)) {
       if (timer.delay < seconds(4)) {
         router.handle(TimerFired{timer.token});
       }
@@ -102,13 +102,13 @@
     ASSERT_EQ(router.sends[2].size(), concurrent > 100.0 ? 1U : 2U);
     if (concurrent < 100.0) {
       EXPECT_NE(router.sends[2][1].cache, home);
-      EXPECT_EQ(router.serve(4).cache, home) << "it is not skipped for it";
+      EXPECT_EQ(router.serve(4).cache, home) << "the lost answer does not exclude the cache";
     }
   }
 }
 
-// On days of resets every cache breaks some connections off; two in a row say nothing against one that
-// answers.
+// While the network resets connections, every cache has some resets. A few consecutive ones are no evidence
+// of a failing cache.
 TEST(OutlierDetection, ToleratesAFewConsecutiveResets) {
   TestRouter router;
   router.receive_list(default_endpoints());
@@ -135,7 +135,7 @@
   EXPECT_NE(router.serve(30).cache, home);
 }
 
-TEST(OutlierDetection, AGeneralFailureEjectsNobody) {
+TEST(OutlierDetection, AGeneralFailureKeepsMostCachesInUse) {
   TestRouter router;
   router.receive_list(default_endpoints());
   for (RequestId id = 1; id <= 200; ++id) {
@@ -156,30 +156,30 @@
   EXPECT_GE(caches.size(), 3U);
 }
 
-// Fills from p1, and from p2 too if `both`, are refused without a note; how many of the last hundred still
-// name p1.
-int refused_fills_named(bool both) {
+// Rejects fills from p1, and also from p2 if `both`, without a note. Returns how many attempts of the last
+// hundred requests have the source p1.
+int attempts_with_p1(bool both) {
   Settings settings = default_settings();
   settings.notes = NoteLevel::kHit;
   TestRouter router(settings);
   router.receive_list(default_endpoints());
-  int named = 0;
+  int attempts = 0;
   for (RequestId id = 1; id <= 600; ++id) {
     router.request(id, kVideo, id, 5.0);
     for (std::size_t i = 0; i < router.sends[id].size(); ++i) {
       const std::string source = router.sends[id][i].source;
-      const bool refused = source == "p1" || (both && source == "p2");
-      router.end_attempt(id, static_cast<int>(i), refused ? Status::kFull : Status::kOk, Note::kNone);
-      named += source == "p1" && id > 500 ? 1 : 0;
+      const bool rejected = source == "p1" || (both && source == "p2");
+      router.end_attempt(id, static_cast<int>(i), rejected ? Status::kFull : Status::kOk, Note::kNone);
+      attempts += source == "p1" && id > 500 ? 1 : 0;
     }
     router.now += milliseconds(20);
   }
-  return named;
+  return attempts;
 }
 
-TEST(OutlierDetection, ADeadParentStandsOutAndARejectingOriginDoesNot) {
-  EXPECT_LT(refused_fills_named(false), 20);
-  EXPECT_GT(refused_fills_named(true), 20);
+TEST(OutlierDetection, EjectsARejectingParentOnlyIfOtherParentsDoNotReject) {
+  EXPECT_LT(attempts_with_p1(false), 20);
+  EXPECT_GT(attempts_with_p1(true), 20);
 }
 
 }  // namespace
--- a/tests/decision/purge_floors_test.cpp
+++ b/tests/decision/purge_floors_test.cpp
@@ -1,4 +1,4 @@
-// Purges and the oldest copy that may answer after them.
+// Purge floors: the maximum age of a copy that may answer after a purge.
 #include <gtest/gtest.h>
 
 #include "decision/decision_fixture.h"
@@ -20,17 +20,17 @@
   EXPECT_EQ(router.serve(4, kVideo, 7).max_age, Micros(0));
 }
 
-TEST(PurgeFloors, OfAGroupBindItsObjectsAndLeaveLifetimes) {
+TEST(PurgeFloors, OfAGroupApplyOnlyToItsObjects) {
   TestRouter router;
   router.receive_list(default_endpoints());
   router.handle(Purged{true, 0, 3, Micros(0)});
-  const Micros at_once = router.serve(1, kImage, 7).max_age;
-  EXPECT_GT(at_once, Micros(0));
-  EXPECT_LT(at_once, Micros(milliseconds(1)));
+  const Micros age = router.serve(1, kImage, 7).max_age;
+  EXPECT_GT(age, Micros(0));
+  EXPECT_LT(age, Micros(milliseconds(1)));
   EXPECT_EQ(router.serve(2, kImage, 8).max_age, Micros(seconds(20)));
 }
 
-TEST(PurgeFloors, BeyondTheTableForgetNoneThatBinds) {
+TEST(PurgeFloors, StillApplyWhenPurgesExceedTheTableCapacity) {
   TestRouter router;
   router.receive_list(default_endpoints());
   router.handle(Purged{false, 7, 3, Micros(0)});
@@ -43,7 +43,7 @@
   EXPECT_LE(age, Micros(seconds(2)));
 }
 
-TEST(PurgeFloors, AreNotLoweredByAnOlderPurgeReportedLater) {
+TEST(PurgeFloors, AreNotReplacedByAnOlderPurgeThatIsReportedLater) {
   TestRouter router;
   router.receive_list(default_endpoints());
   router.handle(Purged{false, 7, 3, Micros(0)});
--- a/tests/decision/rendezvous_test.cpp
+++ b/tests/decision/rendezvous_test.cpp
@@ -1,4 +1,4 @@
-// Rendezvous hashing of objects to caches and parents.
+// Rendezvous hashing of objects to caches and parents, through the decider.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -10,17 +10,17 @@
 namespace trailcourse::decision_testing {
 namespace {
 
-TEST(Rendezvous, IsIndependentOfTheOrderOfTheList) {
-  TestRouter one;
-  TestRouter other(default_settings(), 99);
-  one.receive_list(default_endpoints());
-  auto turned = default_endpoints();
-  std::reverse(turned.begin(), turned.end());
-  other.receive_list(turned);
+TEST(Rendezvous, IsIndependentOfTheOrderOfTheEndpointList) {
+  TestRouter first;
+  TestRouter second(default_settings(), 99);
+  first.receive_list(default_endpoints());
+  auto reversed = default_endpoints();
+  std::reverse(reversed.begin(), reversed.end());
+  second.receive_list(reversed);
   std::set<std::string> parents;
   for (RequestId id = 1; id <= 300; ++id) {
-    const SendAttempt a = one.serve(id, kVideo, id);
-    const SendAttempt b = other.serve(id, kVideo, id);
+    const SendAttempt a = first.serve(id, kVideo, id);
+    const SendAttempt b = second.serve(id, kVideo, id);
     EXPECT_EQ(a.cache, b.cache);
     EXPECT_EQ(a.source, b.source);
     parents.insert(a.source);
@@ -28,7 +28,7 @@
   EXPECT_EQ(parents.size(), 2U);
 }
 
-TEST(Rendezvous, ConsidersOnlyCachesOfTheOwnZone) {
+TEST(Rendezvous, SelectsOnlyCachesInTheRoutersZone) {
   TestRouter router;
   auto list = default_endpoints();
   list[1].zone = "elsewhere";
--- a/tests/decision/retry_budget_test.cpp
+++ b/tests/decision/retry_budget_test.cpp
@@ -1,4 +1,4 @@
-// The retry budget and the timers of attempts.
+// The retry budget and the overdue timers of attempts.
 #include <gtest/gtest.h>
 
 #include <cstddef>
@@ -8,7 +8,7 @@
 namespace trailcourse::decision_testing {
 namespace {
 
-TEST(RetryBudget, BoundsFurtherAttempts) {
+TEST(RetryBudget, LimitsFurtherAttemptsWhenAllAttemptsFail) {
   TestRouter router;
   router.receive_list(default_endpoints());
   std::size_t attempts = 0;
@@ -23,14 +23,14 @@
   EXPECT_LE(attempts, 1000U + 250U + 30U);
 }
 
-TEST(RequestTimers, AnOverdueTimerConcernsOnlyItsOwnAttempt) {
+TEST(RequestTimers, AnOverdueTimerAffectsOnlyItsOwnAttempt) {
   TestRouter router;
   router.receive_list(default_endpoints());
   const auto timers = actions_of<SetTimer>(router.request(1));
   router.now += milliseconds(400);
   router.end_attempt(1, 0, Status::kError);
   ASSERT_EQ(router.sends[1].size(), 2U);
-  router.now += milliseconds(200);  // the first attempt's patience ends; the second is young
+  router.now += milliseconds(200);  // the first attempt would be overdue now, the second not yet
   EXPECT_TRUE(router.handle(TimerFired{timers.back().token}).empty());
 }
 
--- a/tests/decision/sending_times_test.cpp
+++ b/tests/decision/sending_times_test.cpp
@@ -1,4 +1,4 @@
-// The mean sending times of request classes, without the other parts of the decision module.
+// The mean sending times of request classes, without the decider.
 #include "decision/sending_times.h"
 
 #include <gtest/gtest.h>
--- a/tests/decision/slow_start_test.cpp
+++ b/tests/decision/slow_start_test.cpp
@@ -1,4 +1,4 @@
-// Slow-start budgets of caches and parents, of one router and of many.
+// Slow-start budgets of caches and parents, for one router and for many.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -12,8 +12,8 @@
 namespace trailcourse::decision_testing {
 namespace {
 
-// Seconds of sending that one router lets reach `name` within any window of the overload span, at the worst.
-double worst_window(TestRouter& router, const std::string& name, bool as_source) {
+// Returns the most seconds of sending that the router sends to the node `name` within one overload span.
+double max_work_per_span(TestRouter& router, const std::string& name, bool as_source) {
   std::vector<Micros> sent;
   for (RequestId id = 1; id <= 6000; ++id) {  // 12 s, while the node is still cold
     router.request(id, kVideo, id, 100.0);
@@ -36,12 +36,12 @@
   return worst;
 }
 
-TEST(SlowStart, LimitsACacheToThisRoutersPartOfItsBudget) {
+TEST(SlowStart, LimitsTheLoadOnACacheToThisRoutersPartOfTheBudget) {
   TestRouter router;
   auto list = default_endpoints();
   list[0].started = router.now;
   router.receive_list(list);
-  const double used = worst_window(router, "c1", false);
+  const double used = max_work_per_span(router, "c1", false);
   EXPECT_GT(used, 0.0);
   EXPECT_LT(used, 2.5 * 8.0 * 0.89 * 3.0 / 2);  // two routers of the zone; capacity after 12 of 14 s
   TestRouter fresh;
@@ -57,7 +57,7 @@
   EXPECT_LT(first, 2.5 * 8.0 * 0.315 * 3.0 / 2);
 }
 
-TEST(SlowStart, CountsFillsOfAParentFromARestoredList) {
+TEST(SlowStart, LimitsFillsFromAParentOfARestoredList) {
   TestRouter router;
   auto list = default_endpoints();
   list[4].started = router.now - seconds(1);
@@ -72,7 +72,7 @@
   EXPECT_LT(used, 2.0 * 8.0 * (0.1 + 0.9 * 3.0 / 20) * 3.0 / 4);
 }
 
-TEST(SlowStart, RecognisesARestartByItsTime) {
+TEST(SlowStart, DetectsARestartByTheStartTime) {
   TestRouter router;
   router.receive_list(default_endpoints());
   for (RequestId id = 1; id <= 50; ++id) {
@@ -81,18 +81,18 @@
   auto entry = endpoint("c1");
   entry.started = router.now;
   router.receive_list({entry}, ListKind::kChanges);
-  int to_fresh = 0;
+  int to_restarted = 0;
   for (RequestId id = 101; id <= 300; ++id) {
-    to_fresh += router.serve(id, kVideo, id).cache == "c1" ? 1 : 0;
+    to_restarted += router.serve(id, kVideo, id).cache == "c1" ? 1 : 0;
   }
-  EXPECT_EQ(to_fresh, 0);  // all at one instant: no budget has accrued yet
+  EXPECT_EQ(to_restarted, 0);  // no budget has accrued yet, since no time has passed
 }
 
-// Many routers that share one cold parent, each with a clock and requests of its own. What they send it by
-// way of fills, as times and seconds of sending.
+// Many routers that share a parent in slow start, each with its own clock and requests. Records when they
+// send it fills.
 struct ManyRouters {
   static constexpr int kRouters = 200;
-  static constexpr double kWork = 0.3;
+  static constexpr double kWork = 0.3;  // seconds of sending per request
   static constexpr double kParentTransfers = 40.0;
 
   ManyRouters() {
@@ -108,7 +108,7 @@
     }
   }
 
-  // Each router asks `count` times, evenly over `span`, every one at its own offset.
+  // Each router makes `count` requests, evenly over `span` and with its own offset.
   void request_evenly(int count, Micros span) {
     const Micros begin = now;
     for (int i = 0; i < kRouters; ++i) {
@@ -129,8 +129,9 @@
     std::sort(sent.begin(), sent.end());
   }
 
-  // The most that any span of three seconds was sent, over twice what the parent could do at its start.
-  double worst_part_of_budget() const {
+  // Returns the greatest share of the parent's overload budget that was used within any overload span (3 s).
+  // The budget is twice the capacity at the beginning of the span.
+  double max_budget_share() const {
     double worst = 0.0;
     for (std::size_t i = 0, j = 0; i < sent.size(); ++i) {
       while (sent[i] - sent[j] > seconds(3)) {
@@ -149,24 +150,24 @@
   RequestId next_id = 1;
 };
 
-TEST(SlowStart, TwoHundredRoutersTogetherKeepAndUseAParentsBudget) {
+TEST(SlowStart, TwoHundredRoutersTogetherUseButDoNotExceedAParentsBudget) {
   ManyRouters many;
   many.request_evenly(60, seconds(15));
-  EXPECT_LT(many.worst_part_of_budget(), 1.0);
-  EXPECT_GT(many.worst_part_of_budget(), 0.2);
+  EXPECT_LT(many.max_budget_share(), 1.0);
+  EXPECT_GT(many.max_budget_share(), 0.2);
   const auto early =
       std::count_if(many.sent.begin(), many.sent.end(), [](Micros at) { return at < seconds(103); });
-  EXPECT_GT(early, 5);  // the parent is not left idle while its budget is below one request a router
+  EXPECT_GT(early, 5);  // the parent is used even while its budget is less than one request per router
 }
 
-TEST(SlowStart, SlotsUnusedWhileIdleAreNotSpentTogether) {
+TEST(SlowStart, UnusedSlotsDoNotAccumulate) {
   ManyRouters many;
   many.request_evenly(1, seconds(5));
   many.request_evenly(100, seconds(1));
-  EXPECT_LT(many.worst_part_of_budget(), 1.0);
+  EXPECT_LT(many.max_budget_share(), 1.0);
 }
 
-TEST(SlowStart, AbsurdRouterCountsLoseNoAnswer) {
+TEST(SlowStart, ImplausibleRouterCountsLoseNoRequest) {
   for (const int routers : {-7, 0, 1, 1'000'000'000}) {
     Settings settings = default_settings();
     settings.routers = routers;
--- a/tests/decision/source_selection_test.cpp
+++ b/tests/decision/source_selection_test.cpp
@@ -9,42 +9,43 @@
 namespace trailcourse::decision_testing {
 namespace {
 
-// Fills of many objects, of which those from `slow` come late; how many of the last hundred still name it.
-int fills_named(const std::string& slow, Note note) {
+// Makes requests for many objects, with late fills from the source `slow`. Returns how many of the last
+// hundred requests still have that source.
+int attempts_with_slow_source(const std::string& slow, Note note) {
   TestRouter router;
   router.receive_list(default_endpoints());
-  int named = 0;
+  int attempts = 0;
   for (RequestId id = 1; id <= 300; ++id) {
     router.request(id, kVideo, id, 50.0);
     const Micros began = router.now;
     const bool from_slow = !router.sends[id].empty() && router.sends[id][0].source == slow;
-    named += from_slow && id > 200 ? 1 : 0;
+    attempts += from_slow && id > 200 ? 1 : 0;
     router.now = began + (from_slow ? milliseconds(1500) : milliseconds(60));
     router.end_attempt(id, 0, Status::kOk, note);
   }
-  return named;
+  return attempts;
 }
 
-TEST(SourceSelection, AvoidsAParentThatIsLateWithCachedObjects) {
-  EXPECT_LT(fills_named("p1", Note::kFilled), 25);
+TEST(SourceSelection, AvoidsAParentWhoseFillsFromItsCacheAreLate) {
+  EXPECT_LT(attempts_with_slow_source("p1", Note::kFilled), 25);
 }
 
-TEST(SourceSelection, DoesNotAvoidAParentForASlowOrigin) {
-  EXPECT_GT(fills_named("p1", Note::kFilledFromOrigin), 35);
+TEST(SourceSelection, DoesNotAvoidAParentIfTheOriginIsSlow) {
+  EXPECT_GT(attempts_with_slow_source("p1", Note::kFilledFromOrigin), 35);
 }
 
-// All fills through parents end late: begun soon and then slow, or begun late. How many of the last 100
-// requests name the origin.
-int origin_named(Micros waited) {
+// Lets a third of the fills through parents end late. A short `first_byte_time` stands for a slow transfer, a
+// long one for a slow origin. Returns how many of the last hundred requests have the origin as their source.
+int attempts_with_origin(Micros first_byte_time) {
   TestRouter router;
   router.receive_list(default_endpoints());
-  int named = 0;
+  int attempts = 0;
   for (RequestId id = 1; id <= 400; ++id) {
     router.request(id, kVideo, id, 100.0);
     const std::vector<SendAttempt>& sends = router.sends[id];
     const bool by_origin = !sends.empty() && sends[0].source == "o";
-    named += by_origin && id > 300 ? 1 : 0;
-    const bool slow = !by_origin && id % 3 == 0;  // a third of them, so that the window stays open
+    attempts += by_origin && id > 300 ? 1 : 0;
+    const bool slow = !by_origin && id % 3 == 0;  // only a third, so that the fill window does not shrink
     router.now += slow ? seconds(1) : milliseconds(50);
     if (!sends.empty()) {
       AttemptEnded ended;
@@ -53,21 +54,21 @@
       ended.finished = true;
       ended.note = Note::kFilledFromOrigin;
       ended.latency = slow ? Micros(seconds(1)) : Micros(milliseconds(50));
-      ended.source_first_byte_time = slow ? waited : Micros(milliseconds(10));
+      ended.source_first_byte_time = slow ? first_byte_time : Micros(milliseconds(10));
       router.handle(ended);
     }
   }
-  return named;
+  return attempts;
 }
 
 TEST(SourceSelection, SlowTransfersOfParentsMoveObjectsToTheOriginButASlowOriginDoesNot) {
-  const int trickling = origin_named(milliseconds(10));
-  const int begun_late = origin_named(milliseconds(950));
-  EXPECT_GT(trickling, 5);
-  EXPECT_LT(begun_late, trickling / 2);
+  const int slow_transfers = attempts_with_origin(milliseconds(10));
+  const int slow_origin = attempts_with_origin(milliseconds(950));
+  EXPECT_GT(slow_transfers, 5);
+  EXPECT_LT(slow_origin, slow_transfers / 2);
 }
 
-TEST(SourceSelection, UsesTheOriginWithoutAHealthyParent) {
+TEST(SourceSelection, UsesTheOriginIfNoParentIsHealthy) {
   TestRouter router;
   router.receive_list(default_endpoints());
   for (RequestId id = 1; id <= 60; ++id) {
@@ -85,7 +86,7 @@
   EXPECT_GT(by_origin, 0);
 }
 
-TEST(SourceSelection, ReplacesARejectingSourceAtTheSameCache) {
+TEST(SourceSelection, RetriesWithAnotherSourceAtTheSameCacheAfterASourceWasUnreachable) {
   TestRouter router;
   router.receive_list(default_endpoints());
   router.request(1);
