--- a/src/coordination/coordination_server.cpp
+++ b/src/coordination/coordination_server.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr Milliseconds kExpiryRetryInterval{200};  // after the database could not be written
+constexpr Milliseconds kExpiryRetryInterval{200};  // after a failed write of the database
 constexpr int kStatusOk = 200;
 constexpr int kStatusBadRequest = 400;
 constexpr int kStatusNotFound = 404;
@@ -74,9 +74,10 @@
     response = rejection(error);
     publish();
   } catch (const SqliteError& error) {
-    log_line(Level::kError) << "changes could not be stored: " << error.what();
+    log_line(Level::kError) << "cannot write to the database: " << error.what();
     response = {kStatusUnavailable,
-                etcd::write_error(etcd::ErrorCode::kUnavailable, "the registry cannot write")};
+                etcd::write_error(etcd::ErrorCode::kUnavailable,
+                                  "the database of the coordination store cannot be written")};
     expiry_timer_.set(Clock::now() + kExpiryRetryInterval);
   }
   return response;
@@ -115,7 +116,7 @@
     state.compact(revision.empty() ? 0 : std::strtoull(revision.c_str(), nullptr, 10) + 1);
     return header_only(header(state));
   }
-  return {kStatusNotFound, etcd::write_error(etcd::ErrorCode::kNotFound, "no such call: " + path)};
+  return {kStatusNotFound, etcd::write_error(etcd::ErrorCode::kNotFound, "unknown path: " + path)};
 }
 
 CoordinationServer::Response CoordinationServer::execute_lease_call(KeyValueState& state,
@@ -143,7 +144,8 @@
     database_.transact(KeyValueDatabase::boot_time(), Durability::kSynced,
                        [&](KeyValueState& state) { reader(state, header(state)); });
   } catch (const SqliteError& error) {
-    throw ServiceUnavailable(std::string("the ledger cannot be read: ") + error.what());
+    throw ServiceUnavailable(std::string("the database of the coordination store cannot be read: ") +
+                             error.what());
   }
 }
 
@@ -164,7 +166,7 @@
     database_.transact(KeyValueDatabase::boot_time(), Durability::kSynced, [](KeyValueState&) {});
     publish();
   } catch (const std::exception& error) {
-    log_line(Level::kError) << "expired leases could not be ended: " << error.what();
+    log_line(Level::kError) << "cannot expire leases: " << error.what();
     expiry_timer_.set(Clock::now() + kExpiryRetryInterval);
   }
 }
--- a/src/coordination/coordination_server.h
+++ b/src/coordination/coordination_server.h
@@ -1,9 +1,9 @@
-// The coordination store of one process, run by `trailcourse registry`: a key-value database behind the part
-// of etcd's v3 interface that this project uses. It stands in for a cluster: what it answers is durable, but
-// while its process or machine is down, there is no store.
+// A coordination store in a single process, run by `trailcourse registry`: a key-value database that serves
+// the part of etcd's v3 interface that this project uses. It replaces an etcd cluster. Changes are durable
+// before they are confirmed, but the store is unavailable while its process or machine is down.
 //
 // Package `coordination`, over `transport` and `protocol`. Not thread-safe: it belongs to its scheduler's
-// thread, which also writes, so that a call takes as long as a sync of the disk.
+// thread. That thread also writes to the disk: each call but a renewal waits for a sync.
 #pragma once
 
 #include <cstdint>
@@ -17,16 +17,17 @@
 
 namespace trailcourse::coordination {
 
+// Serves the coordination store over HTTP.
 class CoordinationServer : public EtcdService {
  public:
-  // Throws std::runtime_error if the folder cannot be used.
+  // Opens the database. Throws std::runtime_error if the folder cannot be used.
   CoordinationServer(transport::Scheduler& scheduler, const RegistryOptions& options);
 
-  // Throws std::system_error.
+  // Starts to accept connections and to expire leases. Throws std::system_error.
   void listen(const transport::Address& address);
-  // Returns the number that tells this store from another one.
+  // Returns the store's identity: the cluster_id of its responses.
   std::uint64_t id() const { return database_.id(); }
-  // Returns one line of counters.
+  // Returns the counters as one line of NAME=VALUE. Throws ServiceUnavailable.
   std::string report();
 
   Response handle(const std::string& path, const nlohmann::json& body) override;
@@ -37,8 +38,8 @@
   Response execute_key_call(KeyValueState& state, const std::string& path, const nlohmann::json& body);
   Response execute_lease_call(KeyValueState& state, const std::string& path, const nlohmann::json& body);
   etcd::ResponseHeader header(const KeyValueState& state) const { return {database_.id(), state.revision()}; }
-  // Sends changes to watches, and sets the timer to the next expiry. Only after a transaction that succeeded:
-  // then the state in memory is that of the disk.
+  // Sends changes to watches, and sets the timer to the next expiry. May only be called after a transaction
+  // that succeeded, when the state in memory is the state on the disk.
   void publish();
   void expire_leases();
 
--- a/src/coordination/coordination_store.h
+++ b/src/coordination/coordination_store.h
@@ -1,10 +1,9 @@
-// The interface of a coordination store: transactions that compare first, leases, and watches over a range of
-// keys. Callers need not know which backend it is; both pass one conformance suite
-// (tests/coordination_test.cpp).
+// The interface of a coordination store: conditional transactions, leases, and watches over a range of keys.
+// All backends behave alike: they pass one conformance suite (tests/coordination_test.cpp).
 //
 // Package `coordination`. Not thread-safe: a store belongs to its scheduler's thread. Callbacks and observers
-// are called from the scheduler, never from within a call of this interface. Every call ends in time, and
-// none is retried here: only the caller knows what executing it twice would mean.
+// are called from the scheduler, never from within a call of this interface. Every call ends within a time
+// limit. No call is retried here, because only the caller knows whether it may be executed twice.
 #pragma once
 
 #include <trailcourse/decider.h>
@@ -21,29 +20,30 @@
 
 // How a call ended.
 enum class CallStatus {
-  kOk,        // executed, and the response is here
-  kRejected,  // the store understood the call and did nothing
-  kNotSent,   // the call never reached the store
+  kOk,        // the store executed the call
+  kRejected,  // the store rejected the call and changed nothing
+  kNotSent,   // the call did not reach the store
   kUnknown    // no usable response: the call may have been executed or not
 };
 
+// The result of a call.
 template <typename Value>
 struct StoreResponse {
   CallStatus status = CallStatus::kUnknown;
   Value value{};      // if the status is kOk
-  std::string error;  // otherwise: one line for logs
+  std::string error;  // for any other status: one line for logs
 
   bool ok() const { return status == CallStatus::kOk; }
 };
 
 struct GrantedLease {
   LeaseId id = 0;
-  Micros ttl{0};  // 0: there is no such lease
+  Micros ttl{0};  // 0: the lease does not exist
 };
-// The value of a call that returns nothing.
+// The value of a response that carries none.
 struct Empty {};
 
-// Receives what a watch delivers, in the order of revisions and without gaps between two calls.
+// Receives the changes that a watch delivers, in the order of revisions and without gaps.
 class WatchObserver {
  public:
   WatchObserver() = default;
@@ -51,12 +51,14 @@
   WatchObserver& operator=(const WatchObserver&) = delete;
   virtual ~WatchObserver() = default;
 
-  // All entries of the range: at the start, and whenever the changes in between are not available any more.
+  // Called with all entries of the range: at the start, and when changes since the last call were compacted.
   virtual void on_snapshot(Revision revision, const std::vector<Entry>& entries) = 0;
+  // Called with the changes since the last snapshot or change; `revision` is the store's revision after them.
   virtual void on_changes(Revision revision, const std::vector<KeyChange>& changes) = 0;
-  // Nothing is received any more: what was delivered may be outdated until the next call of another function.
+  // Called when the watch is disconnected. The delivered state may be outdated until the next call of another
+  // function. The watch reconnects by itself.
   virtual void on_disconnected(const std::string& reason) = 0;
-  // The store was heard from, also where nothing has changed.
+  // Called when a response shows that the store is alive, whether or not anything changed.
   virtual void on_heartbeat() {}
 };
 
@@ -64,11 +66,12 @@
 struct StoreCounts {
   std::uint64_t calls = 0;
   std::uint64_t failed = 0;   // calls that did not end with kOk
-  std::uint64_t unknown = 0;  // of them, those that ended with kUnknown
+  std::uint64_t unknown = 0;  // failed calls that ended with kUnknown
   std::uint64_t watches_opened = 0;
   std::uint64_t changes = 0;  // delivered to observers
 };
 
+// A client of a coordination store.
 class CoordinationStore {
  public:
   template <typename Value>
@@ -80,23 +83,26 @@
   CoordinationStore& operator=(const CoordinationStore&) = delete;
   virtual ~CoordinationStore() = default;
 
+  // Creates a lease that expires after `ttl` unless it is renewed.
   virtual void grant(Micros ttl, Callback<GrantedLease> callback) = 0;
-  // A lease that does not exist is no failure: the response has a ttl of 0.
+  // Renews a lease. If it does not exist, the status is kOk and the ttl is 0.
   virtual void keep_alive(LeaseId lease, Callback<GrantedLease> callback) = 0;
-  // Deletes the lease's keys. A lease that does not exist is no failure.
+  // Ends a lease and deletes its keys. If it does not exist, the status is kOk as well.
   virtual void revoke(LeaseId lease, Callback<Empty> callback) = 0;
+  // Executes a transaction atomically.
   virtual void commit(Transaction transaction, Callback<TransactionResult> callback) = 0;
 
-  // Starts a watch. The observer must live until unwatch(), or until the store is destroyed.
+  // Starts a watch. The observer must outlive the watch, which ends with unwatch() or with the store.
   virtual WatchId watch(const Range& range, WatchObserver& observer) = 0;
+  // Ends a watch; its observer is not called any more.
   virtual void unwatch(WatchId watch) = 0;
 
-  // Returns the number that tells this store from another one; 0 before the first response.
+  // Returns the store's identity (its cluster_id); 0 before the first response.
   virtual std::uint64_t id() const = 0;
   virtual const StoreCounts& counts() const = 0;
 
  protected:
-  // Returns a callback that takes a rejected call for an executed one: to revoke a lease that does not exist.
+  // Returns a callback that reports kRejected as kOk, for the revocation of a lease that does not exist.
   static Callback<Empty> rejected_as_ok(Callback<Empty> callback) {
     return [callback = std::move(callback)](StoreResponse<Empty> response) {
       if (response.status == CallStatus::kRejected) {
--- a/src/coordination/embedded_store.cpp
+++ b/src/coordination/embedded_store.cpp
@@ -49,7 +49,7 @@
     response.status = CallStatus::kRejected;
     response.error = error.what();
   } catch (const std::exception& error) {
-    response.error = error.what();  // the status stays kUnknown: a commit that failed may be on the disk
+    response.error = error.what();  // the status stays kUnknown: a failed commit may have reached the disk
   }
 }
 
@@ -62,7 +62,8 @@
   const std::uint64_t expected = std::strtoull(state.options.store_id.c_str(), nullptr, 10);
   if (expected != 0 && job.store_id != 0 && job.store_id != expected) {
     response.status = CallStatus::kUnknown;
-    response.error = "another store stands in the folder: " + std::to_string(job.store_id);
+    response.error = "the folder contains another store: " + std::to_string(job.store_id) + ", not " +
+                     std::to_string(expected);
   }
   state.id = job.store_id != 0 ? job.store_id : state.id;
   state.counts.failed += response.ok() ? 0 : 1;
--- a/src/coordination/embedded_store.h
+++ b/src/coordination/embedded_store.h
@@ -1,5 +1,5 @@
-// A coordination store for all routers of one machine: a database in a folder that they share. The calls run
-// in a thread of the store's own; watches poll the database.
+// A coordination store for all routers of one machine: a database in a folder that they share. Calls run in
+// the store's own thread. Watches poll the database every `look_ms`.
 //
 // Package `coordination`, over `transport` and the executor of `store`. Not thread-safe: it belongs to its
 // scheduler's thread.
@@ -20,6 +20,7 @@
 
 class EmbeddedStore : public CoordinationStore {
  public:
+  // Opens the database with the first call; a folder that cannot be used fails the calls.
   EmbeddedStore(transport::Scheduler& scheduler, const CoordinationOptions& options);
   ~EmbeddedStore() override;
 
@@ -40,24 +41,24 @@
     Revision next_revision = 0;  // 0: a snapshot has to be read
     bool polling = false;
   };
-  // Outlives the store while one of its jobs is running.
+  // Shared with running jobs, which may end after the store is destroyed.
   struct State {
     CoordinationOptions options;
-    std::unique_ptr<KeyValueDatabase> database;  // used by the store's thread alone
+    std::unique_ptr<KeyValueDatabase> database;  // used only by the store's thread
     std::uint64_t id = 0;
     StoreCounts counts;
     std::map<WatchId, ActiveWatch> watches;
     WatchId last_watch = 0;
     bool closed = false;
   };
-  // What a poll found.
+  // The result of a poll: a snapshot, or the changes since the last poll.
   struct WatchUpdate {
     Revision revision = 0;
     bool is_snapshot = false;
-    std::vector<Entry> entries;      // of a snapshot
-    std::vector<KeyChange> changes;  // otherwise
+    std::vector<Entry> entries;      // if it is a snapshot
+    std::vector<KeyChange> changes;  // if it is not a snapshot
   };
-  // A call, shared by the store's thread that runs it and the scheduler's thread that takes its response.
+  // A call. The store's thread executes it, then the scheduler's thread reads its response.
   template <typename Value>
   struct Job {
     Durability durability = Durability::kSynced;
--- a/src/coordination/endpoint_selector.cpp
+++ b/src/coordination/endpoint_selector.cpp
@@ -27,7 +27,7 @@
 
 void EndpointSelector::on_failure(std::size_t endpoint, Micros now) {
   if (endpoint != current_) {
-    return;  // a call that was sent before the selector moved on
+    return;  // the call was sent before the selector switched endpoints
   }
   current_ = (current_ + 1) % count_;
   if (++consecutive_failures_ % count_ == 0) {
@@ -35,8 +35,8 @@
   }
 }
 
-// Exponential backoff with a jitter from a half to one and a half: clients that lost the store in one moment
-// do not return in one.
+// Returns the exponential backoff times a random factor from 0.5 to 1.5, so that clients that lost the store
+// at the same time do not reconnect at the same time.
 Micros EndpointSelector::next_backoff() {
   Micros backoff = first_backoff_;
   for (int round = 0; round < failed_rounds_ && backoff < max_backoff_; ++round) {
--- a/src/coordination/endpoint_selector.h
+++ b/src/coordination/endpoint_selector.h
@@ -1,4 +1,4 @@
-// Chooses which of a store's endpoints is called.
+// Selection of the store endpoint that is called.
 //
 // Package `coordination`: no I/O, no clock; time is Micros of the caller's steady clock.
 #pragma once
@@ -11,24 +11,25 @@
 
 namespace trailcourse::coordination {
 
-// Prefers the endpoint that answered last and moves on to the next one after a failure. Once every endpoint
-// has failed in a row, no endpoint is called for a backoff that doubles with each such round.
+// Keeps the endpoint that responded last, and switches to the next one after a failure. When all endpoints
+// have failed one after the other, no endpoint is called during a backoff, which doubles with each such
+// round.
 class EndpointSelector {
  public:
-  // `count` endpoints are numbered from 0; none counts as one. `seed` draws the first endpoint and the
-  // jitter.
+  // Endpoints are numbered from 0 to `count` - 1; a count of 0 is taken as 1. `seed` determines the first
+  // endpoint and the jitter.
   EndpointSelector(std::size_t count, Micros first_backoff, Micros max_backoff, std::uint64_t seed);
 
-  // Starts with this endpoint instead of a drawn one. To be called before the first select().
+  // Starts with this endpoint instead of a random one. Has to be called before the first select().
   void start_with(std::size_t endpoint) { current_ = endpoint; }
 
   // Returns the endpoint to call now, or nothing during the backoff.
   std::optional<std::size_t> select(Micros now) const;
-  // A call to the endpoint was answered.
+  // Records that the endpoint responded to a call.
   void on_success(std::size_t endpoint);
-  // A call to the endpoint failed. A failure of an endpoint that is not the current one is ignored.
+  // Records that a call to the endpoint failed. Ignored if it is not the current endpoint.
   void on_failure(std::size_t endpoint, Micros now);
-  // Returns the end of the last backoff; 0 if there was none since the last success.
+  // Returns when the last backoff ends; 0 if there was none since the last success.
   Micros backoff_until() const { return backoff_until_; }
 
  private:
--- a/src/coordination/etcd_client.cpp
+++ b/src/coordination/etcd_client.cpp
@@ -22,13 +22,13 @@
 constexpr int kStatusOk = 200;
 constexpr std::string_view kLeasePaths = "/v3/lease/";
 
-// Returns whether nothing can have been written on a connection that ended so.
+// Returns whether a connection that ended in this way was never established, so that nothing was sent.
 bool never_connected(ConnectionEnd end) {
   return end == ConnectionEnd::kRefused || end == ConnectionEnd::kConnectTimeout ||
          end == ConnectionEnd::kUnreachable || end == ConnectionEnd::kNoDescriptor;
 }
 
-// Returns whether the error proves that the store did nothing.
+// Returns whether the error proves that the store did not execute the call.
 bool is_rejection(const etcd::ErrorResponse& error) {
   return error.code == static_cast<int>(etcd::ErrorCode::kInvalidArgument) ||
          error.code == static_cast<int>(etcd::ErrorCode::kNotFound) ||
@@ -106,19 +106,19 @@
 
 void EtcdClient::on_endpoint_failure(std::size_t endpoint) {
   endpoints_.on_failure(endpoint, now());
-  tell_endpoint_listener();
+  notify_endpoint_listener();
 }
 
 void EtcdClient::note_endpoint_result(std::size_t endpoint, CallStatus status) {
   if (status == CallStatus::kOk) {
     endpoints_.on_success(endpoint);
-    tell_endpoint_listener();
+    notify_endpoint_listener();
   } else if (status != CallStatus::kRejected) {
     on_endpoint_failure(endpoint);
   }
 }
 
-void EtcdClient::tell_endpoint_listener() {
+void EtcdClient::notify_endpoint_listener() {
   const std::optional<std::size_t> endpoint = select_endpoint();
   if (endpoint && endpoint_listener_) {
     endpoint_listener_(*endpoint);
@@ -136,8 +136,8 @@
   const json body = etcd::write_transaction(transaction);
   call<TransactionResult>(
       etcd::kTxnPath, body,
-      [requested = std::move(transaction)](const json& answer, etcd::ResponseHeader& header) {
-        return etcd::read_transaction_result(answer, requested, header);
+      [requested = std::move(transaction)](const json& response, etcd::ResponseHeader& header) {
+        return etcd::read_transaction_result(response, requested, header);
       },
       std::move(callback));
 }
@@ -152,7 +152,7 @@
   call->callback = std::move(callback);
   if (queue_.size() >= kMaxQueuedCalls) {
     scheduler_.post(
-        [call] { call->callback(RawResponse{CallStatus::kNotSent, "too many calls wait", {}, 0}); });
+        [call] { call->callback(RawResponse{CallStatus::kNotSent, "the call queue is full", {}, 0}); });
     return;
   }
   const auto position = std::find_if(queue_.begin(), queue_.end(), [&call](const auto& waiting) {
@@ -175,9 +175,9 @@
   RawResponse response{CallStatus::kNotSent, {}, {}, 0};
   const std::optional<std::size_t> endpoint = self->select_endpoint();
   if (!endpoint) {
-    response.error = "the store has failed and is not asked yet";
+    response.error = "all endpoints of the store are in backoff";
   } else if (Clock::now() >= call->deadline) {
-    response.error = "no turn in time";
+    response.error = "the call timed out in the queue";
   } else {
     transport::Task<RawResponse> exchanging = self->exchange(*call, *endpoint);
     response = co_await exchanging;
@@ -197,7 +197,7 @@
   if (connection == nullptr) {
     connection = connect(endpoint);
   }
-  // What is written before the connection is established may leave as soon as it is.
+  // A request that is written before the connection is established is sent as soon as it is.
   const http::ClientConnection::WriteToken request =
       connection->channel->write(post_request(call.path, call.body, endpoint));
   const Revision min_revision = identity_.min_revision();
@@ -221,11 +221,11 @@
   RawResponse out;
   out.body = json::parse(response.body, nullptr, false);
   if (!out.body.is_object()) {
-    out.error = "an answer that is no JSON object, status " + std::to_string(response.status);
+    out.error = "the response is not a JSON object, status " + std::to_string(response.status);
     return out;
   }
   if (const auto error = etcd::read_error(out.body)) {
-    // Any other error comes from a proxy, or while the store is starting: the call may have been executed.
+    // Other errors come from a proxy or from a store that is starting: the call may have been executed.
     out.status = is_rejection(*error) ? CallStatus::kRejected : CallStatus::kUnknown;
     out.error = error->text;
     return out;
@@ -245,11 +245,11 @@
   RawResponse out;
   out.status = may_have_sent ? CallStatus::kUnknown : CallStatus::kNotSent;
   if (end) {
-    out.error = "the connection ended";
+    out.error = "the connection failed or was closed";
   } else if (connection.malformed()) {
-    out.error = "an answer that cannot be read: " + connection.parse_error();
+    out.error = "malformed response: " + connection.parse_error();
   } else {
-    out.error = "no answer in time";
+    out.error = "no response before the deadline";
   }
   return out;
 }
--- a/src/coordination/etcd_client.h
+++ b/src/coordination/etcd_client.h
@@ -1,4 +1,5 @@
-// The calls of an EtcdStore: a queue, the connections to the store's endpoints, and what a response proves.
+// The calls of an EtcdStore: the queue, the connections to the store's endpoints, and the status of each
+// call.
 //
 // Package `coordination`, over `http`. Not thread-safe: it belongs to its scheduler's thread.
 #pragma once
@@ -24,14 +25,13 @@
 
 namespace trailcourse::coordination {
 
-// Which endpoint is called first: a random one, so that clients spread over a cluster, or the first in the
-// list.
+// Which endpoint is called first. A random one spreads the clients over a cluster.
 enum class FirstEndpoint { kRandom, kFirstListed };
 
-// Held by a shared_ptr: coroutines that are suspended keep it alive after close().
+// Has to be owned by a shared_ptr: suspended coroutines keep it alive after close().
 class EtcdClient : public std::enable_shared_from_this<EtcdClient> {
  public:
-  // A connection and the endpoint that it leads to.
+  // A connection to one endpoint.
   struct EndpointConnection {
     std::shared_ptr<http::ClientConnection> channel;
     std::size_t endpoint = 0;
@@ -40,33 +40,34 @@
   template <typename Value>
   using Reader = std::function<Value(const nlohmann::json& body, etcd::ResponseHeader& header)>;
 
-  // `options`: its endpoints and store_id must have been checked.
+  // The endpoints and the store_id of `options` must have been checked.
   EtcdClient(transport::Scheduler& scheduler, const CoordinationOptions& options, std::uint64_t seed,
              FirstEndpoint first);
 
-  // Queues a call. At most two are in flight; those for leases go before all others, since a lease that waits
-  // too long is lost. The callback runs from the scheduler, never from within this function.
+  // Queues a call. At most two are in flight. Lease calls precede all others, since a lease expires if its
+  // renewal waits too long. The callback runs from the scheduler, never from within this function.
   template <typename Value>
   void call(std::string_view path, const nlohmann::json& body, Reader<Value> read,
             CoordinationStore::Callback<Value> callback);
   void commit(Transaction transaction, CoordinationStore::Callback<TransactionResult> callback);
 
-  // Opens a connection for a watch; the caller ends it with disconnect().
+  // Opens a connection for a watch. The caller has to close it with disconnect().
   std::shared_ptr<EndpointConnection> connect(std::size_t endpoint);
   void disconnect(const std::shared_ptr<EndpointConnection>& connection);
-  // Returns the endpoint to call now, or nothing while all of them are in backoff.
+  // Returns the endpoint to call now, or nothing while all endpoints are in backoff.
   std::optional<std::size_t> select_endpoint() const;
-  // Returns how long a watch waits before it is opened again.
+  // Returns how long a watch waits before it reconnects.
   Micros retry_delay() const;
   void on_endpoint_failure(std::size_t endpoint);
-  // The listener is told, after each call, which endpoint is selected now. It must live until close().
+  // Sets a function that is called with the selected endpoint after each call. It must be callable until
+  // close().
   void set_endpoint_listener(std::function<void(std::size_t endpoint)> listener) {
     endpoint_listener_ = std::move(listener);
   }
-  // Returns a whole HTTP request to the endpoint.
+  // Returns a complete HTTP request to the endpoint.
   std::string post_request(std::string_view path, const std::string& body, std::size_t endpoint) const;
 
-  // Closes all connections and drops the calls that wait.
+  // Closes all connections and drops the queued calls; their callbacks are not called.
   void close();
 
   transport::Scheduler& scheduler() const { return scheduler_; }
@@ -75,7 +76,7 @@
   StoreCounts& counts() { return counts_; }
 
  private:
-  // The response to a call before its body is interpreted, or why there is none.
+  // The response to a call before its body is read, or the reason why there is none.
   struct RawResponse {
     CallStatus status = CallStatus::kUnknown;
     std::string error;
@@ -100,7 +101,7 @@
   static RawResponse no_response(const http::ClientConnection& connection,
                                  http::ClientConnection::WriteToken request);
   void note_endpoint_result(std::size_t endpoint, CallStatus status);
-  void tell_endpoint_listener();
+  void notify_endpoint_listener();
   template <typename Value>
   StoreResponse<Value> read_response(const RawResponse& raw, const Reader<Value>& read);
 
@@ -143,7 +144,7 @@
     }
   } catch (const etcd::BadMessage& error) {
     response.status = CallStatus::kUnknown;
-    response.error = std::string("an answer that cannot be used: ") + error.what();
+    response.error = std::string("invalid response: ") + error.what();
   }
   return response;
 }
--- a/src/coordination/etcd_fields.cpp
+++ b/src/coordination/etcd_fields.cpp
@@ -26,7 +26,7 @@
   std::string out(sodium_base64_encoded_len(bytes.size(), sodium_base64_VARIANT_ORIGINAL), '\0');
   sodium_bin2base64(out.data(), out.size(), reinterpret_cast<const unsigned char*>(bytes.data()),
                     bytes.size(), sodium_base64_VARIANT_ORIGINAL);
-  out.pop_back();  // the terminating zero
+  out.pop_back();  // the terminating zero byte
   return out;
 }
 
@@ -37,7 +37,7 @@
   const int failed = sodium_base642bin(reinterpret_cast<unsigned char*>(out.data()), out.size(), text.data(),
                                        text.size(), nullptr, &length, &end, sodium_base64_VARIANT_ORIGINAL);
   if (failed != 0 || end != text.data() + text.size()) {
-    throw BadMessage(field, "no Base64");
+    throw BadMessage(field, "not Base64");
   }
   out.resize(length);
   return out;
@@ -46,12 +46,12 @@
 json parse_object(std::string_view body) {
   json out = json::parse(body, nullptr, false);
   if (!out.is_object()) {
-    throw BadMessage("no JSON object");
+    throw BadMessage("not a JSON object");
   }
   return out;
 }
 
-// A 64-bit number is a string, and may be a number (proto3's JSON mapping).
+// In proto3's JSON mapping a 64-bit number is a string; readers also accept a number.
 std::uint64_t read_number(const json& from, const char* field) {
   const json* found = find_field(from, field);
   if (found == nullptr) {
@@ -64,7 +64,7 @@
                           ? protocol::read_number<std::uint64_t>(found->get_ref<const std::string&>())
                           : std::nullopt;
   if (!number) {
-    throw BadMessage(field, "no whole number");
+    throw BadMessage(field, "not an unsigned 64-bit integer");
   }
   return *number;
 }
@@ -75,7 +75,7 @@
     return false;
   }
   if (!found->is_boolean()) {
-    throw BadMessage(field, "neither true nor false");
+    throw BadMessage(field, "not a boolean");
   }
   return found->get<bool>();
 }
@@ -86,7 +86,7 @@
     return {};
   }
   if (!found->is_string()) {
-    throw BadMessage(field, "no text");
+    throw BadMessage(field, "not a string");
   }
   return found->get<std::string>();
 }
@@ -99,7 +99,7 @@
   for (const char* name : {snake_case, camel_case}) {
     if (const json* found = find_field(from, name)) {
       if (!found->is_object()) {
-        throw BadMessage(name, "no object");
+        throw BadMessage(name, "not an object");
       }
       return found;
     }
@@ -114,7 +114,7 @@
     return kEmptyList;
   }
   if (!found->is_array() || found->size() > kMaxListItems) {
-    throw BadMessage(field, "no list that can be used");
+    throw BadMessage(field, "not a list, or longer than " + std::to_string(kMaxListItems) + " items");
   }
   return *found;
 }
@@ -136,7 +136,7 @@
 
 Entry read_entry(const json& from) {
   if (!from.is_object()) {
-    throw BadMessage("kvs", "no object");
+    throw BadMessage("kvs", "not an object");
   }
   Entry out;
   out.key = read_bytes(from, "key");
--- a/src/coordination/etcd_requests.cpp
+++ b/src/coordination/etcd_requests.cpp
@@ -11,26 +11,26 @@
 namespace {
 
 struct TargetName {
-  Compare::What value;
+  Compare::Target value;
   const char* name;
-  const char* field;  // that holds what is compared with
+  const char* field;  // that contains the operand
 };
-constexpr std::array<TargetName, 5> kTargets{{{Compare::What::kVersion, "VERSION", "version"},
-                                              {Compare::What::kCreated, "CREATE", "create_revision"},
-                                              {Compare::What::kModified, "MOD", "mod_revision"},
-                                              {Compare::What::kValue, "VALUE", "value"},
-                                              {Compare::What::kLease, "LEASE", "lease"}}};
-
-struct ComparisonName {
-  Compare::How value;
+constexpr std::array<TargetName, 5> kTargets{{{Compare::Target::kVersion, "VERSION", "version"},
+                                              {Compare::Target::kCreated, "CREATE", "create_revision"},
+                                              {Compare::Target::kModified, "MOD", "mod_revision"},
+                                              {Compare::Target::kValue, "VALUE", "value"},
+                                              {Compare::Target::kLease, "LEASE", "lease"}}};
+
+struct RelationName {
+  Compare::Relation value;
   const char* name;
 };
-constexpr std::array<ComparisonName, 4> kComparisons{{{Compare::How::kEqual, "EQUAL"},
-                                                      {Compare::How::kGreater, "GREATER"},
-                                                      {Compare::How::kLess, "LESS"},
-                                                      {Compare::How::kNotEqual, "NOT_EQUAL"}}};
+constexpr std::array<RelationName, 4> kRelations{{{Compare::Relation::kEqual, "EQUAL"},
+                                                  {Compare::Relation::kGreater, "GREATER"},
+                                                  {Compare::Relation::kLess, "LESS"},
+                                                  {Compare::Relation::kNotEqual, "NOT_EQUAL"}}};
 
-// Returns the end of the range of all keys that begin with `key` (rpc.proto, RangeRequest.range_end).
+// Returns the end of the range of all keys with the prefix `key` (rpc.proto, RangeRequest.range_end).
 std::string prefix_end(std::string key) {
   while (!key.empty() && static_cast<unsigned char>(key.back()) == 0xff) {
     key.pop_back();
@@ -44,16 +44,16 @@
 
 json write_compare(const Compare& compare) {
   json out{{"key", to_base64(compare.key)}};
-  for (const ComparisonName& comparison : kComparisons) {
-    if (comparison.value == compare.how) {
-      out["result"] = comparison.name;
+  for (const RelationName& relation : kRelations) {
+    if (relation.value == compare.relation) {
+      out["result"] = relation.name;
     }
   }
   for (const TargetName& target : kTargets) {
-    if (target.value == compare.what) {
+    if (target.value == compare.target) {
       out["target"] = target.name;
-      out[target.field] =
-          compare.what == Compare::What::kValue ? to_base64(compare.value) : std::to_string(compare.number);
+      out[target.field] = compare.target == Compare::Target::kValue ? to_base64(compare.value)
+                                                                    : std::to_string(compare.number);
     }
   }
   return out;
@@ -61,17 +61,17 @@
 
 Compare read_compare(const json& from) {
   if (!from.is_object()) {
-    throw BadMessage("compare", "no object");
+    throw BadMessage("compare", "not an object");
   }
   Compare out;
   out.key = read_bytes(from, "key");
-  out.how = read_enum<Compare::How>(from, "result", "EQUAL", kComparisons, "is no comparison");
-  out.what = read_enum<Compare::What>(from, "target", "VERSION", kTargets, "is nothing that can be compared");
+  out.relation = read_enum<Compare::Relation>(from, "result", "EQUAL", kRelations, "is not a comparison");
+  out.target = read_enum<Compare::Target>(from, "target", "VERSION", kTargets, "is not a comparison target");
   for (const TargetName& target : kTargets) {
-    if (target.value != out.what) {
+    if (target.value != out.target) {
       continue;
     }
-    if (out.what == Compare::What::kValue) {
+    if (out.target == Compare::Target::kValue) {
       out.value = read_bytes(from, target.field);
     } else {
       out.number = read_number(from, target.field);
@@ -92,7 +92,7 @@
 
 Operation read_operation(const json& from) {
   if (!from.is_object()) {
-    throw BadMessage("operation", "no object");
+    throw BadMessage("operation", "not an object");
   }
   if (const json* put = find_object(from, "request_put", "requestPut")) {
     return read_put(*put);
@@ -103,7 +103,7 @@
   if (const json* get = find_object(from, "request_range", "requestRange")) {
     return Get{read_range(*get)};
   }
-  throw BadMessage("operation", "neither put, range nor delete");
+  throw BadMessage("operation", "not a put, range or delete");
 }
 
 }  // namespace
@@ -154,7 +154,7 @@
     out.key.clear();
   }
   if (out.prefix && end != prefix_end(out.key)) {
-    throw BadMessage("range_end", "only one key or all that begin with it are served");
+    throw BadMessage("range_end", "only a single key or a key prefix is supported");
   }
   return out;
 }
@@ -182,9 +182,9 @@
 LeaseGrantRequest read_lease_grant_request(const json& body) {
   LeaseGrantRequest out{read_number(body, "ID"), static_cast<std::int64_t>(read_number(body, "TTL")),
                         static_cast<std::int64_t>(read_number(body, "TTL_MS"))};
-  constexpr std::int64_t kMaxTtl = 9'000'000'000;  // the limit that etcd documents
+  constexpr std::int64_t kMaxTtl = 9'000'000'000;  // etcd's limit in seconds; applied to milliseconds too
   if (out.ttl_s <= 0 || out.ttl_s > kMaxTtl || out.ttl_ms < 0 || out.ttl_ms > kMaxTtl) {
-    throw BadMessage("TTL", "no time that can be granted");
+    throw BadMessage("TTL", "out of range");
   }
   return out;
 }
--- a/src/coordination/etcd_requests.h
+++ b/src/coordination/etcd_requests.h
@@ -1,9 +1,9 @@
 // The requests of etcd's v3 interface as JSON, as its gateway accepts them
-// (https://etcd.io/docs/v3.5/dev-guide/api_grpc_gateway/; messages in api/etcdserverpb/rpc.proto). Both
-// directions are here, so that the client and the server are tested against each other.
+// (https://etcd.io/docs/v3.5/dev-guide/api_grpc_gateway/; messages in api/etcdserverpb/rpc.proto). This
+// file has readers and writers, so that client and server are tested against each other.
 //
-// Package `coordination`: no I/O, no clock. Every read function checks the whole message and throws
-// BadMessage.
+// Package `coordination`: no I/O, no clock. Every read function checks the complete message and throws
+// BadMessage if it is invalid.
 #pragma once
 
 #include <cstdint>
@@ -35,7 +35,7 @@
 struct LeaseGrantRequest {
   LeaseId id = 0;  // 0: the store chooses one
   std::int64_t ttl_s = 0;
-  std::int64_t ttl_ms = 0;  // an extension that etcd ignores; 0: as ttl_s says
+  std::int64_t ttl_ms = 0;  // an extension that etcd ignores; 0: `ttl_s` applies
 };
 nlohmann::json write_lease_grant_request(const LeaseGrantRequest& request);
 LeaseGrantRequest read_lease_grant_request(const nlohmann::json& body);
@@ -46,7 +46,7 @@
 
 struct WatchRequest {
   Range range;
-  Revision start_revision = 0;  // 0: changes from now on
+  Revision start_revision = 0;  // 0: only changes after the request
 };
 nlohmann::json write_watch_request(const WatchRequest& request);
 WatchRequest read_watch_request(const nlohmann::json& body);
--- a/src/coordination/etcd_responses.cpp
+++ b/src/coordination/etcd_responses.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-// Reads an entry that exists, and checks what the store must have told of it.
+// Reads an entry that exists. Throws BadMessage if a field that such an entry must have is missing.
 Entry read_existing_entry(const json& from) {
   Entry out = read_entry(from);
   if (out.key.empty() || out.created == 0 || out.modified < out.created || out.version == 0) {
-    throw BadMessage("kvs", "an entry without key or revision");
+    throw BadMessage("kvs", "an entry without a key, revision or version");
   }
   return out;
 }
@@ -33,20 +33,20 @@
   return {{"response_range", write_range_response(header, result.found)}};
 }
 
-std::vector<Entry> read_found_entries(const json& response, const Range& range,
-                                      const ResponseHeader& header) {
+std::vector<Entry> read_requested_entries(const json& response, const Range& range,
+                                          const ResponseHeader& header) {
   const json* found = find_object(response, "response_range", "responseRange");
   if (found == nullptr) {
-    throw BadMessage("responses", "no range where one was asked for");
+    throw BadMessage("responses", "no response_range for a range request");
   }
   std::vector<Entry> out;
   for (const json& item : read_list(*found, "kvs")) {
     out.push_back(read_existing_entry(item));
-    if (!range.holds(out.back().key)) {
-      throw BadMessage("kvs", "a key that was not asked for");
+    if (!range.contains(out.back().key)) {
+      throw BadMessage("kvs", "a key outside the requested range");
     }
     if (out.back().modified > header.revision) {
-      throw BadMessage("kvs", "a revision that is yet to come");
+      throw BadMessage("kvs", "mod_revision is higher than the revision of the header");
     }
   }
   return out;
@@ -55,11 +55,11 @@
 OperationResult read_operation_result(const json& response, const Operation& operation,
                                       const ResponseHeader& header) {
   if (!response.is_object()) {
-    throw BadMessage("responses", "no object");
+    throw BadMessage("responses", "not an object");
   }
   OperationResult result;
   if (const auto* get = std::get_if<Get>(&operation)) {
-    result.found = read_found_entries(response, get->range, header);
+    result.found = read_requested_entries(response, get->range, header);
   } else if (std::holds_alternative<Delete>(operation)) {
     const json* deletion = find_object(response, "response_delete_range", "responseDeleteRange");
     result.deleted = deletion != nullptr ? read_number(*deletion, "deleted") : 0;
@@ -70,11 +70,11 @@
 KeyChange read_event(const json& event) {
   const json* entry = event.is_object() ? find_object(event, "kv", "kv") : nullptr;
   if (entry == nullptr) {
-    throw BadMessage("events", "no entry");
+    throw BadMessage("events", "an event without an entry");
   }
   const std::string type = event.contains("type") ? read_string(event, "type") : "PUT";
   if (type != "PUT" && type != "DELETE") {
-    throw BadMessage("type", "'" + type + "' is no kind of event");
+    throw BadMessage("type", "'" + type + "' is not an event type");
   }
   const bool deleted = type == "DELETE";
   return KeyChange{deleted, deleted ? read_entry(*entry) : read_existing_entry(*entry)};
@@ -96,7 +96,7 @@
   }
   const ResponseHeader out{read_number(*header, "cluster_id"), read_number(*header, "revision")};
   if (out.cluster == 0 || out.revision == 0) {
-    throw BadMessage("header", "names no store or no revision");
+    throw BadMessage("header", "cluster_id or revision is missing");
   }
   return out;
 }
@@ -134,8 +134,8 @@
   const std::vector<Operation>& operations = out.succeeded ? requested.then : requested.otherwise;
   const json& responses = read_list(body, "responses");
   if (responses.size() != operations.size()) {
-    throw BadMessage("responses", std::to_string(responses.size()) + " for " +
-                                      std::to_string(operations.size()) + " steps");
+    throw BadMessage("responses", std::to_string(responses.size()) + " results for " +
+                                      std::to_string(operations.size()) + " operations");
   }
   for (std::size_t i = 0; i < operations.size(); ++i) {
     out.results.push_back(read_operation_result(responses[i], operations[i], header));
@@ -153,15 +153,15 @@
 }
 
 LeaseGrantResponse read_lease_grant_response(const json& body, ResponseHeader& header) {
-  // A keep-alive is a stream of one response, which is under `result`.
+  // The response to a keep-alive is a stream of one item, which is under `result`.
   const json* stream_item = find_object(body, "result", "result");
   const json& from = stream_item != nullptr ? *stream_item : body;
   header = read_header(from);
   const std::uint64_t milliseconds = read_number(from, "TTL_MS");
   const std::uint64_t seconds = read_number(from, "TTL");
-  constexpr std::uint64_t kMaxTtlSeconds = 9'000'000'000;  // the limit that etcd documents
+  constexpr std::uint64_t kMaxTtlSeconds = 9'000'000'000;  // etcd's documented limit
   if (seconds > kMaxTtlSeconds || milliseconds > kMaxTtlSeconds * 1'000) {
-    throw BadMessage("TTL", "no time that can be granted");
+    throw BadMessage("TTL", "out of range");
   }
   return LeaseGrantResponse{read_number(from, "ID"),
                             static_cast<std::int64_t>(milliseconds > 0 ? milliseconds : seconds * 1'000)};
@@ -202,7 +202,7 @@
   for (const json& event : read_list(*result, "events")) {
     KeyChange change = read_event(event);
     if (change.entry.key.empty() || change.entry.modified < last || change.entry.modified == 0) {
-      throw BadMessage("events", "out of order");
+      throw BadMessage("events", "a key is missing, or revisions are out of order");
     }
     last = change.entry.modified;
     out.changes.push_back(std::move(change));
@@ -219,13 +219,14 @@
   if (error == body.end()) {
     return std::nullopt;
   }
-  // The error of a stream is an object; of a call, its fields are in the body.
+  // The error of a stream is an object. The error of a call has its fields in the body.
   const bool of_stream = error->is_object();
   const auto text = of_stream ? error->find("message") : error;
   const auto code = of_stream ? error->find("grpc_code") : body.find("code");
   const bool has_text = text != (of_stream ? error->end() : body.end()) && text->is_string();
   const bool has_code = code != (of_stream ? error->end() : body.end()) && code->is_number_integer();
-  return ErrorResponse{has_code ? code->get<int>() : 0, has_text ? text->get<std::string>() : "an error"};
+  return ErrorResponse{has_code ? code->get<int>() : 0,
+                       has_text ? text->get<std::string>() : "an error without a message"};
 }
 
 }  // namespace trailcourse::coordination::etcd
--- a/src/coordination/etcd_responses.h
+++ b/src/coordination/etcd_responses.h
@@ -1,9 +1,9 @@
 // The responses of etcd's v3 interface as JSON, as its gateway writes them (messages in
-// api/etcdserverpb/rpc.proto). Both directions are here, so that the client and the server are tested against
-// each other.
+// api/etcdserverpb/rpc.proto). This file has readers and writers, so that client and server are tested
+// against each other.
 //
-// Package `coordination`: no I/O, no clock. Every read function checks the whole message and throws
-// BadMessage.
+// Package `coordination`: no I/O, no clock. Every read function checks the complete message and throws
+// BadMessage if it is invalid.
 #pragma once
 
 #include <cstdint>
@@ -17,7 +17,7 @@
 
 namespace trailcourse::coordination::etcd {
 
-// Which store answered, and the revision it had.
+// The identity of the store that responded, and its revision.
 struct ResponseHeader {
   std::uint64_t cluster = 0;
   Revision revision = 0;
@@ -29,7 +29,7 @@
 
 nlohmann::json write_transaction_result(const ResponseHeader& header, const Transaction& requested,
                                         const TransactionResult& result);
-// `requested` is the transaction that the response belongs to.
+// `requested` is the transaction that was sent; `header` is set to the header of the response.
 TransactionResult read_transaction_result(const nlohmann::json& body, const Transaction& requested,
                                           ResponseHeader& header);
 
@@ -38,17 +38,18 @@
 // The response of both grant and keep-alive.
 struct LeaseGrantResponse {
   LeaseId id = 0;
-  std::int64_t ttl_ms = 0;  // 0: there is no such lease
+  std::int64_t ttl_ms = 0;  // 0: the lease does not exist
 };
 nlohmann::json write_lease_grant_response(const ResponseHeader& header, const LeaseGrantResponse& granted);
+// Sets `header` to the header of the response.
 LeaseGrantResponse read_lease_grant_response(const nlohmann::json& body, ResponseHeader& header);
 
-// One line of a watch's stream.
+// One line of the response stream of a watch.
 struct WatchResponse {
   ResponseHeader header;
   bool created = false;
   bool canceled = false;
-  Revision compacted = 0;  // of a canceled watch: earlier revisions are not available any more
+  Revision compacted = 0;  // if the watch was canceled: changes before this revision were compacted; 0: none
   std::vector<KeyChange> changes;
 };
 nlohmann::json write_watch_response(const WatchResponse& response);
@@ -57,11 +58,11 @@
 // The gRPC status codes that are used (https://grpc.io/docs/guides/status-codes/).
 enum class ErrorCode { kInvalidArgument = 3, kNotFound = 5, kOutOfRange = 11, kUnavailable = 14 };
 struct ErrorResponse {
-  int code = 0;  // a gRPC status code, also one that ErrorCode does not name; 0: none was given
+  int code = 0;  // a gRPC status code, which ErrorCode need not contain; 0: the response has no code
   std::string text;
 };
 nlohmann::json write_error(ErrorCode code, const std::string& text);
-// Returns nothing if the body is no error.
+// Returns the error in the body, or nothing if there is none.
 std::optional<ErrorResponse> read_error(const nlohmann::json& body);
 
 }  // namespace trailcourse::coordination::etcd
--- a/src/coordination/etcd_server.cpp
+++ b/src/coordination/etcd_server.cpp
@@ -29,7 +29,7 @@
 constexpr int kStatusNotFound = 404;
 constexpr int kStatusUnavailable = 503;
 
-// Returns one line as a chunk of a chunked body.
+// Returns the line as one chunk of a chunked HTTP body.
 std::string chunk(const std::string& line) {
   char size[20];
   std::snprintf(size, sizeof size, "%zx\r\n", line.size() + 1);
@@ -55,15 +55,15 @@
 
 }  // namespace
 
-// The updates of watches at one revision: each is written once for all watches that follow the same range
-// from the same revision.
+// The updates of watches at one revision. Watches that follow the same range from the same revision share one
+// serialized update.
 class EtcdServer::UpdateCache {
  public:
   struct Update {
     Range range;
     Revision from = 0;
-    std::string bytes;        // empty: nothing has changed
-    bool ends_watch = false;  // changes that the watch has not received were compacted
+    std::string bytes;        // to send; empty: nothing has changed
+    bool ends_watch = false;  // changes that the watch has not received yet were compacted
   };
 
   UpdateCache(const KeyValueState& state, const etcd::ResponseHeader& header)
@@ -100,7 +100,7 @@
   std::vector<Update> updates_;
 };
 
-// One connection: calls one after the other, or one watch to its end.
+// A client connection. It serves calls one after the other, until a watch uses it for the rest of its life.
 class EtcdServer::Session : public Connection::Handler, public std::enable_shared_from_this<Session> {
  public:
   Session(EtcdServer& server, const std::shared_ptr<Connection>& connection)
@@ -111,7 +111,7 @@
 
   void on_bytes(std::string_view bytes) override {
     if (!*alive_ || watching_) {
-      return;  // a watch takes no further request
+      return;  // requests on the connection of a watch are ignored
     }
     server_.counts_.bytes_read += bytes.size();
     parser_.feed(bytes);
@@ -176,7 +176,7 @@
     if (page) {
       send_response(*page);
     } else {
-      send_error(kStatusNotFound, etcd::ErrorCode::kNotFound, "POST alone is served");
+      send_error(kStatusNotFound, etcd::ErrorCode::kNotFound, "only POST is supported");
     }
   }
 
@@ -213,12 +213,12 @@
   }
 
   EtcdServer& server_;
-  std::shared_ptr<bool> alive_;  // the server's: the connection may end after the server
+  std::shared_ptr<bool> alive_;  // of the server, which may be destroyed before the connection ends
   transport::ConnectionHandle connection_;
   protocol::http::RequestParser parser_;
   bool watching_ = false;
   Range range_;
-  Revision next_revision_ = 0;  // of the watch: changes before it were sent
+  Revision next_revision_ = 0;  // of the watch: all changes before it were sent
 };
 
 EtcdServer::EtcdServer(transport::Scheduler& scheduler, EtcdService& service, std::size_t max_connections)
@@ -240,7 +240,7 @@
 void EtcdServer::accept(transport::Descriptor socket) {
   if (sessions_.size() >= max_connections_) {
     ++counts_.refused;
-    return;  // closed at once
+    return;  // the destructor closes the socket
   }
   const auto connection = Connection::adopt(scheduler_, std::move(socket), {});
   const auto session = std::make_shared<Session>(*this, connection);
@@ -248,7 +248,7 @@
   connection->start(session);
 }
 
-// With heartbeats, a watch can tell a store without changes from a dead connection.
+// Heartbeats let a client distinguish a store without changes from a dead connection.
 transport::Task<void> EtcdServer::run_heartbeat() {
   const std::shared_ptr<bool> alive = alive_;
   transport::Scheduler& scheduler = scheduler_;
@@ -275,7 +275,7 @@
       }
     });
   } catch (const ServiceUnavailable& error) {
-    log_line(Level::kError) << "heartbeats of watches could not be sent: " << error.what();
+    log_line(Level::kError) << "cannot send heartbeats to watches: " << error.what();
   }
 }
 
--- a/src/coordination/etcd_server.h
+++ b/src/coordination/etcd_server.h
@@ -1,5 +1,5 @@
-// The HTTP side of a store that speaks etcd's v3 interface: connections, calls, watches and their heartbeats.
-// What a call does is up to the service: the coordination server and an aggregator are two.
+// The HTTP server of etcd's v3 interface: connections, calls, watches and their heartbeats. An EtcdService
+// executes the calls; the coordination server and the aggregator implement it.
 //
 // Package `coordination`, over `transport` and `protocol`. Not thread-safe: it belongs to its scheduler's
 // thread.
@@ -23,17 +23,17 @@
 
 namespace trailcourse::coordination {
 
-// The service cannot answer now, and did nothing. The text is one line.
+// The service is unavailable and did not execute the call. The text is one line.
 class ServiceUnavailable : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// What an EtcdServer serves. It must outlive the server.
+// Executes the calls of an EtcdServer. It must outlive the server.
 class EtcdService {
  public:
   struct Response {
-    int status = 200;  // of HTTP
+    int status = 200;  // HTTP status code
     nlohmann::json body;
   };
   using StateReader = std::function<void(const KeyValueState& state, const etcd::ResponseHeader& header)>;
@@ -43,18 +43,19 @@
   EtcdService& operator=(const EtcdService&) = delete;
   virtual ~EtcdService() = default;
 
-  // Executes a call. Throws etcd::BadMessage if it cannot be read, and ServiceUnavailable.
+  // Executes a call. Throws etcd::BadMessage if the body is invalid, and ServiceUnavailable.
   virtual Response handle(const std::string& path, const nlohmann::json& body) = 0;
-  // Calls `reader` with the state that watches follow. Throws ServiceUnavailable.
+  // Calls `reader` with the current state, which watches follow. Throws ServiceUnavailable.
   virtual void read_state(const StateReader& reader) = 0;
-  // Returns the response to a GET, for operators; nothing if there is no such page.
+  // Returns the response to a GET request of an operator; nothing if the path does not exist.
   virtual std::optional<Response> handle_get(const std::string&) { return std::nullopt; }
 };
 
+// Counters since the start of the server.
 struct EtcdServerCounts {
   std::uint64_t calls = 0;
-  std::uint64_t unreadable = 0;  // calls that are no valid message
-  std::uint64_t refused = 0;     // connections beyond the limit
+  std::uint64_t unreadable = 0;  // calls whose message was invalid
+  std::uint64_t refused = 0;     // connections that were rejected because of `max_connections`
   std::uint64_t bytes_read = 0;
   std::uint64_t bytes_written = 0;
 };
@@ -66,7 +67,7 @@
   EtcdServer(const EtcdServer&) = delete;
   EtcdServer& operator=(const EtcdServer&) = delete;
 
-  // Throws std::system_error.
+  // Starts to accept connections. Throws std::system_error.
   void listen(const transport::Address& address);
   // Sends the changes since the last published revision to the watches.
   void publish(const KeyValueState& state, const etcd::ResponseHeader& header);
--- a/src/coordination/etcd_store.cpp
+++ b/src/coordination/etcd_store.cpp
@@ -37,7 +37,7 @@
       [ttl](const json& body, etcd::ResponseHeader& header) {
         const etcd::LeaseGrantResponse granted = etcd::read_lease_grant_response(body, header);
         if (granted.id == 0 || milliseconds(granted.ttl_ms) < ttl) {
-          throw etcd::BadMessage("TTL: shorter than was asked for");
+          throw etcd::BadMessage("TTL: shorter than requested");
         }
         return GrantedLease{granted.id, milliseconds(granted.ttl_ms)};
       },
@@ -50,7 +50,7 @@
       [lease](const json& body, etcd::ResponseHeader& header) {
         const etcd::LeaseGrantResponse granted = etcd::read_lease_grant_response(body, header);
         if (granted.id != lease) {
-          throw etcd::BadMessage("ID: of another lease");
+          throw etcd::BadMessage("ID: not the lease that was renewed");
         }
         return GrantedLease{granted.id, milliseconds(granted.ttl_ms)};
       },
--- a/src/coordination/etcd_store.h
+++ b/src/coordination/etcd_store.h
@@ -1,8 +1,8 @@
-// A coordination store that speaks etcd's v3 interface over HTTP with JSON: an etcd cluster, `trailcourse
-// registry`, or an aggregator. It holds at most two connections for calls and one for each watch, opened when
-// needed.
+// A client of a coordination store that serves etcd's v3 interface as JSON over HTTP: an etcd cluster,
+// `trailcourse registry`, or an aggregator. It opens at most two connections for calls, and one for each
+// watch.
 //
-// Status of a call without a usable response: kNotSent if no connection was established; otherwise kUnknown.
+// A call without a usable response ends with kNotSent if no connection was established, else with kUnknown.
 //
 // Package `coordination`, over `http`. Not thread-safe: it belongs to its scheduler's thread.
 #pragma once
@@ -20,8 +20,8 @@
  public:
   using FirstEndpoint = coordination::FirstEndpoint;
 
-  // `options`: its endpoints and store_id must have been checked. `seed` draws the first endpoint and the
-  // jitter of backoffs.
+  // The endpoints and the store_id of `options` must have been checked. `seed` determines the first endpoint
+  // (if it is random) and the jitter of backoffs.
   EtcdStore(transport::Scheduler& scheduler, const CoordinationOptions& options, std::uint64_t seed,
             FirstEndpoint first = FirstEndpoint::kRandom);
   ~EtcdStore() override;
@@ -34,7 +34,7 @@
   void unwatch(WatchId watch) override;
   std::uint64_t id() const override { return client_->identity().id(); }
   const StoreCounts& counts() const override { return client_->counts(); }
-  // Returns whether the store was restored to an older revision while this process ran.
+  // Returns whether the store's revision went back while this process ran: it was restored from a backup.
   bool has_regressed() const { return client_->identity().has_regressed(); }
 
  private:
--- a/src/coordination/etcd_watch.cpp
+++ b/src/coordination/etcd_watch.cpp
@@ -65,7 +65,7 @@
   }
   const std::optional<std::size_t> endpoint = client_->select_endpoint();
   if (!endpoint) {
-    observer_.on_disconnected("the store has failed and is not asked yet");
+    observer_.on_disconnected("all endpoints of the store are in backoff");
     co_return;
   }
   transport::Task<void> following = follow_changes(*endpoint);
@@ -73,14 +73,14 @@
 }
 
 transport::Task<void> EtcdWatch::read_snapshot() {
-  // Shared with the callback, which may run after this coroutine has given up.
+  // Shared with the callback, which may run after this coroutine has timed out.
   struct PendingRead {
     explicit PendingRead(transport::Scheduler& scheduler) : done(scheduler) {}
     transport::Signal done;
     StoreResponse<TransactionResult> response;
   };
   const auto pending = std::make_shared<PendingRead>(client_->scheduler());
-  pending->response.error = "no answer";
+  pending->response.error = "no response";
   client_->commit(Transaction{{}, {Get{range_}}, {}},
                   [pending](const StoreResponse<TransactionResult>& response) {
                     pending->response = response;
@@ -116,7 +116,7 @@
   if (result || stopped()) {
     co_return;
   }
-  // An endpoint that sent anything is alive, whatever ended the watch.
+  // An endpoint that sent a line is alive: the end of the watch is no failure of the endpoint.
   if (!any_received_) {
     client_->on_endpoint_failure(endpoint);
   }
@@ -128,31 +128,31 @@
   const std::shared_ptr<http::ClientConnection> channel = connection_->channel;
   while (!canceled_) {
     if (!channel->usable()) {
-      co_return failure(Kind::kConnectionEnded, "the watch ended");
+      co_return failure(Kind::kConnectionEnded, "the connection of the watch was closed");
     }
     const bool notified = co_await channel->wait(milliseconds(client_->options().watch_silent_ms));
     if (stopped()) {
       break;
     }
     if (!notified) {
-      co_return failure(Kind::kTimeout, "the watch is silent");
+      co_return failure(Kind::kTimeout, "the watch received nothing for watch_silent_ms");
     }
-    tl::expected<void, WatchFailure> taken = take_received();
-    if (!taken) {
-      co_return taken;
+    tl::expected<void, WatchFailure> processed = process_received();
+    if (!processed) {
+      co_return processed;
     }
   }
   co_return tl::expected<void, WatchFailure>();
 }
 
-tl::expected<void, WatchFailure> EtcdWatch::take_received() {
+tl::expected<void, WatchFailure> EtcdWatch::process_received() {
   http::ClientConnection& channel = *connection_->channel;
   if (const std::optional<std::string> part = channel.take_body_part()) {
     received_ += *part;
   }
   if (channel.status() != 0 && channel.status() != kStatusOk) {
     return failure(WatchFailure::Kind::kRejected,
-                   "the watch was refused with status " + std::to_string(channel.status()));
+                   "the watch was rejected with status " + std::to_string(channel.status()));
   }
   for (std::size_t end = received_.find('\n'); end != std::string::npos && !canceled_;
        end = received_.find('\n')) {
@@ -162,14 +162,14 @@
     if (line.empty()) {
       continue;
     }
-    if (auto taken = take_line(line); !taken) {
-      return taken;
+    if (auto processed = process_line(line); !processed) {
+      return processed;
     }
   }
   return {};
 }
 
-tl::expected<void, WatchFailure> EtcdWatch::take_line(std::string_view line) {
+tl::expected<void, WatchFailure> EtcdWatch::process_line(std::string_view line) {
   using Kind = WatchFailure::Kind;
   try {
     const nlohmann::json body = etcd::parse_object(line);
@@ -178,7 +178,7 @@
     }
     return deliver(etcd::read_watch_response(body));
   } catch (const etcd::BadMessage& error) {
-    return failure(Kind::kInvalidResponse, std::string("a line that cannot be used: ") + error.what());
+    return failure(Kind::kInvalidResponse, std::string("invalid watch response: ") + error.what());
   }
 }
 
@@ -188,13 +188,13 @@
     return failure(Kind::kOtherStore, checked.error().message());
   }
   for (const KeyChange& change : response.changes) {
-    if (!range_.holds(change.entry.key)) {
-      return failure(Kind::kInvalidResponse, "a watch tells of a key that was not asked for");
+    if (!range_.contains(change.entry.key)) {
+      return failure(Kind::kInvalidResponse, "the watch received a key outside its range");
     }
   }
   const WatchProgress::Update update = progress_.on_response(response);
   if (update.snapshot_required) {
-    return failure(Kind::kCompacted, "what came between is compacted away");
+    return failure(Kind::kCompacted, "the changes since the last update were compacted");
   }
   if (update.ended) {
     return failure(Kind::kEndedByStore, "the store ended the watch");
--- a/src/coordination/etcd_watch.h
+++ b/src/coordination/etcd_watch.h
@@ -1,4 +1,4 @@
-// One watch of an EtcdStore: reads a snapshot, follows the changes, and starts again after a disconnect.
+// One watch of an EtcdStore. It reads a snapshot, follows the changes, and reconnects after a failure.
 //
 // Package `coordination`, over `http`. Not thread-safe: it belongs to its scheduler's thread.
 #pragma once
@@ -13,15 +13,15 @@
 
 namespace trailcourse::coordination {
 
-// Why a watch was disconnected.
+// The reason why a watch was disconnected.
 struct WatchFailure {
   enum class Kind {
     kConnectionEnded,
     kTimeout,          // nothing was received for `watch_silent_ms`
-    kRejected,         // an HTTP status other than 200, or an error of the store
+    kRejected,         // the response has an HTTP status other than 200, or is an error
     kEndedByStore,     // the store canceled the watch
-    kCompacted,        // the changes in between are not available any more
-    kInvalidResponse,  // a response that cannot be used
+    kCompacted,        // changes that the watch has not received were compacted
+    kInvalidResponse,  // a response is malformed or out of the watch's range
     kOtherStore,       // see IdentityMismatch
   };
   Kind kind = Kind::kConnectionEnded;
@@ -30,15 +30,15 @@
 
 class EtcdWatch {
  public:
-  // The observer must live until cancel() was called.
+  // The observer must live until cancel() is called.
   EtcdWatch(std::shared_ptr<EtcdClient> client, Range range, WatchObserver& observer);
 
-  // Runs the watch until it is canceled. The coroutine keeps the watch alive.
+  // Runs the watch until cancel() is called. The coroutine keeps the watch alive.
   static transport::Task<void> run(std::shared_ptr<EtcdWatch> self);
   // Ends the watch; the observer is not called any more.
   void cancel();
-  // Continues on this endpoint at once, if the watch is connected to another one: a watch on an endpoint that
-  // calls have left may deliver nothing for as long as it is connected.
+  // Reconnects to this endpoint at once if the watch is connected to another one. Calls leave an endpoint
+  // that fails, and a watch of such an endpoint may receive nothing while its connection stays open.
   void move_to(std::size_t endpoint);
 
  private:
@@ -46,10 +46,11 @@
   transport::Task<void> read_snapshot();
   void on_snapshot_response(const StoreResponse<TransactionResult>& response);
   transport::Task<void> follow_changes(std::size_t endpoint);
-  // Receives until the watch is canceled, moved, or disconnected; returns the failure in the last case.
+  // Receives changes until the watch is canceled, moved or disconnected. Returns the failure in the last
+  // case.
   transport::Task<tl::expected<void, WatchFailure>> receive_changes();
-  tl::expected<void, WatchFailure> take_received();
-  tl::expected<void, WatchFailure> take_line(std::string_view line);
+  tl::expected<void, WatchFailure> process_received();
+  tl::expected<void, WatchFailure> process_line(std::string_view line);
   tl::expected<void, WatchFailure> deliver(const etcd::WatchResponse& response);
   bool stopped() const { return canceled_ || moved_; }
 
@@ -58,11 +59,11 @@
   WatchObserver& observer_;
   WatchProgress progress_;
   bool canceled_ = false;
-  bool moved_ = false;  // another endpoint is used for calls: the watch continues there
+  bool moved_ = false;  // to the endpoint that is used for calls now
   transport::Signal wake_;
   std::shared_ptr<EtcdClient::EndpointConnection> connection_;
-  std::string received_;       // the start of a line that is not complete
-  bool any_received_ = false;  // a complete line, on this connection
+  std::string received_;       // the start of an incomplete line
+  bool any_received_ = false;  // a complete line was received on this connection
 };
 
 }  // namespace trailcourse::coordination
--- a/src/coordination/key_value_database.cpp
+++ b/src/coordination/key_value_database.cpp
@@ -20,10 +20,10 @@
 constexpr std::uint64_t kEventsBetweenCleanups = 256;
 constexpr const char* kFileName = "/ledger.sqlite";
 
-// Creates the folder if there is none, and returns the path of the database in it.
+// Creates the folder if it does not exist, and returns the path of the database in it.
 std::string prepare_folder(const std::string& folder) {
   if (::mkdir(folder.c_str(), 0700) != 0 && errno != EEXIST) {
-    throw std::runtime_error(folder + ": cannot be made");
+    throw std::runtime_error(folder + ": the folder cannot be created");
   }
   return folder + kFileName;
 }
@@ -65,7 +65,7 @@
       .run();
 }
 
-// Writes changes of keys with statements that are prepared once.
+// Writes changes of keys. Its statements are prepared once.
 class ChangeWriter {
  public:
   explicit ChangeWriter(const Database& database)
@@ -78,7 +78,7 @@
              "VALUES (?, ?, ?, ?, ?, ?)"),
         delete_(database.get(), "DELETE FROM entries WHERE key = ?") {}
 
-  // Returns the row of `events` that the change has.
+  // Writes a change and returns its row in `events`.
   std::uint64_t write(const KeyChange& change) {
     const Entry& entry = change.entry;
     event_.bind(std::uint64_t{change.deleted ? 1U : 0U}).bind(entry.key).bind(entry.value);
@@ -100,7 +100,7 @@
   Statement delete_;
 };
 
-// An SQL transaction, rolled back unless it was committed.
+// An SQL transaction that is rolled back by the destructor unless it was committed.
 class WriteTransaction {
  public:
   explicit WriteTransaction(const Database& database) : database_(database) {
@@ -123,8 +123,8 @@
   bool committed_ = false;
 };
 
-// While another connection is switching a new file to this mode, SQLite returns SQLITE_BUSY at once, without
-// its busy timeout: the statement is retried here for as long.
+// While another connection switches a new file to this mode, SQLite returns SQLITE_BUSY without waiting for
+// the busy timeout. The statement is therefore retried here until that timeout.
 void use_write_ahead_log(const Database& database) {
   const auto deadline = std::chrono::steady_clock::now() + std::chrono::milliseconds(kBusyTimeoutMs);
   for (;;) {
@@ -166,8 +166,9 @@
     renew_stale_leases();
     transaction.commit();
   } catch (const SqliteError& error) {
-    throw std::runtime_error(folder + ": " + error.what() +
-                             (sharing == Sharing::kExclusive ? "; is another registry running there?" : ""));
+    throw std::runtime_error(
+        folder + ": " + error.what() +
+        (sharing == Sharing::kExclusive ? "; does another registry use the folder?" : ""));
   }
 }
 
@@ -187,8 +188,8 @@
   }
 }
 
-// The leases of an earlier boot, or of an earlier process that had the database exclusively, expire by a
-// clock that does not exist any more.
+// Gives leases of an earlier boot, or of an earlier process with exclusive use, their full time to live:
+// their expiry was measured by a clock that does not exist any more.
 void KeyValueDatabase::renew_stale_leases() {
   const std::string boot = boot_id();
   if (sharing_ != Sharing::kExclusive && read_meta(database_, "boot") == boot) {
@@ -218,7 +219,7 @@
   loaded_ = true;
 }
 
-void KeyValueDatabase::apply_changes_of_others() {
+void KeyValueDatabase::apply_external_changes() {
   Statement first(database_.get(), "SELECT ifnull(min(seq), 0) FROM events");
   const std::uint64_t oldest = first.step() ? first.number(0) : 0;
   if (!loaded_ || oldest > last_event_ + 1) {
@@ -244,14 +245,14 @@
                                 const std::function<void(KeyValueState&)>& operation) {
   set_durability(durability);
   try {
-    // Expired leases end in a transaction of their own, whatever becomes of the operation.
+    // Expired leases end in a separate transaction, which is committed even if the operation fails.
     const bool up_to_date = sharing_ == Sharing::kExclusive && loaded_;
     if (!up_to_date || state_.next_expiry().value_or(now + Milliseconds(1)) <= now) {
       run_transaction([now](KeyValueState& state) { state.expire(now); });
     }
     run_transaction(operation);
   } catch (const SqliteError&) {
-    loaded_ = false;  // the state in memory may not be that of the database
+    loaded_ = false;  // the state in memory may differ from the database
     throw;
   }
 }
@@ -259,7 +260,7 @@
 void KeyValueDatabase::run_transaction(const std::function<void(KeyValueState&)>& operation) {
   WriteTransaction transaction(database_);
   if (sharing_ == Sharing::kShared || !loaded_) {
-    apply_changes_of_others();
+    apply_external_changes();
   }
   operation(state_);
   store_changes();
@@ -287,7 +288,7 @@
   store_lease_changes();
 }
 
-// Old events are dropped once in every so many, so that not each transaction pays for it.
+// Drops old events once per kEventsBetweenCleanups events, since a cleanup in each transaction would be slow.
 void KeyValueDatabase::drop_old_events(std::size_t added) {
   const auto stored = static_cast<std::uint64_t>(limits_.history);
   if (last_event_ > stored && last_event_ % kEventsBetweenCleanups < added) {
@@ -297,7 +298,7 @@
 
 void KeyValueDatabase::store_lease_changes() {
   for (const auto& [id, change] : state_.take_lease_changes()) {
-    // The leases of an exclusive database are renewed when it is opened: their expiry need not be stored.
+    // Opening an exclusive database renews its leases, so their expiry need not be stored.
     if (change == LeaseChange::kRenewed && sharing_ == Sharing::kExclusive) {
       continue;
     }
--- a/src/coordination/key_value_database.h
+++ b/src/coordination/key_value_database.h
@@ -1,7 +1,6 @@
-// A key-value state that is stored in an SQLite database in a folder, used by one process or shared by all
-// processes of a machine.
+// A key-value state in an SQLite database, used by one process or shared by all processes of a machine.
 //
-// Package `coordination`. Takes no locks of its own: one thread at a time. Every call may wait for the disk.
+// Package `coordination`. Not thread-safe. Every call may wait for the disk.
 #pragma once
 
 #include <cstdint>
@@ -13,44 +12,44 @@
 
 namespace trailcourse::coordination {
 
+// Keeps a KeyValueState in memory and in the database `ledger.sqlite` of a folder.
 class KeyValueDatabase {
  public:
   enum class Sharing {
-    kExclusive,  // one process uses it; leases get their full time to live when it is opened
-    kShared,     // processes of one machine use it; leases expire by the machine's clock since boot
+    kExclusive,  // used by one process; leases get their full time to live when it is opened
+    kShared,     // used by processes of one machine; leases expire by the machine's time since boot
   };
   enum class Durability {
     kSynced,    // the changes survive a loss of power
-    kUnsynced,  // they may not: enough for renewals of leases
+    kUnsynced,  // a loss of power may undo the changes: sufficient for renewals of leases
   };
 
-  // Creates the folder and the database if there are none. Throws SqliteError, or std::runtime_error if
-  // another process uses the database exclusively.
+  // Creates the folder and the database if they do not exist. Throws SqliteError if the file cannot be
+  // opened, and std::runtime_error if the database cannot be used, for example because another process uses
+  // it exclusively.
   KeyValueDatabase(const std::string& folder, const KeyValueLimits& limits, Sharing sharing);
 
-  // Returns the number that tells this store from another one, drawn when the database was created. 48 bits.
+  // Returns the identity of the store: a random number of 48 bits, drawn when the database was created.
   std::uint64_t id() const { return id_; }
 
-  // Calls `operation` with the current state, after expired leases were ended, and stores what it changed.
-  // What
-  // `operation` throws is passed on, with the state unchanged. Throws SqliteError if the changes could not be
-  // stored: then nothing was changed. `now` is boot_time().
+  // Ends expired leases, calls `operation` with the current state, and stores its changes. Exceptions of
+  // `operation` are passed on. Throws SqliteError if the changes cannot be stored; nothing is changed then.
+  // `now` is boot_time().
   void transact(Milliseconds now, Durability durability,
                 const std::function<void(KeyValueState&)>& operation);
 
-  // Returns the state as the last transact() left it, unless that threw SqliteError. For an exclusive
-  // database.
+  // Returns the state after the last transact(). Valid only for an exclusive database, and not after a
+  // transact() that threw SqliteError.
   const KeyValueState& state() const { return state_; }
 
-  // Returns the time since the machine was booted. The clock goes on while the machine is suspended, and is
-  // never set.
+  // Returns the time since the machine was booted. This clock includes suspended time and is never set.
   static Milliseconds boot_time();
 
  private:
   void create_tables();
   void renew_stale_leases();
   void reload();
-  void apply_changes_of_others();
+  void apply_external_changes();
   void run_transaction(const std::function<void(KeyValueState&)>& operation);
   void set_durability(Durability durability);
   void store_changes();
@@ -62,8 +61,8 @@
   Database database_;
   KeyValueState state_;
   std::uint64_t id_ = 0;
-  std::uint64_t last_event_ = 0;  // the row of `events` that was applied last
-  bool loaded_ = false;           // the state in memory is that of the database
+  std::uint64_t last_event_ = 0;  // the last row of `events` that was applied
+  bool loaded_ = false;           // whether the state in memory equals the database
   Durability durability_ = Durability::kSynced;
 };
 
--- a/src/coordination/key_value_state.cpp
+++ b/src/coordination/key_value_state.cpp
@@ -7,7 +7,7 @@
 namespace trailcourse::coordination {
 namespace {
 
-// A lease id that the state chooses: the revision above this many bits of the count of grants.
+// A lease id consists of the revision, shifted by this number of bits, and the count of grants.
 constexpr unsigned kGrantCountBits = 20;
 constexpr std::uint64_t kGrantCountMask = (1U << kGrantCountBits) - 1;
 
@@ -19,18 +19,18 @@
 }
 
 template <typename Value>
-bool compare_values(Compare::How how, const Value& actual, const Value& wanted) {
-  switch (how) {
-    case Compare::How::kEqual:
-      return actual == wanted;
-    case Compare::How::kNotEqual:
-      return actual != wanted;
-    case Compare::How::kGreater:
-      return actual > wanted;
-    case Compare::How::kLess:
+bool compare_values(Compare::Relation relation, const Value& actual, const Value& operand) {
+  switch (relation) {
+    case Compare::Relation::kEqual:
+      return actual == operand;
+    case Compare::Relation::kNotEqual:
+      return actual != operand;
+    case Compare::Relation::kGreater:
+      return actual > operand;
+    case Compare::Relation::kLess:
       break;
   }
-  return actual < wanted;
+  return actual < operand;
 }
 
 }  // namespace
@@ -39,7 +39,7 @@
 
 LeaseId KeyValueState::grant(Milliseconds now, Milliseconds ttl, LeaseId id) {
   if (ttl < limits_.min_ttl || ttl > limits_.max_ttl) {
-    reject_invalid("a lease of " + std::to_string(ttl.count()) + " ms");
+    reject_invalid("a time to live of " + std::to_string(ttl.count()) + " ms is out of range");
   }
   if (leases_.size() >= limits_.leases) {
     reject_invalid("too many leases");
@@ -47,8 +47,8 @@
   if (id != 0 && leases_.contains(id)) {
     throw OperationRejected(OperationRejected::Reason::kLeaseExists, "lease already exists");
   }
-  // An id must not be given twice, also after a restart: by then the revision has grown, or no key was ever
-  // attached to the lease.
+  // An id must not be granted twice. The count restarts with the process, but an earlier lease with keys has
+  // increased the revision.
   while (id == 0 || leases_.contains(id)) {
     id = (revision_ << kGrantCountBits) + (++last_grant_ & kGrantCountMask);
   }
@@ -131,23 +131,23 @@
 bool KeyValueState::holds(const Compare& compare) const {
   const auto found = entries_.find(compare.key);
   const Entry entry = found == entries_.end() ? Entry{} : found->second;
-  switch (compare.what) {
-    case Compare::What::kCreated:
-      return compare_values(compare.how, entry.created, compare.number);
-    case Compare::What::kModified:
-      return compare_values(compare.how, entry.modified, compare.number);
-    case Compare::What::kVersion:
-      return compare_values(compare.how, entry.version, compare.number);
-    case Compare::What::kLease:
-      return compare_values(compare.how, entry.lease, compare.number);
-    case Compare::What::kValue:
+  switch (compare.target) {
+    case Compare::Target::kCreated:
+      return compare_values(compare.relation, entry.created, compare.number);
+    case Compare::Target::kModified:
+      return compare_values(compare.relation, entry.modified, compare.number);
+    case Compare::Target::kVersion:
+      return compare_values(compare.relation, entry.version, compare.number);
+    case Compare::Target::kLease:
+      return compare_values(compare.relation, entry.lease, compare.number);
+    case Compare::Target::kValue:
       break;
   }
-  // A key that does not exist has no value that could be compared.
-  return found != entries_.end() && compare_values(compare.how, entry.value, compare.value);
+  // A key that does not exist has no value to compare.
+  return found != entries_.end() && compare_values(compare.relation, entry.value, compare.value);
 }
 
-// Checks both branches: whether a request is valid must not depend on its conditions.
+// Checks both branches, since the validity of a request must not depend on its conditions.
 void KeyValueState::check(const Transaction& transaction) const {
   if (transaction.when.size() > limits_.operations) {
     reject_invalid("too many conditions in a transaction");
@@ -172,14 +172,14 @@
     }
   }
   if (entries_.size() + written.size() > limits_.entries) {
-    reject_invalid("the store is full");
+    reject_invalid("the store has its maximum of " + std::to_string(limits_.entries) + " entries");
   }
 }
 
 void KeyValueState::check_put(const Put& put, std::set<std::string>& written) const {
   check_key(put.key, false);
   if (put.value.size() > limits_.value_bytes) {
-    reject_invalid("a value of " + std::to_string(put.value.size()) + " bytes");
+    reject_invalid("a value of " + std::to_string(put.value.size()) + " bytes is over the limit");
   }
   if (!written.insert(put.key).second) {
     reject_invalid("duplicate key given in a transaction");
@@ -191,7 +191,7 @@
 
 void KeyValueState::check_key(const std::string& key, bool may_be_empty) const {
   if ((key.empty() && !may_be_empty) || key.size() > limits_.key_bytes) {
-    reject_invalid("a key of " + std::to_string(key.size()) + " bytes");
+    reject_invalid("a key of " + std::to_string(key.size()) + " bytes is empty or over the limit");
   }
 }
 
@@ -222,8 +222,9 @@
 
 std::vector<Entry> KeyValueState::get(const Range& range) const {
   std::vector<Entry> out;
-  for (auto at = entries_.lower_bound(range.key); at != entries_.end() && range.holds(at->first); ++at) {
-    out.push_back(at->second);
+  for (auto entry = entries_.lower_bound(range.key); entry != entries_.end() && range.contains(entry->first);
+       ++entry) {
+    out.push_back(entry->second);
   }
   return out;
 }
@@ -254,10 +255,10 @@
   return removed.size();
 }
 
-// Applies a change of this state's own. The revision is advanced by the caller, once the transaction is
-// complete.
+// Applies a change that this state made, and records it for take_changes(). The caller advances the revision
+// when the transaction is complete.
 void KeyValueState::record(const KeyChange& change) {
-  untaken_changes_.push_back(change);
+  pending_changes_.push_back(change);
   const Revision before = revision_;
   apply(change);
   revision_ = before;
@@ -303,7 +304,7 @@
       [](const KeyChange& change, Revision revision) { return change.entry.modified < revision; });
   std::vector<KeyChange> out;
   std::copy_if(first, history_.end(), std::back_inserter(out),
-               [&range](const KeyChange& change) { return range.holds(change.entry.key); });
+               [&range](const KeyChange& change) { return range.contains(change.entry.key); });
   return out;
 }
 
@@ -314,7 +315,7 @@
   compacted_ = std::max(compacted_, std::min(before, revision_ + 1));
 }
 
-std::vector<KeyChange> KeyValueState::take_changes() { return std::exchange(untaken_changes_, {}); }
+std::vector<KeyChange> KeyValueState::take_changes() { return std::exchange(pending_changes_, {}); }
 
 std::map<LeaseId, LeaseChange> KeyValueState::take_lease_changes() {
   return std::exchange(lease_changes_, {});
--- a/src/coordination/key_value_state.h
+++ b/src/coordination/key_value_state.h
@@ -1,11 +1,11 @@
-// The state machine of a coordination store: which conditions hold, what a transaction changes, which leases
-// have expired, and which changes a watch receives. The coordination server keeps one; with the embedded
-// store, each process applies the same history to its own.
+// The revisioned key-value state of a coordination store: transactions, leases, and the changes that watches
+// receive. The coordination server has one. With the embedded store, each process has a copy and applies the
+// same changes to it.
 //
-// After each call that changes anything, take_changes() and take_lease_changes() return the changes; they are
-// to be persisted before the call is answered. A state that is restored from them continues where it was.
+// After each call that may change the state, take_changes() and take_lease_changes() return the changes. The
+// caller has to persist them before it responds to the call. A state can be restored from them.
 //
-// Package `coordination`: no I/O, no clock; times are read from the caller's steady clock. Not thread-safe.
+// Package `coordination`: no I/O, no clock; times are those of the caller's steady clock. Not thread-safe.
 #pragma once
 
 #include <chrono>
@@ -27,7 +27,7 @@
 // A point in time of the steady clock that a state's caller uses, or a duration.
 using Milliseconds = std::chrono::milliseconds;
 
-// A call that cannot be executed and changed nothing. The text is one line.
+// The call was rejected and changed nothing. The text is one line.
 class OperationRejected : public std::runtime_error {
  public:
   enum class Reason { kLeaseNotFound, kLeaseExists, kInvalidRequest, kCompacted };
@@ -38,6 +38,7 @@
   Reason reason_;
 };
 
+// A lease: its time to live, and when it expires by the caller's clock.
 struct Lease {
   Milliseconds ttl{0};
   Milliseconds expires_at{0};
@@ -48,15 +49,16 @@
 // What happened to a lease since take_lease_changes() was called last.
 enum class LeaseChange { kGranted, kRenewed, kEnded };
 
+// Limits of a state. Calls beyond them are rejected.
 struct KeyValueLimits {
   std::size_t key_bytes = 512;
-  std::size_t value_bytes = 1U << 20U;  // etcd's requests hold up to 1.5 MB by default
+  std::size_t value_bytes = 1U << 20U;  // etcd's default limit of a request is 1.5 MB
   std::size_t entries = 100'000;
   std::size_t leases = 10'000;
-  std::size_t operations = 128;  // of a transaction, like etcd's --max-txn-ops
+  std::size_t operations = 128;  // per branch of a transaction, like etcd's --max-txn-ops
   Milliseconds min_ttl{100};
   Milliseconds max_ttl{86'400'000};
-  std::size_t history = 10'000;  // changes that are stored for watches; older ones are compacted
+  std::size_t history = 10'000;  // changes that are retained for watches; older ones are compacted
 };
 
 class KeyValueState {
@@ -65,21 +67,24 @@
 
   // ---- Leases ----
 
-  // Throws OperationRejected. `id` 0: a new id is made of the revision and a count; no id is given twice.
+  // Creates a lease. If `id` is 0, the state chooses an id that was not granted before. Throws
+  // OperationRejected.
   LeaseId grant(Milliseconds now, Milliseconds ttl, LeaseId id);
-  // Returns the lease's time to live from now on; 0 if there is no such lease.
+  // Renews the lease and returns its time to live; 0 if it does not exist.
   Milliseconds keep_alive(Milliseconds now, LeaseId id);
-  // Deletes the lease's keys. Throws OperationRejected.
+  // Ends the lease and deletes its keys. Throws OperationRejected if it does not exist.
   void revoke(LeaseId id);
-  // Ends the leases that have expired; one revision for each that has keys.
+  // Ends the leases that have expired. Each one that has keys takes one revision.
   void expire(Milliseconds now);
+  // Returns when the next lease expires, or nothing if there are no leases.
   std::optional<Milliseconds> next_expiry() const;
   const std::map<LeaseId, Lease>& leases() const { return leases_; }
 
   // ---- Entries ----
 
-  // Throws OperationRejected; then nothing was changed.
+  // Executes the transaction. Throws OperationRejected; nothing is changed then.
   TransactionResult commit(const Transaction& transaction);
+  // Returns the entries of the range, sorted by key.
   std::vector<Entry> get(const Range& range) const;
   const std::map<std::string, Entry>& entries() const { return entries_; }
   Revision revision() const { return revision_; }
@@ -88,24 +93,25 @@
 
   // Returns the first revision whose changes are still available.
   Revision compacted() const { return compacted_; }
-  // Returns the changes of a range from this revision on, in order. Throws OperationRejected if they were
-  // compacted.
+  // Returns the changes of the range at revision `from` and later, in order. Throws OperationRejected if some
+  // of them were compacted.
   std::vector<KeyChange> changes_since(Revision from, const Range& range) const;
-  // Drops the changes before this revision.
+  // Drops the changes before this revision from the history.
   void compact(Revision before);
 
   // ---- Persistence ----
 
-  // Returns the changes since it was called last.
+  // Returns the changes since the last call of this function.
   std::vector<KeyChange> take_changes();
-  // Returns the leases that changed since it was called last.
+  // Returns the leases that changed since the last call of this function.
   std::map<LeaseId, LeaseChange> take_lease_changes();
-  // Replaces everything but the leases.
+  // Replaces the entries and the revision, and clears the history. The leases stay.
   void restore(std::vector<Entry> entries, Revision revision);
-  // Applies a change that was made elsewhere, later than all that was restored or applied.
+  // Applies a change of another copy of the state. It has to follow on all that were restored or applied.
   void apply(const KeyChange& change);
+  // Replaces the leases.
   void set_leases(std::map<LeaseId, Lease> leases);
-  // Gives each lease its full time to live from now on, as after a restart of the store.
+  // Renews all leases, as after a restart of the store.
   void renew_all(Milliseconds now);
 
  private:
@@ -127,11 +133,11 @@
   std::uint64_t last_grant_ = 0;
   std::map<std::string, Entry> entries_;
   std::map<LeaseId, Lease> leases_;
-  std::set<std::pair<Milliseconds, LeaseId>> expiry_queue_;  // of all leases, the next to expire first
+  std::set<std::pair<Milliseconds, LeaseId>> expiry_queue_;  // all leases, ordered by expiry
   std::map<LeaseId, LeaseChange> lease_changes_;
   std::map<LeaseId, std::set<std::string>> lease_keys_;
   std::deque<KeyChange> history_;
-  std::vector<KeyChange> untaken_changes_;
+  std::vector<KeyChange> pending_changes_;
 };
 
 }  // namespace trailcourse::coordination
--- a/src/coordination/options.h
+++ b/src/coordination/options.h
@@ -1,5 +1,5 @@
-// The sections `coordination` and `registry` of the operator's file. Field names are the keys; times are
-// milliseconds.
+// The sections `coordination` and `registry` of the operator's file. The fields have the names of the keys;
+// times are in milliseconds.
 //
 // Package `coordination`.
 #pragma once
@@ -12,7 +12,7 @@
 
 namespace trailcourse::coordination {
 
-// How a process reaches the coordination store. The record tells what each key means.
+// How a process reaches the coordination store. coordination_record() describes each key.
 struct CoordinationOptions {
   std::string store = "none";
   std::vector<std::string> endpoints;
@@ -26,10 +26,10 @@
   std::int64_t watch_silent_ms = 15'000;
   std::int64_t look_ms = 50;
 };
-// Returns the keys of the section, with their texts, units and bounds.
+// Returns the keys of the section `coordination`, with descriptions, units and bounds.
 const config::Record<CoordinationOptions>& coordination_record();
 
-// The coordination server that `trailcourse registry` runs.
+// Options of the coordination server that `trailcourse registry` runs. registry_record() describes each key.
 struct RegistryOptions {
   std::string listen;
   std::string folder;
@@ -37,6 +37,7 @@
   std::int64_t entries = 100'000;
   std::int64_t history = 10'000;
 };
+// Returns the keys of the section `registry`, with descriptions, units and bounds.
 const config::Record<RegistryOptions>& registry_record();
 
 }  // namespace trailcourse::coordination
--- a/src/coordination/sqlite.h
+++ b/src/coordination/sqlite.h
@@ -1,4 +1,4 @@
-// Owners of SQLite's handles (https://sqlite.org/c3ref/).
+// RAII wrappers of SQLite's handles (https://sqlite.org/c3ref/).
 //
 // Package `coordination`. Not thread-safe: one thread at a time.
 #pragma once
@@ -13,16 +13,18 @@
 
 namespace trailcourse::coordination {
 
-// A failed call of SQLite: what failed, and SQLite's message.
+// A failed call of SQLite. The text is `operation` and SQLite's message.
 class SqliteError : public std::runtime_error {
  public:
-  SqliteError(const std::string& what, sqlite3* database)
-      : std::runtime_error(what + ": " + (database != nullptr ? sqlite3_errmsg(database) : "no database")) {}
+  SqliteError(const std::string& operation, sqlite3* database)
+      : std::runtime_error(operation + ": " +
+                           (database != nullptr ? sqlite3_errmsg(database) : "no database")) {}
 };
 
-// A prepared statement, whose parameters are bound in order.
+// A prepared statement. Parameters are bound in order.
 class Statement {
  public:
+  // The database must outlive the statement. Throws SqliteError.
   Statement(sqlite3* database, const char* text) : database_(database) {
     sqlite3_stmt* prepared = nullptr;
     if (sqlite3_prepare_v2(database, text, -1, &prepared, nullptr) != SQLITE_OK) {
@@ -31,7 +33,7 @@
     statement_.reset(prepared);
   }
 
-  // Binds the next parameter. Numbers are stored as signed 64-bit ones. Throws SqliteError.
+  // Binds the next parameter. Numbers are stored as signed 64-bit integers. Throws SqliteError.
   Statement& bind(std::uint64_t number) {
     check(sqlite3_bind_int64(statement_.get(), ++bound_, static_cast<sqlite3_int64>(number)));
     return *this;
@@ -42,7 +44,7 @@
     return *this;
   }
 
-  // Moves to the next row. Returns whether there is one. Throws SqliteError.
+  // Advances to the next row. Returns whether there is one. Throws SqliteError.
   bool step() {
     const int code = sqlite3_step(statement_.get());
     if (code != SQLITE_ROW && code != SQLITE_DONE) {
@@ -50,14 +52,14 @@
     }
     return code == SQLITE_ROW;
   }
-  // Runs the statement to its end; it can be bound again then. Throws SqliteError.
+  // Runs the statement to its end and resets it, so that it can be bound again. Throws SqliteError.
   void run() {
     while (step()) {
     }
     sqlite3_reset(statement_.get());
     bound_ = 0;
   }
-  // Columns of the current row, from 0.
+  // Return a column of the current row. Columns are numbered from 0.
   std::uint64_t number(int column) const {
     return static_cast<std::uint64_t>(sqlite3_column_int64(statement_.get(), column));
   }
@@ -84,10 +86,10 @@
   int bound_ = 0;
 };
 
-// An open database, created if there is none.
+// An open database, which is created if it does not exist.
 class Database {
  public:
-  // `busy_ms`: how long a statement waits for other connections, in milliseconds. Throws SqliteError.
+  // A statement waits up to `busy_ms` milliseconds for other connections. Throws SqliteError.
   Database(const std::string& path, int busy_ms) {
     sqlite3* opened = nullptr;
     const int code = sqlite3_open_v2(
@@ -99,7 +101,7 @@
     sqlite3_busy_timeout(opened, busy_ms);
   }
 
-  // The handle belongs to this object.
+  // Returns the handle, which this object owns.
   sqlite3* get() const { return database_.get(); }
   // Runs statements without parameters. Throws SqliteError.
   void run(const char* text) const {
--- a/src/coordination/store_identity.cpp
+++ b/src/coordination/store_identity.cpp
@@ -6,9 +6,9 @@
 
 std::string IdentityMismatch::message() const {
   if (kind == Kind::kOtherStore) {
-    return "another store answers: " + std::to_string(received) + ", not " + std::to_string(expected);
+    return "response from another store: " + std::to_string(received) + ", not " + std::to_string(expected);
   }
-  return "the store has gone back from revision " + std::to_string(expected) + " to " +
+  return "the revision of the store has gone back from " + std::to_string(expected) + " to " +
          std::to_string(received);
 }
 
@@ -18,7 +18,7 @@
   if (id_ != 0 && header.cluster != id_) {
     return tl::unexpected(IdentityMismatch{Kind::kOtherStore, id_, header.cluster});
   }
-  // A store restored from an old copy hands out the same revisions twice: lease terms would not grow.
+  // A store that was restored from a backup assigns the same revisions twice: fencing terms would not grow.
   if (header.revision < min_revision) {
     regressed_ = true;
     return tl::unexpected(IdentityMismatch{Kind::kRevisionRegressed, min_revision, header.revision});
--- a/src/coordination/store_identity.h
+++ b/src/coordination/store_identity.h
@@ -1,4 +1,4 @@
-// Checks that all responses come from one store whose revisions only grow.
+// A check that all responses come from one store whose revisions only grow.
 //
 // Package `coordination`: no I/O, no clock.
 #pragma once
@@ -11,37 +11,37 @@
 
 namespace trailcourse::coordination {
 
-// Why a response must not be used.
+// The reason why a response must not be used.
 struct IdentityMismatch {
   enum class Kind {
-    kOtherStore,         // the cluster id is another one
-    kRevisionRegressed,  // the store was restored from an older copy
+    kOtherStore,         // the cluster id differs
+    kRevisionRegressed,  // the store was restored from a backup
   };
   Kind kind = Kind::kOtherStore;
-  std::uint64_t expected = 0;  // cluster id, or the lowest revision that is accepted
+  std::uint64_t expected = 0;  // cluster id, or lowest accepted revision
   std::uint64_t received = 0;
 
   // Returns one line for logs.
   std::string message() const;
 };
 
-// The first store that answers is the one that is used, unless the operator named it. Lease terms of two
-// stores cannot be compared, so the responses of any other store are rejected.
+// Accepts the store that the operator configured, or else the first store that responds. Fencing terms of two
+// stores cannot be compared, so responses of any other store are rejected.
 class StoreIdentity {
  public:
-  // `expected`: the cluster id that the operator named; 0 accepts the store that answers first.
+  // `expected` is the configured cluster id; 0 accepts the first store that responds.
   explicit StoreIdentity(std::uint64_t expected) : id_(expected) {}
 
-  // Returns the lowest revision that the response to a call sent now may have.
+  // Returns the lowest revision that is accepted in the response to a call that is sent now.
   Revision min_revision() const { return highest_; }
 
-  // Checks the header of a response, and remembers its store and revision if it is accepted. `min_revision`
-  // is what min_revision() returned when the call was sent, and 0 for a watch response.
+  // Checks the header of a response, and stores its identity and revision if it is accepted. `min_revision`
+  // is the result of min_revision() when the call was sent, or 0 for a watch response.
   tl::expected<void, IdentityMismatch> check(const etcd::ResponseHeader& header, Revision min_revision);
 
-  // Returns the cluster id; 0 before the first response, if the operator named none.
+  // Returns the cluster id; 0 if none is configured and there was no response yet.
   std::uint64_t id() const { return id_; }
-  // Returns whether the store was restored to an older revision while this process ran.
+  // Returns whether the store's revision went back while this process ran.
   bool has_regressed() const { return regressed_; }
 
  private:
--- a/src/coordination/types.h
+++ b/src/coordination/types.h
@@ -1,5 +1,5 @@
-// What a coordination store holds: entries under revisions that only grow, transactions that compare first,
-// and leases. The terms are those of etcd's v3 interface (https://etcd.io/docs/v3.5/learning/api/).
+// Data types of a coordination store: entries with revisions that only grow, conditional transactions, and
+// leases. The terms are those of etcd's v3 interface (https://etcd.io/docs/v3.5/learning/api/).
 //
 // Package `coordination`: no I/O, no clock.
 #pragma once
@@ -14,42 +14,43 @@
 
 namespace trailcourse::coordination {
 
-// Counts the transactions that changed anything, in the whole store.
+// Version of the entire store. Each transaction that changes anything increments it.
 using Revision = std::uint64_t;
-// Names a lease; 0: none.
+// Identifies a lease; 0: none.
 using LeaseId = std::uint64_t;
 
+// A key with its value and history.
 struct Entry {
   std::string key;
   std::string value;
-  Revision created = 0;       // when the key was created; a key that is deleted and written again starts anew
-  Revision modified = 0;      // when it was written last
-  std::uint64_t version = 0;  // writes since it was created
-  LeaseId lease = 0;          // with whose end the key is deleted
+  Revision created = 0;       // of its creation; a key that is deleted and written again is created anew
+  Revision modified = 0;      // of its last write
+  std::uint64_t version = 0;  // number of writes since its creation
+  LeaseId lease = 0;          // the key is deleted when this lease ends; 0: no lease
 
   friend bool operator==(const Entry&, const Entry&) = default;
 };
 
-// One key, or all keys that begin with it.
+// A single key, or all keys with a prefix.
 struct Range {
   std::string key;
   bool prefix = false;
 
-  bool holds(const std::string& other) const { return prefix ? other.starts_with(key) : other == key; }
+  bool contains(const std::string& other) const { return prefix ? other.starts_with(key) : other == key; }
   friend bool operator==(const Range&, const Range&) = default;
 };
 
-// A condition on one key. Of a key that does not exist every number is 0, and no condition on the value
-// holds.
+// A condition on one key. The numbers of a key that does not exist are 0, and a condition on its value is
+// never satisfied.
 struct Compare {
-  enum class What { kCreated, kModified, kVersion, kLease, kValue };
-  enum class How { kEqual, kNotEqual, kGreater, kLess };
+  enum class Target { kCreated, kModified, kVersion, kLease, kValue };
+  enum class Relation { kEqual, kNotEqual, kGreater, kLess };
 
   std::string key;
-  What what = What::kCreated;
-  How how = How::kEqual;
-  std::uint64_t number = 0;
-  std::string value;  // for kValue
+  Target target = Target::kCreated;
+  Relation relation = Relation::kEqual;
+  std::uint64_t number = 0;  // operand of all targets but kValue
+  std::string value;         // operand of kValue
 
   friend bool operator==(const Compare&, const Compare&) = default;
 };
@@ -73,7 +74,8 @@
 };
 using Operation = std::variant<Put, Delete, Get>;
 
-// If all conditions of `when` hold, `then` is executed, else `otherwise`; atomically in either case.
+// Executes `then` if all conditions of `when` are satisfied, and `otherwise` if not, atomically in either
+// case.
 struct Transaction {
   std::vector<Compare> when;
   std::vector<Operation> then;
@@ -83,20 +85,20 @@
 };
 
 struct OperationResult {
-  std::vector<Entry> found;   // of a Get, sorted by key
-  std::uint64_t deleted = 0;  // keys, of a Delete
+  std::vector<Entry> found;   // entries that a Get read, sorted by key
+  std::uint64_t deleted = 0;  // number of keys that a Delete deleted
 
   friend bool operator==(const OperationResult&, const OperationResult&) = default;
 };
 struct TransactionResult {
   bool succeeded = false;                // whether `then` was executed
   Revision revision = 0;                 // of the store after the transaction
-  std::vector<OperationResult> results;  // one for each operation that was executed
+  std::vector<OperationResult> results;  // one for each executed operation, in order
 
   friend bool operator==(const TransactionResult&, const TransactionResult&) = default;
 };
 
-// One change of a key. Of a deletion, only the entry's key and `modified` are set.
+// A write or deletion of a key. A deletion sets only the entry's key and `modified`.
 struct KeyChange {
   bool deleted = false;
   Entry entry;  // its `modified` is the revision of the change
@@ -104,7 +106,7 @@
   friend bool operator==(const KeyChange&, const KeyChange&) = default;
 };
 
-// Returns whether the text can be one part of a key: 1 to 64 letters, digits, '.', '-' or '_'.
+// Returns whether the text is valid as one part of a key: 1 to 64 letters, digits, '.', '-' or '_'.
 inline bool is_name(std::string_view text) {
   constexpr std::size_t kMaxNameLength = 64;
   const auto allowed = [](char c) {
@@ -114,17 +116,17 @@
   return !text.empty() && text.size() <= kMaxNameLength && std::all_of(text.begin(), text.end(), allowed);
 }
 
-// The key does not exist.
+// Returns the condition that the key does not exist.
 inline Compare absent(std::string key) {
-  return {std::move(key), Compare::What::kCreated, Compare::How::kEqual, 0, {}};
+  return {std::move(key), Compare::Target::kCreated, Compare::Relation::kEqual, 0, {}};
 }
-// The key was created at this revision, and not deleted since.
+// Returns the condition that the key was created at this revision and not deleted since.
 inline Compare created_at(std::string key, Revision revision) {
-  return {std::move(key), Compare::What::kCreated, Compare::How::kEqual, revision, {}};
+  return {std::move(key), Compare::Target::kCreated, Compare::Relation::kEqual, revision, {}};
 }
-// The key was written last at this revision.
+// Returns the condition that the last write of the key was at this revision; 0: the key does not exist.
 inline Compare unchanged(std::string key, Revision modified) {
-  return {std::move(key), Compare::What::kModified, Compare::How::kEqual, modified, {}};
+  return {std::move(key), Compare::Target::kModified, Compare::Relation::kEqual, modified, {}};
 }
 
 }  // namespace trailcourse::coordination
--- a/src/coordination/watch_progress.cpp
+++ b/src/coordination/watch_progress.cpp
@@ -18,7 +18,7 @@
   }
   update.ended = response.canceled;
   for (const KeyChange& change : response.changes) {
-    // A store may begin earlier than it was asked to.
+    // A store may also send changes from before the requested revision.
     if (change.entry.modified > delivered_) {
       update.changes.push_back(change);
     }
--- a/src/coordination/watch_progress.h
+++ b/src/coordination/watch_progress.h
@@ -1,4 +1,4 @@
-// Tracks the revision up to which a watch has delivered changes.
+// The revision up to which a watch has delivered changes.
 //
 // Package `coordination`: no I/O, no clock.
 #pragma once
@@ -9,29 +9,29 @@
 
 namespace trailcourse::coordination {
 
-// A watch reads a snapshot first, then follows the changes after it. After a disconnect it resumes behind the
-// last change; if that revision was compacted, it reads a new snapshot.
+// A watch reads a snapshot first and then follows the changes after it. After a disconnect it continues after
+// the last delivered change, or reads a new snapshot if changes since then were compacted.
 class WatchProgress {
  public:
   enum class NextStep { kReadSnapshot, kFollowChanges };
 
-  // What one watch response brings.
+  // The new content of a watch response.
   struct Update {
-    std::vector<KeyChange> changes;  // without those that were delivered before
-    Revision revision = 0;
-    bool snapshot_required = false;  // changes were compacted: a snapshot has to be read
-    bool ended = false;              // the store ends the watch
+    std::vector<KeyChange> changes;  // that were not delivered before
+    Revision revision = 0;           // of the store after the changes
+    bool snapshot_required = false;  // missing changes were compacted: a snapshot has to be read
+    bool ended = false;              // whether the store canceled the watch
   };
 
   NextStep next_step() const {
     return snapshot_required_ ? NextStep::kReadSnapshot : NextStep::kFollowChanges;
   }
-  // Returns the first revision whose changes were not delivered.
+  // Returns the first revision whose changes were not delivered yet.
   Revision next_revision() const { return delivered_ + 1; }
 
-  // All entries as of this revision were read.
+  // Records that a snapshot of this revision was delivered.
   void on_snapshot(Revision revision);
-  // Takes one watch response.
+  // Processes a watch response and returns what has to be delivered.
   Update on_response(const etcd::WatchResponse& response);
 
  private:
--- a/src/ownership/work_records.cpp
+++ b/src/ownership/work_records.cpp
@@ -30,7 +30,8 @@
   StoredProgress out;
   if (!found.empty()) {
     out.modified = found.front().modified;
-    // A record that cannot be read counts as empty: the next write replaces it by its revision.
+    // A malformed record counts as empty. The next write replaces it, since the write only compares its
+    // revision.
     out.progress = read_progress(found.front().value).value_or(Progress{});
   }
   return out;
@@ -68,7 +69,7 @@
     case WorkError::kParams:
       break;
   }
-  return "params: over 32 KB";
+  return "params: up to 32 KB";
 }
 
 std::optional<WorkError> find_error(const Work& work) {
@@ -195,9 +196,9 @@
   const std::string shard = to_string(id);
   const std::string owner_key = prefix + kOwnerPrefix + shard;
   const std::string progress_key = prefix + kProgressPrefix + shard;
-  // Nothing is written of work that was deleted: if it is defined again, it begins anew.
+  // Progress of deleted work is not written, so that the work begins anew if it is defined again.
   const Compare work_exists{
-      prefix + kWorkPrefix + id.work, Compare::What::kCreated, Compare::How::kNotEqual, 0, {}};
+      prefix + kWorkPrefix + id.work, Compare::Target::kCreated, Compare::Relation::kNotEqual, 0, {}};
   Transaction out;
   out.when = {coordination::created_at(owner_key, term), coordination::unchanged(progress_key, modified),
               work_exists};
@@ -221,7 +222,7 @@
   const auto& owner = outcome.results.at(0).found;
   out.owned = !owner.empty() && owner.front().created == term;
   out.stored = stored_progress_of(outcome.results.at(1).found);
-  // An earlier attempt, whose answer was lost, did write it.
+  // An earlier attempt without a response has written it.
   out.written = out.owned && out.stored.progress == attempted;
   return out;
 }
--- a/tests/coordination_fixture.h
+++ b/tests/coordination_fixture.h
@@ -1,4 +1,4 @@
-// What the tests of coordination stores share: an observer, and a store with its process and proxy.
+// Fixtures of the tests of coordination stores: an observer, and a store with its server process and a proxy.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -21,7 +21,7 @@
 
 namespace trailcourse::coordination {
 
-// Records what a watch delivers, and applies it.
+// Records what a watch delivers, and applies the changes to a copy of the entries.
 struct RecordingObserver : WatchObserver {
   void on_snapshot(Revision revision, const std::vector<Entry>& entries) override {
     ++snapshots;
@@ -44,14 +44,14 @@
     }
     last = revision;
   }
-  void on_disconnected(const std::string& text) override {
+  void on_disconnected(const std::string& disconnect_reason) override {
     ++disconnects;
-    reason = text;
+    reason = disconnect_reason;
   }
   void on_heartbeat() override { ++heartbeats; }
 
-  std::map<std::string, std::string> values;  // by key, as far as was delivered
-  std::vector<std::string> changes;           // "+key value" or "-key", without the space
+  std::map<std::string, std::string> values;  // by key, as delivered so far
+  std::vector<std::string> changes;           // "+" KEY VALUE or "-" KEY, without spaces
   std::string reason;                         // of the last disconnect
   Revision last = 0;
   Revision newest = 0;
@@ -62,13 +62,13 @@
 
 enum class Backend { kEtcd, kEmbedded };
 
-// A store, the processes that use it, and a proxy between them.
+// A store in a temporary folder, the clients that use it, and for kEtcd the server process and a proxy.
 class StoreEnvironment : public testing_support::StoreCalls {
  public:
   explicit StoreEnvironment(Backend backend, std::int64_t history = 10'000) : backend_(backend) {
-    static int made = 0;
+    static int count = 0;
     folder_ = testing::TempDir() + "trailcourse-coordination-" + std::to_string(::getpid()) + "-" +
-              std::to_string(++made);
+              std::to_string(++count);
     std::filesystem::remove_all(folder_);
     std::filesystem::create_directories(folder_);
     server_options_.folder = folder_ + "/registry";
@@ -92,7 +92,7 @@
     std::filesystem::remove_all(folder_);
   }
 
-  // Starts the server as a process of its own; stop_server() is a SIGKILL.
+  // Starts the server as a separate process; stop_server() sends it SIGKILL.
   void start_server() {
     const std::string config = folder_ + "/registry.json";
     std::ofstream(config) << nlohmann::json{
@@ -106,29 +106,31 @@
     const std::size_t starts = ++starts_;
     EXPECT_TRUE(until([&] {
       const std::string log = server_->log();
-      std::size_t seen = 0;
-      for (std::size_t at = log.find("listens on"); at != std::string::npos;
-           at = log.find("listens on", at + 1)) {
-        ++seen;
+      std::size_t started = 0;
+      for (std::size_t position = log.find("listens on"); position != std::string::npos;
+           position = log.find("listens on", position + 1)) {
+        ++started;
       }
-      return seen >= starts || !server_->alive();
+      return started >= starts || !server_->alive();
     }));
     EXPECT_TRUE(server_->alive()) << server_->log();
   }
   void stop_server() { server_.reset(); }
+  // Returns the proxy to the server. Stores that are created after the first call connect through it.
   fleet::FaultProxy& proxy() {
     if (!proxy_) {
-      const std::string at = ports_.take_text();
-      proxy_ = std::make_unique<fleet::FaultProxy>(scheduler, "router>store", *transport::parse_address(at),
+      const std::string proxy_address = ports_.take_text();
+      proxy_ = std::make_unique<fleet::FaultProxy>(scheduler, "router>store",
+                                                   *transport::parse_address(proxy_address),
                                                    *transport::parse_address(address_));
-      options_.endpoints = {at};
+      options_.endpoints = {proxy_address};
     }
     return *proxy_;
   }
   CoordinationOptions& options() { return options_; }
   RegistryOptions& server_options() { return server_options_; }
 
-  // Returns the store as one more router sees it.
+  // Creates one more client of the store, as another router would have.
   CoordinationStore& store() {
     if (backend_ == Backend::kEtcd) {
       stores_.push_back(std::make_unique<EtcdStore>(scheduler, options_, 7));
--- a/tests/coordination_test.cpp
+++ b/tests/coordination_test.cpp
@@ -1,4 +1,4 @@
-// One suite for both backends of a coordination store, and the coordination server.
+// The conformance suite of both backends of a coordination store, and the lock of the coordination server.
 #include <gtest/gtest.h>
 
 #include "coordination/coordination_server.h"
@@ -11,7 +11,9 @@
 
 class ConformanceTest : public testing::TestWithParam<Backend> {};
 INSTANTIATE_TEST_SUITE_P(Stores, ConformanceTest, testing::Values(Backend::kEtcd, Backend::kEmbedded),
-                         [](const auto& one) { return one.param == Backend::kEtcd ? "Etcd" : "Embedded"; });
+                         [](const auto& parameter) {
+                           return parameter.param == Backend::kEtcd ? "Etcd" : "Embedded";
+                         });
 
 TEST_P(ConformanceTest, OneOfConcurrentCompareAndSetsSucceeds) {
   StoreEnvironment environment(GetParam());
@@ -21,55 +23,56 @@
   }
   for (int round = 0; round < 5; ++round) {
     const std::string key = "own/" + std::to_string(round);
-    int answers = 0;
+    int responses = 0;
     int wins = 0;
     for (std::size_t i = 0; i < routers.size(); ++i) {
       routers[i]->commit(put_if_absent(key, "router" + std::to_string(i)),
-                         [&](const StoreResponse<TransactionResult>& reply) {
-                           EXPECT_TRUE(reply.ok()) << reply.error;
-                           wins += reply.value.succeeded ? 1 : 0;
-                           ++answers;
+                         [&](const StoreResponse<TransactionResult>& response) {
+                           EXPECT_TRUE(response.ok()) << response.error;
+                           wins += response.value.succeeded ? 1 : 0;
+                           ++responses;
                          });
     }
-    ASSERT_TRUE(environment.until([&] { return answers == 5; }));
+    ASSERT_TRUE(environment.until([&] { return responses == 5; }));
     EXPECT_EQ(wins, 1);
   }
   EXPECT_NE(routers[0]->id(), 0U);
   EXPECT_EQ(routers[0]->id(), routers[4]->id());
 }
 
-TEST_P(ConformanceTest, EveryKindOfConditionAndOperation) {
+TEST_P(ConformanceTest, SupportsEveryConditionAndOperation) {
   StoreEnvironment environment(GetParam());
   CoordinationStore& store = environment.store();
   const auto first = environment.commit(store, put("a/1", "x"));
   ASSERT_TRUE(first.ok()) << first.error;
-  const Revision made = first.value.revision;
+  const Revision created = first.value.revision;
   const auto holds = [&](const Compare& compare) {
-    const auto reply = environment.commit(store, Transaction{{compare}, {}, {}});
-    EXPECT_TRUE(reply.ok()) << reply.error;
-    return reply.value.succeeded;
+    const auto response = environment.commit(store, Transaction{{compare}, {}, {}});
+    EXPECT_TRUE(response.ok()) << response.error;
+    return response.value.succeeded;
   };
-  using What = Compare::What;
-  using How = Compare::How;
-  EXPECT_TRUE(holds({"a/1", What::kCreated, How::kEqual, made, {}}));
-  EXPECT_FALSE(holds({"a/1", What::kCreated, How::kNotEqual, made, {}}));
-  EXPECT_TRUE(holds({"a/1", What::kModified, How::kLess, made + 1, {}}));
-  EXPECT_TRUE(holds({"a/1", What::kVersion, How::kGreater, 0, {}}));
-  EXPECT_TRUE(holds({"a/1", What::kLease, How::kEqual, 0, {}}));
-  EXPECT_TRUE(holds({"a/1", What::kValue, How::kEqual, 0, "x"}));
-  EXPECT_FALSE(holds({"a/2", What::kValue, How::kNotEqual, 0, "x"})) << "no value can be compared";
-  EXPECT_TRUE(holds({"a/2", What::kVersion, How::kEqual, 0, {}}));
-  const std::string odd("a/\0\xff", 4);
-  ASSERT_TRUE(environment.commit(store, put(odd, std::string("\0\n\x80", 3))).ok());
+  using Target = Compare::Target;
+  using Relation = Compare::Relation;
+  EXPECT_TRUE(holds({"a/1", Target::kCreated, Relation::kEqual, created, {}}));
+  EXPECT_FALSE(holds({"a/1", Target::kCreated, Relation::kNotEqual, created, {}}));
+  EXPECT_TRUE(holds({"a/1", Target::kModified, Relation::kLess, created + 1, {}}));
+  EXPECT_TRUE(holds({"a/1", Target::kVersion, Relation::kGreater, 0, {}}));
+  EXPECT_TRUE(holds({"a/1", Target::kLease, Relation::kEqual, 0, {}}));
+  EXPECT_TRUE(holds({"a/1", Target::kValue, Relation::kEqual, 0, "x"}));
+  EXPECT_FALSE(holds({"a/2", Target::kValue, Relation::kNotEqual, 0, "x"}))
+      << "a key that does not exist has no value to compare";
+  EXPECT_TRUE(holds({"a/2", Target::kVersion, Relation::kEqual, 0, {}}));
+  const std::string binary_key("a/\0\xff", 4);
+  ASSERT_TRUE(environment.commit(store, put(binary_key, std::string("\0\n\x80", 3))).ok());
   const auto all = environment.commit(store, Transaction{{}, {Get{Range{"a/", true}}}, {}});
   ASSERT_EQ(all.value.results.at(0).found.size(), 2U);
   EXPECT_EQ(all.value.results[0].found[0].value, std::string("\0\n\x80", 3));
-  const auto gone =
+  const auto deleted =
       environment.commit(store, Transaction{{}, {Delete{Range{"a/", true}}, Put{"b", "", 0}}, {}});
-  EXPECT_EQ(gone.value.results.at(0).deleted, 2U);
-  const auto rest = environment.commit(store, Transaction{{}, {Get{Range{"", true}}}, {}});
-  ASSERT_EQ(rest.value.results.at(0).found.size(), 1U);
-  EXPECT_EQ(rest.value.results[0].found[0].key, "b");
+  EXPECT_EQ(deleted.value.results.at(0).deleted, 2U);
+  const auto remaining = environment.commit(store, Transaction{{}, {Get{Range{"", true}}}, {}});
+  ASSERT_EQ(remaining.value.results.at(0).found.size(), 1U);
+  EXPECT_EQ(remaining.value.results[0].found[0].key, "b");
   EXPECT_EQ(environment.commit(store, put("c", "", 12'345)).status, CallStatus::kRejected);
 }
 
@@ -81,19 +84,19 @@
   other.watch(Range{"own/", true}, observer);
   const auto lease = environment.grant(owner, milliseconds(400));
   ASSERT_TRUE(lease.ok()) << lease.error;
-  const auto got = environment.commit(owner, put_if_absent("own/a", "owner", lease.value.id));
-  ASSERT_TRUE(got.value.succeeded);
+  const auto acquired = environment.commit(owner, put_if_absent("own/a", "owner", lease.value.id));
+  ASSERT_TRUE(acquired.value.succeeded);
   ASSERT_TRUE(environment.until([&] { return observer.values.contains("own/a"); }));
   for (int i = 0; i < 6; ++i) {
     const auto renewed = environment.renew(owner, lease.value.id);
     ASSERT_TRUE(renewed.ok()) << renewed.error;
-    // A busy machine may have let it end; then it must be gone for all, too.
+    // On a busy machine the lease may have expired already. Then the key is deleted for all clients.
     if (renewed.value.ttl == Micros(0)) {
       break;
     }
   }
   ASSERT_TRUE(environment.until([&] { return !observer.values.contains("own/a"); }))
-      << "no renewal: it has to end";
+      << "a lease that is not renewed has to expire";
   EXPECT_EQ(environment.renew(owner, lease.value.id).value.ttl, Micros(0));
   EXPECT_TRUE(environment.commit(other, put_if_absent("own/a", "other")).value.succeeded);
   other.unwatch(1);
@@ -107,7 +110,8 @@
   ASSERT_TRUE(environment.commit(owner, put_if_absent("own/a", "owner", lease.value.id)).value.succeeded);
   EXPECT_FALSE(environment.commit(other, put_if_absent("own/a", "other")).value.succeeded);
   for (int i = 0; i < 2; ++i) {
-    EXPECT_TRUE(environment.await<Empty>([&](auto then) { owner.revoke(lease.value.id, then); }).ok());
+    EXPECT_TRUE(
+        environment.await<Empty>([&](auto callback) { owner.revoke(lease.value.id, callback); }).ok());
   }
   EXPECT_TRUE(environment.commit(other, put_if_absent("own/a", "other")).value.succeeded);
 }
--- a/tests/key_value_state_test.cpp
+++ b/tests/key_value_state_test.cpp
@@ -15,7 +15,7 @@
 
 using Durability = KeyValueDatabase::Durability;
 
-TEST(KeyValueStateTest, TransactionWithSeveralWritesIsOneRevision) {
+TEST(KeyValueStateTest, TransactionWithSeveralWritesTakesOneRevision) {
   KeyValueState state{KeyValueLimits{}};
   const Revision before = state.revision();
   const TransactionResult first =
@@ -25,7 +25,7 @@
   EXPECT_EQ(state.get(Range{"", true}).size(), 2U);
   const TransactionResult second = state.commit(put_if_absent("a", "3"));
   EXPECT_FALSE(second.succeeded);
-  EXPECT_EQ(second.revision, before + 1) << "a transaction that only reads makes no revision";
+  EXPECT_EQ(second.revision, before + 1) << "a transaction that only reads takes no revision";
   ASSERT_EQ(second.results.at(0).found.size(), 1U);
   EXPECT_EQ(second.results[0].found[0].value, "1");
 }
@@ -40,7 +40,7 @@
   EXPECT_TRUE(state.get(Range{"own", false}).empty());
   const TransactionResult second = state.commit(put_if_absent("own", "y"));
   EXPECT_TRUE(second.succeeded);
-  EXPECT_GT(second.revision, first + 1) << "the end of the lease is a revision of its own";
+  EXPECT_GT(second.revision, first + 1) << "the end of the lease takes a revision, too";
 }
 
 TEST(KeyValueStateTest, RejectedCallsChangeNothing) {
@@ -59,7 +59,7 @@
   rejected(put("", "2"));
   rejected(put(std::string(1'000, 'k'), "2"));
   rejected(Transaction{{}, {Put{"b", "2", 0}, Put{"c", "3", 0}}, {}});
-  // Also if the invalid branch is the one that would not be executed.
+  // A transaction is also rejected if only the branch that would not be executed is invalid.
   rejected(Transaction{{absent("a")}, {Put{"b", "2", 77}}, {}});
   EXPECT_THROW(state.revoke(5), OperationRejected);
   EXPECT_THROW(state.grant(Milliseconds(0), Milliseconds(0), 0), OperationRejected);
@@ -79,8 +79,7 @@
   EXPECT_EQ(last.back().entry.version, 10U);
 }
 
-// A second state applies the changes of a first one, which are drawn: both have the same entries, also of
-// keys with leases.
+// A second state applies random changes of a first one. Both have the same entries, also of keys with leases.
 TEST(KeyValueStateTest, ReplicaThatAppliesTheChangesHasTheSameEntries) {
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     std::mt19937_64 random(seed);
@@ -121,7 +120,7 @@
   }
 }
 
-// While one connection is creating the file, SQLite returns SQLITE_BUSY to the others at once.
+// While one connection creates the file, SQLite returns SQLITE_BUSY to others without waiting.
 TEST(KeyValueDatabaseTest, ConcurrentOpenersOfANewDatabaseAllSucceed) {
   constexpr int kRounds = 20;
   constexpr int kOpeners = 6;
@@ -147,7 +146,7 @@
       opener.join();
     }
     EXPECT_EQ(errors, std::vector<std::string>(kOpeners)) << "round " << round;
-    EXPECT_EQ(ids, std::vector<std::uint64_t>(kOpeners, ids[0])) << "one store";
+    EXPECT_EQ(ids, std::vector<std::uint64_t>(kOpeners, ids[0])) << "all openers use the same store";
     std::filesystem::remove_all(folder);
   }
 }
@@ -162,12 +161,12 @@
     EXPECT_THROW(database.transact(Milliseconds(0), Durability::kSynced,
                                    [](KeyValueState& state) {
                                      state.commit(put("a", "2"));
-                                     throw SqliteError("drawn", nullptr);
+                                     throw SqliteError("injected", nullptr);
                                    }),
                  SqliteError);
     database.transact(Milliseconds(0), Durability::kSynced, [](KeyValueState& state) {
       EXPECT_EQ(state.get(Range{"a", false}).at(0).value, "1")
-          << "a change that was not stored is not visible";
+          << "a change of a failed transaction is not visible";
     });
   }
   KeyValueDatabase reopened(folder, KeyValueLimits{}, KeyValueDatabase::Sharing::kShared);
--- a/tests/store_transactions.h
+++ b/tests/store_transactions.h
@@ -7,6 +7,7 @@
 
 namespace trailcourse::coordination {
 
+// Writes the key if it does not exist, and otherwise reads it.
 inline Transaction put_if_absent(const std::string& key, const std::string& value, LeaseId lease = 0) {
   return Transaction{{absent(key)}, {Put{key, value, lease}}, {Get{Range{key, false}}}};
 }
