--- a/src/membership/member_records.cpp
+++ b/src/membership/member_records.cpp
@@ -19,7 +19,7 @@
   std::string second;
 };
 
-// Splits PREFIX FIRST/SECOND.
+// Splits a key of the form PREFIX FIRST/SECOND. Returns nothing if it has another form.
 std::optional<KeyParts> split_key(const std::string& key, const std::string& prefix) {
   if (!key.starts_with(prefix)) {
     return std::nullopt;
--- a/src/membership/member_records.h
+++ b/src/membership/member_records.h
@@ -1,5 +1,5 @@
-// Membership of the fleet as it is stored: one record for each running process of a router, which ends with
-// its session, and one for each suspicion that a member reports of another.
+// The records of the fleet's membership in the coordination store: one for each running router process, which
+// is deleted with its session, and one for each suspicion that a member reports about another.
 //
 // Library `membership`: depends on JSON; no I/O and no clock.
 #pragma once
@@ -15,20 +15,20 @@
   std::string name;
   std::string incarnation;  // of this process: 16 hex digits
   std::string zone;
-  std::string address;          // where peers probe it
-  std::int64_t started_ms = 0;  // Unix time, only shown to staff
+  std::string address;          // that peers probe
+  std::int64_t started_ms = 0;  // Unix time, only shown to operators
   bool draining = false;
   std::string version;
 
   friend bool operator==(const Member&, const Member&) = default;
 };
 
-// A member's report that it cannot reach another.
+// A member's report that it cannot reach another member.
 struct Suspicion {
   std::string member;
   std::string reporter;
-  int probed = 0;  // peers that the reporter probes
-  int failed = 0;  // how many of these it cannot reach
+  int probed = 0;  // number of peers that the reporter probes
+  int failed = 0;  // number of these peers that it cannot reach
 
   friend bool operator==(const Suspicion&, const Suspicion&) = default;
 };
@@ -42,7 +42,7 @@
 // Returns "fleet/doubts/MEMBER/REPORTER".
 std::string suspicion_key(const std::string& member, const std::string& reporter);
 
-// Values as they are stored. The read functions return nothing where key and value are not a record.
+// Serialize and parse the stored values. The read functions return nothing if key and value are not a record.
 std::string write_member(const Member& member);
 std::optional<Member> read_member(const std::string& key, const std::string& value);
 std::string write_suspicion(const Suspicion& suspicion);
--- a/src/membership/membership_view.cpp
+++ b/src/membership/membership_view.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Added to a computed time, so that rounding does not make it fall before the change.
+// Added to a computed time, which rounding might otherwise place before the change.
 constexpr Micros kRoundingMargin{1'000};
 
 }  // namespace
@@ -69,15 +69,15 @@
   }
   revision_ = std::max(revision_, revision);
   const bool deleted = value.empty();
-  // Of a record that was deleted the key alone is known.
-  const std::string& readable = deleted ? "{}" : value;
-  if (const auto member = read_member(key, readable)) {
+  // A deletion carries no value. An empty record is read instead, for the names in its key.
+  const std::string& record = deleted ? "{}" : value;
+  if (const auto member = read_member(key, record)) {
     if (deleted) {
       remove_session(member->name, member->incarnation);
     } else {
       add_session(now, *member, created);
     }
-  } else if (const auto suspicion = read_suspicion(key, readable)) {
+  } else if (const auto suspicion = read_suspicion(key, record)) {
     if (deleted) {
       suspicions_[suspicion->member].erase(suspicion->reporter);
     } else {
@@ -88,7 +88,7 @@
 
 void MembershipView::add_session(Micros now, const Member& member, std::uint64_t created) {
   FlapState& flap = flaps_[member.name];
-  // A member flaps that was seen to leave and returns; one that was there at first does not.
+  // Only the return of a member that has left counts as a flap; its first appearance does not.
   if (flap.has_left) {
     flap.penalty = flap_penalty(flap, now) + 1.0;
     flap.updated_at = now;
@@ -103,7 +103,7 @@
   if (found == sessions_.end() || found->second.erase(incarnation) == 0) {
     return;
   }
-  // An old session that ends behind a newer one belongs to a restart, and its member has not left.
+  // If a newer session exists, the process was restarted and the member has not left.
   if (found->second.empty()) {
     sessions_.erase(found);
     flaps_[name].has_left = true;
@@ -130,7 +130,8 @@
   return flap.damped && flap_penalty(flap, now) >= options_.reuse;
 }
 
-// A reporter that cannot reach any of the peers that it probes is itself cut off: its report does not count.
+// The report of a member that cannot reach any of its peers does not count: that member is itself
+// disconnected.
 bool MembershipView::is_credible(const Suspicion& suspicion) const {
   if (suspicion.reporter == suspicion.member || !sessions_.contains(suspicion.reporter)) {
     return false;
--- a/src/membership/membership_view.h
+++ b/src/membership/membership_view.h
@@ -1,15 +1,15 @@
-// Membership of the fleet as one member sees it: the sessions in the store, without those that flap, drain,
-// or cannot be reached by their peers although the store hears them. Members may see different memberships
-// for a while. Nothing that has to be correct depends on their agreement (leases and fencing terms serve
-// for that); the view decides only who tries first to acquire work.
+// The membership of the fleet as one member sees it: the sessions in the store, without members that flap,
+// drain, or cannot be reached by their peers although their session exists. The views of members may differ
+// for some time. Correctness does not depend on their agreement, since leases and fencing tokens ensure it;
+// the view only determines which member tries first to acquire work.
 //
-// | status     | as text  | meaning                                       | may be given work |
-// | ---------- | -------- | --------------------------------------------- | ----------------- |
-// | active     | in       | has a session in the store                    | yes               |
-// | damped     | damped   | joined and left too often lately              | no                |
-// | suspected  | doubted  | the store hears it, its peers cannot reach it | no                |
-// | draining   | draining | is shutting down gracefully                   | no                |
-// | superseded | shadowed | a later process has its name                  | no                |
+// | status     | as text  | meaning                                      | may be given work |
+// | ---------- | -------- | -------------------------------------------- | ----------------- |
+// | active     | in       | has a session in the store                   | yes               |
+// | damped     | damped   | has joined and left too often recently       | no                |
+// | suspected  | doubted  | has a session, but peers cannot reach it     | no                |
+// | draining   | draining | is shutting down gracefully                  | no                |
+// | superseded | shadowed | a process that started later has its name    | no                |
 //
 // Library `membership`: no I/O and no clock; times are Micros of the caller's steady clock. Not thread-safe.
 #pragma once
@@ -27,55 +27,57 @@
 
 namespace trailcourse::membership {
 
-// Flap damping after RFC 2439: each return adds 1 to a penalty that halves with time. A member is damped once
-// the penalty reaches `suppress`, until it is below `reuse`.
+// Flap damping as in RFC 2439: each return of a member adds 1 to its penalty, which decays exponentially. A
+// member is damped from the time when the penalty reaches `suppress` until it falls below `reuse`.
 struct MembershipOptions {
   double suppress = 3.0;
   double reuse = 1.0;
   Micros half_life{60'000'000};
-  int min_suspecting_peers = 2;  // that make a member suspected; fewer where there are fewer others
+  int min_suspecting_peers = 2;  // from which a member is suspected; at most the number of other members
 };
 
 enum class MemberStatus { kActive, kDamped, kSuspected, kDraining, kSuperseded };
 
-// Returns the word that staff read in outputs.
+// Returns the name that is shown to operators.
 const char* to_string(MemberStatus status);
 
-// A running process of a router, as the view sees it.
+// A running router process and its status.
 struct MemberEntry {
   Member member;
-  std::uint64_t joined_revision = 0;  // of the store, when its session was created
+  std::uint64_t joined_revision = 0;  // of the store when its session was created
   MemberStatus status = MemberStatus::kActive;
   double flap_penalty = 0.0;
   int suspecting_peers = 0;
 };
 
+// Derives the status of each member from the records in the store.
 class MembershipView {
  public:
   explicit MembershipView(const MembershipOptions& options) : options_(options) {}
 
-  // Between these calls apply() is called for every record that stands at `revision`: at the start, and
-  // after a gap of the watch. What was not among them is gone.
+  // Between these calls apply() is called for every record of a snapshot, which is at `revision`: at the
+  // start, and when the watch has missed changes. Records that are missing from the snapshot are removed.
   void begin_snapshot();
   void end_snapshot(Micros now, std::uint64_t revision);
 
-  // Applies a record of a member or a suspicion; an empty value: it was deleted. Other keys are ignored.
+  // Applies a member or suspicion record. An empty value means that the record was deleted. Other keys are
+  // ignored. `created` and `revision` are the revisions of the record's creation and last write.
   void apply(Micros now, const std::string& key, const std::string& value, std::uint64_t created,
              std::uint64_t revision);
 
-  // Returns the store's revision of the last change that was applied.
+  // Returns the highest revision that was applied.
   std::uint64_t revision() const { return revision_; }
 
   // Returns all running processes, by name and incarnation.
   std::vector<MemberEntry> members(Micros now) const;
 
-  // Returns the names of the active members of a zone, or of all zones where it is empty. Sorted.
+  // Returns the sorted names of the active members of a zone, or of all zones if `zone` is empty.
   std::vector<std::string> eligible(Micros now, const std::string& zone) const;
 
-  // Returns whether a later process has the name of this one.
+  // Returns whether a process that started later has the same name.
   bool superseded(const std::string& name, const std::string& incarnation) const;
 
-  // Returns when a damped member becomes active again: eligible() changes then by time alone.
+  // Returns when the next damped member becomes active, which changes eligible() without a new record.
   std::optional<Micros> next_change_at(Micros now) const;
 
  private:
@@ -86,7 +88,7 @@
   struct FlapState {
     double penalty = 0.0;
     Micros updated_at{0};
-    bool has_left = false;  // it was here, and has no session now
+    bool has_left = false;  // it had a session and has none now
     bool damped = false;
   };
 
--- a/src/membership/peer_prober.cpp
+++ b/src/membership/peer_prober.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 struct RingPosition {
-  std::uint64_t distance = 0;  // along the ring from this member
+  std::uint64_t distance = 0;  // from this member along the ring
   std::string member;
 
   friend auto operator<=>(const RingPosition&, const RingPosition&) = default;
--- a/src/membership/peer_prober.h
+++ b/src/membership/peer_prober.h
@@ -1,6 +1,6 @@
-// Probing of peers: which members this one probes, and which of them it suspects. A member that the store
-// hears but its peers cannot reach is of little use. Each member probes its successors on a ring of hashes,
-// so that each is probed by as many as it probes.
+// Selection of the peers that this member probes, and suspicion of those that it cannot reach. A member with
+// a session that its peers cannot reach should get no work. Each member probes its successors on a hash ring,
+// so that it is probed by as many members as it probes.
 //
 // Library `membership`: no I/O and no clock. Not thread-safe.
 #pragma once
@@ -15,22 +15,23 @@
 
 namespace trailcourse::membership {
 
+// Counts the failed probes of the peers that are probed.
 class PeerProber {
  public:
-  // `target_count` members are probed; `failure_threshold` failures in a row make a suspicion.
+  // `self` probes up to `target_count` members and suspects one after `failure_threshold` failures in a row.
   PeerProber(std::string self, std::size_t target_count, int failure_threshold)
       : self_(std::move(self)), target_count_(target_count), failure_threshold_(failure_threshold) {}
 
-  // Returns which of these members to probe.
+  // Returns the members to probe out of `members`.
   std::vector<std::string> select_targets(const std::vector<std::string>& members) const;
 
-  // Sets the members that are probed from now on. Results of others are forgotten.
+  // Sets the members that are probed from now on. The results of other members are dropped.
   void set_targets(const std::vector<std::string>& members);
 
-  // Reports the result of a probe. That of a member that is not a target is ignored.
+  // Records the result of a probe. Ignored if the member is not probed any more.
   void on_probe_result(const std::string& member, bool reached);
 
-  // Returns the suspicions that this member should have in the store, by the suspected member.
+  // Returns the suspicions that this member should report to the store, by suspected member.
   std::map<std::string, Suspicion> suspicions() const;
 
  private:
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -1,5 +1,5 @@
-// Membership of the fleet: names that are used twice, members that flap, and members that the store hears
-// but their peers cannot reach.
+// Membership of the fleet: two processes with one name, members that flap, and members that have a session
+// but cannot be reached by their peers.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -68,18 +68,18 @@
   EXPECT_FALSE(view.superseded("a", "second"));
   EXPECT_EQ(status("a", "first"), MemberStatus::kSuperseded);
   EXPECT_EQ(eligible(), Names{"a"});
-  // The old session runs out: nobody left the fleet.
+  // The old session expires, but the member has not left the fleet.
   leave("a", "first");
   EXPECT_EQ(eligible(), Names{"a"});
   EXPECT_EQ(status("a", "second"), MemberStatus::kActive);
-  // Had the later one gone first, the other counts again.
+  // If the later process leaves first, the earlier one is not superseded any more.
   join("b", "first");
   join("b", "second");
   leave("b", "second");
   EXPECT_FALSE(view.superseded("b", "first"));
 }
 
-TEST_F(MembershipTest, FlappingMemberIsDampedAndReturnsWithTime) {
+TEST_F(MembershipTest, FlappingMemberIsDampedUntilItsPenaltyDecays) {
   join("a", "0");
   join("b", "0");
   for (int i = 0; i < 3; ++i) {
@@ -88,7 +88,7 @@
     now += seconds(1);
     join("a", std::to_string(i + 1));
   }
-  // Three returns within seconds, a little halved: under the bound; the fourth is over it.
+  // The penalty of three returns has decayed to just below `suppress`; the fourth return exceeds it.
   leave("a", "3");
   join("a", "4");
   EXPECT_EQ(eligible(), Names{"b"});
@@ -133,12 +133,12 @@
   for (const char* name : {"a", "b", "c", "d"}) {
     join(name, "0");
   }
-  // b and c are cut off: each suspects all that it probes.
+  // b and c are disconnected: each suspects all members that it probes.
   suspect("a", "b", 2, 2);
   suspect("a", "c", 2, 2);
   suspect("d", "b", 2, 2);
   EXPECT_EQ(eligible().size(), 4U);
-  // Of one who is not a member any more neither, nor of oneself.
+  // Suspicions of a member that has left, or about the reporter itself, do not count either.
   suspect("a", "gone", 2, 1);
   suspect("a", "a", 2, 1);
   EXPECT_EQ(eligible().size(), 4U);
@@ -170,9 +170,9 @@
   std::mt19937_64 random(3);
   Member member;
   member.zone = "edge";
-  const std::string good = write_member(member);
+  const std::string valid = write_member(member);
   for (int round = 0; round < 2'000; ++round) {
-    std::string text = good;
+    std::string text = valid;
     text[random() % text.size()] = static_cast<char>(random());
     text.resize(random() % 3 == 0 ? random() % text.size() : text.size());
     const auto read = read_member("fleet/members/a/1", text);
@@ -200,7 +200,7 @@
   EXPECT_EQ(probed_by.size(), names.size());
 }
 
-TEST(PeerProberTest, FailuresInARowMakeASuspicionAndOneSuccessEndsIt) {
+TEST(PeerProberTest, SuspectsAfterFailuresInARowAndASuccessResetsThem) {
   PeerProber prober("a", 2, 2);
   prober.set_targets({"b", "c"});
   prober.on_probe_result("b", false);
@@ -214,7 +214,7 @@
   prober.set_targets({"c"});
   EXPECT_TRUE(prober.suspicions().empty());
   prober.on_probe_result("b", false);
-  EXPECT_TRUE(prober.suspicions().empty()) << "of a member that is not probed any more";
+  EXPECT_TRUE(prober.suspicions().empty()) << "results of a member that is not probed any more are ignored";
 }
 
 }  // namespace
