--- a/src/cache_node/node.cpp
+++ b/src/cache_node/node.cpp
@@ -172,7 +172,7 @@
     carry_out(actions_);
     return;
   }
-  const std::string reason = fencing::wire_word(result);
+  const std::string reason = fencing::error_code(result);
   log_line(Level::kWarning) << "refused a command under " << protocol::plain_value(fields.fence) << ": "
                             << reason;
   protocol::AnswerOut out;
--- a/src/fencing/token_store.cpp
+++ b/src/fencing/token_store.cpp
@@ -24,7 +24,8 @@
   return std::to_string(XXH3_64bits(text.data(), text.size()));
 }
 
-// Replaces the file as a whole: the new content is durable under another name before it takes its place.
+// Replaces the file atomically: the new content is synced under another name and then renamed. Returns
+// whether it succeeded.
 bool write_file(store::Files& files, const std::string& content) {
   try {
     const auto file = files.create(kTemporaryFile);
@@ -34,13 +35,13 @@
     files.sync_names();
     return true;
   } catch (const std::exception&) {
-    return false;  // the commands that wait for it are rejected
+    return false;  // the waiting commands are rejected
   }
 }
 
 }  // namespace
 
-const char* wire_word(AdmitResult result) {
+const char* error_code(AdmitResult result) {
   switch (result) {
     case AdmitResult::kAdmitted:
       return "";
@@ -69,7 +70,7 @@
 
 TokenStore::~TokenStore() { *alive_ = false; }
 
-// Reads the file: its checksum in the first line, then a token in each line.
+// Reads the file. The first line is the checksum of the rest, each further line is a token.
 void TokenStore::load() {
   const std::vector<std::string> names = files_->list();
   if (std::find(names.begin(), names.end(), kFile) == names.end()) {
@@ -81,8 +82,8 @@
   const std::string body = end == std::string::npos ? "" : content.substr(end + 1);
   if (end == std::string::npos || content.substr(0, end) != checksum(body)) {
     throw std::runtime_error(
-        "the terms of fenced work cannot be read: remove the file `terms` only where no "
-        "owner of before can still act");
+        "the file of fencing terms is damaged: remove `terms` only if no former owner can still send "
+        "commands");
   }
   std::istringstream lines(body);
   for (std::string line; std::getline(lines, line);) {
@@ -95,7 +96,7 @@
 
 std::string TokenStore::file_content(const FencingToken& next) const {
   std::map<std::string, Term> terms = fence_.terms();
-  // The terms that other commands wait for are included: the last write is the one that stands.
+  // Includes the terms of other pending commands, since the last write replaces all earlier ones.
   for (const auto& [work, pending] : pending_) {
     terms[work] = std::max(terms[work], pending.term);
   }
@@ -162,7 +163,7 @@
 }
 
 void TokenStore::persist(const FencingToken& token) {
-  store_ = token.store;  // set now, so that a token of a second store is not admitted meanwhile
+  store_ = token.store;  // set before the write, so that no token of another store is admitted meanwhile
   const auto succeeded = std::make_shared<bool>(false);
   executor_.run(
       store::Executor::Lane::kWrite,
--- a/src/fencing/token_store.h
+++ b/src/fencing/token_store.h
@@ -1,9 +1,9 @@
-// Durable fencing terms of a receiver: a term is on the disk before the first effect under it, so a
-// receiver that restarts still rejects former owners. All terms have to be of one store, because those of
-// two stores cannot be compared: the first store seen is the only one until staff remove the file.
+// Durable fencing terms of a receiver. A term is synced to the disk before the first effect under it, so that
+// a receiver rejects former owners also after a restart. Terms of two stores cannot be compared: the receiver
+// accepts only terms of the first store that it sees, until an operator removes the file.
 //
-// Library `fencing`, on top of `ownership` (the fence) and `store` (files and the executor). Used by one
-// thread beside those of the executor.
+// Library `fencing`, on top of `ownership` (the fence) and `store` (files and the executor). Not thread-safe;
+// only the file is written in a thread of the executor.
 #pragma once
 
 #include <cstdint>
@@ -23,19 +23,19 @@
 
 using ownership::FencingToken;
 
-// Whether an effect may be executed, and if not, why.
+// The decision about a command: admitted, or the reason why it is rejected.
 enum class AdmitResult {
   kAdmitted,
   kMalformedToken,  // the text is not a fencing token
-  kNoStorage,       // the receiver has no folder to persist terms in
-  kOtherStore,      // the token is of another store than those before
-  kStaleTerm,       // a higher term was seen
-  kStorageFull,     // terms of too many works are known
+  kNoStorage,       // the receiver has no folder for terms
+  kOtherStore,      // the token is from another store than earlier ones
+  kStaleTerm,       // a higher term was received
+  kStorageFull,     // the terms of the maximum number of works are stored
   kNotPersisted     // the term could not be written to the disk
 };
 
-// Returns the word that the sender is answered with; empty for kAdmitted.
-const char* wire_word(AdmitResult result);
+// Returns the error code that is sent to the sender; empty for kAdmitted.
+const char* error_code(AdmitResult result);
 
 // Counters since the start of the process.
 struct FenceCounts {
@@ -46,26 +46,28 @@
   std::uint64_t malformed = 0;
 };
 
+// Decides which fenced commands a receiver executes.
 class TokenStore {
  public:
-  // Reads the terms that were persisted. Without `files` nothing can be persisted, and nothing is admitted.
-  // Throws store::FileError, or std::runtime_error where the file is damaged: a receiver that lost its terms
-  // must not go on as if there had been none.
+  // Reads the persisted terms. If `files` is null, nothing can be persisted and no command is admitted.
+  // Throws store::FileError, and std::runtime_error if the file is damaged, because a receiver without its
+  // terms would admit former owners.
   TokenStore(std::shared_ptr<store::Files> files, store::Executor& executor);
   ~TokenStore();
   TokenStore(const TokenStore&) = delete;
   TokenStore& operator=(const TokenStore&) = delete;
 
-  // Decides whether an effect under the token may be executed. `done` is called at once where nothing has
-  // to be written, and otherwise once the term is durable. It is not called after the destruction of this
-  // object.
+  // Decides whether a command with this token may be executed. `done` is called within this function if
+  // nothing has to be written, and otherwise when the term is durable. It is not called after the destruction
+  // of this object.
   using Callback = std::function<void(AdmitResult result)>;
   void admit(const std::string& token, Callback done);
 
   const FenceCounts& counts() const { return counts_; }
 
-  // Returns the identity of the store whose terms are known; 0: none yet.
+  // Returns the identity of the coordination store whose terms are accepted; 0: none yet.
   std::uint64_t store() const { return store_; }
+  // Returns the highest durable term of each work.
   const std::map<std::string, ownership::Term>& terms() const { return fence_.terms(); }
 
  private:
@@ -73,15 +75,15 @@
     ownership::Term term = 0;
     Callback done;
   };
-  // Commands that wait until a term of their work is durable.
+  // Commands of one work that wait until its term is durable.
   struct PendingWork {
-    ownership::Term term = 0;  // the highest that is being written
+    ownership::Term term = 0;  // highest term that is being written
     std::vector<PendingCommand> commands;
   };
 
   void load();
   AdmitResult reject(AdmitResult reason);
-  // Returns the decision where it can be taken at once; nothing where the term has to be persisted first.
+  // Returns the decision, or nothing if the term has to be persisted first.
   std::optional<AdmitResult> decide(const std::optional<FencingToken>& token);
   std::string file_content(const FencingToken& next) const;
   void persist(const FencingToken& token);
--- a/tests/recorded_files_test.cpp
+++ b/tests/recorded_files_test.cpp
@@ -328,7 +328,7 @@
   EXPECT_EQ(tokens.terms().at("evening/0"), 7U);
   std::string answer = "none";
   tokens.admit(std::to_string(kStoreId) + ":evening/0:6",
-               [&answer](fencing::AdmitResult result) { answer = fencing::wire_word(result); });
+               [&answer](fencing::AdmitResult result) { answer = fencing::error_code(result); });
   EXPECT_EQ(answer, "fenced");
 }
 
