--- a/src/ownership/fence.h
+++ b/src/ownership/fence.h
@@ -1,10 +1,10 @@
-// Fence of a receiver of effects: it rejects each command that comes under a lower term than it has seen. A
-// late effect of a former owner, for example one that lay in a socket's buffer, does no harm whatever its
-// sender believes.
+// The fence of a receiver: it rejects commands under a lower term than the highest one that it has received.
+// It thereby rejects late commands of a former owner, for example from a socket's buffer, even if the sender
+// still considers itself the owner.
 //
-// The highest term has to be durable before the effect of its first command: where admit() returns
-// kPersistFirst, the caller writes and syncs the term, calls on_persisted(), and only then executes the
-// command. A receiver that restarts begins with the terms that it persisted.
+// A term has to be durable before the first command under it is executed: if admit() returns kPersistFirst,
+// the caller writes and syncs the term, calls on_persisted(), and then executes the command. After a restart,
+// the receiver begins with the persisted terms.
 //
 // Library `ownership`: no I/O and no clock. Not thread-safe.
 #pragma once
@@ -18,14 +18,15 @@
 namespace trailcourse::ownership {
 
 enum class FenceDecision {
-  kAccept,        // the term is the highest seen, and it is durable
+  kAccept,        // the term is the highest one received, and it is durable
   kPersistFirst,  // the term is higher: persist it, call on_persisted(), then execute the command
-  kReject         // a higher term was seen: the sender is a former owner
+  kReject         // a higher term was received: the sender is a former owner
 };
 
-// Highest durable term of each piece of work.
+// The highest durable term of each work.
 class Fence {
  public:
+  // Decides about a command under this term. Does not change the fence.
   FenceDecision admit(const std::string& work, Term term) const {
     const Term highest = persisted_term(work);
     if (term == 0 || term < highest) {
@@ -34,7 +35,7 @@
     return term == highest ? FenceDecision::kAccept : FenceDecision::kPersistFirst;
   }
 
-  // The term is durable now. A lower one than was persisted before changes nothing.
+  // Records that the term is durable. Ignored if a higher term is durable already.
   void on_persisted(const std::string& work, Term term) {
     Term& highest = terms_[work];
     highest = std::max(highest, term);
@@ -46,6 +47,7 @@
     return found == terms_.end() ? 0 : found->second;
   }
 
+  // Returns all durable terms by work.
   const std::map<std::string, Term>& terms() const { return terms_; }
 
  private:
--- a/src/ownership/fencing_token.h
+++ b/src/ownership/fencing_token.h
@@ -1,5 +1,4 @@
-// Fencing token: the term of owned work that is sent with an effect, together with the store that granted
-// it.
+// Fencing token: the term under which an owner sends an effect, with the work and the store that granted it.
 //
 // Library `ownership`: no I/O and no clock.
 #pragma once
@@ -13,18 +12,19 @@
 
 namespace trailcourse::ownership {
 
+// The text form is "STORE:NAME/SHARD:TERM".
 struct FencingToken {
-  std::uint64_t store = 0;  // identity of the store; terms of two stores cannot be compared
+  std::uint64_t store = 0;  // identity of the coordination store; terms of two stores cannot be compared
   std::string work;         // "NAME/SHARD"
   Term term = 0;
 
   friend bool operator==(const FencingToken&, const FencingToken&) = default;
 };
 
-// Parses "STORE:WORK/SHARD:TERM". Returns nothing where the text is malformed.
+// Parses the text form. Returns nothing if the text is malformed.
 std::optional<FencingToken> parse_fencing_token(std::string_view text);
 
-// Returns the form that parse_fencing_token() reads.
+// Returns the text form.
 std::string to_string(const FencingToken& token);
 
 }  // namespace trailcourse::ownership
--- a/src/ownership/lease.cpp
+++ b/src/ownership/lease.cpp
@@ -57,41 +57,42 @@
   return std::max({now, not_before_, renews ? last_granted_sent_ + options_.renew_after : now});
 }
 
-std::optional<Lease::CallInFlight> Lease::take_call(std::uint64_t call_id) {
+std::optional<Lease::CallInFlight> Lease::complete_call(std::uint64_t call_id) {
   if (!in_flight_ || in_flight_->call.call_id != call_id) {
-    return std::nullopt;  // an earlier call that was given up: the next call shows what it did
+    // The response belongs to an earlier call, which timed out. The next response shows what that call did.
+    return std::nullopt;
   }
   return std::exchange(in_flight_, std::nullopt);
 }
 
 void Lease::on_granted(Micros, std::uint64_t call_id, Term term) {
-  const std::optional<CallInFlight> answered = take_call(call_id);
-  if (!answered) {
+  const std::optional<CallInFlight> completed = complete_call(call_id);
+  if (!completed) {
     return;
   }
-  if (answered->call.kind == LeaseCallKind::kRelease) {
+  if (completed->call.kind == LeaseCallKind::kRelease) {
     clear_grant();
     released_ = true;
     return;
   }
-  term_ = answered->call.kind == LeaseCallKind::kRenew ? answered->call.term : term;
-  // Counted from the sending: the store began to count then at the earliest.
-  valid_until_ = std::max(valid_until_, answered->sent + guaranteed_duration(options_));
-  last_granted_sent_ = answered->sent;
+  term_ = completed->call.kind == LeaseCallKind::kRenew ? completed->call.term : term;
+  // Measured from the sending of the call, since the store cannot have granted it earlier.
+  valid_until_ = std::max(valid_until_, completed->sent + guaranteed_duration(options_));
+  last_granted_sent_ = completed->sent;
 }
 
 void Lease::on_rejected(Micros now, std::uint64_t call_id) {
-  const std::optional<CallInFlight> answered = take_call(call_id);
-  if (!answered) {
+  const std::optional<CallInFlight> completed = complete_call(call_id);
+  if (!completed) {
     return;
   }
   clear_grant();
-  released_ = released_ || answered->call.kind == LeaseCallKind::kRelease;
+  released_ = released_ || completed->call.kind == LeaseCallKind::kRelease;
   not_before_ = now + options_.retry_backoff;
 }
 
 void Lease::on_no_response(Micros now, std::uint64_t call_id) {
-  if (take_call(call_id)) {
+  if (complete_call(call_id)) {
     not_before_ = now + options_.retry_backoff;
   }
 }
@@ -137,7 +138,7 @@
 
 void Lease::stop(Micros now) {
   if (std::exchange(stopping_, true)) {
-    return;  // a release that got no response is retried after its backoff
+    return;  // a release without a response is retried after its backoff
   }
   valid_until_ = Micros(-1);
   not_before_ = std::min(not_before_, now);
--- a/src/ownership/lease_manager.cpp
+++ b/src/ownership/lease_manager.cpp
@@ -40,7 +40,7 @@
 void LeaseManager::set_work(Micros now, const std::string& name, std::optional<Work> work) {
   if (!work) {
     works_.erase(name);
-    return;  // its shards are released by their steps
+    return;  // the next steps release its shards
   }
   const std::uint64_t count = kinds_.contains(work->kind) ? work->shards : 0;
   works_[name] = std::move(*work);
@@ -66,8 +66,8 @@
   if (!owner) {
     shard->vacant_since = now;
   }
-  // A change behind this router's own term that names another owner, or none, ends its ownership. A change
-  // before its term does not concern it.
+  // A change after this router's own grant to another owner, or to none, ends its ownership. Earlier changes
+  // are outdated.
   const bool lost = shard->term != 0 && revision > shard->term && (!owner || owner->term != shard->term);
   if (lost) {
     ++counts_.lost;
@@ -94,7 +94,7 @@
 void LeaseManager::set_allowed_kinds(Micros now, std::optional<std::set<std::string>> kinds) {
   allowed_kinds_ = std::move(kinds);
   for (const auto& [name, work] : std::map<std::string, Work>(works_)) {
-    set_work(now, name, work);  // its shards may have been removed meanwhile
+    set_work(now, name, work);  // adds shards that were removed while their kind was not allowed
   }
 }
 
@@ -108,7 +108,7 @@
   });
 }
 
-// ---- Results of lease calls that concern every kind of call ----
+// ---- Results of lease calls ----
 
 void LeaseManager::on_renew_result(Micros now, const ShardId& id, std::uint64_t call_id, bool alive) {
   Shard* const shard = find(id);
@@ -153,7 +153,7 @@
   return found == shards_.end() ? nullptr : &found->second;
 }
 
-// Returns the definition of the shard's work where this router may do it.
+// Returns the definition of the shard's work, or null if this router may not own it.
 const Work* LeaseManager::active_work(const ShardId& id) const {
   const auto found = works_.find(id.work);
   if (found == works_.end() || id.shard >= found->second.shards) {
@@ -215,7 +215,7 @@
     }
     actions_.push_back(LeaseCallAction{id, *call});
   } else if (shard.lease.released()) {
-    // There was no grant to give back.
+    // There was no grant to release.
     lose(now, id, shard);
     shard.lease.restart();
   }
@@ -265,8 +265,8 @@
   }
 }
 
-// The lease has run out and no answer shows whether it was renewed: the task is aborted, and starts again
-// under the same term if it was.
+// The lease has expired, and it is unknown whether it was renewed. The task is aborted; it starts again under
+// the same term if a later response confirms the renewal.
 void LeaseManager::step_uncertain(Micros now, const ShardId& id, Shard& shard) {
   const bool releasing = shard.phase == ShardPhase::kReleasing;
   if (shard.task_started) {
@@ -302,7 +302,7 @@
   return earliest;
 }
 
-// Returns when the shard's lease has to be stepped: for a renewal or release, or to acquire it.
+// Returns when the next call for the shard's lease is due.
 std::optional<Micros> LeaseManager::next_lease_step_at(Micros now, const ShardId& id,
                                                        const Shard& shard) const {
   std::optional<Micros> earliest;
@@ -319,7 +319,7 @@
   return earliest;
 }
 
-// Returns when a shard that is owned changes by time alone.
+// Returns when a timer of an owned shard expires next.
 std::optional<Micros> LeaseManager::next_owned_step_at(Micros now, const Shard& shard) const {
   if (shard.term == 0) {
     return std::nullopt;
--- a/src/ownership/lease_manager.h
+++ b/src/ownership/lease_manager.h
@@ -1,28 +1,28 @@
-// One router's part in all owned work: which shards it tries to acquire and when, which calls to the store
-// are needed, when a task starts and stops, and whether an effect may begin now. The lease of each shard
-// (lease.h) limits for how long; the manager decides whether at all.
+// Ownership of shards at one router. The lease manager decides which shards the router tries to acquire and
+// when, which calls to the store are due, when tasks start and stop, and whether an effect may begin now. The
+// lease of each shard (lease.h) limits for how long effects may begin.
 //
-// | phase           | what holds                                           | followed by                   |
+// | phase           | state                                                | next phase                    |
 // | --------------- | ---------------------------------------------------- | ----------------------------- |
-// | unassigned      | this router does not own the shard                   | acquiring, in its slot        |
-// | acquiring       | the call is in flight                                | recording start or unassigned |
+// | unassigned      | this router does not own the shard                   | acquiring, in its time slot   |
+// | acquiring       | the lease call is in flight                          | recording start or unassigned |
 // | recording start | owned; the start of the task is being written        | delayed or parked             |
 // | delayed         | the start is written; the task waits for its backoff | running                       |
 // | running         | the task runs                                        | releasing                     |
-// | parked          | too many starts in a row failed; staff resume it     | recording start or releasing  |
+// | parked          | too many starts failed; waits for an operator        | recording start or releasing  |
 // | releasing       | waits for the last checkpoint, then for the release  | unassigned                    |
 //
-// Each phase of an owned shard is followed by unassigned where the lease is lost, and by releasing where the
-// router drains, staff pause or move the work, or another member is preferred for some time.
+// If the lease is lost, each phase of an owned shard is followed by unassigned. It is followed by releasing
+// if the router drains, an operator pauses or moves the work, or another member is preferred for
+// `handover_delay`.
 //
-// A start is written to the store before the task begins, under the term of the owner, and is taken back by
-// the first checkpoint. Work whose owners crash is therefore started by fewer routers, with growing
-// backoff, and is then parked for staff: a poisoned piece of work takes down `max_starts` routers, and not
-// one after the other.
+// A start is written to the store before the task begins, under the term of the owner, and the first
+// checkpoint resets the number of starts. Work whose owners crash is started again with growing backoff, and
+// parked after `max_starts` starts, until an operator resumes it. So work that crashes its owner does not
+// crash all routers one after the other.
 //
 // Implementation: lease_manager.cpp (inputs and steps), shard_acquisition.cpp (candidate order and
-// acquiring), shard_progress.cpp (starts and checkpoints), shard_release.cpp (handing over, releasing and
-// losing).
+// acquisition), shard_progress.cpp (starts and checkpoints), shard_release.cpp (handover, release and loss).
 //
 // Library `ownership`: no I/O and no clock; times are Micros of the caller's steady clock. Not thread-safe.
 #pragma once
@@ -41,67 +41,73 @@
 
 namespace trailcourse::ownership {
 
+// State machine of all shards at one router. step() returns the actions to execute, in order; their results
+// are passed to the on_...() functions.
 class LeaseManager {
  public:
-  // `member`, `incarnation` and `zone` are those of this router; `kinds` are the kinds of work that it can
-  // do.
+  // `member`, `incarnation` and `zone` identify this router; `kinds` are the kinds of work that it can
+  // execute.
   LeaseManager(std::string member, std::string incarnation, std::string zone, std::set<std::string> kinds,
                const LeaseManagerOptions& options);
 
-  // Sets the members that may be given work, each with its zone.
+  // Sets the members that may own work, each with its zone.
   void set_members(Micros now, MemberZones zones);
 
-  // A work definition was written, or deleted where `work` is empty.
+  // Sets the definition of a work; nothing: it was deleted.
   void set_work(Micros now, const std::string& name, std::optional<Work> work);
 
-  // The owner of a shard changed at `revision`; empty: it has none.
+  // The owner of a shard changed at `revision`; nothing: it has no owner.
   void on_owner(Micros now, const ShardId& id, std::optional<Owner> owner, coordination::Revision revision);
 
+  // The shard was marked as done, or the mark was deleted.
   void on_done(Micros now, const ShardId& id, bool done);
 
-  // Staff request that `member` release the shard; empty: the request was withdrawn.
+  // An operator requested that `member` release the shard; empty: the request was deleted.
   void on_release_request(Micros now, const ShardId& id, const std::string& member);
 
-  // Sets whether a later process has this router's name. A superseded router does no owned work.
+  // Sets whether a process that started later has this router's name. A superseded router may not act and
+  // releases all shards.
   void set_superseded(Micros now, bool superseded);
 
-  // Sets the kinds that may be owned by the policy in force; shards of other kinds are released. Empty: all.
+  // Sets the kinds that the effective policy allows; shards of other kinds are released. Nothing: all kinds.
   void set_allowed_kinds(Micros now, std::optional<std::set<std::string>> kinds);
 
-  // Sets whether changes of the store arrive. Nothing is acquired while they do not.
+  // Sets whether the watch of the store is connected. No shard is acquired while it is not.
   void set_connected(Micros now, bool connected);
 
-  // Releases all shards; none is acquired any more.
+  // Releases all shards and stops acquiring.
   void drain(Micros now);
+  // Returns whether this router owns no shard and tries to acquire none.
   bool drained() const;
 
-  // Results of lease calls. Exactly one of them, or on_no_response(), follows each LeaseCallAction.
+  // Results of lease calls. Exactly one of these functions has to be called for each LeaseCallAction.
   void on_acquire_result(Micros now, const ShardId& id, std::uint64_t call_id, const AcquireResult& result);
   void on_renew_result(Micros now, const ShardId& id, std::uint64_t call_id, bool alive);
   void on_release_result(Micros now, const ShardId& id, std::uint64_t call_id);
   void on_no_response(Micros now, const ShardId& id, std::uint64_t call_id);
 
-  // Results of WriteProgressAction.
+  // Results of writes. Exactly one of these functions has to be called for each WriteProgressAction.
   void on_write_result(Micros now, const ShardId& id, std::uint64_t call_id,
                        const ProgressWriteResult& result);
   void on_no_write_response(Micros now, const ShardId& id, std::uint64_t call_id);
 
-  // The task reports a checkpoint. It is written as soon as the write before is confirmed; a newer one
-  // replaces one that still waits. `done`: nothing is left to do.
+  // The task reports a checkpoint. It is written when the previous write is confirmed; a newer checkpoint
+  // replaces one that is queued. `done`: the entire shard is done.
   void on_checkpoint(Micros now, const ShardId& id, Term term, std::string checkpoint, bool done);
 
-  // The task has come to its end after StopTaskAction; its last checkpoint was reported before.
+  // The task ended after StopTaskAction. It has reported its last checkpoint before.
   void on_task_finished(Micros now, const ShardId& id, Term term);
 
-  // Returns whether an effect under this term may begin now. It has to be called before each effect.
+  // Returns whether an effect under this term may begin now. Has to be called before each effect.
   bool may_act(Micros now, const ShardId& id, Term term) const;
 
-  // Returns what is to be done now, in order.
+  // Returns the actions to execute now, in order.
   std::vector<LeaseManagerAction> step(Micros now);
 
-  // Returns when step() may next return something by time alone.
+  // Returns when step() has to be called next if no input arrives earlier; nothing: only after an input.
   std::optional<Micros> next_step_at(Micros now) const;
 
+  // Returns the status of all known shards of the kinds that this router can execute.
   std::vector<ShardStatus> shards(Micros now) const;
   const LeaseManagerCounts& counts() const { return counts_; }
 
@@ -111,22 +117,22 @@
 
     Lease lease;
     ShardPhase phase = ShardPhase::kUnassigned;
-    Term term = 0;  // under which it is owned; 0: it is not
+    Term term = 0;  // under which this router owns the shard; 0: it does not
     ProgressWriter progress;
     Micros vacant_since{0};
     Micros acquire_not_before{0};
     Micros start_at{0};
     bool task_started = false;
-    bool task_finished = false;  // by itself, after it was asked to stop
+    bool task_finished = false;  // ended after StopTaskAction, not aborted
     std::optional<Micros> releasing_since;
-    std::optional<Micros> preferred_elsewhere_since;  // since when another member should own it
+    std::optional<Micros> preferred_elsewhere_since;  // since when another member is the preferred owner
   };
 
   Shard* find(const ShardId& id);
   const Work* active_work(const ShardId& id) const;
   std::vector<std::string> candidates(const Work& work) const;
 
-  // Acquiring.
+  // Acquisition.
   bool may_acquire(const ShardId& id, const Shard& shard, const Work& work) const;
   std::optional<Micros> acquire_at(const ShardId& id, const Shard& shard) const;
   std::size_t reserved_shards() const;
@@ -138,11 +144,11 @@
   void withdraw_start(Shard& shard);
   Micros restart_backoff(std::uint64_t starts) const;
 
-  // Releasing.
+  // Release.
   void lose(Micros now, const ShardId& id, Shard& shard);
   void begin_release(Micros now, const ShardId& id, Shard& shard);
   void abort_task(const ShardId& id, Shard& shard);
-  bool take_release_request(const ShardId& id);
+  bool consume_release_request(const ShardId& id);
   bool is_unwanted(const ShardId& id, const Work* work) const;
   void check_assignment(Micros now, const ShardId& id, Shard& shard, const Work* work);
 
@@ -166,7 +172,7 @@
   MemberZones member_zones_;
   std::map<std::string, Work> works_;
   std::map<ShardId, Shard> shards_;
-  std::map<ShardId, Owner> owners_;  // as reported, also of work whose definition has not arrived yet
+  std::map<ShardId, Owner> owners_;  // as reported, also of works whose definition has not arrived yet
   std::set<ShardId> done_;
   std::map<ShardId, std::string> release_requests_;
   std::vector<LeaseManagerAction> actions_;
--- a/src/ownership/lease_manager_types.h
+++ b/src/ownership/lease_manager_types.h
@@ -14,26 +14,27 @@
 
 namespace trailcourse::ownership {
 
-// The members that may be given work: the zone of each by its name.
+// The members that may own work: zones by member name.
 using MemberZones = std::map<std::string, std::string>;
 
+// Timing and limits of the lease manager.
 struct LeaseManagerOptions {
   LeaseOptions lease;
-  Micros candidate_slot{200'000};        // a candidate waits so long for each one that ranks before it
-  Micros max_candidate_wait{2'000'000};  // and no longer than that in all
-  Micros handover_delay{10'000'000};     // a preferred owner has to be present so long to be given the shard
-  Micros release_timeout{500'000};       // time for the last checkpoint when a shard is released
-  Micros cooldown{5'000'000};            // after a requested release this router does not acquire so long
-  std::uint64_t max_starts = 3;          // starts in a row without a checkpoint; then the shard is parked
-  Micros restart_backoff{1'000'000};     // before the second start in a row; doubles with each further one
+  Micros candidate_slot{200'000};        // time that a candidate waits for each one that ranks before it
+  Micros max_candidate_wait{2'000'000};  // maximum of that time in total
+  Micros handover_delay{10'000'000};     // time that a member is preferred before it gets an owned shard
+  Micros release_timeout{500'000};       // time for the last checkpoint of a shard that is released
+  Micros cooldown{5'000'000};            // after a requested release, before this router acquires the shard
+  std::uint64_t max_starts = 3;          // starts without a checkpoint, after which the shard is parked
+  Micros restart_backoff{1'000'000};     // before the second start; doubles with each further start
   Micros max_restart_backoff{60'000'000};
-  std::size_t max_owned = 64;  // shards of one router
+  std::size_t max_owned = 64;  // maximum number of shards that one router owns
 };
 
-// State of a shard at this router, see lease_manager.h.
+// State of a shard at this router; lease_manager.h describes each.
 enum class ShardPhase { kUnassigned, kAcquiring, kRecordingStart, kDelayed, kRunning, kReleasing, kParked };
 
-// Returns the phase as words for logs.
+// Returns the name of the phase for logs.
 const char* to_string(ShardPhase phase);
 
 // Makes a lease call to the store.
@@ -41,7 +42,7 @@
   ShardId id;
   LeaseCall call;
 };
-// Writes progress under the term, on top of the record of revision `modified`.
+// Writes progress under the term, if the stored record still has the revision `modified`.
 struct WriteProgressAction {
   ShardId id;
   std::uint64_t call_id = 0;
@@ -55,12 +56,12 @@
   Term term = 0;
   std::string checkpoint;
 };
-// Asks the task to come to an end and to report its last checkpoint.
+// Requests the task to report its last checkpoint and to end.
 struct StopTaskAction {
   ShardId id;
   Term term = 0;
 };
-// Aborts the task at once: the shard is not owned any more, or its ownership cannot be determined.
+// Aborts the task at once, because the shard is not owned any more or its ownership is unknown.
 struct AbortTaskAction {
   ShardId id;
   Term term = 0;
@@ -68,12 +69,12 @@
 using LeaseManagerAction =
     std::variant<LeaseCallAction, WriteProgressAction, StartTaskAction, StopTaskAction, AbortTaskAction>;
 
-// A shard as staff see it.
+// The state of a shard, as shown to operators.
 struct ShardStatus {
   ShardId id;
   ShardPhase phase = ShardPhase::kUnassigned;
   LeasePhase lease_phase = LeasePhase::kCandidate;
-  Owner owner;  // as the store reported last
+  Owner owner;  // as last reported by the store
   bool done = false;
   std::uint64_t starts = 0;
 };
--- a/src/ownership/progress_writer.cpp
+++ b/src/ownership/progress_writer.cpp
@@ -30,7 +30,7 @@
   return in_flight_ || idle() ? std::nullopt : std::optional<Micros>(not_before_);
 }
 
-std::optional<Progress> ProgressWriter::on_answer(std::uint64_t call_id) {
+std::optional<Progress> ProgressWriter::on_response(std::uint64_t call_id) {
   if (!in_flight_ || last_call_id_ != call_id) {
     return std::nullopt;
   }
--- a/src/ownership/progress_writer.h
+++ b/src/ownership/progress_writer.h
@@ -1,5 +1,6 @@
-// Writes of one shard's progress: one is in flight at a time, the newest further one waits in a queue of one,
-// and a write whose answer was lost is sent again unchanged, so that it is recognised where it was done.
+// The writes of one shard's progress. One write is in flight at a time, and only the newest further one is
+// queued. A write without a response is sent again unchanged, so that it can be recognised if it was executed
+// before.
 //
 // Library `ownership`: no I/O and no clock; times are Micros of the caller's steady clock. Not thread-safe.
 #pragma once
@@ -14,41 +15,42 @@
 
 namespace trailcourse::ownership {
 
-// State machine of these writes. Each write that step() returns is followed by on_answer() or
-// on_no_response().
+// State machine of these writes. on_response() or on_no_response() has to be called for each write that
+// step() returns.
 class ProgressWriter {
  public:
-  // Progress as last observed in the store.
+  // The progress that was last read from the store or written to it.
   const StoredProgress& stored() const { return stored_; }
   void set_stored(const StoredProgress& stored) { stored_ = stored; }
 
-  // Returns what follows on the progress that was written last: the same content, the next write number.
+  // Returns the successor of the last progress: the same content with the next write number.
   Progress next_progress(Term term, const std::string& member) const;
 
-  // Replaces what is queued.
+  // Queues a write; it replaces a queued one.
   void enqueue(Progress progress) { queued_ = std::move(progress); }
   void clear_queue() { queued_.reset(); }
   bool has_queued() const { return queued_.has_value(); }
 
-  // Returns whether a write was begun whose result is unknown.
+  // Returns whether a write was sent whose result is unknown.
   bool has_unconfirmed() const { return unconfirmed_.has_value(); }
 
-  // Returns whether nothing is left to write.
+  // Returns whether no write is queued or unconfirmed.
   bool idle() const { return !unconfirmed_ && !queued_; }
 
   // Returns the write to send now, if any.
   std::optional<WriteProgressAction> step(Micros now, const ShardId& id, Term term);
 
-  // Returns when step() may next return a write.
+  // Returns when step() has to be called for the next write, if one can be sent.
   std::optional<Micros> next_step_at() const;
 
-  // The write was answered. Returns what it was to write; nothing where another call is in flight.
-  std::optional<Progress> on_answer(std::uint64_t call_id);
+  // The store responded to the write. Returns the progress of the write; nothing if `call_id` is not in
+  // flight.
+  std::optional<Progress> on_response(std::uint64_t call_id);
 
-  // No answer arrived in time: the same is sent again after the backoff.
+  // The write timed out. It is sent again after the backoff.
   void on_no_response(Micros now, std::uint64_t call_id, Micros backoff);
 
-  // Forgets all writes; the stored progress stays, and call ids go on.
+  // Drops all writes. The stored progress stays, and call ids continue to grow.
   void cancel();
 
  private:
--- a/src/ownership/shard_acquisition.cpp
+++ b/src/ownership/shard_acquisition.cpp
@@ -1,4 +1,4 @@
-// Acquiring of shards by the lease manager: the order of candidates, and the result of the call.
+// Acquisition of shards by the lease manager: the order of candidates, and the result of the call.
 #include <algorithm>
 #include <string>
 #include <vector>
@@ -19,7 +19,7 @@
   return out;
 }
 
-// Returns how many shards this router owns or is about to.
+// Returns how many shards this router owns or is acquiring.
 std::size_t LeaseManager::reserved_shards() const {
   return static_cast<std::size_t>(std::count_if(shards_.begin(), shards_.end(), [](const auto& entry) {
     return entry.second.term != 0 || entry.second.phase == ShardPhase::kAcquiring;
@@ -33,7 +33,7 @@
   return router_available && shard_idle && !work.paused && !owners_.contains(id) && !done_.contains(id);
 }
 
-// Returns when this router may try to acquire the shard; nothing where it must not.
+// Returns when this router may try to acquire the shard, or nothing if it must not.
 std::optional<Micros> LeaseManager::acquire_at(const ShardId& id, const Shard& shard) const {
   const Work* const work = active_work(id);
   if (work == nullptr || !may_acquire(id, shard, *work)) {
@@ -58,13 +58,13 @@
   if (result.term == 0) {
     shard->lease.on_rejected(now, call_id);
     shard->phase = ShardPhase::kUnassigned;
-    // A watch that is behind will report this owner yet; until then it is not tried again.
+    // The watch has not reported this owner yet. Until it does, the shard counts as owned.
     owners_[id] = result.current_owner;
     return;
   }
   shard->lease.on_granted(now, call_id, result.term);
   if (shard->lease.term() != result.term) {
-    return;  // the answer to another call
+    return;  // the response belongs to another call
   }
   ++counts_.acquired;
   shard->term = result.term;
--- a/src/ownership/shard_assignment.cpp
+++ b/src/ownership/shard_assignment.cpp
@@ -12,7 +12,7 @@
   return mix(hash_text(member) ^ mix(hash_text(work) + shard));
 }
 
-// Whether `member` ranks before `other`: the higher weight first, equal weights by name.
+// Returns whether `member` ranks before `other`: by descending weight, then by name.
 bool ranks_before(const std::string& work, std::size_t shard, const std::string& member,
                   const std::string& other) {
   const std::uint64_t member_weight = weight(work, shard, member);
--- a/src/ownership/shard_progress.cpp
+++ b/src/ownership/shard_progress.cpp
@@ -1,5 +1,5 @@
-// Progress of owned shards in the lease manager: the record of a start before the task begins, checkpoints,
-// and the parking of work whose owners crash.
+// Progress of owned shards in the lease manager: starts, checkpoints, and the parking of work whose owners
+// crash.
 #include <algorithm>
 #include <utility>
 
@@ -7,7 +7,7 @@
 
 namespace trailcourse::ownership {
 
-// Queues the record of a start, which has to be in the store before the task begins.
+// Queues the record of a start, which has to be stored before the task begins.
 void LeaseManager::record_start(Micros now, const Work& work, Shard& shard) {
   const Progress& stored = shard.progress.stored().progress;
   if (stored.parked && stored.resumed >= work.resumed) {
@@ -15,7 +15,7 @@
     return;
   }
   if (stored.term == shard.term && !stored.parked) {
-    // The task started under this term before, and the lease was renewed after a time of uncertainty.
+    // The start under this term is stored already: the lease was uncertain, and its renewal is confirmed now.
     shard.start_at = now;
     shard.phase = ShardPhase::kDelayed;
     return;
@@ -28,7 +28,7 @@
   shard.progress.enqueue(std::move(next));
 }
 
-// Returns how long the start with this number in a row is delayed.
+// Returns the delay of the next start after `starts` - 1 starts without a checkpoint.
 Micros LeaseManager::restart_backoff(std::uint64_t starts) const {
   if (starts < 2) {
     return Micros(0);
@@ -46,7 +46,7 @@
   if (shard == nullptr || shard->term == 0) {
     return;
   }
-  const std::optional<Progress> attempted = shard->progress.on_answer(call_id);
+  const std::optional<Progress> attempted = shard->progress.on_response(call_id);
   if (!attempted) {
     return;
   }
@@ -58,7 +58,8 @@
   }
   shard->progress.set_stored(result.stored);
   if (!result.written) {
-    // Staff wrote in between. A start is decided anew; a checkpoint is written on top of what stands.
+    // An operator changed the record. A start is decided again by the changed record; a checkpoint is written
+    // on top of it.
     ++counts_.rejected_writes;
     if (shard->phase != ShardPhase::kRecordingStart && !shard->progress.has_queued()) {
       shard->progress.enqueue(*attempted);
@@ -87,7 +88,7 @@
 
 void LeaseManager::on_checkpoint_written(Shard& shard, const Progress& written) {
   ++counts_.checkpoints;
-  // The record of a start was in flight when the release began: the task will not start.
+  // If the record of a start was in flight when the release began, the task does not start.
   const bool never_started = shard.phase == ShardPhase::kReleasing && !shard.task_started &&
                              !shard.task_finished && !shard.progress.has_queued();
   if (never_started && written.starts > 0 && !written.parked) {
@@ -95,7 +96,7 @@
   }
 }
 
-// Queues a record that takes back a start which did not take place.
+// Queues a record without the last start, which did not take place.
 void LeaseManager::withdraw_start(Shard& shard) {
   Progress next = shard.progress.next_progress(shard.term, member_);
   --next.starts;
@@ -127,7 +128,7 @@
   }
   shard->task_finished = true;
   shard->task_started = false;
-  // It ended in order, so its start does not count as one that failed.
+  // The task ended normally, so its start does not count as failed.
   if (shard->progress.idle() && shard->progress.stored().progress.starts > 0) {
     Progress next = shard->progress.next_progress(shard->term, member_);
     next.starts = 0;
--- a/src/ownership/shard_release.cpp
+++ b/src/ownership/shard_release.cpp
@@ -1,5 +1,5 @@
-// Release of shards by the lease manager: why a shard is released, the wait for its last checkpoint, and the
-// loss of a shard that is not owned any more.
+// Release of shards by the lease manager: the reasons for a release, the wait for the last checkpoint, and
+// the loss of ownership.
 #include <string>
 
 #include "ownership/lease_manager.h"
@@ -7,8 +7,8 @@
 
 namespace trailcourse::ownership {
 
-// Takes a request of staff that this router release the shard.
-bool LeaseManager::take_release_request(const ShardId& id) {
+// Removes an operator's request that this router release the shard. Returns whether there was one.
+bool LeaseManager::consume_release_request(const ShardId& id) {
   const auto request = release_requests_.find(id);
   if (request == release_requests_.end() || request->second != member_) {
     return false;
@@ -17,7 +17,7 @@
   return true;
 }
 
-// Returns whether this router must not own the shard, whoever else may.
+// Returns whether this router must not own the shard.
 bool LeaseManager::is_unwanted(const ShardId& id, const Work* work) const {
   if (work == nullptr || work->paused || draining_ || superseded_ || done_.contains(id)) {
     return true;
@@ -25,9 +25,9 @@
   return !work->zone.empty() && work->zone != zone_;
 }
 
-// Begins the release of a shard that this router should not own any more.
+// Begins the release of the shard if this router should not own it any more.
 void LeaseManager::check_assignment(Micros now, const ShardId& id, Shard& shard, const Work* work) {
-  if (take_release_request(id)) {
+  if (consume_release_request(id)) {
     shard.acquire_not_before = now + options_.cooldown;
     begin_release(now, id, shard);
     return;
@@ -63,7 +63,7 @@
   }
 }
 
-// Releases the lease once the last checkpoint is written, or at the end of the time for it.
+// Releases the lease when the last checkpoint is written, or after the release timeout.
 void LeaseManager::step_releasing(Micros now, const ShardId& id, Shard& shard) {
   const bool timed_out = now >= shard.releasing_since.value_or(now) + options_.release_timeout;
   const bool settled = !shard.task_started && shard.progress.idle();
@@ -97,7 +97,7 @@
   shard.task_started = false;
 }
 
-// The shard is not owned any more. A lease that has not ended yet is released.
+// Ends the ownership of the shard. If the lease has not ended yet, it is released.
 void LeaseManager::lose(Micros now, const ShardId& id, Shard& shard) {
   if (shard.task_started) {
     abort_task(id, shard);
--- a/tests/lease_manager_test.cpp
+++ b/tests/lease_manager_test.cpp
@@ -1,5 +1,5 @@
-// The lease manager_ of one router, answer by answer: candidate order, starts that are recorded first, lost
-// answers, leases that run out, releases, and work whose owners crash.
+// The lease manager of one router, response by response: candidate order, recorded starts, lost responses,
+// expired leases, releases, and work whose owners crash.
 #include "ownership/lease_manager.h"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// One router "a"; the test is the store.
+// The router "a" alone. The test plays the store.
 class LeaseManagerTest : public testing::Test {
  protected:
   LeaseManagerTest() {
@@ -31,7 +31,7 @@
     current_work_ = work;
     manager_.set_work(now_, work.name, work);
   }
-  // Steps until nothing more is to be done now_.
+  // Returns all actions that are due at now_.
   std::vector<LeaseManagerAction> step() {
     std::vector<LeaseManagerAction> out;
     for (int i = 0; i < 10; ++i) {
@@ -50,12 +50,13 @@
     }
     return out;
   }
-  // The only lease call that is to be made now_.
+  // Returns the lease call that is due at now_, which has to be the only one.
   LeaseCall lease_call() {
     const auto calls = actions_of<LeaseCallAction>(step());
     EXPECT_EQ(calls.size(), 1U);
     return calls.empty() ? LeaseCall{} : calls.front().call;
   }
+  // Returns the write that is due at now_, which has to be the only one.
   WriteProgressAction next_write() {
     const auto writes = actions_of<WriteProgressAction>(step());
     EXPECT_EQ(writes.size(), 1U);
@@ -69,9 +70,9 @@
     acquired.stored = stored;
     manager_.on_acquire_result(now_, id_, call.call_id, acquired);
   }
-  void confirm(const WriteProgressAction& wrote, coordination::Revision revision) {
-    manager_.on_write_result(now_, id_, wrote.call_id,
-                             ProgressWriteResult{true, true, StoredProgress{wrote.progress, revision}});
+  void confirm(const WriteProgressAction& write, coordination::Revision revision) {
+    manager_.on_write_result(now_, id_, write.call_id,
+                             ProgressWriteResult{true, true, StoredProgress{write.progress, revision}});
   }
   // Acquires the shard, records the start and starts the task.
   void run(Term term, const StoredProgress& stored = {}) {
@@ -101,16 +102,16 @@
   const auto started = actions_of<StartTaskAction>(step());
   ASSERT_EQ(started.size(), 1U);
   EXPECT_TRUE(manager_.may_act(now_, id_, 7));
-  EXPECT_FALSE(manager_.may_act(now_, id_, 6)) << "another term's effects are not ours";
+  EXPECT_FALSE(manager_.may_act(now_, id_, 6)) << "this router does not own the shard under term 6";
 }
 
-TEST_F(LeaseManagerTest, CandidateWaitsForThoseThatRankBeforeIt) {
+TEST_F(LeaseManagerTest, CandidateWaitsOneSlotForEachThatRanksBeforeIt) {
   MemberZones members;
   for (const char* name : {"a", "b", "c", "d", "e"}) {
     members[name] = "edge";
   }
   std::vector<std::string> names{"a", "b", "c", "d", "e"};
-  // A shard on which this one is not the first.
+  // Some of the shards have another preferred owner.
   current_work_.shards = 20;
   set_work(current_work_);
   manager_.set_members(now_, members);
@@ -135,7 +136,7 @@
   }
 }
 
-TEST_F(LeaseManagerTest, NothingIsAcquiredWhileAnotherOwnsItOrTheStoreIsDisconnected) {
+TEST_F(LeaseManagerTest, ShardIsNotAcquiredWhileOwnedByAnotherOrTheStoreIsDisconnected) {
   manager_.on_owner(now_, id_, Owner{"b", "1", 5}, 5);
   EXPECT_TRUE(step().empty());
   manager_.on_owner(now_, id_, std::nullopt, 9);
@@ -145,17 +146,17 @@
   EXPECT_EQ(lease_call().kind, LeaseCallKind::kAcquire);
 }
 
-TEST_F(LeaseManagerTest, LostAnswerToAStartIsResolvedByWritingItAgain) {
+TEST_F(LeaseManagerTest, StartWithoutAResponseIsWrittenAgainUnchanged) {
   acquire(7);
   const WriteProgressAction first = next_write();
   manager_.on_no_write_response(now_, id_, first.call_id);
-  EXPECT_TRUE(actions_of<WriteProgressAction>(step()).empty()) << "not at once";
+  EXPECT_TRUE(actions_of<WriteProgressAction>(step()).empty()) << "not before the backoff";
   now_ += options_.lease.retry_backoff;
   const auto again = actions_of<WriteProgressAction>(step());
   ASSERT_EQ(again.size(), 1U);
   EXPECT_EQ(again.front().progress, first.progress);
   EXPECT_EQ(again.front().modified, first.modified);
-  // An answer to the first that comes late counts for nothing.
+  // A late response to the first write is ignored.
   manager_.on_write_result(now_, id_, first.call_id,
                            ProgressWriteResult{true, true, StoredProgress{first.progress, 8}});
   EXPECT_TRUE(actions_of<StartTaskAction>(step()).empty());
@@ -180,7 +181,7 @@
   const auto started = actions_of<StartTaskAction>(step());
   ASSERT_EQ(started.size(), 1U) << "under the same term, from the last checkpoint";
   EXPECT_EQ(started.front().term, 7U);
-  EXPECT_TRUE(actions_of<WriteProgressAction>(step()).empty()) << "it is no new start";
+  EXPECT_TRUE(actions_of<WriteProgressAction>(step()).empty()) << "the start is recorded already";
 }
 
 TEST_F(LeaseManagerTest, LostLeaseAbortsTheTaskAndItsCheckpointsAreIgnored) {
@@ -194,11 +195,11 @@
   EXPECT_EQ(manager_.counts().lost, 1U);
 }
 
-TEST_F(LeaseManagerTest, OwnerChangesBeforeItsTermAreIgnored) {
+TEST_F(LeaseManagerTest, OwnerChangesBeforeTheOwnTermAreIgnored) {
   acquire(13);
   manager_.on_owner(now_, id_, Owner{"b", "1", 10}, 10);
   manager_.on_owner(now_, id_, std::nullopt, 12);
-  EXPECT_EQ(actions_of<WriteProgressAction>(step()).size(), 1U) << "it owns the shard still";
+  EXPECT_EQ(actions_of<WriteProgressAction>(step()).size(), 1U) << "the router still owns the shard";
   manager_.on_owner(now_, id_, Owner{"a", "1", 13}, 13);
   manager_.on_owner(now_, id_, std::nullopt, 20);
   EXPECT_EQ(manager_.counts().lost, 1U);
@@ -210,18 +211,18 @@
   manager_.on_checkpoint(now_, id_, 7, "ten", false);
   manager_.on_checkpoint(now_, id_, 7, "eleven", false);
   const WriteProgressAction stored = next_write();
-  EXPECT_EQ(stored.progress.checkpoint, "eleven") << "the newest one when the write before is confirmed";
+  EXPECT_EQ(stored.progress.checkpoint, "eleven") << "the newest checkpoint replaces the queued one";
   EXPECT_EQ(stored.progress.starts, 0U);
   EXPECT_EQ(stored.modified, 8U);
   confirm(stored, 9);
   EXPECT_EQ(manager_.counts().checkpoints, 1U);
 }
 
-TEST_F(LeaseManagerTest, WriteThatFindsAnotherOwnerEndsOwnership) {
+TEST_F(LeaseManagerTest, WriteRejectedForAnotherOwnerEndsOwnership) {
   run(7);
   manager_.on_checkpoint(now_, id_, 7, "ten", false);
-  const WriteProgressAction wrote = next_write();
-  manager_.on_write_result(now_, id_, wrote.call_id, ProgressWriteResult{false, false, {}});
+  const WriteProgressAction write = next_write();
+  manager_.on_write_result(now_, id_, write.call_id, ProgressWriteResult{false, false, {}});
   EXPECT_EQ(actions_of<AbortTaskAction>(step()).size(), 1U);
   EXPECT_EQ(manager_.counts().rejected_writes, 1U);
   EXPECT_EQ(status().phase, ShardPhase::kUnassigned);
@@ -231,7 +232,7 @@
   run(7);
   manager_.drain(now_);
   EXPECT_EQ(actions_of<StopTaskAction>(step()).size(), 1U);
-  EXPECT_TRUE(manager_.may_act(now_, id_, 7)) << "the step in hand may be ended";
+  EXPECT_TRUE(manager_.may_act(now_, id_, 7)) << "the task may finish its current step";
   manager_.on_checkpoint(now_, id_, 7, "end", false);
   manager_.on_task_finished(now_, id_, 7);
   const WriteProgressAction last = next_write();
@@ -242,7 +243,7 @@
   EXPECT_EQ(release.kind, LeaseCallKind::kRelease);
   manager_.on_release_result(now_, id_, release.call_id);
   EXPECT_TRUE(manager_.drained());
-  EXPECT_TRUE(step().empty()) << "nothing is taken on again";
+  EXPECT_TRUE(step().empty()) << "a draining router acquires nothing";
 }
 
 TEST_F(LeaseManagerTest, TaskThatDoesNotFinishIsAbortedAtTheReleaseTimeout) {
@@ -267,39 +268,39 @@
   manager_.drain(now_);
   step();
   confirm(first, 8);
-  const WriteProgressAction back = next_write();
-  EXPECT_EQ(back.progress.starts, 1U);
+  const WriteProgressAction withdrawal = next_write();
+  EXPECT_EQ(withdrawal.progress.starts, 1U);
 }
 
 TEST_F(LeaseManagerTest, WorkWhoseOwnersCrashIsDelayedAndThenParked) {
   StoredProgress stored;
-  std::vector<Micros> pauses;
+  std::vector<Micros> delays;
   for (std::uint64_t start = 1; start <= options_.max_starts; ++start) {
     acquire(start * 10, stored);
-    const WriteProgressAction wrote = next_write();
-    EXPECT_EQ(wrote.progress.starts, start);
-    EXPECT_FALSE(wrote.progress.parked);
-    confirm(wrote, start * 10 + 1);
+    const WriteProgressAction write = next_write();
+    EXPECT_EQ(write.progress.starts, start);
+    EXPECT_FALSE(write.progress.parked);
+    confirm(write, start * 10 + 1);
     const Micros from = now_;
     for (auto actions = step(); actions_of<StartTaskAction>(actions).empty(); actions = step()) {
-      // Renewals go on meanwhile.
+      // The lease is renewed during the delay.
       for (const LeaseCallAction& call : actions_of<LeaseCallAction>(actions)) {
         manager_.on_renew_result(now_, id_, call.call.call_id, true);
       }
       now_ = *manager_.next_step_at(now_);
       ASSERT_LT(now_ - from, seconds(200));
     }
-    pauses.push_back(now_ - from);
-    stored = StoredProgress{wrote.progress, start * 10 + 1};
-    // It dies: another router of the same kind takes over.
+    delays.push_back(now_ - from);
+    stored = StoredProgress{write.progress, start * 10 + 1};
+    // The router crashes, and a new process acquires the shard.
     manager_ = LeaseManager("a", std::to_string(start), "edge", {"test"}, LeaseManagerOptions{});
     manager_.set_connected(now_, true);
     manager_.set_members(now_, {{"a", "edge"}});
     manager_.set_work(now_, "w", current_work_);
   }
-  EXPECT_EQ(pauses[0], Micros(0));
-  EXPECT_GE(pauses[1], options_.restart_backoff);
-  EXPECT_GE(pauses[2], 2 * options_.restart_backoff);
+  EXPECT_EQ(delays[0], Micros(0));
+  EXPECT_GE(delays[1], options_.restart_backoff);
+  EXPECT_GE(delays[2], 2 * options_.restart_backoff);
   acquire(100, stored);
   const WriteProgressAction parked = next_write();
   EXPECT_TRUE(parked.progress.parked);
@@ -307,7 +308,7 @@
   now_ += seconds(1);
   EXPECT_TRUE(actions_of<StartTaskAction>(step()).empty());
   EXPECT_EQ(status().phase, ShardPhase::kParked);
-  // Staff resume it.
+  // An operator resumes the work.
   current_work_.resumed = 1;
   set_work(current_work_);
   const WriteProgressAction again = next_write();
@@ -343,7 +344,7 @@
   EXPECT_TRUE(step().empty());
 }
 
-TEST_F(LeaseManagerTest, PreferredOwnerIsGivenTheShardAfterTheHandoverDelay) {
+TEST_F(LeaseManagerTest, ShardIsReleasedToAPreferredOwnerAfterTheHandoverDelay) {
   run(7);
   MemberZones members{{"a", "edge"}};
   std::vector<std::string> names{"a"};
@@ -355,7 +356,7 @@
   EXPECT_TRUE(actions_of<StopTaskAction>(step()).empty());
   now_ += options_.lease.renew_after;
   manager_.on_renew_result(now_, id_, lease_call().call_id, true);
-  // It went: nothing happens, and its time begins anew when it returns.
+  // The preferred owner leaves and returns, which restarts the handover delay.
   manager_.set_members(now_, {{"a", "edge"}});
   step();
   manager_.set_members(now_, members);
@@ -374,7 +375,7 @@
 TEST_F(LeaseManagerTest, RequestedReleaseIsFollowedByACooldown) {
   run(7);
   manager_.on_release_request(now_, id_, "b");
-  EXPECT_TRUE(actions_of<StopTaskAction>(step()).empty()) << "not of this one";
+  EXPECT_TRUE(actions_of<StopTaskAction>(step()).empty()) << "the request names another router";
   manager_.on_release_request(now_, id_, "a");
   EXPECT_EQ(actions_of<StopTaskAction>(step()).size(), 1U);
   manager_.on_task_finished(now_, id_, 7);
@@ -383,7 +384,7 @@
   manager_.on_owner(now_, id_, std::nullopt, 11);
   EXPECT_TRUE(actions_of<LeaseCallAction>(step()).empty());
   now_ += options_.cooldown;
-  EXPECT_EQ(lease_call().kind, LeaseCallKind::kAcquire) << "nobody else took it";
+  EXPECT_EQ(lease_call().kind, LeaseCallKind::kAcquire) << "no other router has acquired the shard";
 }
 
 TEST_F(LeaseManagerTest, PausedWorkIsReleasedAndNotAcquired) {
@@ -402,14 +403,14 @@
   EXPECT_EQ(lease_call().kind, LeaseCallKind::kAcquire);
 }
 
-TEST_F(LeaseManagerTest, SupersededRouterDoesNoOwnedWork) {
+TEST_F(LeaseManagerTest, SupersededRouterMayNotActAndStopsItsTasks) {
   run(7);
   manager_.set_superseded(now_, true);
   EXPECT_FALSE(manager_.may_act(now_, id_, 7)) << "at once, not at the next step";
   EXPECT_EQ(actions_of<StopTaskAction>(step()).size(), 1U);
 }
 
-TEST_F(LeaseManagerTest, DeletedWorkIsReleasedAndForgotten) {
+TEST_F(LeaseManagerTest, DeletedWorkIsReleasedAndRemoved) {
   run(7);
   manager_.set_work(now_, "w", std::nullopt);
   EXPECT_EQ(actions_of<StopTaskAction>(step()).size(), 1U);
@@ -420,7 +421,7 @@
   EXPECT_TRUE(manager_.shards(now_).empty());
 }
 
-TEST_F(LeaseManagerTest, WorkOfOtherZonesAndUnknownKindsIsNotAcquired) {
+TEST_F(LeaseManagerTest, WorkOfOtherZonesOrUnknownKindsIsNotAcquired) {
   Work other;
   other.name = "far";
   other.kind = "test";
@@ -441,24 +442,24 @@
   work.kind = "fill";
   work.shards = 8;
   work.params = R"({"objects":["a"]})";
-  const std::string good = write_work(work);
-  EXPECT_EQ(read_work("fleet/work/fill.evening", good), work);
+  const std::string valid = write_work(work);
+  EXPECT_EQ(read_work("fleet/work/fill.evening", valid), work);
   std::mt19937_64 random(5);
-  int refused = 0;
+  int rejected = 0;
   for (int round = 0; round < 3'000; ++round) {
-    std::string text = good;
+    std::string text = valid;
     text[random() % text.size()] = "0123456789\"{}[]:,-x"[random() % 19];
     if (const auto read = read_work("fleet/work/fill.evening", text)) {
       EXPECT_NO_THROW(check_work(*read));
     } else {
-      ++refused;
+      ++rejected;
     }
   }
-  EXPECT_GT(refused, 100);
+  EXPECT_GT(rejected, 100);
   EXPECT_EQ(read_shard_key("own/a/12", "own/"), (ShardId{"a", 12}));
-  for (const char* bad :
+  for (const char* malformed :
        {"own/a", "own//1", "own/a/", "own/a/x", "own/a/123456", "progress/a/1", "own/a b/1"}) {
-    EXPECT_FALSE(read_shard_key(bad, "own/")) << bad;
+    EXPECT_FALSE(read_shard_key(malformed, "own/")) << malformed;
   }
 }
 
--- a/tests/ownership_invariants.h
+++ b/tests/ownership_invariants.h
@@ -1,4 +1,4 @@
-// Invariants of the ownership simulation that concern effects and progress (ownership_simulation.cpp).
+// Checks of the invariants on effects and progress in the ownership simulation (ownership_simulation.cpp).
 #pragma once
 
 #include <algorithm>
@@ -13,12 +13,12 @@
 namespace trailcourse::ownership {
 
 // The receiver of all effects, with its fence. It checks that no effect of a lower term follows one of a
-// higher.
+// higher term.
 class EffectReceiver {
  public:
   explicit EffectReceiver(bool has_fence) : has_fence_(has_fence) {}
 
-  // Returns the violation, if any.
+  // Receives an effect. Returns the violated invariant, if any.
   std::optional<std::string> receive(const ShardId& id, Term term) {
     const std::string work = to_string(id);
     const FenceDecision decision = has_fence_ ? fence_.admit(work, term) : FenceDecision::kAccept;
@@ -39,8 +39,8 @@
     return std::nullopt;
   }
 
-  // Restarts without the terms that it should have persisted.
-  void forget_terms() { fence_ = Fence(); }
+  // Restarts the receiver without the terms that it should have persisted.
+  void lose_terms() { fence_ = Fence(); }
 
   std::uint64_t effects() const { return effects_; }
   std::uint64_t rejected() const { return rejected_; }
@@ -48,15 +48,15 @@
  private:
   bool has_fence_;
   Fence fence_;
-  std::map<std::string, Term> highest_;  // that took effect, by shard
+  std::map<std::string, Term> highest_;  // term of an executed effect, by shard
   std::uint64_t effects_ = 0;
   std::uint64_t rejected_ = 0;
 };
 
-// Checks that neither the count of a shard nor the term of its progress goes back.
+// Checks that neither the checkpoint of a shard nor the term of its progress decreases.
 class ProgressMonitor {
  public:
-  // Returns the violation, if any.
+  // Checks a progress record that was written. Returns the violated invariant, if any.
   std::optional<std::string> observe(const ShardId& id, const Progress& progress) {
     const std::uint64_t count = progress.checkpoint.empty() ? 0 : std::stoull(progress.checkpoint);
     const std::uint64_t count_before = counts_[id];
--- a/tests/ownership_simulation.cpp
+++ b/tests/ownership_simulation.cpp
@@ -46,7 +46,7 @@
     play(kFaultsEnd, kEnd, [this] { end_faults(); }, [this] { check_single_owners(); });
     for (std::uint64_t shard = 0; shard < kShards; ++shard) {
       if (!acting_router_.contains(shard)) {
-        fail("nobody owns shard " + std::to_string(shard) + " long after the last fault" + describe());
+        fail("no router owns shard " + std::to_string(shard) + " long after the last fault" + describe());
       }
     }
     report_.failure = broken_;
@@ -60,9 +60,9 @@
   struct Router : VirtualProcess {
     std::optional<LeaseManager> manager;
     std::map<ShardId, LeaseId> leases;
-    std::map<ShardId, Term> terms;               // under which a task was started last
-    std::map<ShardId, std::uint64_t> task_runs;  // a task that goes on knows its own run
-    bool following = false;                      // changes of the store are sent to it
+    std::map<ShardId, Term> terms;               // under which the last task was started
+    std::map<ShardId, std::uint64_t> task_runs;  // id of the running task; an older task has another id
+    bool following = false;                      // whether changes of the store are sent to the router
     std::uint64_t last_run = 0;
   };
 
@@ -86,10 +86,11 @@
     at(now_ + kExpiryPeriod, [this] { expire_leases(); });
   }
 
-  // A call of a router to the store.
+  // Makes a call of a router to the store, which may be late or lost.
   template <typename Value>
   void call_store(int index, const std::function<Value()>& serve,
-                  const std::function<void(const Value&)>& answer, const std::function<void()>& no_response) {
+                  const std::function<void(const Value&)>& on_response,
+                  const std::function<void()>& no_response) {
     call<Value>(
         router(index), nullptr, !calm_ && router(index).cut,
         [this, serve]() -> std::optional<Value> {
@@ -98,10 +99,10 @@
           send_changes();
           return value;
         },
-        answer, no_response);
+        on_response, no_response);
   }
 
-  // Changes are sent to all that follow, each after a time of its own but in order.
+  // Sends changes to all routers that follow them, to each with a different delay but in order.
   void send_changes() {
     for (const coordination::KeyChange& change : store_.take_changes()) {
       const auto id = read_shard_key(change.entry.key, kProgressPrefix);
@@ -141,7 +142,7 @@
     }
   }
 
-  // The router reads all records, and follows the changes from there on.
+  // Reads all records for a router, which follows the changes from then on.
   void read_snapshot(int index, const std::function<bool()>& same) {
     at(now_ + drawn(milliseconds(30)), [this, index, same] {
       if (!same()) {
@@ -189,35 +190,35 @@
   // ---- Routers ----
 
   void start(int index) {
-    Router& one = router(index);
-    begin_incarnation(one, kClockErrorPartsPerMillion, kMaxClockOffset);
+    Router& started = router(index);
+    begin_incarnation(started, kClockErrorPartsPerMillion, kMaxClockOffset);
     if (defect_ == SeededDefect::kNoDriftBound) {
-      one.rate = 0.99;
+      started.rate = 0.99;
     }
-    one.manager.emplace(name(index), std::to_string(one.incarnation), "edge", std::set<std::string>{"test"},
-                        options_);
-    one.leases.clear();
-    one.task_runs.clear();
-    one.terms.clear();
-    one.cut = false;
-    one.following = false;
-    read_snapshot(index, same_incarnation(one));
-    tick(one, kStepPeriod);
+    started.manager.emplace(name(index), std::to_string(started.incarnation), "edge",
+                            std::set<std::string>{"test"}, options_);
+    started.leases.clear();
+    started.task_runs.clear();
+    started.terms.clear();
+    started.cut = false;
+    started.following = false;
+    read_snapshot(index, same_incarnation(started));
+    tick(started, kStepPeriod);
   }
 
   void crash(int index) {
-    Router& one = router(index);
-    if (!one.running) {
+    Router& crashed = router(index);
+    if (!crashed.running) {
       return;
     }
-    one.manager.reset();
-    end_incarnation(one);
+    crashed.manager.reset();
+    end_incarnation(crashed);
     std::erase_if(acting_router_, [index](const auto& entry) { return entry.second == index; });
   }
 
   void step(int index) {
     for (const LeaseManagerAction& action : manager(index).step(router_now(index))) {
-      std::visit([this, index](const auto& one) { execute(index, one); }, action);
+      std::visit([this, index](const auto& typed_action) { execute(index, typed_action); }, action);
     }
   }
 
@@ -256,7 +257,7 @@
         no_response);
   }
 
-  // Two calls: a lease of the store, and the key of the owner under it.
+  // Makes two calls: one grants a lease of the store, the other writes the owner's key with it.
   void acquire(int index, const ShardId& id, std::uint64_t call_id,
                const std::function<void()>& no_response) {
     const Owner owner{name(index), std::to_string(router(index).incarnation), 0};
@@ -282,7 +283,7 @@
           }
         },
         [this, index, id, call_id](const AcquireResult& result) {
-          ++report_.acquire_answers;
+          ++report_.acquire_responses;
           manager(index).on_acquire_result(router_now(index), id, call_id, result);
         },
         no_response);
@@ -307,13 +308,13 @@
         });
   }
 
-  // ---- Tasks: each counts up; every number is an effect, then a checkpoint ----
+  // ---- Tasks: each counts up, and every number is sent as an effect and then reported as a checkpoint ----
 
   void execute(int index, const StartTaskAction& action) {
-    Router& one = router(index);
-    const std::uint64_t run = ++one.last_run;
-    one.task_runs[action.id] = run;
-    one.terms[action.id] = action.term;
+    Router& owner = router(index);
+    const std::uint64_t run = ++owner.last_run;
+    owner.task_runs[action.id] = run;
+    owner.terms[action.id] = action.term;
     const std::uint64_t done = action.checkpoint.empty() ? 0 : std::stoull(action.checkpoint);
     work_on(index, run, action.id, action.term, done + 1);
   }
@@ -344,7 +345,7 @@
       work_on(index, run, id, term, number);
       return;
     }
-    // It may wait in a socket's buffer for longer than any lease.
+    // The effect may wait in a socket's buffer for longer than any lease.
     const Micros delay = drawn(calm_ || chance(80) ? milliseconds(20) : seconds(15));
     at(now_ + delay, [this, id, term] { fail_if(receiver_.receive(id, term)); });
     manager(index).on_checkpoint(router_now(index), id, term, std::to_string(number), false);
@@ -375,7 +376,7 @@
     acting_router_ = std::move(acting);
   }
 
-  // What each router and the store hold of the shards.
+  // Returns the state of the shards at each router, and the entries of the store.
   std::string describe() {
     std::string out;
     for (int i = 0; i < kRouters; ++i) {
@@ -415,14 +416,14 @@
         });
         break;
       case 3:
-        cut_off(index);
+        disconnect(index);
         break;
-      case 4:  // the receiver restarts with what it persisted
-        if (defect_ == SeededDefect::kForgetfulFence) {
-          receiver_.forget_terms();
+      case 4:  // the receiver restarts, with its persisted terms unless they are dropped by the defect
+        if (defect_ == SeededDefect::kFenceLosesTerms) {
+          receiver_.lose_terms();
         }
         break;
-      default:  // staff request the release of a shard
+      default:  // an operator requests the release of a shard
         if (router(index).running && !router(index).paused) {
           manager(index).on_release_request(router_now(index), ShardId{"w", random_() % kShards},
                                             name(index));
@@ -432,27 +433,27 @@
   }
 
   void suspend(int index) {
-    Router& one = router(index);
-    if (!one.running || one.paused) {
+    Router& suspended = router(index);
+    if (!suspended.running || suspended.paused) {
       return;
     }
-    one.paused = true;
-    at(now_ + drawn(seconds(10)), [this, index, same = same_incarnation(one)] {
+    suspended.paused = true;
+    at(now_ + drawn(seconds(10)), [this, index, same = same_incarnation(suspended)] {
       if (same()) {
         wake(router(index));
       }
     });
   }
 
-  void cut_off(int index) {
-    Router& one = router(index);
-    if (!one.running) {
+  void disconnect(int index) {
+    Router& disconnected = router(index);
+    if (!disconnected.running) {
       return;
     }
-    one.cut = true;
-    one.following = false;
-    one.manager->set_connected(clock(one), false);
-    at(now_ + drawn(seconds(8)), [this, index, same = same_incarnation(one)] {
+    disconnected.cut = true;
+    disconnected.following = false;
+    disconnected.manager->set_connected(clock(disconnected), false);
+    at(now_ + drawn(seconds(8)), [this, index, same = same_incarnation(disconnected)] {
       if (same()) {
         reconnect(index);
       }
@@ -481,7 +482,7 @@
   LeaseManagerOptions options_;
   KeyValueState store_{coordination::KeyValueLimits{}};
   std::array<Router, kRouters> routers_;
-  std::map<int, Micros> last_arrival_;  // of a change, by router
+  std::map<int, Micros> last_arrival_;  // of the last change, by router
   EffectReceiver receiver_;
   ProgressMonitor progress_monitor_;
   std::map<std::uint64_t, int> acting_router_;  // by shard
--- a/tests/ownership_simulation_options.h
+++ b/tests/ownership_simulation_options.h
@@ -24,7 +24,7 @@
   testing_support::CallRules rules;
   rules.lost_percent = 4;
   rules.late_percent = 15;
-  rules.late_by_highest_draws = true;  // the seeds of this simulation were recorded so
+  rules.late_by_highest_draws = true;  // as when the seeds of this simulation were recorded
   rules.usual = std::chrono::milliseconds(20);
   rules.late = std::chrono::seconds(5);
   rules.timeout = std::chrono::seconds(1);
@@ -39,7 +39,7 @@
   options.handover_delay = std::chrono::seconds(4);
   options.restart_backoff = std::chrono::milliseconds(200);
   options.max_restart_backoff = std::chrono::milliseconds(400);
-  options.max_starts = 1'000;  // here routers crash by the faults that are drawn, not by the work
+  options.max_starts = 1'000;  // routers crash by random faults here, so their work is never parked
   if (defect == SeededDefect::kNoDriftBound) {
     options.lease.drift = 0.0;
     options.lease.margin = Micros(0);
--- a/tests/ownership_test.cpp
+++ b/tests/ownership_test.cpp
@@ -1,7 +1,7 @@
-// Exhaustive exploration of a small model of ownership: routers whose clocks run at different rates, a
-// store and one receiver, in every interleaving of calls, answers, losses, late effects, crashes and
-// restarts. Each seeded defect is found with a shortest trace. Beside it: leases, the fence and the
-// assignment of shards alone.
+// Exhaustive exploration of a small model of ownership: routers whose clocks run at different rates, a store
+// and one receiver, in every interleaving of calls, responses, losses, late effects, crashes and restarts.
+// Each seeded defect is found with a shortest trace. Also unit tests of leases, the fence and the assignment
+// of shards.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -22,17 +22,19 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-enum class Defect { kNone, kTermNotChecked, kTermForgotten, kWallClock, kTimedFromAnswer };
+// A defect that is added to the model, to show that the exploration finds it.
+enum class Defect { kNone, kTermNotChecked, kTermLost, kWallClock, kTimedFromResponse };
 
-// One tick is a second of true time. The store's clock is true; router 1 runs slower by the drift.
+// One tick is a second of true time. The store's clock is exact; the clock of router 1 runs slower by the
+// drift.
 constexpr int kRouters = 2;
 constexpr int kTtl = 3;
 constexpr double kDrift = 0.2;
 constexpr int kLastTick = 4;
-constexpr int kMaxFaults = 1;                  // losses, crashes, restarts, clocks set back: in all
+constexpr int kMaxFaults = 1;                  // total of losses, crashes, restarts and clocks set back
 constexpr std::uint64_t kMaxCalls = 2;         // of each router
 constexpr int kClockSetBack = 2;               // seconds
-constexpr std::size_t kMaxStates = 1'500'000;  // a state space that grows beyond is a mistake of this test
+constexpr std::size_t kMaxStates = 1'500'000;  // a larger state space is an error of this test
 
 LeaseOptions lease_options() {
   LeaseOptions options;
@@ -58,7 +60,7 @@
     std::optional<Term> effect;        // on its way to the receiver
     int effects = 0;
     int crashes = 0;
-    int clock_set_back = 0;  // its wall clock, in seconds
+    int clock_set_back = 0;  // offset of its wall clock, in seconds
   };
   int tick = 0;
   Router routers[kRouters];
@@ -67,7 +69,7 @@
   Term revision = 0;
   int expires = 0;
   Fence fence;
-  Term applied = 0;  // the highest term that took effect
+  Term applied = 0;  // highest term of an executed effect
   int receiver_restarts = 0;
   int faults = 0;
 
@@ -77,7 +79,7 @@
   }
   bool may_fail() const { return faults < kMaxFaults; }
 
-  // Differs for states that differ.
+  // Returns a text that is unique for each state.
   std::string key() const {
     std::string out = std::to_string(tick) + "|" + std::to_string(owner) + "," + std::to_string(term) + "," +
                       std::to_string(revision) + "," + std::to_string(owner >= 0 ? expires : 0) + "|" +
@@ -102,7 +104,7 @@
  public:
   explicit Explorer(Defect defect) : defect_(defect) {}
 
-  // Returns a shortest trace that breaks an invariant; empty where there is none.
+  // Returns a shortest trace to a violation of an invariant; empty if there is none.
   std::vector<std::string> run() {
     add(State{}, "start");
     for (std::size_t at = 0; at < states_.size() && violation_.empty() && at < kMaxStates; ++at) {
@@ -118,14 +120,14 @@
  private:
   struct Transition {
     int from = -1;
-    std::string what;
+    std::string description;
   };
 
   static std::string name(int router) { return "router " + std::to_string(router); }
 
-  // The time by which a router decides whether it may act.
+  // Returns the clock by which a router decides whether it may act.
   Micros decision_time(const State& state, int router) const {
-    // A wall clock may be set back; the steady one never is.
+    // A wall clock may be set back, a steady clock never is.
     return defect_ == Defect::kWallClock ? state.clock(router) - seconds(state.routers[router].clock_set_back)
                                          : state.clock(router);
   }
@@ -166,7 +168,7 @@
       return;
     }
     next.routers[i].request = call;
-    add(next, name(i) + (call->kind == LeaseCallKind::kRenew ? " sends a renewal" : " asks for the work"));
+    add(next, name(i) + (call->kind == LeaseCallKind::kRenew ? " sends a renewal" : " requests the work"));
   }
 
   void receive_call(const State& state, int i) {
@@ -177,7 +179,7 @@
     State next = state;
     next.routers[i].response = serve(next, i, *router.request);
     next.routers[i].request.reset();
-    add(next, "the store takes the call of " + name(i));
+    add(next, "the store executes the call of " + name(i));
     if (state.may_fail()) {
       State lost = state;
       ++lost.faults;
@@ -194,13 +196,13 @@
     }
     State next = state;
     apply_response(next, i, *router.response);
-    add(next, name(i) + " hears the store");
+    add(next, name(i) + " receives the response");
     if (state.may_fail()) {
       State lost = state;
       ++lost.faults;
       lost.routers[i].lease.on_no_response(state.clock(i), router.response->call_id);
       lost.routers[i].response.reset();
-      add(lost, "the answer to " + name(i) + " is lost");
+      add(lost, "the response to " + name(i) + " is lost");
     }
   }
 
@@ -236,7 +238,7 @@
     next.routers[i].request.reset();
     next.routers[i].response.reset();
     next.routers[i].crashes = 1;
-    add(next, name(i) + " dies and starts again");
+    add(next, name(i) + " crashes and restarts");
   }
 
   void set_clock_back(const State& state, int i) {
@@ -256,13 +258,13 @@
     State next = state;
     ++next.faults;
     next.receiver_restarts = 1;
-    if (defect_ == Defect::kTermForgotten) {
+    if (defect_ == Defect::kTermLost) {
       next.fence = Fence();
     }
-    add(next, "the receiver starts again");
+    add(next, "the receiver restarts");
   }
 
-  // The store processes a call.
+  // Executes a call at the store.
   static State::Response serve(State& state, int router, const LeaseCall& call) {
     State::Response out;
     out.call_id = call.call_id;
@@ -285,13 +287,13 @@
     const Micros now = state.clock(i);
     if (!response.granted) {
       router.lease.on_rejected(now, response.call_id);
-    } else if (defect_ == Defect::kTimedFromAnswer) {
-      // The same answer, to a call that counts as sent when the answer came.
+    } else if (defect_ == Defect::kTimedFromResponse) {
+      // Processes the same response as if the call had been sent when the response arrived.
       router.lease.on_no_response(now, response.call_id);
-      Lease again = router.lease;
-      if (const auto call = again.step(now)) {
-        again.on_granted(now, call->call_id, response.term);
-        router.lease = again;
+      Lease retimed = router.lease;
+      if (const auto call = retimed.step(now)) {
+        retimed.on_granted(now, call->call_id, response.term);
+        router.lease = retimed;
       }
     } else {
       router.lease.on_granted(now, response.call_id, response.term);
@@ -310,8 +312,8 @@
     state.applied = std::max(state.applied, term);
   }
 
-  // Checks the invariants of a state that follows on the current one, and queues it where it is new.
-  void add(const State& state, const std::string& what) {
+  // Checks the invariants of a successor of the current state, and queues it if it is new.
+  void add(const State& state, const std::string& description) {
     const bool lower_term = std::exchange(lower_term_applied_, false);
     int acting = 0;
     for (int i = 0; i < kRouters; ++i) {
@@ -319,15 +321,15 @@
     }
     if (lower_term || acting > 1) {
       violation_ = trace(current_);
-      violation_.push_back(what);
-      violation_.emplace_back(lower_term ? "an effect of a lower term after one of a higher"
-                                         : "two may act at once");
+      violation_.push_back(description);
+      violation_.emplace_back(lower_term ? "an effect of a lower term after one of a higher term"
+                                         : "two routers may act at once");
       return;
     }
     acting_states_ += acting > 0 ? 1 : 0;
-    if (seen_.insert(state.key()).second) {
+    if (known_keys_.insert(state.key()).second) {
       states_.push_back(state);
-      transitions_.push_back(Transition{current_, what});
+      transitions_.push_back(Transition{current_, description});
     }
   }
 
@@ -335,7 +337,7 @@
     std::vector<std::string> out;
     while (at >= 0) {
       const Transition& transition = transitions_[static_cast<std::size_t>(at)];
-      out.push_back(transition.what);
+      out.push_back(transition.description);
       at = transition.from;
     }
     std::reverse(out.begin(), out.end());
@@ -344,8 +346,8 @@
 
   Defect defect_;
   std::deque<State> states_;
-  std::vector<Transition> transitions_;  // by which each state was reached first
-  std::unordered_set<std::string> seen_;
+  std::vector<Transition> transitions_;  // the first transition to each state
+  std::unordered_set<std::string> known_keys_;
   std::vector<std::string> violation_;
   int current_ = -1;
   bool lower_term_applied_ = false;
@@ -360,13 +362,13 @@
   return out;
 }
 
-TEST(OwnershipModel, NoTwoActAtOnceAndNoLowerTermTakesEffect) {
+TEST(OwnershipModel, AtMostOneRouterActsAndNoLowerTermTakesEffect) {
   Explorer explorer(Defect::kNone);
   EXPECT_EQ(joined(explorer.run()), "");
   RecordProperty("states", static_cast<int>(explorer.states()));
-  EXPECT_LT(explorer.states(), kMaxStates) << "the entire state space was explored";
+  EXPECT_LT(explorer.states(), kMaxStates) << "the state space was not explored completely";
   EXPECT_GT(explorer.states(), 10'000U);
-  EXPECT_GT(explorer.acting_states(), 1'000U) << "somebody acts in it";
+  EXPECT_GT(explorer.acting_states(), 1'000U) << "too few states in which a router may act";
 }
 
 TEST(OwnershipModel, EachSeededDefectIsFoundWithAShortestTrace) {
@@ -375,9 +377,9 @@
     const char* violation;
   };
   for (const auto& [defect, violation] :
-       {Expectation{Defect::kTermNotChecked, "lower term"}, Expectation{Defect::kTermForgotten, "lower term"},
-        Expectation{Defect::kWallClock, "two may act"},
-        Expectation{Defect::kTimedFromAnswer, "two may act"}}) {
+       {Expectation{Defect::kTermNotChecked, "lower term"}, Expectation{Defect::kTermLost, "lower term"},
+        Expectation{Defect::kWallClock, "two routers may act"},
+        Expectation{Defect::kTimedFromResponse, "two routers may act"}}) {
     Explorer explorer(defect);
     const std::vector<std::string> trace = explorer.run();
     EXPECT_NE(joined(trace).find(violation), std::string::npos)
@@ -392,10 +394,10 @@
   const auto call = lease.step(seconds(10));
   ASSERT_TRUE(call.has_value());
   EXPECT_FALSE(lease.step(seconds(10)).has_value()) << "one call at a time";
-  lease.on_granted(seconds(13), call->call_id, 7);  // the answer took three seconds
+  lease.on_granted(seconds(13), call->call_id, 7);  // the response took three seconds
   EXPECT_EQ(lease.phase(seconds(13)), LeasePhase::kOwner);
   EXPECT_TRUE(lease.may_act(seconds(15)));
-  EXPECT_FALSE(lease.may_act(seconds(16))) << "ttl counts from the sending";
+  EXPECT_FALSE(lease.may_act(seconds(16))) << "the ttl is measured from the sending of the call";
   EXPECT_EQ(lease.phase(seconds(16)), LeasePhase::kUncertain);
   const auto renewal = lease.step(seconds(20));
   ASSERT_TRUE(renewal.has_value());
@@ -406,12 +408,12 @@
   EXPECT_EQ(lease.term(), 0U);
 }
 
-TEST(LeaseTest, AnswersOfEarlierOrLostCallsAreIgnored) {
+TEST(LeaseTest, ResponsesToEarlierCallsAreIgnored) {
   const LeaseOptions options;
   Lease lease(options);
   const auto first = lease.step(seconds(1));
   lease.on_no_response(seconds(2), first->call_id);
-  EXPECT_FALSE(lease.step(seconds(2)).has_value()) << "not before the retry";
+  EXPECT_FALSE(lease.step(seconds(2)).has_value()) << "not before the backoff ends";
   const auto second = lease.step(seconds(3));
   ASSERT_TRUE(second.has_value());
   lease.on_granted(seconds(3), first->call_id, 4);
@@ -422,7 +424,7 @@
   EXPECT_EQ(lease.term(), 5U);
 }
 
-TEST(LeaseTest, StoppedLeaseActsNoMoreAndIsReleasedOnce) {
+TEST(LeaseTest, StoppedLeaseMayNotActAndIsReleasedOnce) {
   Lease lease(LeaseOptions{});
   const auto call = lease.step(seconds(1));
   lease.on_granted(seconds(1), call->call_id, 3);
@@ -438,7 +440,7 @@
   EXPECT_EQ(lease.phase(seconds(9)), LeasePhase::kStopped);
 }
 
-// A release that got no response is sent again after its backoff, however often the lease is stopped.
+// A release without a response is sent again only after its backoff, even if the lease is stopped again.
 TEST(LeaseTest, LostReleaseIsRetriedOnlyAfterItsBackoff) {
   const LeaseOptions options;
   Lease lease(options);
@@ -457,16 +459,16 @@
   Fence fence;
   EXPECT_EQ(fence.admit("fill", 0), FenceDecision::kReject);
   EXPECT_EQ(fence.admit("fill", 4), FenceDecision::kPersistFirst);
-  EXPECT_EQ(fence.admit("fill", 4), FenceDecision::kPersistFirst) << "until it is durable";
+  EXPECT_EQ(fence.admit("fill", 4), FenceDecision::kPersistFirst) << "the term is not durable yet";
   fence.on_persisted("fill", 4);
   EXPECT_EQ(fence.admit("fill", 4), FenceDecision::kAccept);
   EXPECT_EQ(fence.admit("fill", 3), FenceDecision::kReject);
-  EXPECT_EQ(fence.admit("probe", 1), FenceDecision::kPersistFirst) << "each work has its own";
+  EXPECT_EQ(fence.admit("probe", 1), FenceDecision::kPersistFirst) << "each work has a separate term";
   fence.on_persisted("fill", 2);
   EXPECT_EQ(fence.persisted_term("fill"), 4U);
 }
 
-TEST(ShardAssignmentTest, MovesFewShardsSharesEvenlyAndRanksCandidates) {
+TEST(ShardAssignmentTest, SpreadsShardsEvenlyAndMovesOnlyThoseOfALeavingMember) {
   constexpr std::size_t kMembers = 30;
   std::vector<std::string> members;
   members.reserve(kMembers);
@@ -482,15 +484,15 @@
     of_last += preferred_owner("probe", shard, members) == members.back() ? 1 : 0;
   }
   EXPECT_EQ(count_moved_shards("probe", kShards, members, without), of_last)
-      << "its own shards and no others";
+      << "only the shards of the member that left move";
   EXPECT_NEAR(static_cast<double>(of_last), kShards / 30.0, 50.0);
   EXPECT_EQ(preferred_owner("probe", 1, {}), "");
-  std::vector<bool> ranks_taken(members.size(), false);
+  std::vector<bool> used_ranks(members.size(), false);
   for (const std::string& member : members) {
     const std::size_t rank = candidate_rank("probe", 9, member, members);
     ASSERT_LT(rank, members.size());
-    EXPECT_FALSE(ranks_taken[rank]);
-    ranks_taken[rank] = true;
+    EXPECT_FALSE(used_ranks[rank]);
+    used_ranks[rank] = true;
     EXPECT_EQ(rank == 0, member == preferred_owner("probe", 9, members));
   }
   EXPECT_EQ(candidate_wait(3, milliseconds(200), seconds(2)), milliseconds(600));
