--- a/src/coordination/coordination_store.h
+++ b/src/coordination/coordination_store.h
@@ -36,6 +36,7 @@
   bool ok() const { return status == CallStatus::kOk; }
 };
 
+// The result of grant() and keep_alive().
 struct GrantedLease {
   LeaseId id = 0;
   Micros ttl{0};  // 0: the lease does not exist
--- a/src/coordination/etcd_store.h
+++ b/src/coordination/etcd_store.h
@@ -16,6 +16,7 @@
 
 namespace trailcourse::coordination {
 
+// Its calls and watches use one EtcdClient.
 class EtcdStore : public CoordinationStore {
  public:
   using FirstEndpoint = coordination::FirstEndpoint;
--- a/src/coordination/etcd_watch.h
+++ b/src/coordination/etcd_watch.h
@@ -28,6 +28,7 @@
   std::string message;  // one line, for logs
 };
 
+// Has to be owned by a shared_ptr, which run() keeps until the watch is canceled.
 class EtcdWatch {
  public:
   // The observer must live until cancel() is called.
--- a/src/coordination/key_value_database.h
+++ b/src/coordination/key_value_database.h
@@ -33,8 +33,8 @@
   std::uint64_t id() const { return id_; }
 
   // Ends expired leases, calls `operation` with the current state, and stores its changes. Exceptions of
-  // `operation` are passed on. Throws SqliteError if the changes cannot be stored; nothing is changed then.
-  // `now` is boot_time().
+  // `operation` are passed on; it must not throw after a change, except SqliteError. Throws SqliteError if
+  // the changes cannot be stored; nothing is changed then. `now` is boot_time().
   void transact(Milliseconds now, Durability durability,
                 const std::function<void(KeyValueState&)>& operation);
 
--- a/src/coordination/key_value_state.h
+++ b/src/coordination/key_value_state.h
@@ -46,7 +46,8 @@
   friend bool operator==(const Lease&, const Lease&) = default;
 };
 
-// What happened to a lease since take_lease_changes() was called last.
+// The change of a lease since the last call of take_lease_changes(). A lease that was granted and then
+// renewed is kGranted.
 enum class LeaseChange { kGranted, kRenewed, kEnded };
 
 // Limits of a state. Calls beyond them are rejected.
@@ -61,6 +62,7 @@
   std::size_t history = 10'000;  // changes that are retained for watches; older ones are compacted
 };
 
+// The entries, leases and recent changes of a coordination store.
 class KeyValueState {
  public:
   explicit KeyValueState(const KeyValueLimits& limits) : limits_(limits) {}
--- a/src/membership/membership_view.h
+++ b/src/membership/membership_view.h
@@ -36,6 +36,7 @@
   int min_suspecting_peers = 2;  // from which a member is suspected; at most the number of other members
 };
 
+// The table above describes each status.
 enum class MemberStatus { kActive, kDamped, kSuspected, kDraining, kSuperseded };
 
 // Returns the name that is shown to operators.
--- a/src/ownership/lease.h
+++ b/src/ownership/lease.h
@@ -48,6 +48,7 @@
 // Returns the name of the phase for logs.
 const char* to_string(LeasePhase phase);
 
+// kAcquire: get a new grant; kRenew: extend the current one; kRelease: end it.
 enum class LeaseCallKind { kAcquire, kRenew, kRelease };
 
 // A lease call that has to be made to the store.
