--- a/benchmarks/scale/hollow_router.cpp
+++ b/benchmarks/scale/hollow_router.cpp
@@ -93,9 +93,9 @@
 }
 
 void HollowRouter::carry_out(const policy::LeaseAction& ask) {
-  const std::uint64_t number = ask.order.call_id;
+  const std::uint64_t number = ask.call.call_id;
   const auto lost = [this, number] { participant_->on_no_response(clock(), number); };
-  switch (ask.order.kind) {
+  switch (ask.call.kind) {
     case ownership::LeaseCallKind::kAcquire:
       ask_grant(
           rules_.participant.lease.ttl,
@@ -122,7 +122,7 @@
 
 void HollowRouter::join(const policy::LeaseAction& ask, LeaseId lease) {
   lease_ = lease;
-  const std::uint64_t number = ask.order.call_id;
+  const std::uint64_t number = ask.call.call_id;
   coordination::Transaction write;
   write.when = policy::join_conditions("", ask.observed, zone_);
   write.then = {
--- a/benchmarks/scale/policy_costs.cpp
+++ b/benchmarks/scale/policy_costs.cpp
@@ -72,7 +72,7 @@
   participant->on_persist_result(now, 7, {});
   for (const policy::ParticipantAction& order : participant->step(now)) {
     if (const auto* ask = std::get_if<policy::LeaseAction>(&order)) {
-      participant->on_join_result(now, ask->order.call_id, true);
+      participant->on_join_result(now, ask->call.call_id, true);
     }
   }
   return participant;
@@ -82,7 +82,7 @@
 void renew(policy::Participant& participant, Micros now) {
   for (const policy::ParticipantAction& order : participant.step(now)) {
     if (const auto* ask = std::get_if<policy::LeaseAction>(&order)) {
-      participant.on_renew_result(now, ask->order.call_id, true);
+      participant.on_renew_result(now, ask->call.call_id, true);
     }
   }
   keep_result(participant.effective_policy(now));
--- a/src/policy/acknowledgement.cpp
+++ b/src/policy/acknowledgement.cpp
@@ -95,8 +95,8 @@
   std::vector<std::string> out;
   for (const auto& [name, report] : snapshot.reports) {
     if (report.acknowledged_round < snapshot.record.round) {
-      out.push_back(describe_reporter(name, report) + " is to take in event " +
-                    std::to_string(snapshot.record.requested.sequence) + ", or its lease to run out");
+      out.push_back(describe_reporter(name, report) + " has to apply event " +
+                    std::to_string(snapshot.record.requested.sequence) + ", or its lease has to expire");
     }
   }
   return out;
--- a/src/policy/acknowledgement.h
+++ b/src/policy/acknowledgement.h
@@ -1,10 +1,11 @@
-// Which events of the discovery service every router has applied, in rounds: a record in the store requests
-// all events up to a position; each router that has applied them acknowledges the round in its report; once
-// all reports acknowledge it, the record names that position as completed, and the next round may start.
+// Acknowledgement rounds, which determine the events of the discovery service that every router has applied.
+// A record in the store requests all events up to a position. Each router that has applied them acknowledges
+// the round in its report. Once all reports acknowledge the round, the record names that position as
+// completed, and the next round may start.
 //
-// A completed position stays completed: a router joins only if the record is as it has observed it and it has
-// applied what the record requests, so none joins behind it. A router without a lease decides nothing and is
-// not awaited. docs/aggregation.md, "Acknowledged events".
+// A completed position stays completed: a router can join only if the record is unchanged since the router
+// observed it, and if the router has applied the requested events. A router without a lease decides no
+// requests, so a round does not wait for it. docs/aggregation.md, "Acknowledged events".
 //
 // Package `policy`: knows JSON; no I/O, no clock.
 #pragma once
@@ -19,56 +20,58 @@
 
 namespace trailcourse::policy {
 
-// All events of one source up to a sequence number. A source that started anew has another name, and its
-// sequence numbers start again.
+// Identifies all events of one source up to a sequence number. A source that was restarted has another name,
+// and its sequence numbers start again.
 struct DiscoveryPosition {
   std::string source;
-  std::uint64_t sequence = 0;  // 0: none
+  std::uint64_t sequence = 0;  // 0: no events
 
-  // Returns whether whoever is at this position has applied all events of `requested`.
+  // Returns whether a process at this position has applied all events of `requested`.
   bool covers(const DiscoveryPosition& requested) const {
     return requested.sequence == 0 || (source == requested.source && sequence >= requested.sequence);
   }
   friend bool operator==(const DiscoveryPosition&, const DiscoveryPosition&) = default;
 };
 
-// The record in the store.
+// The record of the acknowledgement rounds in the store.
 struct Acknowledgement {
-  std::uint64_t round = 0;  // only grows; 0: no round has been started
+  std::uint64_t round = 0;  // never decreases; 0: no round has been started
   DiscoveryPosition requested;
-  DiscoveryPosition completed;  // sequence 0: nothing yet of this source
+  DiscoveryPosition completed;  // sequence 0: no events of this source yet
 
   friend bool operator==(const Acknowledgement&, const Acknowledgement&) = default;
 };
+
+// Writes the record as JSON.
 std::string write_acknowledgement(const Acknowledgement& record);
-// Returns nothing if the text is not a valid record.
+// Reads the record. Returns nothing if the text is not a valid record.
 std::optional<Acknowledgement> read_acknowledgement(const std::string& text);
 
-// All that the coordinator of the rounds decides by, as it stands in the store at one revision.
+// The input of the coordinator of the rounds: the state of the store at one revision.
 struct AcknowledgementSnapshot {
   Acknowledgement record;
-  coordination::Revision modified = 0;  // of the record's last write; 0: there is none
+  coordination::Revision modified = 0;  // of the record's last write; 0: there is no record
   ParticipantReports reports;
 
   // Returns whether every participant has acknowledged the record's round.
   bool is_acknowledged_by_all() const;
 };
-// Reads all parts of a snapshot at one revision.
+// Returns the transaction that reads all parts of a snapshot at one revision.
 coordination::Transaction acknowledgement_snapshot_transaction(const std::string& prefix);
-// Returns the snapshot of such a transaction's outcome.
+// Returns the snapshot from the outcome of acknowledgement_snapshot_transaction().
 AcknowledgementSnapshot read_acknowledgement_snapshot(const std::string& prefix,
                                                       const coordination::TransactionResult& outcome);
 
-// Writes the record if it still is as in the snapshot.
+// Returns the transaction that writes `record` if the stored record is unchanged since the snapshot.
 coordination::Transaction write_acknowledgement_transaction(const std::string& prefix,
                                                             const AcknowledgementSnapshot& snapshot,
                                                             const Acknowledgement& record);
 
-// Returns a record that requests nothing, so that a router without the discovery service may join. Staff
-// write it once no coordinator starts rounds any more.
+// Returns a record that requests no events, so that a router without the discovery service can join.
+// Operators write it once no coordinator starts rounds any more.
 Acknowledgement reset_acknowledgement(const Acknowledgement& record);
 
-// Describes for operators which participants the current round is waiting for, one line each.
+// Describes for operators the participants that the current round is waiting for, one line each.
 std::vector<std::string> describe_unacknowledged(const AcknowledgementSnapshot& snapshot);
 
 }  // namespace trailcourse::policy
--- a/src/policy/acknowledgement_coordinator.cpp
+++ b/src/policy/acknowledgement_coordinator.cpp
@@ -2,7 +2,7 @@
 
 namespace trailcourse::policy {
 
-// Returns whether a round may start now, and notes its start.
+// Returns whether a round may start now. If so, records its start; if not, sets the time of the next step.
 bool AcknowledgementCoordinator::start_round(Micros now) {
   if (round_started_at_ && now < *round_started_at_ + min_round_interval_) {
     next_step_at_ = *round_started_at_ + min_round_interval_;
@@ -17,7 +17,7 @@
                                                                 const DiscoveryPosition& position) {
   next_step_at_.reset();
   Acknowledgement out = snapshot.record;
-  // A source that started anew does not know the events before: the open round could never complete.
+  // A restarted source does not have the earlier events, so the open round could never complete.
   const bool is_new_source = position.source != out.requested.source;
   const bool is_complete = out.round > 0 && snapshot.is_acknowledged_by_all();
   if (is_complete && !is_new_source) {
--- a/src/policy/acknowledgement_coordinator.h
+++ b/src/policy/acknowledgement_coordinator.h
@@ -1,5 +1,6 @@
-// The coordinator of acknowledgement rounds: decides on the record's next state. It runs as owned work; one
-// that was replaced and acts late is rejected by the store, since the record has changed meanwhile.
+// The coordinator of acknowledgement rounds, which decides on the record's next state. It runs as owned work.
+// The store rejects the late write of a coordinator that was replaced, since the record has changed
+// meanwhile.
 //
 // Package `policy`: no I/O, no clock; time is Micros of the caller's steady clock. Not thread-safe.
 #pragma once
@@ -14,14 +15,15 @@
 
 class AcknowledgementCoordinator {
  public:
-  // `min_round_interval`: the least time between the starts of two rounds.
+  // `min_round_interval` is the shortest time between the starts of two rounds.
   explicit AcknowledgementCoordinator(Micros min_round_interval) : min_round_interval_(min_round_interval) {}
 
-  // Returns the record as it is to be written, or nothing if it does not change. `position` is that of
-  // the coordinator's own process; a round requests no more than that.
+  // Returns the record to write, or nothing if it does not change. `position` is that of the coordinator's
+  // own process; a round requests no later position.
   std::optional<Acknowledgement> step(Micros now, const AcknowledgementSnapshot& snapshot,
                                       const DiscoveryPosition& position);
-  // Returns when step() may give another answer by time alone; nothing if only a change in the store can.
+  // Returns the time at which step() may return another result without any change in the store, or nothing if
+  // there is no such time.
   std::optional<Micros> next_step_at() const { return next_step_at_; }
 
  private:
--- a/src/policy/document.cpp
+++ b/src/policy/document.cpp
@@ -17,9 +17,9 @@
 constexpr std::size_t kMaxTextBytes = 1'000;
 constexpr std::size_t kMaxClasses = 64;
 
-enum class Form {
+enum class DocumentForm {
   kStored,  // with version, parent and digest
-  kDraft    // as an operator writes it
+  kDraft    // without them, as an operator writes it
 };
 
 json content_json(const PolicyContent& content) {
@@ -36,7 +36,7 @@
   return out;
 }
 
-// Returns what the digest is computed of: keys sorted, no spaces, no digest.
+// Returns the input of the digest: the document without its digest. Its text has sorted keys and no spaces.
 json json_without_digest(const PolicyDocument& document) {
   return {{"schema", document.schema}, {"version", document.version},
           {"parent", document.parent}, {"author", document.author},
@@ -90,7 +90,7 @@
   return out;
 }
 
-// Of a document with another schema nothing else can be checked.
+// Reads the schema first, since no other field of a document with another schema can be checked.
 std::int64_t read_schema(const json& value) {
   const auto schema = value.find("schema");
   if (schema == value.end() || !schema->is_number_integer()) {
@@ -128,7 +128,7 @@
   } else if (field == "content") {
     document.content = read_content(value);
   } else {
-    return field == "schema";  // was read first
+    return field == "schema";  // already read
   }
   return true;
 }
@@ -169,7 +169,7 @@
   }
 }
 
-PolicyDocument read(const std::string& text, Form form) {
+PolicyDocument read(const std::string& text, DocumentForm form) {
   const json value = json::parse(text, nullptr, false, true);
   if (!value.is_object()) {
     throw InvalidDocument("not a JSON object");
@@ -179,10 +179,12 @@
   std::string digest;
   try {
     for (const auto& [field, field_value] : value.items()) {
-      const bool is_read = read_draft_field(field, field_value, out) ||
-                           (form == Form::kStored && read_stored_field(field, field_value, out, digest));
+      const bool is_read =
+          read_draft_field(field, field_value, out) ||
+          (form == DocumentForm::kStored && read_stored_field(field, field_value, out, digest));
       if (!is_read) {
-        throw InvalidDocument(field + ": no such field" + (form == Form::kDraft ? " of a draft" : ""));
+        throw InvalidDocument(field + ": no such field" +
+                              (form == DocumentForm::kDraft ? " of a draft" : ""));
       }
     }
     check_content(out.content);
@@ -192,7 +194,7 @@
   if (!value.contains("content")) {
     throw InvalidDocument("content: missing");
   }
-  if (form == Form::kStored) {
+  if (form == DocumentForm::kStored) {
     check_stored(out, digest);
   }
   return out;
@@ -217,8 +219,8 @@
 
 std::string write_document_text(const PolicyDocument& document) { return write_document(document).dump(); }
 
-PolicyDocument read_document(const std::string& text) { return read(text, Form::kStored); }
-PolicyDocument read_draft(const std::string& text) { return read(text, Form::kDraft); }
+PolicyDocument read_document(const std::string& text) { return read(text, DocumentForm::kStored); }
+PolicyDocument read_draft(const std::string& text) { return read(text, DocumentForm::kDraft); }
 
 std::string describe(const UnsupportedDemand& demand) {
   switch (demand.kind) {
--- a/src/policy/options.cpp
+++ b/src/policy/options.cpp
@@ -43,11 +43,11 @@
 }
 
 void check_policy(const PolicyOptions& options) {
-  const std::int64_t sure =
+  const std::int64_t guaranteed_ms =
       duration_cast<milliseconds>(ownership::guaranteed_duration(participant_options(options).lease)).count();
-  if (2 * options.renew_ms > sure) {
+  if (2 * options.renew_ms > guaranteed_ms) {
     throw config::KeyError("policy.renew_ms", std::to_string(options.renew_ms) + " is over half of the " +
-                                                  std::to_string(sure) +
+                                                  std::to_string(guaranteed_ms) +
                                                   " ms for which a lease is guaranteed");
   }
   if (options.hold_most_ms <= options.ttl_ms) {
@@ -58,21 +58,21 @@
 }
 
 ParticipantOptions participant_options(const PolicyOptions& options) {
-  ParticipantOptions rules;
-  rules.lease.ttl = milliseconds(options.ttl_ms);
-  rules.lease.drift = options.drift_percent / 100.0;
-  rules.lease.margin = milliseconds(options.margin_ms);
-  rules.lease.renew_after = milliseconds(options.renew_ms);
-  rules.lease.retry_backoff = milliseconds(options.retry_ms);
-  rules.serve_intersection = options.without == "both";
-  return rules;
+  ParticipantOptions out;
+  out.lease.ttl = milliseconds(options.ttl_ms);
+  out.lease.drift = options.drift_percent / 100.0;
+  out.lease.margin = milliseconds(options.margin_ms);
+  out.lease.renew_after = milliseconds(options.renew_ms);
+  out.lease.retry_backoff = milliseconds(options.retry_ms);
+  out.serve_intersection = options.without == "both";
+  return out;
 }
 
 RolloutTimeouts rollout_timeouts(const PolicyOptions& options) {
-  RolloutTimeouts rules;
-  rules.prepare_timeout = milliseconds(options.prepare_most_ms);
-  rules.suspend_timeout = milliseconds(options.hold_most_ms);
-  return rules;
+  RolloutTimeouts out;
+  out.prepare_timeout = milliseconds(options.prepare_most_ms);
+  out.suspend_timeout = milliseconds(options.hold_most_ms);
+  return out;
 }
 
 }  // namespace trailcourse::policy
--- a/src/policy/options.h
+++ b/src/policy/options.h
@@ -1,5 +1,5 @@
-// The section `policy` of the operator's file: whether a router applies the fleet's policy, and what it does
-// while it cannot know which version is in force.
+// The section `policy` of the operator's file: whether a router applies the fleet's policy, and how it
+// handles requests while it does not know which version is in force.
 //
 // Package `policy`.
 #pragma once
@@ -13,7 +13,7 @@
 
 namespace trailcourse::policy {
 
-// The keys as docs/configuration.md describes them.
+// The values of the section, named as its keys; docs/configuration.md describes them.
 struct PolicyOptions {
   bool follow = false;
   std::string without = "both";
@@ -26,10 +26,11 @@
   std::int64_t prepare_most_ms = 30'000;
   std::int64_t hold_most_ms = 30'000;
 };
-// Returns the declaration of the keys; it lives as long as the program.
+// Returns the declaration of the keys. It has static lifetime.
 const config::Record<PolicyOptions>& policy_record();
-// Checks what depends on more than one key. Throws config::KeyError.
+// Checks the constraints between keys. Throws config::KeyError.
 void check_policy(const PolicyOptions& options);
+// Convert the options for the participant and for the coordinator of rollouts.
 ParticipantOptions participant_options(const PolicyOptions& options);
 RolloutTimeouts rollout_timeouts(const PolicyOptions& options);
 
--- a/src/policy/participant.cpp
+++ b/src/policy/participant.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// The terms that are passed to ownership::Lease: a participant's lease has none of its own.
+// The terms that are passed to ownership::Lease, since a participant's lease has no term of its own.
 constexpr ownership::Term kGranted = 1;
 constexpr ownership::Term kReleased = 0;
 
@@ -74,7 +74,7 @@
   failed_requests_ = failed;
 }
 
-// Updates what follows from the events so far.
+// Updates the state that is derived from events.
 void Participant::update() {
   update_acknowledgement();
   forget_unused_documents();
@@ -132,7 +132,7 @@
     return;
   }
   const StageId stage = stage_id(*rollout);
-  // From the moment of that record on this router decides under neither version alone, ready or not.
+  // Once it has observed the suspension, this router decides under neither version alone, ready or not.
   report.suspended_stage = is_suspending ? stage : 0;
   const std::uint64_t target = rollout->target_version;
   const bool decides_under_target = observed_.version == target;
@@ -165,7 +165,7 @@
   if (current != ParticipantState::kNoLease && current != ParticipantState::kInDoubt) {
     return {EffectivePolicy::Kind::kSingle, observed_.version, observed_.version};
   }
-  // Without a lease further rollouts may have come that this router has not observed.
+  // Without a lease the router may have missed later rollouts.
   if (!options_.serve_intersection || current != ParticipantState::kInDoubt) {
     return {};
   }
@@ -218,7 +218,7 @@
 void Participant::on_no_response(Micros now, std::uint64_t call_id) {
   lease_.on_no_response(now, call_id);
   if (!joined_) {
-    pending_.reset();  // the report may have been written or not: this router joins anew under another lease
+    pending_.reset();  // whether or not the report was written, the router joins again under another lease
   }
 }
 
@@ -231,7 +231,7 @@
     reported_ = *pending_;
     last_version_ = reported_.version;
   } else {
-    report_not_before_ = now + options_.lease.retry_backoff;  // it may have been written: it is written again
+    report_not_before_ = now + options_.lease.retry_backoff;  // written again, since the outcome is unknown
   }
   pending_.reset();
 }
@@ -240,8 +240,8 @@
 
 // ---- Actions ----
 
-// Returns whether the lease may be acquired, renewed or released now. A router that joins must know the
-// version in force and must have applied all events that were requested.
+// Returns whether a lease call may be made now. A router that joins must have prepared the version in force
+// and must have applied all requested events.
 bool Participant::may_call_for_lease(Micros now) const {
   const LeasePhase phase = lease_.phase(now);
   if (phase == LeasePhase::kStopped) {
@@ -260,7 +260,7 @@
   return out;
 }
 
-// The version in force and the target version of an open rollout are stored.
+// Stores the version in force and the target version of an open rollout.
 void Participant::add_persist_actions(std::vector<ParticipantAction>& actions) {
   if (documents_.start_storing(observed_.version)) {
     actions.emplace_back(PersistDocumentAction{observed_.version});
@@ -275,13 +275,13 @@
   if (!may_call_for_lease(now)) {
     return;
   }
-  const std::optional<LeaseCall> order = lease_.step(now);
-  if (!order) {
+  const std::optional<LeaseCall> call = lease_.step(now);
+  if (!call) {
     return;
   }
   LeaseAction action;
-  action.order = *order;
-  if (order->kind == LeaseCallKind::kAcquire) {
+  action.call = *call;
+  if (call->kind == LeaseCallKind::kAcquire) {
     joined_ = false;
     report_in_flight_ = false;
     pending_ = desired_report();
@@ -300,7 +300,7 @@
   ParticipantReport reported = reported_;
   const bool watched = is_watched();
   if (!watched) {
-    // A change of the counts alone does not cause a write.
+    // A change of the request counts alone does not cause a write.
     reported.requests = desired.requests;
     reported.failed_requests = desired.failed_requests;
   }
@@ -315,7 +315,7 @@
   actions.emplace_back(std::move(action));
 }
 
-// While no call for the lease may be made, only an event can change that.
+// While no lease call may be made, the lease adds no time, since only an event can change that.
 std::optional<Micros> Participant::next_step_at(Micros now) const {
   std::optional<Micros> out = may_call_for_lease(now) ? lease_.next_step_at(now) : std::nullopt;
   if (lease_.may_act(now)) {
--- a/src/policy/participant.h
+++ b/src/policy/participant.h
@@ -1,22 +1,23 @@
-// A router's side of a policy rollout, as a participant of the two-phase commit: under which version of the
-// policy it decides, what it reports to the store, and its lease, without which it decides under no version.
+// A router's side of a policy rollout, as a participant of the two-phase commit: the version of the policy
+// under which the router decides requests, its reports to the store, and its lease. Without a lease the
+// router decides under no version.
 //
 // | state     | meaning                                              | decides under                        |
 // | --------- | ---------------------------------------------------- | ------------------------------------ |
-// | no lease  | the lease was not granted yet, or has run out        | none: rejects requests               |
+// | no lease  | the lease was not granted yet, or has expired        | none: rejects requests               |
 // | current   | has a lease, and is not suspended                    | the version in force                 |
-// | prepared  | the same, and has reported that it is ready          | the version in force                 |
+// | prepared  | as current, and has reported that it is ready        | the version in force                 |
 // | in doubt  | is suspended, and does not know the outcome          | none: rejects requests, or serves    |
 // |           |                                                      | what both versions allow             |
 // | switching | knows the outcome, and has not yet reported it       | the version in force                 |
 //
-// The lease is timed as in ownership/lease.h: the store does not end it before this router has stopped. A
-// report that is gone from the store is that of a router that does not decide, so the coordinator does not
-// wait for routers that are dead.
+// The lease is timed as in ownership/lease.h: the store does not end it before this router has stopped
+// deciding. A router whose report has disappeared from the store therefore decides no requests, and the
+// coordinator does not wait for routers that have crashed.
 //
-// A version is decided under only once this router has read in the store that it is in force, has received
-// its document, and has stored that on disk if there is one. A prepared version has no effect by itself:
-// after a restart the router asks the store.
+// A router decides under a version only after it has read in the store that the version is in force, has
+// received the document of the version, and has stored it on disk if documents are stored. A prepared version
+// has no effect by itself: after a restart the router reads the version in force from the store.
 //
 // Package `policy`: no I/O, no clock; time is Micros of the caller's steady clock. Not thread-safe.
 #pragma once
@@ -39,15 +40,15 @@
 namespace trailcourse::policy {
 
 enum class ParticipantState { kNoLease, kCurrent, kPrepared, kInDoubt, kSwitching };
-// Returns the name that /healthz and the log have.
+// Returns the name of the state in /healthz and in the log.
 const char* to_string(ParticipantState state);
 
-// What a request that arrives now is decided under.
+// The policy that applies to a request that arrives now.
 struct EffectivePolicy {
   enum class Kind {
     kSingle,        // `version` alone
     kIntersection,  // what `version` and `other_version` both allow
-    kReject         // none: the request is rejected at once
+    kReject         // no version: the request is rejected at once
   };
   Kind kind = Kind::kReject;
   std::uint64_t version = 0;
@@ -61,23 +62,24 @@
   bool serve_intersection = true;  // while in doubt; false: reject requests
 };
 
-// A call for the lease that is to be made now.
+// A lease call to make now.
 struct LeaseAction {
-  ownership::LeaseCall order;
-  ParticipantReport report;  // of an acquisition: to be written if the store still is as in `observed`
-  ObservedState observed;
+  ownership::LeaseCall call;
+  ParticipantReport report;  // of an acquisition: to be written if the store is unchanged since `observed`
+  ObservedState observed;    // of an acquisition
 };
-// A report that is to be written now, under the lease.
+// A report to write now, under the lease.
 struct ReportAction {
   std::uint64_t call_id = 0;
   ParticipantReport report;
 };
-// A document that is to be stored on disk.
+// A document to store on disk.
 struct PersistDocumentAction {
   std::uint64_t version = 0;
 };
 using ParticipantAction = std::variant<LeaseAction, ReportAction, PersistDocumentAction>;
 
+// The state machine of a participant. The caller passes events in, calls step(), and executes the actions.
 class Participant {
  public:
   // Checks whether this router can apply a version whose document was received.
@@ -87,25 +89,28 @@
               DocumentCheck check_document);
 
   // ---- Events ----
-  // The state of the store was read. A state older than the one observed last is ignored, since answers and
-  // watches may overtake each other.
+  // The state of the store was observed. Ignores a state older than the last one, since responses and watch
+  // events may overtake each other.
   void on_observed_state(Micros now, const ObservedState& observed);
-  // Whether the watch of the store is connected. The lease is renewed only then, so that it runs out if
-  // changes no longer arrive.
+  // Sets whether the watch of the store is connected. The lease is renewed only while it is, so that the
+  // lease expires if changes no longer arrive.
   void set_connected(Micros now, bool connected);
-  // The document of a version was received. Version 0, what routers do without a document, always is.
+  // The document of a version was received. Version 0 has no document and needs no call.
   void on_document(Micros now, std::uint64_t version);
-  // All events of the discovery service up to `position` have been applied to what is decided from now on.
+  // All events of the discovery service up to `position` have been applied: later decisions take them into
+  // account.
   void on_events_applied(Micros now, const DiscoveryPosition& position);
-  // Requests and failures since the start of the process, for the watching of a stage.
+  // Sets the numbers of all requests and of the rejected or failed ones since the start of the process. The
+  // coordinator compares them while it watches a stage.
   void set_request_counts(std::uint64_t requests, std::uint64_t failed);
 
   // ---- Results of actions ----
-  // `joined`: the store was as observed, and the report is written. If not, the state is to be read again.
+  // `joined` is true if the store was as observed and the report was written. If not, the caller has to read
+  // the state again.
   void on_join_result(Micros now, std::uint64_t call_id, bool joined);
   void on_renew_result(Micros now, std::uint64_t call_id, bool alive);
   void on_release_result(Micros now, std::uint64_t call_id);
-  // A call for the lease had no response: it may have been executed or not.
+  // A lease call was not answered. It may or may not have been executed.
   void on_no_response(Micros now, std::uint64_t call_id);
   void on_report_result(Micros now, std::uint64_t call_id, bool written);
   void on_persist_result(Micros now, std::uint64_t version, PreparationResult result);
@@ -113,14 +118,16 @@
   // ---- State ----
   EffectivePolicy effective_policy(Micros now) const;
   ParticipantState state(Micros now) const;
-  // Returns what is to be done now; each action counts as begun.
+  // Returns the actions to execute now. Each of them counts as started.
   std::vector<ParticipantAction> step(Micros now);
-  // Returns when step() may return something by time alone, or the state may change.
+  // Returns the time at which step() may return an action, or state() may change, without any further event;
+  // or nothing.
   std::optional<Micros> next_step_at(Micros now) const;
+  // Returns the time until which the lease is valid.
   Micros lease_end() const { return lease_.valid_until(); }
-  // Returns whether the router should receive requests: it has a lease, suspended or not.
+  // Returns whether the router should receive requests: it has a lease, whether or not it is suspended.
   bool ready(Micros now) const;
-  // Releases the lease; step() gives the call.
+  // Starts to release the lease; step() returns the call.
   void stop(Micros now);
   bool stopped() const { return lease_.released(); }
   const ObservedState& observed() const { return observed_; }
@@ -150,8 +157,8 @@
   bool has_observed_ = false;
   bool connected_ = false;
 
-  bool joined_ = false;                       // the report of this lease is in the store
-  ParticipantReport reported_;                // as last observed in the store
+  bool joined_ = false;                       // a report under this lease is in the store
+  ParticipantReport reported_;                // the last one whose write was confirmed
   std::optional<ParticipantReport> pending_;  // the report of the call in flight: a join or a report
   bool report_in_flight_ = false;
   std::uint64_t last_report_id_ = 0;
@@ -159,7 +166,7 @@
 
   std::uint64_t requests_ = 0;
   std::uint64_t failed_requests_ = 0;
-  std::uint64_t last_version_ = 0;  // that was reported as decided under
+  std::uint64_t last_version_ = 0;  // the last one that was reported as decided under
   DiscoveryPosition position_;
   std::uint64_t acknowledged_round_ = 0;  // the last one whose events have been applied
 };
--- a/src/policy/policy_content.cpp
+++ b/src/policy/policy_content.cpp
@@ -15,21 +15,22 @@
 constexpr std::int64_t kMaxTimeoutMs = 3'600'000;
 constexpr std::int64_t kMaxAgeMs = 31'536'000'000;  // a year
 
-// Values of a record by key, as operators read them.
-using ShownValues = std::map<std::string, std::string>;
+// Formatted values of a record, by key.
+using FormattedValues = std::map<std::string, std::string>;
 
-// Limits of which 0 stands for none.
-std::int64_t lower_limit(std::int64_t one, std::int64_t other) {
+// Returns the stricter of two limits; 0 means no limit.
+std::int64_t stricter_limit(std::int64_t one, std::int64_t other) {
   if (one == 0) {
     return other;
   }
   return other == 0 ? one : std::min(one, other);
 }
+// Returns whether `value` is at least as strict as `limit`; 0 means no limit.
 bool is_within_limit(std::int64_t value, std::int64_t limit) {
   return limit == 0 || (value != 0 && value <= limit);
 }
 
-// Returns the greatest age of a copy that may be served; 0: no limit.
+// Returns the maximum age of a copy that may be served; 0 means no limit.
 std::int64_t max_age_ms(const ClassPolicy& rule) {
   return rule.fresh_ms == 0 ? 0 : rule.fresh_ms + rule.grace_ms;
 }
@@ -59,10 +60,10 @@
   out.objective_ms = std::min(one.objective_ms, other.objective_ms);
   out.give_up_ms = std::min(one.give_up_ms, other.give_up_ms);
   out.priority_weight = std::min(one.priority_weight, other.priority_weight);
-  out.fresh_ms = lower_limit(one.fresh_ms, other.fresh_ms);
+  out.fresh_ms = stricter_limit(one.fresh_ms, other.fresh_ms);
   out.grace_ms = 0;
   if (out.fresh_ms > 0) {
-    const std::int64_t max_age = lower_limit(max_age_ms(one), max_age_ms(other));
+    const std::int64_t max_age = stricter_limit(max_age_ms(one), max_age_ms(other));
     out.grace_ms = std::max<std::int64_t>(0, max_age - out.fresh_ms);
   }
   return out;
@@ -70,7 +71,7 @@
 
 LimitPolicy limit_intersection(const LimitPolicy& one, const LimitPolicy& other) {
   LimitPolicy out;
-  out.open_requests = lower_limit(one.open_requests, other.open_requests);
+  out.open_requests = stricter_limit(one.open_requests, other.open_requests);
   out.retry_after_ms = std::min(one.retry_after_ms, other.retry_after_ms);
   out.work.clear();
   for (const std::string& kind : one.work) {
@@ -90,32 +91,32 @@
 }
 
 template <typename Record, typename Values>
-ShownValues shown_values(const Record& record, const Values& values) {
-  ShownValues out;
+FormattedValues format_values(const Record& record, const Values& values) {
+  FormattedValues out;
   record.each(values, [&out](const config::Key& key, const json& value) {
     out[key.name] = config::shown(value) + (key.unit == "-" ? "" : " " + key.unit);
   });
   return out;
 }
 
-ShownValues shown_class(const PolicyContent& content, const std::string& name) {
+FormattedValues format_class(const PolicyContent& content, const std::string& name) {
   const ClassPolicy* const rule = find_class(content, name);
-  return rule == nullptr ? ShownValues{} : shown_values(class_policy_record(), *rule);
+  return rule == nullptr ? FormattedValues{} : format_values(class_policy_record(), *rule);
 }
 
 void append_differences(std::vector<std::string>& lines, const std::string& section,
-                        const ShownValues& before, const ShownValues& after) {
+                        const FormattedValues& before, const FormattedValues& after) {
   for (const auto& [key, value] : after) {
     const auto found = before.find(key);
     if (found == before.end()) {
-      lines.push_back(section + "." + key + " is " + value + ", was not named");
+      lines.push_back(section + "." + key + " is " + value + ", was not set");
     } else if (found->second != value) {
       lines.push_back(section + "." + key + " is " + value + ", was " + found->second);
     }
   }
   for (const auto& [key, value] : before) {
     if (!after.contains(key)) {
-      lines.push_back(section + "." + key + " is not named any more, was " + value);
+      lines.push_back(section + "." + key + " is no longer set, was " + value);
     }
   }
 }
@@ -164,7 +165,8 @@
     if (left != nullptr && right != nullptr) {
       out.classes[name] = class_intersection(*left, *right);
     } else {
-      // A class that a document does not name stays as configured, which the other document narrows.
+      // A class that one document does not name stays as configured, so the other document alone restricts
+      // it.
       out.classes[name] = left != nullptr ? *left : *right;
     }
   }
@@ -189,10 +191,10 @@
 std::vector<std::string> describe_difference(const PolicyContent& before, const PolicyContent& after) {
   std::vector<std::string> out;
   for (const std::string& name : class_names(before, after)) {
-    append_differences(out, "classes." + name, shown_class(before, name), shown_class(after, name));
+    append_differences(out, "classes." + name, format_class(before, name), format_class(after, name));
   }
-  append_differences(out, "limits", shown_values(limit_policy_record(), before.limits),
-                     shown_values(limit_policy_record(), after.limits));
+  append_differences(out, "limits", format_values(limit_policy_record(), before.limits),
+                     format_values(limit_policy_record(), after.limits));
   return out;
 }
 
--- a/src/policy/policy_content.h
+++ b/src/policy/policy_content.h
@@ -1,6 +1,7 @@
-// What a policy allows: typed records of request classes and limits, and their algebra.
+// The content of a policy: typed records of request classes and limits, their intersection and their order.
 //
-// A key of these records belongs to the fleet; all other keys of the operator's file belong to one machine.
+// The keys of these records apply to the whole fleet; all other keys of the operator's file apply to one
+// machine.
 //
 // Package `policy`: knows JSON; no I/O, no clock.
 #pragma once
@@ -25,10 +26,10 @@
 
   friend bool operator==(const ClassPolicy&, const ClassPolicy&) = default;
 };
-// Returns the declaration of its keys; it lives as long as the program.
+// Returns the declaration of the keys. It has static lifetime.
 const config::Record<ClassPolicy>& class_policy_record();
 
-// The limits of each router.
+// The limits that each router applies.
 struct LimitPolicy {
   std::int64_t open_requests = 0;
   std::int64_t retry_after_ms = 60'000;
@@ -36,23 +37,24 @@
 
   friend bool operator==(const LimitPolicy&, const LimitPolicy&) = default;
 };
-// Returns the declaration of its keys; it lives as long as the program.
+// Returns the declaration of the keys. It has static lifetime.
 const config::Record<LimitPolicy>& limit_policy_record();
 
+// What one version of the policy allows.
 struct PolicyContent {
-  std::map<std::string, ClassPolicy> classes;  // by name; a class that is not named stays as configured
+  std::map<std::string, ClassPolicy> classes;  // by name; other classes stay as configured
   LimitPolicy limits;
 
   friend bool operator==(const PolicyContent&, const PolicyContent&) = default;
 };
 
-// Returns what both allow. The operation is commutative, associative and idempotent, and its result is a
-// subset of either. A class that one of them does not serve is not served.
+// Returns the content that allows what both contents allow. The operation is commutative, associative and
+// idempotent, and its result is a subset of both. A class that one of them does not serve is not served.
 PolicyContent intersection(const PolicyContent& one, const PolicyContent& other);
-// Returns whether all that `narrow` allows is allowed by `wide`.
+// Returns whether `wide` allows everything that `narrow` allows.
 bool is_subset(const PolicyContent& narrow, const PolicyContent& wide);
 
-// Describes the difference for operators, one line for each key.
+// Describes the difference for operators, one line for each changed key.
 std::vector<std::string> describe_difference(const PolicyContent& before, const PolicyContent& after);
 
 }  // namespace trailcourse::policy
--- a/src/policy/rollout.cpp
+++ b/src/policy/rollout.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-// In the order of RolloutState; these names are stored.
+// The names of the states in the store, in the order of RolloutState.
 constexpr std::array<const char*, 6> kStateNames{"preparing", "holding", "committed",
                                                  "watched",   "done",    "aborted"};
 constexpr std::uint64_t kStagesPerRollout = 1'000;
@@ -33,7 +33,7 @@
   return static_cast<RolloutState>(found - kStateNames.begin());
 }
 
-// Returns nothing if one of the stages is not the name of a zone.
+// Returns nothing if one of the stages is not a string.
 std::optional<std::vector<std::string>> read_stages(const json& record) {
   std::vector<std::string> out;
   const auto stages = record.find("stages");
--- a/src/policy/rollout_coordinator.cpp
+++ b/src/policy/rollout_coordinator.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Below so many requests their rejected share has no meaning.
+// With fewer requests the rejected share is not significant.
 constexpr std::uint64_t kMinWatchedRequests = 20;
 
 RolloutStep move_to(const Rollout& rollout, RolloutState state, const std::string& audit) {
@@ -23,7 +23,7 @@
   return out;
 }
 
-// Aborts if a participant cannot apply the target version: one may have joined or found out late.
+// Aborts if a participant cannot apply the target version. One may join, or detect the error, at any time.
 std::optional<RolloutStep> abort_if_rejected(const Rollout& rollout, const ParticipantReports& reports) {
   for (const auto& [name, report] : reports) {
     if (report.rejected_stage == stage_id(rollout)) {
@@ -33,7 +33,8 @@
   return std::nullopt;
 }
 
-// Returns the routers whose reports have another stage in `field`, as a list for operators.
+// Returns the routers whose reports have another stage than the current one in `field`, as a list for
+// operators.
 std::string routers_behind(const Rollout& rollout, const ParticipantReports& reports,
                            StageId ParticipantReport::* field) {
   std::string out;
@@ -52,7 +53,7 @@
   return rollout.stages.empty() ? "committed" : "committed in all zones";
 }
 
-// Returns a new rollout that takes the zones that have switched back to the previous version.
+// Returns a new rollout that moves the zones that have switched back to the previous version.
 RolloutStep revert(const Rollout& rollout, std::uint64_t requests, std::uint64_t failed) {
   RolloutStep out;
   out.rollout = rollout;
@@ -77,7 +78,7 @@
   if (!snapshot.rollout || !snapshot.rollout->is_open()) {
     return std::nullopt;
   }
-  note_state(now, *snapshot.rollout);
+  record_state(now, *snapshot.rollout);
   switch (snapshot.rollout->state) {
     case RolloutState::kPreparing:
       return step_preparing(now, snapshot);
@@ -94,8 +95,8 @@
   return std::nullopt;
 }
 
-// Timeouts start when this coordinator first sees a state of a stage.
-void RolloutCoordinator::note_state(Micros now, const Rollout& rollout) {
+// Starts the timeouts when this coordinator first observes a state of a stage.
+void RolloutCoordinator::record_state(Micros now, const Rollout& rollout) {
   if (stage_ == stage_id(rollout) && state_ == rollout.state) {
     return;
   }
@@ -144,8 +145,8 @@
   return abort_at(now, deadline, rollout, "do not hold, and are there: " + missing);
 }
 
-// Waits without a timeout until all participants decide under the target version: those that do not yet are
-// still suspended.
+// Waits until all participants decide under the target version. There is no timeout, since the participants
+// that have not switched are still suspended.
 std::optional<RolloutStep> RolloutCoordinator::step_committed(const RolloutSnapshot& snapshot) {
   const Rollout& rollout = *snapshot.rollout;
   for (const auto& [name, report] : snapshot.reports_of_stage()) {
@@ -160,7 +161,7 @@
                  "zone " + rollout.stages[rollout.stage] + " decides under it and is watched");
 }
 
-// Counts only what was added since this coordinator first saw each process.
+// Counts only the requests since this coordinator first observed each process.
 RolloutCoordinator::RequestCounts RolloutCoordinator::counts_while_watching(const RolloutSnapshot& snapshot) {
   RequestCounts out;
   for (const auto& [name, report] : snapshot.reports_of_stage()) {
--- a/src/policy/rollout_coordinator.h
+++ b/src/policy/rollout_coordinator.h
@@ -1,6 +1,6 @@
-// The coordinator of a policy rollout: decides on its next transition from a snapshot of the store. It runs
-// as owned work; a coordinator that was replaced and acts late is rejected by the store, since the record has
-// changed meanwhile. A successor knows no more than the snapshot, and its timeouts start again.
+// The coordinator of a policy rollout, which decides on the next transition from a snapshot of the store. It
+// runs as owned work. The store rejects the late write of a coordinator that was replaced, since the record
+// has changed meanwhile. A successor has only the snapshot, and its timeouts start again.
 //
 // Package `policy`: no I/O, no clock; time is Micros of the caller's steady clock. Not thread-safe.
 #pragma once
@@ -17,19 +17,20 @@
 
 namespace trailcourse::policy {
 
-// After each of them the rollout is aborted.
+// Timeouts after which a rollout is aborted.
 struct RolloutTimeouts {
   Micros prepare_timeout{30'000'000};  // until all participants are ready
-  Micros suspend_timeout{30'000'000};  // until all have suspended; longer than any lease
+  Micros suspend_timeout{30'000'000};  // until all participants have suspended; longer than any lease
 };
 
 class RolloutCoordinator {
  public:
   explicit RolloutCoordinator(const RolloutTimeouts& timeouts) : timeouts_(timeouts) {}
 
-  // Returns the next transition, if the snapshot allows one now.
+  // Returns the next transition, or nothing if the snapshot allows none now.
   std::optional<RolloutStep> step(Micros now, const RolloutSnapshot& snapshot);
-  // Returns when step() may give a transition by time alone; nothing if only a change in the store can.
+  // Returns the time at which step() may return a transition without any change in the store, or nothing if
+  // there is no such time.
   std::optional<Micros> next_step_at() const { return next_step_at_; }
 
  private:
@@ -38,7 +39,7 @@
     std::uint64_t failed = 0;
   };
 
-  void note_state(Micros now, const Rollout& rollout);
+  void record_state(Micros now, const Rollout& rollout);
   std::optional<RolloutStep> step_preparing(Micros now, const RolloutSnapshot& snapshot);
   std::optional<RolloutStep> step_suspending(Micros now, const RolloutSnapshot& snapshot);
   static std::optional<RolloutStep> step_committed(const RolloutSnapshot& snapshot);
--- a/src/policy/rollout_snapshot.cpp
+++ b/src/policy/rollout_snapshot.cpp
@@ -15,17 +15,17 @@
   return std::strtoull(entry.value.c_str(), nullptr, 10);
 }
 
-// Returns what a participant still has to do in the rollout's state; empty if nothing.
+// Returns the action that a participant still has to take in the rollout's state, or an empty string.
 std::string pending_action(const Rollout& rollout, const ParticipantReport& report) {
   const StageId stage = stage_id(rollout);
   switch (rollout.state) {
     case RolloutState::kPreparing:
-      return report.ready_stage != stage ? " is to report that it is ready" : "";
+      return report.ready_stage != stage ? " has to report that it is ready" : "";
     case RolloutState::kSuspending:
-      return report.suspended_stage != stage ? " is to suspend, or its lease to run out" : "";
+      return report.suspended_stage != stage ? " has to suspend, or its lease has to expire" : "";
     case RolloutState::kCommitted:
       return report.version != rollout.target_version || report.suspended_stage != 0
-                 ? " is to switch, or its lease to run out; it is suspended"
+                 ? " has to switch, or its lease has to expire; it is suspended"
                  : "";
     case RolloutState::kWatching:
     case RolloutState::kDone:
--- a/src/policy/rollout_snapshot.h
+++ b/src/policy/rollout_snapshot.h
@@ -1,4 +1,4 @@
-// The state of a rollout in the store at one revision: all that its coordinator decides by.
+// The state of a rollout in the store at one revision, which is the input of its coordinator.
 //
 // Package `policy`: no I/O, no clock.
 #pragma once
@@ -15,24 +15,25 @@
 
 namespace trailcourse::policy {
 
+// The records of the store that the coordinator reads in one transaction.
 struct RolloutSnapshot {
   std::optional<Rollout> rollout;
   coordination::Revision rollout_revision = 0;  // of its last write; 0: there is no record
   std::uint64_t current_version = 0;
   coordination::Revision current_revision = 0;         // of its last write
-  std::map<std::string, std::uint64_t> zone_versions;  // of zones where it is not `current_version`
+  std::map<std::string, std::uint64_t> zone_versions;  // of zones with a version of their own
   ParticipantReports reports;
 
-  // Returns the reports of the current stage's zones. There has to be a rollout.
+  // Returns the reports of the current stage's zones. Requires a rollout.
   ParticipantReports reports_of_stage() const;
 };
 
-// Reads all parts of a snapshot at one revision.
+// Returns the transaction that reads all parts of a snapshot at one revision.
 coordination::Transaction snapshot_transaction(const std::string& prefix);
-// Returns the snapshot of such a transaction's outcome.
+// Returns the snapshot from the outcome of snapshot_transaction().
 RolloutSnapshot read_snapshot(const std::string& prefix, const coordination::TransactionResult& outcome);
 
-// Describes for operators which participants an open rollout is waiting for, one line each.
+// Describes for operators the participants that an open rollout is waiting for, one line each.
 std::vector<std::string> describe_pending(const RolloutSnapshot& snapshot);
 
 }  // namespace trailcourse::policy
--- a/src/policy/rollout_transactions.cpp
+++ b/src/policy/rollout_transactions.cpp
@@ -30,7 +30,8 @@
 std::string describe(const RolloutInProgress& in_progress) {
   return "change " + std::to_string(in_progress.id) + " to version " +
          std::to_string(in_progress.target_version) + " is " + to_string(in_progress.state) +
-         (in_progress.urgent_requested ? " and has committed" : "; wait, abort it, or say --urgent");
+         (in_progress.urgent_requested ? " and can no longer be superseded"
+                                       : "; wait, abort it, or use --urgent");
 }
 
 tl::expected<RolloutStart, RolloutInProgress> check_can_begin(const RolloutSnapshot& snapshot, bool urgent) {
--- a/src/policy/rollout_transactions.h
+++ b/src/policy/rollout_transactions.h
@@ -1,5 +1,5 @@
 // The transactions that change a rollout in the store. Each of them compares the record and the version in
-// force with a snapshot, so that a late write has no effect, and writes its line of the audit log.
+// force with a snapshot, so that a late write has no effect, and writes a line of the audit log.
 //
 // Package `policy`: no I/O, no clock.
 #pragma once
@@ -14,31 +14,31 @@
 
 namespace trailcourse::policy {
 
-// How a new rollout may begin.
+// The condition under which a new rollout may begin.
 enum class RolloutStart {
-  kIdle,       // no other one is open
-  kSupersedes  // it replaces the open one, which has not committed anything
+  kIdle,       // no other rollout is open
+  kSupersedes  // the new rollout replaces the open one, which has not committed in any zone
 };
 
-// The open rollout that keeps another one from beginning.
+// The open rollout that prevents a new one.
 struct RolloutInProgress {
   std::uint64_t id = 0;
   std::uint64_t target_version = 0;
   RolloutState state = RolloutState::kPreparing;
-  bool urgent_requested = false;  // the other one is urgent: this one has committed
+  bool urgent_requested = false;  // the new rollout is urgent, but the open one has committed
 };
-// Describes it for operators, with what they may do.
+// Describes the open rollout for operators, with the possible actions.
 std::string describe(const RolloutInProgress& in_progress);
 
-// Checks whether a new rollout may begin: none is open, or the new one is urgent and the open one has not
-// committed anything.
+// Checks whether a new rollout may begin: no rollout is open, or the new one is urgent and the open one has
+// not committed in any zone.
 tl::expected<RolloutStart, RolloutInProgress> check_can_begin(const RolloutSnapshot& snapshot, bool urgent);
 
-// Writes the record of a new rollout, and its document unless that is empty.
+// Returns the transaction that writes the record of a new rollout, and its document unless that is empty.
 coordination::Transaction begin_transaction(const std::string& prefix, const RolloutSnapshot& snapshot,
                                             const Rollout& rollout, const std::string& document,
                                             const std::string& audit);
-// Writes a transition of the snapshot's rollout.
+// Returns the transaction that writes a transition of the snapshot's rollout.
 coordination::Transaction execute_transaction(const std::string& prefix, const RolloutSnapshot& snapshot,
                                               const RolloutStep& step);
 
--- a/src/tasks/policy_client.cpp
+++ b/src/tasks/policy_client.cpp
@@ -83,7 +83,7 @@
   loop_.schedule();
 }
 
-// ---- What the store shows ----
+// ---- Records of the store ----
 
 void PolicyClient::on_snapshot(coordination::Revision, const std::vector<coordination::Entry>& entries) {
   records_.clear();
@@ -162,7 +162,7 @@
 }
 
 void PolicyClient::execute(const policy::LeaseAction& action) {
-  const std::uint64_t call_id = action.order.call_id;
+  const std::uint64_t call_id = action.call.call_id;
   LeaseCallHandlers handlers;
   handlers.make_transaction = [this, action](LeaseId lease) {
     lease_ = lease;
@@ -177,12 +177,12 @@
   };
   handlers.on_released = [this, call_id] { participant_.on_release_result(steady_now(), call_id); };
   handlers.on_no_response = [this, call_id] { participant_.on_no_response(steady_now(), call_id); };
-  make_lease_call(store_, loop_, action.order.kind, milliseconds(options_.ttl_ms), lease_,
+  make_lease_call(store_, loop_, action.call.kind, milliseconds(options_.ttl_ms), lease_,
                   std::move(handlers));
 }
 
-// The report is written only if all is as this router knew it: else it would decide under a policy that may
-// not be in force.
+// The report is written only if the records are unchanged since this router observed them. Otherwise the
+// router could decide under a policy that is no longer in force.
 Transaction PolicyClient::join_transaction(const policy::LeaseAction& action) const {
   Transaction join;
   join.when = policy::join_conditions(prefix_, action.observed, identity_.zone);
--- a/tests/acknowledgement_test.cpp
+++ b/tests/acknowledgement_test.cpp
@@ -1,5 +1,5 @@
-// Rounds in which routers acknowledge events of the discovery service: the record, its coordinator, a
-// participant, and what an aggregator reports for its routers.
+// Acknowledgement rounds for events of the discovery service: the record, its coordinator, a participant, and
+// the summaries and leases of an aggregator.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -32,7 +32,7 @@
   return out;
 }
 
-AcknowledgementSnapshot seen(const Acknowledgement& record, const std::vector<std::uint64_t>& rounds) {
+AcknowledgementSnapshot snapshot_of(const Acknowledgement& record, const std::vector<std::uint64_t>& rounds) {
   AcknowledgementSnapshot out;
   out.record = record;
   for (std::size_t i = 0; i < rounds.size(); ++i) {
@@ -41,12 +41,12 @@
   return out;
 }
 
-TEST(AcknowledgementRecordTest, IsReadAsItWasWritten) {
+TEST(AcknowledgementRecordTest, ReadsARecordAsItWasWritten) {
   const Acknowledgement record{7, at(812), at(800)};
   EXPECT_EQ(read_acknowledgement(write_acknowledgement(record)), record);
 }
 
-TEST(AcknowledgementRecordTest, AnInvalidTextIsNoRecord) {
+TEST(AcknowledgementRecordTest, RejectsAnInvalidText) {
   const std::string good = write_acknowledgement({7, at(812), at(800)});
   for (const std::string text :
        {"", "[]", "{}", R"({"round":0,"asked":{"board":"b","event":1},"done":{"board":"b","event":0}})",
@@ -67,78 +67,80 @@
   }
 }
 
-TEST(AcknowledgementCoordinatorTest, RequestsItsOwnPositionAndCompletesTheRoundOnceAllAcknowledge) {
+TEST(AcknowledgementCoordinatorTest, RequestsItsOwnPositionAndCompletesTheRoundWhenAllAcknowledge) {
   AcknowledgementCoordinator coordinator(kMinRoundInterval);
-  EXPECT_FALSE(coordinator.step(kStart, seen({}, {0, 0}), {}).has_value()) << "no position was observed yet";
-  const auto first = coordinator.step(kStart, seen({}, {0, 0}), at(5));
+  EXPECT_FALSE(coordinator.step(kStart, snapshot_of({}, {0, 0}), {}).has_value()) << "it has no position yet";
+  const auto first = coordinator.step(kStart, snapshot_of({}, {0, 0}), at(5));
   ASSERT_TRUE(first.has_value());
   EXPECT_EQ(*first, (Acknowledgement{1, at(5), at(0)}));
-  EXPECT_FALSE(coordinator.step(kStart, seen(*first, {1, 0}), at(5)).has_value()) << "one is awaited";
-  EXPECT_FALSE(coordinator.step(kStart, seen(*first, {1, 0}), at(9)).has_value()) << "one round at a time";
-  const auto done = coordinator.step(kStart, seen(*first, {1, 1}), at(5));
+  EXPECT_FALSE(coordinator.step(kStart, snapshot_of(*first, {1, 0}), at(5)).has_value())
+      << "one router has not acknowledged";
+  EXPECT_FALSE(coordinator.step(kStart, snapshot_of(*first, {1, 0}), at(9)).has_value())
+      << "one round at a time";
+  const auto done = coordinator.step(kStart, snapshot_of(*first, {1, 1}), at(5));
   ASSERT_TRUE(done.has_value());
   EXPECT_EQ(*done, (Acknowledgement{1, at(5), at(5)}));
-  EXPECT_FALSE(coordinator.step(kStart + kMinRoundInterval, seen(*done, {1, 1}), at(5)).has_value())
-      << "at rest";
+  EXPECT_FALSE(coordinator.step(kStart + kMinRoundInterval, snapshot_of(*done, {1, 1}), at(5)).has_value())
+      << "there are no new events";
 }
 
-TEST(AcknowledgementCoordinatorTest, ARoundMayCompleteAndTheNextStartInOneWriteButNotTooSoon) {
+TEST(AcknowledgementCoordinatorTest, CompletesARoundAndStartsTheNextInOneWriteAfterTheMinInterval) {
   AcknowledgementCoordinator coordinator(kMinRoundInterval);
-  const Acknowledgement first = *coordinator.step(kStart, seen({}, {0}), at(5));
-  const auto hasty = coordinator.step(kStart + kMinRoundInterval / 2, seen(first, {1}), at(9));
-  ASSERT_TRUE(hasty.has_value());
-  EXPECT_EQ(*hasty, (Acknowledgement{1, at(5), at(5)})) << "a completed round is written at once";
+  const Acknowledgement first = *coordinator.step(kStart, snapshot_of({}, {0}), at(5));
+  const auto early = coordinator.step(kStart + kMinRoundInterval / 2, snapshot_of(first, {1}), at(9));
+  ASSERT_TRUE(early.has_value());
+  EXPECT_EQ(*early, (Acknowledgement{1, at(5), at(5)})) << "a completed round is written at once";
   EXPECT_EQ(coordinator.next_step_at(), kStart + kMinRoundInterval);
-  const auto next = coordinator.step(kStart + kMinRoundInterval, seen(*hasty, {1}), at(9));
+  const auto next = coordinator.step(kStart + kMinRoundInterval, snapshot_of(*early, {1}), at(9));
   ASSERT_TRUE(next.has_value());
   EXPECT_EQ(*next, (Acknowledgement{2, at(9), at(5)}));
-  const auto both = coordinator.step(kStart + 2 * kMinRoundInterval, seen(*next, {2}), at(12));
+  const auto both = coordinator.step(kStart + 2 * kMinRoundInterval, snapshot_of(*next, {2}), at(12));
   ASSERT_TRUE(both.has_value());
   EXPECT_EQ(*both, (Acknowledgement{3, at(12), at(9)}));
 }
 
-TEST(AcknowledgementCoordinatorTest, ARouterWithoutALeaseIsNotAwaited) {
+TEST(AcknowledgementCoordinatorTest, DoesNotWaitForARouterWithoutALease) {
   AcknowledgementCoordinator coordinator(kMinRoundInterval);
-  const Acknowledgement first = *coordinator.step(kStart, seen({}, {0}), at(5));
-  EXPECT_EQ(*coordinator.step(kStart, seen(first, {}), at(5)), (Acknowledgement{1, at(5), at(5)}));
+  const Acknowledgement first = *coordinator.step(kStart, snapshot_of({}, {0}), at(5));
+  EXPECT_EQ(*coordinator.step(kStart, snapshot_of(first, {}), at(5)), (Acknowledgement{1, at(5), at(5)}));
 }
 
-TEST(AcknowledgementCoordinatorTest, ASourceThatStartedAnewEndsTheOpenRoundAndResetsThePosition) {
+TEST(AcknowledgementCoordinatorTest, StartsANewRoundAtPositionZeroWhenTheSourceWasRestarted) {
   AcknowledgementCoordinator coordinator(kMinRoundInterval);
   const Acknowledgement open{4, at(900), at(850)};
-  const auto anew = coordinator.step(kStart, seen(open, {4, 3}), at(2, "b2"));
-  ASSERT_TRUE(anew.has_value());
-  EXPECT_EQ(*anew, (Acknowledgement{5, at(2, "b2"), at(0, "b2")}));
+  const auto restarted = coordinator.step(kStart, snapshot_of(open, {4, 3}), at(2, "b2"));
+  ASSERT_TRUE(restarted.has_value());
+  EXPECT_EQ(*restarted, (Acknowledgement{5, at(2, "b2"), at(0, "b2")}));
 }
 
-TEST(AcknowledgementCoordinatorTest, AResetRecordRequestsNothingUntilTheNextRound) {
+TEST(AcknowledgementCoordinatorTest, RequestsNoEventsAfterAResetUntilTheNextRound) {
   const Acknowledgement none = reset_acknowledgement({4, at(900), at(850)});
   EXPECT_EQ(none.round, 5U);
   EXPECT_TRUE(at(0, "").covers(none.requested));
   AcknowledgementCoordinator coordinator(kMinRoundInterval);
-  EXPECT_EQ(*coordinator.step(kStart, seen(none, {5}), at(2)), (Acknowledgement{6, at(2), at(0)}));
+  EXPECT_EQ(*coordinator.step(kStart, snapshot_of(none, {5}), at(2)), (Acknowledgement{6, at(2), at(0)}));
 }
 
-TEST(AcknowledgementCoordinatorTest, ALateWriteIsRejectedByTheStore) {
+TEST(AcknowledgementCoordinatorTest, StoreRejectsALateWrite) {
   coordination::KeyValueState store{coordination::KeyValueLimits{}};
-  const auto look = [&store] {
+  const auto read_snapshot = [&store] {
     return read_acknowledgement_snapshot("", store.commit(acknowledgement_snapshot_transaction("")));
   };
-  const AcknowledgementSnapshot empty = look();
+  const AcknowledgementSnapshot empty = read_snapshot();
   EXPECT_TRUE(store.commit(write_acknowledgement_transaction("", empty, {1, at(5), at(0)})).succeeded);
   EXPECT_FALSE(store.commit(write_acknowledgement_transaction("", empty, {1, at(3), at(0)})).succeeded);
-  EXPECT_EQ(look().record.requested, at(5));
+  EXPECT_EQ(read_snapshot().record.requested, at(5));
 }
 
-TEST(AcknowledgementCoordinatorTest, DescribesWhichParticipantsArePending) {
-  AcknowledgementSnapshot one = seen({3, at(70), at(60)}, {3});
+TEST(AcknowledgementCoordinatorTest, DescribesPendingParticipants) {
+  AcknowledgementSnapshot one = snapshot_of({3, at(70), at(60)}, {3});
   ParticipantReport summary = acknowledging(2);
   summary.represented_routers = 40;
   summary.waiting_for = "r17";
   one.reports["east.edge/9"] = summary;
   EXPECT_EQ(describe_unacknowledged(one),
-            std::vector<std::string>{"east.edge for 40 routers, among them r17, is to take in event 70, or "
-                                     "its lease to run out"});
+            std::vector<std::string>{"east.edge for 40 routers, among them r17, has to apply event 70, or "
+                                     "its lease has to expire"});
 }
 
 // ---- A participant ----
@@ -146,10 +148,10 @@
 class AcknowledgingParticipantTest : public testing::Test {
  protected:
   AcknowledgingParticipantTest()
-      : participant_("i", "edge", rules(), [](std::uint64_t) { return PreparationResult(); }) {
+      : participant_("i", "edge", options(), [](std::uint64_t) { return PreparationResult(); }) {
     participant_.set_connected(kStart, true);
   }
-  static ParticipantOptions rules() {
+  static ParticipantOptions options() {
     ParticipantOptions out;
     out.lease.ttl = Micros(3'000'000);
     out.lease.renew_after = Micros(1'000'000);
@@ -174,7 +176,7 @@
   void join() {
     const auto lease_call = action<LeaseAction>();
     ASSERT_TRUE(lease_call.has_value());
-    participant_.on_join_result(now_, lease_call->order.call_id, true);
+    participant_.on_join_result(now_, lease_call->call.call_id, true);
   }
 
   Participant participant_;
@@ -187,7 +189,7 @@
   EXPECT_FALSE(action<LeaseAction>().has_value());
   participant_.on_events_applied(now_, at(69));
   EXPECT_FALSE(action<LeaseAction>().has_value());
-  participant_.on_events_applied(now_, at(900, "another board"));
+  participant_.on_events_applied(now_, at(900, "another source"));
   EXPECT_FALSE(action<LeaseAction>().has_value());
   participant_.on_events_applied(now_, at(71));
   const auto lease_call = action<LeaseAction>();
@@ -206,12 +208,12 @@
   join();
   participant_.set_connected(now_, false);
   EXPECT_EQ(participant_.next_step_at(now_), participant_.lease_end())
-      << "its lease runs out, and is not renewed";
+      << "its lease expires, and is not renewed";
   now_ = participant_.lease_end();
   EXPECT_FALSE(participant_.next_step_at(now_).has_value());
 }
 
-TEST_F(AcknowledgingParticipantTest, AcknowledgesOnceARoundThatItHasAppliedTheRequestedEvents) {
+TEST_F(AcknowledgingParticipantTest, AcknowledgesARoundOnceItHasAppliedTheRequestedEvents) {
   observe(0, {});
   join();
   participant_.on_events_applied(now_, at(10));
@@ -229,7 +231,7 @@
   EXPECT_FALSE(action<ReportAction>().has_value());
 }
 
-TEST_F(AcknowledgingParticipantTest, ItsJoinConditionsIncludeTheRecord) {
+TEST_F(AcknowledgingParticipantTest, JoinConditionsIncludeTheRecord) {
   observe(4, at(70));
   const auto conditions = join_conditions("p/", participant_.observed(), "edge");
   const auto record = coordination::unchanged(std::string("p/") + kAcknowledgedKey, revision_);
@@ -238,7 +240,7 @@
 
 // ---- An aggregator ----
 
-ObservedState asking(std::uint64_t round) {
+ObservedState observed_round(std::uint64_t round) {
   ObservedState out;
   out.acknowledgement = {round, at(70), {}};
   return out;
@@ -246,34 +248,35 @@
 
 TEST(AcknowledgingSummaryTest, AcknowledgesTheLowestRoundOfItsRouters) {
   aggregation::RouterReports routers;
-  EXPECT_EQ(summarize(asking(5), "edge", routers).acknowledged_round, 5U) << "nobody is there to be awaited";
+  EXPECT_EQ(summarize(observed_round(5), "edge", routers).acknowledged_round, 5U)
+      << "there is no router to wait for";
   routers[1] = {"r1", acknowledging(5)};
   routers[2] = {"r2", acknowledging(4)};
-  const ParticipantReport summary = summarize(asking(5), "edge", routers);
+  const ParticipantReport summary = summarize(observed_round(5), "edge", routers);
   EXPECT_EQ(summary.acknowledged_round, 4U);
   EXPECT_EQ(summary.waiting_for, "r2");
   routers[2].report.acknowledged_round = 6;
-  EXPECT_EQ(summarize(asking(5), "edge", routers).acknowledged_round, 5U)
+  EXPECT_EQ(summarize(observed_round(5), "edge", routers).acknowledged_round, 5U)
       << "no more than it has observed itself";
 }
 
-TEST(AcknowledgingSummaryTest, RandomSetsOfRoutersGiveTheMinimumAndNeverGoBack) {
+TEST(AcknowledgingSummaryTest, AcknowledgesTheMinimumOfRandomSetsOfRouters) {
   std::mt19937 random(23);
   for (int run = 0; run < 2'000; ++run) {
     aggregation::RouterReports routers;
-    std::uint64_t least = 9;
+    std::uint64_t min_round = 9;
     for (LeaseId lease = 1; lease <= 1 + random() % 6; ++lease) {
       const std::uint64_t round = random() % 9;
       routers[lease] = {"r" + std::to_string(lease), acknowledging(round)};
-      least = std::min(least, round);
+      min_round = std::min(min_round, round);
     }
-    EXPECT_EQ(summarize(asking(9), "edge", routers).acknowledged_round, least);
+    EXPECT_EQ(summarize(observed_round(9), "edge", routers).acknowledged_round, min_round);
   }
 }
 
-// Rounds go on while an aggregator joins: it joins all the same, and grants no lease before it has observed
-// the record that stood there then.
-TEST(AcknowledgingAggregatorTest, GrantsNoLeaseBeforeItHasObservedTheRecordThatItJoinedBehind) {
+// An aggregator can join while rounds change the record. It grants no lease before it has observed the record
+// as of its join.
+TEST(AcknowledgingAggregatorTest, GrantsNoLeaseBeforeItHasObservedTheRecordAsOfItsJoin) {
   constexpr Micros kTtl{3'000'000};
   coordination::KeyValueState store{coordination::KeyValueLimits{}};
   const auto write = [&store](const std::string& key, const std::string& value) {
@@ -308,7 +311,7 @@
   EXPECT_TRUE(aggregator.next_step_at(kStart).has_value());
 }
 
-TEST(AcknowledgingLeasesTest, NoRouterJoinsBehindAReportedRoundAndNoneReportsLess) {
+TEST(AcknowledgingLeasesTest, RejectsReportsOfEarlierRoundsThanTheSummaryOrTheRouterReported) {
   constexpr Micros kUntil{60'000'000};
   constexpr Micros kTtl{3'000'000};
   RouterLeases leases(aggregation::RouterLeaseOptions{}, 1);
--- a/tests/aggregation/region_world.cpp
+++ b/tests/aggregation/region_world.cpp
@@ -35,7 +35,7 @@
   acknowledgement_rounds += other.acknowledgement_rounds;
 }
 
-// The order of the steps is that in which the seed is drawn from.
+// The order of the statements determines the order of random draws. Recorded seeds depend on it.
 RegionWorld::RegionWorld(std::uint64_t seed, Defect defect)
     : VirtualWorld(seed, call_rules()), defect_(defect) {
   record_versions_in_force();
@@ -69,7 +69,7 @@
 WorldResult RegionWorld::run() {
   play(kFaultsEnd, kEnd, [this] { end_faults(); }, [] {});
   check_end();
-  result_.failure = broken_;
+  result_.failure = failure_;
   return result_;
 }
 
--- a/tests/aggregation/region_world_routers.cpp
+++ b/tests/aggregation/region_world_routers.cpp
@@ -23,7 +23,7 @@
 namespace {
 
 constexpr std::uint64_t kLaterThanAnyRound = 1'000'000;
-constexpr std::uint64_t kFaultyVersions = 4;  // of every so many versions one fails its requests
+constexpr std::uint64_t kFaultyVersions = 4;  // requests fail under one version of this number
 
 policy::ParticipantOptions participant_options() {
   policy::ParticipantOptions out;
@@ -59,7 +59,7 @@
 
 // ---- The watch ----
 
-// Calls go to the next aggregator at once; the watch follows at once or late.
+// Calls go to the next aggregator at once. The watch follows at once or later.
 void RegionWorld::on_endpoint_failure(RouterProcess& router, int endpoint) {
   if (endpoint != router.endpoint) {
     return;
@@ -89,7 +89,7 @@
   router.watched = kNotWatching;
   const auto open = [this, &router, endpoint, watch_id, same = same_incarnation(router)](Aggregator& core) {
     if (!same() || watch_id != router.watch_id) {
-      return ObservedState{};  // of a connection that was closed
+      return ObservedState{};  // the connection was closed
     }
     if (!core.has_snapshot()) {
       throw RequestRejected(RequestRejected::Reason::kNoUpstreamLease, "no snapshot");
@@ -172,7 +172,7 @@
   });
 }
 
-// A watch that was closed is started again at once, and one without heartbeats after a while.
+// Restarts a closed watch at once, and one without heartbeats after a timeout.
 void RegionWorld::check_watch(RouterProcess& router) {
   const AggregatorProcess& aggregator = aggregator_at(router.watched);
   if (is_watching(router, aggregator) && !aggregator.paused) {
@@ -228,11 +228,11 @@
 }
 
 void RegionWorld::execute(RouterProcess& router, const policy::LeaseAction& action) {
-  if (action.order.kind == LeaseCallKind::kAcquire) {
+  if (action.call.kind == LeaseCallKind::kAcquire) {
     acquire(router, action);
     return;
   }
-  const std::uint64_t call_id = action.order.call_id;
+  const std::uint64_t call_id = action.call.call_id;
   call_aggregator<bool>(
       router,
       [this, endpoint = router.endpoint, lease = router.lease](Aggregator& core) {
@@ -258,7 +258,7 @@
         router.lease = lease;
         join(router, action);
       },
-      no_response_to(router, action.order.call_id));
+      no_response_to(router, action.call.call_id));
 }
 
 void RegionWorld::join(RouterProcess& router, const policy::LeaseAction& action) {
@@ -269,10 +269,10 @@
       [this, &router, write, endpoint = router.endpoint](Aggregator& core) {
         return commit_report(router, core, clock_of(endpoint), write);
       },
-      [this, &router, call_id = action.order.call_id](const TransactionResult& outcome) {
+      [this, &router, call_id = action.call.call_id](const TransactionResult& outcome) {
         router.participant->on_join_result(clock(router), call_id, outcome.succeeded);
       },
-      no_response_to(router, action.order.call_id));
+      no_response_to(router, action.call.call_id));
 }
 
 Transaction RegionWorld::report_transaction(const RouterProcess& router, ParticipantReport report,
@@ -298,7 +298,7 @@
   return aggregator.commit(now, transaction);
 }
 
-// Makes a router that joins acknowledge whatever the aggregator has observed.
+// Makes the report of a joining router acknowledge the round that the aggregator has observed.
 void RegionWorld::acknowledge_latest_round(const Aggregator& aggregator, Put& put) {
   const auto record = aggregator.records().entries().find(policy::kAcknowledgedKey);
   if (record == aggregator.records().entries().end()) {
@@ -309,7 +309,7 @@
   put.value = policy::write_report(report);
 }
 
-// Executed at the aggregator. Returns whether there was such a lease.
+// Executed at the aggregator. Returns whether the lease was renewed.
 bool RegionWorld::renew(Aggregator& aggregator, int endpoint, LeaseId lease) {
   bool renewed = false;
   try {
@@ -376,7 +376,7 @@
 void RegionWorld::check_events(const RouterProcess& router) {
   if (router.position.sequence < completed_event_) {
     fail("router " + std::to_string(router.index) + " decides at event " +
-         std::to_string(router.position.sequence) + " though " + std::to_string(completed_event_) +
+         std::to_string(router.position.sequence) + " although " + std::to_string(completed_event_) +
          " was reported as completed");
   }
 }
--- a/tests/ownership_simulation.cpp
+++ b/tests/ownership_simulation.cpp
@@ -49,7 +49,7 @@
         fail("nobody owns shard " + std::to_string(shard) + " long after the last fault" + describe());
       }
     }
-    report_.failure = broken_;
+    report_.failure = failure_;
     report_.effects = receiver_.effects();
     report_.rejected = receiver_.rejected();
     report_.steps = steps_;
--- a/tests/participant_test.cpp
+++ b/tests/participant_test.cpp
@@ -1,5 +1,5 @@
-// A participant of a rollout: its states one by one, what it decides under in each, what it reports, and how
-// it prepares a version.
+// A participant of a rollout: its states, the effective policy in each of them, its reports, and the
+// preparation of versions.
 #include "policy/participant.h"
 
 #include <gtest/gtest.h>
@@ -42,12 +42,13 @@
     ++observed.rollout_revision;
     participant.on_observed_state(kNow, observed);
   }
-  // Receives and stores the document of a version.
+  // Passes the document of a version to the participant and confirms that it is stored.
   void prepare(std::uint64_t version) {
     participant.on_document(kNow, version);
     next<PersistDocumentAction>();
     participant.on_persist_result(kNow, version, {});
   }
+  // Returns the action of this type that the participant takes now, if any.
   template <typename Action>
   std::optional<Action> next() {
     for (const ParticipantAction& action : participant.step(kNow)) {
@@ -60,9 +61,9 @@
   void join() {
     const auto action = next<LeaseAction>();
     ASSERT_TRUE(action.has_value());
-    participant.on_join_result(kNow, action->order.call_id, true);
+    participant.on_join_result(kNow, action->call.call_id, true);
   }
-  // Returns the report that is written now.
+  // Confirms the report that the participant writes now, and returns it.
   ParticipantReport report() {
     const auto action = next<ReportAction>();
     EXPECT_TRUE(action.has_value());
@@ -82,13 +83,13 @@
   RejectingParticipantTest() : ParticipantTest(false) {}
 };
 
-TEST_F(ParticipantTest, WithoutALeaseItRejectsRequests) {
+TEST_F(ParticipantTest, RejectsRequestsWithoutALease) {
   EXPECT_EQ(participant.state(kNow), ParticipantState::kNoLease);
   EXPECT_FALSE(participant.ready(kNow));
   EXPECT_EQ(participant.effective_policy(kNow).kind, EffectivePolicy::Kind::kReject);
 }
 
-TEST_F(ParticipantTest, WithALeaseItDecidesUnderTheVersionInForce) {
+TEST_F(ParticipantTest, DecidesUnderTheVersionInForceWithALease) {
   join();
   EXPECT_EQ(participant.state(kNow), ParticipantState::kCurrent);
   EXPECT_TRUE(participant.ready(kNow));
@@ -96,12 +97,12 @@
             (EffectivePolicy{EffectivePolicy::Kind::kSingle, kPrevious, kPrevious}));
 }
 
-TEST_F(ParticipantTest, ItRejectsRequestsFromTheEndOfItsLease) {
+TEST_F(ParticipantTest, RejectsRequestsFromTheEndOfItsLease) {
   join();
   EXPECT_EQ(participant.state(participant.lease_end()), ParticipantState::kNoLease);
 }
 
-TEST_F(ParticipantTest, ItReportsThatItIsReadyOnceTheTargetVersionIsStored) {
+TEST_F(ParticipantTest, ReportsThatItIsReadyWhenTheTargetVersionIsStored) {
   join();
   observe(RolloutState::kPreparing);
   participant.on_document(kNow, kTarget);
@@ -115,7 +116,7 @@
   EXPECT_EQ(participant.effective_policy(kNow).version, kPrevious);
 }
 
-TEST_F(ParticipantTest, ItRejectsAVersionThatItCannotStore) {
+TEST_F(ParticipantTest, RejectsAVersionThatItCannotStore) {
   join();
   observe(RolloutState::kPreparing);
   participant.on_document(kNow, kTarget);
@@ -128,7 +129,7 @@
   EXPECT_EQ(rejection.ready_stage, 0U);
 }
 
-TEST_F(ParticipantTest, InDoubtItServesWhatBothVersionsAllow) {
+TEST_F(ParticipantTest, ServesWhatBothVersionsAllowWhileInDoubt) {
   join();
   prepare(kTarget);
   observe(RolloutState::kSuspending);
@@ -138,13 +139,13 @@
   EXPECT_EQ(report().suspended_stage, stage_id(*observed.rollout));
 }
 
-TEST_F(ParticipantTest, InDoubtWithoutTheTargetVersionItRejectsRequests) {
+TEST_F(ParticipantTest, RejectsRequestsWhileInDoubtWithoutTheTargetVersion) {
   join();
   observe(RolloutState::kSuspending);
   EXPECT_EQ(participant.effective_policy(kNow).kind, EffectivePolicy::Kind::kReject);
 }
 
-TEST_F(RejectingParticipantTest, InDoubtItRejectsRequests) {
+TEST_F(RejectingParticipantTest, RejectsRequestsWhileInDoubt) {
   join();
   prepare(kTarget);
   observe(RolloutState::kSuspending);
@@ -152,7 +153,7 @@
   EXPECT_EQ(participant.effective_policy(kNow).kind, EffectivePolicy::Kind::kReject);
 }
 
-TEST_F(ParticipantTest, AfterTheCommitItSwitchesAndReportsIt) {
+TEST_F(ParticipantTest, SwitchesAndReportsTheTargetVersionAfterTheCommit) {
   join();
   prepare(kTarget);
   observe(RolloutState::kSuspending);
@@ -167,7 +168,7 @@
   EXPECT_EQ(participant.state(kNow), ParticipantState::kCurrent);
 }
 
-TEST_F(ParticipantTest, AStateOlderThanTheOneObservedLastIsIgnored) {
+TEST_F(ParticipantTest, IgnoresAStateOlderThanTheLastOneObserved) {
   observe(RolloutState::kSuspending);
   ObservedState stale = observed;
   --stale.rollout_revision;
@@ -176,7 +177,7 @@
   EXPECT_TRUE(participant.observed().rollout.has_value());
 }
 
-TEST(DocumentPreparationTest, AVersionIsPreparedOnceItIsReceivedCheckedAndStored) {
+TEST(DocumentPreparationTest, AVersionIsPreparedWhenItIsReceivedCheckedAndStored) {
   DocumentPreparation documents;
   EXPECT_TRUE(documents.is_prepared(0)) << "without a document";
   EXPECT_FALSE(documents.start_storing(kTarget)) << "not received";
--- a/tests/policy_document_test.cpp
+++ b/tests/policy_document_test.cpp
@@ -1,5 +1,5 @@
-// Policy documents: the laws of the intersection of two contents, the reading and rejecting of documents, and
-// which of them a router can apply.
+// Policy documents: the laws of the intersection of two contents, the parsing and rejection of documents, and
+// the check of a router's capabilities.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -46,7 +46,7 @@
     EXPECT_EQ(intersection(a, a), a) << "idempotent";
     EXPECT_TRUE(is_subset(ab, a)) << "a subset of the first";
     EXPECT_TRUE(is_subset(ab, b)) << "a subset of the second";
-    // It is the largest such: a subset of both is a subset of it.
+    // The intersection is the largest subset of both: each other subset of both is a subset of it.
     const PolicyContent narrow = intersection(ab, c);
     EXPECT_TRUE(is_subset(narrow, ab));
     if (is_subset(c, a) && is_subset(c, b)) {
@@ -66,7 +66,7 @@
   return out;
 }
 
-TEST(PolicyDocumentTest, IsReadCompletelyOrRejectedWithTheField) {
+TEST(PolicyDocumentTest, ReadsACompleteDocumentOrRejectsItWithTheField) {
   const PolicyDocument document = document_of(7, 6);
   const std::string text = write_document_text(document);
   EXPECT_EQ(read_document(text), document);
@@ -125,7 +125,7 @@
   EXPECT_EQ(describe(unknown.error()), "content.classes.media: not a class of this router's settings");
 }
 
-TEST(PolicyDocumentTest, DescribesTheDifference) {
+TEST(PolicyDocumentTest, DescribesTheDifferenceOfTwoContents) {
   PolicyContent before = document_of(1, 0).content;
   PolicyContent after = before;
   EXPECT_TRUE(describe_difference(before, after).empty());
@@ -136,8 +136,8 @@
   EXPECT_EQ(lines[0], "classes.media.give_up_ms is 5,000 ms, was 4,000 ms");
 }
 
-// The texts that earlier versions of the program wrote.
-TEST(PolicyDocumentTest, StoredFormIsThatOfEarlierVersions) {
+// Earlier versions of the program have written this text.
+TEST(PolicyDocumentTest, StoredFormIsCompatibleWithEarlierVersions) {
   const std::string text =
       R"({"author":"ops","content":{"classes":{"media":{"fresh_ms":0,"give_up_ms":4000,"grace_ms":0,)"
       R"("objective_ms":1000,"serve":true,"worth":1.0}},)"
--- a/tests/policy_world_test.cpp
+++ b/tests/policy_world_test.cpp
@@ -1,6 +1,6 @@
-// Rollouts of a policy in a drawn world in virtual time: participants, coordinators that are replaced, and
-// the state of the store, with losses, pauses, deaths and clocks that run apart. No request may be decided
-// under the previous version once one was decided under the target version.
+// A simulation of policy rollouts in virtual time: the real participants, coordinators and store state, with
+// lost and late calls, paused and crashed processes, replaced coordinators, and drifting clocks. No request
+// may be decided under the previous version after another one was decided under the target version.
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -21,19 +21,26 @@
 using testing_support::VirtualProcess;
 using testing_support::VirtualWorld;
 
-enum class Defect { kNone, kCommitEarly, kTimedFromAnswer, kJoinUnseen, kAbortedKept };
+// A defect seeded into the simulation, which its checks have to find.
+enum class Defect {
+  kNone,
+  kCommitsBeforeSuspension,
+  kTimesLeaseFromAnswer,
+  kJoinsUnconditionally,
+  kAppliesAbortedVersion
+};
 
-struct WorldReport {
-  std::string broken;
-  std::uint64_t decided = 0, in_doubt = 0, refused = 0, changes = 0, commits = 0, aborts = 0, steps = 0;
+struct WorldResult {
+  std::string failure;  // the first one; empty: none
+  std::uint64_t decided = 0, in_doubt = 0, rejected = 0, rollouts = 0, commits = 0, aborts = 0, steps = 0;
 };
 
-// Routers with real participants, a coordinator that is replaced now and then, and the real state of the
-// store. Requests arrive at every router at each step of time; what they are decided under is compared in
-// true time.
-class World : private VirtualWorld {
+// Routers with real participants, a coordinator that is replaced from time to time, and the real state of the
+// store. Requests arrive at every router all the time. The versions that they are decided under are compared
+// in the order of true time.
+class PolicyWorld : private VirtualWorld {
  public:
-  World(std::uint64_t seed, Defect defect)
+  PolicyWorld(std::uint64_t seed, Defect defect)
       : VirtualWorld(seed, testing_support::CallRules{}), defect_(defect) {
     options_.lease.ttl = seconds(2);
     options_.lease.renew_after = milliseconds(600);
@@ -46,38 +53,38 @@
       start(i);
     }
     run_coordinator();
-    propose();
-    fault();
-    arrivals();
-    expire();
+    propose_rollouts();
+    draw_faults();
+    generate_requests();
+    expire_leases();
   }
 
-  WorldReport run() {
-    play(seconds(45), seconds(75), [this] { become_calm(); }, [] {});
+  WorldResult run() {
+    play(seconds(45), seconds(75), [this] { end_faults(); }, [] {});
     const RolloutSnapshot snapshot = read_store();
     if (snapshot.rollout && snapshot.rollout->is_open()) {
-      fail(std::string("a change is stuck: ") + to_string(snapshot.rollout->state) + describe(snapshot));
+      fail(std::string("a rollout is stuck: ") + to_string(snapshot.rollout->state) + describe(snapshot));
     }
     for (std::size_t i = 0; i < routers_.size(); ++i) {
       const Router& one = routers_[i];
       const EffectivePolicy effective_policy = one.participant->effective_policy(clock(one));
       if (effective_policy.kind != EffectivePolicy::Kind::kSingle ||
           effective_policy.version != snapshot.current_version) {
-        fail("router " + std::to_string(i) + " does not decide under what is in force: " +
+        fail("router " + std::to_string(i) + " does not decide under the version in force: " +
              to_string(one.participant->state(clock(one))) + describe(snapshot));
       }
     }
-    report_.broken = broken_;
-    report_.steps = steps_;
-    return report_;
+    result_.failure = failure_;
+    result_.steps = steps_;
+    return result_;
   }
 
  private:
   struct Router : VirtualProcess {
     std::optional<Participant> participant;
-    bool bad_disk = false;
+    bool disk_fails = false;
     coordination::LeaseId lease = 0;
-    Micros notified_until{0};
+    Micros last_delivery{0};
   };
 
   std::string describe(const RolloutSnapshot& snapshot) const {
@@ -105,7 +112,7 @@
     return out;
   }
 
-  // To the store and back.
+  // Makes a call to the store.
   template <typename Value>
   void call_store(int index, const std::function<Value()>& operation,
                   const std::function<void(const Value&)>& on_answer,
@@ -115,7 +122,7 @@
         [this, operation]() -> std::optional<Value> {
           store_.expire(store_clock());
           Value value = operation();
-          notify_all();
+          publish_changes();
           return value;
         },
         on_answer, on_no_response);
@@ -125,9 +132,9 @@
     Router& router = routers_[static_cast<std::size_t>(index)];
     begin_incarnation(router, 950, seconds(50));
     router.run_step = [this, index] { run_step(index); };
-    router.bad_disk = false;
-    if (defect_ == Defect::kTimedFromAnswer) {
-      options_.lease.margin = -seconds(1);  // as if the time began when the answer came
+    router.disk_fails = false;
+    if (defect_ == Defect::kTimesLeaseFromAnswer) {
+      options_.lease.margin = -seconds(1);  // as if the lease were timed from its answer
     }
     router.participant.emplace(std::to_string(router.incarnation), "edge", options_,
                                [](std::uint64_t) { return PreparationResult(); });
@@ -144,15 +151,15 @@
         at(now_ + milliseconds(200), [this, index, incarnation] { watch(index, incarnation); });
         return;
       }
-      notify(index, observed_now());
+      publish_to(index, observed_now());
     });
   }
-  void notify(int index, const ObservedState& observed) {
+  void publish_to(int index, const ObservedState& observed) {
     Router& router = routers_[static_cast<std::size_t>(index)];
     const int incarnation = router.incarnation;
-    router.notified_until =
-        std::max(router.notified_until, now_ + drawn(chance(90) ? milliseconds(20) : seconds(1)));
-    at(router.notified_until, [this, index, incarnation, observed] {
+    router.last_delivery =
+        std::max(router.last_delivery, now_ + drawn(chance(90) ? milliseconds(20) : seconds(1)));
+    at(router.last_delivery, [this, index, incarnation, observed] {
       deliver(router_at(index), [this, index, incarnation, observed] {
         Router& one = routers_[static_cast<std::size_t>(index)];
         if (one.incarnation != incarnation) {
@@ -162,19 +169,19 @@
         for (std::uint64_t version = 1; version <= last_version_; ++version) {
           one.participant->on_document(now, version);
         }
-        ObservedState mine = observed;
-        if (defect_ == Defect::kAbortedKept && mine.rollout &&
-            mine.rollout->state == RolloutState::kAborted &&
+        ObservedState applied = observed;
+        if (defect_ == Defect::kAppliesAbortedVersion && applied.rollout &&
+            applied.rollout->state == RolloutState::kAborted &&
             one.participant->state(now) == ParticipantState::kInDoubt) {
-          mine.version = mine.rollout->target_version;  // as if the version that it prepared were in force
+          applied.version = applied.rollout->target_version;  // as if the prepared version were in force
         }
-        one.participant->on_observed_state(now, mine);
+        one.participant->on_observed_state(now, applied);
         one.participant->set_connected(now, true);
       });
     });
   }
-  // Changes are sent to all routers that are connected to the store.
-  void notify_all() {
+  // Sends changes to all routers that are connected to the store.
+  void publish_changes() {
     bool changed = false;
     for (const coordination::KeyChange& change : store_.take_changes()) {
       changed = changed || change.entry.key.starts_with("policy/");
@@ -185,7 +192,7 @@
     const ObservedState observed = observed_now();
     for (int i = 0; i < static_cast<int>(routers_.size()); ++i) {
       if (!routers_[static_cast<std::size_t>(i)].cut) {
-        notify(i, observed);
+        publish_to(i, observed);
       }
     }
   }
@@ -193,7 +200,7 @@
   void run_step(int index) {
     Router& router = routers_[static_cast<std::size_t>(index)];
     for (const ParticipantAction& action : router.participant->step(clock(router))) {
-      std::visit([this, index](const auto& one) { execute(index, one); }, action);
+      std::visit([this, index](const auto& alternative) { execute(index, alternative); }, action);
     }
   }
   Router& router_at(int index) { return routers_[static_cast<std::size_t>(index)]; }
@@ -205,8 +212,9 @@
         if (router_at(index).incarnation == incarnation) {
           router_at(index).participant->on_persist_result(
               clock(router_at(index)), action.version,
-              router_at(index).bad_disk ? preparation_failed(PreparationError::Kind::kNotStored, "full disk")
-                                        : PreparationResult());
+              router_at(index).disk_fails
+                  ? preparation_failed(PreparationError::Kind::kNotStored, "full disk")
+                  : PreparationResult());
         }
       });
     });
@@ -235,11 +243,11 @@
         });
   }
   void execute(int index, const LeaseAction& action) {
-    const std::uint64_t call_id = action.order.call_id;
+    const std::uint64_t call_id = action.call.call_id;
     const auto on_no_response = [this, index, call_id] {
       router_at(index).participant->on_no_response(clock(router_at(index)), call_id);
     };
-    if (action.order.kind == ownership::LeaseCallKind::kAcquire) {
+    if (action.call.kind == ownership::LeaseCallKind::kAcquire) {
       call_store<coordination::LeaseId>(
           index,
           [this] {
@@ -252,7 +260,7 @@
                 index,
                 [this, index, action, lease] {
                   coordination::Transaction join;
-                  if (defect_ != Defect::kJoinUnseen) {
+                  if (defect_ != Defect::kJoinsUnconditionally) {
                     join.when = {coordination::unchanged(kRolloutKey, action.observed.rollout_revision),
                                  coordination::unchanged(kCurrentKey, action.observed.current_revision)};
                   }
@@ -285,7 +293,7 @@
         on_no_response);
   }
 
-  // ---- The coordinator, and staff ----
+  // ---- The coordinator and the operators ----
 
   void run_coordinator() {
     at(now_ + drawn(milliseconds(200)), [this] {
@@ -302,7 +310,7 @@
   void run_coordinator_step() {
     store_.expire(store_clock());
     RolloutSnapshot snapshot = read_store();
-    if (defect_ == Defect::kCommitEarly && snapshot.rollout &&
+    if (defect_ == Defect::kCommitsBeforeSuspension && snapshot.rollout &&
         snapshot.rollout->state == RolloutState::kSuspending) {
       snapshot.reports.clear();
     }
@@ -310,7 +318,7 @@
     if (!step) {
       return;
     }
-    // What it decided arrives late: the store may have moved on.
+    // The write may arrive late, when the store has changed.
     const coordination::Transaction write = execute_transaction("", snapshot, *step);
     at(now_ + drawn(chance(80) ? milliseconds(10) : seconds(4)),
        [this, write, step = *step] { commit_step(write, step); });
@@ -319,40 +327,40 @@
     store_.expire(store_clock());
     if (store_.commit(write).succeeded) {
       const bool is_aborted = step.rollout.state == RolloutState::kAborted;
-      report_.commits += step.commit ? 1 : 0;
-      report_.aborts += is_aborted ? 1 : 0;
+      result_.commits += step.commit ? 1 : 0;
+      result_.aborts += is_aborted ? 1 : 0;
       if (is_aborted) {
-        aborted_.insert(step.rollout.target_version);
+        aborted_versions_.insert(step.rollout.target_version);
       }
     }
-    notify_all();
+    publish_changes();
   }
-  void propose() {
+  void propose_rollouts() {
     at(now_ + milliseconds(500) + drawn(seconds(6)), [this] {
       if (!calm_) {
         const RolloutSnapshot snapshot = read_store();
         const bool urgent = chance(20);
         if (const auto start = check_can_begin(snapshot, urgent)) {
           if (*start == RolloutStart::kSupersedes) {
-            aborted_.insert(snapshot.rollout->target_version);
+            aborted_versions_.insert(snapshot.rollout->target_version);
           }
           Rollout rollout;
           rollout.id = snapshot.rollout ? snapshot.rollout->id + 1 : 1;
           rollout.target_version = ++last_version_;
           rollout.previous_version = snapshot.current_version;
           if (store_.commit(begin_transaction("", snapshot, rollout, "document", "")).succeeded) {
-            ++report_.changes;
+            ++result_.rollouts;
           }
-          notify_all();
+          publish_changes();
         }
-        propose();
+        propose_rollouts();
       }
     });
   }
 
   // ---- Requests ----
 
-  void arrivals() {
+  void generate_requests() {
     at(now_ + milliseconds(7), [this] {
       for (std::size_t i = 0; i < routers_.size(); ++i) {
         const Router& router = routers_[i];
@@ -361,31 +369,31 @@
         }
         const EffectivePolicy effective_policy = router.participant->effective_policy(clock(router));
         if (effective_policy.kind == EffectivePolicy::Kind::kReject) {
-          ++report_.refused;
+          ++result_.rejected;
         } else if (effective_policy.kind == EffectivePolicy::Kind::kIntersection) {
-          ++report_.in_doubt;
+          ++result_.in_doubt;
         } else {
           decide(i, effective_policy.version);
         }
       }
-      arrivals();
+      generate_requests();
     });
   }
-  // The rule in true time.
+  // Records a decision, and checks the order of versions in true time.
   void decide(std::size_t router, std::uint64_t version) {
-    ++report_.decided;
-    if (aborted_.contains(version)) {
+    ++result_.decided;
+    if (aborted_versions_.contains(version)) {
       fail("router " + std::to_string(router) + " decides under version " + std::to_string(version) +
-           ", whose change was aborted");
+           ", whose rollout was aborted");
     }
-    if (version < newest_) {
+    if (version < newest_decided_version_) {
       fail("router " + std::to_string(router) + " decides under version " + std::to_string(version) +
-           " after a request was decided under " + std::to_string(newest_));
+           " after a request was decided under " + std::to_string(newest_decided_version_));
     }
-    newest_ = std::max(newest_, version);
+    newest_decided_version_ = std::max(newest_decided_version_, version);
   }
 
-  void fault() {
+  void draw_faults() {
     at(now_ + drawn(seconds(2)), [this] {
       if (calm_) {
         return;
@@ -397,27 +405,28 @@
         case 0:
           if (!router.paused) {
             router.paused = true;
-            at(now_ + drawn(seconds(6)), [this, index, incarnation] { wake(index, incarnation); });
+            at(now_ + drawn(seconds(6)), [this, index, incarnation] { resume(index, incarnation); });
           }
           break;
         case 1:
-          start(index);  // killed and started
+          start(index);  // a crash and a restart
           break;
         case 2:
           router.cut = true;
-          router.participant->set_connected(clock(router), chance(50));  // it may not notice
-          at(now_ + drawn(seconds(6)), [this, index, incarnation] { mend(index, incarnation); });
+          router.participant->set_connected(clock(router), chance(50));  // may stay undetected
+          at(now_ + drawn(seconds(6)), [this, index, incarnation] { reconnect(index, incarnation); });
           break;
         default:
-          router.bad_disk = !router.bad_disk;
+          router.disk_fails = !router.disk_fails;
       }
-      fault();
+      draw_faults();
     });
   }
-  void wake(int index, int incarnation) {
+  void resume(int index, int incarnation) {
     Router& router = router_at(index);
     if (router.incarnation == incarnation && router.paused) {
-      // Requests that waited in its buffers are decided the moment it resumes, before anything else is read.
+      // Requests that waited in the router's buffers are decided as soon as it resumes, before anything else
+      // is read.
       const EffectivePolicy effective_policy = router.participant->effective_policy(clock(router));
       if (effective_policy.kind == EffectivePolicy::Kind::kSingle) {
         decide(static_cast<std::size_t>(index), effective_policy.version);
@@ -425,7 +434,7 @@
       VirtualWorld::wake(router);
     }
   }
-  void mend(int index, int incarnation) {
+  void reconnect(int index, int incarnation) {
     Router& router = router_at(index);
     if (router.cut) {
       router.cut = false;
@@ -436,19 +445,19 @@
       }
     }
   }
-  void expire() {
+  void expire_leases() {
     at(now_ + milliseconds(50), [this] {
       store_.expire(store_clock());
-      notify_all();
-      expire();
+      publish_changes();
+      expire_leases();
     });
   }
-  void become_calm() {
+  void end_faults() {
     for (int i = 0; i < static_cast<int>(routers_.size()); ++i) {
-      router_at(i).bad_disk = false;
-      wake(i, router_at(i).incarnation);
-      mend(i, router_at(i).incarnation);
-      start(i);  // staff restart those whose disk was full
+      router_at(i).disk_fails = false;
+      resume(i, router_at(i).incarnation);
+      reconnect(i, router_at(i).incarnation);
+      start(i);  // operators restart the routers whose disks were full
     }
   }
 
@@ -459,42 +468,44 @@
   std::deque<Router> routers_;
   std::optional<RolloutCoordinator> coordinator_;
   std::uint64_t last_version_ = 0;
-  std::uint64_t newest_ = 0;
-  std::set<std::uint64_t> aborted_;
-  WorldReport report_;
+  std::uint64_t newest_decided_version_ = 0;
+  std::set<std::uint64_t> aborted_versions_;
+  WorldResult result_;
 };
 
 TEST(PolicyWorldTest, NoRequestIsDecidedUnderThePreviousVersionAfterOneUnderTheTarget) {
   const auto seeds = testing_support::seeds_to_play(40);
-  WorldReport sum;
+  WorldResult sum;
   for (std::uint64_t seed = seeds.first; seed <= seeds.last; ++seed) {
-    const WorldReport report = World(seed, Defect::kNone).run();
-    ASSERT_EQ(report.broken, "") << "TRAILCOURSE_SEED=" << seed;
-    sum.decided += report.decided;
-    sum.in_doubt += report.in_doubt;
-    sum.refused += report.refused;
-    sum.changes += report.changes;
-    sum.commits += report.commits;
-    sum.aborts += report.aborts;
+    const WorldResult result = PolicyWorld(seed, Defect::kNone).run();
+    ASSERT_EQ(result.failure, "") << "TRAILCOURSE_SEED=" << seed;
+    sum.decided += result.decided;
+    sum.in_doubt += result.in_doubt;
+    sum.rejected += result.rejected;
+    sum.rollouts += result.rollouts;
+    sum.commits += result.commits;
+    sum.aborts += result.aborts;
   }
-  std::printf("%llu changes, %llu commits, %llu aborts; %llu requests decided, %llu by both, %llu refused\n",
-              static_cast<unsigned long long>(sum.changes), static_cast<unsigned long long>(sum.commits),
-              static_cast<unsigned long long>(sum.aborts), static_cast<unsigned long long>(sum.decided),
-              static_cast<unsigned long long>(sum.in_doubt), static_cast<unsigned long long>(sum.refused));
+  std::printf(
+      "%llu rollouts, %llu commits, %llu aborts; %llu requests decided, %llu by both, %llu rejected\n",
+      static_cast<unsigned long long>(sum.rollouts), static_cast<unsigned long long>(sum.commits),
+      static_cast<unsigned long long>(sum.aborts), static_cast<unsigned long long>(sum.decided),
+      static_cast<unsigned long long>(sum.in_doubt), static_cast<unsigned long long>(sum.rejected));
   EXPECT_GT(sum.commits, 10U);
   EXPECT_GT(sum.aborts, 0U);
 }
 
 TEST(PolicyWorldTest, EachSeededDefectIsFound) {
-  const std::map<Defect, std::string> expected{{Defect::kCommitEarly, "after a request was decided"},
-                                               {Defect::kTimedFromAnswer, "after a request was decided"},
-                                               {Defect::kJoinUnseen, "decides under version"},
-                                               {Defect::kAbortedKept, "aborted"}};
-  for (const auto& [defect, words] : expected) {
-    const std::string found = testing_support::find_failure(1, 400, words, [&](std::uint64_t seed) {
-                                return World(seed, defect).run().broken;
+  const std::map<Defect, std::string> expected{
+      {Defect::kCommitsBeforeSuspension, "after a request was decided"},
+      {Defect::kTimesLeaseFromAnswer, "after a request was decided"},
+      {Defect::kJoinsUnconditionally, "decides under version"},
+      {Defect::kAppliesAbortedVersion, "aborted"}};
+  for (const auto& [defect, text] : expected) {
+    const std::string found = testing_support::find_failure(1, 400, text, [&](std::uint64_t seed) {
+                                return PolicyWorld(seed, defect).run().failure;
                               }).failure;
-    EXPECT_NE(found.find(words), std::string::npos)
+    EXPECT_NE(found.find(text), std::string::npos)
         << "defect " << static_cast<int>(defect) << " was not found: '" << found << "'";
   }
 }
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -1,5 +1,5 @@
-// Rollouts of a policy: the transitions that the coordinator decides on, when one may begin, and the stored
-// records.
+// Policy rollouts: the transitions that the coordinator decides on, the conditions to begin a rollout, and
+// the stored records.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -36,7 +36,7 @@
   std::uint64_t stage() const { return stage_id(*snapshot_.rollout); }
   void ready(const std::string& name) { snapshot_.reports[name].ready_stage = stage(); }
   void suspended(const std::string& name) { snapshot_.reports[name].suspended_stage = stage(); }
-  // Carries the step out, as the store would.
+  // Applies a transition, as the store would.
   void apply(const RolloutStep& transition) {
     snapshot_.rollout = transition.rollout;
     ++snapshot_.rollout_revision;
@@ -47,17 +47,17 @@
   Micros now_{0};
 };
 
-TEST_F(RolloutCoordinatorTest, APendingAggregatorIsDescribedWithTheRouterThatItWaitsFor) {
+TEST_F(RolloutCoordinatorTest, DescribesAPendingAggregatorWithTheRouterThatItWaitsFor) {
   snapshot_.reports.clear();
   snapshot_.reports["a1.edge/9"] = report("edge");
   snapshot_.reports["a1.edge/9"].represented_routers = 40;
   snapshot_.reports["a1.edge/9"].waiting_for = "r7";
   const std::vector<std::string> lines = describe_pending(snapshot_);
   ASSERT_EQ(lines.size(), 1U);
-  EXPECT_EQ(lines[0], "a1.edge for 40 routers, among them r7, is to report that it is ready");
+  EXPECT_EQ(lines[0], "a1.edge for 40 routers, among them r7, has to report that it is ready");
 }
 
-TEST_F(RolloutCoordinatorTest, CommitsOnlyOnceAllAreReadyAndThenSuspended) {
+TEST_F(RolloutCoordinatorTest, CommitsOnlyAfterAllRoutersAreReadyAndThenSuspended) {
   EXPECT_FALSE(coordinator_.step(now_, snapshot_));
   EXPECT_EQ(describe_pending(snapshot_).size(), 2U);
   ready("a");
@@ -70,7 +70,7 @@
   apply(*transition);
   suspended("a");
   EXPECT_FALSE(coordinator_.step(now_, snapshot_));
-  // The other one's lease runs out: it does not decide, and is not waited for.
+  // The other router's lease expires: it decides no requests, so the coordinator does not wait for it.
   snapshot_.reports.erase("b");
   transition = coordinator_.step(now_, snapshot_);
   ASSERT_TRUE(transition);
@@ -78,14 +78,14 @@
   apply(*transition);
   EXPECT_FALSE(coordinator_.step(now_, snapshot_));
   snapshot_.reports["a"].version = 8;
-  EXPECT_FALSE(coordinator_.step(now_, snapshot_)) << "it says that it holds still";
+  EXPECT_FALSE(coordinator_.step(now_, snapshot_)) << "it still reports that it is suspended";
   snapshot_.reports["a"].suspended_stage = 0;
   transition = coordinator_.step(now_, snapshot_);
   ASSERT_TRUE(transition);
   EXPECT_EQ(transition->rollout.state, RolloutState::kDone);
 }
 
-TEST_F(RolloutCoordinatorTest, ARejectionOrATimeoutAborts) {
+TEST_F(RolloutCoordinatorTest, AbortsOnARejectionOrATimeout) {
   ready("a");
   snapshot_.reports["b"].rejected_stage = stage();
   snapshot_.reports["b"].rejection_reason = "full disk";
@@ -101,7 +101,7 @@
   EXPECT_EQ(transition->rollout.reason, "not ready in time: b");
 }
 
-TEST_F(RolloutCoordinatorTest, ARejectionOfAnEarlierRolloutIsIgnored) {
+TEST_F(RolloutCoordinatorTest, IgnoresARejectionOfAnEarlierRollout) {
   ready("a");
   ready("b");
   snapshot_.reports["b"].rejected_stage = stage() - 1'000;
@@ -110,7 +110,7 @@
   EXPECT_EQ(transition->rollout.state, RolloutState::kSuspending);
 }
 
-TEST_F(RolloutCoordinatorTest, StagesFollowZoneByZoneAndAllOtherZonesAtTheEnd) {
+TEST_F(RolloutCoordinatorTest, RunsOneStagePerZoneAndALastStageForAllOtherZones) {
   snapshot_.rollout->stages = {"edge"};
   snapshot_.rollout->watch_time = milliseconds(1'000);
   snapshot_.reports["c"] = report("west");
@@ -121,7 +121,7 @@
   suspended("b");
   auto transition = coordinator_.step(now_, snapshot_);
   ASSERT_TRUE(transition);
-  EXPECT_TRUE(transition->commit) << "the other zone is not asked";
+  EXPECT_TRUE(transition->commit) << "the other zone is not part of the stage";
   apply(*transition);
   for (const char* name : {"a", "b"}) {
     snapshot_.reports[name] = report("edge");
@@ -143,7 +143,7 @@
   EXPECT_TRUE(transition->commit);
 }
 
-TEST_F(RolloutCoordinatorTest, AStageOverItsRejectedShareIsReverted) {
+TEST_F(RolloutCoordinatorTest, RevertsAStageAboveItsMaxRejectedShare) {
   snapshot_.rollout->stages = {"edge"};
   snapshot_.rollout->watch_time = milliseconds(60'000);
   snapshot_.rollout->max_rejected_share = 0.1;
@@ -151,7 +151,7 @@
   for (const char* name : {"a", "b"}) {
     snapshot_.reports[name].version = 8;
     snapshot_.reports[name].requests = 1'000;
-    snapshot_.reports[name].failed_requests = 900;  // before: does not count
+    snapshot_.reports[name].failed_requests = 900;  // before the watching: not counted
   }
   EXPECT_FALSE(coordinator_.step(now_, snapshot_));
   snapshot_.reports["a"].requests += 50;
@@ -166,10 +166,11 @@
   EXPECT_EQ(transition->rollout.state, RolloutState::kPreparing);
 }
 
-TEST_F(RolloutCoordinatorTest, OnlyAnUrgentRolloutSupersedesOneThatHasNotCommitted) {
-  const auto refused = check_can_begin(snapshot_, false);
-  ASSERT_FALSE(refused.has_value());
-  EXPECT_EQ(describe(refused.error()), "change 3 to version 8 is preparing; wait, abort it, or say --urgent");
+TEST_F(RolloutCoordinatorTest, OnlyAnUrgentRolloutSupersedesAnOpenOneThatHasNotCommitted) {
+  const auto not_urgent = check_can_begin(snapshot_, false);
+  ASSERT_FALSE(not_urgent.has_value());
+  EXPECT_EQ(describe(not_urgent.error()),
+            "change 3 to version 8 is preparing; wait, abort it, or use --urgent");
   const auto urgent = check_can_begin(snapshot_, true);
   ASSERT_TRUE(urgent.has_value());
   EXPECT_EQ(*urgent, RolloutStart::kSupersedes);
@@ -177,7 +178,7 @@
   snapshot_.rollout->state = RolloutState::kCommitted;
   const auto too_late = check_can_begin(snapshot_, true);
   ASSERT_FALSE(too_late.has_value());
-  EXPECT_EQ(describe(too_late.error()), "change 3 to version 8 is committed and has committed");
+  EXPECT_EQ(describe(too_late.error()), "change 3 to version 8 is committed and can no longer be superseded");
 
   snapshot_.rollout->state = RolloutState::kDone;
   const auto idle = check_can_begin(snapshot_, false);
@@ -185,7 +186,7 @@
   EXPECT_EQ(*idle, RolloutStart::kIdle);
 }
 
-TEST(RolloutRecordTest, MutatedRecordsAreReadValidOrNotAtAll) {
+TEST(RolloutRecordTest, RejectsMutatedRecordsOrReadsValidOnes) {
   Rollout rollout;
   rollout.id = 3;
   rollout.target_version = 8;
@@ -197,20 +198,20 @@
   report.suspended_stage = 3'000;
   EXPECT_EQ(read_report(write_report(report)), report);
   std::mt19937_64 random(6);
-  int refused = 0;
+  int rejected = 0;
   for (int round = 0; round < 3'000; ++round) {
     std::string text = write_rollout(rollout);
     text[random() % text.size()] = "0123456789\"{}[]:,-x"[random() % 19];
     const auto read = read_rollout(text);
-    refused += read ? 0 : 1;
+    rejected += read ? 0 : 1;
     EXPECT_TRUE(!read || (read->id > 0 && read->target_version != read->previous_version &&
                           read->stage <= read->stages.size()));
   }
-  EXPECT_GT(refused, 300);
+  EXPECT_GT(rejected, 300);
 }
 
-// The texts that earlier versions of the program wrote and read beside this one.
-TEST(RolloutRecordTest, StoredFormIsThatOfEarlierVersions) {
+// Earlier versions of the program write and read these texts, also while this version runs in the same fleet.
+TEST(RolloutRecordTest, StoredFormIsCompatibleWithEarlierVersions) {
   Rollout rollout;
   rollout.id = 3;
   rollout.target_version = 8;
@@ -230,7 +231,7 @@
   EXPECT_EQ(read_rollout(text), rollout);
 }
 
-TEST(ParticipantReportTest, StoredFormIsThatOfEarlierVersions) {
+TEST(ParticipantReportTest, StoredFormIsCompatibleWithEarlierVersions) {
   ParticipantReport report;
   report.incarnation = "i1";
   report.zone = "edge";
--- a/tests/virtual_world.h
+++ b/tests/virtual_world.h
@@ -1,6 +1,6 @@
-// What the drawn worlds share: processes with clocks of their own in virtual time, calls between them that
-// are late or lost on either way, and pauses in which whatever arrives is queued until the process wakes. One
-// seed draws an entire run, and the same seed draws it again.
+// The base of simulations in virtual time: processes with their own clocks, calls between them whose requests
+// and responses may be late or lost, and pauses during which messages are queued until the process resumes.
+// All random choices of a run follow from one seed, so a run can be repeated.
 #pragma once
 
 #include <trailcourse/decider.h>
@@ -19,30 +19,31 @@
 
 namespace trailcourse::testing_support {
 
-// How far the store's clock runs fast: within the drift of 1% that leases allow for, beside the processes'
-// own.
+// The rate of the store's clock. Together with the drift of the processes' clocks it stays within the 1% that
+// leases allow for.
 constexpr double kStoreClockRate = 1.009;
 
+// A simulated process.
 struct VirtualProcess {
-  int incarnation = 0;  // grows with each start and each death
+  int incarnation = 0;  // increases with each start and each crash
   double rate = 1.0;    // of its clock
   Micros offset{0};
   bool running = true;
   bool paused = false;
-  bool cut = false;                           // its calls do not arrive
-  std::vector<std::function<void()>> queued;  // what arrived while it was paused
-  std::function<void()> run_step;             // after anything was delivered
+  bool cut = false;                           // disconnected: its calls do not arrive
+  std::vector<std::function<void()>> queued;  // messages that arrived while it was paused
+  std::function<void()> run_step;             // called after each delivery
 };
 
-// What becomes of calls while faults are drawn. Each way is drawn on its own, so that calls overtake each
-// other.
+// Losses and delays of calls while faults occur. Requests and responses are drawn independently, so that
+// calls overtake each other.
 struct CallRules {
-  int lost_percent = 3;  // of each way
+  int lost_percent = 3;  // of requests, and of responses
   int late_percent = 15;
-  bool late_by_highest_draws = false;  // which draws of 0 to 99 are late: recorded seeds depend on it
-  Micros usual{10'000};                // at most
-  Micros late{3'000'000};
-  Micros timeout{800'000};  // then the caller takes the call to be lost
+  bool late_by_highest_draws = false;  // whether the highest draws are late; recorded seeds depend on it
+  Micros usual{10'000};                // maximum delay of a message that is not late
+  Micros late{3'000'000};              // maximum delay of a late message
+  Micros timeout{800'000};             // after which the caller treats the call as lost
 };
 
 class VirtualWorld {
@@ -50,11 +51,11 @@
   VirtualWorld(std::uint64_t seed, const CallRules& calls) : random_(seed), calls_(calls) {}
   ~VirtualWorld() = default;
 
-  // Plays until `end` or the first failure. From `calm` on nothing is lost or late; `become_calm` is called
-  // once. `check` follows each step.
+  // Runs all events until `end` or the first failure. From `calm` on no call is lost or late, and
+  // `become_calm` is called once. `check` is called after each event.
   template <typename BecomeCalm, typename Check>
   void play(Micros calm, Micros end, BecomeCalm become_calm, Check check) {
-    while (!events_.empty() && events_.begin()->first <= end && broken_.empty()) {
+    while (!events_.empty() && events_.begin()->first <= end && failure_.empty()) {
       const auto first = events_.begin();
       now_ = first->first;
       const auto job = std::move(first->second);
@@ -69,33 +70,38 @@
     }
   }
 
+  // Schedules an event.
   void at(Micros when, std::function<void()> job) { events_.emplace(std::max(when, now_), std::move(job)); }
-  Micros drawn(Micros most) { return Micros(static_cast<Micros::rep>(random_() % (most.count() + 1))); }
+  // Returns a random duration from 0 to `max`.
+  Micros drawn(Micros max) { return Micros(static_cast<Micros::rep>(random_() % (max.count() + 1))); }
+  // Returns true with this probability.
   bool chance(int percent) { return static_cast<int>(random_() % 100) < percent; }
 
-  // The first failure is the one that counts.
-  void fail(const std::string& what) {
-    if (broken_.empty()) {
-      broken_ = "at " + std::to_string(now_.count() / 1'000) + " ms: " + what;
+  // Records the first failure.
+  void fail(const std::string& message) {
+    if (failure_.empty()) {
+      failure_ = "at " + std::to_string(now_.count() / 1'000) + " ms: " + message;
     }
   }
 
-  // Time by the process's own clock, and the store's.
+  // Returns the time by the process's own clock.
   Micros clock(const VirtualProcess& process) const {
     return process.offset +
            Micros(static_cast<Micros::rep>(static_cast<double>(now_.count()) * process.rate));
   }
+  // Returns the time by the store's clock.
   std::chrono::milliseconds store_clock() const {
     return std::chrono::milliseconds(
         static_cast<std::int64_t>(static_cast<double>(now_.count()) * kStoreClockRate / 1e3));
   }
 
-  // A new incarnation, with a clock that is up to `parts_per_million` off; what was queued is dropped.
-  void begin_incarnation(VirtualProcess& process, int parts_per_million, Micros most_offset) {
+  // Starts a new incarnation with a random clock: its rate is wrong by up to `max_drift_ppm` parts per
+  // million, and its offset is random from 1 s to 1 s + `max_offset`. Drops queued messages.
+  void begin_incarnation(VirtualProcess& process, int max_drift_ppm, Micros max_offset) {
     ++process.incarnation;
-    const auto drawn_parts = static_cast<double>(random_() % (2U * parts_per_million + 1U));
-    process.rate = 1.0 + (drawn_parts - parts_per_million) * 1e-6;
-    process.offset = drawn(most_offset) + std::chrono::seconds(1);
+    const auto drawn_ppm = static_cast<double>(random_() % (2U * max_drift_ppm + 1U));
+    process.rate = 1.0 + (drawn_ppm - max_drift_ppm) * 1e-6;
+    process.offset = drawn(max_offset) + std::chrono::seconds(1);
     process.running = true;
     process.paused = false;
     process.queued.clear();
@@ -107,14 +113,14 @@
     process.queued.clear();
   }
 
-  // Whether the process is still the one that it was when this was asked for.
+  // Returns a function that returns whether the process still runs in its present incarnation.
   static std::function<bool()> same_incarnation(const VirtualProcess& process) {
     return [&process, incarnation = process.incarnation] {
       return process.running && process.incarnation == incarnation;
     };
   }
 
-  // Whatever reaches a process that is paused is read when it wakes.
+  // Runs the job and then a step at the process. While the process is paused, the job is queued.
   void deliver(VirtualProcess& process, std::function<void()> job) {
     if (!process.running) {
       return;
@@ -140,6 +146,7 @@
       }
     });
   }
+  // Resumes a paused process, which then handles its queued messages.
   void wake(VirtualProcess& process) {
     if (!std::exchange(process.paused, false)) {
       return;
@@ -150,23 +157,24 @@
     step_process(process);
   }
 
-  // A call and its answer, each late or lost; exactly one of `on_answer` and `on_no_response` follows, unless
-  // the caller's incarnation ends. `operation` is executed where it arrives; without a value it is not
-  // answered. `server`: a process, or null for one that is always there. `cut`: it does not arrive.
+  // Makes a call whose request and response may be late or lost. Exactly one of `on_answer` and
+  // `on_no_response` is called, unless the caller's incarnation ends. `operation` is executed at the server;
+  // if it returns no value, the call is not answered. `server` is a process, or null for a server that is
+  // always available. If `cut` is true, the request does not arrive.
   template <typename Value>
   void call(VirtualProcess& caller, VirtualProcess* server, bool cut,
             const std::function<std::optional<Value>()>& operation,
             const std::function<void(const Value&)>& on_answer, const std::function<void()>& on_no_response) {
-    const auto over = std::make_shared<bool>(false);
-    const auto awaited = [over, same = same_incarnation(caller)] { return same() && !*over; };
+    const auto finished = std::make_shared<bool>(false);
+    const auto awaited = [finished, same = same_incarnation(caller)] { return same() && !*finished; };
     const bool loses_call = cut || (!calm_ && chance(calls_.lost_percent));
     const bool loses_answer = !calm_ && chance(calls_.lost_percent);
-    const Micros there = way();
-    const Micros back = way();
-    at(now_ + calls_.timeout, [this, &caller, awaited, over, on_no_response] {
-      deliver(caller, [awaited, over, on_no_response] {
+    const Micros request_delay = message_delay();
+    const Micros response_delay = message_delay();
+    at(now_ + calls_.timeout, [this, &caller, awaited, finished, on_no_response] {
+      deliver(caller, [awaited, finished, on_no_response] {
         if (awaited()) {
-          *over = true;
+          *finished = true;
           on_no_response();
         }
       });
@@ -174,21 +182,22 @@
     if (loses_call) {
       return;
     }
-    const auto arrive = [this, &caller, awaited, over, operation, on_answer, loses_answer, back] {
+    const auto arrive = [this, &caller, awaited, finished, operation, on_answer, loses_answer,
+                         response_delay] {
       const std::optional<Value> value = operation();
       if (!value || loses_answer) {
         return;
       }
-      at(now_ + back, [this, &caller, awaited, over, on_answer, value = *value] {
-        deliver(caller, [awaited, over, on_answer, value] {
+      at(now_ + response_delay, [this, &caller, awaited, finished, on_answer, value = *value] {
+        deliver(caller, [awaited, finished, on_answer, value] {
           if (awaited()) {
-            *over = true;
+            *finished = true;
             on_answer(value);
           }
         });
       });
     };
-    at(now_ + there, [this, server, arrive] {
+    at(now_ + request_delay, [this, server, arrive] {
       if (server == nullptr) {
         arrive();
       } else {
@@ -201,24 +210,26 @@
   CallRules calls_;
   Micros now_{0};  // true time
   bool calm_ = false;
-  std::string broken_;
+  std::string failure_;  // the first one; empty: none
   std::uint64_t steps_ = 0;
 
  private:
   bool draws_late() {
     return calls_.late_by_highest_draws ? !chance(100 - calls_.late_percent) : chance(calls_.late_percent);
   }
-  Micros way() { return drawn(calm_ || !draws_late() ? calls_.usual : calls_.late); }
+  Micros message_delay() { return drawn(calm_ || !draws_late() ? calls_.usual : calls_.late); }
 
   std::multimap<Micros, std::function<void()>> events_;
 };
 
-// The seeds to play: TRAILCOURSE_SEED=N one alone, TRAILCOURSE_SEEDS=N the first so many.
+// The seeds of the runs, both included.
 struct SeedRange {
   std::uint64_t first = 1;
   std::uint64_t last = 1;
 };
-inline SeedRange seeds_to_play(std::uint64_t usual) {
+// Returns the seeds to run: seed N for TRAILCOURSE_SEED=N, the first N for TRAILCOURSE_SEEDS=N, otherwise the
+// first `default_count`.
+inline SeedRange seeds_to_play(std::uint64_t default_count) {
   const auto number = [](const char* name) -> std::optional<std::uint64_t> {
     const char* const text = std::getenv(name);
     return text == nullptr ? std::nullopt : std::optional<std::uint64_t>(std::strtoull(text, nullptr, 10));
@@ -226,23 +237,24 @@
   if (const auto one = number("TRAILCOURSE_SEED")) {
     return {*one, *one};
   }
-  return {1, number("TRAILCOURSE_SEEDS").value_or(usual)};
+  return {1, number("TRAILCOURSE_SEEDS").value_or(default_count)};
 }
 
-// The first failure with these words among `most` seeds from `first` on, of a run that has a defect put in;
-// where there is none, the last other failure.
-struct Found {
+// A failure and the seed of its run.
+struct SeededFailure {
   std::string failure;
   std::uint64_t seed = 0;
 };
+// Runs up to `max_runs` seeds from `first` on with a seeded defect. Returns the first failure that contains
+// `text`, or the last other failure if there is none.
 template <typename Run>
-Found find_failure(std::uint64_t first, std::uint64_t most, const std::string& words, Run run) {
-  Found out;
-  for (std::uint64_t seed = first; seed < first + most; ++seed) {
+SeededFailure find_failure(std::uint64_t first, std::uint64_t max_runs, const std::string& text, Run run) {
+  SeededFailure out;
+  for (std::uint64_t seed = first; seed < first + max_runs; ++seed) {
     const std::string failure = run(seed);
     if (!failure.empty()) {
       out = {failure, seed};
-      if (failure.find(words) != std::string::npos) {
+      if (failure.find(text) != std::string::npos) {
         break;
       }
     }
