--- a/src/tasks/acknowledgement_task.cpp
+++ b/src/tasks/acknowledgement_task.cpp
@@ -18,7 +18,7 @@
 
 AcknowledgementTask::~AcknowledgementTask() { progress_.unsubscribe(subscription_); }
 
-// The end of an open round is a reason to reconcile anyway.
+// Does nothing while a round of the same source is open, since its end causes a reconciliation anyway.
 void AcknowledgementTask::on_progress(const policy::DiscoveryPosition& position) {
   if (!round_open_ || position.source != requested_.source) {
     schedule_reconcile();
--- a/src/tasks/acknowledgement_task.h
+++ b/src/tasks/acknowledgement_task.h
@@ -1,5 +1,6 @@
-// Owned work of kind `acknowledge`: finds out which events of the discovery service every router has applied,
-// by policy::AcknowledgementCoordinator. Each round asks for the events that this process has applied itself.
+// Owned work of kind `acknowledge`: runs the acknowledgement rounds, which determine the events of the
+// discovery service that every router has applied, with policy::AcknowledgementCoordinator. Each round
+// requests the events that this process has applied itself.
 //
 // Package `tasks`, over `policy`. One thread.
 #pragma once
@@ -15,10 +16,10 @@
 
 constexpr const char* kAcknowledgeWork = "acknowledge";  // kind of the work
 
-// Scheduler, store and progress outlive it.
+// Scheduler, store and progress have to outlive this object.
 class AcknowledgementTask : public ReconcileTask {
  public:
-  // `min_round_interval` lies between the starts of two rounds.
+  // `min_round_interval` is the shortest time between the starts of two rounds.
   AcknowledgementTask(transport::Scheduler& scheduler, coordination::CoordinationStore& store,
                       std::string prefix, DiscoveryProgress& progress, Micros min_round_interval,
                       TaskContext context);
@@ -36,8 +37,8 @@
   DiscoveryProgress& progress_;
   DiscoveryProgress::SubscriptionId subscription_;
   policy::AcknowledgementCoordinator coordinator_;
-  // Of the last snapshot.
-  bool round_open_ = true;  // also before the first one
+  // State of the last snapshot.
+  bool round_open_ = true;  // true also before the first snapshot
   policy::DiscoveryPosition requested_;
 };
 
--- a/src/tasks/clock.h
+++ b/src/tasks/clock.h
@@ -1,4 +1,4 @@
-// Readings of the process's two clocks, in the units that the state machines and the records use.
+// The steady clock and the wall clock, in the units of the state machines and of the stored records.
 //
 // Package `tasks`. Thread-safe.
 #pragma once
@@ -12,17 +12,17 @@
 
 namespace trailcourse::tasks {
 
-// Returns the time of the steady clock since its epoch.
+// Returns the time since the epoch of the steady clock.
 inline Micros steady_now() {
   return std::chrono::duration_cast<Micros>(transport::Clock::now().time_since_epoch());
 }
 
-// Converts a time of steady_now() to the time point that timers take.
+// Converts a time from steady_now() to a time point for timers.
 inline transport::Clock::time_point steady_time_point(Micros time) {
   return transport::Clock::time_point(std::chrono::duration_cast<transport::Clock::duration>(time));
 }
 
-// Returns the Unix time in milliseconds, as the records of the store hold it.
+// Returns the Unix time in milliseconds, the unit of the records in the store.
 inline std::int64_t unix_now_ms() {
   return std::chrono::duration_cast<std::chrono::milliseconds>(
              std::chrono::system_clock::now().time_since_epoch())
--- a/src/tasks/discovery_progress.h
+++ b/src/tasks/discovery_progress.h
@@ -1,4 +1,4 @@
-// How far this process has applied the events of the discovery service.
+// The position up to which this process has applied the events of the discovery service.
 //
 // Package `tasks`. One thread.
 #pragma once
@@ -18,13 +18,13 @@
   using Subscriber = std::function<void(const policy::DiscoveryPosition&)>;
   using SubscriptionId = std::uint64_t;
 
-  // Sets the position, and calls the subscribers if it is another one.
+  // Sets the position, and calls the subscribers if the position changes.
   void set_position(const policy::DiscoveryPosition& position) {
     if (position == position_) {
       return;
     }
     position_ = position;
-    const auto subscribers = subscribers_;  // a copy: one of them may unsubscribe meanwhile
+    const auto subscribers = subscribers_;  // copied, since a subscriber may unsubscribe in its call
     for (const auto& [id, subscriber] : subscribers) {
       subscriber(position_);
     }
@@ -32,7 +32,8 @@
 
   const policy::DiscoveryPosition& position() const { return position_; }
 
-  // The subscriber is called until unsubscribe(); what it refers to must live as long.
+  // Registers a subscriber, which is called until unsubscribe(). All that it refers to has to live until
+  // then.
   SubscriptionId subscribe(Subscriber subscriber) {
     subscribers_[++last_id_] = std::move(subscriber);
     return last_id_;
--- a/src/tasks/fleet_report.cpp
+++ b/src/tasks/fleet_report.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Leaves out what is no unsigned number.
+// Skips values that are not unsigned numbers.
 CounterValues values_from_json(const json& object) {
   CounterValues values;
   if (!object.is_object()) {
@@ -69,7 +69,7 @@
   }
 }
 
-// A counter of another incarnation, or one that decreased, began at 0 again.
+// A counter of another incarnation, or one that decreased, has started again at 0.
 void FleetReport::add_increase(const Counters& previous, const Counters& current) {
   const bool same_start = previous.incarnation == current.incarnation;
   for (const auto& [name, value] : current.values) {
--- a/src/tasks/fleet_report.h
+++ b/src/tasks/fleet_report.h
@@ -1,4 +1,4 @@
-// The counters of the entire fleet in one report: the record of what each router counts, and their sum.
+// The counters of all routers of the fleet: the record of each router's counters, and their sums.
 //
 // Package `tasks`: knows JSON; no I/O, no clock. Not thread-safe.
 #pragma once
@@ -12,7 +12,7 @@
 
 using CounterValues = std::map<std::string, std::uint64_t>;  // by name of the counter
 
-// What one router counted since its start; each start (incarnation) begins at 0.
+// The counters of one router since its start. They begin at 0 in each incarnation.
 struct Counters {
   std::string incarnation;
   CounterValues values;
@@ -23,17 +23,17 @@
 // Writes the record as JSON.
 std::string write_counters(const Counters& counters);
 
-// Returns nothing if the record is malformed.
+// Reads the record. Returns nothing if it is malformed.
 std::optional<Counters> read_counters(const std::string& value);
 
-// Adds up the counters of all routers, across their restarts, and keeps what routers counted that are gone.
-// The checkpoint holds all state between two reports, so that a successor goes on from there.
+// Adds up the counters of all routers across their restarts. The sums include the counts of routers that have
+// left. The checkpoint contains all state between two reports, so that a successor continues from there.
 class FleetReport {
  public:
-  // A checkpoint that is malformed counts as none.
+  // Continues from a checkpoint. A malformed one is ignored.
   explicit FleetReport(const std::string& checkpoint);
 
-  // Takes in the counters of the routers that are present, by name of the router. Sums never decrease.
+  // Adds the counters of the routers that are present, by name of the router. Sums never decrease.
   void update(const std::map<std::string, Counters>& routers);
 
   const CounterValues& sums() const { return sums_; }
@@ -41,7 +41,7 @@
   // Returns the number of routers in the last update.
   std::size_t router_count() const { return router_count_; }
 
-  // Returns the state as JSON.
+  // Returns the state as JSON, for the constructor of a successor.
   std::string checkpoint() const;
 
  private:
--- a/src/tasks/fleet_report_task.h
+++ b/src/tasks/fleet_report_task.h
@@ -1,6 +1,6 @@
 // Owned work of kind `report`: reads the counters of all routers from the store, adds them up, and writes one
-// report under its term. The store rejects a second writer, so there is one report, and its sums never
-// decrease.
+// report under its term. The store rejects the writes of a former owner, so there is one report, and its sums
+// never decrease.
 //
 // Package `tasks`. One thread.
 #pragma once
@@ -20,7 +20,7 @@
 constexpr const char* kCounterPrefix = "counters/";  // counters/ROUTER
 constexpr const char* kFleetReportKey = "report/fleet";
 
-// Scheduler and store outlive it.
+// Scheduler and store have to outlive this object.
 class FleetReportTask : public OwnedTask {
  public:
   FleetReportTask(transport::Scheduler& scheduler, coordination::CoordinationStore& store, std::string prefix,
--- a/src/tasks/fleet_session.cpp
+++ b/src/tasks/fleet_session.cpp
@@ -38,7 +38,7 @@
   };
   handlers.on_acquire_result = [this, call_id](LeaseId, const TransactionResult& outcome) {
     lease_.on_granted(steady_now(), call_id, outcome.revision);
-    transport::log_line(transport::Level::kInfo) << "member of the fleet at revision " << outcome.revision;
+    transport::log_line(transport::Level::kInfo) << "joined the fleet at revision " << outcome.revision;
     return true;
   };
   handlers.on_renew_result = [this, call_id](bool valid) {
@@ -84,7 +84,7 @@
 void FleetSession::announce_draining() {
   draining_ = true;
   if (lease_.term() == 0) {
-    return;  // the record goes with the next session
+    return;  // the next session writes the record
   }
   Transaction announce;
   announce.then = {Put{prefix_ + membership::member_key(identity_.name, identity_.incarnation),
@@ -110,9 +110,9 @@
 
 void FleetSession::write_key(const std::string& key) {
   if (lease_.term() == 0) {
-    return;  // the key goes with the next session
+    return;  // the next session writes the key
   }
-  // One write of a key is in flight at a time: behind a slow store only the last value counts.
+  // One write of a key is in flight at a time, so that a slow store receives only the latest value.
   if (const auto in_flight = writes_in_flight_.find(key); in_flight != writes_in_flight_.end()) {
     in_flight->second = true;
     return;
--- a/src/tasks/fleet_session.h
+++ b/src/tasks/fleet_session.h
@@ -1,4 +1,4 @@
-// A process's membership of the fleet: its session lease at the store, and the keys that stand under it.
+// A process's membership of the fleet: its session lease at the store, and the keys under this lease.
 //
 // Package `tasks`, over `coordination`, `membership` and `ownership`. One thread.
 #pragma once
@@ -14,35 +14,37 @@
 
 namespace trailcourse::tasks {
 
-// Who a member of the fleet is.
+// The identity of a member of the fleet.
 struct MemberIdentity {
   std::string name;
   std::string incarnation;  // of this start: 16 hex digits
   std::string zone;         // empty: none
-  std::string address;      // at which its peers check that it is there
+  std::string address;      // of the health checks by its peers
   std::string version;
 };
 
-// Store and loop outlive it.
+// Keeps the session lease, and acquires a new one after it was lost. Store and loop have to outlive this
+// object.
 class FleetSession {
  public:
   FleetSession(coordination::CoordinationStore& store, StepLoop& loop, const OwnershipOptions& options,
                std::string prefix, MemberIdentity identity);
 
-  // Makes the call of the lease that is due now, if any.
+  // Makes the lease call that is due now, if any.
   void step(Micros now);
 
-  // Returns when step() has to be called again by time alone, or nothing.
+  // Returns the time at which step() has to be called again without any other event, or nothing.
   std::optional<Micros> next_step_at(Micros now) const { return lease_.next_step_at(now); }
 
-  // Writes into the member record that this process is draining: it is given no more work.
+  // Writes to the member record that this process is draining, so that it is assigned no more work.
   void announce_draining();
 
-  // Ends the session: its lease is released, and all keys under it go.
+  // Ends the session: releases its lease, which deletes all keys under it.
   void end(Micros now);
   bool ended() const { return lease_.released(); }
 
-  // Keeps a key that ends with the session, across new sessions. An empty value deletes it.
+  // Sets a key that is deleted when the session ends, and written again in a new session. An empty value
+  // deletes the key.
   void set_key(const std::string& key, const std::string& value);
 
   const MemberIdentity& identity() const { return identity_; }
@@ -62,7 +64,7 @@
   coordination::LeaseId lease_id_ = 0;
   bool draining_ = false;
   std::map<std::string, std::string> keys_;       // without the store's prefix
-  std::map<std::string, bool> writes_in_flight_;  // by key; true: the value changed since
+  std::map<std::string, bool> writes_in_flight_;  // by key; true: the value has changed since the write
 };
 
 }  // namespace trailcourse::tasks
--- a/src/tasks/health_check_plan.h
+++ b/src/tasks/health_check_plan.h
@@ -19,41 +19,41 @@
 
 struct HealthCheckOptions {
   Micros interval{1'000'000};            // between two checks of one cache
-  Micros republish_interval{2'500'000};  // of a verdict that stands
-  std::uint64_t confirmations = 2;       // consecutive equal results that a verdict takes
-  std::size_t max_in_flight = 16;        // checks at once
+  Micros republish_interval{2'500'000};  // of an unchanged verdict
+  std::uint64_t confirmations = 2;       // consecutive equal results that a verdict requires
+  std::size_t max_in_flight = 16;        // concurrent checks
 };
 
-// A verdict that is to be written to the store, or to be deleted there.
+// A verdict to write to the store, or to delete there.
 struct VerdictUpdate {
   enum class Kind { kPublish, kWithdraw };
 
   Kind kind = Kind::kPublish;
-  Verdict verdict;  // with the cache and the term alone if it is withdrawn
+  Verdict verdict;  // only the cache and the term are set if it is withdrawn
 };
 
-// Checks each suspect, one after another and however many routers suspect it, until no router does and the
-// checks find it healthy.
+// Checks each suspect, one check at a time regardless of the number of routers that suspect it, until no
+// router suspects it and the checks find it healthy.
 class HealthCheckPlan {
  public:
-  // `term` is the one under which this router owns the work; verdicts carry it.
+  // `term` is the one under which this router owns the work. Verdicts contain it.
   HealthCheckPlan(const HealthCheckOptions& options, ownership::Term term) : options_(options), term_(term) {}
 
   // A router reports that it suspects the cache.
   void on_suspected(Micros now, const std::string& cache, const std::string& router);
 
-  // The router does not suspect the cache any more.
+  // A router no longer suspects the cache.
   void on_suspicion_ended(const std::string& cache, const std::string& router);
 
-  // Returns the caches to check now. Each counts as in flight until on_check_result().
+  // Returns the caches to check now. Each check counts as in flight until on_check_result().
   std::vector<std::string> start_checks(Micros now);
 
   void on_check_result(Micros now, const std::string& cache, bool healthy);
 
-  // Returns the verdicts to publish or to withdraw now.
+  // Returns the verdicts to publish or to withdraw now, each update once.
   std::vector<VerdictUpdate> take_verdict_updates(Micros now);
 
-  // Returns when start_checks() may return something by time alone, or nothing.
+  // Returns the time at which start_checks() may return a cache without any other event, or nothing.
   std::optional<Micros> next_step_at(Micros now) const;
 
   std::size_t suspect_count() const { return suspects_.size(); }
@@ -61,12 +61,12 @@
 
  private:
   struct Suspect {
-    std::set<std::string> reporters;  // routers
+    std::set<std::string> reporters;  // routers that suspect the cache
     bool check_in_flight = false;
-    bool cleared = false;  // no suspect any more; its verdict is to be withdrawn
+    bool cleared = false;  // no longer suspected; its verdict has to be withdrawn
     Micros next_check_at{0};
     std::optional<bool> last_result;
-    std::uint64_t consecutive_results = 0;  // equal to the last one
+    std::uint64_t consecutive_results = 0;  // number of latest results that are equal
     std::optional<bool> published;
     Micros published_at{0};
   };
--- a/src/tasks/health_check_task.cpp
+++ b/src/tasks/health_check_task.cpp
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-// One check: sends `health`, and expects an array of up to four words, of which the second is UP or DOWN.
+// One check: sends `health`, and expects an array of up to four strings, the second of which is UP or DOWN.
 class HealthCheckTask::CheckHandler : public Connection::Handler {
  public:
   using ResultHandler = std::function<void(bool healthy)>;
@@ -152,7 +152,7 @@
 void HealthCheckTask::run_step() {
   const Micros now = steady_now();
   if (!context_.may_act()) {
-    // Either the runner ends this task, or it may act again soon.
+    // Either the runner ends this task, or the task may act again soon.
     timer_.set(Clock::now() + milliseconds(options_.probe_ms));
     return;
   }
@@ -193,7 +193,7 @@
   };
   const std::optional<transport::Address> address = directory_.find(cache);
   if (!address) {
-    // The cache is not in the endpoint list (any more), so no router sends requests there.
+    // The cache is not in the endpoint list, so no router sends requests to it.
     scheduler_.post([on_result] { on_result(false); });
     return;
   }
--- a/src/tasks/health_check_task.h
+++ b/src/tasks/health_check_task.h
@@ -1,8 +1,9 @@
-// Owned work of kind `probe`: checks the health of the caches that routers of a zone suspect, one router for
-// all, and publishes the verdicts in the store.
+// Owned work of kind `probe`: one router checks, for all routers of its zone, the health of the caches that
+// any of them suspects, and publishes the verdicts in the store.
 //
-// A check changes nothing at the cache and is harmless if two routers make it, so the cache need not check
-// the term. Verdicts carry it, and a router rejects one of an earlier term (verdict_tracker.h).
+// A check changes nothing at the cache, so two routers may make it at the same time, and the cache does not
+// check the term. Verdicts contain the term, and a router rejects a verdict of an earlier term
+// (verdict_tracker.h).
 //
 // Package `tasks`, over `routing` and `transport`. One thread.
 #pragma once
@@ -23,7 +24,7 @@
 
 namespace trailcourse::tasks {
 
-// Scheduler, store and directory outlive it.
+// Scheduler, store and directory have to outlive this object.
 class HealthCheckTask : public OwnedTask, public coordination::WatchObserver {
  public:
   HealthCheckTask(transport::Scheduler& scheduler, coordination::CoordinationStore& store, std::string prefix,
@@ -33,7 +34,7 @@
   void start() override;
   void stop() override;
 
-  // The watch over the suspects that routers of the zone report.
+  // WatchObserver, for the suspects that routers of the zone report.
   void on_snapshot(coordination::Revision revision, const std::vector<coordination::Entry>& entries) override;
   void on_changes(coordination::Revision revision,
                   const std::vector<coordination::KeyChange>& changes) override;
@@ -58,7 +59,7 @@
   HealthCheckPlan plan_;
   transport::Alarm timer_;
   coordination::CoordinationStore::WatchId watch_ = 0;
-  std::set<std::string> suspect_keys_;  // as the watch last showed them
+  std::set<std::string> suspect_keys_;  // as of the last watch event
   std::map<std::string, std::shared_ptr<transport::Connection>>
       connections_;  // of checks in flight, by cache
   bool start_recorded_ = false;
--- a/src/tasks/lease_calls.cpp
+++ b/src/tasks/lease_calls.cpp
@@ -21,8 +21,7 @@
   store.commit(handlers->make_transaction(lease),
                loop.then_step([&store, lease, handlers](const auto& reply) {
                  if (!reply.ok()) {
-                   // The transaction may have been executed or not. Without the lease it has no effect for
-                   // long.
+                   // The transaction may or may not have been executed. Its effect ends with the lease.
                    revoke(store, lease);
                    handlers->on_no_response();
                  } else if (!handlers->on_acquire_result(lease, reply.value)) {
--- a/src/tasks/lease_calls.h
+++ b/src/tasks/lease_calls.h
@@ -1,4 +1,4 @@
-// Makes the calls at the store that a lease state machine (ownership/lease.h) asks for.
+// Makes the calls to the store that a lease state machine (ownership/lease.h) requests.
 //
 // Package `tasks`, over `coordination` and `ownership`. One thread.
 #pragma once
@@ -11,16 +11,16 @@
 
 namespace trailcourse::tasks {
 
-// What to do with the answers to one call. A step of the loop follows each of the last four.
+// Handlers of the responses to one call. A step of the loop follows each of the last four.
 struct LeaseCallHandlers {
-  // The store granted a lease: returns the transaction that acquires something under it.
+  // The store has granted a lease. Returns the transaction that acquires the resource under it.
   std::function<coordination::Transaction(coordination::LeaseId lease)> make_transaction;
 
-  // The transaction was answered. Returns whether it acquired anything; if not, the lease is revoked.
+  // The transaction was answered. Returns whether it acquired the resource; if not, the lease is revoked.
   std::function<bool(coordination::LeaseId lease, const coordination::TransactionResult& outcome)>
       on_acquire_result;
 
-  // `valid`: the store still had the lease.
+  // `valid` is true if the store still had the lease.
   std::function<void(bool valid)> on_renew_result;
 
   std::function<void()> on_released;
@@ -29,8 +29,8 @@
   std::function<void()> on_no_response;
 };
 
-// Makes a call. `ttl` is that of a lease to acquire, `lease` the one to renew or to release. The store
-// outlives the loop.
+// Makes a call. `ttl` is the duration of a lease to acquire, `lease` is the lease to renew or to release. The
+// store has to outlive the loop.
 void make_lease_call(coordination::CoordinationStore& store, StepLoop& loop, ownership::LeaseCallKind kind,
                      Micros ttl, coordination::LeaseId lease, LeaseCallHandlers handlers);
 
--- a/src/tasks/options.cpp
+++ b/src/tasks/options.cpp
@@ -15,7 +15,7 @@
 
 constexpr WholeRange kMilliseconds{1, 600'000};
 
-// Whom shards are given to, and for how long.
+// Adds the keys of shard ownership: assignment, leases and backoff.
 void add_lease_keys(config::Record<OwnershipOptions>& record) {
   using O = OwnershipOptions;
   record
@@ -49,7 +49,7 @@
       .whole("most_owned", &O::most_owned, "shards", WholeRange{1, 10'000}, "of this router");
 }
 
-// Who is a member of the fleet, and may be given work.
+// Adds the keys of membership and of eligibility for work.
 void add_membership_keys(config::Record<OwnershipOptions>& record) {
   using O = OwnershipOptions;
   record
@@ -69,7 +69,7 @@
              "after which a return counts half");
 }
 
-// The kinds of work.
+// Adds the keys of the individual kinds of work.
 void add_task_keys(config::Record<OwnershipOptions>& record) {
   using O = OwnershipOptions;
   record
@@ -98,7 +98,7 @@
   if (2 * renew_ms > valid_ms) {
     throw config::KeyError("ownership." + key,
                            std::to_string(renew_ms) + " is over half of the " + std::to_string(valid_ms) +
-                               " ms that a lease surely holds: one lost renewal would end it");
+                               " ms for which a lease is guaranteed: one lost renewal would end it");
   }
 }
 
@@ -121,12 +121,12 @@
   check_renewal("renew_ms", options.renew_ms, lease_manager_options(options).lease);
   check_renewal("member_renew_ms", options.member_renew_ms, session_lease_options(options));
   if (options.flap_reuse >= options.flap_suppress) {
-    throw config::KeyError("ownership.flap_reuse", "not below flap_suppress");
+    throw config::KeyError("ownership.flap_reuse", "has to be below flap_suppress");
   }
   for (const std::string& kind : options.kinds) {
     if (std::find(std::begin(kKinds), std::end(kKinds), kind) == std::end(kKinds)) {
       throw config::KeyError("ownership.kinds",
-                             "'" + kind + "' is none of probe, fill, report, policy, acknowledge");
+                             "'" + kind + "' is not one of probe, fill, report, policy, acknowledge");
     }
   }
 }
--- a/src/tasks/options.h
+++ b/src/tasks/options.h
@@ -13,7 +13,7 @@
 
 namespace trailcourse::tasks {
 
-// The values of the section, named as its keys; ownership_record() has their units and ranges.
+// The values of the section, named as its keys; ownership_record() declares their units and ranges.
 struct OwnershipOptions {
   std::vector<std::string> kinds{"probe", "fill", "report", "policy", "acknowledge"};
   std::int64_t ttl_ms = 6'000;
@@ -50,13 +50,13 @@
   std::int64_t fill_patience_ms = 3'000;
 };
 
-// Returns the description of the section's keys.
+// Returns the declaration of the section's keys. It has static lifetime.
 const config::Record<OwnershipOptions>& ownership_record();
 
-// Checks what depends on more than one key. Throws config::KeyError.
+// Checks the constraints between keys. Throws config::KeyError.
 void check_ownership(const OwnershipOptions& options);
 
-// The options of the lease manager, of the lease of the process's session, and of its membership view.
+// Convert the options for the lease manager, for the process's session lease, and for its membership view.
 ownership::LeaseManagerOptions lease_manager_options(const OwnershipOptions& options);
 ownership::LeaseOptions session_lease_options(const OwnershipOptions& options);
 membership::MembershipOptions membership_options(const OwnershipOptions& options);
--- a/src/tasks/outlier_tracker.h
+++ b/src/tasks/outlier_tracker.h
@@ -1,5 +1,5 @@
-// Detects the caches that failed this router several times in a row, so that the health checks of its zone
-// look at them.
+// Detects the caches with several consecutive failures at this router, so that the health checks of its zone
+// include them.
 //
 // Package `tasks`: no I/O, no clock. Not thread-safe.
 #pragma once
@@ -11,7 +11,7 @@
 
 namespace trailcourse::tasks {
 
-// A cache that this router began to suspect, or suspects no longer.
+// A cache that this router has started or stopped to suspect.
 struct SuspicionChange {
   std::string cache;
   bool suspected = false;
@@ -19,18 +19,18 @@
   friend bool operator==(const SuspicionChange&, const SuspicionChange&) = default;
 };
 
-// Counts consecutive failures per cache. Results that say nothing about the cache (a failure of its source,
-// or of this router) must not be given to it.
+// Counts consecutive failures per cache. The caller must not pass results that do not depend on the cache,
+// such as a failure of its source or of this router.
 class OutlierTracker {
  public:
   // A cache becomes a suspect after `failure_threshold` consecutive failures.
   explicit OutlierTracker(int failure_threshold) : failure_threshold_(failure_threshold) {}
 
-  // Takes in the result of an attempt. A success ends the suspicion.
+  // Counts the result of an attempt. A success ends the suspicion.
   void on_attempt_result(const std::string& cache, bool success);
 
-  // Ends the suspicion because health checks find the cache healthy: the fault may lie on this router's own
-  // path. The cache is suspected again after as many further failures.
+  // Ends the suspicion because health checks find the cache healthy: the fault may be on the path between
+  // this router and the cache. The cache is suspected again after `failure_threshold` further failures.
   void on_healthy_verdict(const std::string& cache);
 
   // Returns the changes since the last call, each cache at most once.
--- a/src/tasks/peer_health_checks.cpp
+++ b/src/tasks/peer_health_checks.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-// A check is a connection that comes up; nothing is sent on it.
+// A check succeeds when the connection is established. Nothing is sent on it.
 class CheckHandler : public Connection::Handler {
  public:
   void on_bytes(std::string_view) override {}
--- a/src/tasks/peer_health_checks.h
+++ b/src/tasks/peer_health_checks.h
@@ -1,5 +1,5 @@
-// Checks now and then whether this member's peers can be reached, and reports those that cannot: the store
-// may still hear them.
+// Periodic checks whether this member can connect to its peers. Peers that it cannot reach are reported as
+// suspected, since their sessions at the store may still be valid.
 //
 // Package `tasks`, over `membership` and `transport`. One thread.
 #pragma once
@@ -21,7 +21,7 @@
 
 namespace trailcourse::tasks {
 
-// Scheduler, view and session outlive it.
+// Scheduler, view and session have to outlive this object.
 class PeerHealthChecks {
  public:
   PeerHealthChecks(transport::Scheduler& scheduler, const membership::MembershipView& view,
@@ -30,10 +30,10 @@
   PeerHealthChecks(const PeerHealthChecks&) = delete;
   PeerHealthChecks& operator=(const PeerHealthChecks&) = delete;
 
-  // Begins to check, unless the options name no peers.
+  // Starts the checks, unless the options set the number of peers to 0.
   void start();
 
-  // Begins no further round of checks.
+  // Starts no further round of checks.
   void stop() { stopped_ = true; }
 
  private:
@@ -51,7 +51,7 @@
   std::size_t peer_count_;
   Micros interval_;
   Micros timeout_;
-  std::set<std::string> reported_;  // peers that stand as suspected in the store
+  std::set<std::string> reported_;  // peers that are reported as suspected in the store
   bool stopped_ = false;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/tasks/policy_client.h
+++ b/src/tasks/policy_client.h
@@ -1,5 +1,5 @@
-// A router's side of the fleet's policy: gives its participant (policy/participant.h) what the store shows,
-// executes the participant's actions, and rules on the requests that arrive.
+// A router's side of the fleet's policy: passes the records of the store to the participant
+// (policy/participant.h), executes its actions, and sets the rule for each request that arrives.
 //
 // Package `tasks`, over `coordination`, `policy` and `routing`. One thread.
 #pragma once
@@ -23,16 +23,16 @@
 
 namespace trailcourse::tasks {
 
-// Scheduler, store, profile and router outlive it.
+// Scheduler, store, profile and router have to outlive this object.
 class PolicyClient : public coordination::WatchObserver {
  public:
   struct Identity {
     std::string name;
     std::string incarnation;  // of this start: 16 hex digits
     std::string zone;
-    std::int64_t open_requests = 0;  // that this router's memory and sockets bear
+    std::int64_t open_requests = 0;  // maximum that this router's memory and sockets allow
   };
-  // Is called with the kinds of work that the effective policy allows; nothing: all.
+  // Receives the kinds of work that the effective policy allows, or nothing if it allows all kinds.
   using AllowedKindsHandler = std::function<void(std::optional<std::set<std::string>> kinds)>;
 
   PolicyClient(transport::Scheduler& scheduler, coordination::CoordinationStore& store,
@@ -43,25 +43,25 @@
 
   void start();
 
-  // All events of the discovery service up to the position are applied.
+  // All events of the discovery service up to the position have been applied.
   void on_discovery_position(const policy::DiscoveryPosition& position);
 
-  // Releases the lease, so that a rollout need not wait for this router, which then decides under no policy.
+  // Releases the lease, so that rollouts do not wait for this router. Afterwards it decides under no policy.
   void stop();
   bool stopped() const { return !stopping_ || participant_.stopped(); }
 
-  // Returns whether requests may be accepted: the router knows the policy in force. This holds while it
-  // drains, too, for the requests that are on their way.
+  // Returns whether requests may be accepted: the participant has a lease. A draining router keeps accepting
+  // requests, since some may already be on their way to it.
   bool ready() const;
 
-  // Returns one object of JSON, for the health page.
+  // Returns the status as a JSON object, for the health page.
   std::string status() const;
 
-  // The watch over the records of the policy.
+  // WatchObserver, for the records of the policy.
   void on_snapshot(coordination::Revision revision, const std::vector<coordination::Entry>& entries) override;
   void on_changes(coordination::Revision revision,
                   const std::vector<coordination::KeyChange>& changes) override;
-  void on_disconnected(const std::string& why) override;
+  void on_disconnected(const std::string& reason) override;
   void on_heartbeat() override;
 
  private:
--- a/src/tasks/policy_documents.cpp
+++ b/src/tasks/policy_documents.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-// Replaces the file at once and durably.
+// Replaces the file atomically and durably.
 policy::PreparationResult write_file(const std::string& folder, const std::string& name,
                                      const std::string& text) {
   const std::string new_name = name + ".next";
@@ -49,7 +49,7 @@
   } catch (const policy::InvalidDocument& error) {
     invalid_[version] = error.what();
     transport::log_line(transport::Level::kError)
-        << "policy version " << version << " cannot be used here: " << error.what();
+        << "policy version " << version << " has an invalid document: " << error.what();
   }
 }
 
--- a/src/tasks/policy_documents.h
+++ b/src/tasks/policy_documents.h
@@ -17,33 +17,33 @@
 
 namespace trailcourse::tasks {
 
-// The scheduler outlives it.
+// The scheduler has to outlive this object.
 class PolicyDocuments {
  public:
-  // Documents are persisted in `folder`; nowhere if it is empty.
+  // Documents are stored in `folder`. If it is empty, they are not stored.
   PolicyDocuments(transport::Scheduler& scheduler, std::string folder);
 
-  // Takes in the text of a version. A text that cannot be used is logged.
+  // Parses and adds the document of a version. Logs an error if the document is invalid.
   void add(std::uint64_t version, const std::string& text);
 
-  // Returns nullptr if the version has no text here that can be used. Valid until the next add().
+  // Returns the document, or null if there is no valid one. The pointer is valid until the next add().
   const policy::PolicyDocument* find(std::uint64_t version) const;
 
-  // Returns whether a router can decide under the version, or the error. Version 0 stands for the settings
-  // without any document.
+  // Checks whether a router with these capabilities can decide under the version. Version 0 stands for the
+  // settings without a document.
   policy::PreparationResult check(std::uint64_t version,
                                   const policy::RouterCapabilities& capabilities) const;
 
-  // Writes the document to disk, and then calls `on_done` on the scheduler's thread. Called at once if there
-  // is no folder or no document.
+  // Writes the document to disk, and then calls `on_done` on the scheduler's thread. Calls it at once if
+  // there is no folder or no document.
   void persist(std::uint64_t version, std::function<void(const policy::PreparationResult&)> on_done);
 
  private:
   std::string folder_;
   transport::Mailbox mailbox_;
-  std::unique_ptr<store::IoPool> pool_;  // null if nothing is persisted
+  std::unique_ptr<store::IoPool> pool_;  // null if documents are not stored
   std::map<std::uint64_t, policy::PolicyDocument> documents_;
-  std::map<std::uint64_t, std::string> invalid_;  // why they cannot be used
+  std::map<std::uint64_t, std::string> invalid_;  // errors, by version
 };
 
 }  // namespace trailcourse::tasks
--- a/src/tasks/policy_rollout_task.cpp
+++ b/src/tasks/policy_rollout_task.cpp
@@ -23,7 +23,7 @@
   return {Range{prefix() + policy::kReportPrefix, true}, Range{prefix() + policy::kRolloutKey, false}};
 }
 
-// Without an open rollout, routers write their reports for other reasons.
+// Without an open rollout, changes of routers' reports do not matter.
 bool PolicyRolloutTask::is_relevant(const std::string& key) const {
   return rollout_open_ || key == policy::kRolloutKey;
 }
--- a/src/tasks/policy_rollout_task.h
+++ b/src/tasks/policy_rollout_task.h
@@ -1,5 +1,4 @@
-// Owned work of kind `policy`: carries rollouts of policy versions to their end, by
-// policy::RolloutCoordinator.
+// Owned work of kind `policy`: runs rollouts of policy versions with policy::RolloutCoordinator.
 //
 // Package `tasks`, over `policy`. One thread.
 #pragma once
@@ -15,7 +14,7 @@
 
 constexpr const char* kPolicyWork = "policy";  // name and kind of the work
 
-// Scheduler and store outlive it.
+// Scheduler and store have to outlive this object.
 class PolicyRolloutTask : public ReconcileTask {
  public:
   PolicyRolloutTask(transport::Scheduler& scheduler, coordination::CoordinationStore& store,
@@ -29,7 +28,7 @@
 
  private:
   policy::RolloutCoordinator coordinator_;
-  bool rollout_open_ = true;  // by the last snapshot; also before the first one
+  bool rollout_open_ = true;  // in the last snapshot; true also before the first one
 };
 
 }  // namespace trailcourse::tasks
--- a/src/tasks/prefetch_plan.cpp
+++ b/src/tasks/prefetch_plan.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-// Reads the indices from `first` on that are below `size`.
+// Reads the array `name`, and returns its indices from `first` to `size` - 1.
 std::set<std::size_t> read_indices(const json& object, const char* name, std::size_t first,
                                    std::size_t size) {
   std::set<std::size_t> indices;
@@ -60,7 +60,7 @@
   progress.total = unsigned_field(saved, "of");
   const std::uint64_t prefix = unsigned_field(saved, "all_before");
   std::set<std::size_t> beyond = read_indices(saved, "beyond", prefix, objects_.size());
-  // The checkpoint of an order that was changed since does not apply to this one.
+  // A checkpoint of an earlier, different order does not apply to this one.
   const bool consistent = prefix <= objects_.size() && progress.total == objects_.size() &&
                           progress.finished() == prefix + beyond.size();
   if (!consistent) {
@@ -87,7 +87,7 @@
     }
     in_flight_.insert(index);
     indices.push_back(index);
-    // A pause is not made up for by a burst.
+    // A pause must not be followed by a burst.
     next_paced_at_ = std::max(next_paced_at_, now - pacing_interval_) + pacing_interval_;
   }
   return indices;
--- a/src/tasks/prefetch_plan.h
+++ b/src/tasks/prefetch_plan.h
@@ -1,6 +1,6 @@
-// Plans the prefetching of one shard's objects: which are requested next, how often each is tried, and how
-// far the work is. Each object is requested as a client would: cache, rank and rejection are the decision
-// module's choice, within the budgets of slow start.
+// Plans the prefetching of one shard's objects: the order of requests, the retries of each object, and the
+// progress of the work. Objects are requested as clients request them: the decision module selects the cache
+// and the rank or rejects the request, within the budgets of slow start.
 //
 // Package `tasks`: knows JSON; no I/O, no clock; time is Micros of the caller's steady clock. Not
 // thread-safe.
@@ -21,14 +21,14 @@
 
 struct PrefetchOptions {
   std::size_t max_in_flight = 4;
-  int max_attempts = 5;           // of one object
-  Micros retry_backoff{500'000};  // doubles with each attempt
+  int max_attempts = 5;           // for one object
+  Micros retry_backoff{500'000};  // after the first attempt; doubles with each further one
 };
 
-// How many objects of the shard are done.
+// Numbers of objects of the shard.
 struct PrefetchProgress {
   std::uint64_t filled = 0;
-  std::uint64_t already_cached = 0;  // of those filled
+  std::uint64_t already_cached = 0;  // included in `filled`
   std::uint64_t failed = 0;
   std::uint64_t total = 0;
 
@@ -37,29 +37,30 @@
 
 enum class PrefetchResult { kFilled, kAlreadyCached, kRejected, kFailed };
 
+// The state of one shard's work.
 class PrefetchPlan {
  public:
-  // Plans the objects of `shard` out of `shards`. Work goes on from `checkpoint`; one that is malformed, or
-  // of another list of objects, counts as none.
+  // Plans the objects of `shard` out of `shards`. Continues from `checkpoint`. A checkpoint that is
+  // malformed, or of another list of objects, is ignored.
   PrefetchPlan(const PrefetchOrder& order, std::uint64_t shard, std::uint64_t shards,
                const PrefetchOptions& options, const std::string& checkpoint);
 
-  // Returns the indices of the objects to request now. Each counts as in flight until on_result().
+  // Returns the indices of the objects to request now. Each request counts as in flight until on_result().
   std::vector<std::size_t> start_requests(Micros now);
 
   const std::string& object(std::size_t index) const { return objects_.at(index); }
 
-  // Takes in the final answer for an object. `retry_after` is the wait that a rejection asked for.
+  // Processes the final result for an object. `retry_after` is the time that a rejection set, otherwise 0.
   void on_result(Micros now, std::size_t index, PrefetchResult result, Micros retry_after);
 
-  // Returns when start_requests() may return something by time alone, or nothing.
+  // Returns the time at which start_requests() may return an object without any other event, or nothing.
   std::optional<Micros> next_step_at(Micros now) const;
 
   bool done() const { return progress_.finished() == progress_.total; }
 
-  // Returns the progress as JSON: the number of objects from the start that are all finished, and the indices
-  // of those beyond it that are. A successor requests no object again that is in the checkpoint. One that was
-  // in flight is requested again, which a cache that holds it answers as a hit.
+  // Returns the progress as JSON: the length of the prefix of finished objects, and the indices of the
+  // finished objects after this prefix. A successor does not repeat requests for the objects in the
+  // checkpoint. It repeats those that were in flight; a cache that already has the object answers with a hit.
   std::string checkpoint() const;
 
   const PrefetchProgress& progress() const { return progress_; }
@@ -72,7 +73,7 @@
 
   void restore(const std::string& checkpoint);
   bool has_capacity() const { return in_flight_.size() < options_.max_in_flight; }
-  // Returns whether the object is to be requested again.
+  // Returns whether the object will be requested again.
   bool schedule_retry(Micros now, std::size_t index, Micros retry_after);
   void finish(std::size_t index, bool success, bool already_cached);
 
@@ -84,7 +85,7 @@
   std::set<std::size_t> in_flight_;
   std::map<std::size_t, Retry> retries_;
   std::size_t finished_prefix_ = 0;        // all objects before it are finished
-  std::set<std::size_t> finished_beyond_;  // finished objects from there on
+  std::set<std::size_t> finished_beyond_;  // finished objects after the prefix
   PrefetchProgress progress_;
 };
 
--- a/src/tasks/prefetch_task.cpp
+++ b/src/tasks/prefetch_task.cpp
@@ -19,7 +19,7 @@
 namespace {
 
 constexpr milliseconds kListRetry{1'000};     // until the store answers
-constexpr milliseconds kMaxStartWait{1'000};  // between two looks at the wall clock
+constexpr milliseconds kMaxStartWait{1'000};  // between two readings of the wall clock
 constexpr milliseconds kPermissionRetry{50};  // while the lease is uncertain
 constexpr milliseconds kMinStepInterval{1};
 
@@ -31,10 +31,10 @@
 
 }  // namespace
 
-// Takes the final answer of one request. The body is not needed.
-class PrefetchTask::Answer : public routing::Reply {
+// Reports the result of one request, and ignores the body.
+class PrefetchTask::ReplyHandler : public routing::Reply {
  public:
-  Answer(PrefetchTask& task, std::size_t index) : task_(task), index_(index), alive_(task.alive_) {}
+  ReplyHandler(PrefetchTask& task, std::size_t index) : task_(task), index_(index), alive_(task.alive_) {}
 
   void served(std::string, bool, const routing::ServedBy& by) override {
     report(indicates_hit(by.note) ? PrefetchResult::kAlreadyCached : PrefetchResult::kFilled, Micros(0));
@@ -48,7 +48,7 @@
   }
 
  private:
-  // Posts the result, since the router is in the middle of its own step.
+  // Posts the result, since the router makes this call within its own step.
   void report(PrefetchResult result, Micros retry_after) {
     if (!*alive_) {
       return;
@@ -117,7 +117,7 @@
   request_class_ = found->second;
 }
 
-// No other router could do the work either, so it is recorded as completed.
+// Records the work as completed, since no other router could do it either.
 void PrefetchTask::fail(const std::string& reason) {
   log_line(Level::kError) << to_string(context_.id) << " cannot be done: " << reason;
   context_.save_completion("cannot be done: " + reason);
@@ -133,7 +133,7 @@
     if (order_->objects.empty()) {
       fail("objects: none are listed for this shard");
     } else {
-      make_plan(0, 1);  // the list is of this shard alone
+      make_plan(0, 1);  // the list contains the objects of this shard alone
     }
   };
   context_.read_key(prefetch_list_key(context_.id.work, context_.id.shard), on_list);
@@ -182,7 +182,7 @@
   }
   if (!plan_) {
     load_list();
-  } else if (!has_start_time_come()) {
+  } else if (!is_start_time_reached()) {
     return;
   } else if (plan_->done()) {
     save_progress();
@@ -193,14 +193,15 @@
   }
 }
 
-bool PrefetchTask::has_start_time_come() {
+bool PrefetchTask::is_start_time_reached() {
   const milliseconds wait(order_->at_ms - unix_now_ms());
   if (wait <= milliseconds(0)) {
     return true;
   }
   if (!std::exchange(waits_for_start_, true)) {
-    context_.save_checkpoint(
-        plan_->checkpoint());  // so that an owner that leaves meanwhile counts as no crash
+    // A saved checkpoint confirms the start, so that an owner that leaves before the start time does not
+    // count as crashed.
+    context_.save_checkpoint(plan_->checkpoint());
   }
   wake_up_in(std::min(wait, kMaxStartWait));
   return false;
@@ -232,7 +233,7 @@
   request.told.part = protocol::read_number<std::uint32_t>(passed->part).value_or(0);
   request.patience = milliseconds(options_.fill_patience_ms);
   request.passed = std::move(passed);
-  const RequestId id = router_.arrive(std::move(request), std::make_shared<Answer>(*this, index));
+  const RequestId id = router_.arrive(std::move(request), std::make_shared<ReplyHandler>(*this, index));
   if (id != 0) {
     open_requests_[index] = id;
   }
--- a/src/tasks/prefetch_task.h
+++ b/src/tasks/prefetch_task.h
@@ -1,6 +1,6 @@
-// Owned work of kind `fill`: prefetches one shard's objects into caches. Each is requested through this
-// router's own decisions, as a client would. The fencing token goes with each command, so that a cache node
-// of this project rejects a former owner; other caches are filled twice at worst.
+// Owned work of kind `fill`: prefetches one shard's objects into caches. Each request passes through this
+// router's decisions, as a client's request does. Each command contains the fencing token, so that a cache
+// node of this project rejects the commands of a former owner. Other caches are filled twice at worst.
 //
 // Package `tasks`, over `routing`. One thread.
 #pragma once
@@ -19,10 +19,10 @@
 
 namespace trailcourse::tasks {
 
-// Scheduler, router and profile outlive it.
+// Scheduler, router and profile have to outlive this object.
 class PrefetchTask : public OwnedTask {
  public:
-  // `seed` keeps the ids of its requests apart from those of other routers.
+  // `seed` makes the ids of its requests distinct from those of other routers.
   PrefetchTask(transport::Scheduler& scheduler, routing::Router& router, const protocol::Profile& profile,
                const OwnershipOptions& options, std::uint64_t seed, TaskContext context);
   ~PrefetchTask() override;
@@ -31,17 +31,17 @@
   void stop() override;
 
  private:
-  class Answer;
+  class ReplyHandler;
 
-  // Reads the order from the work's parameters. Throws InvalidPrefetchOrder if no router can carry it out.
+  // Reads the order from the work's parameters. Throws InvalidPrefetchOrder if no router can execute it.
   void read_order();
   void fail(const std::string& reason);
   void load_list();
   void make_plan(std::uint64_t shard, std::uint64_t shards);
 
   void run_step();
-  // Returns whether the announced time has come. If not, sets the timer.
-  bool has_start_time_come();
+  // Returns whether the start time of the order is reached. If not, sets the timer.
+  bool is_start_time_reached();
   void start_requests();
   void request_object(std::size_t index);
   void on_answer(std::size_t index, PrefetchResult result, Micros retry_after);
@@ -57,7 +57,7 @@
   TaskContext context_;
   std::uint64_t last_request_id_;
   std::optional<PrefetchOrder> order_;
-  std::optional<PrefetchPlan> plan_;  // once the list of objects was read
+  std::optional<PrefetchPlan> plan_;  // after the list of objects was read
   int request_class_ = -1;
   std::map<std::size_t, RequestId> open_requests_;  // by index of the object
   transport::Alarm timer_;
--- a/src/tasks/reconcile_task.cpp
+++ b/src/tasks/reconcile_task.cpp
@@ -19,7 +19,7 @@
 constexpr milliseconds kMaxInterval{5'000};  // between two snapshots, also without changes
 constexpr milliseconds kRetryInterval{200};  // after a call that failed, or a write that was rejected
 constexpr Micros kMinDelay{1'000};
-// A snapshot reads the reports of all routers, and in a large fleet these change all the time.
+// A snapshot reads the reports of all routers, which change all the time in a large fleet.
 constexpr milliseconds kMinInterval{20};
 
 }  // namespace
@@ -120,7 +120,7 @@
   write(std::move(*decision.write));
 }
 
-// The store rejects the write of a former owner, whatever that owner believes.
+// The condition on the owner's term makes the store reject the write of a former owner.
 void ReconcileTask::write(Transaction transaction) {
   transaction.when.push_back(
       coordination::created_at(prefix_ + ownership::kOwnerPrefix + to_string(context_.id), context_.term));
@@ -129,8 +129,8 @@
                   if (!*alive) {
                     return;
                   }
-                  // If the write was rejected, or its outcome is unknown, the next snapshot shows what
-                  // stands.
+                  // If the write was rejected, or its outcome is unknown, the next snapshot shows the
+                  // state of the record.
                   if (!reply.ok() || !reply.value.succeeded) {
                     reconcile_in(kRetryInterval);
                   } else {
--- a/src/tasks/reconcile_task.h
+++ b/src/tasks/reconcile_task.h
@@ -1,6 +1,6 @@
 // Owned work that moves a record of the store from state to state: reads a snapshot, decides on the next
-// state, and writes it if the snapshot still stands and this process still owns the work. All state is in the
-// store, so that a successor goes on from there.
+// state, and writes it if the store is unchanged since the snapshot and this process still owns the work. All
+// state is in the store, so that a successor continues from there.
 //
 // Package `tasks`. One thread.
 #pragma once
@@ -16,7 +16,7 @@
 
 namespace trailcourse::tasks {
 
-// Scheduler and store outlive it.
+// Scheduler and store have to outlive this object.
 class ReconcileTask : public OwnedTask, public coordination::WatchObserver {
  public:
   ReconcileTask(transport::Scheduler& scheduler, coordination::CoordinationStore& store, std::string prefix,
@@ -26,7 +26,7 @@
   void start() override;
   void stop() override;
 
-  // The watch over watched_ranges().
+  // WatchObserver, for watched_ranges().
   void on_snapshot(coordination::Revision, const std::vector<coordination::Entry>&) override {
     schedule_reconcile();
   }
@@ -36,20 +36,20 @@
  protected:
   struct Decision {
     std::optional<coordination::Transaction> write;
-    std::string log_text;                // on what is written; empty: no log line
-    std::optional<Micros> next_step_at;  // steady time at which the decision may change by time alone
+    std::string log_text;                // log line on the write; empty: none
+    std::optional<Micros> next_step_at;  // steady time at which the decision may change without other events
   };
 
   // Returns the transaction that reads the snapshot.
   virtual coordination::Transaction snapshot_transaction() const = 0;
 
-  // Returns the ranges whose changes are a reason to read the snapshot again.
+  // Returns the ranges to watch. Relevant changes in them cause a new snapshot.
   virtual std::vector<coordination::Range> watched_ranges() const = 0;
 
   // Returns whether a change of the key (without the store's prefix) may change the decision.
   virtual bool is_relevant(const std::string& key) const = 0;
 
-  // Decides by the answer to snapshot_transaction().
+  // Decides on the outcome of snapshot_transaction().
   virtual Decision decide(Micros now, const coordination::TransactionResult& snapshot) = 0;
 
   // Reconciles now, or as soon as the minimum interval between two snapshots has passed.
--- a/src/tasks/request_policy.cpp
+++ b/src/tasks/request_policy.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-// The decision module has room for this many class sets. The first is the settings'; the others are reused in
-// turn.
+// The maximum number of class sets at the decision module. The first is that of the settings; the others are
+// reused in turn.
 constexpr std::uint64_t kMaxClassSets = 32;
 
 std::int64_t to_ms(Micros time) { return std::chrono::duration_cast<milliseconds>(time).count(); }
@@ -34,7 +34,7 @@
   settings.grace = milliseconds(policy.grace_ms);
 }
 
-// Returns the version, "A+B" for what both allow, "-" for none.
+// Returns the version, "A+B" for an intersection, or "-" for no version.
 std::string describe(const EffectivePolicy& effective) {
   switch (effective.kind) {
     case EffectivePolicy::Kind::kSingle:
@@ -58,7 +58,7 @@
   for (const auto& [name, index] : profile.class_index) {
     class_names_.at(static_cast<std::size_t>(index)) = name;
   }
-  // Version 0 is the settings, whose classes the decision module has from the start.
+  // Version 0 stands for the settings, whose classes the decision module has from the start.
   class_sets_[Key{0, 0}] = ClassSet{0, content_of(0)};
 }
 
--- a/src/tasks/request_policy.h
+++ b/src/tasks/request_policy.h
@@ -1,5 +1,5 @@
-// Applies the effective policy to requests: the classes that the decision module knows for each version, and
-// the rule for a request that arrives.
+// Applies the effective policy to requests: registers the request classes of each version at the decision
+// module, and returns the rule for each request that arrives.
 //
 // Package `tasks`, over `policy` and `routing`. One thread.
 #pragma once
@@ -17,7 +17,7 @@
 
 namespace trailcourse::tasks {
 
-// All arguments of the constructor outlive it.
+// All arguments of the constructor have to outlive this object.
 class RequestPolicy {
  public:
   RequestPolicy(const protocol::Profile& profile, routing::Router& router, const PolicyDocuments& documents);
@@ -26,21 +26,21 @@
   // classes to the decision module.
   routing::Rule rule(const policy::EffectivePolicy& effective, int request_class);
 
-  // Returns the contents of a version: the settings, and its document above them.
+  // Returns the content of a version: the settings, overridden by its document.
   policy::PolicyContent content_of(std::uint64_t version) const;
 
   // Returns the names of the settings' classes, by index.
   const std::vector<std::string>& class_names() const { return class_names_; }
 
  private:
-  // The versions that rule; `other` is 0 unless there are two.
+  // The versions of the effective policy. `other` differs from `version` only for an intersection.
   struct Key {
     std::uint64_t version = 0;
     std::uint64_t other = 0;
 
     friend auto operator<=>(const Key&, const Key&) = default;
   };
-  // The classes of one policy at the decision module.
+  // The classes of one effective policy at the decision module.
   struct ClassSet {
     std::size_t first_class = 0;  // index at the decision module
     policy::PolicyContent content;
--- a/src/tasks/step_loop.h
+++ b/src/tasks/step_loop.h
@@ -1,5 +1,5 @@
-// Runs the steps of a state machine on a scheduler: soon after something happened, and at the time that the
-// machine names itself.
+// Runs the steps of a state machine on a scheduler: soon after an event, and at the time that the last step
+// has returned.
 //
 // Package `tasks`. One thread.
 #pragma once
@@ -16,13 +16,14 @@
 
 namespace trailcourse::tasks {
 
-// The scheduler outlives it. No step and no guarded handler runs once it is destroyed.
+// The scheduler has to outlive this object. After its destruction no step and no guarded handler runs.
 class StepLoop {
  public:
-  // Does what is to be done now. Returns the steady time at which more is to be done by time alone.
+  // Executes the actions that are due now. Returns the steady time of the next step, or nothing if only an
+  // event can cause one.
   using Step = std::function<std::optional<Micros>()>;
 
-  // Two steps by time alone lie at least `min_interval` apart.
+  // A step that no event has caused follows the last step after at least `min_interval`.
   StepLoop(transport::Scheduler& scheduler, Micros min_interval, Step step)
       : step_(std::move(step)),
         min_interval_(min_interval),
@@ -32,10 +33,10 @@
   StepLoop(const StepLoop&) = delete;
   StepLoop& operator=(const StepLoop&) = delete;
 
-  // Runs a step soon, and once however often it is called meanwhile; never from within this call.
+  // Schedules one step, also if it is called several times before that. The step never runs within this call.
   void schedule() { deferred_.post(); }
 
-  // Wraps the handler of an answer that may come after the loop is destroyed; it is then not called.
+  // Wraps the handler of a response. The handler is not called once the loop is destroyed.
   template <typename Handler>
   auto guard(Handler handler) {
     return [alive = alive_, handler = std::move(handler)](const auto&... answer) {
@@ -45,7 +46,7 @@
     };
   }
 
-  // As guard(); the handler is followed by a step.
+  // Wraps a handler as guard() does, and schedules a step after it.
   template <typename Handler>
   auto then_step(Handler handler) {
     return guard([this, handler = std::move(handler)](const auto&... answer) {
--- a/src/tasks/task_host.cpp
+++ b/src/tasks/task_host.cpp
@@ -68,7 +68,7 @@
   running_.erase(action.id);
 }
 
-// Posted, since a task may report that it stopped from within a call to it.
+// Destroys the task in a posted job, since a task may report its stop within a call of its own methods.
 void TaskHost::destroy_later(const ShardId& id, Term term) {
   scheduler_.post([this, alive = alive_, id, term] {
     if (!*alive) {
@@ -81,7 +81,7 @@
   });
 }
 
-// ---- What a task is given ----
+// ---- Task contexts ----
 
 TaskContext TaskHost::make_context(const ownership::StartTaskAction& action, const ownership::Work& work) {
   TaskContext context;
--- a/src/tasks/task_host.h
+++ b/src/tasks/task_host.h
@@ -1,4 +1,4 @@
-// Holds the tasks that run at this process: makes, stops and destroys them as the lease manager asks.
+// Owns the tasks that run in this process: creates, stops and destroys them as the lease manager requests.
 //
 // Package `tasks`, over `coordination` and `ownership`. One thread.
 #pragma once
@@ -16,7 +16,7 @@
 
 namespace trailcourse::tasks {
 
-// All arguments of the constructor outlive it.
+// All arguments of the constructor have to outlive this object.
 class TaskHost {
  public:
   TaskHost(transport::Scheduler& scheduler, coordination::CoordinationStore& store, std::string prefix,
@@ -25,10 +25,10 @@
   TaskHost(const TaskHost&) = delete;
   TaskHost& operator=(const TaskHost&) = delete;
 
-  // Names the factory of the tasks of one kind of work.
+  // Registers the factory of the tasks of one kind of work.
   void register_kind(const std::string& kind, OwnedTaskFactory factory);
 
-  // The work of that name as it stands in the store; nothing if it is gone or malformed.
+  // Sets the definition of the work of that name, or removes it if `work` is empty.
   void set_work(const std::string& name, const std::optional<ownership::Work>& work);
 
   void execute(const ownership::StartTaskAction& action);
--- a/src/tasks/task_runner.cpp
+++ b/src/tasks/task_runner.cpp
@@ -81,7 +81,7 @@
   loop_.schedule();
 }
 
-// ---- What the store shows ----
+// ---- Records of the store ----
 
 void TaskRunner::on_snapshot(coordination::Revision revision,
                              const std::vector<coordination::Entry>& entries) {
@@ -112,9 +112,9 @@
   update_members();
 }
 
-void TaskRunner::on_disconnected(const std::string& why) {
+void TaskRunner::on_disconnected(const std::string& reason) {
   if (std::exchange(connected_, false)) {
-    log_line(Level::kWarning) << "disconnected from the coordination store: " << why;
+    log_line(Level::kWarning) << "disconnected from the coordination store: " << reason;
   }
   lease_manager_.set_connected(steady_now(), false);
   loop_.schedule();
@@ -170,7 +170,7 @@
   if (!change.deleted) {
     work = ownership::read_work(key, change.entry.value);
     if (!work) {
-      log_line(Level::kWarning) << "work " << name << " is malformed and is not done";
+      log_line(Level::kWarning) << "work " << name << " is malformed and is ignored";
     }
   }
   task_host_.set_work(name, work);
@@ -185,7 +185,7 @@
   }
 }
 
-// Gives the lease manager the members that may be given work.
+// Passes the members that may be assigned work to the lease manager.
 void TaskRunner::update_members() {
   const Micros now = steady_now();
   ownership::MemberZones zones;
--- a/src/tasks/task_runner.h
+++ b/src/tasks/task_runner.h
@@ -1,8 +1,9 @@
-// A process's part in the work that one member of the fleet does for all: its session at the store, what the
-// store shows of the fleet, and the actions of its lease manager as calls and tasks. It decides nothing
-// itself: lease manager, membership view and leases do.
+// A process's part in the owned work of the fleet: keeps its session at the store, passes the fleet's records
+// to the lease manager and the membership view, and executes the actions of the lease manager as calls and
+// tasks. All decisions are made by the lease manager, the membership view and the leases.
 //
-// Package `tasks`, over `coordination`, `membership` and `ownership`. One thread. No request waits for it.
+// Package `tasks`, over `coordination`, `membership` and `ownership`. One thread. No request waits for the
+// runner.
 #pragma once
 
 #include <functional>
@@ -24,20 +25,21 @@
 
 namespace trailcourse::tasks {
 
-// Scheduler and store outlive it.
+// Scheduler and store have to outlive this object.
 class TaskRunner : public coordination::WatchObserver {
  public:
   TaskRunner(transport::Scheduler& scheduler, coordination::CoordinationStore& store,
              const OwnershipOptions& options, std::string prefix, MemberIdentity identity);
   ~TaskRunner() override;
 
-  // Names the factory of the tasks of one kind of work. To be called before start().
+  // Registers the factory of the tasks of one kind of work. Has to be called before start().
   void register_kind(const std::string& kind, OwnedTaskFactory factory);
 
-  // Is called with keys under fleet/ that are neither members nor work; an empty value: the key is gone.
+  // Receives changes of keys under fleet/ that are neither work nor records of its shards. An empty value
+  // means that the key was deleted.
   using KeyObserver = std::function<void(const std::string& key, const std::string& value)>;
 
-  // Observes the keys that begin with `key_prefix`. To be called before start().
+  // Observes the keys that begin with `key_prefix`. Has to be called before start().
   void observe_keys(const std::string& key_prefix, KeyObserver observer);
 
   void start();
@@ -46,22 +48,23 @@
   void drain();
   bool drained() const;
 
-  // The kinds of work that the policy in force allows; nothing: all.
+  // Sets the kinds of work that the policy in force allows; nothing allows all kinds.
   void set_allowed_kinds(std::optional<std::set<std::string>> kinds);
 
-  // Keeps a key that ends with this process's session, across new sessions. An empty value deletes it.
+  // Sets a key that is deleted when this process's session ends, and written again in a new session. An empty
+  // value deletes the key.
   void set_session_key(const std::string& key, const std::string& value) { session_.set_key(key, value); }
 
-  // Returns one object of JSON, for the health page.
+  // Returns the status as a JSON object, for the health page.
   std::string status() const;
 
   const MemberIdentity& identity() const { return session_.identity(); }
 
-  // The watch over all keys under fleet/.
+  // WatchObserver, for all keys under fleet/.
   void on_snapshot(coordination::Revision revision, const std::vector<coordination::Entry>& entries) override;
   void on_changes(coordination::Revision revision,
                   const std::vector<coordination::KeyChange>& changes) override;
-  void on_disconnected(const std::string& why) override;
+  void on_disconnected(const std::string& reason) override;
   void on_heartbeat() override { on_connected(); }
 
  private:
@@ -95,7 +98,7 @@
   coordination::CoordinationStore::WatchId watch_ = 0;
   bool connected_ = false;
   bool draining_ = false;
-  std::uint64_t last_view_version_ = 0;  // of the view that the lease manager was given
+  std::uint64_t last_view_version_ = 0;  // of the view as of the last update_members()
 };
 
 }  // namespace trailcourse::tasks
--- a/src/tasks/verdict_tracker.h
+++ b/src/tasks/verdict_tracker.h
@@ -1,4 +1,4 @@
-// What a router makes of the verdicts on caches that the health checks of its zone publish.
+// A router's handling of the verdicts on caches that the health checks of its zone publish.
 //
 // Package `tasks`: no I/O, no clock; time is Micros of the caller's steady clock. Not thread-safe.
 #pragma once
@@ -14,22 +14,22 @@
 
 namespace trailcourse::tasks {
 
-// Accepts each verdict once, and rejects one that is older in term or sequence than the last one accepted on
-// that cache. A verdict is an observation among the router's own, and never replaces one.
+// Accepts each verdict once, and rejects a verdict with an earlier term or sequence number than the last one
+// that was accepted on the cache. A verdict adds to the router's own observations and never replaces them.
 class VerdictTracker {
  public:
-  // A verdict is valid for this long after it was accepted.
+  // A verdict is valid for `validity` from its acceptance.
   explicit VerdictTracker(Micros validity) : validity_(validity) {}
 
-  // Takes in a verdict. Returns the result for the decision module, or nothing if the verdict is a duplicate
+  // Processes a verdict. Returns the result for the decision module, or nothing if the verdict is a duplicate
   // or out of date.
   std::optional<HealthCheckResult> on_verdict(Micros now, const Verdict& verdict);
 
-  // Invalidates the last verdict on the cache. Its term and sequence are still compared with later ones, so
-  // that a late verdict of an earlier owner is rejected.
+  // Invalidates the last verdict on the cache. Its term and sequence number are still compared with later
+  // verdicts, so that a late verdict of an earlier owner is rejected.
   void on_withdrawn(const std::string& cache);
 
-  // Returns whether the cache is healthy by the verdict that is valid now, or nothing if none is.
+  // Returns whether the verdict that is valid now finds the cache healthy, or nothing if there is none.
   std::optional<bool> valid_verdict(Micros now, const std::string& cache) const;
 
  private:
--- a/tests/fleet_report_test.cpp
+++ b/tests/fleet_report_test.cpp
@@ -1,4 +1,4 @@
-// The report of the fleet's counters, and the settings of owned work.
+// The report of the fleet's counters, and the options of owned work.
 #include "tasks/fleet_report.h"
 
 #include <gtest/gtest.h>
@@ -17,23 +17,23 @@
   return Counters{incarnation, {{"requests", requests}}};
 }
 
-TEST(FleetReportTest, RestartsAndLossesAreCountedOnceAndNoSumDecreases) {
+TEST(FleetReportTest, SumsIncludeRestartedAndLostRoutersOnceAndNeverDecrease) {
   FleetReport report("");
   report.update({{"a", make_counters("1", 10)}, {"b", make_counters("1", 5)}});
   EXPECT_EQ(report.sums().at("requests"), 15U);
   report.update({{"a", make_counters("1", 12)}});
-  EXPECT_EQ(report.sums().at("requests"), 17U) << "b is gone, what it counted stays";
+  EXPECT_EQ(report.sums().at("requests"), 17U) << "b has left, but its counts remain";
   report.update({{"a", make_counters("2", 3)}, {"b", make_counters("1", 6)}});
-  EXPECT_EQ(report.sums().at("requests"), 21U) << "a restarted, b came back";
+  EXPECT_EQ(report.sums().at("requests"), 21U) << "a has restarted, b has returned";
   // A successor continues from the checkpoint.
   FleetReport second(report.checkpoint());
   second.update({{"a", make_counters("2", 4)}, {"b", make_counters("1", 6)}});
   EXPECT_EQ(second.sums().at("requests"), 22U);
   second.update({{"a", make_counters("2", 1)}});
-  EXPECT_EQ(second.sums().at("requests"), 23U) << "a counter that decreased began at 0 again";
+  EXPECT_EQ(second.sums().at("requests"), 23U) << "a counter that decreased has started again at 0";
 }
 
-TEST(FleetReportTest, AMalformedCheckpointCountsAsNone) {
+TEST(FleetReportTest, IgnoresAMalformedCheckpoint) {
   FleetReport good("");
   good.update({{"a", make_counters("1", 10)}});
   const std::string text = good.checkpoint();
@@ -49,13 +49,13 @@
   EXPECT_FALSE(read_counters("{}"));
 }
 
-TEST(OwnershipOptionsTest, ALeaseThatOneLostRenewalWouldEndIsRejected) {
+TEST(OwnershipOptionsTest, RejectsInvalidCombinationsOfOptions) {
   OwnershipOptions options;
   EXPECT_NO_THROW(check_ownership(options));
   options.renew_ms = 3'000;
   EXPECT_THROW(check_ownership(options), config::KeyError);
   options = {};
-  options.kinds = {"fill", "dance"};
+  options.kinds = {"fill", "unknown"};
   EXPECT_THROW(check_ownership(options), config::KeyError);
   options = {};
   options.flap_reuse = 5.0;
--- a/tests/health_check_plan_test.cpp
+++ b/tests/health_check_plan_test.cpp
@@ -1,4 +1,4 @@
-// Outlier detection at each router, the health checks that follow, and what routers make of the verdicts.
+// Outlier detection at each router, the resulting health checks, and the handling of their verdicts.
 #include "tasks/health_check_plan.h"
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST(OutlierTrackerTest, ConsecutiveFailuresMakeASuspectWhichIsReportedOnce) {
+TEST(OutlierTrackerTest, ReportsASuspectOnceAfterConsecutiveFailures) {
   OutlierTracker tracker(3);
   tracker.on_attempt_result("a", false);
   tracker.on_attempt_result("a", false);
@@ -39,14 +39,14 @@
   EXPECT_TRUE(tracker.take_changes().empty());
 }
 
-TEST(HealthCheckPlanTest, SuspicionsOfManyRoutersMakeOneCheck) {
+TEST(HealthCheckPlanTest, SuspicionsOfManyRoutersCauseOneCheck) {
   HealthCheckPlan plan(HealthCheckOptions{}, 7);
   Micros now{0};
   for (int i = 0; i < 100; ++i) {
     plan.on_suspected(now, "a", "router" + std::to_string(i));
   }
   EXPECT_EQ(plan.start_checks(now), std::vector<std::string>{"a"});
-  EXPECT_TRUE(plan.start_checks(now).empty()) << "one is in flight";
+  EXPECT_TRUE(plan.start_checks(now).empty()) << "one check is in flight";
   plan.on_check_result(now, "a", false);
   EXPECT_TRUE(plan.take_verdict_updates(now).empty()) << "one check is not enough";
   EXPECT_EQ(plan.next_step_at(now), seconds(1));
@@ -60,7 +60,7 @@
   EXPECT_EQ(plan.checks_started(), 2U);
 }
 
-TEST(HealthCheckPlanTest, AVerdictIsRepublishedWhileTheSuspicionStandsAndWithdrawnAfter) {
+TEST(HealthCheckPlanTest, RepublishesAVerdictDuringASuspicionAndWithdrawsItAfterwards) {
   HealthCheckOptions options;
   HealthCheckPlan plan(options, 7);
   Micros now{0};
@@ -96,10 +96,10 @@
   EXPECT_EQ(updates.back().kind, VerdictUpdate::Kind::kWithdraw);
   EXPECT_EQ(updates.back().verdict.consecutive_checks, 0U);
   EXPECT_EQ(plan.suspect_count(), 0U);
-  EXPECT_FALSE(plan.next_step_at(now)) << "no cache is checked that no router suspects";
+  EXPECT_FALSE(plan.next_step_at(now)) << "a cache is not checked when no router suspects it";
 }
 
-TEST(HealthCheckPlanTest, AnUnhealthyCacheIsCheckedAlthoughNoRouterSuspectsItAnyMore) {
+TEST(HealthCheckPlanTest, ChecksAnUnhealthyCacheThatNoRouterSuspectsAnyMore) {
   HealthCheckPlan plan(HealthCheckOptions{}, 7);
   plan.on_suspected(Micros(0), "a", "r");
   plan.on_suspicion_ended("a", "r");
@@ -108,7 +108,7 @@
   EXPECT_EQ(plan.start_checks(seconds(1)).size(), 1U);
 }
 
-TEST(HealthCheckPlanTest, ChecksInFlightAreBounded) {
+TEST(HealthCheckPlanTest, LimitsChecksInFlight) {
   HealthCheckOptions options;
   options.max_in_flight = 4;
   HealthCheckPlan plan(options, 7);
@@ -121,7 +121,7 @@
   EXPECT_EQ(plan.start_checks(Micros(0)).size(), 1U);
 }
 
-TEST(VerdictTrackerTest, ALaterTermSupersedesAndNoVerdictIsAcceptedTwice) {
+TEST(VerdictTrackerTest, AcceptsEachVerdictOnceAndRejectsEarlierTerms) {
   VerdictTracker tracker(seconds(5));
   const auto verdict = [](bool healthy, ownership::Term term, std::uint64_t sequence) {
     Verdict out;
@@ -134,7 +134,7 @@
   EXPECT_TRUE(tracker.on_verdict(Micros(0), verdict(false, 7, 1)));
   EXPECT_FALSE(tracker.on_verdict(Micros(0), verdict(false, 7, 1)));
   EXPECT_TRUE(tracker.on_verdict(Micros(0), verdict(true, 9, 1)));
-  EXPECT_FALSE(tracker.on_verdict(Micros(0), verdict(false, 7, 50))) << "of a former owner";
+  EXPECT_FALSE(tracker.on_verdict(Micros(0), verdict(false, 7, 50))) << "a verdict of a former owner";
   EXPECT_EQ(tracker.valid_verdict(seconds(1), "a"), true);
   EXPECT_FALSE(tracker.valid_verdict(seconds(6), "a")) << "no longer valid";
   tracker.on_withdrawn("a");
@@ -142,7 +142,7 @@
   EXPECT_FALSE(tracker.on_verdict(Micros(0), verdict(false, 8, 1)));
 }
 
-TEST(VerdictTest, MutatedRecordsAreReadAsValidVerdictsOrNotAtAll) {
+TEST(VerdictTest, RejectsMutatedRecordsOrReadsValidVerdicts) {
   Verdict verdict;
   verdict.cache = "a";
   verdict.term = 7;
--- a/tests/prefetch_plan_test.cpp
+++ b/tests/prefetch_plan_test.cpp
@@ -1,4 +1,4 @@
-// Prefetching: which objects of a shard are requested next, and the orders that operators announce.
+// Prefetching: the plan of one shard's objects, and the orders of operators.
 #include "tasks/prefetch_plan.h"
 
 #include <gtest/gtest.h>
@@ -29,7 +29,7 @@
   return order;
 }
 
-TEST(PrefetchPlanTest, EachObjectIsRequestedByOneShardOnce) {
+TEST(PrefetchPlanTest, RequestsEachObjectOnceInOneShard) {
   const PrefetchOrder order = make_order(23);
   std::map<std::string, int> requests;
   for (std::uint64_t shard = 0; shard < 4; ++shard) {
@@ -50,8 +50,8 @@
   }
 }
 
-// Owners crash at random moments: no object in a checkpoint is requested again, every object is requested,
-// and an object requested twice was in flight at a crash.
+// Owners crash at random times. Every object is requested, and only objects that are missing in the last
+// checkpoint are requested again.
 TEST(PrefetchPlanTest, ASuccessorContinuesFromTheCheckpoint) {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     std::mt19937_64 random(seed);
@@ -69,9 +69,9 @@
           in_flight.push_back(index);
         }
         ASSERT_FALSE(in_flight.empty());
-        const std::size_t which = random() % in_flight.size();
-        const std::size_t index = in_flight[which];
-        in_flight.erase(in_flight.begin() + static_cast<std::ptrdiff_t>(which));
+        const std::size_t position = random() % in_flight.size();
+        const std::size_t index = in_flight[position];
+        in_flight.erase(in_flight.begin() + static_cast<std::ptrdiff_t>(position));
         repeated += ++answered[plan.object(index)] > 1 ? 1 : 0;
         plan.on_result(Micros(0), index, PrefetchResult::kFilled, Micros(0));
         const bool crashes_now = random() % 12 == 0 && crashes < 20;
@@ -84,18 +84,18 @@
     }
     EXPECT_EQ(answered.size(), 40U);
     EXPECT_LE(repeated, static_cast<std::size_t>(crashes))
-        << "one answer at most is lost with each checkpoint";
+        << "a crash loses at most one checkpoint, with one answer";
   }
 }
 
-TEST(PrefetchPlanTest, RejectionsAreRetriedAfterTheirDelayUpToTheLimit) {
+TEST(PrefetchPlanTest, RetriesRejectionsAfterTheirDelayUpToMaxAttempts) {
   PrefetchOptions options;
   options.max_attempts = 3;
   PrefetchPlan plan(make_order(1), 0, 1, options, "");
   Micros now{0};
   ASSERT_EQ(plan.start_requests(now).size(), 1U);
   plan.on_result(now, 0, PrefetchResult::kRejected, seconds(3));
-  EXPECT_EQ(plan.next_step_at(now), seconds(3)) << "no sooner than the rejection asked for";
+  EXPECT_EQ(plan.next_step_at(now), seconds(3)) << "not before the time that the rejection set";
   now = seconds(3);
   ASSERT_EQ(plan.start_requests(now).size(), 1U);
   plan.on_result(now, 0, PrefetchResult::kFailed, Micros(0));
@@ -107,7 +107,7 @@
   EXPECT_EQ(plan.progress().failed, 1U);
 }
 
-TEST(PrefetchPlanTest, PacingIsKeptAndAPauseMakesNoBurst) {
+TEST(PrefetchPlanTest, PacesRequestsWithoutABurstAfterAPause) {
   PrefetchOrder order = make_order(100);
   order.objects_per_s = 10.0;
   PrefetchOptions options;
@@ -121,11 +121,10 @@
   }
   EXPECT_LE(requested, 21U);
   EXPECT_GE(requested, 19U);
-  // There is no burst after a pause.
   EXPECT_LE(plan.start_requests(seconds(10)).size(), 2U);
 }
 
-TEST(PrefetchPlanTest, ACheckpointThatIsMalformedOrOfAnotherOrderCountsAsNone) {
+TEST(PrefetchPlanTest, IgnoresACheckpointThatIsMalformedOrOfAnotherOrder) {
   PrefetchPlan first(make_order(10), 0, 1, PrefetchOptions{}, "");
   for (const std::size_t index : first.start_requests(Micros(0))) {
     first.on_result(Micros(0), index, PrefetchResult::kAlreadyCached, Micros(0));
@@ -138,7 +137,7 @@
     std::string text = good;
     text[random() % text.size()] = "0123456789\"{}[]:,-"[random() % 18];
     PrefetchPlan plan(make_order(10), 0, 1, PrefetchOptions{}, text);
-    // Whatever it says, the plan comes to an end.
+    // The plan ends with any checkpoint.
     for (int i = 0; i < 20 && !plan.done(); ++i) {
       for (const std::size_t index : plan.start_requests(Micros(0))) {
         plan.on_result(Micros(0), index, PrefetchResult::kFilled, Micros(0));
@@ -148,7 +147,7 @@
   }
 }
 
-TEST(PrefetchOrderTest, TheErrorNamesTheField) {
+TEST(PrefetchOrderTest, ErrorNamesTheInvalidField) {
   const auto error_of = [](const std::string& params) -> std::string {
     try {
       read_prefetch_order(params);
--- a/tests/task_runner_test.cpp
+++ b/tests/task_runner_test.cpp
@@ -1,4 +1,4 @@
-// The task runner at an embedded store: it acquires work, runs its task, saves its progress, and leaves the
+// The task runner with an embedded store: it acquires work, runs its task, saves its progress, and leaves the
 // fleet.
 #include "tasks/task_runner.h"
 
@@ -25,7 +25,7 @@
 constexpr const char* kKind = "report";
 constexpr const char* kPrefix = "test/";
 
-// Records what the runner asks of it.
+// Records the calls of the runner to its tasks.
 struct FakeTaskLog {
   std::vector<TaskContext> contexts;
   bool completed = false;
@@ -117,7 +117,7 @@
   std::string folder_;
 };
 
-TEST_F(TaskRunnerTest, AnnouncedWorkIsStartedUnderItsTermAndItsCompletionIsSaved) {
+TEST_F(TaskRunnerTest, StartsWorkUnderItsTermAndSavesItsCompletion) {
   const auto runner = make_runner("a");
   runner->start();
   announce_work("work");
@@ -136,7 +136,7 @@
   EXPECT_EQ(saved->checkpoint, "all");
 }
 
-TEST_F(TaskRunnerTest, ADrainingRunnerStopsItsTaskAndASuccessorContinuesFromTheCheckpoint) {
+TEST_F(TaskRunnerTest, DrainingStopsTheTaskAndASuccessorContinuesFromItsCheckpoint) {
   auto first = make_runner("a");
   first->start();
   announce_work("work");
@@ -155,7 +155,7 @@
   EXPECT_GT(task_log_.contexts.back().term, task_log_.contexts.front().term);
 }
 
-TEST_F(TaskRunnerTest, ATaskWritesItsKeysUnderItsTermAlone) {
+TEST_F(TaskRunnerTest, TaskWritesItsKeysOnlyWhileItOwnsTheShard) {
   const auto runner = make_runner("a");
   runner->start();
   announce_work("work");
@@ -165,7 +165,7 @@
   ASSERT_TRUE(calls_.until([&] { return get("result") == "1"; }));
   context.delete_key("result");
   ASSERT_TRUE(calls_.until([&] { return !get("result"); }));
-  // The shard is taken from this owner.
+  // This router loses the ownership of the shard.
   coordination::Transaction disown;
   disown.then = {coordination::Delete{coordination::Range{kPrefix + std::string("fleet/own/work/0"), false}}};
   ASSERT_TRUE(calls_.commit(*store_, disown).ok());
@@ -176,12 +176,12 @@
   EXPECT_FALSE(read_back) << "the store rejects the write of a former owner";
 }
 
-TEST_F(TaskRunnerTest, SessionKeysStandAsLongAsTheSession) {
+TEST_F(TaskRunnerTest, SessionKeysExistAsLongAsTheSession) {
   const auto runner = make_runner("a");
   runner->set_session_key("counters/a", "early");
   runner->start();
   ASSERT_TRUE(calls_.until([&] { return get("counters/a") == "early"; }));
-  // Only the last of the values counts.
+  // The store ends up with the last value.
   runner->set_session_key("counters/a", "1");
   runner->set_session_key("counters/a", "2");
   runner->set_session_key("counters/a", "3");
@@ -194,7 +194,7 @@
   EXPECT_FALSE(get("counters/a"));
 }
 
-TEST_F(TaskRunnerTest, ObserversSeeTheKeysOfTheirPrefixAlone) {
+TEST_F(TaskRunnerTest, ObserversReceiveOnlyTheKeysOfTheirPrefix) {
   const auto runner = make_runner("a");
   std::vector<std::string> observed;
   runner->observe_keys("fleet/verdicts/", [&](const std::string& key, const std::string& value) {
@@ -213,7 +213,7 @@
             (std::vector<std::string>{"fleet/verdicts/zone/cache=1", "fleet/verdicts/zone/cache="}));
 }
 
-TEST_F(TaskRunnerTest, KindsThatThePolicyDoesNotAllowAreReleased) {
+TEST_F(TaskRunnerTest, ReleasesWorkOfKindsThatThePolicyDoesNotAllow) {
   const auto runner = make_runner("a");
   runner->start();
   announce_work("work");
@@ -225,7 +225,7 @@
 
 // ---- Step loop ----
 
-TEST(StepLoopTest, StepsRunOnRequestOnceAndAtTheTimeThatAStepNames) {
+TEST(StepLoopTest, RunsOneStepPerScheduleAndAtTheTimeThatAStepReturns) {
   transport::Scheduler scheduler;
   int steps = 0;
   StepLoop loop(scheduler, milliseconds(1), [&]() -> std::optional<Micros> {
@@ -234,15 +234,15 @@
   });
   loop.schedule();
   loop.schedule();
-  EXPECT_EQ(steps, 0) << "never from within schedule()";
+  EXPECT_EQ(steps, 0) << "schedule() itself runs no step";
   const auto end = transport::Clock::now() + milliseconds(200);
   while (transport::Clock::now() < end) {
     scheduler.turn(milliseconds(5));
   }
-  EXPECT_EQ(steps, 3) << "one on request, two by time alone";
+  EXPECT_EQ(steps, 3) << "one scheduled, two timed";
 }
 
-TEST(StepLoopTest, AHandlerIsFollowedByAStepAndIsNotCalledAfterTheLoopIsDestroyed) {
+TEST(StepLoopTest, RunsAStepAfterAHandlerAndCallsNoHandlerAfterItsDestruction) {
   transport::Scheduler scheduler;
   int steps = 0;
   int answers = 0;
