--- a/src/aggregation/aggregator.cpp
+++ b/src/aggregation/aggregator.cpp
@@ -46,9 +46,10 @@
       router_leases_(settings.routers, seed),
       upstream_(settings.lease, identity_.zones) {}
 
-// ---- From the store ----
+// ---- Events from the store ----
 
-// The revision is that of the policy's records alone, and so the same at every aggregator that is up to date.
+// The revision is that of the policy's records alone, so that it is the same at all aggregators that are up
+// to date.
 void Aggregator::on_snapshot(const std::vector<Entry>& entries) {
   Revision revision = records_.revision();
   for (const Entry& entry : entries) {
@@ -78,7 +79,7 @@
   }
 }
 
-// ---- From routers ----
+// ---- Calls of routers ----
 
 template <typename Call>
 auto Aggregator::count_rejections(Call call) {
@@ -99,7 +100,7 @@
   return may_grant ? upstream_.valid_until() : std::nullopt;
 }
 
-// The acknowledgement record is that of the fleet: every zone has observed the same revision of it.
+// The acknowledgement record applies to the whole fleet, so its observed revision is the same in every zone.
 bool Aggregator::has_required_acknowledgement() const {
   const auto any_zone = observed_.begin();
   return any_zone == observed_.end() ||
@@ -141,7 +142,7 @@
   });
 }
 
-// Other keys are not replicated here, and would look as if they were absent.
+// Rejects conditions on other keys: they are not replicated, so they would appear to be absent.
 void Aggregator::check_conditions(const Transaction& transaction) const {
   const std::string records_prefix = identity_.prefix + policy::kPolicyPrefix;
   const auto is_replicated = [&](const Compare& compare) { return compare.key.starts_with(records_prefix); };
@@ -159,7 +160,7 @@
   }
   const Put& put = std::get<Put>(transaction.then.front());
   const RouterReport report = checked_report(put);
-  // Draining does not matter here: a router that still has a lease has to be able to report.
+  // Reports are accepted while draining, too, since a router that still has a lease has to report.
   if (!upstream_.is_active(now)) {
     throw RequestRejected(Reason::kNoUpstreamLease, "the aggregator has no permission itself");
   }
@@ -223,7 +224,7 @@
   }
 }
 
-// ---- Upward ----
+// ---- Calls to the store ----
 
 SummariesByZone Aggregator::summaries() const {
   SummariesByZone out;
@@ -232,7 +233,7 @@
     summary.incarnation = identity_.incarnation;
     const RequestCounts counts = router_leases_.request_counts(zone);
     summary.requests = counts.requests;
-    summary.failed_requests = counts.refused;
+    summary.failed_requests = counts.failed;
     out[zone] = std::move(summary);
   }
   return out;
--- a/src/aggregation/aggregator_service.cpp
+++ b/src/aggregation/aggregator_service.cpp
@@ -31,8 +31,8 @@
 constexpr int kNotFound = 404;
 constexpr int kServiceUnavailable = 503;
 
-// Between two steps that time alone calls for, so that leases which expire one after the other are handled
-// together.
+// Shortest time between two timed steps, so that leases that expire shortly after each other are handled in
+// one step.
 constexpr Micros kMinStepInterval{5'000};
 
 std::string incarnation_of(std::uint64_t seed) {
@@ -41,9 +41,8 @@
   return text;
 }
 
-// A router's client tries the next aggregator after "unavailable", and gives the call up after any other
-// error.
-coordination::EtcdService::Response answer_to(const RequestRejected& error) {
+// A router's client tries the next aggregator after "unavailable", and fails the call after any other error.
+coordination::EtcdService::Response error_response(const RequestRejected& error) {
   const std::string text = std::string("etcdserver: ") + error.what();
   if (is_retryable_elsewhere(error.reason())) {
     return {kServiceUnavailable, etcd::write_error(etcd::ErrorCode::kUnavailable, text)};
@@ -54,16 +53,16 @@
   return {kBadRequest, etcd::write_error(etcd::ErrorCode::kInvalidArgument, text)};
 }
 
-std::string figure(const std::string& name, std::uint64_t value) {
+std::string format_count(const std::string& name, std::uint64_t value) {
   return " " + name + "=" + std::to_string(value);
 }
 
-std::string figures_of(const AggregatorCounts& counts) {
-  std::string out = figure("granted", counts.granted) + figure("renewed", counts.renewed) +
-                    figure("revoked", counts.revoked) + figure("permits", counts.reports) +
-                    figure("reads", counts.reads) + figure("refused", counts.total_rejected());
+std::string format_counts(const AggregatorCounts& counts) {
+  std::string out = format_count("granted", counts.granted) + format_count("renewed", counts.renewed) +
+                    format_count("revoked", counts.revoked) + format_count("permits", counts.reports) +
+                    format_count("reads", counts.reads) + format_count("refused", counts.total_rejected());
   for (std::size_t i = 0; i < counts.rejected.size(); ++i) {
-    out += figure(std::string("refused_") + to_string(static_cast<Reason>(i)), counts.rejected.at(i));
+    out += format_count(std::string("refused_") + to_string(static_cast<Reason>(i)), counts.rejected.at(i));
   }
   return out;
 }
@@ -193,8 +192,8 @@
                }));
 }
 
-// The summaries are written only if the records are as this aggregator has observed them. Otherwise routers
-// might get leases under a policy that is no longer in force.
+// The summaries are written only if the records are unchanged since this aggregator observed them. Otherwise
+// routers could get leases under a policy that is no longer in force.
 void AggregatorService::join(const LeaseAction& action, LeaseId lease) {
   lease_ = lease;
   const auto on_response = [this, call_id = action.call.call_id,
@@ -257,7 +256,7 @@
   try {
     return Response{kOk, handle_call(path, body)};
   } catch (const RequestRejected& error) {
-    return answer_to(error);
+    return error_response(error);
   }
 }
 
@@ -295,7 +294,7 @@
   return etcd::write_lease_grant_response(header(), {id, ttl.count()});
 }
 
-// On the wire a time of 0 means that there is no such lease.
+// In the protocol a remaining time of 0 means that there is no such lease.
 json AggregatorService::handle_keep_alive(const json& body) {
   const LeaseId id = etcd::read_lease_request(body);
   const auto left = duration_cast<milliseconds>(aggregator_.keep_alive(now(), id).value_or(Micros(0)));
@@ -332,11 +331,12 @@
   const coordination::StoreCounts& store = store_.counts();
   return "routers=" + std::to_string(aggregator_.router_count()) +
          " permission=" + (aggregator_.upstream().is_active(now()) ? "yes" : "no") +
-         figure("revision", aggregator_.records().revision()) + figures_of(aggregator_.counts()) +
-         figure("calls", server.calls) + figure("unreadable", server.unreadable) +
-         figure("connections", server_.connections()) + figure("connections_refused", server.refused) +
-         figure("bytes_read", server.bytes_read) + figure("bytes_written", server.bytes_written) +
-         figure("store_calls", store.calls) + figure("store_failed", store.failed);
+         format_count("revision", aggregator_.records().revision()) + format_counts(aggregator_.counts()) +
+         format_count("calls", server.calls) + format_count("unreadable", server.unreadable) +
+         format_count("connections", server_.connections()) +
+         format_count("connections_refused", server.refused) + format_count("bytes_read", server.bytes_read) +
+         format_count("bytes_written", server.bytes_written) + format_count("store_calls", store.calls) +
+         format_count("store_failed", store.failed);
 }
 
 }  // namespace trailcourse::aggregation
--- a/src/aggregation/aggregator_service.h
+++ b/src/aggregation/aggregator_service.h
@@ -1,5 +1,5 @@
-// The process side of an aggregator: it executes the calls to the store that aggregator.h decides on, and
-// serves the routers below over the store's own protocol. It decides nothing by itself.
+// The I/O of an aggregator: executes the calls to the store that aggregator.h decides on, and serves routers
+// over the store's own protocol. All decisions are made by aggregator.h.
 //
 // Package `aggregation`, over `coordination` and `policy`. One thread.
 #pragma once
@@ -21,31 +21,32 @@
 
 class AggregatorService : public coordination::EtcdService, public coordination::WatchObserver {
  public:
-  // `options` must have been checked. `prefix` is that of all keys in the store. `seed` has to differ from
-  // start to start. `scheduler` and `store` outlive the service.
+  // `options` must have been checked. `prefix` is that of all keys in the store. `seed` has to be different
+  // for each start. `scheduler` and `store` have to outlive the service.
   AggregatorService(transport::Scheduler& scheduler, coordination::CoordinationStore& store,
                     const AggregatorOptions& options, const std::string& prefix, std::uint64_t seed);
   ~AggregatorService() override;
 
-  // Starts to watch the store and to listen for routers. Throws std::system_error.
+  // Starts to watch the store and to listen for routers. Throws std::system_error if it cannot listen.
   void start();
-  // Stops granting and renewing leases. The service is drained once no router has a lease any more and its
-  // own is released.
+  // Stops granting and renewing leases. The service is drained once no router has a lease and its own lease
+  // is released.
   void drain();
   bool drained() const { return aggregator_.drained(); }
-  // Returns the longest time of a router's lease that was granted so far.
+  // Returns the longest duration of a router's lease that was granted so far.
   Micros longest_ttl() const { return longest_ttl_; }
-  // Returns one line of figures for the log.
+  // Returns one line of counters for the log.
   std::string status_line() const;
   const Aggregator& aggregator() const { return aggregator_; }
 
-  // ---- coordination::EtcdService: calls of routers ----
+  // ---- EtcdService: calls of routers ----
   Response handle(const std::string& path, const nlohmann::json& body) override;
   void read_state(const StateReader& reader) override;
-  // Answers /healthz: 200 while the aggregator's own lease is valid, else 503.
+  // Answers /healthz with 200 while the aggregator's own lease is valid, otherwise with 503. Returns nothing
+  // for other paths.
   std::optional<Response> handle_get(const std::string& path) override;
 
-  // ---- coordination::Watcher: the store's records ----
+  // ---- WatchObserver: the store's records ----
   void on_snapshot(coordination::Revision revision, const std::vector<coordination::Entry>& entries) override;
   void on_changes(coordination::Revision revision,
                   const std::vector<coordination::KeyChange>& changes) override;
@@ -71,8 +72,8 @@
   void join(const LeaseAction& action, coordination::LeaseId lease);
   void renew(std::uint64_t call_id);
   void release(std::uint64_t call_id);
-  // Returns a handler of an answer that calls `handler` and schedules a step, unless the service is destroyed
-  // by then.
+  // Returns a response handler that calls `handler` and schedules a step, unless the service has been
+  // destroyed.
   template <typename Handler>
   auto while_alive(Handler handler);
 
--- a/src/aggregation/options.cpp
+++ b/src/aggregation/options.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-// All summaries go into one transaction, and each needs a condition and a write in it.
+// One transaction writes all summaries, and each of them needs a condition and a write in it.
 constexpr std::size_t kMaxZones = 64;
 
 void check_address(const std::string& key, const std::string& text) {
@@ -27,17 +27,17 @@
 
 void check_zones(const AggregatorOptions& options) {
   if (options.zones.empty() || options.zones.size() > kMaxZones) {
-    throw KeyError("aggregator.zones", std::to_string(options.zones.size()) + " are named, 1 to " +
+    throw KeyError("aggregator.zones", std::to_string(options.zones.size()) + " are given, 1 to " +
                                            std::to_string(kMaxZones) + " are allowed");
   }
   std::set<std::string> zones;
   for (const std::string& zone : options.zones) {
     if (!coordination::is_name(options.name + "." + zone)) {
       throw KeyError("aggregator.zones", "'" + options.name + "." + zone +
-                                             "' is no name of up to 64 letters, digits, '.', '-', '_'");
+                                             "' is not a name of up to 64 letters, digits, '.', '-', '_'");
     }
     if (!zones.insert(zone).second) {
-      throw KeyError("aggregator.zones", "'" + zone + "' stands twice");
+      throw KeyError("aggregator.zones", "'" + zone + "' is listed twice");
     }
   }
 }
@@ -47,15 +47,17 @@
   const std::int64_t valid_ms = duration_cast<milliseconds>(valid).count();
   if (2 * options.renew_ms > valid_ms) {
     throw KeyError("aggregator.renew_ms", std::to_string(options.renew_ms) + " is over half of the " +
-                                              std::to_string(valid_ms) + " ms that its lease surely lasts");
+                                              std::to_string(valid_ms) +
+                                              " ms for which its lease is guaranteed");
   }
-  // So much is left just before a renewal, and a router's lease is granted for its full time or not at all.
+  // The time left just before a renewal. A router's lease is granted for its full duration or not at all.
   const std::int64_t left_ms = valid_ms - options.renew_ms;
   if (router_ttl_ms > left_ms) {
-    throw KeyError("aggregator.ttl_ms", "of the " + std::to_string(valid_ms) +
-                                            " ms that its lease surely lasts " + std::to_string(left_ms) +
-                                            " are left before a renewal: a router's policy.ttl_ms, " +
-                                            std::to_string(router_ttl_ms) + ", does not fit");
+    throw KeyError("aggregator.ttl_ms",
+                   "of the " + std::to_string(valid_ms) + " ms for which its lease is guaranteed, " +
+                       std::to_string(left_ms) +
+                       " ms are left before a renewal: less than policy.ttl_ms of routers, " +
+                       std::to_string(router_ttl_ms));
   }
 }
 
--- a/src/aggregation/options.h
+++ b/src/aggregation/options.h
@@ -1,5 +1,5 @@
-// The options of the section `aggregator` of the operator's file, for an aggregator's process, and of the
-// section `aggregation`, for a router that uses aggregators.
+// The sections of the operator's file for aggregation: `aggregator` for the process of an aggregator, and
+// `aggregation` for a router that uses aggregators.
 //
 // Package `aggregation`.
 #pragma once
@@ -14,13 +14,14 @@
 
 namespace trailcourse::aggregation {
 
-// The keys of the section `aggregator`; their descriptions stand in aggregator_record().
+// The values of the section `aggregator`, named as its keys; aggregator_record() declares their units and
+// ranges.
 struct AggregatorOptions {
   std::string listen;
   std::string name;
   std::vector<std::string> zones;
-  std::string
-      board;  // of the discovery service; empty: this aggregator coordinates no acknowledgement rounds
+  // Address of the discovery service. If it is empty, this aggregator coordinates no acknowledgement rounds.
+  std::string board;
   std::int64_t ttl_ms = 4'000;
   std::int64_t renew_ms = 500;
   double drift_percent = 1.0;
@@ -29,21 +30,23 @@
   std::int64_t routers = 2'000;
   std::int64_t connections = 4'096;
 };
+// Returns the declaration of the keys. It has static lifetime.
 const config::Record<AggregatorOptions>& aggregator_record();
-// Checks what depends on more than one key. `router_ttl_ms` is the time of the leases that routers request.
-// Throws config::KeyError.
+// Checks addresses, names and the constraints between keys. `router_ttl_ms` is the duration of the leases
+// that routers request. Throws config::KeyError.
 void check_aggregator(const AggregatorOptions& options, std::int64_t router_ttl_ms);
 AggregatorSettings aggregator_settings(const AggregatorOptions& options);
 
-// The keys of the section `aggregation`.
+// The values of the section `aggregation`, named as its keys.
 struct AggregationOptions {
   std::vector<std::string> endpoints;  // in the order in which they are tried
 };
+// Returns the declaration of the keys. It has static lifetime.
 const config::Record<AggregationOptions>& aggregation_record();
-// Throws config::KeyError.
+// Checks the addresses. Throws config::KeyError.
 void check_aggregation(const AggregationOptions& options);
-// Returns the options by which a router reaches the store through aggregators: timeouts and prefix of
-// `coordination`, endpoints of `options`.
+// Returns the options with which a router connects to the store through aggregators: those of `coordination`,
+// with the endpoints of `options`.
 coordination::CoordinationOptions through_aggregators(coordination::CoordinationOptions coordination,
                                                       const AggregationOptions& options);
 
--- a/src/aggregation/report_summary.cpp
+++ b/src/aggregation/report_summary.cpp
@@ -11,13 +11,13 @@
 
 namespace {
 
-// The stage of the open rollout that routers of the zone take part in; 0 if there is none.
+// Returns the current stage of the open rollout if it includes the zone, otherwise 0.
 std::uint64_t open_stage(const ObservedState& observed, const std::string& zone) {
   const std::optional<Rollout>& rollout = observed.rollout;
   return rollout && rollout->is_open() && rollout->applies_to(zone) ? policy::stage_id(*rollout) : 0;
 }
 
-// The report of a router that has done all that is requested.
+// Returns the report of a router that has completed all requested actions.
 ParticipantReport completed_report(const ObservedState& observed, const std::string& zone) {
   ParticipantReport out;
   out.zone = zone;
@@ -38,8 +38,8 @@
          (completed.ready_stage == 0 || report.ready_stage == completed.ready_stage);
 }
 
-// The version that a router decides under and the stage that it is suspended for. The two belong together: a
-// summary takes both from the same report.
+// The version that a router decides under and the stage that it is suspended for. A summary takes both from
+// the same report.
 struct VersionAndStage {
   std::uint64_t version = 0;
   std::uint64_t suspended_stage = 0;
@@ -50,7 +50,7 @@
   return {report.version, report.suspended_stage};
 }
 
-// Whether the aggregator has observed the commit or the abort of the stage.
+// Returns whether the aggregator has observed the commit or the abort of the stage.
 bool is_settled(const ObservedState& observed, std::uint64_t stage) {
   if (!observed.rollout || stage == 0) {
     return false;
@@ -61,10 +61,10 @@
   return stage < observed_stage || (stage == observed_stage && settled);
 }
 
-// Whether the coordinator cannot mistake the report of this one router for that of all. A router may have
-// observed a stage that the aggregator has not, and a router that joins later starts from the aggregator's
-// state.
-bool may_stand_for_all(const ObservedState& observed, const std::string& zone,
+// Returns whether the coordinator draws no wrong conclusion if the report of this router represents all
+// routers. A router may have observed a stage that the aggregator has not, and a router that joins later
+// starts from the aggregator's state.
+bool may_represent_all(const ObservedState& observed, const std::string& zone,
                        const ParticipantReport& report) {
   if (report.suspended_stage != 0) {
     return is_settled(observed, report.suspended_stage);
@@ -83,7 +83,7 @@
     if (reported == version_and_stage_of(completed)) {
       continue;
     }
-    if (may_stand_for_all(observed, completed.zone, router.report)) {
+    if (may_represent_all(observed, completed.zone, router.report)) {
       return reported;
     }
     out.version = all_complete ? reported.version : out.version;
@@ -97,16 +97,18 @@
 void merge(ParticipantReport& summary, const RouterReport& router, const ParticipantReport& completed,
            std::uint64_t round) {
   const ParticipantReport& report = router.report;
-  // 0 and never an earlier stage, so that the rollout is not taken to be prepared too early.
+  // The value is 0, never an earlier stage, so that the coordinator does not treat the rollout as prepared
+  // too early.
   summary.ready_stage = report.ready_stage == completed.ready_stage ? summary.ready_stage : 0;
-  // Also for a stage that the aggregator has not observed: a rejection must not wait for its watch.
+  // Includes the rejection of a stage that the aggregator has not observed yet, since a rejection must not be
+  // delayed.
   if (report.rejected_stage > summary.rejected_stage) {
     summary.rejected_stage = report.rejected_stage;
     summary.rejection_reason = router.router + ": " + report.rejection_reason;
   }
   summary.acknowledged_round = std::min(summary.acknowledged_round, report.acknowledged_round);
-  const bool awaited = !is_complete(report, completed) || report.acknowledged_round < round;
-  if (summary.waiting_for.empty() && awaited) {
+  const bool is_pending = !is_complete(report, completed) || report.acknowledged_round < round;
+  if (summary.waiting_for.empty() && is_pending) {
     summary.waiting_for = router.router;
   }
 }
--- a/src/aggregation/report_summary.h
+++ b/src/aggregation/report_summary.h
@@ -1,9 +1,9 @@
 // The summary of the reports of all routers of a zone on a policy rollout.
 //
-// A summary never claims more than each router has reported: it is prepared, has suspended the old version or
-// has switched to the new one only once every router is or has. Nor does it claim more than the aggregator
-// has observed in the store itself, because a router that joins later starts from what the aggregator has
-// observed. It has acknowledged a round once every router has.
+// A summary never reports more progress than each router: it reports that the zone is ready, is suspended or
+// has switched to the new version only after every router has reported so. Nor does it report more progress
+// than the aggregator has observed in the store itself, since a router that joins later starts from the state
+// that the aggregator has observed. It acknowledges a round after every router has acknowledged it.
 //
 // Package `aggregation`: no I/O, no clock.
 #pragma once
@@ -18,22 +18,23 @@
 
 namespace trailcourse::aggregation {
 
-// The latest report of a router, and the router that sent it.
+// The latest report of a router, with the router's name.
 struct RouterReport {
   std::string router;
   policy::ParticipantReport report;
 };
+// The reports by lease.
 using RouterReports = std::map<coordination::LeaseId, RouterReport>;
 
-// The value of `held` in a summary whose routers decide under different versions, are suspended for different
-// stages, or have observed more than the aggregator. No rollout has a stage of this number, so that the
-// coordinator reads neither "all are suspended" nor "all have switched" from it.
+// The suspended stage (`held` in the record) of a summary whose routers decide under different versions, are
+// suspended for different stages, or have observed more than the aggregator. No rollout has a stage with this
+// number, so the coordinator concludes neither that all routers are suspended nor that all have switched.
 constexpr std::uint64_t kRoutersDiffer = 1;
 
-// Returns the report that stands for all of `routers`, which are of one zone. `observed` is the state of the
-// store as the aggregator has read it. Without any router the result is that of a router with nothing left to
-// do, so that the coordinator does not wait for an empty zone. The caller fills in the number of the report
-// and the counts of requests, which are 0.
+// Returns the report that represents all of `routers`, which are of one zone. `observed` is the state of the
+// store as the aggregator has observed it. Without routers the result is that of a router that has completed
+// all requested actions, so that the coordinator does not wait for an empty zone. The caller sets the
+// sequence number of the report and the request counts, which are 0.
 policy::ParticipantReport summarize(const policy::ObservedState& observed, const std::string& zone,
                                     const RouterReports& routers);
 
--- a/src/aggregation/request_rejected.h
+++ b/src/aggregation/request_rejected.h
@@ -9,20 +9,20 @@
 
 namespace trailcourse::aggregation {
 
-// Thrown where a router's call is rejected. Nothing has changed then. what() is one line for the caller.
+// Thrown if a router's call is rejected. The call has changed nothing. what() is one line for the caller.
 class RequestRejected : public std::runtime_error {
  public:
   enum class Reason {
     kNoUpstreamLease,  // the aggregator has no snapshot yet, or its own lease ends before the router's would
-    kTooManyRouters,   // the aggregator serves as many routers as it may
+    kTooManyRouters,   // the aggregator serves its maximum number of routers
     kLeaseNotFound,
-    kOutOfOrder,   // a report numbered no higher than the one before, or acknowledging an earlier round
+    kOutOfOrder,   // a report with a sequence number that is not higher, or with an earlier round
     kMalformed,    // a request that cannot be read, or that contradicts an earlier one under the same lease
-    kTooLarge,     // a report over the limit of bytes
+    kTooLarge,     // a report above the size limit
     kUnknownZone,  // a report of a zone that the aggregator does not serve
-    kUnsupported   // a call that the store takes and an aggregator does not
+    kUnsupported   // a call that the store supports and an aggregator does not
   };
-  static constexpr std::size_t kReasons = 8;
+  static constexpr std::size_t kReasonCount = 8;
 
   RequestRejected(Reason reason, const std::string& text) : std::runtime_error(text), reason_(reason) {}
   Reason reason() const { return reason_; }
@@ -31,10 +31,10 @@
   Reason reason_;
 };
 
-// Returns the reason as it stands in counters: lower case, words joined by '_'.
+// Returns the name of the reason in counters, in snake case.
 const char* to_string(RequestRejected::Reason reason);
 
-// Returns whether another aggregator may accept the call that this one rejected for `reason`.
+// Returns whether another aggregator may accept a call that this one has rejected for `reason`.
 bool is_retryable_elsewhere(RequestRejected::Reason reason);
 
 }  // namespace trailcourse::aggregation
--- a/src/aggregation/router_leases.cpp
+++ b/src/aggregation/router_leases.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-// On the wire a lease id is a signed 64-bit number; this mask keeps it positive.
+// In the protocol a lease id is a signed 64-bit number. This mask keeps it positive.
 constexpr std::uint64_t kLeaseIdMask = (1ULL << 62U) - 1;
 
 void check_within_upstream_lease(Micros now, Micros ttl, std::optional<Micros> upstream_end) {
-  // A difference and never the sum now + ttl, which may overflow: a caller may ask for any time.
+  // Compares with a difference, since the sum now + ttl may overflow: a caller may request any duration.
   if (!upstream_end || ttl > *upstream_end - now) {
     throw RequestRejected(Reason::kNoUpstreamLease, "the aggregator's own permission ends sooner");
   }
@@ -132,7 +132,7 @@
                                   const ParticipantReport& after) {
   RequestCounts& counts = request_counts_[zone];
   counts.requests += increase(before.requests, after.requests);
-  counts.refused += increase(before.failed_requests, after.failed_requests);
+  counts.failed += increase(before.failed_requests, after.failed_requests);
 }
 
 void RouterLeases::expire(Micros now) {
--- a/src/aggregation/router_leases.h
+++ b/src/aggregation/router_leases.h
@@ -1,9 +1,8 @@
-// The leases that an aggregator has granted to the routers below it, and the latest report of each router. A
-// router's lease ends before the aggregator's own does, so that no router decides for longer than the store
-// allows.
+// The leases that an aggregator has granted to its routers, and the latest report of each router. A router's
+// lease ends before the aggregator's own lease, so that no router decides for longer than the store allows.
 //
-// A router counts from its first report until its lease expires or is revoked. This holds also if it has
-// moved to another aggregator meanwhile, because it may still decide under the lease granted here.
+// The summary includes a router from its first report until its lease expires or is revoked, even if the
+// router has moved to another aggregator meanwhile, since it may still decide under the lease granted here.
 //
 // Package `aggregation`: no I/O, no clock; time is Micros of the aggregator's steady clock. Not thread-safe.
 #pragma once
@@ -24,37 +23,39 @@
 namespace trailcourse::aggregation {
 
 struct RouterLeaseOptions {
-  std::size_t max_routers = 2'000;  // with a lease at the same time
+  std::size_t max_routers = 2'000;  // with a valid lease
   Micros min_ttl{100'000};          // shorter leases are rejected
 };
 
-// Requests of all routers of a zone since the aggregator started. The counts only grow, whichever routers
-// join or leave.
+// Requests at all routers of a zone since the aggregator started. The counts never decrease, also when
+// routers leave.
 struct RequestCounts {
   std::uint64_t requests = 0;
-  std::uint64_t refused = 0;  // refused or failed
+  std::uint64_t failed = 0;  // rejected or failed
 };
 
 class RouterLeases {
  public:
-  // `seed` determines the lease ids. It must differ between aggregators and between starts, so that no two of
-  // them grant the same id.
+  // `seed` determines the lease ids. It has to be different for each aggregator and each start, so that no id
+  // is granted twice.
   RouterLeases(const RouterLeaseOptions& options, std::uint64_t seed) : options_(options), random_(seed) {}
 
-  // Grants a lease of `ttl`. It must end no later than `upstream_end`, the end of the aggregator's own lease;
-  // without one nothing is granted. Throws RequestRejected.
+  // Grants a lease of `ttl`. Throws RequestRejected if the lease would end after `upstream_end`, the end of
+  // the aggregator's own lease, if there is no `upstream_end`, if `ttl` is too short, or if there are too
+  // many routers.
   coordination::LeaseId grant(Micros now, Micros ttl, std::optional<Micros> upstream_end);
-  // Renews a lease for its full time and returns that time, or nothing if there is no such lease. Throws
-  // RequestRejected if the renewed lease would end after `upstream_end`.
+  // Renews a lease for its full duration and returns that duration, or nothing if there is no such lease.
+  // Throws RequestRejected if the renewed lease would end after `upstream_end`.
   std::optional<Micros> keep_alive(Micros now, coordination::LeaseId id, std::optional<Micros> upstream_end);
-  // Ends a lease now. Throws RequestRejected if there is none.
+  // Ends a lease now. Throws RequestRejected if there is no such lease.
   void revoke(coordination::LeaseId id);
-  // Stores the report of a router under its lease. Throws RequestRejected.
+  // Stores the report of a router under its lease. Throws RequestRejected if there is no such lease, or if
+  // the report is out of order or contradicts an earlier one.
   void record_report(coordination::LeaseId id, const RouterReport& report);
-  // Notes that the summary of `zone` has acknowledged the rounds up to `round`: from now on no router joins
-  // with an earlier one.
+  // Records that the summary of `zone` has acknowledged the rounds up to `round`. From now on routers that
+  // join with an earlier round are rejected.
   void set_min_acknowledged(const std::string& zone, std::uint64_t round);
-  // Ends the leases whose time is over.
+  // Ends the leases that have expired.
   void expire(Micros now);
   std::optional<Micros> next_expiry() const;
 
--- a/src/aggregation/upstream_calls.cpp
+++ b/src/aggregation/upstream_calls.cpp
@@ -25,8 +25,8 @@
   return prefix + policy::report_key(name + "." + zone, lease);
 }
 
-// The acknowledgement record is read and not compared. It changes with every round, and an aggregator far
-// away could hardly ever join while rounds follow each other without a pause.
+// The acknowledgement record is read and not compared. It changes with every round, so an aggregator with a
+// slow connection to the store could hardly ever join while rounds follow each other without a pause.
 Transaction join_transaction(const std::string& prefix, const std::string& name, LeaseId lease,
                              const LeaseAction& action) {
   Transaction out;
--- a/src/aggregation/upstream_lease.cpp
+++ b/src/aggregation/upstream_lease.cpp
@@ -11,16 +11,16 @@
 
 namespace {
 
-// The term of every upstream lease; 0 is that of a released one. Its fencing is done by the lease id in the
-// summary's key.
+// The term of every upstream lease, and that of a released one. Upstream leases need no terms of their own,
+// since the lease id in the summary's key fences the writes.
 constexpr ownership::Term kTerm = 1;
 constexpr ownership::Term kReleasedTerm = 0;
 
-// The time for which another router than the stored one has to be awaited before that alone is written. As a
-// rule rounds and rollouts are over sooner.
-constexpr Micros kAwaitsWriteDelay{1'000'000};
+// The time after which a changed `waiting_for` is written if nothing else has changed. Rounds and rollouts
+// usually end sooner.
+constexpr Micros kWaitingForWriteDelay{1'000'000};
 
-// Whether two reports differ at most in what operators read and the coordinator does not.
+// Returns whether two reports are the same for the coordinator: they differ at most in what operators read.
 bool is_equivalent(ParticipantReport left, const ParticipantReport& right) {
   left.sequence = right.sequence;
   left.waiting_for = right.waiting_for;
@@ -28,7 +28,7 @@
   return left == right;
 }
 
-// Whether the coordinator watches the requests of the zone.
+// Returns whether the coordinator watches the requests of the zone.
 bool is_watched(const ObservedByZone& observed, const std::string& zone) {
   const auto found = observed.find(zone);
   if (found == observed.end() || !found->second.rollout) {
@@ -58,7 +58,8 @@
   return out;
 }
 
-// Counts of requests alone are written only while the coordinator watches them.
+// Restores the stored request counts unless the coordinator watches them, so that a change of the counts
+// alone causes no write.
 SummariesByZone UpstreamLease::without_idle_counts(const ObservedByZone& observed,
                                                    SummariesByZone summaries) const {
   for (auto& [zone, report] : summaries) {
@@ -120,19 +121,19 @@
     return true;
   }
   if (report.waiting_for == stored.report->waiting_for) {
-    stored.awaits_differs_since.reset();
+    stored.waiting_for_changed_at.reset();
     return false;
   }
-  stored.awaits_differs_since = stored.awaits_differs_since.value_or(now);
-  return now - *stored.awaits_differs_since >= kAwaitsWriteDelay;
+  stored.waiting_for_changed_at = stored.waiting_for_changed_at.value_or(now);
+  return now - *stored.waiting_for_changed_at >= kWaitingForWriteDelay;
 }
 
-// A lease that is to be released is released also while the store does not answer.
+// The release of the lease does not require a connected store.
 bool UpstreamLease::may_call(Micros now, bool connected) const {
   return connected || lease_.phase(now) == LeasePhase::kStopped;
 }
 
-// While no call may be made, time alone changes nothing: only a message from the store does.
+// While no lease call may be made, the lease adds no time, since only an event can change that.
 std::optional<Micros> UpstreamLease::next_step_at(Micros now, bool connected) const {
   std::optional<Micros> out = may_call(now, connected) ? lease_.next_step_at(now) : std::nullopt;
   if (lease_.may_act(now)) {
@@ -142,8 +143,8 @@
     out = earlier(out, next_write_at_);
   }
   for (const auto& [zone, stored] : stored_) {
-    if (may_write(now) && stored.awaits_differs_since) {
-      out = earlier(out, *stored.awaits_differs_since + kAwaitsWriteDelay);
+    if (may_write(now) && stored.waiting_for_changed_at) {
+      out = earlier(out, *stored.waiting_for_changed_at + kWaitingForWriteDelay);
     }
   }
   return out;
@@ -153,7 +154,7 @@
   return joined_ ? std::optional<Micros>(lease_.valid_until()) : std::nullopt;
 }
 
-// ---- Answers ----
+// ---- Results ----
 
 void UpstreamLease::forget_summaries() {
   joined_ = false;
@@ -172,7 +173,7 @@
   }
   lease_.on_granted(now, call_id, kTerm);
   if (lease_.term() == 0 || joined_) {
-    return;  // the answer to a call that is no longer awaited
+    return;  // the result of an earlier call
   }
   joined_ = true;
   required_acknowledgement_revision_ = result.acknowledgement_revision;
@@ -202,7 +203,7 @@
 void UpstreamLease::on_no_response(Micros now, std::uint64_t call_id) {
   lease_.on_no_response(now, call_id);
   if (!joined_) {
-    in_flight_.clear();  // whether or not they were written: the next join has another lease and other keys
+    in_flight_.clear();  // whether or not they were written, the next join has another lease and other keys
   }
 }
 
@@ -215,11 +216,11 @@
     StoredSummary& stored = stored_[summary.zone];
     const auto revision = result.revisions.find(summary.zone);
     stored.revision = revision == result.revisions.end() ? stored.revision : revision->second;
-    stored.awaits_differs_since.reset();
+    stored.waiting_for_changed_at.reset();
     if (result.status == SummaryWriteResult::Status::kWritten) {
       stored.report = summary.report;
     } else {
-      stored.report.reset();  // unknown: it is written again over whatever stands there
+      stored.report.reset();  // unknown, so the summary is written again
     }
   }
   const bool retries_later = result.status == SummaryWriteResult::Status::kUnknown;
--- a/tests/aggregation/aggregator_fixture.h
+++ b/tests/aggregation/aggregator_fixture.h
@@ -1,4 +1,4 @@
-// An aggregator before the real state of a store, both on one clock that a test moves.
+// A fixture with an aggregator and the real state of a store, both on one clock that the test advances.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -32,7 +32,7 @@
   void put_rollout(policy::RolloutState state) {
     put(policy::kRolloutKey, policy::write_rollout(rollout_in(state)));
   }
-  // Hands the aggregator what has changed since the last call, once it has a snapshot.
+  // Passes the changes since the last call to the aggregator. Drops them before its first snapshot.
   void publish_changes() {
     std::vector<coordination::KeyChange> changes;
     for (const coordination::KeyChange& change : store_.take_changes()) {
@@ -58,7 +58,7 @@
 
   // ---- The aggregator's calls ----
 
-  // Executes all calls that the aggregator makes now; each is answered at once.
+  // Executes the calls that the aggregator makes now, each with an immediate response.
   void execute_steps() {
     constexpr int kMaxSteps = 8;
     for (int step = 0; step < kMaxSteps; ++step) {
@@ -93,7 +93,7 @@
     const auto outcome = store_.commit(summary_transaction("", kName, lease_, action));
     aggregator_.upstream().on_write_result(now_, action.call_id, read_write_result(outcome, action));
   }
-  // Returns the write of summaries that is due, without executing it.
+  // Returns the write of summaries that is due now, without executing it.
   std::optional<ReportSummariesAction> due_write() {
     const std::vector<UpstreamAction> actions = aggregator_.step(now_);
     if (actions.size() != 1 || !std::holds_alternative<ReportSummariesAction>(actions.front())) {
@@ -116,7 +116,7 @@
     out.suspended_stage = stage_in(policy::RolloutState::kSuspending);
     return out;
   }
-  // Returns the router's write of its next report.
+  // Returns the transaction by which the router writes its next report.
   coordination::Transaction report_from(const std::string& router, coordination::LeaseId lease,
                                         policy::ParticipantReport report) {
     report.sequence = ++report_number_;
@@ -129,7 +129,7 @@
     return lease;
   }
 
-  // Expects `call` to be rejected for `reason`, to be counted and to change nothing else.
+  // Expects that `call` is rejected for `reason` and counted, and that it changes nothing else.
   template <typename Call>
   void expect_rejected(RequestRejected::Reason reason, Call call) {
     const std::uint64_t rejected_before = aggregator_.counts().total_rejected();
--- a/tests/aggregation/aggregator_input_test.cpp
+++ b/tests/aggregation/aggregator_input_test.cpp
@@ -42,7 +42,7 @@
   return text;
 }
 
-TEST_F(AggregatorInputTest, InvalidReportsAreRejectedWithAReason) {
+TEST_F(AggregatorInputTest, RejectsInvalidReportsWithAReason) {
   load_snapshot();
   execute_steps();
   const LeaseId lease = join("r1", "edge");
@@ -64,7 +64,7 @@
   put_rejected(Reason::kTooLarge, key, good + std::string(4'096, ' '), lease);
   put_rejected(Reason::kUnknownZone, key, policy::write_report(report_of("north")), lease);
   put_rejected(Reason::kLeaseNotFound, policy::report_key("r1", 1), good, 1);
-  put_rejected(Reason::kOutOfOrder, key, good, lease);  // unnumbered after a numbered one
+  put_rejected(Reason::kOutOfOrder, key, good, lease);  // without a sequence number, after a report with one
   expect_rejected(Reason::kOutOfOrder, [&] {
     report_number_ = 0;
     aggregator_.commit(now_, report_from("r1", lease, report_of("edge")));
@@ -81,12 +81,12 @@
   });
   expect_rejected(Reason::kLeaseNotFound, [&] { aggregator_.revoke(now_, 1); });
   EXPECT_EQ(aggregator_.keep_alive(now_, 1), std::nullopt);
-  EXPECT_EQ(aggregator_.keep_alive(now_, lease), seconds(3)) << "the lease is untouched";
+  EXPECT_EQ(aggregator_.keep_alive(now_, lease), seconds(3)) << "the lease is unchanged";
 }
 
-// Whatever arrives is either a valid report of its lease, or rejected and counted. Other routers and the
-// validity of the summaries are not affected.
-TEST_F(AggregatorInputTest, MutatedReportsAndTransactionsAreAcceptedValidOrRejected) {
+// Each mutated transaction is either accepted as a valid report under its lease, or rejected and counted. It
+// affects neither other routers nor the validity of the summaries.
+TEST_F(AggregatorInputTest, AcceptsMutatedTransactionsOnlyIfTheyAreValid) {
   put_rollout(RolloutState::kSuspending);
   load_snapshot();
   execute_steps();
@@ -98,7 +98,8 @@
   std::uint64_t accepted = 0;
   for (int round = 0; round < 5'000; ++round) {
     if (round % 20 == 0) {
-      // After a mutation that raised the number of a report no other is accepted under this lease.
+      // A mutation may have raised the sequence number, so that no further report is accepted under this
+      // lease.
       aggregator_.revoke(now_, lease);
       lease = join("r1", "edge");
     }
@@ -133,9 +134,9 @@
   EXPECT_EQ(aggregator_.keep_alive(now_, witness), seconds(3));
 }
 
-// Where a record of the store cannot be read, the aggregator has observed no rollout, and so have routers
-// that join from its state.
-TEST_F(AggregatorInputTest, MutatedStoreRecordsAreReadValidOrNotAtAll) {
+// If a record of the store cannot be read, neither the aggregator nor the routers that join from its state
+// observe a rollout.
+TEST_F(AggregatorInputTest, IgnoresMutatedStoreRecordsUnlessTheyAreValid) {
   std::mt19937_64 random(22);
   const std::string good = policy::write_rollout(rollout_in(RolloutState::kSuspending));
   load_snapshot();
--- a/tests/aggregation/aggregator_process_test.cpp
+++ b/tests/aggregation/aggregator_process_test.cpp
@@ -1,4 +1,4 @@
-// `trailcourse aggregator` as a process.
+// The process of `trailcourse aggregator`.
 #include <gtest/gtest.h>
 
 #include <csignal>
@@ -16,7 +16,7 @@
 using nlohmann::json;
 using std::chrono::milliseconds;
 
-TEST(AggregatorProcessTest, ServesUntilSigtermAndThenDrains) {
+TEST(AggregatorProcessTest, ServesRoutersUntilSigtermAndThenDrains) {
   Region region;
   const std::string listen = region.free_address();
   const std::string config = region.folder() + "/aggregator.json";
@@ -29,8 +29,8 @@
   spec.words = {TRAILCOURSE_PROGRAM, "aggregator", "--config", config};
   spec.log = region.folder() + "/aggregator.log";
   fleet::Process process(spec);
-  const auto logged = [&](const std::string& words) {
-    return region.until([&] { return process.log().find(words) != std::string::npos; });
+  const auto logged = [&](const std::string& text) {
+    return region.until([&] { return process.log().find(text) != std::string::npos; });
   };
   ASSERT_TRUE(logged("acquired its lease")) << process.log();
   EXPECT_TRUE(logged("takes on the kind policy alone"));
--- a/tests/aggregation/aggregator_service_test.cpp
+++ b/tests/aggregation/aggregator_service_test.cpp
@@ -1,4 +1,4 @@
-// An aggregator's server for routers and its calls to the store, over loopback sockets.
+// The server of an aggregator and its calls to the store, over loopback sockets.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -23,7 +23,7 @@
 using coordination::StoreResponse;
 using coordination::Transaction;
 
-TEST(AggregatorServiceTest, LeasesAreGrantedRenewedAndExpire) {
+TEST(AggregatorServiceTest, GrantsAndRenewsLeasesUntilTheyExpire) {
   Region region;
   const AggregatorService& service = region.add_aggregator("a1");
   CoordinationStore& router = region.router();
@@ -33,14 +33,14 @@
   EXPECT_EQ(renewed.value.ttl, Micros(kLongTtl));
   const LeaseId lease = region.acquire_lease(router, kShortTtl);
   ASSERT_TRUE(region.until([&] { return service.aggregator().router_count() == 1; }))
-      << "the second is not renewed";
+      << "the second lease is not renewed";
   const auto gone = region.renew(router, lease);
   ASSERT_TRUE(gone.ok()) << gone.error;
   EXPECT_EQ(gone.value.ttl, Micros(0));
-  EXPECT_TRUE(region.revoke(router, lease).ok()) << "there is none any more, as requested";
+  EXPECT_TRUE(region.revoke(router, lease).ok()) << "the lease has already ended, as requested";
 }
 
-TEST(AggregatorServiceTest, RevokedLeaseEndsAtOnce) {
+TEST(AggregatorServiceTest, EndsARevokedLeaseAtOnce) {
   Region region;
   const AggregatorService& service = region.add_aggregator("a1");
   CoordinationStore& router = region.router();
@@ -52,7 +52,7 @@
             CallStatus::kRejected);
 }
 
-TEST(AggregatorServiceTest, ReportIsAcceptedOnlyIfTheRecordsAreAsTheRouterObserved) {
+TEST(AggregatorServiceTest, AcceptsAReportOnlyIfTheRecordsAreAsTheRouterObserved) {
   Region region;
   region.add_aggregator("a1");
   ASSERT_TRUE(
@@ -74,7 +74,7 @@
   const auto joined = region.commit(router, join);
   ASSERT_TRUE(joined.ok()) << joined.error;
   EXPECT_TRUE(joined.value.succeeded);
-  // The summary takes over the version of a router that decides under another one.
+  // The summary contains the version of a router that decides under another version.
   ASSERT_TRUE(region.commit(router, report_write("r1", lease, report_of("east", 4, 2))).ok());
   ASSERT_TRUE(region.until([&] { return region.summaries()["a1.east"].version == 4; }));
   const auto summaries = region.summaries();
@@ -104,7 +104,7 @@
   }
   ASSERT_TRUE(
       region.until([&] { return !direct.state.empty() && direct.state == through_aggregator.state; }));
-  EXPECT_EQ(through_aggregator.snapshots, 1) << "later changes are delivered one by one";
+  EXPECT_EQ(through_aggregator.snapshots, 1) << "later changes arrive without a new snapshot";
   EXPECT_EQ(router.id(), direct_client.id());
   const auto read = region.commit(router, Transaction{{}, {Get{Range{at("policy/"), true}}}, {}});
   ASSERT_TRUE(read.ok()) << read.error;
@@ -113,18 +113,18 @@
   router.unwatch(second);
 }
 
-TEST(AggregatorServiceTest, UnsupportedCallsAreRejectedWithAReasonAndChangeNothing) {
+TEST(AggregatorServiceTest, RejectsUnsupportedCallsWithAReason) {
   Region region;
   const AggregatorService& service = region.add_aggregator("a1");
   CoordinationStore& router = region.router();
   const LeaseId lease = region.acquire_lease(router);
   ASSERT_TRUE(region.commit(router, report_write("r1", lease, report_of("east", 0, 5))).ok());
-  // Requests for a lease before the aggregator had its own were rejected, too.
+  // Lease requests before the aggregator had its own lease were rejected, too.
   const std::uint64_t rejected_before = service.aggregator().counts().total_rejected();
-  const auto expect_rejected = [&](const Transaction& transaction, const std::string& word) {
+  const auto expect_rejected = [&](const Transaction& transaction, const std::string& text) {
     const auto reply = region.commit(router, transaction);
-    EXPECT_EQ(reply.status, CallStatus::kRejected) << word;
-    EXPECT_NE(reply.error.find(word), std::string::npos) << reply.error;
+    EXPECT_EQ(reply.status, CallStatus::kRejected) << text;
+    EXPECT_NE(reply.error.find(text), std::string::npos) << reply.error;
   };
   expect_rejected(report_write("r1", lease, report_of("east", 0, 4)), "number");
   expect_rejected(report_write("r1", lease, report_of("north", 0, 6)), "zone");
@@ -138,8 +138,8 @@
   EXPECT_EQ(region.summaries()["a1.east"].version, 0U);
 }
 
-// Calls with changed bytes are answered or rejected, and the lease of another router is not affected.
-TEST(AggregatorServiceTest, MutatedCallsAreAnsweredOrRejected) {
+// Each mutated call is answered or rejected, and does not affect the lease of another router.
+TEST(AggregatorServiceTest, AnswersOrRejectsMutatedCalls) {
   Region region;
   AggregatorService& service = region.add_aggregator("a1");
   CoordinationStore& router = region.router();
@@ -175,7 +175,7 @@
   EXPECT_GT(malformed, 0);
 }
 
-TEST(AggregatorServiceTest, AnswersNothingBeforeTheStoreIsConnected) {
+TEST(AggregatorServiceTest, RejectsCallsBeforeTheStoreIsConnected) {
   Region region;
   const AggregatorService& service = region.add_aggregator("a1", region.free_address());
   CoordinationStore& router = region.router();
@@ -185,9 +185,9 @@
   EXPECT_EQ(service.aggregator().router_count(), 0U);
 }
 
-// The first aggregator has lost the store and grants nothing. Calls and watches continue at the second one,
-// which delivers what the first has not observed.
-TEST(AggregatorServiceTest, RoutersOfAnIsolatedAggregatorContinueAtTheNext) {
+// The first aggregator is disconnected from the store and grants no leases. Calls and watches continue at the
+// second one, which delivers the changes that the first one has not observed.
+TEST(AggregatorServiceTest, RoutersOfAnIsolatedAggregatorContinueAtTheNextOne) {
   Region region;
   const std::string between = region.free_address();
   fleet::FaultProxy proxy(region.scheduler, "a1>store", *transport::parse_address(between),
@@ -213,13 +213,13 @@
           .ok());
   EXPECT_TRUE(region.until([&] { return watcher.state.contains(at(policy::kCurrentKey)); }))
       << watcher.disconnect_reason;
-  // All leases of the first have expired by the time that its own expires in the store.
+  // All leases of the first aggregator expire before its own lease expires in the store.
   ASSERT_TRUE(region.until([&] { return !region.summaries().contains("a1.east"); }));
   EXPECT_FALSE(first.aggregator().upstream().is_active(Region::now()));
   router.unwatch(watch);
 }
 
-TEST(AggregatorServiceTest, RouterOfAStoppedAggregatorJoinsTheNextUnderANewLease) {
+TEST(AggregatorServiceTest, RouterOfAStoppedAggregatorJoinsTheNextOneUnderANewLease) {
   Region region;
   const AggregatorService& first = region.add_aggregator("a1");
   const AggregatorService& second = region.add_aggregator("a2");
@@ -235,7 +235,7 @@
   EXPECT_EQ(second.aggregator().router_count(), 1U);
 }
 
-TEST(AggregatorServiceTest, DrainingReleasesTheLeaseOnceNoRouterHasOne) {
+TEST(AggregatorServiceTest, ReleasesItsLeaseWhileDrainingOnceNoRouterHasOne) {
   Region region;
   AggregatorService& service = region.add_aggregator("a1");
   CoordinationStore& router = region.router();
--- a/tests/aggregation/region.h
+++ b/tests/aggregation/region.h
@@ -1,5 +1,5 @@
-// A region of real aggregators over loopback sockets: the server of a store, aggregators below it, and
-// clients as routers have them.
+// A region of real aggregators over loopback sockets: the server of a store, aggregators, and the clients of
+// routers.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -23,14 +23,16 @@
 namespace trailcourse::aggregation {
 
 constexpr const char* kPrefix = "trailcourse/";
-// The time of a lease that must not expire within a test, also on a busy machine, and of one that has to.
+// The duration of a lease that must not expire within a test, even on a busy machine, and of one that has to
+// expire.
 constexpr std::chrono::milliseconds kLongTtl{20'000};
 constexpr std::chrono::milliseconds kShortTtl{500};
 constexpr std::int64_t kAggregatorTtlMs = 30'000;
 
+// Returns a key with the prefix of all keys.
 inline std::string at(const std::string& key) { return kPrefix + key; }
 
-// Keeps the records that a watch has delivered.
+// Stores the records that a watch has delivered.
 struct RecordingWatcher : coordination::WatchObserver {
   void on_snapshot(coordination::Revision revision,
                    const std::vector<coordination::Entry>& entries) override {
@@ -64,9 +66,9 @@
 class Region : public testing_support::StoreCalls {
  public:
   Region() {
-    static int made = 0;
+    static int region_count = 0;
     folder_ = testing::TempDir() + "trailcourse-aggregation-" + std::to_string(::getpid()) + "-" +
-              std::to_string(++made);
+              std::to_string(++region_count);
     std::filesystem::remove_all(folder_);
     std::filesystem::create_directories(folder_);
     coordination::RegistryOptions options;
@@ -119,13 +121,14 @@
   const std::string& folder() const { return folder_; }
   std::string free_address() { return ports_.take_text(); }
 
-  // Requests a lease until it is granted: an aggregator may not have its own yet.
+  // Requests a lease until it is granted, since an aggregator may not have its own lease yet.
   coordination::LeaseId acquire_lease(coordination::CoordinationStore& store,
                                       std::chrono::milliseconds ttl = kLongTtl) {
     coordination::StoreResponse<coordination::GrantedLease> reply;
     EXPECT_TRUE(until([&] { return (reply = grant(store, ttl)).ok(); })) << reply.error;
     return reply.value.id;
   }
+  // Returns whether the aggregator acquires its own lease in time.
   bool await_active(const AggregatorService& service) {
     return until([&] { return service.aggregator().upstream().is_active(now()); });
   }
--- a/tests/aggregation/region_world.h
+++ b/tests/aggregation/region_world.h
@@ -1,9 +1,10 @@
-// Routers below aggregators before a store, simulated in virtual time: the real participants, aggregators,
+// A simulation of routers, aggregators and a store in virtual time: the real participants, aggregators,
 // coordinators of rollouts and of acknowledgement rounds, and store state.
 //
-// Faults are drawn from a seed: calls late or lost on both hops; watches that lag behind; clocks that drift
-// apart; aggregators killed, paused and resumed, cut off from the store or from routers, drained; routers
-// that move; a region cut off for long; half of all processes restarted; the store restored from an old copy.
+// A seed determines the faults: late and lost calls on both hops; watches that lag behind; drifting clocks;
+// aggregators that crash, pause, drain, or are disconnected from the store or from routers; routers that
+// move; a region that is disconnected for long; half of all processes restarted; the store restored from an
+// old backup.
 #pragma once
 
 #include <array>
@@ -26,19 +27,19 @@
 
 namespace trailcourse::aggregation {
 
-// A defect put into the world, which its checks have to find.
+// A defect seeded into the simulation, which its checks have to find.
 enum class Defect {
   kNone,
   kRouterMissingFromSummary,
-  kLeaseOfMovedRouterDropped,   // as soon as the router asks another aggregator
+  kLeaseOfMovedRouterDropped,   // as soon as the router calls another aggregator
   kRenewedBeyondUpstreamLease,  // although the aggregator's own lease ends sooner
   kUnfencedSummary,             // its key does not name the lease, and nothing is compared
-  kLeaseIdsRepeated,            // an aggregator that was restarted grants the ids of its last start
-  kAcknowledgesUnseenEvents,    // routers acknowledge whatever is requested
-  kJoinsWithEarlierRound        // an aggregator accepts a router that has observed an earlier round only
+  kLeaseIdsRepeated,            // a restarted aggregator grants the same ids again
+  kAcknowledgesUnseenEvents,    // routers acknowledge all requested events
+  kJoinsWithEarlierRound        // an aggregator accepts a router that has observed only an earlier round
 };
 
-// What a run of the world has counted.
+// The result of a run, with its counts.
 struct WorldResult {
   std::string failure;  // the first one; empty: none
   std::uint64_t decided = 0;
@@ -62,7 +63,7 @@
  public:
   RegionWorld(std::uint64_t seed, Defect defect);
 
-  // Plays the run to its end.
+  // Runs the simulation to its end.
   WorldResult run();
 
  private:
@@ -71,12 +72,12 @@
     std::string name;
     std::optional<Aggregator> core;
     coordination::LeaseId lease = 0;          // its own
-    coordination::Revision min_revision = 0;  // the highest one seen; answers of a lower one are not used
-    int watch_id = 0;                         // messages of another watch are of an earlier one
+    coordination::Revision min_revision = 0;  // the highest observed; lower responses are ignored
+    int watch_id = 0;                         // messages with another id are of an earlier watch
     bool watching = false;
     bool has_snapshot = false;                                        // on this watch
-    std::vector<std::vector<coordination::KeyChange>> early_changes;  // that arrived before the snapshot
-    bool cut_below = false;                                           // from its routers
+    std::vector<std::vector<coordination::KeyChange>> early_changes;  // before the snapshot
+    bool cut_below = false;                                           // disconnected from its routers
     Micros last_delivery{0};  // of its watch; later messages do not overtake it
   };
   struct RouterProcess : testing_support::VirtualProcess {
@@ -86,7 +87,7 @@
     coordination::LeaseId lease = 0;
     coordination::Revision min_revision = 0;
     int endpoint = 0;            // the aggregator that its calls go to
-    int watched = kNotWatching;  // the aggregator that its watch is at; it follows `endpoint` later
+    int watched = kNotWatching;  // the aggregator of its watch, which follows `endpoint` later
     int watched_incarnation = 0;
     int watch_id = 0;
     Micros last_heartbeat{0};  // in true time
@@ -217,14 +218,14 @@
   Defect defect_;
   coordination::KeyValueState store_{coordination::KeyValueLimits{}};
   StoreBackup backup_;
-  bool store_is_restored_ = false;  // and not everybody is restarted yet
-  bool same_name_ = false;          // of all aggregators
+  bool store_is_restored_ = false;  // true until all processes are restarted
+  bool same_name_ = false;          // whether all aggregators have the same name
   std::deque<AggregatorProcess> aggregators_;
   std::deque<RouterProcess> routers_;
   std::optional<policy::RolloutCoordinator> rollout_coordinator_;
   policy::AcknowledgementCoordinator acknowledgement_coordinator_{std::chrono::milliseconds(200)};
   policy::DiscoveryPosition published_{"board", 0};
-  std::uint64_t completed_event_ = 0;  // reported as applied by every router
+  std::uint64_t completed_event_ = 0;  // recorded as applied by every router
   coordination::Revision coordinator_min_revision_ = 0;
   std::uint64_t last_version_ = 0;
   std::uint64_t commit_count_ = 0;
@@ -234,7 +235,7 @@
 
 // ---- Templates ----
 
-// Answers of a store that was restored from an old copy are not used.
+// Ignores responses of a store that was restored from an old backup.
 template <typename Value>
 void RegionWorld::call_store(AggregatorProcess& aggregator,
                              const std::function<std::optional<Value>()>& operation,
@@ -263,8 +264,8 @@
       on_no_response);
 }
 
-// A call that fails, or is answered by an aggregator that lags behind, is lost. The router switches to
-// the next one.
+// A call that fails, or that an aggregator with an older revision answers, counts as lost, and the router
+// switches to the next aggregator.
 template <typename Value>
 void RegionWorld::call_aggregator(RouterProcess& router, const std::function<Value(Aggregator&)>& operation,
                                   const Handler<Value>& on_answer, const Job& on_no_response) {
--- a/tests/aggregation/region_world_aggregators.cpp
+++ b/tests/aggregation/region_world_aggregators.cpp
@@ -47,7 +47,7 @@
 
 // ---- The watch ----
 
-// Reads the policy's records, and watches them from there on.
+// Reads the policy's records, and watches them from the read on.
 void RegionWorld::start_watch(AggregatorProcess& aggregator) {
   const int watch_id = ++aggregator.watch_id;
   aggregator.watching = false;
@@ -56,7 +56,7 @@
   const auto read = [this, &aggregator, watch_id,
                      same = same_incarnation(aggregator)]() -> std::optional<PolicyRecords> {
     if (!same() || watch_id != aggregator.watch_id) {
-      return std::nullopt;  // of a connection that was closed
+      return std::nullopt;  // the connection was closed
     }
     aggregator.watching = true;
     aggregator.last_delivery = std::max(aggregator.last_delivery, now_);
@@ -101,7 +101,7 @@
     return;
   }
   if (!aggregator.has_snapshot) {
-    // The snapshot is still on its way. On one connection it would come first.
+    // The snapshot has not arrived yet. On one real connection it would arrive first.
     aggregator.early_changes.push_back(changes);
     return;
   }
@@ -217,7 +217,7 @@
       [on_result] { on_result(SummaryWriteResult{}); });
 }
 
-// Writes summaries under keys that do not name their lease.
+// Replaces the keys of summaries by keys that do not contain the lease.
 void RegionWorld::remove_fence(const AggregatorProcess& aggregator, Transaction& transaction) const {
   constexpr LeaseId kAnyLease = 1;
   for (coordination::Operation& operation : transaction.then) {
--- a/tests/aggregation/region_world_constants.h
+++ b/tests/aggregation/region_world_constants.h
@@ -1,4 +1,4 @@
-// Sizes and times of the simulated region.
+// Sizes and durations of the simulated region.
 #pragma once
 
 #include <trailcourse/decider.h>
@@ -17,7 +17,7 @@
 constexpr Micros kAggregatorTtl{4'000'000};
 constexpr Micros kLeaseMargin{20'000};
 constexpr Micros kRetryBackoff{200'000};
-constexpr Micros kWatchTimeout{1'000'000};  // without a heartbeat, after which a watch is taken to be broken
+constexpr Micros kWatchTimeout{1'000'000};  // without a heartbeat, after which a watch counts as broken
 constexpr Micros kStepPeriod{40'000};       // of each process
 
 constexpr Micros kFaultsEnd = std::chrono::seconds(45);
--- a/tests/aggregation/region_world_coordinators.cpp
+++ b/tests/aggregation/region_world_coordinators.cpp
@@ -21,8 +21,8 @@
 
 }  // namespace
 
-// Returns the time by which a coordinator's write arrives after its decision. The store may have moved on by
-// then.
+// Returns the delay between a coordinator's decision and the arrival of its write. The store may have changed
+// by then.
 Micros RegionWorld::coordinator_delay() { return drawn(calm_ || chance(80) ? milliseconds(10) : seconds(4)); }
 
 // ---- Rollouts ----
--- a/tests/aggregation/region_world_faults.cpp
+++ b/tests/aggregation/region_world_faults.cpp
@@ -29,7 +29,7 @@
     return;
   }
   if (defect_ == Defect::kLeaseIdsRepeated) {
-    restart(aggregator, drawn(milliseconds(300)));  // only the fault that shows the defect
+    restart(aggregator, drawn(milliseconds(300)));  // the only fault that reveals the defect
     return;
   }
   switch (random_() % 6) {
@@ -46,7 +46,7 @@
       aggregator.cut_below = true;
       after(aggregator, drawn(seconds(5)), [&aggregator] { aggregator.cut_below = false; });
       break;
-    case 4:  // its watch lags behind
+    case 4:  // the watch lags behind
       aggregator.last_delivery = std::max(aggregator.last_delivery, now_ + drawn(seconds(5)));
       break;
     default:
@@ -72,7 +72,7 @@
   }
 }
 
-// Each at most once in a run.
+// Each of these faults occurs at most once in a run.
 void RegionWorld::draw_rare_faults() {
   if (chance(40)) {
     at(drawn(seconds(30)), [this] { cut_off_region(); });
@@ -125,7 +125,8 @@
   after(process, time, [this, &process] { resume(process); });
 }
 
-// Requests that waited in the router's buffers are decided as soon as it runs, before anything else is read.
+// Requests that waited in the router's buffers are decided as soon as it resumes, before anything else is
+// read.
 void RegionWorld::resume(RouterProcess& router) {
   if (router.paused) {
     handle_request(router);
@@ -133,7 +134,7 @@
   }
 }
 
-// Nobody is started between the restoration of the store and the restart of all.
+// No process is started between the restoration of the store and the restart of all processes.
 template <typename Process>
 void RegionWorld::restart(Process& process, Micros time) {
   if (store_is_restored_ || !process.running) {
@@ -147,10 +148,10 @@
   });
 }
 
-// Also used where an aggregator has drained.
+// Also used after an aggregator has drained, in region_world_aggregators.cpp.
 template void RegionWorld::restart(AggregatorProcess& process, Micros time);
 
-// Calls are lost at once. The aggregator notices later that its watch is silent.
+// Calls are lost at once. The aggregator detects later that its watch is disconnected.
 void RegionWorld::cut_off_from_store(AggregatorProcess& aggregator, Micros time) {
   aggregator.cut = true;
   aggregator.watching = false;
--- a/tests/aggregation/region_world_store.cpp
+++ b/tests/aggregation/region_world_store.cpp
@@ -1,4 +1,4 @@
-// The store of the simulated region, its watches, and its restoration from an old copy.
+// The store of the simulated region, its watches, and its restoration from an old backup.
 #include "aggregation/region_world.h"
 #include "aggregation/region_world_constants.h"
 
@@ -33,7 +33,7 @@
   });
 }
 
-// Sends what has changed to each aggregator that watches, in order.
+// Sends the changes to each aggregator that watches, in order.
 void RegionWorld::publish_changes() {
   Changes changes;
   for (const coordination::KeyChange& change : store_.take_changes()) {
@@ -53,7 +53,7 @@
   }
 }
 
-// Returns when the next message of a watch arrives: after the last one, and sometimes late.
+// Returns the arrival time of the next message of a watch: not before the last one, and sometimes late.
 Micros RegionWorld::delivery_time(Micros& last_delivery, Micros max_lag) {
   last_delivery = std::max(last_delivery, now_ + drawn(calm_ || chance(92) ? milliseconds(15) : max_lag));
   return last_delivery;
@@ -66,7 +66,7 @@
   return true;
 }
 
-// A rejection is no outcome, and so no answer to the aggregator.
+// Returns nothing if the store rejects the transaction, so that the aggregator gets no response.
 std::optional<TransactionResult> RegionWorld::commit_at_store(const Transaction& transaction) {
   try {
     return store_.commit(transaction);
@@ -75,7 +75,7 @@
   }
 }
 
-// ---- Restoration from an old copy ----
+// ---- Restoration from an old backup ----
 
 void RegionWorld::back_up_store() {
   store_.expire(store_clock());
@@ -86,8 +86,9 @@
   backup_.revision = store_.revision();
 }
 
-// All processes that have seen a higher revision reject the store's answers. As the operators' pages say,
-// nobody new is started until the leases granted before have expired, and then everybody is restarted.
+// All processes that have observed a higher revision reject the store's responses. As the operators' pages
+// require, no process is started until the leases granted before have expired, and then all processes are
+// restarted.
 void RegionWorld::restore_store() {
   ++result_.store_restores;
   store_is_restored_ = true;
@@ -97,7 +98,7 @@
   store_.take_changes();
   for (AggregatorProcess& aggregator : aggregators_) {
     if (aggregator.min_revision == 0) {
-      end_incarnation(aggregator);  // it has seen no revision by which it could notice: it counts as new
+      end_incarnation(aggregator);  // it could not detect the lower revision, so it counts as newly started
     } else if (aggregator.running) {
       start_watch(aggregator);  // its connection broke
     }
@@ -107,7 +108,7 @@
 
 void RegionWorld::restart_all_after_restore() {
   store_is_restored_ = false;
-  completed_event_ = 0;  // it is reported again
+  completed_event_ = 0;  // recorded again by a later round
   coordinator_min_revision_ = 0;
   rollout_coordinator_.reset();
   record_versions_in_force();
--- a/tests/aggregation/region_world_test.cpp
+++ b/tests/aggregation/region_world_test.cpp
@@ -1,8 +1,8 @@
-// Runs of the simulated region: whatever faults are drawn, no request is decided under an old version once
-// one was decided under the new, none by a router that has not applied an event reported as completed, and
-// every rollout and round ends. Each defect that is put into the world is found.
+// Runs of the simulated region. With any faults, no request is decided under an old version after another one
+// was decided under the new version, or by a router that has not applied an event recorded as completed, and
+// every rollout and round ends. The checks find each seeded defect.
 //
-// TRAILCOURSE_SEED=N plays one seed, TRAILCOURSE_SEEDS=N the first so many.
+// TRAILCOURSE_SEED=N runs one seed, TRAILCOURSE_SEEDS=N runs the first N seeds.
 #include "aggregation/region_world.h"
 
 #include <gtest/gtest.h>
@@ -49,7 +49,7 @@
   struct Case {
     Defect defect;
     const char* name;
-    std::uint64_t first_seed;  // shows the defect today; any of the seeds from there on may
+    std::uint64_t first_seed;  // currently reveals the defect; a later seed may do so, too
     const char* failure = kOldVersionFailure;
   };
   constexpr std::uint64_t kSeeds = 400;
--- a/tests/aggregation/report_summary_test.cpp
+++ b/tests/aggregation/report_summary_test.cpp
@@ -1,4 +1,4 @@
-// The summary of a zone: it claims no more than each router has reported, nor more than the aggregator has
+// The summary of a zone, which reports no more progress than each router has reported and the aggregator has
 // observed.
 #include "aggregation/report_summary.h"
 
@@ -34,7 +34,7 @@
   return out;
 }
 
-// Returns reports that mostly agree, so that all of them do often enough.
+// Returns random reports. Most of them are equal, so that all of them are equal often enough.
 RouterReports drawn_routers(std::mt19937_64& random, std::uint64_t stage) {
   RouterReports out;
   const ParticipantReport common = drawn_report(random, stage);
@@ -46,16 +46,16 @@
   return out;
 }
 
-// Returns the state that the coordinator moves the rollout to on these reports, if any.
+// Returns the state to which the coordinator moves the rollout with these reports, if any.
 std::optional<RolloutState> next_state(const policy::Rollout& rollout, const SummariesByName& reports) {
-  policy::RolloutSnapshot seen;
-  seen.rollout = rollout;
-  seen.reports = reports;
-  const auto step = policy::RolloutCoordinator(policy::RolloutTimeouts{}).step(Micros(0), seen);
+  policy::RolloutSnapshot snapshot;
+  snapshot.rollout = rollout;
+  snapshot.reports = reports;
+  const auto step = policy::RolloutCoordinator(policy::RolloutTimeouts{}).step(Micros(0), snapshot);
   return step ? std::optional<RolloutState>(step->rollout.state) : std::nullopt;
 }
 
-SummariesByName one_by_one(const RouterReports& routers) {
+SummariesByName individual_reports(const RouterReports& routers) {
   SummariesByName out;
   for (const auto& [lease, router] : routers) {
     out[router.router + "/" + std::to_string(lease)] = router.report;
@@ -63,17 +63,17 @@
   return out;
 }
 
-TEST(ReportSummaryTest, CoordinatorAdvancesNoEarlierThanByEachRoutersReport) {
+TEST(ReportSummaryTest, CoordinatorAdvancesNoEarlierThanWithTheReportsOfEachRouter) {
   std::mt19937_64 random(11);
   int steps = 0;
   int missed = 0;
   for (int round = 0; round < 50'000; ++round) {
-    const auto state = static_cast<RolloutState>(random() % 3);  // preparing, holding, committed
+    const auto state = static_cast<RolloutState>(random() % 3);  // preparing, suspending, committed
     const policy::Rollout rollout = rollout_in(state);
     const RouterReports routers = drawn_routers(random, policy::stage_id(rollout));
     const ParticipantReport summary = summarize(observed_in(state), "edge", routers);
     const auto with_summary = next_state(rollout, {{"a.edge/1", summary}});
-    const auto with_each = next_state(rollout, one_by_one(routers));
+    const auto with_each = next_state(rollout, individual_reports(routers));
     if (with_summary || with_each == RolloutState::kAborted) {
       ASSERT_EQ(with_summary, with_each) << "round " << round << " " << policy::write_report(summary);
     }
@@ -81,19 +81,20 @@
     missed += with_each && !with_summary ? 1 : 0;
   }
   EXPECT_GT(steps, 5'000);
-  // Missed are drawn routers that are suspended under a version that is not in force. No real router is.
+  // Steps are missed for random routers that are suspended under a version that is not in force. Real routers
+  // are never in this state.
   EXPECT_LT(missed, steps / 2);
 }
 
-// Routers may have observed more than their aggregator, by way of another one.
-TEST(ReportSummaryTest, AggregatorThatObservedLessClaimsNoMoreThanEachRouter) {
+// Routers may have observed more than their aggregator, through another aggregator.
+TEST(ReportSummaryTest, ReportsNoMoreThanEachRouterIfTheAggregatorHasObservedLess) {
   struct ObservedStates {
     RolloutState in_store;
     RolloutState by_aggregator;
     std::uint64_t rollout_of_aggregator;
   };
-  // No rollout is committed before the aggregator has reported its routers as suspended: it observed that
-  // much.
+  // A rollout is committed only after the aggregator has reported its routers as suspended, so it has
+  // observed at least that state.
   const std::vector<ObservedStates> cases{{RolloutState::kPreparing, RolloutState::kDone, 2},
                                           {RolloutState::kPreparing, RolloutState::kSuspending, 2},
                                           {RolloutState::kSuspending, RolloutState::kPreparing, 3},
@@ -108,7 +109,7 @@
     observed.version = states.in_store == RolloutState::kCommitted ? kOldVersion : observed.version;
     const ParticipantReport summary = summarize(observed, "edge", routers);
     const auto with_summary = next_state(rollout, {{"a.edge/1", summary}});
-    const auto with_each = next_state(rollout, one_by_one(routers));
+    const auto with_each = next_state(rollout, individual_reports(routers));
     if (with_summary && *with_summary != RolloutState::kAborted) {
       ASSERT_EQ(with_summary, with_each) << "round " << round << " " << policy::write_report(summary);
     }
@@ -118,8 +119,9 @@
   }
 }
 
-// Otherwise a router that joins from the aggregator's state could decide under the old version, unnoticed.
-TEST(ReportSummaryTest, ClaimsNothingThatTheAggregatorHasNotObserved) {
+// Otherwise a router that joins from the aggregator's state could decide under the old version without
+// detection.
+TEST(ReportSummaryTest, ReportsNoStageThatTheAggregatorHasNotObserved) {
   const std::uint64_t stage = stage_in(RolloutState::kSuspending);
   RouterReports routers;
   for (LeaseId lease = 1; lease <= 3; ++lease) {
@@ -133,7 +135,7 @@
   EXPECT_EQ(summarize(observed_in(RolloutState::kDone, 2), "edge", routers).ready_stage, 0U);
 }
 
-TEST(ReportSummaryTest, EmptyZoneReportsAsARouterThatIsComplete) {
+TEST(ReportSummaryTest, ReportsAnEmptyZoneAsComplete) {
   const std::uint64_t stage = stage_in(RolloutState::kSuspending);
   const ParticipantReport preparing = summarize(observed_in(RolloutState::kPreparing), "edge", {});
   EXPECT_EQ(preparing.version, kOldVersion);
@@ -148,7 +150,7 @@
   EXPECT_EQ(summarize(ObservedState{}, "edge", {}).version, 0U);
 }
 
-TEST(ReportSummaryTest, StageConcernsItsOwnZoneOnly) {
+TEST(ReportSummaryTest, AppliesAStageOnlyToItsOwnZone) {
   ObservedState observed = observed_in(RolloutState::kSuspending);
   observed.rollout->stages = {"edge"};
   const std::uint64_t stage = policy::stage_id(*observed.rollout);
@@ -159,7 +161,7 @@
   EXPECT_EQ(summarize(observed, "west", {}).suspended_stage, policy::stage_id(*observed.rollout));
 }
 
-TEST(ReportSummaryTest, NamesTheNumberOfRoutersAndOneThatIsAwaited) {
+TEST(ReportSummaryTest, ContainsTheNumberOfRoutersAndOnePendingRouter) {
   RouterReports routers;
   routers[1] = {"first", ParticipantReport{}};
   routers[2] = {"second", ParticipantReport{}};
--- a/tests/aggregation/rollout_states.h
+++ b/tests/aggregation/rollout_states.h
@@ -1,4 +1,4 @@
-// States of one policy rollout in the store, for tests of aggregators.
+// States of a policy rollout in the store, for tests of aggregators.
 #pragma once
 
 #include <cstdint>
@@ -30,7 +30,7 @@
          state == RolloutState::kDone;
 }
 
-// Returns what is in the store while that rollout is in the state.
+// Returns the state of the store while that rollout is in `state`.
 inline policy::ObservedState observed_in(policy::RolloutState state, std::uint64_t id = kRolloutId) {
   policy::ObservedState out;
   out.rollout = rollout_in(state, id);
--- a/tests/aggregation/router_leases_test.cpp
+++ b/tests/aggregation/router_leases_test.cpp
@@ -1,4 +1,4 @@
-// What an aggregator grants to the routers below it, and what it takes from them.
+// The leases that an aggregator grants to its routers, and the calls that it accepts from them.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -24,7 +24,7 @@
 
 class RouterLeasesTest : public AggregatorFixture {};
 
-TEST_F(RouterLeasesTest, GrantsNothingBeforeItHasALease) {
+TEST_F(RouterLeasesTest, GrantsNoLeaseBeforeItHasItsOwn) {
   EXPECT_TRUE(aggregator_.step(now_).empty());
   expect_rejected(Reason::kNoUpstreamLease, [this] { aggregator_.grant(now_, seconds(3)); });
   expect_rejected(Reason::kNoUpstreamLease, [this] {
@@ -57,7 +57,7 @@
   expect_rejected(Reason::kNoUpstreamLease, [&] { aggregator_.grant(now_, milliseconds(100)); });
 }
 
-// The answer to a renewal that was sent before a pause covers only the time since it was sent.
+// The response to a renewal that was sent before a pause extends the lease only from the sending on.
 TEST_F(RouterLeasesTest, UpstreamLeaseIsTimedFromTheSendingOfItsRenewal) {
   load_snapshot();
   execute_steps();
@@ -99,14 +99,14 @@
   aggregator_.commit(now_, report_from("r2", second, ready));
   execute_steps();
   EXPECT_EQ(stored_summary("edge")->ready_stage, ready.ready_stage);
-  // The latest report counts, also where it takes back an earlier one.
+  // The latest report counts, even if it withdraws an earlier one.
   aggregator_.commit(now_, report_from("r1", first, report_of("edge")));
   execute_steps();
   EXPECT_EQ(stored_summary("edge")->ready_stage, 0U);
 }
 
-// It may still decide under the lease granted here.
-TEST_F(RouterLeasesTest, RouterThatHasMovedCountsUntilItsLeaseExpires) {
+// A router that has moved may still decide under the lease granted here.
+TEST_F(RouterLeasesTest, SummaryIncludesAMovedRouterUntilItsLeaseExpires) {
   load_snapshot();
   execute_steps();
   join("r1", "edge");
@@ -137,7 +137,7 @@
     const auto found = routers.find(name);
     if (found == routers.end()) {
       ParticipantReport report = report_of("edge");
-      report.requests = random() % 1'000'000;  // served elsewhere
+      report.requests = random() % 1'000'000;  // served before it joined
       const LeaseId lease = aggregator_.grant(now_, seconds(3));
       aggregator_.commit(now_, report_from(name, lease, report));
       routers[name] = {lease, report};
@@ -201,7 +201,7 @@
                   [&] { aggregator_.commit(now_, Transaction{{}, {Put{policy::kCurrentKey, "9", 0}}, {}}); });
 }
 
-TEST_F(RouterLeasesTest, DrainsOnceNoRouterHasALease) {
+TEST_F(RouterLeasesTest, DrainsAfterAllLeasesOfRoutersHaveEnded) {
   load_snapshot();
   execute_steps();
   const LeaseId lease = join("r1", "edge");
@@ -237,7 +237,7 @@
   execute_steps();
   now_ += milliseconds(1'000);
   execute_steps();
-  EXPECT_NE(aggregator_.grant(now_, seconds(3)), 0U) << "expired leases make room";
+  EXPECT_NE(aggregator_.grant(now_, seconds(3)), 0U) << "expired leases no longer count";
 }
 
 }  // namespace
--- a/tests/aggregation/upstream_lease_test.cpp
+++ b/tests/aggregation/upstream_lease_test.cpp
@@ -1,4 +1,4 @@
-// An aggregator's own lease at the store and its writes there: lost, late and repeated calls.
+// An aggregator's own lease at the store and its writes under it, with lost, late and repeated calls.
 #include <gtest/gtest.h>
 
 #include <optional>
@@ -39,8 +39,8 @@
   EXPECT_EQ(stored_summary("west")->version, kNewVersion);
 }
 
-// A write whose answer was lost may reach the store late. It must not undo a later one.
-TEST_F(UpstreamLeaseTest, LateWriteChangesNothing) {
+// A write whose response was lost may reach the store late. It must not overwrite a later write.
+TEST_F(UpstreamLeaseTest, RejectsALateWriteOfASummary) {
   load_snapshot();
   execute_steps();
   const LeaseId lease = join("r1", "edge");
@@ -59,12 +59,12 @@
   const auto out = store_.commit(summary_transaction("", "agg", lease_, *late));
   EXPECT_FALSE(out.succeeded);
   EXPECT_EQ(store_.revision(), revision);
-  // The late answer is that of a call that is no longer awaited.
+  // The late result belongs to an earlier call and is ignored.
   aggregator_.upstream().on_write_result(now_, late->call_id, read_write_result(out, *late));
   EXPECT_TRUE(aggregator_.step(now_).empty());
 }
 
-TEST_F(UpstreamLeaseTest, UnansweredWriteIsRepeatedOverTheStoredSummary) {
+TEST_F(UpstreamLeaseTest, RepeatsAnUnansweredWriteOverTheStoredSummary) {
   load_snapshot();
   execute_steps();
   const LeaseId lease = join("r1", "edge");
@@ -79,7 +79,7 @@
   now_ += milliseconds(200);
   execute_steps();
   EXPECT_EQ(stored_summary("edge")->suspended_stage, 0U)
-      << "first a conflict, then a write over what was found";
+      << "the first retry conflicts, the second one replaces the stored summary";
 }
 
 TEST_F(UpstreamLeaseTest, JoinsUnderANewLeaseAfterExpiry) {
@@ -108,7 +108,7 @@
   EXPECT_THROW(store_.commit(summary_transaction("", "agg", lease_, *late)), coordination::OperationRejected);
 }
 
-TEST_F(UpstreamLeaseTest, AnswerToAnEarlierJoinIsIgnored) {
+TEST_F(UpstreamLeaseTest, IgnoresTheResultOfAnEarlierJoin) {
   load_snapshot();
   const auto first = std::get<LeaseAction>(aggregator_.step(now_).front());
   aggregator_.upstream().on_no_response(now_, first.call.call_id);
--- a/tests/aggregation/version_order_check.h
+++ b/tests/aggregation/version_order_check.h
@@ -1,5 +1,5 @@
-// The rule that a policy rollout keeps: once a request was decided under a version, no later request anywhere
-// is decided under an earlier one.
+// Checks the invariant of policy rollouts: after a request was decided under a version, no later request in
+// any zone is decided under an earlier version.
 #pragma once
 
 #include <algorithm>
@@ -12,10 +12,10 @@
 
 namespace trailcourse::aggregation {
 
-// Compares decisions of all zones, in true time, with the versions in the order of their commits.
+// Compares the decisions of all zones, in the order of true time, with the order of commits.
 class VersionOrderCheck {
  public:
-  // Notes the version in force in a zone. `commit` grows with each commit of the store.
+  // Records the version in force in a zone. `commit` increases with each commit of the store.
   void on_version_in_force(const std::string& zone, std::uint64_t version, std::uint64_t commit) {
     std::vector<Term>& terms = terms_[zone];
     if (terms.empty() || terms.back().version != version) {
@@ -23,11 +23,11 @@
     }
   }
 
-  // Notes that a request was decided under a version. Returns how that breaks the rule, if it does.
+  // Records that a request was decided under a version. Returns a description of the violation, if any.
   std::optional<std::string> on_decision(const std::string& zone, std::uint64_t version) {
     const std::vector<Term>& terms = terms_[zone];
     std::size_t& current = last_term_[zone];
-    // Under this commit or a later one a request was decided already, here or in another zone.
+    // A request was already decided under this commit or a later one, in this zone or in another.
     for (std::size_t i = current; i < terms.size() && terms[i].commit <= last_commit_; ++i) {
       current = i;
     }
