--- a/src/aggregation/aggregator.h
+++ b/src/aggregation/aggregator.h
@@ -57,6 +57,7 @@
 
   // Replaces the replicated records. `entries` are all records of the policy.
   void on_snapshot(const std::vector<coordination::Entry>& entries);
+  // Applies changes of the replicated records.
   void on_changes(const std::vector<coordination::KeyChange>& changes);
   // Sets whether the store is connected. While it is not, the aggregator's own lease is not renewed.
   void set_connected(bool connected) { connected_ = connected; }
@@ -67,6 +68,7 @@
   coordination::LeaseId grant(Micros now, Micros ttl);
   // Renews a lease and returns its remaining time, or nothing if there is no such lease.
   std::optional<Micros> keep_alive(Micros now, coordination::LeaseId id);
+  // Ends a lease.
   void revoke(Micros now, coordination::LeaseId id);
   // Executes a transaction that writes one report under its lease, or that reads the policy's records.
   // Rejects all others.
@@ -88,6 +90,7 @@
   // Stops granting and renewing leases. The aggregator releases its own lease once all routers' leases have
   // ended.
   void drain() { draining_ = true; }
+  // Returns whether the aggregator drains and has released its own lease.
   bool drained() const { return draining_ && upstream_.stopped(); }
 
   const AggregatorIdentity& identity() const { return identity_; }
--- a/src/aggregation/options.h
+++ b/src/aggregation/options.h
@@ -35,6 +35,7 @@
 // Checks addresses, names and the constraints between keys. `router_ttl_ms` is the duration of the leases
 // that routers request. Throws config::KeyError.
 void check_aggregator(const AggregatorOptions& options, std::int64_t router_ttl_ms);
+// Returns the settings of the aggregator.
 AggregatorSettings aggregator_settings(const AggregatorOptions& options);
 
 // The values of the section `aggregation`, named as its keys.
--- a/src/aggregation/router_leases.h
+++ b/src/aggregation/router_leases.h
@@ -57,10 +57,13 @@
   void set_min_acknowledged(const std::string& zone, std::uint64_t round);
   // Ends the leases that have expired.
   void expire(Micros now);
+  // Returns the time at which the next lease expires, or nothing if there is no lease.
   std::optional<Micros> next_expiry() const;
 
+  // Returns the latest reports of the routers of a zone. The reference is valid until the next change.
   const RouterReports& reports(const std::string& zone) const;
   RequestCounts request_counts(const std::string& zone) const;
+  // Returns the number of leases.
   std::size_t size() const { return leases_.size(); }
 
  private:
--- a/src/aggregation/upstream_lease.h
+++ b/src/aggregation/upstream_lease.h
@@ -42,6 +42,7 @@
   // Returns the time by which every lease granted to a router has to end, or nothing if the aggregator has
   // not joined. The time may be in the past.
   std::optional<Micros> valid_until() const;
+  // Returns whether the aggregator has joined and its own lease is valid.
   bool is_active(Micros now) const { return joined_ && lease_.may_act(now); }
   // Returns the revision of the acknowledgement record that the aggregator has to observe before it grants a
   // lease to a router. The coordinator of the rounds did not wait for this aggregator before that revision.
@@ -50,6 +51,7 @@
   }
   // Starts to release the lease. Must not be called while a router has a lease.
   void stop(Micros now) { lease_.stop(now); }
+  // Returns whether the lease is released.
   bool stopped() const { return lease_.released(); }
 
  private:
--- a/src/policy/participant.h
+++ b/src/policy/participant.h
@@ -43,7 +43,7 @@
 // Returns the name of the state in /healthz and in the log.
 const char* to_string(ParticipantState state);
 
-// The policy that applies to a request that arrives now.
+// The version or versions under which a request is decided.
 struct EffectivePolicy {
   enum class Kind {
     kSingle,        // `version` alone
@@ -85,6 +85,7 @@
   // Checks whether this router can apply a version whose document was received.
   using DocumentCheck = std::function<PreparationResult(std::uint64_t version)>;
 
+  // `incarnation` and `zone` are those of this router's process.
   Participant(std::string incarnation, std::string zone, const ParticipantOptions& options,
               DocumentCheck check_document);
 
@@ -116,6 +117,7 @@
   void on_persist_result(Micros now, std::uint64_t version, PreparationResult result);
 
   // ---- State ----
+  // Returns the policy that applies to a request that arrives now.
   EffectivePolicy effective_policy(Micros now) const;
   ParticipantState state(Micros now) const;
   // Returns the actions to execute now. Each of them counts as started.
@@ -129,6 +131,7 @@
   bool ready(Micros now) const;
   // Starts to release the lease; step() returns the call.
   void stop(Micros now);
+  // Returns whether the lease is released after stop().
   bool stopped() const { return lease_.released(); }
   const ObservedState& observed() const { return observed_; }
 
--- a/src/tasks/fleet_session.h
+++ b/src/tasks/fleet_session.h
@@ -41,6 +41,7 @@
 
   // Ends the session: releases its lease, which deletes all keys under it.
   void end(Micros now);
+  // Returns whether the lease is released after end().
   bool ended() const { return lease_.released(); }
 
   // Sets a key that is deleted when the session ends, and written again in a new session. An empty value
--- a/src/tasks/health_check_plan.h
+++ b/src/tasks/health_check_plan.h
@@ -17,6 +17,7 @@
 
 namespace trailcourse::tasks {
 
+// Timing and limits of the checks.
 struct HealthCheckOptions {
   Micros interval{1'000'000};            // between two checks of one cache
   Micros republish_interval{2'500'000};  // of an unchanged verdict
@@ -48,6 +49,7 @@
   // Returns the caches to check now. Each check counts as in flight until on_check_result().
   std::vector<std::string> start_checks(Micros now);
 
+  // Records the result of a check. Ignored unless a check of the cache is in flight.
   void on_check_result(Micros now, const std::string& cache, bool healthy);
 
   // Returns the verdicts to publish or to withdraw now, each update once.
--- a/src/tasks/lease_calls.h
+++ b/src/tasks/lease_calls.h
@@ -23,6 +23,7 @@
   // `valid` is true if the store still had the lease.
   std::function<void(bool valid)> on_renew_result;
 
+  // The store has released the lease.
   std::function<void()> on_released;
 
   // The call failed, or its outcome is unknown. A lease that was granted meanwhile is revoked.
--- a/src/tasks/policy_client.h
+++ b/src/tasks/policy_client.h
@@ -41,6 +41,7 @@
                AllowedKindsHandler on_allowed_kinds);
   ~PolicyClient() override;
 
+  // Starts to watch the records of the policy.
   void start();
 
   // All events of the discovery service up to the position have been applied.
@@ -48,6 +49,7 @@
 
   // Releases the lease, so that rollouts do not wait for this router. Afterwards it decides under no policy.
   void stop();
+  // Returns whether the lease is released, or stop() was not called.
   bool stopped() const { return !stopping_ || participant_.stopped(); }
 
   // Returns whether requests may be accepted: the participant has a lease. A draining router keeps accepting
--- a/src/tasks/prefetch_plan.h
+++ b/src/tasks/prefetch_plan.h
@@ -19,6 +19,7 @@
 
 namespace trailcourse::tasks {
 
+// Limits of the requests of one shard.
 struct PrefetchOptions {
   std::size_t max_in_flight = 4;
   int max_attempts = 5;           // for one object
@@ -35,6 +36,7 @@
   std::uint64_t finished() const { return filled + failed; }
 };
 
+// The final result of one request.
 enum class PrefetchResult { kFilled, kAlreadyCached, kRejected, kFailed };
 
 // The state of one shard's work.
--- a/src/tasks/task_host.h
+++ b/src/tasks/task_host.h
@@ -31,6 +31,7 @@
   // Sets the definition of the work of that name, or removes it if `work` is empty.
   void set_work(const std::string& name, const std::optional<ownership::Work>& work);
 
+  // Create and start, stop, or destroy the task of a shard.
   void execute(const ownership::StartTaskAction& action);
   void execute(const ownership::StopTaskAction& action);
   void execute(const ownership::AbortTaskAction& action);
--- a/src/tasks/task_runner.h
+++ b/src/tasks/task_runner.h
@@ -42,10 +42,12 @@
   // Observes the keys that begin with `key_prefix`. Has to be called before start().
   void observe_keys(const std::string& key_prefix, KeyObserver observer);
 
+  // Starts the session, the watch of the fleet's records, and the health checks of peers.
   void start();
 
   // Releases all work, and then leaves the fleet.
   void drain();
+  // Returns whether all work is released and the session has ended.
   bool drained() const;
 
   // Sets the kinds of work that the policy in force allows; nothing allows all kinds.
