--- a/benchmarks/decision_trace_world.h
+++ b/benchmarks/decision_trace_world.h
@@ -87,6 +87,7 @@
   void execute(const SetTimer& timer) { schedule(now_ + timer.delay, TimerFired{timer.token}); }
   void execute(const Subscribe&) { subscribed_ = true; }
 
+  // Returns the attempt if it has been sent and has not ended, otherwise null.
   AttemptState* open_attempt(RequestId id, int attempt);
   void finish(RequestId id);
   void remove_if_finished(RequestId id);
@@ -96,9 +97,10 @@
   LoadReport draw_report();
 
   // ---- Disturbances of the deployment ----
+  // Causes a random disturbance and schedules the next one.
   void perform(const Disturbance&);
   void purge();
-  void purge_flood();
+  void purge_flood();  // rarely purges so many objects that the purge history overflows
   void health_check();
   void change_fault();
   void change_load();
@@ -106,9 +108,9 @@
   void restart_endpoint();
   void full_list();
   void lost_or_restored_list();
-  void stray_events();
+  void stray_events();  // events of unknown requests
   void change_classes();
-  void pause();
+  void pause();  // rarely advances the clock by 70 s
   Endpoint new_endpoint(Role role);
 
   const Profile& profile_;
--- a/src/decision/failure_attribution.h
+++ b/src/decision/failure_attribution.h
@@ -34,8 +34,8 @@
   // Handles an attempt that is overdue:
   // - If its cache has answered nothing since the send, the cache is ejected as silent.
   // - If its cache has answered others but its source has not, the failure counts against the source.
-  // - If both have answered others, fills do not fail and the cache is not overloaded, the answer is taken as
-  //   lost, and no node is penalised.
+  // - If both have answered others, fills do not fail and the cache is not overloaded, the answer is
+  //   considered lost, and no node is penalised.
   // - Otherwise the answer is only slow.
   // Returns whether another attempt should be made, which is so in all cases but the last.
   bool on_overdue(Attempt& attempt);
--- a/src/decision/fill_window.cpp
+++ b/src/decision/fill_window.cpp
@@ -5,7 +5,8 @@
 namespace trailcourse {
 namespace {
 
-// The window is in seconds: times the offered rate, it is the sending work that may wait for fills at once.
+// The window is in seconds. Multiplied by the offered rate, it limits the sending work that waits for fills
+// at the same time.
 constexpr double kMinWindow = 0.03;
 constexpr double kMaxWindow = 5.0;
 constexpr double kGrowth = 0.04;  // seconds per window of successful fills
--- a/src/decision/fill_window.h
+++ b/src/decision/fill_window.h
@@ -66,7 +66,7 @@
   const ObjectTable& objects_;
   Rate offered_;                    // in seconds of sending
   double reserved_ = 0.0;           // seconds of sending that wait for fills now
-  double window_ = kInitialWindow;  // seconds, times the offered rate
+  double window_ = kInitialWindow;  // seconds; multiplied by the offered rate
   double failure_rate_ = 0.0;       // smoothed share of fills that failed or were late
   Micros shrunk_at_{0};
 
--- a/src/decision/slow_start.cpp
+++ b/src/decision/slow_start.cpp
@@ -63,7 +63,7 @@
   return slot.tokens >= cost && slot_open(node);
 }
 
-// The seconds between two slots: long enough that the budget of `rate` pays for the most expensive request.
+// Returns the seconds between two slots, in which the budget of `rate` covers the most expensive request.
 double SlowStart::slot_period(double rate) const {
   const double span = to_seconds(context_.settings.overload_span);
   const double octaves = std::log2(sending_times_.largest_upper_mean() / (rate * kMinPeriod * span));
--- a/tests/cold_sum_test.cpp
+++ b/tests/cold_sum_test.cpp
@@ -61,10 +61,10 @@
 // The load on a node in slow start. All amounts are in requests of mean work. N is the overload budget of a
 // window, and N + 2 sqrt(N) + 2 the limit that is checked.
 struct Outcome {
-  double worst = 0.0;   // work of the fullest window, divided by its limit
-  double work = 0.0;    // work that arrived in this window
-  double budget = 0.0;  // N of this window
-  double used = 0.0;    // share of the total budget of the slow start that was used
+  double max_ratio = 0.0;  // work of the fullest window, divided by its limit
+  double work = 0.0;       // work that arrived in this window
+  double budget = 0.0;     // N of this window
+  double used = 0.0;       // share of the total budget of the slow start that was used
 };
 
 class Simulation {
@@ -153,7 +153,8 @@
         out.push_back(measure(entry));
       }
     }
-    std::sort(out.begin(), out.end(), [](const Outcome& a, const Outcome& b) { return a.worst > b.worst; });
+    std::sort(out.begin(), out.end(),
+              [](const Outcome& a, const Outcome& b) { return a.max_ratio > b.max_ratio; });
     return out;
   }
 
@@ -286,8 +287,8 @@
       // The capacity rises, so the budget is lowest at the beginning of the window.
       const double budget = budget_at(all[j].at);
       const double ratio = in_window / (budget + 2.0 * std::sqrt(budget) + 2.0);
-      if (all[i].at < warm && ratio > out.worst) {
-        out.worst = ratio;
+      if (all[i].at < warm && ratio > out.max_ratio) {
+        out.max_ratio = ratio;
         out.work = in_window;
         out.budget = budget;
       }
@@ -436,22 +437,22 @@
 class CombinedSlowStart : public testing::TestWithParam<Scenario> {};
 
 TEST_P(CombinedSlowStart, NoOverloadSpanExceedsTheBudgetOfAllRoutersTogether) {
-  double worst = 0.0;
+  double max_ratio = 0.0;
   double used = 0.0;
   int nodes = 0;
   Outcome fullest;
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     for (const Outcome& outcome : Simulation(GetParam(), seed).run()) {
-      fullest = outcome.worst > worst ? outcome : fullest;
-      worst = std::max(worst, outcome.worst);
+      fullest = outcome.max_ratio > max_ratio ? outcome : fullest;
+      max_ratio = std::max(max_ratio, outcome.max_ratio);
       used += outcome.used;
       ++nodes;
     }
   }
-  std::cout << GetParam().name << ": worst " << worst << " of N + 2 sqrt(N) + 2, " << fullest.work
-            << " requests of mean work with N " << fullest.budget << "; used " << used / nodes
+  std::cout << GetParam().name << ": fullest window " << max_ratio << " of its limit N + 2 sqrt(N) + 2, "
+            << fullest.work << " requests of mean work with N " << fullest.budget << "; used " << used / nodes
             << " of the budget\n";
-  EXPECT_LE(worst, 1.0);
+  EXPECT_LE(max_ratio, 1.0);
   EXPECT_GT(used / nodes, 0.1) << "the node takes a part of the load";
 }
 
--- a/tests/decision/cache_selection_test.cpp
+++ b/tests/decision/cache_selection_test.cpp
@@ -34,7 +34,7 @@
   EXPECT_LE(attempts_at_dead_caches(40), 8) << "dead caches get only trial attempts";
 }
 
-// Lets both caches fail every connection after `latency` until both are ejected, and returns the one that
+// Makes both caches fail every connection after `latency` until both are ejected, and returns the one that
 // failed longer ago.
 std::string eject_both(TestRouter& router, Micros latency) {
   router.receive_list({endpoint("c1"), endpoint("c2"), endpoint("o", Role::kOrigin)});
--- a/tests/decision/slow_start_test.cpp
+++ b/tests/decision/slow_start_test.cpp
@@ -26,14 +26,14 @@
     }
     router.now += milliseconds(2);
   }
-  double worst = 0.0;
+  double max_work = 0.0;
   for (std::size_t i = 0, j = 0; i < sent.size(); ++i) {
     while (sent[i] - sent[j] > seconds(3)) {
       ++j;
     }
-    worst = std::max(worst, 0.1 * static_cast<double>(i - j + 1));
+    max_work = std::max(max_work, 0.1 * static_cast<double>(i - j + 1));
   }
-  return worst;
+  return max_work;
 }
 
 TEST(SlowStart, LimitsTheLoadOnACacheToThisRoutersPartOfTheBudget) {
@@ -132,16 +132,16 @@
   // Returns the greatest share of the parent's overload budget that was used within any overload span (3 s).
   // The budget is twice the capacity at the beginning of the span.
   double max_budget_share() const {
-    double worst = 0.0;
+    double max_share = 0.0;
     for (std::size_t i = 0, j = 0; i < sent.size(); ++i) {
       while (sent[i] - sent[j] > seconds(3)) {
         ++j;
       }
       const double age = std::chrono::duration<double>(sent[j] - Micros(seconds(100))).count();
       const double budget = 2.0 * (0.1 + 0.9 * age / 20.0) * kParentTransfers * 3.0;
-      worst = std::max(worst, kWork * static_cast<double>(i - j + 1) / budget);
+      max_share = std::max(max_share, kWork * static_cast<double>(i - j + 1) / budget);
     }
-    return worst;
+    return max_share;
   }
 
   Micros now{seconds(100)};
--- a/tests/decision/source_selection_test.cpp
+++ b/tests/decision/source_selection_test.cpp
@@ -34,7 +34,7 @@
   EXPECT_GT(attempts_with_slow_source("p1", Note::kFilledFromOrigin), 35);
 }
 
-// Lets a third of the fills through parents end late. A short `first_byte_time` stands for a slow transfer, a
+// Ends a third of the fills through parents late. A short `first_byte_time` stands for a slow transfer, a
 // long one for a slow origin. Returns how many of the last hundred requests have the origin as their source.
 int attempts_with_origin(Micros first_byte_time) {
   TestRouter router;
