--- a/include/trailcourse/decider.h
+++ b/include/trailcourse/decider.h
@@ -253,8 +253,8 @@
   TimerToken token = 0;
 };
 
-// Adds classes, or replaces their rules: classes[i] gets the index `first` + i and starts with the statistics
-// of the class at the index `based_on` + i, which has to exist. Requests keep the index of their class.
+// Adds classes, or replaces their rules: classes[i] gets the index `first` + i and starts with the sending
+// times of the class at the index `based_on` + i, which has to exist. Requests keep the index of their class.
 struct ClassesUpdated {
   std::size_t first = 0;
   std::size_t based_on = 0;
