--- a/tests/fleet/cold_start_test.cpp
+++ b/tests/fleet/cold_start_test.cpp
@@ -21,7 +21,7 @@
 
 using fleet::Asked;
 using fleet::Kind;
-using fleet::Shape;
+using fleet::FleetSpec;
 using nlohmann::json;
 using std::chrono::milliseconds;
 using transport::Clock;
@@ -64,7 +64,7 @@
 // All at once, or one after the other.
 TEST_P(Starts, WithoutAListEachHasItWithinTheBoundOfCalls) {
   constexpr int kRouters = 12;
-  Shape shape = spread_shape(kRouters);
+  FleetSpec shape = spread_shape(kRouters);
   shape.known = false;
   Rig rig(shape, {"router*>board"});
   rig.start(Kind::kBoard);
@@ -141,7 +141,7 @@
 // Provokes: a board restored from nothing: another list, numbered from 1 again. What was known by its old
 // numbers would hide every new event until they are passed.
 TEST(ColdStartTest, ABoardThatBeganAnewIsHeardFromItsStart) {
-  Shape shape = spread_shape(4);
+  FleetSpec shape = spread_shape(4);
   shape.caches = 3;
   Rig rig(shape);
   rig.start_all();
@@ -201,7 +201,7 @@
 }
 
 TEST(ColdStartTest, MovedBySighupDuringTheStartTheNewBoardIsAsked) {
-  Shape shape = spread_shape(6, 4.0);
+  FleetSpec shape = spread_shape(6, 4.0);
   shape.known = false;
   Rig rig(shape, {"router*>board"});
   rig.start(Kind::kOrigin);
@@ -225,7 +225,7 @@
 // than the stated time; those that refuse serve nothing; neither gives out an old version.
 TEST(ColdStartTest, CutOffFromTheBoardNoneServesWhatWasPurgedUnheard) {
   for (const char* unsure : {"guard", "refuse"}) {
-    Shape shape = spread_shape(4);
+    FleetSpec shape = spread_shape(4);
     shape.operators["startup"]["unsure"] = unsure;
     shape.operators["startup"]["told_within_ms"] = 800;
     Rig rig(shape, {"router*>board", "cache*>board", "parent*>board"});
@@ -265,7 +265,7 @@
 // Provokes: a router stopped with requests in its buffers, for longer than the stated time, and woken after a
 // purge.
 TEST(ColdStartTest, StoppedAndWokenItServesNothingOfBeforeThePurge) {
-  Shape shape = spread_shape(2);
+  FleetSpec shape = spread_shape(2);
   shape.operators["startup"]["unsure"] = "guard";
   shape.operators["startup"]["told_within_ms"] = 600;
   Rig rig(shape, {"cache*>board", "parent*>board"});
@@ -295,12 +295,12 @@
   constexpr int kListed = 200;
   constexpr int kLiving = 160;
   constexpr int kProcesses = 16;  // each is listed under ten names: a cache does not know what it is called
-  Shape shape = spread_shape(3);
+  FleetSpec shape = spread_shape(3);
   shape.caches = kListed;
   Rig rig(shape);
   const auto name = [](int number) { return "cache" + std::to_string(number); };
   for (int i = kProcesses; i < kLiving; ++i) {
-    rig.layout().member(name(i)).told_address = rig.layout().member(name(i % kProcesses)).address;
+    rig.layout().member(name(i)).advertised_address = rig.layout().member(name(i % kProcesses)).address;
   }
   rig.layout().write();
   rig.start(Kind::kBoard);
@@ -326,7 +326,7 @@
 TEST(ColdStartTest, AColdCacheGetsNoMoreThanItsBudgetFromAllRoutersTogether) {
   constexpr int kRouters = 6;
   constexpr double kWork = 0.4;  // seconds of sending of one request at full pace, by its told size
-  Shape shape = spread_shape(kRouters);
+  FleetSpec shape = spread_shape(kRouters);
   shape.weight = 2;
   Rig rig(shape);
   rig.start_all();
@@ -391,7 +391,7 @@
 // Provokes: caches that hold one request at a time, and links on which every connection and byte is slow to
 // come.
 TEST(ColdStartTest, FullCachesAndSlowLinksLoseNoAnswer) {
-  Shape shape = spread_shape(4);
+  FleetSpec shape = spread_shape(4);
   shape.cache = {{"open_requests", 1}};
   Rig rig(shape, {"*>cache*"});
   rig.start_all();
@@ -407,7 +407,7 @@
 
 // Provokes: objects purged while a third of the routers are down, which start again from their snapshots.
 TEST(ColdStartTest, PurgedWhileAThirdAreDownTheyServeNothingOldAfterTheirStart) {
-  Shape shape = spread_shape(6);
+  FleetSpec shape = spread_shape(6);
   shape.operators["startup"]["unsure"] = "guard";
   shape.operators["startup"]["told_within_ms"] = 600;
   shape.operators["snapshot"] = {{"fleet", "test"}, {"write_ms", 20}};
@@ -481,7 +481,7 @@
 
 // What can be wrong with a snapshot folder costs a line each and no start.
 TEST(SnapshotStartTest, TornForeignSharedFutureOrUnwritableTheStartGoesOnWithout) {
-  Shape shape = spread_shape(1);
+  FleetSpec shape = spread_shape(1);
   shape.operators["snapshot"] = {{"fleet", "test"}, {"write_ms", 20}};
   shape.known = false;
   Rig rig(shape);
@@ -565,7 +565,7 @@
 // their list.
 TEST(ColdStartTest, SentAwayByABoardAtItsRateAllHaveTheirListInTurn) {
   constexpr int kRouters = 12;
-  Shape shape = spread_shape(kRouters, 1'000.0);
+  FleetSpec shape = spread_shape(kRouters, 1'000.0);
   shape.known = false;
   shape.board = {{"calls_per_s", 20}};
   Rig rig(shape);
--- a/tests/fleet/drawn_faults_test.cpp
+++ b/tests/fleet/drawn_faults_test.cpp
@@ -24,7 +24,7 @@
 
 TEST_P(DrawnFaults, ExactlyOneAnswerEachNothingOldAfterAPurgeAndAllComeBack) {
   const bool relays = GetParam() % 2 == 0;
-  fleet::Shape shape;
+  fleet::FleetSpec shape;
   shape.routers = 5;
   shape.operators["startup"] = {{"spread", true},
                                 {"board_calls_per_s", 60},
--- a/tests/fleet/ownership_test.cpp
+++ b/tests/fleet/ownership_test.cpp
@@ -10,7 +10,7 @@
 #include <string>
 
 #include "fleet/rig.h"
-#include "fleet/term_check.h"
+#include "fleet/fencing_token_check.h"
 #include "ownership/work_records.h"
 #include "program/fleet_work.h"
 #include "program/work_command.h"
@@ -22,13 +22,13 @@
 namespace {
 
 using fleet::Kind;
-using fleet::Shape;
+using fleet::FleetSpec;
 using nlohmann::json;
 using std::chrono::milliseconds;
 
 // Short times, so that a death costs a test a second and not ten.
-Shape owned_shape(int routers, std::int64_t ttl_ms = 1'500) {
-  Shape shape;
+FleetSpec owned_shape(int routers, std::int64_t ttl_ms = 1'500) {
+  FleetSpec shape;
   shape.routers = routers;
   shape.caches = 1;
   shape.parents = 0;
@@ -55,7 +55,7 @@
 class Owned {
  public:
   using Change = std::function<void(fleet::Layout&)>;
-  explicit Owned(const Shape& shape, const std::vector<std::string>& proxied = {},
+  explicit Owned(const FleetSpec& shape, const std::vector<std::string>& proxied = {},
                  const Change& change = nullptr)
       : rig(shape, proxied) {
     if (change) {
@@ -142,10 +142,10 @@
   }
 
   // Checker: at each receiver the terms of a piece of work never go back, over its restarts too.
-  std::vector<std::string> broken_terms() {
+  std::vector<std::string> find_token_regressions() {
     std::vector<std::string> out;
     for (const std::string& cache : rig.layout().names(Kind::kCache)) {
-      const auto more = fleet::broken_terms(cache, rig.layout().log_file(cache));
+      const auto more = fleet::find_token_regressions(cache, rig.layout().log_file(cache));
       out.insert(out.end(), more.begin(), more.end());
     }
     return out;
@@ -249,7 +249,7 @@
   fleet.rig.fault("heal " + first + ">registry");
   EXPECT_TRUE(fleet.rig.fleet().await_log(first, "aborts evening/0", kAwaited)) << fleet.rig.logs();
   EXPECT_TRUE(fleet.await_state("evening", "done")) << fleet.rig.logs();
-  EXPECT_EQ(fleet.broken_terms(), kNone);
+  EXPECT_EQ(fleet.find_token_regressions(), kNone);
   EXPECT_EQ(fleet.filled("evening"), 60U);
 }
 
@@ -269,7 +269,7 @@
   }
   EXPECT_TRUE(fleet.await_state("evening", "done")) << fleet.rig.logs();
   EXPECT_EQ(fleet.filled("evening"), 120U);
-  EXPECT_EQ(fleet.broken_terms(), kNone);
+  EXPECT_EQ(fleet.find_token_regressions(), kNone);
   // At most what was open at each death came from the origin twice.
   fleet.rig.fleet().end("origin", kAwaited);
   const std::string log = [&] {
@@ -295,7 +295,7 @@
   const std::string second = fleet.await_owner("evening", first);
   EXPECT_NE(second, first);
   EXPECT_TRUE(fleet.await_filled("evening", kept + 2));
-  EXPECT_EQ(fleet.broken_terms(), kNone);
+  EXPECT_EQ(fleet.find_token_regressions(), kNone);
   // Staff move it on, just as quickly; the one that let go stands back.
   EXPECT_EQ(fleet.work("hand-over", "evening"), 0) << fleet.said;
   EXPECT_NE(fleet.await_owner("evening", second), second);
@@ -323,7 +323,7 @@
   EXPECT_EQ(ask_all(fleet.rig, {first}, 5), kNone);
   fleet.rig.fault("heal " + first + ">registry");
   EXPECT_TRUE(fleet.await_state("evening", "done")) << fleet.rig.logs();
-  EXPECT_EQ(fleet.broken_terms(), kNone);
+  EXPECT_EQ(fleet.find_token_regressions(), kNone);
   EXPECT_EQ(fleet.filled("evening"), 100U);
 }
 
@@ -368,7 +368,7 @@
   const std::uint64_t kept = fleet.filled("evening");
   EXPECT_GE(kept, 2U) << "the store forgot what it had answered";
   EXPECT_TRUE(fleet.await_filled("evening", kept + 3)) << fleet.rig.logs();
-  EXPECT_EQ(fleet.broken_terms(), kNone);
+  EXPECT_EQ(fleet.find_token_regressions(), kNone);
 }
 
 // Answers come after the routers have given the call up: was it done? The next call finds out.
@@ -381,12 +381,12 @@
   EXPECT_EQ(ask_all(fleet.rig, fleet.rig.routers(), 5), kNone);
   fleet.rig.fault("heal router*>registry");
   EXPECT_TRUE(fleet.await_state("evening", "done")) << fleet.rig.logs();
-  EXPECT_EQ(fleet.broken_terms(), kNone);
+  EXPECT_EQ(fleet.find_token_regressions(), kNone);
   EXPECT_EQ(fleet.filled("evening"), 40U);
 }
 
 TEST(OwnershipFleetTest, RenewalsThatAreLateButInTimeKeepTheWork) {
-  Shape shape = owned_shape(3, 4'000);
+  FleetSpec shape = owned_shape(3, 4'000);
   shape.coordination["call_ms"] = 2'500;
   Owned fleet(shape, {"router*>registry"});
   ASSERT_FALSE(testing::Test::HasFatalFailure());
@@ -430,7 +430,7 @@
 // Clocks that are an hour off and set while they run, and that run a percent apart: nobody asks the wall
 // clock who owns what, and the drift is within the bound.
 TEST(OwnershipFleetTest, ClocksThatAreSetOrRunApartChangeNothing) {
-  Shape shape = owned_shape(3);
+  FleetSpec shape = owned_shape(3);
   Owned fleet(shape, {}, [](fleet::Layout& layout) {
     const char* const rates[] = {"1.01", "0.99", "1.0"};
     const char* const steps[] = {"3600", "-3600", "0"};
@@ -456,7 +456,7 @@
   EXPECT_EQ(fleet.owner("evening"), first) << "a set clock must not end a lease";
   fleet.rig.fleet().kill(first);
   EXPECT_TRUE(fleet.await_state("evening", "done")) << fleet.rig.logs();
-  EXPECT_EQ(fleet.broken_terms(), kNone);
+  EXPECT_EQ(fleet.find_token_regressions(), kNone);
   EXPECT_EQ(fleet.filled("evening"), 100U);
 }
 
@@ -498,7 +498,7 @@
 // ---- Work that its owners die of ----
 
 TEST(OwnershipFleetTest, PoisonedWorkIsParkedBeforeItHasTakenAllDown) {
-  Shape shape = owned_shape(5, 600);
+  FleetSpec shape = owned_shape(5, 600);
   shape.ownership["most_starts"] = 2;
   shape.ownership["renew_ms"] = 100;
   shape.origin_delay_ms = 4'000;  // no object is ever there before its owner dies
@@ -539,7 +539,7 @@
 // ---- The other kinds of work ----
 
 TEST(OwnershipFleetTest, OneRouterProbesASuspectCacheForAllAndAllHearOfItsReturn) {
-  Shape shape = owned_shape(4);
+  FleetSpec shape = owned_shape(4);
   shape.caches = 2;
   shape.ownership["suspect_after"] = 2;
   Owned fleet(shape);
@@ -602,7 +602,7 @@
 }
 
 TEST(OwnershipFleetTest, RoutersOfOneMachineShareAFolderInTheStoresPlace) {
-  Shape shape = owned_shape(3);
+  FleetSpec shape = owned_shape(3);
   shape.registry = false;
   shape.embedded = testing::TempDir() + "trailcourse-shared-" + std::to_string(::getpid());
   std::filesystem::remove_all(shape.embedded);
@@ -616,7 +616,7 @@
     fleet.rig.fleet().kill(first);
     EXPECT_TRUE(fleet.await_state("evening", "done")) << fleet.rig.logs();
     EXPECT_EQ(fleet.filled("evening"), 40U);
-    EXPECT_EQ(fleet.broken_terms(), kNone);
+    EXPECT_EQ(fleet.find_token_regressions(), kNone);
   }
   std::filesystem::remove_all(shape.embedded);
 }
--- a/tests/fleet/policy_rig.cpp
+++ b/tests/fleet/policy_rig.cpp
@@ -12,8 +12,8 @@
 using nlohmann::json;
 using std::chrono::milliseconds;
 
-fleet::Shape policy_shape(int routers) {
-  fleet::Shape shape;
+fleet::FleetSpec policy_shape(int routers) {
+  fleet::FleetSpec shape;
   shape.routers = routers;
   shape.caches = 1;
   shape.parents = 0;
@@ -62,7 +62,7 @@
   return out;
 }
 
-PolicyRig::PolicyRig(const fleet::Shape& shape, const std::vector<std::string>& proxied)
+PolicyRig::PolicyRig(const fleet::FleetSpec& shape, const std::vector<std::string>& proxied)
     : rig(shape, proxied) {
   rig.start_all();
   for (const std::string& router : rig.routers()) {
--- a/tests/fleet/policy_rig.h
+++ b/tests/fleet/policy_rig.h
@@ -15,7 +15,7 @@
 namespace trailcourse::testing_support {
 
 // One zone, one cache and a store; times short enough for a test.
-fleet::Shape policy_shape(int routers);
+fleet::FleetSpec policy_shape(int routers);
 
 // Checker. Versions by the time of their decision: of two decisions under versions alone the later one is
 // never under a lower one.
@@ -24,7 +24,7 @@
 class PolicyRig {
  public:
   // Starts all and waits until each router is ready.
-  explicit PolicyRig(const fleet::Shape& shape, const std::vector<std::string>& proxied = {});
+  explicit PolicyRig(const fleet::FleetSpec& shape, const std::vector<std::string>& proxied = {});
 
   // Commands of staff at the store itself; they give the exit status, and leave in `said` what was printed.
   int policy(program::PolicyCommand command);
--- a/tests/fleet/policy_test.cpp
+++ b/tests/fleet/policy_test.cpp
@@ -11,7 +11,7 @@
 namespace trailcourse::testing_support {
 namespace {
 
-using fleet::Shape;
+using fleet::FleetSpec;
 using nlohmann::json;
 using std::chrono::milliseconds;
 
@@ -205,7 +205,7 @@
 }
 
 TEST(PolicyFleetTest, AStageIsWatchedAndTurnedBackWhereItRefusesTooMuch) {
-  Shape shape = policy_shape(4);
+  FleetSpec shape = policy_shape(4);
   shape.zones = {"east", "west"};
   shape.caches = 2;
   PolicyRig fleet(shape);
--- a/tests/fleet/relay_test.cpp
+++ b/tests/fleet/relay_test.cpp
@@ -12,11 +12,11 @@
 namespace trailcourse::testing_support {
 namespace {
 
-using fleet::Shape;
+using fleet::FleetSpec;
 using std::chrono::milliseconds;
 
-Shape relay_shape(int routers) {
-  Shape shape = spread_shape(routers);
+FleetSpec relay_shape(int routers) {
+  FleetSpec shape = spread_shape(routers);
   shape.known = false;
   shape.operators["relay"] = {{"pass_over_ms", 200}, {"audits_per_s", 20.0}};
   return shape;
@@ -136,7 +136,7 @@
     const std::string candidate = "liar" + std::to_string(i);
     name = startup::RelayTree("router0", {candidate}, 2).position() == 1 ? candidate : "";
   }
-  Shape shape = spread_shape(1);
+  FleetSpec shape = spread_shape(1);
   shape.operators["relay"] = {{"audits_per_s", 20.0}, {"peers", {name + "=" + liar.address()}}};
   Rig rig(shape);
   rig.start_all();
--- a/tests/fleet/rig.cpp
+++ b/tests/fleet/rig.cpp
@@ -8,7 +8,7 @@
 #include <iterator>
 #include <random>
 
-#include "program/board_server.h"
+#include "program/discovery_file_server.h"
 #include "protocol/fastcgi_peer.h"
 #include "stand_ins.h"
 
@@ -18,7 +18,7 @@
 using std::chrono::milliseconds;
 using transport::Clock;
 
-Rig::Rig(const fleet::Shape& shape, const std::vector<std::string>& proxied, int relay_degree) {
+Rig::Rig(const fleet::FleetSpec& shape, const std::vector<std::string>& proxied, int relay_degree) {
   static int made = 0;
   folder_ =
       testing::TempDir() + "trailcourse-fleet-" + std::to_string(::getpid()) + "-" + std::to_string(++made);
@@ -32,7 +32,7 @@
     layout_->connect_relays(relay_degree);
   }
   scenario_ = std::make_unique<fleet::Scenario>(scheduler_, *layout_, ports_, TRAILCOURSE_PROGRAM, proxied);
-  status_ = std::make_unique<fleet::StatusBoard>(scheduler_, *layout_);
+  status_ = std::make_unique<fleet::StatusPoller>(scheduler_, *layout_);
   load_ = std::make_unique<fleet::Load>(scheduler_, fleet::Load::Options{}, 1);
 }
 
@@ -82,7 +82,7 @@
 }
 
 std::uint64_t Rig::post(const nlohmann::json& event) {
-  return program::add_notice(layout_->board_file(), event);
+  return program::append_event(layout_->board_file(), event);
 }
 
 std::string Rig::logs() const {
@@ -108,7 +108,7 @@
   });
 }
 
-fleet::StatusBoard::Row Rig::status(const std::string& router) {
+fleet::StatusPoller::Row Rig::status(const std::string& router) {
   status_->refresh({router});
   run_for(milliseconds(2));
   return status_->rows().at(router);
@@ -121,7 +121,7 @@
     missing.clear();
     status_->refresh(routers);
     for (const std::string& router : routers) {
-      const fleet::StatusBoard::Row& row = status_->rows().at(router);
+      const fleet::StatusPoller::Row& row = status_->rows().at(router);
       if (!row.up || std::find(states.begin(), states.end(), row.state) == states.end()) {
         missing = router + " is " + row.state + "\n" + scenario_->fleet().log(router);
       }
@@ -166,8 +166,8 @@
   return out;
 }
 
-fleet::Shape spread_shape(int routers, double calls_per_s) {
-  fleet::Shape shape;
+fleet::FleetSpec spread_shape(int routers, double calls_per_s) {
+  fleet::FleetSpec shape;
   shape.routers = routers;
   shape.operators["startup"] = {
       {"spread", true}, {"board_calls_per_s", calls_per_s}, {"window_most_ms", 2'000}};
--- a/tests/fleet/rig.h
+++ b/tests/fleet/rig.h
@@ -11,8 +11,8 @@
 #include <vector>
 
 #include "fleet/layout.h"
-#include "fleet/load.h"
-#include "fleet/ports.h"
+#include "fleet/load_generator.h"
+#include "fleet/port_allocator.h"
 #include "fleet/scenario.h"
 #include "fleet/supervisor.h"
 #include "transport/scheduler.h"
@@ -25,7 +25,7 @@
 class Rig {
  public:
   // `proxied`: on which links a fault proxy stands, as patterns of "FROM>TO".
-  explicit Rig(const fleet::Shape& shape, const std::vector<std::string>& proxied = {}, int relay_degree = 0);
+  explicit Rig(const fleet::FleetSpec& shape, const std::vector<std::string>& proxied = {}, int relay_degree = 0);
   ~Rig();
   Rig(const Rig&) = delete;
   Rig& operator=(const Rig&) = delete;
@@ -35,7 +35,7 @@
   fleet::Supervisor& fleet() { return scenario_->fleet(); }
   fleet::Scenario& scenario() { return *scenario_; }
   fleet::Load& load() { return *load_; }
-  fleet::PortBook& ports() { return ports_; }
+  fleet::PortAllocator& ports() { return ports_; }
   const std::string& folder() const { return folder_; }
 
   // Starts one and waits until it listens; fails the test where it does not.
@@ -46,7 +46,7 @@
   // Waits until /healthz of the router answers 200.
   bool await_ready(const std::string& router);
   // What its health check says now.
-  fleet::StatusBoard::Row status(const std::string& router);
+  fleet::StatusPoller::Row status(const std::string& router);
   // Waits until each is in one of these states; the first that is not, else empty.
   std::string await_states(const std::vector<std::string>& routers, const std::vector<std::string>& states);
   std::vector<std::string> routers() const { return layout_->names(fleet::Kind::kRouter); }
@@ -75,11 +75,11 @@
 
  private:
   transport::Scheduler scheduler_;
-  fleet::PortBook ports_;
+  fleet::PortAllocator ports_;
   std::string folder_;
   std::unique_ptr<fleet::Layout> layout_;
   std::unique_ptr<fleet::Scenario> scenario_;
-  std::unique_ptr<fleet::StatusBoard> status_;
+  std::unique_ptr<fleet::StatusPoller> status_;
   std::unique_ptr<fleet::Load> load_;
 };
 
@@ -92,7 +92,7 @@
 inline const std::vector<std::string> kNone;
 
 // So many routers that spread their calls, over windows short enough for a test.
-fleet::Shape spread_shape(int routers, double calls_per_s = 40.0);
+fleet::FleetSpec spread_shape(int routers, double calls_per_s = 40.0);
 
 // Each of these routers is asked so often, for objects of 1,000 to 1,029; all answers awaited, what is broken
 // returned.
--- a/tests/fleet_parts_test.cpp
+++ b/tests/fleet_parts_test.cpp
@@ -13,7 +13,7 @@
 #include "fleet/fault_script.h"
 #include "fleet/figures.h"
 #include "fleet/layout.h"
-#include "fleet/ports.h"
+#include "fleet/port_allocator.h"
 #include "fleet/process.h"
 #include "stand_ins.h"
 
@@ -93,8 +93,8 @@
 
 TEST(Figures, TheMostWithinAWindow) {
   const Clock::time_point zero{};
-  EXPECT_EQ(most_within({}, milliseconds(10)), 0U);
-  EXPECT_EQ(most_within({zero + milliseconds(30), zero, zero + milliseconds(9), zero + milliseconds(10)},
+  EXPECT_EQ(max_count_within({}, milliseconds(10)), 0U);
+  EXPECT_EQ(max_count_within({zero + milliseconds(30), zero, zero + milliseconds(9), zero + milliseconds(10)},
                         milliseconds(10)),
             2U);
   EXPECT_EQ(quantile({3, 1, 2}, 0.5), 2);
@@ -104,7 +104,7 @@
 }
 
 TEST(Ports, AreThisProcessesOwnAndFree) {
-  PortBook book;
+  PortAllocator book;
   std::set<std::uint16_t> seen;
   for (int i = 0; i < 100; ++i) {
     const transport::Address address = book.take();
@@ -202,13 +202,13 @@
 
 TEST(LayoutTest, RoutersGetTheAggregatorsOfTheirRegionAndThenOneOfTheNext) {
   using Names = std::vector<std::string>;
-  Shape shape;
+  FleetSpec shape;
   shape.routers = 6;
   shape.zones = {"a", "b", "c"};
   shape.registry = true;
   shape.aggregators = 4;
   shape.regions = 2;  // a and c, b
-  PortBook ports;
+  PortAllocator ports;
   const Layout layout(shape, ::testing::TempDir(), ports);
   EXPECT_EQ(layout.names(Kind::kAggregator).size(), 4U);
   EXPECT_EQ(layout.served_zones("aggregator0"), (Names{"a", "b", "c"}))
@@ -254,7 +254,7 @@
   }
 
   transport::Scheduler scheduler_;
-  PortBook ports_;
+  PortAllocator ports_;
   Echo echo_;
   transport::Address at_ = ports_.take();
   FaultProxy proxy_{scheduler_, "a>b", at_, *transport::parse_address(echo_.address())};
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -6,7 +6,7 @@
 #include <optional>
 #include <string>
 
-#include "fleet/ports.h"
+#include "fleet/port_allocator.h"
 #include "http/client_connection.h"
 #include "transport/accept_loop.h"
 
@@ -76,7 +76,7 @@
     return received_;
   }
 
-  fleet::PortBook ports_;
+  fleet::PortAllocator ports_;
   transport::Address address_ = ports_.take();
   transport::Scheduler scheduler_;
   std::string answer_{kResponse};
--- a/tests/mutation_test.cpp
+++ b/tests/mutation_test.cpp
@@ -13,7 +13,7 @@
 #include "protocol/fastcgi.h"
 #include "protocol/http_client.h"
 #include "protocol/json_fields.h"
-#include "protocol/notice_board.h"
+#include "protocol/discovery_page.h"
 #include "protocol/resp.h"
 
 namespace trailcourse {
@@ -79,14 +79,14 @@
     EXPECT_LE(parser.held(), bounds.connection_bytes + (80U << 10U));
     for (const fastcgi::Event& event : events) {
       said += std::to_string(event.index()) + ' ';
-      if (const auto* read = std::get_if<fastcgi::RequestRead>(&event)) {
+      if (const auto* read = std::get_if<fastcgi::RequestReceived>(&event)) {
         said += std::to_string(read->key) + ' ' + read->body;
         for (const auto& [name, value] : read->parameters.fields) {
           said.append(" ").append(name).append("=").append(value);
         }
       } else if (const auto* bad = std::get_if<fastcgi::RequestRejected>(&event)) {
         said += std::to_string(bad->key) + ' ' + bad->why;
-      } else if (const auto* over = std::get_if<fastcgi::Unreadable>(&event)) {
+      } else if (const auto* over = std::get_if<fastcgi::ParseError>(&event)) {
         said += over->why;
       }
       said += '\n';
@@ -117,7 +117,7 @@
         said += ' ';
       } else if (const auto* part = std::get_if<resp::ArrayPiece>(&event)) {
         said += part->bytes;
-      } else if (const auto* over = std::get_if<resp::Unreadable>(&event)) {
+      } else if (const auto* over = std::get_if<resp::ParseError>(&event)) {
         said += "unreadable " + over->why;
       } else {
         said += " end\n";
@@ -172,7 +172,7 @@
   int read = 0;
   for (int round = 0; round < kRounds; ++round) {
     try {
-      const protocol::NoticePage page = protocol::parse_notices(mutated(good, random), protocol::Profile());
+      const protocol::DiscoveryPage page = protocol::parse_discovery_page(mutated(good, random), protocol::Profile());
       ASSERT_LE(page.notices.size(), 4U);
       ++read;
     } catch (const protocol::FormatError&) {
--- a/tests/node_core_test.cpp
+++ b/tests/node_core_test.cpp
@@ -15,7 +15,7 @@
 namespace trailcourse::cache_node {
 namespace {
 
-using protocol::AnswerWord;
+using protocol::AnswerCode;
 using protocol::ServeFields;
 using store::Copy;
 
@@ -72,7 +72,7 @@
     result.copy = copy;
     core_.looked_up(now(), number, result, out_);
   }
-  static FetchResult answer(AnswerWord word, const std::string& body = "", std::int64_t t0 = kNow,
+  static FetchResult answer(AnswerCode word, const std::string& body = "", std::int64_t t0 = kNow,
                             Note note = Note::kHit) {
     FetchResult out;
     out.word = word;
@@ -118,7 +118,7 @@
 TEST_F(NodeCoreTest, AHeldCopyIsServedWithItsTagAndTime) {
   hold(1, fields("a"), Copy{"t", kNow, 4, bytes("body")});
   const Answer got = answer_to(1);
-  EXPECT_EQ(got.word, AnswerWord::kOk);
+  EXPECT_EQ(got.word, AnswerCode::kOk);
   EXPECT_EQ(*got.body, "body");
   EXPECT_EQ(got.fields.tag, "t");
   EXPECT_EQ(got.fields.t0_ms, kNow);
@@ -130,11 +130,11 @@
   ServeFields asked = fields("a");
   asked.cached = "t";
   hold(1, asked, Copy{"t", kNow, 4, bytes("body")});
-  EXPECT_EQ(answer_to(1).word, AnswerWord::kSame);
+  EXPECT_EQ(answer_to(1).word, AnswerCode::kSame);
   EXPECT_EQ(answer_to(1).body, nullptr);
   asked.cached = "other";
   hold(2, asked, Copy{"t", kNow, 4, bytes("body")});
-  EXPECT_EQ(answer_to(2).word, AnswerWord::kOk);
+  EXPECT_EQ(answer_to(2).word, AnswerCode::kOk);
 }
 
 TEST_F(NodeCoreTest, AMissIsFilledKeptAndServed) {
@@ -145,7 +145,7 @@
   EXPECT_TRUE(fetch.fields.next.empty()) << "the parent fills by itself";
   EXPECT_EQ(fetch.fields.admit, 2);
   steady_ += 30;
-  fetched(fetch.fill, answer(AnswerWord::kOk, "body", kNow, Note::kFilled));
+  fetched(fetch.fill, answer(AnswerCode::kOk, "body", kNow, Note::kFilled));
   EXPECT_EQ(*answer_to(1).body, "body");
   EXPECT_EQ(answer_to(1).fields.note, Note::kFilledFromOrigin);
   EXPECT_EQ(answer_to(1).fields.waited_ms, 30);
@@ -159,28 +159,28 @@
   ServeFields asked = fields("a");
   asked.admit = 0;
   miss(1, asked);
-  fetched(all<Fetch>()[0].fill, answer(AnswerWord::kOk, "body"));
+  fetched(all<Fetch>()[0].fill, answer(AnswerCode::kOk, "body"));
   EXPECT_TRUE(all<Keep>().empty());
   out_.clear();
   asked = fields("b");
   asked.no_copy = true;
   miss(2, asked);
   EXPECT_TRUE(all<Fetch>()[0].fields.no_copy) << "the word goes on to the source";
-  fetched(all<Fetch>()[0].fill, answer(AnswerWord::kOk, "body"));
+  fetched(all<Fetch>()[0].fill, answer(AnswerCode::kOk, "body"));
   EXPECT_EQ(all<Keep>().size(), 1U) << "a cache keeps its own";
 }
 
 // Provokes: an object that no answer can hold, from a source, for a class that is passed on, and as a copy
 // kept under another bound. Without the bound routers get what they cannot read.
 TEST_F(NodeCoreTest, AnObjectLargerThanAnAnswerMayHoldIsAnErrorAndNotKept) {
-  const std::string large(protocol::kMostObjectBytes + 1, 'x');
+  const std::string large(protocol::kMaxObjectBytes + 1, 'x');
   ServeFields asked = fields("a");
   asked.join = true;
   miss(1, asked);
   miss(2, asked);
-  fetched(all<Fetch>()[0].fill, answer(AnswerWord::kOk, large));
+  fetched(all<Fetch>()[0].fill, answer(AnswerCode::kOk, large));
   for (const RequestNumber number : {RequestNumber{1}, RequestNumber{2}}) {
-    EXPECT_EQ(answer_to(number).word, AnswerWord::kError);
+    EXPECT_EQ(answer_to(number).word, AnswerCode::kError);
     EXPECT_EQ(answer_to(number).fields.note, Note::kOriginFailed);
     EXPECT_EQ(answer_to(number).fields.why, "too_large");
     EXPECT_EQ(answer_to(number).body, nullptr);
@@ -189,21 +189,21 @@
   ASSERT_EQ(all<TooLarge>().size(), 1U);
   EXPECT_EQ(all<TooLarge>()[0].item, "a");
   EXPECT_EQ(all<TooLarge>()[0].bytes, large.size());
-  EXPECT_EQ(all<TooLarge>()[0].most, protocol::kMostObjectBytes);
+  EXPECT_EQ(all<TooLarge>()[0].most, protocol::kMaxObjectBytes);
   miss(3, fields("a"));
-  fetched(all<Fetch>()[1].fill, answer(AnswerWord::kOk, large));
+  fetched(all<Fetch>()[1].fill, answer(AnswerCode::kOk, large));
   EXPECT_EQ(all<TooLarge>().size(), 1U) << "told once for each object";
 
   ServeFields entry = fields("b", "origin");
   entry.request_class = "entry";
   core_.arrive(now(), 4, entry, "write", out_);
-  fetched(all<Fetch>()[2].fill, answer(AnswerWord::kOk, large));
-  EXPECT_EQ(answer_to(4).word, AnswerWord::kError);
+  fetched(all<Fetch>()[2].fill, answer(AnswerCode::kOk, large));
+  EXPECT_EQ(answer_to(4).word, AnswerCode::kError);
   EXPECT_EQ(answer_to(4).body, nullptr);
 
   hold(5, fields("c"), Copy{"t", kNow, 4, bytes(large)});
   EXPECT_EQ(all<Drop>().size(), 1U);
-  fetched(all<Fetch>()[3].fill, answer(AnswerWord::kOk, "small by now"));
+  fetched(all<Fetch>()[3].fill, answer(AnswerCode::kOk, "small by now"));
   EXPECT_EQ(*answer_to(5).body, "small by now");
   EXPECT_EQ(core_.counts().too_large, 3U);
 }
@@ -211,14 +211,14 @@
 // The bound itself still fits.
 TEST_F(NodeCoreTest, AnObjectOfJustTheBoundIsServedAndKept) {
   miss(1, fields("a"));
-  fetched(all<Fetch>()[0].fill, answer(AnswerWord::kOk, std::string(protocol::kMostObjectBytes, 'x')));
-  EXPECT_EQ(answer_to(1).body->size(), protocol::kMostObjectBytes);
+  fetched(all<Fetch>()[0].fill, answer(AnswerCode::kOk, std::string(protocol::kMaxObjectBytes, 'x')));
+  EXPECT_EQ(answer_to(1).body->size(), protocol::kMaxObjectBytes);
   EXPECT_EQ(all<Keep>().size(), 1U);
 }
 
 TEST_F(NodeCoreTest, WithoutASourceItIsAMiss) {
   miss(1, fields("a", ""));
-  EXPECT_EQ(answer_to(1).word, AnswerWord::kMiss);
+  EXPECT_EQ(answer_to(1).word, AnswerCode::kMiss);
   EXPECT_TRUE(all<Fetch>().empty());
 }
 
@@ -230,7 +230,7 @@
     miss(number, asked);
   }
   ASSERT_EQ(all<Fetch>().size(), 1U);
-  fetched(all<Fetch>()[0].fill, answer(AnswerWord::kOk, "body"));
+  fetched(all<Fetch>()[0].fill, answer(AnswerCode::kOk, "body"));
   for (RequestNumber number = 1; number <= 40; ++number) {
     EXPECT_EQ(*answer_to(number).body, "body");
     EXPECT_EQ(answer_to(number).fields.note, number == 1 ? Note::kFilled : Note::kJoined);
@@ -251,7 +251,7 @@
   miss(2, asked);
   core_.cancel(now(), 1, out_);
   EXPECT_TRUE(all<StopFetch>().empty());
-  fetched(all<Fetch>()[0].fill, answer(AnswerWord::kOk, "body"));
+  fetched(all<Fetch>()[0].fill, answer(AnswerCode::kOk, "body"));
   EXPECT_EQ(*answer_to(2).body, "body");
   for (const Answer& one : all<Answer>()) {
     EXPECT_NE(one.request, 1U) << "who has left gets no answer";
@@ -268,7 +268,7 @@
   ASSERT_EQ(all<StopFetch>().size(), 1U);
   EXPECT_EQ(core_.fills(), 0U);
   const std::size_t before = out_.size();
-  fetched(all<Fetch>()[0].fill, answer(AnswerWord::kOk, "body"));
+  fetched(all<Fetch>()[0].fill, answer(AnswerCode::kOk, "body"));
   EXPECT_EQ(out_.size(), before) << "what comes later is not heard";
 }
 
@@ -276,7 +276,7 @@
   ServeFields asked = fields("a");
   asked.age_limit_ms = 1'000;
   hold(1, asked, Copy{"t", kNow + steady_ - 1'000, 1, bytes("old enough")});
-  EXPECT_EQ(answer_to(1).word, AnswerWord::kOk);
+  EXPECT_EQ(answer_to(1).word, AnswerCode::kOk);
   hold(2, asked, Copy{"t", kNow + steady_ - 1'001, 1, bytes("too old")});
   ASSERT_EQ(all<Fetch>().size(), 1U);
   EXPECT_EQ(all<Fetch>()[0].fields.age_limit_ms, 1'000);
@@ -287,7 +287,7 @@
   ServeFields asked = fields("a");
   asked.request_class = "menu";
   hold(1, asked, Copy{"t", kNow + steady_ - 10'000, 1, bytes("x")});
-  EXPECT_EQ(answer_to(1).word, AnswerWord::kOk);
+  EXPECT_EQ(answer_to(1).word, AnswerCode::kOk);
   hold(2, asked, Copy{"t", kNow + steady_ - 10'001, 1, bytes("x")});
   EXPECT_EQ(all<Fetch>().size(), 1U);
 }
@@ -303,7 +303,7 @@
   EXPECT_EQ(answer_to(1).fields.note, Note::kStale);
   EXPECT_EQ(answer_to(2).fields.note, Note::kStale);
   ASSERT_EQ(all<Fetch>().size(), 1U);
-  FetchResult same = answer(AnswerWord::kSame, "", kNow + steady_);
+  FetchResult same = answer(AnswerCode::kSame, "", kNow + steady_);
   fetched(all<Fetch>()[0].fill, same);
   ASSERT_EQ(all<Keep>().size(), 1U);
   EXPECT_EQ(all<Keep>()[0].copy.t0_ms, kNow + steady_);
@@ -316,14 +316,14 @@
   miss(1, fields("a"));
   floor_ = kNow + steady_ + 5;
   steady_ += 20;
-  fetched(all<Fetch>()[0].fill, answer(AnswerWord::kOk, "old", kNow + steady_ - 20));
+  fetched(all<Fetch>()[0].fill, answer(AnswerCode::kOk, "old", kNow + steady_ - 20));
   EXPECT_TRUE(all<Answer>().empty());
   EXPECT_TRUE(all<Keep>().empty());
   ASSERT_EQ(all<Fetch>().size(), 2U);
   EXPECT_EQ(all<Fetch>()[1].fields.age_limit_ms, 14);
   // A parent that hands on the old copy all the same: a miss, and its source is told as lacking.
-  fetched(all<Fetch>()[1].fill, answer(AnswerWord::kOk, "old", kNow + steady_ - 20));
-  EXPECT_EQ(answer_to(1).word, AnswerWord::kMiss);
+  fetched(all<Fetch>()[1].fill, answer(AnswerCode::kOk, "old", kNow + steady_ - 20));
+  EXPECT_EQ(answer_to(1).word, AnswerCode::kMiss);
   EXPECT_EQ(answer_to(1).fields.note, Note::kNotAtSource);
   EXPECT_TRUE(all<Keep>().empty());
 }
@@ -346,11 +346,11 @@
   asked.age_limit_ms = 50;
   miss(2, asked);
   steady_ += 100;
-  fetched(all<Fetch>()[0].fill, answer(AnswerWord::kOk, "body", kNow + steady_ - 100));
-  EXPECT_EQ(answer_to(1).word, AnswerWord::kOk);
+  fetched(all<Fetch>()[0].fill, answer(AnswerCode::kOk, "body", kNow + steady_ - 100));
+  EXPECT_EQ(answer_to(1).word, AnswerCode::kOk);
   ASSERT_EQ(all<Fetch>().size(), 2U) << "a fill of its own for the one that may not have it";
-  fetched(all<Fetch>()[1].fill, answer(AnswerWord::kOk, "body", kNow + steady_));
-  EXPECT_EQ(answer_to(2).word, AnswerWord::kOk);
+  fetched(all<Fetch>()[1].fill, answer(AnswerCode::kOk, "body", kNow + steady_));
+  EXPECT_EQ(answer_to(2).word, AnswerCode::kOk);
 }
 
 TEST_F(NodeCoreTest, BeforeTheBoardWasHeardOldCopiesGoOnlyToThoseThatSayHowOldTheyMayBe) {
@@ -361,16 +361,16 @@
   ServeFields asked = fields("a");
   asked.age_limit_ms = 3'600'000;
   hold(2, asked, Copy{"t", kNow, 1, bytes("from before the start")});
-  EXPECT_EQ(answer_to(2).word, AnswerWord::kOk);
+  EXPECT_EQ(answer_to(2).word, AnswerCode::kOk);
   core_.caught_up();
   hold(3, fields("a"), Copy{"t", kNow, 1, bytes("from before the start")});
-  EXPECT_EQ(answer_to(3).word, AnswerWord::kOk);
+  EXPECT_EQ(answer_to(3).word, AnswerCode::kOk);
 }
 
 TEST_F(NodeCoreTest, OutcomesOfTheSourceAreToldApart) {
   struct Case {
     FetchResult result;
-    AnswerWord word;
+    AnswerCode word;
     Note note;
   };
   FetchResult unreachable;
@@ -379,12 +379,12 @@
   broken.end = FetchResult::End::kBroken;
   FetchResult spoilt;
   spoilt.end = FetchResult::End::kSpoilt;
-  const std::vector<Case> cases{{answer(AnswerWord::kMiss), AnswerWord::kMiss, Note::kNotAtSource},
-                                {answer(AnswerWord::kBusy), AnswerWord::kMiss, Note::kSourceRejected},
-                                {answer(AnswerWord::kError), AnswerWord::kError, Note::kSourceRejected},
-                                {unreachable, AnswerWord::kMiss, Note::kSourceUnreachable},
-                                {broken, AnswerWord::kMiss, Note::kSourceUnreachable},
-                                {spoilt, AnswerWord::kMiss, Note::kSourceRejected}};
+  const std::vector<Case> cases{{answer(AnswerCode::kMiss), AnswerCode::kMiss, Note::kNotAtSource},
+                                {answer(AnswerCode::kBusy), AnswerCode::kMiss, Note::kSourceRejected},
+                                {answer(AnswerCode::kError), AnswerCode::kError, Note::kSourceRejected},
+                                {unreachable, AnswerCode::kMiss, Note::kSourceUnreachable},
+                                {broken, AnswerCode::kMiss, Note::kSourceUnreachable},
+                                {spoilt, AnswerCode::kMiss, Note::kSourceRejected}};
   RequestNumber number = 0;
   for (const Case& one : cases) {
     out_.clear();
@@ -396,7 +396,7 @@
   }
   out_.clear();
   miss(100, fields("a", "origin"));
-  fetched(all<Fetch>()[0].fill, answer(AnswerWord::kError));
+  fetched(all<Fetch>()[0].fill, answer(AnswerCode::kError));
   EXPECT_EQ(answer_to(100).fields.note, Note::kOriginFailed);
 }
 
@@ -414,22 +414,22 @@
   ASSERT_EQ(all<Fetch>().size(), 2U);
   EXPECT_EQ(all<Fetch>()[0].body, "payload");
   EXPECT_EQ(all<Fetch>()[0].fields.nonce, "key");
-  fetched(all<Fetch>()[0].fill, answer(AnswerWord::kOk, "done"));
+  fetched(all<Fetch>()[0].fill, answer(AnswerCode::kOk, "done"));
   EXPECT_EQ(*answer_to(1).body, "done");
   EXPECT_TRUE(all<Keep>().empty());
   FetchResult broken;
   broken.end = FetchResult::End::kBroken;
   fetched(all<Fetch>()[1].fill, broken);
-  EXPECT_EQ(answer_to(2).word, AnswerWord::kError) << "it may have run";
+  EXPECT_EQ(answer_to(2).word, AnswerCode::kError) << "it may have run";
   core_.arrive(now(), 3, asked, "payload", out_);
   FetchResult unreachable;
   unreachable.end = FetchResult::End::kUnreachable;
   fetched(all<Fetch>()[2].fill, unreachable);
-  EXPECT_EQ(answer_to(3).word, AnswerWord::kMiss) << "it never ran";
+  EXPECT_EQ(answer_to(3).word, AnswerCode::kMiss) << "it never ran";
   core_.arrive(now(), 4, asked, "payload", out_);
   steady_ += 600;
   core_.tick(now(), out_);
-  EXPECT_EQ(answer_to(4).word, AnswerWord::kError) << "out of time, and it may have run";
+  EXPECT_EQ(answer_to(4).word, AnswerCode::kError) << "out of time, and it may have run";
   EXPECT_EQ(all<Fetch>().size(), 4U) << "nothing was asked twice";
 }
 
@@ -438,22 +438,22 @@
     miss(number, fields("item" + std::to_string(number)));
   }
   miss(5, fields("item5"));
-  EXPECT_EQ(answer_to(5).word, AnswerWord::kBusy);
+  EXPECT_EQ(answer_to(5).word, AnswerCode::kBusy);
   EXPECT_EQ(answer_to(5).fields.note, Note::kNoFillCapacity);
   hold(6, fields("held"), Copy{"t", kNow, 1, bytes("x")});
-  EXPECT_EQ(answer_to(6).word, AnswerWord::kOk) << "what is held needs no place";
+  EXPECT_EQ(answer_to(6).word, AnswerCode::kOk) << "what is held needs no place";
   for (RequestNumber number = 10; number < 56; ++number) {
     core_.arrive(now(), number, fields("x"), "", out_);
   }
   core_.arrive(now(), 60, fields("x"), "", out_);
-  EXPECT_EQ(answer_to(60).word, AnswerWord::kBusy);
+  EXPECT_EQ(answer_to(60).word, AnswerCode::kBusy);
   EXPECT_GE(core_.utilisation(0), 1.0);
 }
 
 TEST_F(NodeCoreTest, AnswersThatArePeersToTakeCountAgainstTheBound) {
   waiting_ = 1U << 20U;
   core_.arrive(now(), 1, fields("a"), "", out_);
-  EXPECT_EQ(answer_to(1).word, AnswerWord::kBusy);
+  EXPECT_EQ(answer_to(1).word, AnswerCode::kBusy);
 }
 
 TEST_F(NodeCoreTest, WhatCannotBeUsedIsAnErrorInPlainWords) {
@@ -468,7 +468,7 @@
   core_.arrive(now(), 4, fields("a"), "a body", out_);
   EXPECT_EQ(answer_to(4).fields.why, "a_body_for_a_kept_class");
   for (RequestNumber number = 1; number <= 4; ++number) {
-    EXPECT_EQ(answer_to(number).word, AnswerWord::kError);
+    EXPECT_EQ(answer_to(number).word, AnswerCode::kError);
   }
   EXPECT_EQ(core_.open(), 0U);
 }
@@ -486,7 +486,7 @@
   result.copy = Copy{"t", kNow, 1, bytes("late")};
   core_.looked_up(now(), 1, result, out_);
   EXPECT_TRUE(all<Answer>().empty());
-  fetched(all<Fetch>()[0].fill, answer(AnswerWord::kOk, "body"));
+  fetched(all<Fetch>()[0].fill, answer(AnswerCode::kOk, "body"));
   EXPECT_EQ(*answer_to(1).body, "body");
 }
 
@@ -498,12 +498,12 @@
   miss(2, asked);
   steady_ += 1'000;
   core_.tick(now(), out_);
-  EXPECT_EQ(answer_to(1).word, AnswerWord::kVoid);
+  EXPECT_EQ(answer_to(1).word, AnswerCode::kVoid);
   EXPECT_EQ(all<Fetch>().size(), 2U)
       << "the fill had the first one's time; the other has more, and gets one more";
   steady_ += 2'000;
   core_.tick(now(), out_);
-  EXPECT_EQ(answer_to(2).word, AnswerWord::kVoid);
+  EXPECT_EQ(answer_to(2).word, AnswerCode::kVoid);
   EXPECT_EQ(core_.fills(), 0U);
   EXPECT_EQ(core_.open(), 0U);
   EXPECT_FALSE(core_.next_due().has_value());
@@ -514,7 +514,7 @@
   asked.held = true;
   miss(1, asked);
   EXPECT_TRUE(all<Fetch>()[0].fields.held);
-  fetched(all<Fetch>()[0].fill, answer(AnswerWord::kMiss));
+  fetched(all<Fetch>()[0].fill, answer(AnswerCode::kMiss));
   EXPECT_EQ(answer_to(1).fields.note, Note::kNotAtSource);
 }
 
@@ -539,7 +539,7 @@
   asked.held = true;
   core.arrive(Moment{}, 2, asked, "", out);
   core.looked_up(Moment{}, 2, {}, out);
-  EXPECT_EQ(std::get<Answer>(out[1]).word, AnswerWord::kMiss);
+  EXPECT_EQ(std::get<Answer>(out[1]).word, AnswerCode::kMiss);
 }
 
 class PartialFill : public NodeCoreTest {
@@ -565,7 +565,7 @@
     return all<Fetch>().at(0);
   }
   static FetchResult part(const std::string& body) {
-    FetchResult out = answer(AnswerWord::kOk, body);
+    FetchResult out = answer(AnswerCode::kOk, body);
     out.fields.tag = "tag-whole";
     out.fields.span = protocol::Span{4, 4};
     out.fields.whole = 12;
@@ -590,15 +590,15 @@
   EXPECT_EQ(all<Drop>().size(), 1U);
   ASSERT_EQ(all<Fetch>().size(), 2U);
   EXPECT_FALSE(all<Fetch>()[1].fields.span.has_value()) << "all of it is fetched";
-  fetched(fetch.fill, answer(AnswerWord::kOk, "another whole"));
+  fetched(fetch.fill, answer(AnswerCode::kOk, "another whole"));
   EXPECT_EQ(*answer_to(1).body, "another whole");
 }
 
 TEST_F(PartialFill, ASourceWithAnotherCopyGivesTheWholeOfIt) {
   const Fetch fetch = begin();
-  fetched(fetch.fill, answer(AnswerWord::kMiss));
+  fetched(fetch.fill, answer(AnswerCode::kMiss));
   ASSERT_EQ(all<Fetch>().size(), 2U);
-  fetched(fetch.fill, answer(AnswerWord::kOk, "new"));
+  fetched(fetch.fill, answer(AnswerCode::kOk, "new"));
   EXPECT_EQ(*answer_to(1).body, "new");
   EXPECT_TRUE(all<Complete>().empty());
   EXPECT_EQ(all<Keep>().size(), 1U);
@@ -606,7 +606,7 @@
 
 TEST_F(PartialFill, ASourceThatKnowsNoSpansGivesTheWholeAtOnce) {
   const Fetch fetch = begin();
-  fetched(fetch.fill, answer(AnswerWord::kOk, "aaaabbbbcccc"));
+  fetched(fetch.fill, answer(AnswerCode::kOk, "aaaabbbbcccc"));
   EXPECT_EQ(*answer_to(1).body, "aaaabbbbcccc");
 }
 
@@ -621,8 +621,8 @@
                  : void(result.fields.whole = 13);
     fetched(fetch.fill, result);
     EXPECT_TRUE(all<Answer>().empty()) << wrong;
-    fetched(fetch.fill, answer(AnswerWord::kBusy));
-    EXPECT_EQ(answer_to(1).word, AnswerWord::kMiss);
+    fetched(fetch.fill, answer(AnswerCode::kBusy));
+    EXPECT_EQ(answer_to(1).word, AnswerCode::kMiss);
   }
 }
 
@@ -634,10 +634,10 @@
   EXPECT_EQ(answer_to(1).part, (protocol::Span{2, 3}));
   EXPECT_EQ(answer_to(1).fields.whole, 10U);
   hold(2, asked, Copy{"u", kNow, 1, bytes("0123456789")});
-  EXPECT_EQ(answer_to(2).word, AnswerWord::kMiss);
+  EXPECT_EQ(answer_to(2).word, AnswerCode::kMiss);
   asked.span = protocol::Span{8, 3};
   hold(3, asked, Copy{"t", kNow, 1, bytes("0123456789")});
-  EXPECT_EQ(answer_to(3).word, AnswerWord::kMiss);
+  EXPECT_EQ(answer_to(3).word, AnswerCode::kMiss);
 }
 
 // Seeded storms of every event in any order: each request gets one answer at most, and exactly one unless it
@@ -668,7 +668,7 @@
           ASSERT_EQ(++answers[one->request], 1) << one->request;
           ASSERT_FALSE(cancelled.contains(one->request));
           const ServeFields& of = asked.at(one->request);
-          if (one->word == AnswerWord::kOk && of.request_class == "media") {
+          if (one->word == AnswerCode::kOk && of.request_class == "media") {
             ASSERT_GT(one->fields.t0_ms, floor(one->fields.group));
             ASSERT_TRUE(of.age_limit_ms == 0 || kNow + steady - one->fields.t0_ms <= of.age_limit_ms);
           }
@@ -720,7 +720,7 @@
             out_fills.erase(fill);
             FetchResult result;
             result.end = static_cast<FetchResult::End>(random() % 4);
-            result.word = static_cast<AnswerWord>(random() % 6);
+            result.word = static_cast<AnswerCode>(random() % 6);
             const Copy copy = draw_copy();
             result.fields.tag = copy.tag;
             result.fields.t0_ms = copy.t0_ms;
--- a/tests/poll_scheduler_test.cpp
+++ b/tests/poll_scheduler_test.cpp
@@ -11,14 +11,14 @@
 #include <random>
 #include <vector>
 
-#include "fleet/most_within.h"
+#include "fleet/max_count_within.h"
 #include "fleet_bound.h"
 #include "startup/fleet_size.h"
 
 namespace trailcourse::startup {
 namespace {
 
-using fleet::most_within;
+using fleet::max_count_within;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 using testing_support::max_within;
@@ -148,9 +148,9 @@
     const PollingFleet::Outcome outcome = fleet.run();
     ++fleets;
     calls += outcome.unsettled_polls.size();
-    ASSERT_LE(most_within(outcome.unsettled_polls, seconds(1)), max_within(kCallsPerSecond, seconds(1)))
+    ASSERT_LE(max_count_within(outcome.unsettled_polls, seconds(1)), max_within(kCallsPerSecond, seconds(1)))
         << "seed " << seed;
-    ASSERT_LE(most_within(outcome.unsettled_polls, milliseconds(100)),
+    ASSERT_LE(max_count_within(outcome.unsettled_polls, milliseconds(100)),
               max_within(kCallsPerSecond, milliseconds(100)))
         << "seed " << seed;
     ASSERT_FALSE(outcome.ignored_retry_after) << "seed " << seed << ": sooner than the service asked for";
@@ -185,18 +185,18 @@
 }
 
 TEST(PollSchedulerDefectTest, WithoutJitterAllRoutersPollAtOnce) {
-  EXPECT_LE(most_within(rejected_fleet().run().unsettled_polls, milliseconds(100)),
+  EXPECT_LE(max_count_within(rejected_fleet().run().unsettled_polls, milliseconds(100)),
             max_within(kCallsPerSecond, milliseconds(100)));
   PollingFleet fleet = rejected_fleet();
   fleet.options.max_window = Micros(0);
-  EXPECT_GT(most_within(fleet.run().unsettled_polls, milliseconds(100)),
+  EXPECT_GT(max_count_within(fleet.run().unsettled_polls, milliseconds(100)),
             max_within(kCallsPerSecond, milliseconds(100)));
 }
 
 TEST(PollSchedulerDefectTest, ABudgetPerRouterExceedsThatOfTheFleet) {
   PollingFleet fleet = rejected_fleet();
   fleet.assumed_routers = 1;
-  EXPECT_GT(most_within(fleet.run().unsettled_polls, seconds(1)), max_within(kCallsPerSecond, seconds(1)));
+  EXPECT_GT(max_count_within(fleet.run().unsettled_polls, seconds(1)), max_within(kCallsPerSecond, seconds(1)));
 }
 
 // A row of restarts whose order happens to undo a jitter that only depends on the name.
@@ -213,7 +213,7 @@
     fleet.seed_of = [by_name, name_seed](int i) {
       return by_name ? name_seed(i) : name_seed(i) ^ 0x5bd1e995ULL;
     };
-    return most_within(fleet.run().unsettled_polls, milliseconds(100));
+    return max_count_within(fleet.run().unsettled_polls, milliseconds(100));
   };
   EXPECT_LE(worst(false), max_within(kCallsPerSecond, milliseconds(100)));
   EXPECT_GT(worst(true), max_within(kCallsPerSecond, milliseconds(100)));
--- a/tests/recorded_files_test.cpp
+++ b/tests/recorded_files_test.cpp
@@ -21,9 +21,9 @@
 #include "ownership/work_records.h"
 #include "policy/document.h"
 #include "policy/rollout.h"
-#include "program/board_server.h"
+#include "program/discovery_file_server.h"
 #include "program/operator_file.h"
-#include "protocol/notice_board.h"
+#include "protocol/discovery_page.h"
 #include "snapshot/snapshot.h"
 #include "store/format.h"
 #include "store/maintenance.h"
@@ -86,18 +86,18 @@
 
 TEST_F(RecordedFiles, ABoardPageIsReadWholeAndToldOnAsItStands) {
   const json page = json::parse(read_file(fixture("board_page.json")));
-  const protocol::NoticePage read = protocol::read_notices(page, profile());
+  const protocol::DiscoveryPage read = protocol::read_discovery_page(page, profile());
   EXPECT_EQ(read.last, 3U);
   EXPECT_THAT(read.notices, SizeIs(3));
   EXPECT_THAT(read.skipped, IsEmpty());
-  const auto& list = std::get<protocol::PoolNotice>(read.notices[0].what);
+  const auto& list = std::get<protocol::EndpointsChanged>(read.notices[0].what);
   EXPECT_TRUE(list.whole);
   ASSERT_THAT(list.caches, SizeIs(3));
   EXPECT_EQ(list.caches[2].address, "127.64.36.211:10004");
-  const auto& purge = std::get<protocol::FlushNotice>(read.notices[1].what);
+  const auto& purge = std::get<protocol::PurgeReceived>(read.notices[1].what);
   EXPECT_EQ(purge.object, 0x5c0f6e1a2b3d4c59U);
   EXPECT_EQ(purge.at_ms, kPurgedAtMs);
-  EXPECT_EQ(std::get<protocol::FlushNotice>(read.notices[2].what).group, 17U);
+  EXPECT_EQ(std::get<protocol::PurgeReceived>(read.notices[2].what).group, 17U);
 
   discovery::EventLog log;
   log.replace(page);
@@ -107,7 +107,7 @@
 TEST_F(RecordedFiles, AnEventIsAddedToABoardPageInTheSameForm) {
   const std::string file = copy_of_fixture("board_page.json");
   const json event{{"flush", {{"collection", 18}, {"ms", kPurgedAtMs}}}};
-  EXPECT_EQ(program::add_notice(file, event), 4U);
+  EXPECT_EQ(program::append_event(file, event), 4U);
 
   json expected = json::parse(read_file(fixture("board_page.json")));
   expected["rev"] = 4;
@@ -124,7 +124,7 @@
   EXPECT_EQ(found.last_sequence(), 3U);
   EXPECT_EQ(found.source_id, "80e49a025244b24f");
   EXPECT_EQ(found.confirmed_at, kSnapshotConfirmedAt);
-  EXPECT_THAT(protocol::read_notices(found.page, profile()).notices, SizeIs(3));
+  EXPECT_THAT(protocol::read_discovery_page(found.page, profile()).notices, SizeIs(3));
   EXPECT_EQ(snapshot::encode_snapshot(found), bytes);
 }
 
--- a/tests/resp_test.cpp
+++ b/tests/resp_test.cpp
@@ -36,7 +36,7 @@
       out.arrays.back().whole = true;
     } else {
       EXPECT_TRUE(out.fault.empty()) << "told twice";
-      out.fault = std::get<resp::Unreadable>(event).why;
+      out.fault = std::get<resp::ParseError>(event).why;
     }
   };
   for (std::size_t at = 0; at < bytes.size(); at += step) {
@@ -130,11 +130,11 @@
 }
 
 TEST(CacheAnswer, KnowsItsWordsAndNoOthers) {
-  EXPECT_EQ(answer_word("OK"), AnswerWord::kOk);
-  EXPECT_EQ(answer_word("SAME"), AnswerWord::kSame);
-  EXPECT_EQ(answer_word("VOID"), AnswerWord::kVoid);
-  EXPECT_FALSE(answer_word("ok").has_value());
-  EXPECT_FALSE(answer_word("").has_value());
+  EXPECT_EQ(parse_answer_code("OK"), AnswerCode::kOk);
+  EXPECT_EQ(parse_answer_code("SAME"), AnswerCode::kSame);
+  EXPECT_EQ(parse_answer_code("VOID"), AnswerCode::kVoid);
+  EXPECT_FALSE(parse_answer_code("ok").has_value());
+  EXPECT_FALSE(parse_answer_code("").has_value());
 }
 
 Passed plain_passed() {
--- a/tests/source_client_test.cpp
+++ b/tests/source_client_test.cpp
@@ -8,7 +8,7 @@
 #include <map>
 #include <string>
 
-#include "fleet/ports.h"
+#include "fleet/port_allocator.h"
 #include "protocol/cache_command.h"
 #include "transport/accept_loop.h"
 #include "transport/scheduler.h"
@@ -36,7 +36,7 @@
 
   static SourceClient::Bounds bounds() {
     SourceClient::Bounds out;
-    out.pool.per_peer = 1;
+    out.pool.connections_per_peer = 1;
     return out;
   }
 
@@ -68,9 +68,9 @@
               static_cast<ssize_t>(bytes.size()));
   }
   static std::string answer(const std::string& id, const std::string& body) {
-    protocol::AnswerOut fields;
+    protocol::CacheAnswer fields;
     fields.t0_ms = 1;
-    return protocol::write_answer(id, protocol::AnswerWord::kOk, fields, body);
+    return protocol::write_answer(id, protocol::AnswerCode::kOk, fields, body);
   }
   bool answered(FillNumber fill, const std::string& body) const {
     const auto found = results_.find(fill);
@@ -78,7 +78,7 @@
            *found->second.body == body;
   }
 
-  fleet::PortBook ports_;
+  fleet::PortAllocator ports_;
   transport::Scheduler scheduler_;
   transport::Address address_;
   transport::Descriptor source_;
--- a/tests/store_parts_test.cpp
+++ b/tests/store_parts_test.cpp
@@ -12,10 +12,10 @@
 
 #include "store/disk_health.h"
 #include "store/frequency_sketch.h"
-#include "store/keep_set.h"
+#include "store/eviction_set.h"
 #include "store/placement.h"
-#include "store/purge_ledger.h"
-#include "store/segment_book.h"
+#include "store/purge_table.h"
+#include "store/segment_table.h"
 #include "store/unix_clock.h"
 
 namespace trailcourse::store {
@@ -54,7 +54,7 @@
 }
 
 // Against a plain map, over seeded operations: the same keys, bytes and ranks throughout.
-TEST(KeepSet, HoldsWhatAPlainMapHolds) {
+TEST(EvictionSet, HoldsWhatAPlainMapHolds) {
   struct Plain {
     std::uint32_t bytes;
     int rank;
@@ -62,12 +62,12 @@
   };
   for (const std::uint32_t seed : {1U, 2U, 3U}) {
     std::mt19937 random(seed);
-    KeepSet<int> set;
+    EvictionSet<int> set;
     std::map<std::uint64_t, Plain> plain;
     for (int i = 0; i < 6'000; ++i) {
       const std::uint64_t one = random() % 700;
       const auto slot = set.find(key(one));
-      ASSERT_EQ(slot != KeepSet<int>::kNone, plain.contains(one));
+      ASSERT_EQ(slot != EvictionSet<int>::kNone, plain.contains(one));
       const auto rank = static_cast<int>(random() % 4);
       switch (random() % 3) {
         case 0: {
@@ -77,13 +77,13 @@
           break;
         }
         case 1:
-          if (slot != KeepSet<int>::kNone) {
+          if (slot != EvictionSet<int>::kNone) {
             set.erase(slot);
             plain.erase(one);
           }
           break;
         default:
-          if (slot != KeepSet<int>::kNone) {
+          if (slot != EvictionSet<int>::kNone) {
             set.touch(slot, static_cast<Tick>(i), rank);
             plain[one].rank = rank;
           }
@@ -94,7 +94,7 @@
     std::map<int, std::size_t> ranks;
     for (const auto& [one, entry] : plain) {
       const auto slot = set.find(key(one));
-      ASSERT_NE(slot, KeepSet<int>::kNone);
+      ASSERT_NE(slot, EvictionSet<int>::kNone);
       EXPECT_EQ(set.at(slot).payload, entry.payload);
       EXPECT_EQ(set.at(slot).rank, entry.rank);
       bytes += entry.bytes;
@@ -107,9 +107,9 @@
   }
 }
 
-TEST(KeepSet, TheLowestRankLeavesFirstWhateverElse) {
+TEST(EvictionSet, TheLowestRankLeavesFirstWhateverElse) {
   std::mt19937 random(1);
-  KeepSet<int> set;
+  EvictionSet<int> set;
   set.insert(key(1), 10, 3, 0, 0);  // old and large do not matter across ranks
   set.insert(key(2), 1'000'000, 2, 0, 0);
   const auto low = set.insert(key(3), 1, 1, 100, 0);
@@ -122,34 +122,34 @@
 }
 
 // The paper's order within a rank: used less, larger, idle for longer.
-TEST(KeepSet, WithinARankThePapersOrderDecides) {
+TEST(EvictionSet, WithinARankThePapersOrderDecides) {
   std::mt19937 random(1);
-  const auto victim = [&random](KeepSet<int>& set, Tick now) { return set.at(set.victim(now, random)).key; };
-  KeepSet<int> by_use;
+  const auto victim = [&random](EvictionSet<int>& set, Tick now) { return set.at(set.victim(now, random)).key; };
+  EvictionSet<int> by_use;
   const auto used = by_use.insert(key(1), 10, 2, 0, 0);
   by_use.insert(key(2), 10, 2, 0, 0);
   by_use.touch(used, 0, 2);
   EXPECT_EQ(victim(by_use, 0), key(2));
-  KeepSet<int> by_size;
+  EvictionSet<int> by_size;
   by_size.insert(key(1), 10, 2, 0, 0);
   by_size.insert(key(2), 90, 2, 0, 0);
   EXPECT_EQ(victim(by_size, 0), key(2));
-  KeepSet<int> by_time;
+  EvictionSet<int> by_time;
   by_time.insert(key(1), 10, 2, 0, 0);
   by_time.insert(key(2), 10, 2, 50, 0);
   EXPECT_EQ(victim(by_time, 60), key(1));
 }
 
-TEST(KeepSet, SparesWhatHasJustComeAndEndsWhenNothingElseIsLeft) {
+TEST(EvictionSet, SparesWhatHasJustComeAndEndsWhenNothingElseIsLeft) {
   std::mt19937 random(1);
-  KeepSet<int> set;
+  EvictionSet<int> set;
   const auto only = set.insert(key(1), 10, 1, 0, 0);
-  EXPECT_EQ(set.victim(0, random, only), KeepSet<int>::kNone);
+  EXPECT_EQ(set.victim(0, random, only), EvictionSet<int>::kNone);
   set.insert(key(2), 10, 3, 0, 0);
   EXPECT_EQ(set.at(set.victim(0, random, only)).key, key(2));
 }
 
-TEST(KeepSet, UsesAgeWithTime) {
+TEST(EvictionSet, UsesAgeWithTime) {
   EXPECT_EQ(aged_uses(8, 0, 600), 8U);
   EXPECT_EQ(aged_uses(8, 600, 600), 4U);
   EXPECT_EQ(aged_uses(8, 6'000, 600), 0U);
@@ -260,8 +260,8 @@
 PurgeRecord object_purge(std::uint64_t id, std::int64_t ms) { return {PurgeRecord::Kind::kObject, id, ms}; }
 PurgeRecord group_purge(std::uint64_t id, std::int64_t ms) { return {PurgeRecord::Kind::kGroup, id, ms}; }
 
-TEST(PurgeLedger, ACopyOfThePurgesOwnMillisecondIsForbidden) {
-  PurgeLedger ledger;
+TEST(PurgeTable, ACopyOfThePurgesOwnMillisecondIsForbidden) {
+  PurgeTable ledger;
   EXPECT_TRUE(ledger.add(object_purge(7, 1'000)));
   EXPECT_FALSE(ledger.allows(7, 1, 999));
   EXPECT_FALSE(ledger.allows(7, 1, 1'000));
@@ -269,8 +269,8 @@
   EXPECT_TRUE(ledger.allows(8, 1, 1));
 }
 
-TEST(PurgeLedger, ToldTwiceOrOutOfOrderTheLatestBinds) {
-  PurgeLedger ledger;
+TEST(PurgeTable, ToldTwiceOrOutOfOrderTheLatestBinds) {
+  PurgeTable ledger;
   EXPECT_TRUE(ledger.add(object_purge(7, 2'000)));
   EXPECT_FALSE(ledger.add(object_purge(7, 2'000)));
   EXPECT_FALSE(ledger.add(object_purge(7, 1'000)));
@@ -281,8 +281,8 @@
   EXPECT_TRUE(ledger.allows(7, 2, 3'000));
 }
 
-TEST(PurgeLedger, ACopyOfUnknownGroupIsBoundByEveryGroup) {
-  PurgeLedger ledger;
+TEST(PurgeTable, ACopyOfUnknownGroupIsBoundByEveryGroup) {
+  PurgeTable ledger;
   ledger.add(group_purge(1, 3'000));
   ledger.add(group_purge(2, 1'000));
   EXPECT_FALSE(ledger.allows(7, kUnknownGroup, 3'000));
@@ -291,10 +291,10 @@
 }
 
 // Bounded, it forbids too much and never too little: against a ledger without a bound.
-TEST(PurgeLedger, BeyondItsBoundItForbidsMoreNeverLess) {
+TEST(PurgeTable, BeyondItsBoundItForbidsMoreNeverLess) {
   std::mt19937 random(11);
-  PurgeLedger small(20);
-  PurgeLedger whole(100'000);
+  PurgeTable small(20);
+  PurgeTable whole(100'000);
   for (int i = 0; i < 2'000; ++i) {
     const PurgeRecord purge =
         random() % 10 == 0 ? group_purge(random() % 5, static_cast<std::int64_t>(random() % 10'000))
@@ -303,15 +303,15 @@
     whole.add(purge);
     const ObjectId object = random() % 220;
     const int group = static_cast<int>(random() % 6) - 1;
-    ASSERT_GE(small.forbidden_until(object, group), whole.forbidden_until(object, group));
+    ASSERT_GE(small.purged_until(object, group), whole.purged_until(object, group));
     ASSERT_LE(small.objects(), 20U);
   }
 }
 
 // What is durable follows what is folded: replayed from its records, a ledger forbids the same.
-TEST(PurgeLedger, ItsRecordsMakeItAnew) {
+TEST(PurgeTable, ItsRecordsMakeItAnew) {
   std::mt19937 random(13);
-  PurgeLedger ledger(20);
+  PurgeTable ledger(20);
   std::map<std::pair<PurgeRecord::Kind, std::uint64_t>, std::int64_t> durable;
   for (int i = 0; i < 500; ++i) {
     const PurgeRecord purge = object_purge(random() % 100, static_cast<std::int64_t>(random() % 5'000));
@@ -326,17 +326,17 @@
       }
     }
   }
-  PurgeLedger again(20);
+  PurgeTable again(20);
   for (const auto& [which, ms] : durable) {
     again.add(PurgeRecord{which.first, which.second, ms});
   }
   for (ObjectId object = 0; object < 110; ++object) {
-    EXPECT_EQ(again.forbidden_until(object, kNoGroup), ledger.forbidden_until(object, kNoGroup)) << object;
+    EXPECT_EQ(again.purged_until(object, kNoGroup), ledger.purged_until(object, kNoGroup)) << object;
   }
 }
 
-TEST(SegmentBook, ClearsWhatIsOfNoUseAtOnceAndElseTheEmptiestWhenRoomIsShort) {
-  SegmentBook book(1'000, 200);
+TEST(SegmentTable, ClearsWhatIsOfNoUseAtOnceAndElseTheEmptiestWhenRoomIsShort) {
+  SegmentTable book(1'000, 200);
   for (SegmentId id = 1; id <= 3; ++id) {
     book.grown(id, 200);
     book.live_added(id, std::uint64_t{50} * id);
@@ -354,8 +354,8 @@
   EXPECT_EQ(book.next_to_clear(), 3U) << "nothing of use: at once";
 }
 
-TEST(SegmentBook, AFullDiskMakesItSmaller) {
-  SegmentBook book(1'000, 100);
+TEST(SegmentTable, AFullDiskMakesItSmaller) {
+  SegmentTable book(1'000, 100);
   book.grown(1, 400);
   book.sealed(1);
   book.live_added(1, 400);
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -457,7 +457,7 @@
   EXPECT_EQ(reads.size(), 4U) << "beyond reads_at_once a copy counts as not held";
   rig.steady_ms += 200;
   for (const std::uint64_t read : reads) {
-    rig.store->give_up_read(read, true);
+    rig.store->abandon_read(read, true);
   }
   EXPECT_EQ(rig.store->disk_state(), DiskHealth::State::kStalled);
   EXPECT_EQ(rig.store->find(name_of(1), 2).where, Store::Where::kAbsent);
--- a/tests/transport_test.cpp
+++ b/tests/transport_test.cpp
@@ -10,11 +10,11 @@
 #include <string>
 #include <vector>
 
-#include "fleet/ports.h"
+#include "fleet/port_allocator.h"
 #include "transport/accept_loop.h"
 #include "transport/connection.h"
 #include "transport/connection_pool.h"
-#include "transport/deferred.h"
+#include "transport/deferred_job.h"
 #include "transport/log.h"
 #include "transport/scheduler.h"
 #include "transport/socket.h"
@@ -111,7 +111,7 @@
 // The loop waits, is woken by its end, and finds what it needs; a connection that waits goes unheard.
 TEST(AcceptLoop, MayEndWhileItWaitsAndWhileAConnectionDoes) {
   Scheduler scheduler;
-  fleet::PortBook ports;
+  fleet::PortAllocator ports;
   const Address address = *parse_address(ports.take_text());
   int taken = 0;
   auto loop =
@@ -165,8 +165,8 @@
   set_log_stream(std::clog);
   EXPECT_EQ(log.str().find("hidden"), std::string::npos);
   EXPECT_NE(log.str().find("warning shown 5\n"), std::string::npos);
-  EXPECT_EQ(level_named("error"), Level::kError);
-  EXPECT_FALSE(level_named("loud").has_value());
+  EXPECT_EQ(parse_level("error"), Level::kError);
+  EXPECT_FALSE(parse_level("loud").has_value());
 }
 
 TEST(Log, LinesWithoutEndAreLeftOut) {
@@ -198,7 +198,7 @@
       throw std::runtime_error("scripted");
     }
   }
-  void on_withheld(std::uint64_t token) override { seen_.withheld.push_back(token); }
+  void on_send_refused(std::uint64_t token) override { seen_.withheld.push_back(token); }
   void on_end(ConnectionEnd end) override { seen_.ends.push_back(end); }
 
  private:
@@ -487,8 +487,8 @@
   static Pool::Bounds bounds() {
     Pool::Bounds out;
     out.streams = 2;
-    out.per_peer = 2;
-    out.in_all = 3;
+    out.connections_per_peer = 2;
+    out.total_connections = 3;
     return out;
   }
 
@@ -506,7 +506,7 @@
   EXPECT_EQ(pool.take("a", address_, any), first) << "no third connection: the streams are shared out";
   EXPECT_EQ(pool.take("a", address_, any), second);
   EXPECT_FALSE(pool.take("a", address_, any)) << "all streams are in use";
-  pool.give_back(second);
+  pool.release(second);
   EXPECT_EQ(pool.take("a", address_, any), second);
 }
 
@@ -517,7 +517,7 @@
   const auto c = pool.take("c", address_, any);
   bring_up(a);
   EXPECT_FALSE(pool.take("d", address_, any)) << "the bound is reached and all are in use";
-  pool.give_back(a);
+  pool.release(a);
   EXPECT_TRUE(pool.take("d", address_, any));
   EXPECT_TRUE(a->connection->ended());
 }
@@ -530,10 +530,10 @@
   EXPECT_FALSE(first->connection->ended()) << "its streams go on";
   const auto second = pool.take("a", address_, any);
   EXPECT_NE(second, first);
-  pool.give_back(first);
+  pool.release(first);
   EXPECT_TRUE(first->connection->ended());
   pool.drop("a", ConnectionEnd::kDropped);
-  pool.give_back(second);
+  pool.release(second);
   EXPECT_TRUE(second->connection->ended());
 }
 
@@ -541,7 +541,7 @@
   Pool pool(scheduler_, bounds(), make());
   const auto first = pool.take("a", address_, any);
   bring_up(first);
-  pool.give_back(first);
+  pool.release(first);
   Opened other = listen_on(kAnyPort, 4);
   const auto second = pool.take("a", local_of(other.descriptor.get()), any);
   EXPECT_NE(second, first);
@@ -553,7 +553,7 @@
   Pool pool(scheduler_, short_idle, make());
   const auto slot = pool.take("a", address_, any);
   bring_up(slot);
-  pool.give_back(slot);
+  pool.release(slot);
   await_end();
   EXPECT_EQ(seen_.ends[0], ConnectionEnd::kIdle);
 }
