--- a/benchmarks/scale/cache_costs.cpp
+++ b/benchmarks/scale/cache_costs.cpp
@@ -79,7 +79,7 @@
     cpu.points.emplace_back(purges, cpu_us_per_call(1, [&] {
                               for (int i = 0; i < purges; ++i) {
                                 full.add(purge_of(++next));
-                                keep_result(full.take_folded());
+                                keep_result(full.drain_folded());
                               }
                             }));
   }
@@ -106,13 +106,12 @@
  public:
   HitLoop()
       : core_(
-            rules(),
-            [this](const Name& name, int group) { return ledger_.purged_until(name.object, group); },
+            rules(), [this](const Name& name, int group) { return ledger_.purged_until(name.object, group); },
             [](const std::string&) { return true; }) {
     for (std::uint64_t i = 0; i < kMostPurges; ++i) {
       ledger_.add(purge_of(i));
     }
-    found_.status = store::ReadStatus::kWhole;
+    found_.status = store::ReadStatus::kComplete;
     found_.copy = Copy{"tag", kUnixMs + 1'000'000, 3, std::make_shared<const std::string>(20'000, 'x')};
   }
 
@@ -216,9 +215,9 @@
               [this](std::function<void()> job) { queue_.post(std::move(job)); }),
         store_(
             options_, pool_,
-            store::Store::Backing{[folder] { return store::open_folder(folder); },
+            store::Store::Storage{[folder] { return store::open_folder(folder); },
                                   [folder] { return store::open_sqlite_index(folder); }},
-            [] { return store::Store::Now{static_cast<std::int64_t>(wall_us() / 1e3), kUnixMs}; },
+            [] { return store::Store::TimeReading{static_cast<std::int64_t>(wall_us() / 1e3), kUnixMs}; },
             [](bool, const std::string&) {}, 1) {}
 
   void open() {
@@ -237,7 +236,7 @@
     for (int i = 0; i < objects; ++i) {
       const Name name = numbered(static_cast<std::uint64_t>(i));
       store_.find(name, 2);
-      store_.keep(name, Copy{"t", 1, 3, value}, 2);
+      store_.insert(name, Copy{"t", 1, 3, value}, 2);
       if (i % kAtOnce == kAtOnce - 1) {
         flush();
       }
--- a/benchmarks/storage_bench.cpp
+++ b/benchmarks/storage_bench.cpp
@@ -73,10 +73,10 @@
              [this](std::function<void()> job) { loop.post(std::move(job)); }),
         store(
             options, pool,
-            Store::Backing{[folder] { return open_folder(folder); },
+            Store::Storage{[folder] { return open_folder(folder); },
                            [folder] { return open_sqlite_index(folder); }},
             [] {
-              return Store::Now{
+              return Store::TimeReading{
                   std::chrono::duration_cast<std::chrono::milliseconds>(Clock::now().time_since_epoch())
                       .count(),
                   1'764'000'000'000};
@@ -183,7 +183,7 @@
     for (std::size_t i = 0; i < kCount; ++i) {
       const Name name = numbered(i);
       rig.store.find(name, 2);
-      rig.store.keep(name, Copy{"tag", 1, 3, values[i % values.size()]}, 2);
+      rig.store.insert(name, Copy{"tag", 1, 3, values[i % values.size()]}, 2);
       // Not faster than the queue takes it: nothing is shed.
       if (i % 100 == 99) {
         rig.loop.run_until([&rig, i] { return rig.store.stats().disk_copies + 300 > i; });
@@ -238,8 +238,8 @@
   void fill() {
     for (std::size_t i = 0; i < kReadCopies; ++i) {
       rig_.store.find(numbered(i), 2);
-      rig_.store.keep(numbered(i), Copy{"tag", 1, 3, std::make_shared<const std::string>(noise(size_, i))},
-                      2);
+      rig_.store.insert(numbered(i), Copy{"tag", 1, 3, std::make_shared<const std::string>(noise(size_, i))},
+                        2);
       if (i % 50 == 49) {
         rig_.loop.run_until([this, i] { return rig_.store.stats().disk_copies + 100 > i; });
       }
@@ -286,11 +286,12 @@
     bool done = false;
     forget_if_cold(locations_[name.key]);
     const Clock::time_point begun = Clock::now();
-    if (rig_.store.find(name, 2).where != Store::Where::kDisk) {
+    if (rig_.store.find(name, 2).tier != Store::Tier::kDisk) {
       std::fprintf(stderr, "not on disk\n");
       return;
     }
-    rig_.store.read(name, [&done](const ReadResult& result) { done = result.status == ReadStatus::kWhole; });
+    rig_.store.read(name,
+                    [&done](const ReadResult& result) { done = result.status == ReadStatus::kComplete; });
     rig_.loop.run_until([&done] { return done; });
     ours_us_.push_back(seconds_since(begun) * 1e6);
   }
@@ -322,7 +323,7 @@
   const auto value = std::make_shared<const std::string>(std::string(32, 'x'));
   for (std::size_t i = 0; i < count; ++i) {
     rig.store.find(numbered(i), 2);
-    rig.store.keep(numbered(i), Copy{"t", 1, 3, value}, 2);
+    rig.store.insert(numbered(i), Copy{"t", 1, 3, value}, 2);
     if (i % 20'000 == 19'999) {
       rig.flush();
     }
@@ -580,7 +581,7 @@
     const Key key = numbered(ask.object).key;
     const auto now_ms = static_cast<std::int64_t>(ask.at_s * 1e3);
     const auto tick = static_cast<Tick>(ask.at_s * 10);
-    placement.seen(key);
+    placement.record_request(key);
     const auto slot = tier.find(key);
     if (slot != EvictionSet<int>::kNone) {
       out.hits += 1;
@@ -588,7 +589,8 @@
       continue;
     }
     out.fetched += ask.bytes;
-    if (placement.admit(Candidate{key, ask.bytes, ask.rank, false}, tier.bytes(), now_ms) != Verdict::kKeep) {
+    if (placement.admit(Candidate{key, ask.bytes, ask.rank, false}, tier.bytes(), now_ms) !=
+        PlacementDecision::kAdmit) {
       continue;
     }
     out.written += ask.bytes;
--- a/src/cache_node/node.cpp
+++ b/src/cache_node/node.cpp
@@ -123,7 +123,7 @@
       store::PurgeRecord purge;
       purge.kind = flush->whole_group ? store::PurgeRecord::Kind::kGroup : store::PurgeRecord::Kind::kObject;
       purge.id = flush->whole_group ? flush->group : flush->object;
-      purge.ms = flush->at_ms;
+      purge.purged_unix_ms = flush->at_ms;
       purges.push_back(purge);
     }
   }
@@ -236,11 +236,11 @@
 }
 
 void Node::perform(const LookUp& look_up) {
-  store::Store::Found found = store_.find(look_up.name, look_up.rank);
-  if (found.where != store::Store::Where::kDisk) {
+  store::Store::LookupResult found = store_.find(look_up.name, look_up.rank);
+  if (found.tier != store::Store::Tier::kDisk) {
     store::ReadResult result;
-    if (found.where == store::Store::Where::kMemory) {
-      result.status = store::ReadStatus::kWhole;
+    if (found.tier == store::Store::Tier::kMemory) {
+      result.status = store::ReadStatus::kComplete;
       result.copy = std::move(found.copy);
     }
     core_.looked_up(now(), look_up.request, result, actions_);
@@ -249,8 +249,8 @@
   const RequestNumber request = look_up.request;
   readings_[request] = store_.read(look_up.name, [this, look_up](const store::ReadResult& result) {
     readings_.erase(look_up.request);
-    if (result.status == store::ReadStatus::kWhole) {
-      store_.warm(look_up.name, result.copy, look_up.rank);
+    if (result.status == store::ReadStatus::kComplete) {
+      store_.promote(look_up.name, result.copy, look_up.rank);
     }
     core_.looked_up(now(), look_up.request, result, actions_);
     carry_out(actions_);
--- a/src/cache_node/node.h
+++ b/src/cache_node/node.h
@@ -61,7 +61,7 @@
   void perform(const GiveUpLookUp& give_up);
   void perform(const Fetch& fetch);
   void perform(const StopFetch& stop) { sources_.stop(stop.fill); }
-  void perform(const Keep& keep) { store_.keep(keep.name, keep.copy, keep.rank); }
+  void perform(const Keep& keep) { store_.insert(keep.name, keep.copy, keep.rank); }
   void perform(const TooLarge& object);
   void perform(const Complete& complete);
   void perform(const Drop& drop) { store_.drop(drop.name); }
--- a/src/cache_node/node_core.cpp
+++ b/src/cache_node/node_core.cpp
@@ -7,8 +7,8 @@
 
 namespace trailcourse::cache_node {
 
-using protocol::CacheAnswer;
 using protocol::AnswerCode;
+using protocol::CacheAnswer;
 using store::Copy;
 
 namespace {
@@ -77,7 +77,8 @@
 }
 
 bool NodeCore::usable(const Moment& now, const Request& request, const Copy& copy) const {
-  return copy.t0_ms > forbidden_until_(request.name, copy.group) && young_enough(now, request, copy.t0_ms);
+  return copy.origin_time_ms > forbidden_until_(request.name, copy.group) &&
+         young_enough(now, request, copy.origin_time_ms);
 }
 
 void NodeCore::looked_up(const Moment& now, RequestNumber number, const store::ReadResult& found,
@@ -89,7 +90,7 @@
   Request& request = at->second;
   lookup_dues_.erase({request.lookup_due_ms, number});
   request.lookup_due_ms = 0;
-  const bool whole = found.status == store::ReadStatus::kWhole;
+  const bool whole = found.status == store::ReadStatus::kComplete;
   if (whole && found.copy.size() > rules_.most_answer_bytes) {
     out.emplace_back(Drop{request.name});  // kept under another bound
     fill(now, number, nullptr, out);
@@ -98,10 +99,10 @@
   if (whole) {
     const Copy& copy = found.copy;
     // Until the notice board was heard, see unheard_before().
-    const bool vouched = request.fields.age_limit_ms > 0 || copy.t0_ms > unheard_before_;
+    const bool vouched = request.fields.age_limit_ms > 0 || copy.origin_time_ms > unheard_before_;
     if (vouched && usable(now, request, copy)) {
       const std::int64_t fresh = or_endless(request.rule.fresh_ms);
-      const bool aged = now.unix_ms - copy.t0_ms > fresh;
+      const bool aged = now.unix_ms - copy.origin_time_ms > fresh;
       ++counts_.hits;
       counts_.aged += aged ? 1 : 0;
       if (aged && request.fields.renew) {
@@ -119,9 +120,9 @@
   const bool partial = found.status == store::ReadStatus::kPartial && found.partial != nullptr;
   if (partial) {
     Copy copy;
-    copy.t0_ms = found.partial->t0_ms;
+    copy.origin_time_ms = found.partial->origin_time_ms;
     copy.group = found.partial->group;
-    const bool vouched = request.fields.age_limit_ms > 0 || copy.t0_ms > unheard_before_;
+    const bool vouched = request.fields.age_limit_ms > 0 || copy.origin_time_ms > unheard_before_;
     if (vouched && usable(now, request, copy) && !request.fields.span) {
       fill(now, number, found.partial, out);
       return;
@@ -135,7 +136,7 @@
   const Request& request = requests_.at(number);
   CacheAnswer fields;
   fields.tag = copy.tag;
-  fields.t0_ms = copy.t0_ms;
+  fields.t0_ms = copy.origin_time_ms;
   fields.note = note;
   fields.waited_ms = waited_ms;
   fields.group = copy.group;
@@ -336,7 +337,7 @@
   counts_.fill_bytes += size;
   if (answered && result.word == AnswerCode::kSame && fill.old) {
     Copy copy = *fill.old;
-    copy.t0_ms = std::max(copy.t0_ms, fields.t0_ms);
+    copy.origin_time_ms = std::max(copy.origin_time_ms, fields.t0_ms);
     filled(now, number, copy, fields.note, out);
     return;
   }
@@ -360,15 +361,15 @@
   const std::optional<protocol::Span> wanted = fill.fields.span;
   const bool fits = is_complete_answer(result) && fields.span == wanted &&
                     result.body->size() == wanted->length && fields.tag == partial.tag &&
-                    fields.whole == partial.bytes.size() && fields.t0_ms >= partial.t0_ms;
+                    fields.whole == partial.bytes.size() && fields.t0_ms >= partial.origin_time_ms;
   if (fits) {
     fill_hole(partial, *wanted, *result.body);
     if (next_hole(number, fill, out)) {
       return true;
     }
     // The parts may have come from two copies that bear one tag; then they are not served.
-    if (store::sum_of(partial.bytes) == partial.whole_sum) {
-      const Copy copy{partial.tag, partial.t0_ms, partial.group,
+    if (store::sum_of(partial.bytes) == partial.value_sum) {
+      const Copy copy{partial.tag, partial.origin_time_ms, partial.group,
                       std::make_shared<const std::string>(partial.bytes)};
       filled(now, number, copy, fields.note, out);
       return true;
@@ -392,7 +393,7 @@
                       std::vector<Action>& out) {
   const Fill fill = take_fill(number);
   const bool deep = fill.source == rules_.origin || indicates_fill(source_note);
-  const bool forbidden = copy.t0_ms <= forbidden_until_(fill.name, copy.group);
+  const bool forbidden = copy.origin_time_ms <= forbidden_until_(fill.name, copy.group);
   if (fill.keeps && !forbidden) {
     if (fill.partial) {
       out.emplace_back(Complete{fill.name, fill.partial, fill.had, fill.rank});
--- a/src/program/node_commands.cpp
+++ b/src/program/node_commands.cpp
@@ -28,16 +28,16 @@
 constexpr milliseconds kDrainMost{3'000};
 constexpr milliseconds kFlushMost{5'000};
 
-store::Store::Now system_now() {
-  store::Store::Now now;
+store::Store::TimeReading system_now() {
+  store::Store::TimeReading now;
   now.steady_ms = std::chrono::duration_cast<milliseconds>(Clock::now().time_since_epoch()).count();
   now.unix_ms =
       std::chrono::duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch()).count();
   return now;
 }
 
-store::Store::Backing backing_of(const store::Options& options) {
-  store::Store::Backing backing;
+store::Store::Storage backing_of(const store::Options& options) {
+  store::Store::Storage backing;
   if (!options.folder.empty()) {
     backing.files = [folder = options.folder] { return store::open_folder(folder); };
     backing.index = [folder = options.folder] { return store::open_sqlite_index(folder); };
--- a/src/program/store_commands.cpp
+++ b/src/program/store_commands.cpp
@@ -55,7 +55,7 @@
               {"segments", stat.segments},
               {"segments_without_use", stat.orphans},
               {"purges", stat.purges},
-              {"last_notice", stat.heard},
+              {"last_notice", stat.last_sequence},
               {"oldest_copy_ms", stat.oldest_ms},
               {"newest_copy_ms", stat.newest_ms},
               {"damaged_rows", stat.damaged_rows}};
@@ -72,16 +72,16 @@
   const store::VerifyReport found = store::verify_folder(*files, *index, progress_on(errors, "records"));
   json damaged = json::array();
   for (const store::Damage& one : found.damaged) {
-    damaged.push_back(one.where + ": " + one.what);
+    damaged.push_back(one.location + ": " + one.reason);
   }
   print(json{{"records", found.records},
              {"good", found.good},
              {"bytes", found.bytes},
              {"values_with_parts_missing", found.incomplete},
-             {"damaged", found.damaged_in_all},
+             {"damaged", found.damaged_total},
              {"damage", damaged}},
         command.json, out);
-  return found.damaged_in_all > 0 ? kDamageFound : 0;
+  return found.damaged_total > 0 ? kDamageFound : 0;
 }
 
 int compact(const StoreCommand& command, std::ostream& out, std::ostream& errors) {
--- a/src/store/disk_health.cpp
+++ b/src/store/disk_health.cpp
@@ -6,41 +6,41 @@
 namespace trailcourse::store {
 namespace {
 
-constexpr int kMostDoublings = 20;
+constexpr int kMaxDoublings = 20;
 
 }  // namespace
 
-void DiskHealth::closed(std::string why) {
+void DiskHealth::disable(std::string error) {
   open_ = false;
-  why_ = std::move(why);
+  error_ = std::move(error);
 }
 
-void DiskHealth::read_late(std::int64_t now_ms) {
+void DiskHealth::on_late_read(std::int64_t now_ms) {
   if (!stalled_) {
     stalled_ = true;
     ++stalls_;
-    why_ = "reads do not come back";
-    next_probe_ms_ = now_ms + options_.probe_ms;
+    error_ = "reads time out";
+    next_probe_ms_ = now_ms + options_.probe_interval_ms;
   }
 }
 
-void DiskHealth::read_back(std::int64_t took_ms, std::int64_t patience_ms) {
-  if (stalled_ && took_ms <= patience_ms) {
+void DiskHealth::on_read_done(std::int64_t duration_ms, std::int64_t patience_ms) {
+  if (stalled_ && duration_ms <= patience_ms) {
     stalled_ = false;
   }
 }
 
-void DiskHealth::write_failed(std::int64_t now_ms, std::string why) {
-  const int doublings = std::min(failures_, kMostDoublings);
-  const std::int64_t pause = std::min(options_.most_pause_ms, options_.least_pause_ms << doublings);
+void DiskHealth::on_write_failed(std::int64_t now_ms, std::string error) {
+  const int doublings = std::min(consecutive_failures_, kMaxDoublings);
+  const std::int64_t pause = std::min(options_.max_pause_ms, options_.min_pause_ms << doublings);
   write_after_ms_ = now_ms + pause;
-  ++failures_;
+  ++consecutive_failures_;
   ++write_failures_;
-  why_ = std::move(why);
+  error_ = std::move(error);
 }
 
-void DiskHealth::write_done() {
-  failures_ = 0;
+void DiskHealth::on_write_done() {
+  consecutive_failures_ = 0;
   write_after_ms_ = INT64_MIN;
 }
 
@@ -54,7 +54,7 @@
   if (now_ms < next_probe_ms_) {
     return false;
   }
-  next_probe_ms_ = now_ms + options_.probe_ms;
+  next_probe_ms_ = now_ms + options_.probe_interval_ms;
   return true;
 }
 
--- a/src/store/disk_health.h
+++ b/src/store/disk_health.h
@@ -1,10 +1,12 @@
-// Whether the disk is to be asked now. One symptom, one defence: a disk that does not answer in time is left
-// alone, but for a read now and then that tells when it is back; one that does not take writes is written to
-// again after a pause that doubles. It guards memory hits and fills against a disk that hangs, is full, is
-// read-only or fails, and should guard against a volume behind a network as well. It could harm where single
-// reads are slow by nature (an archive behind a robot): then `read_patience_ms` is too short.
+// Decides whether the disk may be read or written now.
 //
-// Package `store`; no I/O; time comes with each call as steady milliseconds. Not thread-safe.
+// A disk whose reads time out is stalled: it is not used, except for a probe read at intervals, until a read
+// completes in time. After a failed write the disk is read-only for a pause that doubles with each failure.
+// This protects memory hits and fills from a disk that hangs, is full, is read-only or fails, and should do
+// the same for a network volume. Where single reads are slow by nature (an archive behind a robot) the disk
+// would be taken for stalled: `read_patience_ms` is then too short.
+//
+// Package `store`; no I/O; times are steady milliseconds given with each call. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -15,31 +17,34 @@
 class DiskHealth {
  public:
   struct Options {
-    std::int64_t probe_ms = 250;          // between reads that try a stalled disk
-    std::int64_t least_pause_ms = 1'000;  // after a failed write
-    std::int64_t most_pause_ms = 60'000;
+    std::int64_t probe_interval_ms = 250;  // between probe reads of a stalled disk
+    std::int64_t min_pause_ms = 1'000;     // after a failed write
+    std::int64_t max_pause_ms = 60'000;
   };
   enum class State { kOff, kGood, kStalled, kReadOnly };
 
   explicit DiskHealth(const Options& options) : options_(options) {}
 
-  void opened() { open_ = true; }
-  // For good: the folder cannot be used.
-  void closed(std::string why);
+  // Sets that the folder was opened. Until then the state is kOff.
+  void enable() { open_ = true; }
+  // Sets that the folder cannot be used, for the rest of this run.
+  void disable(std::string error);
 
-  // A read was not back in time; it may still come.
-  void read_late(std::int64_t now_ms);
-  // A read came back after so long, with bytes or an error; it does answer.
-  void read_back(std::int64_t took_ms, std::int64_t patience_ms);
-  void write_failed(std::int64_t now_ms, std::string why);
-  void write_done();
+  // A read exceeded its time limit; it may still complete.
+  void on_late_read(std::int64_t now_ms);
+  // A read completed after `duration_ms`, successfully or with an error. Ends a stall if that is within
+  // `patience_ms`.
+  void on_read_done(std::int64_t duration_ms, std::int64_t patience_ms);
+  void on_write_failed(std::int64_t now_ms, std::string error);
+  void on_write_done();
 
-  // Asking counts as the try where the disk is stalled.
+  // Returns whether a read may begin. On a stalled disk a call that returns true restarts the probe interval.
   bool may_read(std::int64_t now_ms);
   bool may_write(std::int64_t now_ms) const { return open_ && !stalled_ && now_ms >= write_after_ms_; }
 
   State state(std::int64_t now_ms) const;
-  const std::string& why() const { return why_; }
+  // Returns the latest error; empty if there was none.
+  const std::string& error() const { return error_; }
   std::uint64_t stalls() const { return stalls_; }
   std::uint64_t write_failures() const { return write_failures_; }
 
@@ -49,10 +54,10 @@
   bool stalled_ = false;
   std::int64_t next_probe_ms_ = 0;
   std::int64_t write_after_ms_ = INT64_MIN;
-  int failures_ = 0;  // writes in a row
+  int consecutive_failures_ = 0;  // of writes
   std::uint64_t stalls_ = 0;
   std::uint64_t write_failures_ = 0;
-  std::string why_;
+  std::string error_;
 };
 
 const char* to_string(DiskHealth::State state);
--- a/src/store/eviction_set.h
+++ b/src/store/eviction_set.h
@@ -1,9 +1,10 @@
-// What a tier holds, and what leaves it first: the lowest rank, then the paper's order (docs/design.md) among
-// a few that are drawn. One entry takes 24 bytes, its payload, and 10 to 20 bytes of lists: a tier of a
-// million copies must fit beside its payload.
+// The entries of a tier and the order of eviction: an entry of the lowest keep rank first, and within a rank
+// the one with the largest replacement value of the paper (docs/design.md) among a random sample. An entry
+// takes 24 bytes, its payload, and 10 to 20 bytes in tables: the entries of a million copies must fit in
+// memory.
 //
-// Package `store`; no I/O, no clock of its own: time comes with each call, in tenths of a second, and never
-// goes back. Not thread-safe.
+// Package `store`; no I/O, no clock; times are ticks given with each call, which never go back. Not
+// thread-safe.
 #pragma once
 
 #include <algorithm>
@@ -19,19 +20,19 @@
 
 namespace trailcourse::store {
 
-constexpr int kRanks = 4;  // 0 (not kept) to 3 (top)
-using Tick = std::uint32_t;
+constexpr int kRanks = 4;    // 0 (not stored) to 3 (top)
+using Tick = std::uint32_t;  // tenths of a second
 
-// The weights of the paper's replacement value; the largest value leaves first.
-struct KeepWeights {
+// The weights of the paper's replacement value; the entry with the largest value is evicted first.
+struct EvictionWeights {
   double frequency = 1.0;  // alpha
   double size = 0.9;       // beta
-  double idle = 0.6;       // nu; the term of replicas is 0 here: a node knows of none
-  Tick half_life = 600;    // a count halves in so many ticks without use
-  int drawn = 16;          // entries compared for one victim
+  double idle = 0.6;       // nu; the term for replicas is 0, since a node does not know of any
+  Tick half_life = 600;    // a use count is halved after each such time without use
+  int sample_size = 16;    // entries compared to choose one victim
 };
 
-// How often an entry counts as used, after so long without use.
+// Returns a use count after `idle` without use: halved once in each `half_life`.
 inline std::uint32_t aged_uses(std::uint16_t uses, Tick idle, Tick half_life) {
   const Tick halvings = half_life == 0 ? 0 : idle / half_life;
   return halvings >= 16 ? 0U : static_cast<std::uint32_t>(uses) >> halvings;
@@ -47,15 +48,15 @@
     Key key;
     Payload payload;
     std::uint32_t bytes = 0;
-    Tick used = 0;
-    std::uint32_t place = 0;  // in the list of its rank, or the next free slot
+    Tick last_used = 0;
+    std::uint32_t position = 0;  // in the list of its rank; of a free slot: the next free slot
     std::uint16_t uses = 0;
     std::uint8_t rank = 0;
-    bool held = false;
+    bool occupied = false;
   };
 
-  // `expected`: entries for which no table is made anew; growing beyond it costs one pass over all.
-  explicit EvictionSet(const KeepWeights& weights = {}, std::size_t expected = 0) : weights_(weights) {
+  // `expected`: the number of entries up to which the hash table is not rebuilt.
+  explicit EvictionSet(const EvictionWeights& weights = {}, std::size_t expected = 0) : weights_(weights) {
     std::size_t buckets = 64;
     while (buckets * 3 / 4 < expected) {
       buckets *= 2;
@@ -77,10 +78,11 @@
 
   Entry& at(Slot slot) { return entries_[slot]; }
   const Entry& at(Slot slot) const { return entries_[slot]; }
-  // One more than the largest slot in use; slots that hold nothing have `held` false.
+  // Returns one more than the largest slot; slots below it may be free, with `occupied` false.
   Slot end() const { return static_cast<Slot>(entries_.size()); }
 
-  // Takes a key in, or replaces what is held under it (whose uses go on counting).
+  // Inserts an entry, or replaces the entry of the same key; the larger of both use counts is kept. Returns
+  // its slot, which is valid until the entry is erased or replaced.
   Slot insert(const Key& key, std::uint32_t bytes, int rank, Tick now, Payload payload,
               std::uint16_t uses = 1) {
     if (const Slot old = find(key); old != kNone) {
@@ -92,7 +94,7 @@
     }
     Slot slot = free_;
     if (slot != kNone) {
-      free_ = entries_[slot].place;
+      free_ = entries_[slot].position;
     } else {
       slot = static_cast<Slot>(entries_.size());
       entries_.emplace_back();
@@ -101,10 +103,10 @@
     entry.key = key;
     entry.payload = std::move(payload);
     entry.bytes = bytes;
-    entry.used = now;
+    entry.last_used = now;
     entry.uses = uses;
-    entry.held = true;
-    list(slot, rank);
+    entry.occupied = true;
+    add_to_rank(slot, rank);
     std::size_t at = bucket(key);
     while (table_[at] != kNone) {
       at = (at + 1) & (table_.size() - 1);
@@ -117,36 +119,37 @@
 
   void erase(Slot slot) {
     Entry& entry = entries_[slot];
-    take_out(slot);
-    unlist(slot);
+    remove_from_table(slot);
+    remove_from_rank(slot);
     bytes_ -= entry.bytes;
     --size_;
     entry.payload = Payload();
-    entry.held = false;
-    entry.place = free_;
+    entry.occupied = false;
+    entry.position = free_;
     free_ = slot;
   }
 
-  // It was used, at a rank that may be new.
+  // Counts a use of an entry, and sets its rank.
   void touch(Slot slot, Tick now, int rank) {
     Entry& entry = entries_[slot];
-    const std::uint32_t uses = aged_uses(entry.uses, now - std::min(now, entry.used), weights_.half_life);
+    const std::uint32_t uses =
+        aged_uses(entry.uses, now - std::min(now, entry.last_used), weights_.half_life);
     entry.uses = static_cast<std::uint16_t>(std::min<std::uint32_t>(uses + 1, UINT16_MAX));
-    entry.used = now;
+    entry.last_used = now;
     if (rank != entry.rank) {
-      unlist(slot);
-      list(slot, rank);
+      remove_from_rank(slot);
+      add_to_rank(slot, rank);
     }
   }
 
-  // What is to leave first, but for `spared`; kNone where nothing else is held. `random` gives 32 bits a
-  // call.
+  // Returns the entry to evict first, other than `excluded`; kNone if there is no other. `random` is a
+  // generator of 32-bit numbers.
   template <typename Random>
-  Slot victim(Tick now, Random& random, Slot spared = kNone) const {
+  Slot victim(Tick now, Random& random, Slot excluded = kNone) const {
     for (const std::vector<Slot>& rank : ranks_) {
-      const bool only_spared = rank.size() == 1 && rank[0] == spared;
-      if (!rank.empty() && !only_spared) {
-        return worst(rank, now, random, spared);
+      const bool only_excluded = rank.size() == 1 && rank[0] == excluded;
+      if (!rank.empty() && !only_excluded) {
+        return choose_victim(rank, now, random, excluded);
       }
     }
     return kNone;
@@ -156,63 +159,64 @@
   std::size_t bucket(const Key& key) const { return key.low & (table_.size() - 1); }
 
   template <typename Random>
-  Slot worst(const std::vector<Slot>& rank, Tick now, Random& random, Slot spared) const {
-    std::array<Slot, 64> drawn{};
-    const auto wanted = static_cast<std::size_t>(std::clamp(weights_.drawn, 1, 64));
+  Slot choose_victim(const std::vector<Slot>& rank, Tick now, Random& random, Slot excluded) const {
+    std::array<Slot, 64> sampled{};
+    const auto sample_size = static_cast<std::size_t>(std::clamp(weights_.sample_size, 1, 64));
     std::size_t count = 0;
-    for (std::size_t i = 0; i < std::min(wanted, rank.size()); ++i) {
-      // A small rank is looked at whole.
-      const std::size_t place = rank.size() <= wanted ? i : random() % rank.size();
-      if (rank[place] != spared) {
-        drawn[count++] = rank[place];
+    for (std::size_t i = 0; i < std::min(sample_size, rank.size()); ++i) {
+      // All entries of a small rank are compared.
+      const std::size_t position = rank.size() <= sample_size ? i : random() % rank.size();
+      if (rank[position] != excluded) {
+        sampled[count++] = rank[position];
       }
     }
     if (count == 0) {
-      return rank[0] != spared ? rank[0] : rank[1];
+      return rank[0] != excluded ? rank[0] : rank[1];
     }
-    double most_bytes = 1.0;
-    double most_idle = 1.0;
+    double max_bytes = 1.0;
+    double max_idle = 1.0;
     for (std::size_t i = 0; i < count; ++i) {
-      const Entry& entry = entries_[drawn[i]];
-      most_bytes = std::max(most_bytes, static_cast<double>(entry.bytes));
-      most_idle = std::max(most_idle, static_cast<double>(now - std::min(now, entry.used)));
+      const Entry& entry = entries_[sampled[i]];
+      max_bytes = std::max(max_bytes, static_cast<double>(entry.bytes));
+      max_idle = std::max(max_idle, static_cast<double>(now - std::min(now, entry.last_used)));
     }
-    Slot best = drawn[0];
-    double best_value = -1.0;
+    Slot best = sampled[0];
+    double max_value = -1.0;
     for (std::size_t i = 0; i < count; ++i) {
-      const Entry& entry = entries_[drawn[i]];
-      const Tick idle = now - std::min(now, entry.used);
+      const Entry& entry = entries_[sampled[i]];
+      const Tick idle = now - std::min(now, entry.last_used);
       const std::uint32_t uses = std::max(1U, aged_uses(entry.uses, idle, weights_.half_life));
-      const double value = weights_.frequency / uses + weights_.size * entry.bytes / most_bytes +
-                           weights_.idle * idle / most_idle;
-      if (value > best_value) {
-        best_value = value;
-        best = drawn[i];
+      const double value = weights_.frequency / uses + weights_.size * entry.bytes / max_bytes +
+                           weights_.idle * idle / max_idle;
+      if (value > max_value) {
+        max_value = value;
+        best = sampled[i];
       }
     }
     return best;
   }
 
-  void list(Slot slot, int rank) {
-    std::vector<Slot>& in = ranks_[static_cast<std::size_t>(rank)];
-    if (in.size() == in.capacity()) {
-      in.reserve(in.size() + in.size() / 8 + 16);  // doubling would waste up to half of it
+  void add_to_rank(Slot slot, int rank) {
+    std::vector<Slot>& slots = ranks_[static_cast<std::size_t>(rank)];
+    if (slots.size() == slots.capacity()) {
+      slots.reserve(slots.size() + slots.size() / 8 + 16);  // doubling would waste up to half of it
     }
     entries_[slot].rank = static_cast<std::uint8_t>(rank);
-    entries_[slot].place = static_cast<std::uint32_t>(in.size());
-    in.push_back(slot);
+    entries_[slot].position = static_cast<std::uint32_t>(slots.size());
+    slots.push_back(slot);
   }
 
-  void unlist(Slot slot) {
-    std::vector<Slot>& in = ranks_[entries_[slot].rank];
-    const std::uint32_t place = entries_[slot].place;
-    in[place] = in.back();
-    entries_[in[place]].place = place;
-    in.pop_back();
+  void remove_from_rank(Slot slot) {
+    std::vector<Slot>& slots = ranks_[entries_[slot].rank];
+    const std::uint32_t position = entries_[slot].position;
+    slots[position] = slots.back();
+    entries_[slots[position]].position = position;
+    slots.pop_back();
   }
 
-  // Takes a slot out of the table and moves back what was pushed on by it (Knuth, vol. 3, 6.4, algorithm R).
-  void take_out(Slot slot) {
+  // Removes a slot from the table, and moves back the slots that it had displaced (Knuth, vol. 3, 6.4,
+  // algorithm R).
+  void remove_from_table(Slot slot) {
     const std::size_t mask = table_.size() - 1;
     std::size_t hole = bucket(entries_[slot].key);
     while (table_[hole] != slot) {
@@ -231,7 +235,7 @@
   void rehash(std::size_t buckets) {
     table_.assign(buckets, kNone);
     for (Slot slot = 0; slot < entries_.size(); ++slot) {
-      if (entries_[slot].held) {
+      if (entries_[slot].occupied) {
         std::size_t at = bucket(entries_[slot].key);
         while (table_[at] != kNone) {
           at = (at + 1) & (buckets - 1);
@@ -241,7 +245,7 @@
     }
   }
 
-  KeepWeights weights_;
+  EvictionWeights weights_;
   std::deque<Entry> entries_;
   std::vector<Slot> table_;
   std::array<std::vector<Slot>, kRanks> ranks_;
--- a/src/store/executor.h
+++ b/src/store/executor.h
@@ -1,7 +1,7 @@
-// Where blocking work runs, away from the thread that decides.
+// Runs blocking work on other threads than the event loop's.
 //
-// Considered (docs/storage.md): io_uring, POSIX AIO, a pool of threads. Behind this one interface a ring can
-// take the pool's place.
+// io_uring, POSIX AIO and a thread pool were considered (docs/storage.md). A ring can replace the pool behind
+// this interface.
 #pragma once
 
 #include <condition_variable>
@@ -17,8 +17,8 @@
 class Executor {
  public:
   enum class Lane {
-    kWrite,  // one after the other, in the order given
-    kRead,   // several at once, in any order
+    kWrite,  // jobs run one after the other, in the order of submission
+    kRead,   // jobs run concurrently, in any order
   };
 
   Executor() = default;
@@ -26,16 +26,17 @@
   Executor& operator=(const Executor&) = delete;
   virtual ~Executor() = default;
 
-  // Runs `work` in a lane, then `done` on the thread that decides, never from within this call. `work` must
+  // Runs `work` in a lane, then `done` on the event loop's thread, never from within this call. `work` must
   // not throw.
   virtual void run(Lane lane, std::function<void()> work, std::function<void()> done) = 0;
 };
 
-// Threads of its own. Its destructor waits for the work in hand; work that has not begun in the read lane is
-// dropped, that of the write lane is done first.
+// A thread pool: one thread for the write lane and `readers` for the read lane. The destructor waits for jobs
+// that are running and runs the queued jobs of the write lane; it drops the queued jobs of the read lane.
 class IoPool : public Executor {
  public:
-  using Post = std::function<void(std::function<void()>)>;  // to the thread that decides, from any thread
+  // Runs a job on the event loop's thread; has to be callable from any thread.
+  using Post = std::function<void(std::function<void()>)>;
 
   IoPool(std::size_t readers, Post post);
   ~IoPool() override;
@@ -49,10 +50,11 @@
   };
   struct Queue {
     std::deque<Job> jobs;
-    std::condition_variable more;
+    std::condition_variable job_added;
   };
 
-  void serve(Queue& queue, bool finish);
+  // Runs jobs until the pool stops; `drain`: also those that are still queued then.
+  void run_jobs(Queue& queue, bool drain);
 
   Post post_;
   std::mutex mutex_;
--- a/src/store/files.cpp
+++ b/src/store/files.cpp
@@ -76,11 +76,11 @@
   }
 
   std::uint64_t size() override {
-    struct stat found{};
-    if (::fstat(descriptor_.get(), &found) != 0) {
-      fail("cannot look at " + name_);
+    struct stat status{};
+    if (::fstat(descriptor_.get(), &status) != 0) {
+      fail("cannot stat " + name_);
     }
-    return static_cast<std::uint64_t>(found.st_size);
+    return static_cast<std::uint64_t>(status.st_size);
   }
 
  private:
@@ -159,7 +159,7 @@
 
 std::unique_ptr<Files> open_folder(const std::string& path) {
   if (::mkdir(path.c_str(), kFolderMode) != 0 && errno != EEXIST) {
-    fail("cannot make folder " + path);
+    fail("cannot create folder " + path);
   }
   Descriptor folder = open_path(path);
   Descriptor lock(::openat(folder.get(), kLockName, O_RDWR | O_CREAT | O_CLOEXEC, kFileMode));
--- a/src/store/files.h
+++ b/src/store/files.h
@@ -1,7 +1,7 @@
-// The folder of a store, as the few calls that it needs. Tests put a recording or failing folder in its
-// place.
+// The file operations that a store needs on its folder. Tests substitute a folder that records operations or
+// injects faults.
 //
-// Package `store`. Each call may block and may come from any of the store's threads.
+// Package `store`. Each call may block, may come from any of the store's threads, and throws FileError.
 #pragma once
 
 #include <cstddef>
@@ -14,7 +14,7 @@
 
 namespace trailcourse::store {
 
-// A call of the system failed. `code` is its error number.
+// A system call failed. `code` is its errno.
 class FileError : public std::runtime_error {
  public:
   FileError(const std::string& what, int code);
@@ -31,11 +31,11 @@
   File& operator=(const File&) = delete;
   virtual ~File() = default;
 
-  // Up to `size` bytes from `offset`; fewer only at the end of the file.
+  // Returns `size` bytes from `offset` on; fewer only at the end of the file.
   virtual std::string read(std::uint64_t offset, std::size_t size) = 0;
-  // All of the bytes, or an error after which any part of them may stand there.
+  // Writes all of the bytes. After an error any of them may have been written.
   virtual void write(std::uint64_t offset, std::string_view bytes) = 0;
-  // Returns once what was written will outlive a loss of power.
+  // Returns once everything written so far survives a loss of power.
   virtual void sync() = 0;
   virtual std::uint64_t size() = 0;
 };
@@ -48,18 +48,22 @@
   virtual ~Files() = default;
 
   virtual std::vector<std::string> list() = 0;
-  virtual std::unique_ptr<File> create(const std::string& name) = 0;  // empty, also where there was one
-  virtual std::unique_ptr<File> open(const std::string& name) = 0;    // for reading
-  virtual void remove(const std::string& name) = 0;                   // nothing happens where there is none
+  // Creates a file for reading and writing; truncates an existing one.
+  virtual std::unique_ptr<File> create(const std::string& name) = 0;
+  // Opens an existing file for reading.
+  virtual std::unique_ptr<File> open(const std::string& name) = 0;
+  // Removes a file; does nothing if it does not exist.
+  virtual void remove(const std::string& name) = 0;
   virtual void rename(const std::string& from, const std::string& to) = 0;
-  // Returns once the names of files will outlive a loss of power.
+  // Returns once all created, removed and renamed names survive a loss of power.
   virtual void sync_names() = 0;
 };
 
-// A folder of the system, made where it does not exist. Throws FileError where it cannot be used, or is in
-// use by another process (EWOULDBLOCK); the lock goes with the object.
+// Opens a folder of the file system, creates it if it does not exist, and locks it against other processes;
+// the lock is held until the returned object is destroyed. Throws FileError if the folder cannot be used or
+// is locked (EWOULDBLOCK).
 std::unique_ptr<Files> open_folder(const std::string& path);
-// The same without a lock and without making anything: for reading beside a node that runs.
+// Opens an existing folder without locking it, for example to read it while a node uses it.
 std::unique_ptr<Files> look_into_folder(const std::string& path);
 
 }  // namespace trailcourse::store
--- a/src/store/format.cpp
+++ b/src/store/format.cpp
@@ -12,15 +12,15 @@
 namespace trailcourse::store {
 namespace {
 
-static_assert(std::endian::native == std::endian::little, "numbers are written as they stand in memory");
+static_assert(std::endian::native == std::endian::little, "numbers are written in the byte order of memory");
 
 constexpr std::string_view kSegmentMagic = "TCSEG1\r\n";
 constexpr std::uint32_t kRecordMagic = 0x31524354;  // "TCR1"
-constexpr std::uint8_t kCompressed = 0x80;
-constexpr std::size_t kHeaderSumAt = 88;
-constexpr std::size_t kLeastToCompress = 256;
-constexpr int kLevel = 1;
-constexpr std::uint32_t kMostRaw = 256U << 20U;
+constexpr std::uint8_t kCompressedFlag = 0x80;
+constexpr std::size_t kHeaderSumOffset = 88;
+constexpr std::size_t kMinCompressedBytes = 256;
+constexpr int kCompressionLevel = 1;
+constexpr std::uint32_t kMaxPayloadBytes = 256U << 20U;
 
 template <typename Number>
 void put(std::string& out, Number value) {
@@ -37,20 +37,22 @@
   return value;
 }
 
-std::uint64_t seed_of(SegmentId segment, std::uint64_t offset) {
+std::uint64_t place_seed(SegmentId segment, std::uint64_t offset) {
   return (std::uint64_t{segment} << 32U) ^ offset ^ 0x7472616975726365U;
 }
 
-// The sum over header, name and tag of a record at a place.
+// Returns the checksum over header, name and tag of a record at a place.
 std::uint64_t header_sum(std::string_view record, std::size_t names, SegmentId segment,
                          std::uint64_t offset) {
-  const std::uint64_t head = XXH3_64bits_withSeed(record.data(), kHeaderSumAt, seed_of(segment, offset));
+  const std::uint64_t head =
+      XXH3_64bits_withSeed(record.data(), kHeaderSumOffset, place_seed(segment, offset));
   return XXH3_64bits_withSeed(record.data() + kRecordHeadBytes, names, head);
 }
 
-std::string compressed(std::string_view raw) {
+// Returns the compressed payload; empty if that does not save at least an eighth.
+std::string compress_payload(std::string_view raw) {
   std::string out(ZSTD_compressBound(raw.size()), '\0');
-  const std::size_t size = ZSTD_compress(out.data(), out.size(), raw.data(), raw.size(), kLevel);
+  const std::size_t size = ZSTD_compress(out.data(), out.size(), raw.data(), raw.size(), kCompressionLevel);
   if (ZSTD_isError(size) != 0 || size > raw.size() - raw.size() / 8) {
     return {};
   }
@@ -58,9 +60,9 @@
   return out;
 }
 
-void set_why(std::string* why, const char* text) {
-  if (why != nullptr) {
-    *why = text;
+void set_error(std::string* error, const char* message) {
+  if (error != nullptr) {
+    *error = message;
   }
 }
 
@@ -84,18 +86,18 @@
 void append_record(std::string& out, const Record& record, std::string_view payload, SegmentId segment,
                    std::uint64_t offset, bool compress) {
   const std::string packed =
-      compress && payload.size() >= kLeastToCompress ? compressed(payload) : std::string();
+      compress && payload.size() >= kMinCompressedBytes ? compress_payload(payload) : std::string();
   const std::string_view stored = packed.empty() ? payload : std::string_view(packed);
   const std::size_t begin = out.size();
   put<std::uint32_t>(out, kRecordMagic);
   put<std::uint16_t>(out, static_cast<std::uint16_t>(kFormatVersion));
   put<std::uint8_t>(out, static_cast<std::uint8_t>(static_cast<unsigned>(record.kind) |
-                                                   (packed.empty() ? 0U : unsigned{kCompressed})));
+                                                   (packed.empty() ? 0U : unsigned{kCompressedFlag})));
   put<std::uint8_t>(out, record.rank);
   put(out, record.key.high);
   put(out, record.key.low);
   put(out, record.copy);
-  put(out, record.t0_ms);
+  put(out, record.origin_time_ms);
   put<std::uint16_t>(out, static_cast<std::uint16_t>(record.group + 1));
   put<std::uint16_t>(out, static_cast<std::uint16_t>(record.name.size()));
   put<std::uint16_t>(out, static_cast<std::uint16_t>(record.tag.size()));
@@ -106,14 +108,14 @@
   put(out, record.part);
   put(out, record.part_bytes);
   put<std::uint32_t>(out, 0);
-  put(out, record.whole_sum);
+  put(out, record.value_sum);
   put(out, sum_of(stored));
   put<std::uint64_t>(out, 0);
   out += record.name;
   out += record.tag;
   const std::size_t names = record.name.size() + record.tag.size();
   const std::uint64_t sum = header_sum(std::string_view(out).substr(begin), names, segment, offset);
-  std::memcpy(out.data() + begin + kHeaderSumAt, &sum, sizeof sum);
+  std::memcpy(out.data() + begin + kHeaderSumOffset, &sum, sizeof sum);
   out += stored;
 }
 
@@ -135,13 +137,13 @@
   if (kind > static_cast<unsigned>(RecordKind::kPart)) {
     return std::nullopt;
   }
-  head.compressed = (flags & kCompressed) != 0;
+  head.compressed = (flags & kCompressedFlag) != 0;
   Record& record = head.record;
   record.kind = static_cast<RecordKind>(kind);
   record.rank = get<std::uint8_t>(bytes, 7);
   record.key = Key{get<std::uint64_t>(bytes, 8), get<std::uint64_t>(bytes, 16)};
   record.copy = get<std::uint64_t>(bytes, 24);
-  record.t0_ms = get<std::int64_t>(bytes, 32);
+  record.origin_time_ms = get<std::int64_t>(bytes, 32);
   record.group = static_cast<int>(get<std::uint16_t>(bytes, 40)) - 1;
   head.name_bytes = get<std::uint16_t>(bytes, 42);
   head.tag_bytes = get<std::uint16_t>(bytes, 44);
@@ -150,41 +152,42 @@
   record.total_bytes = get<std::uint32_t>(bytes, 56);
   record.part = get<std::uint32_t>(bytes, 60);
   record.part_bytes = get<std::uint32_t>(bytes, 64);
-  record.whole_sum = get<std::uint64_t>(bytes, 72);
+  record.value_sum = get<std::uint64_t>(bytes, 72);
   head.payload_sum = get<std::uint64_t>(bytes, 80);
-  const bool usable = head.name_bytes <= kMostName && head.tag_bytes <= kMostTag && record.rank < 4 &&
-                      head.raw_bytes <= kMostRaw && head.stored_bytes <= kMostRaw &&
+  const bool usable = head.name_bytes <= kMaxNameBytes && head.tag_bytes <= kMaxTagBytes && record.rank < 4 &&
+                      head.raw_bytes <= kMaxPayloadBytes && head.stored_bytes <= kMaxPayloadBytes &&
                       (head.compressed || head.raw_bytes == head.stored_bytes);
   return usable ? std::optional<RecordHead>(head) : std::nullopt;
 }
 
 std::optional<Record> decode_record(std::string bytes, SegmentId segment, std::uint64_t offset,
-                                    std::string* why) {
+                                    std::string* error) {
   const std::optional<RecordHead> head = decode_head(bytes);
   if (!head) {
-    set_why(why, "no record header");
+    set_error(error, "no valid record header");
     return std::nullopt;
   }
   if (bytes.size() < head->size()) {
-    set_why(why, "cut short");
+    set_error(error, "truncated");
     return std::nullopt;
   }
   const std::size_t names = head->name_bytes + head->tag_bytes;
-  if (header_sum(bytes, names, segment, offset) != get<std::uint64_t>(bytes, kHeaderSumAt)) {
-    set_why(why, "header sum does not match");
+  if (header_sum(bytes, names, segment, offset) != get<std::uint64_t>(bytes, kHeaderSumOffset)) {
+    set_error(error, "header checksum does not match");
     return std::nullopt;
   }
   const std::string_view stored =
       std::string_view(bytes).substr(kRecordHeadBytes + names, head->stored_bytes);
   if (sum_of(stored) != head->payload_sum) {
-    set_why(why, "payload sum does not match");
+    set_error(error, "payload checksum does not match");
     return std::nullopt;
   }
   Record record = head->record;
   record.name = std::string_view(bytes).substr(kRecordHeadBytes, head->name_bytes);
   record.tag = std::string_view(bytes).substr(kRecordHeadBytes + head->name_bytes, head->tag_bytes);
   if (!head->compressed) {
-    // The bytes stay where they were read; moving them up costs less than new pages for a copy.
+    // The payload reuses the buffer: moving the bytes to its front costs less than the page faults of a new
+    // one.
     bytes.resize(head->size());
     bytes.erase(0, kRecordHeadBytes + names);
     record.payload = std::move(bytes);
@@ -194,7 +197,7 @@
   const std::size_t size =
       ZSTD_decompress(record.payload.data(), record.payload.size(), stored.data(), stored.size());
   if (ZSTD_isError(size) != 0 || size != head->raw_bytes) {
-    set_why(why, "cannot be decompressed");
+    set_error(error, "payload cannot be decompressed");
     return std::nullopt;
   }
   return record;
@@ -208,13 +211,13 @@
   }
   const std::size_t names = head->name_bytes + head->tag_bytes;
   const std::string_view stored = bytes.substr(kRecordHeadBytes + names, head->stored_bytes);
-  if (header_sum(bytes, names, segment, offset) != get<std::uint64_t>(bytes, kHeaderSumAt) ||
+  if (header_sum(bytes, names, segment, offset) != get<std::uint64_t>(bytes, kHeaderSumOffset) ||
       sum_of(stored) != head->payload_sum) {
     return std::nullopt;
   }
   std::string out(bytes.substr(0, head->size()));
   const std::uint64_t sum = header_sum(out, names, to_segment, to_offset);
-  std::memcpy(out.data() + kHeaderSumAt, &sum, sizeof sum);
+  std::memcpy(out.data() + kHeaderSumOffset, &sum, sizeof sum);
   return out;
 }
 
--- a/src/store/index.h
+++ b/src/store/index.h
@@ -1,7 +1,7 @@
-// What is where on disk, kept so that it survives crashes: rows for copies and parts, the purges, and a few
-// marks, all changed in transactions.
+// The durable index of the disk tier: a row for each record, the purges, and a few marks. All changes are
+// made in transactions, so that the index survives crashes.
 //
-// Package `store`. An index is used by one thread at a time; its calls may block. Each throws IndexError.
+// Package `store`. An index is used by one thread at a time; calls may block and throw IndexError.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +18,7 @@
 
 namespace trailcourse::store {
 
-// The index cannot be used: `damaged` where what it holds is not what was written.
+// The index cannot be used. `damaged`: its content is not what was written.
 class IndexError : public std::runtime_error {
  public:
   IndexError(const std::string& what, bool damaged) : std::runtime_error(what), damaged_(damaged) {}
@@ -28,13 +28,13 @@
   bool damaged_;
 };
 
-// Where a record stands, and what must be known of it without reading it.
+// Where a record is stored, and its properties that are needed without reading it.
 struct Location {
-  std::int64_t t0_ms = 0;
-  std::uint64_t copy = 0;
+  std::int64_t origin_time_ms = 0;
+  std::uint64_t copy = 0;  // copy_id()
   SegmentId segment = 0;
   std::uint32_t offset = 0;
-  std::uint32_t stored = 0;  // bytes of the whole record
+  std::uint32_t stored = 0;  // bytes of the complete record; 0: the row is damaged
   std::uint32_t parts = 0;   // of a manifest
   std::uint16_t group = 0;   // plus 1; 0: unknown
   std::uint8_t kind = 0;     // RecordKind
@@ -51,20 +51,21 @@
 
 using IndexMarks = std::map<std::string, std::int64_t>;
 
-// Names of marks: the last segment ever begun, the last event heard of the notice board.
+// Names of marks: the highest segment ever created, and the sequence number of the last discovery event whose
+// purges are in the index.
 inline constexpr const char* kSegmentMark = "last_segment";
-inline constexpr const char* kHeardMark = "heard";
+inline constexpr const char* kSequenceMark = "heard";
 
-// One transaction: all of it or nothing is there after a crash.
+// The changes of one transaction: after a crash either all of them are present or none.
 struct IndexBatch {
   std::vector<IndexRow> put;
   std::vector<Key> erase;
-  std::vector<PurgeRecord> purge;
-  std::vector<PurgeRecord> forget;  // purges that a floor has taken over
+  std::vector<PurgeRecord> add_purges;
+  std::vector<PurgeRecord> remove_purges;  // those that were folded into the floor
   IndexMarks marks;
 
   bool empty() const {
-    return put.empty() && erase.empty() && purge.empty() && forget.empty() && marks.empty();
+    return put.empty() && erase.empty() && add_purges.empty() && remove_purges.empty() && marks.empty();
   }
 };
 
@@ -77,16 +78,19 @@
 
   virtual IndexMarks marks() = 0;
   virtual std::vector<PurgeRecord> purges() = 0;
-  // Up to `most` rows behind `after` in the order of keys; from the first where `after` is null.
-  virtual std::vector<IndexRow> rows(const Key* after, std::size_t most) = 0;
+  // Returns up to `max_rows` rows after the key `after`, in key order; null: from the first row. A damaged
+  // row is returned with a Location whose `stored` is 0.
+  virtual std::vector<IndexRow> rows(const Key* after, std::size_t max_rows) = 0;
   virtual void commit(const IndexBatch& batch) = 0;
+  // Frees unused space in the file of the index.
   virtual void compact() {}
 };
 
 using OpenIndex = std::function<std::unique_ptr<Index>()>;
 
-// On SQLite, in the file PATH/index.sqlite. A row that is not as it was written is passed over by rows(); a
-// purge that is missing or changed makes the index damaged.
+// Opens the SQLite index in the file PATH/index.sqlite; creates the file unless `read_only`. Throws
+// IndexError. A purge record that is missing or changed makes purges() throw an IndexError with damaged()
+// true.
 std::unique_ptr<Index> open_sqlite_index(const std::string& path, bool read_only = false);
 std::vector<std::string> sqlite_index_files();
 
--- a/src/store/io_pool.cpp
+++ b/src/store/io_pool.cpp
@@ -6,14 +6,14 @@
 namespace trailcourse::store {
 
 IoPool::IoPool(std::size_t readers, Post post) : post_(std::move(post)) {
-  // Signals are the business of the thread that decides.
+  // Blocks all signals in the pool's threads, so that the event loop's thread handles them.
   sigset_t all;
   sigset_t before;
   sigfillset(&all);
   pthread_sigmask(SIG_SETMASK, &all, &before);
-  threads_.emplace_back([this] { serve(writes_, true); });
+  threads_.emplace_back([this] { run_jobs(writes_, true); });
   for (std::size_t i = 0; i < readers; ++i) {
-    threads_.emplace_back([this] { serve(reads_, false); });
+    threads_.emplace_back([this] { run_jobs(reads_, false); });
   }
   pthread_sigmask(SIG_SETMASK, &before, nullptr);
 }
@@ -23,8 +23,8 @@
     const std::lock_guard lock(mutex_);
     stopping_ = true;
   }
-  writes_.more.notify_all();
-  reads_.more.notify_all();
+  writes_.job_added.notify_all();
+  reads_.job_added.notify_all();
   for (std::thread& thread : threads_) {
     thread.join();
   }
@@ -36,14 +36,14 @@
     const std::lock_guard lock(mutex_);
     queue.jobs.push_back(Job{std::move(work), std::move(done)});
   }
-  queue.more.notify_one();
+  queue.job_added.notify_one();
 }
 
-void IoPool::serve(Queue& queue, bool finish) {
+void IoPool::run_jobs(Queue& queue, bool drain) {
   for (;;) {
     std::unique_lock lock(mutex_);
-    queue.more.wait(lock, [&] { return stopping_ || !queue.jobs.empty(); });
-    if (queue.jobs.empty() || (stopping_ && !finish)) {
+    queue.job_added.wait(lock, [&] { return stopping_ || !queue.jobs.empty(); });
+    if (queue.jobs.empty() || (stopping_ && !drain)) {
       return;
     }
     Job job = std::move(queue.jobs.front());
--- a/src/store/key.cpp
+++ b/src/store/key.cpp
@@ -18,9 +18,9 @@
   return Key{hash.high64, hash.low64};
 }
 
-Key part_key(const Key& whole, std::uint64_t copy, std::uint32_t part) {
-  const std::array<std::uint64_t, 4> words{whole.high, whole.low, copy, part};
-  const XXH128_hash_t hash = XXH3_128bits(words.data(), sizeof words);
+Key part_key(const Key& value, std::uint64_t copy, std::uint32_t part) {
+  const std::array<std::uint64_t, 4> input{value.high, value.low, copy, part};
+  const XXH128_hash_t hash = XXH3_128bits(input.data(), sizeof input);
   return Key{hash.high64, hash.low64};
 }
 
@@ -35,8 +35,8 @@
   return out;
 }
 
-std::uint64_t copy_id(std::string_view tag, std::int64_t t0_ms, std::size_t size) {
-  const auto seed = static_cast<std::uint64_t>(t0_ms) * 0x9e3779b97f4a7c15U + size;
+std::uint64_t copy_id(std::string_view tag, std::int64_t origin_time_ms, std::size_t size) {
+  const auto seed = static_cast<std::uint64_t>(origin_time_ms) * 0x9e3779b97f4a7c15U + size;
   const std::uint64_t id = XXH3_64bits_withSeed(tag.data(), tag.size(), seed);
   return id != 0 ? id : 1;
 }
--- a/src/store/key.h
+++ b/src/store/key.h
@@ -1,4 +1,5 @@
-// Names of copies. Package `store`: a library without sockets, beside `protocol` and below `cache_node`.
+// Names and keys of copies. Package `store`: a library without sockets, beside `protocol` and below
+// `cache_node`.
 #pragma once
 
 #include <trailcourse/decider.h>
@@ -12,8 +13,8 @@
 
 namespace trailcourse::store {
 
-// 128 bits of XXH3 over a name. Records on disk hold the whole name too, so that two names with one key are
-// told apart.
+// The 128-bit XXH3 hash of a name. Records on disk hold the complete name too, so that a hash collision is
+// detected.
 struct Key {
   std::uint64_t high = 0;
   std::uint64_t low = 0;
@@ -23,32 +24,33 @@
 
 Key key_of(std::string_view name);
 
-// A part of a value larger than one part; it belongs to one copy alone, so parts of two copies never mix.
-Key part_key(const Key& whole, std::uint64_t copy, std::uint32_t part);
+// Returns the key of one part of a value that is stored in parts. The key depends on the copy, so parts of
+// two copies are never mixed.
+Key part_key(const Key& value, std::uint64_t copy, std::uint32_t part);
 
-// What a copy is asked for by.
+// The name under which a copy is requested.
 struct Name {
-  std::string text;                // class, object and part of the object, as they came
+  std::string text;                // class, object and part of the object, as received
   Key key;                         // of the text
-  std::optional<ObjectId> object;  // by which purges name it; none where its name is not 16 hex digits
+  std::optional<ObjectId> object;  // to match purges; empty if the object's name is not 16 hex digits
 
   static Name of(std::string_view request_class, std::string_view item, std::string_view chunk);
 };
 
-constexpr int kUnknownGroup = -1;  // it may be of any group
-constexpr int kNoGroup = -2;       // groups are not asked about
+constexpr int kUnknownGroup = -1;  // the copy may belong to any group
+constexpr int kNoGroup = -2;       // group purges are not considered
 
-// One copy, whole, as the origin gave it out.
+// One complete copy, as the origin sent it.
 struct Copy {
   std::string tag;
-  std::int64_t t0_ms = 0;  // Unix time at which the origin gave it out
+  std::int64_t origin_time_ms = 0;  // Unix time at which the origin sent the copy
   int group = kUnknownGroup;
   std::shared_ptr<const std::string> bytes;
 
   std::size_t size() const { return bytes ? bytes->size() : 0; }
 };
 
-// Tells copies of one name apart; never 0.
-std::uint64_t copy_id(std::string_view tag, std::int64_t t0_ms, std::size_t size);
+// Returns an identifier that differs between copies of one name; never 0.
+std::uint64_t copy_id(std::string_view tag, std::int64_t origin_time_ms, std::size_t size);
 
 }  // namespace trailcourse::store
--- a/src/store/maintenance.cpp
+++ b/src/store/maintenance.cpp
@@ -12,33 +12,33 @@
 namespace trailcourse::store {
 namespace {
 
-constexpr std::size_t kRowsAtOnce = 4'096;
-constexpr std::size_t kMostTold = 100;
-constexpr std::uint64_t kTellEvery = 256;
-constexpr std::size_t kCommitAtOnce = 1'024;
+constexpr std::size_t kRowsPerStep = 4'096;
+constexpr std::size_t kMaxListedDamage = 100;
+constexpr std::uint64_t kProgressInterval = 256;
+constexpr std::size_t kRowsPerCommit = 1'024;
 
-template <typename Take>
-void each_row(Index& index, Take take) {
+template <typename Handler>
+void for_each_row(Index& index, Handler handler) {
   std::optional<Key> after;
   for (;;) {
-    const std::vector<IndexRow> rows = index.rows(after ? &*after : nullptr, kRowsAtOnce);
+    const std::vector<IndexRow> rows = index.rows(after ? &*after : nullptr, kRowsPerStep);
     for (const IndexRow& row : rows) {
-      take(row);
+      handler(row);
     }
-    if (rows.size() < kRowsAtOnce) {
+    if (rows.size() < kRowsPerStep) {
       return;
     }
     after = rows.back().key;
   }
 }
 
-// Opens each segment once; null where it cannot be.
-class Segments {
+// Opens each segment once. Returns null if a segment cannot be opened.
+class SegmentFiles {
  public:
-  explicit Segments(Files& files) : files_(files) {}
+  explicit SegmentFiles(Files& files) : files_(files) {}
   File* open(SegmentId id) {
-    const auto [found, fresh] = open_.emplace(id, nullptr);
-    if (fresh) {
+    const auto [found, inserted] = open_.emplace(id, nullptr);
+    if (inserted) {
       try {
         found->second = files_.open(segment_name(id));
       } catch (const FileError&) {
@@ -71,85 +71,87 @@
 
 FolderStat stat_folder(Files& files, Index& index) {
   FolderStat out;
-  std::set<SegmentId> named;
-  each_row(index, [&](const IndexRow& row) {
-    const Location& where = row.location;
-    if (where.stored == 0) {
+  std::set<SegmentId> referenced;
+  for_each_row(index, [&](const IndexRow& row) {
+    const Location& location = row.location;
+    if (location.stored == 0) {
       ++out.damaged_rows;
       return;
     }
     ++out.records;
-    const bool part = where.kind == static_cast<std::uint8_t>(RecordKind::kPart);
+    const bool part = location.kind == static_cast<std::uint8_t>(RecordKind::kPart);
     ++(part ? out.parts : out.values);
-    out.live_bytes += where.stored;
+    out.live_bytes += location.stored;
     ++out.by_rank[row.rank];
-    out.oldest_ms = out.oldest_ms == 0 ? where.t0_ms : std::min(out.oldest_ms, where.t0_ms);
-    out.newest_ms = std::max(out.newest_ms, where.t0_ms);
-    named.insert(where.segment);
+    out.oldest_ms =
+        out.oldest_ms == 0 ? location.origin_time_ms : std::min(out.oldest_ms, location.origin_time_ms);
+    out.newest_ms = std::max(out.newest_ms, location.origin_time_ms);
+    referenced.insert(location.segment);
   });
   for (const std::string& name : files.list()) {
     if (const std::optional<SegmentId> id = segment_of(name)) {
       ++out.segments;
       out.file_bytes += files.open(name)->size();
-      out.orphans += named.contains(*id) ? 0 : 1;
+      out.orphans += referenced.contains(*id) ? 0 : 1;
     }
   }
   out.purges = index.purges().size();
   const IndexMarks marks = index.marks();
-  const auto heard = marks.find(kHeardMark);
-  out.heard = heard == marks.end() ? 0 : heard->second;
+  const auto sequence = marks.find(kSequenceMark);
+  out.last_sequence = sequence == marks.end() ? 0 : sequence->second;
   return out;
 }
 
 VerifyReport verify_folder(Files& files, Index& index, const Progress& progress) {
   VerifyReport out;
-  Segments segments(files);
+  SegmentFiles segments(files);
   std::vector<IndexRow> rows;
-  std::set<Key> held;
-  each_row(index, [&](const IndexRow& row) {
+  std::set<Key> stored_keys;
+  for_each_row(index, [&](const IndexRow& row) {
     rows.push_back(row);
-    held.insert(row.key);
+    stored_keys.insert(row.key);
   });
-  const auto damaged = [&out](const Location& where, const std::string& what) {
-    ++out.damaged_in_all;
-    if (out.damaged.size() < kMostTold) {
-      out.damaged.push_back(Damage{segment_name(where.segment) + "@" + std::to_string(where.offset), what});
+  const auto damaged = [&out](const Location& location, const std::string& reason) {
+    ++out.damaged_total;
+    if (out.damaged.size() < kMaxListedDamage) {
+      out.damaged.push_back(
+          Damage{segment_name(location.segment) + "@" + std::to_string(location.offset), reason});
     }
   };
   for (const IndexRow& row : rows) {
-    const Location& where = row.location;
+    const Location& location = row.location;
     ++out.records;
-    if (out.records % kTellEvery == 0) {
+    if (out.records % kProgressInterval == 0) {
       progress(out.records, rows.size());
     }
-    if (where.stored == 0) {
-      damaged(where, "its row of the index is not as it was written");
+    if (location.stored == 0) {
+      damaged(location, "the index row is damaged");
       continue;
     }
     try {
-      File* const file = segments.open(where.segment);
+      File* const file = segments.open(location.segment);
       if (file == nullptr) {
-        damaged(where, "the segment cannot be opened");
+        damaged(location, "the segment cannot be opened");
         continue;
       }
-      const std::string bytes = file->read(where.offset, where.stored);
-      std::string why;
-      const std::optional<Record> record = decode_record(bytes, where.segment, where.offset, &why);
+      const std::string bytes = file->read(location.offset, location.stored);
+      std::string error;
+      const std::optional<Record> record = decode_record(bytes, location.segment, location.offset, &error);
       if (!record) {
-        damaged(where, why);
-      } else if (!(record->key == row.key) || record->copy != where.copy) {
-        damaged(where, "another record stands there");
+        damaged(location, error);
+      } else if (!(record->key == row.key) || record->copy != location.copy) {
+        damaged(location, "another record is stored at this place");
       } else {
         ++out.good;
-        out.bytes += where.stored;
-        bool whole = true;
-        for (std::uint32_t i = 0; i < where.parts; ++i) {
-          whole = whole && held.contains(part_key(row.key, where.copy, i));
+        out.bytes += location.stored;
+        bool complete = true;
+        for (std::uint32_t i = 0; i < location.parts; ++i) {
+          complete = complete && stored_keys.contains(part_key(row.key, location.copy, i));
         }
-        out.incomplete += whole ? 0 : 1;
+        out.incomplete += complete ? 0 : 1;
       }
     } catch (const FileError& error) {
-      damaged(where, error.what());
+      damaged(location, error.what());
     }
   }
   progress(rows.size(), rows.size());
@@ -158,13 +160,13 @@
 
 namespace {
 
-// Moves the live records of segments of little use to new segments. Rows are committed to the index once the
-// new segment is synced, and a segment is removed once none of its rows stands in the index.
+// Moves the live records of segments with a small live share to new segments. Rows are committed to the index
+// after the new segment is synced, and a segment is removed after the index refers to none of its records.
 class Compaction {
  public:
   Compaction(Files& files, Index& index, std::uint64_t segment_bytes)
       : files_(files), index_(index), segment_bytes_(segment_bytes) {
-    each_row(index_, [&](const IndexRow& row) {
+    for_each_row(index_, [&](const IndexRow& row) {
       live_[row.location.segment] += row.location.stored;
       rows_[row.location.segment].push_back(row);
     });
@@ -173,8 +175,8 @@
     last_ = mark == marks.end() ? 0 : static_cast<SegmentId>(mark->second);
   }
 
-  // The segments of which less than this share is live; counts all that stand in the folder.
-  std::vector<SegmentId> choose(double least_share) {
+  // Returns the segments whose live share is below `min_share`, and counts all segments for the report.
+  std::vector<SegmentId> choose(double min_share) {
     std::vector<SegmentId> out;
     for (const std::string& name : files_.list()) {
       if (const std::optional<SegmentId> id = segment_of(name)) {
@@ -182,7 +184,7 @@
         ++report_.segments_before;
         report_.bytes_before += size;
         last_ = std::max(last_, *id);
-        if (static_cast<double>(live_[*id]) < least_share * static_cast<double>(size)) {
+        if (static_cast<double>(live_[*id]) < min_share * static_cast<double>(size)) {
           out.push_back(*id);
         }
       }
@@ -215,21 +217,21 @@
     if (!active_ || end_ + bytes.size() > segment_bytes_) {
       begin_segment();
     }
-    const std::optional<std::string> anew =
+    const std::optional<std::string> moved_bytes =
         moved_record(bytes, row.location.segment, row.location.offset, last_, end_);
-    if (!anew) {
+    if (!moved_bytes) {
       changes_.erase.push_back(row.key);
       ++report_.dropped;
       return;
     }
-    active_->write(end_, *anew);
+    active_->write(end_, *moved_bytes);
     IndexRow moved = row;
     moved.location.segment = last_;
     moved.location.offset = static_cast<std::uint32_t>(end_);
     changes_.put.push_back(moved);
-    end_ += anew->size();
+    end_ += moved_bytes->size();
     ++report_.moved;
-    if (changes_.put.size() >= kCommitAtOnce) {
+    if (changes_.put.size() >= kRowsPerCommit) {
       commit();
     }
   }
@@ -265,14 +267,14 @@
 
 }  // namespace
 
-CompactReport compact_folder(Files& files, Index& index, double least_share, std::uint64_t segment_bytes,
+CompactReport compact_folder(Files& files, Index& index, double min_share, std::uint64_t segment_bytes,
                              const Progress& progress) {
   Compaction compaction(files, index, segment_bytes);
-  const std::vector<SegmentId> victims = compaction.choose(least_share);
+  const std::vector<SegmentId> segments = compaction.choose(min_share);
   std::uint64_t done = 0;
-  for (const SegmentId id : victims) {
+  for (const SegmentId id : segments) {
     compaction.clear(id);
-    progress(++done, victims.size());
+    progress(++done, segments.size());
   }
   return compaction.finish();
 }
--- a/src/store/maintenance.h
+++ b/src/store/maintenance.h
@@ -1,6 +1,6 @@
-// What operators do to a store's folder from outside: look, check, tidy, empty.
+// Maintenance of a store's folder by operators: statistics, verification, compaction and removal.
 //
-// Package `store`. Blocking; for the command line.
+// Package `store`. The functions block and throw FileError and IndexError; they are for the command line.
 #pragma once
 
 #include <cstdint>
@@ -14,42 +14,46 @@
 
 namespace trailcourse::store {
 
-// Told now and then: so much of so much is done.
-using Progress = std::function<void(std::uint64_t done, std::uint64_t of)>;
+// Called from time to time with the number of finished items and the number of all items.
+using Progress = std::function<void(std::uint64_t done, std::uint64_t total)>;
 
 struct FolderStat {
-  std::uint64_t records = 0, values = 0, parts = 0, live_bytes = 0, file_bytes = 0, segments = 0, orphans = 0;
+  std::uint64_t records = 0, values = 0, parts = 0, live_bytes = 0, file_bytes = 0, segments = 0;
+  std::uint64_t orphans = 0;  // segments that no row of the index refers to
   std::uint64_t purges = 0, damaged_rows = 0;
-  std::int64_t heard = 0, oldest_ms = 0, newest_ms = 0;
+  std::int64_t last_sequence = 0;             // of the discovery events whose purges are in the index
+  std::int64_t oldest_ms = 0, newest_ms = 0;  // origin times of copies; 0: there are none
   std::map<int, std::uint64_t> by_rank;
 };
 
 struct Damage {
-  std::string where;  // segment and offset
-  std::string what;
+  std::string location;  // segment and offset
+  std::string reason;
 };
 struct VerifyReport {
-  std::uint64_t records = 0, bytes = 0, good = 0, incomplete = 0;  // incomplete: manifests with parts missing
-  std::vector<Damage> damaged;                                     // the first hundred
-  std::uint64_t damaged_in_all = 0;
+  std::uint64_t records = 0, bytes = 0, good = 0;
+  std::uint64_t incomplete = 0;  // manifests with missing parts
+  std::vector<Damage> damaged;   // the first hundred
+  std::uint64_t damaged_total = 0;
 };
 struct CompactReport {
   std::uint64_t segments_before = 0, segments_after = 0, bytes_before = 0, bytes_after = 0, moved = 0,
                 dropped = 0;
 };
 
+// Returns the statistics of a folder, without reading its records.
 FolderStat stat_folder(Files& files, Index& index);
-// Reads every record that the index names and checks both sums of each.
+// Reads every record that the index refers to and checks both of its checksums.
 VerifyReport verify_folder(Files& files, Index& index, const Progress& progress);
-// Writes what is live of segments that are less than `least_share` live into new ones, and removes them. No
-// node may use the folder meanwhile.
-CompactReport compact_folder(Files& files, Index& index, double least_share, std::uint64_t segment_bytes,
+// Rewrites the live records of each segment whose live share is below `min_share` to new segments, and
+// removes the old ones. The folder must not be used by a node meanwhile.
+CompactReport compact_folder(Files& files, Index& index, double min_share, std::uint64_t segment_bytes,
                              const Progress& progress);
-// Removes everything, so that the folder can be used anew, whatever its format.
+// Removes all files of any format, so that the folder can be used again. Returns their number.
 std::uint64_t drop_folder(Files& files);
 
 std::string segment_name(SegmentId id);
-// Nothing where the name is not that of a segment.
+// Returns the segment that a file name denotes; nothing if it is not a segment's.
 std::optional<SegmentId> segment_of(const std::string& name);
 
 }  // namespace trailcourse::store
--- a/src/store/options.cpp
+++ b/src/store/options.cpp
@@ -19,7 +19,7 @@
                "one segment file; room comes back by whole files, so large ones move more at once")
         .whole("part_kb", &Options::part_kb, "KB", WholeRange{4, 16'384},
                "a larger value is kept in parts of this size, each filled, read and evicted by itself")
-        .real("most_share", &Options::most_share, "of the tier", RealRange{0.001, 1.0},
+        .real("most_share", &Options::max_share, "of the tier", RealRange{0.001, 1.0},
               "one copy; a larger one would push out too much at once")
         .whole("write_kb_per_s", &Options::write_kb_per_s, "KB/s", WholeRange{0, 16'777'216},
                "written to disk in the long run; flash wears by what is written; 0: no bound")
--- a/src/store/options.h
+++ b/src/store/options.h
@@ -14,7 +14,7 @@
   std::int64_t memory_mb = 64;
   std::int64_t segment_mb = 16;
   std::int64_t part_kb = 256;
-  double most_share = 0.25;
+  double max_share = 0.25;
   std::int64_t write_kb_per_s = 20'000;
   std::int64_t write_burst_mb = 256;
   std::int64_t write_queue_mb = 16;
--- a/src/store/placement.cpp
+++ b/src/store/placement.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr int kTopRank = 3;
-constexpr int kAgain = 2;
-constexpr int kOften = 4;
+constexpr int kRepeatedRequests = 2;  // from this count on a copy is stored also in a full tier
+constexpr int kFrequentRequests = 4;  // from this count on a copy may overdraw the budget by a burst
 
 }  // namespace
 
@@ -17,10 +17,10 @@
     return burst_;
   }
   if (filled_ms_ >= 0 && now_ms > filled_ms_) {
-    // In seconds and the rest apart, so that no span overflows; what is over the burst is lost.
+    // Computed in floating point, so that no time span overflows. The level is limited to the burst.
     const std::int64_t span = now_ms - filled_ms_;
-    const double grown = static_cast<double>(rate_) * (static_cast<double>(span) / 1e3);
-    level_ = grown >= static_cast<double>(burst_ - level_) ? burst_ : level_ + std::llround(grown);
+    const double refill = static_cast<double>(rate_) * (static_cast<double>(span) / 1e3);
+    level_ = refill >= static_cast<double>(burst_ - level_) ? burst_ : level_ + std::llround(refill);
   }
   filled_ms_ = std::max(filled_ms_, now_ms);
   return level_;
@@ -31,37 +31,37 @@
       sketch_(options.sketch_keys),
       budget_(options.write_bytes_per_s, options.write_burst_bytes) {}
 
-int Placement::counted(const Key& key, int rank) const {
+int Placement::weighted_requests(const Key& key, int rank) const {
   return sketch_.estimate(key) + (rank >= kTopRank ? 1 : 0);
 }
 
-Verdict Placement::admit(const Candidate& candidate, std::uint64_t used, std::int64_t now_ms) {
+PlacementDecision Placement::admit(const Candidate& candidate, std::uint64_t used, std::int64_t now_ms) {
   if (candidate.rank <= 0) {
-    return Verdict::kNoRank;
+    return PlacementDecision::kNoRank;
   }
-  const double most = options_.most_share * static_cast<double>(options_.tier_bytes);
-  if (static_cast<double>(candidate.bytes) > most) {
-    return Verdict::kTooLarge;
+  const double max_bytes = options_.max_share * static_cast<double>(options_.tier_bytes);
+  if (static_cast<double>(candidate.bytes) > max_bytes) {
+    return PlacementDecision::kTooLarge;
   }
-  const int times = counted(candidate.key, candidate.rank);
-  const bool room = candidate.held || used + candidate.bytes <= options_.tier_bytes;
+  const int requests = weighted_requests(candidate.key, candidate.rank);
+  const bool room = candidate.replaces_stored || used + candidate.bytes <= options_.tier_bytes;
   const std::int64_t left = budget_.left(now_ms);
   const auto bytes = static_cast<std::int64_t>(candidate.bytes);
-  if (times < kAgain && !room) {
-    return Verdict::kNoRoom;
+  if (requests < kRepeatedRequests && !room) {
+    return PlacementDecision::kNoCapacity;
   }
-  const bool afforded = times < kAgain   ? left - bytes >= budget_.burst() / 2
-                        : times < kOften ? left > 0
-                                         : left > -budget_.burst();
-  if (!afforded) {
-    return Verdict::kNoBudget;
+  const bool within_budget = requests < kRepeatedRequests   ? left - bytes >= budget_.burst() / 2
+                             : requests < kFrequentRequests ? left > 0
+                                                            : left > -budget_.burst();
+  if (!within_budget) {
+    return PlacementDecision::kNoBudget;
   }
   budget_.spend(bytes);
-  return Verdict::kKeep;
+  return PlacementDecision::kAdmit;
 }
 
-bool Placement::worth_moving(std::uint64_t bytes, int rank, std::uint32_t uses, std::int64_t now_ms) {
-  const bool used_again = uses >= static_cast<std::uint32_t>(kAgain) || rank >= kTopRank;
+bool Placement::admit_move(std::uint64_t bytes, int rank, std::uint32_t uses, std::int64_t now_ms) {
+  const bool used_again = uses >= static_cast<std::uint32_t>(kRepeatedRequests) || rank >= kTopRank;
   if (!used_again || budget_.left(now_ms) <= 0) {
     return false;
   }
@@ -69,8 +69,8 @@
   return true;
 }
 
-bool Placement::into_memory(const Key& key, int rank, std::uint32_t victim_uses) const {
-  return rank > 0 && (counted(key, rank) >= kAgain || victim_uses <= 1);
+bool Placement::admits_to_memory(const Key& key, int rank, std::uint32_t victim_uses) const {
+  return rank > 0 && (weighted_requests(key, rank) >= kRepeatedRequests || victim_uses <= 1);
 }
 
 }  // namespace trailcourse::store
--- a/src/store/placement.h
+++ b/src/store/placement.h
@@ -1,17 +1,17 @@
-// Which copies go to disk, and how much is written for that. Admission weighs the rank sent, how often the
-// key was asked for (also while it was not held), the size, the room there is, and a write budget: flash
-// wears by the bytes written to it, and a spinning disk that writes all the time does not read.
+// Decides which copies are written to disk, and bounds how much is written: flash wears by the bytes written
+// to it, and a spinning disk that writes all the time has no time for reads. Admission depends on the keep
+// rank of the request, the number of requests for the key (also while no copy is stored), the size of the
+// copy, the free capacity and a write budget.
 //
-// The rule, in order:
-//   1. Rank 0 says not to keep it. A copy over `most_share` of the tier would push out too much at once.
-//   2. A copy asked for once is kept only where there is room for it and at least half of the write burst is
-//   left: a
-//      scan finds no room in a full tier and so cannot wash it out.
-//   3. From the second request on it is kept, whatever its size, as long as the budget is not overdrawn; it
-//   may overdraw
-//      it by itself. So a new hot large object is kept at its second request at the latest.
-//   4. What is asked for often may overdraw the budget by a whole burst.
-// The top rank counts as one request more: a router that sends it has seen the object elsewhere.
+// The rules, in order:
+//   1. A copy of rank 0 is not stored. A copy above `max_share` of the tier is not stored, since it would
+//      evict too much at once.
+//   2. A copy that was requested once is stored only if the tier has free capacity for it and half of the
+//      write burst is left afterwards. A scan therefore cannot evict the content of a full tier.
+//   3. From the second request on a copy of any size is stored while the budget is positive; the copy itself
+//      may overdraw the budget. A newly popular large object is stored at its second request at the latest.
+//   4. A frequently requested copy is stored until the budget is overdrawn by a complete burst.
+// The top rank counts as one more request: a router that sends it has seen the object at other nodes.
 //
 // Package `store`; no I/O, no clock. Not thread-safe.
 #pragma once
@@ -23,14 +23,15 @@
 
 namespace trailcourse::store {
 
-// A bucket of bytes that fills at a steady rate. It may be overdrawn, and then fills up first.
+// A token bucket of bytes. It may be overdrawn, and is then refilled from the negative level.
 class WriteBudget {
  public:
-  // `bytes_per_s` 0: no bound.
+  // `bytes_per_s` 0: unlimited.
   WriteBudget(std::int64_t bytes_per_s, std::int64_t burst_bytes)
       : rate_(bytes_per_s), burst_(burst_bytes), level_(burst_bytes) {}
 
-  // What is left at `now_ms` (any steady milliseconds); negative where it is overdrawn.
+  // Refills the bucket up to `now_ms` (any steady milliseconds) and returns the bytes left; negative if the
+  // budget is overdrawn.
   std::int64_t left(std::int64_t now_ms);
   void spend(std::int64_t bytes) { level_ -= rate_ == 0 ? 0 : bytes; }
   std::int64_t burst() const { return burst_; }
@@ -42,20 +43,21 @@
   std::int64_t filled_ms_ = -1;
 };
 
-enum class Verdict { kKeep, kNoRank, kTooLarge, kNoRoom, kNoBudget };
+enum class PlacementDecision { kAdmit, kNoRank, kTooLarge, kNoCapacity, kNoBudget };
 
+// A copy that may be written to disk.
 struct Candidate {
   Key key;
   std::uint64_t bytes = 0;  // as written
   int rank = 0;
-  bool held = false;  // an older copy of it is on disk: the new one takes its room
+  bool replaces_stored = false;  // an older copy is on disk, whose capacity the new copy reuses
 };
 
 class Placement {
  public:
   struct Options {
     std::uint64_t tier_bytes = 0;
-    double most_share = 0.25;  // of the tier, for one copy
+    double max_share = 0.25;  // of the tier, for one copy
     std::int64_t write_bytes_per_s = 0;
     std::int64_t write_burst_bytes = 64 << 20;
     std::size_t sketch_keys = 1 << 16;
@@ -63,27 +65,28 @@
 
   explicit Placement(const Options& options);
 
-  // A key was asked for, held or not.
-  void seen(const Key& key) { sketch_.count(key); }
-  int times_seen(const Key& key) const { return sketch_.estimate(key); }
+  // Counts a request for a key, whether or not a copy is stored.
+  void record_request(const Key& key) { sketch_.increment(key); }
+  // Returns the estimated number of recent requests for a key.
+  int request_count(const Key& key) const { return sketch_.estimate(key); }
 
-  // Whether a candidate goes to disk, where `used` of the tier's bytes are taken. What is kept is counted as
-  // written.
-  Verdict admit(const Candidate& candidate, std::uint64_t used, std::int64_t now_ms);
+  // Decides whether a candidate is written to disk; `used` is the number of bytes stored in the tier. Charges
+  // an admitted candidate to the write budget.
+  PlacementDecision admit(const Candidate& candidate, std::uint64_t used, std::int64_t now_ms);
 
-  // Whether a copy in a part of the disk that is to be cleared is worth writing anew: it must have been used
-  // again, and the budget must not be overdrawn. What is moved is counted as written.
-  bool worth_moving(std::uint64_t bytes, int rank, std::uint32_t uses, std::int64_t now_ms);
+  // Returns whether a copy in a segment that is being cleared is rewritten elsewhere: the copy was used
+  // again, and the budget is not overdrawn. Charges the copy to the write budget.
+  bool admit_move(std::uint64_t bytes, int rank, std::uint32_t uses, std::int64_t now_ms);
 
-  // Whether a copy goes to memory where there is no free room and `victim_uses` is how often its victim was
-  // used: one asked for once does not push out what was asked for again.
-  bool into_memory(const Key& key, int rank, std::uint32_t victim_uses) const;
+  // Returns whether a copy is admitted to a full memory tier, where `victim_uses` is the use count of the
+  // entry that would be evicted. A copy requested once does not evict one that was used again.
+  bool admits_to_memory(const Key& key, int rank, std::uint32_t victim_uses) const;
 
   const Options& options() const { return options_; }
   WriteBudget& budget() { return budget_; }
 
  private:
-  int counted(const Key& key, int rank) const;
+  int weighted_requests(const Key& key, int rank) const;
 
   Options options_;
   FrequencySketch sketch_;
--- a/src/store/purge_table.cpp
+++ b/src/store/purge_table.cpp
@@ -7,33 +7,33 @@
 bool PurgeTable::add(const PurgeRecord& purge) {
   switch (purge.kind) {
     case PurgeRecord::Kind::kAll: {
-      const bool news = purge.ms > floor_;
-      floor_ = std::max(floor_, purge.ms);
-      return news;
+      const bool is_new = purge.purged_unix_ms > floor_;
+      floor_ = std::max(floor_, purge.purged_unix_ms);
+      return is_new;
     }
     case PurgeRecord::Kind::kGroup: {
-      const auto [found, fresh] = groups_.emplace(purge.id, purge.ms);
-      const bool news = fresh || purge.ms > found->second;
-      found->second = std::max(found->second, purge.ms);
-      latest_group_ = std::max(latest_group_, purge.ms);
-      return news;
+      const auto [found, inserted] = groups_.emplace(purge.id, purge.purged_unix_ms);
+      const bool is_new = inserted || purge.purged_unix_ms > found->second;
+      found->second = std::max(found->second, purge.purged_unix_ms);
+      latest_group_ = std::max(latest_group_, purge.purged_unix_ms);
+      return is_new;
     }
     case PurgeRecord::Kind::kObject:
       break;
   }
-  if (purge.ms <= floor_) {
+  if (purge.purged_unix_ms <= floor_) {
     return false;
   }
-  const auto [found, fresh] = objects_.emplace(purge.id, purge.ms);
-  if (!fresh) {
-    if (purge.ms <= found->second) {
+  const auto [found, inserted] = objects_.emplace(purge.id, purge.purged_unix_ms);
+  if (!inserted) {
+    if (purge.purged_unix_ms <= found->second) {
       return false;
     }
     by_time_.erase({found->second, purge.id});
-    found->second = purge.ms;
+    found->second = purge.purged_unix_ms;
   }
-  by_time_.emplace(std::pair(purge.ms, purge.id), true);
-  while (objects_.size() > most_) {
+  by_time_.emplace(std::pair(purge.purged_unix_ms, purge.id), true);
+  while (objects_.size() > max_objects_) {
     fold_earliest();
   }
   return true;
--- a/src/store/purge_table.h
+++ b/src/store/purge_table.h
@@ -1,9 +1,9 @@
-// Which copies purges forbid. A purge names an object or a group and a Unix millisecond; a copy that the
-// origin gave out at that millisecond or before is not to be served. The ledger is asked at every use of a
-// copy, so a purge binds at once, whatever is still on disk, being read, being written or being filled.
+// The purges in force. A purge names an object or a group and a Unix millisecond; a copy whose origin time is
+// at or before that millisecond must not be served. The table is checked at every use of a copy, so a purge
+// takes effect at once, also for copies that are on disk, being read, being written or being filled.
 //
-// Bounded: beyond `most` objects the earliest purge is folded into a floor that binds every object. That
-// forbids too much, never too little.
+// The table is bounded: beyond `max_objects` the earliest purge is folded into a floor that applies to every
+// object. This may reject copies that no purge covers, but never allows a purged copy.
 //
 // Package `store`; no I/O, no clock. Not thread-safe.
 #pragma once
@@ -20,39 +20,41 @@
 
 namespace trailcourse::store {
 
-// One purge as it is told and stored.
+// One purge, as received and as stored in the index.
 struct PurgeRecord {
   enum class Kind : std::uint8_t { kObject, kGroup, kAll };
   Kind kind = Kind::kObject;
-  std::uint64_t id = 0;  // object or group
-  std::int64_t ms = 0;
+  std::uint64_t id = 0;             // of the object or group; 0 for kAll
+  std::int64_t purged_unix_ms = 0;  // copies of this origin time and earlier are purged
 
   friend auto operator<=>(const PurgeRecord&, const PurgeRecord&) = default;
 };
 
 class PurgeTable {
  public:
-  explicit PurgeTable(std::size_t most_objects = 100'000) : most_(most_objects) {}
+  explicit PurgeTable(std::size_t max_objects = 100'000) : max_objects_(max_objects) {}
 
-  // Takes a purge in, in any order, also twice. False where it tells nothing new. `folded` holds the purges
-  // that the floor has taken over since the last call, and the floor itself: a durable ledger follows them.
+  // Adds a purge. Purges may be added in any order and more than once. Returns false if the purge changes
+  // nothing. A durable copy of the table also has to follow drain_folded().
   bool add(const PurgeRecord& purge);
 
-  // The Unix millisecond up to which copies are forbidden; INT64_MIN where no purge binds. A copy of unknown
-  // group is bound by every group: it could be of any.
+  // Returns the Unix millisecond up to which copies are purged; INT64_MIN if no purge applies. Every group
+  // purge applies to a copy of unknown group, since it could belong to any.
   std::int64_t purged_until(std::optional<ObjectId> object, int group) const;
-  bool allows(std::optional<ObjectId> object, int group, std::int64_t t0_ms) const {
-    return t0_ms > purged_until(object, group);
+  bool allows(std::optional<ObjectId> object, int group, std::int64_t origin_time_ms) const {
+    return origin_time_ms > purged_until(object, group);
   }
 
   std::size_t objects() const { return objects_.size(); }
   std::int64_t floor() const { return floor_; }
-  std::vector<PurgeRecord> take_folded() { return std::exchange(folded_, {}); }
+  // Returns, and removes, the object purges that were folded into the floor since the last call, each
+  // followed by the floor itself as a purge of kind kAll.
+  std::vector<PurgeRecord> drain_folded() { return std::exchange(folded_, {}); }
 
  private:
   void fold_earliest();
 
-  std::size_t most_;
+  std::size_t max_objects_;
   std::unordered_map<ObjectId, std::int64_t> objects_;
   std::map<std::pair<std::int64_t, ObjectId>, bool> by_time_;
   std::map<std::uint64_t, std::int64_t> groups_;
--- a/src/store/segment_table.cpp
+++ b/src/store/segment_table.cpp
@@ -5,7 +5,7 @@
 
 namespace trailcourse::store {
 
-void SegmentTable::live_gone(SegmentId id, std::uint64_t bytes) {
+void SegmentTable::remove_live(SegmentId id, std::uint64_t bytes) {
   const auto found = segments_.find(id);
   if (found != segments_.end()) {
     found->second.live -= std::min(found->second.live, bytes);
@@ -14,12 +14,12 @@
 
 std::uint64_t SegmentTable::file_bytes() const {
   return std::accumulate(segments_.begin(), segments_.end(), std::uint64_t{0},
-                         [](std::uint64_t sum, const auto& one) { return sum + one.second.bytes; });
+                         [](std::uint64_t sum, const auto& entry) { return sum + entry.second.bytes; });
 }
 
 std::uint64_t SegmentTable::live_bytes() const {
   return std::accumulate(segments_.begin(), segments_.end(), std::uint64_t{0},
-                         [](std::uint64_t sum, const auto& one) { return sum + one.second.live; });
+                         [](std::uint64_t sum, const auto& entry) { return sum + entry.second.live; });
 }
 
 std::optional<SegmentId> SegmentTable::next_to_clear() const {
@@ -36,7 +36,7 @@
       best_share = share;
     }
   }
-  const bool short_of_room = file_bytes() + reserve_ > most_;
+  const bool short_of_room = file_bytes() + reserve_ > max_bytes_;
   return best && (short_of_room || best_share <= 0.0) ? best : std::nullopt;
 }
 
--- a/src/store/segment_table.h
+++ b/src/store/segment_table.h
@@ -1,6 +1,6 @@
-// What of each segment file is still of use, and which is to be cleared next. Segments are written once from
-// front to end and never changed, so room comes back only by clearing a whole one: what is worth it is
-// written anew elsewhere, then the file goes.
+// The size of each segment file, the bytes of it that are live, and which segment is cleared next. A segment
+// is written once from front to end and never changed, so disk space is freed by clearing a complete segment:
+// its records that are kept are rewritten to another segment, then the file is removed.
 //
 // Package `store`; no I/O, no clock. Not thread-safe.
 #pragma once
@@ -17,42 +17,45 @@
  public:
   struct Segment {
     std::uint64_t bytes = 0;  // of the file
-    std::uint64_t live = 0;   // of records that the index names
+    std::uint64_t live = 0;   // bytes of records that the index refers to
     bool sealed = false;      // nothing more is written to it
     bool clearing = false;
   };
 
-  // `most`: bytes of all files together; `reserve`: kept free for what is written while one is cleared.
-  SegmentTable(std::uint64_t most, std::uint64_t reserve) : told_(most), most_(most), reserve_(reserve) {}
-
-  void grown(SegmentId id, std::uint64_t file_bytes) { segments_[id].bytes = file_bytes; }
-  void sealed(SegmentId id) { segments_[id].sealed = true; }
-  void live_added(SegmentId id, std::uint64_t bytes) { segments_[id].live += bytes; }
-  void live_gone(SegmentId id, std::uint64_t bytes);
-  void clearing(SegmentId id) { segments_[id].clearing = true; }
-  // It could not be cleared now; it may be tried again.
-  void kept(SegmentId id) { segments_[id].clearing = false; }
-  void removed(SegmentId id) { segments_.erase(id); }
+  // `max_bytes` bounds all files together; `reserve` bytes of that stay free for what is written while a
+  // segment is cleared.
+  SegmentTable(std::uint64_t max_bytes, std::uint64_t reserve)
+      : configured_max_bytes_(max_bytes), max_bytes_(max_bytes), reserve_(reserve) {}
+
+  // Sets the file size of a segment; adds the segment if it is new.
+  void set_file_bytes(SegmentId id, std::uint64_t file_bytes) { segments_[id].bytes = file_bytes; }
+  void mark_sealed(SegmentId id) { segments_[id].sealed = true; }
+  void add_live(SegmentId id, std::uint64_t bytes) { segments_[id].live += bytes; }
+  void remove_live(SegmentId id, std::uint64_t bytes);
+  void mark_clearing(SegmentId id) { segments_[id].clearing = true; }
+  // Sets that a segment could not be cleared; next_to_clear() may return it again.
+  void cancel_clearing(SegmentId id) { segments_[id].clearing = false; }
+  void remove(SegmentId id) { segments_.erase(id); }
 
   std::uint64_t file_bytes() const;
   std::uint64_t live_bytes() const;
   std::size_t count() const { return segments_.size(); }
   const std::map<SegmentId, Segment>& all() const { return segments_; }
 
-  // The disk proved smaller than told: this much, never more than before, until restored.
-  void shrink(std::uint64_t most) { most_ = most < most_ ? most : most_; }
-  void restore() { most_ = told_; }
-  std::uint64_t most() const { return most_; }
+  // Lowers the bound until restore(), because the disk is smaller than configured. Never raises the bound.
+  void shrink(std::uint64_t max_bytes) { max_bytes_ = max_bytes < max_bytes_ ? max_bytes : max_bytes_; }
+  void restore() { max_bytes_ = configured_max_bytes_; }
+  std::uint64_t max_bytes() const { return max_bytes_; }
 
-  // The next to clear: one that holds nothing of use at any time; where room is short, the one with the
-  // smallest share of use; none while one is being cleared, or where there is room.
+  // Returns the segment to clear next: a sealed segment without live records at any time, or, when space is
+  // short, the sealed segment with the smallest live share. Returns nothing while a segment is being cleared.
   std::optional<SegmentId> next_to_clear() const;
-  // Whether a write of so many bytes may be begun now.
-  bool room_for(std::uint64_t bytes) const { return file_bytes() + bytes <= most_; }
+  // Returns whether a write of `bytes` fits the bound.
+  bool has_room_for(std::uint64_t bytes) const { return file_bytes() + bytes <= max_bytes_; }
 
  private:
-  std::uint64_t told_;
-  std::uint64_t most_;
+  std::uint64_t configured_max_bytes_;
+  std::uint64_t max_bytes_;
   std::uint64_t reserve_;
   std::map<SegmentId, Segment> segments_;
 };
--- a/src/store/sqlite_index.cpp
+++ b/src/store/sqlite_index.cpp
@@ -16,16 +16,16 @@
 constexpr std::size_t kRowBytes = 48;
 constexpr const char* kPurgeCount = "purge_count";
 constexpr const char* kPurgeSum = "purge_sum";
-constexpr int kBusyMs = 2'000;
+constexpr int kBusyTimeoutMs = 2'000;
 
 struct CloseDatabase {
   void operator()(sqlite3* database) const { sqlite3_close_v2(database); }
 };
-struct EndStatement {
+struct FinalizeStatement {
   void operator()(sqlite3_stmt* statement) const { sqlite3_finalize(statement); }
 };
 using Database = std::unique_ptr<sqlite3, CloseDatabase>;
-using Statement = std::unique_ptr<sqlite3_stmt, EndStatement>;
+using Statement = std::unique_ptr<sqlite3_stmt, FinalizeStatement>;
 using KeyBytes = std::array<unsigned char, kKeyBytes>;
 using RowBytes = std::array<unsigned char, kRowBytes>;
 
@@ -60,19 +60,19 @@
   at += sizeof value;
 }
 
-// The row's fields, then a sum over them and the key.
+// Returns the stored form of a row: its fields, then a checksum over them and the key.
 RowBytes pack(const IndexRow& row) {
   RowBytes out{};
   std::size_t at = 0;
-  const Location& where = row.location;
-  put(out, at, where.t0_ms);
-  put(out, at, where.copy);
-  put(out, at, where.segment);
-  put(out, at, where.offset);
-  put(out, at, where.stored);
-  put(out, at, where.parts);
-  put(out, at, where.group);
-  put(out, at, where.kind);
+  const Location& location = row.location;
+  put(out, at, location.origin_time_ms);
+  put(out, at, location.copy);
+  put(out, at, location.segment);
+  put(out, at, location.offset);
+  put(out, at, location.stored);
+  put(out, at, location.parts);
+  put(out, at, location.group);
+  put(out, at, location.kind);
   put(out, at, row.rank);
   put(out, at, row.uses);
   const std::size_t fields = at;
@@ -82,27 +82,28 @@
   return out;
 }
 
+// Restores a row whose key is set. Returns false if the stored form is damaged.
 bool unpack(const unsigned char* bytes, IndexRow& row) {
   std::size_t at = 0;
-  Location& where = row.location;
-  get(bytes, at, where.t0_ms);
-  get(bytes, at, where.copy);
-  get(bytes, at, where.segment);
-  get(bytes, at, where.offset);
-  get(bytes, at, where.stored);
-  get(bytes, at, where.parts);
-  get(bytes, at, where.group);
-  get(bytes, at, where.kind);
+  Location& location = row.location;
+  get(bytes, at, location.origin_time_ms);
+  get(bytes, at, location.copy);
+  get(bytes, at, location.segment);
+  get(bytes, at, location.offset);
+  get(bytes, at, location.stored);
+  get(bytes, at, location.parts);
+  get(bytes, at, location.group);
+  get(bytes, at, location.kind);
   get(bytes, at, row.rank);
   get(bytes, at, row.uses);
-  const RowBytes again = pack(row);
-  return std::memcmp(again.data(), bytes, kRowBytes) == 0 && row.rank < 4 && where.kind <= 2;
+  const RowBytes expected = pack(row);
+  return std::memcmp(expected.data(), bytes, kRowBytes) == 0 && row.rank < 4 && location.kind <= 2;
 }
 
 std::uint64_t sum_of_purge(const PurgeRecord& purge) {
-  const std::array<std::uint64_t, 3> words{static_cast<std::uint64_t>(purge.kind), purge.id,
-                                           static_cast<std::uint64_t>(purge.ms)};
-  return XXH3_64bits(words.data(), sizeof words);
+  const std::array<std::uint64_t, 3> input{static_cast<std::uint64_t>(purge.kind), purge.id,
+                                           static_cast<std::uint64_t>(purge.purged_unix_ms)};
+  return XXH3_64bits(input.data(), sizeof input);
 }
 
 class SqliteIndex : public Index {
@@ -114,10 +115,10 @@
         sqlite3_open_v2((path + "/" + kFileName).c_str(), &raw, flags | SQLITE_OPEN_NOMUTEX, nullptr);
     database_.reset(raw);
     check(result, "open");
-    sqlite3_busy_timeout(raw, kBusyMs);
+    sqlite3_busy_timeout(raw, kBusyTimeoutMs);
     if (!read_only) {
-      // The log of changes is synced when it is copied back, not at each commit: what a loss of power takes
-      // back is whole transactions, and a copy that the index has forgotten is fetched again.
+      // The write-ahead log is synced at checkpoints, not at each commit. A loss of power may undo the latest
+      // complete transactions; copies that are missing in the index then are fetched again.
       run("PRAGMA journal_mode=WAL");
       run("PRAGMA synchronous=NORMAL");
       run("PRAGMA cache_size=-4096");
@@ -133,8 +134,8 @@
     put_purge_ = prepare("INSERT OR REPLACE INTO purges VALUES(?1, ?2, ?3)", read_only);
     erase_purge_ = prepare("DELETE FROM purges WHERE id = ?1", read_only);
     put_mark_ = prepare("INSERT OR REPLACE INTO marks VALUES(?1, ?2)", read_only);
-    first_ = prepare("SELECT key, row FROM copies ORDER BY key LIMIT ?2", false);
-    next_ = prepare("SELECT key, row FROM copies WHERE key > ?1 ORDER BY key LIMIT ?2", false);
+    select_first_rows_ = prepare("SELECT key, row FROM copies ORDER BY key LIMIT ?2", false);
+    select_next_rows_ = prepare("SELECT key, row FROM copies WHERE key > ?1 ORDER BY key LIMIT ?2", false);
   }
 
   IndexMarks marks() override {
@@ -147,8 +148,8 @@
     return out;
   }
 
-  // A purge that went missing must not be taken for one that never was: their number and a sum over all are
-  // kept beside them.
+  // The number of purges and a checksum over all of them are stored as marks, so that a lost purge record is
+  // detected.
   std::vector<PurgeRecord> purges() override {
     std::vector<PurgeRecord> out;
     const Statement statement = prepare("SELECT id, kind, ms FROM purges", false);
@@ -160,35 +161,35 @@
       }
       purge.id = to_key(static_cast<const unsigned char*>(sqlite3_column_blob(statement.get(), 0))).low;
       purge.kind = static_cast<PurgeRecord::Kind>(sqlite3_column_int(statement.get(), 1));
-      purge.ms = sqlite3_column_int64(statement.get(), 2);
+      purge.purged_unix_ms = sqlite3_column_int64(statement.get(), 2);
       sum ^= sum_of_purge(purge);
       out.push_back(purge);
     }
-    const IndexMarks told = marks();
-    const auto mark = [&told](const char* name) {
-      const auto found = told.find(name);
-      return found == told.end() ? std::int64_t{0} : found->second;
+    const IndexMarks all_marks = marks();
+    const auto mark = [&all_marks](const char* name) {
+      const auto found = all_marks.find(name);
+      return found == all_marks.end() ? std::int64_t{0} : found->second;
     };
     if (mark(kPurgeCount) != static_cast<std::int64_t>(out.size()) ||
         mark(kPurgeSum) != static_cast<std::int64_t>(sum)) {
-      throw IndexError("the purge records are not those that were written", true);
+      throw IndexError("the purge records do not match their checksum", true);
     }
     purge_sum_ = sum;
-    reload_ = false;
+    must_reload_purges_ = false;
     purges_.clear();
     for (const PurgeRecord& purge : out) {
-      purges_[{purge.kind, purge.id}] = purge.ms;
+      purges_[{purge.kind, purge.id}] = purge.purged_unix_ms;
     }
     return out;
   }
 
-  std::vector<IndexRow> rows(const Key* after, std::size_t most) override {
-    sqlite3_stmt* const statement = after == nullptr ? first_.get() : next_.get();
+  std::vector<IndexRow> rows(const Key* after, std::size_t max_rows) override {
+    sqlite3_stmt* const statement = after == nullptr ? select_first_rows_.get() : select_next_rows_.get();
     if (after != nullptr) {
       const KeyBytes key = to_bytes(after->high, after->low);
       bind(statement, 1, key.data(), key.size());
     }
-    check(sqlite3_bind_int64(statement, 2, static_cast<sqlite3_int64>(most)), "bind");
+    check(sqlite3_bind_int64(statement, 2, static_cast<sqlite3_int64>(max_rows)), "bind");
     std::vector<IndexRow> out;
     const Reset reset{statement};
     while (step(statement)) {
@@ -202,8 +203,8 @@
       const bool good =
           sqlite3_column_bytes(statement, 1) == static_cast<int>(kRowBytes) && unpack(bytes, row);
       if (!good) {
-        row.location =
-            Location();  // named, so that the next call goes on behind it; stored 0 says that it is none
+        // The damaged row is returned, so that the next call continues after its key.
+        row.location = Location();
       }
       out.push_back(row);
     }
@@ -217,7 +218,7 @@
       run("COMMIT");
     } catch (...) {
       sqlite3_exec(database_.get(), "ROLLBACK", nullptr, nullptr, nullptr);
-      reload_ = true;
+      must_reload_purges_ = true;
       throw;
     }
   }
@@ -242,8 +243,8 @@
       bind(put_copy_.get(), 2, bytes.data(), bytes.size());
       step(put_copy_.get());
     }
-    for (const Key& gone : batch.erase) {
-      const KeyBytes key = to_bytes(gone.high, gone.low);
+    for (const Key& erased : batch.erase) {
+      const KeyBytes key = to_bytes(erased.high, erased.low);
       const Reset reset{erase_copy_.get()};
       bind(erase_copy_.get(), 1, key.data(), key.size());
       step(erase_copy_.get());
@@ -255,28 +256,28 @@
   }
 
   void write_purges(const IndexBatch& batch) {
-    if (batch.purge.empty() && batch.forget.empty()) {
+    if (batch.add_purges.empty() && batch.remove_purges.empty()) {
       return;
     }
-    if (std::exchange(reload_, false)) {
+    if (std::exchange(must_reload_purges_, false)) {
       purges();
     }
-    for (const PurgeRecord& purge : batch.purge) {
-      const auto [found, fresh] = purges_.emplace(std::pair(purge.kind, purge.id), purge.ms);
-      if (!fresh && found->second >= purge.ms) {
+    for (const PurgeRecord& purge : batch.add_purges) {
+      const auto [found, inserted] = purges_.emplace(std::pair(purge.kind, purge.id), purge.purged_unix_ms);
+      if (!inserted && found->second >= purge.purged_unix_ms) {
         continue;
       }
-      purge_sum_ ^= fresh ? 0 : sum_of_purge(PurgeRecord{purge.kind, purge.id, found->second});
+      purge_sum_ ^= inserted ? 0 : sum_of_purge(PurgeRecord{purge.kind, purge.id, found->second});
       purge_sum_ ^= sum_of_purge(purge);
-      found->second = purge.ms;
+      found->second = purge.purged_unix_ms;
       const KeyBytes id = to_bytes(static_cast<std::uint64_t>(purge.kind), purge.id);
       const Reset reset{put_purge_.get()};
       bind(put_purge_.get(), 1, id.data(), id.size());
       check(sqlite3_bind_int(put_purge_.get(), 2, static_cast<int>(purge.kind)), "bind");
-      check(sqlite3_bind_int64(put_purge_.get(), 3, purge.ms), "bind");
+      check(sqlite3_bind_int64(put_purge_.get(), 3, purge.purged_unix_ms), "bind");
       step(put_purge_.get());
     }
-    for (const PurgeRecord& purge : batch.forget) {
+    for (const PurgeRecord& purge : batch.remove_purges) {
       const auto found = purges_.find({purge.kind, purge.id});
       if (purge.kind == PurgeRecord::Kind::kAll || found == purges_.end()) {
         continue;
@@ -307,13 +308,13 @@
                        primary == SQLITE_CORRUPT || primary == SQLITE_NOTADB || primary == SQLITE_FORMAT);
     }
   }
-  void run(const char* words) const {
-    check(sqlite3_exec(database_.get(), words, nullptr, nullptr, nullptr), words);
+  void run(const char* sql) const {
+    check(sqlite3_exec(database_.get(), sql, nullptr, nullptr, nullptr), sql);
   }
-  Statement prepare(const char* words, bool skip) const {
+  Statement prepare(const char* sql, bool skip) const {
     sqlite3_stmt* raw = nullptr;
     if (!skip) {
-      check(sqlite3_prepare_v3(database_.get(), words, -1, SQLITE_PREPARE_PERSISTENT, &raw, nullptr), words);
+      check(sqlite3_prepare_v3(database_.get(), sql, -1, SQLITE_PREPARE_PERSISTENT, &raw, nullptr), sql);
     }
     return Statement(raw);
   }
@@ -332,11 +333,11 @@
   Statement put_purge_;
   Statement erase_purge_;
   Statement put_mark_;
-  Statement first_;
-  Statement next_;
+  Statement select_first_rows_;
+  Statement select_next_rows_;
   std::map<std::pair<PurgeRecord::Kind, std::uint64_t>, std::int64_t> purges_;
   std::uint64_t purge_sum_ = 0;
-  bool reload_ = true;
+  bool must_reload_purges_ = true;
 };
 
 }  // namespace
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -11,17 +11,17 @@
 namespace trailcourse::store {
 namespace {
 
-constexpr std::size_t kRowsAtOnce = 8'192;  // of the index, taken in between two turns of the loop
-constexpr std::size_t kSegmentsOpen = 24;   // for reading
-constexpr std::size_t kWriteAtOnce = 4U << 20U;
+constexpr std::size_t kRowsPerStep = 8'192;   // of the index, loaded in one iteration of the event loop
+constexpr std::size_t kMaxOpenSegments = 24;  // for reading
+constexpr std::size_t kMaxWriteBytes = 4U << 20U;
 constexpr double kLiveShare = 0.85;  // of the disk; the rest is for segments that are being cleared
 constexpr const char* kFormatFile = "format";
-constexpr std::string_view kFormatWords = "trailcourse store 1\n";
+constexpr std::string_view kFormatContent = "trailcourse store 1\n";
 constexpr const char* kClockMark = "clock_ms";
 
 std::uint64_t megabytes(std::int64_t count) { return static_cast<std::uint64_t>(count) << 20U; }
 
-// Small tiers have small segments: some must be free while one is cleared.
+// Limits the segment size in small tiers, since some segments have to be free while one is cleared.
 std::uint64_t segment_bytes(const Options& options) {
   return std::min({megabytes(options.segment_mb), megabytes(options.disk_mb) / 8, std::uint64_t{1} << 30U});
 }
@@ -29,7 +29,7 @@
 Placement::Options placement_options(const Options& options) {
   Placement::Options out;
   out.tier_bytes = static_cast<std::uint64_t>(static_cast<double>(megabytes(options.disk_mb)) * kLiveShare);
-  out.most_share = options.most_share;
+  out.max_share = options.max_share;
   out.write_bytes_per_s = options.write_kb_per_s * 1'024;
   out.write_burst_bytes = static_cast<std::int64_t>(megabytes(options.write_burst_mb));
   out.sketch_keys = static_cast<std::size_t>(options.expected_objects);
@@ -60,9 +60,9 @@
   return {begin, std::min(end * part_bytes, bytes.size()) - begin};
 }
 
-// What the lanes work on. The write lane alone uses the index and the open segment; readers open segments of
-// their own.
-struct Store::Disk {
+// The files of the disk tier, used by jobs in the lanes. Only the write lane uses the index and the active
+// segment; the read lane opens segments separately.
+struct Store::DiskFiles {
   std::unique_ptr<Files> files;
   std::unique_ptr<Index> index;
   SegmentId last = 0;
@@ -84,7 +84,7 @@
     }
     std::shared_ptr<File> file = files->open(segment_name(id));
     const std::lock_guard lock(mutex);
-    if (reading.size() >= kSegmentsOpen) {
+    if (reading.size() >= kMaxOpenSegments) {
       reading.erase(reading.begin());
     }
     reading.emplace(id, file);
@@ -102,14 +102,14 @@
     active_end = kSegmentHeadBytes;
   }
 
-  // Gathers records for one segment and writes them with few calls. A segment is synced once, when its last
-  // record of a batch is written and before the index names any of them: what the index names is there after
-  // a loss of power.
+  // Buffers the records of a batch and writes them with few calls. A segment is synced once, after its last
+  // record of the batch and before the index refers to any of them: every record that the index refers to
+  // survives a loss of power.
   class Appender {
    public:
-    Appender(Disk& disk, Outcome& outcome) : disk_(disk), outcome_(outcome) {}
+    Appender(DiskFiles& disk, WriteResult& result) : disk_(disk), result_(result) {}
 
-    // Where the next record of at most so many bytes will stand.
+    // Makes room for a record of at most `bytes`; begins a new segment if the active one is full.
     void make_room(std::uint64_t bytes) {
       const bool full = disk_.active && disk_.active_end + buffer_.size() + bytes > disk_.segment_bytes &&
                         disk_.active_end + buffer_.size() > kSegmentHeadBytes;
@@ -119,35 +119,38 @@
       }
       if (!disk_.active) {
         disk_.begin_segment();
-        new_name_ = true;
+        unsynced_name_ = true;
       }
     }
+    // Returns the offset of the next record in the active segment.
     std::uint64_t offset() const { return disk_.active_end + buffer_.size(); }
-    // `append` adds one record to the end of a string; its length is given.
+    // Calls `append`, which has to append one record to the given string. Returns the record's length.
     template <typename Append>
     std::size_t add(Append append) {
       const std::size_t before = buffer_.size();
       append(buffer_);
       const std::size_t added = buffer_.size() - before;
-      if (buffer_.size() >= kWriteAtOnce) {
+      if (buffer_.size() >= kMaxWriteBytes) {
         write();
       }
       return added;
     }
+    // Writes and syncs what is buffered.
     void finish() {
       write();
-      if (touched_) {
+      if (unsynced_bytes_) {
         disk_.active->sync();
-        outcome_.grown.emplace_back(disk_.active_id, disk_.active_end);
+        result_.file_sizes.emplace_back(disk_.active_id, disk_.active_end);
       }
-      if (std::exchange(new_name_, false)) {
+      if (std::exchange(unsynced_name_, false)) {
         disk_.files->sync_names();
       }
-      touched_ = false;
+      unsynced_bytes_ = false;
     }
+    // Ends the active segment; the next record begins a new one.
     void seal() {
       if (disk_.active) {
-        outcome_.sealed.push_back(disk_.active_id);
+        result_.sealed.push_back(disk_.active_id);
         disk_.active.reset();
       }
     }
@@ -158,42 +161,43 @@
         disk_.active->write(disk_.active_end, buffer_);
         disk_.active_end += buffer_.size();
         buffer_.clear();
-        touched_ = true;
+        unsynced_bytes_ = true;
       }
     }
 
-    Disk& disk_;
-    Outcome& outcome_;
+    DiskFiles& disk_;
+    WriteResult& result_;
     std::string buffer_;
-    bool touched_ = false;
-    bool new_name_ = false;
+    bool unsynced_bytes_ = false;
+    bool unsynced_name_ = false;
   };
 
-  // A write that failed may have left any part of itself behind: that segment takes no more.
+  // Runs a write and sets its result. Seals the active segment after a failure, since any part of the failed
+  // write may be in the file.
   template <typename Work>
-  void guarded(Outcome& outcome, Work work) {
-    Appender appender(*this, outcome);
+  void run_write(WriteResult& result, Work work) {
+    Appender appender(*this, result);
     try {
       work(appender);
-      outcome.good = true;
+      result.succeeded = true;
     } catch (const FileError& error) {
-      outcome.full = error.code() == ENOSPC || error.code() == EDQUOT;
-      outcome.why = error.what();
+      result.disk_full = error.code() == ENOSPC || error.code() == EDQUOT;
+      result.error = error.what();
     } catch (const std::exception& error) {
-      outcome.why = error.what();
+      result.error = error.what();
     }
-    if (!outcome.good) {
+    if (!result.succeeded) {
       if (active) {
-        outcome.grown.emplace_back(active_id, active_end);
+        result.file_sizes.emplace_back(active_id, active_end);
       }
       appender.seal();
-      outcome.rows.clear();
+      result.rows.clear();
     }
   }
 
-  void write(Batch& batch, Outcome& outcome) {
-    guarded(outcome, [&](Appender& appender) {
-      for (const Pending& pending : batch.records) {
+  void write(WriteBatch& batch, WriteResult& result) {
+    run_write(result, [&](Appender& appender) {
+      for (const PendingRecord& pending : batch.records) {
         const Record& record = pending.head;
         const std::string_view payload =
             pending.value ? std::string_view(*pending.value).substr(pending.from, pending.length) : "";
@@ -201,22 +205,22 @@
         const std::uint64_t offset = appender.offset();
         const std::size_t stored = appender.add(
             [&](std::string& out) { append_record(out, record, payload, active_id, offset, compress); });
-        Written written;
+        WrittenRecord written;
         written.object = pending.object;
         written.row.key = record.key;
         written.row.rank = record.rank;
         written.row.uses = 1;
-        Location& where = written.row.location;
-        where.t0_ms = record.t0_ms;
-        where.copy = record.copy;
-        where.segment = active_id;
-        where.offset = static_cast<std::uint32_t>(offset);
-        where.stored = static_cast<std::uint32_t>(stored);
-        where.parts =
+        Location& location = written.row.location;
+        location.origin_time_ms = record.origin_time_ms;
+        location.copy = record.copy;
+        location.segment = active_id;
+        location.offset = static_cast<std::uint32_t>(offset);
+        location.stored = static_cast<std::uint32_t>(stored);
+        location.parts =
             record.kind == RecordKind::kManifest ? part_count(record.total_bytes, record.part_bytes) : 0;
-        where.group = static_cast<std::uint16_t>(record.group + 1);
-        where.kind = static_cast<std::uint8_t>(record.kind);
-        outcome.rows.push_back(written);
+        location.group = static_cast<std::uint16_t>(record.group + 1);
+        location.kind = static_cast<std::uint8_t>(record.kind);
+        result.rows.push_back(written);
         batch.index.put.push_back(written.row);
       }
       appender.finish();
@@ -224,7 +228,7 @@
         batch.index.marks[kSegmentMark] = last;
         index->commit(batch.index);
       }
-      // Only now: before, the index could still have named them after a crash.
+      // Files are removed after the commit: before it, a crash could leave an index that refers to them.
       for (const SegmentId id : batch.remove) {
         forget(id);
         files->remove(segment_name(id));
@@ -232,19 +236,19 @@
     });
   }
 
-  // Opens the folder and its index. `wipe`: the index proved damaged, so nothing that stands in the folder is
-  // of use. What was found, or why the folder cannot be used, is left in `opening`.
-  void open(const Backing& backing, bool wipe, Opening& opening);
-  // The copy that `work` names, whole or in part, with the records that are not as they were written.
-  void read_copy(const Name& name, ReadWork& work);
+  // Opens the folder and its index. `wipe`: the index proved damaged, so the folder is emptied first. Stores
+  // the folder's content, or the error, in `recovery`.
+  void open(const Storage& storage, bool wipe, Recovery& recovery);
+  // Reads the copy that `work` describes, completely or in part, and reports its damaged records.
+  void read_copy(const Name& name, CopyRead& work);
 
-  // One record, checked; nothing where it is not as it was written.
-  std::optional<Record> read(const Key& key, const Location& where) {
+  // Reads and checks one record; returns nothing if it is damaged.
+  std::optional<Record> read(const Key& key, const Location& location) {
     try {
-      std::string bytes = segment(where.segment)->read(where.offset, where.stored);
-      std::optional<Record> record = decode_record(std::move(bytes), where.segment, where.offset);
-      const bool same =
-          record && record->key == key && record->copy == where.copy && record->t0_ms == where.t0_ms;
+      std::string bytes = segment(location.segment)->read(location.offset, location.stored);
+      std::optional<Record> record = decode_record(std::move(bytes), location.segment, location.offset);
+      const bool same = record && record->key == key && record->copy == location.copy &&
+                        record->origin_time_ms == location.origin_time_ms;
       return same ? std::move(record) : std::nullopt;
     } catch (const std::exception&) {
       return std::nullopt;
@@ -253,21 +257,22 @@
 
  private:
   void empty_folder();
-  // False, with the reason in `opening`, where another version or program wrote the folder.
-  bool check_format(const std::vector<std::string>& names, Opening& opening);
+  // Returns false, and sets the error in `recovery`, if another version or program wrote the folder.
+  bool check_format(const std::vector<std::string>& names, Recovery& recovery);
   void write_format();
-  // Opens the index, and begins an empty folder where the index is damaged: without it nothing says which
-  // copies are purged. `names` are the folder's files.
-  void open_index(const Backing& backing, std::vector<std::string>& names, Opening& opening);
-  void find_segments(const std::vector<std::string>& names, Opening& opening);
-  // The parts that are held of the copy whose manifest is `first`.
-  std::shared_ptr<PartialCopy> read_parts(const Record& first, ReadWork& work);
+  // Opens the index. If the index is damaged, empties the folder and begins a new index, since the purges are
+  // lost and purged copies could be served. `names` are the folder's files.
+  void open_index(const Storage& storage, std::vector<std::string>& names, Recovery& recovery);
+  void find_segments(const std::vector<std::string>& names, Recovery& recovery);
+  // Reads the stored parts of the copy whose manifest is `first`.
+  std::shared_ptr<PartialCopy> read_parts(const Record& first, CopyRead& work);
 };
 
-struct Store::Opening {
-  bool good = false;
-  bool damaged = false;
-  std::string why;
+// The state of an open() in progress, shared by its steps on both threads.
+struct Store::Recovery {
+  bool succeeded = false;
+  bool damaged = false;  // the index
+  std::string error;
   IndexMarks marks;
   std::vector<PurgeRecord> purges;
   std::map<SegmentId, std::uint64_t> segments;
@@ -275,20 +280,20 @@
   std::optional<Key> after;
 };
 
-// A copy that is read in the lane: where its records stand, and what came of it.
-struct Store::ReadWork {
+// A read of one copy in the read lane: the locations of its records, and the result.
+struct Store::CopyRead {
   struct Part {
     Key key;
-    std::optional<Location> location;  // nothing: it is not held
+    std::optional<Location> location;  // empty: the part is not stored
   };
   std::vector<Part> parts;
-  Location first;  // of the whole copy or of its manifest
+  Location first;  // of the complete copy or of its manifest
   ReadResult result;
-  std::vector<std::pair<Key, Location>> bad;  // records that are not as they were written
+  std::vector<std::pair<Key, Location>> damaged;  // records that failed their checks
 };
 
-// One segment being cleared: what of it is written anew.
-struct Store::Moving {
+// A segment that is being cleared, and its records that are rewritten to another segment.
+struct Store::SegmentMove {
   struct Item {
     Key key;
     Location from;
@@ -297,33 +302,33 @@
     std::optional<Location> to;
   };
   bool read = false;
-  std::vector<std::pair<Key, std::uint32_t>> records;  // as they stand in the file
+  std::vector<std::pair<Key, std::uint32_t>> records;  // all in the file, with their offsets
   std::vector<Item> items;
-  Outcome outcome;
+  WriteResult result;
 };
 
-// ---- In the lanes ----
+// ---- Jobs in the lanes ----
 
-void Store::Disk::open(const Backing& backing, bool wipe, Opening& opening) {
+void Store::DiskFiles::open(const Storage& storage, bool wipe, Recovery& recovery) {
   try {
-    files = backing.files();
+    files = storage.files();
     if (wipe) {
       empty_folder();
     }
     std::vector<std::string> names = files->list();
-    if (!check_format(names, opening)) {
+    if (!check_format(names, recovery)) {
       return;
     }
-    open_index(backing, names, opening);
-    opening.marks = index->marks();
-    find_segments(names, opening);
-    opening.good = true;
+    open_index(storage, names, recovery);
+    recovery.marks = index->marks();
+    find_segments(names, recovery);
+    recovery.succeeded = true;
   } catch (const std::exception& error) {
-    opening.why = error.what();
+    recovery.error = error.what();
   }
 }
 
-void Store::Disk::empty_folder() {
+void Store::DiskFiles::empty_folder() {
   for (const std::string& name : files->list()) {
     if (name != kFormatFile) {
       files->remove(name);
@@ -331,76 +336,78 @@
   }
 }
 
-bool Store::Disk::check_format(const std::vector<std::string>& names, Opening& opening) {
+bool Store::DiskFiles::check_format(const std::vector<std::string>& names, Recovery& recovery) {
   if (std::find(names.begin(), names.end(), kFormatFile) == names.end()) {
     write_format();
     return true;
   }
-  const std::string words = files->open(kFormatFile)->read(0, 64);
-  if (words == kFormatWords) {
+  const std::string content = files->open(kFormatFile)->read(0, 64);
+  if (content == kFormatContent) {
     return true;
   }
-  opening.why = "the folder holds another format: '" + words.substr(0, words.find('\n')) +
-                "'; `trailcourse store drop` empties it";
+  recovery.error = "the folder holds another format: '" + content.substr(0, content.find('\n')) +
+                   "'; `trailcourse store drop` empties it";
   return false;
 }
 
-// Under another name at first: a crash must not leave an empty file, which would be another format.
-void Store::Disk::write_format() {
+// Writes the file under another name first: a crash must not leave an empty format file, which would be taken
+// for another format.
+void Store::DiskFiles::write_format() {
   const std::string next = std::string(kFormatFile) + ".next";
   const std::unique_ptr<File> file = files->create(next);
-  file->write(0, kFormatWords);
+  file->write(0, kFormatContent);
   file->sync();
   files->rename(next, kFormatFile);
   files->sync_names();
 }
 
-void Store::Disk::open_index(const Backing& backing, std::vector<std::string>& names, Opening& opening) {
+void Store::DiskFiles::open_index(const Storage& storage, std::vector<std::string>& names,
+                                  Recovery& recovery) {
   try {
-    index = backing.index();
-    opening.purges = index->purges();
+    index = storage.index();
+    recovery.purges = index->purges();
   } catch (const IndexError& error) {
     if (!error.damaged()) {
       throw;
     }
-    opening.damaged = true;
-    opening.why = error.what();
+    recovery.damaged = true;
+    recovery.error = error.what();
     index.reset();
     empty_folder();
     names.clear();
-    index = backing.index();
-    opening.purges = index->purges();
+    index = storage.index();
+    recovery.purges = index->purges();
   }
 }
 
-void Store::Disk::find_segments(const std::vector<std::string>& names, Opening& opening) {
+void Store::DiskFiles::find_segments(const std::vector<std::string>& names, Recovery& recovery) {
   for (const std::string& name : names) {
     if (const std::optional<SegmentId> id = segment_of(name)) {
       const std::unique_ptr<File> file = files->open(name);
       const std::uint64_t size = file->size();
       const bool good = good_segment_head(file->read(0, kSegmentHeadBytes), *id);
-      opening.segments[*id] = good ? size : 0;
+      recovery.segments[*id] = good ? size : 0;
       last = std::max(last, *id);
     }
   }
-  const auto mark = opening.marks.find(kSegmentMark);
-  if (mark != opening.marks.end()) {
+  const auto mark = recovery.marks.find(kSegmentMark);
+  if (mark != recovery.marks.end()) {
     last = std::max(last, static_cast<SegmentId>(mark->second));
   }
 }
 
-void Store::Disk::read_copy(const Name& name, ReadWork& work) {
+void Store::DiskFiles::read_copy(const Name& name, CopyRead& work) {
   if (work.first.stored == 0) {
     return;
   }
   std::optional<Record> first = read(name.key, work.first);
   if (!first || first->name != name.text) {
-    work.bad.emplace_back(name.key, work.first);
+    work.damaged.emplace_back(name.key, work.first);
     return;
   }
-  if (first->kind == RecordKind::kWhole) {
-    work.result.status = ReadStatus::kWhole;
-    work.result.copy = Copy{std::move(first->tag), first->t0_ms, first->group,
+  if (first->kind == RecordKind::kSingle) {
+    work.result.status = ReadStatus::kComplete;
+    work.result.copy = Copy{std::move(first->tag), first->origin_time_ms, first->group,
                             std::make_shared<const std::string>(std::move(first->payload))};
     return;
   }
@@ -408,22 +415,22 @@
   if (partial->missing_bytes() > 0) {
     work.result.status = ReadStatus::kPartial;
     work.result.partial = std::move(partial);
-  } else if (sum_of(partial->bytes) == partial->whole_sum) {
-    work.result.status = ReadStatus::kWhole;
-    work.result.copy = Copy{partial->tag, partial->t0_ms, partial->group,
+  } else if (sum_of(partial->bytes) == partial->value_sum) {
+    work.result.status = ReadStatus::kComplete;
+    work.result.copy = Copy{partial->tag, partial->origin_time_ms, partial->group,
                             std::make_shared<const std::string>(std::move(partial->bytes))};
   } else {
-    work.bad.emplace_back(name.key, work.first);
+    work.damaged.emplace_back(name.key, work.first);
   }
 }
 
-std::shared_ptr<PartialCopy> Store::Disk::read_parts(const Record& first, ReadWork& work) {
+std::shared_ptr<PartialCopy> Store::DiskFiles::read_parts(const Record& first, CopyRead& work) {
   auto partial = std::make_shared<PartialCopy>();
   partial->tag = first.tag;
-  partial->t0_ms = first.t0_ms;
+  partial->origin_time_ms = first.origin_time_ms;
   partial->group = first.group;
   partial->part_bytes = first.part_bytes;
-  partial->whole_sum = first.whole_sum;
+  partial->value_sum = first.value_sum;
   partial->copy = first.copy;
   partial->bytes.resize(first.total_bytes);
   partial->have.assign(part_count(first.total_bytes, first.part_bytes), false);
@@ -435,7 +442,7 @@
     const std::optional<Record> part = read(key, *location);
     if (!part || part->kind != RecordKind::kPart || part->part != i ||
         part->payload.size() != part_length(first.total_bytes, first.part_bytes, i)) {
-      work.bad.emplace_back(key, *location);
+      work.damaged.emplace_back(key, *location);
       continue;
     }
     partial->bytes.replace(std::size_t{i} * first.part_bytes, part->payload.size(), part->payload);
@@ -444,78 +451,77 @@
   return partial;
 }
 
-// ---- On the thread that decides ----
+// ---- On the event loop's thread ----
 
-Store::Store(const Options& options, Executor& executor, Backing backing, Clock clock, Say say,
+Store::Store(const Options& options, Executor& executor, Storage storage, Clock clock, LogCallback log,
              std::uint64_t seed)
     : options_(options),
       executor_(executor),
-      backing_(std::move(backing)),
+      storage_(std::move(storage)),
       clock_(std::move(clock)),
-      say_(std::move(say)),
+      log_(std::move(log)),
       random_(static_cast<std::mt19937::result_type>(seed)),
-      clock_unix_(clock_().steady_ms, clock_().unix_ms),
+      unix_clock_(clock_().steady_ms, clock_().unix_ms),
       placement_(placement_options(options)),
-      ledger_(static_cast<std::size_t>(options.purges)),
-      book_(megabytes(options.disk_mb), 2 * segment_bytes(options)),
+      purges_(static_cast<std::size_t>(options.purges)),
+      segments_(megabytes(options.disk_mb), 2 * segment_bytes(options)),
       health_(DiskHealth::Options{}),
-      memory_(KeepWeights{}, 1'024),
-      disk_(KeepWeights{}, options.folder.empty() && !backing_.files
-                               ? 64
-                               : static_cast<std::size_t>(options.expected_objects)),
+      memory_(EvictionWeights{}, 1'024),
+      disk_(EvictionWeights{}, options.folder.empty() && !storage_.files
+                                   ? 64
+                                   : static_cast<std::size_t>(options.expected_objects)),
       memory_limit_(megabytes(options.memory_mb)),
       disk_limit_(placement_options(options).tier_bytes),
-      next_(std::make_shared<Batch>()) {}
+      next_batch_(std::make_shared<WriteBatch>()) {}
 
 Store::~Store() { *alive_ = false; }
 
 Tick Store::tick() const { return static_cast<Tick>(steady() / 100); }
 
 void Store::open(std::function<void()> opened) {
-  opened_ = std::move(opened);
-  if (!backing_.files) {
-    opened_();
+  on_opened_ = std::move(opened);
+  if (!storage_.files) {
+    on_opened_();
     return;
   }
   recovering_ = true;
-  opened_ms_ = steady();
+  recovery_begun_ms_ = steady();
   begin_open(false);
 }
 
-// `wipe`: the index proved damaged; nothing that stands in the folder is of use.
 void Store::begin_open(bool wipe) {
-  on_disk_ = std::make_shared<Disk>();
-  on_disk_->segment_bytes = segment_bytes(options_);
-  on_disk_->compress = options_.compress;
-  opening_ = std::make_shared<Opening>();
+  disk_files_ = std::make_shared<DiskFiles>();
+  disk_files_->segment_bytes = segment_bytes(options_);
+  disk_files_->compress = options_.compress;
+  recovery_ = std::make_shared<Recovery>();
   executor_.run(
       Executor::Lane::kWrite,
-      [disk = on_disk_, opening = opening_, backing = backing_, wipe] {
-        disk->open(backing, wipe, *opening);
+      [disk = disk_files_, recovery = recovery_, storage = storage_, wipe] {
+        disk->open(storage, wipe, *recovery);
       },
       [this, alive = alive_] {
         if (*alive) {
-          folder_opened();
+          on_folder_opened();
         }
       });
 }
 
-void Store::folder_opened() {
-  if (!opening_->good) {
-    unusable(opening_->why);
+void Store::on_folder_opened() {
+  if (!recovery_->succeeded) {
+    disable_disk(recovery_->error);
     return;
   }
-  if (opening_->damaged) {
-    say_(true, "the index was damaged, all copies on disk are dropped: " + opening_->why);
+  if (recovery_->damaged) {
+    log_(true, "the index was damaged, all copies on disk are dropped: " + recovery_->error);
   }
-  for (const PurgeRecord& purge : opening_->purges) {
-    ledger_.add(purge);
+  for (const PurgeRecord& purge : recovery_->purges) {
+    purges_.add(purge);
   }
-  heard_ = opening_->marks[kHeardMark];
-  clock_unix_.not_before(steady(), opening_->marks[kClockMark]);
-  for (const auto& [id, bytes] : opening_->segments) {
-    book_.grown(id, bytes);
-    book_.sealed(id);
+  last_sequence_ = recovery_->marks[kSequenceMark];
+  unix_clock_.advance_to(steady(), recovery_->marks[kClockMark]);
+  for (const auto& [id, bytes] : recovery_->segments) {
+    segments_.set_file_bytes(id, bytes);
+    segments_.mark_sealed(id);
   }
   load_rows();
 }
@@ -523,116 +529,117 @@
 void Store::load_rows() {
   executor_.run(
       Executor::Lane::kWrite,
-      [disk = on_disk_, opening = opening_] {
+      [disk = disk_files_, recovery = recovery_] {
         try {
-          opening->rows = disk->index->rows(opening->after ? &*opening->after : nullptr, kRowsAtOnce);
+          recovery->rows = disk->index->rows(recovery->after ? &*recovery->after : nullptr, kRowsPerStep);
         } catch (const IndexError& error) {
-          opening->good = false;
-          opening->damaged = error.damaged();
-          opening->why = error.what();
+          recovery->succeeded = false;
+          recovery->damaged = error.damaged();
+          recovery->error = error.what();
         } catch (const std::exception& error) {
-          opening->good = false;
-          opening->damaged = false;
-          opening->why = error.what();
+          recovery->succeeded = false;
+          recovery->damaged = false;
+          recovery->error = error.what();
         }
       },
       [this, alive = alive_] {
         if (!*alive) {
           return;
         }
-        if (!opening_->good && opening_->damaged) {
-          say_(true, "the index was damaged, all copies on disk are dropped: " + opening_->why);
-          disk_ = DiskSet(KeepWeights{}, static_cast<std::size_t>(options_.expected_objects));
-          book_ = SegmentTable(book_.most(), 2 * segment_bytes(options_));
-          next_ = std::make_shared<Batch>();
+        if (!recovery_->succeeded && recovery_->damaged) {
+          log_(true, "the index was damaged, all copies on disk are dropped: " + recovery_->error);
+          disk_ = DiskSet(EvictionWeights{}, static_cast<std::size_t>(options_.expected_objects));
+          segments_ = SegmentTable(segments_.max_bytes(), 2 * segment_bytes(options_));
+          next_batch_ = std::make_shared<WriteBatch>();
           stats_.recovered = 0;
-          heard_ = 0;
+          last_sequence_ = 0;
           begin_open(true);
           return;
         }
-        if (!opening_->good) {
-          unusable(opening_->why);
+        if (!recovery_->succeeded) {
+          disable_disk(recovery_->error);
           return;
         }
-        took_rows(opening_->rows);
-        if (opening_->rows.size() < kRowsAtOnce) {
-          recovered();
+        add_recovered_rows(recovery_->rows);
+        if (recovery_->rows.size() < kRowsPerStep) {
+          finish_recovery();
         } else {
-          opening_->after = opening_->rows.back().key;
+          recovery_->after = recovery_->rows.back().key;
           load_rows();
         }
       });
 }
 
-void Store::took_rows(const std::vector<IndexRow>& rows) {
+void Store::add_recovered_rows(const std::vector<IndexRow>& rows) {
   const Tick now = tick();
   for (const IndexRow& row : rows) {
-    const Location& where = row.location;
-    const auto segment = opening_->segments.find(where.segment);
-    const bool there = where.stored > 0 && segment != opening_->segments.end() &&
-                       std::uint64_t{where.offset} + where.stored <= segment->second;
-    if (!there) {
-      ++(where.stored == 0 ? stats_.damaged_rows : stats_.dropped_at_recovery);
-      next_->index.erase.push_back(row.key);
+    const Location& location = row.location;
+    const auto segment = recovery_->segments.find(location.segment);
+    const bool in_file = location.stored > 0 && segment != recovery_->segments.end() &&
+                         std::uint64_t{location.offset} + location.stored <= segment->second;
+    if (!in_file) {
+      ++(location.stored == 0 ? stats_.damaged_rows : stats_.dropped_at_recovery);
+      next_batch_->index.erase.push_back(row.key);
       continue;
     }
-    disk_.insert(row.key, where.stored, row.rank, now, where, row.uses);
-    book_.live_added(where.segment, where.stored);
+    disk_.insert(row.key, location.stored, row.rank, now, location, row.uses);
+    segments_.add_live(location.segment, location.stored);
     ++stats_.recovered;
   }
 }
 
-void Store::recovered() {
+void Store::finish_recovery() {
   recovering_ = false;
-  stats_.recovery_ms = static_cast<std::uint64_t>(steady() - opened_ms_);
-  health_.opened();
-  opening_.reset();
-  say_(false, "disk tier open: " + std::to_string(stats_.recovered) + " records of " +
-                  std::to_string(book_.count()) + " segments in " + std::to_string(stats_.recovery_ms) +
+  stats_.recovery_ms = static_cast<std::uint64_t>(steady() - recovery_begun_ms_);
+  health_.enable();
+  recovery_.reset();
+  log_(false, "disk tier open: " + std::to_string(stats_.recovered) + " records of " +
+                  std::to_string(segments_.count()) + " segments in " + std::to_string(stats_.recovery_ms) +
                   " ms, " + std::to_string(stats_.dropped_at_recovery + stats_.damaged_rows) + " dropped");
   evict();
-  // What came while the disk was not open yet is offered to it now.
+  // Copies that were inserted during recovery are in memory only and are offered to the disk now.
   for (MemorySet::Slot slot = 0; slot < memory_.end(); ++slot) {
-    if (memory_.at(slot).held) {
-      const std::shared_ptr<const Named> held = memory_.at(slot).payload;
-      to_disk(held->name, held->copy, memory_.at(slot).rank, nullptr);
+    if (memory_.at(slot).occupied) {
+      const std::shared_ptr<const NamedCopy> stored = memory_.at(slot).payload;
+      insert_on_disk(stored->name, stored->copy, memory_.at(slot).rank, nullptr);
     }
   }
   dispatch();
-  opened_();
+  on_opened_();
 }
 
-// The reason is copied: its owner, the opening, ends here.
-void Store::unusable(std::string why) {  // NOLINT(performance-unnecessary-value-param)
+// `error` is passed by value because recovery_, which may own it, is destroyed here.
+void Store::disable_disk(std::string error) {  // NOLINT(performance-unnecessary-value-param)
   recovering_ = false;
-  opening_.reset();
-  health_.closed(why);
-  say_(true, "no disk tier, memory alone serves: " + why);
-  opened_();
-  for (const auto& done : std::exchange(flushing_, {})) {
+  recovery_.reset();
+  health_.disable(error);
+  log_(true, "the disk tier is disabled, only memory is used: " + error);
+  on_opened_();
+  for (const auto& done : std::exchange(flush_callbacks_, {})) {
     done();
   }
 }
 
-Store::Found Store::find(const Name& name, int rank) {
-  placement_.seen(name.key);
-  Found out;
+Store::LookupResult Store::find(const Name& name, int rank) {
+  placement_.record_request(name.key);
+  LookupResult out;
   if (const auto slot = memory_.find(name.key); slot != MemorySet::kNone) {
-    const std::shared_ptr<const Named> held = memory_.at(slot).payload;
-    const Copy* const copy = &held->copy;
-    if (ledger_.allows(name.object, copy->group, copy->t0_ms)) {
+    const std::shared_ptr<const NamedCopy> stored = memory_.at(slot).payload;
+    const Copy* const copy = &stored->copy;
+    if (purges_.allows(name.object, copy->group, copy->origin_time_ms)) {
       memory_.touch(slot, tick(), rank > 0 && rank < kRanks ? rank : memory_.at(slot).rank);
-      out.where = Where::kMemory;
+      out.tier = Tier::kMemory;
       out.copy = *copy;
-      out.t0_ms = copy->t0_ms;
+      out.origin_time_ms = copy->origin_time_ms;
       ++stats_.hits_memory;
-      // The disk may not have been open when it came, or the budget was spent: it is offered again.
+      // The disk may not have been open when the copy was inserted, or the write budget may have been used
+      // up: the copy is offered to the disk retried.
       if (rank > 0 && rank < kRanks && disk_.find(name.key) == DiskSet::kNone) {
-        to_disk(name, *copy, rank, nullptr);
+        insert_on_disk(name, *copy, rank, nullptr);
       }
       return out;
     }
-    ++stats_.forbidden;
+    ++stats_.purged_lookups;
     erase_memory(slot);
   }
   const auto slot = disk_.find(name.key);
@@ -640,10 +647,10 @@
     ++stats_.absent;
     return out;
   }
-  const Location where = disk_.at(slot).payload;
-  const int group = static_cast<int>(where.group) - 1;
-  if (!ledger_.allows(name.object, group, where.t0_ms)) {
-    ++stats_.forbidden;
+  const Location location = disk_.at(slot).payload;
+  const int group = static_cast<int>(location.group) - 1;
+  if (!purges_.allows(name.object, group, location.origin_time_ms)) {
+    ++stats_.purged_lookups;
     erase_disk(slot);
     dispatch();
     return out;
@@ -653,38 +660,38 @@
     ++stats_.reads_shed;
     return out;
   }
-  if (reads_out_ >= static_cast<std::size_t>(options_.reads_at_once)) {
+  if (reads_in_flight_ >= static_cast<std::size_t>(options_.reads_at_once)) {
     ++stats_.reads_shed;
     return out;
   }
-  out.where = Where::kDisk;
-  out.t0_ms = where.t0_ms;
-  out.copy.t0_ms = where.t0_ms;
+  out.tier = Tier::kDisk;
+  out.origin_time_ms = location.origin_time_ms;
+  out.copy.origin_time_ms = location.origin_time_ms;
   out.copy.group = group;
   return out;
 }
 
 std::uint64_t Store::read(const Name& name, ReadDone done) {
-  const std::uint64_t number = ++last_read_;
+  const std::uint64_t read_id = ++last_read_id_;
   const std::int64_t begun = steady();
-  Reading& reading = readings_[number];
+  PendingRead& reading = pending_reads_[read_id];
   reading.done = std::move(done);
   reading.begun_ms = begun;
-  const auto work = std::make_shared<ReadWork>(records_of(name));
-  ++reads_out_;
+  const auto work = std::make_shared<CopyRead>(locate_records(name));
+  ++reads_in_flight_;
   executor_.run(
-      Executor::Lane::kRead, [disk = on_disk_, work, name] { disk->read_copy(name, *work); },
-      [this, alive = alive_, number, begun, work] {
+      Executor::Lane::kRead, [disk = disk_files_, work, name] { disk->read_copy(name, *work); },
+      [this, alive = alive_, read_id, begun, work] {
         if (*alive) {
-          read_back(number, steady() - begun, work->result, work->bad);
+          on_read_done(read_id, steady() - begun, work->result, work->damaged);
         }
       });
-  return number;
+  return read_id;
 }
 
-// Where the records of a copy stand; its parts count as asked for.
-Store::ReadWork Store::records_of(const Name& name) {
-  ReadWork out;
+// Returns the locations of a copy's records, and counts a use of its parts.
+Store::CopyRead Store::locate_records(const Name& name) {
+  CopyRead out;
   const auto slot = disk_.find(name.key);
   if (slot == DiskSet::kNone) {
     return out;
@@ -704,62 +711,62 @@
   return out;
 }
 
-void Store::read_back(std::uint64_t number, std::int64_t took_ms, const ReadResult& result,
-                      const std::vector<std::pair<Key, Location>>& bad) {
-  --reads_out_;
-  health_.read_back(took_ms, options_.read_patience_ms);
-  for (const auto& [key, where] : bad) {
+void Store::on_read_done(std::uint64_t read_id, std::int64_t duration_ms, const ReadResult& result,
+                         const std::vector<std::pair<Key, Location>>& damaged) {
+  --reads_in_flight_;
+  health_.on_read_done(duration_ms, options_.read_patience_ms);
+  for (const auto& [key, location] : damaged) {
     ++stats_.read_failures;
-    erase_at(key, where);
+    erase_record(key, location);
   }
-  if (!bad.empty()) {
-    say_(true, "a record on disk was not as it was written, dropped");
+  if (!damaged.empty()) {
+    log_(true, "a damaged record on disk was dropped");
     dispatch();
   }
-  const auto found = readings_.find(number);
-  if (found == readings_.end()) {
+  const auto found = pending_reads_.find(read_id);
+  if (found == pending_reads_.end()) {
     return;
   }
   const ReadDone done = std::move(found->second.done);
-  readings_.erase(found);
-  stats_.hits_disk += result.status == ReadStatus::kWhole ? 1 : 0;
+  pending_reads_.erase(found);
+  stats_.hits_disk += result.status == ReadStatus::kComplete ? 1 : 0;
   done(result);
 }
 
-void Store::abandon_read(std::uint64_t number, bool late) {
-  if (readings_.erase(number) > 0 && late) {
+void Store::abandon_read(std::uint64_t read_id, bool late) {
+  if (pending_reads_.erase(read_id) > 0 && late) {
     if (health_.state(steady()) != DiskHealth::State::kStalled) {
-      say_(true, "the disk does not answer in time: copies on it count as not held until it does");
+      log_(true, "a read from disk timed out: copies on disk are misses until a read completes in time");
     }
-    health_.read_late(steady());
+    health_.on_late_read(steady());
   }
 }
 
-void Store::keep(const Name& name, const Copy& copy, int rank) {
-  if (rank <= 0 || rank >= kRanks || !copy.bytes || forbidden(name, copy) || name.text.size() > kMostName ||
-      copy.tag.size() > kMostTag || copy.size() > UINT32_MAX / 4) {
+void Store::insert(const Name& name, const Copy& copy, int rank) {
+  if (rank <= 0 || rank >= kRanks || !copy.bytes || is_purged(name, copy) ||
+      name.text.size() > kMaxNameBytes || copy.tag.size() > kMaxTagBytes || copy.size() > UINT32_MAX / 4) {
     return;
   }
-  into_memory(name, copy, rank);
-  to_disk(name, copy, rank, nullptr);
+  insert_into_memory(name, copy, rank);
+  insert_on_disk(name, copy, rank, nullptr);
 }
 
-void Store::warm(const Name& name, const Copy& copy, int rank) {
-  if (rank > 0 && rank < kRanks && !forbidden(name, copy)) {
-    into_memory(name, copy, rank);
+void Store::promote(const Name& name, const Copy& copy, int rank) {
+  if (rank > 0 && rank < kRanks && !is_purged(name, copy)) {
+    insert_into_memory(name, copy, rank);
   }
 }
 
 bool Store::complete(const Name& name, const PartialCopy& partial, const std::vector<bool>& had, int rank) {
-  if (sum_of(partial.bytes) != partial.whole_sum) {
+  if (sum_of(partial.bytes) != partial.value_sum) {
     drop(name);
     return false;
   }
-  const Copy copy{partial.tag, partial.t0_ms, partial.group,
+  const Copy copy{partial.tag, partial.origin_time_ms, partial.group,
                   std::make_shared<const std::string>(partial.bytes)};
-  if (!forbidden(name, copy) && rank > 0 && rank < kRanks) {
-    into_memory(name, copy, rank);
-    to_disk(name, copy, rank, &had);
+  if (!is_purged(name, copy) && rank > 0 && rank < kRanks) {
+    insert_into_memory(name, copy, rank);
+    insert_on_disk(name, copy, rank, &had);
   }
   return true;
 }
@@ -774,23 +781,23 @@
   }
 }
 
-void Store::into_memory(const Name& name, const Copy& copy, int rank) {
+void Store::insert_into_memory(const Name& name, const Copy& copy, int rank) {
   const std::uint64_t bytes = copy.size() + name.text.size() + copy.tag.size();
   if (bytes * 4 > memory_limit_) {
     return;
   }
-  const auto held = memory_.find(name.key);
-  if (held != MemorySet::kNone && memory_.at(held).payload->copy.t0_ms > copy.t0_ms) {
+  const auto old = memory_.find(name.key);
+  if (old != MemorySet::kNone && memory_.at(old).payload->copy.origin_time_ms > copy.origin_time_ms) {
     return;
   }
-  if (held == MemorySet::kNone && memory_.bytes() + bytes > memory_limit_) {
+  if (old == MemorySet::kNone && memory_.bytes() + bytes > memory_limit_) {
     const auto victim = memory_.victim(tick(), random_);
-    if (victim != MemorySet::kNone && !placement_.into_memory(name.key, rank, memory_.at(victim).uses)) {
+    if (victim != MemorySet::kNone && !placement_.admits_to_memory(name.key, rank, memory_.at(victim).uses)) {
       return;
     }
   }
   const auto slot = memory_.insert(name.key, static_cast<std::uint32_t>(bytes), rank, tick(),
-                                   std::make_shared<const Named>(Named{name, copy}));
+                                   std::make_shared<const NamedCopy>(NamedCopy{name, copy}));
   while (memory_.bytes() > memory_limit_) {
     const auto victim = memory_.victim(tick(), random_, slot);
     if (victim == MemorySet::kNone) {
@@ -801,17 +808,18 @@
   }
 }
 
-// `had`: which parts are on disk already; null where the whole copy is new.
-bool Store::to_disk(const Name& name, const Copy& copy, int rank, const std::vector<bool>* had) {
-  if (recovering_ || !on_disk_ || !health_.may_write(steady())) {
+// Adds a copy to the next batch if the disk tier admits it. `had`: the parts that are on disk already; null
+// if the complete copy is new. Returns whether the copy was added.
+bool Store::insert_on_disk(const Name& name, const Copy& copy, int rank, const std::vector<bool>* had) {
+  if (recovering_ || !disk_files_ || !health_.may_write(steady())) {
     return false;
   }
-  if (std::exchange(shrunk_, false)) {
-    book_.restore();
+  if (std::exchange(disk_was_full_, false)) {
+    segments_.restore();
     disk_limit_ = placement_.options().tier_bytes;
   }
-  const std::uint64_t id = copy_id(copy.tag, copy.t0_ms, copy.size());
-  if (is_held_or_written(name.key, id, copy.t0_ms, had != nullptr)) {
+  const std::uint64_t id = copy_id(copy.tag, copy.origin_time_ms, copy.size());
+  if (is_stored_or_pending(name.key, id, copy.origin_time_ms, had != nullptr)) {
     return false;
   }
   const auto part_bytes = static_cast<std::uint32_t>(options_.part_kb) << 10U;
@@ -821,7 +829,7 @@
     return false;
   }
   const std::uint64_t bytes = bytes_to_write(name, copy, in_parts ? part_bytes : 0, had);
-  if (next_->bytes + bytes > megabytes(options_.write_queue_mb)) {
+  if (next_batch_->bytes + bytes > megabytes(options_.write_queue_mb)) {
     ++stats_.writes_shed;
     return false;
   }
@@ -829,41 +837,41 @@
     return false;
   }
   Record head;
-  head.kind = in_parts ? RecordKind::kManifest : RecordKind::kWhole;
+  head.kind = in_parts ? RecordKind::kManifest : RecordKind::kSingle;
   head.rank = static_cast<std::uint8_t>(rank);
   head.key = name.key;
   head.copy = id;
-  head.t0_ms = copy.t0_ms;
+  head.origin_time_ms = copy.origin_time_ms;
   head.group = copy.group;
   head.name = name.text;
   head.tag = copy.tag;
   head.total_bytes = total;
   head.part_bytes = in_parts ? part_bytes : 0;
-  head.whole_sum = sum_of(*copy.bytes);
+  head.value_sum = sum_of(*copy.bytes);
   enqueue(name, copy, head, had);
-  next_->bytes += bytes;
-  next_->names.push_back(name.key);
-  being_written_[name.key] = id;
+  next_batch_->bytes += bytes;
+  next_batch_->names.push_back(name.key);
+  pending_copies_[name.key] = id;
   dispatch();
   return true;
 }
 
-// Whether this copy, or a later one of the name, is on disk (`completing`: but for the parts that are to be
-// written now) or on its way there.
-bool Store::is_held_or_written(const Key& key, std::uint64_t copy, std::int64_t t0_ms,
-                               bool completing) const {
-  const auto held = disk_.find(key);
-  if (held != DiskSet::kNone && !completing) {
-    const Location& where = disk_.at(held).payload;
-    if (where.copy == copy || where.t0_ms > t0_ms) {
+// Returns whether this copy is being written, or this copy or a later one of the name is on disk.
+// `completing`: only missing parts are to be written, so a copy on disk is not considered.
+bool Store::is_stored_or_pending(const Key& key, std::uint64_t copy, std::int64_t origin_time_ms,
+                                 bool completing) const {
+  const auto slot = disk_.find(key);
+  if (slot != DiskSet::kNone && !completing) {
+    const Location& location = disk_.at(slot).payload;
+    if (location.copy == copy || location.origin_time_ms > origin_time_ms) {
       return true;
     }
   }
-  const auto writing = being_written_.find(key);
-  return writing != being_written_.end() && writing->second == copy;
+  const auto writing = pending_copies_.find(key);
+  return writing != pending_copies_.end() && writing->second == copy;
 }
 
-// The bytes of all records to be written for a copy. `part_bytes` 0: it is written in one record.
+// Returns the bytes of all records to be written for a copy. `part_bytes` 0: it is written in one record.
 std::uint64_t Store::bytes_to_write(const Name& name, const Copy& copy, std::uint32_t part_bytes,
                                     const std::vector<bool>* had) {
   const auto total = static_cast<std::uint32_t>(copy.size());
@@ -883,15 +891,15 @@
   candidate.key = key;
   candidate.bytes = bytes;
   candidate.rank = rank;
-  candidate.held = disk_.find(key) != DiskSet::kNone;
-  const Verdict verdict = placement_.admit(candidate, disk_.bytes(), steady());
-  ++stats_.verdicts[static_cast<std::size_t>(verdict)];
-  return verdict == Verdict::kKeep;
+  candidate.replaces_stored = disk_.find(key) != DiskSet::kNone;
+  const PlacementDecision decision = placement_.admit(candidate, disk_.bytes(), steady());
+  ++stats_.decisions[static_cast<std::size_t>(decision)];
+  return decision == PlacementDecision::kAdmit;
 }
 
-// Adds the records of a copy to the next batch. Parts come before their manifest: a manifest that is found
-// names parts that were written. `had`: which parts are on disk already, with the manifest; null where the
-// whole copy is new.
+// Adds the records of a copy to the next batch. Parts precede their manifest, so that the parts of a manifest
+// on disk were written. `had`: the parts that are on disk already, as is the manifest; null if the complete
+// copy is new.
 void Store::enqueue(const Name& name, const Copy& copy, const Record& head, const std::vector<bool>* had) {
   const bool in_parts = head.kind == RecordKind::kManifest;
   Record part = head;
@@ -902,13 +910,14 @@
     if (had == nullptr || !(*had)[i]) {
       part.key = part_key(name.key, head.copy, i);
       part.part = i;
-      next_->records.push_back(Pending{part, copy.bytes, std::size_t{i} * head.part_bytes,
-                                       part_length(head.total_bytes, head.part_bytes, i), name.object});
+      next_batch_->records.push_back(PendingRecord{part, copy.bytes, std::size_t{i} * head.part_bytes,
+                                                   part_length(head.total_bytes, head.part_bytes, i),
+                                                   name.object});
     }
   }
   if (had == nullptr) {
-    next_->records.push_back(
-        Pending{head, in_parts ? nullptr : copy.bytes, 0, in_parts ? 0 : copy.size(), name.object});
+    next_batch_->records.push_back(
+        PendingRecord{head, in_parts ? nullptr : copy.bytes, 0, in_parts ? 0 : copy.size(), name.object});
   }
 }
 
@@ -916,43 +925,43 @@
 
 void Store::erase_disk(DiskSet::Slot slot) {
   const Key key = disk_.at(slot).key;
-  const Location where = disk_.at(slot).payload;
-  book_.live_gone(where.segment, where.stored);
-  next_->index.erase.push_back(key);
+  const Location location = disk_.at(slot).payload;
+  segments_.remove_live(location.segment, location.stored);
+  next_batch_->index.erase.push_back(key);
   disk_.erase(slot);
-  erase_parts(key, where);
+  erase_parts(key, location);
 }
 
-void Store::erase_parts(const Key& whole, const Location& manifest) {
+void Store::erase_parts(const Key& value, const Location& manifest) {
   for (std::uint32_t i = 0; i < manifest.parts; ++i) {
-    const auto part = disk_.find(part_key(whole, manifest.copy, i));
+    const auto part = disk_.find(part_key(value, manifest.copy, i));
     if (part != DiskSet::kNone) {
       erase_disk(part);
     }
   }
 }
 
-// Only where the key still names that record.
-void Store::erase_at(const Key& key, const Location& location) {
+// Erases a record if the key still refers to that location.
+void Store::erase_record(const Key& key, const Location& location) {
   const auto slot = disk_.find(key);
   if (slot != DiskSet::kNone && disk_.at(slot).payload == location) {
     erase_disk(slot);
   }
 }
 
-// A record is on disk and the index names it. It may have been purged while it was written.
-void Store::place(const Written& written) {
-  const Location& where = written.row.location;
-  book_.live_added(where.segment, where.stored);
+// Adds a record that is on disk and in the index. Erases it again if it was purged while it was written.
+void Store::add_written_record(const WrittenRecord& written) {
+  const Location& location = written.row.location;
+  segments_.add_live(location.segment, location.stored);
   if (const auto old = disk_.find(written.row.key); old != DiskSet::kNone) {
     const Location before = disk_.at(old).payload;
-    book_.live_gone(before.segment, before.stored);
-    if (before.copy != where.copy) {
+    segments_.remove_live(before.segment, before.stored);
+    if (before.copy != location.copy) {
       erase_parts(written.row.key, before);
     }
   }
-  const auto slot = disk_.insert(written.row.key, where.stored, written.row.rank, tick(), where);
-  if (!ledger_.allows(written.object, static_cast<int>(where.group) - 1, where.t0_ms)) {
+  const auto slot = disk_.insert(written.row.key, location.stored, written.row.rank, tick(), location);
+  if (!purges_.allows(written.object, static_cast<int>(location.group) - 1, location.origin_time_ms)) {
     erase_disk(slot);
   }
 }
@@ -968,146 +977,151 @@
   }
 }
 
-void Store::written_or_not(const Batch& batch) {
+void Store::clear_pending(const WriteBatch& batch) {
   for (const Key& name : batch.names) {
-    being_written_.erase(name);
+    pending_copies_.erase(name);
   }
 }
 
-// One batch is under way at a time; what comes meanwhile makes up the next, so that under load one sync
-// serves many.
+// Starts writing the next batch. Only one batch is written at a time; changes made meanwhile are collected in
+// the next one, so that under load one sync covers many copies.
 void Store::dispatch() {
-  if (writing_ || recovering_ || !on_disk_ || !on_disk_->index) {
+  if (writing_ || recovering_ || !disk_files_ || !disk_files_->index) {
     return;
   }
-  const bool idle = next_->records.empty() && next_->index.empty() && next_->remove.empty();
+  const bool idle = next_batch_->records.empty() && next_batch_->index.empty() && next_batch_->remove.empty();
   if (idle) {
     if (!clearing_) {
-      for (const auto& done : std::exchange(flushing_, {})) {
+      for (const auto& done : std::exchange(flush_callbacks_, {})) {
         done();
       }
     }
     return;
   }
-  if (!health_.may_write(steady()) || !book_.room_for(next_->bytes)) {
-    stats_.writes_shed += next_->records.size();
-    written_or_not(*next_);
-    next_->records.clear();
-    next_->names.clear();
-    next_->bytes = 0;
-    if (next_->index.empty() && next_->remove.empty()) {
-      clear_one();
+  if (!health_.may_write(steady()) || !segments_.has_room_for(next_batch_->bytes)) {
+    stats_.writes_shed += next_batch_->records.size();
+    clear_pending(*next_batch_);
+    next_batch_->records.clear();
+    next_batch_->names.clear();
+    next_batch_->bytes = 0;
+    if (next_batch_->index.empty() && next_batch_->remove.empty()) {
+      clear_next_segment();
       dispatch();
       return;
     }
   }
   writing_ = true;
-  const std::shared_ptr<Batch> batch = std::exchange(next_, std::make_shared<Batch>());
+  const std::shared_ptr<WriteBatch> batch = std::exchange(next_batch_, std::make_shared<WriteBatch>());
   batch->index.marks[kClockMark] = unix_ms();
-  auto outcome = std::make_shared<Outcome>();
+  auto result = std::make_shared<WriteResult>();
   executor_.run(
-      Executor::Lane::kWrite, [disk = on_disk_, batch, outcome] { disk->write(*batch, *outcome); },
-      [this, alive = alive_, batch, outcome] {
+      Executor::Lane::kWrite, [disk = disk_files_, batch, result] { disk->write(*batch, *result); },
+      [this, alive = alive_, batch, result] {
         if (*alive) {
-          finished(batch, outcome);
+          on_batch_written(batch, result);
         }
       });
 }
 
-void Store::finished(const std::shared_ptr<Batch>& batch, const std::shared_ptr<Outcome>& outcome) {
+void Store::on_batch_written(const std::shared_ptr<WriteBatch>& batch,
+                             const std::shared_ptr<WriteResult>& result) {
   writing_ = false;
-  written_or_not(*batch);
-  for (const auto& [id, bytes] : outcome->grown) {
-    book_.grown(id, bytes);
+  clear_pending(*batch);
+  for (const auto& [id, bytes] : result->file_sizes) {
+    segments_.set_file_bytes(id, bytes);
   }
-  for (const SegmentId id : outcome->sealed) {
-    book_.sealed(id);
+  for (const SegmentId id : result->sealed) {
+    segments_.mark_sealed(id);
   }
-  if (outcome->good) {
-    health_.write_done();
+  if (result->succeeded) {
+    health_.on_write_done();
     ++stats_.commits;
     stats_.written_bytes += batch->bytes;
     for (const SegmentId id : batch->remove) {
-      book_.removed(id);
+      segments_.remove(id);
     }
-    for (const Written& written : outcome->rows) {
-      place(written);
+    for (const WrittenRecord& written : result->rows) {
+      add_written_record(written);
     }
     evict();
   } else {
     stats_.writes_shed += batch->records.size();
-    if (outcome->full) {
-      // Until the pause is over: others may have filled the disk, and may free it again.
-      shrunk_ = true;
-      book_.shrink(book_.file_bytes());
-      disk_limit_ =
-          std::min(disk_limit_, static_cast<std::uint64_t>(static_cast<double>(book_.most()) * kLiveShare));
+    if (result->disk_full) {
+      // The lower limits apply until the pause is over: other programs may have filled the disk, and may free
+      // space retried.
+      disk_was_full_ = true;
+      segments_.shrink(segments_.file_bytes());
+      disk_limit_ = std::min(
+          disk_limit_, static_cast<std::uint64_t>(static_cast<double>(segments_.max_bytes()) * kLiveShare));
       evict();
     }
-    say_(true, "a write to disk failed: " + outcome->why);
-    health_.write_failed(steady(), outcome->why);
-    // What must not be lost is tried again with the next batch: purges, and what is gone.
-    IndexBatch& again = next_->index;
-    again.erase.insert(again.erase.end(), batch->index.erase.begin(), batch->index.erase.end());
-    again.purge.insert(again.purge.end(), batch->index.purge.begin(), batch->index.purge.end());
-    again.forget.insert(again.forget.end(), batch->index.forget.begin(), batch->index.forget.end());
+    log_(true, "a write to disk failed: " + result->error);
+    health_.on_write_failed(steady(), result->error);
+    // Purges and removals must not be lost: they are retried with the next batch.
+    IndexBatch& retried = next_batch_->index;
+    retried.erase.insert(retried.erase.end(), batch->index.erase.begin(), batch->index.erase.end());
+    retried.add_purges.insert(retried.add_purges.end(), batch->index.add_purges.begin(),
+                              batch->index.add_purges.end());
+    retried.remove_purges.insert(retried.remove_purges.end(), batch->index.remove_purges.begin(),
+                                 batch->index.remove_purges.end());
     for (const auto& [name, value] : batch->index.marks) {
-      again.marks.emplace(name, value);
+      retried.marks.emplace(name, value);
     }
-    next_->remove.insert(next_->remove.end(), batch->remove.begin(), batch->remove.end());
-    for (const auto& done : std::exchange(flushing_, {})) {
+    next_batch_->remove.insert(next_batch_->remove.end(), batch->remove.begin(), batch->remove.end());
+    for (const auto& done : std::exchange(flush_callbacks_, {})) {
       done();
     }
-    return;  // the next write, or the next purge, tries again; never in a loop
+    return;  // without dispatch(), which would retry in a loop: the next write or purge retries
   }
-  clear_one();
+  clear_next_segment();
   dispatch();
 }
 
-void Store::clear_one() {
-  const std::optional<SegmentId> segment = clearing_ || !on_disk_ ? std::nullopt : book_.next_to_clear();
+void Store::clear_next_segment() {
+  const std::optional<SegmentId> segment =
+      clearing_ || !disk_files_ ? std::nullopt : segments_.next_to_clear();
   if (!segment) {
     return;
   }
   clearing_ = true;
-  book_.clearing(*segment);
-  auto moving = std::make_shared<Moving>();
-  if (book_.all().at(*segment).live == 0) {
-    moving->read = true;
-    listed(*segment, moving);
+  segments_.mark_clearing(*segment);
+  auto move = std::make_shared<SegmentMove>();
+  if (segments_.all().at(*segment).live == 0) {
+    move->read = true;
+    on_segment_listed(*segment, move);
     return;
   }
   executor_.run(
       Executor::Lane::kWrite,
-      [disk = on_disk_, id = *segment, moving] {
+      [disk = disk_files_, id = *segment, move] {
         try {
           const std::shared_ptr<File> file = disk->segment(id);
           const std::string bytes = file->read(0, static_cast<std::size_t>(file->size()));
-          // A damaged header leaves no way to tell where the next record begins; what stands behind it is
-          // found by the index, and goes with the segment.
+          // Behind a damaged header the start of the next record is unknown. The records behind it are found
+          // by their rows in on_records_moved() and are dropped with the segment.
           for (std::uint64_t at = kSegmentHeadBytes; at < bytes.size();) {
             const std::optional<RecordHead> head = decode_head(std::string_view(bytes).substr(at));
             if (!head) {
               break;
             }
-            moving->records.emplace_back(head->record.key, static_cast<std::uint32_t>(at));
+            move->records.emplace_back(head->record.key, static_cast<std::uint32_t>(at));
             at += head->size();
           }
-          moving->read = true;
+          move->read = true;
         } catch (const std::exception& error) {
-          moving->outcome.why = error.what();
+          move->result.error = error.what();
         }
       },
-      [this, alive = alive_, id = *segment, moving] {
+      [this, alive = alive_, id = *segment, move] {
         if (*alive) {
-          listed(id, moving);
+          on_segment_listed(id, move);
         }
       });
 }
 
-void Store::listed(SegmentId segment, const std::shared_ptr<Moving>& moving) {
+void Store::on_segment_listed(SegmentId segment, const std::shared_ptr<SegmentMove>& move) {
   const bool may_write = health_.may_write(steady());
-  for (const auto& [key, offset] : moving->records) {
+  for (const auto& [key, offset] : move->records) {
     const auto slot = disk_.find(key);
     if (slot == DiskSet::kNone) {
       continue;
@@ -1116,37 +1130,37 @@
     if (entry.payload.segment != segment || entry.payload.offset != offset) {
       continue;
     }
-    const std::uint32_t uses = aged_uses(entry.uses, tick() - std::min(tick(), entry.used), 600);
-    if (may_write && book_.room_for(entry.bytes) &&
-        placement_.worth_moving(entry.bytes, entry.rank, uses, steady())) {
-      Moving::Item item;
+    const std::uint32_t uses = aged_uses(entry.uses, tick() - std::min(tick(), entry.last_used), 600);
+    if (may_write && segments_.has_room_for(entry.bytes) &&
+        placement_.admit_move(entry.bytes, entry.rank, uses, steady())) {
+      SegmentMove::Item item;
       item.key = key;
       item.from = entry.payload;
       item.rank = entry.rank;
       item.uses = entry.uses;
-      moving->items.push_back(item);
+      move->items.push_back(item);
     }
   }
   executor_.run(
       Executor::Lane::kWrite,
-      [disk = on_disk_, segment, moving] {
-        if (moving->items.empty()) {
-          moving->outcome.good = true;
+      [disk = disk_files_, segment, move] {
+        if (move->items.empty()) {
+          move->result.succeeded = true;
           return;
         }
-        disk->guarded(moving->outcome, [&](Disk::Appender& appender) {
+        disk->run_write(move->result, [&](DiskFiles::Appender& appender) {
           const std::shared_ptr<File> file = disk->segment(segment);
           IndexBatch changes;
-          for (Moving::Item& item : moving->items) {
+          for (SegmentMove::Item& item : move->items) {
             const std::string bytes = file->read(item.from.offset, item.from.stored);
             appender.make_room(bytes.size());
             const std::uint64_t offset = appender.offset();
-            const std::optional<std::string> anew =
+            const std::optional<std::string> moved_bytes =
                 moved_record(bytes, segment, item.from.offset, disk->active_id, offset);
-            if (!anew) {
+            if (!moved_bytes) {
               continue;
             }
-            appender.add([&anew](std::string& out) { out += *anew; });
+            appender.add([&moved_bytes](std::string& out) { out += *moved_bytes; });
             item.to = item.from;
             item.to->segment = disk->active_id;
             item.to->offset = static_cast<std::uint32_t>(offset);
@@ -1157,90 +1171,93 @@
           disk->index->commit(changes);
         });
       },
-      [this, alive = alive_, segment, moving] {
+      [this, alive = alive_, segment, move] {
         if (*alive) {
-          moved(segment, moving);
+          on_records_moved(segment, move);
         }
       });
 }
 
-// What was moved stands elsewhere now; what still stands in the segment goes with it.
-void Store::moved(SegmentId segment, const std::shared_ptr<Moving>& moving) {
-  for (const auto& [id, bytes] : moving->outcome.grown) {
-    book_.grown(id, bytes);
+// Updates the location of each moved record, and drops all other records of the segment.
+void Store::on_records_moved(SegmentId segment, const std::shared_ptr<SegmentMove>& move) {
+  for (const auto& [id, bytes] : move->result.file_sizes) {
+    segments_.set_file_bytes(id, bytes);
   }
-  for (const SegmentId id : moving->outcome.sealed) {
-    book_.sealed(id);
+  for (const SegmentId id : move->result.sealed) {
+    segments_.mark_sealed(id);
   }
-  if (!moving->outcome.good) {
-    say_(true, "clearing a segment failed: " + moving->outcome.why);
-    health_.write_failed(steady(), moving->outcome.why);
+  if (!move->result.succeeded) {
+    log_(true, "clearing a segment failed: " + move->result.error);
+    health_.on_write_failed(steady(), move->result.error);
   }
-  for (const Moving::Item& item : moving->items) {
-    if (!moving->outcome.good || !item.to) {
+  for (const SegmentMove::Item& item : move->items) {
+    if (!move->result.succeeded || !item.to) {
       continue;
     }
     const auto slot = disk_.find(item.key);
     if (slot != DiskSet::kNone && disk_.at(slot).payload == item.from) {
-      book_.live_gone(item.from.segment, item.from.stored);
-      book_.live_added(item.to->segment, item.to->stored);
+      segments_.remove_live(item.from.segment, item.from.stored);
+      segments_.add_live(item.to->segment, item.to->stored);
       disk_.at(slot).payload = *item.to;
       stats_.moved_bytes += item.to->stored;
     } else {
-      // It was purged, evicted or replaced while it was moved, and the index has just named it again.
+      // The record was purged, evicted or replaced while it was moved, and the commit has put its old row
+      // back.
       if (slot == DiskSet::kNone) {
-        next_->index.erase.push_back(item.key);
+        next_batch_->index.erase.push_back(item.key);
       } else {
         const DiskSet::Entry& entry = disk_.at(slot);
-        next_->index.put.push_back(IndexRow{entry.key, entry.payload, entry.rank, entry.uses});
+        next_batch_->index.put.push_back(IndexRow{entry.key, entry.payload, entry.rank, entry.uses});
       }
     }
   }
   const auto drop_from_segment = [this, segment](DiskSet::Slot slot) {
-    if (disk_.at(slot).held && disk_.at(slot).payload.segment == segment) {
+    if (disk_.at(slot).occupied && disk_.at(slot).payload.segment == segment) {
       ++stats_.evicted_disk;
       erase_disk(slot);
     }
   };
-  for (const auto& [key, offset] : moving->records) {
+  for (const auto& [key, offset] : move->records) {
     if (const auto slot = disk_.find(key); slot != DiskSet::kNone) {
       drop_from_segment(slot);
     }
   }
-  // Records behind a damaged header were not listed; only then is all that is held gone through.
-  if (book_.all().at(segment).live > 0) {
+  // Records behind a damaged header were not listed; only then are all entries of the tier checked.
+  if (segments_.all().at(segment).live > 0) {
     for (DiskSet::Slot slot = 0; slot < disk_.end(); ++slot) {
       drop_from_segment(slot);
     }
   }
-  next_->remove.push_back(segment);
+  next_batch_->remove.push_back(segment);
   ++stats_.cleared;
   clearing_ = false;
   dispatch();
 }
 
-void Store::purge(const std::vector<PurgeRecord>& purges, std::int64_t heard) {
+void Store::purge(const std::vector<PurgeRecord>& purges, std::int64_t sequence) {
   for (const PurgeRecord& purge : purges) {
-    if (ledger_.add(purge)) {
-      next_->index.purge.push_back(purge);
+    if (purges_.add(purge)) {
+      next_batch_->index.add_purges.push_back(purge);
     }
   }
-  for (const PurgeRecord& folded : ledger_.take_folded()) {
-    (folded.kind == PurgeRecord::Kind::kAll ? next_->index.purge : next_->index.forget).push_back(folded);
+  for (const PurgeRecord& folded : purges_.drain_folded()) {
+    (folded.kind == PurgeRecord::Kind::kAll ? next_batch_->index.add_purges
+                                            : next_batch_->index.remove_purges)
+        .push_back(folded);
   }
-  if (heard != heard_) {
-    heard_ = heard;
-    next_->index.marks[kHeardMark] = heard;
+  if (sequence != last_sequence_) {
+    last_sequence_ = sequence;
+    next_batch_->index.marks[kSequenceMark] = sequence;
   }
   dispatch();
 }
 
 void Store::flush(std::function<void()> done) {
-  if (!on_disk_ || (!recovering_ && !on_disk_->index)) {
+  if (!disk_files_ || (!recovering_ && !disk_files_->index)) {
     done();
     return;
   }
-  flushing_.push_back(std::move(done));
+  flush_callbacks_.push_back(std::move(done));
   dispatch();
 }
 
@@ -1250,9 +1267,9 @@
   out.memory_bytes = memory_.bytes();
   out.disk_copies = disk_.size();
   out.disk_bytes = disk_.bytes();
-  out.file_bytes = book_.file_bytes();
-  out.segments = book_.count();
-  out.purges = ledger_.objects();
+  out.file_bytes = segments_.file_bytes();
+  out.segments = segments_.count();
+  out.purges = purges_.objects();
   return out;
 }
 
--- a/src/store/unix_clock.h
+++ b/src/store/unix_clock.h
@@ -1,11 +1,11 @@
-// Unix time that never goes back, neither within a run nor over restarts, whatever the system's clock does.
+// A Unix clock that never goes back, neither within a run nor over restarts, whatever the system clock does.
 //
-// Ages decide what may be served: were the clock to step back, a copy from before a purge would look young
-// enough for the age limit that a router sends. So time runs on steadily from the start, is never before what
-// an earlier run has seen (kept in the index), and never before the time at which the origin gave out a copy
-// that has just come. A clock that is ahead only makes copies look older: they are fetched again.
+// The age of a copy decides whether it may be served. If the clock went back, a copy from before a purge
+// could pass the age limit of a request. The clock therefore advances with the steady clock, and is never
+// behind the last time of an earlier run (stored in the index) or the origin time of a copy that was
+// received. A clock that is ahead only makes copies look older, so that they are fetched again.
 //
-// Package `store`; no I/O; the caller gives both clocks. Not thread-safe.
+// Package `store`; no I/O; the caller provides both clocks. Not thread-safe.
 #pragma once
 
 #include <algorithm>
@@ -15,29 +15,29 @@
 
 class UnixClock {
  public:
-  UnixClock(std::int64_t steady_ms, std::int64_t unix_ms) : shift_(unix_ms - steady_ms) {}
+  UnixClock(std::int64_t steady_ms, std::int64_t unix_ms) : offset_ms_(unix_ms - steady_ms) {}
 
-  std::int64_t at(std::int64_t steady_ms) const { return steady_ms + shift_; }
+  std::int64_t at(std::int64_t steady_ms) const { return steady_ms + offset_ms_; }
 
-  // An earlier run of this program saw this time.
-  void not_before(std::int64_t steady_ms, std::int64_t unix_ms) {
-    shift_ = std::max(shift_, unix_ms - steady_ms);
+  // Advances the clock so that it reads at least `unix_ms` at `steady_ms`; never sets it back.
+  void advance_to(std::int64_t steady_ms, std::int64_t unix_ms) {
+    offset_ms_ = std::max(offset_ms_, unix_ms - steady_ms);
   }
 
-  // A copy came just now that was given out at `t0_ms`. False where that is so far ahead that one of the
-  // clocks must be wrong: then nothing is learnt and the copy's age cannot be told.
-  bool heard(std::int64_t steady_ms, std::int64_t t0_ms) {
-    if (t0_ms - at(steady_ms) > kMostAhead) {
+  // Advances the clock to the origin time of a copy received now. Returns false, and changes nothing, if that
+  // time is more than kMaxAheadMs ahead: one of the clocks is wrong, and the age of the copy is unknown.
+  bool observe_origin_time(std::int64_t steady_ms, std::int64_t origin_time_ms) {
+    if (origin_time_ms - at(steady_ms) > kMaxAheadMs) {
       return false;
     }
-    not_before(steady_ms, t0_ms);
+    advance_to(steady_ms, origin_time_ms);
     return true;
   }
 
-  static constexpr std::int64_t kMostAhead = 60'000;
+  static constexpr std::int64_t kMaxAheadMs = 60'000;
 
  private:
-  std::int64_t shift_;
+  std::int64_t offset_ms_;
 };
 
 }  // namespace trailcourse::store
--- a/tests/cache_node_test.cpp
+++ b/tests/cache_node_test.cpp
@@ -454,9 +454,9 @@
 TEST_F(CacheNodeTest, TheStoreKilledAtEachOfItsStepsServesWholeCopiesOrMisses) {
   using testing_support::copy_of;
   using testing_support::name_of;
-  using testing_support::StoreRig;
-  const auto open = [this](StoreRig& rig, KillPoint& point) {
-    store::Store::Backing backing;
+  using testing_support::StoreHarness;
+  const auto open = [this](StoreHarness& rig, KillPoint& point) {
+    store::Store::Storage backing;
     backing.files = [this, &point] {
       return std::make_unique<KillingFolder>(store::open_folder(folder_), point);
     };
@@ -464,7 +464,8 @@
     rig.executor = std::make_unique<testing_support::ManualExecutor>();
     rig.options.disk_mb = 4;
     rig.store = std::make_unique<store::Store>(
-        rig.options, *rig.executor, backing, [&rig] { return store::Store::Now{rig.steady_ms, rig.unix_ms}; },
+        rig.options, *rig.executor, backing,
+        [&rig] { return store::Store::TimeReading{rig.steady_ms, rig.unix_ms}; },
         [](bool, const std::string&) {}, 7);
     rig.store->open([] {});
     rig.executor->drain();
@@ -477,11 +478,11 @@
   }
   // Fills, replaces, purges, and goes round the tier so that segments are cleared.
   const auto run = [&open, &copies](KillPoint& point) {
-    StoreRig rig;
+    StoreHarness rig;
     rig.options.part_kb = 64;
     open(rig, point);
     for (int i = 0; i < 48; ++i) {
-      rig.keep(name_of(i % 12), copies[static_cast<std::size_t>(i)]);
+      rig.insert(name_of(i % 12), copies[static_cast<std::size_t>(i)]);
       rig.executor->drain();
       if (i == 20) {
         rig.store->purge({{store::PurgeRecord::Kind::kObject, 5, 1'000 + 20}}, 1);
@@ -507,7 +508,7 @@
         break;
       }
       ++killed;
-      StoreRig rig;
+      StoreHarness rig;
       KillPoint never{-1, 0, 0};
       open(rig, never);
       ASSERT_EQ(rig.store->disk_state(), store::DiskHealth::State::kGood);
@@ -517,7 +518,7 @@
           const int version = std::stoi(got->tag.substr(got->tag.find('v') + 1));
           ASSERT_EQ(version % 12, number);
           ASSERT_EQ(*got->bytes, *copies[static_cast<std::size_t>(version)].bytes);
-          ASSERT_FALSE(number == 5 && got->t0_ms <= 1'020);
+          ASSERT_FALSE(number == 5 && got->origin_time_ms <= 1'020);
         }
       }
     }
@@ -775,7 +776,7 @@
   std::atomic<bool> stalled = false;
   const auto state = std::make_shared<testing_support::FolderState>();
   const auto history = std::make_shared<testing_support::IndexHistory>();
-  store::Options options = testing_support::StoreRig::small_options();
+  store::Options options = testing_support::StoreHarness::small_options();
   options.memory_mb = 1;
   options.read_patience_ms = 100;
   NodeOptions node_options;
@@ -790,13 +791,13 @@
     transport::Scheduler scheduler;
     transport::Mailbox mailbox(scheduler);
     store::IoPool pool(2, [&mailbox](std::function<void()> job) { mailbox.post(std::move(job)); });
-    store::Store::Backing backing;
+    store::Store::Storage backing;
     backing.files = [&] { return std::make_unique<StallingFolder>(state, released, stalled); };
     backing.index = [&] { return std::make_unique<testing_support::MemoryIndex>(history, state); };
     store::Store store(
         options, pool, backing,
         [] {
-          return store::Store::Now{
+          return store::Store::TimeReading{
               std::chrono::duration_cast<milliseconds>(SteadyClock::now().time_since_epoch()).count(),
               unix_ms()};
         },
--- a/tests/format_test.cpp
+++ b/tests/format_test.cpp
@@ -19,12 +19,12 @@
   record.rank = 2;
   record.key = key_of("media/7f3a9c21e0b4d655/0");
   record.copy = 77;
-  record.t0_ms = 1'764'576'000'123;
+  record.origin_time_ms = 1'764'576'000'123;
   record.group = 17;
   record.name = "media/7f3a9c21e0b4d655/0";
   record.tag = "4be0c1927d55a6f3";
   record.total_bytes = static_cast<std::uint32_t>(size);
-  record.whole_sum = 5;
+  record.value_sum = 5;
   for (std::size_t i = 0; i < size; ++i) {
     record.payload += shrinks ? static_cast<char>('a' + i % 3) : static_cast<char>(random());
   }
@@ -42,7 +42,7 @@
       EXPECT_EQ(back->name, record.name);
       EXPECT_EQ(back->tag, record.tag);
       EXPECT_EQ(back->group, record.group);
-      EXPECT_EQ(back->t0_ms, record.t0_ms);
+      EXPECT_EQ(back->origin_time_ms, record.origin_time_ms);
       EXPECT_EQ(back->key, record.key);
       EXPECT_EQ(back->rank, record.rank);
       const std::size_t plain = kRecordHeadBytes + record.name.size() + record.tag.size() + size;
@@ -81,7 +81,7 @@
 // Seeded changes, cuts and doublings, also of manifests: read as they were written, or not at all.
 TEST(Format, MutatedRecordsAreNeverRead) {
   std::mt19937 random(41);
-  for (const RecordKind kind : {RecordKind::kWhole, RecordKind::kManifest, RecordKind::kPart}) {
+  for (const RecordKind kind : {RecordKind::kSingle, RecordKind::kManifest, RecordKind::kPart}) {
     Record record = sample(kind == RecordKind::kManifest ? 0 : 900, true);
     record.kind = kind;
     record.part_bytes = 300;
--- a/tests/node_core_test.cpp
+++ b/tests/node_core_test.cpp
@@ -68,7 +68,7 @@
   void hold(RequestNumber number, const ServeFields& asked, const Copy& copy) {
     core_.arrive(now(), number, asked, "", out_);
     store::ReadResult result;
-    result.status = store::ReadStatus::kWhole;
+    result.status = store::ReadStatus::kComplete;
     result.copy = copy;
     core_.looked_up(now(), number, result, out_);
   }
@@ -306,7 +306,7 @@
   FetchResult same = answer(AnswerCode::kSame, "", kNow + steady_);
   fetched(all<Fetch>()[0].fill, same);
   ASSERT_EQ(all<Keep>().size(), 1U);
-  EXPECT_EQ(all<Keep>()[0].copy.t0_ms, kNow + steady_);
+  EXPECT_EQ(all<Keep>()[0].copy.origin_time_ms, kNow + steady_);
   EXPECT_EQ(*all<Keep>()[0].copy.bytes, "x");
 }
 
@@ -332,7 +332,7 @@
   core_.arrive(now(), 1, fields("a"), "", out_);
   group_floor_[4] = kNow + 10;
   store::ReadResult result;
-  result.status = store::ReadStatus::kWhole;
+  result.status = store::ReadStatus::kComplete;
   result.copy = Copy{"t", kNow, 4, bytes("old")};
   core_.looked_up(now(), 1, result, out_);
   EXPECT_TRUE(all<Answer>().empty());
@@ -482,7 +482,7 @@
   EXPECT_TRUE(all<GiveUpLookUp>()[0].late);
   ASSERT_EQ(all<Fetch>().size(), 1U);
   store::ReadResult result;
-  result.status = store::ReadStatus::kWhole;
+  result.status = store::ReadStatus::kComplete;
   result.copy = Copy{"t", kNow, 1, bytes("late")};
   core_.looked_up(now(), 1, result, out_);
   EXPECT_TRUE(all<Answer>().empty());
@@ -548,9 +548,9 @@
   std::shared_ptr<store::PartialCopy> partial() {
     auto out = std::make_shared<store::PartialCopy>();
     out->tag = "tag-whole";
-    out->t0_ms = kNow;
+    out->origin_time_ms = kNow;
     out->part_bytes = 4;
-    out->whole_sum = store::sum_of("aaaabbbbcccc");
+    out->value_sum = store::sum_of("aaaabbbbcccc");
     out->bytes = std::string("aaaa\0\0\0\0cccc", 12);
     out->have = {true, false, true};
     return out;
@@ -707,7 +707,7 @@
             looking.erase(number);
             store::ReadResult result;
             if (random() % 2 == 0) {
-              result.status = store::ReadStatus::kWhole;
+              result.status = store::ReadStatus::kComplete;
               result.copy = draw_copy();
             }
             core.looked_up(at, number, result, out);
@@ -723,7 +723,7 @@
             result.word = static_cast<AnswerCode>(random() % 6);
             const Copy copy = draw_copy();
             result.fields.tag = copy.tag;
-            result.fields.t0_ms = copy.t0_ms;
+            result.fields.t0_ms = copy.origin_time_ms;
             result.fields.group = copy.group;
             result.body = copy.bytes;
             core.fetched(at, fill, result, out);
--- a/tests/recorded_files_test.cpp
+++ b/tests/recorded_files_test.cpp
@@ -249,10 +249,10 @@
       store::verify_folder(*files, *index, [](std::uint64_t, std::uint64_t) {});
   EXPECT_EQ(verified.records, 4U);
   EXPECT_EQ(verified.good, 4U);
-  EXPECT_EQ(verified.damaged_in_all, 0U);
+  EXPECT_EQ(verified.damaged_total, 0U);
   const store::FolderStat stat = store::stat_folder(*files, *index);
   EXPECT_EQ(stat.purges, 2U);
-  EXPECT_EQ(stat.heard, 3);
+  EXPECT_EQ(stat.last_sequence, 3);
   EXPECT_EQ(stat.damaged_rows, 0U);
 }
 
@@ -277,12 +277,12 @@
   testing_support::ManualExecutor executor;
   store::Options options;
   options.memory_mb = 0;
-  store::Store::Backing backing;
+  store::Store::Storage backing;
   backing.files = [this] { return store::open_folder(path_); };
   backing.index = [this] { return store::open_sqlite_index(path_); };
   std::vector<std::string> faults;
   store::Store tier(
-      options, executor, backing, [] { return store::Store::Now{1'000, kPurgedAtMs + 60'000}; },
+      options, executor, backing, [] { return store::Store::TimeReading{1'000, kPurgedAtMs + 60'000}; },
       [&faults](bool bad, const std::string& what) {
         if (bad) {
           faults.push_back(what);
@@ -303,12 +303,12 @@
       {"7f3a9c21e0b4d655", "0"}, {kPurgedObject, "0"}, {"9b1f03aa5c7e2d41", "0"}, {"4be0c1927d55a6f3", ""}};
   for (const auto& [object, part] : recorded) {
     const store::Name name = store::Name::of("media", object, part);
-    const store::Store::Found place = tier.find(name, 0);
-    if (place.where != store::Store::Where::kDisk || tier.forbidden(name, place.copy)) {
+    const store::Store::LookupResult place = tier.find(name, 0);
+    if (place.tier != store::Store::Tier::kDisk || tier.is_purged(name, place.copy)) {
       continue;
     }
     tier.read(name, [&found, &object](const store::ReadResult& result) {
-      EXPECT_EQ(result.status, store::ReadStatus::kWhole) << object;
+      EXPECT_EQ(result.status, store::ReadStatus::kComplete) << object;
       EXPECT_EQ(result.copy.size(), 2'048U) << object;
       found.insert(object);
     });
