--- a/tests/store_parts_test.cpp
+++ b/tests/store_parts_test.cpp
@@ -11,8 +11,8 @@
 #include <vector>
 
 #include "store/disk_health.h"
-#include "store/frequency_sketch.h"
 #include "store/eviction_set.h"
+#include "store/frequency_sketch.h"
 #include "store/placement.h"
 #include "store/purge_table.h"
 #include "store/segment_table.h"
@@ -29,7 +29,7 @@
   std::map<std::uint64_t, int> counted;
   for (int i = 0; i < 4'000; ++i) {
     const std::uint64_t one = random() % 1'000;
-    sketch.count(key(one));
+    sketch.increment(key(one));
     ++counted[one];
   }
   int wrong = 0;
@@ -43,11 +43,11 @@
 TEST(FrequencySketch, ForgetsWhatIsNoLongerAskedFor) {
   FrequencySketch sketch(64);
   for (int i = 0; i < 12; ++i) {
-    sketch.count(key(1));
+    sketch.increment(key(1));
   }
   const int before = sketch.estimate(key(1));
-  for (std::uint64_t i = 0; i < 4 * sketch.sample(); ++i) {
-    sketch.count(key(100 + i % 300));
+  for (std::uint64_t i = 0; i < 4 * sketch.halving_threshold(); ++i) {
+    sketch.increment(key(100 + i % 300));
   }
   EXPECT_GE(before, 12);
   EXPECT_LT(sketch.estimate(key(1)), 6);
@@ -124,7 +124,9 @@
 // The paper's order within a rank: used less, larger, idle for longer.
 TEST(EvictionSet, WithinARankThePapersOrderDecides) {
   std::mt19937 random(1);
-  const auto victim = [&random](EvictionSet<int>& set, Tick now) { return set.at(set.victim(now, random)).key; };
+  const auto victim = [&random](EvictionSet<int>& set, Tick now) {
+    return set.at(set.victim(now, random)).key;
+  };
   EvictionSet<int> by_use;
   const auto used = by_use.insert(key(1), 10, 2, 0, 0);
   by_use.insert(key(2), 10, 2, 0, 0);
@@ -181,29 +183,29 @@
 
 TEST(Placement, NothingWithoutARankAndNothingTooLarge) {
   Placement placement(placement_options());
-  placement.seen(key(1));
-  EXPECT_EQ(placement.admit(Candidate{key(1), 10, 0}, 0, 0), Verdict::kNoRank);
-  EXPECT_EQ(placement.admit(Candidate{key(1), 251, 3}, 0, 0), Verdict::kTooLarge);
-  EXPECT_EQ(placement.admit(Candidate{key(1), 250, 1}, 0, 0), Verdict::kKeep);
+  placement.record_request(key(1));
+  EXPECT_EQ(placement.admit(Candidate{key(1), 10, 0}, 0, 0), PlacementDecision::kNoRank);
+  EXPECT_EQ(placement.admit(Candidate{key(1), 251, 3}, 0, 0), PlacementDecision::kTooLarge);
+  EXPECT_EQ(placement.admit(Candidate{key(1), 250, 1}, 0, 0), PlacementDecision::kAdmit);
 }
 
 // Guards against a scan that washes out the tier: what is asked for once finds no room in a full one.
 TEST(Placement, AScanFindsNoRoomInAFullTier) {
   Placement placement(placement_options());
   for (std::uint64_t i = 0; i < 500; ++i) {
-    placement.seen(key(i));
-    EXPECT_EQ(placement.admit(Candidate{key(i), 10, 2}, 995, 0), Verdict::kNoRoom) << i;
+    placement.record_request(key(i));
+    EXPECT_EQ(placement.admit(Candidate{key(i), 10, 2}, 995, 0), PlacementDecision::kNoCapacity) << i;
   }
 }
 
 TEST(Placement, ANewLargeObjectIsKeptAtItsSecondRequestAtTheLatest) {
   Placement placement(placement_options());
-  placement.seen(key(1));
-  EXPECT_EQ(placement.admit(Candidate{key(1), 240, 1}, 990, 0), Verdict::kNoRoom);
-  placement.seen(key(1));
-  EXPECT_EQ(placement.admit(Candidate{key(1), 240, 1}, 990, 0), Verdict::kKeep);
-  placement.seen(key(2));
-  EXPECT_EQ(placement.admit(Candidate{key(2), 240, 3}, 990, 0), Verdict::kKeep)
+  placement.record_request(key(1));
+  EXPECT_EQ(placement.admit(Candidate{key(1), 240, 1}, 990, 0), PlacementDecision::kNoCapacity);
+  placement.record_request(key(1));
+  EXPECT_EQ(placement.admit(Candidate{key(1), 240, 1}, 990, 0), PlacementDecision::kAdmit);
+  placement.record_request(key(2));
+  EXPECT_EQ(placement.admit(Candidate{key(2), 240, 3}, 990, 0), PlacementDecision::kAdmit)
       << "the top rank says that the object was asked for elsewhere";
 }
 
@@ -212,13 +214,13 @@
   Placement placement(placement_options());
   std::uint64_t kept = 0;
   for (std::uint64_t i = 0; i < 100; ++i) {
-    placement.seen(key(i));
-    kept += placement.admit(Candidate{key(i), 100, 2}, 0, 0) == Verdict::kKeep ? 1 : 0;
+    placement.record_request(key(i));
+    kept += placement.admit(Candidate{key(i), 100, 2}, 0, 0) == PlacementDecision::kAdmit ? 1 : 0;
   }
   EXPECT_EQ(kept, 10U);
-  placement.seen(key(1'000));
-  placement.seen(key(1'000));
-  EXPECT_EQ(placement.admit(Candidate{key(1'000), 250, 1}, 0, 0), Verdict::kKeep);
+  placement.record_request(key(1'000));
+  placement.record_request(key(1'000));
+  EXPECT_EQ(placement.admit(Candidate{key(1'000), 250, 1}, 0, 0), PlacementDecision::kAdmit);
 }
 
 TEST(Placement, TheWriteBudgetBindsInTheLongRun) {
@@ -228,8 +230,8 @@
   constexpr std::int64_t kSeconds = 200;
   for (std::int64_t ms = 0; ms < kSeconds * 1'000; ms += 10) {
     const std::uint64_t one = random() % 50;  // all of them asked for again and again
-    placement.seen(key(one));
-    if (placement.admit(Candidate{key(one), 100, 2}, 990, ms) == Verdict::kKeep) {
+    placement.record_request(key(one));
+    if (placement.admit(Candidate{key(one), 100, 2}, 990, ms) == PlacementDecision::kAdmit) {
       written += 100;
     }
   }
@@ -240,57 +242,57 @@
 
 TEST(Placement, MovesOnlyWhatWasUsedAgain) {
   Placement placement(placement_options());
-  EXPECT_FALSE(placement.worth_moving(10, 2, 1, 0));
-  EXPECT_TRUE(placement.worth_moving(10, 2, 2, 0));
-  EXPECT_TRUE(placement.worth_moving(10, 3, 0, 0));
+  EXPECT_FALSE(placement.admit_move(10, 2, 1, 0));
+  EXPECT_TRUE(placement.admit_move(10, 2, 2, 0));
+  EXPECT_TRUE(placement.admit_move(10, 3, 0, 0));
   placement.budget().spend(5'000);
-  EXPECT_FALSE(placement.worth_moving(10, 3, 9, 0)) << "the budget is overdrawn";
+  EXPECT_FALSE(placement.admit_move(10, 3, 9, 0)) << "the budget is overdrawn";
 }
 
 TEST(Placement, MemoryIsNotWashedOutByAScanEither) {
   Placement placement(placement_options());
-  placement.seen(key(1));
-  EXPECT_TRUE(placement.into_memory(key(1), 2, 1));
-  EXPECT_FALSE(placement.into_memory(key(1), 2, 2));
-  placement.seen(key(1));
-  EXPECT_TRUE(placement.into_memory(key(1), 2, 2));
-  EXPECT_FALSE(placement.into_memory(key(1), 0, 0));
+  placement.record_request(key(1));
+  EXPECT_TRUE(placement.admits_to_memory(key(1), 2, 1));
+  EXPECT_FALSE(placement.admits_to_memory(key(1), 2, 2));
+  placement.record_request(key(1));
+  EXPECT_TRUE(placement.admits_to_memory(key(1), 2, 2));
+  EXPECT_FALSE(placement.admits_to_memory(key(1), 0, 0));
 }
 
 PurgeRecord object_purge(std::uint64_t id, std::int64_t ms) { return {PurgeRecord::Kind::kObject, id, ms}; }
 PurgeRecord group_purge(std::uint64_t id, std::int64_t ms) { return {PurgeRecord::Kind::kGroup, id, ms}; }
 
 TEST(PurgeTable, ACopyOfThePurgesOwnMillisecondIsForbidden) {
-  PurgeTable ledger;
-  EXPECT_TRUE(ledger.add(object_purge(7, 1'000)));
-  EXPECT_FALSE(ledger.allows(7, 1, 999));
-  EXPECT_FALSE(ledger.allows(7, 1, 1'000));
-  EXPECT_TRUE(ledger.allows(7, 1, 1'001));
-  EXPECT_TRUE(ledger.allows(8, 1, 1));
+  PurgeTable table;
+  EXPECT_TRUE(table.add(object_purge(7, 1'000)));
+  EXPECT_FALSE(table.allows(7, 1, 999));
+  EXPECT_FALSE(table.allows(7, 1, 1'000));
+  EXPECT_TRUE(table.allows(7, 1, 1'001));
+  EXPECT_TRUE(table.allows(8, 1, 1));
 }
 
 TEST(PurgeTable, ToldTwiceOrOutOfOrderTheLatestBinds) {
-  PurgeTable ledger;
-  EXPECT_TRUE(ledger.add(object_purge(7, 2'000)));
-  EXPECT_FALSE(ledger.add(object_purge(7, 2'000)));
-  EXPECT_FALSE(ledger.add(object_purge(7, 1'000)));
-  EXPECT_FALSE(ledger.allows(7, 1, 1'500));
-  EXPECT_TRUE(ledger.add(group_purge(1, 3'000)));
-  EXPECT_FALSE(ledger.add(group_purge(1, 2'500)));
-  EXPECT_FALSE(ledger.allows(7, 1, 3'000));
-  EXPECT_TRUE(ledger.allows(7, 2, 3'000));
+  PurgeTable table;
+  EXPECT_TRUE(table.add(object_purge(7, 2'000)));
+  EXPECT_FALSE(table.add(object_purge(7, 2'000)));
+  EXPECT_FALSE(table.add(object_purge(7, 1'000)));
+  EXPECT_FALSE(table.allows(7, 1, 1'500));
+  EXPECT_TRUE(table.add(group_purge(1, 3'000)));
+  EXPECT_FALSE(table.add(group_purge(1, 2'500)));
+  EXPECT_FALSE(table.allows(7, 1, 3'000));
+  EXPECT_TRUE(table.allows(7, 2, 3'000));
 }
 
 TEST(PurgeTable, ACopyOfUnknownGroupIsBoundByEveryGroup) {
-  PurgeTable ledger;
-  ledger.add(group_purge(1, 3'000));
-  ledger.add(group_purge(2, 1'000));
-  EXPECT_FALSE(ledger.allows(7, kUnknownGroup, 3'000));
-  EXPECT_TRUE(ledger.allows(7, kUnknownGroup, 3'001));
-  EXPECT_TRUE(ledger.allows(std::nullopt, 2, 1'001));
+  PurgeTable table;
+  table.add(group_purge(1, 3'000));
+  table.add(group_purge(2, 1'000));
+  EXPECT_FALSE(table.allows(7, kUnknownGroup, 3'000));
+  EXPECT_TRUE(table.allows(7, kUnknownGroup, 3'001));
+  EXPECT_TRUE(table.allows(std::nullopt, 2, 1'001));
 }
 
-// Bounded, it forbids too much and never too little: against a ledger without a bound.
+// Bounded, it forbids too much and never too little: against a table without a bound.
 TEST(PurgeTable, BeyondItsBoundItForbidsMoreNeverLess) {
   std::mt19937 random(11);
   PurgeTable small(20);
@@ -308,19 +310,19 @@
   }
 }
 
-// What is durable follows what is folded: replayed from its records, a ledger forbids the same.
+// What is durable follows what is folded: replayed from its records, a table forbids the same.
 TEST(PurgeTable, ItsRecordsMakeItAnew) {
   std::mt19937 random(13);
-  PurgeTable ledger(20);
+  PurgeTable table(20);
   std::map<std::pair<PurgeRecord::Kind, std::uint64_t>, std::int64_t> durable;
   for (int i = 0; i < 500; ++i) {
     const PurgeRecord purge = object_purge(random() % 100, static_cast<std::int64_t>(random() % 5'000));
-    if (ledger.add(purge)) {
-      durable[{purge.kind, purge.id}] = purge.ms;
+    if (table.add(purge)) {
+      durable[{purge.kind, purge.id}] = purge.purged_unix_ms;
     }
-    for (const PurgeRecord& folded : ledger.take_folded()) {
+    for (const PurgeRecord& folded : table.drain_folded()) {
       if (folded.kind == PurgeRecord::Kind::kAll) {
-        durable[{folded.kind, 0}] = folded.ms;
+        durable[{folded.kind, 0}] = folded.purged_unix_ms;
       } else {
         durable.erase({folded.kind, folded.id});
       }
@@ -331,95 +333,95 @@
     again.add(PurgeRecord{which.first, which.second, ms});
   }
   for (ObjectId object = 0; object < 110; ++object) {
-    EXPECT_EQ(again.purged_until(object, kNoGroup), ledger.purged_until(object, kNoGroup)) << object;
+    EXPECT_EQ(again.purged_until(object, kNoGroup), table.purged_until(object, kNoGroup)) << object;
   }
 }
 
 TEST(SegmentTable, ClearsWhatIsOfNoUseAtOnceAndElseTheEmptiestWhenRoomIsShort) {
-  SegmentTable book(1'000, 200);
+  SegmentTable segments(1'000, 200);
   for (SegmentId id = 1; id <= 3; ++id) {
-    book.grown(id, 200);
-    book.live_added(id, std::uint64_t{50} * id);
+    segments.set_file_bytes(id, 200);
+    segments.add_live(id, std::uint64_t{50} * id);
   }
-  book.sealed(2);
-  book.sealed(3);
-  EXPECT_EQ(book.next_to_clear(), std::nullopt) << "there is room";
-  book.grown(4, 250);
-  EXPECT_EQ(book.next_to_clear(), 2U) << "segment 1 is still written to";
-  book.clearing(2);
-  EXPECT_EQ(book.next_to_clear(), std::nullopt) << "one at a time";
-  book.removed(2);
-  EXPECT_EQ(book.next_to_clear(), std::nullopt);
-  book.live_gone(3, 150);
-  EXPECT_EQ(book.next_to_clear(), 3U) << "nothing of use: at once";
+  segments.mark_sealed(2);
+  segments.mark_sealed(3);
+  EXPECT_EQ(segments.next_to_clear(), std::nullopt) << "there is room";
+  segments.set_file_bytes(4, 250);
+  EXPECT_EQ(segments.next_to_clear(), 2U) << "segment 1 is still written to";
+  segments.mark_clearing(2);
+  EXPECT_EQ(segments.next_to_clear(), std::nullopt) << "one at a time";
+  segments.remove(2);
+  EXPECT_EQ(segments.next_to_clear(), std::nullopt);
+  segments.remove_live(3, 150);
+  EXPECT_EQ(segments.next_to_clear(), 3U) << "nothing of use: at once";
 }
 
 TEST(SegmentTable, AFullDiskMakesItSmaller) {
-  SegmentTable book(1'000, 100);
-  book.grown(1, 400);
-  book.sealed(1);
-  book.live_added(1, 400);
-  EXPECT_TRUE(book.room_for(600));
-  book.shrink(450);
-  EXPECT_FALSE(book.room_for(100));
-  EXPECT_EQ(book.next_to_clear(), 1U);
-  book.shrink(2'000);
-  EXPECT_EQ(book.most(), 450U);
-  book.restore();
-  EXPECT_EQ(book.most(), 1'000U);
+  SegmentTable segments(1'000, 100);
+  segments.set_file_bytes(1, 400);
+  segments.mark_sealed(1);
+  segments.add_live(1, 400);
+  EXPECT_TRUE(segments.has_room_for(600));
+  segments.shrink(450);
+  EXPECT_FALSE(segments.has_room_for(100));
+  EXPECT_EQ(segments.next_to_clear(), 1U);
+  segments.shrink(2'000);
+  EXPECT_EQ(segments.max_bytes(), 450U);
+  segments.restore();
+  EXPECT_EQ(segments.max_bytes(), 1'000U);
 }
 
 TEST(DiskHealth, AStalledDiskIsTriedNowAndThenAndTrustedAgainWhenAReadComesBackInTime) {
   DiskHealth health({});
   EXPECT_FALSE(health.may_read(0));
-  health.opened();
+  health.enable();
   EXPECT_TRUE(health.may_read(0));
-  health.read_late(1'000);
-  health.read_late(1'010);
+  health.on_late_read(1'000);
+  health.on_late_read(1'010);
   EXPECT_EQ(health.state(1'010), DiskHealth::State::kStalled);
   EXPECT_EQ(health.stalls(), 1U);
   EXPECT_FALSE(health.may_read(1'100));
   EXPECT_FALSE(health.may_write(1'100));
   EXPECT_TRUE(health.may_read(1'250));
   EXPECT_FALSE(health.may_read(1'251)) << "one try at a time";
-  health.read_back(2'000, 150);
+  health.on_read_done(2'000, 150);
   EXPECT_EQ(health.state(3'000), DiskHealth::State::kStalled) << "a late one that comes back proves nothing";
-  health.read_back(20, 150);
+  health.on_read_done(20, 150);
   EXPECT_EQ(health.state(3'000), DiskHealth::State::kGood);
 }
 
 TEST(DiskHealth, FailedWritesPauseForLongerAndLonger) {
   DiskHealth health({});
-  health.opened();
+  health.enable();
   std::int64_t now = 0;
   for (const std::int64_t pause : {1'000, 2'000, 4'000, 8'000, 16'000, 32'000, 60'000, 60'000}) {
-    health.write_failed(now, "no");
+    health.on_write_failed(now, "no");
     EXPECT_EQ(health.state(now + pause - 1), DiskHealth::State::kReadOnly);
     EXPECT_TRUE(health.may_read(now));
     EXPECT_TRUE(health.may_write(now + pause));
     now += pause;
   }
-  health.write_done();
-  health.write_failed(now, "no");
+  health.on_write_done();
+  health.on_write_failed(now, "no");
   EXPECT_TRUE(health.may_write(now + 1'000));
 }
 
 TEST(UnixClock, NeverGoesBackNeitherByTheSystemNorOverARestart) {
   UnixClock clock(100, 1'000'000);
   EXPECT_EQ(clock.at(150), 1'000'050);
-  clock.not_before(200, 900'000);
+  clock.advance_to(200, 900'000);
   EXPECT_EQ(clock.at(200), 1'000'100) << "an earlier time changes nothing";
-  clock.not_before(200, 2'000'000);
+  clock.advance_to(200, 2'000'000);
   EXPECT_EQ(clock.at(210), 2'000'010);
 }
 
 TEST(UnixClock, LearnsFromCopiesThatComeFromTheFutureUpToABound) {
   UnixClock clock(0, 1'000'000);
-  EXPECT_TRUE(clock.heard(0, 1'005'000));
+  EXPECT_TRUE(clock.observe_origin_time(0, 1'005'000));
   EXPECT_EQ(clock.at(0), 1'005'000);
-  EXPECT_TRUE(clock.heard(0, 1'000));
+  EXPECT_TRUE(clock.observe_origin_time(0, 1'000));
   EXPECT_EQ(clock.at(0), 1'005'000);
-  EXPECT_FALSE(clock.heard(0, 1'005'000 + UnixClock::kMostAhead + 1));
+  EXPECT_FALSE(clock.observe_origin_time(0, 1'005'000 + UnixClock::kMaxAheadMs + 1));
   EXPECT_EQ(clock.at(0), 1'005'000);
 }
 
--- a/tests/store_stand_ins.h
+++ b/tests/store_stand_ins.h
@@ -191,11 +191,11 @@
     }
     return out;
   }
-  std::vector<store::IndexRow> rows(const store::Key* after, std::size_t most) override {
+  std::vector<store::IndexRow> rows(const store::Key* after, std::size_t max_rows) override {
     const auto& all = history_->states.back().rows;
     std::vector<store::IndexRow> out;
     for (auto row = after == nullptr ? all.begin() : all.upper_bound(*after);
-         row != all.end() && out.size() < most; ++row) {
+         row != all.end() && out.size() < max_rows; ++row) {
       out.push_back(row->second);
     }
     return out;
@@ -211,11 +211,12 @@
     for (const store::Key& key : batch.erase) {
       next.rows.erase(key);
     }
-    for (const store::PurgeRecord& purge : batch.purge) {
-      std::int64_t& ms = next.purges.emplace(std::pair(purge.kind, purge.id), purge.ms).first->second;
-      ms = std::max(ms, purge.ms);
+    for (const store::PurgeRecord& purge : batch.add_purges) {
+      std::int64_t& ms =
+          next.purges.emplace(std::pair(purge.kind, purge.id), purge.purged_unix_ms).first->second;
+      ms = std::max(ms, purge.purged_unix_ms);
     }
-    for (const store::PurgeRecord& purge : batch.forget) {
+    for (const store::PurgeRecord& purge : batch.remove_purges) {
       next.purges.erase({purge.kind, purge.id});
     }
     for (const auto& [name, value] : batch.marks) {
@@ -231,8 +232,8 @@
 };
 
 // A store over stand-ins, with a clock that goes where it is set.
-struct StoreRig {
-  explicit StoreRig(const store::Options& wanted = small_options()) : options(wanted) {}
+struct StoreHarness {
+  explicit StoreHarness(const store::Options& store_options = small_options()) : options(store_options) {}
 
   static store::Options small_options() {
     store::Options options;
@@ -250,14 +251,17 @@
   store::Store& start() {
     store.reset();
     executor = std::make_unique<ManualExecutor>();
-    store::Store::Backing backing;
-    backing.files = [state = folder] { return std::make_unique<MemoryFolder>(state); };
-    backing.index = [history = index, state = folder] {
+    store::Store::Storage storage;
+    storage.files = [state = folder] { return std::make_unique<MemoryFolder>(state); };
+    storage.index = [history = index, state = folder] {
       return std::make_unique<MemoryIndex>(history, state);
     };
     store = std::make_unique<store::Store>(
-        options, *executor, backing, [this] { return store::Store::Now{steady_ms, unix_ms}; },
-        [this](bool bad, const std::string& what) { (bad ? complaints : words).push_back(what); }, 7);
+        options, *executor, storage, [this] { return store::Store::TimeReading{steady_ms, unix_ms}; },
+        [this](bool warning, const std::string& message) {
+          (warning ? warnings : messages).push_back(message);
+        },
+        7);
     store->open([this] { opened = true; });
     executor->drain();
     return *store;
@@ -265,25 +269,25 @@
 
   // What is served for a name: nothing where it is a miss.
   std::optional<store::Copy> get(const store::Name& name, int rank = 2) {
-    const store::Store::Found found = store->find(name, rank);
-    if (found.where == store::Store::Where::kMemory) {
+    const store::Store::LookupResult found = store->find(name, rank);
+    if (found.tier == store::Store::Tier::kMemory) {
       return found.copy;
     }
-    if (found.where == store::Store::Where::kAbsent) {
+    if (found.tier == store::Store::Tier::kAbsent) {
       return std::nullopt;
     }
     std::optional<store::Copy> out;
     store->read(name, [&out](const store::ReadResult& result) {
-      if (result.status == store::ReadStatus::kWhole) {
+      if (result.status == store::ReadStatus::kComplete) {
         out = result.copy;
       }
     });
     executor->drain();
     return out;
   }
-  void keep(const store::Name& name, const store::Copy& copy, int rank = 2) {
+  void insert(const store::Name& name, const store::Copy& copy, int rank = 2) {
     store->find(name, rank);
-    store->keep(name, copy, rank);
+    store->insert(name, copy, rank);
   }
 
   store::Options options;
@@ -291,8 +295,8 @@
   std::shared_ptr<IndexHistory> index = std::make_shared<IndexHistory>();
   std::int64_t steady_ms = 1'000;
   std::int64_t unix_ms = 1'764'000'000'000;
-  std::vector<std::string> words;
-  std::vector<std::string> complaints;
+  std::vector<std::string> messages;
+  std::vector<std::string> warnings;
   bool opened = false;
   std::unique_ptr<ManualExecutor> executor;
   std::unique_ptr<store::Store> store;
@@ -305,14 +309,15 @@
 }
 
 // Bytes that tell which copy they are of, at every place.
-inline store::Copy copy_of(int number, int version, std::size_t size, std::int64_t t0_ms, int group = 3) {
+inline store::Copy copy_of(int number, int version, std::size_t size, std::int64_t origin_time_ms,
+                           int group = 3) {
   const std::string word = std::to_string(number) + "." + std::to_string(version) + ";";
   std::string bytes;
   while (bytes.size() < size) {
     bytes += word + std::to_string(bytes.size()) + ",";
   }
   bytes.resize(size);
-  return store::Copy{"tag" + std::to_string(number) + "v" + std::to_string(version), t0_ms, group,
+  return store::Copy{"tag" + std::to_string(number) + "v" + std::to_string(version), origin_time_ms, group,
                      std::make_shared<const std::string>(bytes)};
 }
 
