--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::size_t kRowsPerStep = 8'192;   // of the index, loaded in one iteration of the event loop
 constexpr std::size_t kMaxOpenSegments = 24;  // for reading
-constexpr std::size_t kMaxWriteBytes = 4U << 20U;
+constexpr std::size_t kWriteBufferBytes = 4U << 20U;
 constexpr double kLiveShare = 0.85;  // of the disk; the rest is for segments that are being cleared
 constexpr const char* kFormatFile = "format";
 constexpr std::string_view kFormatContent = "trailcourse store 1\n";
@@ -65,7 +65,7 @@
 struct Store::DiskFiles {
   std::unique_ptr<Files> files;
   std::unique_ptr<Index> index;
-  SegmentId last = 0;
+  SegmentId last_segment = 0;  // the highest ever created
   std::unique_ptr<File> active;
   SegmentId active_id = 0;
   std::uint64_t active_end = 0;
@@ -73,30 +73,30 @@
   bool compress = false;
 
   std::mutex mutex;
-  std::map<SegmentId, std::shared_ptr<File>> reading;
+  std::map<SegmentId, std::shared_ptr<File>> open_segments;  // for reading
 
   std::shared_ptr<File> segment(SegmentId id) {
     {
       const std::lock_guard lock(mutex);
-      if (const auto found = reading.find(id); found != reading.end()) {
+      if (const auto found = open_segments.find(id); found != open_segments.end()) {
         return found->second;
       }
     }
     std::shared_ptr<File> file = files->open(segment_name(id));
     const std::lock_guard lock(mutex);
-    if (reading.size() >= kMaxOpenSegments) {
-      reading.erase(reading.begin());
+    if (open_segments.size() >= kMaxOpenSegments) {
+      open_segments.erase(open_segments.begin());
     }
-    reading.emplace(id, file);
+    open_segments.emplace(id, file);
     return file;
   }
-  void forget(SegmentId id) {
+  void close_segment(SegmentId id) {
     const std::lock_guard lock(mutex);
-    reading.erase(id);
+    open_segments.erase(id);
   }
 
   void begin_segment() {
-    active_id = ++last;
+    active_id = ++last_segment;
     active = files->create(segment_name(active_id));
     active->write(0, encode_segment_head(active_id));
     active_end = kSegmentHeadBytes;
@@ -130,7 +130,7 @@
       const std::size_t before = buffer_.size();
       append(buffer_);
       const std::size_t added = buffer_.size() - before;
-      if (buffer_.size() >= kMaxWriteBytes) {
+      if (buffer_.size() >= kWriteBufferBytes) {
         write();
       }
       return added;
@@ -225,12 +225,12 @@
       }
       appender.finish();
       if (!batch.index.empty()) {
-        batch.index.marks[kSegmentMark] = last;
+        batch.index.marks[kSegmentMark] = last_segment;
         index->commit(batch.index);
       }
       // Files are removed after the commit: before it, a crash could leave an index that refers to them.
       for (const SegmentId id : batch.remove) {
-        forget(id);
+        close_segment(id);
         files->remove(segment_name(id));
       }
     });
@@ -387,12 +387,12 @@
       const std::uint64_t size = file->size();
       const bool good = good_segment_head(file->read(0, kSegmentHeadBytes), *id);
       recovery.segments[*id] = good ? size : 0;
-      last = std::max(last, *id);
+      last_segment = std::max(last_segment, *id);
     }
   }
   const auto mark = recovery.marks.find(kSegmentMark);
   if (mark != recovery.marks.end()) {
-    last = std::max(last, static_cast<SegmentId>(mark->second));
+    last_segment = std::max(last_segment, static_cast<SegmentId>(mark->second));
   }
 }
 
@@ -633,7 +633,7 @@
       out.origin_time_ms = copy->origin_time_ms;
       ++stats_.hits_memory;
       // The disk may not have been open when the copy was inserted, or the write budget may have been used
-      // up: the copy is offered to the disk retried.
+      // up: the copy is offered to the disk again.
       if (rank > 0 && rank < kRanks && disk_.find(name.key) == DiskSet::kNone) {
         insert_on_disk(name, *copy, rank, nullptr);
       }
@@ -1048,7 +1048,7 @@
     stats_.writes_shed += batch->records.size();
     if (result->disk_full) {
       // The lower limits apply until the pause is over: other programs may have filled the disk, and may free
-      // space retried.
+      // space again.
       disk_was_full_ = true;
       segments_.shrink(segments_.file_bytes());
       disk_limit_ = std::min(
@@ -1167,7 +1167,7 @@
             changes.put.push_back(IndexRow{item.key, *item.to, item.rank, item.uses});
           }
           appender.finish();
-          changes.marks[kSegmentMark] = disk->last;
+          changes.marks[kSegmentMark] = disk->last_segment;
           disk->index->commit(changes);
         });
       },
