--- a/tests/crash_states.h
+++ b/tests/crash_states.h
@@ -1,6 +1,6 @@
-// Every way in which a crash can leave a folder, given what was done to it: each prefix of the history; of
-// what was not synced, each write there, not there, or torn at sector borders, in any combination; each name
-// made or removed and not synced, there or not; and the index at any commit up to then.
+// All states in which a crash can leave a folder with a given history of operations: after each prefix of the
+// history, every combination of unsynced writes that are present, absent or torn at sector borders, and of
+// unsynced creations and removals that are present or absent; and the index at any commit up to then.
 #pragma once
 
 #include <algorithm>
@@ -16,35 +16,37 @@
 
 inline constexpr std::size_t kSector = 512;
 
-// How much of an unsynced write is there: nothing, all, the sectors up to one, those from one on, every other
-// one.
+// Returns the number of ways in which an unsynced write can be torn. Present are: nothing, all, every other
+// sector, the sectors before a border, or those behind it.
 inline std::size_t torn_ways(const FileOp& write) {
   const std::size_t sectors = (write.offset + write.bytes.size() - 1) / kSector - write.offset / kSector + 1;
   return 4 + 2 * sectors;
 }
-inline constexpr std::size_t kWhole = 1;
+inline constexpr std::size_t kAllWritten = 1;  // the way in which all of the write is present
 
+// Applies one way of a torn write to a file.
 inline void apply_torn(std::string& file, const FileOp& write, std::size_t way) {
   if (way == 0) {
     return;
   }
   file.resize(std::max<std::size_t>(file.size(), write.offset + write.bytes.size()));
-  // Sectors of the file, not of the write: a write that begins within one shares it.
+  // Sectors are those of the file: a write that begins within a sector shares it with the write before.
   const std::size_t first = write.offset / kSector;
   for (std::size_t i = 0; i < write.bytes.size(); ++i) {
     const std::size_t sector = (write.offset + i) / kSector - first;
     const std::size_t border = way < 4 ? 0 : (way - 4) / 2;
-    const bool there = way == kWhole || (way == 2 && sector % 2 == 0) || (way == 3 && sector % 2 == 1) ||
-                       (way >= 4 && (way % 2 == 0 ? sector < border : sector >= border));
-    if (there) {
+    const bool present = way == kAllWritten || (way == 2 && sector % 2 == 0) ||
+                         (way == 3 && sector % 2 == 1) ||
+                         (way >= 4 && (way % 2 == 0 ? sector < border : sector >= border));
+    if (present) {
       file[write.offset + i] = write.bytes[i];
     }
   }
 }
 
-// What a folder is sure to hold after a prefix of its history, and what a crash then may leave there or undo.
+// The durable content of a folder after a prefix of its history, and the operations that a crash may undo.
 struct HistoryPrefix {
-  Folder durable;  // names and bytes that are sure to be there
+  Folder durable;  // names and bytes that survive any crash
   std::vector<FileOp> unsynced_writes;
   std::vector<FileOp> unsynced_names;          // created or removed
   std::map<std::string, std::string> removed;  // bytes of files whose removal may be undone
@@ -77,7 +79,7 @@
     }
   }
 
-  // In how many ways the unsynced writes can be there, together.
+  // Returns the number of combinations of ways of the unsynced writes.
   std::size_t write_ways() const {
     std::size_t ways = 1;
     for (const FileOp& write : unsynced_writes) {
@@ -85,10 +87,10 @@
     }
     return ways;
   }
-  // In how many ways the unsynced names can be there, together.
+  // Returns the number of combinations of unsynced names that are present or absent.
   std::size_t name_ways() const { return std::size_t{1} << unsynced_names.size(); }
 
-  // The folder as a crash leaves it, for one of the ways of the writes and one of the names.
+  // Returns the folder after a crash, for one combination of writes and one of names.
   Folder after_crash(std::size_t write_way, std::size_t name_way) const {
     Folder folder = durable;
     for (const FileOp& write : unsynced_writes) {
@@ -119,7 +121,7 @@
   void sync(const std::string& name) {
     for (const FileOp& write : unsynced_writes) {
       if (write.name == name) {
-        apply_torn(durable[name], write, kWhole);
+        apply_torn(durable[name], write, kAllWritten);
       }
     }
     forget_writes(name);
@@ -134,16 +136,16 @@
   }
 };
 
-// Calls `look` with each state that a crash after this prefix can leave, and each number of the index's
-// commits up to then. Returns how many there were.
+// Calls `check` with each state after a crash behind this prefix, and with each commit of the index up to
+// then. Returns the number of calls.
 inline std::size_t each_crash_state_after(
-    const HistoryPrefix& prefix, const std::function<void(const Folder&, std::size_t commit)>& look) {
+    const HistoryPrefix& prefix, const std::function<void(const Folder&, std::size_t commit)>& check) {
   std::size_t count = 0;
   for (std::size_t write_way = 0; write_way < prefix.write_ways(); ++write_way) {
     for (std::size_t name_way = 0; name_way < prefix.name_ways(); ++name_way) {
       const Folder folder = prefix.after_crash(write_way, name_way);
       for (std::size_t commit = 0; commit <= prefix.commits; ++commit) {
-        look(folder, commit);
+        check(folder, commit);
         ++count;
       }
     }
@@ -151,14 +153,15 @@
   return count;
 }
 
-// Calls `look` with each state of the folder and the number of the index's state; gives how many there were.
+// Calls `check` with each state after a crash behind any prefix of the history, and with the number of the
+// index's commit. Returns the number of calls.
 inline std::size_t each_crash_state(const std::vector<FileOp>& history,
-                                    const std::function<void(const Folder&, std::size_t commit)>& look) {
+                                    const std::function<void(const Folder&, std::size_t commit)>& check) {
   HistoryPrefix prefix;
-  std::size_t count = each_crash_state_after(prefix, look);
+  std::size_t count = each_crash_state_after(prefix, check);
   for (const FileOp& op : history) {
     prefix.apply(op);
-    count += each_crash_state_after(prefix, look);
+    count += each_crash_state_after(prefix, check);
   }
   return count;
 }
--- a/tests/format_test.cpp
+++ b/tests/format_test.cpp
@@ -1,5 +1,5 @@
-// The bytes of segment files: what was written comes back, and nothing else does, whatever became of the
-// bytes.
+// The format of segment files: written records are decoded to the same values, and damaged records are
+// rejected.
 #include "store/format.h"
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
 constexpr SegmentId kSegment = 9;
 constexpr std::uint64_t kOffset = 4'096;
 
-Record sample(std::size_t size, bool shrinks) {
+Record make_record(std::size_t size, bool compressible) {
   std::mt19937 random(17);
   Record record;
   record.rank = 2;
@@ -26,33 +26,33 @@
   record.total_bytes = static_cast<std::uint32_t>(size);
   record.value_sum = 5;
   for (std::size_t i = 0; i < size; ++i) {
-    record.payload += shrinks ? static_cast<char>('a' + i % 3) : static_cast<char>(random());
+    record.payload += compressible ? static_cast<char>('a' + i % 3) : static_cast<char>(random());
   }
   return record;
 }
 
-TEST(Format, WhatWasWrittenComesBack) {
-  for (const bool shrinks : {false, true}) {
+TEST(Format, DecodesWhatWasEncoded) {
+  for (const bool compressible : {false, true}) {
     for (const std::size_t size : {0U, 1U, 255U, 4'096U, 100'000U}) {
-      const Record record = sample(size, shrinks);
+      const Record record = make_record(size, compressible);
       const std::string bytes = encode_record(record, kSegment, kOffset, true);
-      const std::optional<Record> back = decode_record(bytes, kSegment, kOffset);
-      ASSERT_TRUE(back.has_value());
-      EXPECT_EQ(back->payload, record.payload);
-      EXPECT_EQ(back->name, record.name);
-      EXPECT_EQ(back->tag, record.tag);
-      EXPECT_EQ(back->group, record.group);
-      EXPECT_EQ(back->origin_time_ms, record.origin_time_ms);
-      EXPECT_EQ(back->key, record.key);
-      EXPECT_EQ(back->rank, record.rank);
-      const std::size_t plain = kRecordHeadBytes + record.name.size() + record.tag.size() + size;
-      EXPECT_EQ(bytes.size() < plain, shrinks && size > 255);
+      const std::optional<Record> decoded = decode_record(bytes, kSegment, kOffset);
+      ASSERT_TRUE(decoded.has_value());
+      EXPECT_EQ(decoded->payload, record.payload);
+      EXPECT_EQ(decoded->name, record.name);
+      EXPECT_EQ(decoded->tag, record.tag);
+      EXPECT_EQ(decoded->group, record.group);
+      EXPECT_EQ(decoded->origin_time_ms, record.origin_time_ms);
+      EXPECT_EQ(decoded->key, record.key);
+      EXPECT_EQ(decoded->rank, record.rank);
+      const std::size_t uncompressed = kRecordHeadBytes + record.name.size() + record.tag.size() + size;
+      EXPECT_EQ(bytes.size() < uncompressed, compressible && size > 255);
     }
   }
 }
 
-TEST(Format, NoSingleBitMayChange) {
-  const std::string good = encode_record(sample(600, true), kSegment, kOffset, true);
+TEST(Format, RejectsARecordWithAFlippedBit) {
+  const std::string good = encode_record(make_record(600, true), kSegment, kOffset, true);
   for (std::size_t at = 0; at < good.size(); ++at) {
     for (int bit = 0; bit < 8; ++bit) {
       std::string bad = good;
@@ -62,8 +62,8 @@
   }
 }
 
-TEST(Format, ARecordOfAnotherPlaceIsNone) {
-  const std::string good = encode_record(sample(100, false), kSegment, kOffset, false);
+TEST(Format, RejectsARecordOfAnotherPlace) {
+  const std::string good = encode_record(make_record(100, false), kSegment, kOffset, false);
   EXPECT_FALSE(decode_record(good, kSegment + 1, kOffset).has_value());
   EXPECT_FALSE(decode_record(good, kSegment, kOffset + 512).has_value());
   const std::optional<std::string> moved = moved_record(good, kSegment, kOffset, kSegment + 1, 32);
@@ -72,22 +72,22 @@
   EXPECT_FALSE(decode_record(*moved, kSegment, kOffset).has_value());
 }
 
-TEST(Format, ADamagedRecordIsNotMoved) {
-  std::string bad = encode_record(sample(100, false), kSegment, kOffset, false);
+TEST(Format, DoesNotMoveADamagedRecord) {
+  std::string bad = encode_record(make_record(100, false), kSegment, kOffset, false);
   bad.back() = static_cast<char>(bad.back() ^ 1);
   EXPECT_FALSE(moved_record(bad, kSegment, kOffset, 1, 32).has_value());
 }
 
-// Seeded changes, cuts and doublings, also of manifests: read as they were written, or not at all.
-TEST(Format, MutatedRecordsAreNeverRead) {
+// Random changes, deletions and repetitions of bytes: a record is decoded only if its bytes are unchanged.
+TEST(Format, RejectsMutatedRecords) {
   std::mt19937 random(41);
   for (const RecordKind kind : {RecordKind::kSingle, RecordKind::kManifest, RecordKind::kPart}) {
-    Record record = sample(kind == RecordKind::kManifest ? 0 : 900, true);
+    Record record = make_record(kind == RecordKind::kManifest ? 0 : 900, true);
     record.kind = kind;
     record.part_bytes = 300;
     record.part = 2;
     const std::string good = encode_record(record, kSegment, kOffset, true);
-    int refused = 0;
+    int rejected = 0;
     for (int round = 0; round < 3'000; ++round) {
       std::string bad = good;
       for (auto changes = 1 + random() % 4; changes > 0 && !bad.empty(); --changes) {
@@ -110,13 +110,13 @@
       if (read) {
         ASSERT_EQ(bad.substr(0, good.size()), good) << "round " << round;
       }
-      refused += read ? 0 : 1;
+      rejected += read ? 0 : 1;
     }
-    EXPECT_GT(refused, 2'500);
+    EXPECT_GT(rejected, 2'500);
   }
 }
 
-TEST(Format, SegmentHeadsTellTheirNumberAndVersion) {
+TEST(Format, RejectsSegmentHeadersOfAnotherNumberOrVersion) {
   const std::string head = encode_segment_head(kSegment);
   EXPECT_EQ(head.size(), kSegmentHeadBytes);
   EXPECT_TRUE(good_segment_head(head, kSegment));
@@ -129,7 +129,7 @@
   }
 }
 
-TEST(Format, PartsCoverAValueExactly) {
+TEST(Format, SplitsAValueIntoPartsOfItsTotalLength) {
   for (const std::uint32_t total : {1U, 4'095U, 4'096U, 4'097U, 100'000U}) {
     std::uint32_t sum = 0;
     for (std::uint32_t part = 0; part < part_count(total, 4'096); ++part) {
--- a/tests/store_calls.h
+++ b/tests/store_calls.h
@@ -1,4 +1,4 @@
-// A store's calls as a test makes them: one after the other, each answer awaited on one scheduler.
+// Calls of a coordination store for tests: each call runs the scheduler until its response has arrived.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -18,6 +18,7 @@
   template <typename Value>
   using StoreResponse = coordination::StoreResponse<Value>;
 
+  // Runs the scheduler until `done` returns true. Returns false after 60 seconds.
   bool until(const std::function<bool()>& done) {
     const transport::Clock::time_point end = transport::Clock::now() + std::chrono::seconds(60);
     while (!done()) {
@@ -28,6 +29,7 @@
     }
     return true;
   }
+  // Runs `call` with a callback and returns the response that the callback receives.
   template <typename Value, typename Call>
   StoreResponse<Value> await(Call call) {
     const auto reply = std::make_shared<std::optional<StoreResponse<Value>>>();
--- a/tests/store_parts_test.cpp
+++ b/tests/store_parts_test.cpp
@@ -1,5 +1,5 @@
-// The store's modules without I/O: what is kept, what leaves, what is written, what purges forbid, which part
-// of the disk is cleared, and when the disk is asked.
+// The store's modules without I/O: request counts, eviction, placement, purges, the choice of the segment to
+// clear, disk health and the clock.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -23,24 +23,24 @@
 
 Key key(std::uint64_t number) { return key_of("key" + std::to_string(number)); }
 
-TEST(FrequencySketch, NeverTellsLessThanWasCountedUntilItHalves) {
+TEST(FrequencySketch, NeverEstimatesBelowTheTrueCountBeforeAHalving) {
   FrequencySketch sketch(1'000);
   std::mt19937 random(3);
   std::map<std::uint64_t, int> counted;
   for (int i = 0; i < 4'000; ++i) {
-    const std::uint64_t one = random() % 1'000;
-    sketch.increment(key(one));
-    ++counted[one];
+    const std::uint64_t number = random() % 1'000;
+    sketch.increment(key(number));
+    ++counted[number];
   }
   int wrong = 0;
-  for (const auto& [one, times] : counted) {
-    ASSERT_GE(sketch.estimate(key(one)), std::min(times, 15));
-    wrong += sketch.estimate(key(one)) > std::min(times, 15) ? 1 : 0;
+  for (const auto& [number, times] : counted) {
+    ASSERT_GE(sketch.estimate(key(number)), std::min(times, 15));
+    wrong += sketch.estimate(key(number)) > std::min(times, 15) ? 1 : 0;
   }
-  EXPECT_LT(wrong, 20) << "of 1,000 keys few share all of their counters";
+  EXPECT_LT(wrong, 20) << "few of 1,000 keys share all of their counters";
 }
 
-TEST(FrequencySketch, ForgetsWhatIsNoLongerAskedFor) {
+TEST(FrequencySketch, LowersTheEstimateOfAKeyThatIsNoLongerRequested) {
   FrequencySketch sketch(64);
   for (int i = 0; i < 12; ++i) {
     sketch.increment(key(1));
@@ -53,9 +53,9 @@
   EXPECT_LT(sketch.estimate(key(1)), 6);
 }
 
-// Against a plain map, over seeded operations: the same keys, bytes and ranks throughout.
-TEST(EvictionSet, HoldsWhatAPlainMapHolds) {
-  struct Plain {
+// Compares the set with a map over random operations: keys, bytes and ranks have to be the same.
+TEST(EvictionSet, HasTheSameContentAsAMapAfterRandomOperations) {
+  struct ExpectedEntry {
     std::uint32_t bytes;
     int rank;
     int payload;
@@ -63,37 +63,37 @@
   for (const std::uint32_t seed : {1U, 2U, 3U}) {
     std::mt19937 random(seed);
     EvictionSet<int> set;
-    std::map<std::uint64_t, Plain> plain;
+    std::map<std::uint64_t, ExpectedEntry> expected;
     for (int i = 0; i < 6'000; ++i) {
-      const std::uint64_t one = random() % 700;
-      const auto slot = set.find(key(one));
-      ASSERT_EQ(slot != EvictionSet<int>::kNone, plain.contains(one));
+      const std::uint64_t number = random() % 700;
+      const auto slot = set.find(key(number));
+      ASSERT_EQ(slot != EvictionSet<int>::kNone, expected.contains(number));
       const auto rank = static_cast<int>(random() % 4);
       switch (random() % 3) {
         case 0: {
           const auto bytes = static_cast<std::uint32_t>(random() % 1'000);
-          set.insert(key(one), bytes, rank, static_cast<Tick>(i), i);
-          plain[one] = Plain{bytes, rank, i};
+          set.insert(key(number), bytes, rank, static_cast<Tick>(i), i);
+          expected[number] = ExpectedEntry{bytes, rank, i};
           break;
         }
         case 1:
           if (slot != EvictionSet<int>::kNone) {
             set.erase(slot);
-            plain.erase(one);
+            expected.erase(number);
           }
           break;
         default:
           if (slot != EvictionSet<int>::kNone) {
             set.touch(slot, static_cast<Tick>(i), rank);
-            plain[one].rank = rank;
+            expected[number].rank = rank;
           }
       }
     }
-    ASSERT_EQ(set.size(), plain.size());
+    ASSERT_EQ(set.size(), expected.size());
     std::uint64_t bytes = 0;
     std::map<int, std::size_t> ranks;
-    for (const auto& [one, entry] : plain) {
-      const auto slot = set.find(key(one));
+    for (const auto& [number, entry] : expected) {
+      const auto slot = set.find(key(number));
       ASSERT_NE(slot, EvictionSet<int>::kNone);
       EXPECT_EQ(set.at(slot).payload, entry.payload);
       EXPECT_EQ(set.at(slot).rank, entry.rank);
@@ -107,10 +107,10 @@
   }
 }
 
-TEST(EvictionSet, TheLowestRankLeavesFirstWhateverElse) {
+TEST(EvictionSet, EvictsTheLowestRankFirstRegardlessOfAgeSizeAndUses) {
   std::mt19937 random(1);
   EvictionSet<int> set;
-  set.insert(key(1), 10, 3, 0, 0);  // old and large do not matter across ranks
+  set.insert(key(1), 10, 3, 0, 0);  // age and size do not matter across ranks
   set.insert(key(2), 1'000'000, 2, 0, 0);
   const auto low = set.insert(key(3), 1, 1, 100, 0);
   for (int i = 0; i < 50; ++i) {
@@ -121,8 +121,9 @@
   EXPECT_EQ(set.at(set.victim(100, random)).key, key(2));
 }
 
-// The paper's order within a rank: used less, larger, idle for longer.
-TEST(EvictionSet, WithinARankThePapersOrderDecides) {
+// The paper's order within a rank: the entry with fewer uses, more bytes or a longer idle time is evicted
+// first.
+TEST(EvictionSet, EvictsWithinARankByThePapersOrder) {
   std::mt19937 random(1);
   const auto victim = [&random](EvictionSet<int>& set, Tick now) {
     return set.at(set.victim(now, random)).key;
@@ -142,7 +143,7 @@
   EXPECT_EQ(victim(by_time, 60), key(1));
 }
 
-TEST(EvictionSet, SparesWhatHasJustComeAndEndsWhenNothingElseIsLeft) {
+TEST(EvictionSet, ReturnsNoVictimWhenOnlyTheExcludedEntryIsLeft) {
   std::mt19937 random(1);
   EvictionSet<int> set;
   const auto only = set.insert(key(1), 10, 1, 0, 0);
@@ -151,25 +152,25 @@
   EXPECT_EQ(set.at(set.victim(0, random, only)).key, key(2));
 }
 
-TEST(EvictionSet, UsesAgeWithTime) {
+TEST(EvictionSet, HalvesUseCountsOverIdleTime) {
   EXPECT_EQ(aged_uses(8, 0, 600), 8U);
   EXPECT_EQ(aged_uses(8, 600, 600), 4U);
   EXPECT_EQ(aged_uses(8, 6'000, 600), 0U);
   EXPECT_EQ(aged_uses(8, UINT32_MAX, 600), 0U);
 }
 
-TEST(WriteBudget, FillsAtItsRateUpToItsBurst) {
+TEST(WriteBudget, RefillsAtItsRateUpToItsBurst) {
   WriteBudget budget(1'000, 10'000);
   EXPECT_EQ(budget.left(0), 10'000);
   budget.spend(12'000);
   EXPECT_EQ(budget.left(0), -2'000);
   EXPECT_EQ(budget.left(3'000), 1'000);
-  EXPECT_EQ(budget.left(2'000), 1'000) << "time that goes back gives nothing and takes nothing";
+  EXPECT_EQ(budget.left(2'000), 1'000) << "a time that goes back changes nothing";
   EXPECT_EQ(budget.left(3'500), 1'500);
   EXPECT_EQ(budget.left(INT64_MAX / 2), 10'000);
-  WriteBudget endless(0, 10'000);
-  endless.spend(1'000'000);
-  EXPECT_EQ(endless.left(0), 10'000);
+  WriteBudget unlimited(0, 10'000);
+  unlimited.spend(1'000'000);
+  EXPECT_EQ(unlimited.left(0), 10'000);
 }
 
 Placement::Options placement_options() {
@@ -181,7 +182,7 @@
   return options;
 }
 
-TEST(Placement, NothingWithoutARankAndNothingTooLarge) {
+TEST(Placement, RejectsCopiesOfRankZeroAndCopiesAboveTheMaximumShare) {
   Placement placement(placement_options());
   placement.record_request(key(1));
   EXPECT_EQ(placement.admit(Candidate{key(1), 10, 0}, 0, 0), PlacementDecision::kNoRank);
@@ -189,8 +190,8 @@
   EXPECT_EQ(placement.admit(Candidate{key(1), 250, 1}, 0, 0), PlacementDecision::kAdmit);
 }
 
-// Guards against a scan that washes out the tier: what is asked for once finds no room in a full one.
-TEST(Placement, AScanFindsNoRoomInAFullTier) {
+// Guards against a scan that evicts the content of a full tier: copies requested once are not admitted to it.
+TEST(Placement, RejectsCopiesRequestedOnceWhenTheTierIsFull) {
   Placement placement(placement_options());
   for (std::uint64_t i = 0; i < 500; ++i) {
     placement.record_request(key(i));
@@ -198,7 +199,7 @@
   }
 }
 
-TEST(Placement, ANewLargeObjectIsKeptAtItsSecondRequestAtTheLatest) {
+TEST(Placement, AdmitsANewLargeObjectAtItsSecondRequestAtTheLatest) {
   Placement placement(placement_options());
   placement.record_request(key(1));
   EXPECT_EQ(placement.admit(Candidate{key(1), 240, 1}, 990, 0), PlacementDecision::kNoCapacity);
@@ -206,11 +207,12 @@
   EXPECT_EQ(placement.admit(Candidate{key(1), 240, 1}, 990, 0), PlacementDecision::kAdmit);
   placement.record_request(key(2));
   EXPECT_EQ(placement.admit(Candidate{key(2), 240, 3}, 990, 0), PlacementDecision::kAdmit)
-      << "the top rank says that the object was asked for elsewhere";
+      << "the top rank counts as a request at another node";
 }
 
-// Also after a flood of first requests that was let in: those leave half of the burst for what comes again.
-TEST(Placement, FirstRequestsLeaveHalfTheBurstForSecondOnes) {
+// Guards against a flood of first requests that uses up the budget: half of the burst is left for repeated
+// requests.
+TEST(Placement, LeavesHalfOfTheBurstForRepeatedRequests) {
   Placement placement(placement_options());
   std::uint64_t kept = 0;
   for (std::uint64_t i = 0; i < 100; ++i) {
@@ -223,24 +225,24 @@
   EXPECT_EQ(placement.admit(Candidate{key(1'000), 250, 1}, 0, 0), PlacementDecision::kAdmit);
 }
 
-TEST(Placement, TheWriteBudgetBindsInTheLongRun) {
+TEST(Placement, KeepsTheLongTermWriteRateWithinTheBudget) {
   Placement placement(placement_options());
   std::mt19937 random(5);
   std::uint64_t written = 0;
   constexpr std::int64_t kSeconds = 200;
   for (std::int64_t ms = 0; ms < kSeconds * 1'000; ms += 10) {
-    const std::uint64_t one = random() % 50;  // all of them asked for again and again
-    placement.record_request(key(one));
-    if (placement.admit(Candidate{key(one), 100, 2}, 990, ms) == PlacementDecision::kAdmit) {
+    const std::uint64_t number = random() % 50;  // all requested repeatedly
+    placement.record_request(key(number));
+    if (placement.admit(Candidate{key(number), 100, 2}, 990, ms) == PlacementDecision::kAdmit) {
       written += 100;
     }
   }
   EXPECT_LE(written, std::int64_t{2} * 2'000 + 100 * kSeconds + 100)
-      << "the burst, once overdrawn, and the rate";
+      << "the burst, overdrawn once, and the rate";
   EXPECT_GE(written, 100U * kSeconds);
 }
 
-TEST(Placement, MovesOnlyWhatWasUsedAgain) {
+TEST(Placement, AdmitsMovesOnlyOfCopiesThatWereUsedAgain) {
   Placement placement(placement_options());
   EXPECT_FALSE(placement.admit_move(10, 2, 1, 0));
   EXPECT_TRUE(placement.admit_move(10, 2, 2, 0));
@@ -249,7 +251,7 @@
   EXPECT_FALSE(placement.admit_move(10, 3, 9, 0)) << "the budget is overdrawn";
 }
 
-TEST(Placement, MemoryIsNotWashedOutByAScanEither) {
+TEST(Placement, DoesNotAdmitACopyRequestedOnceToMemoryWhenTheVictimWasUsedAgain) {
   Placement placement(placement_options());
   placement.record_request(key(1));
   EXPECT_TRUE(placement.admits_to_memory(key(1), 2, 1));
@@ -262,7 +264,7 @@
 PurgeRecord object_purge(std::uint64_t id, std::int64_t ms) { return {PurgeRecord::Kind::kObject, id, ms}; }
 PurgeRecord group_purge(std::uint64_t id, std::int64_t ms) { return {PurgeRecord::Kind::kGroup, id, ms}; }
 
-TEST(PurgeTable, ACopyOfThePurgesOwnMillisecondIsForbidden) {
+TEST(PurgeTable, RejectsACopyWhoseOriginTimeIsThePurgesMillisecond) {
   PurgeTable table;
   EXPECT_TRUE(table.add(object_purge(7, 1'000)));
   EXPECT_FALSE(table.allows(7, 1, 999));
@@ -271,7 +273,7 @@
   EXPECT_TRUE(table.allows(8, 1, 1));
 }
 
-TEST(PurgeTable, ToldTwiceOrOutOfOrderTheLatestBinds) {
+TEST(PurgeTable, AppliesTheLatestPurgeWhenPurgesRepeatOrArriveOutOfOrder) {
   PurgeTable table;
   EXPECT_TRUE(table.add(object_purge(7, 2'000)));
   EXPECT_FALSE(table.add(object_purge(7, 2'000)));
@@ -283,7 +285,7 @@
   EXPECT_TRUE(table.allows(7, 2, 3'000));
 }
 
-TEST(PurgeTable, ACopyOfUnknownGroupIsBoundByEveryGroup) {
+TEST(PurgeTable, AppliesEveryGroupPurgeToACopyOfUnknownGroup) {
   PurgeTable table;
   table.add(group_purge(1, 3'000));
   table.add(group_purge(2, 1'000));
@@ -292,26 +294,26 @@
   EXPECT_TRUE(table.allows(std::nullopt, 2, 1'001));
 }
 
-// Bounded, it forbids too much and never too little: against a table without a bound.
-TEST(PurgeTable, BeyondItsBoundItForbidsMoreNeverLess) {
+// Compares a bounded table with a large one: the bounded table rejects at least the same copies.
+TEST(PurgeTable, RejectsAtLeastThePurgedCopiesBeyondItsBound) {
   std::mt19937 random(11);
-  PurgeTable small(20);
-  PurgeTable whole(100'000);
+  PurgeTable bounded(20);
+  PurgeTable unbounded(100'000);
   for (int i = 0; i < 2'000; ++i) {
     const PurgeRecord purge =
         random() % 10 == 0 ? group_purge(random() % 5, static_cast<std::int64_t>(random() % 10'000))
                            : object_purge(random() % 200, static_cast<std::int64_t>(random() % 10'000));
-    small.add(purge);
-    whole.add(purge);
+    bounded.add(purge);
+    unbounded.add(purge);
     const ObjectId object = random() % 220;
     const int group = static_cast<int>(random() % 6) - 1;
-    ASSERT_GE(small.purged_until(object, group), whole.purged_until(object, group));
-    ASSERT_LE(small.objects(), 20U);
+    ASSERT_GE(bounded.purged_until(object, group), unbounded.purged_until(object, group));
+    ASSERT_LE(bounded.objects(), 20U);
   }
 }
 
-// What is durable follows what is folded: replayed from its records, a table forbids the same.
-TEST(PurgeTable, ItsRecordsMakeItAnew) {
+// A table restored from the records of add() and drain_folded() rejects the same copies.
+TEST(PurgeTable, IsRestoredFromItsRecords) {
   std::mt19937 random(13);
   PurgeTable table(20);
   std::map<std::pair<PurgeRecord::Kind, std::uint64_t>, std::int64_t> durable;
@@ -328,16 +330,16 @@
       }
     }
   }
-  PurgeTable again(20);
+  PurgeTable restored(20);
   for (const auto& [which, ms] : durable) {
-    again.add(PurgeRecord{which.first, which.second, ms});
+    restored.add(PurgeRecord{which.first, which.second, ms});
   }
   for (ObjectId object = 0; object < 110; ++object) {
-    EXPECT_EQ(again.purged_until(object, kNoGroup), table.purged_until(object, kNoGroup)) << object;
+    EXPECT_EQ(restored.purged_until(object, kNoGroup), table.purged_until(object, kNoGroup)) << object;
   }
 }
 
-TEST(SegmentTable, ClearsWhatIsOfNoUseAtOnceAndElseTheEmptiestWhenRoomIsShort) {
+TEST(SegmentTable, ClearsSegmentsWithoutLiveRecordsAtOnceAndThoseWithTheSmallestLiveShareWhenSpaceIsShort) {
   SegmentTable segments(1'000, 200);
   for (SegmentId id = 1; id <= 3; ++id) {
     segments.set_file_bytes(id, 200);
@@ -345,7 +347,7 @@
   }
   segments.mark_sealed(2);
   segments.mark_sealed(3);
-  EXPECT_EQ(segments.next_to_clear(), std::nullopt) << "there is room";
+  EXPECT_EQ(segments.next_to_clear(), std::nullopt) << "space is not short";
   segments.set_file_bytes(4, 250);
   EXPECT_EQ(segments.next_to_clear(), 2U) << "segment 1 is still written to";
   segments.mark_clearing(2);
@@ -353,10 +355,10 @@
   segments.remove(2);
   EXPECT_EQ(segments.next_to_clear(), std::nullopt);
   segments.remove_live(3, 150);
-  EXPECT_EQ(segments.next_to_clear(), 3U) << "nothing of use: at once";
+  EXPECT_EQ(segments.next_to_clear(), 3U) << "without live records a segment is cleared at once";
 }
 
-TEST(SegmentTable, AFullDiskMakesItSmaller) {
+TEST(SegmentTable, LowersItsBoundOnAFullDiskUntilRestored) {
   SegmentTable segments(1'000, 100);
   segments.set_file_bytes(1, 400);
   segments.mark_sealed(1);
@@ -371,7 +373,7 @@
   EXPECT_EQ(segments.max_bytes(), 1'000U);
 }
 
-TEST(DiskHealth, AStalledDiskIsTriedNowAndThenAndTrustedAgainWhenAReadComesBackInTime) {
+TEST(DiskHealth, ProbesAStalledDiskAndEndsTheStallWhenAReadCompletesInTime) {
   DiskHealth health({});
   EXPECT_FALSE(health.may_read(0));
   health.enable();
@@ -383,14 +385,14 @@
   EXPECT_FALSE(health.may_read(1'100));
   EXPECT_FALSE(health.may_write(1'100));
   EXPECT_TRUE(health.may_read(1'250));
-  EXPECT_FALSE(health.may_read(1'251)) << "one try at a time";
+  EXPECT_FALSE(health.may_read(1'251)) << "one probe per interval";
   health.on_read_done(2'000, 150);
-  EXPECT_EQ(health.state(3'000), DiskHealth::State::kStalled) << "a late one that comes back proves nothing";
+  EXPECT_EQ(health.state(3'000), DiskHealth::State::kStalled) << "a late read does not end the stall";
   health.on_read_done(20, 150);
   EXPECT_EQ(health.state(3'000), DiskHealth::State::kGood);
 }
 
-TEST(DiskHealth, FailedWritesPauseForLongerAndLonger) {
+TEST(DiskHealth, DoublesThePauseAfterEachFailedWriteUpToAMaximum) {
   DiskHealth health({});
   health.enable();
   std::int64_t now = 0;
@@ -406,7 +408,7 @@
   EXPECT_TRUE(health.may_write(now + 1'000));
 }
 
-TEST(UnixClock, NeverGoesBackNeitherByTheSystemNorOverARestart) {
+TEST(UnixClock, NeverGoesBack) {
   UnixClock clock(100, 1'000'000);
   EXPECT_EQ(clock.at(150), 1'000'050);
   clock.advance_to(200, 900'000);
@@ -415,7 +417,7 @@
   EXPECT_EQ(clock.at(210), 2'000'010);
 }
 
-TEST(UnixClock, LearnsFromCopiesThatComeFromTheFutureUpToABound) {
+TEST(UnixClock, AdvancesToOriginTimesThatAreAheadByLessThanABound) {
   UnixClock clock(0, 1'000'000);
   EXPECT_TRUE(clock.observe_origin_time(0, 1'005'000));
   EXPECT_EQ(clock.at(0), 1'005'000);
--- a/tests/store_stand_ins.h
+++ b/tests/store_stand_ins.h
@@ -1,5 +1,6 @@
-// Stand-ins below the store: an executor that runs when told, a folder in memory that records what is done to
-// it and can be mounted as any crash could leave it, and an index in memory whose commits can be taken back.
+// Fakes for tests of the store: an executor that is run step by step, a folder in memory that records its
+// operations so that the states after crashes can be built, and an index in memory that keeps its state after
+// each commit.
 #pragma once
 
 #include <algorithm>
@@ -19,13 +20,14 @@
 
 namespace trailcourse::testing_support {
 
-// Runs nothing until told; then in order. Reads can be held back, as on a disk that does not answer.
+// Runs jobs only in drain() and step_write(), in order. Jobs of a lane can be held back, as by a disk that
+// does not respond.
 class ManualExecutor : public store::Executor {
  public:
   void run(Lane lane, std::function<void()> work, std::function<void()> done) override {
     (lane == Lane::kWrite ? writes_ : reads_).emplace_back(std::move(work), std::move(done));
   }
-  // Runs until nothing is left but what is held back.
+  // Runs jobs until only those that are held back are left.
   void drain() {
     while (step(writes_, hold_writes) || step(reads_, hold_reads)) {
     }
@@ -54,7 +56,7 @@
   Queue reads_;
 };
 
-// What was done to a folder, in order.
+// One operation on a folder.
 struct FileOp {
   enum class Kind { kCreate, kWrite, kSync, kRemove, kRename, kSyncNames, kCommit };
   Kind kind = Kind::kCreate;
@@ -64,18 +66,18 @@
   std::string bytes;
 };
 
-// A folder as it stands.
+// The content of a folder: the bytes of each file by name.
 using Folder = std::map<std::string, std::string>;
 
-// Shared by the objects of one folder.
+// The state of a folder in memory, shared by its MemoryFolder and MemoryFile objects.
 struct FolderState {
   Folder now;
   std::vector<FileOp> history;
-  // Fails with this error number where it answers other than 0.
+  // Returns the errno with which a call fails; 0: it does not fail.
   std::function<int(const char* call, const std::string& name)> fault = [](const char*, const std::string&) {
     return 0;
   };
-  std::uint64_t room = UINT64_MAX;  // bytes; beyond it ENOSPC
+  std::uint64_t room = UINT64_MAX;  // bytes of all files; a write beyond it fails with ENOSPC
 
   void check(const char* call, const std::string& name) const {
     if (const int code = fault(call, name); code != 0) {
@@ -166,7 +168,7 @@
   std::shared_ptr<FolderState> state_;
 };
 
-// The rows, purges and marks after each commit.
+// The rows, purges and marks after a commit.
 struct IndexState {
   std::map<store::Key, store::IndexRow> rows;
   std::map<std::pair<store::PurgeRecord::Kind, std::uint64_t>, std::int64_t> purges;
@@ -177,7 +179,7 @@
   std::function<bool()> fails = [] { return false; };
 };
 
-// Keeps the promise that the real one is held to by its own tests: a commit is there whole or not at all.
+// An index whose commits are atomic, as the tests of the SQLite index require of that one.
 class MemoryIndex : public store::Index {
  public:
   MemoryIndex(std::shared_ptr<IndexHistory> history, std::shared_ptr<FolderState> folder)
@@ -231,7 +233,7 @@
   std::shared_ptr<FolderState> folder_;
 };
 
-// A store over stand-ins, with a clock that goes where it is set.
+// A store over the fakes, with a clock that the test sets.
 struct StoreHarness {
   explicit StoreHarness(const store::Options& store_options = small_options()) : options(store_options) {}
 
@@ -248,6 +250,7 @@
     return options;
   }
 
+  // Opens the store over the current folder and index, as after a restart; runs all jobs.
   store::Store& start() {
     store.reset();
     executor = std::make_unique<ManualExecutor>();
@@ -267,7 +270,7 @@
     return *store;
   }
 
-  // What is served for a name: nothing where it is a miss.
+  // Returns the copy that is served for a name; nothing on a miss.
   std::optional<store::Copy> get(const store::Name& name, int rank = 2) {
     const store::Store::LookupResult found = store->find(name, rank);
     if (found.tier == store::Store::Tier::kMemory) {
@@ -285,6 +288,7 @@
     executor->drain();
     return out;
   }
+  // Looks the name up as a request does, then inserts the copy.
   void insert(const store::Name& name, const store::Copy& copy, int rank = 2) {
     store->find(name, rank);
     store->insert(name, copy, rank);
@@ -308,13 +312,14 @@
   return store::Name::of("media", item, "0");
 }
 
-// Bytes that tell which copy they are of, at every place.
+// Returns a copy whose bytes repeat the number, the version and the offset throughout, so that mixed parts are
+// detected.
 inline store::Copy copy_of(int number, int version, std::size_t size, std::int64_t origin_time_ms,
                            int group = 3) {
-  const std::string word = std::to_string(number) + "." + std::to_string(version) + ";";
+  const std::string label = std::to_string(number) + "." + std::to_string(version) + ";";
   std::string bytes;
   while (bytes.size() < size) {
-    bytes += word + std::to_string(bytes.size()) + ",";
+    bytes += label + std::to_string(bytes.size()) + ",";
   }
   bytes.resize(size);
   return store::Copy{"tag" + std::to_string(number) + "v" + std::to_string(version), origin_time_ms, group,
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -1,5 +1,5 @@
-// The store's engine over a folder in memory: what is served after crashes, purges, faults of the disk and of
-// the index. Whatever happens, a copy is served whole and as the origin gave it, or it is a miss.
+// The store over a folder in memory: which copies are served after crashes, purges, disk faults and index
+// faults. In every case a request gets a complete copy as the origin sent it, or a miss.
 #include "store/store.h"
 
 #include <gtest/gtest.h>
@@ -35,7 +35,7 @@
   return {PurgeRecord::Kind::kObject, static_cast<std::uint64_t>(number), ms};
 }
 
-TEST(Store, KeepsOverARestart) {
+TEST(Store, ServesStoredCopiesAfterARestart) {
   StoreHarness harness;
   harness.start();
   for (int i = 0; i < 20; ++i) {
@@ -54,7 +54,7 @@
   EXPECT_TRUE(harness.warnings.empty());
 }
 
-TEST(Store, AnswersMissesWhileItRecovers) {
+TEST(Store, ReturnsMissesForCopiesOnDiskDuringRecovery) {
   StoreHarness harness;
   harness.start();
   harness.insert(name_of(1), copy_of(1, 1, 500, kT0));
@@ -77,18 +77,19 @@
   EXPECT_TRUE(harness.store->recovering());
   EXPECT_EQ(harness.store->find(name_of(1), 2).tier, Store::Tier::kAbsent);
   harness.store->insert(name_of(2), copy_of(2, 1, 500, kT0), 2);
-  EXPECT_EQ(harness.store->find(name_of(2), 2).tier, Store::Tier::kMemory) << "memory serves meanwhile";
+  EXPECT_EQ(harness.store->find(name_of(2), 2).tier, Store::Tier::kMemory)
+      << "the memory tier is in use during recovery";
   harness.executor->drain();
   EXPECT_TRUE(harness.opened);
   EXPECT_EQ(harness.store->find(name_of(1), 2).tier, Store::Tier::kDisk);
-  // What came meanwhile reaches the disk once that is open.
+  // The copy inserted during recovery is written to disk after it.
   harness.options.memory_mb = 0;
   harness.start();
   EXPECT_TRUE(harness.get(name_of(2)).has_value());
 }
 
-// A copy that the disk could not take when it came is offered again when it is asked for.
-TEST(Store, AHitInMemoryOffersItsCopyToTheDiskAgain) {
+// Guards against copies that never reach the disk because it could not be written when they were inserted.
+TEST(Store, OffersACopyToTheDiskAgainOnAMemoryHit) {
   StoreHarness harness;
   harness.options.memory_mb = 8;
   harness.start();
@@ -99,39 +100,39 @@
   harness.folder->room = UINT64_MAX;
   harness.steady_ms += 10'000;
   EXPECT_TRUE(harness.get(name_of(1)).has_value());
-  EXPECT_TRUE(harness.get(name_of(1)).has_value()) << "while it is being written it is not written twice";
+  EXPECT_TRUE(harness.get(name_of(1)).has_value()) << "a copy that is being written is not written again";
   harness.executor->drain();
   EXPECT_EQ(harness.store->stats().disk_copies, 1U);
   EXPECT_LT(harness.store->stats().written_bytes, 1'000U);
 }
 
-// Exhaustive for this history: every prefix, every way in which unsynced writes and names can be there or
-// torn, the index at every commit. A purge that the index knows binds without being told again, and every
-// purge that is told again binds.
-TEST(Store, EveryCrashStateServesWholeCopiesOrMisses) {
+// Exhaustive for this history: every prefix, every combination of unsynced writes and names that are present,
+// absent or torn, and the index at every commit. A purge in the index applies without being received again,
+// and every purge that is received again applies.
+TEST(Store, ServesCompleteCopiesOrMissesAfterEveryCrashState) {
   StoreHarness harness;
   harness.start();
-  std::map<std::pair<int, std::string>, Copy> put;
-  const auto keep = [&](int number, int version, std::size_t size, std::int64_t t0) {
+  std::map<std::pair<int, std::string>, Copy> inserted;
+  const auto insert = [&](int number, int version, std::size_t size, std::int64_t t0) {
     const Copy copy = copy_of(number, version, size, t0);
-    put[{number, copy.tag}] = copy;
+    inserted[{number, copy.tag}] = copy;
     harness.insert(name_of(number), copy);
   };
-  keep(1, 1, 700, kT0);
+  insert(1, 1, 700, kT0);
   harness.executor->drain();
-  keep(2, 1, 10'000, kT0 + 1);  // in three parts
+  insert(2, 1, 10'000, kT0 + 1);  // in three parts
   harness.executor->drain();
-  keep(1, 2, 1'500, kT0 + 10);  // replaces
-  keep(3, 1, 600, kT0 + 11);    // in the same batch as what waits
+  insert(1, 2, 1'500, kT0 + 10);  // replaces
+  insert(3, 1, 600, kT0 + 11);    // in the same batch as the copy before
   harness.executor->drain();
   harness.store->purge({purge_of(2, kT0 + 20)}, 5);
   harness.executor->drain();
-  keep(2, 2, 9'000, kT0 + 30);
+  insert(2, 2, 9'000, kT0 + 30);
   harness.executor->drain();
   harness.store->drop(name_of(1));
-  keep(3, 2, 5'000, kT0 + 40);
+  insert(3, 2, 5'000, kT0 + 40);
   harness.executor->drain();
-  keep(1, 3, 800, kT0 + 50);
+  insert(1, 3, 800, kT0 + 50);
   harness.executor->drain();
   const std::vector<testing_support::FileOp> history = harness.folder->history;
   const std::vector<testing_support::IndexState> states = harness.index->states;
@@ -142,42 +143,39 @@
     crashed.folder->now = folder;
     crashed.index->states = {states[commit]};
     crashed.start();
-    const auto look = [&](bool told_again) {
+    const auto check_copies = [&](bool purge_repeated) {
       for (int number = 1; number <= 3; ++number) {
         const auto copy = crashed.get(name_of(number));
         if (!copy) {
           continue;
         }
         ++served;
-        const auto of = put.find({number, copy->tag});
-        ASSERT_NE(of, put.end());
-        ASSERT_EQ(*copy->bytes, *of->second.bytes);
-        ASSERT_EQ(copy->origin_time_ms, of->second.origin_time_ms);
-        const bool known = told_again || !states[commit].purges.empty();
-        ASSERT_FALSE(known && number == 2 && copy->origin_time_ms <= kT0 + 20)
-            << "a copy from before its purge";
+        const auto expected = inserted.find({number, copy->tag});
+        ASSERT_NE(expected, inserted.end());
+        ASSERT_EQ(*copy->bytes, *expected->second.bytes);
+        ASSERT_EQ(copy->origin_time_ms, expected->second.origin_time_ms);
+        const bool known = purge_repeated || !states[commit].purges.empty();
+        ASSERT_FALSE(known && number == 2 && copy->origin_time_ms <= kT0 + 20) << "a purged copy is served";
       }
     };
-    look(false);
+    check_copies(false);
     crashed.store->purge({purge_of(2, kT0 + 20)}, 5);
-    look(true);
+    check_copies(true);
   });
   RecordProperty("crash_states", static_cast<int>(count));
   EXPECT_GT(count, 800U);
-  EXPECT_GT(served, count) << "most states serve something";
+  EXPECT_GT(served, count) << "most states serve at least one copy";
 }
 
-// A write of several segments at once, with a segment cleared in between: the file that goes must not be
-// named any more.
-TEST(Store, CrashStatesAroundClearingASegment) {
+// Guards against an index that refers to a removed segment file after a crash.
+TEST(Store, ServesCompleteCopiesAfterCrashesAroundTheRemovalOfASegment) {
   StoreHarness harness;
   harness.start();
-  std::map<std::string, Copy> put;
-  // Twelve copies of nearly a segment each: two fit into one, and what is replaced leaves segments without
-  // use.
+  std::map<std::string, Copy> inserted;
+  // Each copy takes more than half of a segment, and replaced copies leave segments without live records.
   for (int i = 0; i < 6; ++i) {
     const Copy copy = copy_of(i % 3, i, 600'000, kT0 + i);
-    put[copy.tag] = copy;
+    inserted[copy.tag] = copy;
     harness.options.part_kb = 1'024;
     if (i == 0) {
       harness.start();
@@ -187,7 +185,7 @@
   }
   EXPECT_GT(harness.store->stats().cleared, 0U);
   const auto& history = harness.folder->history;
-  // Only around the removals: the states between are those of the test above.
+  // Only the states at removals are checked; the test above covers the others.
   std::size_t checked = 0;
   for (std::size_t cut = 0; cut < history.size(); ++cut) {
     if (history[cut].kind != testing_support::FileOp::Kind::kRemove) {
@@ -199,7 +197,7 @@
     std::size_t commits = 0;
     for (const auto& op : part) {
       if (op.kind == testing_support::FileOp::Kind::kWrite) {
-        testing_support::apply_torn(folder[op.name], op, testing_support::kWhole);
+        testing_support::apply_torn(folder[op.name], op, testing_support::kAllWritten);
       } else if (op.kind == testing_support::FileOp::Kind::kRemove) {
         folder.erase(op.name);
       }
@@ -212,9 +210,9 @@
       crashed.start();
       for (int number = 0; number < 3; ++number) {
         if (const auto copy = crashed.get(name_of(number))) {
-          ASSERT_EQ(*copy->bytes, *put.at(copy->tag).bytes);
+          ASSERT_EQ(*copy->bytes, *inserted.at(copy->tag).bytes);
         } else {
-          ASSERT_LT(commit, commits) << "what the last commit names is there: " << number;
+          ASSERT_LT(commit, commits) << "a copy in the last commit is missing: " << number;
         }
         ++checked;
       }
@@ -223,7 +221,7 @@
   EXPECT_GT(checked, 10U);
 }
 
-TEST(Store, APurgeOfWhatIsBeingWrittenBinds) {
+TEST(Store, AppliesAPurgeToACopyThatIsBeingWritten) {
   StoreHarness harness;
   harness.start();
   harness.executor->hold_writes = true;
@@ -232,12 +230,12 @@
   harness.executor->hold_writes = false;
   harness.executor->drain();
   EXPECT_FALSE(harness.get(name_of(1)).has_value());
-  EXPECT_EQ(harness.store->stats().disk_copies, 0U) << "its parts are gone as well";
+  EXPECT_EQ(harness.store->stats().disk_copies, 0U) << "the parts of the copy are erased too";
   harness.start();
   EXPECT_FALSE(harness.get(name_of(1)).has_value());
 }
 
-TEST(Store, APurgeOfAGroupTakesItsCopiesAndThoseOfUnknownGroup) {
+TEST(Store, AppliesAGroupPurgeToItsCopiesAndThoseOfUnknownGroup) {
   StoreHarness harness;
   harness.start();
   harness.insert(name_of(1), copy_of(1, 1, 500, kT0, 7));
@@ -254,24 +252,24 @@
   }
 }
 
-TEST(Store, PurgesToldTwiceAndThoseOfTheCopysOwnTimeBind) {
+TEST(Store, AppliesRepeatedPurgesAndPurgesOfTheCopysOwnTime) {
   StoreHarness harness;
   harness.options.memory_mb = 8;
   harness.start();
   harness.insert(name_of(1), copy_of(1, 1, 500, kT0));
   harness.executor->drain();
   harness.store->purge({purge_of(1, kT0), purge_of(1, kT0)}, 1);
-  EXPECT_FALSE(harness.get(name_of(1)).has_value()) << "in memory as on disk";
+  EXPECT_FALSE(harness.get(name_of(1)).has_value()) << "purged in memory and on disk";
   harness.insert(name_of(1), copy_of(1, 1, 500, kT0));
   harness.executor->drain();
-  EXPECT_FALSE(harness.get(name_of(1)).has_value()) << "a source may hand on the old copy once more";
+  EXPECT_FALSE(harness.get(name_of(1)).has_value()) << "a source may send the old copy again";
   harness.insert(name_of(1), copy_of(1, 2, 500, kT0 + 1));
   harness.executor->drain();
   harness.store->purge({purge_of(1, kT0)}, 2);
-  EXPECT_TRUE(harness.get(name_of(1)).has_value()) << "a purge told again takes nothing newer";
+  EXPECT_TRUE(harness.get(name_of(1)).has_value()) << "a repeated purge does not apply to a newer copy";
 }
 
-TEST(Store, APurgeToldWhileItRecoversBinds) {
+TEST(Store, AppliesAPurgeReceivedDuringRecovery) {
   StoreHarness harness;
   harness.start();
   harness.insert(name_of(1), copy_of(1, 1, 500, kT0));
@@ -290,11 +288,11 @@
   harness.executor->drain();
   EXPECT_FALSE(harness.get(name_of(1)).has_value());
   harness.start();
-  EXPECT_FALSE(harness.get(name_of(1)).has_value()) << "and it has become durable";
+  EXPECT_FALSE(harness.get(name_of(1)).has_value()) << "the purge is durable";
 }
 
-// Purges that could not be written are written with the next batch that can.
-TEST(Store, APurgeOutlivesAFailedCommit) {
+// Guards against the loss of purges whose commit failed: they are written with the next batch.
+TEST(Store, WritesAPurgeAgainAfterAFailedCommit) {
   StoreHarness harness;
   harness.start();
   harness.insert(name_of(1), copy_of(1, 1, 500, kT0));
@@ -313,8 +311,8 @@
   EXPECT_TRUE(harness.get(name_of(2)).has_value());
 }
 
-// Bit rot: each flipped byte of a segment costs copies at most.
-TEST(Store, RottenBytesAreMisses) {
+// Bit rot: a flipped bit in a segment may lose copies, but no wrong bytes are served.
+TEST(Store, ReturnsMissesForCopiesWithFlippedBits) {
   std::mt19937 random(23);
   StoreHarness harness;
   harness.start();
@@ -325,18 +323,18 @@
   const Folder good = harness.folder->now;
   int misses = 0;
   for (int round = 0; round < 300; ++round) {
-    StoreHarness rotten;
-    rotten.folder->now = good;
-    rotten.index->states = harness.index->states;
-    for (auto& [name, bytes] : rotten.folder->now) {
+    StoreHarness corrupted;
+    corrupted.folder->now = good;
+    corrupted.index->states = harness.index->states;
+    for (auto& [name, bytes] : corrupted.folder->now) {
       if (name.starts_with("seg-")) {
         const std::size_t place = random() % bytes.size();
         bytes[place] = static_cast<char>(bytes[place] ^ (1U << (random() % 8)));
       }
     }
-    rotten.start();
+    corrupted.start();
     for (int i = 0; i < 10; ++i) {
-      const auto copy = rotten.get(name_of(i));
+      const auto copy = corrupted.get(name_of(i));
       misses += copy ? 0 : 1;
       if (copy) {
         ASSERT_EQ(*copy->bytes, *copy_of(i, 1, 2'000 + 1'000 * static_cast<std::size_t>(i), kT0).bytes);
@@ -347,7 +345,7 @@
   EXPECT_LT(misses, 300 * 11);
 }
 
-TEST(Store, AReadErrorIsAMissAndDropsThatRecord) {
+TEST(Store, ReturnsAMissAndDropsTheRecordAfterAReadError) {
   StoreHarness harness;
   harness.start();
   harness.insert(name_of(1), copy_of(1, 1, 500, kT0));
@@ -363,7 +361,7 @@
   EXPECT_TRUE(harness.get(name_of(1)).has_value());
 }
 
-TEST(Store, AFullDiskServesOnTakesLessAndRecovers) {
+TEST(Store, ServesStoredCopiesFromAFullDiskAndWritesAgainWhenSpaceIsFree) {
   StoreHarness harness;
   harness.options.memory_mb = 1;
   harness.start();
@@ -377,7 +375,7 @@
   EXPECT_EQ(harness.store->disk_state(), DiskHealth::State::kReadOnly);
   EXPECT_TRUE(harness.get(name_of(20)).has_value()) << "from memory";
   for (int i = 0; i < 10; ++i) {
-    EXPECT_TRUE(harness.get(name_of(i)).has_value()) << "what stands on disk is served";
+    EXPECT_TRUE(harness.get(name_of(i)).has_value()) << "from disk";
   }
   harness.folder->room = UINT64_MAX;
   harness.steady_ms += 2'000;
@@ -386,7 +384,7 @@
   EXPECT_EQ(harness.store->disk_state(), DiskHealth::State::kGood);
 }
 
-TEST(Store, AFolderThatCannotBeUsedLeavesMemoryToServe) {
+TEST(Store, ServesFromMemoryWhenTheFolderCannotBeUsed) {
   for (const int code : {EROFS, EACCES, EWOULDBLOCK, EIO}) {
     StoreHarness harness;
     harness.options.memory_mb = 1;
@@ -404,7 +402,7 @@
   }
 }
 
-TEST(Store, AnotherFormatIsLeftAloneAndTold) {
+TEST(Store, LeavesAFolderOfAnotherFormatUnchangedAndLogsAWarning) {
   StoreHarness harness;
   harness.folder->now["format"] = "trailcourse store 0\n";
   harness.folder->now["seg-0000000001.dat"] = "old bytes";
@@ -415,7 +413,7 @@
   EXPECT_EQ(harness.folder->now["seg-0000000001.dat"], "old bytes");
 }
 
-TEST(Store, ADamagedIndexCostsTheCopiesOnDiskAndNothingElse) {
+TEST(Store, DropsTheCopiesOnDiskAndContinuesWhenTheIndexIsDamaged) {
   StoreHarness harness;
   harness.start();
   harness.insert(name_of(1), copy_of(1, 1, 500, kT0));
@@ -447,9 +445,9 @@
   EXPECT_TRUE(harness.get(name_of(1)).has_value());
 }
 
-// A disk that stalls: reads turn into misses, nothing queues without bound, and it is trusted again once it
-// answers.
-TEST(Store, AStalledDiskIsLeftAloneButForTries) {
+// Guards against a disk that does not respond: reads become misses, the number of waiting reads is bounded,
+// and the disk is used again after a read completes in time.
+TEST(Store, SkipsAStalledDiskExceptForProbeReads) {
   StoreHarness harness;
   harness.options.reads_at_once = 4;
   harness.start();
@@ -465,7 +463,7 @@
       reads.push_back(harness.store->read(name_of(i), [&called](const ReadResult&) { ++called; }));
     }
   }
-  EXPECT_EQ(reads.size(), 4U) << "beyond reads_at_once a copy counts as not held";
+  EXPECT_EQ(reads.size(), 4U) << "copies beyond reads_at_once are misses";
   harness.steady_ms += 200;
   for (const std::uint64_t read : reads) {
     harness.store->abandon_read(read, true);
@@ -475,13 +473,13 @@
   harness.steady_ms += 2'000;
   harness.executor->hold_reads = false;
   harness.executor->drain();
-  EXPECT_EQ(called, 0) << "given up is given up";
-  EXPECT_TRUE(harness.get(name_of(1)).has_value()) << "the try";
+  EXPECT_EQ(called, 0) << "callbacks of abandoned reads are not called";
+  EXPECT_TRUE(harness.get(name_of(1)).has_value()) << "the probe read";
   EXPECT_EQ(harness.store->disk_state(), DiskHealth::State::kGood);
   EXPECT_TRUE(harness.get(name_of(2)).has_value());
 }
 
-TEST(Store, WhatWaitsToBeWrittenIsBounded) {
+TEST(Store, BoundsTheWriteQueue) {
   StoreHarness harness;
   harness.options.write_queue_mb = 1;
   harness.start();
@@ -495,14 +493,14 @@
   EXPECT_GE(harness.store->stats().disk_copies, 20U);
 }
 
-// Parts: what is missing of a value is told, and once it is whole again only that is written.
-TEST(Store, AValueWithAPartMissingIsCompletedNotServed) {
+// The missing parts of a value are reported, and only these are written when the value is complete again.
+TEST(Store, CompletesAndDoesNotServeAValueWithAMissingPart) {
   StoreHarness harness;
   harness.start();
   const Copy copy = copy_of(1, 1, 40'000, kT0);
   harness.insert(name_of(1), copy);
   harness.executor->drain();
-  // One part rots: the first read drops it.
+  // A flipped bit damages one part; the first read drops it.
   for (auto& [name, bytes] : harness.folder->now) {
     if (name.starts_with("seg-")) {
       bytes[20'000] = static_cast<char>(bytes[20'000] ^ 1);
@@ -526,23 +524,24 @@
 
   const std::uint64_t written = harness.store->stats().written_bytes;
   const std::vector<bool> had = partial->have;
-  PartialCopy spoilt = *partial;
+  PartialCopy corrupt = *partial;
   partial->bytes.replace(from, length, copy.bytes->substr(from, length));
   EXPECT_TRUE(harness.store->complete(name_of(1), *partial, had, 2));
   harness.executor->drain();
-  EXPECT_LT(harness.store->stats().written_bytes - written, 6'000U) << "the missing part alone";
+  EXPECT_LT(harness.store->stats().written_bytes - written, 6'000U) << "only the missing part is written";
   const auto read_copy = harness.get(name_of(1));
   ASSERT_TRUE(read_copy.has_value());
   EXPECT_EQ(*read_copy->bytes, *copy.bytes);
 
-  spoilt.bytes.replace(from, length, std::string(length, 'x'));
-  EXPECT_FALSE(harness.store->complete(name_of(1), spoilt, had, 2)) << "the sum of the whole does not match";
+  corrupt.bytes.replace(from, length, std::string(length, 'x'));
+  EXPECT_FALSE(harness.store->complete(name_of(1), corrupt, had, 2))
+      << "the checksum of the value does not match";
   EXPECT_FALSE(harness.get(name_of(1)).has_value());
 }
 
-// Far more than fits, over and over: the files stay within their bound, what is served is right, and what is
-// asked for again and again stays.
-TEST(Store, TheTierStaysWithinItsBoundAndKeepsWhatIsUsed) {
+// Inserts far more than fits: the files stay within their bound, the bytes served are correct, and frequently
+// requested copies stay.
+TEST(Store, StaysWithinItsSizeBoundAndKeepsFrequentlyUsedCopies) {
   StoreHarness harness;
   harness.start();
   std::mt19937 random(31);
@@ -574,9 +573,9 @@
   EXPECT_EQ(again, kept);
 }
 
-// What stands behind a damaged header cannot be listed; the segment is cleared all the same, and nothing
-// names it then.
-TEST(Store, ASegmentWithADamagedHeaderIsClearedAllTheSame) {
+// The records behind a damaged header cannot be listed. The segment is cleared nevertheless, and the index
+// does not refer to it afterwards.
+TEST(Store, ClearsASegmentWithADamagedRecordHeader) {
   StoreHarness harness;
   harness.options.part_kb = 1'024;
   harness.start();
@@ -592,7 +591,7 @@
     harness.steady_ms += 100;
     harness.insert(name_of(i), copy_of(i, 1, 100'000, kT0));
     harness.executor->drain();
-    harness.get(name_of(i));  // asked for again, so that these are worth more than the first ones
+    harness.get(name_of(i));  // a second request, so that these are kept rather than the first ones
   }
   EXPECT_FALSE(harness.folder->now.contains("seg-0000000001.dat"));
   for (const auto& [key, row] : harness.index->states.back().rows) {
@@ -605,7 +604,7 @@
   }
 }
 
-TEST(Store, AClockThatStepsBackOverARestartDoesNotMakeCopiesYounger) {
+TEST(Store, ReportsNoEarlierTimeWhenTheSystemClockWasSetBackBeforeARestart) {
   StoreHarness harness;
   harness.start();
   harness.insert(name_of(1), copy_of(1, 1, 500, kT0));
@@ -616,7 +615,7 @@
   EXPECT_GE(harness.store->unix_ms(), seen);
 }
 
-TEST(Store, AnOlderCopyNeverReplacesANewerOne) {
+TEST(Store, KeepsANewerCopyWhenAnOlderOneIsInserted) {
   StoreHarness harness;
   harness.options.memory_mb = 1;
   harness.start();
@@ -629,7 +628,7 @@
   EXPECT_EQ(harness.get(name_of(1))->origin_time_ms, kT0 + 10);
 }
 
-// ---- On a real folder, with the real index.
+// ---- On a folder of the file system, with the SQLite index.
 
 class StoreFolder : public testing::Test {
  public:
@@ -642,7 +641,7 @@
     std::filesystem::remove_all(path_);
   }
 
-  // A store over the real folder, run step by step.
+  // Opens a store over the folder; the harness runs its jobs.
   std::unique_ptr<Store> open(StoreHarness& harness) {
     Store::Storage storage;
     storage.files = [this] { return open_folder(path_); };
@@ -666,7 +665,7 @@
     }
     harness.executor->drain();
   }
-  int right(StoreHarness& harness, int count) {
+  int correct_copies(StoreHarness& harness, int count) {
     int out = 0;
     for (int i = 0; i < count; ++i) {
       if (const auto copy = harness.get(name_of(i))) {
@@ -680,12 +679,12 @@
   std::string path_;
 };
 
-TEST_F(StoreFolder, KeepsOverARestartAndTellsItsFigures) {
+TEST_F(StoreFolder, ServesStoredCopiesAfterARestartAndReportsStatistics) {
   StoreHarness harness;
   fill(harness, 50);
   harness.store = nullptr;
   harness.store = open(harness);
-  EXPECT_EQ(right(harness, 50), 50);
+  EXPECT_EQ(correct_copies(harness, 50), 50);
   const auto files = look_into_folder(path_);
   const auto index = open_sqlite_index(path_, true);
   const FolderStat stat = stat_folder(*files, *index);
@@ -697,21 +696,21 @@
   EXPECT_EQ(report.damaged_total, 0U);
 }
 
-TEST_F(StoreFolder, AFolderInUseIsNotTakenTwice) {
+TEST_F(StoreFolder, DisablesTheDiskTierWhenTheFolderIsInUse) {
   StoreHarness first;
   fill(first, 3);
   StoreHarness second;
   second.store = open(second);
   EXPECT_EQ(second.store->disk_state(), DiskHealth::State::kOff);
-  EXPECT_EQ(right(first, 3), 3);
+  EXPECT_EQ(correct_copies(first, 3), 3);
   first.store = nullptr;
   first.executor = nullptr;
   second.store = nullptr;
   second.store = open(second);
-  EXPECT_EQ(right(second, 3), 3);
+  EXPECT_EQ(correct_copies(second, 3), 3);
 }
 
-TEST_F(StoreFolder, VerifyFindsEachDamagedRecord) {
+TEST_F(StoreFolder, VerifyReportsEachDamagedRecord) {
   StoreHarness harness;
   fill(harness, 20);
   harness.store = nullptr;
@@ -730,7 +729,7 @@
   EXPECT_EQ(report.good, rows.size() - 3);
 }
 
-TEST_F(StoreFolder, CompactingFreesRoomAndKeepsEveryCopy) {
+TEST_F(StoreFolder, CompactFreesSpaceAndKeepsEveryCopy) {
   StoreHarness harness;
   harness.options.part_kb = 64;
   harness.store = open(harness);
@@ -759,8 +758,8 @@
   }
 }
 
-// The commands: figures as JSON, damage and a folder in use by their exit status.
-TEST_F(StoreFolder, TheCommandsTellDamageAndUseByTheirStatus) {
+// The commands print statistics as JSON, and report damage and a folder in use by their exit status.
+TEST_F(StoreFolder, CommandsReportDamageAndAFolderInUseByExitStatus) {
   StoreHarness harness;
   fill(harness, 10);
   const auto run = [this](const std::string& action, std::string* printed = nullptr) {
@@ -797,7 +796,7 @@
   EXPECT_EQ(nlohmann::json::parse(printed).at("damaged"), 1);
   EXPECT_EQ(run("compact"), 0);
   EXPECT_EQ(run("drop"), 0);
-  EXPECT_EQ(run("verify"), 1) << "there is no index any more";
+  EXPECT_EQ(run("verify"), 1) << "the index is removed";
 }
 
 TEST_F(StoreFolder, DropEmptiesAFolderOfAnyFormat) {
@@ -812,23 +811,23 @@
   }
   harness.store = open(harness);
   EXPECT_EQ(harness.store->disk_state(), DiskHealth::State::kGood);
-  EXPECT_EQ(right(harness, 5), 0);
+  EXPECT_EQ(correct_copies(harness, 5), 0);
 }
 
-// The log of the index is cut or torn anywhere: purges and the mark of the last event heard go together, so
-// that what was lost is told again; and nothing that is served is wrong.
-TEST_F(StoreFolder, ATornPurgeRecordIsLostTogetherWithItsEvent) {
+// Cuts the write-ahead log of the index at many places: a purge and the sequence number of its event are lost
+// together, so that the purge is received again.
+TEST_F(StoreFolder, LosesATornPurgeRecordTogetherWithItsSequenceNumber) {
   StoreHarness harness;
   fill(harness, 5);
   harness.store->purge({purge_of(0, kT0 + 1)}, 11);
   harness.executor->drain();
   harness.store->purge({purge_of(1, kT0 + 2)}, 12);
   harness.executor->drain();
-  // A copy of the folder as a crash leaves it: the process has not closed the index.
+  // Copies the folder while the index is open, which is the state after a crash.
   const std::string crashed = path_ + "-crashed";
   const auto size = std::filesystem::file_size(path_ + "/index.sqlite-wal");
   ASSERT_GT(size, 1'000U);
-  std::set<std::int64_t> heard;
+  std::set<std::int64_t> sequences;
   for (std::uintmax_t cut = 0; cut <= size; cut = cut == size ? size + 1 : std::min(cut + 512, size)) {
     std::filesystem::remove_all(crashed);
     std::filesystem::copy(path_, crashed);
@@ -838,48 +837,48 @@
     const IndexMarks marks = index->marks();
     const auto mark = marks.find("heard");
     const std::int64_t last = mark == marks.end() ? 0 : mark->second;
-    heard.insert(last);
+    sequences.insert(last);
     EXPECT_EQ(index->purges().size(), last == 0 ? 0U : static_cast<std::size_t>(last - 10))
         << "cut at " << cut;
   }
   std::filesystem::remove_all(crashed);
-  EXPECT_EQ(heard, (std::set<std::int64_t>{0, 11, 12}));
+  EXPECT_EQ(sequences, (std::set<std::int64_t>{0, 11, 12}));
 }
 
-// Bytes of the index flipped, seeded: rows are passed over, or all is dropped; never a wrong copy, never a
-// crash.
-TEST_F(StoreFolder, ARottenIndexCostsCopiesAtMost) {
+// Changes random bytes of the index: single rows or all copies are dropped, but no wrong copy is served and
+// the program does not crash.
+TEST_F(StoreFolder, LosesOnlyCopiesWhenTheIndexHasFlippedBytes) {
   StoreHarness harness;
   fill(harness, 60);
   harness.store->purge({purge_of(0, kT0 + 1)}, 3);
   harness.executor->drain();
-  harness.store = nullptr;  // closes the index: all of it is in one file
+  harness.store = nullptr;  // closes the index, so that all of its content is in one file
   harness.executor = nullptr;
   std::mt19937 random(53);
-  const std::string rotten = path_ + "-rotten";
+  const std::string corrupted = path_ + "-rotten";
   int lost = 0;
   for (int round = 0; round < 60; ++round) {
-    std::filesystem::remove_all(rotten);
-    std::filesystem::copy(path_, rotten);
+    std::filesystem::remove_all(corrupted);
+    std::filesystem::copy(path_, corrupted);
     {
-      std::fstream file(rotten + "/index.sqlite", std::ios::in | std::ios::out | std::ios::binary);
-      const auto size = std::filesystem::file_size(rotten + "/index.sqlite");
+      std::fstream file(corrupted + "/index.sqlite", std::ios::in | std::ios::out | std::ios::binary);
+      const auto size = std::filesystem::file_size(corrupted + "/index.sqlite");
       for (int i = 0; i < 8; ++i) {
         file.seekp(static_cast<std::streamoff>(random() % size));
         file.put(static_cast<char>(random()));
       }
     }
     StoreHarness again;
-    const std::string kept = std::exchange(path_, rotten);
+    const std::string kept = std::exchange(path_, corrupted);
     again.store = open(again);
     EXPECT_FALSE(again.get(name_of(0)).has_value())
-        << "purged; a purge that rots away must not bring its copy back";
-    lost += 59 - right(again, 60);
+        << "the purge was lost with the damaged bytes, and its copy is served";
+    lost += 59 - correct_copies(again, 60);
     again.store = nullptr;
     again.executor = nullptr;
     path_ = kept;
   }
-  std::filesystem::remove_all(rotten);
+  std::filesystem::remove_all(corrupted);
   EXPECT_GT(lost, 0);
 }
 
