--- a/benchmarks/storage_bench.cpp
+++ b/benchmarks/storage_bench.cpp
@@ -1,4 +1,5 @@
-// Measures the disk tier: each figure beside its baseline, in one run. A tool, no test: see docs/storage.md.
+// Benchmarks of the disk tier, each next to its baseline in the same run. Not run as a test; see
+// docs/storage.md.
 //
 //   storage_bench FOLDER write|read|read-cold|memory|recovery|placement|index [NUMBER]
 #include <fcntl.h>
@@ -40,8 +41,8 @@
   return std::chrono::duration<double>(Clock::now() - begun).count();
 }
 
-// The thread that decides, as a queue: what the pool posts is run by whoever waits.
-class Loop {
+// A minimal event loop: run_until() runs the jobs that the pool posts.
+class JobLoop {
  public:
   void post(std::function<void()> job) {
     const std::lock_guard lock(mutex_);
@@ -67,8 +68,8 @@
   std::deque<std::function<void()>> jobs_;
 };
 
-struct Rig {
-  explicit Rig(const std::string& folder, const Options& options)
+struct BenchStore {
+  explicit BenchStore(const std::string& folder, const Options& options)
       : pool(static_cast<std::size_t>(options.read_threads),
              [this](std::function<void()> job) { loop.post(std::move(job)); }),
         store(
@@ -81,9 +82,9 @@
                       .count(),
                   1'764'000'000'000};
             },
-            [](bool bad, const std::string& what) {
-              if (bad) {
-                std::cerr << what << '\n';
+            [](bool warning, const std::string& message) {
+              if (warning) {
+                std::cerr << message << '\n';
               }
             },
             1) {}
@@ -99,7 +100,7 @@
     loop.run_until([&done] { return done; });
   }
 
-  Loop loop;
+  JobLoop loop;
   IoPool pool;
   Store store;
 };
@@ -125,7 +126,7 @@
   return Name::of("media", item, "0");
 }
 
-std::string noise(std::size_t size, std::uint64_t seed) {
+std::string random_bytes(std::size_t size, std::uint64_t seed) {
   std::mt19937_64 random(seed);
   std::string out(size, '\0');
   for (std::size_t i = 0; i + 8 <= size; i += 8) {
@@ -155,7 +156,7 @@
   std::vector<std::shared_ptr<const std::string>> values;
   values.reserve(64);
   for (std::size_t i = 0; i < 64; ++i) {
-    values.push_back(std::make_shared<const std::string>(noise(kSize, i)));
+    values.push_back(std::make_shared<const std::string>(random_bytes(kSize, i)));
   }
   for (int round = 0; round < 5; ++round) {
     std::filesystem::remove_all(folder);
@@ -164,7 +165,7 @@
     Clock::time_point begun = Clock::now();
     std::string batch;
     off_t at = 0;
-    // The same bytes in the same batches: 4 MB a write, a sync for each.
+    // The baseline writes the same bytes in batches of the same size: 4 MB a write, a sync after each.
     for (std::size_t i = 0; i < kCount; ++i) {
       batch += *values[i % values.size()];
       if (batch.size() >= (4U << 20U) || i + 1 == kCount) {
@@ -173,28 +174,29 @@
         batch.clear();
       }
     }
-    const double plain = seconds_since(begun);
+    const double pwrite_s = seconds_since(begun);
     ::close(file);
     std::filesystem::remove(folder + "/plain");
 
-    Rig rig(folder + "/store", bench_options(4'096));
-    rig.open();
+    BenchStore bench_store(folder + "/store", bench_options(4'096));
+    bench_store.open();
     begun = Clock::now();
     for (std::size_t i = 0; i < kCount; ++i) {
       const Name name = numbered(i);
-      rig.store.find(name, 2);
-      rig.store.insert(name, Copy{"tag", 1, 3, values[i % values.size()]}, 2);
-      // Not faster than the queue takes it: nothing is shed.
+      bench_store.store.find(name, 2);
+      bench_store.store.insert(name, Copy{"tag", 1, 3, values[i % values.size()]}, 2);
+      // Waits for the write queue, so that no write is shed.
       if (i % 100 == 99) {
-        rig.loop.run_until([&rig, i] { return rig.store.stats().disk_copies + 300 > i; });
+        bench_store.loop.run_until(
+            [&bench_store, i] { return bench_store.store.stats().disk_copies + 300 > i; });
       }
     }
-    rig.flush();
-    const double ours = seconds_since(begun);
+    bench_store.flush();
+    const double store_s = seconds_since(begun);
     const double megabytes = kCount * kSize / 1e6;
-    std::printf("| %d | %.0f MB/s | %.0f MB/s (%llu shed) | %.2f |\n", round, megabytes / plain,
-                megabytes / ours, static_cast<unsigned long long>(rig.store.stats().writes_shed),
-                plain / ours);
+    std::printf("| %d | %.0f MB/s | %.0f MB/s (%llu shed) | %.2f |\n", round, megabytes / pwrite_s,
+                megabytes / store_s, static_cast<unsigned long long>(bench_store.store.stats().writes_shed),
+                pwrite_s / store_s);
   }
 }
 
@@ -205,46 +207,46 @@
 
 constexpr std::size_t kReadCopies = 4'000;
 
-// Reads of one size of value: by the store, and the same bytes by a plain pread in the same pool.
+// Compares reads of values of one size by the store with reads of the same bytes by pread in the same pool.
 class ReadComparison {
  public:
-  // `cold`: the system's cache is told to forget the bytes before each read, so that they come from the disk.
+  // `cold`: the page cache drops the segment before each read, so that the bytes come from the disk.
   ReadComparison(const std::string& folder, std::size_t size, bool cold)
-      : folder_(folder), size_(size), cold_(cold), rig_(folder, bench_options(4'096)) {
-    rig_.open();
+      : folder_(folder), size_(size), cold_(cold), bench_store_(folder, bench_options(4'096)) {
+    bench_store_.open();
     fill();
     open_segments();
   }
 
-  // Reads in turns, so that what else the machine does falls on both. A plain read is run in the pool too:
-  // the way there and back is that of any program that must not block.
+  // Alternates both kinds of reads, so that other load on the machine affects both. The pread runs in the
+  // pool too, as in any program whose main thread must not block.
   void run() {
     const std::size_t reads = cold_ ? 4'000 : 20'000;
     std::mt19937 random(3);
     for (std::size_t i = 0; i < reads; ++i) {
-      read_plainly(rows_[random() % rows_.size()].location);
+      read_by_pread(rows_[random() % rows_.size()].location);
       read_by_store(numbered(random() % kReadCopies));
     }
   }
 
   void print() {
-    const double plain_99 = quantile(plain_us_, 0.99);
-    const double ours_99 = quantile(ours_us_, 0.99);
-    std::printf("| %zu bytes | %.0f, %.0f us | %.0f, %.0f us | %.2f |\n", size_, quantile(plain_us_, 0.5),
-                plain_99, quantile(ours_us_, 0.5), ours_99, ours_99 / plain_99);
+    const double pread_99 = quantile(pread_us_, 0.99);
+    const double store_99 = quantile(store_us_, 0.99);
+    std::printf("| %zu bytes | %.0f, %.0f us | %.0f, %.0f us | %.2f |\n", size_, quantile(pread_us_, 0.5),
+                pread_99, quantile(store_us_, 0.5), store_99, store_99 / pread_99);
   }
 
  private:
   void fill() {
     for (std::size_t i = 0; i < kReadCopies; ++i) {
-      rig_.store.find(numbered(i), 2);
-      rig_.store.insert(numbered(i), Copy{"tag", 1, 3, std::make_shared<const std::string>(noise(size_, i))},
-                        2);
+      bench_store_.store.find(numbered(i), 2);
+      bench_store_.store.insert(
+          numbered(i), Copy{"tag", 1, 3, std::make_shared<const std::string>(random_bytes(size_, i))}, 2);
       if (i % 50 == 49) {
-        rig_.loop.run_until([this, i] { return rig_.store.stats().disk_copies + 100 > i; });
+        bench_store_.loop.run_until([this, i] { return bench_store_.store.stats().disk_copies + 100 > i; });
       }
     }
-    rig_.flush();
+    bench_store_.flush();
   }
 
   void open_segments() {
@@ -259,52 +261,52 @@
     }
   }
 
-  void forget_if_cold(const Location& where) {
+  void drop_page_cache_if_cold(const Location& location) {
     if (cold_) {
-      ::posix_fadvise(open_files_[where.segment], 0, 0, POSIX_FADV_DONTNEED);
+      ::posix_fadvise(open_files_[location.segment], 0, 0, POSIX_FADV_DONTNEED);
     }
   }
 
-  void read_plainly(const Location& where) {
+  void read_by_pread(const Location& location) {
     bool done = false;
-    forget_if_cold(where);
+    drop_page_cache_if_cold(location);
     const Clock::time_point begun = Clock::now();
-    rig_.pool.run(
+    bench_store_.pool.run(
         Executor::Lane::kRead,
-        [this, &where] {
-          std::string buffer(where.stored, '\0');
-          if (::pread(open_files_[where.segment], buffer.data(), buffer.size(), where.offset) < 0) {
+        [this, &location] {
+          std::string buffer(location.stored, '\0');
+          if (::pread(open_files_[location.segment], buffer.data(), buffer.size(), location.offset) < 0) {
             std::perror("pread");
           }
         },
         [&done] { done = true; });
-    rig_.loop.run_until([&done] { return done; });
-    plain_us_.push_back(seconds_since(begun) * 1e6);
+    bench_store_.loop.run_until([&done] { return done; });
+    pread_us_.push_back(seconds_since(begun) * 1e6);
   }
 
   void read_by_store(const Name& name) {
     bool done = false;
-    forget_if_cold(locations_[name.key]);
+    drop_page_cache_if_cold(locations_[name.key]);
     const Clock::time_point begun = Clock::now();
-    if (rig_.store.find(name, 2).tier != Store::Tier::kDisk) {
+    if (bench_store_.store.find(name, 2).tier != Store::Tier::kDisk) {
       std::fprintf(stderr, "not on disk\n");
       return;
     }
-    rig_.store.read(name,
-                    [&done](const ReadResult& result) { done = result.status == ReadStatus::kComplete; });
-    rig_.loop.run_until([&done] { return done; });
-    ours_us_.push_back(seconds_since(begun) * 1e6);
+    bench_store_.store.read(
+        name, [&done](const ReadResult& result) { done = result.status == ReadStatus::kComplete; });
+    bench_store_.loop.run_until([&done] { return done; });
+    store_us_.push_back(seconds_since(begun) * 1e6);
   }
 
   std::string folder_;
   std::size_t size_;
   bool cold_;
-  Rig rig_;
+  BenchStore bench_store_;
   std::vector<IndexRow> rows_;
   std::map<SegmentId, int> open_files_;
   std::map<Key, Location> locations_;
-  std::vector<double> plain_us_;
-  std::vector<double> ours_us_;
+  std::vector<double> pread_us_;
+  std::vector<double> store_us_;
 };
 
 void read_bench(const std::string& folder, bool cold) {
@@ -318,40 +320,41 @@
   }
 }
 
-// Records without much payload, so that a million fit; written by the store itself.
-void fill_small(Rig& rig, std::size_t count) {
+// Writes records with a small payload by the store, so that a million fit.
+void fill_small(BenchStore& bench_store, std::size_t count) {
   const auto value = std::make_shared<const std::string>(std::string(32, 'x'));
   for (std::size_t i = 0; i < count; ++i) {
-    rig.store.find(numbered(i), 2);
-    rig.store.insert(numbered(i), Copy{"t", 1, 3, value}, 2);
+    bench_store.store.find(numbered(i), 2);
+    bench_store.store.insert(numbered(i), Copy{"t", 1, 3, value}, 2);
     if (i % 20'000 == 19'999) {
-      rig.flush();
+      bench_store.flush();
     }
   }
-  rig.flush();
+  bench_store.flush();
 }
 
 void memory_bench(const std::string& folder, std::size_t count) {
   std::filesystem::remove_all(folder);
   Options options = bench_options(4'096);
   options.expected_objects = static_cast<std::int64_t>(count);
-  // In another process: what this one had freed would be used again, and not be counted.
+  // Another process writes the records: memory that this process had freed would be reused and not be
+  // counted.
   const pid_t child = ::fork();
   if (child == 0) {
-    Rig rig(folder, options);
-    rig.open();
-    fill_small(rig, count);
+    BenchStore bench_store(folder, options);
+    bench_store.open();
+    fill_small(bench_store, count);
     ::_exit(0);
   }
   ::waitpid(child, nullptr, 0);
   const std::uint64_t before = anonymous_kb();
-  Rig rig(folder, options);
-  rig.open();
+  BenchStore bench_store(folder, options);
+  bench_store.open();
   const std::uint64_t after = anonymous_kb();
   std::printf(
       "| objects | on disk | memory beside the payload | bytes an object |\n| --- | --- | --- | --- |\n");
   std::printf("| %zu | %llu | %llu KB | %.0f |\n", count,
-              static_cast<unsigned long long>(rig.store.stats().disk_copies),
+              static_cast<unsigned long long>(bench_store.store.stats().disk_copies),
               static_cast<unsigned long long>(after - before),
               static_cast<double>(after - before) * 1024.0 / static_cast<double>(count));
 }
@@ -363,20 +366,20 @@
     std::filesystem::remove_all(folder);
     const pid_t child = ::fork();
     if (child == 0) {
-      Rig rig(folder, bench_options(4'096));
-      rig.open();
-      fill_small(rig, count);
+      BenchStore bench_store(folder, bench_options(4'096));
+      bench_store.open();
+      fill_small(bench_store, count);
       ::raise(SIGKILL);
     }
     ::waitpid(child, nullptr, 0);
     double times[2] = {};
     std::uint64_t recovered = 0;
     for (double& took : times) {
-      Rig rig(folder, bench_options(4'096));
+      BenchStore bench_store(folder, bench_options(4'096));
       const Clock::time_point begun = Clock::now();
-      rig.open();
+      bench_store.open();
       took = seconds_since(begun);
-      recovered = rig.store.stats().recovered;
+      recovered = bench_store.store.stats().recovered;
     }
     std::printf("| %llu | %.0f ms | %.0f ms | %.0f MB | %.0f MB |\n",
                 static_cast<unsigned long long>(recovered), times[1] * 1e3, times[0] * 1e3,
@@ -385,28 +388,28 @@
   }
 }
 
-// ---- Placement on made traces.
+// ---- Placement on synthetic traces.
 
-struct Ask {
+struct TraceRequest {
   std::uint32_t object = 0;
   std::uint32_t bytes = 0;
   int rank = 2;
   double at_s = 0.0;
 };
-using Trace = std::vector<Ask>;
+using Trace = std::vector<TraceRequest>;
 
 std::uint32_t size_of(std::uint32_t object, std::mt19937& random) {
   static std::unordered_map<std::uint32_t, std::uint32_t> sizes;
-  const auto [found, fresh] = sizes.emplace(object, 0);
-  if (fresh) {
-    // Log-normal: most are small, a few are large.
+  const auto [found, inserted] = sizes.emplace(object, 0);
+  if (inserted) {
+    // Log-normal sizes: most objects are small, a few are large.
     std::normal_distribution<double> normal(10.0, 1.2);
     found->second = static_cast<std::uint32_t>(std::clamp(std::exp(normal(random)), 500.0, 4e6));
   }
   return found->second;
 }
 
-// Zipf by inversion over a table.
+// Draws from a Zipf distribution, by inversion over a table.
 class Zipf {
  public:
   Zipf(std::size_t count, double skew) {
@@ -425,26 +428,26 @@
   std::vector<double> sums_;
 };
 
-// The rank that the design's routers send: the paper's score of a router's own count and the gap since its
-// last request.
+// Computes the keep rank as routers do: by the paper's score of a router's request count and the time since
+// its last request.
 class Ranks {
  public:
   int rank(std::uint32_t object, std::uint32_t bytes, double at_s) {
-    Seen& seen = seen_[object];
-    const double gap = seen.count == 0.0 ? kMostGap : std::min(kMostGap, at_s - seen.at_s);
-    seen.count = seen.count * std::pow(0.5, gap / 60.0) + 1.0;
-    seen.at_s = at_s;
-    const double value = 1.0 / seen.count + 0.9 * bytes / 4e6 + 0.6 * gap / kMostGap;
+    History& history = histories_[object];
+    const double gap = history.count == 0.0 ? kMostGap : std::min(kMostGap, at_s - history.at_s);
+    history.count = history.count * std::pow(0.5, gap / 60.0) + 1.0;
+    history.at_s = at_s;
+    const double value = 1.0 / history.count + 0.9 * bytes / 4e6 + 0.6 * gap / kMostGap;
     return value < 1.2 ? 3 : value < 2.0 ? 2 : 1;
   }
 
  private:
   static constexpr double kMostGap = 600.0;
-  struct Seen {
+  struct History {
     double count = 0.0;
     double at_s = 0.0;
   };
-  std::unordered_map<std::uint32_t, Seen> seen_;
+  std::unordered_map<std::uint32_t, History> histories_;
 };
 
 Trace make_trace(const std::string& kind, std::size_t length) {
@@ -454,25 +457,25 @@
   std::uint32_t scanned = 1'000'000;
   Ranks ranks;
   for (std::size_t i = 0; i < length; ++i) {
-    Ask ask;
-    ask.at_s = static_cast<double>(i) / 200.0;
+    TraceRequest request;
+    request.at_s = static_cast<double>(i) / 200.0;
     const std::size_t place = zipf.draw(random);
-    // The popular ones change: every 20,000 requests a tenth of the places has other objects.
+    // The popular objects change: every 20,000 requests a tenth of the popularity ranks gets other objects.
     const auto drift = static_cast<std::uint32_t>(i / 20'000 * 2'000);
-    ask.object = static_cast<std::uint32_t>(place) + (place % 10 == 3 ? drift * 100 : 0);
-    ask.bytes = size_of(ask.object, random);
+    request.object = static_cast<std::uint32_t>(place) + (place % 10 == 3 ? drift * 100 : 0);
+    request.bytes = size_of(request.object, random);
     if (kind == "scan" && i % 40'000 > 20'000 && random() % 2 == 0) {
-      ask.object = ++scanned;  // each asked for once
-      ask.bytes = size_of(ask.object, random);
+      request.object = ++scanned;  // each requested once
+      request.bytes = size_of(request.object, random);
     } else if (kind == "video" && i > length / 2 && random() % 20 == 0) {
-      ask.object = 5'000'000 + random() % 40;  // the parts of a new one, each 1 MB
-      ask.bytes = 1U << 20U;
+      request.object = 5'000'000 + random() % 40;  // the parts of a new video, 1 MB each
+      request.bytes = 1U << 20U;
     } else if (kind == "payout" && i > length / 2 && i < length * 3 / 4 && random() % 3 != 0) {
-      ask.object = 6'000'000 + random() % 30'000;  // each its own statement, seldom twice
-      ask.bytes = 30'000;
+      request.object = 6'000'000 + random() % 30'000;  // one statement per user, rarely requested twice
+      request.bytes = 30'000;
     }
-    ask.rank = ranks.rank(ask.object, ask.bytes, ask.at_s);
-    out.push_back(ask);
+    request.rank = ranks.rank(request.object, request.bytes, request.at_s);
+    out.push_back(request);
   }
   return out;
 }
@@ -481,44 +484,45 @@
   double hits = 0.0;
   double fetched = 0.0;
   double written = 0.0;
-  double asked = 0.0;
+  double requested = 0.0;
 };
 
-Result lru(const Trace& trace, std::uint64_t room, int from_request, std::uint32_t most_bytes) {
+Result simulate_lru(const Trace& trace, std::uint64_t capacity, int from_request,
+                    std::uint32_t max_object_bytes) {
   std::list<std::uint32_t> order;
-  std::unordered_map<std::uint32_t, std::pair<std::list<std::uint32_t>::iterator, std::uint32_t>> held;
-  std::unordered_map<std::uint32_t, int> seen;
+  std::unordered_map<std::uint32_t, std::pair<std::list<std::uint32_t>::iterator, std::uint32_t>> stored;
+  std::unordered_map<std::uint32_t, int> requests;
   std::uint64_t used = 0;
   Result out;
-  for (const Ask& ask : trace) {
-    out.asked += ask.bytes;
-    const auto found = held.find(ask.object);
-    if (found != held.end()) {
+  for (const TraceRequest& request : trace) {
+    out.requested += request.bytes;
+    const auto found = stored.find(request.object);
+    if (found != stored.end()) {
       out.hits += 1;
       order.splice(order.begin(), order, found->second.first);
       continue;
     }
-    out.fetched += ask.bytes;
-    if (++seen[ask.object] < from_request || ask.bytes > most_bytes) {
+    out.fetched += request.bytes;
+    if (++requests[request.object] < from_request || request.bytes > max_object_bytes) {
       continue;
     }
-    out.written += ask.bytes;
-    order.push_front(ask.object);
-    held[ask.object] = {order.begin(), ask.bytes};
-    used += ask.bytes;
-    while (used > room) {
+    out.written += request.bytes;
+    order.push_front(request.object);
+    stored[request.object] = {order.begin(), request.bytes};
+    used += request.bytes;
+    while (used > capacity) {
       const std::uint32_t last = order.back();
-      used -= held[last].second;
-      held.erase(last);
+      used -= stored[last].second;
+      stored.erase(last);
       order.pop_back();
     }
   }
   return out;
 }
 
-// Keeps what is asked for again soonest; where sizes differ that is near to the best, not the best (which is
-// NP-hard).
-Result belady(const Trace& trace, std::uint64_t room) {
+// Keeps the objects that are requested again soonest. For objects of different sizes this is close to the
+// optimum, which is NP-hard to compute.
+Result simulate_belady(const Trace& trace, std::uint64_t capacity) {
   std::vector<std::size_t> next(trace.size());
   std::unordered_map<std::uint32_t, std::size_t> later;
   for (std::size_t i = trace.size(); i-- > 0;) {
@@ -527,75 +531,75 @@
     later[trace[i].object] = i;
   }
   std::set<std::pair<std::size_t, std::uint32_t>> by_next;
-  std::unordered_map<std::uint32_t, std::size_t> held;
+  std::unordered_map<std::uint32_t, std::size_t> stored;
   std::unordered_map<std::uint32_t, std::uint32_t> bytes;
   std::uint64_t used = 0;
   Result out;
   for (std::size_t i = 0; i < trace.size(); ++i) {
-    const Ask& ask = trace[i];
-    out.asked += ask.bytes;
-    const auto found = held.find(ask.object);
-    if (found != held.end()) {
+    const TraceRequest& request = trace[i];
+    out.requested += request.bytes;
+    const auto found = stored.find(request.object);
+    if (found != stored.end()) {
       out.hits += 1;
-      by_next.erase({found->second, ask.object});
+      by_next.erase({found->second, request.object});
       if (next[i] < trace.size()) {
         found->second = next[i];
-        by_next.emplace(next[i], ask.object);
+        by_next.emplace(next[i], request.object);
       } else {
-        used -= ask.bytes;
-        held.erase(found);
+        used -= request.bytes;
+        stored.erase(found);
       }
       continue;
     }
-    out.fetched += ask.bytes;
+    out.fetched += request.bytes;
     if (next[i] >= trace.size()) {
       continue;
     }
-    held[ask.object] = next[i];
-    bytes[ask.object] = ask.bytes;
-    by_next.emplace(next[i], ask.object);
-    used += ask.bytes;
-    out.written += ask.bytes;
-    while (used > room) {
+    stored[request.object] = next[i];
+    bytes[request.object] = request.bytes;
+    by_next.emplace(next[i], request.object);
+    used += request.bytes;
+    out.written += request.bytes;
+    while (used > capacity) {
       const auto last = std::prev(by_next.end());
       used -= bytes[last->second];
-      held.erase(last->second);
+      stored.erase(last->second);
       by_next.erase(last);
     }
   }
   return out;
 }
 
-Result ours(const Trace& trace, std::uint64_t room, std::int64_t bytes_per_s) {
+Result simulate_placement(const Trace& trace, std::uint64_t capacity, std::int64_t bytes_per_s) {
   Placement::Options options;
-  options.tier_bytes = room;
+  options.tier_bytes = capacity;
   options.write_bytes_per_s = bytes_per_s;
-  options.write_burst_bytes = static_cast<std::int64_t>(room / 4);
+  options.write_burst_bytes = static_cast<std::int64_t>(capacity / 4);
   options.sketch_keys = 20'000;
   Placement placement(options);
   EvictionSet<int> tier;
   std::mt19937 random(1);
   Result out;
-  for (const Ask& ask : trace) {
-    out.asked += ask.bytes;
-    const Key key = numbered(ask.object).key;
-    const auto now_ms = static_cast<std::int64_t>(ask.at_s * 1e3);
-    const auto tick = static_cast<Tick>(ask.at_s * 10);
+  for (const TraceRequest& request : trace) {
+    out.requested += request.bytes;
+    const Key key = numbered(request.object).key;
+    const auto now_ms = static_cast<std::int64_t>(request.at_s * 1e3);
+    const auto tick = static_cast<Tick>(request.at_s * 10);
     placement.record_request(key);
     const auto slot = tier.find(key);
     if (slot != EvictionSet<int>::kNone) {
       out.hits += 1;
-      tier.touch(slot, tick, ask.rank);
+      tier.touch(slot, tick, request.rank);
       continue;
     }
-    out.fetched += ask.bytes;
-    if (placement.admit(Candidate{key, ask.bytes, ask.rank, false}, tier.bytes(), now_ms) !=
+    out.fetched += request.bytes;
+    if (placement.admit(Candidate{key, request.bytes, request.rank, false}, tier.bytes(), now_ms) !=
         PlacementDecision::kAdmit) {
       continue;
     }
-    out.written += ask.bytes;
-    tier.insert(key, ask.bytes, ask.rank, tick, 0);
-    while (tier.bytes() > room) {
+    out.written += request.bytes;
+    tier.insert(key, request.bytes, request.rank, tick, 0);
+    while (tier.bytes() > capacity) {
       tier.erase(tier.victim(tick, random));
     }
   }
@@ -603,26 +607,26 @@
 }
 
 void placement_bench(std::size_t length) {
-  constexpr std::uint64_t kRoom = 200U << 20U;
+  constexpr std::uint64_t kCapacityBytes = 200U << 20U;
   std::printf(
       "| trace | policy | hit share | bytes over the link | written a byte served | of the room to the best "
       "|\n"
       "| --- | --- | --- | --- | --- | --- |\n");
   for (const char* kind : {"zipf", "scan", "video", "payout"}) {
     const Trace trace = make_trace(kind, length);
-    const Result all = lru(trace, kRoom, 1, UINT32_MAX);
-    const Result best = belady(trace, kRoom);
+    const Result all = simulate_lru(trace, kCapacityBytes, 1, UINT32_MAX);
+    const Result best = simulate_belady(trace, kCapacityBytes);
     const auto line = [&](const char* name, const Result& one) {
       std::printf("| %s | %s | %.3f | %.3f | %.3f | %.2f |\n", kind, name,
-                  one.hits / static_cast<double>(trace.size()), one.fetched / one.asked,
-                  one.written / std::max(1.0, one.asked - one.fetched),
+                  one.hits / static_cast<double>(trace.size()), one.fetched / one.requested,
+                  one.written / std::max(1.0, one.requested - one.fetched),
                   (all.fetched - one.fetched) / std::max(1.0, all.fetched - best.fetched));
     };
     line("LRU, all admitted", all);
-    line("LRU, from the second request", lru(trace, kRoom, 2, UINT32_MAX));
-    line("LRU, up to 200 KB", lru(trace, kRoom, 1, 200'000));
-    line("placement, no write bound", ours(trace, kRoom, 0));
-    line("placement, 1 MB/s", ours(trace, kRoom, 1 << 20));
+    line("LRU, from the second request", simulate_lru(trace, kCapacityBytes, 2, UINT32_MAX));
+    line("LRU, up to 200 KB", simulate_lru(trace, kCapacityBytes, 1, 200'000));
+    line("placement, no write bound", simulate_placement(trace, kCapacityBytes, 0));
+    line("placement, 1 MB/s", simulate_placement(trace, kCapacityBytes, 1 << 20));
     line("offline best (Belady by next use)", best);
   }
 }
@@ -650,12 +654,12 @@
   std::size_t rows = 0;
   std::optional<Key> after;
   for (;;) {
-    const auto some = index->rows(after ? &*after : nullptr, 8'192);
-    rows += some.size();
-    if (some.size() < 8'192) {
+    const auto rows_read = index->rows(after ? &*after : nullptr, 8'192);
+    rows += rows_read.size();
+    if (rows_read.size() < 8'192) {
       break;
     }
-    after = some.back().key;
+    after = rows_read.back().key;
   }
   std::printf("| %zu rows | %.1f us a commit of %zu | scan %.0f ms | %.0f MB on disk | %llu KB of memory |\n",
               rows, took / static_cast<double>(commits) * 1e6, kBatch, seconds_since(begun) * 1e3,
@@ -663,28 +667,28 @@
               static_cast<unsigned long long>(anonymous_kb() - before));
 }
 
-int run(int count, char** words) {
+int run(int count, char** arguments) {
   if (count < 3) {
     std::cerr << "storage_bench FOLDER write|read|read-cold|memory|recovery|placement|index [NUMBER]\n";
     return 2;
   }
-  const std::string folder = std::string(words[1]) + "/storage-bench";
-  const std::string what = words[2];
-  const std::size_t number = count > 3 ? std::stoull(words[3]) : 1'000'000;
-  if (what == "write") {
+  const std::string folder = std::string(arguments[1]) + "/storage-bench";
+  const std::string measurement = arguments[2];
+  const std::size_t number = count > 3 ? std::stoull(arguments[3]) : 1'000'000;
+  if (measurement == "write") {
     write_bench(folder);
-  } else if (what == "read" || what == "read-cold") {
-    read_bench(folder, what == "read-cold");
-  } else if (what == "memory") {
+  } else if (measurement == "read" || measurement == "read-cold") {
+    read_bench(folder, measurement == "read-cold");
+  } else if (measurement == "memory") {
     memory_bench(folder, number);
-  } else if (what == "recovery") {
+  } else if (measurement == "recovery") {
     recovery_bench(folder);
-  } else if (what == "placement") {
+  } else if (measurement == "placement") {
     placement_bench(count > 3 ? number : 400'000);
-  } else if (what == "index") {
+  } else if (measurement == "index") {
     index_bench(folder, number);
   } else {
-    std::cerr << "no measurement '" << what << "'\n";
+    std::cerr << "unknown measurement '" << measurement << "'\n";
     return 2;
   }
   std::filesystem::remove_all(folder);
@@ -694,4 +698,4 @@
 }  // namespace
 }  // namespace trailcourse::store
 
-int main(int count, char** words) { return trailcourse::store::run(count, words); }
+int main(int count, char** arguments) { return trailcourse::store::run(count, arguments); }
