--- a/src/store/disk_health.h
+++ b/src/store/disk_health.h
@@ -21,6 +21,7 @@
     std::int64_t min_pause_ms = 1'000;     // after a failed write
     std::int64_t max_pause_ms = 60'000;
   };
+  // kOff: there is no usable folder; kReadOnly: a write failed, and its pause is not over.
   enum class State { kOff, kGood, kStalled, kReadOnly };
 
   explicit DiskHealth(const Options& options) : options_(options) {}
--- a/src/store/eviction_set.h
+++ b/src/store/eviction_set.h
@@ -38,9 +38,11 @@
   return halvings >= 16 ? 0U : static_cast<std::uint32_t>(uses) >> halvings;
 }
 
+// A set of entries by key, with their sizes, keep ranks and use counts, that chooses the entry to evict.
 template <typename Payload>
 class EvictionSet {
  public:
+  // Identifies an entry until it is erased; reused afterwards.
   using Slot = std::uint32_t;
   static constexpr Slot kNone = UINT32_MAX;
 
@@ -68,6 +70,7 @@
   std::uint64_t bytes() const { return bytes_; }
   std::size_t size_of_rank(int rank) const { return ranks_[static_cast<std::size_t>(rank)].size(); }
 
+  // Returns the slot of a key; kNone if there is no entry.
   Slot find(const Key& key) const {
     for (std::size_t at = bucket(key);; at = (at + 1) & (table_.size() - 1)) {
       if (table_[at] == kNone || entries_[table_[at]].key == key) {
--- a/src/store/executor.h
+++ b/src/store/executor.h
@@ -1,4 +1,4 @@
-// Runs blocking work on other threads than the event loop's.
+// Runs blocking work outside the event loop's thread.
 //
 // io_uring, POSIX AIO and a thread pool were considered (docs/storage.md). A ring can replace the pool behind
 // this interface.
@@ -14,6 +14,7 @@
 
 namespace trailcourse::store {
 
+// Runs jobs in two lanes.
 class Executor {
  public:
   enum class Lane {
--- a/src/store/files.h
+++ b/src/store/files.h
@@ -24,6 +24,7 @@
   int code_;
 };
 
+// An open file.
 class File {
  public:
   File() = default;
@@ -40,6 +41,7 @@
   virtual std::uint64_t size() = 0;
 };
 
+// An open folder. Files in it are named relative to it; there are no subfolders.
 class Files {
  public:
   Files() = default;
@@ -47,6 +49,7 @@
   Files& operator=(const Files&) = delete;
   virtual ~Files() = default;
 
+  // Returns the names of all files, except the lock file.
   virtual std::vector<std::string> list() = 0;
   // Creates a file for reading and writing; truncates an existing one.
   virtual std::unique_ptr<File> create(const std::string& name) = 0;
--- a/src/store/frequency_sketch.h
+++ b/src/store/frequency_sketch.h
@@ -14,13 +14,17 @@
 
 namespace trailcourse::store {
 
+// A count-min sketch of keys.
 class FrequencySketch {
  public:
   // `keys`: the number of keys that are counted with good accuracy; memory is 4 to 8 bytes per key.
   explicit FrequencySketch(std::size_t keys);
 
+  // Counts one request for a key.
   void increment(const Key& key);
+  // Returns the estimated number of recent requests, from 0 to 15.
   int estimate(const Key& key) const;
+  // Returns the memory of the counters.
   std::size_t bytes() const { return words_.size() * sizeof(std::uint64_t); }
   // Returns the number of increments since the last halving, where each halving also halves this number.
   std::uint64_t increments() const { return increments_; }
--- a/src/store/index.h
+++ b/src/store/index.h
@@ -42,6 +42,7 @@
   friend bool operator==(const Location&, const Location&) = default;
 };
 
+// A record as the index stores it.
 struct IndexRow {
   Key key;
   Location location;
@@ -69,6 +70,7 @@
   }
 };
 
+// The rows, purges and marks of a store.
 class Index {
  public:
   Index() = default;
@@ -77,10 +79,12 @@
   virtual ~Index() = default;
 
   virtual IndexMarks marks() = 0;
+  // Returns all purges; throws if their checksum does not match.
   virtual std::vector<PurgeRecord> purges() = 0;
   // Returns up to `max_rows` rows after the key `after`, in key order; null: from the first row. A damaged
   // row is returned with a Location whose `stored` is 0.
   virtual std::vector<IndexRow> rows(const Key* after, std::size_t max_rows) = 0;
+  // Applies the changes in one transaction. None of them is applied if it throws.
   virtual void commit(const IndexBatch& batch) = 0;
   // Frees unused space in the file of the index.
   virtual void compact() {}
@@ -92,6 +96,7 @@
 // IndexError. A purge record that is missing or changed makes purges() throw an IndexError with damaged()
 // true.
 std::unique_ptr<Index> open_sqlite_index(const std::string& path, bool read_only = false);
+// Returns the names of the files that the SQLite index consists of.
 std::vector<std::string> sqlite_index_files();
 
 }  // namespace trailcourse::store
--- a/src/store/maintenance.h
+++ b/src/store/maintenance.h
@@ -17,6 +17,7 @@
 // Called from time to time with the number of finished items and the number of all items.
 using Progress = std::function<void(std::uint64_t done, std::uint64_t total)>;
 
+// Statistics of a folder, from its index and file sizes.
 struct FolderStat {
   std::uint64_t records = 0, values = 0, parts = 0, live_bytes = 0, file_bytes = 0, segments = 0;
   std::uint64_t orphans = 0;  // segments that no row of the index refers to
@@ -26,16 +27,19 @@
   std::map<int, std::uint64_t> by_rank;
 };
 
+// One damaged record.
 struct Damage {
   std::string location;  // segment and offset
   std::string reason;
 };
+// The result of verify_folder().
 struct VerifyReport {
   std::uint64_t records = 0, bytes = 0, good = 0;
   std::uint64_t incomplete = 0;  // manifests with missing parts
   std::vector<Damage> damaged;   // the first hundred
   std::uint64_t damaged_total = 0;
 };
+// The result of compact_folder(); `moved` and `dropped` are numbers of records.
 struct CompactReport {
   std::uint64_t segments_before = 0, segments_after = 0, bytes_before = 0, bytes_after = 0, moved = 0,
                 dropped = 0;
@@ -52,6 +56,7 @@
 // Removes all files of any format, so that the folder can be used again. Returns their number.
 std::uint64_t drop_folder(Files& files);
 
+// Returns the file name of a segment.
 std::string segment_name(SegmentId id);
 // Returns the segment that a file name denotes; nothing if it is not a segment's.
 std::optional<SegmentId> segment_of(const std::string& name);
--- a/src/store/options.h
+++ b/src/store/options.h
@@ -8,6 +8,7 @@
 
 namespace trailcourse::store {
 
+// The settings of a store; their descriptions and ranges are in options_record().
 struct Options {
   std::string folder;
   std::int64_t disk_mb = 1'024;
@@ -26,6 +27,7 @@
   bool compress = true;
 };
 
+// Returns the keys, units, ranges and descriptions of the section.
 const config::Record<Options>& options_record();
 
 }  // namespace trailcourse::store
--- a/src/store/placement.h
+++ b/src/store/placement.h
@@ -43,6 +43,7 @@
   std::int64_t filled_ms_ = -1;
 };
 
+// The result of admission: the copy is written, or the first rule that rejects it.
 enum class PlacementDecision { kAdmit, kNoRank, kTooLarge, kNoCapacity, kNoBudget };
 
 // A copy that may be written to disk.
@@ -53,11 +54,12 @@
   bool replaces_stored = false;  // an older copy is on disk, whose capacity the new copy reuses
 };
 
+// The admission rules with their state: the request counts and the write budget.
 class Placement {
  public:
   struct Options {
-    std::uint64_t tier_bytes = 0;
-    double max_share = 0.25;  // of the tier, for one copy
+    std::uint64_t tier_bytes = 0;  // capacity of the disk tier for live records
+    double max_share = 0.25;       // of the tier, for one copy
     std::int64_t write_bytes_per_s = 0;
     std::int64_t write_burst_bytes = 64 << 20;
     std::size_t sketch_keys = 1 << 16;
--- a/src/store/purge_table.h
+++ b/src/store/purge_table.h
@@ -30,6 +30,7 @@
   friend auto operator<=>(const PurgeRecord&, const PurgeRecord&) = default;
 };
 
+// A bounded table of purges, in memory only.
 class PurgeTable {
  public:
   explicit PurgeTable(std::size_t max_objects = 100'000) : max_objects_(max_objects) {}
--- a/src/store/segment_table.h
+++ b/src/store/segment_table.h
@@ -13,6 +13,7 @@
 
 using SegmentId = std::uint32_t;
 
+// The segments of one folder; marks and sizes are set by the caller as it writes and clears them.
 class SegmentTable {
  public:
   struct Segment {
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -15,6 +15,8 @@
 constexpr std::size_t kMaxOpenSegments = 24;  // for reading
 constexpr std::size_t kWriteBufferBytes = 4U << 20U;
 constexpr double kLiveShare = 0.85;  // of the disk; the rest is for segments that are being cleared
+constexpr std::int64_t kTickMs = 100;
+constexpr Tick kUseHalfLife = 600;  // as EvictionWeights::half_life
 constexpr const char* kFormatFile = "format";
 constexpr std::string_view kFormatContent = "trailcourse store 1\n";
 constexpr const char* kClockMark = "clock_ms";
@@ -476,7 +478,7 @@
 
 Store::~Store() { *alive_ = false; }
 
-Tick Store::tick() const { return static_cast<Tick>(steady() / 100); }
+Tick Store::tick() const { return static_cast<Tick>(steady() / kTickMs); }
 
 void Store::open(std::function<void()> opened) {
   on_opened_ = std::move(opened);
@@ -644,7 +646,7 @@
   }
   const auto slot = disk_.find(name.key);
   if (slot == DiskSet::kNone) {
-    ++stats_.absent;
+    ++stats_.misses;
     return out;
   }
   const Location location = disk_.at(slot).payload;
@@ -1130,7 +1132,8 @@
     if (entry.payload.segment != segment || entry.payload.offset != offset) {
       continue;
     }
-    const std::uint32_t uses = aged_uses(entry.uses, tick() - std::min(tick(), entry.last_used), 600);
+    const std::uint32_t uses =
+        aged_uses(entry.uses, tick() - std::min(tick(), entry.last_used), kUseHalfLife);
     if (may_write && segments_.has_room_for(entry.bytes) &&
         placement_.admit_move(entry.bytes, entry.rank, uses, steady())) {
       SegmentMove::Item item;
@@ -1229,7 +1232,7 @@
     }
   }
   next_batch_->remove.push_back(segment);
-  ++stats_.cleared;
+  ++stats_.segments_cleared;
   clearing_ = false;
   dispatch();
 }
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -51,6 +51,7 @@
   std::pair<std::size_t, std::size_t> hole(std::size_t from = 0) const;
 };
 
+// kFailed: the copy is no longer stored, or its records are damaged.
 enum class ReadStatus { kComplete, kPartial, kFailed };
 
 struct ReadResult {
@@ -63,14 +64,15 @@
 struct Stats {
   std::uint64_t memory_copies = 0, memory_bytes = 0, disk_copies = 0, disk_bytes = 0, file_bytes = 0;
   std::uint64_t segments = 0, purges = 0;
-  std::uint64_t hits_memory = 0, hits_disk = 0, absent = 0, purged_lookups = 0, read_failures = 0;
+  std::uint64_t hits_memory = 0, hits_disk = 0, misses = 0, purged_lookups = 0, read_failures = 0;
   std::uint64_t reads_shed = 0;
-  std::uint64_t written_bytes = 0, moved_bytes = 0, writes_shed = 0, commits = 0, cleared = 0;
+  std::uint64_t written_bytes = 0, moved_bytes = 0, writes_shed = 0, commits = 0, segments_cleared = 0;
   std::uint64_t evicted_memory = 0, evicted_disk = 0;
   std::uint64_t recovered = 0, recovery_ms = 0, dropped_at_recovery = 0, damaged_rows = 0;
   std::uint64_t decisions[5] = {};  // by PlacementDecision
 };
 
+// The two tiers of one cache node. The memory tier is empty after construction; open() starts the disk tier.
 class Store {
  public:
   // Opens the folder and its index; called in the write lane. Empty functions: there is no disk tier.
@@ -85,6 +87,7 @@
   using Clock = std::function<TimeReading()>;
   // Receives messages for operators; `warning`: the message reports a fault.
   using LogCallback = std::function<void(bool warning, const std::string& message)>;
+  // Where a copy was found; kAbsent: a miss.
   enum class Tier { kAbsent, kMemory, kDisk };
   struct LookupResult {
     Tier tier = Tier::kAbsent;
@@ -103,6 +106,7 @@
   // Starts the recovery of the folder's content. Calls `opened` when recovery has ended, also if it failed.
   // Until then the disk tier is empty and accepts nothing; the memory tier is in use.
   void open(std::function<void()> opened);
+  // Returns whether recovery is in progress.
   bool recovering() const { return recovering_; }
 
   // Returns the Unix time by which ages are computed; it never goes back.
@@ -149,8 +153,10 @@
   // Calls `done` when everything inserted so far is on disk and in the index, or its write has failed.
   void flush(std::function<void()> done);
 
+  // Returns a snapshot of the gauges and counters.
   Stats stats() const;
   DiskHealth::State disk_state() const { return health_.state(clock_().steady_ms); }
+  // Returns the latest error of the disk tier; empty if there was none.
   const std::string& disk_error() const { return health_.error(); }
 
  private:
--- a/src/store/unix_clock.h
+++ b/src/store/unix_clock.h
@@ -13,10 +13,12 @@
 
 namespace trailcourse::store {
 
+// Converts steady time to Unix time.
 class UnixClock {
  public:
   UnixClock(std::int64_t steady_ms, std::int64_t unix_ms) : offset_ms_(unix_ms - steady_ms) {}
 
+  // Returns the Unix time in milliseconds at `steady_ms`.
   std::int64_t at(std::int64_t steady_ms) const { return steady_ms + offset_ms_; }
 
   // Advances the clock so that it reads at least `unix_ms` at `steady_ms`; never sets it back.
--- a/tests/config_record_test.cpp
+++ b/tests/config_record_test.cpp
@@ -34,7 +34,7 @@
 TEST(OperatorFile, ReadsItsSectionsOverTheDefaults) {
   const OperatorFile file = parse_operator_file(kGood, "file", {"cache", "classes"});
   EXPECT_EQ(file.store.disk_mb, 64);
-  EXPECT_EQ(file.store.most_share, 0.5);
+  EXPECT_EQ(file.store.max_share, 0.5);
   EXPECT_FALSE(file.store.compress);
   EXPECT_EQ(file.store.memory_mb, store::Options{}.memory_mb);
   EXPECT_EQ(file.cache.sources, std::vector<std::string>{"origin=127.0.0.1:5002"});
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -183,7 +183,7 @@
     harness.insert(name_of(i % 3), copy);
     harness.executor->drain();
   }
-  EXPECT_GT(harness.store->stats().cleared, 0U);
+  EXPECT_GT(harness.store->stats().segments_cleared, 0U);
   const auto& history = harness.folder->history;
   // Only the states at removals are checked; the test above covers the others.
   std::size_t checked = 0;
@@ -559,7 +559,7 @@
     ASSERT_LE(harness.store->stats().file_bytes, 16U << 20U);
   }
   const Stats stats = harness.store->stats();
-  EXPECT_GT(stats.cleared, 2U);
+  EXPECT_GT(stats.segments_cleared, 2U);
   int kept = 0;
   for (int number = 0; number < 20; ++number) {
     kept += harness.get(name_of(number)) ? 1 : 0;
