--- a/src/store/options.h
+++ b/src/store/options.h
@@ -8,13 +8,14 @@
 
 namespace trailcourse::store {
 
+// The settings of a store; their descriptions and ranges are in options_record().
 struct Options {
   std::string folder;
   std::int64_t disk_mb = 1'024;
   std::int64_t memory_mb = 64;
   std::int64_t segment_mb = 16;
   std::int64_t part_kb = 256;
-  double most_share = 0.25;
+  double max_share = 0.25;
   std::int64_t write_kb_per_s = 20'000;
   std::int64_t write_burst_mb = 256;
   std::int64_t write_queue_mb = 16;
@@ -26,6 +27,7 @@
   bool compress = true;
 };
 
+// Returns the keys, units, ranges and descriptions of the section.
 const config::Record<Options>& options_record();
 
 }  // namespace trailcourse::store
