--- a/benchmarks/scale/board_costs.cpp
+++ b/benchmarks/scale/board_costs.cpp
@@ -50,8 +50,8 @@
     std::int64_t calls = 0;
     const auto call = [&] {
       ++calls;
-      const auto number = static_cast<discovery::CallId>(calls);
-      core.on_call(milliseconds(calls * 1'000 / rate), number, 7, milliseconds(2'000), 7);
+      const auto number = static_cast<discovery::PollId>(calls);
+      core.on_poll(milliseconds(calls * 1'000 / rate), number, 7, milliseconds(2'000), 7);
       core.on_disconnected(number);
     };
     for (int i = 0; i < rate; ++i) {
@@ -74,7 +74,7 @@
     for (int round = 0; round < 5; ++round) {
       discovery::LongPollScheduler core(open_rules(), context.seed);
       for (int i = 0; i < held; ++i) {
-        core.on_call(milliseconds(i), static_cast<discovery::CallId>(i) + 1, 7, milliseconds(60'000), 7);
+        core.on_poll(milliseconds(i), static_cast<discovery::PollId>(i) + 1, 7, milliseconds(60'000), 7);
       }
       const double before = thread_cpu_us();
       core.on_published(milliseconds(held));
--- a/src/discovery/discovery_server.cpp
+++ b/src/discovery/discovery_server.cpp
@@ -19,7 +19,7 @@
 constexpr std::size_t kMaxRequestHead = 8'192;
 constexpr std::size_t kMaxRequestBody = 65'536;
 constexpr std::size_t kMaxReadAhead = kMaxRequestHead + kMaxRequestBody;  // while a poll is held
-constexpr std::size_t kOverflowConnections = 256;  // beyond the limit, which still get a Retry-After
+constexpr std::size_t kOverflowConnections = 256;  // above the limit, which get a Retry-After and are closed
 constexpr milliseconds kAcceptBackoff{50};
 constexpr milliseconds kOverflowRetryAfter{1'000};
 constexpr milliseconds kMaxRequestedTimeout{3'600'000};
@@ -43,7 +43,7 @@
   }
 }
 
-// Returns the number behind `name=` in a query, or nothing where there is none.
+// Returns the number that follows `name` in a query, or nothing where there is none.
 std::optional<std::uint64_t> query_number(std::string_view path, std::string_view name) {
   const std::size_t at = path.find(name);
   if (at == std::string_view::npos) {
@@ -53,14 +53,14 @@
   return protocol::read_number<std::uint64_t>(rest.substr(0, rest.find_first_not_of("0123456789")));
 }
 
-// A poll as its path names it: what the client knows, and how long it may be held.
+// The parameters of a poll: the last sequence number that the client has, and how long the poll may be held.
 struct PollRequest {
   std::uint64_t known_sequence = 0;
   milliseconds timeout{0};
 };
 
-// Returns nothing where the request is no poll.
-std::optional<PollRequest> read_poll(const protocol::http::Request& request) {
+// Returns nothing where the request is not a poll.
+std::optional<PollRequest> parse_poll(const protocol::http::Request& request) {
   const auto known_sequence = query_number(request.path, "watch=");
   if (request.method != "GET" || !request.path.starts_with("/board/poll?") || !known_sequence) {
     return std::nullopt;
@@ -76,8 +76,8 @@
 
 }  // namespace
 
-// One connection, with one call at a time. An overflow session is beyond the limit on connections: its first
-// poll is rejected and the connection closed.
+// One connection, which handles one request at a time. An overflow session is above the limit on connections:
+// its first poll is rejected, and the connection is closed.
 class DiscoveryServer::Session : public Connection::Handler, public std::enable_shared_from_this<Session> {
  public:
   Session(DiscoveryServer& server, const std::shared_ptr<Connection>& connection, bool is_overflow)
@@ -95,16 +95,16 @@
   }
 
   void on_end(ConnectionEnd) override {
-    if (held_call_) {
-      server_.long_polls_.on_disconnected(*held_call_);
-      server_.held_.erase(*held_call_);
+    if (held_poll_) {
+      server_.long_polls_.on_disconnected(*held_poll_);
+      server_.held_.erase(*held_poll_);
     }
     server_.sessions_.erase(shared_from_this());
   }
 
   void answer_poll() {
     const EventLog::Page page = server_.log_.page_after(known_sequence_);
-    held_call_.reset();
+    held_poll_.reset();
     respond(kOk, server_.handlers_.page_headers(), *page);
     handle_next_request();
   }
@@ -112,24 +112,24 @@
   void reject_poll(milliseconds retry_after) {
     const std::int64_t whole_seconds = std::chrono::ceil<std::chrono::seconds>(retry_after).count();
     const std::string seconds = std::to_string(std::max<std::int64_t>(1, whole_seconds));
-    held_call_.reset();
+    held_poll_.reset();
     respond(kUnavailable, "Retry-After: " + seconds + "\r\n", "{}");
     if (!is_overflow_) {
       handle_next_request();
     }
   }
 
-  void hold(CallId call) { held_call_ = call; }
+  void hold(PollId poll) { held_poll_ = poll; }
 
   bool is_idle_since(Clock::time_point time) const {
-    return !held_call_ && connection_.last_received() < time && connection_.waiting() == 0;
+    return !held_poll_ && connection_.last_received() < time && connection_.waiting() == 0;
   }
 
   void close(ConnectionEnd end) { connection_.close(end); }
 
  private:
   void handle_next_request() {
-    if (held_call_ || connection_.ended()) {
+    if (held_poll_ || connection_.ended()) {
       return;
     }
     const std::optional<protocol::http::Request> request = parser_.take();
@@ -142,7 +142,7 @@
       respond(response.status, "", response.body);
       return;
     }
-    const std::optional<PollRequest> poll = read_poll(*request);
+    const std::optional<PollRequest> poll = parse_poll(*request);
     if (!poll) {
       respond(kNotFound, "", "{}");
       return;
@@ -172,7 +172,7 @@
   bool is_overflow_;
   protocol::http::RequestParser parser_;
   std::uint64_t known_sequence_ = 0;
-  std::optional<CallId> held_call_;
+  std::optional<PollId> held_poll_;
 };
 
 DiscoveryServer::DiscoveryServer(transport::Scheduler& scheduler, EventLog& log,
@@ -195,7 +195,7 @@
 
 void DiscoveryServer::accept(transport::Descriptor socket) {
   if (sessions_.size() >= limits_.connections + kOverflowConnections) {
-    return;  // the descriptor closes the socket
+    return;  // the destructor of `socket` closes the connection
   }
   const bool is_overflow = sessions_.size() >= limits_.connections;
   const auto connection = Connection::adopt(scheduler_, std::move(socket), limits_.connection);
@@ -222,19 +222,19 @@
     session.reject_poll(*retry_after);
     return;
   }
-  const CallId call = ++last_call_;
-  const CallDecision decision =
-      long_polls_.on_call(steady_now(), call, known_sequence, timeout, log_.last_sequence());
+  const PollId poll = ++last_poll_;
+  const PollDecision decision =
+      long_polls_.on_poll(steady_now(), poll, known_sequence, timeout, log_.last_sequence());
   switch (decision.kind) {
-    case CallDecisionKind::kAnswer:
+    case PollDecisionKind::kAnswer:
       session.answer_poll();
       break;
-    case CallDecisionKind::kReject:
+    case PollDecisionKind::kReject:
       session.reject_poll(decision.retry_after);
       break;
-    case CallDecisionKind::kHold:
-      session.hold(call);
-      held_[call] = &session;
+    case PollDecisionKind::kHold:
+      session.hold(poll);
+      held_[poll] = &session;
       set_timer();
       break;
   }
@@ -248,15 +248,15 @@
 void DiscoveryServer::reject_held_polls() {
   constexpr milliseconds kShortest{1};
   const auto held = std::exchange(held_, {});
-  for (const auto& [call, session] : held) {
-    long_polls_.on_disconnected(call);
+  for (const auto& [poll, session] : held) {
+    long_polls_.on_disconnected(poll);
     session->reject_poll(handlers_.rejection().value_or(kShortest));
   }
 }
 
 void DiscoveryServer::answer_due_polls() {
-  for (const CallId call : long_polls_.step(steady_now())) {
-    if (const auto found = held_.find(call); found != held_.end()) {
+  for (const PollId poll : long_polls_.step(steady_now())) {
+    if (const auto found = held_.find(poll); found != held_.end()) {
       Session* session = found->second;
       held_.erase(found);
       session->answer_poll();
--- a/src/discovery/discovery_server.h
+++ b/src/discovery/discovery_server.h
@@ -1,8 +1,9 @@
-// The listener of a discovery service: `GET /board/poll?watch=N&linger=MS` and `POST /board/notice` over
-// HTTP/1.1, for the service itself and for a relay alike. LongPollScheduler decides which poll is answered,
-// held or rejected; this class executes the decisions.
+// The HTTP/1.1 server of a discovery service, used by the service itself and by relays: it serves
+// `GET /board/poll?watch=N&linger=MS` and `POST /board/notice`. LongPollScheduler decides whether a poll is
+// answered, held or rejected; this class executes the decisions.
 //
-// Package `discovery`, over `transport` and `protocol`. One thread.
+// Library `discovery`, on top of `transport` and `protocol`. Not thread-safe: all calls come from the thread
+// of the scheduler.
 #pragma once
 
 #include <chrono>
@@ -29,44 +30,49 @@
   std::string body;  // JSON
 };
 
-// Serves the pages of an EventLog to clients that poll for them.
+// Serves the pages of an EventLog to polling clients.
 class DiscoveryServer {
  public:
   struct Limits {
     int backlog = 1'024;
     std::size_t connections = 4'096;
-    transport::Clock::duration idle = std::chrono::seconds(30);  // between two calls of a connection
+    transport::Clock::duration idle = std::chrono::seconds(30);  // after which an idle connection is closed
     transport::Connection::Bounds connection;
   };
 
-  // What the owner of the server decides. Each is called in the server's thread.
+  // Callbacks of the owner. Each is called in the thread of the scheduler.
   struct Handlers {
-    // Returns nothing where pages may be served now, else the Retry-After of a rejection.
+    // Returns nothing where pages may be served now, otherwise the Retry-After of a rejection.
     std::function<std::optional<std::chrono::milliseconds>()> rejection = [] { return std::nullopt; };
-    // Returns further header lines of a page, each ended by CR LF.
+    // Returns additional header lines for the response with a page, each ended by CR LF.
     std::function<std::string()> page_headers = [] { return std::string(); };
-    // Publishes the event in the body of `POST /board/notice`. Without it such calls get status 404.
+    // Publishes the event in the body of `POST /board/notice`. Without this callback such requests get
+    // status 404.
     std::function<PublishResponse(const std::string& body)> publish = nullptr;
   };
 
-  // `scheduler` and `log` have to outlive the server.
+  // `scheduler` and `log` have to outlive the server. `seed` is for the order in which held polls are
+  // answered.
   DiscoveryServer(transport::Scheduler& scheduler, EventLog& log, const LongPollOptions& options,
                   const Limits& limits, Handlers handlers, std::uint64_t seed);
   ~DiscoveryServer();
   DiscoveryServer(const DiscoveryServer&) = delete;
   DiscoveryServer& operator=(const DiscoveryServer&) = delete;
 
-  // Throws std::system_error where the address cannot be listened on.
+  // Throws std::system_error where it cannot listen on the address.
   void listen(const transport::Address& address);
 
-  // Records that the log has later events, or was replaced. Held polls are answered over the release window.
+  // Records that events were appended to the log or that it was replaced. Answers the held polls within the
+  // release window.
   void on_published();
 
-  // Rejects all held polls at once, as where the pages of a relay have become too old.
+  // Rejects all held polls at once, for example when the pages of a relay have become too old.
   void reject_held_polls();
 
+  // Closes all connections. The server continues to accept new ones.
   void close_all();
 
+  // Returns the number of open connections.
   std::size_t connections() const { return sessions_.size(); }
   const LongPollScheduler& long_polls() const { return long_polls_; }
 
@@ -86,8 +92,8 @@
   LongPollScheduler long_polls_;
   std::optional<transport::AcceptLoop> listener_;
   std::set<std::shared_ptr<Session>> sessions_;
-  std::map<CallId, Session*> held_;
-  CallId last_call_ = 0;
+  std::map<PollId, Session*> held_;
+  PollId last_poll_ = 0;
   transport::Alarm timer_;
 };
 
--- a/src/discovery/event_log.cpp
+++ b/src/discovery/event_log.cpp
@@ -8,14 +8,14 @@
 
 namespace {
 
-constexpr std::size_t kMaxCachedPages = 256;  // clients poll from a few numbers only
+constexpr std::size_t kMaxCachedPages = 256;  // clients poll from few different sequence numbers
 
 bool is_list(const json& event) {
   return event.contains("pool") && event["pool"].is_object() && event["pool"].contains("endpoints") &&
          event["pool"]["endpoints"].is_array();
 }
 
-// Returns the time of a purge; an event without one never stops to bind.
+// Returns the time of a purge event; UnixTime::max(), so that it always binds, for an event without a time.
 UnixTime purge_time(const json& event) {
   const auto flush = event.find("flush");
   const bool has_time = flush != event.end() && flush->is_object() && flush->contains("ms") &&
@@ -65,7 +65,7 @@
   }
   for (const json& event : page["notices"]) {
     if (!event.is_object() || !event.contains("rev") || !event["rev"].is_number_unsigned()) {
-      throw PageFormatError("a notice without its number `rev`");
+      throw PageFormatError("an element of `notices` has no number `rev`");
     }
   }
 }
--- a/src/discovery/event_log.h
+++ b/src/discovery/event_log.h
@@ -1,12 +1,12 @@
-// The numbered events of a discovery service as they are served to clients: by the service from its file, by
-// a relay from what it received, and by a snapshot from what it stored. Each page is rendered once for all
-// clients that poll from the same sequence number.
+// The events of a discovery service, by sequence number, as they are served to clients. The service reads
+// them from its file, a relay from the pages that it received, and a snapshot from the disk. Each page is
+// rendered once for all clients that poll from the same sequence number.
 //
-// Old events are compacted: changes of the endpoint list into one full list at the number of the last of
-// them, and purges that bind no longer are dropped. A client that polls from a number before that gets the
-// full list and every purge that still binds, which means the same.
+// Compaction replaces all changes of the endpoint list by one full list with the sequence number of the last
+// change, and drops purge events that no longer bind. A client that polls from an older sequence number gets
+// the full list and all binding purge events, which has the same effect as the original events.
 //
-// Package `discovery`. Not thread-safe.
+// Library `discovery`. Not thread-safe.
 #pragma once
 
 #include <chrono>
@@ -21,10 +21,10 @@
 
 namespace trailcourse::discovery {
 
-// A moment of the system clock, at the resolution that events have.
+// A time of the system clock, at the resolution of the times in events.
 using UnixTime = std::chrono::sys_time<std::chrono::milliseconds>;
 
-// A page is not of the form {"rev":N,"notices":[{"rev":N,...},...]}; the text says what is wrong with it.
+// Thrown for a page that is not of the form {"rev":N,"notices":[{"rev":N,...},...]}; what() states the fault.
 class PageFormatError : public std::invalid_argument {
  public:
   using std::invalid_argument::invalid_argument;
@@ -33,19 +33,19 @@
 // Throws PageFormatError where the page is not of that form.
 void validate_page(const nlohmann::json& page);
 
-// Holds events by sequence number and renders pages of them.
+// Stores events by sequence number and renders them as pages.
 class EventLog {
  public:
   using Page = std::shared_ptr<const std::string>;
 
-  // `source_id` identifies the service in its pages. Where it is empty the pages bear none.
+  // `source_id` is the identifier of the service in its pages; where it is empty, pages have no identifier.
   explicit EventLog(std::string source_id = "") : source_id_(std::move(source_id)) {}
 
-  // Replaces all events by those of the page. Throws PageFormatError; nothing has changed then.
+  // Replaces all events by those of the page. Throws PageFormatError, in which case the log is unchanged.
   void replace(const nlohmann::json& page);
 
-  // Appends the events of the page that are later than the last one. Throws PageFormatError; nothing has
-  // changed then.
+  // Appends the events of the page with a higher sequence number than the last event. Throws PageFormatError,
+  // in which case the log is unchanged.
   void append(const nlohmann::json& page);
 
   void set_source_id(const std::string& source_id);
@@ -54,17 +54,17 @@
   std::uint64_t last_sequence() const { return last_sequence_; }
   std::size_t size() const { return events_.size(); }
 
-  // Returns the page with all events that are later than `sequence`.
+  // Returns the page with all events after `sequence`.
   Page page_after(std::uint64_t sequence);
 
-  // Return how many pages were rendered, and how many were requested.
+  // Return the number of pages rendered, and requested, since the start.
   std::uint64_t rendered_pages() const { return rendered_pages_; }
   std::uint64_t requested_pages() const { return requested_pages_; }
 
-  // Compacts the log where it has more than `max_events`. Purges from before `binding_since` are dropped.
+  // Compacts the log if it has more than `max_events` events. Drops purge events from before `binding_since`.
   void compact(std::size_t max_events, UnixTime binding_since);
 
-  // Returns the whole log as one compacted page: a full list, and the purges since `binding_since`.
+  // Returns the log as one compacted page: a full list, and the purge events since `binding_since`.
   nlohmann::json compacted_page(UnixTime binding_since) const;
 
  private:
@@ -76,7 +76,7 @@
   std::string source_id_;
   std::uint64_t last_sequence_ = 0;
   Events events_;
-  std::map<std::uint64_t, Page> pages_;  // by the number polled from, up to the last event
+  std::map<std::uint64_t, Page> pages_;  // rendered, by the sequence number after which they begin
   std::uint64_t rendered_pages_ = 0;
   std::uint64_t requested_pages_ = 0;
 };
--- a/src/discovery/fenced_event.cpp
+++ b/src/discovery/fenced_event.cpp
@@ -20,7 +20,7 @@
   return found != object.end() && found->is_number_unsigned() ? found->get<std::uint64_t>() : 0;
 }
 
-std::string text_at(const json& object, const std::string& name) {
+std::string string_at(const json& object, const std::string& name) {
   if (!object.is_object() || !object.contains(name) || !object[name].is_string()) {
     return {};
   }
@@ -31,18 +31,18 @@
   return object.contains(name) && object[name].is_object();
 }
 
-// Whether `event` can be published: a purge or a list without a sequence number or identifier of its own.
+// Returns whether `event` can be published: a purge event or a list without a sequence number or identifier.
 bool is_publishable(const json& event) {
   return event.is_object() && !event.contains("rev") && !event.contains("id") &&
          (has_object(event, "flush") || has_object(event, "pool"));
 }
 
 bool is_valid_call(const json& call) {
-  const std::string id = text_at(call, "id");
+  const std::string id = string_at(call, "id");
   return !id.empty() && id.size() <= kMaxIdLength && call.contains("event") && is_publishable(call["event"]);
 }
 
-// Returns the sequence number of the event with that identifier, or nothing where there is none.
+// Returns the sequence number of the event with the identifier `id`, or nothing where there is none.
 std::optional<std::uint64_t> find_published(const json& page, const std::string& id) {
   std::optional<std::uint64_t> sequence;
   for (const json& event : page["notices"]) {
@@ -53,7 +53,7 @@
   return sequence;
 }
 
-// Appends the event and returns its sequence number.
+// Appends the event to the page and returns its sequence number.
 std::uint64_t append_event(json& page, json event, const std::string& id) {
   const std::uint64_t sequence = number_at(page, "rev") + 1;
   event["rev"] = sequence;
@@ -80,7 +80,7 @@
 }
 
 tl::expected<FencedEventResult, FencedEventError> publish_fenced_event(json& page, const json& call) {
-  const auto token = ownership::parse_fencing_token(text_at(call, "fence"));
+  const auto token = ownership::parse_fencing_token(string_at(call, "fence"));
   if (!token) {
     return tl::unexpected(FencedEventError::kInvalidToken);
   }
@@ -96,12 +96,12 @@
     return tl::unexpected(FencedEventError::kSuperseded);
   }
   FencedEventResult out;
-  const std::string id = text_at(call, "id");
-  // An event may be sent again by the same owner, or by its successor, who cannot know whether it arrived.
+  const std::string id = string_at(call, "id");
+  // The same owner or its successor sends an event again when it cannot know whether the event arrived.
   const std::optional<std::uint64_t> published = find_published(page, id);
   out.duplicate = published.has_value();
   out.sequence = published ? *published : append_event(page, call["event"], id);
-  // A duplicate under a new term changes the page too: the previous owner may publish nothing more.
+  // A duplicate under a new term also changes the page: the previous owner may no longer publish.
   out.page_changed = !out.duplicate || last_term != token->term;
   page["store"] = token->store;
   page["terms"][token->work] = token->term;
--- a/src/discovery/long_poll_scheduler.cpp
+++ b/src/discovery/long_poll_scheduler.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr double kBurstSeconds = 0.1;  // of the rate, that may come at once
+constexpr double kBurstSeconds = 0.1;  // of polls at the rate limit that are accepted at once
 constexpr milliseconds kSecond{1'000};
 constexpr milliseconds kPeakWindow{100};
 constexpr double kMillisPerSecond = 1e3;
@@ -53,14 +53,14 @@
   return out;
 }
 
-void LongPollScheduler::count_call(Millis now) {
+void LongPollScheduler::count_poll(Millis now) {
   ++counts_.calls;
-  recent_calls_.push_back(now);
-  std::erase_if(recent_calls_, [now](Millis at) { return at <= now - kSecond; });
-  const auto in_peak_window = std::count_if(recent_calls_.begin(), recent_calls_.end(),
+  recent_polls_.push_back(now);
+  std::erase_if(recent_polls_, [now](Millis at) { return at <= now - kSecond; });
+  const auto in_peak_window = std::count_if(recent_polls_.begin(), recent_polls_.end(),
                                             [now](Millis at) { return at > now - kPeakWindow; });
   counts_.peak_in_100_ms = std::max(counts_.peak_in_100_ms, static_cast<std::uint64_t>(in_peak_window));
-  counts_.peak_in_second = std::max<std::uint64_t>(counts_.peak_in_second, recent_calls_.size());
+  counts_.peak_in_second = std::max<std::uint64_t>(counts_.peak_in_second, recent_polls_.size());
 }
 
 void LongPollScheduler::refill_tokens(Millis now) {
@@ -75,7 +75,7 @@
   refilled_at_ = now;
 }
 
-// Reserves the next slot of the virtual queue and returns the wait until then.
+// Reserves the next slot of the virtual queue and returns the wait until that slot.
 LongPollScheduler::Millis LongPollScheduler::reserve_slot(Millis now) {
   const double rate = is_rate_limited() ? options_.calls_per_s : static_cast<double>(options_.max_held);
   const auto now_ms = static_cast<double>(now.count());
@@ -86,42 +86,42 @@
   return std::clamp(wait, Millis(1), options_.max_retry_after);
 }
 
-CallDecision LongPollScheduler::on_call(Millis now, CallId call, std::uint64_t known_sequence, Millis timeout,
+PollDecision LongPollScheduler::on_poll(Millis now, PollId poll, std::uint64_t known_sequence, Millis timeout,
                                         std::uint64_t last_sequence) {
-  count_call(now);
+  count_poll(now);
   refill_tokens(now);
   const Millis hold_for = std::clamp(timeout, Millis(0), options_.max_long_poll_timeout);
-  const bool holds = known_sequence == last_sequence && hold_for > Millis(0);
-  const bool no_capacity = holds && held_.size() >= options_.max_held;
+  const bool must_wait = known_sequence == last_sequence && hold_for > Millis(0);
+  const bool no_capacity = must_wait && held_.size() >= options_.max_held;
   const bool no_token = is_rate_limited() && tokens_ < 1.0;
   if (no_capacity || no_token) {
     ++counts_.rejected;
-    return {CallDecisionKind::kReject, reserve_slot(now)};
+    return {PollDecisionKind::kReject, reserve_slot(now)};
   }
   tokens_ -= is_rate_limited() ? 1.0 : 0.0;
-  if (!holds) {
+  if (!must_wait) {
     ++counts_.answered;
-    return {CallDecisionKind::kAnswer, Millis(0)};
+    return {PollDecisionKind::kAnswer, Millis(0)};
   }
   ++counts_.held;
-  held_[call] = now + hold_for;
-  release_.emplace(now + hold_for, call);
-  return {CallDecisionKind::kHold, Millis(0)};
+  held_[poll] = now + hold_for;
+  release_.emplace(now + hold_for, poll);
+  return {PollDecisionKind::kHold, Millis(0)};
 }
 
-void LongPollScheduler::on_disconnected(CallId call) {
-  if (const auto found = held_.find(call); found != held_.end()) {
-    release_.erase({found->second, call});
+void LongPollScheduler::on_disconnected(PollId poll) {
+  if (const auto found = held_.find(poll); found != held_.end()) {
+    release_.erase({found->second, poll});
     held_.erase(found);
   }
 }
 
-// Spread evenly over the release window, in random order: the first to poll is not always the first to know.
+// Spreads the answers evenly over the release window. The order is random so that no client is always first.
 void LongPollScheduler::on_published(Millis now) {
-  std::vector<CallId> order;
+  std::vector<PollId> order;
   order.reserve(held_.size());
-  for (const auto& [call, answer_at] : held_) {
-    order.push_back(call);
+  for (const auto& [poll, answer_at] : held_) {
+    order.push_back(poll);
   }
   std::shuffle(order.begin(), order.end(), random_);
   const auto count = static_cast<Millis::rep>(order.size());
@@ -130,18 +130,18 @@
     answer_at = std::min(answer_at, now + i * options_.release_window / count);
   }
   release_.clear();
-  for (const auto& [call, answer_at] : held_) {
-    release_.emplace(answer_at, call);
+  for (const auto& [poll, answer_at] : held_) {
+    release_.emplace(answer_at, poll);
   }
 }
 
-std::vector<CallId> LongPollScheduler::step(Millis now) {
-  std::vector<CallId> out;
+std::vector<PollId> LongPollScheduler::step(Millis now) {
+  std::vector<PollId> out;
   while (!release_.empty() && release_.begin()->first <= now) {
-    const CallId call = release_.begin()->second;
+    const PollId poll = release_.begin()->second;
     release_.erase(release_.begin());
-    held_.erase(call);
-    out.push_back(call);
+    held_.erase(poll);
+    out.push_back(poll);
     ++counts_.released;
   }
   return out;
--- a/src/snapshot/snapshot.cpp
+++ b/src/snapshot/snapshot.cpp
@@ -22,7 +22,7 @@
 constexpr std::string_view kMagic = "trailcourse-snapshot ";
 constexpr std::string_view kVersion = "1";
 constexpr std::size_t kMaxFirstLine = 256;
-constexpr milliseconds kClockTolerance{1'000};  // clocks are adjusted in small steps, too
+constexpr milliseconds kClockTolerance{1'000};  // for small adjustments of the clock
 
 std::string checksum_of(std::string_view body) {
   char text[17];
@@ -31,11 +31,11 @@
   return text;
 }
 
-// Removes the next word from the front of a line and returns it.
-std::string_view take_word(std::string_view& line) {
-  const std::string_view word = line.substr(0, line.find(' '));
-  line.remove_prefix(std::min(line.size(), word.size() + 1));
-  return word;
+// Removes the text up to the next space from the front of a line and returns it.
+std::string_view consume_token(std::string_view& line) {
+  const std::string_view token = line.substr(0, line.find(' '));
+  line.remove_prefix(std::min(line.size(), token.size() + 1));
+  return token;
 }
 
 std::int64_t unix_ms(UnixTime time) { return time.time_since_epoch().count(); }
@@ -44,7 +44,7 @@
   return UnixTime(milliseconds(object.at(key).get<std::int64_t>()));
 }
 
-// Returns the JSON behind the first line, whose version, length and checksum are checked.
+// Returns the JSON that follows the first line, after checking version, length and checksum.
 tl::expected<std::string_view, SnapshotError> verified_body(std::string_view bytes) {
   const std::size_t line_end = bytes.substr(0, kMaxFirstLine).find('\n');
   if (!bytes.starts_with(kMagic) || line_end == std::string_view::npos) {
@@ -52,10 +52,10 @@
   }
   std::string_view line = bytes.substr(kMagic.size(), line_end - kMagic.size());
   const std::string_view body = bytes.substr(line_end + 1);
-  if (take_word(line) != kVersion) {
+  if (consume_token(line) != kVersion) {
     return tl::unexpected(SnapshotError::kVersion);
   }
-  const std::string_view checksum = take_word(line);
+  const std::string_view checksum = consume_token(line);
   const auto length = protocol::read_number<std::size_t>(line);
   if (!length || body.size() < *length) {
     return tl::unexpected(SnapshotError::kTruncated);
@@ -86,7 +86,7 @@
   return out;
 }
 
-// Returns why the snapshot does not match, or nothing where it may be used.
+// Returns why the snapshot may not be used, or nothing where it may.
 std::optional<SnapshotError> mismatch(const Snapshot& snapshot, const SnapshotContext& context) {
   if (snapshot.fleet != context.fleet) {
     return SnapshotError::kFleet;
@@ -154,19 +154,19 @@
     case SnapshotError::kChecksum:
       return "its checksum does not match";
     case SnapshotError::kVersion:
-      return "it is of another version";
+      return "its version is not supported";
     case SnapshotError::kFormat:
-      return "it does not have the format of a snapshot";
+      return "its content is not a snapshot";
     case SnapshotError::kFleet:
-      return "it is of another fleet";
+      return "it is from another fleet";
     case SnapshotError::kRouter:
-      return "it is of another router: is the folder shared by mistake?";
+      return "it is from another router: check that no other router uses this directory";
     case SnapshotError::kExpired:
       return "it is older than most_age_s";
     case SnapshotError::kFromFuture:
       break;
   }
-  return "it is from the future: was the clock set back?";
+  return "its time is in the future: check the system clock";
 }
 
 tl::expected<Snapshot, SnapshotError> decode_snapshot(std::string_view bytes,
--- a/src/snapshot/snapshot.h
+++ b/src/snapshot/snapshot.h
@@ -1,11 +1,11 @@
-// What a router stores of the discovery service over its restarts: the endpoint list and the purges that
-// bind, with the sequence number and the identifier of the service that they are of, and the moment at which
-// they were certainly current. Also the check whether a snapshot that is found may be used.
+// The snapshot that a router keeps across restarts: the endpoint list and the binding purge events, with
+// their sequence number, the identifier of the discovery service and the time at which they are known to have
+// been current. decode_snapshot() checks whether a stored snapshot may be used.
 //
-// A file is one line, "trailcourse-snapshot VERSION CHECKSUM LENGTH", and LENGTH bytes of JSON whose XXH3 is
-// CHECKSUM. So a truncated or damaged file is recognised before any of its content is read.
+// A file is the line "trailcourse-snapshot VERSION CHECKSUM LENGTH", followed by LENGTH bytes of JSON whose
+// XXH3 is CHECKSUM, so that a truncated or damaged file is detected before its JSON is parsed.
 //
-// Package `snapshot`: this file knows no I/O and no clock.
+// Library `snapshot`: this file has no I/O and no clock.
 #pragma once
 
 #include <chrono>
@@ -22,7 +22,7 @@
 
 using discovery::UnixTime;
 
-// The section `snapshot` of the operator's file; each member is a key of that name.
+// The section `snapshot` of the operator's file; each member is the key of that name.
 struct SnapshotOptions {
   std::string folder;
   std::string fleet = "fleet";
@@ -39,8 +39,8 @@
   std::string fleet;
   std::string router;
   std::string source_address;  // of the discovery service
-  std::string source_id;       // its identifier; empty where it has none
-  UnixTime confirmed_at;       // the page was certainly current then
+  std::string source_id;       // its identifier; empty where it sends none
+  UnixTime confirmed_at;       // the last time at which the page is known to have been current
   UnixTime saved_at;
   nlohmann::json page;  // {"rev":N,"notices":[...]}, compacted
 
@@ -48,33 +48,33 @@
   std::uint64_t last_sequence() const;
 };
 
-// Returns the content of the file for a snapshot.
+// Returns the content of the file for the snapshot.
 std::string encode_snapshot(const Snapshot& snapshot);
 
 // Why a snapshot is not used.
 enum class SnapshotError {
-  kTruncated,   // shorter than it says, or without the first line
-  kChecksum,    // its checksum does not match
-  kVersion,     // of an unknown version
-  kFormat,      // its JSON is not a snapshot
-  kFleet,       // of another fleet
-  kRouter,      // of another router: two share a directory by mistake
+  kTruncated,   // shorter than the stated length, or without the first line
+  kChecksum,    // the checksum or the length does not match
+  kVersion,     // an unknown version
+  kFormat,      // the JSON is not that of a snapshot
+  kFleet,       // from another fleet
+  kRouter,      // from another router: two routers share a directory by mistake
   kExpired,     // confirmed longer ago than allowed
-  kFromFuture,  // saved or confirmed in the future: a clock was set back
+  kFromFuture,  // saved or confirmed in the future: the clock was set back
 };
 
-// Returns the reason in words, for log lines.
+// Returns a description for log lines.
 const char* to_string(SnapshotError error);
 
-// What a snapshot has to match.
+// What a snapshot has to match to be used.
 struct SnapshotContext {
   std::string fleet;
   std::string router;
   UnixTime now;
-  std::chrono::milliseconds max_age{0};  // since it was confirmed
+  std::chrono::milliseconds max_age{0};  // longest time since it was confirmed
 };
 
-// Decodes the content of a file. Accepts any bytes.
+// Decodes and checks the content of a file, which may be arbitrary bytes.
 tl::expected<Snapshot, SnapshotError> decode_snapshot(std::string_view bytes, const SnapshotContext& context);
 
 }  // namespace trailcourse::snapshot
--- a/src/snapshot/snapshot_directory.cpp
+++ b/src/snapshot/snapshot_directory.cpp
@@ -20,14 +20,14 @@
 
 constexpr std::size_t kReadBuffer = 65'536;
 
-[[noreturn]] void fail(const std::string& what) {
-  throw std::system_error(errno, std::generic_category(), what);
+[[noreturn]] void throw_errno(const std::string& message) {
+  throw std::system_error(errno, std::generic_category(), message);
 }
 
 Descriptor open_file(const std::string& path, int flags) {
   Descriptor file(::open(path.c_str(), flags | O_CLOEXEC, 0600));
   if (!file.valid()) {
-    fail(path);
+    throw_errno(path);
   }
   return file;
 }
@@ -38,12 +38,12 @@
   while (written < bytes.size()) {
     const ssize_t count = ::write(file.get(), bytes.data() + written, bytes.size() - written);
     if (count < 0 && errno != EINTR) {
-      fail(path);
+      throw_errno(path);
     }
     written += count > 0 ? static_cast<std::size_t>(count) : 0;
   }
   if (::fsync(file.get()) != 0) {
-    fail(path);
+    throw_errno(path);
   }
 }
 
@@ -57,7 +57,7 @@
   }
   lock_ = open_file(path_ + "/lock", O_RDWR | O_CREAT);
   if (::flock(lock_.get(), LOCK_EX | LOCK_NB) != 0) {
-    fail(path_ + " is in use by another process");
+    throw_errno(path_ + " is in use by another process");
   }
 }
 
@@ -68,14 +68,14 @@
     if (errno == ENOENT) {
       return std::nullopt;
     }
-    fail(path);
+    throw_errno(path);
   }
   std::string out;
   std::array<char, kReadBuffer> buffer;
   for (;;) {
     const ssize_t count = ::read(file.get(), buffer.data(), buffer.size());
     if (count < 0 && errno != EINTR) {
-      fail(path);
+      throw_errno(path);
     }
     if (count == 0) {
       return out;
@@ -89,11 +89,11 @@
   const std::string path = path_ + "/snapshot";
   write_synced(next, bytes);
   if (std::rename(next.c_str(), path.c_str()) != 0) {
-    fail(path);
+    throw_errno(path);
   }
   const Descriptor directory = open_file(path_, O_RDONLY | O_DIRECTORY);
   if (::fsync(directory.get()) != 0) {
-    fail(path_);
+    throw_errno(path_);
   }
 }
 
--- a/src/snapshot/snapshot_directory.h
+++ b/src/snapshot/snapshot_directory.h
@@ -1,7 +1,7 @@
-// The directory of a router's snapshot. It is locked against a second router, and each snapshot is written
-// completely or not at all.
+// The directory that stores the snapshot of a router. It is locked against use by a second process, and
+// each snapshot is written completely or not at all.
 //
-// Package `snapshot`. Each call may block: load() is for the start, store() for a thread of its own.
+// Library `snapshot`. All calls may block: call load() at startup only, and store() in a separate thread.
 #pragma once
 
 #include <optional>
@@ -11,18 +11,20 @@
 
 namespace trailcourse::snapshot {
 
-// Owns the lock on the directory.
+// Holds the lock on the directory and accesses the snapshot in it.
 class SnapshotDirectory {
  public:
-  // Creates the directory where it does not exist, and locks it for the lifetime of the object. Throws
-  // std::system_error where that fails, with EWOULDBLOCK where another process holds the lock.
+  // Creates the directory if it does not exist, and locks it for the lifetime of this object. Throws
+  // std::system_error on failure, with EWOULDBLOCK where another process holds the lock.
   explicit SnapshotDirectory(std::string path);
 
-  // Returns the content of the snapshot, or nothing where there is none. Throws std::system_error.
+  // Returns the content of the snapshot, or nothing where there is none. Throws std::system_error where it
+  // cannot be read.
   std::optional<std::string> load() const;
 
   // Replaces the snapshot durably: writes and syncs a new file, renames it over the old one, and syncs the
-  // directory. Throws std::system_error; the old snapshot remains then.
+  // directory. Throws std::system_error, in which case the old snapshot remains unless only the last sync
+  // failed.
   void store(const std::string& bytes) const;
 
  private:
--- a/src/snapshot/write_scheduler.cpp
+++ b/src/snapshot/write_scheduler.cpp
@@ -10,10 +10,11 @@
 
 }  // namespace
 
-// All routers of a fleet see a change in one moment, and may share a disk: their writes are drawn apart.
+// Returns a random interval. All routers of a fleet get a change at the same time and may share a disk, so
+// their writes have to be spread.
 WriteScheduler::Millis WriteScheduler::jitter(Millis longest) {
-  std::uniform_int_distribution<Millis::rep> even(longest.count() / 2, longest.count());
-  return Millis(even(random_));
+  std::uniform_int_distribution<Millis::rep> interval(longest.count() / 2, longest.count());
+  return Millis(interval(random_));
 }
 
 void WriteScheduler::on_changed(Millis now) {
--- a/src/snapshot/write_scheduler.h
+++ b/src/snapshot/write_scheduler.h
@@ -1,7 +1,7 @@
-// Decides when a snapshot is written: soon after a change, from time to time while nothing changes, one at a
-// time, and with growing backoff while the directory cannot be written to.
+// Decides when a snapshot is written: soon after a change, periodically while the content is only confirmed,
+// one write at a time, and with growing backoff after failed writes.
 //
-// Package `snapshot`: no I/O, no clock. Times are of the caller's steady clock. Not thread-safe.
+// Library `snapshot`: no I/O and no clock. Times are those of the caller's steady clock. Not thread-safe.
 #pragma once
 
 #include <chrono>
@@ -21,19 +21,19 @@
   WriteScheduler(const SnapshotOptions& options, std::uint64_t seed)
       : write_interval_(options.write_ms), confirm_interval_(options.confirm_ms), random_(seed) {}
 
-  // Records that the list or the purges differ from those written last.
+  // Records that the endpoint list or the purge events differ from those written last.
   void on_changed(Millis now);
 
-  // Records that the last written content is still current.
+  // Records that the content written last is still current.
   void on_confirmed() { confirmed_ = true; }
 
-  // Returns when to write next, or nothing while a write is in progress or there is nothing new.
+  // Returns when to write next, or nothing while a write is in progress or nothing has to be written.
   std::optional<Millis> next_write_at() const;
 
   void on_write_started();
 
-  // Records how the write ended. Returns whether that differs from the write before, which is when operators
-  // are to be informed: at the first failure, and at the first success after failures.
+  // Records the result of a write. Returns whether to log it: true for the first failure in a row and for the
+  // first success after failures.
   bool on_write_finished(Millis now, bool succeeded);
 
  private:
@@ -48,7 +48,7 @@
   Millis changed_at_{0};
   Millis not_before_ = Millis::min();
   std::optional<Millis> confirm_at_;  // set by the first successful write
-  int failures_ = 0;                  // in a row
+  int failures_ = 0;                  // consecutive
 };
 
 }  // namespace trailcourse::snapshot
--- a/src/startup/endpoint_admission.cpp
+++ b/src/startup/endpoint_admission.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr int kMaxFlaps = 10;
-constexpr std::size_t kMaxRemembered = 4'096;  // endpoints, listed or not
+constexpr std::size_t kMaxTracked = 4'096;  // endpoints, listed or not
 constexpr double kMicrosPerSecond = 1e6;
 
 }  // namespace
@@ -33,9 +33,9 @@
   endpoint.listed_at = std::max(now, Micros(1));
   endpoint.listed = true;
   endpoint.incarnation = incarnation;
-  std::uniform_int_distribution<Micros::rep> even(0, window(endpoint.flaps).count());
-  // The time that was drawn before still counts: flapping never makes an admission sooner.
-  endpoint.admit_at = std::max(endpoint.admit_at, now) + Micros(even(random_));
+  std::uniform_int_distribution<Micros::rep> delay(0, window(endpoint.flaps).count());
+  // The time drawn before remains a lower bound: flapping never makes an admission earlier.
+  endpoint.admit_at = std::max(endpoint.admit_at, now) + Micros(delay(random_));
   endpoint.admitted = endpoint.admit_at <= now;
   return endpoint.admitted;
 }
@@ -45,18 +45,18 @@
   if (found != endpoints_.end()) {
     found->second.listed = false;
     found->second.admitted = false;
-    forget_removed(now);
+    erase_removed(now);
   }
 }
 
-// Forgets endpoints that are not listed and whose flap window is over; where there are too many, all that are
-// not listed.
-void EndpointAdmission::forget_removed(Micros now) {
-  const bool crowded = endpoints_.size() > kMaxRemembered;
+// Erases the endpoints that are not listed and whose flap window has passed. Where more than kMaxTracked are
+// tracked, erases all that are not listed.
+void EndpointAdmission::erase_removed(Micros now) {
+  const bool too_many = endpoints_.size() > kMaxTracked;
   std::erase_if(endpoints_, [&](const auto& item) {
     const Endpoint& endpoint = item.second;
-    const bool over = now - endpoint.listed_at >= options_.flap_window && endpoint.admit_at <= now;
-    return !endpoint.listed && (crowded || over);
+    const bool expired = now - endpoint.listed_at >= options_.flap_window && endpoint.admit_at <= now;
+    return !endpoint.listed && (too_many || expired);
   });
 }
 
--- a/src/startup/endpoint_admission.h
+++ b/src/startup/endpoint_admission.h
@@ -1,14 +1,14 @@
-// Slow start of connections: decides when this router begins to use a cache or parent that is new, back, or
-// known from the start, and how many connections it opens there, so that all routers together never exceed
-// what the endpoint accepts.
+// Slow start of connections: decides when this router begins to use a cache or parent that is new, has
+// returned, or was listed at startup, and how many connections it opens there, so that all routers together
+// stay within what the endpoint accepts.
 //
-// An endpoint that gets listed is admitted after a time drawn evenly from a window of 2N/A, for N routers and
-// A connections a second that it accepts from all of them. By the argument of poll_scheduler.h the sum over
-// the fleet stays within A a second, whatever made the routers begin. The window of a flapping endpoint
-// doubles each time. A time that was drawn before still counts after the endpoint has gone, so that flapping
-// never makes an admission sooner. Draining and removal take effect at once.
+// A newly listed endpoint is admitted after a delay drawn uniformly from a window of 2N/A, for N routers and
+// A connections per second that the endpoint accepts from all of them. By the argument in poll_scheduler.h,
+// the sum over the fleet stays within A per second, whatever event the routers react to. The window doubles
+// each time the endpoint flaps. The admission time drawn before remains a lower bound after the endpoint is
+// gone, so that flapping never makes an admission earlier. Draining and removal take effect at once.
 //
-// Package `startup`. The decision module chooses among the admitted endpoints; nothing is chosen here.
+// Library `startup`. The decision module chooses among the admitted endpoints; this class does not choose.
 #pragma once
 
 #include <cstddef>
@@ -23,7 +23,7 @@
 
 namespace trailcourse::startup {
 
-// Admits the endpoints of one router's list.
+// Admits the endpoints in the endpoint list of one router.
 class EndpointAdmission {
  public:
   EndpointAdmission(const AdmissionOptions& options, std::uint64_t seed) : options_(options), random_(seed) {}
@@ -32,17 +32,16 @@
   void set_fleet_size(int routers) { routers_ = routers > 0 ? routers : 1; }
 
   // Records that the endpoint is listed as ready. `incarnation` is any number that changes when its process
-  // restarts. Returns whether the endpoint may receive traffic now. If not, it may from the time given by
-  // `next_admission()`.
+  // restarts. Returns whether the endpoint is admitted now; otherwise admit_due() admits it later.
   bool on_listed(Micros now, const std::string& endpoint, std::int64_t incarnation);
 
-  // Records that the endpoint drains, is gone or is not listed any more.
+  // Records that the endpoint is draining, gone or no longer listed.
   void on_unlisted(Micros now, const std::string& endpoint);
 
-  // Returns when the next endpoint is admitted, or nothing where none is pending.
+  // Returns when the next endpoint is due for admission, or nothing where none is pending.
   std::optional<Micros> next_admission() const;
 
-  // Admits the endpoints whose time has come and returns them in the order of their times.
+  // Admits the endpoints whose admission time has come and returns them in the order of those times.
   std::vector<std::string> admit_due(Micros now);
 
   // Returns whether the endpoint is listed and admitted.
@@ -51,8 +50,8 @@
   // Returns the number of endpoints that are listed and not yet admitted.
   std::size_t pending() const;
 
-  // Returns how many connections this router may hold to one endpoint: its share of what the endpoint holds,
-  // 1 at least.
+  // Returns how many connections this router may hold to one endpoint: its share of the connections that the
+  // endpoint holds, at least 1.
   int max_connections() const;
 
  private:
@@ -66,7 +65,7 @@
   };
 
   Micros window(int flaps) const;
-  void forget_removed(Micros now);
+  void erase_removed(Micros now);
 
   AdmissionOptions options_;
   std::mt19937_64 random_;
--- a/src/startup/endpoint_view.cpp
+++ b/src/startup/endpoint_view.cpp
@@ -6,8 +6,8 @@
 namespace trailcourse::startup {
 namespace {
 
-constexpr std::uint64_t kPurgeGroups = 256;  // of the protocol
-constexpr int kAgeLimitParts = 3;            // an age limit is renewed so often within its length
+constexpr std::uint64_t kPurgeGroups = 256;  // that the protocol defines
+constexpr int kAgeLimitParts = 3;            // renewals of an age limit within its length
 
 bool same_attributes(const Endpoint& left, const Endpoint& right) {
   return left.zone == right.zone && left.role == right.role && left.cell == right.cell &&
@@ -37,7 +37,7 @@
   changed_ = true;
 }
 
-// Replaces the list by a full one. Endpoints that are missing in it are withdrawn.
+// Replaces the list by a full one. Endpoints that are missing from it lose their admission.
 void EndpointView::replace_listed(Micros now, const std::vector<Endpoint>& entries) {
   Entries replacement;
   for (const Endpoint& entry : entries) {
@@ -71,8 +71,9 @@
   changed_ = true;
 }
 
-// Returns the entry as the module is to see it. An endpoint whose admission is pending is draining, so that
-// it gets no new request. An unknown start time is replaced by that of the list.
+// Returns the entry for the module. An endpoint whose admission is pending appears as draining, so that it
+// gets no new requests. An unknown start time is replaced by the time at which the list was restored or
+// reset.
 Endpoint EndpointView::visible(const Endpoint& entry, const ServingPermissions& permissions) const {
   Endpoint out = entry;
   if (out.state == NodeState::kReady && !admission_.is_admitted(out.address)) {
@@ -94,8 +95,8 @@
   return out;
 }
 
-// Appends the changes since the last published list. The first list is full, and so is one that follows an
-// empty list or is empty itself.
+// Appends the changes since the last published list. The first list is full, as is each list that follows an
+// empty one or becomes empty.
 void EndpointView::append_list(const ServingPermissions& permissions, std::vector<Event>& events) {
   Entries entries = visible_entries(permissions);
   const bool first = published_.empty() && !published_permissions_;
@@ -121,8 +122,8 @@
   }
 }
 
-// Appends purges of all groups. Each is shorter than the limit by the time until it is renewed, so that no
-// copy older than the limit is ever served.
+// Appends purges of all groups. Their age is the limit minus the time until the next renewal, so that no copy
+// older than the limit is ever served.
 void EndpointView::append_age_limit(Micros now, Micros max_copy_age, std::vector<Event>& events) {
   const Micros renewal = std::max(Micros(1), max_copy_age / kAgeLimitParts);
   next_age_limit_ = now + renewal;
--- a/src/startup/endpoint_view.h
+++ b/src/startup/endpoint_view.h
@@ -1,12 +1,13 @@
-// The endpoint view stands between the discovery service and the decision module while this router starts,
-// returns to the service or has a stale list. It keeps the list as the service sent it and derives the one
-// that the module is to see: an endpoint whose admission is pending appears as draining, a list that may not
-// be served appears as empty, and a limit on the age of cached copies appears as purges. The module chooses
-// among what it sees, as ever.
+// The endpoint view filters what the decision module sees of the discovery service while this router starts,
+// reconnects to the service or has a stale list. It stores the list as the service sent it and derives the
+// list for the module: an endpoint whose admission is pending appears as draining, a list that may not be
+// served appears as empty, and a limit on the age of cached copies appears as purges. The module makes its
+// usual decisions on the derived list.
 //
-// Without the section `startup` there is no endpoint view, and the module gets the events of the service.
+// Where the operator's file has no section `startup`, there is no endpoint view, and the module gets the
+// events of the service unchanged.
 //
-// Package `startup`.
+// Library `startup`.
 #pragma once
 
 #include <trailcourse/decider.h>
@@ -31,32 +32,32 @@
 
   void set_fleet_size(int routers) { admission_.set_fleet_size(routers); }
 
-  // Records that a list is known at the start; see Readiness::restore().
+  // Records that a list is known at startup; see Readiness::restore().
   void restore(Micros now, Micros current_at, bool start_times_known);
 
-  // Records a confirmation of the service; see Readiness::on_confirmed().
+  // Records that the service confirmed the list; see Readiness::on_confirmed().
   void on_confirmed(Micros now, Micros current_at);
 
-  // Forgets the list: the service has started again and sends a full one.
+  // Discards the list after a sequence reset of the service, which then sends a full list.
   void reset(Micros now);
 
-  // Records a list, or changes of it, as the service sent them.
+  // Records a full list, or changes to it, as the service sent them.
   void on_list(Micros now, const EndpointListReceived& list);
 
-  // Appends to `events` what the module has to see before anything else that happens at `now`, in order.
+  // Appends to `events`, in order, the events that the module has to process before any other event at `now`.
   void step(Micros now, std::vector<Event>& events);
 
-  // Returns when step() may have events by time alone, or nothing where it has none.
+  // Returns when step() may next append events because time has passed; nothing where no such time is set.
   std::optional<Micros> next_step_at(Micros now) const;
 
   ServingPermissions permissions(Micros now) const { return readiness_.permissions(now); }
   Staleness staleness(Micros now) const { return readiness_.staleness(now); }
 
-  // Returns whether requests can be served: a cache, parent or origin of the list is admitted, and the list
-  // may be served.
+  // Returns whether requests can be served: the list may be served, and at least one cache, parent or origin
+  // in it is admitted.
   bool is_ready(Micros now) const;
 
-  // Returns the number of listed endpoints that may not receive traffic yet.
+  // Returns the number of listed endpoints that are not admitted yet.
   std::size_t pending_admissions() const { return admission_.pending(); }
 
   // Returns how many connections this router may hold to one endpoint.
@@ -74,9 +75,9 @@
   EndpointAdmission admission_;
   Readiness readiness_;
   Entries listed_;     // as the service sent them
-  Entries published_;  // as the module saw them last
+  Entries published_;  // as last passed to the module
   std::optional<ServingPermissions> published_permissions_;
-  Micros default_start_{0};  // of endpoints whose start time is not known
+  Micros default_start_{0};  // start time of endpoints whose start time is unknown
   Micros next_age_limit_{-1};
   bool changed_ = false;
   bool has_list_ = false;
--- a/src/startup/fleet_size.h
+++ b/src/startup/fleet_size.h
@@ -1,8 +1,8 @@
-// The number of routers in the fleet, from which windows over the whole fleet are derived. The operator's
-// figure goes before that of the platform's settings; without both it is learned from the number of
-// connections that the discovery service reports.
+// The number of routers in the fleet, from which the windows for jitter are derived. The operator's file
+// takes precedence over the platform's settings. Where neither states the number, it is estimated from the
+// number of connections that the discovery service reports.
 //
-// Package `startup`.
+// Library `startup`.
 #pragma once
 
 #include <algorithm>
@@ -10,23 +10,26 @@
 
 namespace trailcourse::startup {
 
-// Holds what is known of the number of routers.
+// Estimates the number of routers in the fleet.
 class FleetSize {
  public:
-  // A figure of 0 or less means that it is not configured.
-  FleetSize(std::int64_t by_operator, int by_settings)
-      : configured_(by_operator > 0 ? static_cast<int>(std::min<std::int64_t>(by_operator, kMaxRouters))
-                                    : by_settings) {}
-
-  // Records a number of connections that the discovery service reported. A larger one counts at once, a
-  // smaller one is approached slowly: after an outage of the service its clients come back one by one.
+  // `operator_routers` is from the operator's file, `settings_routers` from the platform's settings. A value
+  // of 0 or less means that the number is not configured there.
+  FleetSize(std::int64_t operator_routers, int settings_routers)
+      : configured_(operator_routers > 0
+                        ? static_cast<int>(std::min<std::int64_t>(operator_routers, kMaxRouters))
+                        : settings_routers) {}
+
+  // Records the number of connections that the discovery service reports. The estimate rises at once to a
+  // larger number and falls slowly towards a smaller one, since the clients of the service reconnect one by
+  // one after an outage.
   void observe(std::int64_t reported_connections) {
     const int reported = static_cast<int>(std::clamp<std::int64_t>(reported_connections, 1, kMaxRouters));
     observed_ =
         reported >= observed_ ? reported : observed_ - std::max(1, (observed_ - reported) / kDecayDivisor);
   }
 
-  // Returns the number of routers, 1 at least.
+  // Returns the number of routers, at least 1.
   int routers() const { return configured_ > 1 ? configured_ : std::max({1, configured_, observed_}); }
 
  private:
--- a/src/startup/options.cpp
+++ b/src/startup/options.cpp
@@ -12,7 +12,7 @@
 
 Micros from_ms(std::int64_t ms) { return std::chrono::milliseconds(ms); }
 
-// Reads a value of the key `unsure`, whose words the record checks.
+// Parses the value of the key `unsure`, which the record has validated.
 StalePolicy stale_policy(const std::string& unsure) {
   if (unsure == "guard") {
     return StalePolicy::kLimitAge;
--- a/src/startup/options.h
+++ b/src/startup/options.h
@@ -1,8 +1,8 @@
-// Options of the state machines in this folder: the operator's section `startup`, and the typed options that
-// are derived from it and from the platform's settings.
+// Options of the state machines in this folder: the section `startup` of the operator's file, and the typed
+// options that are derived from it and from the platform's settings.
 //
-// Package `startup`: state machines without I/O or clock. Time is Micros of the caller's steady clock, which
-// never goes back. All random draws come from seeds. Not thread-safe.
+// Library `startup`: state machines without I/O or a clock. Times are Micros of the caller's steady clock.
+// All random numbers come from generators that the caller seeds. Not thread-safe.
 #pragma once
 
 #include <trailcourse/decider.h>
@@ -15,8 +15,8 @@
 
 namespace trailcourse::startup {
 
-// The section `startup` of the operator's file; each member is a key of that name. Without the section a
-// router starts with default options and without jitter over the fleet.
+// The section `startup` of the operator's file; each member is the key of that name. Without the section, a
+// router starts with the default options and without jitter over the fleet.
 struct StartOptions {
   bool spread = false;
   std::int64_t routers = 0;
@@ -38,52 +38,52 @@
 
 // Options of PollScheduler.
 struct PollOptions {
-  bool spread = false;                  // jitter over windows by the fleet's size; false: a single router's
-  double calls_per_s = 100.0;           // that the discovery service bears from all routers
-  Micros min_backoff{50'000};           // shortest window after a failure
-  Micros max_backoff{400'000};          // longest mean backoff without `spread`
-  Micros max_window{60'000'000};        // longest window with `spread`
-  Micros update_jitter{0};              // after updates the next poll is drawn from 0 to this
-  Micros max_retry_after{120'000'000};  // a longer Retry-After is cut to this
-  Micros long_poll_timeout{2'000'000};  // how long the service may hold a poll
-  Micros max_long_poll_timeout{5'000'000};  // the same where the fleet's size asks for longer polls
-  int probe_after_failures = 3;             // consecutive failures; then short probes until one succeeds
+  bool spread = false;                      // draw polls from windows that grow with the fleet's size
+  double calls_per_s = 100.0;               // that the discovery service can serve to all routers
+  Micros min_backoff{50'000};               // shortest window after a failure
+  Micros max_backoff{400'000};              // longest mean backoff without `spread`
+  Micros max_window{60'000'000};            // longest window with `spread`
+  Micros update_jitter{0};                  // longest delay of the poll that follows updates
+  Micros max_retry_after{120'000'000};      // a longer Retry-After is reduced to this
+  Micros long_poll_timeout{2'000'000};      // how long the service may hold a poll
+  Micros max_long_poll_timeout{5'000'000};  // the same for large fleets, whose polls are held for longer
+  int probe_after_failures = 3;             // consecutive failures; then only short probes until one succeeds
 };
 
 // Options of EndpointAdmission.
 struct AdmissionOptions {
   double admissions_per_s = 0.0;        // that one endpoint accepts from all routers; 0: no slow start
-  Micros max_window{5'000'000};         // longest window from which an admission is drawn
+  Micros max_window{5'000'000};         // longest window from which an admission time is drawn
   int endpoint_connections = 0;         // that one endpoint holds from all routers; 0: no bound
   int max_connections_per_router = 16;  // from this router to one endpoint
-  Micros flap_window{60'000'000};       // an endpoint that returns within this time counts as flapping
+  Micros flap_window{60'000'000};       // an endpoint listed again within this time counts as flapping
 };
 
 // What a router does with requests while its endpoint list may be stale.
 enum class StalePolicy {
   kServe,     // serve as before
-  kLimitAge,  // serve, but no cached copy that an unheard purge may forbid
+  kLimitAge,  // serve, except for cached copies that a missed purge event may forbid
   kReject     // reject all requests
 };
 
 // Options of Readiness.
 struct ReadinessOptions {
   StalePolicy stale_policy = StalePolicy::kServe;
-  Micros notification_bound{300'000};  // an event binds so long after it was published, received or not
-  Micros purge_completion{6'000'000};  // caches have dropped a purged copy so long after the purge
-  Micros expiry{0};                    // a list older than this is not used; 0: never
+  Micros notification_bound{300'000};  // from the publication of an event until it binds, received or not
+  Micros purge_completion{6'000'000};  // from a purge until all caches have dropped the purged copies
+  Micros expiry{0};                    // age above which a list is not used; 0: no limit
 };
 
 // Derives the options of PollScheduler. `min_backoff`, `max_backoff` and `long_poll_timeout` come from the
-// router's tuning.
+// router's tuning keys.
 PollOptions poll_options(const StartOptions& options, Micros min_backoff, Micros max_backoff,
                          Micros long_poll_timeout);
 
 // Derives the options of EndpointAdmission.
 AdmissionOptions admission_options(const StartOptions& options, int max_connections_per_router);
 
-// Derives the options of Readiness. `max_poll_duration` is the longest time that a poll takes while the
-// discovery service is healthy.
+// Derives the options of Readiness. `max_poll_duration` is the longest time that a poll of a healthy
+// discovery service takes.
 ReadinessOptions readiness_options(const StartOptions& options, const Settings& settings,
                                    Micros max_poll_duration);
 
--- a/src/startup/poll_scheduler.cpp
+++ b/src/startup/poll_scheduler.cpp
@@ -7,16 +7,17 @@
 
 constexpr int kMaxDoublings = 20;
 constexpr double kMicrosPerSecond = 1e6;
-constexpr double kWindowFactor = 2.4;  // over 1 + e/2: the density of first polls and of those after failures
+constexpr double kWindowFactor = 2.4;  // above 1 + e/2, the factor of the bound in poll_scheduler.h
 
 }  // namespace
 
 Micros PollScheduler::jitter(Micros longest) {
-  std::uniform_int_distribution<Micros::rep> even(0, std::max<Micros::rep>(0, longest.count()));
-  return Micros(even(random_));
+  std::uniform_int_distribution<Micros::rep> delay(0, std::max<Micros::rep>(0, longest.count()));
+  return Micros(delay(random_));
 }
 
-// With `spread` W, then 2W. Without it twice the backoff, so that the mean of the draw is the backoff.
+// Returns, with `spread`, W for the first poll and 2W after failures. Without it, returns twice the backoff,
+// so that the mean of the draw is the backoff.
 Micros PollScheduler::backoff_window(int doublings) const {
   if (!options_.spread) {
     const int factor = 1 << std::clamp(doublings, 0, kMaxDoublings);
@@ -29,7 +30,7 @@
   return Micros(static_cast<Micros::rep>(std::min(window, longest)));
 }
 
-// Polls that are held for longer cost the service fewer of them.
+// Returns a timeout that grows with the fleet: the longer polls are held, the fewer the service gets.
 Micros PollScheduler::long_poll_timeout() const {
   if (!options_.spread) {
     return options_.long_poll_timeout;
@@ -47,7 +48,7 @@
 ScheduledPoll PollScheduler::next_poll(Micros started, Micros now, PollResult result, Micros retry_after) {
   if (result == PollResult::kUpdates || result == PollResult::kNoUpdates) {
     failures_ = 0;
-    // A service that does not hold polls must not be flooded.
+    // The minimum wait protects a service that answers at once instead of holding polls.
     const bool not_held = result == PollResult::kNoUpdates && now - started < options_.min_backoff;
     const Micros min_wait = not_held ? options_.min_backoff : Micros(0);
     const Micros wait = std::max(min_wait, jitter(std::max(options_.update_jitter, min_wait)));
--- a/src/startup/poll_scheduler.h
+++ b/src/startup/poll_scheduler.h
@@ -1,13 +1,13 @@
-// Decides when this router polls the discovery service: at the start, after updates, after a rejection, a
-// timeout or a broken connection, and after the service has moved.
+// Decides when this router polls the discovery service: at startup, after updates, after a rejection, a
+// timeout or a broken connection, and after the address of the service has changed.
 //
-// The bound (derived in docs/cold-start.md). With N routers and a service that bears R calls a second, the
-// first window is W = 2.4·N/R, and each poll after a failed one is drawn evenly from a window of 2W, which
-// begins no sooner than Retry-After asks. Whenever the routers began, and whatever made them begin, the
-// expected number of polls of all of them in any L seconds is N·L/W·(1 + e/2) <= R·L at most. The draws are
-// independent, so the sum stays within R·L + 6·sqrt(R·L) + 12 but for one stretch in millions.
+// The bound (derived in docs/cold-start.md): with N routers and a service that can serve R calls per second,
+// the first poll is drawn uniformly from a window of W = 2.4·N/R, and each poll after a failed one from a
+// window of 2W, which begins no earlier than Retry-After says. Whenever the routers start, and for whatever
+// reason, the expected number of their polls in any L seconds is at most N·L/W·(1 + e/2) <= R·L. The draws
+// are independent, so the number stays within R·L + 6·sqrt(R·L) + 12 except in one interval in millions.
 //
-// Package `startup`.
+// Library `startup`.
 #pragma once
 
 #include <cstdint>
@@ -19,39 +19,39 @@
 
 // How a poll of the discovery service ended.
 enum class PollResult {
-  kUpdates,       // events that were not known
-  kNoUpdates,     // no event, at once or at the end of the long poll
+  kUpdates,       // the answer has new events
+  kNoUpdates,     // the answer has none; it came at once or at the end of the long poll
   kRejected,      // a status other than 200, with or without Retry-After
   kTimeout,       // no answer in time
-  kDisconnected,  // the connection failed, or ended before the answer
-  kInvalid        // an answer that cannot be used, or one with an older sequence number
+  kDisconnected,  // the connection failed or was closed before the answer
+  kInvalid        // the answer is malformed or has an older sequence number
 };
 
-// The next poll, as decided by PollScheduler.
+// The next poll of the discovery service.
 struct ScheduledPoll {
-  Micros at{0};                 // when to begin it
+  Micros at{0};                 // when to send it
   Micros long_poll_timeout{0};  // how long the service may hold it; 0 for a probe
-  bool probe = false;           // a short call that only finds out whether the service is back
+  bool probe = false;           // a short call that only checks whether the service is available again
 };
 
-// Schedules the polls of one router so that the sum over the fleet stays within the stated bound.
+// Schedules the polls of one router so that those of the whole fleet stay within the bound above.
 class PollScheduler {
  public:
   PollScheduler(const PollOptions& options, std::uint64_t seed) : options_(options), random_(seed) {}
 
-  // Sets the number of routers that poll the same service. Polls that are scheduled already stay as they are.
+  // Sets the number of routers that poll the same service. Polls already scheduled do not change.
   void set_fleet_size(int routers) { routers_ = routers > 0 ? routers : 1; }
 
-  // Schedules the first poll, also after the service has moved. Earlier failures are forgotten.
+  // Schedules the first poll, at startup or at a new address of the service. Resets the count of failures.
   ScheduledPoll first_poll(Micros now);
 
-  // Schedules the poll after one that began at `started` and ended at `now`. `retry_after` is the time that
-  // the service asked for, 0 where it named none.
+  // Schedules the poll that follows one which was sent at `started` and ended at `now`. `retry_after` is the
+  // Retry-After of the answer, 0 where it has none.
   ScheduledPoll next_poll(Micros started, Micros now, PollResult result, Micros retry_after);
 
   int consecutive_failures() const { return failures_; }
 
-  // Returns whether so many polls failed that only probes are scheduled.
+  // Returns whether only probes are scheduled, after `probe_after_failures` consecutive failures.
   bool only_probes() const { return failures_ >= options_.probe_after_failures; }
 
  private:
--- a/src/startup/readiness.cpp
+++ b/src/startup/readiness.cpp
@@ -53,8 +53,8 @@
   return list_age <= options_.notification_bound ? Staleness::kCurrent : Staleness::kStale;
 }
 
-// Caches drop by themselves what was purged before `purge_completion`. So only purges between that and
-// `notification_bound` ago can be missing and bind.
+// Caches have dropped all copies that were purged longer than `purge_completion` ago, and a purge binds from
+// `notification_bound` on. Only purges of an age between the two can be missed and binding.
 bool Readiness::purges_may_be_missing(Micros now) const {
   return age(now) > options_.notification_bound && options_.notification_bound < options_.purge_completion;
 }
@@ -79,7 +79,7 @@
   if (!current_at_) {
     return std::nullopt;
   }
-  // The permissions change just behind these moments.
+  // Permissions change 1 us after each bound, since the bounds themselves are inclusive.
   const Micros stale_at = *current_at_ + options_.notification_bound + Micros(1);
   const Micros expired_at = *current_at_ + options_.expiry + Micros(1);
   std::optional<Micros> next;
--- a/src/startup/readiness.h
+++ b/src/startup/readiness.h
@@ -1,17 +1,17 @@
-// Decides how far the endpoint list of this router can be trusted, and what the router may do by that.
+// Tracks how stale the endpoint list of this router is, and decides what the router may do in each state.
 //
 // | staleness   | meaning                                                                                |
 // | ----------- | -------------------------------------------------------------------------------------- |
 // | unknown     | there is no list                                                                       |
-// | provisional | there is a list from before the start; the discovery service has not answered since    |
+// | provisional | the list is from before startup; the discovery service has not answered since          |
 // | current     | the service, or a relay that is current, has confirmed the list within the bound       |
 // | stale       | the last confirmation is older than the notification bound                             |
-// | expired     | it is older than the operator allows                                                   |
+// | expired     | the list is older than the operator allows                                             |
 //
-// docs/cold-start.md derives what each state may do. The effects reach the decision module as ordinary events
-// (lists and purges): this machine chooses no cache, retry or rejection.
+// docs/cold-start.md derives the permissions of each state. They reach the decision module as ordinary events
+// (lists and purges); this state machine does not choose caches, retries or rejections.
 //
-// Package `startup`.
+// Library `startup`.
 #pragma once
 
 #include <cstdint>
@@ -21,49 +21,49 @@
 
 namespace trailcourse::startup {
 
-// How old the knowledge of this router is; the table above says what each value means.
+// How stale the endpoint list is; the table above defines each value.
 enum class Staleness { kUnknown, kProvisional, kCurrent, kStale, kExpired };
 
-// Returns the name that `/healthz` shows. Its words are part of the operators' interface and differ from the
-// names above: fresh, provisional, current, doubtful, lapsed.
+// Returns the name that `/healthz` shows. These names are part of the operators' interface and differ from
+// the enumerators: fresh, provisional, current, doubtful, lapsed.
 const char* to_string(Staleness staleness);
 
 // What a router may do now.
 struct ServingPermissions {
   Staleness staleness = Staleness::kUnknown;
   bool ready = false;                // `/healthz` may report readiness
-  bool may_serve = false;            // false: the module gets an empty list and rejects at once
+  bool may_serve = false;            // false: the module gets an empty list and rejects all requests
   bool start_times_unknown = false;  // endpoints without a start time count as just started
-  // Cached copies that are older may have been purged by an event that was not received; nothing where no
-  // such purge can be missing.
+  // A missed purge event may forbid cached copies older than this; nothing where no purge event can be
+  // missed.
   std::optional<Micros> max_copy_age;
 
   friend bool operator==(const ServingPermissions&, const ServingPermissions&) = default;
 };
 
-// Tracks when the endpoint list was last certainly current.
+// Tracks the last time at which the endpoint list is known to have been current.
 class Readiness {
  public:
   explicit Readiness(const ReadinessOptions& options) : options_(options) {}
 
-  // Records a list that is known at the start. `current_at` is the last moment at which it was certainly
-  // current: the present for a list of the platform's, the moment that a snapshot names. With
-  // `start_times_known` the start times of its endpoints still hold.
+  // Records a list that is known at startup. `current_at` is the last time at which it is known to have been
+  // current: now for a list from the platform, the time stated in a snapshot otherwise.
+  // `start_times_known` says that the start times of its endpoints are still valid.
   void restore(Micros now, Micros current_at, bool start_times_known);
 
-  // Records that everything that the service had to tell at `current_at` is known.
+  // Records that the router has received all events that the service had at `current_at`.
   void on_confirmed(Micros now, Micros current_at);
 
-  // Forgets everything: the service has started again.
+  // Returns to the state without a list, after a sequence reset of the service.
   void reset();
 
   Staleness staleness(Micros now) const;
   ServingPermissions permissions(Micros now) const;
 
-  // Returns when the permissions change by time alone, or nothing where they do not.
+  // Returns when the permissions next change because time passes, or nothing where they do not.
   std::optional<Micros> next_change(Micros now) const;
 
-  // Returns the time since the list was certainly current; Micros::max() where there is no list.
+  // Returns the time since the list is known to have been current; Micros::max() where there is no list.
   Micros age(Micros now) const { return current_at_ ? now - *current_at_ : Micros::max(); }
 
  private:
--- a/src/startup/relay_selector.cpp
+++ b/src/startup/relay_selector.cpp
@@ -32,15 +32,15 @@
   return std::nullopt;
 }
 
-// The time is drawn between half and all of its length, so that the children of one relay do not return
-// together. The length is `min_longest` at least.
-void RelaySelector::quarantine(Micros now, const std::string& name, Micros min_longest) {
+// Draws the duration between half and all of its upper bound, so that the children of one relay do not return
+// together. The upper bound is at least `min_upper_bound`.
+void RelaySelector::quarantine(Micros now, const std::string& name, Micros min_upper_bound) {
   Relay& relay = relays_[name];
   const int doublings = std::min(relay.failures++, kMaxDoublings);
   const Micros doubled = std::min(options_.max_quarantine, options_.initial_quarantine * (1 << doublings));
-  const Micros longest = std::max(min_longest, doubled);
-  std::uniform_int_distribution<Micros::rep> even(longest.count() / 2, longest.count());
-  relay.quarantined_until = now + Micros(even(random_));
+  const Micros upper_bound = std::max(min_upper_bound, doubled);
+  std::uniform_int_distribution<Micros::rep> duration(upper_bound.count() / 2, upper_bound.count());
+  relay.quarantined_until = now + Micros(duration(random_));
   ++failures_in_a_row_;
   if (failures_in_a_row_ >= options_.failures_before_fallback) {
     fallback_until_ = std::max(fallback_until_, relay.quarantined_until);
@@ -64,15 +64,16 @@
 
 void RelaySelector::on_failure(Micros now, const std::string& relay) { quarantine(now, relay, Micros(0)); }
 
-// Evenly drawn over twice the mean, from the last audit on: the sum over all routers is the stated rate.
+// Draws the interval uniformly from 0 to twice its mean, so that the audits of all routers come at the
+// configured rate.
 std::optional<Micros> RelaySelector::next_audit_at(Micros now) {
   if (ancestors_.empty() || options_.audits_per_s <= 0.0) {
     return std::nullopt;
   }
   if (!audit_at_) {
     const double longest = 2.0 * routers_ / options_.audits_per_s * kMicrosPerSecond;
-    std::uniform_int_distribution<Micros::rep> even(0, static_cast<Micros::rep>(longest));
-    audit_at_ = now + Micros(even(random_));
+    std::uniform_int_distribution<Micros::rep> interval(0, static_cast<Micros::rep>(longest));
+    audit_at_ = now + Micros(interval(random_));
   }
   return audit_at_;
 }
@@ -82,7 +83,7 @@
   if (open_audit_ && own_sequence >= open_audit_->service_sequence) {
     open_audit_.reset();
   }
-  // A later audit does not give the relay more time for what an earlier one has shown.
+  // A later audit does not extend the time that the relay has to deliver the events found by an earlier one.
   if (!open_audit_ && service_sequence > own_sequence) {
     open_audit_ = OpenAudit{service_sequence, now};
   }
--- a/src/startup/relay_selector.h
+++ b/src/startup/relay_selector.h
@@ -1,13 +1,13 @@
-// Selects whom this router polls for the pages of the discovery service: its parent in the relay tree, an
-// ancestor beyond it, or the service itself. Also judges whether the answer of a relay is valid.
+// Selects which process this router polls for the pages of the discovery service: its parent in the relay
+// tree, a more distant ancestor, or the service itself. Also checks whether the answer of a relay is valid.
 //
-// A relay may be dead, stalled, behind or faulty. Each fault costs a stated time at most: a call to a relay
-// ends after its long-poll timeout and grace; a relay that failed is quarantined for a time that doubles;
-// after two failures in a row the service itself is polled; a relay whose page is older than allowed is
-// quarantined at once. A relay that withholds events is found by audits: now and then, at a rate that is
-// stated for the whole fleet, a router asks the service itself for its last sequence number.
+// A relay may be dead, stalled, out of date or faulty. The delay by each fault is bounded: a call to a relay
+// ends after its long-poll timeout and grace; a relay that failed is quarantined for a time that doubles with
+// each failure; after two failures in a row the service itself is polled; a relay whose page is too old is
+// quarantined at once. Audits detect a relay that withholds events: routers request the last sequence number
+// from the service itself, at a rate that is set for the whole fleet.
 //
-// Package `startup`.
+// Library `startup`.
 #pragma once
 
 #include <cstdint>
@@ -23,25 +23,25 @@
 
 // Options of RelaySelector.
 struct RelaySelectorOptions {
-  Micros max_age{1'000'000};                   // of a page that a relay passes on
-  Micros initial_quarantine{500'000};          // of a relay that failed; doubles
+  Micros max_age{1'000'000};                   // of a page from a relay
+  Micros initial_quarantine{500'000};          // of a relay that failed; doubles with each failure
   Micros max_quarantine{30'000'000};           // bound of the doubling
   Micros withholding_quarantine{300'000'000};  // of a relay that withheld events
-  int failures_before_fallback = 2;            // in a row, of any relays, until the service itself is polled
+  int failures_before_fallback = 2;            // in a row, of any relays; then the service itself is polled
   double audits_per_s = 1.0;                   // of all routers together; 0: no audits
 };
 
-// What the page of a relay says about itself.
+// What the page of a relay states about itself.
 struct RelayStatus {
-  Micros age{0};                  // of the page: how long ago it certainly held all that the service had
-  std::vector<std::string> path;  // routers that it passed through, the relay first
+  Micros age{0};                  // time since the page is known to have had all events of the service
+  std::vector<std::string> path;  // routers that the page passed through, the relay first
 };
 
 // Whether the page of a relay may be used.
 enum class RelayValidity {
   kValid,
-  kStale,  // it is older than allowed, or does not say how old it is
-  kLoop    // it has passed through this router before
+  kStale,  // the page is older than `max_age` or does not state its age
+  kLoop    // the page has already passed through this router
 };
 
 // Selects among the ancestors of one router in the relay tree.
@@ -56,22 +56,22 @@
   // Returns the relay to poll next, or nothing where the service itself is to be polled.
   std::optional<std::string> select(Micros now) const;
 
-  // Judges the page that a relay returned. A page that is not valid quarantines the relay.
+  // Checks the page that a relay returned. Quarantines the relay if the page is not valid.
   RelayValidity on_response(Micros now, const std::string& relay, const std::string& self,
                             const RelayStatus& status);
 
-  // Records that a call to a relay brought no page.
+  // Records that a call to a relay failed.
   void on_failure(Micros now, const std::string& relay);
 
-  // Returns when the service is to be audited, or nothing where there are no relays or no audits.
+  // Returns when to send the next audit to the service, or nothing where there are no relays or no audits.
   std::optional<Micros> next_audit_at(Micros now);
 
-  // Records the last sequence number of the service at an audit. Where it is beyond `own_sequence`, that of
-  // this router, the relay has `max_age` to deliver it.
+  // Records the result of an audit: `service_sequence` is the last sequence number of the service,
+  // `own_sequence` that of this router. Where the service's is higher, the relay has `max_age` to deliver it.
   void on_audit(Micros now, std::uint64_t service_sequence, std::uint64_t own_sequence);
 
-  // Returns whether the relay withheld events that an audit has shown, and quarantines it then. To be called
-  // from time to time.
+  // Returns whether the relay has withheld events that an audit has found, and quarantines it in that case.
+  // Has to be called periodically.
   bool detect_withholding(Micros now, const std::string& relay, std::uint64_t own_sequence);
 
  private:
@@ -85,7 +85,7 @@
   };
 
   bool is_quarantined(Micros now, const std::string& relay) const;
-  void quarantine(Micros now, const std::string& relay, Micros min_longest);
+  void quarantine(Micros now, const std::string& relay, Micros min_upper_bound);
 
   RelaySelectorOptions options_;
   std::vector<std::string> ancestors_;
@@ -93,7 +93,7 @@
   int routers_ = 1;
   std::map<std::string, Relay> relays_;
   int failures_in_a_row_ = 0;
-  Micros fallback_until_{-1};  // the service itself is polled
+  Micros fallback_until_{-1};  // until then the service itself is polled
   std::optional<Micros> audit_at_;
   std::optional<OpenAudit> open_audit_;
 };
--- a/src/startup/relay_tree.cpp
+++ b/src/startup/relay_tree.cpp
@@ -23,9 +23,9 @@
 
 std::vector<std::string> RelayTree::ancestors() const {
   std::vector<std::string> out;
-  for (std::size_t at = position_; at > 0;) {
-    at = (at - 1) / degree_;
-    out.push_back(names_[at]);
+  for (std::size_t position = position_; position > 0;) {
+    position = (position - 1) / degree_;
+    out.push_back(names_[position]);
   }
   return out;
 }
@@ -33,8 +33,8 @@
 std::vector<std::string> RelayTree::children() const {
   const std::size_t first = position_ * degree_ + 1;
   std::vector<std::string> out;
-  for (std::size_t at = first; at < first + degree_ && at < names_.size(); ++at) {
-    out.push_back(names_[at]);
+  for (std::size_t child = first; child < first + degree_ && child < names_.size(); ++child) {
+    out.push_back(names_[child]);
   }
   return out;
 }
--- a/src/startup/relay_tree.h
+++ b/src/startup/relay_tree.h
@@ -1,10 +1,10 @@
-// The tree by which the routers of a zone relay the pages of the discovery service to each other. It has a
-// bounded degree and is the same for each router: names are sorted by hash, the router at position i polls
-// the one at (i-1)/degree, and the first polls the service. A router polls only earlier positions, so that no
-// loop can form where all have the same list of peers. Where the lists differ, relay_selector.h detects loops
-// by the path in each page, and pages that are too old.
+// The tree by which the routers of a zone relay the pages of the discovery service to each other. Its degree
+// is bounded, and each router computes the same tree: names are sorted by hash, the router at position i
+// polls the one at (i-1)/degree, and the first polls the service. Each router polls only a router at an
+// earlier position, so no loop forms where all have the same list of peers. Where their lists differ,
+// RelaySelector detects loops by the path in each page and rejects pages that are too old.
 //
-// Package `startup`.
+// Library `startup`.
 #pragma once
 
 #include <cstddef>
@@ -16,18 +16,23 @@
 // The relay tree as one router sees it. Immutable.
 class RelayTree {
  public:
-  // `peers` are the names of the zone's routers, with or without `self`, in any order, duplicates allowed.
+  // `peers` are the names of the zone's routers, in any order, with or without `self`; duplicates are
+  // allowed.
   RelayTree(const std::string& self, std::vector<std::string> peers, int degree);
 
-  // Returns the routers from the parent of this one up to the first; empty for the first itself.
+  // Returns the routers on the path to the root, the parent of this router first; empty for the root.
   std::vector<std::string> ancestors() const;
+
+  // Returns the routers that poll this one.
   std::vector<std::string> children() const;
 
-  // Returns the position of this router, 0 for the first.
+  // Returns the position of this router, 0 for the root.
   std::size_t position() const { return position_; }
+
+  // Returns the number of routers in the tree.
   std::size_t size() const { return names_.size(); }
 
-  // Returns the number of hops between this router and the service, 1 for the first.
+  // Returns the number of hops from this router to the service, 1 for the root.
   int depth() const { return static_cast<int>(ancestors().size()) + 1; }
 
  private:
--- a/src/startup/sequence_tracker.h
+++ b/src/startup/sequence_tracker.h
@@ -1,9 +1,10 @@
-// Decides whether a page of the discovery service continues what is known, is outdated, or comes from a
-// service whose sequence numbers have started again. A page with a lower sequence number may come from a
-// stale replica and changes nothing. A service that sends an identifier has started again when the identifier
-// differs. One without is taken to have started again once it has sent only lower numbers for a stated time.
+// Decides whether a page of the discovery service is to be applied, is outdated, or follows a sequence reset,
+// after which the service numbers its events from the beginning. A page with a lower sequence number may come
+// from a stale replica and is ignored. Where the service sends an identifier, a different identifier means a
+// sequence reset. Where it sends none, a reset is assumed once it has sent only lower numbers for a given
+// time.
 //
-// Package `startup`.
+// Library `startup`.
 #pragma once
 
 #include <cstdint>
@@ -16,22 +17,23 @@
 
 // What to do with a page of events.
 enum class PageVerdict {
-  kApply,  // it continues what is known
-  kStale,  // it is outdated: ignore it
-  kReset   // the sequence has started again: forget what is known and poll from the beginning
+  kApply,  // apply it
+  kStale,  // ignore it: it is outdated
+  kReset   // sequence reset: discard the applied state and poll from the beginning
 };
 
 // Tracks the identifier and the sequence numbers of the discovery service.
 class SequenceTracker {
  public:
-  // `reset_after`: how long a service without an identifier has to send only lower numbers for a reset.
+  // `reset_after` is the time after which a service without an identifier that sends only lower sequence
+  // numbers is taken to be reset.
   explicit SequenceTracker(Micros reset_after) : reset_after_(reset_after) {}
 
-  // Sets the identifier that a snapshot or the configuration names.
+  // Sets the identifier of the service from a snapshot or the configuration.
   void restore(const std::string& source_id) { source_id_ = source_id; }
 
-  // Judges a page whose last sequence number is `page_sequence`. `applied_sequence` is the last one that this
-  // router has applied. An empty `page_source_id` means that the service sends no identifier.
+  // Checks a page whose last sequence number is `page_sequence`. `applied_sequence` is the last sequence
+  // number that this router has applied. `page_source_id` is empty where the service sends no identifier.
   PageVerdict check(Micros now, std::uint64_t applied_sequence, std::uint64_t page_sequence,
                     const std::string& page_source_id);
 
--- a/tests/endpoint_view_test.cpp
+++ b/tests/endpoint_view_test.cpp
@@ -1,5 +1,5 @@
-// Slow start of connections, the staleness of the endpoint list, and the view of it that the decision module
-// gets: by themselves, and for whole fleets in virtual time.
+// Tests of endpoint admission, readiness and the endpoint view: each class alone, and admissions of whole
+// fleets in virtual time.
 #include "startup/endpoint_view.h"
 
 #include <gtest/gtest.h>
@@ -30,31 +30,31 @@
   return options;
 }
 
-// All routers learn of the same endpoint in the same moment.
-TEST(EndpointAdmissionTest, TheSumOfAdmissionsAtOneEndpointStaysWithinTheBound) {
+// All routers get the same endpoint at the same time.
+TEST(EndpointAdmissionTest, AdmissionsOfAllRoutersAtOneEndpointStayWithinTheBound) {
   for (const int routers : {1, 7, 60, 300, 1'000}) {
-    std::vector<Micros> moments;
+    std::vector<Micros> admissions;
     for (int i = 0; i < routers; ++i) {
       EndpointAdmission admission(slow_start_options(), static_cast<std::uint64_t>(i) * 977 + 1);
       admission.set_fleet_size(routers);
       if (admission.on_listed(seconds(1), "cache", 0)) {
-        moments.push_back(seconds(1));
+        admissions.push_back(seconds(1));
       } else {
-        moments.push_back(*admission.next_admission());
+        admissions.push_back(*admission.next_admission());
         EXPECT_TRUE(admission.admit_due(*admission.next_admission() - Micros(1)).empty());
-        EXPECT_EQ(admission.admit_due(moments.back()), std::vector<std::string>{"cache"});
+        EXPECT_EQ(admission.admit_due(admissions.back()), std::vector<std::string>{"cache"});
         EXPECT_TRUE(admission.is_admitted("cache"));
       }
     }
-    EXPECT_LE(fleet::most_within(moments, seconds(1)), max_within(kAdmissionsPerSecond, seconds(1)))
+    EXPECT_LE(fleet::most_within(admissions, seconds(1)), max_within(kAdmissionsPerSecond, seconds(1)))
         << routers;
-    EXPECT_LE(*std::max_element(moments.begin(), moments.end()), seconds(1) + Micros(routers * 10'000));
+    EXPECT_LE(*std::max_element(admissions.begin(), admissions.end()), seconds(1) + Micros(routers * 10'000));
   }
 }
 
-// Returns how often all routers together admit an endpoint that flaps for a minute. With `forgetful` each
-// flap is taken for a first listing, as if the slow start were reset.
-std::size_t admissions_of_a_flapping_endpoint(bool forgetful) {
+// Returns how often all routers together admit an endpoint that flaps for a minute. With `reset_on_flap` each
+// flap counts as a first listing, which is the defect that the test guards against.
+std::size_t admissions_of_flapping_endpoint(bool reset_on_flap) {
   constexpr int kRouters = 100;
   constexpr int kFlaps = 40;
   std::size_t admitted = 0;
@@ -64,7 +64,7 @@
     admission.set_fleet_size(kRouters);
     for (int flap = 0; flap < kFlaps; ++flap) {
       const Micros now = milliseconds(1'500 * (flap + 1));
-      if (forgetful) {
+      if (reset_on_flap) {
         admission = EndpointAdmission(slow_start_options(), seed + static_cast<std::uint64_t>(flap) * 13);
         admission.set_fleet_size(kRouters);
       }
@@ -76,13 +76,13 @@
   return admitted;
 }
 
-TEST(EndpointAdmissionTest, AFlappingEndpointIsAdmittedMoreAndMoreRarely) {
-  EXPECT_LE(admissions_of_a_flapping_endpoint(false), 100U * 4U);
-  EXPECT_GT(admissions_of_a_flapping_endpoint(true), 100U * 30U)
-      << "a slow start that a flap resets would be seen";
+TEST(EndpointAdmissionTest, AdmitsAFlappingEndpointLessAndLessOften) {
+  EXPECT_LE(admissions_of_flapping_endpoint(false), 100U * 4U);
+  EXPECT_GT(admissions_of_flapping_endpoint(true), 100U * 30U)
+      << "the check above detects a slow start that is reset by each flap";
 }
 
-TEST(EndpointAdmissionTest, RemovalTakesEffectAtOnceAndARestartCountsAsANewEndpoint) {
+TEST(EndpointAdmissionTest, RemovalTakesEffectAtOnceAndARestartNeedsANewAdmission) {
   AdmissionOptions options;  // no slow start
   EndpointAdmission admission(options, 1);
   EXPECT_TRUE(admission.on_listed(seconds(1), "a", 5));
@@ -99,10 +99,10 @@
   slow.on_unlisted(seconds(2), "a");
   EXPECT_EQ(slow.next_admission(), std::nullopt);
   EXPECT_FALSE(slow.on_listed(seconds(2), "a", 6));
-  EXPECT_GE(*slow.next_admission(), first) << "flapping never makes an admission sooner";
+  EXPECT_GE(*slow.next_admission(), first) << "flapping never makes an admission earlier";
 }
 
-TEST(EndpointAdmissionTest, ConnectionsAreAShareOfWhatTheEndpointHolds) {
+TEST(EndpointAdmissionTest, MaxConnectionsDividesTheConnectionsOfTheEndpointAmongTheRouters) {
   AdmissionOptions options;
   options.endpoint_connections = 1'000;
   EndpointAdmission admission(options, 1);
@@ -123,7 +123,7 @@
   return options;
 }
 
-TEST(ReadinessTest, StalenessFollowsTheTable) {
+TEST(ReadinessTest, StalenessFollowsRestoreConfirmationsAgeAndReset) {
   Readiness readiness(options_for(StalePolicy::kServe));
   EXPECT_EQ(readiness.staleness(seconds(10)), Staleness::kUnknown);
   EXPECT_FALSE(readiness.permissions(seconds(10)).ready);
@@ -146,16 +146,16 @@
   EXPECT_EQ(readiness.staleness(seconds(50)), Staleness::kUnknown);
 }
 
-TEST(ReadinessTest, AnOldConfirmationNeverMakesTheListOlderNorAFutureOneYoungerThanNow) {
+TEST(ReadinessTest, AConfirmationNeitherMakesTheListOlderNorDatesItInTheFuture) {
   Readiness readiness(options_for(StalePolicy::kServe));
   readiness.on_confirmed(seconds(10), seconds(10));
-  readiness.on_confirmed(seconds(11), seconds(4));  // the page of a relay, seven seconds old
+  readiness.on_confirmed(seconds(11), seconds(4));  // a page of a relay that is seven seconds old
   EXPECT_EQ(readiness.age(seconds(11)), seconds(1));
-  readiness.on_confirmed(seconds(12), seconds(99));  // in the future: it counts as now
+  readiness.on_confirmed(seconds(12), seconds(99));  // a time in the future counts as now
   EXPECT_EQ(readiness.age(seconds(12)), Micros(0));
 }
 
-TEST(ReadinessTest, WhileStaleTheAgeOfCopiesIsLimitedOrRequestsAreRejected) {
+TEST(ReadinessTest, AStaleListLimitsTheAgeOfCopiesOrRejectsRequestsByThePolicy) {
   Readiness limiting(options_for(StalePolicy::kLimitAge));
   limiting.on_confirmed(seconds(10), seconds(10));
   EXPECT_EQ(limiting.permissions(seconds(12)).max_copy_age, std::nullopt);
@@ -166,15 +166,15 @@
   EXPECT_TRUE(rejecting.permissions(seconds(12)).ready);
   EXPECT_FALSE(rejecting.permissions(seconds(13)).ready);
   EXPECT_FALSE(rejecting.permissions(seconds(13)).may_serve);
-  // Where caches drop purged copies within the notification bound, no purge can be missing.
-  ReadinessOptions late = options_for(StalePolicy::kLimitAge);
-  late.notification_bound = seconds(7);
-  Readiness safe(late);
-  safe.on_confirmed(seconds(10), seconds(10));
-  EXPECT_EQ(safe.permissions(seconds(30)).max_copy_age, std::nullopt);
+  // Where caches drop purged copies within the notification bound, no binding purge event can be missed.
+  ReadinessOptions long_bound = options_for(StalePolicy::kLimitAge);
+  long_bound.notification_bound = seconds(7);
+  Readiness unlimited(long_bound);
+  unlimited.on_confirmed(seconds(10), seconds(10));
+  EXPECT_EQ(unlimited.permissions(seconds(30)).max_copy_age, std::nullopt);
 }
 
-Endpoint entry(const std::string& name, NodeState state = NodeState::kReady, Micros started = Micros(0)) {
+Endpoint endpoint(const std::string& name, NodeState state = NodeState::kReady, Micros started = Micros(0)) {
   Endpoint out;
   out.address = name;
   out.zone = "here";
@@ -185,7 +185,8 @@
 
 class EndpointViewTest : public testing::Test {
  protected:
-  std::vector<EndpointListReceived> lists(EndpointView& view, Micros now) {
+  // Steps the view and returns the lists among its events.
+  std::vector<EndpointListReceived> step(EndpointView& view, Micros now) {
     events_.clear();
     view.step(now, events_);
     std::vector<EndpointListReceived> out;
@@ -196,15 +197,18 @@
     }
     return out;
   }
+
+  // Returns the number of purges among the events of the last step.
   std::size_t purges() const {
     return static_cast<std::size_t>(std::count_if(events_.begin(), events_.end(), [](const Event& event) {
       return std::holds_alternative<Purged>(event);
     }));
   }
+
   static std::map<std::string, NodeState> states(const EndpointListReceived& list) {
     std::map<std::string, NodeState> out;
-    for (const Endpoint& one : list.entries) {
-      out[one.address] = one.state;
+    for (const Endpoint& entry : list.entries) {
+      out[entry.address] = entry.state;
     }
     return out;
   }
@@ -212,28 +216,28 @@
   std::vector<Event> events_;
 };
 
-TEST_F(EndpointViewTest, ListsPassUnchangedAndThenOnlyTheirChanges) {
+TEST_F(EndpointViewTest, PassesTheFirstListUnchangedAndThenOnlyChanges) {
   EndpointView view({}, options_for(StalePolicy::kServe), 1);
-  EXPECT_TRUE(lists(view, seconds(1)).empty());
+  EXPECT_TRUE(step(view, seconds(1)).empty());
   view.restore(seconds(1), seconds(1), true);
-  view.on_list(seconds(1), {ListKind::kFull, {entry("a"), entry("b", NodeState::kDraining)}});
-  auto seen = lists(view, seconds(1));
-  ASSERT_EQ(seen.size(), 1U);
-  EXPECT_EQ(seen[0].kind, ListKind::kFull);
-  EXPECT_EQ(states(seen[0]),
+  view.on_list(seconds(1), {ListKind::kFull, {endpoint("a"), endpoint("b", NodeState::kDraining)}});
+  auto lists = step(view, seconds(1));
+  ASSERT_EQ(lists.size(), 1U);
+  EXPECT_EQ(lists[0].kind, ListKind::kFull);
+  EXPECT_EQ(states(lists[0]),
             (std::map<std::string, NodeState>{{"a", NodeState::kReady}, {"b", NodeState::kDraining}}));
   EXPECT_TRUE(view.is_ready(seconds(1)));
-  EXPECT_TRUE(lists(view, seconds(1)).empty());
-  view.on_list(seconds(1), {ListKind::kChanges, {entry("a", NodeState::kDraining)}});
-  seen = lists(view, seconds(1));
-  ASSERT_EQ(seen.size(), 1U);
-  EXPECT_EQ(seen[0].kind, ListKind::kChanges);
-  EXPECT_EQ(states(seen[0]), (std::map<std::string, NodeState>{{"a", NodeState::kDraining}}));
+  EXPECT_TRUE(step(view, seconds(1)).empty());
+  view.on_list(seconds(1), {ListKind::kChanges, {endpoint("a", NodeState::kDraining)}});
+  lists = step(view, seconds(1));
+  ASSERT_EQ(lists.size(), 1U);
+  EXPECT_EQ(lists[0].kind, ListKind::kChanges);
+  EXPECT_EQ(states(lists[0]), (std::map<std::string, NodeState>{{"a", NodeState::kDraining}}));
   EXPECT_FALSE(view.is_ready(seconds(1)));
-  view.on_list(seconds(1), {ListKind::kFull, {entry("c")}});
-  seen = lists(view, seconds(1));
-  ASSERT_EQ(seen.size(), 1U);
-  EXPECT_EQ(states(seen[0]),
+  view.on_list(seconds(1), {ListKind::kFull, {endpoint("c")}});
+  lists = step(view, seconds(1));
+  ASSERT_EQ(lists.size(), 1U);
+  EXPECT_EQ(states(lists[0]),
             (std::map<std::string, NodeState>{
                 {"a", NodeState::kGone}, {"b", NodeState::kGone}, {"c", NodeState::kReady}}));
 }
@@ -244,48 +248,48 @@
   EndpointView view(admission, options_for(StalePolicy::kServe), 5);
   view.set_fleet_size(2);
   view.restore(seconds(1), seconds(1), true);
-  view.on_list(seconds(1), {ListKind::kFull, {entry("a"), entry("b")}});
-  const auto seen = lists(view, seconds(1));
-  ASSERT_EQ(seen.size(), 1U);
-  for (const auto& [name, state] : states(seen[0])) {
+  view.on_list(seconds(1), {ListKind::kFull, {endpoint("a"), endpoint("b")}});
+  const auto lists = step(view, seconds(1));
+  ASSERT_EQ(lists.size(), 1U);
+  for (const auto& [name, state] : states(lists[0])) {
     EXPECT_EQ(state, NodeState::kDraining) << name;
   }
   EXPECT_FALSE(view.is_ready(seconds(1)));
   const Micros due = *view.next_step_at(seconds(1));
   EXPECT_GT(due, seconds(1));
-  const auto later = lists(view, due);
-  ASSERT_EQ(later.size(), 1U);
-  EXPECT_EQ(states(later[0]).begin()->second, NodeState::kReady);
+  const auto later_lists = step(view, due);
+  ASSERT_EQ(later_lists.size(), 1U);
+  EXPECT_EQ(states(later_lists[0]).begin()->second, NodeState::kReady);
   EXPECT_TRUE(view.is_ready(due));
 }
 
-TEST_F(EndpointViewTest, AnEndpointWithoutStartTimeCountsAsJustStartedUntilAConfirmation) {
+TEST_F(EndpointViewTest, AnEndpointWithoutAStartTimeCountsAsJustStartedUntilAConfirmation) {
   EndpointView view({}, options_for(StalePolicy::kServe), 1);
   view.restore(seconds(9), seconds(2), false);
-  view.on_list(seconds(9), {ListKind::kFull, {entry("a"), entry("b", NodeState::kReady, seconds(4))}});
-  auto seen = lists(view, seconds(9));
-  ASSERT_EQ(seen.size(), 1U);
-  EXPECT_EQ(seen[0].entries[0].started, seconds(9));
-  EXPECT_EQ(seen[0].entries[1].started, seconds(4));
+  view.on_list(seconds(9), {ListKind::kFull, {endpoint("a"), endpoint("b", NodeState::kReady, seconds(4))}});
+  auto lists = step(view, seconds(9));
+  ASSERT_EQ(lists.size(), 1U);
+  EXPECT_EQ(lists[0].entries[0].started, seconds(9));
+  EXPECT_EQ(lists[0].entries[1].started, seconds(4));
   view.on_confirmed(seconds(10), seconds(10));
-  seen = lists(view, seconds(10));
-  ASSERT_EQ(seen.size(), 1U);
-  EXPECT_EQ(seen[0].entries[0].started, Micros(0));
+  lists = step(view, seconds(10));
+  ASSERT_EQ(lists.size(), 1U);
+  EXPECT_EQ(lists[0].entries[0].started, Micros(0));
 }
 
-TEST_F(EndpointViewTest, WhileStaleTheAgeLimitIsRenewedBeforeItEnds) {
+TEST_F(EndpointViewTest, RenewsTheAgeLimitBeforeItEndsWhileTheListIsStale) {
   EndpointView view({}, options_for(StalePolicy::kLimitAge), 1);
   view.on_confirmed(seconds(10), seconds(10));
-  view.on_list(seconds(10), {ListKind::kFull, {entry("a")}});
-  lists(view, seconds(10));
+  view.on_list(seconds(10), {ListKind::kFull, {endpoint("a")}});
+  step(view, seconds(10));
   EXPECT_EQ(purges(), 0U);
   Micros now = seconds(10);
   Micros limited_at(-1);
   for (int i = 0; i < 40; ++i) {
     now = *view.next_step_at(now) + Micros(0);
-    lists(view, now);
+    step(view, now);
     if (purges() == 256U) {
-      // Until it is renewed, no copy older than the bound may be served.
+      // No copy older than the bound may be served at any time until the next renewal.
       const Micros age = std::get<Purged>(events_.back()).age;
       EXPECT_LE(age, seconds(2));
       if (limited_at >= Micros(0)) {
@@ -299,43 +303,43 @@
   }
   EXPECT_GT(limited_at, seconds(12));
   view.on_confirmed(now, now);
-  lists(view, now);
+  step(view, now);
   EXPECT_EQ(purges(), 0U);
 }
 
-TEST_F(EndpointViewTest, WhileRejectingTheListIsEmptyAndFullAgainAfterAConfirmation) {
+TEST_F(EndpointViewTest, TheListIsEmptyWhileRequestsAreRejectedAndFullAfterAConfirmation) {
   EndpointView view({}, options_for(StalePolicy::kReject), 1);
   view.on_confirmed(seconds(10), seconds(10));
-  view.on_list(seconds(10), {ListKind::kFull, {entry("a")}});
-  lists(view, seconds(10));
-  // The process was stopped for ten seconds: the empty list goes before any other event.
-  auto seen = lists(view, seconds(20));
-  ASSERT_EQ(seen.size(), 1U);
-  EXPECT_EQ(seen[0].kind, ListKind::kFull);
-  EXPECT_TRUE(seen[0].entries.empty());
+  view.on_list(seconds(10), {ListKind::kFull, {endpoint("a")}});
+  step(view, seconds(10));
+  // The process was suspended for ten seconds: the empty list precedes all other events.
+  auto lists = step(view, seconds(20));
+  ASSERT_EQ(lists.size(), 1U);
+  EXPECT_EQ(lists[0].kind, ListKind::kFull);
+  EXPECT_TRUE(lists[0].entries.empty());
   EXPECT_FALSE(view.is_ready(seconds(20)));
   view.on_confirmed(seconds(21), seconds(21));
-  seen = lists(view, seconds(21));
-  ASSERT_EQ(seen.size(), 1U);
-  EXPECT_EQ(seen[0].kind, ListKind::kFull);
-  EXPECT_EQ(seen[0].entries.size(), 1U);
+  lists = step(view, seconds(21));
+  ASSERT_EQ(lists.size(), 1U);
+  EXPECT_EQ(lists[0].kind, ListKind::kFull);
+  EXPECT_EQ(lists[0].entries.size(), 1U);
 }
 
-TEST_F(EndpointViewTest, AResetLeavesNothingOfTheOldList) {
+TEST_F(EndpointViewTest, AResetRemovesAllEndpointsOfTheOldList) {
   EndpointView view({}, options_for(StalePolicy::kServe), 1);
   view.on_confirmed(seconds(10), seconds(10));
-  view.on_list(seconds(10), {ListKind::kFull, {entry("a")}});
-  lists(view, seconds(10));
+  view.on_list(seconds(10), {ListKind::kFull, {endpoint("a")}});
+  step(view, seconds(10));
   view.reset(seconds(11));
-  auto seen = lists(view, seconds(11));
-  ASSERT_EQ(seen.size(), 1U);
-  EXPECT_TRUE(seen[0].entries.empty());
+  auto lists = step(view, seconds(11));
+  ASSERT_EQ(lists.size(), 1U);
+  EXPECT_TRUE(lists[0].entries.empty());
   EXPECT_FALSE(view.is_ready(seconds(11)));
   view.on_confirmed(seconds(12), seconds(12));
-  view.on_list(seconds(12), {ListKind::kFull, {entry("b")}});
-  seen = lists(view, seconds(12));
-  ASSERT_EQ(seen.size(), 1U);
-  EXPECT_EQ(states(seen[0]), (std::map<std::string, NodeState>{{"b", NodeState::kReady}}));
+  view.on_list(seconds(12), {ListKind::kFull, {endpoint("b")}});
+  lists = step(view, seconds(12));
+  ASSERT_EQ(lists.size(), 1U);
+  EXPECT_EQ(states(lists[0]), (std::map<std::string, NodeState>{{"b", NodeState::kReady}}));
 }
 
 }  // namespace
--- a/tests/fleet/cold_start_test.cpp
+++ b/tests/fleet/cold_start_test.cpp
@@ -519,12 +519,12 @@
     return snapshot::encode_snapshot(made);
   };
   starts_with(changed([](snapshot::Snapshot& one) { one.fleet = "another"; }),
-              "not used: it is of another fleet");
+              "not used: it is from another fleet");
   starts_with(changed([](snapshot::Snapshot& one) { one.router = "router1"; }),
-              "not used: it is of another router");
+              "not used: it is from another router");
   // As after the clock was set back by an hour between two starts, or the machine was off for two days.
   starts_with(changed([](snapshot::Snapshot& one) { one.saved_at += std::chrono::hours(1); }),
-              "not used: it is from the future");
+              "not used: its time is in the future");
   starts_with(changed([](snapshot::Snapshot& one) { one.confirmed_at -= milliseconds(200'000'000); }),
               "not used: it is older");
   starts_with(changed([](snapshot::Snapshot& one) {
--- a/tests/poll_scheduler_test.cpp
+++ b/tests/poll_scheduler_test.cpp
@@ -1,5 +1,5 @@
-// The poll scheduler by itself, and thousands of fleets of them in virtual time: the bound over the whole
-// fleet holds whatever made the routers begin, and each seeded defect breaks it.
+// Tests of the poll scheduler, alone and in thousands of simulated fleets: the bound on the polls of the
+// whole fleet holds whatever event the routers react to, and each injected defect exceeds it.
 #include "startup/poll_scheduler.h"
 
 #include <gtest/gtest.h>
@@ -23,7 +23,7 @@
 using std::chrono::seconds;
 using testing_support::max_within;
 
-constexpr double kCallsPerSecond = 100.0;  // that the service bears
+constexpr double kCallsPerSecond = 100.0;  // that the service can serve
 
 PollOptions spread_options() {
   PollOptions options;
@@ -33,27 +33,27 @@
   return options;
 }
 
-// How the service answers a poll.
+// The response of the service to a poll.
 struct ServiceAnswer {
   PollResult result = PollResult::kNoUpdates;
   Micros retry_after{0};
 };
 
-// A fleet that polls one service in virtual time.
+// Simulates a fleet that polls one service in virtual time.
 struct PollingFleet {
   PollOptions options = spread_options();
   int routers = 100;
-  int assumed_routers = 0;                    // what each router takes for the fleet's size; 0: the truth
-  std::function<std::uint64_t(int)> seed_of;  // of a router at this start
+  int assumed_routers = 0;                    // fleet size that each router assumes; 0: `routers`
+  std::function<std::uint64_t(int)> seed_of;  // by index of the router
   std::function<Micros(int)> start_of = [](int) { return Micros(0); };
   std::function<ServiceAnswer(Micros)> answer_at = [](Micros) { return ServiceAnswer(); };
   Micros horizon = seconds(60);
 
   struct Outcome {
-    std::vector<Micros> unsettled_polls;  // first polls and those after a failure
-    Micros last_list{0};                  // when the last router had its list
+    std::vector<Micros> unsettled_polls;  // times of first polls and of polls after a failure
+    Micros last_list{0};                  // when the last router received its list
     int routers_without_list = 0;
-    bool ignored_retry_after = false;  // a poll came sooner than the service had asked for
+    bool ignored_retry_after = false;  // a poll came earlier than the Retry-After allowed
   };
 
   Outcome run() const {
@@ -110,40 +110,41 @@
   }
 };
 
-// 10,000 fleets of 1 to 1,000 routers: started at once, by tenths, in a row, or seven in ten of them; with a
-// service that is healthy, down, silent, or rejects for a while with or without Retry-After.
-TEST(PollSchedulerTest, TheSumOfPollsStaysWithinTheBoundForTenThousandRandomFleets) {
+// 10,000 fleets of 1 to 1,000 routers that start at once, in tenths, one after another, or within 2 us; with
+// a service that is healthy, or at first refuses connections, does not answer, or rejects polls with or
+// without Retry-After.
+TEST(PollSchedulerTest, PollsOfTheFleetStayWithinTheBoundForTenThousandRandomFleets) {
   std::size_t fleets = 0;
   std::size_t calls = 0;
   for (std::uint64_t seed = 1; seed <= 10'000; ++seed) {
     std::mt19937_64 random(seed);
-    const auto below = [&random](int most) {
-      return static_cast<int>(random() % static_cast<std::uint64_t>(most));
+    const auto below = [&random](int limit) {
+      return static_cast<int>(random() % static_cast<std::uint64_t>(limit));
     };
     PollingFleet fleet;
     const double size = std::uniform_real_distribution<double>(0.0, 3.0)(random);
     fleet.routers = std::max(1, static_cast<int>(std::pow(10.0, size)));
     fleet.horizon = seconds(20);
     fleet.seed_of = [seed](int i) { return seed * 1'000'003ULL + static_cast<std::uint64_t>(i) * 7'919ULL; };
-    const int shape = below(4);
+    const int start_pattern = below(4);
     const Micros step(1'000 * (1 + below(300)));
     const int routers = fleet.routers;
     fleet.start_of = [=](int i) {
-      return shape == 0   ? Micros(0)
-             : shape == 1 ? seconds(i * 10 / routers)
-             : shape == 2 ? i * step
-                          : Micros(i % 3);
+      return start_pattern == 0   ? Micros(0)
+             : start_pattern == 1 ? seconds(i * 10 / routers)
+             : start_pattern == 2 ? i * step
+                                  : Micros(i % 3);
     };
-    const int trouble = below(4);
-    const Micros until = milliseconds(below(8'000));
+    const int fault = below(4);
+    const Micros fault_end = milliseconds(below(8'000));
     const Micros retry_after = seconds(below(5));
     fleet.answer_at = [=](Micros at) -> ServiceAnswer {
-      if (at >= until || trouble == 0) {
+      if (at >= fault_end || fault == 0) {
         return {PollResult::kNoUpdates, Micros(0)};
       }
-      return trouble == 1   ? ServiceAnswer{PollResult::kDisconnected, Micros(0)}
-             : trouble == 2 ? ServiceAnswer{PollResult::kTimeout, Micros(0)}
-                            : ServiceAnswer{PollResult::kRejected, retry_after};
+      return fault == 1   ? ServiceAnswer{PollResult::kDisconnected, Micros(0)}
+             : fault == 2 ? ServiceAnswer{PollResult::kTimeout, Micros(0)}
+                          : ServiceAnswer{PollResult::kRejected, retry_after};
     };
     const PollingFleet::Outcome outcome = fleet.run();
     ++fleets;
@@ -153,14 +154,14 @@
     ASSERT_LE(most_within(outcome.unsettled_polls, milliseconds(100)),
               max_within(kCallsPerSecond, milliseconds(100)))
         << "seed " << seed;
-    ASSERT_FALSE(outcome.ignored_retry_after) << "seed " << seed << ": sooner than the service asked for";
+    ASSERT_FALSE(outcome.ignored_retry_after) << "seed " << seed << ": earlier than Retry-After allows";
   }
   EXPECT_EQ(fleets, 10'000U);
   EXPECT_GT(calls, 1'000'000U);
 }
 
-// The time until the last has its list: the first window, where the service is healthy.
-TEST(PollSchedulerTest, TheLastListArrivesWithinTheFirstWindow) {
+// With a healthy service, the first poll of each router succeeds.
+TEST(PollSchedulerTest, EachRouterReceivesItsListWithinTheFirstWindow) {
   for (const int routers : {1, 10, 100, 1'000, 10'000}) {
     PollingFleet fleet;
     fleet.routers = routers;
@@ -193,15 +194,15 @@
             max_within(kCallsPerSecond, milliseconds(100)));
 }
 
-TEST(PollSchedulerDefectTest, ABudgetPerRouterExceedsThatOfTheFleet) {
+TEST(PollSchedulerDefectTest, ABudgetPerRouterExceedsTheBoundOfTheFleet) {
   PollingFleet fleet = rejected_fleet();
   fleet.assumed_routers = 1;
   EXPECT_GT(most_within(fleet.run().unsettled_polls, seconds(1)), max_within(kCallsPerSecond, seconds(1)));
 }
 
-// A row of restarts whose order happens to undo a jitter that only depends on the name.
-TEST(PollSchedulerDefectTest, JitterByNameAloneCanBeUndoneByTheOrderOfStarts) {
-  const auto worst = [](bool by_name) {
+// Routers restart in an order that cancels out a jitter which depends only on the name of the router.
+TEST(PollSchedulerDefectTest, JitterByNameAloneCanBeCancelledOutByTheOrderOfStarts) {
+  const auto peak_polls = [](bool seed_by_name) {
     PollingFleet fleet;
     fleet.routers = 600;
     const auto name_seed = [](int i) { return static_cast<std::uint64_t>(i) * 104'729ULL + 3; };
@@ -210,16 +211,16 @@
       same.set_fleet_size(fleet.routers);
       return seconds(20) - same.first_poll(Micros(0)).at;
     };
-    fleet.seed_of = [by_name, name_seed](int i) {
-      return by_name ? name_seed(i) : name_seed(i) ^ 0x5bd1e995ULL;
+    fleet.seed_of = [seed_by_name, name_seed](int i) {
+      return seed_by_name ? name_seed(i) : name_seed(i) ^ 0x5bd1e995ULL;
     };
     return most_within(fleet.run().unsettled_polls, milliseconds(100));
   };
-  EXPECT_LE(worst(false), max_within(kCallsPerSecond, milliseconds(100)));
-  EXPECT_GT(worst(true), max_within(kCallsPerSecond, milliseconds(100)));
+  EXPECT_LE(peak_polls(false), max_within(kCallsPerSecond, milliseconds(100)));
+  EXPECT_GT(peak_polls(true), max_within(kCallsPerSecond, milliseconds(100)));
 }
 
-TEST(PollSchedulerTest, WithoutSpreadItPollsAtOnceThenWithFullJitterAndObeysRetryAfter) {
+TEST(PollSchedulerTest, WithoutSpreadPollsAtOnceThenWithFullJitterAndObeysRetryAfter) {
   PollOptions options;
   PollScheduler scheduler(options, 1);
   EXPECT_EQ(scheduler.first_poll(seconds(5)).at, seconds(5));
@@ -227,25 +228,25 @@
   EXPECT_EQ(scheduler.next_poll(seconds(7), seconds(8), PollResult::kUpdates, Micros(0)).at, seconds(8));
   EXPECT_GE(scheduler.next_poll(seconds(8), seconds(8), PollResult::kNoUpdates, Micros(0)).at,
             seconds(8) + options.min_backoff)
-      << "a service that holds no poll is not flooded";
+      << "polls are limited where the service answers at once";
   Micros longest(0);
   for (int i = 0; i < 200; ++i) {
-    const Micros pause =
+    const Micros backoff =
         scheduler.next_poll(seconds(9), seconds(9), PollResult::kDisconnected, Micros(0)).at - seconds(9);
-    longest = std::max(longest, pause);
-    EXPECT_LE(pause, 2 * options.max_backoff);
+    longest = std::max(longest, backoff);
+    EXPECT_LE(backoff, 2 * options.max_backoff);
   }
   EXPECT_GT(longest, options.max_backoff);
-  const ScheduledPoll refused =
+  const ScheduledPoll rejected =
       scheduler.next_poll(seconds(9), seconds(9), PollResult::kRejected, seconds(3));
-  EXPECT_GE(refused.at, seconds(12));
-  EXPECT_LE(refused.at, seconds(12) + 2 * options.max_backoff);
-  const ScheduledPoll endless =
+  EXPECT_GE(rejected.at, seconds(12));
+  EXPECT_LE(rejected.at, seconds(12) + 2 * options.max_backoff);
+  const ScheduledPoll long_retry_after =
       scheduler.next_poll(seconds(9), seconds(9), PollResult::kRejected, std::chrono::hours(99));
-  EXPECT_LE(endless.at, seconds(9) + options.max_retry_after + 2 * options.max_backoff);
+  EXPECT_LE(long_retry_after.at, seconds(9) + options.max_retry_after + 2 * options.max_backoff);
 }
 
-TEST(PollSchedulerTest, AfterSomeFailuresItSchedulesShortProbes) {
+TEST(PollSchedulerTest, SchedulesShortProbesAfterConsecutiveFailures) {
   PollScheduler scheduler(spread_options(), 1);
   scheduler.set_fleet_size(100);
   ScheduledPoll next;
@@ -260,19 +261,19 @@
   EXPECT_GT(next.long_poll_timeout, Micros(0));
 }
 
-TEST(FleetSizeTest, TheOperatorsFigureGoesBeforeTheSettingsAndThoseBeforeTheServices) {
+TEST(FleetSizeTest, PrefersTheOperatorsNumberThenTheSettingsThenTheReportOfTheService) {
   EXPECT_EQ(FleetSize(300, 20).routers(), 300);
   FleetSize by_settings(0, 20);
   by_settings.observe(900);
   EXPECT_EQ(by_settings.routers(), 20);
-  FleetSize learned(0, 1);
-  EXPECT_EQ(learned.routers(), 1);
-  learned.observe(200);
-  EXPECT_EQ(learned.routers(), 200);
-  learned.observe(3);
-  EXPECT_GT(learned.routers(), 180) << "after an outage its clients come back one by one";
-  learned.observe(-5);
-  EXPECT_GE(learned.routers(), 1);
+  FleetSize estimated(0, 1);
+  EXPECT_EQ(estimated.routers(), 1);
+  estimated.observe(200);
+  EXPECT_EQ(estimated.routers(), 200);
+  estimated.observe(3);
+  EXPECT_GT(estimated.routers(), 180) << "the estimate falls slowly, since clients reconnect one by one";
+  estimated.observe(-5);
+  EXPECT_GE(estimated.routers(), 1);
 }
 
 }  // namespace
--- a/tests/relay_selector_test.cpp
+++ b/tests/relay_selector_test.cpp
@@ -1,5 +1,4 @@
-// Sequence numbers of the discovery service, and the relays between routers: their tree, which of them is
-// polled, and which of their pages are valid.
+// Tests of the sequence tracker, the relay tree and the relay selector.
 #include "startup/relay_selector.h"
 
 #include <gtest/gtest.h>
@@ -21,29 +20,29 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST(SequenceTrackerTest, OutdatedPagesAreStaleAndAnotherIdentifierResets) {
+TEST(SequenceTrackerTest, IgnoresOutdatedPagesAndResetsOnAnotherIdentifier) {
   SequenceTracker tracker(seconds(5));
   EXPECT_EQ(tracker.check(seconds(1), 0, 40, "a"), PageVerdict::kApply);
   EXPECT_EQ(tracker.check(seconds(2), 40, 41, "a"), PageVerdict::kApply);
   EXPECT_EQ(tracker.check(seconds(3), 41, 39, "a"), PageVerdict::kStale);
   EXPECT_EQ(tracker.check(seconds(4), 41, 41, "a"), PageVerdict::kApply);
-  EXPECT_EQ(tracker.check(seconds(5), 41, 3, "b"), PageVerdict::kReset) << "another identifier: at once";
+  EXPECT_EQ(tracker.check(seconds(5), 41, 3, "b"), PageVerdict::kReset)
+      << "another identifier resets at once";
   EXPECT_EQ(tracker.check(seconds(5), 0, 3, "b"), PageVerdict::kApply);
 }
 
-TEST(SequenceTrackerTest, AServiceWithoutIdentifierIsResetAfterOnlyLowerNumbersForSomeTime) {
+TEST(SequenceTrackerTest, ResetsAServiceWithoutIdentifierAfterOnlyLowerNumbersForTheGivenTime) {
   SequenceTracker tracker(seconds(5));
   EXPECT_EQ(tracker.check(seconds(1), 41, 2, ""), PageVerdict::kStale);
   EXPECT_EQ(tracker.check(seconds(5), 41, 2, ""), PageVerdict::kStale);
   EXPECT_EQ(tracker.check(seconds(6), 41, 2, ""), PageVerdict::kReset);
-  EXPECT_EQ(tracker.check(seconds(6), 41, 2, ""), PageVerdict::kStale)
-      << "the time is counted again from here";
+  EXPECT_EQ(tracker.check(seconds(6), 41, 2, ""), PageVerdict::kStale) << "the reset restarts the time";
   EXPECT_EQ(tracker.check(seconds(7), 41, 44, ""), PageVerdict::kApply);
   EXPECT_EQ(tracker.check(seconds(20), 44, 2, ""), PageVerdict::kStale)
-      << "an applied page in between starts it again";
+      << "an applied page restarts the time";
 }
 
-TEST(RelayTreeTest, EveryRouterSeesTheSameTreeWithoutLoopsAndOfBoundedDegree) {
+TEST(RelayTreeTest, EachRouterComputesTheSameTreeWithoutLoopsAndWithBoundedDegree) {
   for (const int count : {1, 2, 3, 9, 10, 150}) {
     std::vector<std::string> names;
     names.reserve(static_cast<std::size_t>(count));
@@ -61,14 +60,14 @@
       const auto ancestors = tree.ancestors();
       roots += ancestors.empty() ? 1 : 0;
       EXPECT_LE(ancestors.size(), 3U);
-      std::set<std::string> seen{name};
-      for (const std::string& one : ancestors) {
-        EXPECT_TRUE(seen.insert(one).second) << "a loop";
+      std::set<std::string> visited{name};
+      for (const std::string& ancestor : ancestors) {
+        EXPECT_TRUE(visited.insert(ancestor).second) << "a loop";
       }
       if (!ancestors.empty()) {
         ++children[ancestors.front()];
-        const auto of_parent = RelayTree(ancestors.front(), names, 8).children();
-        EXPECT_NE(std::find(of_parent.begin(), of_parent.end(), name), of_parent.end());
+        const auto siblings = RelayTree(ancestors.front(), names, 8).children();
+        EXPECT_NE(std::find(siblings.begin(), siblings.end(), name), siblings.end());
       }
     }
     EXPECT_EQ(roots, 1);
@@ -80,22 +79,22 @@
 
 RelayStatus status_of_age(Micros age, std::vector<std::string> path = {}) { return {age, std::move(path)}; }
 
-TEST(RelaySelectorTest, AFailedParentIsQuarantinedThenTheServiceIsPolledThenTheParentAgain) {
+TEST(RelaySelectorTest, FallsBackToTheServiceAfterTwoFailuresAndReturnsToTheParentAfterItsQuarantine) {
   RelaySelector selector({}, {"p", "g"}, 1);
   Micros now = seconds(1);
   EXPECT_EQ(selector.select(now), "p");
   selector.on_failure(now, "p");
   EXPECT_EQ(selector.select(now), "g");
   selector.on_failure(now, "g");
-  EXPECT_EQ(selector.select(now), std::nullopt) << "two failures in a row: the service itself";
+  EXPECT_EQ(selector.select(now), std::nullopt) << "two failures in a row select the service itself";
   now += milliseconds(600);
-  EXPECT_EQ(selector.select(now), "p") << "the quarantine is over";
+  EXPECT_EQ(selector.select(now), "p") << "the quarantine has ended";
   EXPECT_EQ(selector.on_response(now, "p", "me", status_of_age(milliseconds(10))), RelayValidity::kValid);
   selector.on_failure(now, "p");
-  EXPECT_EQ(selector.select(now), "g") << "a valid page in between: one failure counts as the first";
+  EXPECT_EQ(selector.select(now), "g") << "a valid page resets the number of failures in a row";
 }
 
-TEST(RelaySelectorTest, OldPagesLoopsAndPagesWithoutAgeAreNotValid) {
+TEST(RelaySelectorTest, RejectsOldPagesLoopsAndPagesWithoutAge) {
   RelaySelector selector({}, {"p", "g"}, 1);
   EXPECT_EQ(selector.on_response(seconds(1), "p", "me", status_of_age(milliseconds(1'001))),
             RelayValidity::kStale);
@@ -108,7 +107,7 @@
   EXPECT_EQ(other.on_response(seconds(1), "p", "me", status_of_age(Micros(-5))), RelayValidity::kStale);
 }
 
-TEST(RelaySelectorTest, ARelayThatWithholdsEventsIsFoundByAnAuditAndQuarantined) {
+TEST(RelaySelectorTest, AnAuditDetectsARelayThatWithholdsEventsAndQuarantinesIt) {
   RelaySelectorOptions options;
   RelaySelector selector(options, {"p"}, 1);
   selector.set_fleet_size(10);
@@ -117,15 +116,16 @@
   selector.on_audit(due, 7, 7);
   EXPECT_FALSE(selector.detect_withholding(due + seconds(9), "p", 7));
   selector.on_audit(due, 8, 7);
-  EXPECT_FALSE(selector.detect_withholding(due + options.max_age, "p", 7)) << "it may be on its way";
-  EXPECT_FALSE(selector.detect_withholding(due + options.max_age, "p", 8)) << "it came";
+  EXPECT_FALSE(selector.detect_withholding(due + options.max_age, "p", 7))
+      << "the relay may still deliver the event";
+  EXPECT_FALSE(selector.detect_withholding(due + options.max_age, "p", 8)) << "the event has arrived";
   selector.on_audit(due, 9, 8);
   EXPECT_TRUE(selector.detect_withholding(due + options.max_age + Micros(1), "p", 8));
   EXPECT_EQ(selector.select(due + seconds(100)), std::nullopt);
   EXPECT_EQ(selector.select(due + seconds(400)), "p");
 }
 
-TEST(RelaySelectorTest, AuditsInARowGiveAWithholdingRelayNoMoreTime) {
+TEST(RelaySelectorTest, RepeatedAuditsDoNotExtendTheTimeOfAWithholdingRelay) {
   RelaySelector selector({}, {"p"}, 1);
   const Micros first = seconds(1);
   for (int i = 0; i < 20; ++i) {
@@ -136,8 +136,7 @@
   EXPECT_TRUE(selector.detect_withholding(first + milliseconds(1'050), "p", 8));
 }
 
-// Over all routers together: the stated rate.
-TEST(RelaySelectorTest, TheSumOfAuditsIsTheStatedRate) {
+TEST(RelaySelectorTest, AuditsOfAllRoutersComeAtTheConfiguredRate) {
   std::vector<Micros> audits;
   for (int i = 0; i < 200; ++i) {
     RelaySelector selector({}, {"p"}, static_cast<std::uint64_t>(i) + 1);
--- a/tests/snapshot_test.cpp
+++ b/tests/snapshot_test.cpp
@@ -1,5 +1,5 @@
-// Snapshots: what is encoded can be decoded, every flipped bit and every truncation is detected, and a
-// snapshot of another router, fleet or time is not used.
+// Tests of snapshots: an encoded snapshot decodes to the same content, each flipped bit and each truncation
+// is detected, and a snapshot of another router or fleet, an expired one or one from the future is not used.
 #include "snapshot/snapshot.h"
 
 #include <gtest/gtest.h>
@@ -47,17 +47,17 @@
   return decoded ? std::nullopt : std::optional<SnapshotError>(decoded.error());
 }
 
-TEST(SnapshotTest, AnEncodedSnapshotDecodesToTheSame) {
+TEST(SnapshotTest, AnEncodedSnapshotDecodesToTheSameContent) {
   const auto decoded = decode_snapshot(encode_snapshot(sample_snapshot()), context());
   ASSERT_TRUE(decoded.has_value());
-  const Snapshot& got = *decoded;
-  EXPECT_EQ(got.page, sample_snapshot().page);
-  EXPECT_EQ(got.last_sequence(), 9U);
-  EXPECT_EQ(got.source_id, "b7");
-  EXPECT_EQ(got.confirmed_at, sample_snapshot().confirmed_at);
+  const Snapshot& snapshot = *decoded;
+  EXPECT_EQ(snapshot.page, sample_snapshot().page);
+  EXPECT_EQ(snapshot.last_sequence(), 9U);
+  EXPECT_EQ(snapshot.source_id, "b7");
+  EXPECT_EQ(snapshot.confirmed_at, sample_snapshot().confirmed_at);
 }
 
-TEST(SnapshotTest, EveryTruncationAndEveryFlippedBitIsDetected) {
+TEST(SnapshotTest, DetectsEachTruncationAndEachFlippedBit) {
   const std::string good = encode_snapshot(sample_snapshot());
   for (std::size_t size = 0; size < good.size(); ++size) {
     EXPECT_TRUE(error_of(good.substr(0, size)).has_value()) << "cut at " << size;
@@ -73,7 +73,7 @@
   EXPECT_EQ(error_of(""), SnapshotError::kTruncated);
 }
 
-TEST(SnapshotTest, RandomlyDamagedBytesAreDetected) {
+TEST(SnapshotTest, DetectsRandomDamage) {
   const std::string good = encode_snapshot(sample_snapshot());
   std::mt19937 random(11);
   for (int i = 0; i < 20'000; ++i) {
@@ -97,7 +97,7 @@
   }
 }
 
-TEST(SnapshotTest, ASnapshotThatDoesNotMatchIsNotUsed) {
+TEST(SnapshotTest, RejectsASnapshotThatDoesNotMatchTheContext) {
   SnapshotContext expected = context();
   expected.fleet = "other";
   EXPECT_EQ(error_of(encode_snapshot(sample_snapshot()), expected), SnapshotError::kFleet);
@@ -110,12 +110,12 @@
   expected.now = kNow - 5s;
   EXPECT_EQ(error_of(encode_snapshot(sample_snapshot()), expected), SnapshotError::kFromFuture)
       << "the clock was set back";
-  std::string other = encode_snapshot(sample_snapshot());
-  other.replace(other.find(" 1 "), 3, " 2 ");
-  EXPECT_EQ(error_of(other), SnapshotError::kVersion);
-  Snapshot odd = sample_snapshot();
-  odd.page = {{"rev", "nine"}};
-  EXPECT_EQ(error_of(encode_snapshot(odd)), SnapshotError::kFormat);
+  std::string other_version = encode_snapshot(sample_snapshot());
+  other_version.replace(other_version.find(" 1 "), 3, " 2 ");
+  EXPECT_EQ(error_of(other_version), SnapshotError::kVersion);
+  Snapshot malformed = sample_snapshot();
+  malformed.page = {{"rev", "nine"}};
+  EXPECT_EQ(error_of(encode_snapshot(malformed)), SnapshotError::kFormat);
 }
 
 SnapshotOptions write_options() {
@@ -125,20 +125,20 @@
   return options;
 }
 
-TEST(WriteSchedulerTest, WritesOnceSoonAfterAChange) {
+TEST(WriteSchedulerTest, WritesAtOnceAfterAChangeAndThenAfterTheWriteInterval) {
   WriteScheduler scheduler(write_options(), 1);
   EXPECT_EQ(scheduler.next_write_at(), std::nullopt);
   scheduler.on_changed(100ms);
   EXPECT_EQ(scheduler.next_write_at(), 100ms);
   scheduler.on_write_started();
-  EXPECT_EQ(scheduler.next_write_at(), std::nullopt) << "one at a time";
+  EXPECT_EQ(scheduler.next_write_at(), std::nullopt) << "only one write at a time";
   scheduler.on_changed(120ms);
   EXPECT_FALSE(scheduler.on_write_finished(130ms, true));
   EXPECT_GE(*scheduler.next_write_at(), 630ms);
   EXPECT_LE(*scheduler.next_write_at(), 1'130ms);
 }
 
-TEST(WriteSchedulerTest, AConfirmationAloneIsWrittenAfterALongerInterval) {
+TEST(WriteSchedulerTest, WritesAConfirmationAfterTheConfirmInterval) {
   WriteScheduler scheduler(write_options(), 1);
   scheduler.on_changed(100ms);
   scheduler.on_write_started();
@@ -149,8 +149,8 @@
   EXPECT_LE(*scheduler.next_write_at(), 130ms + 10s);
 }
 
-// A full disk: reported once, retried with growing backoff, and reported once when it is over.
-TEST(WriteSchedulerTest, FailedWritesAreRetriedWithGrowingBackoffAndReportedOnce) {
+// As with a full disk: the first failure and the first success after failures are reported.
+TEST(WriteSchedulerTest, RetriesFailedWritesWithGrowingBackoffAndReportsThemOnce) {
   WriteScheduler scheduler(write_options(), 1);
   scheduler.on_changed(100ms);
   milliseconds now = *scheduler.next_write_at();
@@ -179,32 +179,32 @@
   std::string path_;
 };
 
-TEST_F(SnapshotDirectoryTest, StoresReplacesAndIsLockedByOneProcess) {
+TEST_F(SnapshotDirectoryTest, StoresAndReplacesTheSnapshotAndLocksOutASecondUser) {
   {
-    const SnapshotDirectory folder(path_);
-    EXPECT_EQ(folder.load(), std::nullopt);
-    folder.store("one");
-    folder.store("two");
-    EXPECT_EQ(folder.load(), "two");
+    const SnapshotDirectory directory(path_);
+    EXPECT_EQ(directory.load(), std::nullopt);
+    directory.store("one");
+    directory.store("two");
+    EXPECT_EQ(directory.load(), "two");
     try {
       const SnapshotDirectory second(path_);
-      FAIL() << "two processes hold the lock";
+      FAIL() << "the lock was acquired twice";
     } catch (const std::system_error& error) {
       EXPECT_EQ(error.code().value(), EWOULDBLOCK);
     }
   }
-  // What a killed writer leaves behind is ignored.
+  // The incomplete file of a writer that was killed is ignored.
   std::ofstream(path_ + "/snapshot.next") << "half";
-  const SnapshotDirectory again(path_);
-  EXPECT_EQ(again.load(), "two");
+  const SnapshotDirectory reopened(path_);
+  EXPECT_EQ(reopened.load(), "two");
 }
 
-TEST_F(SnapshotDirectoryTest, AfterAFailedWriteTheOldSnapshotRemains) {
-  const SnapshotDirectory folder(path_);
-  folder.store("one");
-  std::filesystem::create_directories(path_ + "/snapshot.next");  // in its way
-  EXPECT_THROW(folder.store("two"), std::system_error);
-  EXPECT_EQ(folder.load(), "one");
+TEST_F(SnapshotDirectoryTest, AFailedWriteLeavesTheOldSnapshotInPlace) {
+  const SnapshotDirectory directory(path_);
+  directory.store("one");
+  std::filesystem::create_directories(path_ + "/snapshot.next");  // blocks the new file
+  EXPECT_THROW(directory.store("two"), std::system_error);
+  EXPECT_EQ(directory.load(), "one");
   EXPECT_THROW(SnapshotDirectory("/proc/no/such/folder"), std::system_error);
 }
 
