--- a/tests/poll_scheduler_test.cpp
+++ b/tests/poll_scheduler_test.cpp
@@ -11,14 +11,14 @@
 #include <random>
 #include <vector>
 
-#include "fleet/most_within.h"
+#include "fleet/max_count_within.h"
 #include "fleet_bound.h"
 #include "startup/fleet_size.h"
 
 namespace trailcourse::startup {
 namespace {
 
-using fleet::most_within;
+using fleet::max_count_within;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 using testing_support::max_within;
@@ -149,9 +149,9 @@
     const PollingFleet::Outcome outcome = fleet.run();
     ++fleets;
     calls += outcome.unsettled_polls.size();
-    ASSERT_LE(most_within(outcome.unsettled_polls, seconds(1)), max_within(kCallsPerSecond, seconds(1)))
+    ASSERT_LE(max_count_within(outcome.unsettled_polls, seconds(1)), max_within(kCallsPerSecond, seconds(1)))
         << "seed " << seed;
-    ASSERT_LE(most_within(outcome.unsettled_polls, milliseconds(100)),
+    ASSERT_LE(max_count_within(outcome.unsettled_polls, milliseconds(100)),
               max_within(kCallsPerSecond, milliseconds(100)))
         << "seed " << seed;
     ASSERT_FALSE(outcome.ignored_retry_after) << "seed " << seed << ": earlier than Retry-After allows";
@@ -186,18 +186,19 @@
 }
 
 TEST(PollSchedulerDefectTest, WithoutJitterAllRoutersPollAtOnce) {
-  EXPECT_LE(most_within(rejected_fleet().run().unsettled_polls, milliseconds(100)),
+  EXPECT_LE(max_count_within(rejected_fleet().run().unsettled_polls, milliseconds(100)),
             max_within(kCallsPerSecond, milliseconds(100)));
   PollingFleet fleet = rejected_fleet();
   fleet.options.max_window = Micros(0);
-  EXPECT_GT(most_within(fleet.run().unsettled_polls, milliseconds(100)),
+  EXPECT_GT(max_count_within(fleet.run().unsettled_polls, milliseconds(100)),
             max_within(kCallsPerSecond, milliseconds(100)));
 }
 
 TEST(PollSchedulerDefectTest, ABudgetPerRouterExceedsTheBoundOfTheFleet) {
   PollingFleet fleet = rejected_fleet();
   fleet.assumed_routers = 1;
-  EXPECT_GT(most_within(fleet.run().unsettled_polls, seconds(1)), max_within(kCallsPerSecond, seconds(1)));
+  EXPECT_GT(max_count_within(fleet.run().unsettled_polls, seconds(1)),
+            max_within(kCallsPerSecond, seconds(1)));
 }
 
 // Routers restart in an order that cancels out a jitter which depends only on the name of the router.
@@ -214,7 +215,7 @@
     fleet.seed_of = [seed_by_name, name_seed](int i) {
       return seed_by_name ? name_seed(i) : name_seed(i) ^ 0x5bd1e995ULL;
     };
-    return most_within(fleet.run().unsettled_polls, milliseconds(100));
+    return max_count_within(fleet.run().unsettled_polls, milliseconds(100));
   };
   EXPECT_LE(peak_polls(false), max_within(kCallsPerSecond, milliseconds(100)));
   EXPECT_GT(peak_polls(true), max_within(kCallsPerSecond, milliseconds(100)));
