--- a/src/transport/accept_loop.h
+++ b/src/transport/accept_loop.h
@@ -1,4 +1,4 @@
-// Accepts connections one after another, for a listener that takes whatever comes.
+// Accepts the connections of a listening socket.
 #pragma once
 
 #include <functional>
@@ -9,15 +9,17 @@
 
 namespace trailcourse::transport {
 
-// Listens on an address and hands on each socket, from jobs of the scheduler, until it is destroyed; a socket
-// that is not kept is closed. What cannot be accepted, as with no descriptor left, is tried again after a
-// pause. It may go before the scheduler does, also while a connection waits: `take` is not called any more.
+// Listens on an address and passes each accepted socket to a callback, from jobs of the scheduler, until it
+// is destroyed. A socket that the callback does not keep is closed. Where accepting fails, for example
+// because no descriptor is left, it is retried after `retry_delay`. An AcceptLoop may be destroyed before its
+// scheduler, even while connections wait to be accepted; the callback is not called afterwards.
 class AcceptLoop {
  public:
-  using Take = std::function<void(Descriptor)>;
+  using AcceptCallback = std::function<void(Descriptor)>;
 
-  // Throws std::system_error where the address cannot be listened on.
-  AcceptLoop(Scheduler& scheduler, const Address& address, int backlog, Clock::duration pause, Take take);
+  // Throws std::system_error where it cannot listen on the address.
+  AcceptLoop(Scheduler& scheduler, const Address& address, int backlog, Clock::duration retry_delay,
+             AcceptCallback on_accepted);
   ~AcceptLoop();
   AcceptLoop(const AcceptLoop&) = delete;
   AcceptLoop& operator=(const AcceptLoop&) = delete;
@@ -25,7 +27,7 @@
  private:
   struct State;
 
-  std::shared_ptr<State> state_;  // shared with the coroutine, which ends in a later job than this
+  std::shared_ptr<State> state_;  // shared with the coroutine, which ends after this object is destroyed
 };
 
 }  // namespace trailcourse::transport
--- a/src/transport/connection.cpp
+++ b/src/transport/connection.cpp
@@ -14,11 +14,12 @@
 namespace trailcourse::transport {
 namespace {
 
-constexpr std::size_t kReadBytes = 64U << 10U;  // read at once
-constexpr int kReadsInTurn = 2;                 // before the others go on
-constexpr std::size_t kPiecesAtOnce = 16;       // handed to the system in one call
+constexpr std::size_t kReadBytes = 64U << 10U;  // per call of the system
+constexpr int kReadsPerYield = 2;               // before other coroutines run
+constexpr std::size_t kMaxWritesPerCall = 16;   // of the system
 
-// One thread reads, and what is read is taken in before the next read.
+// Shared by all connections: only one thread reads, and each handler processes its bytes before the next
+// read.
 std::array<char, kReadBytes> read_buffer;
 
 ConnectionEnd end_of(int error) {
@@ -36,7 +37,7 @@
   }
 }
 
-// Of a connect: what has no end of its own did not get there.
+// Returns the end for a failed connect: kUnreachable for all errors without a value of their own.
 ConnectionEnd connect_end_of(int error) {
   const ConnectionEnd end = end_of(error);
   return end == ConnectionEnd::kBroken ? ConnectionEnd::kUnreachable : end;
@@ -48,22 +49,22 @@
 
 std::shared_ptr<Connection> Connection::connect(Scheduler& scheduler, const Address& to,
                                                 const Bounds& bounds) {
-  auto made = std::make_shared<Connection>(scheduler, start_connect(to), bounds, true);
-  made->peer_ = to;
-  return made;
+  auto connection = std::make_shared<Connection>(scheduler, start_connect(to), bounds, true);
+  connection->peer_ = to;
+  return connection;
 }
 
 std::shared_ptr<Connection> Connection::adopt(Scheduler& scheduler, Descriptor socket, const Bounds& bounds) {
-  auto made = std::make_shared<Connection>(scheduler, Opened{std::move(socket), 0}, bounds, false);
-  made->peer_ = peer_of(made->socket_.get());
-  return made;
+  auto connection = std::make_shared<Connection>(scheduler, Opened{std::move(socket), 0}, bounds, false);
+  connection->peer_ = peer_of(connection->socket_.get());
+  return connection;
 }
 
 Connection::Connection(Scheduler& scheduler, Opened opened, const Bounds& bounds, bool connecting)
     : scheduler_(scheduler),
       socket_(std::move(opened.descriptor)),
       bounds_(bounds),
-      work_(scheduler),
+      write_signal_(scheduler),
       open_error_(opened.error),
       up_(!connecting) {}
 
@@ -80,13 +81,13 @@
   scheduler_.spawn(read_loop(shared_from_this()));
 }
 
-Task<bool> Connection::come_up() {
+Task<bool> Connection::finish_connect() {
   const Scheduler::TimerKey timer = scheduler_.at(Clock::now() + bounds_.connect_timeout, [this] {
     if (!up_) {
       finish(ConnectionEnd::kConnectTimeout);
     }
   });
-  watch_->blocked_writing();  // a connect in progress is told as writable
+  watch_->blocked_writing();  // epoll reports the end of a connect as writable
   const bool open = co_await watch_->writable();
   scheduler_.cancel(timer);
   if (!open || ended_) {
@@ -104,7 +105,7 @@
 
 Task<void> Connection::read_loop(std::shared_ptr<Connection> self) {
   if (!self->up_) {
-    const bool up = co_await self->come_up();
+    const bool up = co_await self->finish_connect();
     if (!up) {
       co_return;
     }
@@ -114,34 +115,35 @@
   while (!self->ended_ || self->lingering_) {
     const ssize_t count = ::recv(self->socket_.get(), read_buffer.data(), read_buffer.size(), 0);
     if (count > 0) {
-      self->hand_on(std::string_view(read_buffer.data(), static_cast<std::size_t>(count)));
-      if (++reads % kReadsInTurn == 0) {
+      self->deliver(std::string_view(read_buffer.data(), static_cast<std::size_t>(count)));
+      if (++reads % kReadsPerYield == 0) {
         co_await self->scheduler_.yield();
       }
     } else if (count == 0) {
-      self->end_reading(ConnectionEnd::kPeerClosed);
+      self->on_read_end(ConnectionEnd::kPeerClosed);
     } else if (would_block(errno)) {
       self->watch_->blocked_reading();
       co_await self->watch_->readable();
     } else if (errno != EINTR) {
-      self->end_reading(end_of(errno));
+      self->on_read_end(end_of(errno));
     }
   }
 }
 
-// Nothing more will come: the end, or that of a connection which ended before and was read on.
-void Connection::end_reading(ConnectionEnd end) {
+// Handles the end of the received bytes: ends the connection, or releases the socket of a lingering one.
+void Connection::on_read_end(ConnectionEnd end) {
   if (ended_) {
-    let_go();
+    release_socket();
   } else {
     finish(end);
   }
 }
 
-// A handler that fails has lost its place in the bytes: its connection ends, and so is heard of.
-void Connection::hand_on(std::string_view bytes) {
+// Passes received bytes to the handler. If the handler throws, its parser has lost its position in the bytes,
+// so the connection ends.
+void Connection::deliver(std::string_view bytes) {
   if (ended_) {
-    return;  // read on so that the close resets nothing
+    return;  // lingering: read and discarded so that closing does not reset the connection
   }
   if (bounds_.end_on_hang_up && watch_->hung_up()) {
     finish(ConnectionEnd::kPeerClosed);
@@ -152,7 +154,7 @@
   try {
     handler->on_bytes(bytes);
   } catch (const std::exception& error) {
-    log_line(Level::kError) << "connection with " << to_string(peer_) << ": " << error.what();
+    log_line(Level::kError) << "closed the connection to " << to_string(peer_) << ": " << error.what();
     finish(ConnectionEnd::kMalformed);
   }
 }
@@ -167,15 +169,15 @@
       const std::shared_ptr<Handler> handler = self->handler_;
       handler->on_drained();
     }
-    if (self->pieces_.empty()) {
+    if (self->queue_.empty()) {
       if (self->closing_) {
         self->finish(ConnectionEnd::kShutdown);
         break;
       }
-      co_await self->work_.wait();
+      co_await self->write_signal_.wait();
       continue;
     }
-    if (!self->blocked_) {
+    if (!self->write_blocked_) {
       continue;
     }
     const Scheduler::TimerKey timer =
@@ -183,7 +185,7 @@
                             [connection = self.get()] { connection->finish(ConnectionEnd::kStalled); });
     co_await self->watch_->writable();
     self->scheduler_.cancel(timer);
-    self->blocked_ = false;
+    self->write_blocked_ = false;
   }
 }
 
@@ -193,60 +195,60 @@
     return token;
   }
   waiting_ += bytes.size();
-  pieces_.push_back(Piece{token, std::move(bytes), 0, std::move(gate)});
+  queue_.push_back(QueuedWrite{token, std::move(bytes), 0, std::move(gate)});
   if (waiting_ > bounds_.most_waiting) {
     finish(ConnectionEnd::kOverflow);
     return token;
   }
-  if (up_ && watch_ && !blocked_) {
+  if (up_ && watch_ && !write_blocked_) {
     flush();
   }
-  if (up_ && !pieces_.empty()) {
-    work_.notify();
+  if (up_ && !queue_.empty()) {
+    write_signal_.notify();
   }
   return token;
 }
 
-// Takes back what may not begin any more.
-void Connection::hold_back() {
-  for (auto piece = pieces_.begin(); piece != pieces_.end();) {
-    if (piece->written > 0 || !piece->gate || piece->gate()) {
-      ++piece;
+// Removes the queued writes whose send check returns false.
+void Connection::remove_refused_writes() {
+  for (auto entry = queue_.begin(); entry != queue_.end();) {
+    if (entry->written > 0 || !entry->gate || entry->gate()) {
+      ++entry;
       continue;
     }
-    withheld_.insert(piece->token);
-    scheduler_.post([self = shared_from_this(), token = piece->token] {
+    refused_.insert(entry->token);
+    scheduler_.post([self = shared_from_this(), token = entry->token] {
       const std::shared_ptr<Handler> handler = self->handler_;
-      if (self->withheld_.erase(token) > 0 && handler) {
+      if (self->refused_.erase(token) > 0 && handler) {
         handler->on_send_refused(token);
       }
     });
-    waiting_ -= piece->bytes.size();
-    piece = pieces_.erase(piece);
+    waiting_ -= entry->bytes.size();
+    entry = queue_.erase(entry);
   }
 }
 
-// Whether the other side has ended it, and what it sent before has been read. What is written now would
-// vanish, and nobody could tell whether it was carried out.
-bool Connection::gone() const {
+// Returns whether the peer has closed the connection and all bytes that it sent before were read. Bytes
+// written then would be lost, and it would be unknown whether a request in them was executed.
+bool Connection::peer_closed() const {
   const ssize_t count = peek();
   return count == 0 || (count < 0 && !would_block(errno) && errno != EINTR);
 }
 
 void Connection::flush() {
-  while (!pieces_.empty() && !ended_) {
-    hold_back();
-    if (pieces_.empty()) {
+  while (!queue_.empty() && !ended_) {
+    remove_refused_writes();
+    if (queue_.empty()) {
       return;
     }
-    if (pieces_.front().gate && pieces_.front().written == 0 && gone()) {
+    if (queue_.front().gate && queue_.front().written == 0 && peer_closed()) {
       finish(ConnectionEnd::kPeerClosed);
       return;
     }
-    std::array<iovec, kPiecesAtOnce> parts{};
+    std::array<iovec, kMaxWritesPerCall> parts{};
     std::size_t used = 0;
-    for (auto piece = pieces_.begin(); piece != pieces_.end() && used < parts.size(); ++piece, ++used) {
-      parts[used] = iovec{piece->bytes.data() + piece->written, piece->bytes.size() - piece->written};
+    for (auto entry = queue_.begin(); entry != queue_.end() && used < parts.size(); ++entry, ++used) {
+      parts[used] = iovec{entry->bytes.data() + entry->written, entry->bytes.size() - entry->written};
     }
     msghdr message{};
     message.msg_iov = parts.data();
@@ -255,7 +257,7 @@
     if (count < 0) {
       if (would_block(errno)) {
         watch_->blocked_writing();
-        blocked_ = true;
+        write_blocked_ = true;
         return;
       }
       if (errno != EINTR) {
@@ -266,43 +268,43 @@
     auto left = static_cast<std::size_t>(count);
     waiting_ -= left;
     while (left > 0) {
-      Piece& piece = pieces_.front();
-      const std::size_t taken = std::min(left, piece.bytes.size() - piece.written);
-      piece.written += taken;
+      QueuedWrite& entry = queue_.front();
+      const std::size_t taken = std::min(left, entry.bytes.size() - entry.written);
+      entry.written += taken;
       left -= taken;
-      if (piece.written == piece.bytes.size()) {
-        pieces_.pop_front();
+      if (entry.written == entry.bytes.size()) {
+        queue_.pop_front();
       }
     }
   }
 }
 
-std::deque<Connection::Piece>::const_iterator Connection::find_piece(std::uint64_t token) const {
-  return std::find_if(pieces_.begin(), pieces_.end(),
-                      [token](const Piece& one) { return one.token == token; });
+std::deque<Connection::QueuedWrite>::const_iterator Connection::find_write(std::uint64_t token) const {
+  return std::find_if(queue_.begin(), queue_.end(),
+                      [token](const QueuedWrite& one) { return one.token == token; });
 }
 
 bool Connection::begun(std::uint64_t token) const {
-  const auto piece = find_piece(token);
-  return piece == pieces_.end() ? token <= last_token_ && !withheld_.contains(token) : piece->written > 0;
+  const auto entry = find_write(token);
+  return entry == queue_.end() ? token <= last_token_ && !refused_.contains(token) : entry->written > 0;
 }
 
 bool Connection::withdraw(std::uint64_t token) {
-  const auto piece = find_piece(token);
-  if (piece == pieces_.end() || piece->written > 0) {
-    return withheld_.erase(token) > 0;
+  const auto entry = find_write(token);
+  if (entry == queue_.end() || entry->written > 0) {
+    return refused_.erase(token) > 0;
   }
-  waiting_ -= piece->bytes.size();
-  pieces_.erase(piece);
+  waiting_ -= entry->bytes.size();
+  queue_.erase(entry);
   return true;
 }
 
 void Connection::close_when_written() {
   closing_ = true;
-  work_.notify();
+  write_signal_.notify();
 }
 
-// What the next read would say, and with it errno; nothing is taken.
+// Returns the result of the next read of one byte, and sets errno, without consuming the byte.
 ssize_t Connection::peek() const {
   char next = 0;
   return ::recv(socket_.get(), &next, 1, MSG_PEEK);
@@ -318,8 +320,9 @@
   return true;
 }
 
-// Only what is closed from here, and not for want of a reader on the other side.
-bool Connection::lingers(ConnectionEnd end) const {
+// Returns whether to linger after `end`: only where this side closed the connection, except for a peer that
+// does not read.
+bool Connection::should_linger(ConnectionEnd end) const {
   const bool ours = end == ConnectionEnd::kIdle || end == ConnectionEnd::kShutdown ||
                     end == ConnectionEnd::kMalformed || end == ConnectionEnd::kOverflow ||
                     end == ConnectionEnd::kDropped;
@@ -327,8 +330,8 @@
   return ours && room && up_ && watch_ && bounds_.linger > Clock::duration::zero();
 }
 
-// The descriptor goes, whatever state the connection is in.
-void Connection::let_go() {
+// Closes the descriptor in any state of the connection.
+void Connection::release_socket() {
   if (std::exchange(lingering_, false)) {
     --bounds_.lingering->open;
   }
@@ -343,25 +346,25 @@
     return;
   }
   ended_ = true;
-  lingering_ = lingers(end);
+  lingering_ = should_linger(end);
   if (lingering_) {
     ++bounds_.lingering->open;
     ::shutdown(socket_.get(), SHUT_WR);
     scheduler_.at(Clock::now() + bounds_.linger, [weak = weak_from_this()] {
       if (const auto self = weak.lock(); self && self->lingering_) {
-        self->let_go();
+        self->release_socket();
       }
     });
   } else {
-    let_go();
+    release_socket();
   }
-  work_.notify();
-  // The pieces stay as they are: what was begun is asked for when the end is told.
+  write_signal_.notify();
+  // The queue is kept until on_end() returns, since the handler can query there which bytes were sent.
   scheduler_.post([self = shared_from_this(), end] {
     if (const std::shared_ptr<Handler> handler = std::exchange(self->handler_, nullptr)) {
       handler->on_end(end);
     }
-    self->pieces_.clear();
+    self->queue_.clear();
     self->waiting_ = 0;
   });
 }
--- a/src/transport/connection.h
+++ b/src/transport/connection.h
@@ -1,4 +1,5 @@
-// One TCP connection: reads what comes and hands it on, writes what it is given, and ends exactly once.
+// A TCP connection that passes received bytes to a handler, writes queued bytes, and reports its end exactly
+// once.
 #pragma once
 
 #include <sys/types.h>
@@ -19,7 +20,7 @@
 
 namespace trailcourse::transport {
 
-// How many connections linger after their end, each with its descriptor, and how many may.
+// Limits how many connections may linger after their end, each of which keeps its descriptor open.
 struct Lingering {
   int open = 0;
   int most = 16;
@@ -27,63 +28,83 @@
 
 class Connection : public std::enable_shared_from_this<Connection> {
  public:
-  // What happens on a connection. It owns its handler until the end has been told, which is always from the
-  // scheduler, never from within a call of the handler's owner.
+  // Receives the events of a connection. The connection owns its handler until on_end() returns. on_end() and
+  // on_send_refused() are called from a later job of the scheduler, never from within a call to the
+  // connection.
   class Handler {
    public:
     Handler() = default;
     Handler(const Handler&) = delete;
     Handler& operator=(const Handler&) = delete;
     virtual ~Handler() = default;
+    // `bytes` is valid only during the call. If this throws, the connection ends with kMalformed.
     virtual void on_bytes(std::string_view bytes) = 0;
-    virtual void on_drained() {}  // what waited to be written fell below the low mark
-    // The gate of these bytes was shut: they were taken back, and not one of them has left.
+    // Fewer than `low_mark` bytes are unsent.
+    virtual void on_drained() {}
+    // The send check of these bytes returned false. They were removed from the queue, and none of them was
+    // sent.
     virtual void on_send_refused(std::uint64_t) {}
+    // The connection has ended. Which bytes were sent can still be queried during the call.
     virtual void on_end(ConnectionEnd end) = 0;
   };
 
   struct Bounds {
     Clock::duration connect_timeout = std::chrono::seconds(1);
-    Clock::duration stall_timeout = std::chrono::seconds(10);  // the peer takes nothing for so long
-    std::size_t most_waiting = 4U << 20U;                      // bytes to be written; beyond, it ends
-    std::size_t low_mark = 32U << 10U;
-    int send_buffer = 0;          // bytes that the system may hold; 0: as it likes
-    bool end_on_hang_up = false;  // with the other side gone, what it still said is not handed on
-    // After a close from here, what still comes is read and thrown away for so long, or till the other side
-    // has closed too: a close over unread bytes would reset the connection, and with it what was written
-    // last.
+    Clock::duration stall_timeout = std::chrono::seconds(10);  // longest wait of a write for the peer
+    std::size_t most_waiting = 4U << 20U;                      // more end the connection with kOverflow
+    std::size_t low_mark = 32U << 10U;  // unsent bytes below which on_drained() is called
+    int send_buffer = 0;                // size of the socket's send buffer in bytes; 0: the system's default
+    bool end_on_hang_up = false;        // once the peer has closed, discard its remaining bytes
+    // After a close from this side, received bytes are read and discarded for this long, or until the peer
+    // has closed too. Closing a socket with unread bytes would reset the connection and could lose the bytes
+    // that were written last.
     Clock::duration linger = Clock::duration::zero();
-    std::shared_ptr<Lingering> lingering;  // of all connections that share it
+    std::shared_ptr<Lingering> lingering;  // shared by all connections that count towards the limit
   };
 
+  // Creates a connection that connects to `to`. Errors are reported to the handler.
   static std::shared_ptr<Connection> connect(Scheduler& scheduler, const Address& to, const Bounds& bounds);
+
+  // Creates a connection from a connected socket.
   static std::shared_ptr<Connection> adopt(Scheduler& scheduler, Descriptor socket, const Bounds& bounds);
 
+  // Called by connect() and adopt() only.
   Connection(Scheduler& scheduler, Opened opened, const Bounds& bounds, bool connecting);
   Connection(const Connection&) = delete;
   Connection& operator=(const Connection&) = delete;
-  ~Connection() { let_go(); }
+  ~Connection() { release_socket(); }
 
+  // Sets the handler and starts reading and writing. Called once.
   void start(std::shared_ptr<Handler> handler);
 
-  // Asked just before the first of the bytes that it guards goes out, each time that this is tried. It must
-  // not call the connection.
+  // Returns whether the bytes that it guards may still be sent. Called immediately before the first of these
+  // bytes is sent, each time that this is attempted. Must not call the connection.
   using Gate = std::function<bool()>;
-  // Queues bytes; the token names them. Nothing is written once it has ended.
+
+  // Queues bytes and returns a token that identifies them. Bytes written after the end are discarded. Ends
+  // the connection with kOverflow if more bytes than the bound are then unsent.
   std::uint64_t write(std::string bytes, Gate gate = {});
-  // Whether any byte of these may have left; what has not can be taken back.
+
+  // Returns whether any of the bytes of `token` may have been sent.
   bool begun(std::uint64_t token) const;
   bool withdraw(std::uint64_t token);
 
+  // Ends the connection. Unsent bytes are discarded.
   void close(ConnectionEnd end) { finish(end); }
+
+  // Ends the connection with kShutdown once all queued bytes are written.
   void close_when_written();
-  // Closes it unless something has come that was not read yet; whether it is closed.
+
+  // Ends the connection unless the socket has received bytes that were not read yet. Returns whether it has
+  // ended.
   bool close_if_read(ConnectionEnd end);
-  // Whether something has come that was not read yet.
+
+  // Returns whether the socket has received bytes that were not read yet.
   bool unread() const;
-  // Whether the other side has ended it, heard of or not, and nothing that it sent before is left to be read:
-  // a request that went out now could not be answered.
-  bool ended_by_peer() const { return up_ && (ended_ || gone()); }
+
+  // Returns whether the peer has closed the connection, even if this was not reported yet, and all bytes that
+  // it sent before were read. A request that is sent then cannot be answered.
+  bool ended_by_peer() const { return up_ && (ended_ || peer_closed()); }
 
   bool up() const { return up_; }
   bool ended() const { return ended_; }
@@ -92,7 +113,7 @@
   const Address& peer() const { return peer_; }
 
  private:
-  struct Piece {
+  struct QueuedWrite {
     std::uint64_t token;
     std::string bytes;
     std::size_t written;
@@ -101,41 +122,41 @@
 
   static Task<void> read_loop(std::shared_ptr<Connection> self);
   static Task<void> write_loop(std::shared_ptr<Connection> self);
-  Task<bool> come_up();
-  void hand_on(std::string_view bytes);
-  void end_reading(ConnectionEnd end);
-  std::deque<Piece>::const_iterator find_piece(std::uint64_t token) const;
+  Task<bool> finish_connect();
+  void deliver(std::string_view bytes);
+  void on_read_end(ConnectionEnd end);
+  std::deque<QueuedWrite>::const_iterator find_write(std::uint64_t token) const;
   void flush();
-  void hold_back();
+  void remove_refused_writes();
   ssize_t peek() const;
-  bool gone() const;
+  bool peer_closed() const;
   void finish(ConnectionEnd end);
-  bool lingers(ConnectionEnd end) const;
-  void let_go();
+  bool should_linger(ConnectionEnd end) const;
+  void release_socket();
 
   Scheduler& scheduler_;
   Descriptor socket_;
   Bounds bounds_;
   Address peer_;
   std::unique_ptr<Watch> watch_;
-  Signal work_;
+  Signal write_signal_;
   std::shared_ptr<Handler> handler_;
   int open_error_;
   bool up_;
   bool ended_ = false;
-  bool lingering_ = false;  // ended, and what still comes is read
-  bool blocked_ = false;    // the writer waits for the socket
+  bool lingering_ = false;      // ended; received bytes are read and discarded
+  bool write_blocked_ = false;  // the writer waits until the socket is writable
   bool closing_ = false;
   std::uint64_t last_token_ = 0;
-  std::deque<Piece> pieces_;
-  std::set<std::uint64_t> withheld_;  // taken back, and not told yet
+  std::deque<QueuedWrite> queue_;
+  std::set<std::uint64_t> refused_;  // removed from the queue and not reported yet
   std::size_t waiting_ = 0;
   Clock::time_point last_received_ = Clock::now();
 };
 
-// A handler's way to its own connection. The connection keeps its handler, so that the handler must not keep
-// the connection, or neither ever goes. Once that is gone it counts as ended, and what is written goes
-// nowhere.
+// Refers to a connection from its handler. The reference is weak: the connection owns its handler, so a
+// handler that owned the connection would keep both alive. Once the connection is destroyed, it counts as
+// ended, and writes are discarded.
 class ConnectionHandle {
  public:
   ConnectionHandle() = default;
--- a/src/transport/connection_end.h
+++ b/src/transport/connection_end.h
@@ -1,27 +1,29 @@
-// Every way in which a connection can end.
+// The reasons for the end of a connection.
 #pragma once
 
 #include <string_view>
 
 namespace trailcourse::transport {
 
+// Why a connection ended.
 enum class ConnectionEnd {
-  kRefused,         // nobody listens there
-  kConnectTimeout,  // not up in time
-  kUnreachable,     // no way there, or the connect failed in another way
-  kNoDescriptor,    // this process has none left
-  kPeerClosed,      // the other side ended it in order
-  kPeerReset,       // the other side broke it off
-  kBroken,          // the system gave it up
-  kMalformed,       // what came could not be read
-  kOverflow,        // a bound on what is held for it was reached
-  kIdle,            // unused for too long, closed here
-  kSilent,          // nothing comes from there any more, closed here
-  kStalled,         // the other side does not take what it is sent
-  kDropped,         // not wanted any more: its cache is gone or has another address
-  kShutdown,        // this program ends
+  kRefused,         // no process listens on the address
+  kConnectTimeout,  // not connected in time
+  kUnreachable,     // no route to the address, or another error of the connect
+  kNoDescriptor,    // this process has no descriptor left
+  kPeerClosed,      // closed in order by the peer
+  kPeerReset,       // reset by the peer
+  kBroken,          // another error of the system
+  kMalformed,       // received bytes could not be parsed
+  kOverflow,        // a bound on buffered bytes was exceeded
+  kIdle,            // closed by this side: unused for too long
+  kSilent,          // closed by this side: the peer has stopped sending
+  kStalled,         // the peer does not read the bytes sent to it
+  kDropped,         // closed by this side: the cache was removed or has another address
+  kShutdown,        // closed by this side: shutdown, or all bytes were written
 };
 
+// Returns a description for log lines.
 constexpr std::string_view to_string(ConnectionEnd end) {
   switch (end) {
     case ConnectionEnd::kRefused:
--- a/src/transport/connection_pool.h
+++ b/src/transport/connection_pool.h
@@ -1,4 +1,5 @@
-// Connections to named peers: opened as needed, shared by many streams, closed before they idle out.
+// A pool of connections to named peers, which are opened on demand, shared by several streams and closed when
+// idle.
 #pragma once
 
 #include <algorithm>
@@ -14,7 +15,8 @@
 
 namespace trailcourse::transport {
 
-// `Link` is the handler of one connection; the pool counts its streams and knows nothing else of it.
+// `Link` is the handler of a connection. A stream is one use of a connection, from its request from the pool
+// to its return. The pool lives as long as its scheduler.
 template <typename Link>
 class ConnectionPool {
  public:
@@ -30,24 +32,26 @@
     std::shared_ptr<Connection> connection;
     std::shared_ptr<Link> link;
     int streams = 0;
-    std::optional<ConnectionEnd> retired;  // nothing new goes over it; how it ends with its last stream
+    std::optional<ConnectionEnd> retired;  // set: no new streams; ends so with its last stream
     Clock::time_point used = Clock::now();
   };
   using SlotPtr = std::shared_ptr<Slot>;
-  using MakeLink = std::function<std::shared_ptr<Link>(const SlotPtr&)>;
+  using LinkFactory = std::function<std::shared_ptr<Link>(const SlotPtr&)>;
 
-  ConnectionPool(Scheduler& scheduler, const Bounds& bounds, MakeLink make)
-      : scheduler_(scheduler), bounds_(bounds), make_(std::move(make)) {
-    scheduler_.spawn(reap());
+  ConnectionPool(Scheduler& scheduler, const Bounds& bounds, LinkFactory create_link)
+      : scheduler_(scheduler), bounds_(bounds), create_link_(std::move(create_link)) {
+    scheduler_.spawn(close_idle_connections());
   }
 
-  // A connection with room for a stream that `may_use` allows: a free one, else a new one, else the one with
-  // the fewest streams. Null where the bounds leave none.
+  // Returns a connection for a new stream, among those that `may_use` allows: one without streams if
+  // possible, otherwise a new one, otherwise the one with the fewest streams. Null where the bounds allow
+  // none.
   template <typename MayUse>
   SlotPtr take(const std::string& peer, const Address& address, MayUse may_use) {
     std::vector<SlotPtr>& slots = peers_[peer];
     SlotPtr best = least_used(slots, address, may_use);
-    // A close may have come in and wait to be heard of: what was sent there would be lost, or held back.
+    // The peer may have closed the connection without this being reported yet: bytes sent there would be
+    // lost.
     while (best && best->connection->ended_by_peer()) {
       best->connection->close(ConnectionEnd::kPeerClosed);
       best = least_used(slots, address, may_use);
@@ -73,7 +77,7 @@
     }
   }
 
-  // Nothing new goes over it; it closes with its last stream.
+  // Gives the connection no new streams and closes it after its last one.
   void retire(const SlotPtr& slot, ConnectionEnd end) {
     slot->retired = end;
     if (slot->streams <= 0) {
@@ -81,7 +85,7 @@
     }
   }
 
-  // When anything last came from the peer, over any connection.
+  // Returns when bytes were last received from the peer, on any connection; time_point::min() without one.
   Clock::time_point last_received(const std::string& peer) const {
     Clock::time_point latest = Clock::time_point::min();
     if (const auto found = peers_.find(peer); found != peers_.end()) {
@@ -92,7 +96,7 @@
     return latest;
   }
 
-  // Retires the connections to this peer that there are now.
+  // Retires all current connections to the peer.
   void drop(const std::string& peer, ConnectionEnd end) {
     if (const auto found = peers_.find(peer); found != peers_.end()) {
       for (const SlotPtr& slot : found->second) {
@@ -101,7 +105,7 @@
     }
   }
 
-  // To be called when a connection's end is told.
+  // Removes a connection from the pool. Has to be called when the connection has ended.
   void forget(const SlotPtr& slot) {
     const auto found = peers_.find(slot->peer);
     if (found != peers_.end()) {
@@ -112,7 +116,8 @@
     }
   }
 
-  // Gives up the connection that has been unused for longest, for its descriptor; false where all are in use.
+  // Closes the connection that has been unused for longest, to free a descriptor. Returns false where all are
+  // in use.
   bool close_one_idle() {
     SlotPtr oldest;
     for (const auto& [peer, slots] : peers_) {
@@ -130,7 +135,7 @@
   }
 
  private:
-  // The usable connection with the fewest streams; null where there is none.
+  // Returns the usable connection with the fewest streams; null where there is none.
   template <typename MayUse>
   SlotPtr least_used(const std::vector<SlotPtr>& slots, const Address& address, MayUse may_use) const {
     SlotPtr best;
@@ -152,14 +157,14 @@
     auto slot = std::make_shared<Slot>();
     slot->peer = peer;
     slot->connection = Connection::connect(scheduler_, address, bounds_.connection);
-    slot->link = make_(slot);
+    slot->link = create_link_(slot);
     peers_[peer].push_back(slot);
     ++count_;
     slot->connection->start(slot->link);
     return slot;
   }
 
-  Task<void> reap() {
+  Task<void> close_idle_connections() {
     for (;;) {
       co_await scheduler_.sleep(bounds_.idle / 8);
       const Clock::time_point before = Clock::now() - bounds_.idle;
@@ -175,7 +180,7 @@
 
   Scheduler& scheduler_;
   Bounds bounds_;
-  MakeLink make_;
+  LinkFactory create_link_;
   std::map<std::string, std::vector<SlotPtr>> peers_;
   int count_ = 0;
 };
--- a/src/transport/deferred_job.h
+++ b/src/transport/deferred_job.h
@@ -1,4 +1,4 @@
-// One job that is to run soon and once, however often it is asked for meanwhile.
+// A job that runs once soon after one or more requests to run it.
 #pragma once
 
 #include <memory>
@@ -8,7 +8,8 @@
 
 namespace trailcourse::transport {
 
-// The job runs in a later job of the scheduler, never from within post(), and not after this is destroyed.
+// Runs its job from a later job of the scheduler: never from within post(), and not after this object is
+// destroyed.
 class Deferred {
  public:
   Deferred(Scheduler& scheduler, Scheduler::Job job) : scheduler_(scheduler), job_(std::move(job)) {}
@@ -16,6 +17,7 @@
   Deferred(const Deferred&) = delete;
   Deferred& operator=(const Deferred&) = delete;
 
+  // Requests a run of the job. Further calls have no effect until the job runs.
   void post() {
     if (std::exchange(posted_, true)) {
       return;
--- a/src/transport/log.cpp
+++ b/src/transport/log.cpp
@@ -11,16 +11,18 @@
 
 constexpr std::array<std::string_view, 4> kLevelNames{"debug", "info", "warning", "error"};
 
-// A peer that sends nonsense without end must not fill the log, nor keep the loop busy with it.
-constexpr int kLinesInSecond = 200;
+// Limits the lines that a peer can cause by sending malformed bytes repeatedly, so that it neither fills the
+// log nor keeps the scheduler busy.
+constexpr int kMaxLinesPerSecond = 200;
 
-struct Pace {
+// The lines written in the current second.
+struct LineRate {
   std::time_t second = 0;
   int lines = 0;
 };
-Pace pace;
+LineRate line_rate;
 
-Level least_level = Level::kInfo;
+Level min_level = Level::kInfo;
 std::ostream* log_stream = &std::clog;
 
 }  // namespace
@@ -36,9 +38,9 @@
   return std::nullopt;
 }
 
-void set_log_level(Level least) { least_level = least; }
+void set_log_level(Level new_min_level) { min_level = new_min_level; }
 void set_log_stream(std::ostream& out) { log_stream = &out; }
-bool log_enabled(Level level) { return level >= least_level; }
+bool log_enabled(Level level) { return level >= min_level; }
 
 LogLine::~LogLine() {
   if (!enabled_) {
@@ -48,20 +50,20 @@
   const auto millis =
       std::chrono::duration_cast<std::chrono::milliseconds>(now.time_since_epoch()).count() % 1000;
   const std::time_t seconds = std::chrono::system_clock::to_time_t(now);
-  std::string left_out;
-  if (seconds != pace.second) {
-    const int over = pace.lines - kLinesInSecond;
-    left_out = over > 0 ? " (" + std::to_string(over) + " lines before were left out)" : "";
-    pace = Pace{seconds, 0};
+  std::string omitted_note;
+  if (seconds != line_rate.second) {
+    const int omitted = line_rate.lines - kMaxLinesPerSecond;
+    omitted_note = omitted > 0 ? " (" + std::to_string(omitted) + " lines before this one were omitted)" : "";
+    line_rate = LineRate{seconds, 0};
   }
-  if (++pace.lines > kLinesInSecond) {
+  if (++line_rate.lines > kMaxLinesPerSecond) {
     return;
   }
   std::tm parts{};
   gmtime_r(&seconds, &parts);
   std::ostringstream line;
   line << std::put_time(&parts, "%FT%T") << '.' << std::setw(3) << std::setfill('0') << millis << "Z "
-       << level_name(level_) << ' ' << text_.str() << left_out << '\n';
+       << level_name(level_) << ' ' << text_.str() << omitted_note << '\n';
   *log_stream << line.str() << std::flush;
 }
 
--- a/src/transport/log.h
+++ b/src/transport/log.h
@@ -1,4 +1,5 @@
-// Log lines on an iostream behind a level filter:  log_line(Level::kInfo) << "cache " << name << " is up";
+// Writes log lines to a stream, filtered by level: log_line(Level::kInfo) << "cache " << name << " is up";
+// Not thread-safe.
 #pragma once
 
 #include <optional>
@@ -13,12 +14,14 @@
 std::string_view level_name(Level level);
 std::optional<Level> parse_level(std::string_view name);
 
-// Lines below this level are not made.
-void set_log_level(Level least);
+// Sets the level below which lines are not written. Initially kInfo.
+void set_log_level(Level min_level);
+
+// Sets the stream that lines are written to, initially std::clog. The stream has to outlive its use.
 void set_log_stream(std::ostream& out);
 bool log_enabled(Level level);
 
-// One line, written whole when it goes out of scope.
+// One log line, which is written when the object is destroyed. The number of lines per second is limited.
 class LogLine {
  public:
   explicit LogLine(Level level) : level_(level), enabled_(log_enabled(level)) {}
--- a/src/transport/mailbox.cpp
+++ b/src/transport/mailbox.cpp
@@ -37,7 +37,7 @@
   const std::lock_guard lock(state_->mutex);
   state_->jobs.push_back(std::move(job));
   const std::uint64_t one = 1;
-  // It can fail only where the counter is full: then a wake-up is on its way already.
+  // Fails only if the counter is full, in which case the descriptor is already readable.
   [[maybe_unused]] const ssize_t written = ::write(state_->event.get(), &one, sizeof one);
 }
 
--- a/src/transport/mailbox.h
+++ b/src/transport/mailbox.h
@@ -1,4 +1,4 @@
-// Jobs for the scheduler from other threads.
+// Passes jobs from other threads to a scheduler.
 #pragma once
 
 #include <functional>
@@ -10,16 +10,17 @@
 
 namespace trailcourse::transport {
 
-// Made and destroyed on the scheduler's thread; post() may come from any. What was not run when it goes is
-// dropped.
+// Created and destroyed on the scheduler's thread; post() may be called from any thread. Jobs that have not
+// been passed to the scheduler when the mailbox is destroyed are dropped.
 class Mailbox {
  public:
-  // Throws std::system_error where the system gives no descriptor.
+  // Throws std::system_error where no descriptor can be created.
   explicit Mailbox(Scheduler& scheduler);
   ~Mailbox();
   Mailbox(const Mailbox&) = delete;
   Mailbox& operator=(const Mailbox&) = delete;
 
+  // Runs `job` on the scheduler's thread.
   void post(Scheduler::Job job);
 
  private:
--- a/src/transport/scheduler.cpp
+++ b/src/transport/scheduler.cpp
@@ -13,20 +13,21 @@
 
 namespace {
 
-// Whatever fails, the loop goes on: other requests are not to pay for it.
+// Logs the exception instead of passing it on, so that one failure does not affect other requests.
 void log_current_exception() {
   try {
     throw;
   } catch (const std::exception& error) {
-    log_line(Level::kError) << "a task ended: " << error.what();
+    log_line(Level::kError) << "a task or job failed: " << error.what();
   } catch (...) {
-    log_line(Level::kError) << "a task ended";
+    log_line(Level::kError) << "a task or job failed with an unknown exception";
   }
 }
 
 }  // namespace
 
-// The coroutine that a spawned task runs in; its frame is known to the scheduler, which ends what is left.
+// The coroutine that a spawned task runs in. Its frame is registered with the scheduler, whose destructor
+// destroys the frames that are left.
 struct Scheduler::Root {
   struct promise_type {
     promise_type(Scheduler& scheduler, Task<void>&) : owner(scheduler) {
@@ -60,7 +61,7 @@
   while (!roots_.empty()) {
     std::coroutine_handle<>::from_address(*roots_.begin()).destroy();
   }
-  // Jobs may own what closes watches and posts further jobs.
+  // Destroying a job can destroy objects that close watches and post further jobs.
   while (!jobs_.empty() || !next_turn_.empty() || !timers_.empty()) {
     const auto jobs = std::exchange(jobs_, {});
     const auto next = std::exchange(next_turn_, {});
@@ -83,7 +84,7 @@
   }
 }
 
-void Scheduler::guarded(const Job& job) {
+void Scheduler::run_guarded(const Job& job) {
   try {
     job();
   } catch (...) {
@@ -95,14 +96,14 @@
   while (!jobs_.empty()) {
     const Job job = std::move(jobs_.front());
     jobs_.pop_front();
-    guarded(job);
+    run_guarded(job);
   }
 }
 
 void Scheduler::run_timers() {
   while (!timers_.empty() && timers_.begin()->first.first <= turn_time_) {
     auto due = timers_.extract(timers_.begin());
-    guarded(due.mapped());
+    run_guarded(due.mapped());
     run_jobs();
   }
 }
@@ -127,15 +128,15 @@
     const epoll_event& event = events[static_cast<std::size_t>(i)];
     const auto found = watches_.find(event.data.u64);
     if (found == watches_.end()) {
-      continue;  // closed earlier in this turn
+      continue;  // closed earlier in this iteration
     }
     Watch& watch = *found->second;
-    const bool broken = (event.events & (EPOLLERR | EPOLLHUP)) != 0;
-    watch.hung_up_ = watch.hung_up_ || broken || (event.events & EPOLLRDHUP) != 0;
-    if (broken || (event.events & (EPOLLIN | EPOLLRDHUP)) != 0) {
+    const bool failed = (event.events & (EPOLLERR | EPOLLHUP)) != 0;
+    watch.hung_up_ = watch.hung_up_ || failed || (event.events & EPOLLRDHUP) != 0;
+    if (failed || (event.events & (EPOLLIN | EPOLLRDHUP)) != 0) {
       watch.wake(watch.read_);
     }
-    if (broken || (event.events & EPOLLOUT) != 0) {
+    if (failed || (event.events & EPOLLOUT) != 0) {
       watch.wake(watch.write_);
     }
     run_jobs();
--- a/src/transport/scheduler.h
+++ b/src/transport/scheduler.h
@@ -1,4 +1,4 @@
-// The scheduler: one thread, epoll, timers, and the coroutines that wait for either.
+// The event loop: one thread, epoll, timers, and the coroutines that wait for them.
 #pragma once
 
 #include <chrono>
@@ -20,6 +20,8 @@
 
 class Watch;
 
+// Runs jobs, timers and coroutines on the thread that calls run(). Not thread-safe; other threads use a
+// Mailbox.
 class Scheduler {
  public:
   using Job = std::function<void()>;
@@ -30,23 +32,32 @@
   Scheduler(const Scheduler&) = delete;
   Scheduler& operator=(const Scheduler&) = delete;
 
-  // Runs a coroutine on its own; an exception that leaves it is logged and ends only that one.
+  // Starts a coroutine, which runs until it first waits. An exception that leaves it is logged and ends only
+  // this coroutine. Destroying the scheduler destroys the coroutines that have not ended.
   void spawn(Task<void> task);
-  // Runs a job later in this turn, never from within the caller.
+
+  // Runs a job later in this iteration of the loop, never from within the caller.
   void post(Job job) { jobs_.push_back(std::move(job)); }
+
+  // Runs a job at the given time, or in the next iteration if that time has passed. Returns the key for
+  // cancel().
   TimerKey at(Clock::time_point when, Job job);
+
+  // Cancels a timer. Has no effect if its job has already run.
   void cancel(const TimerKey& key) { timers_.erase(key); }
 
-  // Turns until stop().
+  // Runs iterations of the loop until stop() is called.
   void run();
   void stop() { stopped_ = true; }
-  // One turn: waits for what comes first, `longest` at most.
+
+  // Runs one iteration: the jobs that are ready, then the events and timers that occur while it waits for at
+  // most `longest`.
   void turn(Clock::duration longest);
 
-  // When this turn began: what is seen in one turn happened at one time.
+  // Returns when the events of this iteration were received: all events of one iteration have the same time.
   Clock::time_point turn_time() const { return turn_time_; }
 
-  // Awaitable: goes on after `delay`.
+  // Awaitable that resumes after `delay`.
   struct Sleep {
     Scheduler& scheduler;
     Clock::duration delay;
@@ -58,7 +69,7 @@
   };
   Sleep sleep(Clock::duration delay) { return Sleep{*this, delay}; }
 
-  // Awaitable: lets all others that are ready go first.
+  // Awaitable that resumes in the next iteration, after all other jobs that are ready.
   struct Yield {
     Scheduler& scheduler;
     bool await_ready() const noexcept { return false; }
@@ -73,8 +84,8 @@
   friend class Watch;
   struct Root;
 
-  // Runs a job; an exception that leaves it is logged and ends only that one.
-  static void guarded(const Job& job);
+  // Runs a job. An exception that leaves it is logged and ends only this job.
+  static void run_guarded(const Job& job);
   void run_jobs();
   void run_timers();
 
@@ -90,7 +101,9 @@
   std::unordered_set<void*> roots_;
 };
 
-// A descriptor registered with the scheduler, edge by edge. Whoever gets EAGAIN says so and waits.
+// Registers a descriptor with the scheduler, edge-triggered. After EAGAIN, the user of the descriptor calls
+// blocked_reading() or blocked_writing() and awaits readable() or writable(). Each direction has at most one
+// waiter.
 class Watch {
  public:
   Watch(Scheduler& scheduler, int descriptor);
@@ -98,7 +111,7 @@
   Watch(const Watch&) = delete;
   Watch& operator=(const Watch&) = delete;
 
-  // Awaitable: true once there may be something to do, false once the watch is closed.
+  // Awaitable that yields true once the descriptor may be ready, and false once the watch is closed.
   struct Wait {
     Watch& watch;
     bool write;
@@ -110,10 +123,12 @@
   Wait writable() { return Wait{*this, true}; }
   void blocked_reading() { side(false).ready = false; }
   void blocked_writing() { side(true).ready = false; }
-  // The other side has ended its half, or all of it; what it sent before may still be read.
+
+  // Returns whether the peer has closed its sending side or the connection. Bytes that it sent before may
+  // still be readable.
   bool hung_up() const { return hung_up_; }
 
-  // Deregisters and wakes the waiters; they run later in the turn.
+  // Deregisters the descriptor and resumes the waiters later in this iteration.
   void close();
 
  private:
@@ -135,14 +150,16 @@
   Side write_;
 };
 
-// What a coroutine waits on for something that another part of the program does.
+// Lets a coroutine wait for a notification from another part of the program.
 class Signal {
  public:
   explicit Signal(Scheduler& scheduler) : scheduler_(scheduler) {}
 
+  // Resumes the waiter in a later job; without a waiter, the next wait ends at once.
   void notify();
 
-  // Awaitable: true when notified, also before the wait, false when `longest` has passed first. One waiter.
+  // Awaitable that yields true after a notification, which may precede the wait, and false if `longest`
+  // passes first. There is at most one waiter.
   struct Wait {
     Signal& signal;
     Clock::duration longest;
--- a/src/transport/socket.cpp
+++ b/src/transport/socket.cpp
@@ -24,8 +24,8 @@
   return Address{ntohl(address.sin_addr.s_addr), ntohs(address.sin_port)};
 }
 
-// The system's calls take the general type.
-sockaddr* general(sockaddr_in& address) { return reinterpret_cast<sockaddr*>(&address); }
+// Returns the address as the type that the calls of the system accept.
+sockaddr* as_sockaddr(sockaddr_in& address) { return reinterpret_cast<sockaddr*>(&address); }
 
 Descriptor new_socket() {
   return Descriptor(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
@@ -77,8 +77,9 @@
     return failed();
   }
   set_flag(socket.get(), SOL_SOCKET, SO_REUSEADDR);
-  sockaddr_in where = to_system(address);
-  if (::bind(socket.get(), general(where), sizeof where) != 0 || ::listen(socket.get(), backlog) != 0) {
+  sockaddr_in system_address = to_system(address);
+  if (::bind(socket.get(), as_sockaddr(system_address), sizeof system_address) != 0 ||
+      ::listen(socket.get(), backlog) != 0) {
     return failed();
   }
   return Opened{std::move(socket), 0};
@@ -98,8 +99,9 @@
     return failed();
   }
   set_flag(socket.get(), IPPROTO_TCP, TCP_NODELAY);
-  sockaddr_in where = to_system(address);
-  if (::connect(socket.get(), general(where), sizeof where) != 0 && errno != EINPROGRESS) {
+  sockaddr_in system_address = to_system(address);
+  if (::connect(socket.get(), as_sockaddr(system_address), sizeof system_address) != 0 &&
+      errno != EINPROGRESS) {
     return failed();
   }
   return Opened{std::move(socket), 0};
@@ -115,15 +117,17 @@
 }
 
 Address peer_of(int descriptor) {
-  sockaddr_in where{};
-  socklen_t size = sizeof where;
-  return ::getpeername(descriptor, general(where), &size) == 0 ? from_system(where) : Address{};
+  sockaddr_in system_address{};
+  socklen_t size = sizeof system_address;
+  return ::getpeername(descriptor, as_sockaddr(system_address), &size) == 0 ? from_system(system_address)
+                                                                            : Address{};
 }
 
 Address local_of(int descriptor) {
-  sockaddr_in where{};
-  socklen_t size = sizeof where;
-  return ::getsockname(descriptor, general(where), &size) == 0 ? from_system(where) : Address{};
+  sockaddr_in system_address{};
+  socklen_t size = sizeof system_address;
+  return ::getsockname(descriptor, as_sockaddr(system_address), &size) == 0 ? from_system(system_address)
+                                                                            : Address{};
 }
 
 int pending_error(int descriptor) {
--- a/src/transport/socket.h
+++ b/src/transport/socket.h
@@ -1,4 +1,4 @@
-// Descriptors, addresses and TCP sockets; all sockets are non-blocking.
+// Descriptors, addresses and non-blocking TCP sockets.
 #pragma once
 
 #include <netinet/in.h>
@@ -11,7 +11,7 @@
 
 namespace trailcourse::transport {
 
-// Owns one descriptor.
+// Owns a file descriptor and closes it on destruction.
 class Descriptor {
  public:
   Descriptor() = default;
@@ -27,6 +27,8 @@
 
   int get() const { return number_; }
   bool valid() const { return number_ >= 0; }
+
+  // Closes the descriptor, if there is one.
   void reset();
 
  private:
@@ -35,30 +37,46 @@
 
 // An IPv4 address and port.
 struct Address {
-  std::uint32_t ip = 0;  // in host order
+  std::uint32_t ip = 0;  // in host byte order
   std::uint16_t port = 0;
 
   friend bool operator==(const Address&, const Address&) = default;
 };
 
-// Reads "10.0.0.4:4100"; nothing where it is not of that form or the port is 0.
+// Parses an address such as "10.0.0.4:4100". Returns nothing where the text is not of this form or the port
+// is 0.
 std::optional<Address> parse_address(std::string_view text);
+
+// Returns the form that parse_address() accepts.
 std::string to_string(const Address& address);
 
-// The result of a call that may fail: a descriptor, or the system's error number.
+// A socket, or the errno of the call that failed.
 struct Opened {
   Descriptor descriptor;
   int error = 0;
 };
 
+// Opens a listening socket with SO_REUSEADDR.
 Opened listen_on(const Address& address, int backlog);
-// The same for those that cannot do without; throws std::system_error that names the address.
+
+// Like listen_on(), but throws std::system_error with the address on failure.
 Descriptor listen_or_throw(const Address& address, int backlog);
+
+// Opens a socket and starts connecting it. It is writable once it is connected or pending_error() has the
+// error.
 Opened start_connect(const Address& address);
+
+// Accepts one connection; the error is EAGAIN where none waits.
 Opened accept_from(int listener);
+
+// Return the address of the peer, and the local address, of a socket; 0.0.0.0:0 on failure.
 Address peer_of(int descriptor);
 Address local_of(int descriptor);
+
+// Returns and clears the pending error of a socket (SO_ERROR), 0 where there is none.
 int pending_error(int descriptor);
+
+// Sets the size of the socket's send buffer (SO_SNDBUF).
 void set_send_buffer(int descriptor, int bytes);
 
 }  // namespace trailcourse::transport
--- a/src/transport/task.h
+++ b/src/transport/task.h
@@ -1,4 +1,4 @@
-// A lazy coroutine: it starts when it is awaited and resumes its awaiter when it is done.
+// A lazy coroutine: it starts when it is awaited and resumes its awaiter when it finishes.
 #pragma once
 
 #include <coroutine>
@@ -17,8 +17,8 @@
   struct FinalAwaiter {
     bool await_ready() const noexcept { return false; }
     template <typename Promise>
-    std::coroutine_handle<> await_suspend(std::coroutine_handle<Promise> done) const noexcept {
-      const std::coroutine_handle<> next = done.promise().continuation;
+    std::coroutine_handle<> await_suspend(std::coroutine_handle<Promise> finished) const noexcept {
+      const std::coroutine_handle<> next = finished.promise().continuation;
       return next ? next : std::noop_coroutine();
     }
     void await_resume() const noexcept {}
@@ -36,7 +36,7 @@
 struct Promise : PromiseBase {
   Task<T> get_return_object();
   void return_value(T result) { value = std::move(result); }
-  T take() { return std::move(*value); }
+  T take_value() { return std::move(*value); }
 
   std::optional<T> value;
 };
@@ -45,11 +45,13 @@
 struct Promise<void> : PromiseBase {
   Task<void> get_return_object();
   void return_void() const noexcept {}
-  void take() const noexcept {}
+  void take_value() const noexcept {}
 };
 
 }  // namespace detail
 
+// Owns a coroutine that returns a T. Awaiting it returns the value or rethrows the exception that left the
+// coroutine. Each task is awaited at most once.
 template <typename T>
 class [[nodiscard]] Task {
  public:
@@ -79,7 +81,7 @@
     if (handle_.promise().error) {
       std::rethrow_exception(handle_.promise().error);
     }
-    return handle_.promise().take();
+    return handle_.promise().take_value();
   }
 
  private:
--- a/src/transport/timer.h
+++ b/src/transport/timer.h
@@ -1,5 +1,4 @@
-// One job at one moment, which may be moved or taken back: the timer of a state machine that says when it is
-// due next.
+// A timer for one job, which can be moved or cancelled, for state machines that state when they are next due.
 #pragma once
 
 #include <optional>
@@ -9,7 +8,8 @@
 
 namespace trailcourse::transport {
 
-// The scheduler outlives it. The job runs on the scheduler's thread, never from within set().
+// Runs a job at a given time. The scheduler has to outlive the timer. The job runs on the scheduler's thread,
+// never from within set().
 class Alarm {
  public:
   Alarm(Scheduler& scheduler, Scheduler::Job job) : scheduler_(scheduler), job_(std::move(job)) {}
@@ -17,7 +17,8 @@
   Alarm(const Alarm&) = delete;
   Alarm& operator=(const Alarm&) = delete;
 
-  // At that moment and at no other; a moment that is past means the next turn. Nothing: not at all.
+  // Sets the time at which the job runs, in place of any earlier one; a time in the past means the next
+  // iteration of the scheduler. Cancels the timer where `when` is empty.
   void set(std::optional<Clock::time_point> when) {
     if (key_ && when != key_->first) {
       scheduler_.cancel(*std::exchange(key_, std::nullopt));
--- a/tests/transport_test.cpp
+++ b/tests/transport_test.cpp
@@ -1,4 +1,4 @@
-// The scheduler, connections and the pool, over loopback.
+// Tests of the scheduler, connections and the connection pool, over loopback.
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 #include <unistd.h>
@@ -26,15 +26,15 @@
 
 constexpr Address kAnyPort{0x7f000001U, 0};
 
-void turn_until(Scheduler& scheduler, const std::function<bool()>& done) {
-  const Clock::time_point late = Clock::now() + std::chrono::seconds(20);
-  while (!done() && Clock::now() < late) {
+void run_until(Scheduler& scheduler, const std::function<bool()>& done) {
+  const Clock::time_point deadline = Clock::now() + std::chrono::seconds(20);
+  while (!done() && Clock::now() < deadline) {
     scheduler.turn(milliseconds(20));
   }
-  ASSERT_TRUE(done()) << "it never came";
+  ASSERT_TRUE(done()) << "the condition did not hold within 20 seconds";
 }
 
-TEST(Address, ReadsWhatIsOneAndNothingElse) {
+TEST(Address, ParsesOnlyValidAddresses) {
   const auto address = parse_address("10.0.0.4:4100");
   ASSERT_TRUE(address.has_value());
   EXPECT_EQ(to_string(*address), "10.0.0.4:4100");
@@ -44,7 +44,7 @@
   }
 }
 
-TEST(Scheduler, TimersRunInOrderAndCancelledOnesNot) {
+TEST(Scheduler, RunsTimersInOrderAndNoCancelledTimer) {
   Scheduler scheduler;
   std::string order;
   const auto now = Clock::now();
@@ -53,7 +53,7 @@
   const auto cancelled = scheduler.at(now + milliseconds(1), [&] { order += 'x'; });
   scheduler.at(now, [&] { order += 'a'; });
   scheduler.cancel(cancelled);
-  turn_until(scheduler, [&] { return order.size() == 3; });
+  run_until(scheduler, [&] { return order.size() == 3; });
   EXPECT_EQ(order, "abc");
 }
 
@@ -75,31 +75,31 @@
   }
 }
 
-TEST(Scheduler, TasksAwaitValuesAndExceptions) {
+TEST(Scheduler, AwaitingATaskReturnsItsValueOrRethrowsItsException) {
   Scheduler scheduler;
   std::string out;
   scheduler.spawn(collect(scheduler, out));
-  turn_until(scheduler, [&] { return out.size() > 1; });
+  run_until(scheduler, [&] { return out.size() > 1; });
   EXPECT_EQ(out, "5scripted");
 }
 
-Task<void> fail_at_once(Scheduler& scheduler) {
+Task<void> fail_after_yield(Scheduler& scheduler) {
   co_await scheduler.yield();
   throw std::runtime_error("scripted");
 }
 
-TEST(Scheduler, AFailingTaskOrJobLeavesTheOthersRunning) {
+TEST(Scheduler, AFailedTaskOrJobDoesNotAffectOthers) {
   Scheduler scheduler;
   std::ostringstream log;
   set_log_stream(log);
   std::string out;
-  scheduler.spawn(fail_at_once(scheduler));
+  scheduler.spawn(fail_after_yield(scheduler));
   scheduler.post([] { throw std::runtime_error("in a job"); });
   scheduler.at(Clock::now(), [] { throw 5; });
   scheduler.spawn(collect(scheduler, out));
-  turn_until(scheduler, [&] { return out.size() > 1; });
+  run_until(scheduler, [&] { return out.size() > 1; });
   set_log_stream(std::clog);
-  EXPECT_NE(log.str().find("error a task ended: scripted"), std::string::npos);
+  EXPECT_NE(log.str().find("error a task or job failed: scripted"), std::string::npos);
   EXPECT_NE(log.str().find("in a job"), std::string::npos);
 }
 
@@ -108,32 +108,33 @@
   out += notified ? 'n' : 't';
 }
 
-// The loop waits, is woken by its end, and finds what it needs; a connection that waits goes unheard.
-TEST(AcceptLoop, MayEndWhileItWaitsAndWhileAConnectionDoes) {
+// The coroutine of the loop resumes after the AcceptLoop is destroyed, and must not accept the waiting
+// connection.
+TEST(AcceptLoop, CanBeDestroyedWhileItWaitsAndWhileAConnectionIsPending) {
   Scheduler scheduler;
   fleet::PortAllocator ports;
   const Address address = *parse_address(ports.take_text());
-  int taken = 0;
-  auto loop =
-      std::make_unique<AcceptLoop>(scheduler, address, 8, milliseconds(1), [&taken](Descriptor) { ++taken; });
+  int accepted = 0;
+  auto loop = std::make_unique<AcceptLoop>(scheduler, address, 8, milliseconds(1),
+                                           [&accepted](Descriptor) { ++accepted; });
   const auto first = Connection::connect(scheduler, address, {});
-  turn_until(scheduler, [&] { return taken == 1; });
+  run_until(scheduler, [&] { return accepted == 1; });
   const auto second = Connection::connect(scheduler, address, {});
   loop.reset();
-  bool turned = false;
-  scheduler.at(Clock::now() + milliseconds(5), [&] { turned = true; });
-  turn_until(scheduler, [&] { return turned; });
-  EXPECT_EQ(taken, 1);
+  bool timer_ran = false;
+  scheduler.at(Clock::now() + milliseconds(5), [&] { timer_ran = true; });
+  run_until(scheduler, [&] { return timer_ran; });
+  EXPECT_EQ(accepted, 1);
 }
 
-TEST(Deferred, RunsOnceHoweverOftenItIsAskedForAndNotAfterItsEnd) {
+TEST(Deferred, RunsOnceForSeveralPostsAndNotAfterItsDestruction) {
   Scheduler scheduler;
   int runs = 0;
   auto deferred = std::make_unique<Deferred>(scheduler, [&runs] { ++runs; });
   deferred->post();
   deferred->post();
   EXPECT_EQ(runs, 0);
-  turn_until(scheduler, [&] { return runs > 0; });
+  run_until(scheduler, [&] { return runs > 0; });
   EXPECT_EQ(runs, 1);
   deferred->post();
   deferred.reset();
@@ -141,7 +142,7 @@
   EXPECT_EQ(runs, 1);
 }
 
-TEST(Signal, IsNotifiedBeforeOrDuringTheWaitOrTimesOut) {
+TEST(Signal, AWaitEndsByANotificationBeforeOrDuringItOrByItsTimeout) {
   Scheduler scheduler;
   Signal signal(scheduler);
   std::string out;
@@ -149,15 +150,15 @@
   scheduler.spawn(wait_for(signal, milliseconds(1000), out));
   EXPECT_EQ(out, "n");
   scheduler.spawn(wait_for(signal, milliseconds(1), out));
-  turn_until(scheduler, [&] { return out.size() == 2; });
+  run_until(scheduler, [&] { return out.size() == 2; });
   EXPECT_EQ(out, "nt");
   scheduler.spawn(wait_for(signal, std::chrono::hours(1), out));
   signal.notify();
-  turn_until(scheduler, [&] { return out.size() == 3; });
+  run_until(scheduler, [&] { return out.size() == 3; });
   EXPECT_EQ(out, "ntn");
 }
 
-TEST(Log, LinesBelowTheLevelAreNotMade) {
+TEST(Log, WritesNoLinesBelowTheLevel) {
   std::ostringstream log;
   set_log_stream(log);
   log_line(Level::kDebug) << "hidden";
@@ -169,40 +170,40 @@
   EXPECT_FALSE(parse_level("loud").has_value());
 }
 
-TEST(Log, LinesWithoutEndAreLeftOut) {
+TEST(Log, OmitsLinesAboveTheMaxPerSecond) {
   std::ostringstream log;
   set_log_stream(log);
   for (int i = 0; i < 2000; ++i) {
-    log_line(Level::kWarning) << "nonsense";
+    log_line(Level::kWarning) << "malformed";
   }
   set_log_stream(std::clog);
   const std::string text = log.str();
   const auto lines = std::count(text.begin(), text.end(), '\n');
   EXPECT_GT(lines, 0);
-  EXPECT_LE(lines, 800) << "at most so many a second, over a few seconds on a slow machine";
+  EXPECT_LE(lines, 800) << "at most 200 lines per second, over a few seconds on a slow machine";
 }
 
-// Keeps what happens on a connection.
-class Noted : public Connection::Handler {
+// Records the events of a connection.
+class RecordingHandler : public Connection::Handler {
  public:
-  struct Seen {
+  struct Events {
     std::string bytes;
     std::vector<ConnectionEnd> ends;
-    std::vector<std::uint64_t> withheld;
+    std::vector<std::uint64_t> refused;
     bool throws = false;
   };
-  explicit Noted(Seen& seen) : seen_(seen) {}
+  explicit RecordingHandler(Events& events) : events_(events) {}
   void on_bytes(std::string_view bytes) override {
-    seen_.bytes += bytes;
-    if (seen_.throws) {
+    events_.bytes += bytes;
+    if (events_.throws) {
       throw std::runtime_error("scripted");
     }
   }
-  void on_send_refused(std::uint64_t token) override { seen_.withheld.push_back(token); }
-  void on_end(ConnectionEnd end) override { seen_.ends.push_back(end); }
+  void on_send_refused(std::uint64_t token) override { events_.refused.push_back(token); }
+  void on_end(ConnectionEnd end) override { events_.ends.push_back(end); }
 
  private:
-  Seen& seen_;
+  Events& events_;
 };
 
 class ConnectionTest : public testing::Test {
@@ -211,10 +212,10 @@
 
   std::shared_ptr<Connection> connect(const Connection::Bounds& bounds = Connection::Bounds()) {
     auto connection = Connection::connect(scheduler_, address_, bounds);
-    connection->start(std::make_shared<Noted>(seen_));
+    connection->start(std::make_shared<RecordingHandler>(events_));
     return connection;
   }
-  // Listens with a backlog that is full: connects have no answer while its fillers are there.
+  // Listens with a full backlog: connects get no answer while the returned sockets exist.
   std::vector<Opened> fill_backlog() {
     listener_ = listen_on(kAnyPort, 0);
     address_ = local_of(listener_.descriptor.get());
@@ -227,7 +228,7 @@
   }
   Descriptor accept() {
     Descriptor socket;
-    turn_until(scheduler_, [&] {
+    run_until(scheduler_, [&] {
       if (!socket.valid()) {
         socket = std::move(accept_from(listener_.descriptor.get()).descriptor);
       }
@@ -235,44 +236,44 @@
     });
     return socket;
   }
-  std::string read_from(const Descriptor& socket, std::size_t wanted) {
+  std::string read_from(const Descriptor& socket, std::size_t min_bytes) {
     std::string out;
-    turn_until(scheduler_, [&] {
+    run_until(scheduler_, [&] {
       char buffer[65536];
       const ssize_t count = ::recv(socket.get(), buffer, sizeof buffer, 0);
       out.append(buffer, count > 0 ? static_cast<std::size_t>(count) : 0);
-      return out.size() >= wanted;
+      return out.size() >= min_bytes;
     });
     return out;
   }
   void await_end() {
-    turn_until(scheduler_, [&] { return !seen_.ends.empty(); });
+    run_until(scheduler_, [&] { return !events_.ends.empty(); });
   }
 
   Scheduler scheduler_;
   Opened listener_;
   Address address_;
-  Noted::Seen seen_;
+  RecordingHandler::Events events_;
 };
 
-TEST_F(ConnectionTest, CarriesBytesBothWaysAndSeesTheEnd) {
+TEST_F(ConnectionTest, TransfersBytesInBothDirectionsAndReportsTheEndOnce) {
   const auto connection = connect();
   connection->write("early");
   Descriptor peer = accept();
   EXPECT_EQ(read_from(peer, 5), "early");
   ASSERT_EQ(::send(peer.get(), "hello", 5, MSG_NOSIGNAL), 5);
-  turn_until(scheduler_, [&] { return seen_.bytes == "hello"; });
+  run_until(scheduler_, [&] { return events_.bytes == "hello"; });
   peer.reset();
   await_end();
-  EXPECT_EQ(seen_.ends, std::vector<ConnectionEnd>{ConnectionEnd::kPeerClosed});
+  EXPECT_EQ(events_.ends, std::vector<ConnectionEnd>{ConnectionEnd::kPeerClosed});
   connection->close(ConnectionEnd::kIdle);
   scheduler_.turn(milliseconds(0));
-  EXPECT_EQ(seen_.ends.size(), 1U) << "it ends once";
+  EXPECT_EQ(events_.ends.size(), 1U) << "the end is reported once";
 }
 
-// ---- Crossings (docs/crossings.md) ----
+// Events that cross on a connection (docs/crossings.md).
 
-TEST_F(ConnectionTest, BytesWhoseGateShutsWhileTheyWaitAreTakenBack) {
+TEST_F(ConnectionTest, RemovesBytesWhoseSendCheckFailsWhileConnecting) {
   std::vector<Opened> fillers = fill_backlog();
   Connection::Bounds bounds;
   bounds.connect_timeout = std::chrono::seconds(20);
@@ -283,85 +284,86 @@
   EXPECT_FALSE(connection->begun(first));
   open = false;
   fillers.clear();
-  std::string got;
-  std::vector<Descriptor> peers;  // the fillers stand before it in the queue
-  turn_until(scheduler_, [&] {
+  std::string received;
+  std::vector<Descriptor> peers;  // the fillers are accepted first
+  run_until(scheduler_, [&] {
     if (Opened next = accept_from(listener_.descriptor.get()); next.descriptor.valid()) {
       peers.push_back(std::move(next.descriptor));
     }
     for (const Descriptor& peer : peers) {
       char buffer[64];
       const ssize_t count = ::recv(peer.get(), buffer, sizeof buffer, MSG_DONTWAIT);
-      got.append(buffer, count > 0 ? static_cast<std::size_t>(count) : 0);
+      received.append(buffer, count > 0 ? static_cast<std::size_t>(count) : 0);
     }
-    return got.size() >= 6;
+    return received.size() >= 6;
   });
-  EXPECT_EQ(got, "second");
-  turn_until(scheduler_, [&] { return !seen_.withheld.empty(); });
-  EXPECT_EQ(seen_.withheld, std::vector<std::uint64_t>{first});
+  EXPECT_EQ(received, "second");
+  run_until(scheduler_, [&] { return !events_.refused.empty(); });
+  EXPECT_EQ(events_.refused, std::vector<std::uint64_t>{first});
 }
 
-TEST_F(ConnectionTest, BytesWhoseGateShutsBehindAFullSocketAreTakenBack) {
+TEST_F(ConnectionTest, RemovesBytesWhoseSendCheckFailsBehindAFullSocket) {
   Connection::Bounds bounds;
   bounds.send_buffer = 8192;
   const auto connection = connect(bounds);
   Descriptor peer = accept();
   const std::string large(3'000'000, 'x');
   const auto first = connection->write(large);
-  turn_until(scheduler_, [&] { return connection->begun(first); });
+  run_until(scheduler_, [&] { return connection->begun(first); });
   bool open = true;
   const auto waiting = connection->write("waiting", [&open] { return open; });
   open = false;
   EXPECT_EQ(read_from(peer, large.size()).size(), large.size());
-  turn_until(scheduler_, [&] { return !seen_.withheld.empty(); });
-  EXPECT_EQ(seen_.withheld, std::vector<std::uint64_t>{waiting});
+  run_until(scheduler_, [&] { return !events_.refused.empty(); });
+  EXPECT_EQ(events_.refused, std::vector<std::uint64_t>{waiting});
 }
 
-TEST_F(ConnectionTest, ASendOnAConnectionThatThePeerHasEndedWasNeverBegun) {
+TEST_F(ConnectionTest, SendsNothingOnAConnectionThatThePeerHasClosed) {
   const auto connection = connect();
   Descriptor peer = accept();
-  turn_until(scheduler_, [&] { return connection->up(); });
+  run_until(scheduler_, [&] { return connection->up(); });
   peer.reset();
-  // The end has come and was not heard of yet: nothing turned the scheduler since.
+  // The peer has closed, but this is not reported yet, since the scheduler has not run since.
   const auto token = connection->write("request", [] { return true; });
-  EXPECT_FALSE(connection->begun(token)) << "what was not written cannot have been carried out";
+  EXPECT_FALSE(connection->begun(token)) << "a request that was not sent cannot have been executed";
   await_end();
-  EXPECT_EQ(seen_.ends[0], ConnectionEnd::kPeerClosed);
+  EXPECT_EQ(events_.ends[0], ConnectionEnd::kPeerClosed);
 }
 
-TEST_F(ConnectionTest, ACloseOverUnreadBytesLosesNothingThatWasWritten) {
+TEST_F(ConnectionTest, AClosedConnectionWithUnreadBytesStillDeliversWrittenBytes) {
   Connection::Bounds bounds;
   bounds.linger = std::chrono::seconds(20);
   bounds.lingering = std::make_shared<Lingering>();
   const auto connection = connect(bounds);
   Descriptor peer = accept();
-  turn_until(scheduler_, [&] { return connection->up(); });
+  run_until(scheduler_, [&] { return connection->up(); });
   ASSERT_EQ(::send(peer.get(), "crossing", 8, MSG_NOSIGNAL), 8);
   connection->write("the last answer");
   connection->close(ConnectionEnd::kIdle);
   EXPECT_EQ(bounds.lingering->open, 1);
   EXPECT_EQ(read_from(peer, 15), "the last answer");
   char next = 0;
-  EXPECT_EQ(::recv(peer.get(), &next, 1, MSG_DONTWAIT), 0) << "an end in order, and no reset";
+  EXPECT_EQ(::recv(peer.get(), &next, 1, MSG_DONTWAIT), 0)
+      << "the connection is closed in order and not reset";
   peer.reset();
-  turn_until(scheduler_, [&] { return bounds.lingering->open == 0; });
-  EXPECT_EQ(seen_.bytes, "") << "nothing is handed on after the close";
-  EXPECT_EQ(seen_.ends, std::vector<ConnectionEnd>{ConnectionEnd::kIdle});
+  run_until(scheduler_, [&] { return bounds.lingering->open == 0; });
+  EXPECT_EQ(events_.bytes, "") << "no bytes are delivered after the close";
+  EXPECT_EQ(events_.ends, std::vector<ConnectionEnd>{ConnectionEnd::kIdle});
 }
 
-TEST_F(ConnectionTest, AnIdleCloseGivesWayToBytesThatHaveCome) {
+TEST_F(ConnectionTest, AnIdleCloseIsSkippedWhileReceivedBytesAreUnread) {
   const auto connection = connect();
   Descriptor peer = accept();
-  turn_until(scheduler_, [&] { return connection->up(); });
+  run_until(scheduler_, [&] { return connection->up(); });
   ASSERT_EQ(::send(peer.get(), "request", 7, MSG_NOSIGNAL), 7);
   EXPECT_TRUE(connection->unread());
   EXPECT_FALSE(connection->close_if_read(ConnectionEnd::kIdle));
-  turn_until(scheduler_, [&] { return seen_.bytes == "request"; });
+  run_until(scheduler_, [&] { return events_.bytes == "request"; });
   EXPECT_TRUE(connection->close_if_read(ConnectionEnd::kIdle));
   EXPECT_TRUE(connection->ended());
 }
 
-TEST_F(ConnectionTest, APeerThatNeverClosesIsLetGoInTheEnd) {
+TEST_F(ConnectionTest, StopsLingeringAfterTheTimeWhereThePeerNeverCloses) {
   Connection::Bounds bounds;
   bounds.linger = milliseconds(20);
   bounds.lingering = std::make_shared<Lingering>();
@@ -370,46 +372,46 @@
   Descriptor peer = accept();
   const auto another = connect(bounds);
   Descriptor second = accept();
-  turn_until(scheduler_, [&] { return connection->up() && another->up(); });
+  run_until(scheduler_, [&] { return connection->up() && another->up(); });
   connection->close(ConnectionEnd::kShutdown);
   another->close(ConnectionEnd::kShutdown);
-  EXPECT_EQ(bounds.lingering->open, 1) << "no more than may";
-  turn_until(scheduler_, [&] { return bounds.lingering->open == 0; });
+  EXPECT_EQ(bounds.lingering->open, 1) << "at most as many connections linger as the limit allows";
+  run_until(scheduler_, [&] { return bounds.lingering->open == 0; });
 }
 
-TEST_F(ConnectionTest, WithThePeerGoneWhatItSaidIsNotHandedOnWhereThatIsAsked) {
+TEST_F(ConnectionTest, DiscardsBytesOfAPeerThatHasClosedWhereEndOnHangUpIsSet) {
   Connection::Bounds bounds;
   bounds.end_on_hang_up = true;
   const auto connection = connect(bounds);
   Descriptor peer = accept();
-  turn_until(scheduler_, [&] { return connection->up(); });
+  run_until(scheduler_, [&] { return connection->up(); });
   ASSERT_EQ(::send(peer.get(), "request", 7, MSG_NOSIGNAL), 7);
   peer.reset();
   await_end();
-  EXPECT_EQ(seen_.bytes, "");
-  EXPECT_EQ(seen_.ends, std::vector<ConnectionEnd>{ConnectionEnd::kPeerClosed});
+  EXPECT_EQ(events_.bytes, "");
+  EXPECT_EQ(events_.ends, std::vector<ConnectionEnd>{ConnectionEnd::kPeerClosed});
 }
 
-TEST_F(ConnectionTest, ARefusedConnectWasNeverBegun) {
+TEST_F(ConnectionTest, ReportsARefusedConnect) {
   listener_.descriptor.reset();
   const auto connection = connect();
   connection->write("request");
   await_end();
-  EXPECT_EQ(seen_.ends[0], ConnectionEnd::kRefused);
+  EXPECT_EQ(events_.ends[0], ConnectionEnd::kRefused);
   EXPECT_FALSE(connection->up());
 }
 
-TEST_F(ConnectionTest, WhatIsWrittenOfAnEndedConnectionIsStillKnownWhenTheEndIsTold) {
-  // A peer that never reads: the system takes a part, the rest waits.
+TEST_F(ConnectionTest, KeepsWhichBytesWereSentUntilTheEndIsReported) {
+  // The peer never reads: a part of the first write fits the buffers, the rest stays queued.
   Connection::Bounds bounds;
   bounds.send_buffer = 8192;
   const auto connection = connect(bounds);
   Descriptor peer = accept();
   const auto first = connection->write(std::string(3'000'000, 'x'));
   const auto second = connection->write("behind");
-  turn_until(scheduler_, [&] { return connection->begun(first); });
+  run_until(scheduler_, [&] { return connection->begun(first); });
   EXPECT_FALSE(connection->begun(second));
-  EXPECT_FALSE(connection->withdraw(first)) << "a part has left";
+  EXPECT_FALSE(connection->withdraw(first)) << "a part was sent";
   EXPECT_TRUE(connection->withdraw(second));
   EXPECT_FALSE(connection->withdraw(second));
   connection->close(ConnectionEnd::kStalled);
@@ -417,17 +419,16 @@
   await_end();
 }
 
-TEST_F(ConnectionTest, AConnectThatNeverComesUpTimesOut) {
-  // A full backlog leaves the connect without an answer.
+TEST_F(ConnectionTest, AConnectWithoutAnswerTimesOut) {
   std::vector<Opened> fillers = fill_backlog();
   Connection::Bounds bounds;
   bounds.connect_timeout = milliseconds(30);
   const auto connection = connect(bounds);
   await_end();
-  EXPECT_EQ(seen_.ends[0], ConnectionEnd::kConnectTimeout);
+  EXPECT_EQ(events_.ends[0], ConnectionEnd::kConnectTimeout);
 }
 
-TEST_F(ConnectionTest, APeerThatTakesNothingIsStalled) {
+TEST_F(ConnectionTest, EndsAConnectionWhosePeerDoesNotRead) {
   Connection::Bounds bounds;
   bounds.stall_timeout = milliseconds(30);
   bounds.send_buffer = 8192;
@@ -435,31 +436,31 @@
   Descriptor peer = accept();
   connection->write(std::string(4'000'000, 'x'));
   await_end();
-  EXPECT_EQ(seen_.ends[0], ConnectionEnd::kStalled);
+  EXPECT_EQ(events_.ends[0], ConnectionEnd::kStalled);
 }
 
-TEST_F(ConnectionTest, MoreThanMayWaitEndsIt) {
+TEST_F(ConnectionTest, EndsAConnectionAboveTheMaxOfUnsentBytes) {
   Connection::Bounds bounds;
   bounds.most_waiting = 1000;
   const auto connection = connect(bounds);
   connection->write(std::string(1001, 'x'));
   await_end();
-  EXPECT_EQ(seen_.ends[0], ConnectionEnd::kOverflow);
+  EXPECT_EQ(events_.ends[0], ConnectionEnd::kOverflow);
 }
 
-TEST_F(ConnectionTest, AHandlerThatThrowsEndsItsConnectionAlone) {
+TEST_F(ConnectionTest, EndsTheConnectionOfAHandlerThatThrows) {
   std::ostringstream log;
   set_log_stream(log);
-  seen_.throws = true;
+  events_.throws = true;
   const auto connection = connect();
   Descriptor peer = accept();
   ASSERT_EQ(::send(peer.get(), "x", 1, MSG_NOSIGNAL), 1);
   await_end();
   set_log_stream(std::clog);
-  EXPECT_EQ(seen_.ends[0], ConnectionEnd::kMalformed);
+  EXPECT_EQ(events_.ends[0], ConnectionEnd::kMalformed);
 }
 
-TEST_F(ConnectionTest, ClosesOnceAllIsWritten) {
+TEST_F(ConnectionTest, CloseWhenWrittenClosesAfterAllBytesAreWritten) {
   const auto connection = connect();
   Descriptor peer = accept();
   const std::string large(1'000'000, 'y');
@@ -467,22 +468,22 @@
   connection->close_when_written();
   EXPECT_EQ(read_from(peer, large.size()).size(), large.size());
   await_end();
-  EXPECT_EQ(seen_.ends[0], ConnectionEnd::kShutdown);
+  EXPECT_EQ(events_.ends[0], ConnectionEnd::kShutdown);
 }
 
 class PoolTest : public ConnectionTest {
  protected:
-  using Pool = ConnectionPool<Noted>;
+  using Pool = ConnectionPool<RecordingHandler>;
 
-  Pool::MakeLink make() {
+  Pool::LinkFactory link_factory() {
     return [this](const Pool::SlotPtr& slot) {
-      made_.push_back(slot);
-      return std::make_shared<Noted>(seen_);
+      slots_.push_back(slot);
+      return std::make_shared<RecordingHandler>(events_);
     };
   }
   static bool any(const Pool::Slot&) { return true; }
   void bring_up(const Pool::SlotPtr& slot) {
-    turn_until(scheduler_, [&] { return slot->connection->up(); });
+    run_until(scheduler_, [&] { return slot->connection->up(); });
   }
   static Pool::Bounds bounds() {
     Pool::Bounds out;
@@ -492,42 +493,43 @@
     return out;
   }
 
-  std::vector<std::weak_ptr<Pool::Slot>> made_;
+  std::vector<std::weak_ptr<Pool::Slot>> slots_;
 };
 
-TEST_F(PoolTest, AFreeConnectionIsUsedAgainABusyOneGetsCompany) {
-  Pool pool(scheduler_, bounds(), make());
+TEST_F(PoolTest, PrefersAFreeConnectionThenANewOneThenTheLeastUsed) {
+  Pool pool(scheduler_, bounds(), link_factory());
   const auto first = pool.take("a", address_, any);
   ASSERT_TRUE(first);
   bring_up(first);
   const auto second = pool.take("a", address_, any);
   EXPECT_NE(first, second);
   bring_up(second);
-  EXPECT_EQ(pool.take("a", address_, any), first) << "no third connection: the streams are shared out";
+  EXPECT_EQ(pool.take("a", address_, any), first)
+      << "no third connection may be opened: existing ones are shared";
   EXPECT_EQ(pool.take("a", address_, any), second);
   EXPECT_FALSE(pool.take("a", address_, any)) << "all streams are in use";
   pool.release(second);
   EXPECT_EQ(pool.take("a", address_, any), second);
 }
 
-TEST_F(PoolTest, AtItsBoundAnIdleConnectionMakesRoomElseNoneIsHad) {
-  Pool pool(scheduler_, bounds(), make());
+TEST_F(PoolTest, ClosesAnIdleConnectionAtTheTotalLimitAndReturnsNoneIfAllAreInUse) {
+  Pool pool(scheduler_, bounds(), link_factory());
   const auto a = pool.take("a", address_, any);
   const auto b = pool.take("b", address_, any);
   const auto c = pool.take("c", address_, any);
   bring_up(a);
-  EXPECT_FALSE(pool.take("d", address_, any)) << "the bound is reached and all are in use";
+  EXPECT_FALSE(pool.take("d", address_, any)) << "the limit is reached and all connections are in use";
   pool.release(a);
   EXPECT_TRUE(pool.take("d", address_, any));
   EXPECT_TRUE(a->connection->ended());
 }
 
-TEST_F(PoolTest, ARetiredOrDroppedConnectionGetsNothingNew) {
-  Pool pool(scheduler_, bounds(), make());
+TEST_F(PoolTest, ARetiredOrDroppedConnectionGetsNoNewStreams) {
+  Pool pool(scheduler_, bounds(), link_factory());
   const auto first = pool.take("a", address_, any);
   bring_up(first);
   pool.retire(first, ConnectionEnd::kSilent);
-  EXPECT_FALSE(first->connection->ended()) << "its streams go on";
+  EXPECT_FALSE(first->connection->ended()) << "its streams continue";
   const auto second = pool.take("a", address_, any);
   EXPECT_NE(second, first);
   pool.release(first);
@@ -538,7 +540,7 @@
 }
 
 TEST_F(PoolTest, AConnectionToAnOldAddressIsNotUsed) {
-  Pool pool(scheduler_, bounds(), make());
+  Pool pool(scheduler_, bounds(), link_factory());
   const auto first = pool.take("a", address_, any);
   bring_up(first);
   pool.release(first);
@@ -547,15 +549,15 @@
   EXPECT_NE(second, first);
 }
 
-TEST_F(PoolTest, IdleConnectionsAreClosedBeforeThePeerDoes) {
+TEST_F(PoolTest, ClosesIdleConnections) {
   Pool::Bounds short_idle = bounds();
   short_idle.idle = milliseconds(20);
-  Pool pool(scheduler_, short_idle, make());
+  Pool pool(scheduler_, short_idle, link_factory());
   const auto slot = pool.take("a", address_, any);
   bring_up(slot);
   pool.release(slot);
   await_end();
-  EXPECT_EQ(seen_.ends[0], ConnectionEnd::kIdle);
+  EXPECT_EQ(events_.ends[0], ConnectionEnd::kIdle);
 }
 
 }  // namespace
