--- a/tests/integration_test.cpp
+++ b/tests/integration_test.cpp
@@ -1,4 +1,4 @@
-// The program itself, started as the operators do and spoken to over sockets.
+// Tests of the router process, started as in production, over sockets.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -18,8 +18,8 @@
 using nlohmann::json;
 using std::chrono::milliseconds;
 
-std::optional<std::string> silence(const CacheRequest&) { return std::nullopt; }
-std::optional<std::string> break_off(const CacheRequest&) { return CacheStandIn::kThenClose; }
+std::optional<std::string> no_answer(const CacheRequest&) { return std::nullopt; }
+std::optional<std::string> close_connection(const CacheRequest&) { return CacheStandIn::kThenClose; }
 
 class IntegrationTest : public testing::Test {
  protected:
@@ -36,34 +36,34 @@
     ASSERT_TRUE(program_->await_health(200)) << program_->log();
   }
   Client connect() const { return Client(program_->port()); }
-  void script_all(const CacheStandIn::Script& script) {
+  void set_all_scripts(const CacheStandIn::Script& script) {
     a_.set_script(script);
     b_.set_script(script);
     origin_.set_script(script);
   }
-  // All caches end the connections that there are.
-  void hang_up_all() {
+  // Closes all connections at the caches.
+  void close_all_connections() {
     a_.hang_up();
     b_.hang_up();
     origin_.hang_up();
   }
-  std::size_t sends() const { return a_.count("serve") + b_.count("serve") + origin_.count("serve"); }
-  // Waits until any cache was asked.
-  void await_send() const { await_sends(1); }
-  void await_sends(std::size_t wanted) const {
+  std::size_t serve_count() const { return a_.count("serve") + b_.count("serve") + origin_.count("serve"); }
+  // Waits until any cache has received a request.
+  void await_serve() const { await_serves(1); }
+  void await_serves(std::size_t wanted) const {
     const auto until = std::chrono::steady_clock::now() + std::chrono::seconds(20);
-    while (sends() < wanted && std::chrono::steady_clock::now() < until) {
+    while (serve_count() < wanted && std::chrono::steady_clock::now() < until) {
       std::this_thread::yield();
     }
-    ASSERT_GE(sends(), wanted);
+    ASSERT_GE(serve_count(), wanted);
   }
-  // The one of the two caches that was.
-  CacheStandIn& asked() { return a_.count("serve") > 0 ? a_ : b_; }
-  std::vector<CacheRequest> all_seen() const {
+  // Returns the one of the two caches that has received a request.
+  CacheStandIn& cache_with_request() { return a_.count("serve") > 0 ? a_ : b_; }
+  std::vector<CacheRequest> all_requests() const {
     std::vector<CacheRequest> out;
     for (const CacheStandIn* cache : {&a_, &b_, &origin_}) {
-      const std::vector<CacheRequest> seen = cache->seen();
-      out.insert(out.end(), seen.begin(), seen.end());
+      const std::vector<CacheRequest> requests = cache->seen();
+      out.insert(out.end(), requests.begin(), requests.end());
     }
     return out;
   }
@@ -80,7 +80,7 @@
   for (int i = 0; i < 240'000; ++i) {
     bytes += static_cast<char>(i * 31 % 256);
   }
-  script_all(CacheStandIn::serving(bytes));
+  set_all_scripts(CacheStandIn::serving(bytes));
   list_all();
   start();
   Client client = connect();
@@ -89,20 +89,20 @@
   EXPECT_EQ(answer->status, 200);
   EXPECT_EQ(answer->body, bytes);
   EXPECT_FALSE(answer->headers.contains("X-Ok304"));
-  ASSERT_EQ(all_seen().size(), 1U);
-  const CacheRequest seen = all_seen()[0];
-  EXPECT_EQ(seen.id, id_of(1));
-  EXPECT_EQ(seen.fields.at("cls"), "media");
-  EXPECT_EQ(seen.fields.at("item"), "7f3a9c21e0b4d655");
-  EXPECT_EQ(seen.fields.at("chunk"), "3");
-  EXPECT_EQ(seen.fields.at("cached"), "4be0c1927d55a6f3");
-  EXPECT_EQ(seen.fields.at("next"), "origin-o") << "sources go by the notice board's names";
-  EXPECT_LE(std::stoi(seen.fields.at("limit")), 5000);
-  EXPECT_GT(std::stoi(seen.fields.at("limit")), 4000);
-}
-
-TEST_F(IntegrationTest, TheClientsOwnCopyIsAnsweredWithoutABody) {
-  script_all([](const CacheRequest& request) {
+  ASSERT_EQ(all_requests().size(), 1U);
+  const CacheRequest request = all_requests()[0];
+  EXPECT_EQ(request.id, id_of(1));
+  EXPECT_EQ(request.fields.at("cls"), "media");
+  EXPECT_EQ(request.fields.at("item"), "7f3a9c21e0b4d655");
+  EXPECT_EQ(request.fields.at("chunk"), "3");
+  EXPECT_EQ(request.fields.at("cached"), "4be0c1927d55a6f3");
+  EXPECT_EQ(request.fields.at("next"), "origin-o") << "sources have the names of the endpoint list";
+  EXPECT_LE(std::stoi(request.fields.at("limit")), 5000);
+  EXPECT_GT(std::stoi(request.fields.at("limit")), 4000);
+}
+
+TEST_F(IntegrationTest, AnswersWithoutABodyWhenTheCopyOfTheClientIsValid) {
+  set_all_scripts([](const CacheRequest& request) {
     return CacheStandIn::answer(request, "SAME", "sum=4be0c1927d55a6f3,t0=1,tell=warm");
   });
   list_all();
@@ -114,10 +114,10 @@
   EXPECT_TRUE(answer->body.empty());
 }
 
-TEST_F(IntegrationTest, AnswersManyOnOneConnectionInTheOrderTheyCome) {
-  std::atomic<bool> held{true};
-  script_all([&held](const CacheRequest& request) -> std::optional<std::string> {
-    return request.id == id_of(1) && held
+TEST_F(IntegrationTest, AnswersRequestsOfOneConnectionInTheOrderOfTheAnswers) {
+  std::atomic<bool> blocked{true};
+  set_all_scripts([&blocked](const CacheRequest& request) -> std::optional<std::string> {
+    return request.id == id_of(1) && blocked
                ? std::nullopt
                : std::optional(CacheStandIn::answer(request, "OK", "-", request.id));
   });
@@ -138,7 +138,7 @@
   EXPECT_FALSE(client.read(1, milliseconds(0)).has_value());
 }
 
-TEST_F(IntegrationTest, AWriteGoesToTheOriginWithItsKeyAndBody) {
+TEST_F(IntegrationTest, SendsAWriteToTheOriginWithItsIdempotencyKeyAndBody) {
   std::string body(48'000, '\0');
   for (std::size_t i = 0; i < body.size(); ++i) {
     body[i] = static_cast<char>(i % 251);
@@ -157,8 +157,8 @@
   EXPECT_EQ(a_.count("serve") + b_.count("serve"), 0U);
 }
 
-TEST_F(IntegrationTest, ARefusalIsOneAndNamesATimeToComeBack) {
-  script_all(
+TEST_F(IntegrationTest, RejectsWithARetryTimeWhenAllCachesAreBusy) {
+  set_all_scripts(
       [](const CacheRequest& request) { return CacheStandIn::answer(request, "BUSY", "tell=jammed"); });
   list_all();
   start();
@@ -169,8 +169,8 @@
   EXPECT_TRUE(answer->body.empty());
 }
 
-TEST_F(IntegrationTest, WithoutRetryAfterInTheSettingsNoTimeIsNamed) {
-  script_all(
+TEST_F(IntegrationTest, RejectsWithoutARetryTimeWhenRetryAfterIsDisabled) {
+  set_all_scripts(
       [](const CacheRequest& request) { return CacheStandIn::answer(request, "BUSY", "tell=jammed"); });
   list_all();
   start({{"settings", {{"Limits", {{"RetryAfter", false}}}}}});
@@ -180,10 +180,10 @@
   EXPECT_FALSE(answer->headers.contains("X-Come-Back-Ms"));
 }
 
-// Rule 2: an unsafe request that may have run gets no second attempt, and no word that trying again is
-// harmless.
-TEST_F(IntegrationTest, AnUnsafeRequestThatMayHaveRunFailsAfterOneAttempt) {
-  origin_.set_script(break_off);
+// Rule 2: an unsafe request that may have been executed gets no second attempt, and its answer does not say
+// that a retry is safe.
+TEST_F(IntegrationTest, FailsAnUnsafeRequestThatMayHaveBeenExecutedAfterOneAttempt) {
+  origin_.set_script(close_connection);
   list_all();
   start();
   const auto answer = connect().ask(1, read_fields(id_of(1), {{"SCRIPT_NAME", "/v1/once"}}), "body");
@@ -192,9 +192,9 @@
   EXPECT_EQ(origin_.count("serve"), 1U);
 }
 
-TEST_F(IntegrationTest, AnAnswerThatBreaksOffIsAskedForAgain) {
+TEST_F(IntegrationTest, RetriesARequestWhoseAnswerIsIncomplete) {
   std::atomic<int> tries{0};
-  script_all([&tries](const CacheRequest& request) -> std::optional<std::string> {
+  set_all_scripts([&tries](const CacheRequest& request) -> std::optional<std::string> {
     const std::string whole = CacheStandIn::answer(request, "OK", "tell=warm", std::string(100'000, 'x'));
     return ++tries == 1 ? std::optional<std::string>(whole.substr(0, 50'000) + CacheStandIn::kThenClose)
                         : whole;
@@ -206,10 +206,10 @@
   ASSERT_TRUE(answer.has_value());
   EXPECT_EQ(answer->status, 200);
   EXPECT_EQ(answer->body.size(), 100'000U);
-  EXPECT_EQ(sends(), 2U);
+  EXPECT_EQ(serve_count(), 2U);
 }
 
-TEST_F(IntegrationTest, ACacheThatDiesIsTriedElsewhere) {
+TEST_F(IntegrationTest, UsesOtherCachesWhenACacheDies) {
   list_all();
   start();
   a_.stop();
@@ -225,8 +225,8 @@
   }
 }
 
-TEST_F(IntegrationTest, AStreamedAnswerIsPassedOnAndItsBreakCanBeTold) {
-  script_all([](const CacheRequest& request) {
+TEST_F(IntegrationTest, ForwardsAStreamAndReportsItsIncompleteEnd) {
+  set_all_scripts([](const CacheRequest& request) {
     return "*4\r\n$16\r\n" + request.id + "\r\n$2\r\nOK\r\n$1\r\n-\r\n$10\r\nhalf" + CacheStandIn::kThenClose;
   });
   list_all();
@@ -234,11 +234,11 @@
   const auto answer = connect().ask(1, read_fields(id_of(1), {{"SCRIPT_NAME", "/v1/live"}}));
   ASSERT_TRUE(answer.has_value());
   EXPECT_EQ(answer->body, "half");
-  EXPECT_NE(answer->application_status, 0U) << "the client can tell that it is not whole";
-  EXPECT_EQ(sends(), 1U) << "what was begun is not begun again";
+  EXPECT_NE(answer->application_status, 0U) << "the client is told that the answer is incomplete";
+  EXPECT_EQ(serve_count(), 1U) << "a stream that has begun is not retried";
 }
 
-TEST_F(IntegrationTest, APurgeBindsWhatIsAskedAfterIt) {
+TEST_F(IntegrationTest, AppliesAPurgeToLaterRequests) {
   list_all();
   start();
   Client client = connect();
@@ -252,24 +252,24 @@
   ASSERT_TRUE(client.ask(2, read_fields(id_of(2))).has_value());
   ASSERT_TRUE(client.ask(3, read_fields(id_of(3), {{"HTTP_X_ENTITY", id_of(9)}})).has_value());
   const milliseconds after = unix_now() - purge;
-  for (const CacheRequest& seen : all_seen()) {
-    if (seen.id == id_of(2)) {
-      ASSERT_TRUE(seen.fields.contains("agelim"));
-      EXPECT_GE(std::stoll(seen.fields.at("agelim")), 1);
-      EXPECT_LE(std::stoll(seen.fields.at("agelim")), after.count());
+  for (const CacheRequest& request : all_requests()) {
+    if (request.id == id_of(2)) {
+      ASSERT_TRUE(request.fields.contains("agelim"));
+      EXPECT_GE(std::stoll(request.fields.at("agelim")), 1);
+      EXPECT_LE(std::stoll(request.fields.at("agelim")), after.count());
     } else {
-      EXPECT_FALSE(seen.fields.contains("agelim")) << seen.id;
+      EXPECT_FALSE(request.fields.contains("agelim")) << request.id;
     }
   }
   board_.post({{"flush", {{"collection", 17}, {"ms", purge.count()}}}});
   ASSERT_TRUE(board_.await_caught_up());
   ASSERT_TRUE(client.ask(4, read_fields(id_of(4), {{"HTTP_X_ENTITY", id_of(9)}})).has_value());
-  for (const CacheRequest& seen : all_seen()) {
-    EXPECT_TRUE(seen.id != id_of(4) || seen.fields.contains("agelim")) << "its group was purged";
+  for (const CacheRequest& request : all_requests()) {
+    EXPECT_TRUE(request.id != id_of(4) || request.fields.contains("agelim")) << "its group was purged";
   }
 }
 
-TEST_F(IntegrationTest, NothingNewGoesToADrainingCache) {
+TEST_F(IntegrationTest, SendsNoNewRequestsToADrainingCache) {
   list_all();
   start();
   board_.post(pool({listed("cache-a", a_.address(), "std", "draining")}, false));
@@ -284,7 +284,7 @@
   EXPECT_EQ(a_.count("serve"), 0U);
 }
 
-TEST_F(IntegrationTest, ANewCacheAtAGoneOnesAddressIsReachedByItsOwnName) {
+TEST_F(IntegrationTest, UsesANewCacheAtTheAddressOfARemovedOne) {
   list_all();
   start();
   board_.post(pool({listed("cache-a", a_.address(), "std", "removed"),
@@ -296,7 +296,7 @@
   EXPECT_EQ(answer->body, "from a");
 }
 
-TEST_F(IntegrationTest, IsReadyOnlyOnceACacheIsListed) {
+TEST_F(IntegrationTest, IsNotReadyBeforeACacheIsListed) {
   json config = plain_config(board_);
   program_ = std::make_unique<Program>(config);
   ASSERT_TRUE(program_->await_health(503)) << program_->log();
@@ -304,8 +304,8 @@
   EXPECT_TRUE(program_->await_health(200));
 }
 
-// No request waits for the board, and what it has to tell is heard once it is back.
-TEST_F(IntegrationTest, ServesWhileTheBoardIsLostAndHearsItAgain) {
+// No request waits for the discovery service. Its events are applied when it is reachable again.
+TEST_F(IntegrationTest, ServesWhileTheDiscoveryServiceIsUnreachable) {
   list_all();
   start();
   const std::uint16_t port = board_.port();
@@ -325,7 +325,7 @@
   }
 }
 
-TEST_F(IntegrationTest, ABoardThatTalksNonsenseIsAskedAgain) {
+TEST_F(IntegrationTest, PollsAgainAfterMalformedResponsesOfTheDiscoveryService) {
   list_all();
   start({{"router", {{"board_linger_ms", 200}, {"board_grace_ms", 100}}}});
   for (const char* nonsense : {"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
@@ -335,43 +335,43 @@
     ASSERT_TRUE(board_.await_calls(board_.calls() + 2)) << nonsense;
     ASSERT_TRUE(connect().ask(1, read_fields(id_of(1))).has_value()) << nonsense;
   }
-  board_.say("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\ncut");  // and then nothing, for longer than it may
+  board_.say("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\ncut");  // and no more, beyond the time-out
   ASSERT_TRUE(board_.await_calls(board_.calls() + 1));
   board_.say("");
   board_.post(pool({listed("cache-a", "", "std", "removed")}, false));
   EXPECT_TRUE(board_.await_caught_up());
 }
 
-TEST_F(IntegrationTest, AClientThatStopsWaitingGetsNothingMoreAndItsAttemptIsCancelled) {
-  script_all(silence);
+TEST_F(IntegrationTest, CancelsTheAttemptAndSendsNoAnswerWhenTheClientAborts) {
+  set_all_scripts(no_answer);
   list_all();
   start();
   Client client = connect();
   client.send(request_bytes(1, read_fields(id_of(1)), ""));
-  await_send();
+  await_serve();
   client.send(record(2, 1, ""));
-  ASSERT_TRUE(asked().await("cancel", 1));
-  script_all(CacheStandIn::serving("next"));
+  ASSERT_TRUE(cache_with_request().await("cancel", 1));
+  set_all_scripts(CacheStandIn::serving("next"));
   const auto next = client.ask(2, read_fields(id_of(2)));
   ASSERT_TRUE(next.has_value());
   EXPECT_EQ(next->body, "next");
   EXPECT_FALSE(client.read(1, milliseconds(0)).has_value());
 }
 
-TEST_F(IntegrationTest, AClosedClientConnectionCancelsWhatWasOutForIt) {
-  script_all(silence);
+TEST_F(IntegrationTest, CancelsOpenAttemptsWhenTheClientClosesItsConnection) {
+  set_all_scripts(no_answer);
   list_all();
   start();
   {
     Client client = connect();
     client.send(request_bytes(1, read_fields(id_of(1)), ""));
-    await_send();
+    await_serve();
   }
-  EXPECT_TRUE(asked().await("cancel", 1));
+  EXPECT_TRUE(cache_with_request().await("cancel", 1));
 }
 
-TEST_F(IntegrationTest, TheAnswerComesBeforeTheClientsTimeIsUp) {
-  script_all(silence);
+TEST_F(IntegrationTest, AnswersBeforeThePatienceOfTheClientEnds) {
+  set_all_scripts(no_answer);
   list_all();
   start({{"router", {{"client_lead_ms", 500}}}});
   Client client = connect();
@@ -382,7 +382,7 @@
   EXPECT_LT(std::chrono::steady_clock::now() - before, milliseconds(1500));
 }
 
-TEST_F(IntegrationTest, UnusableRequestsFailAndReachNoCache) {
+TEST_F(IntegrationTest, RejectsInvalidRequestsWithoutSendingThemToACache) {
   list_all();
   start();
   Client client = connect();
@@ -419,12 +419,12 @@
   const auto body = client.ask(key, read_fields(id_of(key)), std::string(70'000, 'x'));
   ASSERT_TRUE(body.has_value());
   EXPECT_EQ(body->status, 400) << "the body is over the limit";
-  EXPECT_EQ(sends(), 0U);
+  EXPECT_EQ(serve_count(), 0U);
   ++key;
-  EXPECT_TRUE(client.ask(key, read_fields(id_of(key))).has_value()) << "the connection goes on";
+  EXPECT_TRUE(client.ask(key, read_fields(id_of(key))).has_value()) << "the connection is still usable";
 }
 
-TEST_F(IntegrationTest, MalformedBytesEndTheirConnectionAlone) {
+TEST_F(IntegrationTest, ClosesOnlyTheConnectionThatSendsMalformedData) {
   list_all();
   start();
   Client good = connect();
@@ -437,13 +437,13 @@
   }
   const std::string whole = request_bytes(1, read_fields(id_of(2)), "body");
   for (std::size_t cut = 1; cut < whole.size(); cut += 37) {
-    connect().send(whole.substr(0, cut));  // a connection that ends anywhere
+    connect().send(whole.substr(0, cut));  // a connection that ends within a message
   }
   ASSERT_TRUE(good.ask(2, read_fields(id_of(3))).has_value());
-  EXPECT_NE(program_->log().find("cannot be read"), std::string::npos);
+  EXPECT_NE(program_->log().find("sent malformed data"), std::string::npos);
 }
 
-TEST_F(IntegrationTest, ACacheThatTalksNonsenseStopsNothing) {
+TEST_F(IntegrationTest, ServesRequestsAgainAfterACacheSendsMalformedAnswers) {
   const std::vector<std::string> nonsense{
       "+OK\r\n", "*4\r\n$99999999\r\n", "*1\r\n$2\r\nhi\r\n",
       "*4\r\n$16\r\n" + id_of(99) + "\r\n$2\r\nOK\r\n$1\r\n-\r\n$0\r\n\r\n", std::string(5000, '*')};
@@ -452,18 +452,18 @@
   Client client = connect();
   std::uint16_t key = 0;
   for (const std::string& bytes : nonsense) {
-    script_all(
+    set_all_scripts(
         [&bytes](const CacheRequest& request) { return bytes + CacheStandIn::answer(request, "ODD", "x"); });
     ++key;
     const auto odd = client.ask(key, read_fields(id_of(key), {{"HTTP_X_PATIENCE_MS", "1000"}}));
     ASSERT_TRUE(odd.has_value()) << bytes.substr(0, 20);
     EXPECT_NE(odd->status, 200);
   }
-  script_all([](const CacheRequest& request) {
+  set_all_scripts([](const CacheRequest& request) {
     const std::string answer = CacheStandIn::answer(request, "OK", "tell=odd,meter=:;x,slow=y", "good");
     return answer + answer;  // a repeated answer
   });
-  for (int i = 0; i < 30; ++i) {  // caches in question are left alone for a while
+  for (int i = 0; i < 30; ++i) {  // ejected caches are not used for some time
     ++key;
     const auto good = client.ask(key, read_fields(id_of(key), {{"HTTP_X_ENTITY", id_of(key)}}));
     ASSERT_TRUE(good.has_value());
@@ -475,9 +475,9 @@
   FAIL() << "no cache was used again";
 }
 
-// A stalled client holds up nothing but its own answers.
-TEST_F(IntegrationTest, AStalledClientHoldsUpNobodyElse) {
-  script_all(CacheStandIn::serving(std::string(240'000, 'z')));
+// A client that reads no answers must delay only its own answers.
+TEST_F(IntegrationTest, ServesOtherClientsWhileOneClientReadsNoAnswers) {
+  set_all_scripts(CacheStandIn::serving(std::string(240'000, 'z')));
   list_all();
   start();
   Client stalled(program_->port(), true);
@@ -492,13 +492,13 @@
   }
   for (std::uint16_t key = 1; key <= 30; ++key) {
     const auto late = stalled.read(key);
-    ASSERT_TRUE(late.has_value()) << "once it reads again, its answers are whole";
+    ASSERT_TRUE(late.has_value()) << "its answers are complete when it reads again";
     EXPECT_EQ(late->body.size(), 240'000U);
   }
 }
 
-TEST_F(IntegrationTest, BeyondTheBoundOnOpenRequestsTheRestIsRefused) {
-  script_all(silence);
+TEST_F(IntegrationTest, RejectsRequestsBeyondTheBoundOnOpenRequests) {
+  set_all_scripts(no_answer);
   list_all();
   start({{"settings", {{"Limits", {{"MaxOpen", 4}}}}}});
   Client client = connect();
@@ -514,28 +514,28 @@
   }
 }
 
-// Answers that clients do not take fill the memory: what comes then is refused, and served again later.
-TEST_F(IntegrationTest, BeyondTheBoundOnAnswersNotTakenTheRestIsRefused) {
-  script_all(CacheStandIn::serving(std::string(240'000, 'z')));
+// Answers that clients do not read fill the memory: further requests are rejected until the answers are read.
+TEST_F(IntegrationTest, RejectsRequestsBeyondTheBoundOnUnreadAnswers) {
+  set_all_scripts(CacheStandIn::serving(std::string(240'000, 'z')));
   list_all();
   start({{"limits", {{"memory_mb", 36}}},
          {"router", {{"base_memory_mb", 32}}}});  // a quarter of the 4 MB over its base
   Client stalled(program_->port(), true);
-  // One at a time, each followed by a complete answer to somebody else: many at once would reach the bound on
-  // answers that are not complete, and their connections would end instead.
-  constexpr std::uint16_t kMostStalled = 60;
+  // One request at a time, each followed by a complete answer to the other client: many at once would reach
+  // the bound on incomplete answers, and the connections to the caches would be closed instead.
+  constexpr std::uint16_t kMaxStalledRequests = 60;
   Client other = connect();
-  int refused = 0;
+  int rejected = 0;
   std::uint16_t stalled_requests = 0;
-  while (refused == 0 && stalled_requests < kMostStalled) {
+  while (rejected == 0 && stalled_requests < kMaxStalledRequests) {
     const std::uint16_t key = ++stalled_requests;
     stalled.send(request_bytes(key, read_fields(id_of(key), {{"HTTP_X_ENTITY", id_of(key)}}), ""));
     const auto answer = other.ask(key, read_fields(id_of(100 + key)));
     ASSERT_TRUE(answer.has_value());
-    refused += answer->status == 503 && !answer->headers.contains("X-Come-Back-Ms") ? 1 : 0;
+    rejected += answer->status == 503 && !answer->headers.contains("X-Come-Back-Ms") ? 1 : 0;
   }
-  EXPECT_EQ(refused, 1) << "shed by the bound, not by the module, which names a time to come back\n"
-                        << program_->log();
+  EXPECT_EQ(rejected, 1) << "rejected by the bound, not by the module, which sends a retry time\n"
+                         << program_->log();
   int served = 0;
   for (std::uint16_t key = 1; key <= stalled_requests; ++key) {
     const auto late = stalled.read(key);
@@ -543,14 +543,14 @@
     served += late->status == 200 ? 1 : 0;
   }
   EXPECT_GT(served, 0);
-  const auto again = other.ask(3000, read_fields(id_of(5000)));
-  ASSERT_TRUE(again.has_value());
-  EXPECT_EQ(again->status, 200);
+  const auto next = other.ask(3000, read_fields(id_of(5000)));
+  ASSERT_TRUE(next.has_value());
+  EXPECT_EQ(next->status, 200);
 }
 
-// Caches that begin large answers and do not end them must not fill the memory either.
-TEST_F(IntegrationTest, BeyondTheBoundOnAnswersInPartTheirConnectionsEnd) {
-  script_all([](const CacheRequest& request) {
+// Caches that begin large answers and do not complete them must not fill the memory.
+TEST_F(IntegrationTest, ClosesCacheConnectionsBeyondTheBoundOnIncompleteAnswers) {
+  set_all_scripts([](const CacheRequest& request) {
     return "*4\r\n$16\r\n" + request.id + "\r\n$2\r\nOK\r\n$1\r\n-\r\n$500000\r\npart";
   });
   list_all();
@@ -567,15 +567,15 @@
   }
   client.send(bytes);
   const auto until = std::chrono::steady_clock::now() + std::chrono::seconds(20);
-  while (program_->log().find("too much is held of answers") == std::string::npos) {
+  while (program_->log().find("incomplete answers exceed the memory limit") == std::string::npos) {
     ASSERT_LT(std::chrono::steady_clock::now(), until) << program_->log();
     std::this_thread::yield();
   }
-  script_all(CacheStandIn::serving("well"));
+  set_all_scripts(CacheStandIn::serving("well"));
   EXPECT_TRUE(connect().ask(1, read_fields(id_of(20), {{"HTTP_X_ENTITY", id_of(20)}})).has_value());
 }
 
-TEST_F(IntegrationTest, BeyondTheBoundOnRequestsInPartTheirConnectionsEnd) {
+TEST_F(IntegrationTest, ClosesClientConnectionsBeyondTheBoundOnIncompleteRequests) {
   list_all();
   start({{"limits", {{"memory_mb", 36}}},
          {"router", {{"base_memory_mb", 32}}}});  // an eighth of the 4 MB over its base
@@ -591,8 +591,9 @@
   EXPECT_EQ(answer->status, 200);
 }
 
-// Idle connections make room: a client that the system has accepted is ours to answer.
-TEST_F(IntegrationTest, ServesWithAllDescriptorsUsedUp) {
+// Idle connections are closed for new clients: the router has to answer a client that the system has
+// accepted.
+TEST_F(IntegrationTest, ServesNewClientsWhenAllDescriptorsAreInUse) {
   list_all();
   start({{"limits", {{"sockets", 64}}}});
   std::vector<std::unique_ptr<Client>> idle;
@@ -608,19 +609,20 @@
   }
 }
 
-TEST_F(IntegrationTest, OnSigtermItServesOnUntilArrivalsCeaseAndAllIsAnswered) {
-  std::atomic<bool> held{true};
-  script_all([&held](const CacheRequest& request) -> std::optional<std::string> {
-    return request.id == id_of(1) && held ? std::nullopt
-                                          : std::optional(CacheStandIn::answer(request, "OK", "-", "served"));
+TEST_F(IntegrationTest, ServesAfterSigtermUntilNoRequestsArriveAndAllAreAnswered) {
+  std::atomic<bool> blocked{true};
+  set_all_scripts([&blocked](const CacheRequest& request) -> std::optional<std::string> {
+    return request.id == id_of(1) && blocked
+               ? std::nullopt
+               : std::optional(CacheStandIn::answer(request, "OK", "-", "served"));
   });
   list_all();
   start();
   Client open = connect();
   open.send(request_bytes(1, read_fields(id_of(1), {{"HTTP_X_PATIENCE_MS", "1500"}}), ""));
-  await_send();
+  await_serve();
   program_->signal(SIGTERM);
-  ASSERT_TRUE(program_->await_health(503)) << "it takes new connections, and says that it ends";
+  ASSERT_TRUE(program_->await_health(503)) << "it accepts new connections while its health checks fail";
   const auto fresh = connect().ask(1, read_fields(id_of(2), {{"HTTP_X_ENTITY", id_of(2)}}));
   ASSERT_TRUE(fresh.has_value());
   EXPECT_EQ(fresh->body, "served");
@@ -628,12 +630,12 @@
   ASSERT_TRUE(late.has_value());
   EXPECT_EQ(late->body, "served");
   const auto first = open.read(1);
-  ASSERT_TRUE(first.has_value()) << "what was open before is answered, too";
+  ASSERT_TRUE(first.has_value()) << "a request that was open before is answered, too";
   EXPECT_EQ(program_->await_exit(), 0);
 }
 
-// Requests that are late on their way are still taken: an end between two of them would lose the second.
-TEST_F(IntegrationTest, AfterSigtermItGoesOnWhileRequestsCome) {
+// Requests that are still in flight are accepted: an exit between two of them would lose the second.
+TEST_F(IntegrationTest, ServesAfterSigtermWhileRequestsArrive) {
   list_all();
   start({{"router", {{"drain_linger_ms", 0}, {"drain_quiet_ms", 1500}}}});
   Client client = connect();
@@ -646,15 +648,16 @@
   EXPECT_EQ(program_->await_exit(), 0);
 }
 
-// SIGKILL follows after 3.7 s at the earliest: what no cache answers until then is failed, not lost.
-TEST_F(IntegrationTest, ADrainAnswersWhatIsStillOpenInTime) {
-  script_all(silence);
+// SIGKILL follows after 3.7 s at the earliest. Requests that no cache has answered before are answered as
+// failed.
+TEST_F(IntegrationTest, FailsOpenRequestsBeforeTheEndOfADrain) {
+  set_all_scripts(no_answer);
   list_all();
   start({{"router", {{"drain_answer_ms", 300}, {"drain_linger_ms", 200}}}});
   Client client = connect();
   client.send(request_bytes(
       1, read_fields(id_of(1), {{"HTTP_X_PATIENCE_MS", "60000"}, {"HTTP_X_HEAP_KB", "900000"}}), ""));
-  await_send();
+  await_serve();
   program_->signal(SIGTERM);
   const auto answer = client.read(1, milliseconds(3000));
   ASSERT_TRUE(answer.has_value());
@@ -662,8 +665,9 @@
   EXPECT_EQ(program_->await_exit(), 0);
 }
 
-// A client that says nothing, or half of something, is closed before long; one that has asked may stay.
-TEST_F(IntegrationTest, SilentAndHalfSaidClientsAreClosedSoon) {
+// A client that sends nothing or only a part of a request is closed soon; one that has sent a request may
+// stay.
+TEST_F(IntegrationTest, ClosesClientsThatSendNothingOrAnIncompleteRequest) {
   list_all();
   start({{"router", {{"client_request_ms", 300}}}});
   Client asked = connect();
@@ -671,18 +675,18 @@
   Client silent = connect();
   Client half = connect();
   half.send(request_bytes(1, read_fields(id_of(2)), "").substr(0, 60));
-  Client endless = connect();  // a whole answer is owed to what it asked before, and then its end
+  Client endless = connect();  // it gets the answer to its complete request before the close
   endless.send(request_bytes(1, {{"SCRIPT_NAME", "/v1/nowhere"}}, "") + begin_record(2));
   EXPECT_TRUE(silent.await_close());
   EXPECT_TRUE(half.await_close());
   EXPECT_TRUE(endless.await_close());
-  const auto again = asked.ask(2, read_fields(id_of(3)));
-  ASSERT_TRUE(again.has_value()) << "it has asked before, and may hold on";
-  EXPECT_EQ(again->status, 200);
+  const auto next = asked.ask(2, read_fields(id_of(3)));
+  ASSERT_TRUE(next.has_value()) << "a client that has sent a request may stay idle";
+  EXPECT_EQ(next->status, 200);
 }
 
-// The body that never ends is answered early, read past and not kept.
-TEST_F(IntegrationTest, AnEndlessBodyIsAnsweredEarlyAndThenClosed) {
+// A body without end is answered early, and its data is discarded.
+TEST_F(IntegrationTest, RejectsABodyWithoutEndAndClosesTheConnection) {
   list_all();
   start({{"router", {{"client_request_ms", 1000}}}});
   Client client = connect();
@@ -691,16 +695,16 @@
     client.send(record(5, 1, std::string(60'000, 'x')));
   }
   const auto answer = client.read(1, milliseconds(800));
-  ASSERT_TRUE(answer.has_value()) << "it is not held back until the end of the body";
+  ASSERT_TRUE(answer.has_value()) << "the answer does not wait for the end of the body";
   EXPECT_EQ(answer->status, 400);
   EXPECT_TRUE(client.await_close());
 }
 
-// The id of an open request with another object: the second is turned away, the first goes on unharmed.
-TEST_F(IntegrationTest, AnIdThatIsOpenIsNotTakenTwice) {
-  std::atomic<bool> held{true};
-  script_all([&held](const CacheRequest& request) -> std::optional<std::string> {
-    if (held) {
+// A second request has the id of an open one and another object. It is rejected, and the first continues.
+TEST_F(IntegrationTest, RejectsARequestWithTheIdOfAnOpenOne) {
+  std::atomic<bool> blocked{true};
+  set_all_scripts([&blocked](const CacheRequest& request) -> std::optional<std::string> {
+    if (blocked) {
       return std::nullopt;
     }
     return CacheStandIn::answer(request, "OK", "-", request.fields.at("item"));
@@ -709,25 +713,24 @@
   start({{"settings", {{"Limits", {{"ParallelTries", true}}}}}});
   Client first = connect();
   first.send(request_bytes(1, read_fields(id_of(1)), ""));
-  await_send();
+  await_serve();
   const auto second = connect().ask(1, read_fields(id_of(1), {{"HTTP_X_ENTITY", id_of(77)}}));
   ASSERT_TRUE(second.has_value());
   EXPECT_EQ(second->status, 400);
-  for (const CacheRequest& seen : all_seen()) {
-    EXPECT_NE(seen.fields.at("item"), id_of(77)) << "it reached a cache";
+  for (const CacheRequest& request : all_requests()) {
+    EXPECT_NE(request.fields.at("item"), id_of(77)) << "it reached a cache";
   }
-  held = false;
-  first.send(record(2, 1, ""));  // taken back: the id is free again
+  blocked = false;
+  first.send(record(2, 1, ""));  // aborted: the id is free again
   const auto freed = first.ask(2, read_fields(id_of(1), {{"HTTP_X_ENTITY", id_of(78)}}));
   ASSERT_TRUE(freed.has_value());
-  EXPECT_EQ(freed->body, id_of(78)) << "and no late answer to the first is taken for its own";
+  EXPECT_EQ(freed->body, id_of(78)) << "a late answer to the first request is not used for this one";
 }
 
-// After an answer that stops short nothing more moves on that connection: what is out on it goes on
-// elsewhere.
-TEST_F(IntegrationTest, AnAnswerThatStopsShortEndsItsConnection) {
+// An answer that stalls blocks its connection: the attempts in flight on it are retried elsewhere.
+TEST_F(IntegrationTest, ClosesACacheConnectionWhenAnAnswerStalls) {
   std::atomic<int> asked{0};
-  script_all([&asked](const CacheRequest& request) -> std::optional<std::string> {
+  set_all_scripts([&asked](const CacheRequest& request) -> std::optional<std::string> {
     const std::string whole = CacheStandIn::answer(request, "OK", "-", "whole");
     return ++asked == 1 ? whole.substr(0, whole.size() - 3) : whole;
   });
@@ -737,29 +740,29 @@
   ASSERT_TRUE(answer.has_value());
   EXPECT_EQ(answer->status, 200);
   EXPECT_EQ(answer->body, "whole");
-  EXPECT_TRUE(program_->await_log("stopped within an answer, "));
+  EXPECT_TRUE(program_->await_log("stalled within an answer, "));
 }
 
-// Answers are of one form: what says OK in another may be the middle of something spoilt.
-TEST_F(IntegrationTest, AnAnswerOfAnotherFormIsNeverServed) {
-  for (const std::string& form : {std::string("*3\r\n$16\r\nID\r\n$2\r\nOK\r\n$1\r\n-\r\n"),
-                                  std::string("*2\r\n$16\r\nID\r\n$2\r\nOK\r\n"),
-                                  std::string("*4\r\n$16\r\nID\r\n$4\r\nSAME\r\n$1\r\n-\r\n$1\r\nx\r\n"),
-                                  std::string("*4\r\n$16\r\nID\r\n$2\r\nUP\r\n$1\r\n-\r\n$1\r\nx\r\n")}) {
-    script_all([form](const CacheRequest& request) {
-      std::string text = form;
+// An OK in another format may be a part of damaged data.
+TEST_F(IntegrationTest, DoesNotServeAnAnswerInAnotherFormat) {
+  for (const std::string& format : {std::string("*3\r\n$16\r\nID\r\n$2\r\nOK\r\n$1\r\n-\r\n"),
+                                    std::string("*2\r\n$16\r\nID\r\n$2\r\nOK\r\n"),
+                                    std::string("*4\r\n$16\r\nID\r\n$4\r\nSAME\r\n$1\r\n-\r\n$1\r\nx\r\n"),
+                                    std::string("*4\r\n$16\r\nID\r\n$2\r\nUP\r\n$1\r\n-\r\n$1\r\nx\r\n")}) {
+    set_all_scripts([format](const CacheRequest& request) {
+      std::string text = format;
       return text.replace(text.find("ID"), 2, request.id);
     });
     list_all();
     start();
     const auto answer = connect().ask(1, read_fields(id_of(1)));
     ASSERT_TRUE(answer.has_value());
-    EXPECT_NE(answer->status, 200) << form;
+    EXPECT_NE(answer->status, 200) << format;
   }
 }
 
-// A second copy of a miss must not end the next try of the same request on that connection.
-TEST_F(IntegrationTest, ASecondCopyOfAnAnswerAnswersNoLaterTry) {
+// A repeated miss must not end the next attempt of the same request on that connection.
+TEST_F(IntegrationTest, DoesNotUseARepeatedAnswerForALaterAttempt) {
   std::atomic<int> asked{0};
   b_.stop();
   a_.set_script([&asked](const CacheRequest& request) -> std::optional<std::string> {
@@ -777,8 +780,8 @@
   EXPECT_EQ(asked, 2);
 }
 
-// Clients get their share of the descriptors and no more: hundreds that hold on leave caches theirs.
-TEST_F(IntegrationTest, ClientsThatHoldOnLeaveTheCachesTheirDescriptors) {
+// Clients have a fixed share of the descriptors: hundreds of idle clients leave enough for caches.
+TEST_F(IntegrationTest, KeepsDescriptorsForCachesWhenClientsStayConnected) {
   list_all();
   start({{"limits", {{"sockets", 64}}}});
   std::vector<std::unique_ptr<Client>> holding;
@@ -788,12 +791,12 @@
     ASSERT_TRUE(answer.has_value()) << i;
     ASSERT_EQ(answer->status, 200) << i;
   }
-  EXPECT_TRUE(holding.front()->await_close()) << "the one unused for longest went first";
-  EXPECT_EQ(program_->log().find("no connection left"), std::string::npos);
+  EXPECT_TRUE(holding.front()->await_close()) << "the client that was idle for longest is closed first";
+  EXPECT_EQ(program_->log().find("no connection available"), std::string::npos);
 }
 
-// Records that are answered without end, to a client that takes no answer, must not fill the memory.
-TEST_F(IntegrationTest, AClientThatFloodsAndTakesNoAnswerIsClosed) {
+// Answers to management records must not fill the memory when the client does not read them.
+TEST_F(IntegrationTest, ClosesAClientThatSendsManyRecordsAndReadsNoAnswers) {
   list_all();
   start();
   Client client(program_->port(), true);
@@ -808,9 +811,9 @@
   EXPECT_TRUE(connect().ask(1, read_fields(id_of(1))).has_value());
 }
 
-// Caches that close each connection once it is idle are sound: every request is served once, at the same
-// home. Here each close is heard of before the next request comes.
-TEST_F(IntegrationTest, ConnectionsThatEndWhenIdleCostNothing) {
+// Caches that close idle connections are healthy: every request is sent once, to the same cache. Here the
+// router sees each close before the next request arrives.
+TEST_F(IntegrationTest, SendsEachRequestOnceWhenCachesCloseIdleConnections) {
   list_all();
   start();
   Client client = connect();
@@ -818,38 +821,40 @@
     const auto answer = client.ask(key, read_fields(id_of(key)));
     ASSERT_TRUE(answer.has_value());
     EXPECT_EQ(answer->status, 200) << key;
-    hang_up_all();
+    close_all_connections();
   }
-  EXPECT_EQ(sends(), 30U) << "each sent once";
-  EXPECT_EQ(std::max(a_.count("serve"), b_.count("serve")), sends()) << "one home, never left";
+  EXPECT_EQ(serve_count(), 30U) << "each request is sent once";
+  EXPECT_EQ(std::max(a_.count("serve"), b_.count("serve")), serve_count())
+      << "all requests are sent to the same cache";
 }
 
-// The router wakes to a request, and to a close behind it that it has not heard of: the connection is looked
-// at before it is used again, and the request goes to the same home over a new one.
-TEST_F(IntegrationTest, ACloseThatHasComeAndIsUnheardOfCostsNothing) {
+// The router finds a request and a close of the cache connection that it has not seen yet. It checks the
+// connection before using it, and sends the request to the same cache over a new one.
+TEST_F(IntegrationTest, SendsEachRequestOnceWhenAnUnreadCloseIsPending) {
   list_all();
-  start({{"router", {{"cache_connections", 1}}}});  // the ended one takes the place of no other
+  start({{"router", {{"cache_connections", 1}}}});  // the closed connection must not count
   Client client = connect();
   ASSERT_TRUE(client.ask(1, read_fields(id_of(1))).has_value());
   for (std::uint16_t key = 2; key <= 30; ++key) {
     program_->suspend();
     client.send(request_bytes(key, read_fields(id_of(key)), ""));
-    hang_up_all();
+    close_all_connections();
     program_->signal(SIGCONT);
     const auto answer = client.read(key);
     ASSERT_TRUE(answer.has_value());
     EXPECT_EQ(answer->status, 200) << key;
   }
-  EXPECT_EQ(sends(), 30U) << "each sent once";
-  EXPECT_EQ(std::max(a_.count("serve"), b_.count("serve")), sends()) << "one home, never left";
+  EXPECT_EQ(serve_count(), 30U) << "each request is sent once";
+  EXPECT_EQ(std::max(a_.count("serve"), b_.count("serve")), serve_count())
+      << "all requests are sent to the same cache";
 }
 
-// The close comes after the request has gone out: it may have run, and a safe one is sent once more, to the
-// same home.
-TEST_F(IntegrationTest, ACloseThatCrossesARequestIsAskedAgainAtTheSameHome) {
-  constexpr std::size_t kRequests = 5;  // fewer than the breaks in a row that eject a cache
+// The cache closes the connection after the request was sent: the request may have been executed, and a safe
+// one is retried once, at the same cache.
+TEST_F(IntegrationTest, RetriesAtTheSameCacheWhenACloseCrossesARequest) {
+  constexpr std::size_t kRequests = 5;  // fewer than the consecutive failures that eject a cache
   std::atomic<int> tries = 0;
-  script_all([&tries](const CacheRequest& request) {
+  set_all_scripts([&tries](const CacheRequest& request) {
     return ++tries % 2 == 1 ? std::string(CacheStandIn::kThenClose)
                             : CacheStandIn::answer(request, "OK", "-", "well");
   });
@@ -861,14 +866,16 @@
     ASSERT_TRUE(answer.has_value());
     EXPECT_EQ(answer->status, 200) << key;
   }
-  EXPECT_EQ(sends(), 2 * kRequests) << "each sent twice";
-  EXPECT_EQ(std::max(a_.count("serve"), b_.count("serve")), sends()) << "one home, never left";
+  EXPECT_EQ(serve_count(), 2 * kRequests) << "each request is sent twice";
+  EXPECT_EQ(std::max(a_.count("serve"), b_.count("serve")), serve_count())
+      << "all requests are sent to the same cache";
 }
 
-// Hundreds of requests at once on one connection, all taken back, and half of one before a close: a usual
-// client notices nothing, nothing stays open, and what is over the bound of a connection is told so.
-TEST_F(IntegrationTest, FloodsAbortsAndHalfRequestsCostOnlyTheirOwnConnection) {
-  script_all(silence);
+// Clients send hundreds of requests at once on one connection and abort all of them, or close the connection
+// within a request. Other clients are not affected, no request stays open, and requests beyond the bound of a
+// connection are rejected.
+TEST_F(IntegrationTest, ServesOtherClientsDuringFloodsAbortsAndIncompleteRequests) {
+  set_all_scripts(no_answer);
   list_all();
   start();
   for (int round = 0; round < 5; ++round) {
@@ -890,7 +897,7 @@
     Client half = connect();
     half.send(request_bytes(1, read_fields(id_of(90'000 + round)), "").substr(0, 100));
   }
-  script_all(CacheStandIn::serving("well"));
+  set_all_scripts(CacheStandIn::serving("well"));
   Client usual = connect();
   int served = 0;
   for (std::uint16_t key = 1; key <= 20; ++key) {
@@ -901,8 +908,9 @@
   EXPECT_GT(served, 15);
 }
 
-// The operators replace the file and send SIGHUP: the notice board has moved, its numbers go on.
-TEST_F(IntegrationTest, OnSighupItAsksTheNoticeBoardAtItsNewAddress) {
+// Operators replace the file and send SIGHUP: the discovery service has another address and the same
+// sequence.
+TEST_F(IntegrationTest, PollsTheDiscoveryServiceAtItsNewAddressAfterSighup) {
   list_all();
   start();
   BoardStandIn moved;
@@ -919,12 +927,12 @@
                   false));
   ASSERT_TRUE(moved.await_caught_up());
   const auto answer = connect().ask(1, read_fields(id_of(1)));
-  ASSERT_TRUE(answer.has_value()) << "it serves on";
-  EXPECT_EQ(a_.count("serve") + b_.count("serve"), 0U) << "what the moved board told is in force";
+  ASSERT_TRUE(answer.has_value()) << "it still serves requests";
+  EXPECT_EQ(a_.count("serve") + b_.count("serve"), 0U) << "the update of the new service is in force";
 }
 
-// A file that is missing, broken or unchanged must cost nothing; the next good one is taken in.
-TEST_F(IntegrationTest, OnSighupAFileThatCannotBeUsedChangesNothing) {
+// A file that is missing, invalid or unchanged must have no effect; the next valid one is applied.
+TEST_F(IntegrationTest, KeepsTheConfigurationWhenTheFileIsInvalidAtSighup) {
   list_all();
   start();
   json faulty = plain_config(board_);
@@ -952,8 +960,8 @@
   EXPECT_EQ(answer->status, 200);
 }
 
-// What `known` tells beyond what was taken in binds at once, also where the board stays silent.
-TEST_F(IntegrationTest, OnSighupItTakesInWhatTheFileKnowsByNumber) {
+// Later events in `known` are applied at once, even if the discovery service does not answer.
+TEST_F(IntegrationTest, AppliesLaterEventsOfTheFileAtSighup) {
   list_all();
   start();
   board_.say("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
@@ -967,16 +975,17 @@
   config["known"] = ahead.known();
   program_->reconfigure(config);
   program_->signal(SIGHUP);
-  EXPECT_TRUE(program_->await_health(503)) << "the first event was in before, the second removes all";
+  EXPECT_TRUE(program_->await_health(503))
+      << "the first event was applied before, the second one removes all caches";
 }
 
-TEST_F(IntegrationTest, SighupWhileDrainingDoesNotStopTheEnd) {
-  script_all(silence);
+TEST_F(IntegrationTest, EndsADrainAfterSighup) {
+  set_all_scripts(no_answer);
   list_all();
   start({{"router", {{"drain_answer_ms", 600}, {"drain_linger_ms", 200}}}});
   Client client = connect();
   client.send(request_bytes(1, read_fields(id_of(1)), ""));
-  await_send();
+  await_serve();
   program_->signal(SIGTERM);
   ASSERT_TRUE(program_->await_health(503));
   program_->signal(SIGHUP);
@@ -985,7 +994,7 @@
   EXPECT_EQ(program_->await_exit(), 0);
 }
 
-TEST_F(IntegrationTest, AFaultyConfigurationIsOneLineAndANonZeroExit) {
+TEST_F(IntegrationTest, ExitsWithAnErrorMessageWhenTheConfigurationIsInvalid) {
   json config = plain_config(board_);
   config["board"] = "nowhere";
   program_ = std::make_unique<Program>(config);
@@ -993,7 +1002,7 @@
   EXPECT_NE(program_->log().find("board: 'nowhere'"), std::string::npos) << program_->log();
 }
 
-TEST_F(IntegrationTest, AnAddressInUseIsTold) {
+TEST_F(IntegrationTest, ExitsWithAnErrorMessageWhenTheAddressIsInUse) {
   list_all();
   json config = plain_config(board_);
   program_ = std::make_unique<Program>(config, std::vector<std::string>{"--listen", a_.address()});
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -1,4 +1,5 @@
-// The glue with a scripted module: which events it is told, and what becomes of its actions.
+// The router with a scripted decision module: the events that the module receives and the effects of its
+// actions.
 #include "routing/router.h"
 
 #include <gtest/gtest.h>
@@ -18,49 +19,51 @@
 using std::chrono::milliseconds;
 using transport::ConnectionEnd;
 
-// What a client saw.
-struct Answers {
-  std::vector<std::string> said;
+// The calls of a Reply.
+struct ReplyLog {
+  std::vector<std::string> calls;
 };
 
-class NotedReply : public Reply {
+class RecordingReply : public Reply {
  public:
-  explicit NotedReply(std::shared_ptr<Answers> answers) : answers_(std::move(answers)) {}
-  void served(std::string body, bool same, const ServedBy&) override {
-    say(same ? "same" : "served " + body);
+  explicit RecordingReply(std::shared_ptr<ReplyLog> log) : log_(std::move(log)) {}
+  void served(std::string body, bool not_modified, const ServedBy&) override {
+    record(not_modified ? "not modified" : "served " + body);
   }
-  void refused(Micros retry_after) override { say("refused " + std::to_string(retry_after.count())); }
-  void failed() override { say("failed"); }
-  void begin(bool) override { say("begin"); }
-  void piece(std::string_view bytes) override { say("piece " + std::string(bytes)); }
-  void finish(bool whole) override { say(whole ? "whole" : "cut"); }
+  void rejected(Micros retry_after) override { record("rejected " + std::to_string(retry_after.count())); }
+  void failed() override { record("failed"); }
+  void begin(bool) override { record("begin"); }
+  void piece(std::string_view bytes) override { record("piece " + std::string(bytes)); }
+  void finish(bool complete) override { record(complete ? "complete" : "incomplete"); }
 
  private:
-  void say(std::string text) { answers_->said.push_back(std::move(text)); }
-  std::shared_ptr<Answers> answers_;
+  void record(std::string text) { log_->calls.push_back(std::move(text)); }
+  std::shared_ptr<ReplyLog> log_;
 };
 
-class NotedUpstream : public Upstream {
+class RecordingUpstream : public Upstream {
  public:
   void send(const AttemptKey& key, const SendAttempt& order, const std::shared_ptr<const void>&,
-            bool streaming) override {
+            bool streams) override {
     sent.push_back(key);
     orders.push_back(order);
-    streams = streaming;
+    streaming = streams;
   }
   void cancel(const AttemptKey& key) override { cancelled.push_back(key); }
 
   std::vector<AttemptKey> sent;
   std::vector<SendAttempt> orders;
   std::vector<AttemptKey> cancelled;
-  bool streams = false;
+  bool streaming = false;
 };
 
 class RouterTest : public testing::Test {
  protected:
   using Script = std::function<void(const Event&, std::vector<Action>&)>;
 
-  RouterTest() : router_(scheduler_, clock_, settings(), handler(), bounds()) { router_.use(upstream_); }
+  RouterTest() : router_(scheduler_, clock_, settings(), handler(), bounds()) {
+    router_.set_upstream(upstream_);
+  }
 
   static Router::Bounds bounds() {
     Router::Bounds out;
@@ -84,26 +87,26 @@
       }
     };
   }
-  // On arrival sends once; otherwise nothing.
+  // Sends one attempt when a request arrives.
   static void send_once(const Event& event, std::vector<Action>& out) {
     if (const auto* arrived = std::get_if<RequestArrived>(&event)) {
       out.push_back(order(arrived->id));
     }
   }
-  static SendAttempt order(RequestId id, Micros limit = milliseconds(1000)) {
+  static SendAttempt order(RequestId id, Micros timeout = milliseconds(1000)) {
     SendAttempt send;
     send.id = id;
     send.cache = "c1";
     send.source = "c1";
-    send.timeout = limit;
+    send.timeout = timeout;
     return send;
   }
-  RequestId arrive(int request_class = 0, std::size_t body_bytes = 0) {
+  RequestId accept(int request_class = 0, std::size_t body_bytes = 0) {
     ClientRequest request;
     request.body_bytes = body_bytes;
-    request.told.request_class = request_class;
+    request.arrival.request_class = request_class;
     request.patience = milliseconds(2000);
-    return router_.arrive(std::move(request), std::make_shared<NotedReply>(answers_));
+    return router_.accept(std::move(request), std::make_shared<RecordingReply>(replies_));
   }
   static AttemptResult result(Status status, std::string body = "") {
     AttemptResult out;
@@ -111,11 +114,11 @@
     out.body = std::move(body);
     return out;
   }
-  template <typename Wanted>
-  std::vector<Wanted> told() const {
-    std::vector<Wanted> out;
+  template <typename EventType>
+  std::vector<EventType> events() const {
+    std::vector<EventType> out;
     for (const Event& event : events_) {
-      if (const auto* one = std::get_if<Wanted>(&event)) {
+      if (const auto* one = std::get_if<EventType>(&event)) {
         out.push_back(*one);
       }
     }
@@ -126,35 +129,35 @@
   ModuleClock clock_;
   std::vector<Event> events_;
   Script script_ = send_once;
-  std::shared_ptr<Answers> answers_ = std::make_shared<Answers>();
-  NotedUpstream upstream_;
+  std::shared_ptr<ReplyLog> replies_ = std::make_shared<ReplyLog>();
+  RecordingUpstream upstream_;
   Router router_;
 };
 
-// A body counts for what it holds: few large ones must not shut out many small requests for good.
-TEST_F(RouterTest, OpenRequestsAreBoundedByWhatTheyHold) {
-  const RequestId large = arrive(0, 9'850);
+// The bound counts bytes of bodies: a few large requests must not block many small ones beyond their own end.
+TEST_F(RouterTest, RejectsRequestsWhenOpenBodiesReachTheByteBound) {
+  const RequestId large = accept(0, 9'850);
   ASSERT_NE(large, 0U);
-  EXPECT_EQ(arrive(), 0U) << "50 bytes are left";
-  EXPECT_EQ(answers_->said, std::vector<std::string>{"refused 0"});
+  EXPECT_EQ(accept(), 0U) << "50 bytes are left";
+  EXPECT_EQ(replies_->calls, std::vector<std::string>{"rejected 0"});
   router_.attempt_ended(upstream_.sent.at(0), result(Status::kOk));
-  EXPECT_NE(arrive(), 0U) << "and free again once it is over";
+  EXPECT_NE(accept(), 0U) << "the bytes are free again after the end of the large request";
 }
 
-TEST_F(RouterTest, ARequestIsToldWithItsDueTimeAndServedOnce) {
+TEST_F(RouterTest, PassesTheDeadlineToTheModuleAndServesARequestOnce) {
   const Micros before = router_.now();
-  const RequestId id = arrive();
-  ASSERT_EQ(told<RequestArrived>().size(), 1U);
-  EXPECT_EQ(told<RequestArrived>()[0].deadline, before + milliseconds(2000));
+  const RequestId id = accept();
+  ASSERT_EQ(events<RequestArrived>().size(), 1U);
+  EXPECT_EQ(events<RequestArrived>()[0].deadline, before + milliseconds(2000));
   ASSERT_EQ(upstream_.sent.size(), 1U);
   AttemptResult good = result(Status::kOk, "bytes");
   good.note = Note::kFilled;
-  good.waited = milliseconds(7);
+  good.source_first_byte_time = milliseconds(7);
   good.load.concurrent = 4.0;
   router_.attempt_ended({id, 0}, good);
   router_.attempt_ended({id, 0}, result(Status::kOk, "again"));
-  EXPECT_EQ(answers_->said, std::vector<std::string>{"served bytes"});
-  const auto ended = told<AttemptEnded>();
+  EXPECT_EQ(replies_->calls, std::vector<std::string>{"served bytes"});
+  const auto ended = events<AttemptEnded>();
   ASSERT_EQ(ended.size(), 1U);
   EXPECT_TRUE(ended[0].finished);
   EXPECT_EQ(ended[0].note, Note::kFilled);
@@ -163,48 +166,48 @@
   EXPECT_EQ(router_.open_requests(), 0U);
 }
 
-TEST_F(RouterTest, TheClientsOwnCopyIsToldAsSuch) {
-  const RequestId id = arrive();
-  AttemptResult same = result(Status::kOk);
-  same.same = true;
-  router_.attempt_ended({id, 0}, same);
-  EXPECT_EQ(answers_->said, std::vector<std::string>{"same"});
+TEST_F(RouterTest, ReportsNotModifiedWhenTheCopyOfTheClientIsValid) {
+  const RequestId id = accept();
+  AttemptResult not_modified = result(Status::kOk);
+  not_modified.not_modified = true;
+  router_.attempt_ended({id, 0}, not_modified);
+  EXPECT_EQ(replies_->calls, std::vector<std::string>{"not modified"});
 }
 
-TEST_F(RouterTest, AFailedAttemptLeavesTheAnswerToTheModule) {
-  const RequestId id = arrive();
+TEST_F(RouterTest, LetsTheModuleAnswerAfterAFailedAttempt) {
+  const RequestId id = accept();
   script_ = [](const Event& event, std::vector<Action>& out) {
     if (const auto* ended = std::get_if<AttemptEnded>(&event); ended != nullptr && !ended->finished) {
       out.push_back(Reject{ended->id, milliseconds(400)});
     }
   };
   router_.attempt_ended({id, 0}, result(Status::kFull));
-  EXPECT_FALSE(told<AttemptEnded>().at(0).finished);
-  EXPECT_EQ(answers_->said, std::vector<std::string>{"refused 400000"});
+  EXPECT_FALSE(events<AttemptEnded>().at(0).finished);
+  EXPECT_EQ(replies_->calls, std::vector<std::string>{"rejected 400000"});
   EXPECT_EQ(router_.open_requests(), 0U);
 }
 
-// One outcome an attempt: whatever the cache answers after its time is not heard.
-TEST_F(RouterTest, ATimeOutIsTheOneOutcome) {
+// Each attempt has one result: an answer of the cache after the time-out is ignored.
+TEST_F(RouterTest, IgnoresTheAnswerToAnAttemptThatHasTimedOut) {
   script_ = [](const Event& event, std::vector<Action>& out) {
     if (const auto* arrived = std::get_if<RequestArrived>(&event)) {
       out.push_back(order(arrived->id, milliseconds(1)));
     }
   };
-  const RequestId id = arrive();
-  while (told<AttemptEnded>().empty()) {
+  const RequestId id = accept();
+  while (events<AttemptEnded>().empty()) {
     scheduler_.turn(milliseconds(50));
   }
-  EXPECT_EQ(told<AttemptEnded>().at(0).status, Status::kTimeout);
+  EXPECT_EQ(events<AttemptEnded>().at(0).status, Status::kTimeout);
   EXPECT_EQ(upstream_.cancelled, std::vector<AttemptKey>{(AttemptKey{id, 0})});
   router_.attempt_ended({id, 0}, result(Status::kOk, "late"));
-  EXPECT_EQ(told<AttemptEnded>().size(), 1U);
-  EXPECT_TRUE(answers_->said.empty());
+  EXPECT_EQ(events<AttemptEnded>().size(), 1U);
+  EXPECT_TRUE(replies_->calls.empty());
   EXPECT_EQ(router_.open_requests(), 1U);
 }
 
-TEST_F(RouterTest, ACancelIsTheOneOutcome) {
-  const RequestId id = arrive();
+TEST_F(RouterTest, IgnoresTheAnswerToACancelledAttempt) {
+  const RequestId id = accept();
   script_ = [](const Event& event, std::vector<Action>& out) {
     if (const auto* left = std::get_if<ClientLeft>(&event)) {
       out.push_back(Cancel{left->id, 0});
@@ -212,33 +215,33 @@
       out.push_back(Cancel{left->id, 5});
     }
   };
-  router_.leave(id);
-  router_.leave(id);
-  EXPECT_EQ(told<ClientLeft>().size(), 1U);
+  router_.client_left(id);
+  router_.client_left(id);
+  EXPECT_EQ(events<ClientLeft>().size(), 1U);
   EXPECT_EQ(upstream_.cancelled.size(), 1U);
-  ASSERT_EQ(told<AttemptEnded>().size(), 1U);
-  EXPECT_EQ(told<AttemptEnded>()[0].status, Status::kCancelled);
-  EXPECT_TRUE(told<AttemptEnded>()[0].finished);
+  ASSERT_EQ(events<AttemptEnded>().size(), 1U);
+  EXPECT_EQ(events<AttemptEnded>()[0].status, Status::kCancelled);
+  EXPECT_TRUE(events<AttemptEnded>()[0].finished);
   router_.attempt_ended({id, 0}, result(Status::kOk, "late"));
-  EXPECT_TRUE(answers_->said.empty()) << "nothing is sent to a client that has left";
+  EXPECT_TRUE(replies_->calls.empty()) << "nothing is sent to a client that has left";
 }
 
-TEST_F(RouterTest, OfTwoAttemptsTheFirstGoodOneAnswers) {
+TEST_F(RouterTest, ServesTheFirstSuccessfulOfTwoAttempts) {
   script_ = [](const Event& event, std::vector<Action>& out) {
     if (const auto* arrived = std::get_if<RequestArrived>(&event)) {
       out.push_back(order(arrived->id));
       out.push_back(order(arrived->id));
     }
   };
-  const RequestId id = arrive();
+  const RequestId id = accept();
   router_.attempt_ended({id, 1}, result(Status::kOk, "second"));
   router_.attempt_ended({id, 0}, result(Status::kOk, "first"));
-  EXPECT_EQ(answers_->said, std::vector<std::string>{"served second"});
-  ASSERT_EQ(told<AttemptEnded>().size(), 2U);
-  EXPECT_TRUE(told<AttemptEnded>()[1].finished);
+  EXPECT_EQ(replies_->calls, std::vector<std::string>{"served second"});
+  ASSERT_EQ(events<AttemptEnded>().size(), 2U);
+  EXPECT_TRUE(events<AttemptEnded>()[1].finished);
 }
 
-TEST_F(RouterTest, ASendForAFinishedRequestOrBeyondTheCapIsMoot) {
+TEST_F(RouterTest, DoesNotSendAttemptsForAFinishedRequestOrBeyondTheCap) {
   script_ = [](const Event& event, std::vector<Action>& out) {
     if (const auto* arrived = std::get_if<RequestArrived>(&event)) {
       for (int i = 0; i < 4; ++i) {
@@ -248,18 +251,18 @@
       out.push_back(order(arrived->id));
     }
   };
-  const RequestId id = arrive();
+  const RequestId id = accept();
   EXPECT_EQ(upstream_.sent.size(), 3U);
-  ASSERT_EQ(told<AttemptEnded>().size(), 2U);
-  EXPECT_EQ(told<AttemptEnded>()[0].attempt, 3);
-  EXPECT_EQ(told<AttemptEnded>()[0].status, Status::kNotSent);
-  EXPECT_EQ(told<AttemptEnded>()[1].attempt, 4);
-  EXPECT_EQ(answers_->said, std::vector<std::string>{"failed"});
+  ASSERT_EQ(events<AttemptEnded>().size(), 2U);
+  EXPECT_EQ(events<AttemptEnded>()[0].attempt, 3);
+  EXPECT_EQ(events<AttemptEnded>()[0].status, Status::kNotSent);
+  EXPECT_EQ(events<AttemptEnded>()[1].attempt, 4);
+  EXPECT_EQ(replies_->calls, std::vector<std::string>{"failed"});
   router_.attempt_ended({id, 2}, result(Status::kOk, "late"));
-  EXPECT_EQ(answers_->said.size(), 1U);
+  EXPECT_EQ(replies_->calls.size(), 1U);
 }
 
-TEST_F(RouterTest, AFinalAnswerIsGivenOnce) {
+TEST_F(RouterTest, AnswersARequestOnce) {
   script_ = [](const Event& event, std::vector<Action>& out) {
     if (const auto* arrived = std::get_if<RequestArrived>(&event)) {
       out.push_back(Reject{arrived->id, Micros(0)});
@@ -267,35 +270,35 @@
       out.push_back(Reject{arrived->id, Micros(0)});
     }
   };
-  arrive();
-  EXPECT_EQ(answers_->said, std::vector<std::string>{"refused 0"});
+  accept();
+  EXPECT_EQ(replies_->calls, std::vector<std::string>{"rejected 0"});
 }
 
-// Each open request may hold a body: beyond the bound they are shed, untold to the module.
-TEST_F(RouterTest, BeyondTheBoundRequestsAreRefusedAtOnce) {
-  arrive();
-  arrive();
-  const RequestId third = arrive();
+// Each open request may hold a body: requests beyond the bound are rejected without an event for the module.
+TEST_F(RouterTest, RejectsRequestsBeyondTheBoundOnOpenRequests) {
+  accept();
+  accept();
+  const RequestId third = accept();
   EXPECT_NE(third, 0U);
-  EXPECT_EQ(arrive(), 0U);
-  EXPECT_EQ(answers_->said, std::vector<std::string>{"refused 0"});
-  EXPECT_EQ(told<RequestArrived>().size(), 3U);
+  EXPECT_EQ(accept(), 0U);
+  EXPECT_EQ(replies_->calls, std::vector<std::string>{"rejected 0"});
+  EXPECT_EQ(events<RequestArrived>().size(), 3U);
   router_.attempt_ended({third, 0}, result(Status::kOk, "x"));
-  EXPECT_NE(arrive(), 0U) << "there is room again";
+  EXPECT_NE(accept(), 0U) << "a request has ended";
 }
 
-TEST_F(RouterTest, AStreamIsPassedOnAsItComesAndItsBreakIsSeen) {
-  const RequestId id = arrive(1);
-  EXPECT_TRUE(upstream_.streams);
+TEST_F(RouterTest, ForwardsAStreamInPartsAndReportsAnIncompleteEnd) {
+  const RequestId id = accept(1);
+  EXPECT_TRUE(upstream_.streaming);
   router_.stream_started({id, 0}, false);
   router_.stream_piece({id, 0}, "ab");
   router_.attempt_ended({id, 0}, result(Status::kReset));
-  EXPECT_EQ(answers_->said, (std::vector<std::string>{"begin", "piece ab", "cut"}));
-  EXPECT_EQ(told<StreamStarted>().size(), 1U);
-  EXPECT_TRUE(told<AttemptEnded>().at(0).finished);
+  EXPECT_EQ(replies_->calls, (std::vector<std::string>{"begin", "piece ab", "incomplete"}));
+  EXPECT_EQ(events<StreamStarted>().size(), 1U);
+  EXPECT_TRUE(events<AttemptEnded>().at(0).finished);
 }
 
-TEST_F(RouterTest, ABegunStreamHasNoTimeOutAndIsNotCancelled) {
+TEST_F(RouterTest, NeitherTimesOutNorCancelsAStreamThatHasStarted) {
   script_ = [](const Event& event, std::vector<Action>& out) {
     if (const auto* arrived = std::get_if<RequestArrived>(&event)) {
       out.push_back(order(arrived->id, milliseconds(5)));
@@ -304,81 +307,81 @@
       out.push_back(Cancel{std::get<StreamStarted>(event).id, 0});
     }
   };
-  const RequestId id = arrive(1);
+  const RequestId id = accept(1);
   router_.stream_started({id, 0}, false);
-  while (told<TimerFired>().empty()) {
+  while (events<TimerFired>().empty()) {
     scheduler_.turn(milliseconds(50));
   }
-  EXPECT_TRUE(told<AttemptEnded>().empty());
+  EXPECT_TRUE(events<AttemptEnded>().empty());
   router_.attempt_ended({id, 0}, result(Status::kOk));
-  EXPECT_EQ(answers_->said, (std::vector<std::string>{"begin", "whole"}));
+  EXPECT_EQ(replies_->calls, (std::vector<std::string>{"begin", "complete"}));
 }
 
-// A stream has no time-out: left alone by its client it would be read for ever.
-TEST_F(RouterTest, AStreamEndsWithItsClient) {
-  const RequestId id = arrive(1);
+// A stream has no time-out: without this it would continue after its client has left.
+TEST_F(RouterTest, CancelsAStreamWhenItsClientLeaves) {
+  const RequestId id = accept(1);
   router_.stream_started({id, 0}, false);
-  router_.leave(id);
+  router_.client_left(id);
   EXPECT_EQ(upstream_.cancelled, std::vector<AttemptKey>{(AttemptKey{id, 0})});
-  ASSERT_EQ(told<AttemptEnded>().size(), 1U);
-  EXPECT_EQ(told<AttemptEnded>()[0].status, Status::kCancelled);
+  ASSERT_EQ(events<AttemptEnded>().size(), 1U);
+  EXPECT_EQ(events<AttemptEnded>()[0].status, Status::kCancelled);
   router_.stream_piece({id, 0}, "late");
-  EXPECT_EQ(answers_->said, std::vector<std::string>{"begin"});
+  EXPECT_EQ(replies_->calls, std::vector<std::string>{"begin"});
 }
 
-TEST_F(RouterTest, AtTheEndAStreamIsCutVisibly) {
-  const RequestId id = arrive(1);
+TEST_F(RouterTest, EndsAStreamAsIncompleteWhenOpenRequestsFail) {
+  const RequestId id = accept(1);
   router_.stream_started({id, 0}, false);
-  router_.fail_open();
-  EXPECT_EQ(answers_->said, (std::vector<std::string>{"begin", "cut"}));
+  router_.fail_open_requests();
+  EXPECT_EQ(replies_->calls, (std::vector<std::string>{"begin", "incomplete"}));
   EXPECT_EQ(upstream_.cancelled, std::vector<AttemptKey>{(AttemptKey{id, 0})});
 }
 
-// A module that throws must not cost more than the request at hand.
-TEST_F(RouterTest, AnExceptionOfTheModuleFailsThatRequestAlone) {
-  const RequestId first = arrive();
+// An exception of the module must not affect other requests.
+TEST_F(RouterTest, FailsOnlyTheRequestWhoseEventMakesTheModuleThrow) {
+  const RequestId first = accept();
   script_ = [](const Event& event, std::vector<Action>&) {
     if (std::holds_alternative<RequestArrived>(event)) {
       throw std::runtime_error("scripted");
     }
   };
-  arrive();
-  EXPECT_EQ(answers_->said, std::vector<std::string>{"failed"});
+  accept();
+  EXPECT_EQ(replies_->calls, std::vector<std::string>{"failed"});
   EXPECT_EQ(router_.open_requests(), 1U);
   script_ = nullptr;
   router_.attempt_ended({first, 0}, result(Status::kOk, "bytes"));
-  EXPECT_EQ(answers_->said.back(), "served bytes");
+  EXPECT_EQ(replies_->calls.back(), "served bytes");
 }
 
-TEST_F(RouterTest, AtTheEndWhatIsOpenIsFailedOnce) {
-  const RequestId id = arrive();
-  arrive();
-  router_.fail_open();
-  router_.fail_open();
-  EXPECT_EQ(answers_->said, (std::vector<std::string>{"failed", "failed"}));
-  EXPECT_EQ(told<ClientLeft>().size(), 2U);
+TEST_F(RouterTest, FailsEachOpenRequestOnce) {
+  const RequestId id = accept();
+  accept();
+  router_.fail_open_requests();
+  router_.fail_open_requests();
+  EXPECT_EQ(replies_->calls, (std::vector<std::string>{"failed", "failed"}));
+  EXPECT_EQ(events<ClientLeft>().size(), 2U);
   EXPECT_EQ(router_.open_requests(), 0U);
   router_.attempt_ended({id, 0}, result(Status::kOk, "late"));
-  EXPECT_EQ(answers_->said.size(), 2U);
+  EXPECT_EQ(replies_->calls.size(), 2U);
 }
 
-TEST_F(RouterTest, TimersComeBackWithTheirToken) {
+TEST_F(RouterTest, ReturnsTimersWithTheirToken) {
   script_ = [](const Event& event, std::vector<Action>& out) {
     if (std::holds_alternative<RequestArrived>(event)) {
       out.push_back(SetTimer{77, milliseconds(1)});
       out.push_back(SetTimer{78, milliseconds(0)});
     }
   };
-  arrive();
-  while (told<TimerFired>().size() < 2) {
+  accept();
+  while (events<TimerFired>().size() < 2) {
     scheduler_.turn(milliseconds(50));
   }
-  EXPECT_EQ(told<TimerFired>()[0].token, 78U);
-  EXPECT_EQ(told<TimerFired>()[1].token, 77U);
+  EXPECT_EQ(events<TimerFired>()[0].token, 78U);
+  EXPECT_EQ(events<TimerFired>()[1].token, 77U);
 }
 
-// The module counts what ends at one time once: all that one turn of the scheduler sees has one time.
-TEST_F(RouterTest, WhatOneTurnSeesHappensAtOneTime) {
+// The module counts failures of the same time once, so all events of one turn of the scheduler have one time.
+TEST_F(RouterTest, KeepsTheTimeWithinATurnOfTheScheduler) {
   const Micros first = router_.now();
   const auto until = transport::Clock::now() + milliseconds(3);
   while (transport::Clock::now() < until) {
@@ -388,37 +391,37 @@
   EXPECT_GT(router_.now(), first);
 }
 
-constexpr ConnectionEnd kAllEnds[] = {
+constexpr ConnectionEnd kAllConnectionEnds[] = {
     ConnectionEnd::kRefused,      ConnectionEnd::kConnectTimeout, ConnectionEnd::kUnreachable,
     ConnectionEnd::kNoDescriptor, ConnectionEnd::kPeerClosed,     ConnectionEnd::kPeerReset,
     ConnectionEnd::kBroken,       ConnectionEnd::kMalformed,      ConnectionEnd::kOverflow,
     ConnectionEnd::kIdle,         ConnectionEnd::kSilent,         ConnectionEnd::kStalled,
     ConnectionEnd::kDropped,      ConnectionEnd::kShutdown};
 
-TEST(Outcome, NothingWrittenProvesThatNothingRan) {
-  for (const ConnectionEnd end : kAllEnds) {
+TEST(StatusOfConnectionEnd, ProvesNoExecutionWhenNothingWasWritten) {
+  for (const ConnectionEnd end : kAllConnectionEnds) {
     EXPECT_TRUE(proves_not_executed(status_of(end, false))) << to_string(end);
   }
 }
 
-// A part may have been the whole for the cache: a write must not be sent again on the strength of it.
-TEST(Outcome, APartWrittenProvesNothing) {
-  for (const ConnectionEnd end : kAllEnds) {
-    const bool never_up = end == ConnectionEnd::kRefused || end == ConnectionEnd::kConnectTimeout ||
-                          end == ConnectionEnd::kUnreachable || end == ConnectionEnd::kNoDescriptor;
-    EXPECT_EQ(proves_not_executed(status_of(end, true)), never_up) << to_string(end);
+// A cache may have executed a request of which a part was written, so a write must not be sent again.
+TEST(StatusOfConnectionEnd, DoesNotProveNoExecutionWhenAPartWasWritten) {
+  for (const ConnectionEnd end : kAllConnectionEnds) {
+    const bool never_connected = end == ConnectionEnd::kRefused || end == ConnectionEnd::kConnectTimeout ||
+                                 end == ConnectionEnd::kUnreachable || end == ConnectionEnd::kNoDescriptor;
+    EXPECT_EQ(proves_not_executed(status_of(end, true)), never_connected) << to_string(end);
   }
 }
 
-// A want of our own must not count against the cache.
-TEST(Outcome, OurOwnWantOfDescriptorsIsNoConnectFailure) {
+// A lack of descriptors in this process must not count as a fault of the cache.
+TEST(StatusOfConnectionEnd, IsNoConnectFailureWhenThisProcessLacksDescriptors) {
   EXPECT_EQ(status_of(ConnectionEnd::kNoDescriptor, false), Status::kNotSent);
   EXPECT_EQ(status_of(ConnectionEnd::kRefused, false), Status::kConnectFailed);
   EXPECT_EQ(status_of(ConnectionEnd::kPeerReset, true), Status::kReset);
 }
 
-// Nor must it count that a connection ended which had come up, before anything was written to it.
-TEST(Outcome, AnEndBeforeAnythingWasWrittenIsNoConnectFailure) {
+// The end of an established connection before anything was written must not count as a fault of the cache.
+TEST(StatusOfConnectionEnd, IsNoConnectFailureWhenAnEstablishedConnectionEnds) {
   for (const ConnectionEnd end : {ConnectionEnd::kPeerReset, ConnectionEnd::kPeerClosed, ConnectionEnd::kIdle,
                                   ConnectionEnd::kDropped, ConnectionEnd::kBroken}) {
     EXPECT_EQ(status_of(end, false), Status::kNotSent) << to_string(end);
@@ -429,8 +432,9 @@
   }
 }
 
-// Nor must a bound of our own; but what was written may have run.
-TEST(Outcome, OurOwnBoundsAreNoBreakOfTheCaches) {
+// A limit of this process must not count as a fault of the cache; but a written request may have been
+// executed.
+TEST(StatusOfConnectionEnd, IsNoResetByTheCacheWhenALimitOfThisProcessIsReached) {
   EXPECT_EQ(status_of(ConnectionEnd::kOverflow, true), Status::kCancelled);
   EXPECT_FALSE(proves_not_executed(status_of(ConnectionEnd::kOverflow, true)));
   EXPECT_EQ(status_of(ConnectionEnd::kOverflow, false), Status::kNotSent);
