--- a/src/tasks/health_check_task.h
+++ b/src/tasks/health_check_task.h
@@ -28,7 +28,8 @@
 class HealthCheckTask : public OwnedTask, public coordination::WatchObserver {
  public:
   HealthCheckTask(transport::Scheduler& scheduler, coordination::CoordinationStore& store, std::string prefix,
-                  const routing::Directory& directory, const OwnershipOptions& options, TaskContext context);
+                  const routing::EndpointDirectory& directory, const OwnershipOptions& options,
+                  TaskContext context);
   ~HealthCheckTask() override;
 
   void start() override;
@@ -53,7 +54,7 @@
   transport::Scheduler& scheduler_;
   coordination::CoordinationStore& store_;
   std::string prefix_;
-  const routing::Directory& directory_;
+  const routing::EndpointDirectory& directory_;
   OwnershipOptions options_;
   TaskContext context_;
   HealthCheckPlan plan_;
