--- a/src/aggregation/options.cpp
+++ b/src/aggregation/options.cpp
@@ -68,25 +68,30 @@
                              "A process between the routers of a region and the coordination store, which is "
                              "that of the section coordination.");
     const WholeRange ms{1, 600'000};
-    record.text("listen", &O::listen, "IP:PORT", Words{{}, true}, "where the region's routers connect")
+    record
+        .text("listen", &O::listen, "IP:PORT", Words{{}, true},
+              "address on which the routers of the region connect")
         .text("name", &O::name, "-", Words{{}, true},
-              "of this aggregator; summaries stand in the store under NAME.ZONE")
-        .texts("zones", &O::zones, "-", "whose routers it serves; 1 to 64")
+              "name of this aggregator; its summaries are stored under NAME.ZONE")
+        .texts("zones", &O::zones, "-", "zones whose routers it serves; 1 to 64")
         .text("board", &O::board, "IP:PORT", Words{},
-              "the discovery service; with it this aggregator may own the fleet's work of kind acknowledge")
+              "address of the discovery service; with it this aggregator may own the fleet's work of kind "
+              "acknowledge")
         .whole("ttl_ms", &O::ttl_ms, "ms", WholeRange{200, 600'000},
-               "of its own lease at the store: a rollout waits so long for an aggregator that is lost")
+               "time of its own lease at the store; a rollout waits this long for an aggregator that is lost")
         .whole("renew_ms", &O::renew_ms, "ms", ms,
-               "after which it is renewed; ttl_ms must cover two, and one beside a router's lease")
+               "time after which it renews its lease; ttl_ms has to cover two renewals, and one beside a "
+               "router's lease")
         .real("drift_percent", &O::drift_percent, "%", RealRange{0.0, 20.0},
-              "by which its clock and the store's may run apart")
+              "maximum difference in rate between its clock and the store's")
         .whole("margin_ms", &O::margin_ms, "ms", WholeRange{0, 60'000},
-               "by which its lease ends sooner: between a look at the clock and the answer")
-        .whole("retry_ms", &O::retry_ms, "ms", ms, "after a call to the store that was lost or rejected")
+               "time by which its lease ends early, for the delay between the clock check and the response")
+        .whole("retry_ms", &O::retry_ms, "ms", ms,
+               "delay before a retry of a store call that was lost or rejected")
         .whole("routers", &O::routers, "routers", WholeRange{1, 100'000},
-               "with a lease at once; others are sent on to the next aggregator")
+               "maximum number of routers with a lease; others are redirected to the next aggregator")
         .whole("connections", &O::connections, "connections", WholeRange{1, 1'000'000},
-               "at once; three of each router at most, two as a rule");
+               "maximum open connections; a router has usually two, at most three");
     return record;
   }();
   return kRecord;
@@ -118,8 +123,9 @@
         "aggregation",
         "The aggregators of a router's region. With them it gets the policy and its lease there, and "
         "needs the store of the section coordination only for owned work.");
-    record.texts("endpoints", &AggregationOptions::endpoints, "IP:PORT",
-                 "of aggregators that serve this router's zone, the first to be tried first");
+    record.texts(
+        "endpoints", &AggregationOptions::endpoints, "IP:PORT",
+        "addresses of aggregators that serve this router's zone, in the order in which they are tried");
     return record;
   }();
   return kRecord;
--- a/src/cache_node/node_options.cpp
+++ b/src/cache_node/node_options.cpp
@@ -8,50 +8,47 @@
 const config::Record<NodeOptions>& node_record() {
   static const config::Record<NodeOptions> kRecord = [] {
     config::Record<NodeOptions> record("cache", "A cache node: `trailcourse cache`.");
-    record.text("name", &NodeOptions::name, "-", Words{{}, true}, "its id in the list of caches")
+    record.text("name", &NodeOptions::name, "-", Words{{}, true}, "name of this node in the endpoint list")
         .text("listen", &NodeOptions::listen, "IP:PORT", Words{{}, true},
-              "where routers and other nodes connect")
+              "address on which routers and other nodes connect")
         .text("board", &NodeOptions::board, "IP:PORT", Words{},
-              "the notice board, which tells of purges and where sources are; none: sources below, no purges "
-              "but "
-              "by age limits")
+              "address of the discovery service, which reports purges and the addresses of sources; none: "
+              "only the sources below, and no purges but by age limits")
         .texts("sources", &NodeOptions::sources, "NAME=IP:PORT",
-               "where sources are, beside those that the notice board lists")
+               "addresses of sources, in addition to those that the discovery service lists")
         .text("fill_from", &NodeOptions::fill_from, "-", Words{},
-              "the source of what a request names none for, as at a parent; none: it is then a miss")
+              "source of a fill where the request names none, as at a parent; none: such a request is a miss")
         .text("origin", &NodeOptions::origin, "-", Words{},
-              "which source is the origin, for the notes in answers")
+              "name of the source that is the origin, for the notes in responses")
         .whole("open_requests", &NodeOptions::open_requests, "requests", WholeRange{1, 1'000'000},
-               "open at once; beyond it BUSY at once")
+               "maximum open requests; further requests are answered BUSY at once")
         .whole("in_flight_mb", &NodeOptions::in_flight_mb, "MB", WholeRange{1, 1'048'576},
-               "of fills under way and answers not yet taken; beyond it BUSY at once")
+               "maximum size of fills in progress and responses that were not sent yet; further requests are "
+               "answered BUSY at once")
         .whole("fills", &NodeOptions::fills, "fills", WholeRange{1, 100'000},
-               "under way at once; beyond it a miss is answered BUSY, so that sources are not pushed over")
+               "maximum fills in progress; further misses are answered BUSY, to protect the sources from "
+               "overload")
         .whole("value_kb", &NodeOptions::value_kb, "KB", WholeRange{1, 262'144},
-               "the largest value; a source that sends more is not listened to")
+               "maximum size of a value; a larger response of a source is rejected")
+        .whole("answer_bytes", &NodeOptions::answer_bytes, "bytes", WholeRange{1'024, 67'108'864},
+               "maximum size of a response that routers read; a larger object is answered ERR and not stored")
         .whole(
-            "answer_bytes", &NodeOptions::answer_bytes, "bytes", WholeRange{1'024, 67'108'864},
-            "the most that one answer holds, as routers read them; a larger object is answered ERR and not "
-            "kept")
-        .whole("connections", &NodeOptions::connections, "connections", WholeRange{8, 100'000},
-               "from routers and nodes; beyond it the one unused for longest goes")
+            "connections", &NodeOptions::connections, "connections", WholeRange{8, 100'000},
+            "maximum connections of routers and nodes; beyond it the one that is idle for longest is closed")
         .whole("source_connections", &NodeOptions::source_connections, "connections", WholeRange{1, 1'024},
-               "to one source")
+               "maximum connections to one source")
         .whole("connect_ms", &NodeOptions::connect_ms, "ms", WholeRange{10, 60'000},
-               "a connection to a source not up by then has failed")
+               "timeout of a connection to a source")
         .whole("idle_ms", &NodeOptions::idle_ms, "ms", WholeRange{100, 3'600'000},
-               "an unused connection is closed; the settings of routers tell them the same time")
+               "idle time after which a connection is closed; has to match the settings of the routers")
         .whole("board_wait_ms", &NodeOptions::board_wait_ms, "ms", WholeRange{0, 600'000},
-               "after a start, copies from before it go only to requests that say how old they may be, until "
-               "the "
-               "board was heard, for so long at most")
+               "maximum time after a start for which copies from before it are served only to requests that "
+               "limit their age, until the discovery service has responded")
         .whole("report_s", &NodeOptions::report_s, "s", WholeRange{1, 86'400},
-               "between two log lines of figures")
+               "interval between two log lines of counters")
         .text("fence_folder", &NodeOptions::fence_folder, "path", Words{},
-              "where the terms of owned work are kept; none: beside the store's folder, and without that "
-              "fenced "
-              "commands "
-              "are refused");
+              "folder of the fencing tokens; none: beside the folder of the store, and without that fenced "
+              "commands are rejected");
     return record;
   }();
   return kRecord;
@@ -59,12 +56,15 @@
 
 const config::Record<ClassOptions>& class_record() {
   static const config::Record<ClassOptions> kRecord = [] {
-    config::Record<ClassOptions> record("classes", "One entry for each class that is served, by its name.");
+    config::Record<ClassOptions> record("classes",
+                                        "One entry for each class that the node serves, by its name.");
     record
         .whole("fresh_ms", &ClassOptions::fresh_ms, "ms", WholeRange{0, 31'536'000'000},
-               "how old a copy may be where a request does not say; 0: until purged")
+               "maximum age of a copy where the request does not limit it; 0: no limit, a copy is valid "
+               "until it is purged")
         .text("use", &ClassOptions::use, "-", Words{{"kept", "passed"}, false},
-              "passed: every request goes on to its source once, nothing is shared or kept, as for writes");
+              "kept: copies are stored and shared; passed: every request is forwarded to its source once and "
+              "nothing is stored, as for writes");
     return record;
   }();
   return kRecord;
@@ -72,19 +72,21 @@
 
 const config::Record<OriginOptions>& origin_record() {
   static const config::Record<OriginOptions> kRecord = [] {
-    config::Record<OriginOptions> record("origin",
-                                         "A small origin for trying things out: `trailcourse origin`.");
-    record.text("listen", &OriginOptions::listen, "IP:PORT", Words{{}, true}, "where nodes connect")
-        .text("name", &OriginOptions::name, "-", Words{}, "its id in the list")
+    config::Record<OriginOptions> record("origin", "A small origin for tests: `trailcourse origin`.");
+    record
+        .text("listen", &OriginOptions::listen, "IP:PORT", Words{{}, true}, "address on which nodes connect")
+        .text("name", &OriginOptions::name, "-", Words{}, "name of this origin in the endpoint list")
         .text("folder", &OriginOptions::folder, "-", Words{},
-              "serves the files ITEM or ITEM/PART below it; none: objects are made from their names")
+              "folder of the files ITEM or ITEM/PART that it serves; none: objects are generated from their "
+              "names")
         .whole("size_kb", &OriginOptions::size_kb, "KB", WholeRange{0, protocol::kMaxObjectBytes >> 10U},
-               "of a made object; the protocol's objects hold 240,000 bytes at most")
-        .whole("delay_ms", &OriginOptions::delay_ms, "ms", WholeRange{0, 60'000}, "before each answer")
+               "size of a generated object; the protocol allows up to 240,000 bytes")
+        .whole("delay_ms", &OriginOptions::delay_ms, "ms", WholeRange{0, 60'000},
+               "delay before each response")
         .whole("kb_per_s", &OriginOptions::kb_per_s, "KB/s", WholeRange{0, 16'777'216},
-               "of all answers together, one after the other; 0: as fast as it goes")
+               "maximum rate of all responses together, which are sent one after the other; 0: no limit")
         .whole("transfers", &OriginOptions::transfers, "transfers", WholeRange{1, 100'000},
-               "at once; beyond it BUSY");
+               "maximum concurrent transfers; further requests are answered BUSY");
     return record;
   }();
   return kRecord;
--- a/src/coordination/options.cpp
+++ b/src/coordination/options.cpp
@@ -9,34 +9,33 @@
   static const config::Record<CoordinationOptions> kRecord = [] {
     config::Record<CoordinationOptions> record(
         "coordination",
-        "The coordination store, for work that one router does for all. Off unless a store is named; no "
-        "request ever waits for it.");
+        "The coordination store, for work that one router does for the whole fleet. Off unless a store is "
+        "named; no request ever waits for it.");
     record
         .text("store", &CoordinationOptions::store, "-", Words{{"none", "etcd", "embedded"}, false},
-              "none; etcd: its v3 interface over HTTP, as `trailcourse registry` speaks it too; embedded: a "
-              "folder that "
-              "all routers of one machine share")
+              "type of the coordination store; etcd: the v3 interface over HTTP, which `trailcourse "
+              "registry` has too; embedded: a folder that all routers of one machine share")
         .texts("endpoints", &CoordinationOptions::endpoints, "IP:PORT",
-               "of the store, for etcd: all of one cluster")
+               "addresses of the store, for etcd; all members of one cluster")
         .text("folder", &CoordinationOptions::folder, "path", Words{},
-              "for embedded; on a disk of this machine")
+              "folder of the store, for embedded; on a local disk")
         .text("store_id", &CoordinationOptions::store_id, "-", Words{},
-              "the number of the store (cluster_id), so that another one's answers are never used; none: the "
-              "first that "
-              "answers")
-        .text("prefix", &CoordinationOptions::prefix, "-", Words{}, "before all keys: one for each fleet")
+              "expected id of the store (cluster_id); responses of another store are not used; none: the id "
+              "of the first store that responds")
+        .text("prefix", &CoordinationOptions::prefix, "-", Words{}, "prefix of all keys; one for each fleet")
         .whole("call_ms", &CoordinationOptions::call_ms, "ms", WholeRange{10, 60'000},
-               "a call that is not answered by then counts as lost: done or not, nobody knows")
+               "timeout of a call; whether a call that timed out was executed is unknown")
         .whole("connect_ms", &CoordinationOptions::connect_ms, "ms", WholeRange{10, 60'000},
-               "the same for a connection: then nothing was done")
+               "timeout of a connection attempt; nothing was executed then")
         .whole("rest_ms", &CoordinationOptions::rest_ms, "ms", WholeRange{1, 60'000},
-               "after all endpoints have failed; drawn from a half to one and a half, doubles each time")
+               "backoff after all endpoints have failed; multiplied by a random 0.5 to 1.5, and doubles each "
+               "time")
         .whole("longest_rest_ms", &CoordinationOptions::longest_rest_ms, "ms", WholeRange{1, 600'000},
-               "to which that grows")
+               "maximum backoff")
         .whole("watch_silent_ms", &CoordinationOptions::watch_silent_ms, "ms", WholeRange{100, 600'000},
-               "a watch that told nothing for so long is opened again: its connection may be dead")
+               "time without data after which a watch is reopened, because its connection may be dead")
         .whole("look_ms", &CoordinationOptions::look_ms, "ms", WholeRange{1, 60'000},
-               "for embedded: how often a watch looks");
+               "poll interval of a watch, for embedded");
     return record;
   }();
   return kRecord;
@@ -46,19 +45,19 @@
   static const config::Record<RegistryOptions> kRecord = [] {
     config::Record<RegistryOptions> record(
         "registry",
-        "A store of one process that speaks the needed part of etcd's v3 interface, for trying things out "
-        "and for fleets that "
-        "bear its loss.");
+        "A coordination server of one process with the part of etcd's v3 interface that routers need, for "
+        "tests and for fleets that can tolerate its loss.");
     record
         .text("listen", &RegistryOptions::listen, "IP:PORT", Words{{}, true},
-              "where routers and staff reach it")
+              "address on which routers and operators connect")
         .text("folder", &RegistryOptions::folder, "path", Words{{}, true},
-              "where all is kept, synced before it is answered; one registry a folder")
+              "folder of the data, synced before each response; used by one server only")
         .whole("connections", &RegistryOptions::connections, "connections", WholeRange{1, 100'000},
-               "at once; two of each router")
-        .whole("entries", &RegistryOptions::entries, "keys", WholeRange{100, 10'000'000}, "at most")
+               "maximum open connections; a router has two")
+        .whole("entries", &RegistryOptions::entries, "keys", WholeRange{100, 10'000'000},
+               "maximum number of keys")
         .whole("history", &RegistryOptions::history, "changes", WholeRange{16, 10'000'000},
-               "kept for watches that come back; older ones read all anew");
+               "number of changes kept for watches that reconnect; an older watch reads all keys again");
     return record;
   }();
   return kRecord;
--- a/src/discovery/long_poll_scheduler.cpp
+++ b/src/discovery/long_poll_scheduler.cpp
@@ -20,24 +20,26 @@
 const config::Record<DiscoveryOptions>& discovery_record() {
   static const config::Record<DiscoveryOptions> kRecord = [] {
     config::Record<DiscoveryOptions> record("board",
-                                            "A notice board that many routers lean on: `trailcourse board`.");
+                                            "A discovery service for many routers: `trailcourse board`.");
     record
-        .text("listen", &DiscoveryOptions::listen, "IP:PORT", Words{{}, true}, "where routers and nodes ask")
+        .text("listen", &DiscoveryOptions::listen, "IP:PORT", Words{{}, true},
+              "address on which routers and nodes poll")
         .text("file", &DiscoveryOptions::file, "-", Words{{}, true},
-              "what it tells, as {\"rev\":N,\"notices\":[...]}; a new one is told at once")
+              "file of the published page, as {\"rev\":N,\"notices\":[...]}; a change is published at once")
         .whole("connections", &DiscoveryOptions::connections, "connections", WholeRange{1, 1'000'000},
-               "at once; one beyond is answered 503 with a time to come back, and closed")
+               "maximum open connections; a further one is answered 503 with a Retry-After, and closed")
         .whole("waiting", &DiscoveryOptions::waiting, "calls", WholeRange{1, 1'000'000},
-               "held at once until there is news; one beyond is sent away")
+               "maximum long polls that wait for an update; further ones are rejected")
         .whole("calls_per_s", &DiscoveryOptions::calls_per_s, "calls/s", WholeRange{0, 1'000'000},
-               "answered beside those that were held; beyond it calls get a turn in a line by Retry-After; "
-               "0: as they come")
+               "calls answered per second, beside the long polls that are released; further calls are queued "
+               "by Retry-After; 0: no limit")
         .whole("release_ms", &DiscoveryOptions::release_ms, "ms", WholeRange{0, 5'000},
-               "news is told to held calls spread over so long: well within the purge grace of the settings")
+               "window over which an update is sent to the waiting long polls; well below the purge grace of "
+               "the settings")
         .whole("retry_after_most_s", &DiscoveryOptions::retry_after_most_s, "s", WholeRange{1, 3'600},
-               "the longest wait that a call is sent away with")
+               "maximum Retry-After of a rejected call")
         .whole("linger_most_ms", &DiscoveryOptions::linger_most_ms, "ms", WholeRange{0, 60'000},
-               "a call is held for so long at most, whatever it asks for");
+               "maximum time for which a long poll waits, whatever timeout it requests");
     return record;
   }();
   return kRecord;
--- a/src/policy/options.cpp
+++ b/src/policy/options.cpp
@@ -11,32 +11,35 @@
 const config::Record<PolicyOptions>& policy_record() {
   static const config::Record<PolicyOptions> kRecord = [] {
     using O = PolicyOptions;
-    config::Record<O> record("policy",
-                             "The fleet's policy, which takes hold everywhere or nowhere; needs the section "
-                             "coordination.");
+    config::Record<O> record(
+        "policy",
+        "The fleet's policy, which is changed on all routers or on none; needs the section coordination.");
     const WholeRange ms{1, 600'000};
     record
         .flag("follow", &O::follow,
-              "this router decides only by the policy in force, and while it has its lease")
+              "decide only by the policy in force, and only while this router has its lease")
         .text("without", &O::without, "-", Words{{"both", "refuse"}, false},
-              "what it does between two versions: serve what both allow, or refuse at once; without the "
-              "store it refuses")
+              "behaviour between two versions; both: serve what both versions allow; refuse: reject all "
+              "requests. Without the store all requests are rejected")
         .text("folder", &O::folder, "path", Words{},
-              "where versions are stored before they are reported as ready; none: they are not stored")
-        .whole(
-            "ttl_ms", &O::ttl_ms, "ms", WholeRange{200, 600'000},
-            "of a lease: a change waits so long for a router that is stopped, and a router without the store "
-            "serves no longer")
-        .whole("renew_ms", &O::renew_ms, "ms", ms, "after which it is renewed; ttl_ms holds two at least")
+              "folder where policy versions are stored before they are reported as ready; none: they are not "
+              "stored")
+        .whole("ttl_ms", &O::ttl_ms, "ms", WholeRange{200, 600'000},
+               "lease time; a rollout waits this long for a stopped router, and a router that cannot reach "
+               "the store stops serving after this time")
+        .whole("renew_ms", &O::renew_ms, "ms", ms,
+               "time after which the lease is renewed; ttl_ms has to cover two renewals")
         .real("drift_percent", &O::drift_percent, "%", RealRange{0.0, 20.0},
-              "by which two clocks may run apart")
+              "maximum difference in rate between two clocks")
         .whole("margin_ms", &O::margin_ms, "ms", WholeRange{0, 60'000},
-               "by which a lease ends sooner: between a look at the clock and the decision")
-        .whole("retry_ms", &O::retry_ms, "ms", ms, "after a call to the store that was lost or refused")
+               "time by which the lease ends early, for the delay between the clock check and the decision")
+        .whole("retry_ms", &O::retry_ms, "ms", ms,
+               "delay before a retry of a store call that was lost or rejected")
         .whole("prepare_most_ms", &O::prepare_most_ms, "ms", WholeRange{100, 3'600'000},
-               "for which a change waits until all are ready; then it is aborted")
+               "maximum time for which a rollout waits until all routers are ready; it is then aborted")
         .whole("hold_most_ms", &O::hold_most_ms, "ms", WholeRange{100, 3'600'000},
-               "for which it waits until all hold; over ttl_ms");
+               "maximum time for which a rollout waits until all routers have suspended the old version; has "
+               "to be above ttl_ms");
     return record;
   }();
   return kRecord;
--- a/src/policy/policy_content.cpp
+++ b/src/policy/policy_content.cpp
@@ -124,18 +124,19 @@
 
 const config::Record<ClassPolicy>& class_policy_record() {
   static const config::Record<ClassPolicy> kRecord = [] {
-    config::Record<ClassPolicy> record("classes", "Of one class of requests; by the names of the settings.");
-    record.flag("serve", &ClassPolicy::serve, "false: requests of it are refused at once")
+    config::Record<ClassPolicy> record(
+        "classes", "Policy of one request class; the keys have the names of the settings.");
+    record.flag("serve", &ClassPolicy::serve, "serve requests of this class; false: reject them at once")
         .whole("objective_ms", &ClassPolicy::objective_ms, "ms", WholeRange{1, kMaxTimeoutMs},
-               "within which an answer counts as in time")
+               "latency objective; a response within it is in time")
         .whole("give_up_ms", &ClassPolicy::give_up_ms, "ms", WholeRange{1, kMaxTimeoutMs},
-               "after which clients do not wait any more")
+               "deadline after which clients no longer wait")
         .real("worth", &ClassPolicy::priority_weight, "-", RealRange{0.0, 1e6},
-              "of one answer in time, beside the others'")
+              "priority weight of a response in time, relative to other classes")
         .whole("fresh_ms", &ClassPolicy::fresh_ms, "ms", WholeRange{0, kMaxAgeMs},
-               "for which a copy is good; 0: until purged")
+               "maximum age of a copy; 0: valid until it is purged")
         .whole("grace_ms", &ClassPolicy::grace_ms, "ms", WholeRange{0, kMaxAgeMs},
-               "beyond that, where nothing fresher is to be had");
+               "extra age that is allowed where no fresher copy is available");
     return record;
   }();
   return kRecord;
@@ -143,14 +144,14 @@
 
 const config::Record<LimitPolicy>& limit_policy_record() {
   static const config::Record<LimitPolicy> kRecord = [] {
-    config::Record<LimitPolicy> record("limits", "Of each router.");
+    config::Record<LimitPolicy> record("limits", "Limits of each router.");
     record
         .whole("open_requests", &LimitPolicy::open_requests, "requests", WholeRange{0, 10'000'000},
-               "open at once; a router that cannot bear so many rejects the version; 0: as its memory and "
-               "sockets bear")
+               "maximum open requests; a router that cannot hold that many rejects the version; 0: as its "
+               "memory and sockets allow")
         .whole("retry_after_ms", &LimitPolicy::retry_after_ms, "ms", WholeRange{0, 600'000},
-               "the longest wait that rejected clients are sent")
-        .texts("work", &LimitPolicy::work, "-", "kinds of the fleet's work that may be owned");
+               "maximum Retry-After of rejected requests")
+        .texts("work", &LimitPolicy::work, "-", "kinds of the fleet's work that a router may own");
     return record;
   }();
   return kRecord;
--- a/src/program/configuration.cpp
+++ b/src/program/configuration.cpp
@@ -141,7 +141,8 @@
 
 void read_limits(const json& source, Configuration& out) {
   const json& limits = under("limits", [&]() -> const json& { return protocol::section(source, "limits"); });
-  out.memory_mb = under("limits.memory_mb", [&] { return protocol::integer_or_default(limits, "memory_mb", 0); });
+  out.memory_mb =
+      under("limits.memory_mb", [&] { return protocol::integer_or_default(limits, "memory_mb", 0); });
   out.sockets = under("limits.sockets", [&] { return protocol::integer_or_default(limits, "sockets", 0); });
   rlimit system{};
   const bool known = ::getrlimit(RLIMIT_NOFILE, &system) == 0 && system.rlim_cur != RLIM_INFINITY;
@@ -195,84 +196,93 @@
 void add_client_keys(config::Record<Tuning>& record) {
   record
       .whole("listen_backlog", &Tuning::listen_backlog, "connections", WholeRange{1, 65'535},
-             "connections that may wait to be accepted; one that the system accepts is ours to answer")
+             "connections that may wait to be accepted; a request on a connection that the system has "
+             "accepted is answered")
       .whole("client_idle_ms", &Tuning::client_idle_ms, "ms", WholeRange{1'000, 3'600'000},
-             "clients close after 4 s; this reclaims those that vanished or hold on")
+             "idle time after which a client connection is closed; clients close after 4 s, so this reclaims "
+             "the connections of clients that vanished or do not close")
       .whole("client_request_ms", &Tuning::client_request_ms, "ms", WholeRange{100, 3'600'000},
-             "for a connection's first usable request, and for the rest of a message that has begun")
+             "timeout of the first valid request of a connection, and of the rest of a partial message")
       .whole("client_young_ms", &Tuning::client_young_ms, "ms", WholeRange{0, 60'000},
-             "a connection that was just accepted is not closed for its descriptor: its request may be on "
-             "its way")
+             "time after its accept for which a connection is not closed to free its descriptor, because its "
+             "request may be on its way")
       .whole("client_share_percent", &Tuning::client_share_percent, "percent", WholeRange{5, 80},
-             "of the descriptors that clients may hold; they hold a third, and some hold on for good")
+             "share of the descriptors that clients may hold; they usually hold a third, and some "
+             "connections stay open for long")
       .whole("client_untaken_answers", &Tuning::client_untaken_answers, "answers", WholeRange{64, 65'535},
-             "on one connection; a client that floods and takes no answer ends its connection")
+             "maximum responses that wait to be sent on one connection; the connection of a client that "
+             "sends requests without reading responses is closed")
       .whole("client_untaken_bytes", &Tuning::client_untaken_bytes, "bytes", WholeRange{4'096, 16'777'216},
-             "the same, of records that are answered at once")
+             "maximum unsent bytes on one connection, checked when a rejection or a management response is "
+             "added")
       .whole("client_lead_ms", &Tuning::client_lead_ms, "ms", WholeRange{0, 1'000},
-             "patience counts from when the client sent the request; so much of it was used on the way here")
+             "time that a request is assumed to need from the client to here; a deadline counts from the "
+             "moment the client sent the request")
       .whole("client_stall_ms", &Tuning::client_stall_ms, "ms", WholeRange{100, 3'600'000},
-             "a client that takes nothing for so long has given its answers up")
+             "time without progress after which the connection of a client that does not read its responses "
+             "is closed")
       .whole("client_send_buffer", &Tuning::client_send_buffer, "bytes", WholeRange{0, 16'777'216},
-             "what the system may hold for one client; 0 leaves it to the system")
+             "size of the system's send buffer of one client; 0: the system's default")
       .whole("answer_record_bytes", &Tuning::answer_record_bytes, "bytes", WholeRange{512, 65'535},
-             "one turn of an answer: a large one lets small ones through after so much")
+             "size of the record by which responses on one connection take turns, so that a large one does "
+             "not block small ones")
       .whole("write_low_mark", &Tuning::write_low_mark, "bytes", WholeRange{1'024, 16'777'216},
-             "what is handed to a connection ahead of its socket");
+             "bytes handed to a connection before its socket has accepted them");
 }
 
 void add_cache_keys(config::Record<Tuning>& record) {
   record
       .whole("cache_connections", &Tuning::cache_connections, "connections", WholeRange{1, 1'024},
-             "to one cache: a large answer holds up what comes behind it on its connection")
+             "maximum connections to one cache; a large response delays those behind it on its connection")
       .whole("cache_silent_ms", &Tuning::cache_silent_ms, "ms", WholeRange{10, 600'000},
-             "nothing came from a cache for so long after a request that was given up: its connections "
-             "are, too")
+             "time without data from a cache, after a request that was abandoned, after which its "
+             "connections are closed")
       .whole("cache_stall_ms", &Tuning::cache_stall_ms, "ms", WholeRange{10, 600'000},
-             "an answer of a cache that has begun and brings nothing for so long: its connection is given up")
+             "time without progress of a partial response after which the connection to its cache is closed")
       .whole("answer_bytes", &Tuning::answer_bytes, "bytes", WholeRange{1'024, 67'108'864},
-             "one answer of a cache; objects hold 240,000 at most");
+             "maximum size of a response of a cache; objects have at most 240,000 bytes");
 }
 
 void add_discovery_keys(config::Record<Tuning>& record) {
   record
       .whole("board_linger_ms", &Tuning::board_linger_ms, "ms", WholeRange{0, 5'000},
-             "how long the notice board may hold a call")
+             "long-poll timeout that is requested of the discovery service")
       .whole("board_grace_ms", &Tuning::board_grace_ms, "ms", WholeRange{10, 60'000},
-             "beyond that the notice board is silent")
+             "time after the long-poll timeout at which a poll of the discovery service has failed")
       .whole("board_pause_ms", &Tuning::board_pause_ms, "ms", WholeRange{1, 60'000},
-             "first pause after a failed call, as a mean; it doubles")
+             "mean backoff after the first failed poll; doubles with each further failure")
       .whole("board_most_pause_ms", &Tuning::board_most_pause_ms, "ms", WholeRange{1, 60'000},
-             "longest pause between failed calls, as a mean: what the notice board has to tell counts as "
-             "told 2 s "
-             "after a "
-             "break");
+             "maximum mean backoff between failed polls; an update of the discovery service is in force 2 s "
+             "after a connection loss, whether it was received or not");
 }
 
 void add_drain_and_memory_keys(config::Record<Tuning>& record) {
   record
       .whole("drain_linger_ms", &Tuning::drain_linger_ms, "ms", WholeRange{0, 60'000},
-             "arrivals go on for up to 0.6 s after SIGTERM")
+             "minimum time to accept requests after SIGTERM; they arrive for up to 0.6 s after it")
       .whole("drain_quiet_ms", &Tuning::drain_quiet_ms, "ms", WholeRange{0, 60'000},
-             "and so long since the last request: what is late on its way is still taken")
+             "time without a new request after which a draining router stops accepting, so that delayed "
+             "requests are still served")
       .whole("drain_answer_ms", &Tuning::drain_answer_ms, "ms", WholeRange{100, 600'000},
-             "after SIGTERM requests are answered for the longest deadline of the settings, at most for so "
-             "long")
-      .whole("drain_late_ms", &Tuning::drain_late_ms, "ms", WholeRange{0, 60'000},
-             "and so much longer for what came late; SIGKILL comes 0.7 s after the longest deadline")
+             "maximum time after SIGTERM to answer open requests; less where the longest deadline of the "
+             "settings is shorter")
+      .whole(
+          "drain_late_ms", &Tuning::drain_late_ms, "ms", WholeRange{0, 60'000},
+          "extra time to answer requests that arrived late; SIGKILL comes 0.7 s after the longest deadline")
       .whole("base_memory_mb", &Tuning::base_memory_mb, "MB", WholeRange{1, 1'024},
-             "of the program itself, its tables and the allocator's slack; the rest is shared out by the "
-             "bounds")
-      .whole("open_request_bytes", &Tuning::open_request_bytes, "bytes", WholeRange{1'024, 67'108'864},
-             "memory counted for each open request beside its body; answers are counted apart");
+             "memory of the program itself, its tables and the allocator's overhead; the rest is divided "
+             "between the limits")
+      .whole(
+          "open_request_bytes", &Tuning::open_request_bytes, "bytes", WholeRange{1'024, 67'108'864},
+          "memory counted for each open request in addition to its body; responses are counted separately");
 }
 
 }  // namespace
 
 const config::Record<Tuning>& tuning_record() {
   static const config::Record<Tuning> kRecord = [] {
-    config::Record<Tuning> record("router",
-                                  "Matters of the router's sockets and memory; none touches a decision.");
+    config::Record<Tuning> record(
+        "router", "Socket and memory settings of the router; none of them changes a routing decision.");
     add_client_keys(record);
     add_cache_keys(record);
     add_discovery_keys(record);
--- a/src/program/start_options.cpp
+++ b/src/program/start_options.cpp
@@ -11,32 +11,33 @@
 
 const config::Record<RelayOptions>& relay_record() {
   static const config::Record<RelayOptions> kRecord = [] {
-    config::Record<RelayOptions> record("relay",
-                                        "The board's pages passed on between the routers of a zone, where "
-                                        "the deployment lets them talk; off unless "
-                                        "peers are named.");
+    config::Record<RelayOptions> record(
+        "relay",
+        "Relays of discovery pages between the routers of a zone, where the deployment lets them connect to "
+        "each other; off unless peers are named.");
     record
         .text("listen", &RelayOptions::listen, "IP:PORT", Words{},
-              "where this router's peers ask; none: it passes "
-              "nothing on")
+              "address on which this router's peers connect; none: it is not a relay")
         .texts("peers", &RelayOptions::peers, "NAME=IP:PORT",
-               "the routers of this zone and where each passes pages on; the same list at each")
+               "routers of this zone and their relay addresses; the same list at each router")
         .whole("degree", &RelayOptions::degree, "routers", WholeRange{1, 1'000},
-               "that ask one relay; a hash of the names makes the tree")
+               "number of routers that poll one relay; the tree follows from a hash of the names")
         .whole("linger_ms", &RelayOptions::linger_ms, "ms", WholeRange{1, 5'000},
-               "how long a relay holds a call: each level adds so much to the age of what it says, at most")
+               "long-poll timeout of a relay; each level of the tree adds up to this to the age of a page")
         .whole("grace_ms", &RelayOptions::grace_ms, "ms", WholeRange{1, 5'000},
-               "beyond that a relay is silent: with linger_ms, what a dead or stalled one costs")
+               "time after linger_ms at which a poll of a relay has failed; the two are the delay by a dead "
+               "or stalled relay")
         .whole("most_age_ms", &RelayOptions::most_age_ms, "ms", WholeRange{10, 60'000},
-               "the oldest page that is believed or passed on: what a relay tells is late by so much at most")
+               "maximum age of a page that is accepted or relayed; a relay delays an update by at most this")
         .whole("pass_over_ms", &RelayOptions::pass_over_ms, "ms", WholeRange{1, 600'000},
-               "a relay that failed is not asked for so long; it doubles, up to 30 s")
+               "time for which a relay that failed is quarantined; doubles with each failure, up to 30 s")
         .whole("distrust_s", &RelayOptions::distrust_s, "s", WholeRange{1, 86'400},
-               "one that withheld what the board tells is not asked for so long")
+               "time for which a relay that withheld an update is quarantined")
         .real("audits_per_s", &RelayOptions::audits_per_s, "calls/s", RealRange{0.0, 1e5},
-              "of all routers together, to the board itself, to find out relays that withhold; 0: none")
+              "polls of the discovery service itself, of all routers together, to detect relays that "
+              "withhold updates; 0: none")
         .whole("connections", &RelayOptions::connections, "connections", WholeRange{1, 100'000},
-               "from peers at once");
+               "maximum open connections of peers");
     return record;
   }();
   return kRecord;
--- a/src/snapshot/snapshot.cpp
+++ b/src/snapshot/snapshot.cpp
@@ -108,20 +108,20 @@
 
 const config::Record<SnapshotOptions>& snapshot_record() {
   static const config::Record<SnapshotOptions> kRecord = [] {
-    config::Record<SnapshotOptions> record(
-        "snapshot",
-        "The last list and purges on a lasting disk, so that a start need not wait for the board.");
+    config::Record<SnapshotOptions> record("snapshot",
+                                           "The last endpoint list and purges on a persistent disk, so that "
+                                           "a start does not wait for the discovery service.");
     record
         .text("folder", &SnapshotOptions::folder, "-", Words{},
-              "of this router alone; none: nothing is kept. Made where it is not there")
+              "folder of the snapshots of this router only, created if missing; none: no snapshots")
         .text("fleet", &SnapshotOptions::fleet, "-", Words{{}, true},
-              "a snapshot of another fleet is not used")
+              "name of the fleet; a snapshot of another fleet is not used")
         .whole("write_ms", &SnapshotOptions::write_ms, "ms", WholeRange{10, 3'600'000},
-               "between two writes where the list or the purges change")
+               "minimum interval between two writes when the endpoint list or the purges change")
         .whole("confirm_ms", &SnapshotOptions::confirm_ms, "ms", WholeRange{100, 3'600'000},
-               "between two writes that only say that all is still current")
+               "interval between two writes that only record that the data is still current")
         .whole("most_age_s", &SnapshotOptions::most_age_s, "s", WholeRange{1, 31'536'000},
-               "one that was current longer ago is not used");
+               "maximum age of a snapshot; one that was last confirmed before that is not used");
     return record;
   }();
   return kRecord;
--- a/src/startup/options.cpp
+++ b/src/startup/options.cpp
@@ -26,38 +26,42 @@
   static const config::Record<StartOptions> kRecord = [] {
     config::Record<StartOptions> record(
         "startup",
-        "How a router starts, and comes back to what it depends on, among many that do the same at that "
-        "moment.");
+        "How a router starts, and reconnects to its dependencies, when many routers do so at the same time.");
     record
         .flag("spread", &StartOptions::spread,
-              "calls and connections are drawn over windows that the fleet's size sets; false: as a plain "
-              "router")
-        .whole("routers", &StartOptions::routers, "routers", WholeRange{0, 1'000'000},
-               "in the fleet; 0: as the settings tell, else as the board says")
+              "spread calls and connections at random over windows that follow from the number of routers; "
+              "false: make them at once")
+        .whole(
+            "routers", &StartOptions::routers, "routers", WholeRange{0, 1'000'000},
+            "number of routers in the fleet; 0: as the settings say, else as the discovery service reports")
         .real("board_calls_per_s", &StartOptions::board_calls_per_s, "calls/s", RealRange{0.1, 1e6},
-              "that the board bears from all routers while they start or come back")
+              "calls that the discovery service can serve for all routers while they start or reconnect")
         .whole("window_most_ms", &StartOptions::window_most_ms, "ms", WholeRange{50, 3'600'000},
-               "the longest time over which first calls, and calls after a failure, are drawn")
+               "maximum window over which first calls, and calls after a failure, are spread")
         .whole("reask_ms", &StartOptions::reask_ms, "ms", WholeRange{0, 10'000},
-               "after news the next call is drawn from so much: all routers were told in the same moment")
+               "maximum random delay of the next poll after an update; all routers receive an update at the "
+               "same time")
         .whole("retry_after_most_s", &StartOptions::retry_after_most_s, "s", WholeRange{0, 3'600},
-               "the longest wait named by the board that is obeyed in full")
+               "maximum Retry-After of the discovery service that is followed in full")
         .real("node_opens_per_s", &StartOptions::node_opens_per_s, "connections/s", RealRange{0.0, 1e6},
-              "that one cache or parent accepts from all routers; 0: opened as requests come")
+              "new connections from all routers that one cache or parent can accept; 0: connections open as "
+              "requests arrive")
         .whole("open_window_most_ms", &StartOptions::open_window_most_ms, "ms", WholeRange{0, 600'000},
-               "the longest time over which routers begin to use a node that is new or back")
+               "maximum window over which routers start to use a new or returning node")
         .whole("node_connections", &StartOptions::node_connections, "connections", WholeRange{0, 1'000'000},
-               "that one cache or parent holds from all routers; 0: not bounded here")
+               "connections from all routers that one cache or parent can hold; 0: no limit")
         .whole("flap_s", &StartOptions::flap_s, "s", WholeRange{0, 86'400},
-               "a node that returns within so long of its last return is a flapping one: its window doubles")
+               "a node that returns again within this time is flapping, and its admission window doubles")
         .text("unsure", &StartOptions::unsure, "-", Words{{"serve", "guard", "refuse"}, false},
-              "while the list may be old: serve as before; guard, with age limits that exclude what a purge "
-              "not heard of may forbid; refuse at once")
+              "policy while the endpoint list may be stale; serve: serve as usual; guard: serve with age "
+              "limits that exclude copies that a missed purge may forbid; refuse: reject all requests")
         .whole("told_within_ms", &StartOptions::told_within_ms, "ms", WholeRange{0, 600'000},
-               "what the board tells binds so long after, heard or not; 0: the settings' purge grace, and "
-               "with unsure `serve` no less than a call that is held takes")
+               "time after which an event of the discovery service is in force, whether it was received or "
+               "not; 0: the purge grace of the settings, and with unsure `serve` at least the duration of a "
+               "long poll")
         .whole("lapse_ms", &StartOptions::lapse_ms, "ms", WholeRange{0, 86'400'000},
-               "without a word from the board for so long all is refused; 0: never");
+               "time without a response of the discovery service after which all requests are rejected; 0: "
+               "never");
     return record;
   }();
   return kRecord;
--- a/src/store/options.cpp
+++ b/src/store/options.cpp
@@ -7,39 +7,41 @@
   using config::WholeRange;
   using config::Words;
   static const config::Record<Options> kRecord = [] {
-    config::Record<Options> record("store", "What a cache node keeps, in memory and on disk.");
+    config::Record<Options> record("store", "The memory and disk tiers of a cache node.");
     record
         .text("folder", &Options::folder, "-", Words{},
-              "the folder of the disk tier, used by one node alone; none: memory only")
+              "folder of the disk tier, used by one node only; none: memory only")
         .whole("disk_mb", &Options::disk_mb, "MB", WholeRange{16, 16'777'216},
-               "all segment files together; the index comes on top, about 150 bytes a copy")
+               "maximum size of all segment files; the index needs about 150 bytes per copy in addition")
         .whole("memory_mb", &Options::memory_mb, "MB", WholeRange{0, 1'048'576},
-               "copies kept in memory; what is in flight comes on top")
+               "maximum size of the copies in memory; data in flight comes in addition")
         .whole("segment_mb", &Options::segment_mb, "MB", WholeRange{1, 1'024},
-               "one segment file; room comes back by whole files, so large ones move more at once")
+               "size of one segment file; space is reclaimed by whole files, so larger files move more data "
+               "at once")
         .whole("part_kb", &Options::part_kb, "KB", WholeRange{4, 16'384},
-               "a larger value is kept in parts of this size, each filled, read and evicted by itself")
+               "size of the parts of a larger value; each part is filled, read and evicted by itself")
         .real("most_share", &Options::most_share, "of the tier", RealRange{0.001, 1.0},
-              "one copy; a larger one would push out too much at once")
+              "maximum share of a tier for one copy; a larger copy would evict too many others at once")
         .whole("write_kb_per_s", &Options::write_kb_per_s, "KB/s", WholeRange{0, 16'777'216},
-               "written to disk in the long run; flash wears by what is written; 0: no bound")
+               "maximum average write rate to disk, because writes wear flash; 0: no limit")
         .whole("write_burst_mb", &Options::write_burst_mb, "MB", WholeRange{1, 1'048'576},
-               "written at once after a quiet time; what is asked for again may overdraw it")
+               "maximum burst of writes after an idle period; copies that are requested again may exceed it")
         .whole("write_queue_mb", &Options::write_queue_mb, "MB", WholeRange{1, 65'536},
-               "copies that wait to be written; beyond it they are not kept on disk")
+               "maximum size of copies that wait to be written; copies beyond it are not stored on disk")
         .whole("read_threads", &Options::read_threads, "threads", WholeRange{1, 64},
-               "reads from disk at once; more helps where the disk serves several")
+               "threads that read from disk; more help where the disk serves several reads in parallel")
         .whole("reads_at_once", &Options::reads_at_once, "reads", WholeRange{1, 65'536},
-               "under way or waiting; beyond it a copy on disk counts as not held")
+               "maximum reads that are in progress or queued; beyond it a copy on disk counts as a miss")
         .whole("read_patience_ms", &Options::read_patience_ms, "ms", WholeRange{1, 60'000},
-               "a read that takes longer counts as a miss, and the disk as stalled until one is back in time")
-        .whole(
-            "expected_objects", &Options::expected_objects, "copies", WholeRange{64, 100'000'000},
-            "tables are made for so many at the start; growing beyond it costs a pause of some milliseconds")
+               "timeout of a read; a slower read counts as a miss, and the disk as stalled until a read is "
+               "in time")
+        .whole("expected_objects", &Options::expected_objects, "copies", WholeRange{64, 100'000'000},
+               "number of copies for which tables are allocated at the start; to grow beyond it takes a "
+               "pause of some milliseconds")
         .whole("purges", &Options::purges, "objects", WholeRange{1, 10'000'000},
-               "remembered one by one; beyond it the earliest binds every object, which costs copies, never "
-               "a rule")
-        .flag("compress", &Options::compress, "zstd for what shrinks by an eighth at least");
+               "number of purges recorded per object; beyond it the earliest applies to every object, which "
+               "drops more copies than needed but never misses a purge")
+        .flag("compress", &Options::compress, "compress values by zstd that shrink by at least an eighth");
     return record;
   }();
   return kRecord;
--- a/src/tasks/options.cpp
+++ b/src/tasks/options.cpp
@@ -20,33 +20,36 @@
   using O = OwnershipOptions;
   record
       .texts("kinds", &O::kinds, "-",
-             "of work that this router takes on: probe, fill, report, policy, acknowledge")
+             "kinds of work that this router may own: probe, fill, report, policy, acknowledge")
       .whole("ttl_ms", &O::ttl_ms, "ms", WholeRange{200, 600'000},
-             "for which the store gives a shard to its owner; so long it may be without one after a death")
+             "lease time of a shard; after its owner dies, the shard may be without an owner for this long")
       .real("drift_percent", &O::drift_percent, "%", RealRange{0.0, 20.0},
-            "by which two clocks may run apart: an owner stops so much earlier")
+            "maximum difference in rate between two clocks; an owner stops earlier by this share of the "
+            "lease time")
       .whole("margin_ms", &O::margin_ms, "ms", WholeRange{0, 60'000},
-             "between an owner's check and its effect's leaving")
+             "time between the lease check of an owner and the moment its effect is sent")
       .whole("renew_ms", &O::renew_ms, "ms", kMilliseconds,
-             "after which an owner renews; ttl_ms holds two at least")
+             "time after which an owner renews its lease; ttl_ms has to cover two renewals")
       .whole("retry_ms", &O::retry_ms, "ms", kMilliseconds,
-             "after a call to the store that was lost or refused")
+             "delay before a retry of a store call that was lost or rejected")
       .whole("turn_ms", &O::turn_ms, "ms", WholeRange{0, 60'000},
-             "that a candidate waits for each one before it: not all ask at once")
-      .whole("longest_turn_ms", &O::longest_turn_ms, "ms", WholeRange{0, 600'000}, "and in all")
+             "delay of a candidate for each candidate before it, so that not all acquire at once")
+      .whole("longest_turn_ms", &O::longest_turn_ms, "ms", WholeRange{0, 600'000},
+             "maximum delay of a candidate")
       .whole("settle_ms", &O::settle_ms, "ms", WholeRange{0, 3'600'000},
-             "for which a better owner has to stand before it is given a shard")
+             "time for which a preferred owner has to be available before a shard is handed over to it")
       .whole("yield_ms", &O::yield_ms, "ms", WholeRange{0, 10'000},
-             "for the last checkpoint when a shard is released, also while this router drains")
+             "maximum wait for the last checkpoint when a shard is released, also while this router drains")
       .whole("stand_back_ms", &O::stand_back_ms, "ms", kMilliseconds,
-             "for which a router that released a shard on request does not acquire it again")
+             "cooldown after a release on request, during which this router does not acquire the shard again")
       .whole("most_starts", &O::most_starts, "owners", WholeRange{1, 100},
-             "in a row that died of a shard; then it is parked until staff resume it")
+             "maximum consecutive starts that failed; the shard is then parked until an operator resumes it")
       .whole("poison_pause_ms", &O::poison_pause_ms, "ms", kMilliseconds,
-             "before the second of them begins; it doubles")
+             "backoff before the second start; doubles with each further start")
       .whole("longest_poison_pause_ms", &O::longest_poison_pause_ms, "ms", WholeRange{1, 86'400'000},
-             "to which that grows")
-      .whole("most_owned", &O::most_owned, "shards", WholeRange{1, 10'000}, "of this router");
+             "maximum backoff before a start")
+      .whole("most_owned", &O::most_owned, "shards", WholeRange{1, 10'000},
+             "maximum number of shards that this router owns");
 }
 
 // Who is a member of the fleet, and may be given work.
@@ -54,19 +57,22 @@
   using O = OwnershipOptions;
   record
       .whole("member_ttl_ms", &O::member_ttl_ms, "ms", WholeRange{200, 600'000},
-             "after which a router that does not renew counts as gone")
+             "time after which a router that does not renew its membership is no longer a member")
       .whole("member_renew_ms", &O::member_renew_ms, "ms", kMilliseconds,
-             "after which it renews its presence")
-      .whole("neighbours", &O::neighbours, "routers", WholeRange{0, 10}, "that each tries to reach; 0: none")
-      .whole("neighbour_ms", &O::neighbour_ms, "ms", kMilliseconds, "how often")
+             "time after which a router renews its membership")
+      .whole("neighbours", &O::neighbours, "routers", WholeRange{0, 10},
+             "number of other routers that each router checks for reachability; 0: none")
+      .whole("neighbour_ms", &O::neighbour_ms, "ms", kMilliseconds,
+             "interval between two reachability checks")
       .whole("neighbour_misses", &O::neighbour_misses, "tries", WholeRange{1, 100},
-             "in a row that make a suspicion; two neighbours' suspicions take a router out of owned work")
+             "consecutive failed checks that raise a suspicion; a router that two neighbours suspect gets no "
+             "owned work")
       .real("flap_suppress", &O::flap_suppress, "returns", RealRange{1.0, 1'000.0},
-            "of late beyond which a router is given no work")
+            "number of recent returns above which a router gets no work")
       .real("flap_reuse", &O::flap_reuse, "returns", RealRange{0.01, 1'000.0},
-            "of late below which it is again")
+            "number of recent returns below which a router gets work again")
       .whole("flap_half_life_s", &O::flap_half_life_s, "s", WholeRange{1, 86'400},
-             "after which a return counts half");
+             "half-life of a return in the count of recent returns");
 }
 
 // The kinds of work.
@@ -74,21 +80,27 @@
   using O = OwnershipOptions;
   record
       .whole("suspect_after", &O::suspect_after, "failures", WholeRange{1, 1'000},
-             "in a row after which a router names a cache to the prober")
-      .whole("probe_ms", &O::probe_ms, "ms", kMilliseconds, "between two probes of a suspect cache")
+             "consecutive failures after which a router reports a cache to the prober")
+      .whole("probe_ms", &O::probe_ms, "ms", kMilliseconds,
+             "interval between two health checks of a suspected cache")
       .whole("probe_timeout_ms", &O::probe_timeout_ms, "ms", kMilliseconds,
-             "for a probe's connection, and for its answer")
+             "timeout of the connection of a health check, and of its response")
       .whole("verdict_ms", &O::verdict_ms, "ms", kMilliseconds,
-             "for which a verdict counts; the prober renews it after half of that")
+             "time for which the result of a health check is valid; the prober renews it after half of this "
+             "time")
       .whole("report_ms", &O::report_ms, "ms", WholeRange{100, 600'000},
-             "between two counts of a router, and two reports of the fleet")
+             "interval between two counter updates of a router, and between two fleet reports")
       .whole("acknowledge_ms", &O::acknowledge_ms, "ms", WholeRange{10, 600'000},
-             "at least between two rounds in which all routers acknowledge events of the discovery service")
+             "minimum interval between two rounds in which all routers acknowledge events of the discovery "
+             "service")
       .whole("fill_open", &O::fill_open, "requests", WholeRange{1, 1'000},
-             "of announced filling open at once, of each shard")
-      .whole("fill_tries", &O::fill_tries, "tries", WholeRange{1, 1'000}, "of one object")
-      .whole("fill_retry_ms", &O::fill_retry_ms, "ms", kMilliseconds, "between them; doubles")
-      .whole("fill_patience_ms", &O::fill_patience_ms, "ms", WholeRange{100, 60'000}, "of each try");
+             "maximum concurrent prefetch requests of each shard")
+      .whole("fill_tries", &O::fill_tries, "tries", WholeRange{1, 1'000},
+             "maximum attempts to prefetch one object")
+      .whole("fill_retry_ms", &O::fill_retry_ms, "ms", kMilliseconds,
+             "backoff between two attempts of one object; doubles with each")
+      .whole("fill_patience_ms", &O::fill_patience_ms, "ms", WholeRange{100, 60'000},
+             "timeout of each prefetch attempt");
 }
 
 // Throws config::KeyError if one lost renewal would end the lease.
@@ -107,8 +119,8 @@
 const config::Record<OwnershipOptions>& ownership_record() {
   static const config::Record<OwnershipOptions> kRecord = [] {
     config::Record<OwnershipOptions> record("ownership",
-                                            "Work that one router does for all, one owner at a time; needs "
-                                            "the section coordination.");
+                                            "Work that one router does for the whole fleet, with one owner "
+                                            "at a time; needs the section coordination.");
     add_lease_keys(record);
     add_membership_keys(record);
     add_task_keys(record);
