--- a/src/aggregation/options.cpp
+++ b/src/aggregation/options.cpp
@@ -7,10 +7,10 @@
 
 namespace trailcourse::aggregation {
 
+using config::IntegerRange;
 using config::KeyError;
-using config::RealRange;
-using config::WholeRange;
-using config::Words;
+using config::NumberRange;
+using config::StringRule;
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
@@ -67,31 +67,32 @@
     config::Record<O> record("aggregator",
                              "A process between the routers of a region and the coordination store, which is "
                              "that of the section coordination.");
-    const WholeRange ms{1, 600'000};
+    const IntegerRange ms{1, 600'000};
     record
-        .text("listen", &O::listen, "IP:PORT", Words{{}, true},
-              "address on which the routers of the region connect")
-        .text("name", &O::name, "-", Words{{}, true},
-              "name of this aggregator; its summaries are stored under NAME.ZONE")
-        .texts("zones", &O::zones, "-", "zones whose routers it serves; 1 to 64")
-        .text("board", &O::board, "IP:PORT", Words{},
-              "address of the discovery service; with it this aggregator may own the fleet's work of kind "
-              "acknowledge")
-        .whole("ttl_ms", &O::ttl_ms, "ms", WholeRange{200, 600'000},
-               "time of its own lease at the store; a rollout waits this long for an aggregator that is lost")
-        .whole("renew_ms", &O::renew_ms, "ms", ms,
-               "time after which it renews its lease; ttl_ms has to cover two renewals, and one beside a "
-               "router's lease")
-        .real("drift_percent", &O::drift_percent, "%", RealRange{0.0, 20.0},
-              "maximum difference in rate between its clock and the store's")
-        .whole("margin_ms", &O::margin_ms, "ms", WholeRange{0, 60'000},
-               "time by which its lease ends early, for the delay between the clock check and the response")
-        .whole("retry_ms", &O::retry_ms, "ms", ms,
-               "delay before a retry of a store call that was lost or rejected")
-        .whole("routers", &O::routers, "routers", WholeRange{1, 100'000},
-               "maximum number of routers with a lease; others are redirected to the next aggregator")
-        .whole("connections", &O::connections, "connections", WholeRange{1, 1'000'000},
-               "maximum open connections; a router has usually two, at most three");
+        .string("listen", &O::listen, "IP:PORT", StringRule{{}, true},
+                "address on which the routers of the region connect")
+        .string("name", &O::name, "-", StringRule{{}, true},
+                "name of this aggregator; its summaries are stored under NAME.ZONE")
+        .strings("zones", &O::zones, "-", "zones whose routers it serves; 1 to 64")
+        .string("board", &O::board, "IP:PORT", StringRule{},
+                "address of the discovery service; with it this aggregator may own the fleet's work of kind "
+                "acknowledge")
+        .integer(
+            "ttl_ms", &O::ttl_ms, "ms", IntegerRange{200, 600'000},
+            "time of its own lease at the store; a rollout waits this long for an aggregator that is lost")
+        .integer("renew_ms", &O::renew_ms, "ms", ms,
+                 "time after which it renews its lease; ttl_ms has to cover two renewals, and one beside a "
+                 "router's lease")
+        .number("drift_percent", &O::drift_percent, "%", NumberRange{0.0, 20.0},
+                "maximum difference in rate between its clock and the store's")
+        .integer("margin_ms", &O::margin_ms, "ms", IntegerRange{0, 60'000},
+                 "time by which its lease ends early, for the delay between the clock check and the response")
+        .integer("retry_ms", &O::retry_ms, "ms", ms,
+                 "delay before a retry of a store call that was lost or rejected")
+        .integer("routers", &O::routers, "routers", IntegerRange{1, 100'000},
+                 "maximum number of routers with a lease; others are redirected to the next aggregator")
+        .integer("connections", &O::connections, "connections", IntegerRange{1, 1'000'000},
+                 "maximum open connections; a router has usually two, at most three");
     return record;
   }();
   return kRecord;
@@ -123,7 +124,7 @@
         "aggregation",
         "The aggregators of a router's region. With them it gets the policy and its lease there, and "
         "needs the store of the section coordination only for owned work.");
-    record.texts(
+    record.strings(
         "endpoints", &AggregationOptions::endpoints, "IP:PORT",
         "addresses of aggregators that serve this router's zone, in the order in which they are tried");
     return record;
--- a/src/cache_node/node_options.cpp
+++ b/src/cache_node/node_options.cpp
@@ -2,53 +2,59 @@
 
 namespace trailcourse::cache_node {
 
-using config::WholeRange;
-using config::Words;
+using config::IntegerRange;
+using config::StringRule;
 
 const config::Record<NodeOptions>& node_record() {
   static const config::Record<NodeOptions> kRecord = [] {
     config::Record<NodeOptions> record("cache", "A cache node: `trailcourse cache`.");
-    record.text("name", &NodeOptions::name, "-", Words{{}, true}, "name of this node in the endpoint list")
-        .text("listen", &NodeOptions::listen, "IP:PORT", Words{{}, true},
-              "address on which routers and other nodes connect")
-        .text("board", &NodeOptions::board, "IP:PORT", Words{},
-              "address of the discovery service, which reports purges and the addresses of sources; none: "
-              "only the sources below, and no purges but by age limits")
-        .texts("sources", &NodeOptions::sources, "NAME=IP:PORT",
-               "addresses of sources, in addition to those that the discovery service lists")
-        .text("fill_from", &NodeOptions::fill_from, "-", Words{},
-              "source of a fill where the request names none, as at a parent; none: such a request is a miss")
-        .text("origin", &NodeOptions::origin, "-", Words{},
-              "name of the source that is the origin, for the notes in responses")
-        .whole("open_requests", &NodeOptions::open_requests, "requests", WholeRange{1, 1'000'000},
-               "maximum open requests; further requests are answered BUSY at once")
-        .whole("in_flight_mb", &NodeOptions::in_flight_mb, "MB", WholeRange{1, 1'048'576},
-               "maximum size of fills in progress and responses that were not sent yet; further requests are "
-               "answered BUSY at once")
-        .whole("fills", &NodeOptions::fills, "fills", WholeRange{1, 100'000},
-               "maximum fills in progress; further misses are answered BUSY, to protect the sources from "
-               "overload")
-        .whole("value_kb", &NodeOptions::value_kb, "KB", WholeRange{1, 262'144},
-               "maximum size of a value; a larger response of a source is rejected")
-        .whole("answer_bytes", &NodeOptions::answer_bytes, "bytes", WholeRange{1'024, 67'108'864},
-               "maximum size of a response that routers read; a larger object is answered ERR and not stored")
-        .whole(
-            "connections", &NodeOptions::connections, "connections", WholeRange{8, 100'000},
+    record
+        .string("name", &NodeOptions::name, "-", StringRule{{}, true},
+                "name of this node in the endpoint list")
+        .string("listen", &NodeOptions::listen, "IP:PORT", StringRule{{}, true},
+                "address on which routers and other nodes connect")
+        .string("board", &NodeOptions::board, "IP:PORT", StringRule{},
+                "address of the discovery service, which reports purges and the addresses of sources; none: "
+                "only the sources below, and no purges but by age limits")
+        .strings("sources", &NodeOptions::sources, "NAME=IP:PORT",
+                 "addresses of sources, in addition to those that the discovery service lists")
+        .string(
+            "fill_from", &NodeOptions::fill_from, "-", StringRule{},
+            "source of a fill where the request names none, as at a parent; none: such a request is a miss")
+        .string("origin", &NodeOptions::origin, "-", StringRule{},
+                "name of the source that is the origin, for the notes in responses")
+        .integer("open_requests", &NodeOptions::open_requests, "requests", IntegerRange{1, 1'000'000},
+                 "maximum open requests; further requests are answered BUSY at once")
+        .integer(
+            "in_flight_mb", &NodeOptions::in_flight_mb, "MB", IntegerRange{1, 1'048'576},
+            "maximum size of fills in progress and responses that were not sent yet; further requests are "
+            "answered BUSY at once")
+        .integer("fills", &NodeOptions::fills, "fills", IntegerRange{1, 100'000},
+                 "maximum fills in progress; further misses are answered BUSY, to protect the sources from "
+                 "overload")
+        .integer("value_kb", &NodeOptions::value_kb, "KB", IntegerRange{1, 262'144},
+                 "maximum size of a value; a larger response of a source is rejected")
+        .integer(
+            "answer_bytes", &NodeOptions::answer_bytes, "bytes", IntegerRange{1'024, 67'108'864},
+            "maximum size of a response that routers read; a larger object is answered ERR and not stored")
+        .integer(
+            "connections", &NodeOptions::connections, "connections", IntegerRange{8, 100'000},
             "maximum connections of routers and nodes; beyond it the one that is idle for longest is closed")
-        .whole("source_connections", &NodeOptions::source_connections, "connections", WholeRange{1, 1'024},
-               "maximum connections to one source")
-        .whole("connect_ms", &NodeOptions::connect_ms, "ms", WholeRange{10, 60'000},
-               "timeout of a connection to a source")
-        .whole("idle_ms", &NodeOptions::idle_ms, "ms", WholeRange{100, 3'600'000},
-               "idle time after which a connection is closed; has to match the settings of the routers")
-        .whole("board_wait_ms", &NodeOptions::board_wait_ms, "ms", WholeRange{0, 600'000},
-               "maximum time after a start for which copies from before it are served only to requests that "
-               "limit their age, until the discovery service has responded")
-        .whole("report_s", &NodeOptions::report_s, "s", WholeRange{1, 86'400},
-               "interval between two log lines of counters")
-        .text("fence_folder", &NodeOptions::fence_folder, "path", Words{},
-              "folder of the fencing tokens; none: beside the folder of the store, and without that fenced "
-              "commands are rejected");
+        .integer("source_connections", &NodeOptions::source_connections, "connections",
+                 IntegerRange{1, 1'024}, "maximum connections to one source")
+        .integer("connect_ms", &NodeOptions::connect_ms, "ms", IntegerRange{10, 60'000},
+                 "timeout of a connection to a source")
+        .integer("idle_ms", &NodeOptions::idle_ms, "ms", IntegerRange{100, 3'600'000},
+                 "idle time after which a connection is closed; has to match the settings of the routers")
+        .integer(
+            "board_wait_ms", &NodeOptions::board_wait_ms, "ms", IntegerRange{0, 600'000},
+            "maximum time after a start for which copies from before it are served only to requests that "
+            "limit their age, until the discovery service has responded")
+        .integer("report_s", &NodeOptions::report_s, "s", IntegerRange{1, 86'400},
+                 "interval between two log lines of counters")
+        .string("fence_folder", &NodeOptions::fence_folder, "path", StringRule{},
+                "folder of the fencing tokens; none: beside the folder of the store, and without that fenced "
+                "commands are rejected");
     return record;
   }();
   return kRecord;
@@ -59,12 +65,13 @@
     config::Record<ClassOptions> record("classes",
                                         "One entry for each class that the node serves, by its name.");
     record
-        .whole("fresh_ms", &ClassOptions::fresh_ms, "ms", WholeRange{0, 31'536'000'000},
-               "maximum age of a copy where the request does not limit it; 0: no limit, a copy is valid "
-               "until it is purged")
-        .text("use", &ClassOptions::use, "-", Words{{"kept", "passed"}, false},
-              "kept: copies are stored and shared; passed: every request is forwarded to its source once and "
-              "nothing is stored, as for writes");
+        .integer("fresh_ms", &ClassOptions::fresh_ms, "ms", IntegerRange{0, 31'536'000'000},
+                 "maximum age of a copy where the request does not limit it; 0: no limit, a copy is valid "
+                 "until it is purged")
+        .string(
+            "use", &ClassOptions::use, "-", StringRule{{"kept", "passed"}, false},
+            "kept: copies are stored and shared; passed: every request is forwarded to its source once and "
+            "nothing is stored, as for writes");
     return record;
   }();
   return kRecord;
@@ -74,19 +81,21 @@
   static const config::Record<OriginOptions> kRecord = [] {
     config::Record<OriginOptions> record("origin", "A small origin for tests: `trailcourse origin`.");
     record
-        .text("listen", &OriginOptions::listen, "IP:PORT", Words{{}, true}, "address on which nodes connect")
-        .text("name", &OriginOptions::name, "-", Words{}, "name of this origin in the endpoint list")
-        .text("folder", &OriginOptions::folder, "-", Words{},
-              "folder of the files ITEM or ITEM/PART that it serves; none: objects are generated from their "
-              "names")
-        .whole("size_kb", &OriginOptions::size_kb, "KB", WholeRange{0, protocol::kMaxObjectBytes >> 10U},
-               "size of a generated object; the protocol allows up to 240,000 bytes")
-        .whole("delay_ms", &OriginOptions::delay_ms, "ms", WholeRange{0, 60'000},
-               "delay before each response")
-        .whole("kb_per_s", &OriginOptions::kb_per_s, "KB/s", WholeRange{0, 16'777'216},
-               "maximum rate of all responses together, which are sent one after the other; 0: no limit")
-        .whole("transfers", &OriginOptions::transfers, "transfers", WholeRange{1, 100'000},
-               "maximum concurrent transfers; further requests are answered BUSY");
+        .string("listen", &OriginOptions::listen, "IP:PORT", StringRule{{}, true},
+                "address on which nodes connect")
+        .string("name", &OriginOptions::name, "-", StringRule{}, "name of this origin in the endpoint list")
+        .string(
+            "folder", &OriginOptions::folder, "-", StringRule{},
+            "folder of the files ITEM or ITEM/PART that it serves; none: objects are generated from their "
+            "names")
+        .integer("size_kb", &OriginOptions::size_kb, "KB", IntegerRange{0, protocol::kMaxObjectBytes >> 10U},
+                 "size of a generated object; the protocol allows up to 240,000 bytes")
+        .integer("delay_ms", &OriginOptions::delay_ms, "ms", IntegerRange{0, 60'000},
+                 "delay before each response")
+        .integer("kb_per_s", &OriginOptions::kb_per_s, "KB/s", IntegerRange{0, 16'777'216},
+                 "maximum rate of all responses together, which are sent one after the other; 0: no limit")
+        .integer("transfers", &OriginOptions::transfers, "transfers", IntegerRange{1, 100'000},
+                 "maximum concurrent transfers; further requests are answered BUSY");
     return record;
   }();
   return kRecord;
--- a/src/config/record.cpp
+++ b/src/config/record.cpp
@@ -9,16 +9,16 @@
 
 using nlohmann::json;
 
-std::string given(const json& value) {
-  constexpr std::size_t kMost = 60;
+std::string quote(const json& value) {
+  constexpr std::size_t kMaxLength = 60;
   std::string text = value.dump(-1, ' ', false, json::error_handler_t::replace);
-  if (text.size() > kMost) {
-    text = text.substr(0, kMost) + "...";
+  if (text.size() > kMaxLength) {
+    text = text.substr(0, kMaxLength) + "...";
   }
   return text;
 }
 
-std::string short_real(double value) {
+std::string format_number(double value) {
   char text[32];
   std::snprintf(text, sizeof text, "%g", value);
   return text;
@@ -30,8 +30,8 @@
   const std::string digits = std::to_string(value);
   std::string out;
   for (std::size_t i = 0; i < digits.size(); ++i) {
-    const std::size_t left = digits.size() - i;
-    if (i > 0 && left % 3 == 0 && digits[i - 1] != '-') {
+    const std::size_t remaining = digits.size() - i;
+    if (i > 0 && remaining % 3 == 0 && digits[i - 1] != '-') {
       out += ',';
     }
     out += digits[i];
@@ -40,123 +40,126 @@
 }
 
 std::string Key::range() const {
-  if (type == Type::kFlag) {
+  if (type == Type::kBoolean) {
     return "true or false";
   }
-  if (const auto* whole = std::get_if<WholeRange>(&allowed)) {
-    return grouped(whole->least) + " to " + grouped(whole->most);
+  if (const auto* integers = std::get_if<IntegerRange>(&allowed)) {
+    return grouped(integers->min) + " to " + grouped(integers->max);
   }
-  if (const auto* real = std::get_if<RealRange>(&allowed)) {
-    return short_real(real->least) + " to " + short_real(real->most);
+  if (const auto* numbers = std::get_if<NumberRange>(&allowed)) {
+    return format_number(numbers->min) + " to " + format_number(numbers->max);
   }
-  const Words& words = std::get<Words>(allowed);
+  const StringRule& rule = std::get<StringRule>(allowed);
   std::string out;
-  for (const std::string& word : words.allowed) {
-    out += (out.empty() ? "one of " : ", ") + word;
+  for (const std::string& allowed_value : rule.allowed) {
+    out += (out.empty() ? "one of " : ", ") + allowed_value;
   }
-  return !out.empty() ? out : type == Type::kTexts ? "a list of texts" : words.needed ? "a text" : "any text";
+  return !out.empty()             ? out
+         : type == Type::kStrings ? "a list of strings"
+         : rule.required          ? "a string"
+                                  : "any string";
 }
 
 std::string Key::type_name() const {
   switch (type) {
-    case Type::kWhole:
+    case Type::kInteger:
       return "integer";
-    case Type::kReal:
+    case Type::kNumber:
       return "number";
-    case Type::kFlag:
+    case Type::kBoolean:
       return "boolean";
-    case Type::kText:
+    case Type::kString:
       return "string";
-    case Type::kTexts:
+    case Type::kStrings:
       break;
   }
   return "array";
 }
 
-std::int64_t read_whole(const Key& key, const std::string& path, const json& value) {
-  const WholeRange& range = std::get<WholeRange>(key.allowed);
+std::int64_t read_integer(const Key& key, const std::string& path, const json& value) {
+  const IntegerRange& range = std::get<IntegerRange>(key.allowed);
   const bool fits = value.is_number_integer() &&
                     !(value.is_number_unsigned() && value.get<std::uint64_t>() > std::uint64_t{INT64_MAX});
   if (!fits) {
-    throw KeyError(path, given(value) + " is not a whole number, " + key.range() + " allowed");
+    throw KeyError(path, quote(value) + " is not an integer, " + key.range() + " allowed");
   }
   const auto number = value.get<std::int64_t>();
-  if (number < range.least || number > range.most) {
-    throw KeyError(path, std::to_string(number) + " is not between " + std::to_string(range.least) + " and " +
-                             std::to_string(range.most));
+  if (number < range.min || number > range.max) {
+    throw KeyError(path, std::to_string(number) + " is not between " + std::to_string(range.min) + " and " +
+                             std::to_string(range.max));
   }
   return number;
 }
 
-double read_real(const Key& key, const std::string& path, const json& value) {
-  const RealRange& range = std::get<RealRange>(key.allowed);
+double read_number(const Key& key, const std::string& path, const json& value) {
+  const NumberRange& range = std::get<NumberRange>(key.allowed);
   if (!value.is_number()) {
-    throw KeyError(path, given(value) + " is not a number, " + key.range() + " allowed");
+    throw KeyError(path, quote(value) + " is not a number, " + key.range() + " allowed");
   }
   const double number = value.get<double>();
-  if (!std::isfinite(number) || number < range.least || number > range.most) {
-    throw KeyError(path, given(value) + " is not between " + key.range());
+  if (!std::isfinite(number) || number < range.min || number > range.max) {
+    throw KeyError(path, quote(value) + " is not between " + key.range());
   }
   return number;
 }
 
-bool read_flag(const std::string& path, const json& value) {
+bool read_boolean(const std::string& path, const json& value) {
   if (!value.is_boolean()) {
-    throw KeyError(path, given(value) + " is neither true nor false");
+    throw KeyError(path, quote(value) + " is neither true nor false");
   }
   return value.get<bool>();
 }
 
-std::string read_text(const Key& key, const std::string& path, const json& value) {
+std::string read_string(const Key& key, const std::string& path, const json& value) {
   if (!value.is_string()) {
-    throw KeyError(path, given(value) + " is not a text");
+    throw KeyError(path, quote(value) + " is not a string");
   }
-  auto text = value.get<std::string>();
-  const Words& words = std::get<Words>(key.allowed);
-  const bool known = words.allowed.empty() ||
-                     std::find(words.allowed.begin(), words.allowed.end(), text) != words.allowed.end();
+  auto string = value.get<std::string>();
+  const StringRule& rule = std::get<StringRule>(key.allowed);
+  const bool known = rule.allowed.empty() ||
+                     std::find(rule.allowed.begin(), rule.allowed.end(), string) != rule.allowed.end();
   if (!known) {
-    throw KeyError(path, given(value) + " is not " + key.range());
+    throw KeyError(path, quote(value) + " is not " + key.range());
   }
-  if (words.needed && text.empty()) {
+  if (rule.required && string.empty()) {
     throw KeyError(path, "is empty");
   }
-  return text;
+  return string;
 }
 
-std::vector<std::string> read_texts(const Key&, const std::string& path, const json& value) {
-  const bool good = value.is_array() &&
-                    std::all_of(value.begin(), value.end(), [](const json& one) { return one.is_string(); });
-  if (!good) {
-    throw KeyError(path, given(value) + " is not a list of texts");
+std::vector<std::string> read_strings(const Key&, const std::string& path, const json& value) {
+  const bool valid = value.is_array() &&
+                     std::all_of(value.begin(), value.end(), [](const json& one) { return one.is_string(); });
+  if (!valid) {
+    throw KeyError(path, quote(value) + " is not a list of strings");
   }
   return value.get<std::vector<std::string>>();
 }
 
-json key_schema(const Key& key, const json& value_by_default) {
-  json out{{"type", key.type_name()}, {"description", key.reason}, {"default", value_by_default}};
+json key_schema(const Key& key, const json& default_value) {
+  json out{{"type", key.type_name()}, {"description", key.description}, {"default", default_value}};
   if (key.unit != "-") {
     out["$comment"] = "unit: " + key.unit;
   }
-  if (const auto* whole = std::get_if<WholeRange>(&key.allowed)) {
-    out["minimum"] = whole->least;
-    out["maximum"] = whole->most;
-  } else if (const auto* real = std::get_if<RealRange>(&key.allowed)) {
-    out["minimum"] = real->least;
-    out["maximum"] = real->most;
-  } else if (const Words& words = std::get<Words>(key.allowed); !words.allowed.empty()) {
-    out["enum"] = words.allowed;
-  } else if (words.needed) {
+  if (const auto* integers = std::get_if<IntegerRange>(&key.allowed)) {
+    out["minimum"] = integers->min;
+    out["maximum"] = integers->max;
+  } else if (const auto* numbers = std::get_if<NumberRange>(&key.allowed)) {
+    out["minimum"] = numbers->min;
+    out["maximum"] = numbers->max;
+  } else if (const StringRule& rule = std::get<StringRule>(key.allowed); !rule.allowed.empty()) {
+    out["enum"] = rule.allowed;
+  } else if (rule.required) {
     out["minLength"] = 1;
     out.erase("default");
   }
-  if (key.type == Key::Type::kTexts) {
+  if (key.type == Key::Type::kStrings) {
     out["items"] = {{"type", "string"}};
   }
   return out;
 }
 
-std::string shown(const json& value) {
+std::string format_value(const json& value) {
   if (value.is_number_integer()) {
     return grouped(value.get<std::int64_t>());
   }
@@ -164,14 +167,14 @@
     return value.get<std::string>().empty() ? "none" : value.get<std::string>();
   }
   if (value.is_number()) {
-    return short_real(value.get<double>());
+    return format_number(value.get<double>());
   }
   return value.is_array() && value.empty() ? "none" : value.dump();
 }
 
-std::string documented(const Key& key, const json& value_by_default) {
-  return "| `" + key.name + "` | " + key.unit + " | " + shown(value_by_default) + " | " + key.range() +
-         " | " + key.reason + " |";
+std::string documentation_row(const Key& key, const json& default_value) {
+  return "| `" + key.name + "` | " + key.unit + " | " + format_value(default_value) + " | " + key.range() +
+         " | " + key.description + " |";
 }
 
 }  // namespace trailcourse::config
--- a/src/config/record.h
+++ b/src/config/record.h
@@ -1,8 +1,8 @@
-// Typed records: one declaration of a key gives its reader, its error messages, what `check-config` prints,
+// Typed records: one declaration of a key gives its reader, its error messages, the output of `check-config`,
 // its JSON Schema and its row in docs/configuration.md.
 //
-// Package `config`, beside `protocol`: knows JSON, no file and no socket. Not thread-safe; a Record is made
-// once and then only read.
+// Library `config`, beside `protocol`: knows JSON, no file and no socket. Not thread-safe; a Record is
+// declared once and only read after that.
 #pragma once
 
 #include <cstdint>
@@ -21,92 +21,105 @@
 
 namespace trailcourse::config {
 
-// A key at fault. Its text is one line, "SECTION.KEY: what is allowed, what was given".
+// A key is invalid. what() is one line of the form "SECTION.KEY: reason", where the reason names the given
+// value and the allowed values.
 class KeyError : public std::runtime_error {
  public:
-  KeyError(const std::string& key, const std::string& why)
-      : std::runtime_error(key + ": " + why), key_(key) {}
+  KeyError(const std::string& key, const std::string& reason)
+      : std::runtime_error(key + ": " + reason), key_(key) {}
   const std::string& key() const { return key_; }
 
  private:
   std::string key_;
 };
 
-struct WholeRange {
-  std::int64_t least = 0;
-  std::int64_t most = 0;
+// Allowed integers, both bounds included.
+struct IntegerRange {
+  std::int64_t min = 0;
+  std::int64_t max = 0;
 };
-struct RealRange {
-  double least = 0.0;
-  double most = 0.0;
+
+// Allowed numbers, both bounds included.
+struct NumberRange {
+  double min = 0.0;
+  double max = 0.0;
 };
-struct Words {
-  std::vector<std::string> allowed;  // empty: any text
-  bool needed = false;               // must not be empty
+
+struct StringRule {
+  std::vector<std::string> allowed;  // empty: any string
+  bool required = false;             // the key has to be present and not empty
 };
-using Allowed = std::variant<WholeRange, RealRange, Words>;
+using AllowedValues = std::variant<IntegerRange, NumberRange, StringRule>;
 
-// What a key is, whatever record it stands in.
+// The declaration of a key, independent of the type of the record.
 struct Key {
-  std::string name;
-  std::string unit;  // "-" where it has none
-  Allowed allowed;
-  std::string reason;
+  enum class Type { kInteger, kNumber, kBoolean, kString, kStrings };
 
-  std::string range() const;      // as in "1 to 1,024" or "one of a, b"
-  std::string type_name() const;  // integer, number, boolean, string or array, as in JSON Schema
-  enum class Type { kWhole, kReal, kFlag, kText, kTexts } type = Type::kWhole;
+  std::string name;
+  std::string unit;  // "-": none
+  AllowedValues allowed;
+  std::string description;
+  Type type = Type::kInteger;
+
+  // Returns the allowed values as text, for example "1 to 1,024" or "one of a, b".
+  std::string range() const;
+  // Returns integer, number, boolean, string or array, as in JSON Schema.
+  std::string type_name() const;
 };
 
-// Checks a value against what the key allows; throws KeyError under `path`.
-std::int64_t read_whole(const Key& key, const std::string& path, const nlohmann::json& value);
-double read_real(const Key& key, const std::string& path, const nlohmann::json& value);
-bool read_flag(const std::string& path, const nlohmann::json& value);
-std::string read_text(const Key& key, const std::string& path, const nlohmann::json& value);
-std::vector<std::string> read_texts(const Key& key, const std::string& path, const nlohmann::json& value);
+// Return the value if the key allows it; throw KeyError otherwise. `path` names the key in the error.
+std::int64_t read_integer(const Key& key, const std::string& path, const nlohmann::json& value);
+double read_number(const Key& key, const std::string& path, const nlohmann::json& value);
+bool read_boolean(const std::string& path, const nlohmann::json& value);
+std::string read_string(const Key& key, const std::string& path, const nlohmann::json& value);
+std::vector<std::string> read_strings(const Key& key, const std::string& path, const nlohmann::json& value);
 
-// The JSON Schema (2020-12) of one key.
-nlohmann::json key_schema(const Key& key, const nlohmann::json& value_by_default);
+// Returns the JSON Schema (2020-12) of one key.
+nlohmann::json key_schema(const Key& key, const nlohmann::json& default_value);
 
-// A whole number as people read it: 1,024.
+// Returns the integer with commas between groups of three digits: 1,024.
 std::string grouped(std::int64_t value);
-// A default as docs/configuration.md writes it.
-std::string shown(const nlohmann::json& value);
 
-// One row of docs/configuration.md.
-std::string documented(const Key& key, const nlohmann::json& value_by_default);
+// Returns the value as docs/configuration.md and `config check` write it; "none" for an empty one.
+std::string format_value(const nlohmann::json& value);
+
+// Returns the row of the key in docs/configuration.md.
+std::string documentation_row(const Key& key, const nlohmann::json& default_value);
 
-// The declaration of a section whose values stand in a `T`. A default is what a fresh `T` holds.
+// The declaration of a section whose values are stored in a `T`. The defaults are the values of a new `T`.
 template <typename T>
 class Record {
  public:
   using Member = std::variant<std::int64_t T::*, double T::*, bool T::*, std::string T::*,
                               std::vector<std::string> T::*>;
 
-  Record(std::string section, std::string about) : section_(std::move(section)), about_(std::move(about)) {}
+  Record(std::string section, std::string description)
+      : section_(std::move(section)), description_(std::move(description)) {}
 
-  Record& whole(const char* name, std::int64_t T::* member, const char* unit, WholeRange range,
-                const char* reason) {
-    return add(Key{name, unit, range, reason, Key::Type::kWhole}, member);
+  Record& integer(const char* name, std::int64_t T::* member, const char* unit, IntegerRange range,
+                  const char* description) {
+    return add(Key{name, unit, range, description, Key::Type::kInteger}, member);
   }
-  Record& real(const char* name, double T::* member, const char* unit, RealRange range, const char* reason) {
-    return add(Key{name, unit, range, reason, Key::Type::kReal}, member);
+  Record& number(const char* name, double T::* member, const char* unit, NumberRange range,
+                 const char* description) {
+    return add(Key{name, unit, range, description, Key::Type::kNumber}, member);
   }
-  Record& flag(const char* name, bool T::* member, const char* reason) {
-    return add(Key{name, "-", Words{}, reason, Key::Type::kFlag}, member);
+  Record& boolean(const char* name, bool T::* member, const char* description) {
+    return add(Key{name, "-", StringRule{}, description, Key::Type::kBoolean}, member);
   }
-  Record& text(const char* name, std::string T::* member, const char* unit, Words words, const char* reason) {
-    return add(Key{name, unit, std::move(words), reason, Key::Type::kText}, member);
+  Record& string(const char* name, std::string T::* member, const char* unit, StringRule rule,
+                 const char* description) {
+    return add(Key{name, unit, std::move(rule), description, Key::Type::kString}, member);
   }
-  Record& texts(const char* name, std::vector<std::string> T::* member, const char* unit,
-                const char* reason) {
-    return add(Key{name, unit, Words{}, reason, Key::Type::kTexts}, member);
+  Record& strings(const char* name, std::vector<std::string> T::* member, const char* unit,
+                  const char* description) {
+    return add(Key{name, unit, StringRule{}, description, Key::Type::kStrings}, member);
   }
 
   const std::string& section() const { return section_; }
-  const std::string& about() const { return about_; }
+  const std::string& description() const { return description_; }
 
-  // Sets one key; throws KeyError.
+  // Sets one key; throws KeyError if it does not exist or the value is not allowed.
   void set(T& out, const std::string& name, const nlohmann::json& value, const std::string& path) const {
     for (const Entry& entry : entries_) {
       if (entry.key.name == name) {
@@ -117,7 +130,8 @@
     throw KeyError(path, "no such key" + nearest(name));
   }
 
-  // Reads a JSON object over the defaults; absent keys keep theirs. Throws KeyError.
+  // Reads a JSON object; absent keys keep their defaults. Throws KeyError. `section` is the prefix of the
+  // keys in errors.
   T read(const nlohmann::json& source) const { return read(source, section_); }
   T read(const nlohmann::json& source, const std::string& section) const {
     if (!source.is_object()) {
@@ -128,14 +142,15 @@
       set(out, name, value, section.empty() ? name : section + "." + name);
     }
     for (const Entry& entry : entries_) {
-      const Words* words = std::get_if<Words>(&entry.key.allowed);
-      if (words != nullptr && words->needed && !source.contains(entry.key.name)) {
+      const StringRule* rule = std::get_if<StringRule>(&entry.key.allowed);
+      if (rule != nullptr && rule->required && !source.contains(entry.key.name)) {
         throw KeyError(section.empty() ? entry.key.name : section + "." + entry.key.name, "missing");
       }
     }
     return out;
   }
 
+  // Returns the value of a key; null if there is no such key.
   nlohmann::json value(const T& from, const std::string& name) const {
     for (const Entry& entry : entries_) {
       if (entry.key.name == name) {
@@ -145,27 +160,28 @@
     return nullptr;
   }
 
-  // Calls `take(key, value)` for each key in the order of declaration.
-  template <typename Take>
-  void each(const T& from, Take take) const {
+  // Calls `visit(key, value)` for each key in the order of declaration.
+  template <typename Visit>
+  void each(const T& from, Visit visit) const {
     for (const Entry& entry : entries_) {
-      take(entry.key,
-           std::visit([&from](auto member) { return nlohmann::json(from.*member); }, entry.member));
+      visit(entry.key,
+            std::visit([&from](auto member) { return nlohmann::json(from.*member); }, entry.member));
     }
   }
 
+  // Returns the JSON Schema (2020-12) of the section.
   nlohmann::json schema() const {
     nlohmann::json properties = nlohmann::json::object();
     nlohmann::json required = nlohmann::json::array();
     each(T{}, [&](const Key& key, const nlohmann::json& value) {
       properties[key.name] = key_schema(key, value);
-      const Words* words = std::get_if<Words>(&key.allowed);
-      if (words != nullptr && words->needed) {
+      const StringRule* rule = std::get_if<StringRule>(&key.allowed);
+      if (rule != nullptr && rule->required) {
         required.push_back(key.name);
       }
     });
     nlohmann::json out{{"type", "object"},
-                       {"description", about_},
+                       {"description", description_},
                        {"properties", properties},
                        {"additionalProperties", false}};
     if (!required.empty()) {
@@ -191,31 +207,33 @@
         [&](auto member) {
           using Value = std::remove_reference_t<decltype(out.*member)>;
           if constexpr (std::is_same_v<Value, std::int64_t>) {
-            out.*member = read_whole(entry.key, path, value);
+            out.*member = read_integer(entry.key, path, value);
           } else if constexpr (std::is_same_v<Value, double>) {
-            out.*member = read_real(entry.key, path, value);
+            out.*member = read_number(entry.key, path, value);
           } else if constexpr (std::is_same_v<Value, bool>) {
-            out.*member = read_flag(path, value);
+            out.*member = read_boolean(path, value);
           } else if constexpr (std::is_same_v<Value, std::string>) {
-            out.*member = read_text(entry.key, path, value);
+            out.*member = read_string(entry.key, path, value);
           } else {
-            out.*member = read_texts(entry.key, path, value);
+            out.*member = read_strings(entry.key, path, value);
           }
         },
         entry.member);
   }
 
-  // "; did you mean X?" where a key shares a beginning with the one given.
+  // Returns "; did you mean X?" for the key that has the longest common prefix with `name`, at least 4
+  // characters; empty if none has.
   std::string nearest(const std::string& name) const {
     std::size_t longest = 3;
     std::string best;
     for (const Entry& entry : entries_) {
-      std::size_t same = 0;
-      while (same < name.size() && same < entry.key.name.size() && name[same] == entry.key.name[same]) {
-        ++same;
+      std::size_t common = 0;
+      while (common < name.size() && common < entry.key.name.size() &&
+             name[common] == entry.key.name[common]) {
+        ++common;
       }
-      if (same > longest) {
-        longest = same;
+      if (common > longest) {
+        longest = common;
         best = entry.key.name;
       }
     }
@@ -223,7 +241,7 @@
   }
 
   std::string section_;
-  std::string about_;
+  std::string description_;
   std::vector<Entry> entries_;
 };
 
--- a/src/discovery/long_poll_scheduler.cpp
+++ b/src/discovery/long_poll_scheduler.cpp
@@ -4,8 +4,8 @@
 
 namespace trailcourse::discovery {
 
-using config::WholeRange;
-using config::Words;
+using config::IntegerRange;
+using config::StringRule;
 using std::chrono::milliseconds;
 
 namespace {
@@ -22,24 +22,26 @@
     config::Record<DiscoveryOptions> record("board",
                                             "A discovery service for many routers: `trailcourse board`.");
     record
-        .text("listen", &DiscoveryOptions::listen, "IP:PORT", Words{{}, true},
-              "address on which routers and nodes poll")
-        .text("file", &DiscoveryOptions::file, "-", Words{{}, true},
-              "file of the published page, as {\"rev\":N,\"notices\":[...]}; a change is published at once")
-        .whole("connections", &DiscoveryOptions::connections, "connections", WholeRange{1, 1'000'000},
-               "maximum open connections; a further one is answered 503 with a Retry-After, and closed")
-        .whole("waiting", &DiscoveryOptions::waiting, "calls", WholeRange{1, 1'000'000},
-               "maximum long polls that wait for an update; further ones are rejected")
-        .whole("calls_per_s", &DiscoveryOptions::calls_per_s, "calls/s", WholeRange{0, 1'000'000},
-               "calls answered per second, beside the long polls that are released; further calls are queued "
-               "by Retry-After; 0: no limit")
-        .whole("release_ms", &DiscoveryOptions::release_ms, "ms", WholeRange{0, 5'000},
-               "window over which an update is sent to the waiting long polls; well below the purge grace of "
-               "the settings")
-        .whole("retry_after_most_s", &DiscoveryOptions::retry_after_most_s, "s", WholeRange{1, 3'600},
-               "maximum Retry-After of a rejected call")
-        .whole("linger_most_ms", &DiscoveryOptions::linger_most_ms, "ms", WholeRange{0, 60'000},
-               "maximum time for which a long poll waits, whatever timeout it requests");
+        .string("listen", &DiscoveryOptions::listen, "IP:PORT", StringRule{{}, true},
+                "address on which routers and nodes poll")
+        .string("file", &DiscoveryOptions::file, "-", StringRule{{}, true},
+                "file of the published page, as {\"rev\":N,\"notices\":[...]}; a change is published at once")
+        .integer("connections", &DiscoveryOptions::connections, "connections", IntegerRange{1, 1'000'000},
+                 "maximum open connections; a further one is answered 503 with a Retry-After, and closed")
+        .integer("waiting", &DiscoveryOptions::waiting, "calls", IntegerRange{1, 1'000'000},
+                 "maximum long polls that wait for an update; further ones are rejected")
+        .integer(
+            "calls_per_s", &DiscoveryOptions::calls_per_s, "calls/s", IntegerRange{0, 1'000'000},
+            "calls answered per second, beside the long polls that are released; further calls are queued "
+            "by Retry-After; 0: no limit")
+        .integer(
+            "release_ms", &DiscoveryOptions::release_ms, "ms", IntegerRange{0, 5'000},
+            "window over which an update is sent to the waiting long polls; well below the purge grace of "
+            "the settings")
+        .integer("retry_after_most_s", &DiscoveryOptions::retry_after_most_s, "s", IntegerRange{1, 3'600},
+                 "maximum Retry-After of a rejected call")
+        .integer("linger_most_ms", &DiscoveryOptions::linger_most_ms, "ms", IntegerRange{0, 60'000},
+                 "maximum time for which a long poll waits, whatever timeout it requests");
     return record;
   }();
   return kRecord;
--- a/src/policy/options.cpp
+++ b/src/policy/options.cpp
@@ -2,9 +2,9 @@
 
 namespace trailcourse::policy {
 
-using config::RealRange;
-using config::WholeRange;
-using config::Words;
+using config::IntegerRange;
+using config::NumberRange;
+using config::StringRule;
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
@@ -14,32 +14,34 @@
     config::Record<O> record(
         "policy",
         "The fleet's policy, which is changed on all routers or on none; needs the section coordination.");
-    const WholeRange ms{1, 600'000};
+    const IntegerRange ms{1, 600'000};
     record
-        .flag("follow", &O::follow,
-              "decide only by the policy in force, and only while this router has its lease")
-        .text("without", &O::without, "-", Words{{"both", "refuse"}, false},
-              "behaviour between two versions; both: serve what both versions allow; refuse: reject all "
-              "requests. Without the store all requests are rejected")
-        .text("folder", &O::folder, "path", Words{},
-              "folder where policy versions are stored before they are reported as ready; none: they are not "
-              "stored")
-        .whole("ttl_ms", &O::ttl_ms, "ms", WholeRange{200, 600'000},
-               "lease time; a rollout waits this long for a stopped router, and a router that cannot reach "
-               "the store stops serving after this time")
-        .whole("renew_ms", &O::renew_ms, "ms", ms,
-               "time after which the lease is renewed; ttl_ms has to cover two renewals")
-        .real("drift_percent", &O::drift_percent, "%", RealRange{0.0, 20.0},
-              "maximum difference in rate between two clocks")
-        .whole("margin_ms", &O::margin_ms, "ms", WholeRange{0, 60'000},
-               "time by which the lease ends early, for the delay between the clock check and the decision")
-        .whole("retry_ms", &O::retry_ms, "ms", ms,
-               "delay before a retry of a store call that was lost or rejected")
-        .whole("prepare_most_ms", &O::prepare_most_ms, "ms", WholeRange{100, 3'600'000},
-               "maximum time for which a rollout waits until all routers are ready; it is then aborted")
-        .whole("hold_most_ms", &O::hold_most_ms, "ms", WholeRange{100, 3'600'000},
-               "maximum time for which a rollout waits until all routers have suspended the old version; has "
-               "to be above ttl_ms");
+        .boolean("follow", &O::follow,
+                 "decide only by the policy in force, and only while this router has its lease")
+        .string("without", &O::without, "-", StringRule{{"both", "refuse"}, false},
+                "behaviour between two versions; both: serve what both versions allow; refuse: reject all "
+                "requests. Without the store all requests are rejected")
+        .string(
+            "folder", &O::folder, "path", StringRule{},
+            "folder where policy versions are stored before they are reported as ready; none: they are not "
+            "stored")
+        .integer("ttl_ms", &O::ttl_ms, "ms", IntegerRange{200, 600'000},
+                 "lease time; a rollout waits this long for a stopped router, and a router that cannot reach "
+                 "the store stops serving after this time")
+        .integer("renew_ms", &O::renew_ms, "ms", ms,
+                 "time after which the lease is renewed; ttl_ms has to cover two renewals")
+        .number("drift_percent", &O::drift_percent, "%", NumberRange{0.0, 20.0},
+                "maximum difference in rate between two clocks")
+        .integer("margin_ms", &O::margin_ms, "ms", IntegerRange{0, 60'000},
+                 "time by which the lease ends early, for the delay between the clock check and the decision")
+        .integer("retry_ms", &O::retry_ms, "ms", ms,
+                 "delay before a retry of a store call that was lost or rejected")
+        .integer("prepare_most_ms", &O::prepare_most_ms, "ms", IntegerRange{100, 3'600'000},
+                 "maximum time for which a rollout waits until all routers are ready; it is then aborted")
+        .integer(
+            "hold_most_ms", &O::hold_most_ms, "ms", IntegerRange{100, 3'600'000},
+            "maximum time for which a rollout waits until all routers have suspended the old version; has "
+            "to be above ttl_ms");
     return record;
   }();
   return kRecord;
--- a/src/policy/policy_content.cpp
+++ b/src/policy/policy_content.cpp
@@ -6,8 +6,8 @@
 
 namespace trailcourse::policy {
 
-using config::RealRange;
-using config::WholeRange;
+using config::IntegerRange;
+using config::NumberRange;
 using nlohmann::json;
 
 namespace {
@@ -93,7 +93,7 @@
 ShownValues shown_values(const Record& record, const Values& values) {
   ShownValues out;
   record.each(values, [&out](const config::Key& key, const json& value) {
-    out[key.name] = config::shown(value) + (key.unit == "-" ? "" : " " + key.unit);
+    out[key.name] = config::format_value(value) + (key.unit == "-" ? "" : " " + key.unit);
   });
   return out;
 }
@@ -126,17 +126,17 @@
   static const config::Record<ClassPolicy> kRecord = [] {
     config::Record<ClassPolicy> record(
         "classes", "Policy of one request class; the keys have the names of the settings.");
-    record.flag("serve", &ClassPolicy::serve, "serve requests of this class; false: reject them at once")
-        .whole("objective_ms", &ClassPolicy::objective_ms, "ms", WholeRange{1, kMaxTimeoutMs},
-               "latency objective; a response within it is in time")
-        .whole("give_up_ms", &ClassPolicy::give_up_ms, "ms", WholeRange{1, kMaxTimeoutMs},
-               "deadline after which clients no longer wait")
-        .real("worth", &ClassPolicy::priority_weight, "-", RealRange{0.0, 1e6},
-              "priority weight of a response in time, relative to other classes")
-        .whole("fresh_ms", &ClassPolicy::fresh_ms, "ms", WholeRange{0, kMaxAgeMs},
-               "maximum age of a copy; 0: valid until it is purged")
-        .whole("grace_ms", &ClassPolicy::grace_ms, "ms", WholeRange{0, kMaxAgeMs},
-               "extra age that is allowed where no fresher copy is available");
+    record.boolean("serve", &ClassPolicy::serve, "serve requests of this class; false: reject them at once")
+        .integer("objective_ms", &ClassPolicy::objective_ms, "ms", IntegerRange{1, kMaxTimeoutMs},
+                 "latency objective; a response within it is in time")
+        .integer("give_up_ms", &ClassPolicy::give_up_ms, "ms", IntegerRange{1, kMaxTimeoutMs},
+                 "deadline after which clients no longer wait")
+        .number("worth", &ClassPolicy::priority_weight, "-", NumberRange{0.0, 1e6},
+                "priority weight of a response in time, relative to other classes")
+        .integer("fresh_ms", &ClassPolicy::fresh_ms, "ms", IntegerRange{0, kMaxAgeMs},
+                 "maximum age of a copy; 0: valid until it is purged")
+        .integer("grace_ms", &ClassPolicy::grace_ms, "ms", IntegerRange{0, kMaxAgeMs},
+                 "extra age that is allowed where no fresher copy is available");
     return record;
   }();
   return kRecord;
@@ -146,12 +146,12 @@
   static const config::Record<LimitPolicy> kRecord = [] {
     config::Record<LimitPolicy> record("limits", "Limits of each router.");
     record
-        .whole("open_requests", &LimitPolicy::open_requests, "requests", WholeRange{0, 10'000'000},
-               "maximum open requests; a router that cannot hold that many rejects the version; 0: as its "
-               "memory and sockets allow")
-        .whole("retry_after_ms", &LimitPolicy::retry_after_ms, "ms", WholeRange{0, 600'000},
-               "maximum Retry-After of rejected requests")
-        .texts("work", &LimitPolicy::work, "-", "kinds of the fleet's work that a router may own");
+        .integer("open_requests", &LimitPolicy::open_requests, "requests", IntegerRange{0, 10'000'000},
+                 "maximum open requests; a router that cannot hold that many rejects the version; 0: as its "
+                 "memory and sockets allow")
+        .integer("retry_after_ms", &LimitPolicy::retry_after_ms, "ms", IntegerRange{0, 600'000},
+                 "maximum Retry-After of rejected requests")
+        .strings("work", &LimitPolicy::work, "-", "kinds of the fleet's work that a router may own");
     return record;
   }();
   return kRecord;
--- a/src/program/command_line.cpp
+++ b/src/program/command_line.cpp
@@ -14,8 +14,8 @@
 
 #include "fleet/fault_script.h"
 #include "program/aggregator_command.h"
-#include "program/discovery_file_server.h"
 #include "program/configuration.h"
+#include "program/discovery_file_server.h"
 #include "program/fleet_command.h"
 #include "program/get_command.h"
 #include "program/node_commands.h"
@@ -122,7 +122,7 @@
       << "\nopen requests at most = " << configuration.most_open_requests()
       << "\ncache connections at most = " << configuration.most_cache_connections() << '\n';
   tuning_record().each(configuration.tuning, [&out](const config::Key& key, const nlohmann::json& value) {
-    out << "router." << key.name << " = " << value << ' ' << key.unit << "  # " << key.reason << '\n';
+    out << "router." << key.name << " = " << value << ' ' << key.unit << "  # " << key.description << '\n';
   });
   for (const std::string& why : configuration.known.skipped) {
     out << "warning: known: skipped " << why << '\n';
--- a/src/program/configuration.cpp
+++ b/src/program/configuration.cpp
@@ -191,89 +191,95 @@
 
 namespace {
 
-using config::WholeRange;
+using config::IntegerRange;
 
 void add_client_keys(config::Record<Tuning>& record) {
   record
-      .whole("listen_backlog", &Tuning::listen_backlog, "connections", WholeRange{1, 65'535},
-             "connections that may wait to be accepted; a request on a connection that the system has "
-             "accepted is answered")
-      .whole("client_idle_ms", &Tuning::client_idle_ms, "ms", WholeRange{1'000, 3'600'000},
-             "idle time after which a client connection is closed; clients close after 4 s, so this reclaims "
-             "the connections of clients that vanished or do not close")
-      .whole("client_request_ms", &Tuning::client_request_ms, "ms", WholeRange{100, 3'600'000},
-             "timeout of the first valid request of a connection, and of the rest of a partial message")
-      .whole("client_young_ms", &Tuning::client_young_ms, "ms", WholeRange{0, 60'000},
-             "time after its accept for which a connection is not closed to free its descriptor, because its "
-             "request may be on its way")
-      .whole("client_share_percent", &Tuning::client_share_percent, "percent", WholeRange{5, 80},
-             "share of the descriptors that clients may hold; they usually hold a third, and some "
-             "connections stay open for long")
-      .whole("client_untaken_answers", &Tuning::client_untaken_answers, "answers", WholeRange{64, 65'535},
-             "maximum responses that wait to be sent on one connection; the connection of a client that "
-             "sends requests without reading responses is closed")
-      .whole("client_untaken_bytes", &Tuning::client_untaken_bytes, "bytes", WholeRange{4'096, 16'777'216},
-             "maximum unsent bytes on one connection, checked when a rejection or a management response is "
-             "added")
-      .whole("client_lead_ms", &Tuning::client_lead_ms, "ms", WholeRange{0, 1'000},
-             "time that a request is assumed to need from the client to here; a deadline counts from the "
-             "moment the client sent the request")
-      .whole("client_stall_ms", &Tuning::client_stall_ms, "ms", WholeRange{100, 3'600'000},
-             "time without progress after which the connection of a client that does not read its responses "
-             "is closed")
-      .whole("client_send_buffer", &Tuning::client_send_buffer, "bytes", WholeRange{0, 16'777'216},
-             "size of the system's send buffer of one client; 0: the system's default")
-      .whole("answer_record_bytes", &Tuning::answer_record_bytes, "bytes", WholeRange{512, 65'535},
-             "size of the record by which responses on one connection take turns, so that a large one does "
-             "not block small ones")
-      .whole("write_low_mark", &Tuning::write_low_mark, "bytes", WholeRange{1'024, 16'777'216},
-             "bytes handed to a connection before its socket has accepted them");
+      .integer("listen_backlog", &Tuning::listen_backlog, "connections", IntegerRange{1, 65'535},
+               "connections that may wait to be accepted; a request on a connection that the system has "
+               "accepted is answered")
+      .integer(
+          "client_idle_ms", &Tuning::client_idle_ms, "ms", IntegerRange{1'000, 3'600'000},
+          "idle time after which a client connection is closed; clients close after 4 s, so this reclaims "
+          "the connections of clients that vanished or do not close")
+      .integer("client_request_ms", &Tuning::client_request_ms, "ms", IntegerRange{100, 3'600'000},
+               "timeout of the first valid request of a connection, and of the rest of a partial message")
+      .integer(
+          "client_young_ms", &Tuning::client_young_ms, "ms", IntegerRange{0, 60'000},
+          "time after its accept for which a connection is not closed to free its descriptor, because its "
+          "request may be on its way")
+      .integer("client_share_percent", &Tuning::client_share_percent, "percent", IntegerRange{5, 80},
+               "share of the descriptors that clients may hold; they usually hold a third, and some "
+               "connections stay open for long")
+      .integer("client_untaken_answers", &Tuning::client_untaken_answers, "answers", IntegerRange{64, 65'535},
+               "maximum responses that wait to be sent on one connection; the connection of a client that "
+               "sends requests without reading responses is closed")
+      .integer("client_untaken_bytes", &Tuning::client_untaken_bytes, "bytes",
+               IntegerRange{4'096, 16'777'216},
+               "maximum unsent bytes on one connection, checked when a rejection or a management response is "
+               "added")
+      .integer("client_lead_ms", &Tuning::client_lead_ms, "ms", IntegerRange{0, 1'000},
+               "time that a request is assumed to need from the client to here; a deadline counts from the "
+               "moment the client sent the request")
+      .integer(
+          "client_stall_ms", &Tuning::client_stall_ms, "ms", IntegerRange{100, 3'600'000},
+          "time without progress after which the connection of a client that does not read its responses "
+          "is closed")
+      .integer("client_send_buffer", &Tuning::client_send_buffer, "bytes", IntegerRange{0, 16'777'216},
+               "size of the system's send buffer of one client; 0: the system's default")
+      .integer("answer_record_bytes", &Tuning::answer_record_bytes, "bytes", IntegerRange{512, 65'535},
+               "size of the record by which responses on one connection take turns, so that a large one does "
+               "not block small ones")
+      .integer("write_low_mark", &Tuning::write_low_mark, "bytes", IntegerRange{1'024, 16'777'216},
+               "bytes handed to a connection before its socket has accepted them");
 }
 
 void add_cache_keys(config::Record<Tuning>& record) {
   record
-      .whole("cache_connections", &Tuning::cache_connections, "connections", WholeRange{1, 1'024},
-             "maximum connections to one cache; a large response delays those behind it on its connection")
-      .whole("cache_silent_ms", &Tuning::cache_silent_ms, "ms", WholeRange{10, 600'000},
-             "time without data from a cache, after a request that was abandoned, after which its "
-             "connections are closed")
-      .whole("cache_stall_ms", &Tuning::cache_stall_ms, "ms", WholeRange{10, 600'000},
-             "time without progress of a partial response after which the connection to its cache is closed")
-      .whole("answer_bytes", &Tuning::answer_bytes, "bytes", WholeRange{1'024, 67'108'864},
-             "maximum size of a response of a cache; objects have at most 240,000 bytes");
+      .integer("cache_connections", &Tuning::cache_connections, "connections", IntegerRange{1, 1'024},
+               "maximum connections to one cache; a large response delays those behind it on its connection")
+      .integer("cache_silent_ms", &Tuning::cache_silent_ms, "ms", IntegerRange{10, 600'000},
+               "time without data from a cache, after a request that was abandoned, after which its "
+               "connections are closed")
+      .integer(
+          "cache_stall_ms", &Tuning::cache_stall_ms, "ms", IntegerRange{10, 600'000},
+          "time without progress of a partial response after which the connection to its cache is closed")
+      .integer("answer_bytes", &Tuning::answer_bytes, "bytes", IntegerRange{1'024, 67'108'864},
+               "maximum size of a response of a cache; objects have at most 240,000 bytes");
 }
 
 void add_discovery_keys(config::Record<Tuning>& record) {
   record
-      .whole("board_linger_ms", &Tuning::board_linger_ms, "ms", WholeRange{0, 5'000},
-             "long-poll timeout that is requested of the discovery service")
-      .whole("board_grace_ms", &Tuning::board_grace_ms, "ms", WholeRange{10, 60'000},
-             "time after the long-poll timeout at which a poll of the discovery service has failed")
-      .whole("board_pause_ms", &Tuning::board_pause_ms, "ms", WholeRange{1, 60'000},
-             "mean backoff after the first failed poll; doubles with each further failure")
-      .whole("board_most_pause_ms", &Tuning::board_most_pause_ms, "ms", WholeRange{1, 60'000},
-             "maximum mean backoff between failed polls; an update of the discovery service is in force 2 s "
-             "after a connection loss, whether it was received or not");
+      .integer("board_linger_ms", &Tuning::board_linger_ms, "ms", IntegerRange{0, 5'000},
+               "long-poll timeout that is requested of the discovery service")
+      .integer("board_grace_ms", &Tuning::board_grace_ms, "ms", IntegerRange{10, 60'000},
+               "time after the long-poll timeout at which a poll of the discovery service has failed")
+      .integer("board_pause_ms", &Tuning::board_pause_ms, "ms", IntegerRange{1, 60'000},
+               "mean backoff after the first failed poll; doubles with each further failure")
+      .integer(
+          "board_most_pause_ms", &Tuning::board_most_pause_ms, "ms", IntegerRange{1, 60'000},
+          "maximum mean backoff between failed polls; an update of the discovery service is in force 2 s "
+          "after a connection loss, whether it was received or not");
 }
 
 void add_drain_and_memory_keys(config::Record<Tuning>& record) {
   record
-      .whole("drain_linger_ms", &Tuning::drain_linger_ms, "ms", WholeRange{0, 60'000},
-             "minimum time to accept requests after SIGTERM; they arrive for up to 0.6 s after it")
-      .whole("drain_quiet_ms", &Tuning::drain_quiet_ms, "ms", WholeRange{0, 60'000},
-             "time without a new request after which a draining router stops accepting, so that delayed "
-             "requests are still served")
-      .whole("drain_answer_ms", &Tuning::drain_answer_ms, "ms", WholeRange{100, 600'000},
-             "maximum time after SIGTERM to answer open requests; less where the longest deadline of the "
-             "settings is shorter")
-      .whole(
-          "drain_late_ms", &Tuning::drain_late_ms, "ms", WholeRange{0, 60'000},
+      .integer("drain_linger_ms", &Tuning::drain_linger_ms, "ms", IntegerRange{0, 60'000},
+               "minimum time to accept requests after SIGTERM; they arrive for up to 0.6 s after it")
+      .integer("drain_quiet_ms", &Tuning::drain_quiet_ms, "ms", IntegerRange{0, 60'000},
+               "time without a new request after which a draining router stops accepting, so that delayed "
+               "requests are still served")
+      .integer("drain_answer_ms", &Tuning::drain_answer_ms, "ms", IntegerRange{100, 600'000},
+               "maximum time after SIGTERM to answer open requests; less where the longest deadline of the "
+               "settings is shorter")
+      .integer(
+          "drain_late_ms", &Tuning::drain_late_ms, "ms", IntegerRange{0, 60'000},
           "extra time to answer requests that arrived late; SIGKILL comes 0.7 s after the longest deadline")
-      .whole("base_memory_mb", &Tuning::base_memory_mb, "MB", WholeRange{1, 1'024},
-             "memory of the program itself, its tables and the allocator's overhead; the rest is divided "
-             "between the limits")
-      .whole(
-          "open_request_bytes", &Tuning::open_request_bytes, "bytes", WholeRange{1'024, 67'108'864},
+      .integer("base_memory_mb", &Tuning::base_memory_mb, "MB", IntegerRange{1, 1'024},
+               "memory of the program itself, its tables and the allocator's overhead; the rest is divided "
+               "between the limits")
+      .integer(
+          "open_request_bytes", &Tuning::open_request_bytes, "bytes", IntegerRange{1'024, 67'108'864},
           "memory counted for each open request in addition to its body; responses are counted separately");
 }
 
--- a/src/program/operator_file.cpp
+++ b/src/program/operator_file.cpp
@@ -163,7 +163,7 @@
   each_section(defaults,
                [&](const auto& record, const auto&) { properties[record.section()] = record.schema(); });
   properties["classes"] = {{"type", "object"},
-                           {"description", cache_node::class_record().about()},
+                           {"description", cache_node::class_record().description()},
                            {"additionalProperties", cache_node::class_record().schema()}};
   return {{"$schema", "https://json-schema.org/draft/2020-12/schema"},
           {"title", "trailcourse operator's file"},
@@ -175,10 +175,10 @@
 std::string operator_documentation() {
   std::string out;
   const auto section = [&out](const auto& record, const auto& defaults) {
-    out += "### `" + record.section() + "`\n\n" + record.about() +
+    out += "### `" + record.section() + "`\n\n" + record.description() +
            "\n\n| key | unit | default | range | reason |\n| --- | --- | --- | --- | --- |\n";
     record.each(defaults, [&out](const config::Key& key, const json& value) {
-      out += config::documented(key, value) + "\n";
+      out += config::documentation_row(key, value) + "\n";
     });
     out += "\n";
   };
@@ -191,8 +191,8 @@
 void print_operator_file(const OperatorFile& file, std::ostream& out) {
   const auto section = [&out](const std::string& name, const auto& record, const auto& values) {
     record.each(values, [&](const config::Key& key, const json& value) {
-      out << name << '.' << key.name << " = " << config::shown(value)
-          << (key.unit == "-" ? "" : " " + key.unit) << "  # " << key.reason << '\n';
+      out << name << '.' << key.name << " = " << config::format_value(value)
+          << (key.unit == "-" ? "" : " " + key.unit) << "  # " << key.description << '\n';
     });
   };
   each_section(file, [&](const auto& record, const auto& values) {
--- a/src/snapshot/snapshot.cpp
+++ b/src/snapshot/snapshot.cpp
@@ -12,8 +12,8 @@
 
 namespace trailcourse::snapshot {
 
-using config::WholeRange;
-using config::Words;
+using config::IntegerRange;
+using config::StringRule;
 using nlohmann::json;
 using std::chrono::milliseconds;
 
@@ -112,16 +112,16 @@
                                            "The last endpoint list and purges on a persistent disk, so that "
                                            "a start does not wait for the discovery service.");
     record
-        .text("folder", &SnapshotOptions::folder, "-", Words{},
-              "folder of the snapshots of this router only, created if missing; none: no snapshots")
-        .text("fleet", &SnapshotOptions::fleet, "-", Words{{}, true},
-              "name of the fleet; a snapshot of another fleet is not used")
-        .whole("write_ms", &SnapshotOptions::write_ms, "ms", WholeRange{10, 3'600'000},
-               "minimum interval between two writes when the endpoint list or the purges change")
-        .whole("confirm_ms", &SnapshotOptions::confirm_ms, "ms", WholeRange{100, 3'600'000},
-               "interval between two writes that only record that the data is still current")
-        .whole("most_age_s", &SnapshotOptions::most_age_s, "s", WholeRange{1, 31'536'000},
-               "maximum age of a snapshot; one that was last confirmed before that is not used");
+        .string("folder", &SnapshotOptions::folder, "-", StringRule{},
+                "folder of the snapshots of this router only, created if missing; none: no snapshots")
+        .string("fleet", &SnapshotOptions::fleet, "-", StringRule{{}, true},
+                "name of the fleet; a snapshot of another fleet is not used")
+        .integer("write_ms", &SnapshotOptions::write_ms, "ms", IntegerRange{10, 3'600'000},
+                 "minimum interval between two writes when the endpoint list or the purges change")
+        .integer("confirm_ms", &SnapshotOptions::confirm_ms, "ms", IntegerRange{100, 3'600'000},
+                 "interval between two writes that only record that the data is still current")
+        .integer("most_age_s", &SnapshotOptions::most_age_s, "s", IntegerRange{1, 31'536'000},
+                 "maximum age of a snapshot; one that was last confirmed before that is not used");
     return record;
   }();
   return kRecord;
--- a/src/startup/options.cpp
+++ b/src/startup/options.cpp
@@ -4,9 +4,9 @@
 
 namespace trailcourse::startup {
 
-using config::RealRange;
-using config::WholeRange;
-using config::Words;
+using config::IntegerRange;
+using config::NumberRange;
+using config::StringRule;
 
 namespace {
 
@@ -28,40 +28,45 @@
         "startup",
         "How a router starts, and reconnects to its dependencies, when many routers do so at the same time.");
     record
-        .flag("spread", &StartOptions::spread,
-              "spread calls and connections at random over windows that follow from the number of routers; "
-              "false: make them at once")
-        .whole(
-            "routers", &StartOptions::routers, "routers", WholeRange{0, 1'000'000},
+        .boolean(
+            "spread", &StartOptions::spread,
+            "spread calls and connections at random over windows that follow from the number of routers; "
+            "false: make them at once")
+        .integer(
+            "routers", &StartOptions::routers, "routers", IntegerRange{0, 1'000'000},
             "number of routers in the fleet; 0: as the settings say, else as the discovery service reports")
-        .real("board_calls_per_s", &StartOptions::board_calls_per_s, "calls/s", RealRange{0.1, 1e6},
-              "calls that the discovery service can serve for all routers while they start or reconnect")
-        .whole("window_most_ms", &StartOptions::window_most_ms, "ms", WholeRange{50, 3'600'000},
-               "maximum window over which first calls, and calls after a failure, are spread")
-        .whole("reask_ms", &StartOptions::reask_ms, "ms", WholeRange{0, 10'000},
-               "maximum random delay of the next poll after an update; all routers receive an update at the "
-               "same time")
-        .whole("retry_after_most_s", &StartOptions::retry_after_most_s, "s", WholeRange{0, 3'600},
-               "maximum Retry-After of the discovery service that is followed in full")
-        .real("node_opens_per_s", &StartOptions::node_opens_per_s, "connections/s", RealRange{0.0, 1e6},
-              "new connections from all routers that one cache or parent can accept; 0: connections open as "
-              "requests arrive")
-        .whole("open_window_most_ms", &StartOptions::open_window_most_ms, "ms", WholeRange{0, 600'000},
-               "maximum window over which routers start to use a new or returning node")
-        .whole("node_connections", &StartOptions::node_connections, "connections", WholeRange{0, 1'000'000},
-               "connections from all routers that one cache or parent can hold; 0: no limit")
-        .whole("flap_s", &StartOptions::flap_s, "s", WholeRange{0, 86'400},
-               "a node that returns again within this time is flapping, and its admission window doubles")
-        .text("unsure", &StartOptions::unsure, "-", Words{{"serve", "guard", "refuse"}, false},
-              "policy while the endpoint list may be stale; serve: serve as usual; guard: serve with age "
-              "limits that exclude copies that a missed purge may forbid; refuse: reject all requests")
-        .whole("told_within_ms", &StartOptions::told_within_ms, "ms", WholeRange{0, 600'000},
-               "time after which an event of the discovery service is in force, whether it was received or "
-               "not; 0: the purge grace of the settings, and with unsure `serve` at least the duration of a "
-               "long poll")
-        .whole("lapse_ms", &StartOptions::lapse_ms, "ms", WholeRange{0, 86'400'000},
-               "time without a response of the discovery service after which all requests are rejected; 0: "
-               "never");
+        .number("board_calls_per_s", &StartOptions::board_calls_per_s, "calls/s", NumberRange{0.1, 1e6},
+                "calls that the discovery service can serve for all routers while they start or reconnect")
+        .integer("window_most_ms", &StartOptions::window_most_ms, "ms", IntegerRange{50, 3'600'000},
+                 "maximum window over which first calls, and calls after a failure, are spread")
+        .integer(
+            "reask_ms", &StartOptions::reask_ms, "ms", IntegerRange{0, 10'000},
+            "maximum random delay of the next poll after an update; all routers receive an update at the "
+            "same time")
+        .integer("retry_after_most_s", &StartOptions::retry_after_most_s, "s", IntegerRange{0, 3'600},
+                 "maximum Retry-After of the discovery service that is followed in full")
+        .number(
+            "node_opens_per_s", &StartOptions::node_opens_per_s, "connections/s", NumberRange{0.0, 1e6},
+            "new connections from all routers that one cache or parent can accept; 0: connections open as "
+            "requests arrive")
+        .integer("open_window_most_ms", &StartOptions::open_window_most_ms, "ms", IntegerRange{0, 600'000},
+                 "maximum window over which routers start to use a new or returning node")
+        .integer("node_connections", &StartOptions::node_connections, "connections",
+                 IntegerRange{0, 1'000'000},
+                 "connections from all routers that one cache or parent can hold; 0: no limit")
+        .integer("flap_s", &StartOptions::flap_s, "s", IntegerRange{0, 86'400},
+                 "a node that returns again within this time is flapping, and its admission window doubles")
+        .string("unsure", &StartOptions::unsure, "-", StringRule{{"serve", "guard", "refuse"}, false},
+                "policy while the endpoint list may be stale; serve: serve as usual; guard: serve with age "
+                "limits that exclude copies that a missed purge may forbid; refuse: reject all requests")
+        .integer(
+            "told_within_ms", &StartOptions::told_within_ms, "ms", IntegerRange{0, 600'000},
+            "time after which an event of the discovery service is in force, whether it was received or "
+            "not; 0: the purge grace of the settings, and with unsure `serve` at least the duration of a "
+            "long poll")
+        .integer("lapse_ms", &StartOptions::lapse_ms, "ms", IntegerRange{0, 86'400'000},
+                 "time without a response of the discovery service after which all requests are rejected; 0: "
+                 "never");
     return record;
   }();
   return kRecord;
--- a/src/tasks/options.cpp
+++ b/src/tasks/options.cpp
@@ -5,102 +5,106 @@
 
 namespace trailcourse::tasks {
 
-using config::RealRange;
-using config::WholeRange;
+using config::IntegerRange;
+using config::NumberRange;
 using std::chrono::milliseconds;
 
 namespace {
 
 constexpr const char* kKinds[] = {"probe", "fill", "report", "policy", "acknowledge"};
 
-constexpr WholeRange kMilliseconds{1, 600'000};
+constexpr IntegerRange kMilliseconds{1, 600'000};
 
 // Whom shards are given to, and for how long.
 void add_lease_keys(config::Record<OwnershipOptions>& record) {
   using O = OwnershipOptions;
   record
-      .texts("kinds", &O::kinds, "-",
-             "kinds of work that this router may own: probe, fill, report, policy, acknowledge")
-      .whole("ttl_ms", &O::ttl_ms, "ms", WholeRange{200, 600'000},
-             "lease time of a shard; after its owner dies, the shard may be without an owner for this long")
-      .real("drift_percent", &O::drift_percent, "%", RealRange{0.0, 20.0},
-            "maximum difference in rate between two clocks; an owner stops earlier by this share of the "
-            "lease time")
-      .whole("margin_ms", &O::margin_ms, "ms", WholeRange{0, 60'000},
-             "time between the lease check of an owner and the moment its effect is sent")
-      .whole("renew_ms", &O::renew_ms, "ms", kMilliseconds,
-             "time after which an owner renews its lease; ttl_ms has to cover two renewals")
-      .whole("retry_ms", &O::retry_ms, "ms", kMilliseconds,
-             "delay before a retry of a store call that was lost or rejected")
-      .whole("turn_ms", &O::turn_ms, "ms", WholeRange{0, 60'000},
-             "delay of a candidate for each candidate before it, so that not all acquire at once")
-      .whole("longest_turn_ms", &O::longest_turn_ms, "ms", WholeRange{0, 600'000},
-             "maximum delay of a candidate")
-      .whole("settle_ms", &O::settle_ms, "ms", WholeRange{0, 3'600'000},
-             "time for which a preferred owner has to be available before a shard is handed over to it")
-      .whole("yield_ms", &O::yield_ms, "ms", WholeRange{0, 10'000},
-             "maximum wait for the last checkpoint when a shard is released, also while this router drains")
-      .whole("stand_back_ms", &O::stand_back_ms, "ms", kMilliseconds,
-             "cooldown after a release on request, during which this router does not acquire the shard again")
-      .whole("most_starts", &O::most_starts, "owners", WholeRange{1, 100},
-             "maximum consecutive starts that failed; the shard is then parked until an operator resumes it")
-      .whole("poison_pause_ms", &O::poison_pause_ms, "ms", kMilliseconds,
-             "backoff before the second start; doubles with each further start")
-      .whole("longest_poison_pause_ms", &O::longest_poison_pause_ms, "ms", WholeRange{1, 86'400'000},
-             "maximum backoff before a start")
-      .whole("most_owned", &O::most_owned, "shards", WholeRange{1, 10'000},
-             "maximum number of shards that this router owns");
+      .strings("kinds", &O::kinds, "-",
+               "kinds of work that this router may own: probe, fill, report, policy, acknowledge")
+      .integer("ttl_ms", &O::ttl_ms, "ms", IntegerRange{200, 600'000},
+               "lease time of a shard; after its owner dies, the shard may be without an owner for this long")
+      .number("drift_percent", &O::drift_percent, "%", NumberRange{0.0, 20.0},
+              "maximum difference in rate between two clocks; an owner stops earlier by this share of the "
+              "lease time")
+      .integer("margin_ms", &O::margin_ms, "ms", IntegerRange{0, 60'000},
+               "time between the lease check of an owner and the moment its effect is sent")
+      .integer("renew_ms", &O::renew_ms, "ms", kMilliseconds,
+               "time after which an owner renews its lease; ttl_ms has to cover two renewals")
+      .integer("retry_ms", &O::retry_ms, "ms", kMilliseconds,
+               "delay before a retry of a store call that was lost or rejected")
+      .integer("turn_ms", &O::turn_ms, "ms", IntegerRange{0, 60'000},
+               "delay of a candidate for each candidate before it, so that not all acquire at once")
+      .integer("longest_turn_ms", &O::longest_turn_ms, "ms", IntegerRange{0, 600'000},
+               "maximum delay of a candidate")
+      .integer("settle_ms", &O::settle_ms, "ms", IntegerRange{0, 3'600'000},
+               "time for which a preferred owner has to be available before a shard is handed over to it")
+      .integer("yield_ms", &O::yield_ms, "ms", IntegerRange{0, 10'000},
+               "maximum wait for the last checkpoint when a shard is released, also while this router drains")
+      .integer(
+          "stand_back_ms", &O::stand_back_ms, "ms", kMilliseconds,
+          "cooldown after a release on request, during which this router does not acquire the shard again")
+      .integer(
+          "most_starts", &O::most_starts, "owners", IntegerRange{1, 100},
+          "maximum consecutive starts that failed; the shard is then parked until an operator resumes it")
+      .integer("poison_pause_ms", &O::poison_pause_ms, "ms", kMilliseconds,
+               "backoff before the second start; doubles with each further start")
+      .integer("longest_poison_pause_ms", &O::longest_poison_pause_ms, "ms", IntegerRange{1, 86'400'000},
+               "maximum backoff before a start")
+      .integer("most_owned", &O::most_owned, "shards", IntegerRange{1, 10'000},
+               "maximum number of shards that this router owns");
 }
 
 // Who is a member of the fleet, and may be given work.
 void add_membership_keys(config::Record<OwnershipOptions>& record) {
   using O = OwnershipOptions;
   record
-      .whole("member_ttl_ms", &O::member_ttl_ms, "ms", WholeRange{200, 600'000},
-             "time after which a router that does not renew its membership is no longer a member")
-      .whole("member_renew_ms", &O::member_renew_ms, "ms", kMilliseconds,
-             "time after which a router renews its membership")
-      .whole("neighbours", &O::neighbours, "routers", WholeRange{0, 10},
-             "number of other routers that each router checks for reachability; 0: none")
-      .whole("neighbour_ms", &O::neighbour_ms, "ms", kMilliseconds,
-             "interval between two reachability checks")
-      .whole("neighbour_misses", &O::neighbour_misses, "tries", WholeRange{1, 100},
-             "consecutive failed checks that raise a suspicion; a router that two neighbours suspect gets no "
-             "owned work")
-      .real("flap_suppress", &O::flap_suppress, "returns", RealRange{1.0, 1'000.0},
-            "number of recent returns above which a router gets no work")
-      .real("flap_reuse", &O::flap_reuse, "returns", RealRange{0.01, 1'000.0},
-            "number of recent returns below which a router gets work again")
-      .whole("flap_half_life_s", &O::flap_half_life_s, "s", WholeRange{1, 86'400},
-             "half-life of a return in the count of recent returns");
+      .integer("member_ttl_ms", &O::member_ttl_ms, "ms", IntegerRange{200, 600'000},
+               "time after which a router that does not renew its membership is no longer a member")
+      .integer("member_renew_ms", &O::member_renew_ms, "ms", kMilliseconds,
+               "time after which a router renews its membership")
+      .integer("neighbours", &O::neighbours, "routers", IntegerRange{0, 10},
+               "number of other routers that each router checks for reachability; 0: none")
+      .integer("neighbour_ms", &O::neighbour_ms, "ms", kMilliseconds,
+               "interval between two reachability checks")
+      .integer(
+          "neighbour_misses", &O::neighbour_misses, "tries", IntegerRange{1, 100},
+          "consecutive failed checks that raise a suspicion; a router that two neighbours suspect gets no "
+          "owned work")
+      .number("flap_suppress", &O::flap_suppress, "returns", NumberRange{1.0, 1'000.0},
+              "number of recent returns above which a router gets no work")
+      .number("flap_reuse", &O::flap_reuse, "returns", NumberRange{0.01, 1'000.0},
+              "number of recent returns below which a router gets work again")
+      .integer("flap_half_life_s", &O::flap_half_life_s, "s", IntegerRange{1, 86'400},
+               "half-life of a return in the count of recent returns");
 }
 
 // The kinds of work.
 void add_task_keys(config::Record<OwnershipOptions>& record) {
   using O = OwnershipOptions;
   record
-      .whole("suspect_after", &O::suspect_after, "failures", WholeRange{1, 1'000},
-             "consecutive failures after which a router reports a cache to the prober")
-      .whole("probe_ms", &O::probe_ms, "ms", kMilliseconds,
-             "interval between two health checks of a suspected cache")
-      .whole("probe_timeout_ms", &O::probe_timeout_ms, "ms", kMilliseconds,
-             "timeout of the connection of a health check, and of its response")
-      .whole("verdict_ms", &O::verdict_ms, "ms", kMilliseconds,
-             "time for which the result of a health check is valid; the prober renews it after half of this "
-             "time")
-      .whole("report_ms", &O::report_ms, "ms", WholeRange{100, 600'000},
-             "interval between two counter updates of a router, and between two fleet reports")
-      .whole("acknowledge_ms", &O::acknowledge_ms, "ms", WholeRange{10, 600'000},
-             "minimum interval between two rounds in which all routers acknowledge events of the discovery "
-             "service")
-      .whole("fill_open", &O::fill_open, "requests", WholeRange{1, 1'000},
-             "maximum concurrent prefetch requests of each shard")
-      .whole("fill_tries", &O::fill_tries, "tries", WholeRange{1, 1'000},
-             "maximum attempts to prefetch one object")
-      .whole("fill_retry_ms", &O::fill_retry_ms, "ms", kMilliseconds,
-             "backoff between two attempts of one object; doubles with each")
-      .whole("fill_patience_ms", &O::fill_patience_ms, "ms", WholeRange{100, 60'000},
-             "timeout of each prefetch attempt");
+      .integer("suspect_after", &O::suspect_after, "failures", IntegerRange{1, 1'000},
+               "consecutive failures after which a router reports a cache to the prober")
+      .integer("probe_ms", &O::probe_ms, "ms", kMilliseconds,
+               "interval between two health checks of a suspected cache")
+      .integer("probe_timeout_ms", &O::probe_timeout_ms, "ms", kMilliseconds,
+               "timeout of the connection of a health check, and of its response")
+      .integer(
+          "verdict_ms", &O::verdict_ms, "ms", kMilliseconds,
+          "time for which the result of a health check is valid; the prober renews it after half of this "
+          "time")
+      .integer("report_ms", &O::report_ms, "ms", IntegerRange{100, 600'000},
+               "interval between two counter updates of a router, and between two fleet reports")
+      .integer("acknowledge_ms", &O::acknowledge_ms, "ms", IntegerRange{10, 600'000},
+               "minimum interval between two rounds in which all routers acknowledge events of the discovery "
+               "service")
+      .integer("fill_open", &O::fill_open, "requests", IntegerRange{1, 1'000},
+               "maximum concurrent prefetch requests of each shard")
+      .integer("fill_tries", &O::fill_tries, "tries", IntegerRange{1, 1'000},
+               "maximum attempts to prefetch one object")
+      .integer("fill_retry_ms", &O::fill_retry_ms, "ms", kMilliseconds,
+               "backoff between two attempts of one object; doubles with each")
+      .integer("fill_patience_ms", &O::fill_patience_ms, "ms", IntegerRange{100, 60'000},
+               "timeout of each prefetch attempt");
 }
 
 // Throws config::KeyError if one lost renewal would end the lease.
--- a/tests/config_record_test.cpp
+++ b/tests/config_record_test.cpp
@@ -52,12 +52,12 @@
     EXPECT_EQ(told.find('\n'), std::string::npos);
   };
   expect(R"({"store": {"disk_mb": 3}})", {"store.disk_mb", "3", "16", "16777216"});
-  expect(R"({"store": {"disk_mb": "much"}})", {"store.disk_mb", "much", "whole number"});
+  expect(R"({"store": {"disk_mb": "much"}})", {"store.disk_mb", "much", "not an integer"});
   expect(R"({"store": {"disk_mb": 99999999999999999999}})", {"store.disk_mb"});
   expect(R"({"store": {"disk_mb": 1.5}})", {"store.disk_mb", "1.5"});
   expect(R"({"store": {"most_share": 2}})", {"store.most_share", "0.001 to 1"});
   expect(R"({"store": {"compress": 1}})", {"store.compress", "true nor false"});
-  expect(R"({"store": {"folder": 1}})", {"store.folder", "not a text"});
+  expect(R"({"store": {"folder": 1}})", {"store.folder", "not a string"});
   expect(R"({"store": {"disk_mv": 64}})", {"store.disk_mv", "no such key", "disk_mb"});
   expect(R"({"store": []})", {"store", "not an object"});
   expect(R"({"store": {"folder": "x", "disk_mb": 16, "segment_mb": 8}})", {"store.segment_mb", "quarter"});
@@ -69,7 +69,7 @@
   expect(R"({"cache": {"name": "a", "listen": "127.0.0.1:1", "sources": ["x"]}, "classes": {"m": {}}})",
          {"cache.sources", "NAME=IP:PORT"});
   expect(R"({"cache": {"name": "a", "listen": "127.0.0.1:1", "sources": [1]}})",
-         {"cache.sources", "list of texts"});
+         {"cache.sources", "list of strings"});
   expect(R"({"origin": {"listen": "127.0.0.1:1", "size_kb": 900}})", {"origin.size_kb", "900", "0 and 234"});
   expect(R"({"cache": {"name": "a", "listen": "127.0.0.1:1", "value_kb": 200}, "classes": {"m": {}}})",
          {"cache.answer_bytes", "240000", "value_kb"});
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -233,7 +233,7 @@
   tuning_record().each(defaults, [](const config::Key& key, const json& value) {
     Tuning into;
     EXPECT_NO_THROW(tuning_record().set(into, key.name, value, key.name)) << key.name;
-    EXPECT_GT(key.reason.size(), 10U) << key.name;
+    EXPECT_GT(key.description.size(), 10U) << key.name;
   });
 }
 
