--- a/src/program/aggregator_command.cpp
+++ b/src/program/aggregator_command.cpp
@@ -30,29 +30,29 @@
 namespace {
 
 constexpr milliseconds kDrainCheck{10};
-constexpr milliseconds kDrainMore{1'000};            // beyond the last permission of a router
-constexpr std::size_t kMostBoardBytes = 64U << 20U;  // of one page
-constexpr std::int64_t kReservedDescriptors = 64;    // standard streams, epoll, listener, calls to the store
+constexpr milliseconds kDrainMargin{1'000};        // after the last lease of a router has expired
+constexpr std::size_t kMaxPageBytes = 64U << 20U;  // of the discovery service
+constexpr std::int64_t kReservedDescriptors = 64;  // standard streams, epoll, listener, calls to the store
 
-// An aggregator drives changes of policy and, where it hears the notice board, acknowledgements; it does no
-// other work of the fleet.
-tasks::OwnershipOptions own_work(const OperatorFile& file) {
+// Returns the ownership options of an aggregator: it may own policy rollouts and, if it polls the discovery
+// service, acknowledgements, but no other work.
+tasks::OwnershipOptions ownership_options(const OperatorFile& file) {
   tasks::OwnershipOptions out = file.ownership;
   const bool has_board = !file.aggregator.board.empty();
   const auto is_other = [has_board](const std::string& kind) {
     return kind != tasks::kPolicyWork && !(has_board && kind == tasks::kAcknowledgeWork);
   };
-  const bool told = out.kinds != tasks::OwnershipOptions{}.kinds;
-  if (told && std::any_of(out.kinds.begin(), out.kinds.end(), is_other)) {
-    log_line(Level::kWarning) << "ownership.kinds: an aggregator takes on the kind policy alone, and "
-                                 "acknowledge where aggregator.board is named";
+  const bool configured = out.kinds != tasks::OwnershipOptions{}.kinds;
+  if (configured && std::any_of(out.kinds.begin(), out.kinds.end(), is_other)) {
+    log_line(Level::kWarning) << "ownership.kinds: an aggregator owns only work of kind policy, and "
+                                 "acknowledge if aggregator.board is set";
   }
   std::erase_if(out.kinds, is_other);
   return out;
 }
 
-// How far the notice board tells, and nothing else of it.
-class BoardNumbers : public routing::DiscoveryListener {
+// Keeps the highest sequence number of the discovery service, and no other part of its pages.
+class SequenceListener : public routing::DiscoveryListener {
  public:
   void take(const protocol::DiscoveryPage& page) override { last_ = std::max(last_, page.highest); }
   std::uint64_t last() const override { return last_; }
@@ -62,61 +62,61 @@
   std::uint64_t last_ = 0;
 };
 
-// Follows the notice board for its numbers, and tells them on.
-class BoardListener {
+// Polls the discovery service for its sequence number and passes it to `progress`.
+class SequenceFollower {
  public:
-  BoardListener(transport::Scheduler& scheduler, const transport::Address& address, std::uint64_t seed,
-                tasks::DiscoveryProgress& follower)
-      : watcher_(scheduler, address, numbers_, profile_, seed, bounds(), hooks(follower), {}) {
-    watcher_.start();
+  SequenceFollower(transport::Scheduler& scheduler, const transport::Address& address, std::uint64_t seed,
+                   tasks::DiscoveryProgress& progress)
+      : client_(scheduler, address, listener_, profile_, seed, bounds(), hooks(progress), {}) {
+    client_.start();
   }
 
  private:
   static routing::DiscoveryClient::Bounds bounds() {
     routing::DiscoveryClient::Bounds out;
-    out.reset_detection_delay = Micros(0);  // numbers alone: taking all again changes nothing
-    out.answers.body_bytes = kMostBoardBytes;
+    out.reset_detection_delay = Micros(0);  // a sequence number that is applied again changes nothing
+    out.answers.body_bytes = kMaxPageBytes;
     out.first_poll_immediate = true;
     return out;
   }
-  static routing::DiscoveryClient::Hooks hooks(tasks::DiscoveryProgress& follower) {
+  static routing::DiscoveryClient::Hooks hooks(tasks::DiscoveryProgress& progress) {
     routing::DiscoveryClient::Hooks out;
-    out.taken = [&follower](const std::string& board, std::uint64_t last) {
-      follower.set_position({board, last});
+    out.taken = [&progress](const std::string& board, std::uint64_t last) {
+      progress.set_position({board, last});
     };
     return out;
   }
 
-  BoardNumbers numbers_;
-  protocol::Profile profile_;  // of lists, which are not read here
-  routing::DiscoveryClient watcher_;
+  SequenceListener listener_;
+  protocol::Profile profile_;  // empty: endpoint lists are not used here
+  routing::DiscoveryClient client_;
 };
 
-// Waits until no router has permission from here, and the policy's work has gone to another.
-transport::Task<void> end_aggregator(transport::Scheduler& scheduler, AggregatorService& service,
-                                     TaskRunner& runner) {
+// Waits until no router has a lease from here and the owned work is released, then stops the scheduler.
+transport::Task<void> drain_aggregator(transport::Scheduler& scheduler, AggregatorService& service,
+                                       TaskRunner& runner) {
   service.drain();
   runner.drain();
-  const Clock::time_point asked = Clock::now();
-  const Micros most = service.longest_ttl() + kDrainMore;
-  while (!(service.drained() && runner.drained()) && Clock::now() - asked < most) {
+  const Clock::time_point start = Clock::now();
+  const Micros max_wait = service.longest_ttl() + kDrainMargin;
+  while (!(service.drained() && runner.drained()) && Clock::now() - start < max_wait) {
     co_await scheduler.sleep(kDrainCheck);
   }
   log_line(Level::kInfo) << (service.drained() ? "drained, ending" : "ending, not drained in time");
   scheduler.stop();
 }
 
-transport::Task<void> heed(transport::Scheduler& scheduler, Signals& signals, AggregatorService& service,
-                           TaskRunner& runner) {
-  bool ending = false;
+transport::Task<void> handle_signals(transport::Scheduler& scheduler, Signals& signals,
+                                     AggregatorService& service, TaskRunner& runner) {
+  bool draining = false;
   for (;;) {
     const int signal = co_await signals.next();
     if (signal == SIGHUP) {
       log_line(Level::kInfo) << service.status_line();
-    } else if (!std::exchange(ending, true)) {
+    } else if (!std::exchange(draining, true)) {
       log_line(Level::kInfo) << "signal " << signal << ": draining, " << service.aggregator().router_count()
-                             << " routers have permission";
-      scheduler.spawn(end_aggregator(scheduler, service, runner));
+                             << " routers have a lease";
+      scheduler.spawn(drain_aggregator(scheduler, service, runner));
     }
   }
 }
@@ -134,26 +134,27 @@
   const std::unique_ptr<coordination::CoordinationStore> store =
       open_store(scheduler, file.coordination, seed);
   AggregatorService service(scheduler, *store, options, prefix, seed);
-  tasks::DiscoveryProgress board;
-  // Of no zone: work that is bound to a zone is its routers'.
-  TaskRunner runner(scheduler, *store, own_work(file), prefix,
+  tasks::DiscoveryProgress progress;
+  // The aggregator has no zone: work of a zone is owned by routers of that zone.
+  TaskRunner runner(scheduler, *store, ownership_options(file), prefix,
                     tasks::MemberIdentity{options.name, service.aggregator().identity().incarnation, "",
                                           options.listen, ""});
   runner.register_kind(tasks::kPolicyWork, [&](tasks::TaskContext context) {
     return std::make_unique<tasks::PolicyRolloutTask>(scheduler, *store, prefix, file.policy,
                                                       std::move(context));
   });
-  std::optional<BoardListener> listener;
+  std::optional<SequenceFollower> follower;
   if (const auto address = transport::parse_address(options.board)) {
-    listener.emplace(scheduler, *address, seed, board);
+    follower.emplace(scheduler, *address, seed, progress);
     runner.register_kind(tasks::kAcknowledgeWork, [&](tasks::TaskContext context) {
-      return std::make_unique<tasks::AcknowledgementTask>(
-          scheduler, *store, prefix, board, milliseconds(file.ownership.acknowledge_ms), std::move(context));
+      return std::make_unique<tasks::AcknowledgementTask>(scheduler, *store, prefix, progress,
+                                                          milliseconds(file.ownership.acknowledge_ms),
+                                                          std::move(context));
     });
   }
   service.start();
   runner.start();
-  scheduler.spawn(heed(scheduler, signals, service, runner));
+  scheduler.spawn(handle_signals(scheduler, signals, service, runner));
   log_line(Level::kInfo) << "aggregator " << options.name << " listens on " << options.listen << ", serves "
                          << options.zones.size() << " zones";
   scheduler.run();
--- a/src/program/aggregator_command.h
+++ b/src/program/aggregator_command.h
@@ -1,12 +1,12 @@
-// `trailcourse aggregator`: the process of a region that stands between its routers and the store.
+// `trailcourse aggregator`: the process between the routers of a region and the coordination store.
 #pragma once
 
 #include "program/operator_file.h"
 
 namespace trailcourse::program {
 
-// Runs until SIGTERM or SIGINT, then drains. Gives the exit status; throws std::system_error where it cannot
-// start.
+// Runs until SIGTERM or SIGINT, then drains. Returns the exit status; throws std::system_error if it cannot
+// start. Logs its status on SIGHUP.
 int run_aggregator(const OperatorFile& file);
 
 }  // namespace trailcourse::program
--- a/src/program/command_line.h
+++ b/src/program/command_line.h
@@ -1,11 +1,12 @@
-// The command line: which sub-command, and with what.
+// The command line of `trailcourse`: selects the sub-command, parses its options and runs it.
 #pragma once
 
 #include <iosfwd>
 
 namespace trailcourse::program {
 
-// Runs a sub-command and gives the exit status: 0, 1 where it failed, 2 where the command line is wrong.
-int run_command(int count, const char* const* words, std::ostream& out, std::ostream& errors);
+// Runs a sub-command and returns the exit status: 0 on success, 1 on failure, 2 on a usage error, and those
+// of the sub-command. `arguments` are those of main().
+int run_command(int count, const char* const* arguments, std::ostream& out, std::ostream& errors);
 
 }  // namespace trailcourse::program
--- a/src/program/configuration.cpp
+++ b/src/program/configuration.cpp
@@ -19,18 +19,18 @@
 
 namespace {
 
-constexpr std::int64_t kLeastSockets = 64;
-constexpr std::int64_t kLeastMemoryMb = 32;
-constexpr std::int64_t kReservedSockets = 16;  // standard streams, epoll, listener, board, spare
-constexpr std::size_t kOpenWithoutLimit = 4096;
+constexpr std::int64_t kMinSockets = 64;
+constexpr std::int64_t kMinMemoryMb = 32;
+constexpr std::int64_t kReservedSockets = 16;  // standard streams, epoll, listener, discovery service, spare
+constexpr std::size_t kDefaultMaxOpenRequests = 4096;
 
-constexpr std::size_t kPartWithoutLimit = 256U << 20U;
+constexpr std::size_t kDefaultMemoryShare = 256U << 20U;
 
-[[noreturn]] void fail(const std::string& key, const std::string& why) {
-  throw ConfigurationError(key + ": " + why);
+[[noreturn]] void fail(const std::string& key, const std::string& reason) {
+  throw ConfigurationError(key + ": " + reason);
 }
 
-std::optional<std::string> variable(const Sources& sources, const char* name) {
+std::optional<std::string> environment_variable(const Sources& sources, const char* name) {
   const char* value = sources.environment(name);
   return value != nullptr && *value != '\0' ? std::optional<std::string>(value) : std::nullopt;
 }
@@ -41,14 +41,14 @@
   if (!file.is_open() || file.bad()) {
     fail(key, "cannot read " + path);
   }
-  json parsed = json::parse(text, nullptr, false, true);  // comments are allowed
+  json parsed = json::parse(text, nullptr, false, true);  // with comments
   if (parsed.is_discarded() || !parsed.is_object()) {
     fail(key, path + " is not a JSON object");
   }
   return parsed;
 }
 
-transport::Address address_of(const std::string& key, const std::string& text) {
+transport::Address parse_address(const std::string& key, const std::string& text) {
   const std::optional<transport::Address> address = transport::parse_address(text);
   if (!address) {
     fail(key, "'" + text + "' is not an address like 10.0.0.4:4100");
@@ -56,7 +56,7 @@
   return *address;
 }
 
-// Runs a reader; what it finds at fault is told under `key`.
+// Calls `read` and turns its errors into a ConfigurationError for `key`.
 template <typename Read>
 auto under(const std::string& key, Read read) {
   try {
@@ -70,12 +70,12 @@
   }
 }
 
-std::string text_or_empty(const json& source, const char* key) {
+std::string string_or_empty(const json& source, const char* key) {
   return under(key, [&] { return protocol::string_or_default(source, key, ""); });
 }
 
 std::uint64_t read_seed(const json& source) {
-  const std::string text = text_or_empty(source, "seed");
+  const std::string text = string_or_empty(source, "seed");
   const std::optional<std::uint64_t> seed = protocol::read_hex<std::uint64_t>(text);
   if (!seed) {
     fail("seed", "'" + text + "' is not a number of up to 16 hex digits");
@@ -83,32 +83,32 @@
   return *seed;
 }
 
-// The section of the operator's file, then that of the router's own, then the flags.
+// Applies the section `router` of the operator's file, then that of the configuration file, then the flags.
 void read_tuning(const json& source, const Sources& sources, Tuning& tuning) {
-  const auto over = [&tuning](const json& section) {
+  const auto apply = [&tuning](const json& section) {
     for (const auto& [name, value] : section.items()) {
       tuning_record().set(tuning, name, value, name);
     }
   };
   if (!sources.operator_file.empty()) {
     const json file = read_file("--operator", sources.operator_file);
-    over(under("router", [&]() -> const json& { return protocol::section(file, "router"); }));
+    apply(under("router", [&]() -> const json& { return protocol::section(file, "router"); }));
   }
-  over(under("router", [&]() -> const json& { return protocol::section(source, "router"); }));
+  apply(under("router", [&]() -> const json& { return protocol::section(source, "router"); }));
   for (const std::string& set : sources.sets) {
     const std::size_t equals = set.find('=');
     const std::optional<std::int64_t> value =
         equals == std::string::npos ? std::nullopt
                                     : protocol::read_number<std::int64_t>(set.substr(equals + 1));
     if (!value) {
-      fail(set.substr(0, equals), "not of the form KEY=NUMBER");
+      fail(set.substr(0, equals), "does not have the form KEY=NUMBER");
     }
     tuning_record().set(tuning, set.substr(0, equals), *value, set.substr(0, equals));
   }
 }
 
-// The sections of the operator's file that the start goes by.
-StartSections read_start(const Sources& sources) {
+// Reads the sections of the operator's file that a router uses.
+StartSections read_start_sections(const Sources& sources) {
   StartSections out;
   if (sources.operator_file.empty()) {
     return out;
@@ -134,7 +134,8 @@
   tasks::check_ownership(out.ownership);
   policy::check_policy(out.policy);
   if (out.policy.follow && out.coordination.store == "none" && out.aggregation.endpoints.empty()) {
-    fail("policy.follow", "no store is named in the section coordination, and no endpoint in aggregation");
+    fail("policy.follow",
+         "needs a store in the section coordination or an endpoint in the section aggregation");
   }
   return out;
 }
@@ -148,13 +149,13 @@
   const bool known = ::getrlimit(RLIMIT_NOFILE, &system) == 0 && system.rlim_cur != RLIM_INFINITY;
   const std::int64_t own = known ? static_cast<std::int64_t>(system.rlim_cur) : out.sockets;
   out.sockets = out.sockets > 0 ? std::min(out.sockets, own) : own;
-  if (out.sockets < kLeastSockets) {
-    fail("limits.sockets", std::to_string(out.sockets) + " descriptors are too few to serve within, " +
-                               std::to_string(kLeastSockets) + " at least");
+  if (out.sockets < kMinSockets) {
+    fail("limits.sockets", std::to_string(out.sockets) + " descriptors are too few, the minimum is " +
+                               std::to_string(kMinSockets));
   }
-  if (out.memory_mb != 0 && out.memory_mb < kLeastMemoryMb) {
-    fail("limits.memory_mb", std::to_string(out.memory_mb) + " MB are too few to serve within, " +
-                                 std::to_string(kLeastMemoryMb) + " at least");
+  if (out.memory_mb != 0 && out.memory_mb < kMinMemoryMb) {
+    fail("limits.memory_mb",
+         std::to_string(out.memory_mb) + " MB are too few, the minimum is " + std::to_string(kMinMemoryMb));
   }
 }
 
@@ -162,30 +163,30 @@
 
 void check_relay(const RelayOptions& relay) {
   if (!relay.listen.empty()) {
-    address_of("relay.listen", relay.listen);
+    parse_address("relay.listen", relay.listen);
   }
   for (const std::string& peer : relay.peers) {
     const std::size_t equals = peer.find('=');
     const bool named = equals != std::string::npos && equals > 0 && peer.find(',') == std::string::npos;
     if (!named || !transport::parse_address(peer.substr(equals + 1))) {
-      fail("relay.peers", "'" + peer + "' is not of the form NAME=IP:PORT");
+      fail("relay.peers", "'" + peer + "' does not have the form NAME=IP:PORT");
     }
   }
 }
 
 void check_coordination(const coordination::CoordinationOptions& coordination) {
   if (coordination.store == "etcd" && coordination.endpoints.empty()) {
-    fail("coordination.endpoints", "none is named, and the store is etcd");
+    fail("coordination.endpoints", "is empty, but the store is etcd");
   }
   for (const std::string& endpoint : coordination.endpoints) {
-    address_of("coordination.endpoints", endpoint);
+    parse_address("coordination.endpoints", endpoint);
   }
   if (coordination.store == "embedded" && coordination.folder.empty()) {
-    fail("coordination.folder", "none is named, and the store is embedded");
+    fail("coordination.folder", "is empty, but the store is embedded");
   }
   if (!coordination.store_id.empty() &&
       protocol::read_number<std::uint64_t>(coordination.store_id).value_or(0) == 0) {
-    fail("coordination.store_id", "'" + coordination.store_id + "' is not the number of a store");
+    fail("coordination.store_id", "'" + coordination.store_id + "' is not a store id");
   }
 }
 
@@ -298,16 +299,16 @@
   return kRecord;
 }
 
-std::size_t Configuration::most_open_requests() const {
-  return profile.most_open > 0 ? static_cast<std::size_t>(profile.most_open) : kOpenWithoutLimit;
+std::size_t Configuration::max_open_requests() const {
+  return profile.most_open > 0 ? static_cast<std::size_t>(profile.most_open) : kDefaultMaxOpenRequests;
 }
 
-std::size_t Configuration::part_of_memory(std::int64_t part) const {
-  const std::int64_t room = std::max<std::int64_t>(1, memory_mb - tuning.base_memory_mb) * 1'048'576;
-  return memory_mb == 0 ? kPartWithoutLimit : static_cast<std::size_t>(room / part);
+std::size_t Configuration::memory_share(std::int64_t divisor) const {
+  const std::int64_t available = std::max<std::int64_t>(1, memory_mb - tuning.base_memory_mb) * 1'048'576;
+  return memory_mb == 0 ? kDefaultMemoryShare : static_cast<std::size_t>(available / divisor);
 }
 
-milliseconds Configuration::drain_answer() const {
+milliseconds Configuration::drain_timeout() const {
   milliseconds longest(0);
   for (const ClassSettings& one : profile.settings.classes) {
     longest = std::max(longest, std::chrono::ceil<milliseconds>(one.give_up_after));
@@ -316,53 +317,54 @@
   return (longest.count() > 0 ? std::min(longest, most) : most) + milliseconds(tuning.drain_late_ms);
 }
 
-// Clients hold a third at most, and some more are let in for those that hold theirs idle; the rest, less what
-// the program itself needs, is for caches.
-std::size_t Configuration::most_clients() const {
+// Clients usually hold up to a third of the descriptors, and more are allowed because some hold idle
+// connections. The rest, less what the program itself needs, is for caches.
+std::size_t Configuration::max_clients() const {
   return static_cast<std::size_t>(std::max<std::int64_t>(8, sockets * tuning.client_share_percent / 100));
 }
 
-int Configuration::most_cache_connections() const {
-  return static_cast<int>(std::max<std::int64_t>(8, sockets - static_cast<std::int64_t>(most_clients()) -
+int Configuration::max_cache_connections() const {
+  return static_cast<int>(std::max<std::int64_t>(8, sockets - static_cast<std::int64_t>(max_clients()) -
                                                         kReservedSockets -
-                                                        std::int64_t{2} * most_lingering()));
+                                                        std::int64_t{2} * max_lingering()));
 }
 
-int Configuration::most_lingering() const { return static_cast<int>(sockets / 32); }
+int Configuration::max_lingering() const { return static_cast<int>(sockets / 32); }
 
 Configuration read_configuration(const Sources& sources) {
   Configuration out;
-  const std::optional<std::string> told_file = variable(sources, "NODE_CONFIG");
-  if (sources.file.empty() && !told_file) {
-    fail("NODE_CONFIG", "not set, and no --config given");
+  const std::optional<std::string> environment_file = environment_variable(sources, "NODE_CONFIG");
+  if (sources.file.empty() && !environment_file) {
+    fail("NODE_CONFIG", "is not set, and --config is not given");
   }
   const std::string file_key = sources.file.empty() ? "NODE_CONFIG" : "--config";
-  const json source = read_file(file_key, sources.file.empty() ? *told_file : sources.file);
+  const json source = read_file(file_key, sources.file.empty() ? *environment_file : sources.file);
 
-  const std::string name = text_or_empty(source, "name");
-  const std::optional<std::string> told_name = variable(sources, "NODE_NAME");
-  if (told_name && !name.empty() && *told_name != name) {
-    fail("NODE_NAME", "'" + *told_name + "' contradicts name '" + name + "' of the configuration");
+  const std::string name = string_or_empty(source, "name");
+  const std::optional<std::string> environment_name = environment_variable(sources, "NODE_NAME");
+  if (environment_name && !name.empty() && *environment_name != name) {
+    fail("NODE_NAME", "'" + *environment_name + "' contradicts name '" + name + "' of the configuration");
   }
-  out.name = told_name.value_or(name);
+  out.name = environment_name.value_or(name);
   if (out.name.empty()) {
     fail("name", "missing");
   }
 
-  const std::string listen = text_or_empty(source, "listen");
-  const std::optional<std::string> told_listen = variable(sources, "NODE_LISTEN");
+  const std::string listen = string_or_empty(source, "listen");
+  const std::optional<std::string> environment_listen = environment_variable(sources, "NODE_LISTEN");
   if (!sources.listen.empty()) {
-    out.listen = address_of("--listen", sources.listen);
-  } else if (told_listen) {
-    out.listen = address_of("NODE_LISTEN", *told_listen);
-    if (!listen.empty() && address_of("listen", listen) != out.listen) {
-      fail("NODE_LISTEN", "'" + *told_listen + "' contradicts listen '" + listen + "' of the configuration");
+    out.listen = parse_address("--listen", sources.listen);
+  } else if (environment_listen) {
+    out.listen = parse_address("NODE_LISTEN", *environment_listen);
+    if (!listen.empty() && parse_address("listen", listen) != out.listen) {
+      fail("NODE_LISTEN",
+           "'" + *environment_listen + "' contradicts listen '" + listen + "' of the configuration");
     }
   } else {
-    out.listen = address_of("listen", listen);
+    out.listen = parse_address("listen", listen);
   }
 
-  out.board = address_of("board", text_or_empty(source, "board"));
+  out.board = parse_address("board", string_or_empty(source, "board"));
   out.seed = read_seed(source);
   json fixed = source;
   for (const char* key : {"board", "known", "seed"}) {
@@ -371,7 +373,7 @@
   out.fixed = fixed.dump();
   read_limits(source, out);
   under("router", [&] { read_tuning(source, sources, out.tuning); });
-  out.start = under("--operator", [&] { return read_start(sources); });
+  out.start = under("--operator", [&] { return read_start_sections(sources); });
   if (protocol::find(source, "settings") == nullptr) {
     fail("settings", "missing");
   }
@@ -380,7 +382,7 @@
     fail("settings.Classes", "missing");
   }
   if (out.profile.settings.max_attempts < 1) {
-    fail("settings.Limits.AttemptsCap", "must be 1 at least");
+    fail("settings.Limits.AttemptsCap", "has to be at least 1");
   }
   if (protocol::find(source, "known") == nullptr) {
     fail("known", "missing");
--- a/src/program/configuration.h
+++ b/src/program/configuration.h
@@ -1,4 +1,4 @@
-// The one place where configuration is read, checked and given defaults.
+// The configuration of the router: reads its sources, checks them and fills in the defaults.
 #pragma once
 
 #include <chrono>
@@ -18,13 +18,14 @@
 
 namespace trailcourse::program {
 
-// Its text is one line that names the key at fault.
+// The configuration is invalid. what() is one line that names the key.
 class ConfigurationError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// Matters of sockets and memory; the decision module knows none of them. Milliseconds, bytes and counts.
+// Socket and memory settings, which no routing decision depends on. The keys are described in
+// configuration.cpp.
 struct Tuning {
   std::int64_t listen_backlog = 1024;
   std::int64_t client_idle_ms = 15'000;
@@ -59,46 +60,51 @@
   transport::Address listen;
   transport::Address board;
   std::uint64_t seed = 0;
-  std::int64_t memory_mb = 0;  // 0: no limit is told
+  std::int64_t memory_mb = 0;  // 0: no limit
   std::int64_t sockets = 0;
   protocol::Profile profile;
   protocol::DiscoveryPage known;
-  std::string known_text;  // the same as it was given
+  std::string known_text;  // `known` as it was configured
   Tuning tuning;
   StartSections start;
-  std::string fixed;  // the file but for what a router that serves can take in: a change needs a restart
+  std::string fixed;  // the keys of the file whose change needs a restart, as JSON
 
-  // Derived from the limits and settings.
-  std::size_t most_open_requests() const;
-  std::size_t most_open_bytes() const { return part_of_memory(3); }
-  std::size_t most_waiting_bytes() const { return part_of_memory(4); }  // answers their clients are to take
-  std::size_t most_answer_bytes() const { return part_of_memory(4); }   // answers that have come in part
-  std::size_t most_partial_bytes() const { return part_of_memory(8); }  // requests that have come in part
-  std::size_t part_of_memory(std::int64_t part) const;
-  std::size_t most_clients() const;  // connections
-  int most_cache_connections() const;
-  int most_lingering() const;  // connections that were closed here, of clients and of caches each
-  std::chrono::milliseconds drain_answer() const;  // after SIGTERM; what is open then is failed
+  // Limits derived from the configured limits and settings.
+  std::size_t max_open_requests() const;
+  std::size_t max_open_bytes() const { return memory_share(3); }
+  std::size_t max_unsent_bytes() const {
+    return memory_share(4);
+  }  // responses that wait to be sent to clients
+  std::size_t max_response_bytes() const {
+    return memory_share(4);
+  }  // partially received responses of caches
+  std::size_t max_partial_bytes() const { return memory_share(8); }  // partially received requests
+  // Returns 1/`divisor` of the memory limit, less the memory of the program itself.
+  std::size_t memory_share(std::int64_t divisor) const;
+  std::size_t max_clients() const;  // connections
+  int max_cache_connections() const;
+  int max_lingering()
+      const;  // connections closed here whose peer has not closed yet; for clients and caches each
+  std::chrono::milliseconds drain_timeout() const;  // after SIGTERM; requests that are open then fail
 };
 
-// What one key of the section `relay` alone cannot tell. Throws ConfigurationError.
+// Checks what depends on more than the type and range of one key. Throws ConfigurationError.
 void check_relay(const RelayOptions& relay);
-// The same of the section `coordination`.
 void check_coordination(const coordination::CoordinationOptions& coordination);
 
-// The declaration of the tuning keys: the section `router`.
+// Returns the declaration of the section `router`.
 const config::Record<Tuning>& tuning_record();
 
-// What comes from outside the file.
+// Where the configuration comes from.
 struct Sources {
-  std::function<const char*(const char*)> environment;  // as std::getenv
+  std::function<const char*(const char*)> environment;  // std::getenv, or a substitute in tests
   std::string file;                                     // overrides NODE_CONFIG
   std::string listen;                                   // overrides NODE_LISTEN and the file
-  std::string operator_file;                            // its section `router` goes before the file's
-  std::vector<std::string> sets;                        // KEY=VALUE of tuning keys
+  std::string operator_file;      // its section `router` is read before that of the file
+  std::vector<std::string> sets;  // KEY=NUMBER of keys of the section `router`
 };
 
-// Throws ConfigurationError.
+// Reads and checks the configuration. Throws ConfigurationError.
 Configuration read_configuration(const Sources& sources);
 
 }  // namespace trailcourse::program
--- a/src/program/descriptors.h
+++ b/src/program/descriptors.h
@@ -5,8 +5,8 @@
 
 namespace trailcourse::program {
 
-// The limit told is kept by the system: beyond it calls fail, and are handled as such. It is raised too, as
-// far as the system lets it be.
-void limit_descriptors(std::int64_t most);
+// Sets the soft limit of open descriptors to `max`, or to the hard limit if that is lower. Calls that exceed
+// the limit fail, and their callers handle that.
+void limit_descriptors(std::int64_t max);
 
 }  // namespace trailcourse::program
--- a/src/program/discovery_file_server.cpp
+++ b/src/program/discovery_file_server.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds kLook{50};
+constexpr std::chrono::milliseconds kFilePollInterval{50};
 
 std::string read_all(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
@@ -28,7 +28,7 @@
   return {std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
 }
 
-json parse_board(const std::string& path, const std::string& text) {
+json parse_page(const std::string& path, const std::string& text) {
   json page = json::parse(text, nullptr, false, true);
   try {
     discovery::validate_page(page);
@@ -57,8 +57,8 @@
 
 }  // namespace
 
-DiscoveryFileServer::DiscoveryFileServer(transport::Scheduler& scheduler, const discovery::DiscoveryOptions& options,
-                         std::uint64_t seed)
+DiscoveryFileServer::DiscoveryFileServer(transport::Scheduler& scheduler,
+                                         const discovery::DiscoveryOptions& options, std::uint64_t seed)
     : scheduler_(scheduler),
       file_(options.file),
       text_(read_all(file_)),
@@ -67,7 +67,7 @@
           {.page_headers = [this] { return "X-Askers: " + std::to_string(server_.connections()) + "\r\n"; },
            .publish = [this](const std::string& body) { return publish(body); }},
           seed) {
-  const json page = parse_board(file_, text_);
+  const json page = parse_page(file_, text_);
   log_.replace(page);
   log_.set_source_id(page.value("board", hex(seed)));
 }
@@ -79,35 +79,35 @@
 
 transport::Task<void> DiscoveryFileServer::watch_file() {
   for (;;) {
-    co_await scheduler_.sleep(kLook);
+    co_await scheduler_.sleep(kFilePollInterval);
     reread();
   }
 }
 
 discovery::PublishResponse DiscoveryFileServer::publish(const std::string& body) {
   try {
-    json page = parse_board(file_, read_all(file_));
+    json page = parse_page(file_, read_all(file_));
     const auto published = discovery::publish_fenced_event(page, json::parse(body, nullptr, false));
     if (!published) {
-      ++refused_;
+      ++fenced_rejected_;
       const char* error = discovery::to_string(published.error());
-      log_line(Level::kWarning) << "refused a notice of owned work: " << error;
+      log_line(Level::kWarning) << "rejected an event of owned work: " << error;
       return {409, json{{"error", error}}.dump()};
     }
     if (published->page_changed) {
       const std::unique_ptr<store::Files> folder = store::look_into_folder(folder_of(file_));
       const std::string name = file_.substr(file_.rfind('/') + 1);
-      const std::unique_ptr<store::File> next = folder->create(name + ".next");
-      next->write(0, page.dump(1) + "\n");
-      next->sync();
+      const std::unique_ptr<store::File> file = folder->create(name + ".next");
+      file->write(0, page.dump(1) + "\n");
+      file->sync();
       folder->rename(name + ".next", name);
       folder->sync_names();
-      ++posted_;
+      ++fenced_accepted_;
       reread();
     }
     return {200, json{{"rev", published->sequence}, {"known", published->duplicate}}.dump()};
   } catch (const std::exception& error) {
-    log_line(Level::kError) << "a notice of owned work was not kept: " << error.what();
+    log_line(Level::kError) << "an event of owned work was not stored: " << error.what();
     return {503, json{{"error", "not_kept"}}.dump()};
   }
 }
@@ -119,13 +119,13 @@
       return;
     }
     text_ = std::move(text);
-    const json page = parse_board(file_, text_);
+    const json page = parse_page(file_, text_);
     log_.replace(page);
     log_.set_source_id(page.value("board", log_.source_id()));
-    log_line(Level::kInfo) << "the board tells up to event " << log_.last_sequence();
+    log_line(Level::kInfo) << "discovery service: publishes events up to event " << log_.last_sequence();
     server_.on_published();
   } catch (const std::exception& error) {
-    log_line(Level::kError) << "the board stays as it was: " << error.what();
+    log_line(Level::kError) << "discovery service: the published page is unchanged: " << error.what();
   }
 }
 
@@ -145,13 +145,13 @@
   add("rendered", log_.rendered_pages());
   add("connections", server_.connections());
   add("waiting", server_.long_polls().held());
-  add("fenced_taken", posted_);
-  add("fenced_refused", refused_);
+  add("fenced_taken", fenced_accepted_);
+  add("fenced_refused", fenced_rejected_);
   return out;
 }
 
 std::uint64_t append_event(const std::string& file, json event) {
-  json page = parse_board(file, read_all(file));
+  json page = parse_page(file, read_all(file));
   const std::uint64_t number = page["rev"].get<std::uint64_t>() + 1;
   event["rev"] = number;
   page["rev"] = number;
--- a/src/program/discovery_file_server.h
+++ b/src/program/discovery_file_server.h
@@ -1,5 +1,5 @@
-// A notice board that tells what stands in a file: `trailcourse board`. Which call is answered, held or sent
-// away is decided in `board`; this reads the file and puts the parts together.
+// `trailcourse board`: a discovery service that publishes the events of a file. Library `discovery` decides
+// which call is answered, waits or is rejected; this class reads and watches the file.
 #pragma once
 
 #include <cstdint>
@@ -13,23 +13,23 @@
 
 class DiscoveryFileServer {
  public:
-  // Throws ConfigurationError where the file cannot be used. `id` names this start of the board: a file with
-  // numbers of its own is another board. The file may name itself by `"board"`; else it is `id`.
+  // Throws ConfigurationError if the file is invalid. The id of the service is the key `board` of the file,
+  // or else it is derived from `seed`, so that a restart with other sequence numbers has another id.
   DiscoveryFileServer(transport::Scheduler& scheduler, const discovery::DiscoveryOptions& options,
-              std::uint64_t seed);
+                      std::uint64_t seed);
   DiscoveryFileServer(const DiscoveryFileServer&) = delete;
   DiscoveryFileServer& operator=(const DiscoveryFileServer&) = delete;
 
-  // Throws std::system_error.
+  // Starts to serve. Throws std::system_error if the address is not available.
   void listen(const transport::Address& address);
-  // Reads the file again; one that cannot be used changes nothing.
+  // Reads the file again; an invalid one is logged and changes nothing.
   void reread();
-  // One line of figures.
+  // Returns the counters as one line.
   std::string report() const;
 
  private:
   transport::Task<void> watch_file();
-  // A notice of owned work: kept durably before it is told.
+  // Publishes an event of owned work after it is stored durably in the file.
   discovery::PublishResponse publish(const std::string& body);
 
   transport::Scheduler& scheduler_;
@@ -37,12 +37,12 @@
   std::string text_;
   discovery::EventLog log_;
   discovery::DiscoveryServer server_;
-  std::uint64_t posted_ = 0;
-  std::uint64_t refused_ = 0;
+  std::uint64_t fenced_accepted_ = 0;
+  std::uint64_t fenced_rejected_ = 0;
 };
 
-// Adds an event to such a file, atomically; it gets the next number, which is given. Throws
-// ConfigurationError.
+// Appends an event to such a file by replacing the file, and returns the sequence number that the event got.
+// Throws ConfigurationError if the file is invalid or cannot be replaced.
 std::uint64_t append_event(const std::string& file, nlohmann::json event);
 
 }  // namespace trailcourse::program
--- a/src/program/fleet_command.cpp
+++ b/src/program/fleet_command.cpp
@@ -31,14 +31,14 @@
 
 namespace {
 
-constexpr milliseconds kUp{30'000};
-constexpr milliseconds kRefresh{50};
-constexpr milliseconds kShow{500};
-constexpr std::size_t kMostRows = 24;
-constexpr std::uint64_t kObjects = 400;
-
-double since(Clock::time_point begun) {
-  return std::chrono::duration<double, std::milli>(Clock::now() - begun).count();
+constexpr milliseconds kStartTimeout{30'000};  // of a process, and of an answer of the running fleet
+constexpr milliseconds kPollInterval{50};
+constexpr milliseconds kDisplayInterval{500};
+constexpr std::size_t kMaxRows = 24;
+constexpr std::uint64_t kObjectCount = 400;
+
+double elapsed_ms(Clock::time_point start) {
+  return std::chrono::duration<double, std::milli>(Clock::now() - start).count();
 }
 
 std::optional<json> read_json(const std::string& path) {
@@ -48,73 +48,76 @@
   return file.is_open() && !read.is_discarded() ? std::optional<json>(std::move(read)) : std::nullopt;
 }
 
-void write_whole(const std::string& path, const std::string& text) {
+// Replaces the file atomically, so that a reader never sees a part of it.
+void write_file_atomically(const std::string& path, const std::string& text) {
   const std::string next = path + ".next";
   std::ofstream(next, std::ios::binary) << text;
   std::rename(next.c_str(), path.c_str());
 }
 
-// The figure `name=` of the last line of a log that has it; 0 where none has.
-std::uint64_t figure(const std::string& log, const std::string& name) {
+// Returns the last value of the counter `name=` in a log; 0 if there is none.
+std::uint64_t last_counter(const std::string& log, const std::string& name) {
   const std::size_t at = log.rfind(" " + name + "=");
   return at == std::string::npos ? 0 : std::strtoull(log.c_str() + at + name.size() + 2, nullptr, 10);
 }
 
-// The most that a figure grew between two reports of a log; it begins anew where it falls.
-std::uint64_t most_growth(const std::string& log, const std::string& name) {
-  const std::string words = " " + name + "=";
+// Returns the largest increase of the counter `name=` between two reports in a log. A lower value than the
+// one before means that the process was restarted, and counts from zero.
+std::uint64_t max_increase(const std::string& log, const std::string& name) {
+  const std::string pattern = " " + name + "=";
   std::uint64_t last = 0;
-  std::uint64_t most = 0;
-  for (std::size_t at = log.find(words); at != std::string::npos; at = log.find(words, at + 1)) {
-    const std::uint64_t value = std::strtoull(log.c_str() + at + words.size(), nullptr, 10);
-    most = std::max(most, value >= last ? value - last : value);
+  std::uint64_t max = 0;
+  for (std::size_t at = log.find(pattern); at != std::string::npos; at = log.find(pattern, at + 1)) {
+    const std::uint64_t value = std::strtoull(log.c_str() + at + pattern.size(), nullptr, 10);
+    max = std::max(max, value >= last ? value - last : value);
     last = value;
   }
-  return most;
+  return max;
 }
 
-fleet::FleetSpec shape_of(const FleetCommand& command) {
-  fleet::FleetSpec shape;
-  shape.routers = command.routers;
-  shape.caches = command.caches;
-  shape.parents = command.parents;
-  shape.zones = command.zones;
-  shape.known = !command.without_list;
+fleet::FleetSpec make_spec(const FleetCommand& command) {
+  fleet::FleetSpec spec;
+  spec.routers = command.routers;
+  spec.caches = command.caches;
+  spec.parents = command.parents;
+  spec.zones = command.zones;
+  spec.known = !command.without_list;
   if (command.cold) {
-    shape.since_ms =
+    spec.since_ms =
         std::chrono::duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch()).count();
   }
-  shape.registry = command.registry || command.aggregators > 0;
-  shape.aggregators = command.aggregators;
+  spec.registry = command.registry || command.aggregators > 0;
+  spec.aggregators = command.aggregators;
   if (command.aggregators > 0) {
-    shape.regions = std::min(command.aggregators, static_cast<int>(command.zones.size()));
-    shape.policy = {{"ttl_ms", 3'000}};
+    spec.regions = std::min(command.aggregators, static_cast<int>(command.zones.size()));
+    spec.policy = {{"ttl_ms", 3'000}};
   }
-  shape.disk = command.disk;
-  shape.object_kb = command.object_kb;
-  shape.origin_delay_ms = command.origin_delay_ms;
+  spec.disk = command.disk;
+  spec.object_kb = command.object_kb;
+  spec.origin_delay_ms = command.origin_delay_ms;
   if (command.spread) {
-    shape.operators["startup"] = {{"spread", true},
-                                  {"board_calls_per_s", command.board_calls_per_s},
-                                  {"node_opens_per_s", command.node_opens_per_s}};
+    spec.operators["startup"] = {{"spread", true},
+                                 {"board_calls_per_s", command.board_calls_per_s},
+                                 {"node_opens_per_s", command.node_opens_per_s}};
   }
   if (command.snapshots) {
-    shape.operators["snapshot"] = {{"fleet", "demo"}};
+    spec.operators["snapshot"] = {{"fleet", "demo"}};
   }
-  return shape;
+  return spec;
 }
 
-// The fleet as it runs, from the first process to the last figure.
-class Run {
+// A running fleet: starts its processes, injects faults, generates load and reports the results.
+class FleetRunner {
  public:
-  Run(const FleetCommand& command, std::ostream& out, std::ostream& errors)
+  FleetRunner(const FleetCommand& command, std::ostream& out, std::ostream& errors)
       : command_(command),
         out_(out),
         errors_(errors),
         signals_(scheduler_),
-        layout_(shape_of(command), command.folder, ports_),
+        layout_(make_spec(command), command.folder, ports_),
         random_(command.seed) {}
 
+  // Runs until the run time is over or a signal arrives; returns the exit status.
   int run() {
     for (fleet::Member& member : layout_.members()) {
       if (member.kind == Kind::kRouter) {
@@ -142,37 +145,39 @@
         throw ConfigurationError(command_.faults + ": " + error.what());
       }
     }
-    const bool faulty = command_.proxies || command_.draw > 0 ||
-                        std::any_of(script.begin(), script.end(),
-                                    [](const fleet::Fault& one) { return fleet::is_link_fault(one.kind); });
+    const bool use_proxies = command_.proxies || command_.draw > 0 ||
+                             std::any_of(script.begin(), script.end(), [](const fleet::Fault& fault) {
+                               return fleet::is_link_fault(fault.kind);
+                             });
     scenario_.emplace(scheduler_, layout_, ports_, command_.program,
-                      faulty ? std::vector<std::string>{"*>*"} : std::vector<std::string>{});
+                      use_proxies ? std::vector<std::string>{"*>*"} : std::vector<std::string>{});
     if (command_.draw > 0) {
-      script = drawn_script();
-      write_whole(command_.folder + "/faults.txt", fleet::write_script(script));
+      script = random_script();
+      write_file_atomically(command_.folder + "/faults.txt", fleet::write_script(script));
     }
     json members = json::object();
     for (const fleet::Member& member : layout_.members()) {
       members[member.name] = {{"kind", fleet::to_string(member.kind)}, {"address", member.address}};
     }
-    write_whole(command_.folder + "/members.json", members.dump(1) + "\n");
-    write_whole(command_.folder + "/fleet.pid", std::to_string(::getpid()) + "\n");
-    scheduler_.spawn(heed());
+    write_file_atomically(command_.folder + "/members.json", members.dump(1) + "\n");
+    write_file_atomically(command_.folder + "/fleet.pid", std::to_string(::getpid()) + "\n");
+    scheduler_.spawn(handle_signals());
     if (!start_nodes()) {
-      return kFleetNotUp;
+      return kStartFailed;
     }
     status_.emplace(scheduler_, layout_);
     load_.emplace(scheduler_, fleet::Load::Options{}, command_.seed << 20U);
-    begun_ = Clock::now();
+    start_ = Clock::now();
     scenario_->begin(std::move(script));
-    while (!ending_ && (command_.seconds <= 0.0 || since(begun_) < command_.seconds * 1'000)) {
-      turn();
+    while (!stop_requested_ &&
+           (command_.run_time_s <= 0.0 || elapsed_ms(start_) < command_.run_time_s * 1'000)) {
+      step();
     }
-    return end();
+    return finish();
   }
 
  private:
-  std::vector<fleet::Fault> drawn_script() {
+  std::vector<fleet::Fault> random_script() {
     fleet::Draw draw;
     for (const fleet::Member& member : layout_.members()) {
       if (member.kind == Kind::kRouter || member.kind == Kind::kCache || member.kind == Kind::kParent) {
@@ -183,18 +188,18 @@
       draw.links.push_back(proxy->name());
     }
     draw.faults = command_.draw;
-    draw.length_ms = static_cast<std::int64_t>(std::max(2.0, command_.seconds * 0.7) * 1'000);
+    draw.length_ms = static_cast<std::int64_t>(std::max(2.0, command_.run_time_s * 0.7) * 1'000);
     return fleet::draw_script(draw, command_.seed);
   }
 
   bool start_nodes() {
     for (const Kind kind : fleet::kStartOrder) {
       if (kind == Kind::kRouter) {
-        continue;  // started in their turn
+        continue;  // started by step()
       }
       scenario_->fleet().start_all(kind);
       for (const std::string& name : layout_.names(kind)) {
-        if (!scenario_->fleet().await_up(name, kUp)) {
+        if (!scenario_->fleet().await_up(name, kStartTimeout)) {
           errors_ << "trailcourse: fleet: " << name << " did not come up: " << scenario_->fleet().log(name)
                   << '\n';
           return false;
@@ -204,67 +209,69 @@
     return true;
   }
 
-  // Routers are started in their turn; what happens to each is looked at now and then.
-  void turn() {
+  // Starts the routers that are due, injects faults, sends load and updates the status.
+  void step() {
     const auto routers = layout_.names(Kind::kRouter);
-    while (started_ < routers.size() &&
-           since(begun_) >= static_cast<double>(started_) * static_cast<double>(command_.stagger_ms)) {
-      scenario_->fleet().start(routers[started_++]);
+    while (started_routers_ < routers.size() &&
+           elapsed_ms(start_) >=
+               static_cast<double>(started_routers_) * static_cast<double>(command_.stagger_ms)) {
+      scenario_->fleet().start(routers[started_routers_++]);
     }
     scenario_->play();
-    obey();
-    look_at_nodes();
-    ask();
-    if (Clock::now() >= refresh_at_) {
-      refresh_at_ = Clock::now() + kRefresh;
-      status_->refresh({routers.begin(), routers.begin() + static_cast<std::ptrdiff_t>(started_)});
-      note_states();
-    }
-    if (Clock::now() >= show_at_) {
-      show_at_ = Clock::now() + kShow;
-      show();
+    apply_requested_faults();
+    request_node_counters();
+    send_load();
+    if (Clock::now() >= next_poll_) {
+      next_poll_ = Clock::now() + kPollInterval;
+      status_->refresh({routers.begin(), routers.begin() + static_cast<std::ptrdiff_t>(started_routers_)});
+      record_state_times();
+    }
+    if (Clock::now() >= next_display_) {
+      next_display_ = Clock::now() + kDisplayInterval;
+      publish_status();
     }
     scheduler_.turn(milliseconds(2));
   }
 
-  // What `trailcourse fleet fault` has asked for: a line each, in files that are taken away once played.
-  void obey() {
-    if (Clock::now() < obey_at_) {
+  // Applies the faults that `trailcourse fleet fault` requests. Each is a line in a file of its own, which is
+  // removed once it is read.
+  void apply_requested_faults() {
+    if (Clock::now() < next_fault_check_) {
       return;
     }
-    obey_at_ = Clock::now() + kRefresh;
-    std::vector<std::filesystem::path> orders;
+    next_fault_check_ = Clock::now() + kPollInterval;
+    std::vector<std::filesystem::path> requests;
     std::error_code error;
     for (const auto& entry : std::filesystem::directory_iterator(command_.folder, error)) {
       if (entry.path().extension() == ".order") {
-        orders.push_back(entry.path());
+        requests.push_back(entry.path());
       }
     }
-    std::sort(orders.begin(), orders.end());
-    for (const std::filesystem::path& order : orders) {
-      std::ifstream file(order);
+    std::sort(requests.begin(), requests.end());
+    for (const std::filesystem::path& request : requests) {
+      std::ifstream file(request);
       std::string line;
       std::getline(file, line);
-      std::filesystem::remove(order, error);
+      std::filesystem::remove(request, error);
       try {
         for (const fleet::Fault& fault : fleet::read_script("0 " + line)) {
           scenario_->apply(fault);
         }
-      } catch (const std::invalid_argument& wrong) {
-        errors_ << "trailcourse: fleet: " << wrong.what() << '\n';
+      } catch (const std::invalid_argument& invalid) {
+        errors_ << "trailcourse: fleet: " << invalid.what() << '\n';
       }
     }
   }
 
-  // Each node logs its figures every second, so that the worst second of fills can be told.
-  void look_at_nodes() {
-    if (Clock::now() < nodes_at_) {
+  // Makes each node log its counters every second, from which the second with most fills is found.
+  void request_node_counters() {
+    if (Clock::now() < next_counter_request_) {
       return;
     }
-    nodes_at_ = Clock::now() + std::chrono::seconds(1);
+    next_counter_request_ = Clock::now() + std::chrono::seconds(1);
     for (const Kind kind : {Kind::kCache, Kind::kParent}) {
       for (const std::string& name : layout_.names(kind)) {
-        // One that was just started does not heed the signal yet: it would end by it.
+        // SIGHUP would end a process that has not installed its signal handling yet.
         if (scenario_->fleet().log_since_start(name).find("listens on") != std::string::npos) {
           scenario_->fleet().signal(name, SIGHUP);
         }
@@ -272,11 +279,11 @@
     }
   }
 
-  void ask() {
-    const auto due = static_cast<std::size_t>(since(begun_) / 1'000.0 * command_.load_per_s);
+  // Sends the requests that are due, each to a random router that is ready, as a web server does.
+  void send_load() {
+    const auto due = static_cast<std::size_t>(elapsed_ms(start_) / 1'000.0 * command_.load_per_s);
     const auto& rows = status_->rows();
     while (load_->all().size() < due && command_.load_per_s > 0.0) {
-      // As a front does: only routers that say they are ready.
       std::vector<std::string> ready;
       for (const auto& [name, row] : rows) {
         if (row.ready) {
@@ -288,18 +295,18 @@
       }
       const std::string& router = ready[random_() % ready.size()];
       load_->ask(router, *transport::parse_address(layout_.member(router).address),
-                 fleet::object_name(1'000 + random_() % kObjects));
+                 fleet::object_name(1'000 + random_() % kObjectCount));
     }
   }
 
-  void note_states() {
+  void record_state_times() {
     for (const auto& [name, row] : status_->rows()) {
-      if (row.ready && ready_at_.emplace(name, since(begun_)).second) {
-        ready_ms_.push_back(since(begun_));
+      if (row.ready && ready_at_.emplace(name, elapsed_ms(start_)).second) {
+        ready_ms_.push_back(elapsed_ms(start_));
       }
       const bool current = row.state == "current" || (row.state == "plain" && row.ready);
-      if (current && current_at_.emplace(name, since(begun_)).second) {
-        current_ms_.push_back(since(begun_));
+      if (current && current_at_.emplace(name, elapsed_ms(start_)).second) {
+        current_ms_.push_back(elapsed_ms(start_));
       }
     }
   }
@@ -312,8 +319,9 @@
     return out;
   }
 
-  void show() {
-    json page{{"pid", ::getpid()}, {"seconds", since(begun_) / 1'000.0}, {"states", states()}};
+  // Writes status.json, and prints the status.
+  void publish_status() {
+    json page{{"pid", ::getpid()}, {"seconds", elapsed_ms(start_) / 1'000.0}, {"states", states()}};
     page["routers"] = json::array();
     for (const auto& [name, row] : status_->rows()) {
       page["routers"].push_back({{"router", name},
@@ -326,7 +334,7 @@
                                  {"age_ms", row.age_ms}});
     }
     page["missing"] = scenario_->fleet().missing();
-    write_whole(command_.folder + "/status.json", page.dump(1) + "\n");
+    write_file_atomically(command_.folder + "/status.json", page.dump(1) + "\n");
     if (!command_.json && !command_.quiet) {
       print_status(page, out_, ::isatty(STDOUT_FILENO) == 1);
     }
@@ -342,14 +350,14 @@
       out << ' ' << state << '=' << count;
     }
     out << '\n';
-    if (!terminal && page["routers"].size() > kMostRows) {
+    if (!terminal && page["routers"].size() > kMaxRows) {
       out << std::flush;
       return;
     }
     std::size_t rows = 0;
     for (const json& row : page["routers"]) {
-      if (++rows > kMostRows) {
-        out << "  and " << page["routers"].size() - kMostRows << " more\n";
+      if (++rows > kMaxRows) {
+        out << "  and " << page["routers"].size() - kMaxRows << " more\n";
         break;
       }
       out << "  " << std::left << std::setw(12) << row.value("router", "") << std::setw(13)
@@ -362,18 +370,19 @@
   }
 
  private:
-  transport::Task<void> heed() {
+  transport::Task<void> handle_signals() {
     for (;;) {
       const int signal = co_await signals_.next();
-      ending_ = ending_ || signal != SIGHUP;
+      stop_requested_ = stop_requested_ || signal != SIGHUP;
     }
   }
 
-  int end() {
+  // Stops the fleet, writes the summary and returns the exit status.
+  int finish() {
     const auto missing = scenario_->fleet().missing();
     scenario_->fleet().until([this] { return load_->open() == 0; }, milliseconds(4'000));
-    const json summary = summarise();
-    write_whole(command_.folder + "/summary.json", summary.dump(1) + "\n");
+    const json summary = summarize();
+    write_file_atomically(command_.folder + "/summary.json", summary.dump(1) + "\n");
     for (const std::string& name : layout_.names(Kind::kRouter)) {
       scenario_->fleet().kill(name);
     }
@@ -387,12 +396,12 @@
       errors_ << "trailcourse: fleet: " << one << '\n';
     }
     const bool all_ready = ready_at_.size() == static_cast<std::size_t>(command_.routers);
-    return !missing.empty() ? kFleetMissing : !all_ready && command_.seconds > 0.0 ? kFleetNotUp : 0;
+    return !missing.empty() ? kProcessDied : !all_ready && command_.run_time_s > 0.0 ? kStartFailed : 0;
   }
 
-  json summarise() {
+  json summarize() {
     json out{{"routers", command_.routers},
-             {"seconds", since(begun_) / 1'000.0},
+             {"seconds", elapsed_ms(start_) / 1'000.0},
              {"states", states()},
              {"ready", ready_ms_.size()},
              {"first_ready_ms", fleet::quantile(ready_ms_, 0.0)},
@@ -406,7 +415,7 @@
     return out;
   }
 
-  // Calls and connections that passed the proxies, where there are any.
+  // Adds the calls and connections that the proxies counted, if there are proxies.
   void add_links(json& out) {
     if (scenario_->links().empty()) {
       return;
@@ -433,10 +442,10 @@
     out["node_opens_worst_second"] = node_opens;
   }
 
-  // Answers of the load by kind, and how long those took that were served.
+  // Adds the number of responses by outcome, and the latency of the successful ones.
   void add_requests(json& out) const {
     std::map<std::string, std::size_t> answers;
-    std::vector<double> took;
+    std::vector<double> latencies_ms;
     for (const fleet::Asked& one : load_->all()) {
       const bool served = one.status == 200;
       ++answers[served                                   ? "served"
@@ -444,11 +453,11 @@
                 : one.answers > 0                        ? "failed"
                                                          : "unanswered"];
       if (served) {
-        took.push_back(std::chrono::duration<double, std::milli>(*one.answered - one.sent).count());
+        latencies_ms.push_back(std::chrono::duration<double, std::milli>(*one.answered - one.sent).count());
       }
     }
     out["requests"] = answers;
-    out["answer_ms_p99"] = fleet::quantile(took, 0.99);
+    out["answer_ms_p99"] = fleet::quantile(latencies_ms, 0.99);
   }
 
   void add_routers(json& out) {
@@ -465,7 +474,7 @@
     out["router_descriptors_most"] = fleet::quantile(descriptors, 1.0);
   }
 
-  // Figures of caches and parents, which log them on SIGHUP.
+  // Adds the counters of caches and parents, which log them on SIGHUP.
   void add_nodes(json& out) {
     std::vector<std::string> nodes = layout_.names(Kind::kCache);
     const std::vector<std::string> parents = layout_.names(Kind::kParent);
@@ -481,9 +490,9 @@
     std::uint64_t worst_requests = 0;
     for (const std::string& name : nodes) {
       const std::string log = scenario_->fleet().log(name);
-      fills += figure(log, "fills");
-      worst_fills = std::max(worst_fills, most_growth(log, "fills"));
-      worst_requests = std::max(worst_requests, most_growth(log, "requests"));
+      fills += last_counter(log, "fills");
+      worst_fills = std::max(worst_fills, max_increase(log, "fills"));
+      worst_requests = std::max(worst_requests, max_increase(log, "requests"));
     }
     out["fills"] = fills;
     out["node_fills_worst_second"] = worst_fills;
@@ -507,24 +516,25 @@
   std::optional<fleet::StatusPoller> status_;
   std::optional<fleet::Load> load_;
   std::mt19937_64 random_;
-  Clock::time_point begun_ = Clock::now();
-  Clock::time_point refresh_at_ = begun_;
-  Clock::time_point show_at_ = begun_;
-  Clock::time_point obey_at_ = begun_;
-  Clock::time_point nodes_at_ = begun_;
-  std::size_t started_ = 0;
-  bool ending_ = false;
+  Clock::time_point start_ = Clock::now();
+  Clock::time_point next_poll_ = start_;
+  Clock::time_point next_display_ = start_;
+  Clock::time_point next_fault_check_ = start_;
+  Clock::time_point next_counter_request_ = start_;
+  std::size_t started_routers_ = 0;
+  bool stop_requested_ = false;
   std::map<std::string, double> ready_at_;
   std::map<std::string, double> current_at_;
   std::vector<double> ready_ms_;
   std::vector<double> current_ms_;
 };
 
-std::optional<pid_t> runner_of(const std::string& folder) {
+// Returns the process that runs the fleet of the folder, if there is one.
+std::optional<pid_t> runner_pid(const std::string& folder) {
   std::ifstream file(folder + "/fleet.pid");
   pid_t pid = 0;
-  const bool there = static_cast<bool>(file >> pid) && pid > 0 && ::kill(pid, 0) == 0;
-  return there ? std::optional<pid_t>(pid) : std::nullopt;
+  const bool running = static_cast<bool>(file >> pid) && pid > 0 && ::kill(pid, 0) == 0;
+  return running ? std::optional<pid_t>(pid) : std::nullopt;
 }
 
 }  // namespace
@@ -532,22 +542,22 @@
 int run_fleet_command(const FleetCommand& command, std::ostream& out, std::ostream& errors) {
   if (command.action == "start") {
     std::filesystem::create_directories(command.folder);
-    if (runner_of(command.folder)) {
-      errors << "trailcourse: fleet: one runs in " << command.folder << " already\n";
+    if (runner_pid(command.folder)) {
+      errors << "trailcourse: fleet: a fleet already runs in " << command.folder << "\n";
       return 1;
     }
-    return Run(command, out, errors).run();
+    return FleetRunner(command, out, errors).run();
   }
-  const std::optional<pid_t> pid = runner_of(command.folder);
+  const std::optional<pid_t> pid = runner_pid(command.folder);
   if (!pid) {
-    errors << "trailcourse: fleet: none runs in " << command.folder << '\n';
-    return kFleetNoneThere;
+    errors << "trailcourse: fleet: no fleet runs in " << command.folder << '\n';
+    return kFleetNotRunning;
   }
   if (command.action == "fault") {
-    // Named by its moment: orders are played as they were given.
+    // The name is the time of the request, so that faults are applied in the order of the requests.
     const std::string name = std::to_string(std::chrono::system_clock::now().time_since_epoch().count());
-    write_whole(command.folder + "/" + name + ".order", command.fault + "\n");
-    const Clock::time_point until = Clock::now() + kUp;
+    write_file_atomically(command.folder + "/" + name + ".order", command.fault + "\n");
+    const Clock::time_point until = Clock::now() + kStartTimeout;
     while (std::filesystem::exists(command.folder + "/" + name + ".order") && Clock::now() < until) {
       ::usleep(5'000);
     }
@@ -556,21 +566,21 @@
   if (command.action == "status") {
     const std::optional<json> page = read_json(command.folder + "/status.json");
     if (!page) {
-      errors << "trailcourse: fleet: it has said nothing yet\n";
+      errors << "trailcourse: fleet: no status is available yet\n";
       return 1;
     }
     if (command.json) {
       out << page->dump() << '\n';
     } else {
-      Run::print_status(*page, out, false);
+      FleetRunner::print_status(*page, out, false);
     }
     return 0;
   }
   ::kill(*pid, SIGTERM);
-  const Clock::time_point until = Clock::now() + kUp;
-  while (runner_of(command.folder)) {
+  const Clock::time_point until = Clock::now() + kStartTimeout;
+  while (runner_pid(command.folder)) {
     if (Clock::now() >= until) {
-      errors << "trailcourse: fleet: it does not end\n";
+      errors << "trailcourse: fleet: the fleet did not stop within 30 s\n";
       return 1;
     }
     ::usleep(10'000);
--- a/src/program/fleet_work.cpp
+++ b/src/program/fleet_work.cpp
@@ -19,10 +19,12 @@
 
 namespace {
 
+// Modify the seed for each part, so that their random numbers are independent.
 constexpr std::uint64_t kStoreSeed = 0x5354'4f52'45;
-constexpr std::uint64_t kFillSeed = 0x4649'4c4c;
+constexpr std::uint64_t kPrefetchSeed = 0x4649'4c4c;
 
-std::string incarnation_of(std::uint64_t seed) {
+// Returns the incarnation of this process.
+std::string make_incarnation(std::uint64_t seed) {
   char text[17];
   std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(seed));
   return text;
@@ -52,7 +54,7 @@
       outliers_(static_cast<int>(configuration.start.ownership.suspect_after)),
       verdicts_(milliseconds(configuration.start.ownership.verdict_ms)) {
   if (store_) {
-    take_on_work();
+    create_task_runner();
   }
   const StartSections& start = configuration.start;
   if (start.policy.follow && !start.aggregation.endpoints.empty()) {
@@ -61,16 +63,16 @@
         configuration.seed ^ kStoreSeed, coordination::EtcdStore::FirstEndpoint::kFirstListed);
   }
   if (start.policy.follow && (policy_store_ || store_)) {
-    follow_policy();
+    create_policy_client();
   }
 }
 
-void FleetWork::take_on_work() {
+void FleetWork::create_task_runner() {
   const tasks::OwnershipOptions& options = configuration_.start.ownership;
   const std::string& prefix = configuration_.start.coordination.prefix;
   task_runner_.emplace(
       scheduler_, *store_, options, prefix,
-      tasks::MemberIdentity{configuration_.name, incarnation_of(configuration_.seed),
+      tasks::MemberIdentity{configuration_.name, make_incarnation(configuration_.seed),
                             configuration_.profile.settings.zone, to_string(configuration_.listen), ""});
   task_runner_->register_kind("probe", [this, prefix, options](tasks::TaskContext context) {
     return std::make_unique<tasks::HealthCheckTask>(scheduler_, *store_, prefix, directory_, options,
@@ -78,7 +80,7 @@
   });
   task_runner_->register_kind("fill", [this, options](tasks::TaskContext context) {
     return std::make_unique<tasks::PrefetchTask>(scheduler_, router_, configuration_.profile, options,
-                                                 configuration_.seed ^ kFillSeed, std::move(context));
+                                                 configuration_.seed ^ kPrefetchSeed, std::move(context));
   });
   task_runner_->register_kind("report", [this, prefix, options](tasks::TaskContext context) {
     return std::make_unique<tasks::FleetReportTask>(scheduler_, *store_, prefix, options, std::move(context));
@@ -88,34 +90,36 @@
                                                       configuration_.start.policy, std::move(context));
   });
   task_runner_->register_kind(tasks::kAcknowledgeWork, [this, prefix, options](tasks::TaskContext context) {
-    return std::make_unique<tasks::AcknowledgementTask>(
-        scheduler_, *store_, prefix, board_, milliseconds(options.acknowledge_ms), std::move(context));
+    return std::make_unique<tasks::AcknowledgementTask>(scheduler_, *store_, prefix, discovery_progress_,
+                                                        milliseconds(options.acknowledge_ms),
+                                                        std::move(context));
   });
   task_runner_->observe_keys(tasks::kVerdictPrefix, [this](const std::string& key, const std::string& value) {
-    hear_verdict(key, value);
+    on_verdict(key, value);
   });
   router_.set_attempt_observer(
-      [this](const std::string& cache, Status status, Note note) { attempt_ended(cache, status, note); });
+      [this](const std::string& cache, Status status, Note note) { on_attempt_ended(cache, status, note); });
 }
 
-void FleetWork::follow_policy() {
-  const tasks::PolicyClient::Identity identity{
-      configuration_.name, incarnation_of(configuration_.seed), configuration_.profile.settings.zone,
-      static_cast<std::int64_t>(configuration_.most_open_requests())};
-  policy_.emplace(scheduler_, policy_store_ ? *policy_store_ : *store_, configuration_.start.policy,
-                  configuration_.start.coordination.prefix, identity, configuration_.profile, router_,
-                  [this](std::optional<std::set<std::string>> kinds) { allow(std::move(kinds)); });
-  board_.subscribe(
+void FleetWork::create_policy_client() {
+  const tasks::PolicyClient::Identity identity{configuration_.name, make_incarnation(configuration_.seed),
+                                               configuration_.profile.settings.zone,
+                                               static_cast<std::int64_t>(configuration_.max_open_requests())};
+  policy_.emplace(
+      scheduler_, policy_store_ ? *policy_store_ : *store_, configuration_.start.policy,
+      configuration_.start.coordination.prefix, identity, configuration_.profile, router_,
+      [this](std::optional<std::set<std::string>> kinds) { set_allowed_kinds(std::move(kinds)); });
+  discovery_progress_.subscribe(
       [this](const policy::DiscoveryPosition& position) { policy_->on_discovery_position(position); });
 }
 
-// What work the policy in force lets this router own.
-void FleetWork::allow(std::optional<std::set<std::string>> kinds) {
+// Sets the kinds of work that the policy in force lets this router own; nullopt: all.
+void FleetWork::set_allowed_kinds(std::optional<std::set<std::string>> kinds) {
   if (!task_runner_) {
     return;
   }
   if (kinds) {
-    kinds->insert(tasks::kPolicyWork);  // else no policy could ever be changed
+    kinds->insert(tasks::kPolicyWork);  // otherwise no policy could be changed any more
   }
   task_runner_->set_allowed_kinds(std::move(kinds));
 }
@@ -125,14 +129,14 @@
 void FleetWork::start() {
   if (task_runner_) {
     task_runner_->start();
-    scheduler_.spawn(count());
+    scheduler_.spawn(publish_counters());
   }
   if (policy_) {
     policy_->start();
   }
 }
 
-void FleetWork::leave() {
+void FleetWork::stop_policy() {
   if (policy_) {
     policy_->stop();
   }
@@ -144,8 +148,8 @@
   }
 }
 
-// What says that a cache, and not its source or this router, failed.
-void FleetWork::attempt_ended(const std::string& cache, Status status, Note note) {
+// Counts successes and failures of the cache itself; those of its source or of this router are ignored.
+void FleetWork::on_attempt_ended(const std::string& cache, Status status, Note note) {
   const bool failed = status == Status::kConnectFailed || status == Status::kReset ||
                       status == Status::kTimeout || status == Status::kError;
   if (status == Status::kOk) {
@@ -155,10 +159,10 @@
   } else {
     return;
   }
-  tell_suspects();
+  publish_suspicions();
 }
 
-void FleetWork::tell_suspects() {
+void FleetWork::publish_suspicions() {
   const std::string& zone = configuration_.profile.settings.zone;
   for (const tasks::SuspicionChange& change : outliers_.take_changes()) {
     const std::string key = tasks::suspect_key(zone, change.cache, configuration_.name);
@@ -166,36 +170,37 @@
   }
 }
 
-void FleetWork::hear_verdict(const std::string& key, const std::string& value) {
-  const std::string stem = tasks::kVerdictPrefix + configuration_.profile.settings.zone + "/";
-  if (!key.starts_with(stem)) {
-    return;  // another zone's
+void FleetWork::on_verdict(const std::string& key, const std::string& value) {
+  const std::string prefix = tasks::kVerdictPrefix + configuration_.profile.settings.zone + "/";
+  if (!key.starts_with(prefix)) {
+    return;  // a verdict of another zone
   }
-  const std::string cache = key.substr(stem.size());
+  const std::string cache = key.substr(prefix.size());
   if (value.empty()) {
     verdicts_.on_withdrawn(cache);
     return;
   }
   const std::optional<tasks::Verdict> verdict = tasks::read_verdict(cache, value);
   const Micros now = std::chrono::duration_cast<Micros>(Clock::now().time_since_epoch());
-  const std::optional<HealthCheckResult> seen = verdict ? verdicts_.on_verdict(now, *verdict) : std::nullopt;
-  if (!seen) {
+  const std::optional<HealthCheckResult> result =
+      verdict ? verdicts_.on_verdict(now, *verdict) : std::nullopt;
+  if (!result) {
     return;
   }
-  router_.observed(*seen);
-  if (seen->healthy) {
+  router_.observed(*result);
+  if (result->healthy) {
     outliers_.on_healthy_verdict(cache);
-    tell_suspects();
+    publish_suspicions();
   }
 }
 
-// What this router counts, for the fleet's report.
-transport::Task<void> FleetWork::count() {
+// Writes the counters of this router at each report interval, for the fleet report.
+transport::Task<void> FleetWork::publish_counters() {
   const std::shared_ptr<bool> alive = alive_;
   transport::Scheduler& scheduler = scheduler_;
-  const milliseconds pause(configuration_.start.ownership.report_ms);
+  const milliseconds interval(configuration_.start.ownership.report_ms);
   for (;;) {
-    co_await scheduler.sleep(pause);
+    co_await scheduler.sleep(interval);
     if (!*alive) {
       co_return;
     }
--- a/src/program/fleet_work.h
+++ b/src/program/fleet_work.h
@@ -1,6 +1,6 @@
-// A router's part in the fleet's work, put together: the store, the runner, its tasks, the policy, and what
-// the router tells them and hears from them. There only where the operator's file names a store, or the
-// aggregators of its region, which stand for the store where only the policy is followed.
+// Connects a router to the fleet's work: the coordination store, the task runner and its tasks, and the
+// policy client. They exist only if the operator's file names a store, or aggregators, which take the place
+// of the store for the policy.
 #pragma once
 
 #include <memory>
@@ -20,14 +20,15 @@
 
 namespace trailcourse::program {
 
-// The store that the section names; null for none.
+// Returns the store of the section coordination; null if none is set.
 std::unique_ptr<coordination::CoordinationStore> open_store(transport::Scheduler& scheduler,
                                                             const coordination::CoordinationOptions& options,
                                                             std::uint64_t seed);
 
 class FleetWork {
  public:
-  // Nothing happens where neither a store nor an aggregator is named.
+  // Does nothing if neither a store nor an aggregator is configured. The arguments have to outlive this
+  // object.
   FleetWork(transport::Scheduler& scheduler, const Configuration& configuration, routing::Router& router,
             const routing::Directory& directory);
   ~FleetWork();
@@ -35,36 +36,45 @@
   FleetWork& operator=(const FleetWork&) = delete;
 
   void start();
+
+  // Releases the owned work.
   void drain();
-  // Whether all is let go, or there was nothing.
+
+  // Returns whether all owned work is released.
   bool drained() const { return !task_runner_ || task_runner_->drained(); }
-  // Whether requests may be taken, as far as the fleet's policy goes.
+
+  // Returns whether the fleet's policy allows requests now.
   bool ready() const { return !policy_ || policy_->ready(); }
-  // This router has taken in the notice board up to here.
-  void took_in(const policy::DiscoveryPosition& position) { board_.set_position(position); }
-  // Gives the permission of the policy back: nothing arrives any more.
-  void leave();
-  bool left() const { return !policy_ || policy_->stopped(); }
-  // One object of JSON each; empty where there is no such thing.
-  std::string status() const { return task_runner_ ? task_runner_->status() : std::string(); }
+
+  // Sets the event of the discovery service up to which this router has applied all events.
+  void set_discovery_position(const policy::DiscoveryPosition& position) {
+    discovery_progress_.set_position(position);
+  }
+
+  // Returns the policy lease. To be called when no request can arrive any more.
+  void stop_policy();
+  bool policy_stopped() const { return !policy_ || policy_->stopped(); }
+
+  // Each returns one JSON object; empty without a task runner or policy client.
+  std::string work_status() const { return task_runner_ ? task_runner_->status() : std::string(); }
   std::string policy_status() const { return policy_ ? policy_->status() : std::string(); }
 
  private:
-  void take_on_work();
-  void follow_policy();
-  void allow(std::optional<std::set<std::string>> kinds);
-  void attempt_ended(const std::string& cache, Status status, Note note);
-  void hear_verdict(const std::string& key, const std::string& value);
-  void tell_suspects();
-  transport::Task<void> count();
+  void create_task_runner();
+  void create_policy_client();
+  void set_allowed_kinds(std::optional<std::set<std::string>> kinds);
+  void on_attempt_ended(const std::string& cache, Status status, Note note);
+  void on_verdict(const std::string& key, const std::string& value);
+  void publish_suspicions();
+  transport::Task<void> publish_counters();
 
   transport::Scheduler& scheduler_;
   const Configuration& configuration_;
   routing::Router& router_;
   const routing::Directory& directory_;
-  tasks::DiscoveryProgress board_;
-  std::unique_ptr<coordination::CoordinationStore> store_;         // null for none
-  std::unique_ptr<coordination::CoordinationStore> policy_store_;  // through aggregators; null for none
+  tasks::DiscoveryProgress discovery_progress_;
+  std::unique_ptr<coordination::CoordinationStore> store_;         // null: none
+  std::unique_ptr<coordination::CoordinationStore> policy_store_;  // through aggregators; null: none
   std::optional<tasks::TaskRunner> task_runner_;
   std::optional<tasks::PolicyClient> policy_;
   tasks::OutlierTracker outliers_;
--- a/src/program/main.cpp
+++ b/src/program/main.cpp
@@ -2,6 +2,6 @@
 
 #include "program/command_line.h"
 
-int main(int count, char** words) {
-  return trailcourse::program::run_command(count, words, std::cout, std::cerr);
+int main(int count, char** arguments) {
+  return trailcourse::program::run_command(count, arguments, std::cout, std::cerr);
 }
--- a/src/program/node_commands.cpp
+++ b/src/program/node_commands.cpp
@@ -25,8 +25,8 @@
 namespace {
 
 constexpr milliseconds kDrainCheck{10};
-constexpr milliseconds kDrainMost{3'000};
-constexpr milliseconds kFlushMost{5'000};
+constexpr milliseconds kMaxDrain{3'000};
+constexpr milliseconds kMaxFlush{5'000};
 
 store::Store::Now system_now() {
   store::Store::Now now;
@@ -36,7 +36,7 @@
   return now;
 }
 
-store::Store::Backing backing_of(const store::Options& options) {
+store::Store::Backing storage_of(const store::Options& options) {
   store::Store::Backing backing;
   if (!options.folder.empty()) {
     backing.files = [folder = options.folder] { return store::open_folder(folder); };
@@ -45,10 +45,11 @@
   return backing;
 }
 
-// Takes nothing new, lets what is open end, writes what waits, and stops.
-transport::Task<void> end_node(transport::Scheduler& scheduler, cache_node::Node& node, store::Store& store) {
-  const Clock::time_point asked = Clock::now();
-  while (node.open() > 0 && Clock::now() - asked < kDrainMost) {
+// Waits for open requests, stops the node, writes queued copies to disk, and stops the scheduler.
+transport::Task<void> shut_down_node(transport::Scheduler& scheduler, cache_node::Node& node,
+                                     store::Store& store) {
+  const Clock::time_point start = Clock::now();
+  while (node.open() > 0 && Clock::now() - start < kMaxDrain) {
     co_await scheduler.sleep(kDrainCheck);
   }
   node.stop();
@@ -56,44 +57,45 @@
   const std::function<void()> done = [flushed] { *flushed = true; };
   store.flush(done);
   const Clock::time_point flushing = Clock::now();
-  while (!*flushed && Clock::now() - flushing < kFlushMost) {
+  while (!*flushed && Clock::now() - flushing < kMaxFlush) {
     co_await scheduler.sleep(kDrainCheck);
   }
   log_line(Level::kInfo) << node.report();
   scheduler.stop();
 }
 
-transport::Task<void> heed_node(transport::Scheduler& scheduler, Signals& signals, cache_node::Node& node,
-                                store::Store& store) {
-  bool ending = false;
+transport::Task<void> handle_node_signals(transport::Scheduler& scheduler, Signals& signals,
+                                          cache_node::Node& node, store::Store& store) {
+  bool shutting_down = false;
   for (;;) {
     const int signal = co_await signals.next();
     if (signal == SIGHUP) {
       log_line(Level::kInfo) << node.report();
-    } else if (!std::exchange(ending, true)) {
-      log_line(Level::kInfo) << "signal " << signal << ": ending, " << node.open() << " requests open";
-      scheduler.spawn(end_node(scheduler, node, store));
+    } else if (!std::exchange(shutting_down, true)) {
+      log_line(Level::kInfo) << "signal " << signal << ": shutting down, " << node.open() << " requests open";
+      scheduler.spawn(shut_down_node(scheduler, node, store));
     }
   }
 }
 
-// `hangup` is run on SIGHUP.
-transport::Task<void> heed(transport::Scheduler& scheduler, Signals& signals, std::function<void()> hangup) {
+// Calls `on_hangup` on SIGHUP, and stops the scheduler on any other signal.
+transport::Task<void> handle_signals(transport::Scheduler& scheduler, Signals& signals,
+                                     std::function<void()> on_hangup) {
   for (;;) {
     const int signal = co_await signals.next();
     if (signal != SIGHUP) {
       scheduler.stop();
       co_return;
     }
-    hangup();
+    on_hangup();
   }
 }
 
 }  // namespace
 
 int run_cache(const OperatorFile& file) {
-  constexpr int kOwnPages = 128 << 10;
-  mallopt(M_MMAP_THRESHOLD, kOwnPages);  // copies come from the system and go back to it
+  constexpr int kMmapThreshold = 128 << 10;
+  mallopt(M_MMAP_THRESHOLD, kMmapThreshold);  // returns the memory of copies to the system
   transport::Scheduler scheduler;
   Signals signals(scheduler);
   transport::Mailbox mailbox(scheduler);
@@ -101,20 +103,20 @@
   store::IoPool pool(static_cast<std::size_t>(file.store.read_threads),
                      [&mailbox](std::function<void()> job) { mailbox.post(std::move(job)); });
   store::Store store(
-      file.store, pool, backing_of(file.store), system_now,
-      [](bool bad, const std::string& what) {
-        log_line(bad ? Level::kWarning : Level::kInfo) << "store: " << what;
+      file.store, pool, storage_of(file.store), system_now,
+      [](bool warning, const std::string& message) {
+        log_line(warning ? Level::kWarning : Level::kInfo) << "store: " << message;
       },
       entropy());
   cache_node::Node node(scheduler, file.cache, file.classes, file.store.read_patience_ms, store, entropy());
   const std::string fence_folder = !file.cache.fence_folder.empty() ? file.cache.fence_folder
                                    : !file.store.folder.empty()     ? file.store.folder + ".fence"
                                                                     : std::string();
-  fencing::TokenStore terms(
+  fencing::TokenStore token_store(
       fence_folder.empty() ? nullptr : std::shared_ptr<store::Files>(store::open_folder(fence_folder)), pool);
-  node.use(terms);
+  node.use(token_store);
   node.start();
-  scheduler.spawn(heed_node(scheduler, signals, node, store));
+  scheduler.spawn(handle_node_signals(scheduler, signals, node, store));
   log_line(Level::kInfo) << "cache node " << file.cache.name << " listens on " << file.cache.listen << ", "
                          << (file.store.folder.empty() ? "memory only" : "disk tier in " + file.store.folder);
   scheduler.run();
@@ -128,11 +130,11 @@
   origin.start();
   const std::function<void()> edit = [&origin] {
     origin.edit();
-    log_line(Level::kInfo) << "made objects are of a new version";
+    log_line(Level::kInfo) << "generated objects have a new version";
   };
-  scheduler.spawn(heed(scheduler, signals, edit));
+  scheduler.spawn(handle_signals(scheduler, signals, edit));
   log_line(Level::kInfo) << "origin listens on " << file.origin.listen << ", "
-                         << (file.origin.folder.empty() ? "made objects" : file.origin.folder);
+                         << (file.origin.folder.empty() ? "generated objects" : file.origin.folder);
   scheduler.run();
   log_line(Level::kInfo) << "served=" << origin.served() << " bytes=" << origin.served_bytes();
   return 0;
@@ -149,8 +151,8 @@
     board.reread();
     log_line(Level::kInfo) << board.report();
   };
-  scheduler.spawn(heed(scheduler, signals, reread));
-  log_line(Level::kInfo) << "notice board listens on " << file.board.listen;
+  scheduler.spawn(handle_signals(scheduler, signals, reread));
+  log_line(Level::kInfo) << "discovery service listens on " << file.board.listen;
   scheduler.run();
   log_line(Level::kInfo) << board.report();
   return 0;
@@ -162,9 +164,9 @@
   coordination::CoordinationServer registry(scheduler, file.registry);
   registry.listen(*transport::parse_address(file.registry.listen));
   const std::function<void()> report = [&registry] { log_line(Level::kInfo) << registry.report(); };
-  scheduler.spawn(heed(scheduler, signals, report));
-  log_line(Level::kInfo) << "registry " << registry.id() << " listens on " << file.registry.listen
-                         << ", keeps all in " << file.registry.folder;
+  scheduler.spawn(handle_signals(scheduler, signals, report));
+  log_line(Level::kInfo) << "coordination server " << registry.id() << " listens on " << file.registry.listen
+                         << ", stores its data in " << file.registry.folder;
   scheduler.run();
   log_line(Level::kInfo) << registry.report();
   return 0;
--- a/src/program/operator_file.cpp
+++ b/src/program/operator_file.cpp
@@ -30,43 +30,43 @@
   visit(tuning_record(), file.router);
 }
 
-void need_address(const std::string& key, const std::string& text, bool may_be_empty) {
+void require_address(const std::string& key, const std::string& text, bool may_be_empty) {
   if (!(may_be_empty && text.empty()) && !transport::parse_address(text)) {
     throw ConfigurationError(key + ": '" + text + "' is not an address like 10.0.0.4:4100");
   }
 }
 
-// What one key alone cannot tell.
+// Checks what depends on more than the type and range of one key.
 void check(const OperatorFile& file) {
   const auto has = [&file](const char* section) {
     return std::find(file.sections.begin(), file.sections.end(), section) != file.sections.end();
   };
   if (has("cache")) {
-    need_address("cache.listen", file.cache.listen, false);
-    need_address("cache.board", file.cache.board, true);
+    require_address("cache.listen", file.cache.listen, false);
+    require_address("cache.board", file.cache.board, true);
     for (const std::string& source : file.cache.sources) {
       const std::size_t equals = source.find('=');
       if (equals == std::string::npos || equals == 0) {
-        throw ConfigurationError("cache.sources: '" + source + "' is not of the form NAME=IP:PORT");
+        throw ConfigurationError("cache.sources: '" + source + "' does not have the form NAME=IP:PORT");
       }
-      need_address("cache.sources", source.substr(equals + 1), false);
+      require_address("cache.sources", source.substr(equals + 1), false);
     }
     if (file.cache.value_kb << 10U < file.cache.answer_bytes) {
       throw ConfigurationError("cache.answer_bytes: " + std::to_string(file.cache.answer_bytes) +
-                               " is over value_kb, " + std::to_string(file.cache.value_kb));
+                               " is above value_kb, " + std::to_string(file.cache.value_kb));
     }
     if (file.classes.empty()) {
-      throw ConfigurationError("classes: a cache needs one at least");
+      throw ConfigurationError("classes: a cache needs at least one class");
     }
   }
   if (has("origin")) {
-    need_address("origin.listen", file.origin.listen, false);
+    require_address("origin.listen", file.origin.listen, false);
   }
   if (has("board")) {
-    need_address("board.listen", file.board.listen, false);
+    require_address("board.listen", file.board.listen, false);
   }
   if (has("registry")) {
-    need_address("registry.listen", file.registry.listen, false);
+    require_address("registry.listen", file.registry.listen, false);
   }
   if (has("coordination")) {
     check_coordination(file.coordination);
@@ -79,7 +79,7 @@
   }
   if (has("aggregator")) {
     if (file.coordination.store == "none") {
-      throw ConfigurationError("aggregator: no store is named in the section coordination");
+      throw ConfigurationError("aggregator: no store is set in the section coordination");
     }
     aggregation::check_aggregator(file.aggregator, file.policy.ttl_ms);
   }
@@ -91,14 +91,14 @@
   }
   if (file.store.segment_mb * 4 > file.store.disk_mb && !file.store.folder.empty()) {
     throw ConfigurationError("store.segment_mb: " + std::to_string(file.store.segment_mb) +
-                             " is over a quarter of disk_mb, " + std::to_string(file.store.disk_mb));
+                             " is above a quarter of disk_mb, " + std::to_string(file.store.disk_mb));
   }
 }
 
 }  // namespace
 
 OperatorFile parse_operator_file(const std::string& text, const std::string& path,
-                                 const std::vector<std::string>& needed) {
+                                 const std::vector<std::string>& required_sections) {
   json source;
   try {
     source = json::parse(text, nullptr, true, true);
@@ -135,9 +135,9 @@
   } catch (const config::KeyError& error) {
     throw ConfigurationError(error.what());
   }
-  for (const std::string& section : needed) {
+  for (const std::string& section : required_sections) {
     if (std::find(out.sections.begin(), out.sections.end(), section) == out.sections.end()) {
-      throw ConfigurationError(section + ": this section is needed in " + path);
+      throw ConfigurationError(section + ": this section is missing in " + path);
     }
   }
   try {
@@ -148,13 +148,13 @@
   return out;
 }
 
-OperatorFile read_operator_file(const std::string& path, const std::vector<std::string>& needed) {
+OperatorFile read_operator_file(const std::string& path, const std::vector<std::string>& required_sections) {
   std::ifstream file(path, std::ios::binary);
   const std::string text{std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
   if (!file.is_open() || file.bad()) {
     throw ConfigurationError("--config: cannot read " + path);
   }
-  return parse_operator_file(text, path, needed);
+  return parse_operator_file(text, path, required_sections);
 }
 
 json operator_schema() {
@@ -196,9 +196,9 @@
     });
   };
   each_section(file, [&](const auto& record, const auto& values) {
-    const bool there =
+    const bool present =
         std::find(file.sections.begin(), file.sections.end(), record.section()) != file.sections.end();
-    if (there) {
+    if (present) {
       section(record.section(), record, values);
     }
   });
--- a/src/program/operator_file.h
+++ b/src/program/operator_file.h
@@ -1,5 +1,5 @@
-// The operator's file: everything that the platform does not tell, in sections of typed records. JSON with
-// comments.
+// The operator's file: all configuration that the platform does not provide, as JSON with comments, in
+// sections of typed records.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -33,19 +33,20 @@
   tasks::OwnershipOptions ownership;
   policy::PolicyOptions policy;
   Tuning router;
-  std::vector<std::string> sections;  // that the file has
+  std::vector<std::string> sections;  // names of the sections that are present in the file
 };
 
-// Throws ConfigurationError, one line that names section and key. `needed`: sections that must be there.
-OperatorFile read_operator_file(const std::string& path, const std::vector<std::string>& needed);
+// Reads and checks the file. Throws ConfigurationError, whose text is one line that names section and key,
+// also if one of the required sections is missing.
+OperatorFile read_operator_file(const std::string& path, const std::vector<std::string>& required_sections);
 OperatorFile parse_operator_file(const std::string& text, const std::string& path,
-                                 const std::vector<std::string>& needed);
+                                 const std::vector<std::string>& required_sections);
 
-// The JSON Schema of the whole file.
+// Returns the JSON Schema of the whole file.
 nlohmann::json operator_schema();
-// The rows of docs/configuration.md for each section, in the order of the page.
+// Returns the tables of docs/configuration.md, one for each section.
 std::string operator_documentation();
-// Every key with the value in force, unit and reason.
+// Prints each key with the value in force, its unit and its description.
 void print_operator_file(const OperatorFile& file, std::ostream& out);
 
 }  // namespace trailcourse::program
--- a/src/program/serve.cpp
+++ b/src/program/serve.cpp
@@ -14,12 +14,12 @@
 #include "program/fleet_work.h"
 #include "program/signals.h"
 #include "program/start_support.h"
-#include "routing/discovery_client.h"
 #include "routing/cache_client.h"
+#include "routing/discovery_client.h"
+#include "routing/discovery_update_handler.h"
 #include "routing/endpoint_directory.h"
 #include "routing/fastcgi_server.h"
 #include "routing/module_clock.h"
-#include "routing/discovery_update_handler.h"
 #include "routing/router.h"
 #include "transport/log.h"
 #include "transport/scheduler.h"
@@ -34,20 +34,20 @@
 namespace {
 
 constexpr milliseconds kDrainCheck{10};
-constexpr milliseconds kLetGo{800};
-constexpr milliseconds kFlush{300};             // for the last answers, where a client is slow to take them
-constexpr milliseconds kHalfSaid{500};          // for the rest of a request of which some has come
-constexpr milliseconds kLinger{500};            // for the other side of a connection that was closed here
-constexpr milliseconds kFarewell{200};          // the same, at the end of the program
-constexpr milliseconds kDefaultConnect{1'000};  // where the settings tell none
-constexpr milliseconds kDefaultIdle{15'000};
+constexpr milliseconds kReleaseTimeout{800};  // for owned work and the policy lease
+constexpr milliseconds kFlushTimeout{300};    // for the last responses to slow clients
+constexpr milliseconds kPartialTimeout{500};  // for the rest of a partial request
+constexpr milliseconds kLinger{500};          // for the peer to close a connection that was closed here
+constexpr milliseconds kFinalLinger{200};     // the same, when the program ends
+constexpr milliseconds kDefaultConnectTimeout{1'000};  // if the settings have none
+constexpr milliseconds kDefaultIdleTime{15'000};
 constexpr int kDefaultStreams = 32;
 
-// The connections that get these bounds share one count.
-void let_linger(transport::Connection::Bounds& bounds, const Configuration& configuration) {
+// Sets a limit of lingering connections that all connections with these bounds share.
+void set_linger_limit(transport::Connection::Bounds& bounds, const Configuration& configuration) {
   bounds.linger = kLinger;
   bounds.lingering = std::make_shared<transport::Lingering>();
-  bounds.lingering->most = configuration.most_lingering();
+  bounds.lingering->most = configuration.max_lingering();
 }
 
 routing::CacheClient::Bounds cache_bounds(const Configuration& configuration, const StartSupport& start) {
@@ -55,38 +55,41 @@
   const Tuning& tuning = configuration.tuning;
   routing::CacheClient::Bounds bounds;
   bounds.pool.streams = profile.streams_per_connection > 0 ? profile.streams_per_connection : kDefaultStreams;
-  bounds.pool.connections_per_peer = start.connections(static_cast<int>(tuning.cache_connections));
-  bounds.pool.total_connections = configuration.most_cache_connections();
-  // The cache closes after the told time, and a request may cross that: it ends earlier from here.
-  const Micros idle = profile.connection_idle.count() > 0 ? profile.connection_idle : Micros(kDefaultIdle);
+  bounds.pool.connections_per_peer =
+      start.max_connections_per_peer(static_cast<int>(tuning.cache_connections));
+  bounds.pool.total_connections = configuration.max_cache_connections();
+  // The cache closes an idle connection after this time, and a request could be sent just then. Half of it
+  // avoids that.
+  const Micros idle =
+      profile.connection_idle.count() > 0 ? profile.connection_idle : Micros(kDefaultIdleTime);
   bounds.pool.idle = idle / 2;
   bounds.pool.connection.connect_timeout =
-      profile.connect_timeout.count() > 0 ? profile.connect_timeout : Micros(kDefaultConnect);
-  let_linger(bounds.pool.connection, configuration);
+      profile.connect_timeout.count() > 0 ? profile.connect_timeout : Micros(kDefaultConnectTimeout);
+  set_linger_limit(bounds.pool.connection, configuration);
   bounds.silent_after = milliseconds(tuning.cache_silent_ms);
   bounds.stall_after = milliseconds(tuning.cache_stall_ms);
-  bounds.most_partial = configuration.most_answer_bytes();
+  bounds.most_partial = configuration.max_response_bytes();
   bounds.answers.last_bytes = static_cast<std::size_t>(tuning.answer_bytes);
   return bounds;
 }
 
 routing::Router::Bounds router_bounds(const Configuration& configuration) {
   routing::Router::Bounds bounds;
-  bounds.open = configuration.most_open_requests();
-  bounds.bytes = configuration.most_open_bytes();
+  bounds.open = configuration.max_open_requests();
+  bounds.bytes = configuration.max_open_bytes();
   bounds.request_bytes = static_cast<std::size_t>(configuration.tuning.open_request_bytes);
   return bounds;
 }
 
-routing::Front::Bounds front_bounds(const Configuration& configuration) {
+routing::Front::Bounds server_bounds(const Configuration& configuration) {
   const Tuning& tuning = configuration.tuning;
   routing::Front::Bounds bounds;
   bounds.client_lead = milliseconds(tuning.client_lead_ms);
   bounds.backlog = static_cast<int>(tuning.listen_backlog);
-  bounds.most_waiting = configuration.most_waiting_bytes();
-  bounds.most_partial = configuration.most_partial_bytes();
+  bounds.most_waiting = configuration.max_unsent_bytes();
+  bounds.most_partial = configuration.max_partial_bytes();
   bounds.record_bytes = static_cast<std::size_t>(tuning.answer_record_bytes);
-  bounds.most_clients = configuration.most_clients();
+  bounds.most_clients = configuration.max_clients();
   bounds.most_untaken = static_cast<std::size_t>(tuning.client_untaken_answers);
   bounds.most_untaken_bytes = static_cast<std::size_t>(tuning.client_untaken_bytes);
   bounds.client_young = milliseconds(tuning.client_young_ms);
@@ -96,93 +99,96 @@
   bounds.connection.low_mark = static_cast<std::size_t>(tuning.write_low_mark);
   bounds.connection.send_buffer = static_cast<int>(tuning.client_send_buffer);
   bounds.connection.end_on_hang_up = true;
-  let_linger(bounds.connection, configuration);
+  set_linger_limit(bounds.connection, configuration);
   return bounds;
 }
 
-// Serves on until arrivals have ceased and all is answered.
-transport::Task<void> drain(transport::Scheduler& scheduler, routing::Front& front, routing::Router& router,
+// Serves until no more requests arrive and all are answered, closes all connections and stops the scheduler.
+transport::Task<void> drain(transport::Scheduler& scheduler, routing::Front& server, routing::Router& router,
                             FleetWork& work, const Configuration& configuration) {
-  front.start_draining();
+  server.start_draining();
   work.drain();
-  const Clock::time_point asked = Clock::now();
+  const Clock::time_point drain_start = Clock::now();
   const milliseconds linger(configuration.tuning.drain_linger_ms);
   const milliseconds quiet(configuration.tuning.drain_quiet_ms);
-  const milliseconds longest = configuration.drain_answer();
+  const milliseconds timeout = configuration.drain_timeout();
   for (;;) {
-    const Clock::duration since = Clock::now() - asked;
-    if (since >= longest && router.open_requests() > 0) {
-      log_line(Level::kWarning) << router.open_requests() << " requests failed: the time to drain is over";
+    const Clock::duration elapsed = Clock::now() - drain_start;
+    if (elapsed >= timeout && router.open_requests() > 0) {
+      log_line(Level::kWarning) << router.open_requests()
+                                << " requests failed: the drain timeout has expired";
       router.fail_open();
     }
-    const bool awaited = front.has_partial_request() && since < linger + kHalfSaid;
-    const bool ceased = since >= linger && Clock::now() - front.last_arrival() >= quiet && !awaited;
-    const bool answered = router.open_requests() == 0 && front.quiet();
-    // What it owns of the fleet's work is given back meanwhile; a store that does not answer is not waited
-    // for.
-    if (ceased && answered) {
-      work.leave();
+    const bool receiving = server.has_partial_request() && elapsed < linger + kPartialTimeout;
+    const bool arrivals_ended =
+        elapsed >= linger && Clock::now() - server.last_arrival() >= quiet && !receiving;
+    const bool answered = router.open_requests() == 0 && server.quiet();
+    // Owned work is released at the same time. The wait for a store that does not respond is limited.
+    if (arrivals_ended && answered) {
+      work.stop_policy();
     }
-    const bool let_go = (work.drained() && work.left()) || since >= kLetGo;
-    if ((ceased && answered && let_go && front.settled()) || since >= longest + kFlush) {
+    const bool released = (work.drained() && work.policy_stopped()) || elapsed >= kReleaseTimeout;
+    if ((arrivals_ended && answered && released && server.settled()) || elapsed >= timeout + kFlushTimeout) {
       break;
     }
     co_await scheduler.sleep(kDrainCheck);
   }
-  front.close_all();
+  server.close_all();
   const Clock::time_point closed = Clock::now();
-  while (front.lingering() && Clock::now() - closed < kFarewell) {
+  while (server.lingering() && Clock::now() - closed < kFinalLinger) {
     co_await scheduler.sleep(kDrainCheck);
   }
   log_line(Level::kInfo) << "drained, ending";
   scheduler.stop();
 }
 
-// What a new configuration file changes in a router that serves: the address of the notice board, and what
-// `known` tells beyond the events taken in. All else needs a restart, which the log says; a file that cannot
-// be used changes nothing. It must never cost a request.
-void reload(const Reread& reread, const Configuration& running, routing::DiscoveryClient& board,
-            routing::DiscoveryUpdateHandler& taker) {
+// Applies what a running router can change: the address of the discovery service, and events of `known` that
+// it does not have yet. Other changes are logged and need a restart; an invalid file changes nothing. No
+// request fails by it.
+void reload(const ReloadConfiguration& reload_configuration, const Configuration& running,
+            routing::DiscoveryClient& discovery_client, routing::DiscoveryUpdateHandler& update_handler) {
   try {
-    const Configuration next = reread();
-    taker.take(next.known);
-    const bool moved = board.move(next.board);
-    log_line(Level::kInfo) << "configuration read again: notice board " << to_string(next.board)
-                           << (moved ? " from now on" : " as before") << ", event " << taker.last();
+    const Configuration next = reload_configuration();
+    update_handler.take(next.known);
+    const bool moved = discovery_client.move(next.board);
+    log_line(Level::kInfo) << "configuration reloaded: discovery service " << to_string(next.board)
+                           << (moved ? " (changed)" : " (unchanged)") << ", event " << update_handler.last();
     if (next.fixed != running.fixed) {
-      log_line(Level::kWarning) << "other keys have changed too: they need a restart";
+      log_line(Level::kWarning) << "configuration reloaded: changes of other keys need a restart";
     }
   } catch (const std::exception& error) {
-    log_line(Level::kError) << "the configuration stays as it was: " << error.what();
+    log_line(Level::kError) << "the configuration is unchanged: " << error.what();
   }
 }
 
-// SIGHUP reads the configuration again, also while draining; SIGTERM and SIGINT begin the end, once.
-transport::Task<void> heed_signals(transport::Scheduler& scheduler, Signals& signals, routing::Front& front,
-                                   routing::Router& router, FleetWork& work, routing::DiscoveryClient& board,
-                                   routing::DiscoveryUpdateHandler& taker, const Configuration& configuration,
-                                   const Reread& reread) {
+// Reloads the configuration on SIGHUP, also while draining; starts to drain on the first SIGTERM or SIGINT.
+transport::Task<void> handle_signals(transport::Scheduler& scheduler, Signals& signals,
+                                     routing::Front& server, routing::Router& router, FleetWork& work,
+                                     routing::DiscoveryClient& discovery_client,
+                                     routing::DiscoveryUpdateHandler& update_handler,
+                                     const Configuration& configuration,
+                                     const ReloadConfiguration& reload_configuration) {
   bool draining = false;
   for (;;) {
     const int signal = co_await signals.next();
     if (signal == SIGHUP) {
-      reload(reread, configuration, board, taker);
+      reload(reload_configuration, configuration, discovery_client, update_handler);
     } else if (!std::exchange(draining, true)) {
       log_line(Level::kInfo) << "signal " << signal << ": draining, " << router.open_requests()
                              << " requests open";
-      scheduler.spawn(drain(scheduler, front, router, work, configuration));
+      scheduler.spawn(drain(scheduler, server, router, work, configuration));
     }
   }
 }
 
-// The start's line of JSON with the fleet's work and policy in it.
-std::string status_of(const std::string& start, const FleetWork& work) {
-  const std::string owned = work.status();
+// Adds the status of owned work and policy to the JSON object `start_status`, which may be empty.
+std::string status_with_work(const std::string& start_status, const FleetWork& work) {
+  const std::string owned = work.work_status();
   const std::string policy = work.policy_status();
   if (owned.empty() && policy.empty()) {
-    return start;
+    return start_status;
   }
-  nlohmann::json out = nlohmann::json::parse(start, nullptr, false);
+  nlohmann::json out = nlohmann::json::parse(start_status, nullptr, false);
   out = out.is_object() ? out : nlohmann::json::object();
   if (!owned.empty()) {
     out["work"] = nlohmann::json::parse(owned, nullptr, false);
@@ -193,19 +199,19 @@
   return out.dump();
 }
 
-// Large buffers come from the system and go back to it, whatever lies between them, and a free end of the
-// heap does too: else days of changing sizes leave more and more memory in pieces.
-void keep_heap_small() {
-  constexpr int kOwnPages = 128 << 10;
-  constexpr int kFreeEnd = 512 << 10;
-  mallopt(M_MMAP_THRESHOLD, kOwnPages);
-  mallopt(M_TRIM_THRESHOLD, kFreeEnd);
+// Makes the allocator return large buffers and the free end of the heap to the system. Otherwise the heap
+// grows by fragmentation when the sizes of objects change over days.
+void limit_heap_fragmentation() {
+  constexpr int kMmapThreshold = 128 << 10;
+  constexpr int kTrimThreshold = 512 << 10;
+  mallopt(M_MMAP_THRESHOLD, kMmapThreshold);
+  mallopt(M_TRIM_THRESHOLD, kTrimThreshold);
 }
 
 }  // namespace
 
-int serve(const Configuration& configuration, const Reread& reread) {
-  keep_heap_small();
+int serve(const Configuration& configuration, const ReloadConfiguration& reload_configuration) {
+  limit_heap_fragmentation();
   limit_descriptors(configuration.sockets);
   const protocol::Profile& profile = configuration.profile;
   transport::Scheduler scheduler;
@@ -216,10 +222,10 @@
   routing::Router router(
       scheduler, clock, profile.settings,
       [&decider, &start](Micros now, const Event& event, std::vector<Action>& out) {
-        std::vector<Event> first;
-        start.before(now, first);
-        for (const Event& one : first) {
-          decider.handle(now, one, out);
+        std::vector<Event> due;
+        start.collect_due_events(now, due);
+        for (const Event& due_event : due) {
+          decider.handle(now, due_event, out);
         }
         decider.handle(now, event, out);
       },
@@ -231,27 +237,32 @@
   routing::CacheClient caches(scheduler, router, directory, profile.report_fields,
                               cache_bounds(configuration, start));
   router.use(caches);
-  routing::DiscoveryUpdateHandler taker(router, directory, [&caches](const std::string& name) { caches.drop(name); });
-  start.begin(router, taker);
+  routing::DiscoveryUpdateHandler update_handler(router, directory,
+                                                 [&caches](const std::string& name) { caches.drop(name); });
+  start.initialize(router, update_handler);
   FleetWork work(scheduler, configuration, router, directory);
-  routing::Front front(
-      scheduler, router, profile.settings, profile.class_index, front_bounds(configuration),
-      [&taker, &start, &work] { return taker.ready() && start.ready() && work.ready(); },
+  routing::Front server(
+      scheduler, router, profile.settings, profile.class_index, server_bounds(configuration),
+      [&update_handler, &start, &work] { return update_handler.ready() && start.ready() && work.ready(); },
       [&caches] { return caches.close_one_idle(); });
-  front.set_status_source([&start, &work] { return status_of(start.status(), work); });
-  front.listen(configuration.listen);
+  server.set_status_source([&start, &work] { return status_with_work(start.status(), work); });
+  server.listen(configuration.listen);
   start.listen();
-  routing::DiscoveryClient::Hooks hooks = start.hooks();
-  hooks.taken = [&work](const std::string& id, std::uint64_t last) { work.took_in({id, last}); };
-  routing::DiscoveryClient board(scheduler, configuration.board, taker, profile, configuration.seed,
-                              start.watcher_bounds(), std::move(hooks), start.relays());
-  start.use(board);
-  board.start();
+  routing::DiscoveryClient::Hooks hooks = start.discovery_hooks();
+  hooks.taken = [&work](const std::string& source, std::uint64_t sequence) {
+    work.set_discovery_position({source, sequence});
+  };
+  routing::DiscoveryClient discovery_client(scheduler, configuration.board, update_handler, profile,
+                                            configuration.seed, start.discovery_options(), std::move(hooks),
+                                            start.discovery_relays());
+  start.set_discovery_client(discovery_client);
+  discovery_client.start();
   work.start();
-  scheduler.spawn(heed_signals(scheduler, signals, front, router, work, board, taker, configuration, reread));
+  scheduler.spawn(handle_signals(scheduler, signals, server, router, work, discovery_client, update_handler,
+                                 configuration, reload_configuration));
   log_line(Level::kInfo) << "router " << configuration.name << " listens on "
-                         << to_string(configuration.listen) << ", " << configuration.most_open_requests()
-                         << " open requests and " << configuration.most_cache_connections()
+                         << to_string(configuration.listen) << ", " << configuration.max_open_requests()
+                         << " open requests and " << configuration.max_cache_connections()
                          << " cache connections at most";
   scheduler.run();
   return 0;
--- a/src/program/serve.h
+++ b/src/program/serve.h
@@ -1,4 +1,4 @@
-// Puts the parts together and runs them until a signal asks for the end.
+// Runs a router: connects its parts and runs them until a signal ends it.
 #pragma once
 
 #include <functional>
@@ -7,10 +7,11 @@
 
 namespace trailcourse::program {
 
-// Reads the configuration again, from where it was read first. Throws as read_configuration does.
-using Reread = std::function<Configuration()>;
+// Reads the configuration again from the same sources. Throws as read_configuration() does.
+using ReloadConfiguration = std::function<Configuration()>;
 
-// Gives the exit status. Throws std::system_error where it cannot start.
-int serve(const Configuration& configuration, const Reread& reread);
+// Runs until SIGTERM or SIGINT, then drains. On SIGHUP it applies what a running router can change. Returns
+// the exit status; throws std::system_error if it cannot start.
+int serve(const Configuration& configuration, const ReloadConfiguration& reload_configuration);
 
 }  // namespace trailcourse::program
--- a/src/program/signals.h
+++ b/src/program/signals.h
@@ -1,4 +1,4 @@
-// Signals taken as input, between turns of the scheduler.
+// SIGTERM, SIGINT and SIGHUP as input of a scheduler.
 #pragma once
 
 #include <sys/signalfd.h>
@@ -14,9 +14,11 @@
 
 namespace trailcourse::program {
 
-// Signals are taken as input, between turns; a peer that closes early never raises one.
+// Blocks the signals and receives them through a descriptor, so that they are handled between other events of
+// the scheduler. SIGPIPE is ignored: a write to a closed connection fails instead.
 class Signals {
  public:
+  // Throws std::system_error if the descriptor cannot be created.
   explicit Signals(transport::Scheduler& scheduler) {
     std::signal(SIGPIPE, SIG_IGN);
     sigset_t set;
@@ -34,7 +36,7 @@
     watch_ = std::make_unique<transport::Watch>(scheduler, descriptor_.get());
   }
 
-  // Waits for the next one.
+  // Waits for the next signal and returns its number.
   transport::Task<int> next() {
     for (;;) {
       signalfd_siginfo info{};
--- a/src/program/start_options.cpp
+++ b/src/program/start_options.cpp
@@ -46,12 +46,12 @@
 }
 
 startup::RelaySelectorOptions relay_selector_options(const RelayOptions& options) {
-  startup::RelaySelectorOptions rules;
-  rules.max_age = milliseconds(options.most_age_ms);
-  rules.initial_quarantine = milliseconds(options.pass_over_ms);
-  rules.withholding_quarantine = std::chrono::seconds(options.distrust_s);
-  rules.audits_per_s = options.audits_per_s;
-  return rules;
+  startup::RelaySelectorOptions out;
+  out.max_age = milliseconds(options.most_age_ms);
+  out.initial_quarantine = milliseconds(options.pass_over_ms);
+  out.withholding_quarantine = std::chrono::seconds(options.distrust_s);
+  out.audits_per_s = options.audits_per_s;
+  return out;
 }
 
 }  // namespace trailcourse::program
--- a/src/program/start_options.h
+++ b/src/program/start_options.h
@@ -1,4 +1,4 @@
-// The sections of the operator's file that a router's start goes by: `startup`, `snapshot` and `relay`.
+// The sections of the operator's file that a router uses besides `router`.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +16,8 @@
 
 namespace trailcourse::program {
 
-// The section `relay`: off unless it names peers.
+// The section `relay`, described in start_options.cpp. A router without peers polls the discovery service
+// only.
 struct RelayOptions {
   std::string listen;
   std::vector<std::string> peers;
@@ -29,10 +30,13 @@
   double audits_per_s = 1.0;
   std::int64_t connections = 256;
 };
+
+// Returns the declaration of the section `relay`.
 const config::Record<RelayOptions>& relay_record();
+
 startup::RelaySelectorOptions relay_selector_options(const RelayOptions& options);
 
-// What stands in the operator's file of a router beside its tuning.
+// The sections of a router; those that are absent have their defaults.
 struct StartSections {
   bool has_startup = false;
   startup::StartOptions startup;
--- a/src/program/start_support.h
+++ b/src/program/start_support.h
@@ -1,6 +1,6 @@
-// The start of a router among many, put together: the gate before the decision module, the snapshot on disk,
-// the relay for peers, and what the notice board's watcher is told to do with what it hears. Each part is
-// there only where the operator's file has its section; without any the router is a plain one.
+// Connects the optional parts of a router that help many routers to start at the same time: the endpoint view
+// before the decision module, the snapshot on disk, the relay for peers, and the options and hooks of the
+// discovery client. Each part exists only if the operator's file has its section.
 #pragma once
 
 #include <cstdint>
@@ -22,8 +22,8 @@
 #include "startup/fleet_size.h"
 #include "startup/relay_selector.h"
 #include "store/executor.h"
-#include "transport/timer.h"
 #include "transport/mailbox.h"
+#include "transport/timer.h"
 
 namespace trailcourse::program {
 
@@ -34,55 +34,62 @@
   StartSupport(const StartSupport&) = delete;
   StartSupport& operator=(const StartSupport&) = delete;
 
-  // What the module is to be told before an event at `now`.
-  void before(Micros now, std::vector<Event>& out);
-  // Takes in what is known at the start: of the configuration, and of a snapshot that can be believed.
-  void begin(routing::Router& router, routing::DiscoveryUpdateHandler& taker);
-  // Throws std::system_error where the relay's address cannot be listened on.
+  // Appends the events that the decision module has to handle before another event at `now`.
+  void collect_due_events(Micros now, std::vector<Event>& out);
+
+  // Applies the endpoint list and purges of the configuration, and then those of the snapshot if they are
+  // newer. Both objects have to outlive this one.
+  void initialize(routing::Router& router, routing::DiscoveryUpdateHandler& update_handler);
+
+  // Starts the relay, if there is one. Throws std::system_error if its address is not available.
   void listen();
 
-  routing::DiscoveryClient::Bounds watcher_bounds() const;
-  routing::DiscoveryClient::Hooks hooks();
-  routing::DiscoveryClient::Relays relays();
-  void use(routing::DiscoveryClient& watcher);
+  routing::DiscoveryClient::Bounds discovery_options() const;
+  routing::DiscoveryClient::Hooks discovery_hooks();
+  routing::DiscoveryClient::Relays discovery_relays();
+  // Sets the client whose fleet size and server id this object maintains. It has to outlive this object.
+  void set_discovery_client(routing::DiscoveryClient& client);
 
+  // Returns whether the endpoint list is current enough to serve.
   bool ready() const;
-  // Connections to one cache or parent.
-  int connections(int per_peer) const;
-  // One line of JSON, for `/healthz` and `trailcourse fleet`; empty without any of the sections.
+
+  // Returns the maximum number of connections to one cache or parent; `default_max` without the section
+  // startup.
+  int max_connections_per_peer(int default_max) const;
+
+  // Returns one line of JSON, for `/healthz` and `trailcourse fleet`; empty without any of the sections.
   std::string status() const;
 
  private:
-  Micros known_from_config() const;
-  void load_snapshot(routing::DiscoveryUpdateHandler& taker);
-  void poke();
+  void load_snapshot(routing::DiscoveryUpdateHandler& update_handler);
+  void step_router();
   void set_timer();
-  void note_size();
-  transport::Task<void> keep_snapshot();
-  transport::Task<void> look_after_relay();
+  void update_fleet_size();
+  transport::Task<void> write_snapshots();
+  transport::Task<void> drop_stale_polls();
   void write_snapshot();
 
   transport::Scheduler& scheduler_;
   const Configuration& configuration_;
-  startup::FleetSize size_;
-  std::optional<startup::EndpointView> gate_;
+  startup::FleetSize fleet_size_;
+  std::optional<startup::EndpointView> endpoint_view_;
   discovery::EventLog log_;
-  std::optional<startup::RelaySelector> upstream_;
+  std::optional<startup::RelaySelector> relay_selector_;
   std::optional<routing::Relay> relay_;
   std::unique_ptr<transport::Mailbox> mailbox_;
   std::unique_ptr<store::IoPool> pool_;
-  std::optional<snapshot::SnapshotDirectory> folder_;
-  std::optional<snapshot::WriteScheduler> writer_;
-  std::string snapshot_board_id_;
-  Micros confirmed_steady_{-1};
+  std::optional<snapshot::SnapshotDirectory> snapshot_directory_;
+  std::optional<snapshot::WriteScheduler> write_scheduler_;
+  std::string snapshot_source_id_;
+  Micros confirmed_at_{-1};  // steady time at which the data was last current; -1: unknown
   routing::Router* router_ = nullptr;
-  const routing::DiscoveryUpdateHandler* taker_ = nullptr;
-  routing::DiscoveryClient* watcher_ = nullptr;
+  const routing::DiscoveryUpdateHandler* update_handler_ = nullptr;
+  routing::DiscoveryClient* discovery_client_ = nullptr;
   transport::Alarm timer_;
   bool snapshot_used_ = false;
-  bool root_ = false;  // of its relay tree
-  int tree_size_ = 1;
-  int depth_ = 1;
+  bool is_tree_root_ = false;  // of the relay tree
+  int tree_size_ = 1;          // routers in the relay tree
+  int tree_depth_ = 1;         // level of this router in the relay tree; the root has 1
 };
 
 }  // namespace trailcourse::program
--- a/src/program/store_client.cpp
+++ b/src/program/store_client.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-constexpr std::chrono::seconds kPatience{5};
-constexpr std::chrono::milliseconds kTurn{20};
+constexpr std::chrono::seconds kTimeout{5};
+constexpr std::chrono::milliseconds kMaxTurn{20};
 
 }  // namespace
 
@@ -23,13 +23,15 @@
 
 TransactionResult StoreClient::commit(const coordination::Transaction& transaction) {
   const auto reply = std::make_shared<std::optional<StoreResponse<TransactionResult>>>();
-  store_->commit(transaction, [reply](const StoreResponse<TransactionResult>& told) { *reply = told; });
-  const Clock::time_point end = Clock::now() + kPatience;
+  store_->commit(transaction,
+                 [reply](const StoreResponse<TransactionResult>& response) { *reply = response; });
+  const Clock::time_point end = Clock::now() + kTimeout;
   while (!*reply && Clock::now() < end) {
-    scheduler_.turn(kTurn);
+    scheduler_.turn(kMaxTurn);
   }
   if (!*reply || !(*reply)->ok()) {
-    throw std::runtime_error("the store is not to be had: " + (*reply ? (*reply)->error : "no answer"));
+    throw std::runtime_error("the coordination store is unavailable: " +
+                             (*reply ? (*reply)->error : "no response in time"));
   }
   return (*reply)->value;
 }
@@ -47,7 +49,7 @@
 void StoreClient::pause(Clock::duration time) {
   const Clock::time_point end = Clock::now() + time;
   while (Clock::now() < end) {
-    scheduler_.turn(std::min<Clock::duration>(kTurn, end - Clock::now()));
+    scheduler_.turn(std::min<Clock::duration>(kMaxTurn, end - Clock::now()));
   }
 }
 
--- a/src/program/store_client.h
+++ b/src/program/store_client.h
@@ -1,4 +1,4 @@
-// The store as a command asks it: one thing after the other, each answer awaited.
+// A blocking client of the coordination store, for commands.
 #pragma once
 
 #include <cstdint>
@@ -12,17 +12,22 @@
 
 namespace trailcourse::program {
 
+// Runs a scheduler of its own while it waits.
 class StoreClient {
  public:
   explicit StoreClient(const coordination::CoordinationOptions& options);
 
-  // Throws std::runtime_error where there is no answer within 5 s.
+  // Executes a transaction. Throws std::runtime_error if it fails or no response arrives within 5 s.
   coordination::TransactionResult commit(const coordination::Transaction& transaction);
-  // Entries under a stem, their keys without the prefix.
+  // Returns the entry of the key `stem`, or with `prefix` all whose keys begin with it. The keys are returned
+  // without the prefix of the store. Throws as commit() does.
   std::vector<coordination::Entry> get(const std::string& stem, bool prefix = true);
+  // Returns the full key in the store.
   std::string key(const std::string& rest) const { return options_.prefix + rest; }
   const std::string& prefix() const { return options_.prefix; }
+  // Returns the id of the store; 0 before its first response.
   std::uint64_t id() const { return store_->id(); }
+  // Waits, and keeps the connections to the store alive meanwhile.
   void pause(transport::Clock::duration time);
 
  private:
--- a/src/program/store_commands.cpp
+++ b/src/program/store_commands.cpp
@@ -16,26 +16,26 @@
 
 using nlohmann::json;
 
-// A line that is written over, on a terminal only.
-store::Progress progress_on(std::ostream& errors, const char* what) {
+// Returns a callback that updates a progress line on a terminal, and does nothing elsewhere.
+store::Progress make_progress(std::ostream& errors, const char* label) {
   if (::isatty(STDERR_FILENO) == 0) {
     return [](std::uint64_t, std::uint64_t) {};
   }
-  return [&errors, what](std::uint64_t done, std::uint64_t of) {
-    errors << '\r' << what << ' ' << done << " of " << of << (done >= of ? "\n" : "") << std::flush;
+  return [&errors, label](std::uint64_t done, std::uint64_t total) {
+    errors << '\r' << label << ' ' << done << " of " << total << (done >= total ? "\n" : "") << std::flush;
   };
 }
 
-// Both forms of a report come from one JSON object: for programs as it is, for people a line a key.
-void print(const json& report, bool as_json, std::ostream& out) {
+// Prints a report as JSON, or as one line per key.
+void print_report(const json& report, bool as_json, std::ostream& out) {
   if (as_json) {
     out << report.dump(2) << '\n';
     return;
   }
   for (const auto& [name, value] : report.items()) {
     if (value.is_array()) {
-      for (const json& one : value) {
-        out << name << ": " << (one.is_string() ? one.get<std::string>() : one.dump()) << '\n';
+      for (const json& item : value) {
+        out << name << ": " << (item.is_string() ? item.get<std::string>() : item.dump()) << '\n';
       }
     } else {
       out << name << " = "
@@ -62,52 +62,53 @@
   for (const auto& [rank, count] : stat.by_rank) {
     report["records_of_rank_" + std::to_string(rank)] = count;
   }
-  print(report, command.json, out);
+  print_report(report, command.json, out);
   return 0;
 }
 
 int verify(const StoreCommand& command, std::ostream& out, std::ostream& errors) {
   const std::unique_ptr<store::Files> files = store::look_into_folder(command.folder);
   const std::unique_ptr<store::Index> index = store::open_sqlite_index(command.folder, true);
-  const store::VerifyReport found = store::verify_folder(*files, *index, progress_on(errors, "records"));
-  json damaged = json::array();
-  for (const store::Damage& one : found.damaged) {
-    damaged.push_back(one.where + ": " + one.what);
+  const store::VerifyReport report = store::verify_folder(*files, *index, make_progress(errors, "records"));
+  json damage_lines = json::array();
+  for (const store::Damage& damage : report.damaged) {
+    damage_lines.push_back(damage.where + ": " + damage.what);
   }
-  print(json{{"records", found.records},
-             {"good", found.good},
-             {"bytes", found.bytes},
-             {"values_with_parts_missing", found.incomplete},
-             {"damaged", found.damaged_in_all},
-             {"damage", damaged}},
-        command.json, out);
-  return found.damaged_in_all > 0 ? kDamageFound : 0;
+  print_report(json{{"records", report.records},
+                    {"good", report.good},
+                    {"bytes", report.bytes},
+                    {"values_with_parts_missing", report.incomplete},
+                    {"damaged", report.damaged_in_all},
+                    {"damage", damage_lines}},
+               command.json, out);
+  return report.damaged_in_all > 0 ? kDamageFound : 0;
 }
 
 int compact(const StoreCommand& command, std::ostream& out, std::ostream& errors) {
   constexpr std::uint64_t kMegabyte = 1U << 20U;
   const std::unique_ptr<store::Files> files = store::open_folder(command.folder);
   const std::unique_ptr<store::Index> index = store::open_sqlite_index(command.folder);
-  const store::CompactReport done = store::compact_folder(
-      *files, *index, command.least_share, static_cast<std::uint64_t>(command.segment_mb) * kMegabyte,
-      progress_on(errors, "segments"));
-  print(json{{"segments_before", done.segments_before},
-             {"segments_after", done.segments_after},
-             {"bytes_before", done.bytes_before},
-             {"bytes_after", done.bytes_after},
-             {"moved", done.moved},
-             {"dropped", done.dropped}},
-        command.json, out);
+  const store::CompactReport report = store::compact_folder(
+      *files, *index, command.min_live_share, static_cast<std::uint64_t>(command.segment_mb) * kMegabyte,
+      make_progress(errors, "segments"));
+  print_report(json{{"segments_before", report.segments_before},
+                    {"segments_after", report.segments_after},
+                    {"bytes_before", report.bytes_before},
+                    {"bytes_after", report.bytes_after},
+                    {"moved", report.moved},
+                    {"dropped", report.dropped}},
+               command.json, out);
   return 0;
 }
 
 int drop(const StoreCommand& command, std::ostream& out, std::ostream& errors) {
   if (!command.yes) {
-    errors << "trailcourse: store drop: this removes every copy in " << command.folder << "; say --yes\n";
+    errors << "trailcourse: store drop: this removes every copy in " << command.folder
+           << "; confirm with --yes\n";
     return 1;
   }
   const std::unique_ptr<store::Files> files = store::open_folder(command.folder);
-  print(json{{"files_removed", store::drop_folder(*files)}}, command.json, out);
+  print_report(json{{"files_removed", store::drop_folder(*files)}}, command.json, out);
   return 0;
 }
 
--- a/src/program/store_commands.h
+++ b/src/program/store_commands.h
@@ -1,4 +1,4 @@
-// `trailcourse store stat|verify|compact|drop DIR`.
+// `trailcourse store`: offline maintenance of the folder of a disk tier.
 #pragma once
 
 #include <iosfwd>
@@ -6,19 +6,20 @@
 
 namespace trailcourse::program {
 
+// Exit status beside 0, 1 (failure) and 2 (usage error).
 constexpr int kDamageFound = 3;
-constexpr int kFolderInUse = 4;
+constexpr int kFolderInUse = 4;  // by a cache node
 
 struct StoreCommand {
-  std::string action;
+  std::string action;  // stat, verify, compact or drop
   std::string folder;
   bool json = false;
-  bool yes = false;  // drop: do it
-  double least_share = 0.8;
-  int segment_mb = 16;
+  bool yes = false;             // of drop: confirms the removal
+  double min_live_share = 0.8;  // of compact: segments with a lower share of live data are rewritten
+  int segment_mb = 16;          // of compact: size of new segments
 };
 
-// Gives the exit status: 0, 1 where it failed, kDamageFound, kFolderInUse.
+// Runs the action and returns the exit status.
 int run_store_command(const StoreCommand& command, std::ostream& out, std::ostream& errors);
 
 }  // namespace trailcourse::program
--- a/src/program/work_command.cpp
+++ b/src/program/work_command.cpp
@@ -29,59 +29,60 @@
 
 constexpr int kFailed = 1;
 
-struct Row {
+struct ShardState {
   ownership::ShardId id;
   ownership::Owner owner;
   ownership::Progress progress;
   bool done = false;
-  std::string release;
+  std::string release_member;  // that is requested to release the shard; empty: none
 };
 
-std::string state_of(const ownership::Work& work, const Row& row) {
-  return row.done              ? "done"
-         : row.progress.parked ? "parked"
-         : work.paused         ? "paused"
-         : row.owner.term == 0 ? "no owner"
-         : row.release.empty() ? "owned"
-                               : "handed over";
+std::string state_of(const ownership::Work& work, const ShardState& row) {
+  return row.done                     ? "done"
+         : row.progress.parked        ? "parked"
+         : work.paused                ? "paused"
+         : row.owner.term == 0        ? "no owner"
+         : row.release_member.empty() ? "owned"
+                                      : "handed over";
 }
 
-std::map<std::string, std::pair<ownership::Work, std::vector<Row>>> read_all(StoreClient& client) {
-  std::map<std::string, std::pair<ownership::Work, std::vector<Row>>> out;
+std::map<std::string, std::pair<ownership::Work, std::vector<ShardState>>> load_work(StoreClient& client) {
+  std::map<std::string, std::pair<ownership::Work, std::vector<ShardState>>> out;
   for (const Entry& entry : client.get(ownership::kWorkPrefix)) {
     if (const auto work = ownership::read_work(entry.key, entry.value)) {
-      std::vector<Row> rows;
+      std::vector<ShardState> rows;
       rows.reserve(work->shards);
       for (std::uint64_t i = 0; i < work->shards; ++i) {
-        rows.push_back(Row{ownership::ShardId{work->name, i}, {}, {}, false, {}});
+        rows.push_back(ShardState{ownership::ShardId{work->name, i}, {}, {}, false, {}});
       }
       out[work->name] = {*work, std::move(rows)};
     }
   }
-  const auto each = [&](const char* stem, const auto& take) {
+  const auto apply = [&](const char* stem, const auto& update) {
     for (const Entry& entry : client.get(stem)) {
       const auto id = ownership::read_shard_key(entry.key, stem);
       const auto found = id ? out.find(id->work) : out.end();
       if (found != out.end() && id->shard < found->second.second.size()) {
-        take(found->second.second[id->shard], entry);
+        update(found->second.second[id->shard], entry);
       }
     }
   };
-  each(ownership::kOwnerPrefix, [](Row& row, const Entry& entry) {
+  apply(ownership::kOwnerPrefix, [](ShardState& row, const Entry& entry) {
     row.owner =
         ownership::read_owner(entry.value, entry.created).value_or(ownership::Owner{"?", "?", entry.created});
   });
-  each(ownership::kProgressPrefix, [](Row& row, const Entry& entry) {
+  apply(ownership::kProgressPrefix, [](ShardState& row, const Entry& entry) {
     row.progress = ownership::read_progress(entry.value).value_or(ownership::Progress{});
   });
-  each(ownership::kDonePrefix, [](Row& row, const Entry&) { row.done = true; });
-  each(ownership::kReleasePrefix, [](Row& row, const Entry& entry) { row.release = entry.value; });
+  apply(ownership::kDonePrefix, [](ShardState& row, const Entry&) { row.done = true; });
+  apply(ownership::kReleasePrefix,
+        [](ShardState& row, const Entry& entry) { row.release_member = entry.value; });
   return out;
 }
 
-json json_of(const ownership::Work& work, const std::vector<Row>& rows) {
+json to_json(const ownership::Work& work, const std::vector<ShardState>& rows) {
   json shards = json::array();
-  for (const Row& row : rows) {
+  for (const ShardState& row : rows) {
     shards.push_back({{"shard", row.id.shard},
                       {"state", state_of(work, row)},
                       {"owner", row.owner.member},
@@ -97,88 +98,90 @@
           {"shards", std::move(shards)}};
 }
 
-std::string cut(const std::string& text, std::size_t most) {
-  return text.size() <= most ? text : text.substr(0, most - 3) + "...";
+std::string truncate(const std::string& text, std::size_t max_size) {
+  return text.size() <= max_size ? text : text.substr(0, max_size - 3) + "...";
 }
 
-template <typename... Words>
-void row_out(std::ostream& out, const char* format, Words... words) {
+template <typename... Arguments>
+void print_row(std::ostream& out, const char* format, Arguments... arguments) {
   char line[512];
-  std::snprintf(line, sizeof line, format, words...);
+  std::snprintf(line, sizeof line, format, arguments...);
   out << line << '\n';
 }
 
 int list(StoreClient& client, const WorkCommand& command, std::ostream& out) {
-  const auto all = read_all(client);
+  const auto all = load_work(client);
   if (command.json) {
     json rows = json::array();
     for (const auto& [name, one] : all) {
-      rows.push_back(json_of(one.first, one.second));
+      rows.push_back(to_json(one.first, one.second));
     }
     out << json{{"store", client.id()}, {"work", rows}}.dump(1) << '\n';
     return 0;
   }
-  row_out(out, "%-28s %-8s %-12s %7s %6s %6s %6s %s", "WORK", "KIND", "ZONE", "SHARDS", "OWNED", "DONE",
-          "PARKED", "STATE");
+  print_row(out, "%-28s %-8s %-12s %7s %6s %6s %6s %s", "WORK", "KIND", "ZONE", "SHARDS", "OWNED", "DONE",
+            "PARKED", "STATE");
   for (const auto& [name, one] : all) {
     const auto count = [&rows = one.second](const auto& which) {
       return static_cast<int>(std::count_if(rows.begin(), rows.end(), which));
     };
-    row_out(out, "%-28s %-8s %-12s %7zu %6d %6d %6d %s", name.c_str(), one.first.kind.c_str(),
-            one.first.zone.empty() ? "-" : one.first.zone.c_str(), one.second.size(),
-            count([](const Row& row) { return row.owner.term != 0; }),
-            count([](const Row& row) { return row.done; }),
-            count([](const Row& row) { return row.progress.parked; }), one.first.paused ? "paused" : "on");
+    print_row(out, "%-28s %-8s %-12s %7zu %6d %6d %6d %s", name.c_str(), one.first.kind.c_str(),
+              one.first.zone.empty() ? "-" : one.first.zone.c_str(), one.second.size(),
+              count([](const ShardState& row) { return row.owner.term != 0; }),
+              count([](const ShardState& row) { return row.done; }),
+              count([](const ShardState& row) { return row.progress.parked; }),
+              one.first.paused ? "paused" : "on");
   }
   return 0;
 }
 
 int show(StoreClient& client, const WorkCommand& command, std::ostream& out, std::ostream& errors) {
-  const auto all = read_all(client);
+  const auto all = load_work(client);
   const auto found = all.find(command.name);
   if (found == all.end()) {
-    errors << "trailcourse: work: there is no work " << command.name << '\n';
+    errors << "trailcourse: work: no such work: " << command.name << '\n';
     return kNoSuchWork;
   }
   const auto& [work, rows] = found->second;
   if (command.json) {
-    out << json_of(work, rows).dump(1) << '\n';
+    out << to_json(work, rows).dump(1) << '\n';
     return 0;
   }
   out << work.name << ": " << work.kind << (work.zone.empty() ? "" : ", zone " + work.zone)
       << (work.paused ? ", paused" : "") << '\n';
-  row_out(out, "%6s %-12s %-24s %12s %7s %s", "SHARD", "STATE", "OWNER", "TERM", "STARTS", "CHECKPOINT");
-  for (const Row& row : rows) {
-    row_out(out, "%6llu %-12s %-24s %12llu %7llu %s", static_cast<unsigned long long>(row.id.shard),
-            state_of(work, row).c_str(), row.owner.member.empty() ? "-" : row.owner.member.c_str(),
-            static_cast<unsigned long long>(row.owner.term),
-            static_cast<unsigned long long>(row.progress.starts), cut(row.progress.checkpoint, 80).c_str());
+  print_row(out, "%6s %-12s %-24s %12s %7s %s", "SHARD", "STATE", "OWNER", "TERM", "STARTS", "CHECKPOINT");
+  for (const ShardState& row : rows) {
+    print_row(out, "%6llu %-12s %-24s %12llu %7llu %s", static_cast<unsigned long long>(row.id.shard),
+              state_of(work, row).c_str(), row.owner.member.empty() ? "-" : row.owner.member.c_str(),
+              static_cast<unsigned long long>(row.owner.term),
+              static_cast<unsigned long long>(row.progress.starts),
+              truncate(row.progress.checkpoint, 80).c_str());
   }
   return 0;
 }
 
-// Changes the work's record where it is as it was read.
-int change(StoreClient& client, const WorkCommand& command, std::ostream& out, std::ostream& errors) {
+// Pauses or resumes the work, unless its definition changes concurrently.
+int set_paused(StoreClient& client, const WorkCommand& command, std::ostream& out, std::ostream& errors) {
   const std::string key = ownership::kWorkPrefix + command.name;
   const std::vector<Entry> found = client.get(key, false);
   std::optional<ownership::Work> work =
       found.empty() ? std::nullopt : ownership::read_work(key, found.front().value);
   if (!work) {
-    errors << "trailcourse: work: there is no work " << command.name << '\n';
+    errors << "trailcourse: work: no such work: " << command.name << '\n';
     return kNoSuchWork;
   }
   if (command.action == "pause") {
     work->paused = true;
   } else {
     work->paused = false;
-    ++work->resumed;  // parked shards are tried again
+    ++work->resumed;  // parked shards start again
   }
   Transaction write;
   write.when = {coordination::unchanged(client.key(key), found.front().modified)};
   write.then = {coordination::Put{client.key(key), ownership::write_work(*work), 0}};
   if (!client.commit(write).succeeded) {
-    errors << "trailcourse: work: " << command.name << " was changed meanwhile; nothing was done\n";
-    return kChangedMeanwhile;
+    errors << "trailcourse: work: " << command.name << " was changed concurrently; nothing was written\n";
+    return kConflict;
   }
   out << command.name << (work->paused ? " is paused" : " is on") << '\n';
   return 0;
@@ -193,9 +196,9 @@
       coordination::Delete{coordination::Range{client.key("lists/" + name + "/"), true}},
       coordination::Delete{coordination::Range{client.key(ownership::kDonePrefix + name + "/"), true}},
       coordination::Delete{coordination::Range{client.key(ownership::kReleasePrefix + name + "/"), true}}};
-  // Its owners hear of it and give their leases back: the keys of ownership go with those.
+  // The owners receive the deletion and revoke their leases, which deletes the owner keys.
   if (client.commit(write).results.at(0).deleted == 0) {
-    errors << "trailcourse: work: there is no work " << name << '\n';
+    errors << "trailcourse: work: no such work: " << name << '\n';
     return kNoSuchWork;
   }
   out << name << " is removed\n";
@@ -203,16 +206,16 @@
 }
 
 int hand_over(StoreClient& client, const WorkCommand& command, std::ostream& out, std::ostream& errors) {
-  const auto all = read_all(client);
+  const auto all = load_work(client);
   const auto found = all.find(command.name);
   if (found == all.end()) {
-    errors << "trailcourse: work: there is no work " << command.name << '\n';
+    errors << "trailcourse: work: no such work: " << command.name << '\n';
     return kNoSuchWork;
   }
-  int asked = 0;
-  for (const Row& row : found->second.second) {
-    const bool meant = command.shard < 0 || row.id.shard == static_cast<std::uint64_t>(command.shard);
-    if (!meant || row.owner.term == 0) {
+  int requested = 0;
+  for (const ShardState& row : found->second.second) {
+    const bool selected = command.shard < 0 || row.id.shard == static_cast<std::uint64_t>(command.shard);
+    if (!selected || row.owner.term == 0) {
       continue;
     }
     Transaction write;
@@ -220,31 +223,32 @@
     write.when = {coordination::created_at(client.key(ownership::kOwnerPrefix + shard), row.owner.term)};
     write.then = {coordination::Put{client.key(ownership::kReleasePrefix + shard), row.owner.member, 0}};
     if (client.commit(write).succeeded) {
-      out << row.owner.member << " is asked to let go of " << shard << '\n';
-      ++asked;
+      out << row.owner.member << " is requested to release " << shard << '\n';
+      ++requested;
     }
   }
-  if (asked == 0) {
-    errors << "trailcourse: work: nobody owns that, or it changed meanwhile\n";
-    return kChangedMeanwhile;
+  if (requested == 0) {
+    errors << "trailcourse: work: no such shard has an owner, or the owner changed concurrently\n";
+    return kConflict;
   }
   return 0;
 }
 
-std::int64_t at_ms(const std::string& text) {
+// Returns the Unix time in ms of `--at`; 0 for an empty text. Throws std::invalid_argument.
+std::int64_t parse_start_time(const std::string& text) {
   if (text.empty()) {
     return 0;
   }
   if (text.starts_with('@')) {
     const auto ms = protocol::read_number<std::int64_t>(text.substr(1));
     if (!ms || *ms < 0) {
-      throw std::invalid_argument("--at: '" + text + "' is no Unix time in ms behind '@'");
+      throw std::invalid_argument("--at: '" + text + "' is not @ and a Unix time in ms");
     }
     return *ms;
   }
   const auto seconds = protocol::read_number<double>(text);
   if (!seconds || *seconds < 0.0 || *seconds > 1e7) {
-    throw std::invalid_argument("--at: '" + text + "' is no number of seconds from now");
+    throw std::invalid_argument("--at: '" + text + "' is not a number of seconds from now");
   }
   const auto now = std::chrono::duration_cast<std::chrono::milliseconds>(
       std::chrono::system_clock::now().time_since_epoch());
@@ -260,22 +264,22 @@
   if (work.kind == "fill") {
     tasks::PrefetchOrder order;
     order.request_class = command.request_class;
-    order.at_ms = at_ms(command.at);
+    order.at_ms = parse_start_time(command.at);
     order.objects_per_s = command.objects_per_s;
     order.objects = command.objects;
-    tasks::read_prefetch_order(tasks::write_prefetch_order(order));  // names what cannot be used
+    tasks::read_prefetch_order(tasks::write_prefetch_order(order));  // throws if the order is invalid
     if (order.objects.empty()) {
-      throw std::invalid_argument("--objects: none are listed");
+      throw std::invalid_argument("--objects: the list is empty");
     }
     order.objects.clear();
     work.params = tasks::write_prefetch_order(order);
   }
   if (work.kind == "probe" && work.zone.empty()) {
-    throw std::invalid_argument("--zone: probing is of one zone");
+    throw std::invalid_argument("--zone: work of kind probe needs a zone");
   }
   ownership::check_work(work);
   const std::string key = client.key(ownership::kWorkPrefix + work.name);
-  // The lists first: who takes the work on finds them there.
+  // The lists are written first, so that an owner of the work finds them.
   std::vector<std::string> lists(work.kind == "fill" ? work.shards : 0);
   for (std::size_t i = 0; i < command.objects.size() && !lists.empty(); ++i) {
     lists[i % lists.size()] += command.objects[i] + "\n";
@@ -290,10 +294,10 @@
   write.when = {coordination::absent(key)};
   write.then = {coordination::Put{key, ownership::write_work(work), 0}};
   if (!client.commit(write).succeeded) {
-    errors << "trailcourse: work: there is work " << work.name << " already\n";
-    return kChangedMeanwhile;
+    errors << "trailcourse: work: " << work.name << " exists already\n";
+    return kConflict;
   }
-  out << work.name << " is announced: " << work.kind << " in " << work.shards << " shards\n";
+  out << work.name << " is added: " << work.kind << " in " << work.shards << " shards\n";
   return 0;
 }
 
@@ -301,7 +305,7 @@
   const std::vector<Entry> found = client.get(tasks::kFleetReportKey, false);
   const json text = found.empty() ? json() : json::parse(found.front().value, nullptr, false);
   if (!text.is_object()) {
-    errors << "trailcourse: work: there is no report yet\n";
+    errors << "trailcourse: work: no fleet report exists yet\n";
     return kNoSuchWork;
   }
   if (command.json) {
@@ -312,8 +316,8 @@
       << text.value("routers", 0) << " routers\n";
   const json sums = text.value("sums", json::object());
   for (const auto& [name, value] : sums.items()) {
-    row_out(out, "  %-20s %14llu", name.c_str(),
-            static_cast<unsigned long long>(value.is_number_unsigned() ? value.get<std::uint64_t>() : 0));
+    print_row(out, "  %-20s %14llu", name.c_str(),
+              static_cast<unsigned long long>(value.is_number_unsigned() ? value.get<std::uint64_t>() : 0));
   }
   return 0;
 }
@@ -329,26 +333,26 @@
   const std::vector<membership::MemberEntry> all = view.members(now);
   if (command.json) {
     json rows = json::array();
-    for (const membership::MemberEntry& seen : all) {
-      rows.push_back({{"name", seen.member.name},
-                      {"incarnation", seen.member.incarnation},
-                      {"zone", seen.member.zone},
-                      {"address", seen.member.address},
-                      {"started_ms", seen.member.started_ms},
-                      {"standing", membership::to_string(seen.status)},
-                      {"doubters", seen.suspecting_peers},
-                      {"since", seen.joined_revision}});
+    for (const membership::MemberEntry& entry : all) {
+      rows.push_back({{"name", entry.member.name},
+                      {"incarnation", entry.member.incarnation},
+                      {"zone", entry.member.zone},
+                      {"address", entry.member.address},
+                      {"started_ms", entry.member.started_ms},
+                      {"standing", membership::to_string(entry.status)},
+                      {"doubters", entry.suspecting_peers},
+                      {"since", entry.joined_revision}});
     }
     out << json{{"store", client.id()}, {"view", view.revision()}, {"members", rows}}.dump(1) << '\n';
     return 0;
   }
-  row_out(out, "%-24s %-12s %-22s %-18s %10s %9s %s", "MEMBER", "ZONE", "ADDRESS", "START", "SINCE",
-          "DOUBTERS", "STANDING");
-  for (const membership::MemberEntry& seen : all) {
-    row_out(out, "%-24s %-12s %-22s %-18s %10llu %9d %s", seen.member.name.c_str(), seen.member.zone.c_str(),
-            seen.member.address.c_str(), seen.member.incarnation.c_str(),
-            static_cast<unsigned long long>(seen.joined_revision), seen.suspecting_peers,
-            membership::to_string(seen.status));
+  print_row(out, "%-24s %-12s %-22s %-18s %10s %9s %s", "MEMBER", "ZONE", "ADDRESS", "START", "SINCE",
+            "DOUBTERS", "STANDING");
+  for (const membership::MemberEntry& entry : all) {
+    print_row(out, "%-24s %-12s %-22s %-18s %10llu %9d %s", entry.member.name.c_str(),
+              entry.member.zone.c_str(), entry.member.address.c_str(), entry.member.incarnation.c_str(),
+              static_cast<unsigned long long>(entry.joined_revision), entry.suspecting_peers,
+              membership::to_string(entry.status));
   }
   return 0;
 }
@@ -365,7 +369,7 @@
       return show(client, command, out, errors);
     }
     if (command.action == "pause" || command.action == "resume") {
-      return change(client, command, out, errors);
+      return set_paused(client, command, out, errors);
     }
     if (command.action == "remove") {
       return remove(client, command, out, errors);
--- a/src/program/work_command.h
+++ b/src/program/work_command.h
@@ -1,5 +1,5 @@
-// `trailcourse work` and `trailcourse members`: what staff see of the fleet's work, and do to it. They speak
-// to the store alone; no router is asked, so they work while routers are down.
+// `trailcourse work` and `trailcourse members`: show and control the fleet's owned work. They connect to the
+// coordination store only, so they work while routers are down.
 #pragma once
 
 #include <iosfwd>
@@ -10,26 +10,27 @@
 
 namespace trailcourse::program {
 
-// Exit status beside 0, 1 (the store is not to be had) and 2 (wrong use).
+// Exit status beside 0, 1 (the store is unavailable) and 2 (usage error).
 constexpr int kNoSuchWork = 3;
-constexpr int kChangedMeanwhile = 4;
+constexpr int kConflict = 4;  // the work was changed concurrently, or exists already
 
 struct WorkCommand {
   coordination::CoordinationOptions store;
-  std::string action;  // list, show, add, remove, pause, resume, hand-over, report, members
-  std::string name;
-  int shard = -1;  // of hand-over; -1: all
+  std::string action;  // list, show, add, remove, pause, resume, hand-over, report or members
+  std::string name;    // of the work
+  int shard = -1;      // of hand-over; -1: all
   bool json = false;
-  // Of add.
-  std::string kind;
-  std::string zone;
+  // The following are of add.
+  std::string kind;  // fill, probe or report
+  std::string zone;  // empty: all zones
   int shards = 1;
   std::string request_class;
-  std::string at;  // seconds from now, or Unix time in ms with a leading '@'
-  double objects_per_s = 0.0;
-  std::vector<std::string> objects;
+  std::string at;                    // seconds from now, or Unix time in ms with a leading '@'
+  double objects_per_s = 0.0;        // of each shard; 0: no limit
+  std::vector<std::string> objects;  // ITEM or ITEM/PART
 };
 
+// Runs the action and returns the exit status. Throws std::invalid_argument if an option is invalid.
 int run_work_command(const WorkCommand& command, std::ostream& out, std::ostream& errors);
 
 }  // namespace trailcourse::program
--- a/tests/aggregation/aggregator_process_test.cpp
+++ b/tests/aggregation/aggregator_process_test.cpp
@@ -33,7 +33,7 @@
     return region.until([&] { return process.log().find(words) != std::string::npos; });
   };
   ASSERT_TRUE(logged("acquired its lease")) << process.log();
-  EXPECT_TRUE(logged("takes on the kind policy alone"));
+  EXPECT_TRUE(logged("an aggregator owns only work of kind policy"));
   CoordinationStore& router = region.router({listen});
   region.acquire_lease(router, milliseconds(3'000));
   process.signal(SIGHUP);
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -85,17 +85,16 @@
 TEST_F(ConfigurationTest, TheBoundsFollowTheLimits) {
   json config = good_config();
   const Configuration small = read(config);
-  EXPECT_LE(small.most_cache_connections() + 256 / 3, 256) << "clients hold a third";
+  EXPECT_LE(small.max_cache_connections() + 256 / 3, 256) << "clients hold a third";
   const auto held = [](const Configuration& one) {
-    return one.most_open_bytes() + one.most_waiting_bytes() + one.most_answer_bytes() +
-           one.most_partial_bytes();
+    return one.max_open_bytes() + one.max_unsent_bytes() + one.max_response_bytes() + one.max_partial_bytes();
   };
   EXPECT_LE(held(small), 192U << 20U);
   config["limits"]["memory_mb"] = 64;
   EXPECT_LE(held(read(config)), 64U << 20U);
-  EXPECT_LT(read(config).most_open_bytes(), small.most_open_bytes());
+  EXPECT_LT(read(config).max_open_bytes(), small.max_open_bytes());
   config["settings"]["Limits"]["MaxOpen"] = 5;
-  EXPECT_EQ(read(config).most_open_requests(), 5U);
+  EXPECT_EQ(read(config).max_open_requests(), 5U);
 }
 
 // At the smallest limits some hundreds of requests and dozens of answers still fit at once.
@@ -103,9 +102,9 @@
   json config = good_config();
   config["limits"]["memory_mb"] = 32;
   const Configuration least = read(config);
-  EXPECT_GE(least.most_open_bytes() / static_cast<std::size_t>(least.tuning.open_request_bytes), 500U);
-  EXPECT_GE(least.most_answer_bytes(), 16U * 240'000U);
-  EXPECT_GE(least.most_waiting_bytes(), 16U * 240'000U);
+  EXPECT_GE(least.max_open_bytes() / static_cast<std::size_t>(least.tuning.open_request_bytes), 500U);
+  EXPECT_GE(least.max_response_bytes(), 16U * 240'000U);
+  EXPECT_GE(least.max_unsent_bytes(), 16U * 240'000U);
 }
 
 // SIGKILL follows 0.7 s after the longest deadline, which counts as 3 s where it is longer.
@@ -115,8 +114,8 @@
     for (json& one : config["settings"]["Classes"]) {
       one["GiveUpS"] = give_up;
     }
-    EXPECT_GE(read(config).drain_answer().count(), least);
-    EXPECT_LE(read(config).drain_answer().count(), most);
+    EXPECT_GE(read(config).drain_timeout().count(), least);
+    EXPECT_LE(read(config).drain_timeout().count(), most);
   }
 }
 
--- a/tests/fleet/cold_start_test.cpp
+++ b/tests/fleet/cold_start_test.cpp
@@ -20,8 +20,8 @@
 namespace {
 
 using fleet::Asked;
-using fleet::Kind;
 using fleet::FleetSpec;
+using fleet::Kind;
 using nlohmann::json;
 using std::chrono::milliseconds;
 using transport::Clock;
@@ -505,7 +505,7 @@
     EXPECT_TRUE(rig.await_ready("router0"));
     rig.fleet().kill("router0");
   };
-  starts_with(good, "snapshot: taken in, event 2");
+  starts_with(good, "snapshot: loaded, event 2");
   starts_with(good.substr(0, good.size() / 2), "not used: it is truncated");
   std::string rotten = good;
   rotten[rotten.size() / 2] = static_cast<char>(rotten[rotten.size() / 2] ^ 1);
@@ -557,7 +557,7 @@
   std::filesystem::remove_all(folder);
   std::ofstream(folder) << "in the way";
   rig.start("router0");
-  EXPECT_TRUE(rig.fleet().await_log("router0", "going on without one", kAwaited));
+  EXPECT_TRUE(rig.fleet().await_log("router0", "starting without snapshots", kAwaited));
   EXPECT_TRUE(rig.await_ready("router0"));
 }
 
--- a/tests/fleet/ownership_test.cpp
+++ b/tests/fleet/ownership_test.cpp
@@ -9,8 +9,8 @@
 #include <set>
 #include <string>
 
-#include "fleet/rig.h"
 #include "fleet/fencing_token_check.h"
+#include "fleet/rig.h"
 #include "ownership/work_records.h"
 #include "program/fleet_work.h"
 #include "program/work_command.h"
@@ -21,8 +21,8 @@
 namespace trailcourse::testing_support {
 namespace {
 
-using fleet::Kind;
 using fleet::FleetSpec;
+using fleet::Kind;
 using nlohmann::json;
 using std::chrono::milliseconds;
 
@@ -636,7 +636,7 @@
   // Staff's mistakes.
   EXPECT_EQ(fleet.work("show", "none"), program::kNoSuchWork);
   EXPECT_EQ(fleet.work("pause", "none"), program::kNoSuchWork);
-  EXPECT_EQ(fleet.work(command), program::kChangedMeanwhile) << "it is there already";
+  EXPECT_EQ(fleet.work(command), program::kConflict) << "it is there already";
   EXPECT_EQ(fleet.work("remove", "odd"), 0);
   EXPECT_EQ(fleet.work("remove", "odd"), program::kNoSuchWork);
   EXPECT_EQ(fleet.work("list", ""), 0);
--- a/tests/fleet/policy_test.cpp
+++ b/tests/fleet/policy_test.cpp
@@ -47,7 +47,7 @@
   EXPECT_EQ(fleet.check(), kNone);
   EXPECT_FALSE(fleet.decided().contains("1")) << "nobody decided under what was refused";
   // A document that no program could read is not even proposed.
-  EXPECT_EQ(fleet.propose(-1.0), program::kBadPolicy);
+  EXPECT_EQ(fleet.propose(-1.0), program::kInvalidPolicy);
   EXPECT_NE(fleet.said.find("worth"), std::string::npos) << fleet.said;
 }
 
@@ -217,7 +217,7 @@
   command.file = fleet.rig.folder() + "/no.json";
   command.stages = {"east"};
   command.watch_s = 60;
-  command.most_refused = 0.2;
+  command.max_rejected_share = 0.2;
   std::ofstream(command.file) << R"({"schema":1,"content":{"classes":{"media":{"serve":false}}}})";
   ASSERT_EQ(fleet.policy(command), 0) << fleet.said;
   EXPECT_TRUE(fleet.until_loaded(all, [&] {
--- a/tests/integration_test.cpp
+++ b/tests/integration_test.cpp
@@ -931,7 +931,7 @@
   faulty["board"] = "nowhere";
   program_->reconfigure(faulty);
   program_->signal(SIGHUP);
-  ASSERT_TRUE(program_->await_log("the configuration stays as it was: board: 'nowhere'"));
+  ASSERT_TRUE(program_->await_log("the configuration is unchanged: board: 'nowhere'"));
   program_->reconfigure("{ half");
   program_->signal(SIGHUP);
   ASSERT_TRUE(program_->await_log("is not a JSON object"));
