--- a/src/startup/options.cpp
+++ b/src/startup/options.cpp
@@ -4,9 +4,9 @@
 
 namespace trailcourse::startup {
 
-using config::RealRange;
-using config::WholeRange;
-using config::Words;
+using config::IntegerRange;
+using config::NumberRange;
+using config::StringRule;
 
 namespace {
 
@@ -26,38 +26,47 @@
   static const config::Record<StartOptions> kRecord = [] {
     config::Record<StartOptions> record(
         "startup",
-        "How a router starts, and comes back to what it depends on, among many that do the same at that "
-        "moment.");
+        "How a router starts, and reconnects to its dependencies, when many routers do so at the same time.");
     record
-        .flag("spread", &StartOptions::spread,
-              "calls and connections are drawn over windows that the fleet's size sets; false: as a plain "
-              "router")
-        .whole("routers", &StartOptions::routers, "routers", WholeRange{0, 1'000'000},
-               "in the fleet; 0: as the settings tell, else as the board says")
-        .real("board_calls_per_s", &StartOptions::board_calls_per_s, "calls/s", RealRange{0.1, 1e6},
-              "that the board bears from all routers while they start or come back")
-        .whole("window_most_ms", &StartOptions::window_most_ms, "ms", WholeRange{50, 3'600'000},
-               "the longest time over which first calls, and calls after a failure, are drawn")
-        .whole("reask_ms", &StartOptions::reask_ms, "ms", WholeRange{0, 10'000},
-               "after news the next call is drawn from so much: all routers were told in the same moment")
-        .whole("retry_after_most_s", &StartOptions::retry_after_most_s, "s", WholeRange{0, 3'600},
-               "the longest wait named by the board that is obeyed in full")
-        .real("node_opens_per_s", &StartOptions::node_opens_per_s, "connections/s", RealRange{0.0, 1e6},
-              "that one cache or parent accepts from all routers; 0: opened as requests come")
-        .whole("open_window_most_ms", &StartOptions::open_window_most_ms, "ms", WholeRange{0, 600'000},
-               "the longest time over which routers begin to use a node that is new or back")
-        .whole("node_connections", &StartOptions::node_connections, "connections", WholeRange{0, 1'000'000},
-               "that one cache or parent holds from all routers; 0: not bounded here")
-        .whole("flap_s", &StartOptions::flap_s, "s", WholeRange{0, 86'400},
-               "a node that returns within so long of its last return is a flapping one: its window doubles")
-        .text("unsure", &StartOptions::unsure, "-", Words{{"serve", "guard", "refuse"}, false},
-              "while the list may be old: serve as before; guard, with age limits that exclude what a purge "
-              "not heard of may forbid; refuse at once")
-        .whole("told_within_ms", &StartOptions::told_within_ms, "ms", WholeRange{0, 600'000},
-               "what the board tells binds so long after, heard or not; 0: the settings' purge grace, and "
-               "with unsure `serve` no less than a call that is held takes")
-        .whole("lapse_ms", &StartOptions::lapse_ms, "ms", WholeRange{0, 86'400'000},
-               "without a word from the board for so long all is refused; 0: never");
+        .boolean(
+            "spread", &StartOptions::spread,
+            "spread calls and connections at random over windows that follow from the number of routers; "
+            "false: make them at once")
+        .integer(
+            "routers", &StartOptions::routers, "routers", IntegerRange{0, 1'000'000},
+            "number of routers in the fleet; 0: as the settings say, else as the discovery service reports")
+        .number("board_calls_per_s", &StartOptions::board_calls_per_s, "calls/s", NumberRange{0.1, 1e6},
+                "calls that the discovery service can serve for all routers while they start or reconnect")
+        .integer("window_most_ms", &StartOptions::window_most_ms, "ms", IntegerRange{50, 3'600'000},
+                 "maximum window over which first calls, and calls after a failure, are spread")
+        .integer(
+            "reask_ms", &StartOptions::reask_ms, "ms", IntegerRange{0, 10'000},
+            "maximum random delay of the next poll after an update; all routers receive an update at the "
+            "same time")
+        .integer("retry_after_most_s", &StartOptions::retry_after_most_s, "s", IntegerRange{0, 3'600},
+                 "maximum Retry-After of the discovery service that is followed in full")
+        .number(
+            "node_opens_per_s", &StartOptions::node_opens_per_s, "connections/s", NumberRange{0.0, 1e6},
+            "new connections from all routers that one cache or parent can accept; 0: connections open as "
+            "requests arrive")
+        .integer("open_window_most_ms", &StartOptions::open_window_most_ms, "ms", IntegerRange{0, 600'000},
+                 "maximum window over which routers start to use a new or returning node")
+        .integer("node_connections", &StartOptions::node_connections, "connections",
+                 IntegerRange{0, 1'000'000},
+                 "connections from all routers that one cache or parent can hold; 0: no limit")
+        .integer("flap_s", &StartOptions::flap_s, "s", IntegerRange{0, 86'400},
+                 "a node that returns again within this time is flapping, and its admission window doubles")
+        .string("unsure", &StartOptions::unsure, "-", StringRule{{"serve", "guard", "refuse"}, false},
+                "policy while the endpoint list may be stale; serve: serve as usual; guard: serve with age "
+                "limits that exclude copies that a missed purge may forbid; refuse: reject all requests")
+        .integer(
+            "told_within_ms", &StartOptions::told_within_ms, "ms", IntegerRange{0, 600'000},
+            "time after which an event of the discovery service is in force, whether it was received or "
+            "not; 0: the purge grace of the settings, and with unsure `serve` at least the duration of a "
+            "long poll")
+        .integer("lapse_ms", &StartOptions::lapse_ms, "ms", IntegerRange{0, 86'400'000},
+                 "time without a response of the discovery service after which all requests are rejected; 0: "
+                 "never");
     return record;
   }();
   return kRecord;
--- a/tests/fleet/ownership_test.cpp
+++ b/tests/fleet/ownership_test.cpp
@@ -636,7 +636,7 @@
   // Staff's mistakes.
   EXPECT_EQ(fleet.work("show", "none"), program::kNoSuchWork);
   EXPECT_EQ(fleet.work("pause", "none"), program::kNoSuchWork);
-  EXPECT_EQ(fleet.work(command), program::kChangedMeanwhile) << "it is there already";
+  EXPECT_EQ(fleet.work(command), program::kConflict) << "it is there already";
   EXPECT_EQ(fleet.work("remove", "odd"), 0);
   EXPECT_EQ(fleet.work("remove", "odd"), program::kNoSuchWork);
   EXPECT_EQ(fleet.work("list", ""), 0);
