--- a/src/transport/connection.h
+++ b/src/transport/connection.h
@@ -87,6 +87,9 @@
 
   // Returns whether any of the bytes of `token` may have been sent.
   bool begun(std::uint64_t token) const;
+
+  // Removes the bytes of `token` from the queue if none of them was sent. Returns whether it did; in that
+  // case on_send_refused() is not called for them.
   bool withdraw(std::uint64_t token);
 
   // Ends the connection. Unsent bytes are discarded.
--- a/src/transport/connection_end.h
+++ b/src/transport/connection_end.h
@@ -1,4 +1,4 @@
-// The reasons for the end of a connection.
+// Reasons for the end of a connection.
 #pragma once
 
 #include <string_view>
--- a/src/transport/connection_pool.h
+++ b/src/transport/connection_pool.h
@@ -16,25 +16,28 @@
 namespace trailcourse::transport {
 
 // `Link` is the handler of a connection. A stream is one use of a connection, from its request from the pool
-// to its return. The pool lives as long as its scheduler.
+// to its return. The scheduler must not run after the pool is destroyed.
 template <typename Link>
 class ConnectionPool {
  public:
   struct Bounds {
-    int streams = 32;              // on one connection at once
-    int connections_per_peer = 8;  // connections
-    int total_connections = 128;   // connections
-    Clock::duration idle = std::chrono::seconds(10);
+    int streams = 32;  // on one connection at once
+    int connections_per_peer = 8;
+    int total_connections = 128;
+    Clock::duration idle = std::chrono::seconds(10);  // after which a connection without streams is closed
     Connection::Bounds connection;
   };
+
+  // A connection of the pool.
   struct Slot {
     std::string peer;
     std::shared_ptr<Connection> connection;
     std::shared_ptr<Link> link;
     int streams = 0;
-    std::optional<ConnectionEnd> retired;  // set: no new streams; ends so with its last stream
+    std::optional<ConnectionEnd> retired;  // set: gets no new streams and ends with its last one
     Clock::time_point used = Clock::now();
   };
+
   using SlotPtr = std::shared_ptr<Slot>;
   using LinkFactory = std::function<std::shared_ptr<Link>(const SlotPtr&)>;
 
@@ -69,6 +72,7 @@
     return best;
   }
 
+  // Ends one stream of the connection.
   void release(const SlotPtr& slot) {
     --slot->streams;
     slot->used = Clock::now();
--- a/src/transport/log.h
+++ b/src/transport/log.h
@@ -11,6 +11,8 @@
 
 enum class Level { kDebug, kInfo, kWarning, kError };
 
+// Convert between a level and its name, as in the option `--log-level`; parse_level() returns nothing for any
+// other text.
 std::string_view level_name(Level level);
 std::optional<Level> parse_level(std::string_view name);
 
--- a/src/transport/scheduler.cpp
+++ b/src/transport/scheduler.cpp
@@ -62,9 +62,9 @@
     std::coroutine_handle<>::from_address(*roots_.begin()).destroy();
   }
   // Destroying a job can destroy objects that close watches and post further jobs.
-  while (!jobs_.empty() || !next_turn_.empty() || !timers_.empty()) {
+  while (!jobs_.empty() || !next_iteration_.empty() || !timers_.empty()) {
     const auto jobs = std::exchange(jobs_, {});
-    const auto next = std::exchange(next_turn_, {});
+    const auto next = std::exchange(next_iteration_, {});
     const auto timers = std::exchange(timers_, {});
   }
 }
@@ -110,12 +110,12 @@
 
 void Scheduler::turn(Clock::duration longest) {
   run_jobs();
-  std::swap(jobs_, next_turn_);
+  std::swap(jobs_, next_iteration_);
   run_jobs();
   if (stopped_) {
     return;
   }
-  Clock::duration wait = next_turn_.empty() ? longest : Clock::duration::zero();
+  Clock::duration wait = next_iteration_.empty() ? longest : Clock::duration::zero();
   if (!timers_.empty()) {
     wait = std::clamp(timers_.begin()->first.first - Clock::now(), Clock::duration::zero(), wait);
   }
--- a/src/transport/scheduler.h
+++ b/src/transport/scheduler.h
@@ -27,6 +27,7 @@
   using Job = std::function<void()>;
   using TimerKey = std::pair<Clock::time_point, std::uint64_t>;
 
+  // Throws std::system_error where no epoll descriptor can be created.
   Scheduler();
   ~Scheduler();
   Scheduler(const Scheduler&) = delete;
@@ -48,6 +49,8 @@
 
   // Runs iterations of the loop until stop() is called.
   void run();
+
+  // Ends run() after the current iteration.
   void stop() { stopped_ = true; }
 
   // Runs one iteration: the jobs that are ready, then the events and timers that occur while it waits for at
@@ -74,7 +77,7 @@
     Scheduler& scheduler;
     bool await_ready() const noexcept { return false; }
     void await_suspend(std::coroutine_handle<> waiter) const {
-      scheduler.next_turn_.push_back([waiter] { waiter.resume(); });
+      scheduler.next_iteration_.push_back([waiter] { waiter.resume(); });
     }
     void await_resume() const noexcept {}
   };
@@ -96,7 +99,7 @@
   std::uint64_t last_watch_ = 0;
   std::map<TimerKey, Job> timers_;
   std::deque<Job> jobs_;
-  std::deque<Job> next_turn_;
+  std::deque<Job> next_iteration_;
   std::unordered_map<std::uint64_t, Watch*> watches_;
   std::unordered_set<void*> roots_;
 };
@@ -106,6 +109,8 @@
 // waiter.
 class Watch {
  public:
+  // Throws std::system_error where the descriptor cannot be registered. The descriptor has to stay open until
+  // the watch is closed.
   Watch(Scheduler& scheduler, int descriptor);
   ~Watch() { close(); }
   Watch(const Watch&) = delete;
@@ -121,6 +126,8 @@
   };
   Wait readable() { return Wait{*this, false}; }
   Wait writable() { return Wait{*this, true}; }
+
+  // Record that a read, or a write, got EAGAIN.
   void blocked_reading() { side(false).ready = false; }
   void blocked_writing() { side(true).ready = false; }
 
--- a/src/transport/socket.h
+++ b/src/transport/socket.h
@@ -62,8 +62,8 @@
 // Like listen_on(), but throws std::system_error with the address on failure.
 Descriptor listen_or_throw(const Address& address, int backlog);
 
-// Opens a socket and starts connecting it. It is writable once it is connected or pending_error() has the
-// error.
+// Opens a socket and starts to connect it. The socket becomes writable when the connect ends; pending_error()
+// then returns its result.
 Opened start_connect(const Address& address);
 
 // Accepts one connection; the error is EAGAIN where none waits.
