--- a/adapter/wire.cpp
+++ b/adapter/wire.cpp
@@ -10,6 +10,7 @@
 namespace {
 
 using nlohmann::json;
+using protocol::as_integer;
 using protocol::boolean_at;
 using protocol::find;
 using protocol::hex_at;
@@ -23,7 +24,6 @@
 using protocol::string_at;
 using protocol::string_or_default;
 using protocol::to_micros;
-using protocol::whole;
 
 constexpr std::array<std::pair<const char*, Status>, 9> kStatusNames{{{"OK", Status::kOk},
                                                                       {"INTERNAL", Status::kError},
@@ -175,7 +175,7 @@
   instance.profile = read_profile(require(message, "ProfileData"));
   const std::uint64_t seed = id_at(message, "Nonce64");
   instance.handler = make_handler_(instance.profile.settings, seed);
-  instances_.insert_or_assign(whole(require(message, "I"), "I"), std::move(instance));
+  instances_.insert_or_assign(as_integer(require(message, "I"), "I"), std::move(instance));
 }
 
 void Adapter::store_list(const json& message) {
@@ -183,7 +183,7 @@
   if (!entries.is_array()) {
     throw WireError("not an array: NodesList");
   }
-  lists_[whole(require(message, "Table"), "Table")] = entries;
+  lists_[as_integer(require(message, "Table"), "Table")] = entries;
 }
 
 EndpointListReceived Adapter::read_list(const json& message, const Profile& profile) const {
@@ -192,7 +192,7 @@
   if (list.kind == ListKind::kLost) {
     return list;
   }
-  const std::int64_t table = whole(require(message, "Table"), "Table");
+  const std::int64_t table = as_integer(require(message, "Table"), "Table");
   const auto found = lists_.find(table);
   if (found == lists_.end()) {
     throw WireError("unknown endpoint list: " + std::to_string(table));
@@ -213,7 +213,7 @@
 }
 
 Adapter::Instance* Adapter::find_instance(const json& message) {
-  const std::int64_t id = whole(require(message, "I"), "I");
+  const std::int64_t id = as_integer(require(message, "I"), "I");
   const auto found = instances_.find(id);
   if (found == instances_.end()) {
     throw WireError("event for an unknown instance: " + std::to_string(id));
@@ -260,7 +260,7 @@
   }
   Instance* instance = find_instance(message);
   if (instance != nullptr) {
-    run(whole(require(message, "I"), "I"), *instance, reader->second(*this, message, instance->profile));
+    run(as_integer(require(message, "I"), "I"), *instance, reader->second(*this, message, instance->profile));
   }
 }
 
@@ -284,7 +284,7 @@
   const std::string type = string_at(message, "event_type");
   if (type == "Frame") {
     now_ = to_micros(require(message, "ClockS"), "ClockS");
-    serial_ = whole(require(message, "serial"), "serial");
+    serial_ = as_integer(require(message, "serial"), "serial");
     in_batch_ = true;
     return;
   }
@@ -298,7 +298,7 @@
   } else if (type == "Pool") {
     store_list(message);
   } else if (type == "Down") {
-    instances_.erase(whole(require(message, "I"), "I"));
+    instances_.erase(as_integer(require(message, "I"), "I"));
   } else {
     handle_event(type, message);
   }
--- a/src/program/aggregator_command.cpp
+++ b/src/program/aggregator_command.cpp
@@ -54,7 +54,7 @@
 // Keeps the highest sequence number of the discovery service, and no other part of its pages.
 class SequenceListener : public routing::DiscoveryListener {
  public:
-  void apply(const protocol::DiscoveryPage& page) override { last_ = std::max(last_, page.highest); }
+  void apply(const protocol::DiscoveryPage& page) override { last_ = std::max(last_, page.highest_sequence); }
   std::uint64_t last_sequence() const override { return last_; }
   void reset_sequence() override { last_ = 0; }
 
--- a/src/program/configuration.cpp
+++ b/src/program/configuration.cpp
@@ -300,7 +300,8 @@
 }
 
 std::size_t Configuration::max_open_requests() const {
-  return profile.most_open > 0 ? static_cast<std::size_t>(profile.most_open) : kDefaultMaxOpenRequests;
+  return profile.max_open_requests > 0 ? static_cast<std::size_t>(profile.max_open_requests)
+                                       : kDefaultMaxOpenRequests;
 }
 
 std::size_t Configuration::memory_share(std::int64_t divisor) const {
--- a/src/program/node_commands.cpp
+++ b/src/program/node_commands.cpp
@@ -114,7 +114,7 @@
                                                                     : std::string();
   fencing::TokenStore token_store(
       fence_folder.empty() ? nullptr : std::shared_ptr<store::Files>(store::open_folder(fence_folder)), pool);
-  node.use(token_store);
+  node.set_token_store(token_store);
   node.start();
   scheduler.spawn(handle_node_signals(scheduler, signals, node, store));
   log_line(Level::kInfo) << "cache node " << file.cache.name << " listens on " << file.cache.listen << ", "
@@ -129,7 +129,7 @@
   cache_node::Origin origin(scheduler, file.origin);
   origin.start();
   const std::function<void()> edit = [&origin] {
-    origin.edit();
+    origin.increment_version();
     log_line(Level::kInfo) << "generated objects have a new version";
   };
   scheduler.spawn(handle_signals(scheduler, signals, edit));
--- a/src/program/start_support.cpp
+++ b/src/program/start_support.cpp
@@ -128,7 +128,7 @@
       endpoint_view_->on_list(router_->now(), list);
       step_router();
     });
-    if (!configuration_.known.notices.empty()) {
+    if (!configuration_.known.updates.empty()) {
       endpoint_view_->restore(router.now(), router.now(), true);
     }
   }
--- a/src/protocol/cache_answer.cpp
+++ b/src/protocol/cache_answer.cpp
@@ -13,12 +13,12 @@
 namespace trailcourse::protocol {
 namespace {
 
-constexpr std::array<std::pair<std::string_view, AnswerCode>, 6> kWords{{{"OK", AnswerCode::kOk},
-                                                                         {"SAME", AnswerCode::kSame},
-                                                                         {"MISS", AnswerCode::kMiss},
-                                                                         {"BUSY", AnswerCode::kBusy},
-                                                                         {"ERR", AnswerCode::kError},
-                                                                         {"VOID", AnswerCode::kVoid}}};
+constexpr std::array<std::pair<std::string_view, AnswerCode>, 6> kAnswerCodes{{{"OK", AnswerCode::kOk},
+                                                                               {"SAME", AnswerCode::kSame},
+                                                                               {"MISS", AnswerCode::kMiss},
+                                                                               {"BUSY", AnswerCode::kBusy},
+                                                                               {"ERR", AnswerCode::kError},
+                                                                               {"VOID", AnswerCode::kVoid}}};
 
 constexpr std::array<std::pair<std::string_view, Note>, 10> kNotes{{{"warm", Note::kHit},
                                                                     {"fill", Note::kFilled},
@@ -31,7 +31,7 @@
                                                                     {"jammed", Note::kNoFillCapacity},
                                                                     {"backfire", Note::kOriginFailed}}};
 
-// Names of a meter that the settings spell otherwise.
+// Fields of a load report that have another name in the settings.
 constexpr std::array<std::pair<std::string_view, std::string_view>, 6> kMeterNames{
     {{"inflight", "concurrent"},
      {"util", "load_share"},
@@ -40,32 +40,33 @@
      {"qps", "tps"},
      {"eps", "err_ps"}}};
 
-constexpr double kMostWaitedMs = 1e9;
+constexpr double kMaxWaitedMs = 1e9;
 
 template <typename Value, std::size_t kSize>
-const Value* find_word(const std::array<std::pair<std::string_view, Value>, kSize>& words,
-                       std::string_view word) {
+const Value* find_by_name(const std::array<std::pair<std::string_view, Value>, kSize>& table,
+                          std::string_view name) {
   const auto found =
-      std::find_if(words.begin(), words.end(), [word](const auto& one) { return one.first == word; });
-  return found == words.end() ? nullptr : &found->second;
+      std::find_if(table.begin(), table.end(), [name](const auto& one) { return one.first == name; });
+  return found == table.end() ? nullptr : &found->second;
 }
 
-// Calls `take(name, value)` for each "name=value" of a list.
-template <typename Take>
-void each_field(std::string_view list, char separator, char equals, Take take) {
+// Calls `on_field(name, value)` for each "name=value" of a list; skips other entries.
+template <typename OnField>
+void each_field(std::string_view list, char separator, char equals, OnField on_field) {
   while (!list.empty()) {
     const std::string_view field = list.substr(0, list.find(separator));
     list.remove_prefix(std::min(list.size(), field.size() + 1));
     const std::size_t middle = field.find(equals);
     if (middle != std::string_view::npos) {
-      take(field.substr(0, middle), field.substr(middle + 1));
+      on_field(field.substr(0, middle), field.substr(middle + 1));
     }
   }
 }
 
-void read_meter(std::string_view meter, const std::vector<std::string>& report_fields, LoadReport& load) {
+void read_load_report(std::string_view meter, const std::vector<std::string>& report_fields,
+                      LoadReport& load) {
   each_field(meter, ';', ':', [&](std::string_view name, std::string_view value) {
-    const std::string_view* other = find_word(kMeterNames, name);
+    const std::string_view* other = find_by_name(kMeterNames, name);
     const std::string known(other != nullptr ? *other : name);
     const std::optional<double> number = read_number<double>(value);
     if (number && std::find(report_fields.begin(), report_fields.end(), known) != report_fields.end()) {
@@ -74,7 +75,7 @@
   });
 }
 
-// Whole milliseconds, never 0: that would mean that there is no limit.
+// Returns full milliseconds, rounded down, but never 0, which would mean that there is no limit.
 std::string to_millis(Micros time) {
   return std::to_string(
       std::max<std::int64_t>(1, std::chrono::floor<std::chrono::milliseconds>(time).count()));
@@ -82,8 +83,8 @@
 
 }  // namespace
 
-std::optional<AnswerCode> parse_answer_code(std::string_view word) {
-  const AnswerCode* found = find_word(kWords, word);
+std::optional<AnswerCode> parse_answer_code(std::string_view name) {
+  const AnswerCode* found = find_by_name(kAnswerCodes, name);
   return found != nullptr ? std::optional<AnswerCode>(*found) : std::nullopt;
 }
 
@@ -93,8 +94,8 @@
   return found != kNotes.end() ? found->first : std::string_view();
 }
 
-std::optional<Note> parse_note(std::string_view word) {
-  const Note* note = find_word(kNotes, word);
+std::optional<Note> parse_note(std::string_view name) {
+  const Note* note = find_by_name(kNotes, name);
   return note != nullptr ? std::optional<Note>(*note) : std::nullopt;
 }
 
@@ -105,41 +106,41 @@
       out.note = parse_note(value).value_or(out.note);
     } else if (name == "slow") {
       const std::optional<double> millis = read_number<double>(value);
-      const bool usable = millis && *millis >= 0.0 && *millis <= kMostWaitedMs;
+      const bool usable = millis && *millis >= 0.0 && *millis <= kMaxWaitedMs;
       out.waited = usable ? Micros(std::llround(*millis * 1e3)) : out.waited;
     } else if (name == "meter") {
-      read_meter(value, report_fields, out.load);
+      read_load_report(value, report_fields, out.load);
     }
   });
   return out;
 }
 
-std::string write_serve(const Passed& passed, const SendAttempt& order) {
-  std::string fields = "cls=" + passed.request_class;
+std::string write_serve(const ForwardedRequest& request, const SendAttempt& attempt) {
+  std::string fields = "cls=" + request.request_class;
   const auto add = [&fields](std::string_view name, std::string_view value) {
     if (!value.empty()) {
       fields.append(",").append(name).append("=").append(value);
     }
   };
-  add("item", passed.object);
-  add("chunk", passed.part);
-  add("limit", to_millis(order.timeout));
-  add("nonce", passed.dedupe_key);
-  if (order.source != order.cache) {
-    add("next", order.source);
+  add("item", request.object);
+  add("chunk", request.part);
+  add("limit", to_millis(attempt.timeout));
+  add("nonce", request.dedupe_key);
+  if (attempt.source != attempt.cache) {
+    add("next", attempt.source);
   }
-  if (order.keep_rank > 0) {
-    add("admit", std::to_string(order.keep_rank));
+  if (attempt.keep_rank > 0) {
+    add("admit", std::to_string(attempt.keep_rank));
   }
-  if (order.max_age.count() > 0) {
-    add("agelim", to_millis(order.max_age));
+  if (attempt.max_age.count() > 0) {
+    add("agelim", to_millis(attempt.max_age));
   }
-  add("ways", std::string(order.join_fill ? "join" : "") +
-                  (order.join_fill && order.only_if_cached ? "+" : "") +
-                  (order.only_if_cached ? "held" : ""));
-  add("cached", passed.held_tag);
-  add("fence", passed.fence);
-  return resp::write_array({"serve", passed.id, fields, passed.body});
+  add("ways", std::string(attempt.join_fill ? "join" : "") +
+                  (attempt.join_fill && attempt.only_if_cached ? "+" : "") +
+                  (attempt.only_if_cached ? "held" : ""));
+  add("cached", request.held_tag);
+  add("fence", request.fence);
+  return resp::write_array({"serve", request.id, fields, request.body});
 }
 
 std::string write_cancel(std::string_view id) { return resp::write_array({"cancel", id}); }
--- a/src/routing/cache_client.cpp
+++ b/src/routing/cache_client.cpp
@@ -40,8 +40,8 @@
 CacheConnection::CacheConnection(CacheClient& client, const std::weak_ptr<Pool::Slot>& slot)
     : client_(client), slot_(slot), parser_(client.bounds_.answers) {}
 
-void CacheConnection::send(const AttemptKey& key, const protocol::Passed& request, std::string command,
-                           bool streaming) {
+void CacheConnection::send(const AttemptKey& key, const protocol::ForwardedRequest& request,
+                           std::string command, bool streaming) {
   const std::shared_ptr<Pool::Slot> slot = slot_.lock();
   Call& call = calls_[request.id];
   call.key = key;
@@ -115,7 +115,7 @@
 // the attempts in flight can be retried elsewhere. This also detects a machine that vanished within an
 // answer. A cache that pauses for longer than `stall_after` within an answer loses its connection, too.
 void CacheConnection::watch_progress() {
-  if (stall_timer_ || !parser_.partial()) {
+  if (stall_timer_ || !parser_.has_partial_message()) {
     return;
   }
   const std::shared_ptr<Pool::Slot> slot = slot_.lock();
@@ -128,7 +128,7 @@
     const std::shared_ptr<Pool::Slot> late = slot_.lock();
     const bool stalled =
         late && late->connection->last_received() + client_.bounds_.stall_after <= Clock::now();
-    if (stalled && parser_.partial()) {
+    if (stalled && parser_.has_partial_message()) {
       log_line(Level::kDebug) << "cache " << late->peer << " stalled within an answer, " << calls_.size()
                               << " calls open";
       late->connection->close(ConnectionEnd::kSilent);
@@ -150,7 +150,7 @@
 }
 
 void CacheConnection::handle(const protocol::resp::ArrayHead& head) {
-  strings_ = head.words;
+  strings_ = head.strings;
   body_.clear();
   const auto found = strings_.empty() ? calls_.end() : calls_.find(strings_[0]);
   // A repeated, late or unexpected answer is skipped.
@@ -232,7 +232,7 @@
   client_.router_.attempt_ended(key, std::move(result));
 }
 
-void CacheConnection::handle(const protocol::resp::ParseError& error) { close_malformed(error.why); }
+void CacheConnection::handle(const protocol::resp::ParseError& error) { close_malformed(error.reason); }
 
 void CacheConnection::close_malformed(std::string_view reason) {
   if (const std::shared_ptr<Pool::Slot> slot = slot_.lock()) {
@@ -275,7 +275,7 @@
 
 void CacheClient::send(const AttemptKey& key, const SendAttempt& order,
                        const std::shared_ptr<const void>& forwarded, bool streaming) {
-  const auto request = std::static_pointer_cast<const protocol::Passed>(forwarded);
+  const auto request = std::static_pointer_cast<const protocol::ForwardedRequest>(forwarded);
   const std::optional<transport::Address> address = directory_.find(order.cache);
   if (!address) {
     fail_later(key, ConnectionEnd::kUnreachable);
--- a/src/routing/cache_client.h
+++ b/src/routing/cache_client.h
@@ -34,7 +34,8 @@
   // cancelled, or an answer may be repeated.
   bool knows_id(const std::string& id) const { return calls_.contains(id) || retired_ids_.contains(id); }
   // Sends `command` for an attempt. `request` is the request that the command was written for.
-  void send(const AttemptKey& key, const protocol::Passed& request, std::string command, bool streaming);
+  void send(const AttemptKey& key, const protocol::ForwardedRequest& request, std::string command,
+            bool streaming);
   // Cancels a call: withdraws its command if it is not written yet, and sends a cancel command otherwise.
   void cancel(const std::string& id);
 
@@ -94,7 +95,7 @@
   CacheClient(transport::Scheduler& scheduler, Router& router, const EndpointDirectory& directory,
               std::vector<std::string> report_fields, const Bounds& bounds);
 
-  // `forwarded` is a protocol::Passed.
+  // `forwarded` is a protocol::ForwardedRequest.
   void send(const AttemptKey& key, const SendAttempt& order, const std::shared_ptr<const void>& forwarded,
             bool streaming) override;
   void cancel(const AttemptKey& key) override;
--- a/src/routing/discovery_client.cpp
+++ b/src/routing/discovery_client.cpp
@@ -264,16 +264,16 @@
     }
   }
   const std::uint64_t sequence_before = listener_.last_sequence();
-  switch (
-      sequence_.check(now(), sequence_before, parsed.last, protocol::string_or_default(page, "board", ""))) {
+  switch (sequence_.check(now(), sequence_before, parsed.last_sequence,
+                          protocol::string_or_default(page, "board", ""))) {
     case startup::PageVerdict::kStale:
       ++counts_.stale;
       on_relay_failure(poll);  // the relay is behind: it may have been suspended
       return {PollResult::kInvalid, Micros(0),
-              "last event " + std::to_string(parsed.last) + " is before the applied event " +
+              "last event " + std::to_string(parsed.last_sequence) + " is before the applied event " +
                   std::to_string(sequence_before)};
     case startup::PageVerdict::kReset:
-      return reset_sequence(parsed.last);
+      return reset_sequence(parsed.last_sequence);
     case startup::PageVerdict::kApply:
       break;
   }
--- a/src/routing/discovery_update_handler.cpp
+++ b/src/routing/discovery_update_handler.cpp
@@ -24,21 +24,21 @@
   for (const std::string& reason : page.skipped) {
     log_line(Level::kWarning) << "discovery service: skipped " << reason;
   }
-  for (const protocol::Notice& notice : page.notices) {
-    if (notice.number <= last_sequence_) {
+  for (const protocol::DiscoveryUpdate& update : page.updates) {
+    if (update.sequence <= last_sequence_) {
       continue;  // applied before
     }
-    if (notice.number != last_sequence_ + 1 && last_sequence_ > 0) {
-      log_line(Level::kWarning) << "discovery service: event " << notice.number
+    if (update.sequence != last_sequence_ + 1 && last_sequence_ > 0) {
+      log_line(Level::kWarning) << "discovery service: event " << update.sequence
                                 << " does not follow the applied event " << last_sequence_;
     }
-    last_sequence_ = notice.number;
-    std::visit([this](const auto& change) { apply(change); }, notice.what);
+    last_sequence_ = update.sequence;
+    std::visit([this](const auto& change) { apply(change); }, update.change);
   }
   // The last events of a page may be of an unknown kind or invalid.
-  last_sequence_ = std::max(last_sequence_, page.highest);
-  if (page.last < last_sequence_) {
-    log_line(Level::kWarning) << "discovery service: its last event " << page.last
+  last_sequence_ = std::max(last_sequence_, page.highest_sequence);
+  if (page.last_sequence < last_sequence_) {
+    log_line(Level::kWarning) << "discovery service: its last event " << page.last_sequence
                               << " is before the applied event " << last_sequence_;
   }
 }
@@ -46,17 +46,18 @@
 void DiscoveryUpdateHandler::apply(const protocol::EndpointsChanged& update) {
   EndpointListReceived list;
   const bool first = !std::exchange(list_received_, true);
-  const bool complete = update.whole || first;
+  const bool complete = update.complete || first;
   list.kind = complete ? ListKind::kFull : ListKind::kChanges;
   const auto before = complete ? listed_endpoints_ : decltype(listed_endpoints_)();
   std::set<std::string> names;
-  for (const protocol::ListedEndpoint& cache : update.caches) {
-    names.insert(cache.entry.address);
+  for (const protocol::ListedEndpoint& cache : update.endpoints) {
+    names.insert(cache.endpoint.address);
     if (!set_endpoint(cache)) {
       continue;
     }
-    Endpoint endpoint = cache.entry;
-    endpoint.started = cache.since_ms > 0 ? ModuleClock::after_unix_ms(cache.since_ms) : Micros(0);
+    Endpoint endpoint = cache.endpoint;
+    endpoint.started =
+        cache.started_unix_ms > 0 ? ModuleClock::after_unix_ms(cache.started_unix_ms) : Micros(0);
     list.entries.push_back(std::move(endpoint));
   }
   for (const auto& [name, state] : before) {
@@ -73,33 +74,33 @@
 }
 
 bool DiscoveryUpdateHandler::set_endpoint(const protocol::ListedEndpoint& cache) {
-  const std::string& name = cache.entry.address;
+  const std::string& name = cache.endpoint.address;
   const std::optional<transport::Address> old = directory_.find(name);
   const std::optional<transport::Address> address = transport::parse_address(cache.address);
-  if (!address && cache.entry.state == NodeState::kReady && !old) {
+  if (!address && cache.endpoint.state == NodeState::kReady && !old) {
     log_line(Level::kWarning) << "discovery service: cache " << name << " has no valid address";
     return false;
   }
-  const std::pair<NodeState, std::int64_t> state(cache.entry.state, cache.since_ms);
+  const std::pair<NodeState, std::int64_t> state(cache.endpoint.state, cache.started_unix_ms);
   const auto found = listed_endpoints_.find(name);
   if (found == listed_endpoints_.end() || found->second != state) {
-    log_line(Level::kInfo) << "cache " << name << " is " << state_name(cache.entry.state)
-                           << (cache.since_ms > 0 ? ", started late" : "");
+    log_line(Level::kInfo) << "cache " << name << " is " << state_name(cache.endpoint.state)
+                           << (cache.started_unix_ms > 0 ? ", started late" : "");
   }
-  if (cache.entry.state == NodeState::kGone) {
+  if (cache.endpoint.state == NodeState::kGone) {
     remove_endpoint(name);
     return true;
   }
   if (address) {
     // The old connections are useless if the cache has another address or its process has restarted.
-    const bool restarted = found != listed_endpoints_.end() && found->second.second != cache.since_ms;
+    const bool restarted = found != listed_endpoints_.end() && found->second.second != cache.started_unix_ms;
     if (old && (*old != *address || restarted)) {
       on_removed_(name);
     }
     directory_.set(name, *address);
   }
   listed_endpoints_[name] = state;
-  if (cache.entry.state == NodeState::kReady) {
+  if (cache.endpoint.state == NodeState::kReady) {
     ready_.insert(name);
   } else {
     ready_.erase(name);
@@ -123,7 +124,7 @@
   purged.group = purge.group;
   log_line(Level::kDebug) << "purge of " << (purge.whole_group ? "group " : "object ")
                           << (purge.whole_group ? purge.group : purge.object);
-  router_.purged(purged, ModuleClock::after_unix_ms(purge.at_ms));
+  router_.purged(purged, ModuleClock::after_unix_ms(purge.purged_unix_ms));
 }
 
 }  // namespace trailcourse::routing
--- a/src/routing/fastcgi_server.cpp
+++ b/src/routing/fastcgi_server.cpp
@@ -116,8 +116,8 @@
 using FieldError = std::optional<std::string_view>;
 
 FieldError parse_class(const fastcgi::Parameters& parameters,
-                       const std::unordered_map<std::string, int>& class_index, protocol::Passed& passed,
-                       RequestArrived& arrived) {
+                       const std::unordered_map<std::string, int>& class_index,
+                       protocol::ForwardedRequest& passed, RequestArrived& arrived) {
   const std::string path = field(parameters, "SCRIPT_NAME");
   if (!path.starts_with(kPathPrefix)) {
     return "SCRIPT_NAME";
@@ -131,7 +131,8 @@
   return std::nullopt;
 }
 
-FieldError parse_call(const fastcgi::RequestReceived& read, protocol::Passed& passed, ParsedRequest& out) {
+FieldError parse_call(const fastcgi::RequestReceived& read, protocol::ForwardedRequest& passed,
+                      ParsedRequest& out) {
   passed.id = field(read.parameters, "HTTP_X_CALL_ID");
   if (passed.id.size() != kHexDigits || !all_of(passed.id, is_hex)) {
     return "X-Call-Id";
@@ -151,7 +152,7 @@
 }
 
 FieldError parse_object(const fastcgi::Parameters& parameters, const ClassSettings& class_settings,
-                        protocol::Passed& passed, RequestArrived& arrived) {
+                        protocol::ForwardedRequest& passed, RequestArrived& arrived) {
   passed.object = field(parameters, "HTTP_X_ENTITY");
   if (!passed.object.empty() || !class_settings.uncached) {
     const std::optional<ObjectId> object = protocol::read_hex<ObjectId>(passed.object);
@@ -192,7 +193,7 @@
 }
 
 FieldError parse_key_and_tag(const fastcgi::Parameters& parameters, const ClassSettings& class_settings,
-                             protocol::Passed& passed) {
+                             protocol::ForwardedRequest& passed) {
   const bool key_needed = class_settings.idempotency == Idempotency::kKeyed;
   passed.dedupe_key = field(parameters, "HTTP_X_DEDUPE_KEY");
   if ((key_needed || !passed.dedupe_key.empty()) && !all_of(passed.dedupe_key, is_plain)) {
@@ -212,7 +213,7 @@
                             const Settings& settings) {
   ParsedRequest out;
   RequestArrived& arrived = out.request.arrival;
-  auto passed = std::make_shared<protocol::Passed>();
+  auto passed = std::make_shared<protocol::ForwardedRequest>();
   FieldError error = parse_class(read.parameters, class_index, *passed, arrived);
   if (!error) {
     const ClassSettings& class_settings = settings.classes[static_cast<std::size_t>(arrived.request_class)];
@@ -240,7 +241,7 @@
       answers_(server.bounds_.record_bytes) {}
 
 void FastCgiConnection::on_bytes(std::string_view bytes) {
-  const bool pending = parser_.partial() || !sent_valid_request_;
+  const bool pending = parser_.has_partial_message() || !sent_valid_request_;
   std::vector<fastcgi::Event> events;
   parser_.feed(bytes, events);
   // A completed message restarts the time-out, even if a part of the next one was received with it.
@@ -349,7 +350,7 @@
 
 void FastCgiConnection::handle(fastcgi::RequestRejected&& rejected) {
   log_line(Level::kWarning) << "request from " << to_string(connection_.peer())
-                            << " rejected: " << rejected.why;
+                            << " rejected: " << rejected.reason;
   if (rejected.answered) {
     answer(rejected.key, cgi_head(400, "Bad Request") + "\r\n");
   } else {
@@ -375,7 +376,7 @@
 
 void FastCgiConnection::handle(fastcgi::ParseError&& error) {
   log_line(Level::kWarning) << "connection from " << to_string(connection_.peer())
-                            << " sent malformed data: " << error.why;
+                            << " sent malformed data: " << error.reason;
   connection_.close(ConnectionEnd::kMalformed);
 }
 
--- a/src/routing/fastcgi_server.h
+++ b/src/routing/fastcgi_server.h
@@ -57,14 +57,14 @@
   // Returns whether closing the connection loses no valid request: it is idle, and either the last message is
   // complete or no valid request has come at all.
   bool may_close() const {
-    return idle() && (!sent_valid_request_ || !parser_.partial()) && !connection_.ended();
+    return idle() && (!sent_valid_request_ || !parser_.has_partial_message()) && !connection_.ended();
   }
 
   // Returns whether the connection is idle and has waited since before `before` for its first valid request
   // or for the rest of a message.
   bool timed_out(transport::Clock::time_point before) const {
-    return idle() && (!sent_valid_request_ || parser_.partial()) && message_pending_since_ < before &&
-           !connection_.ended();
+    return idle() && (!sent_valid_request_ || parser_.has_partial_message()) &&
+           message_pending_since_ < before && !connection_.ended();
   }
 
   // Returns the order in which connections are closed, lowest first: those without a valid request so far,
@@ -75,7 +75,7 @@
 
   // Returns whether a part of a request has been received.
   bool has_partial_request() const {
-    return sent_valid_request_ && parser_.partial() && !connection_.ended();
+    return sent_valid_request_ && parser_.has_partial_message() && !connection_.ended();
   }
   transport::Clock::time_point opened_at() const { return opened_at_; }
   std::size_t partial_bytes() const { return counted_partial_; }
