--- a/src/routing/discovery_client.h
+++ b/src/routing/discovery_client.h
@@ -28,6 +28,7 @@
 
 namespace trailcourse::routing {
 
+// Polls the discovery service and passes its pages to a listener.
 class DiscoveryClient {
  public:
   struct Options {
@@ -81,9 +82,11 @@
                   const Options& options, Hooks hooks, Relays relays);
   ~DiscoveryClient();
 
+  // Starts to poll. To be called once.
   void start() { scheduler_.spawn(poll_loop()); }
   // Polls the service at this address from now on. Returns whether the address has changed.
   bool set_server(const transport::Address& server);
+  // Sets the number of routers that poll the service; it determines the rate of polls.
   void set_fleet_size(int routers) { poll_scheduler_.set_fleet_size(routers); }
   // Sets the id of the service that a snapshot holds.
   void restore_server_id(const std::string& id) { sequence_.restore(id); }
--- a/src/routing/discovery_update_handler.h
+++ b/src/routing/discovery_update_handler.h
@@ -15,6 +15,7 @@
 
 namespace trailcourse::routing {
 
+// Applies events to the router and the directory.
 class DiscoveryUpdateHandler : public DiscoveryListener {
  public:
   // Called with the name of a cache that was removed, has restarted or has another address.
--- a/src/routing/fastcgi_server.h
+++ b/src/routing/fastcgi_server.h
@@ -73,7 +73,7 @@
     return {sent_valid_request_, connection_.last_received()};
   }
 
-  // Returns whether a part of a request has been received.
+  // Returns whether a part of a request has been received, after a valid request before.
   bool has_partial_request() const {
     return sent_valid_request_ && parser_.partial() && !connection_.ended();
   }
@@ -163,7 +163,7 @@
   // Accepts all pending connections. Returns whether there was none and no other connection has unread data.
   bool accept_pending();
 
-  // Returns whether a part of a request has been received from any client.
+  // Returns whether a part of a request has been received from any client that has sent a valid one before.
   bool has_partial_request() const;
 
   // Returns when the last request arrived. Health checks do not count.
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -50,6 +50,7 @@
   // `retry_after` is zero if the client gets no time for its retry.
   virtual void rejected(Micros retry_after) = 0;
   virtual void failed() = 0;
+  // The answer is streamed.
   virtual void begin(bool not_modified) = 0;
   virtual void piece(std::string_view bytes) = 0;
   virtual void finish(bool complete) = 0;
@@ -60,20 +61,22 @@
 
 // What the effective policy decides about a request that arrives now (policy/participant.h).
 struct PolicyDecision {
-  bool reject = false;            // at once, since no policy is in force under which it could be decided
+  bool reject = false;            // at once: no policy is in force, or it does not serve the request class
   int request_class = 0;          // index at the module, for the version in force
   std::size_t open_requests = 0;  // maximum; 0: the bound of the router
   Micros max_retry_after{-1};     // maximum of the Retry-After for the client; negative: none
   std::string policy_version;     // "A+B" for what both versions allow, "-" for none
 };
 
+// Identifies an attempt.
 struct AttemptKey {
   RequestId request = 0;
-  int attempt = 0;
+  int attempt = 0;  // number within the request, from 0
 
   friend auto operator<=>(const AttemptKey&, const AttemptKey&) = default;
 };
 
+// How an attempt ended.
 struct AttemptResult {
   Status status = Status::kError;
   bool not_modified = false;  // the copy that the client has is valid
@@ -97,7 +100,8 @@
   virtual void cancel(const AttemptKey& key) = 0;
 };
 
-// Counts since the start of the process.
+// Counts since the start of the process. A request counts as abandoned after client_left() or
+// fail_open_requests().
 struct RouterCounts {
   std::uint64_t requests = 0, served = 0, rejected = 0, failed = 0, abandoned = 0, attempts = 0,
                 attempts_failed = 0;
@@ -139,7 +143,7 @@
   // a bound on open requests is reached.
   RequestId accept(ClientRequest request, std::shared_ptr<Reply> reply);
 
-  // The client does not wait for the answer any more.
+  // The client does not wait for the answer any more. Has no effect on a request that was answered.
   void client_left(RequestId id);
 
   // Answers all open requests as failed, which does not tell whether they were executed. For the end of the
@@ -157,7 +161,8 @@
   // Reports the end of an attempt. Has no effect if the attempt has timed out or was cancelled before.
   void attempt_ended(const AttemptKey& key, AttemptResult result);
 
-  // For request classes that stream: an answer has begun.
+  // For request classes that stream: the answer to an attempt has begun. Its parts follow as stream_piece(),
+  // its end as attempt_ended().
   void stream_started(const AttemptKey& key, bool not_modified);
   void stream_piece(const AttemptKey& key, std::string_view bytes);
 
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -304,9 +304,9 @@
   const auto malformed = client.ask(1, read_fields(id_of(1)));
   ASSERT_TRUE(malformed.has_value()) << "the request gets one final answer at once";
   EXPECT_NE(malformed->status, 200);
-  const auto good = client.ask(2, read_fields(id_of(2)));
-  ASSERT_TRUE(good.has_value());
-  EXPECT_EQ(good->body, "good");
+  const auto next = client.ask(2, read_fields(id_of(2)));
+  ASSERT_TRUE(next.has_value());
+  EXPECT_EQ(next->body, "good");
 }
 
 }  // namespace
--- a/tests/integration_test.cpp
+++ b/tests/integration_test.cpp
@@ -195,9 +195,9 @@
 TEST_F(IntegrationTest, RetriesARequestWhoseAnswerIsIncomplete) {
   std::atomic<int> tries{0};
   set_all_scripts([&tries](const CacheRequest& request) -> std::optional<std::string> {
-    const std::string whole = CacheStandIn::answer(request, "OK", "tell=warm", std::string(100'000, 'x'));
-    return ++tries == 1 ? std::optional<std::string>(whole.substr(0, 50'000) + CacheStandIn::kThenClose)
-                        : whole;
+    const std::string complete = CacheStandIn::answer(request, "OK", "tell=warm", std::string(100'000, 'x'));
+    return ++tries == 1 ? std::optional<std::string>(complete.substr(0, 50'000) + CacheStandIn::kThenClose)
+                        : complete;
   });
   list_all();
   start();
@@ -328,12 +328,12 @@
 TEST_F(IntegrationTest, PollsAgainAfterMalformedResponsesOfTheDiscoveryService) {
   list_all();
   start({{"router", {{"board_linger_ms", 200}, {"board_grace_ms", 100}}}});
-  for (const char* nonsense : {"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
-                               "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nnonsense!", "what?\r\n\r\n",
-                               "HTTP/1.1 200 OK\r\nContent-Length: 22\r\n\r\n{\"rev\":0,\"notices\":[]}"}) {
-    board_.say(nonsense);
-    ASSERT_TRUE(board_.await_calls(board_.calls() + 2)) << nonsense;
-    ASSERT_TRUE(connect().ask(1, read_fields(id_of(1))).has_value()) << nonsense;
+  for (const char* malformed : {"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
+                                "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nnonsense!", "what?\r\n\r\n",
+                                "HTTP/1.1 200 OK\r\nContent-Length: 22\r\n\r\n{\"rev\":0,\"notices\":[]}"}) {
+    board_.say(malformed);
+    ASSERT_TRUE(board_.await_calls(board_.calls() + 2)) << malformed;
+    ASSERT_TRUE(connect().ask(1, read_fields(id_of(1))).has_value()) << malformed;
   }
   board_.say("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\ncut");  // and no more, beyond the time-out
   ASSERT_TRUE(board_.await_calls(board_.calls() + 1));
@@ -427,37 +427,37 @@
 TEST_F(IntegrationTest, ClosesOnlyTheConnectionThatSendsMalformedData) {
   list_all();
   start();
-  Client good = connect();
-  ASSERT_TRUE(good.ask(1, read_fields(id_of(1))).has_value());
+  Client healthy = connect();
+  ASSERT_TRUE(healthy.ask(1, read_fields(id_of(1))).has_value());
   for (const std::string& bytes :
        {std::string("GET / HTTP/1.1\r\n\r\n"), std::string(100, '\xff'), begin_record(1) + begin_record(1)}) {
-    Client bad = connect();
-    bad.send(bytes);
-    EXPECT_TRUE(bad.await_close());
+    Client malformed = connect();
+    malformed.send(bytes);
+    EXPECT_TRUE(malformed.await_close());
   }
-  const std::string whole = request_bytes(1, read_fields(id_of(2)), "body");
-  for (std::size_t cut = 1; cut < whole.size(); cut += 37) {
-    connect().send(whole.substr(0, cut));  // a connection that ends within a message
+  const std::string complete = request_bytes(1, read_fields(id_of(2)), "body");
+  for (std::size_t cut = 1; cut < complete.size(); cut += 37) {
+    connect().send(complete.substr(0, cut));  // a connection that ends within a message
   }
-  ASSERT_TRUE(good.ask(2, read_fields(id_of(3))).has_value());
+  ASSERT_TRUE(healthy.ask(2, read_fields(id_of(3))).has_value());
   EXPECT_NE(program_->log().find("sent malformed data"), std::string::npos);
 }
 
 TEST_F(IntegrationTest, ServesRequestsAgainAfterACacheSendsMalformedAnswers) {
-  const std::vector<std::string> nonsense{
+  const std::vector<std::string> malformed{
       "+OK\r\n", "*4\r\n$99999999\r\n", "*1\r\n$2\r\nhi\r\n",
       "*4\r\n$16\r\n" + id_of(99) + "\r\n$2\r\nOK\r\n$1\r\n-\r\n$0\r\n\r\n", std::string(5000, '*')};
   list_all();
   start();
   Client client = connect();
   std::uint16_t key = 0;
-  for (const std::string& bytes : nonsense) {
+  for (const std::string& bytes : malformed) {
     set_all_scripts(
         [&bytes](const CacheRequest& request) { return bytes + CacheStandIn::answer(request, "ODD", "x"); });
     ++key;
-    const auto odd = client.ask(key, read_fields(id_of(key), {{"HTTP_X_PATIENCE_MS", "1000"}}));
-    ASSERT_TRUE(odd.has_value()) << bytes.substr(0, 20);
-    EXPECT_NE(odd->status, 200);
+    const auto invalid = client.ask(key, read_fields(id_of(key), {{"HTTP_X_PATIENCE_MS", "1000"}}));
+    ASSERT_TRUE(invalid.has_value()) << bytes.substr(0, 20);
+    EXPECT_NE(invalid->status, 200);
   }
   set_all_scripts([](const CacheRequest& request) {
     const std::string answer = CacheStandIn::answer(request, "OK", "tell=odd,meter=:;x,slow=y", "good");
@@ -465,10 +465,10 @@
   });
   for (int i = 0; i < 30; ++i) {  // ejected caches are not used for some time
     ++key;
-    const auto good = client.ask(key, read_fields(id_of(key), {{"HTTP_X_ENTITY", id_of(key)}}));
-    ASSERT_TRUE(good.has_value());
-    if (good->status == 200) {
-      EXPECT_EQ(good->body, "good");
+    const auto valid = client.ask(key, read_fields(id_of(key), {{"HTTP_X_ENTITY", id_of(key)}}));
+    ASSERT_TRUE(valid.has_value());
+    if (valid->status == 200) {
+      EXPECT_EQ(valid->body, "good");
       return;
     }
   }
@@ -670,8 +670,8 @@
 TEST_F(IntegrationTest, ClosesClientsThatSendNothingOrAnIncompleteRequest) {
   list_all();
   start({{"router", {{"client_request_ms", 300}}}});
-  Client asked = connect();
-  ASSERT_TRUE(asked.ask(1, read_fields(id_of(1))).has_value());
+  Client active = connect();
+  ASSERT_TRUE(active.ask(1, read_fields(id_of(1))).has_value());
   Client silent = connect();
   Client half = connect();
   half.send(request_bytes(1, read_fields(id_of(2)), "").substr(0, 60));
@@ -680,7 +680,7 @@
   EXPECT_TRUE(silent.await_close());
   EXPECT_TRUE(half.await_close());
   EXPECT_TRUE(endless.await_close());
-  const auto next = asked.ask(2, read_fields(id_of(3)));
+  const auto next = active.ask(2, read_fields(id_of(3)));
   ASSERT_TRUE(next.has_value()) << "a client that has sent a request may stay idle";
   EXPECT_EQ(next->status, 200);
 }
@@ -729,17 +729,17 @@
 
 // An answer that stalls blocks its connection: the attempts in flight on it are retried elsewhere.
 TEST_F(IntegrationTest, ClosesACacheConnectionWhenAnAnswerStalls) {
-  std::atomic<int> asked{0};
-  set_all_scripts([&asked](const CacheRequest& request) -> std::optional<std::string> {
-    const std::string whole = CacheStandIn::answer(request, "OK", "-", "whole");
-    return ++asked == 1 ? whole.substr(0, whole.size() - 3) : whole;
+  std::atomic<int> request_count{0};
+  set_all_scripts([&request_count](const CacheRequest& request) -> std::optional<std::string> {
+    const std::string complete = CacheStandIn::answer(request, "OK", "-", "complete");
+    return ++request_count == 1 ? complete.substr(0, complete.size() - 3) : complete;
   });
   list_all();
   start(json::object(), {"--log-level", "debug"});
   const auto answer = connect().ask(1, read_fields(id_of(1)));
   ASSERT_TRUE(answer.has_value());
   EXPECT_EQ(answer->status, 200);
-  EXPECT_EQ(answer->body, "whole");
+  EXPECT_EQ(answer->body, "complete");
   EXPECT_TRUE(program_->await_log("stalled within an answer, "));
 }
 
@@ -763,11 +763,11 @@
 
 // A repeated miss must not end the next attempt of the same request on that connection.
 TEST_F(IntegrationTest, DoesNotUseARepeatedAnswerForALaterAttempt) {
-  std::atomic<int> asked{0};
+  std::atomic<int> request_count{0};
   b_.stop();
-  a_.set_script([&asked](const CacheRequest& request) -> std::optional<std::string> {
+  a_.set_script([&request_count](const CacheRequest& request) -> std::optional<std::string> {
     const std::string miss = CacheStandIn::answer(request, "MISS", "tell=bounced");
-    return ++asked == 1 ? miss + miss : CacheStandIn::answer(request, "OK", "-", "filled");
+    return ++request_count == 1 ? miss + miss : CacheStandIn::answer(request, "OK", "-", "filled");
   });
   CacheStandIn parent(CacheStandIn::serving("from parent"));
   board_.post(pool({listed("cache-a", a_.address(), "std"), listed("parent-p", parent.address(), "parent"),
@@ -777,7 +777,7 @@
   const auto answer = connect().ask(1, read_fields(id_of(1)));
   ASSERT_TRUE(answer.has_value());
   EXPECT_EQ(answer->body, "filled");
-  EXPECT_EQ(asked, 2);
+  EXPECT_EQ(request_count, 2);
 }
 
 // Clients have a fixed share of the descriptors: hundreds of idle clients leave enough for caches.
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -150,11 +150,11 @@
   ASSERT_EQ(events<RequestArrived>().size(), 1U);
   EXPECT_EQ(events<RequestArrived>()[0].deadline, before + milliseconds(2000));
   ASSERT_EQ(upstream_.sent.size(), 1U);
-  AttemptResult good = result(Status::kOk, "bytes");
-  good.note = Note::kFilled;
-  good.source_first_byte_time = milliseconds(7);
-  good.load.concurrent = 4.0;
-  router_.attempt_ended({id, 0}, good);
+  AttemptResult success = result(Status::kOk, "bytes");
+  success.note = Note::kFilled;
+  success.source_first_byte_time = milliseconds(7);
+  success.load.concurrent = 4.0;
+  router_.attempt_ended({id, 0}, success);
   router_.attempt_ended({id, 0}, result(Status::kOk, "again"));
   EXPECT_EQ(replies_->calls, std::vector<std::string>{"served bytes"});
   const auto ended = events<AttemptEnded>();
