--- a/benchmarks/scale/cache_costs.cpp
+++ b/benchmarks/scale/cache_costs.cpp
@@ -97,7 +97,7 @@
   fields.item = item;
   fields.chunk = "0";
   fields.limit_ms = 2'000;
-  fields.admit = 2;
+  fields.keep_rank = 2;
   return fields;
 }
 
@@ -121,18 +121,18 @@
     const std::string wire = protocol::write_serve_fields(fields_of(number_ * 7'919));
     auto read = protocol::read_serve_fields(wire);
     actions_.clear();
-    core_.arrive(now_, number_, std::move(std::get<protocol::ServeFields>(read)), "", actions_);
-    core_.looked_up(now_, number_, found_, actions_);
+    core_.on_request(now_, number_, std::move(std::get<protocol::ServeFields>(read)), "", actions_);
+    core_.on_lookup_result(now_, number_, found_, actions_);
     for (const cache_node::Action& action : actions_) {
       if (const auto* answer = std::get_if<cache_node::Answer>(&action)) {
-        keep_result(protocol::write_answer("1", answer->word, answer->fields, ""));
+        keep_result(protocol::write_answer("1", answer->code, answer->fields, ""));
       }
     }
   }
 
  private:
-  static cache_node::NodeRules rules() {
-    cache_node::NodeRules out;
+  static cache_node::NodeCoreOptions rules() {
+    cache_node::NodeCoreOptions out;
     out.classes["media"] = {};
     return out;
   }
@@ -140,7 +140,7 @@
   store::PurgeTable ledger_;
   cache_node::NodeCore core_;
   store::ReadResult found_;
-  cache_node::Moment now_{1'000, kUnixMs + 2'000'000, 0};
+  cache_node::EventContext now_{1'000, kUnixMs + 2'000'000, 0};
   std::uint64_t number_ = 0;
   std::vector<cache_node::Action> actions_;
 };
--- a/src/cache_node/command_server.cpp
+++ b/src/cache_node/command_server.cpp
@@ -18,11 +18,11 @@
 
 namespace {
 
-constexpr int kAcceptsInTurn = 16;
+constexpr int kAcceptsPerTurn = 16;
 constexpr std::chrono::milliseconds kAcceptPause{20};
-constexpr std::size_t kMostId = 64;
-constexpr std::size_t kServeWords = 4;
-constexpr std::size_t kShortWords = 2;
+constexpr std::size_t kMaxIdBytes = 64;
+constexpr std::size_t kServeStrings = 4;
+constexpr std::size_t kShortStrings = 2;
 
 }  // namespace
 
@@ -37,118 +37,119 @@
         std::visit([this](const auto& one) { take(one); }, event);
       }
     });
-    if (!parser_.partial()) {
-      whole_at_ = Clock::now();
+    if (!parser_.has_partial_message()) {
+      last_message_at_ = Clock::now();
     }
   }
 
   void on_end(ConnectionEnd) override {
     const auto open = std::exchange(open_, {});
     for (const auto& [id, ticket] : open) {
-      server_.places_.erase(ticket);
-      server_.service_.cancel(ticket);
+      server_.open_requests_.erase(ticket);
+      server_.handler_.cancel(ticket);
     }
     server_.sessions_.erase(shared_from_this());
   }
 
   void write(std::string bytes) { connection_->write(std::move(bytes)); }
-  void closed(const std::string& id) { open_.erase(id); }
+  void remove_request(const std::string& id) { open_.erase(id); }
   bool idle() const { return open_.empty() && connection_->waiting() == 0; }
-  bool partial() const { return parser_.partial(); }
-  Clock::time_point last_whole() const { return whole_at_; }
+  bool has_partial_message() const { return parser_.has_partial_message(); }
+  Clock::time_point last_message_at() const { return last_message_at_; }
   Connection& connection() const { return *connection_; }
 
  private:
   static protocol::resp::Bounds parser_bounds(const Bounds& bounds) {
     protocol::resp::Bounds out;
-    out.words = kServeWords;
+    out.strings = kServeStrings;
     out.last_bytes = bounds.body_bytes;
     return out;
   }
 
   void take(const protocol::resp::ArrayHead& head) {
-    words_ = head.words;
-    last_.clear();
+    strings_ = head.strings;
+    last_string_.clear();
   }
-  void take(const protocol::resp::ArrayPiece& piece) { last_ += piece.bytes; }
-  void take(const protocol::resp::ParseError& unreadable) { spoilt(unreadable.why); }
+  void take(const protocol::resp::ArrayPiece& piece) { last_string_ += piece.bytes; }
+  void take(const protocol::resp::ParseError& unreadable) { close_malformed(unreadable.reason); }
   void take(const protocol::resp::ArrayEnd&) {
-    std::vector<std::string> words = std::exchange(words_, {});
-    words.push_back(std::exchange(last_, {}));
-    if (words.size() < kShortWords || words[1].empty() || words[1].size() > kMostId) {
-      spoilt("a command without a usable id");
+    std::vector<std::string> strings = std::exchange(strings_, {});
+    strings.push_back(std::exchange(last_string_, {}));
+    if (strings.size() < kShortStrings || strings[1].empty() || strings[1].size() > kMaxIdBytes) {
+      close_malformed("a command without a valid request id");
       return;
     }
-    const std::string& command = words[0];
-    if (command == "serve" && words.size() == kServeWords) {
-      serve(words[1], words[2], std::move(words[3]));
-    } else if (command == "cancel" && words.size() == kShortWords) {
-      const auto found = open_.find(words[1]);
+    const std::string& command = strings[0];
+    if (command == "serve" && strings.size() == kServeStrings) {
+      serve(strings[1], strings[2], std::move(strings[3]));
+    } else if (command == "cancel" && strings.size() == kShortStrings) {
+      const auto found = open_.find(strings[1]);
       if (found != open_.end()) {
         const Ticket ticket = found->second;
         open_.erase(found);
-        server_.places_.erase(ticket);
-        server_.service_.cancel(ticket);
+        server_.open_requests_.erase(ticket);
+        server_.handler_.cancel(ticket);
       }
-    } else if ((command == "health" || command == "gauges") && words.size() == kShortWords) {
-      const std::string_view word = server_.service_.up() ? "UP" : "DOWN";
-      const std::string fields = command == "gauges" ? "meter=" + server_.service_.meter() : std::string("-");
-      write(protocol::resp::write_array({words[1], word, fields, ""}));
+    } else if ((command == "health" || command == "gauges") && strings.size() == kShortStrings) {
+      const std::string_view state = server_.handler_.accepting() ? "UP" : "DOWN";
+      const std::string fields =
+          command == "gauges" ? "meter=" + server_.handler_.load_report() : std::string("-");
+      write(protocol::resp::write_array({strings[1], state, fields, ""}));
     } else {
       log_line(Level::kWarning) << "peer " << to_string(connection_->peer()) << " sent an unknown command '"
-                                << protocol::plain_value(command.substr(0, kMostId)) << "' of "
-                                << words.size() << " words";
-      refuse(words[1], "unknown_command");
+                                << protocol::plain_value(command.substr(0, kMaxIdBytes)) << "' of "
+                                << strings.size() << " strings";
+      reject(strings[1], "unknown_command");
     }
   }
 
   void serve(const std::string& id, std::string_view fields, std::string body) {
     if (open_.contains(id)) {
-      // An answer under this id would be taken for that of the first: only an end is clear.
-      spoilt("an id that is in use");
+      // The peer could not tell which of the two requests an answer belongs to, so the connection is closed.
+      close_malformed("a request id that is in use");
       return;
     }
-    std::variant<protocol::ServeFields, std::string> read = protocol::read_serve_fields(fields);
-    if (const auto* fault = std::get_if<std::string>(&read)) {
+    std::variant<protocol::ServeFields, std::string> parsed = protocol::read_serve_fields(fields);
+    if (const auto* error = std::get_if<std::string>(&parsed)) {
       log_line(Level::kWarning) << "peer " << to_string(connection_->peer())
-                                << " sent a request that cannot be used: " << protocol::plain_value(*fault);
-      refuse(id, *fault);
+                                << " sent an invalid request: " << protocol::plain_value(*error);
+      reject(id, *error);
       return;
     }
     if (open_.size() >= server_.bounds_.open_per_connection) {
       write(protocol::write_answer(id, protocol::AnswerCode::kBusy, {}, ""));
       return;
     }
-    const Ticket ticket = ++server_.last_;
+    const Ticket ticket = ++server_.last_ticket_;
     open_.emplace(id, ticket);
-    server_.places_.emplace(ticket, Place{weak_from_this(), id});
-    server_.service_.serve(ticket, std::move(std::get<protocol::ServeFields>(read)), std::move(body));
+    server_.open_requests_.emplace(ticket, OpenRequest{weak_from_this(), id});
+    server_.handler_.serve(ticket, std::move(std::get<protocol::ServeFields>(parsed)), std::move(body));
   }
 
-  void refuse(const std::string& id, const std::string& why) {
+  void reject(const std::string& id, const std::string& reason) {
     protocol::CacheAnswer out;
-    out.why = why;
+    out.error_reason = reason;
     write(protocol::write_answer(id, protocol::AnswerCode::kError, out, ""));
   }
 
-  void spoilt(std::string_view why) {
-    ++server_.spoilt_;
+  void close_malformed(std::string_view reason) {
+    ++server_.malformed_connections_;
     log_line(Level::kWarning) << "peer " << to_string(connection_->peer())
-                              << " sent what cannot be read: " << why;
+                              << " sent a malformed message: " << reason;
     connection_->close(ConnectionEnd::kMalformed);
   }
 
   CommandServer& server_;
   std::shared_ptr<Connection> connection_;
   protocol::resp::Parser parser_;
-  std::vector<std::string> words_;
-  std::string last_;
+  std::vector<std::string> strings_;
+  std::string last_string_;
   std::map<std::string, Ticket> open_;
-  Clock::time_point whole_at_ = Clock::now();
+  Clock::time_point last_message_at_ = Clock::now();
 };
 
-CommandServer::CommandServer(transport::Scheduler& scheduler, Service& service, const Bounds& bounds)
-    : scheduler_(scheduler), service_(service), bounds_(bounds) {}
+CommandServer::CommandServer(transport::Scheduler& scheduler, CommandHandler& handler, const Bounds& bounds)
+    : scheduler_(scheduler), handler_(handler), bounds_(bounds) {}
 
 CommandServer::~CommandServer() = default;
 
@@ -164,8 +165,8 @@
   for (;;) {
     transport::Opened opened = transport::accept_from(listener_.get());
     if (opened.descriptor.valid()) {
-      take_in(std::move(opened.descriptor));
-      if (++accepts % kAcceptsInTurn == 0) {
+      adopt(std::move(opened.descriptor));
+      if (++accepts % kAcceptsPerTurn == 0) {
         co_await scheduler_.yield();
       }
     } else if (opened.error == EAGAIN || opened.error == EWOULDBLOCK) {
@@ -175,18 +176,18 @@
         co_return;
       }
     } else {
-      // Out of descriptors, or of something else that the system may have again soon.
+      // The system is out of descriptors or of another resource that may become available soon.
       if (opened.error == EMFILE || opened.error == ENFILE) {
-        free_one();
+        close_idle_connection();
       }
       co_await scheduler_.sleep(kAcceptPause);
     }
   }
 }
 
-void CommandServer::take_in(transport::Descriptor socket) {
-  if (sessions_.size() >= bounds_.connections && !free_one()) {
-    return;  // closed at once: the peer goes elsewhere
+void CommandServer::adopt(transport::Descriptor socket) {
+  if (sessions_.size() >= bounds_.connections && !close_idle_connection()) {
+    return;  // the destructor closes the socket at once, and the peer tries another cache
   }
   const std::shared_ptr<Connection> connection =
       Connection::adopt(scheduler_, std::move(socket), bounds_.connection);
@@ -195,11 +196,11 @@
   connection->start(session);
 }
 
-bool CommandServer::free_one() {
+bool CommandServer::close_idle_connection() {
   std::shared_ptr<Session> oldest;
   for (const std::shared_ptr<Session>& session : sessions_) {
-    const bool can_go = session->idle() && !session->connection().ended();
-    if (can_go && (!oldest || session->last_whole() < oldest->last_whole())) {
+    const bool can_close = session->idle() && !session->connection().ended();
+    if (can_close && (!oldest || session->last_message_at() < oldest->last_message_at())) {
       oldest = session;
     }
   }
@@ -211,35 +212,36 @@
 
 transport::Task<void> CommandServer::reap() {
   for (;;) {
-    co_await scheduler_.sleep(std::min<Clock::duration>(bounds_.idle, bounds_.message) / 4);
+    co_await scheduler_.sleep(std::min<Clock::duration>(bounds_.idle, bounds_.message_timeout) / 4);
     const Clock::time_point now = Clock::now();
     for (const std::shared_ptr<Session>& session : sessions_) {
-      const Clock::duration since = now - session->last_whole();
-      const bool done =
-          session->partial() ? since > bounds_.message : session->idle() && since > bounds_.idle;
-      if (done) {
-        session->connection().close(session->partial() ? ConnectionEnd::kStalled : ConnectionEnd::kIdle);
+      const Clock::duration since = now - session->last_message_at();
+      const bool expired = session->has_partial_message() ? since > bounds_.message_timeout
+                                                          : session->idle() && since > bounds_.idle;
+      if (expired) {
+        session->connection().close(session->has_partial_message() ? ConnectionEnd::kStalled
+                                                                   : ConnectionEnd::kIdle);
       }
     }
   }
 }
 
-void CommandServer::answer(Ticket ticket, protocol::AnswerCode word, protocol::CacheAnswer fields,
-                           const std::shared_ptr<const std::string>& body, protocol::Span part) {
-  const auto found = places_.find(ticket);
-  if (found == places_.end()) {
+void CommandServer::answer(Ticket ticket, protocol::AnswerCode code, protocol::CacheAnswer fields,
+                           const std::shared_ptr<const std::string>& body, protocol::ByteRange range) {
+  const auto found = open_requests_.find(ticket);
+  if (found == open_requests_.end()) {
     return;
   }
-  const Place place = found->second;
-  places_.erase(found);
+  const OpenRequest place = found->second;
+  open_requests_.erase(found);
   if (const std::shared_ptr<Session> session = place.session.lock()) {
-    session->closed(place.id);
+    session->remove_request(place.id);
     std::string_view bytes = body ? std::string_view(*body) : std::string_view();
-    if (part.length > 0) {
-      bytes = bytes.substr(part.from, part.length);
+    if (range.length > 0) {
+      bytes = bytes.substr(range.from, range.length);
     }
-    fields.meter = service_.meter();
-    session->write(protocol::write_answer(place.id, word, fields, bytes));
+    fields.load_report = handler_.load_report();
+    session->write(protocol::write_answer(place.id, code, fields, bytes));
   }
 }
 
--- a/src/cache_node/command_server.h
+++ b/src/cache_node/command_server.h
@@ -1,6 +1,6 @@
-// The listening side of the cache protocol: RESP commands in, answers out, in any order.
+// Server of the cache protocol: reads RESP commands and writes answers, in any order.
 //
-// Package `cache_node`, over `transport` and `protocol`. One thread.
+// Library `cache_node`. Not thread-safe: it belongs to its scheduler's thread.
 #pragma once
 
 #include <cstddef>
@@ -18,79 +18,84 @@
 
 namespace trailcourse::cache_node {
 
-// Names one open request; never used twice.
+// Identifies one open request; never reused.
 using Ticket = std::uint64_t;
 
-// What answers the commands.
-class Service {
+// Handles the commands that a CommandServer receives.
+class CommandHandler {
  public:
-  Service() = default;
-  Service(const Service&) = delete;
-  Service& operator=(const Service&) = delete;
-  virtual ~Service() = default;
+  CommandHandler() = default;
+  CommandHandler(const CommandHandler&) = delete;
+  CommandHandler& operator=(const CommandHandler&) = delete;
+  virtual ~CommandHandler() = default;
 
-  // One answer is owed under the ticket, unless it is cancelled.
+  // A request has arrived. The handler calls CommandServer::answer() once with the ticket, unless it is
+  // cancelled.
   virtual void serve(Ticket ticket, protocol::ServeFields fields, std::string body) = 0;
-  // Nobody waits for it any more: no answer.
+  // The peer cancelled the request, or its connection ended: no answer is sent.
   virtual void cancel(Ticket ticket) = 0;
-  virtual bool up() const = 0;
-  // The load report, as in "inflight:7;util:0.61".
-  virtual std::string meter() const = 0;
+  // Returns whether health checks are answered with UP.
+  virtual bool accepting() const = 0;
+  // Returns the load report, as in "inflight:7;util:0.61".
+  virtual std::string load_report() const = 0;
 };
 
 class CommandServer {
  public:
   struct Bounds {
     int backlog = 1'024;
-    std::size_t connections =
-        256;  // beyond, the one unused for longest goes; where all are used, the new one
+    // Beyond this limit the longest idle connection is closed; if none is idle, the new one is rejected.
+    std::size_t connections = 256;
     std::size_t open_per_connection = 1'024;
     std::size_t body_bytes = 1U << 20U;
     transport::Clock::duration idle = std::chrono::seconds(15);
-    transport::Clock::duration message = std::chrono::seconds(5);  // for the rest of a message that has begun
+    transport::Clock::duration message_timeout =
+        std::chrono::seconds(5);  // for the rest of a partial message
     transport::Connection::Bounds connection;
   };
 
-  CommandServer(transport::Scheduler& scheduler, Service& service, const Bounds& bounds);
+  CommandServer(transport::Scheduler& scheduler, CommandHandler& handler, const Bounds& bounds);
   ~CommandServer();
   CommandServer(const CommandServer&) = delete;
   CommandServer& operator=(const CommandServer&) = delete;
 
-  // Throws std::system_error where the address cannot be listened on.
+  // Throws std::system_error if the address cannot be listened on.
   void listen(const transport::Address& address);
-  // The answer of an open request; nothing happens where it has left. `part` of length 0 means the whole
-  // body.
-  void answer(Ticket ticket, protocol::AnswerCode word, protocol::CacheAnswer fields,
-              const std::shared_ptr<const std::string>& body, protocol::Span part = {});
+  // Answers an open request. Does nothing if the request was cancelled. `range` selects a part of the body;
+  // length 0: the complete body.
+  void answer(Ticket ticket, protocol::AnswerCode code, protocol::CacheAnswer fields,
+              const std::shared_ptr<const std::string>& body, protocol::ByteRange range = {});
 
-  // Written, and not yet taken by peers.
+  // Returns the bytes of answers that are queued and not sent yet.
   std::size_t waiting_bytes() const;
-  std::size_t open() const { return places_.size(); }
+  std::size_t open() const { return open_requests_.size(); }
   std::size_t connections() const { return sessions_.size(); }
-  std::uint64_t spoilt() const { return spoilt_; }  // connections ended for what could not be read
+  // Returns the number of connections that were closed because of a malformed message.
+  std::uint64_t malformed_connections() const { return malformed_connections_; }
+  // Closes the listener, and each connection once its answers are written.
   void close_all();
 
  private:
   class Session;
-  struct Place {
+  struct OpenRequest {
     std::weak_ptr<Session> session;
     std::string id;
   };
 
-  void take_in(transport::Descriptor socket);
-  bool free_one();
+  void adopt(transport::Descriptor socket);
+  bool close_idle_connection();
   transport::Task<void> accept_loop();
   transport::Task<void> reap();
 
   transport::Scheduler& scheduler_;
-  Service& service_;
+  CommandHandler& handler_;
   Bounds bounds_;
   transport::Descriptor listener_;
   std::unique_ptr<transport::Watch> watch_;
   std::set<std::shared_ptr<Session>> sessions_;
-  std::unordered_map<Ticket, Place> places_;
-  Ticket last_ = 0;
-  std::uint64_t spoilt_ = 0;
+  std::unordered_map<Ticket, OpenRequest> open_requests_;
+  Ticket last_ticket_ = 0;
+  std::uint64_t malformed_connections_ = 0;
 };
 
 }  // namespace trailcourse::cache_node
--- a/src/cache_node/node.cpp
+++ b/src/cache_node/node.cpp
@@ -16,19 +16,20 @@
 
 namespace {
 
-NodeRules rules_of(const NodeOptions& options, const ClassMap& classes, std::int64_t lookup_ms) {
-  NodeRules rules;
+NodeCoreOptions core_options(const NodeOptions& options, const ClassMap& classes,
+                             std::int64_t lookup_timeout_ms) {
+  NodeCoreOptions out;
   for (const auto& [name, one] : classes) {
-    rules.classes[name] = ClassRule{one.fresh_ms, one.use == "kept"};
+    out.classes[name] = ClassRule{one.fresh_ms, one.use == "kept"};
   }
-  rules.fill_from = options.fill_from;
-  rules.origin = options.origin;
-  rules.most_open = static_cast<std::size_t>(options.open_requests);
-  rules.most_bytes = static_cast<std::size_t>(options.in_flight_mb) << 20U;
-  rules.most_fills = static_cast<std::size_t>(options.fills);
-  rules.most_answer_bytes = static_cast<std::size_t>(options.answer_bytes);
-  rules.lookup_ms = lookup_ms;
-  return rules;
+  out.fill_from = options.fill_from;
+  out.origin = options.origin;
+  out.max_open_requests = static_cast<std::size_t>(options.open_requests);
+  out.max_in_flight_bytes = static_cast<std::size_t>(options.in_flight_mb) << 20U;
+  out.max_fills = static_cast<std::size_t>(options.fills);
+  out.max_answer_bytes = static_cast<std::size_t>(options.answer_bytes);
+  out.lookup_timeout_ms = lookup_timeout_ms;
+  return out;
 }
 
 CommandServer::Bounds server_bounds(const NodeOptions& options) {
@@ -51,40 +52,40 @@
 }  // namespace
 
 Node::Node(transport::Scheduler& scheduler, const NodeOptions& options, const ClassMap& classes,
-           std::int64_t lookup_ms, store::Store& store, std::uint64_t seed)
+           std::int64_t lookup_timeout_ms, store::Store& store, std::uint64_t seed)
     : scheduler_(scheduler),
       options_(options),
       store_(store),
       core_(
-          rules_of(options, classes, lookup_ms),
+          core_options(options, classes, lookup_timeout_ms),
           [&store](const store::Name& name, int group) { return store.purged_until(name, group); },
           [this](const std::string& name) { return directory_.find(name).has_value(); }),
       server_(scheduler, *this, server_bounds(options)),
       sources_(scheduler, source_bounds(options),
-               [this](FillNumber fill, const FetchResult& result) { fetched(fill, result); }),
+               [this](FillNumber fill, const FetchResult& result) { on_fetch_result(fill, result); }),
       timer_(scheduler, [this] {
         core_.tick(now(), actions_);
-        carry_out(actions_);
+        run_actions(actions_);
       }) {
   for (const std::string& source : options.sources) {
     const std::size_t equals = source.find('=');
     const auto address = transport::parse_address(std::string_view(source).substr(equals + 1));
     if (equals != std::string::npos && address) {
-      fixed_[source.substr(0, equals)] = *address;
+      configured_sources_[source.substr(0, equals)] = *address;
       directory_.set(source.substr(0, equals), *address);
     }
   }
   if (const auto address = transport::parse_address(options.board)) {
     routing::DiscoveryClient::Bounds bounds;
     bounds.asking.max_backoff = milliseconds(400);
-    bounds.reset_detection_delay = Micros(0);  // taking all again changes nothing that is known
+    bounds.reset_detection_delay = Micros(0);  // receiving all events again changes no state
     bounds.answers.body_bytes = 64U << 20U;
-    board_.emplace(scheduler, *address, *this, profile_, seed, bounds);
+    discovery_.emplace(scheduler, *address, *this, profile_, seed, bounds);
   }
 }
 
-Moment Node::now() const {
-  Moment out;
+EventContext Node::now() const {
+  EventContext out;
   out.steady_ms = std::chrono::duration_cast<milliseconds>(Clock::now().time_since_epoch()).count();
   out.unix_ms = store_.unix_ms();
   out.waiting_bytes = server_.waiting_bytes();
@@ -93,19 +94,19 @@
 
 void Node::start() {
   server_.listen(*transport::parse_address(options_.listen));
-  if (board_) {
-    core_.unheard_before(store_.unix_ms());
+  if (discovery_) {
+    core_.distrust_copies_before(store_.unix_ms());
   }
-  store_.open([this] { opened(); });
-  scheduler_.spawn(report_now_and_then());
+  store_.open([this] { on_store_opened(); });
+  scheduler_.spawn(report_periodically());
 }
 
-// The board is asked from its first event on: the list of sources is not kept over a restart, purges told
-// again change nothing, and those that came while this node was down are among them.
-void Node::opened() {
-  if (board_) {
-    board_->start();
-    scheduler_.at(Clock::now() + milliseconds(options_.board_wait_ms), [this] { core_.caught_up(); });
+// Polls the discovery service from its first event on: the endpoint list is not stored across restarts,
+// repeated purge events change nothing, and those sent while this node was down are among them.
+void Node::on_store_opened() {
+  if (discovery_) {
+    discovery_->start();
+    scheduler_.at(Clock::now() + milliseconds(options_.board_wait_ms), [this] { core_.trust_all_copies(); });
   }
 }
 
@@ -116,34 +117,34 @@
 
 void Node::take(const protocol::DiscoveryPage& page) {
   std::vector<store::PurgeRecord> purges;
-  for (const protocol::Notice& notice : page.notices) {
-    if (const auto* pool = std::get_if<protocol::EndpointsChanged>(&notice.what)) {
-      take(*pool);
-    } else if (const auto* flush = std::get_if<protocol::PurgeReceived>(&notice.what)) {
+  for (const protocol::DiscoveryUpdate& notice : page.updates) {
+    if (const auto* pool = std::get_if<protocol::EndpointsChanged>(&notice.change)) {
+      apply_endpoints(*pool);
+    } else if (const auto* flush = std::get_if<protocol::PurgeReceived>(&notice.change)) {
       store::PurgeRecord purge;
       purge.kind = flush->whole_group ? store::PurgeRecord::Kind::kGroup : store::PurgeRecord::Kind::kObject;
       purge.id = flush->whole_group ? flush->group : flush->object;
-      purge.ms = flush->at_ms;
+      purge.ms = flush->purged_unix_ms;
       purges.push_back(purge);
     }
   }
-  for (const auto& [name, address] : fixed_) {
+  for (const auto& [name, address] : configured_sources_) {
     directory_.set(name, address);
   }
-  heard_ = std::max(page.last, page.highest);
-  store_.purge(purges, static_cast<std::int64_t>(heard_));
-  if (!std::exchange(board_heard_, true)) {
-    log_line(Level::kInfo) << "the notice board was heard, up to event " << heard_;
+  last_sequence_ = std::max(page.last_sequence, page.highest_sequence);
+  store_.purge(purges, static_cast<std::int64_t>(last_sequence_));
+  if (!std::exchange(discovery_received_, true)) {
+    log_line(Level::kInfo) << "received discovery events up to " << last_sequence_;
   }
-  core_.caught_up();
+  core_.trust_all_copies();
 }
 
-// Where sources are reached from now on; connections to one that is gone or has moved are dropped.
-void Node::take(const protocol::EndpointsChanged& pool) {
-  for (const protocol::ListedEndpoint& cache : pool.caches) {
-    const std::string& name = cache.entry.address;
+// Updates the addresses of sources and drops the connections to those that are gone or have moved.
+void Node::apply_endpoints(const protocol::EndpointsChanged& pool) {
+  for (const protocol::ListedEndpoint& cache : pool.endpoints) {
+    const std::string& name = cache.endpoint.address;
     const auto address = transport::parse_address(cache.address);
-    if (cache.entry.state == NodeState::kGone || !address) {
+    if (cache.endpoint.state == NodeState::kGone || !address) {
       sources_.drop(name);
       directory_.remove(name);
       continue;
@@ -155,71 +156,75 @@
   }
 }
 
-// A command of owned work is executed only once its term is durable; a former owner is answered that nothing
-// was done.
+// Executes a command of owned work only once its fencing token is durable. A former lease holder gets an
+// answer that says that nothing was executed.
 void Node::on_admitted(Ticket ticket, fencing::AdmitResult result) {
-  const auto found = fenced_.find(ticket);
-  if (found == fenced_.end()) {
-    return;  // its connection ended, or it was taken back
+  const auto found = awaiting_admission_.find(ticket);
+  if (found == awaiting_admission_.end()) {
+    return;  // cancelled, or its connection has ended
   }
   auto [fields, body] = std::move(found->second);
-  fenced_.erase(found);
+  awaiting_admission_.erase(found);
   if (result == fencing::AdmitResult::kAdmitted) {
-    if (fields.fence != std::exchange(last_fence_, fields.fence)) {
-      log_line(Level::kInfo) << "carries out commands under " << last_fence_;
+    if (fields.fence != std::exchange(last_logged_token_, fields.fence)) {
+      log_line(Level::kInfo) << "executes commands under fencing token " << last_logged_token_;
     }
-    core_.arrive(now(), ticket, std::move(fields), std::move(body), actions_);
-    carry_out(actions_);
+    core_.on_request(now(), ticket, std::move(fields), std::move(body), actions_);
+    run_actions(actions_);
     return;
   }
   const std::string reason = fencing::wire_word(result);
-  log_line(Level::kWarning) << "refused a command under " << protocol::plain_value(fields.fence) << ": "
-                            << reason;
+  log_line(Level::kWarning) << "rejected a command under fencing token "
+                            << protocol::plain_value(fields.fence) << ": " << reason;
   protocol::CacheAnswer out;
-  out.why = reason;
+  out.error_reason = reason;
   server_.answer(ticket, protocol::AnswerCode::kVoid, out, nullptr);
 }
 
 void Node::serve(Ticket ticket, protocol::ServeFields fields, std::string body) {
   if (!fields.fence.empty()) {
     const std::string fence = fields.fence;
-    fenced_.emplace(ticket, std::pair(std::move(fields), std::move(body)));
-    if (terms_ != nullptr) {
-      terms_->admit(fence, [this, ticket](fencing::AdmitResult result) { on_admitted(ticket, result); });
+    awaiting_admission_.emplace(ticket, std::pair(std::move(fields), std::move(body)));
+    if (token_store_ != nullptr) {
+      token_store_->admit(fence,
+                          [this, ticket](fencing::AdmitResult result) { on_admitted(ticket, result); });
     } else {
       on_admitted(ticket, fencing::AdmitResult::kNoStorage);
     }
     return;
   }
-  core_.arrive(now(), ticket, std::move(fields), std::move(body), actions_);
-  carry_out(actions_);
+  core_.on_request(now(), ticket, std::move(fields), std::move(body), actions_);
+  run_actions(actions_);
 }
 
 void Node::cancel(Ticket ticket) {
-  if (fenced_.erase(ticket) > 0) {
+  if (awaiting_admission_.erase(ticket) > 0) {
     return;
   }
   core_.cancel(now(), ticket, actions_);
-  carry_out(actions_);
+  run_actions(actions_);
 }
 
-void Node::fetched(FillNumber fill, const FetchResult& result) {
-  // A time that cannot be is no time: how old the copy is cannot be told, so it is not given out.
-  const bool absurd = result.fields.t0_ms > 0 && !store_.observe_origin_time(result.fields.t0_ms);
-  if (absurd) {
-    log_line(Level::kWarning) << "a source gave a copy from the future, " << result.fields.t0_ms << " ms";
-    FetchResult spoilt;
-    spoilt.end = FetchResult::End::kSpoilt;
-    core_.fetched(now(), fill, spoilt, actions_);
+void Node::on_fetch_result(FillNumber fill, const FetchResult& result) {
+  // With an implausible origin time the age of the copy is unknown, so it is not served.
+  const bool implausible =
+      result.fields.origin_time_ms > 0 && !store_.observe_origin_time(result.fields.origin_time_ms);
+  if (implausible) {
+    log_line(Level::kWarning) << "a source sent a copy with an origin time in the future: "
+                              << result.fields.origin_time_ms << " ms";
+    FetchResult malformed;
+    malformed.end = FetchResult::End::kMalformed;
+    core_.on_fetch_result(now(), fill, malformed, actions_);
   } else {
-    core_.fetched(now(), fill, result, actions_);
+    core_.on_fetch_result(now(), fill, result, actions_);
   }
-  carry_out(actions_);
+  run_actions(actions_);
 }
 
-// Actions may bring about events at once, whose actions are appended and carried out in their turn.
-void Node::carry_out(std::vector<Action>& actions) {
-  if (std::exchange(carrying_out_, true)) {
+// Executes the actions in order. An action may cause an event at once, whose actions are appended and
+// executed by the same loop.
+void Node::run_actions(std::vector<Action>& actions) {
+  if (std::exchange(running_actions_, true)) {
     return;
   }
   for (std::size_t i = 0; i < actions.size(); ++i) {
@@ -227,41 +232,41 @@
     std::visit([this](const auto& one) { perform(one); }, action);
   }
   actions.clear();
-  carrying_out_ = false;
+  running_actions_ = false;
   set_timer();
 }
 
 void Node::perform(const Answer& answer) {
-  server_.answer(answer.request, answer.word, answer.fields, answer.body, answer.part);
+  server_.answer(answer.request, answer.code, answer.fields, answer.body, answer.range);
 }
 
-void Node::perform(const LookUp& look_up) {
-  store::Store::Found found = store_.find(look_up.name, look_up.rank);
+void Node::perform(const Lookup& lookup) {
+  store::Store::Found found = store_.find(lookup.name, lookup.rank);
   if (found.where != store::Store::Where::kDisk) {
     store::ReadResult result;
     if (found.where == store::Store::Where::kMemory) {
       result.status = store::ReadStatus::kWhole;
       result.copy = std::move(found.copy);
     }
-    core_.looked_up(now(), look_up.request, result, actions_);
+    core_.on_lookup_result(now(), lookup.request, result, actions_);
     return;
   }
-  const RequestNumber request = look_up.request;
-  readings_[request] = store_.read(look_up.name, [this, look_up](const store::ReadResult& result) {
-    readings_.erase(look_up.request);
+  const RequestNumber request = lookup.request;
+  disk_reads_[request] = store_.read(lookup.name, [this, lookup](const store::ReadResult& result) {
+    disk_reads_.erase(lookup.request);
     if (result.status == store::ReadStatus::kWhole) {
-      store_.warm(look_up.name, result.copy, look_up.rank);
+      store_.warm(lookup.name, result.copy, lookup.rank);
     }
-    core_.looked_up(now(), look_up.request, result, actions_);
-    carry_out(actions_);
+    core_.on_lookup_result(now(), lookup.request, result, actions_);
+    run_actions(actions_);
   });
 }
 
-void Node::perform(const GiveUpLookUp& give_up) {
-  const auto found = readings_.find(give_up.request);
-  if (found != readings_.end()) {
-    store_.abandon_read(found->second, give_up.late);
-    readings_.erase(found);
+void Node::perform(const AbandonLookup& give_up) {
+  const auto found = disk_reads_.find(give_up.request);
+  if (found != disk_reads_.end()) {
+    store_.abandon_read(found->second, give_up.timed_out);
+    disk_reads_.erase(found);
   }
 }
 
@@ -271,25 +276,25 @@
     scheduler_.post([this, fill = fetch.fill] {
       FetchResult result;
       result.end = FetchResult::End::kUnreachable;
-      fetched(fill, result);
+      on_fetch_result(fill, result);
     });
     return;
   }
   sources_.fetch(fetch.fill, fetch.source, *address, fetch.fields, fetch.body);
 }
 
-void Node::perform(const TooLarge& object) {
-  log_line(Level::kWarning) << "object " << object.item << '/' << object.chunk << " holds " << object.bytes
-                            << " bytes, an answer " << object.most
-                            << " at most (answer_bytes): answered ERR, not kept";
+void Node::perform(const ObjectTooLarge& object) {
+  log_line(Level::kWarning) << "object " << object.item << '/' << object.chunk << " has " << object.bytes
+                            << " bytes, more than the limit of " << object.max_bytes
+                            << " (answer_bytes): answered ERR, not stored";
 }
 
-void Node::perform(const Complete& complete) {
-  store_.complete(complete.name, *complete.partial, complete.had, complete.rank);
+void Node::perform(const CompletePartialCopy& complete) {
+  store_.complete(complete.name, *complete.partial, complete.initial_parts, complete.rank);
 }
 
 void Node::set_timer() {
-  const std::optional<std::int64_t> due = core_.next_due();
+  const std::optional<std::int64_t> due = core_.next_deadline_ms();
   std::optional<Clock::time_point> when;
   if (due) {
     when.emplace(std::chrono::duration_cast<Clock::duration>(milliseconds(*due)));
@@ -297,12 +302,12 @@
   timer_.set(when);
 }
 
-std::string Node::meter() const {
+std::string Node::load_report() const {
   char text[96];
   const NodeCounts& counts = core_.counts();
-  const double looked = static_cast<double>(std::max<std::uint64_t>(1, counts.hits + counts.fills));
+  const double lookups = static_cast<double>(std::max<std::uint64_t>(1, counts.hits + counts.fills));
   std::snprintf(text, sizeof text, "inflight:%zu;util:%.3f;x0:%.3f;x1:%zu", core_.open(),
-                core_.utilisation(server_.waiting_bytes()), static_cast<double>(counts.hits) / looked,
+                core_.utilisation(server_.waiting_bytes()), static_cast<double>(counts.hits) / lookups,
                 core_.fills());
   return text;
 }
@@ -324,7 +329,7 @@
   add("misses", counts.misses);
   add("busy", counts.busy);
   add("errors", counts.errors);
-  add("refused", counts.refused);
+  add("refused", counts.rejected);
   add("too_old", counts.too_old);
   add("too_large", counts.too_large);
   add("late_lookups", counts.late_lookups);
@@ -335,14 +340,14 @@
   add("written_bytes", stats.written_bytes);
   add("writes_shed", stats.writes_shed);
   add("read_failures", stats.read_failures);
-  if (terms_ != nullptr) {
-    add("fenced_admitted", terms_->counts().admitted);
-    add("fenced_refused", terms_->counts().rejected + terms_->counts().other_store);
+  if (token_store_ != nullptr) {
+    add("fenced_admitted", token_store_->counts().admitted);
+    add("fenced_refused", token_store_->counts().rejected + token_store_->counts().other_store);
   }
   return out + " disk=" + store::to_string(store_.disk_state());
 }
 
-transport::Task<void> Node::report_now_and_then() {
+transport::Task<void> Node::report_periodically() {
   for (;;) {
     co_await scheduler_.sleep(std::chrono::seconds(options_.report_s));
     log_line(Level::kInfo) << report();
--- a/src/cache_node/node.h
+++ b/src/cache_node/node.h
@@ -1,6 +1,7 @@
-// A cache node: its listener, its sources, its store and the notice board, put together around NodeCore.
+// A cache node: connects NodeCore with the command server, the sources, the store and the discovery service.
 //
-// Package `cache_node`. One thread; the store's disk work runs elsewhere.
+// Library `cache_node`. Not thread-safe: it belongs to its scheduler's thread. The store does its disk work
+// on other threads.
 #pragma once
 
 #include <cstdint>
@@ -25,72 +26,75 @@
 
 namespace trailcourse::cache_node {
 
-class Node : public Service, public routing::DiscoveryListener {
+class Node : public CommandHandler, public routing::DiscoveryListener {
  public:
-  // Addresses in the options must have been checked. `seed` is for pauses between calls of the notice board.
+  // The addresses in the options must be valid. `lookup_timeout_ms` limits a disk read of a request; `seed`
+  // sets the jitter of polls of the discovery service. The scheduler and the store have to outlive the node.
   Node(transport::Scheduler& scheduler, const NodeOptions& options, const ClassMap& classes,
-       std::int64_t lookup_ms, store::Store& store, std::uint64_t seed);
+       std::int64_t lookup_timeout_ms, store::Store& store, std::uint64_t seed);
 
-  // What remembers the terms of fenced commands; without one they are refused. Outlives the node.
-  void use(fencing::TokenStore& terms) { terms_ = &terms; }
-  // Listens at once: while the store recovers, what it holds counts as missing. Throws std::system_error.
+  // Sets the store of the fencing tokens, which has to outlive the node. Without one, commands with a fencing
+  // token are rejected.
+  void set_token_store(fencing::TokenStore& terms) { token_store_ = &terms; }
+  // Listens at once; while the store recovers, its copies count as missing. Throws std::system_error if the
+  // address cannot be listened on.
   void start();
-  // Takes nothing new; what is open goes on.
+  // Accepts no more connections; each open connection closes once its answers are written.
   void stop();
   std::size_t open() const { return core_.open(); }
 
   void serve(Ticket ticket, protocol::ServeFields fields, std::string body) override;
   void cancel(Ticket ticket) override;
-  bool up() const override { return !stopping_; }
-  std::string meter() const override;
+  bool accepting() const override { return !stopping_; }
+  std::string load_report() const override;
 
   void take(const protocol::DiscoveryPage& page) override;
-  std::uint64_t last() const override { return heard_; }
-  void reset_sequence() override { heard_ = 0; }
+  std::uint64_t last() const override { return last_sequence_; }
+  void reset_sequence() override { last_sequence_ = 0; }
 
-  // One line of figures.
+  // Returns one line of figures as "name=value name=value".
   std::string report() const;
 
  private:
-  void take(const protocol::EndpointsChanged& pool);
-  Moment now() const;
+  void apply_endpoints(const protocol::EndpointsChanged& pool);
+  EventContext now() const;
   void on_admitted(Ticket ticket, fencing::AdmitResult result);
-  void carry_out(std::vector<Action>& actions);
+  void run_actions(std::vector<Action>& actions);
   void perform(const Answer& answer);
-  void perform(const LookUp& look_up);
-  void perform(const GiveUpLookUp& give_up);
+  void perform(const Lookup& lookup);
+  void perform(const AbandonLookup& give_up);
   void perform(const Fetch& fetch);
   void perform(const StopFetch& stop) { sources_.stop(stop.fill); }
-  void perform(const Keep& keep) { store_.keep(keep.name, keep.copy, keep.rank); }
-  void perform(const TooLarge& object);
-  void perform(const Complete& complete);
-  void perform(const Drop& drop) { store_.drop(drop.name); }
-  void fetched(FillNumber fill, const FetchResult& result);
+  void perform(const StoreCopy& keep) { store_.keep(keep.name, keep.copy, keep.rank); }
+  void perform(const ObjectTooLarge& object);
+  void perform(const CompletePartialCopy& complete);
+  void perform(const DropCopy& drop) { store_.drop(drop.name); }
+  void on_fetch_result(FillNumber fill, const FetchResult& result);
   void set_timer();
-  void opened();
-  transport::Task<void> report_now_and_then();
+  void on_store_opened();
+  transport::Task<void> report_periodically();
 
   transport::Scheduler& scheduler_;
   NodeOptions options_;
   store::Store& store_;
   routing::Directory directory_;
-  std::map<std::string, transport::Address> fixed_;
+  std::map<std::string, transport::Address> configured_sources_;
   NodeCore core_;
   CommandServer server_;
   SourceClient sources_;
-  protocol::Profile profile_;  // of the notice board's list: a node needs no kinds
-  std::optional<routing::DiscoveryClient> board_;
-  std::uint64_t heard_ = 0;
-  bool board_heard_ = false;
+  protocol::Profile profile_;  // empty: a node needs no kinds of endpoints
+  std::optional<routing::DiscoveryClient> discovery_;
+  std::uint64_t last_sequence_ = 0;
+  bool discovery_received_ = false;
   bool stopping_ = false;
   transport::Alarm timer_;
-  std::unordered_map<RequestNumber, std::uint64_t> readings_;
+  std::unordered_map<RequestNumber, std::uint64_t> disk_reads_;
   std::vector<Action> actions_;
-  bool carrying_out_ = false;
-  fencing::TokenStore* terms_ = nullptr;
-  std::string last_fence_;  // in the log
+  bool running_actions_ = false;
+  fencing::TokenStore* token_store_ = nullptr;
+  std::string last_logged_token_;
   std::unordered_map<Ticket, std::pair<protocol::ServeFields, std::string>>
-      fenced_;  // whose term is being kept
+      awaiting_admission_;  // until the fencing token is durable
 };
 
 }  // namespace trailcourse::cache_node
--- a/src/cache_node/node_core.h
+++ b/src/cache_node/node_core.h
@@ -1,12 +1,12 @@
-// What a cache node does with each request: serve what it holds, fill what it lacks, join a fill that is
-// under way, or turn it away. Events go in with their time, actions come out in order; nothing here does I/O
-// or reads a clock.
+// Decides what a cache node does with each request: serve a stored copy, start a fill, join a fill that is in
+// progress, or reject the request. Callers pass in events with their time and execute the returned actions in
+// order.
 //
-// Which cache is asked, where a miss is filled from, at what rank a copy is kept and how old it may be was
-// chosen by the router's decision module and stands in the request. What is decided here is only what a cache
-// must: whether a copy meets the request's age limit, who shares a fill, and what is too much.
+// The router's decision module has already chosen the cache, the source of a fill, the keep rank and the age
+// limit, and sends them with the request. NodeCore decides the rest: whether a copy meets the age limit,
+// which requests share a fill, and which requests exceed the node's limits.
 //
-// Package `cache_node`: above `store` and `protocol`; this file knows no socket. Not thread-safe.
+// Library `cache_node`: NodeCore does no I/O and reads no clock. Not thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -28,128 +28,145 @@
 using RequestNumber = std::uint64_t;
 using FillNumber = std::uint64_t;
 
-// How a class is treated.
+// How requests of one class are treated.
 struct ClassRule {
-  std::int64_t fresh_ms = 0;  // 0: a copy is good until purged
-  bool kept = true;           // false: every request goes on to its source, and nothing is shared or kept
+  std::int64_t fresh_ms = 0;  // age up to which a copy is fresh; 0: until purged
+  bool cacheable = true;      // false: each request is forwarded to its source; nothing is shared or stored
 };
 
-struct NodeRules {
+struct NodeCoreOptions {
   std::map<std::string, ClassRule> classes;
-  std::string fill_from;  // the source where a request names none; empty: it is then a miss
-  std::string origin;     // what is filled from there comes from the origin itself
-  std::size_t most_open = 1'024;
-  std::size_t most_bytes = 64U << 20U;  // of answers that are gathered or not yet taken
-  std::size_t most_fills = 64;
-  std::size_t most_answer_bytes = protocol::kMaxObjectBytes;  // beyond, an object is answered ERR
-  std::size_t expected_bytes = 64U << 10U;  // counted for a fill whose size is not known yet
-  std::int64_t lookup_ms = 150;             // the disk's time for one copy
+  std::string fill_from;  // the source if a request names none; empty: the request is then a miss
+  std::string origin;     // the name of the source that is the origin
+  std::size_t max_open_requests = 1'024;
+  std::size_t max_in_flight_bytes = 64U << 20U;  // of fills in progress and of unsent answers
+  std::size_t max_fills = 64;
+  std::size_t max_answer_bytes = protocol::kMaxObjectBytes;  // a larger object is answered with ERR
+  std::size_t expected_fill_bytes = 64U << 10U;  // counted for each fill; its size is not known yet
+  std::int64_t lookup_timeout_ms = 150;          // after which a disk read counts as a miss
 };
 
-// What a source answered, or how the fetch ended.
+// The answer of a source, or how the fetch failed.
 struct FetchResult {
-  enum class End { kAnswered, kUnreachable, kBroken, kSpoilt };
-  End end = End::kAnswered;  // kSpoilt: an answer that cannot be believed
-  protocol::AnswerCode word = protocol::AnswerCode::kError;
+  enum class End { kAnswered, kUnreachable, kBroken, kMalformed };
+  End end = End::kAnswered;  // kMalformed: an unreadable or implausible answer
+  protocol::AnswerCode code = protocol::AnswerCode::kError;
   protocol::CacheAnswer fields;
   std::shared_ptr<const std::string> body;
 };
 
+// Answers a request.
 struct Answer {
   RequestNumber request = 0;
-  protocol::AnswerCode word = protocol::AnswerCode::kError;
+  protocol::AnswerCode code = protocol::AnswerCode::kError;
   protocol::CacheAnswer fields;
-  std::shared_ptr<const std::string> body;  // null: none
-  protocol::Span part;                      // of the body; length 0: all of it
+  std::shared_ptr<const std::string> body;  // null: no body
+  protocol::ByteRange range;                // of the body; length 0: the complete body
 };
-// Look the name up; looked_up() is told, later or at once.
-struct LookUp {
+// Looks the name up in the store. on_lookup_result() has to follow, at once or later.
+struct Lookup {
   RequestNumber request = 0;
   store::Name name;
   int rank = 0;
 };
-struct GiveUpLookUp {
+// Abandons a lookup; its result is not needed any more.
+struct AbandonLookup {
   RequestNumber request = 0;
-  bool late = false;
+  bool timed_out = false;  // false: the request has ended
 };
+// Sends a request to a source. on_fetch_result() has to follow, unless StopFetch comes first.
 struct Fetch {
   FillNumber fill = 0;
   std::string source;
   protocol::ServeFields fields;
   std::string body;
 };
+// Cancels a fetch.
 struct StopFetch {
   FillNumber fill = 0;
 };
-struct Keep {
+// Inserts a copy into the store.
+struct StoreCopy {
   store::Name name;
   store::Copy copy;
   int rank = 0;
 };
-struct Complete {
+// Writes the parts of a stored copy that were missing.
+struct CompletePartialCopy {
   store::Name name;
   std::shared_ptr<store::PartialCopy> partial;
-  std::vector<bool> had;
+  std::vector<bool> initial_parts;  // by part: whether it was stored before the fill
   int rank = 0;
 };
-struct Drop {
+// Removes a copy from the store.
+struct DropCopy {
   store::Name name;
 };
-// An object is larger than an answer may be; told once for each, as long as it is remembered.
-struct TooLarge {
+// Reports an object that is larger than an answer may be; once for each object, as long as it is remembered.
+struct ObjectTooLarge {
   std::string item;
   std::string chunk;
   std::size_t bytes = 0;
-  std::size_t most = 0;
+  std::size_t max_bytes = 0;
 };
-using Action = std::variant<Answer, LookUp, GiveUpLookUp, Fetch, StopFetch, Keep, Complete, Drop, TooLarge>;
+using Action = std::variant<Answer, Lookup, AbandonLookup, Fetch, StopFetch, StoreCopy, CompletePartialCopy,
+                            DropCopy, ObjectTooLarge>;
 
-// A request's time and what is known of the present.
-struct Moment {
+// The time of an event and the load of the node at that time.
+struct EventContext {
   std::int64_t steady_ms = 0;
-  std::int64_t unix_ms = 0;       // for ages
-  std::size_t waiting_bytes = 0;  // written and not yet taken by peers
+  std::int64_t unix_ms = 0;       // for ages of copies
+  std::size_t waiting_bytes = 0;  // of answers that are queued and not sent yet
 };
 
 struct NodeCounts {
-  std::uint64_t requests = 0, hits = 0, aged = 0, same = 0, misses = 0, fills = 0, joined = 0, busy = 0,
-                refused = 0;
-  std::uint64_t errors = 0, late_lookups = 0, timed_out = 0, left = 0, too_old = 0, spans = 0, fill_bytes = 0,
-                too_large = 0;
+  std::uint64_t requests = 0, hits = 0, stale_hits = 0, not_modified = 0, misses = 0, fills = 0, joined = 0,
+                busy = 0, rejected = 0;
+  std::uint64_t errors = 0, late_lookups = 0, timed_out = 0, cancelled = 0, too_old = 0, range_answers = 0,
+                fill_bytes = 0, too_large = 0;
 };
 
 class NodeCore {
  public:
-  // Whether, and up to which Unix millisecond, purges forbid copies of a name.
-  using ForbiddenUntil = std::function<std::int64_t(const store::Name&, int group)>;
-  // Whether a source of that name is known.
+  // Returns the Unix time in milliseconds of the latest purge of a name or its group: copies up to that time
+  // must not be served. INT64_MIN: there was none.
+  using PurgedUntil = std::function<std::int64_t(const store::Name&, int group)>;
+  // Returns whether a source of that name is known.
   using KnowsSource = std::function<bool(const std::string&)>;
 
-  NodeCore(NodeRules rules, ForbiddenUntil purged_until, KnowsSource knows_source)
-      : rules_(std::move(rules)),
-        forbidden_until_(std::move(purged_until)),
+  NodeCore(NodeCoreOptions options, PurgedUntil purged_until, KnowsSource knows_source)
+      : options_(std::move(options)),
+        purged_until_(std::move(purged_until)),
         knows_source_(std::move(knows_source)) {}
 
-  void arrive(const Moment& now, RequestNumber request, protocol::ServeFields fields, std::string body,
-              std::vector<Action>& out);
-  void looked_up(const Moment& now, RequestNumber request, const store::ReadResult& found,
-                 std::vector<Action>& out);
-  void fetched(const Moment& now, FillNumber fill, const FetchResult& result, std::vector<Action>& out);
-  // The router does not wait any more, or its connection ended: no answer.
-  void cancel(const Moment& now, RequestNumber request, std::vector<Action>& out);
-  // Time has passed.
-  void tick(const Moment& now, std::vector<Action>& out);
-  std::optional<std::int64_t> next_due() const;
-
-  // Until the notice board was heard after a start, copies from before `started_unix_ms` are given only to
-  // requests that say how old a copy may be: a purge may have been missed while this node was down, and a
-  // router that has heard of one says so by an age limit.
-  void unheard_before(std::int64_t started_unix_ms) { unheard_before_ = started_unix_ms; }
-  void caught_up() { unheard_before_ = INT64_MIN; }
-
+  // Each of the following appends the resulting actions to `out`.
+
+  // A request has arrived. Exactly one Answer follows, unless it is cancelled. `request` must be new.
+  void on_request(const EventContext& now, RequestNumber request, protocol::ServeFields fields,
+                  std::string body, std::vector<Action>& out);
+  // The result of a Lookup. Ignored if the lookup was abandoned.
+  void on_lookup_result(const EventContext& now, RequestNumber request, const store::ReadResult& found,
+                        std::vector<Action>& out);
+  // The result of a Fetch. Ignored if the fill has ended.
+  void on_fetch_result(const EventContext& now, FillNumber fill, const FetchResult& result,
+                       std::vector<Action>& out);
+  // The router cancelled the request, or its connection ended: no Answer follows.
+  void cancel(const EventContext& now, RequestNumber request, std::vector<Action>& out);
+  // Ends the requests, lookups and fills whose deadline has passed.
+  void tick(const EventContext& now, std::vector<Action>& out);
+  // Returns the steady time at which tick() is needed next; nothing if nothing is pending.
+  std::optional<std::int64_t> next_deadline_ms() const;
+
+  // Serves copies from before `started_unix_ms` only to requests with an age limit, until
+  // trust_all_copies(). Needed after a start until purge events arrive: this node may have missed a purge
+  // while it was down, and a router that knows of the purge sends an age limit.
+  void distrust_copies_before(std::int64_t started_unix_ms) { distrusted_before_ms_ = started_unix_ms; }
+  void trust_all_copies() { distrusted_before_ms_ = INT64_MIN; }
+
+  // Returns the number of open requests.
   std::size_t open() const { return requests_.size(); }
   std::size_t fills() const { return fills_.size(); }
-  // The busiest of its bounds, 0 to 1 and more.
+  // Returns the use of the limit that is nearest to its bound; 1 or more: at the bound.
   double utilisation(std::size_t waiting_bytes) const;
   const NodeCounts& counts() const { return counts_; }
 
@@ -160,70 +177,74 @@
     store::Name name;
     ClassRule rule;
     std::int64_t arrived_ms = 0;
-    std::int64_t due_ms = 0;
-    std::int64_t lookup_due_ms = 0;  // 0: not being looked up
-    FillNumber fill = 0;
+    std::int64_t deadline_ms = 0;
+    std::int64_t lookup_deadline_ms = 0;  // 0: no lookup is in progress
+    FillNumber fill = 0;                  // that it waits for; 0: none
     bool joined = false;
-    bool filled_again = false;
-    std::shared_ptr<const store::Copy> old;  // held, but too old for this request
+    bool refilled = false;
+    std::shared_ptr<const store::Copy> stale_copy;  // stored, but too old for this request
   };
   struct Fill {
     store::Name name;
     std::string source;
-    protocol::ServeFields fields;  // of the fetch under way
+    protocol::ServeFields fields;  // of the fetch in progress
     std::set<RequestNumber> waiters;
-    bool shared = false;
-    bool passed_on = false;  // of a class that is not kept
+    bool shared = false;     // other requests may join
+    bool forwarded = false;  // of a class that is not cacheable
     std::int64_t begun_ms = 0;
-    std::int64_t due_ms = 0;
+    std::int64_t deadline_ms = 0;
     int rank = 0;
-    bool keeps = true;
+    bool store_result = true;
     std::shared_ptr<store::PartialCopy> partial;
-    std::vector<bool> had;
-    std::shared_ptr<const store::Copy> old;
-    std::size_t bytes = 0;  // counted
+    std::vector<bool> initial_parts;
+    std::shared_ptr<const store::Copy> stale_copy;
+    std::size_t bytes = 0;  // counted in bytes_
   };
 
   std::int64_t age_limit(const Request& request) const;
-  bool young_enough(const Moment& now, const Request& request, std::int64_t t0_ms) const;
-  bool usable(const Moment& now, const Request& request, const store::Copy& copy) const;
-  void serve_copy(const Moment& now, RequestNumber number, const store::Copy& copy, Note note,
+  bool within_age_limit(const EventContext& now, const Request& request, std::int64_t t0_ms) const;
+  bool usable(const EventContext& now, const Request& request, const store::Copy& copy) const;
+  void serve_copy(const EventContext& now, RequestNumber number, const store::Copy& copy, Note note,
                   std::int64_t waited_ms, std::vector<Action>& out);
-  void fill(const Moment& now, RequestNumber number, std::shared_ptr<store::PartialCopy> partial,
+  void fill(const EventContext& now, RequestNumber number, std::shared_ptr<store::PartialCopy> partial,
             std::vector<Action>& out);
-  void begin_fill(const Moment& now, Fill fill, std::int64_t limit_ms, const std::string& body,
+  void begin_fill(const EventContext& now, Fill fill, std::int64_t limit_ms, const std::string& body,
                   std::vector<Action>& out);
-  void renew(const Moment& now, const Request& request, const store::Copy& copy, std::vector<Action>& out);
+  void renew(const EventContext& now, const Request& request, const store::Copy& copy,
+             std::vector<Action>& out);
   void fetch(FillNumber number, Fill& fill, const std::string& body, std::vector<Action>& out);
-  bool part_fetched(const Moment& now, FillNumber number, Fill& fill, const FetchResult& result,
-                    std::vector<Action>& out);
-  bool next_hole(FillNumber number, Fill& fill, std::vector<Action>& out);
-  void filled(const Moment& now, FillNumber number, const store::Copy& copy, Note source_note,
-              std::vector<Action>& out);
-  void fill_failed(const Moment& now, FillNumber number, const FetchResult& result, std::vector<Action>& out);
-  void too_large(const Moment& now, FillNumber number, std::size_t bytes, std::vector<Action>& out);
-  void pass_back(const Moment& now, FillNumber number, const FetchResult& result, std::vector<Action>& out);
-  void again_or_miss(const Moment& now, RequestNumber number, Note note, std::vector<Action>& out);
-  void answer(RequestNumber number, protocol::AnswerCode word, protocol::CacheAnswer fields,
-              std::shared_ptr<const std::string> body, std::vector<Action>& out, protocol::Span part = {});
-  void turn_away(RequestNumber number, protocol::AnswerCode word, Note note, const char* why,
+  bool on_range_fetched(const EventContext& now, FillNumber number, Fill& fill, const FetchResult& result,
+                        std::vector<Action>& out);
+  bool fetch_next_missing_range(FillNumber number, Fill& fill, std::vector<Action>& out);
+  void on_filled(const EventContext& now, FillNumber number, const store::Copy& copy, Note source_note,
                  std::vector<Action>& out);
+  void on_fill_failed(const EventContext& now, FillNumber number, const FetchResult& result,
+                      std::vector<Action>& out);
+  void too_large(const EventContext& now, FillNumber number, std::size_t bytes, std::vector<Action>& out);
+  void return_source_answer(const EventContext& now, FillNumber number, const FetchResult& result,
+                            std::vector<Action>& out);
+  void refill_or_miss(const EventContext& now, RequestNumber number, Note note, std::vector<Action>& out);
+  void answer(RequestNumber number, protocol::AnswerCode code, protocol::CacheAnswer fields,
+              std::shared_ptr<const std::string> body, std::vector<Action>& out,
+              protocol::ByteRange range = {});
+  void reject(RequestNumber number, protocol::AnswerCode code, Note note, const char* reason,
+              std::vector<Action>& out);
   void leave_fill(RequestNumber number, Request& request, std::vector<Action>& out);
-  Fill take_fill(FillNumber number);
+  Fill remove_fill(FillNumber number);
 
-  NodeRules rules_;
-  ForbiddenUntil forbidden_until_;
+  NodeCoreOptions options_;
+  PurgedUntil purged_until_;
   KnowsSource knows_source_;
   std::map<RequestNumber, Request> requests_;
   std::map<FillNumber, Fill> fills_;
   std::map<store::Key, FillNumber> shared_;
-  std::set<std::pair<std::int64_t, RequestNumber>> dues_;         // of requests
-  std::set<std::pair<std::int64_t, RequestNumber>> lookup_dues_;  // of their look-ups
-  std::set<std::pair<std::int64_t, FillNumber>> fill_dues_;
+  std::set<std::pair<std::int64_t, RequestNumber>> deadlines_;         // of requests
+  std::set<std::pair<std::int64_t, RequestNumber>> lookup_deadlines_;  // of their lookups
+  std::set<std::pair<std::int64_t, FillNumber>> fill_deadlines_;
   FillNumber last_fill_ = 0;
-  std::size_t bytes_ = 0;                                         // counted for fills
-  std::set<std::pair<std::string, std::string>> told_too_large_;  // items and parts
-  std::int64_t unheard_before_ = INT64_MIN;
+  std::size_t bytes_ = 0;                                             // counted for fills in progress
+  std::set<std::pair<std::string, std::string>> reported_too_large_;  // item and chunk
+  std::int64_t distrusted_before_ms_ = INT64_MIN;
   NodeCounts counts_;
 };
 
--- a/src/cache_node/node_options.cpp
+++ b/src/cache_node/node_options.cpp
@@ -12,46 +12,41 @@
         .text("listen", &NodeOptions::listen, "IP:PORT", Words{{}, true},
               "where routers and other nodes connect")
         .text("board", &NodeOptions::board, "IP:PORT", Words{},
-              "the notice board, which tells of purges and where sources are; none: sources below, no purges "
-              "but "
-              "by age limits")
+              "the discovery service, which sends purge events and the addresses of sources; none: only the "
+              "sources below, and purges only by age limits of requests")
         .texts("sources", &NodeOptions::sources, "NAME=IP:PORT",
-               "where sources are, beside those that the notice board lists")
+               "the addresses of sources, beside those in the endpoint list")
         .text("fill_from", &NodeOptions::fill_from, "-", Words{},
-              "the source of what a request names none for, as at a parent; none: it is then a miss")
+              "the source if a request names none, as at a parent; none: the request is then a miss")
         .text("origin", &NodeOptions::origin, "-", Words{},
-              "which source is the origin, for the notes in answers")
+              "the source that is the origin, for the notes in answers")
         .whole("open_requests", &NodeOptions::open_requests, "requests", WholeRange{1, 1'000'000},
-               "open at once; beyond it BUSY at once")
+               "open at once; further ones are answered BUSY")
         .whole("in_flight_mb", &NodeOptions::in_flight_mb, "MB", WholeRange{1, 1'048'576},
-               "of fills under way and answers not yet taken; beyond it BUSY at once")
+               "of fills in progress and unsent answers; beyond it requests are answered BUSY")
         .whole("fills", &NodeOptions::fills, "fills", WholeRange{1, 100'000},
-               "under way at once; beyond it a miss is answered BUSY, so that sources are not pushed over")
+               "in progress at once; beyond it a miss is answered BUSY, so that sources are not overloaded")
         .whole("value_kb", &NodeOptions::value_kb, "KB", WholeRange{1, 262'144},
-               "the largest value; a source that sends more is not listened to")
-        .whole(
-            "answer_bytes", &NodeOptions::answer_bytes, "bytes", WholeRange{1'024, 67'108'864},
-            "the most that one answer holds, as routers read them; a larger object is answered ERR and not "
-            "kept")
+               "the largest value; the connection to a source that sends a larger one is closed")
+        .whole("answer_bytes", &NodeOptions::answer_bytes, "bytes", WholeRange{1'024, 67'108'864},
+               "the largest answer that routers read; a larger object is answered ERR and not stored")
         .whole("connections", &NodeOptions::connections, "connections", WholeRange{8, 100'000},
-               "from routers and nodes; beyond it the one unused for longest goes")
+               "from routers and nodes; beyond it the longest idle one is closed")
         .whole("source_connections", &NodeOptions::source_connections, "connections", WholeRange{1, 1'024},
                "to one source")
         .whole("connect_ms", &NodeOptions::connect_ms, "ms", WholeRange{10, 60'000},
-               "a connection to a source not up by then has failed")
+               "after which connecting to a source has failed")
         .whole("idle_ms", &NodeOptions::idle_ms, "ms", WholeRange{100, 3'600'000},
-               "an unused connection is closed; the settings of routers tell them the same time")
-        .whole("board_wait_ms", &NodeOptions::board_wait_ms, "ms", WholeRange{0, 600'000},
-               "after a start, copies from before it go only to requests that say how old they may be, until "
-               "the "
-               "board was heard, for so long at most")
+               "after which an idle connection is closed; the settings of routers have the same time")
+        .whole(
+            "board_wait_ms", &NodeOptions::board_wait_ms, "ms", WholeRange{0, 600'000},
+            "after a start, the longest time in which older copies are served only to requests with an age "
+            "limit; ends when discovery events arrive")
         .whole("report_s", &NodeOptions::report_s, "s", WholeRange{1, 86'400},
                "between two log lines of figures")
         .text("fence_folder", &NodeOptions::fence_folder, "path", Words{},
-              "where the terms of owned work are kept; none: beside the store's folder, and without that "
-              "fenced "
-              "commands "
-              "are refused");
+              "stores the fencing tokens of owned work; none: beside the store's folder, and without that "
+              "folder commands with a fencing token are rejected");
     return record;
   }();
   return kRecord;
@@ -62,9 +57,10 @@
     config::Record<ClassOptions> record("classes", "One entry for each class that is served, by its name.");
     record
         .whole("fresh_ms", &ClassOptions::fresh_ms, "ms", WholeRange{0, 31'536'000'000},
-               "how old a copy may be where a request does not say; 0: until purged")
+               "the age up to which a copy is fresh, if a request has no age limit; 0: until purged")
         .text("use", &ClassOptions::use, "-", Words{{"kept", "passed"}, false},
-              "passed: every request goes on to its source once, nothing is shared or kept, as for writes");
+              "passed: each request is forwarded to its source once, nothing is shared or stored, as for "
+              "writes");
     return record;
   }();
   return kRecord;
@@ -72,19 +68,18 @@
 
 const config::Record<OriginOptions>& origin_record() {
   static const config::Record<OriginOptions> kRecord = [] {
-    config::Record<OriginOptions> record("origin",
-                                         "A small origin for trying things out: `trailcourse origin`.");
+    config::Record<OriginOptions> record("origin", "A small origin for trials: `trailcourse origin`.");
     record.text("listen", &OriginOptions::listen, "IP:PORT", Words{{}, true}, "where nodes connect")
         .text("name", &OriginOptions::name, "-", Words{}, "its id in the list")
         .text("folder", &OriginOptions::folder, "-", Words{},
-              "serves the files ITEM or ITEM/PART below it; none: objects are made from their names")
+              "serves the files ITEM or ITEM/PART below it; none: objects are generated from their names")
         .whole("size_kb", &OriginOptions::size_kb, "KB", WholeRange{0, protocol::kMaxObjectBytes >> 10U},
-               "of a made object; the protocol's objects hold 240,000 bytes at most")
+               "of a generated object; objects of the protocol have 240,000 bytes at most")
         .whole("delay_ms", &OriginOptions::delay_ms, "ms", WholeRange{0, 60'000}, "before each answer")
         .whole("kb_per_s", &OriginOptions::kb_per_s, "KB/s", WholeRange{0, 16'777'216},
-               "of all answers together, one after the other; 0: as fast as it goes")
+               "of all answers together, one after the other; 0: unlimited")
         .whole("transfers", &OriginOptions::transfers, "transfers", WholeRange{1, 100'000},
-               "at once; beyond it BUSY");
+               "at once; further ones are answered BUSY");
     return record;
   }();
   return kRecord;
--- a/src/cache_node/node_options.h
+++ b/src/cache_node/node_options.h
@@ -1,4 +1,5 @@
-// The sections `cache`, `classes` and `origin` of the operator's file.
+// The sections `cache`, `classes` and `origin` of the operator's file. The field descriptions are in
+// node_options.cpp.
 #pragma once
 
 #include <cstdint>
@@ -11,6 +12,7 @@
 
 namespace trailcourse::cache_node {
 
+// Section `cache`: the options of a cache node.
 struct NodeOptions {
   std::string name;
   std::string listen;
@@ -33,6 +35,7 @@
 };
 const config::Record<NodeOptions>& node_record();
 
+// Section `classes`: how requests of one class are treated.
 struct ClassOptions {
   std::int64_t fresh_ms = 0;
   std::string use = "kept";
@@ -40,6 +43,7 @@
 const config::Record<ClassOptions>& class_record();
 using ClassMap = std::map<std::string, ClassOptions>;
 
+// Section `origin`: the options of an Origin.
 struct OriginOptions {
   std::string listen;
   std::string name = "origin";
--- a/src/cache_node/origin.cpp
+++ b/src/cache_node/origin.cpp
@@ -15,14 +15,14 @@
 
 namespace trailcourse::cache_node {
 
-using protocol::CacheAnswer;
 using protocol::AnswerCode;
+using protocol::CacheAnswer;
 using std::chrono::milliseconds;
 using transport::Clock;
 
 namespace {
 
-constexpr int kGroups = 256;
+constexpr int kPurgeGroups = 256;
 
 std::string hex(std::uint64_t number) {
   char text[17];
@@ -30,7 +30,7 @@
   return text;
 }
 
-// A name that stays below the folder: no step up, no hidden file.
+// Returns whether a name stays below the folder and is not that of a hidden file.
 bool safe_name(const std::string& name) {
   return !name.empty() && name.front() != '.' && name.find('/') == std::string::npos &&
          name.find('\\') == std::string::npos;
@@ -44,8 +44,8 @@
 
 }  // namespace
 
-std::string made_object(const std::string& item, const std::string& chunk, std::uint64_t version,
-                        std::size_t size) {
+std::string generate_object(const std::string& item, const std::string& chunk, std::uint64_t version,
+                            std::size_t size) {
   const std::string name = item + "/" + chunk + "/" + std::to_string(version);
   std::mt19937_64 random(store::key_of(name).low);
   std::string out = "object " + name + "\n";
@@ -67,14 +67,15 @@
 
 std::optional<std::string> Origin::load(const protocol::ServeFields& fields) const {
   if (options_.folder.empty()) {
-    return made_object(fields.item, fields.chunk, version_,
-                       static_cast<std::size_t>(options_.size_kb) << 10U);
+    return generate_object(fields.item, fields.chunk, version_,
+                           static_cast<std::size_t>(options_.size_kb) << 10U);
   }
   if (!safe_name(fields.item) || (!fields.chunk.empty() && !safe_name(fields.chunk))) {
     return std::nullopt;
   }
-  const std::filesystem::path whole = std::filesystem::path(options_.folder) / fields.item;
-  const std::filesystem::path path = std::filesystem::is_directory(whole) ? whole / fields.chunk : whole;
+  const std::filesystem::path item_path = std::filesystem::path(options_.folder) / fields.item;
+  const std::filesystem::path path =
+      std::filesystem::is_directory(item_path) ? item_path / fields.chunk : item_path;
   std::ifstream file(path, std::ios::binary);
   if (!file.is_open() || !std::filesystem::is_regular_file(path)) {
     return std::nullopt;
@@ -91,9 +92,9 @@
   Clock::time_point due = Clock::now() + milliseconds(options_.delay_ms);
   if (options_.kb_per_s > 0) {
     // Transfers share one link in the order of their requests.
-    const auto took = std::chrono::microseconds(options_.size_kb * 1'000'000 / options_.kb_per_s);
-    link_free_ = std::max(link_free_, Clock::now()) + took;
-    due = std::max(due, link_free_);
+    const auto transfer_time = std::chrono::microseconds(options_.size_kb * 1'000'000 / options_.kb_per_s);
+    link_free_at_ = std::max(link_free_at_, Clock::now()) + transfer_time;
+    due = std::max(due, link_free_at_);
   }
   if (due <= Clock::now()) {
     respond(ticket);
@@ -110,9 +111,9 @@
   const protocol::ServeFields fields = std::move(found->second);
   open_.erase(found);
   CacheAnswer out;
-  out.t0_ms =
+  out.origin_time_ms =
       std::chrono::duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch()).count();
-  if (fields.item.empty()) {  // a write: its number is the answer
+  if (fields.item.empty()) {  // a write; its number is the tag of the answer
     out.tag = hex(++writes_);
     server_.answer(ticket, AnswerCode::kOk, out, std::make_shared<const std::string>("done\n"));
     return;
@@ -125,29 +126,29 @@
   }
   out.tag = hex(store::sum_of(*bytes));
   const auto object = protocol::read_hex<std::uint64_t>(fields.item);
-  out.group = static_cast<int>((object ? *object : store::key_of(fields.item).low) % kGroups);
+  out.group = static_cast<int>((object ? *object : store::key_of(fields.item).low) % kPurgeGroups);
   ++served_;
-  if (!fields.cached.empty() && fields.cached == out.tag) {
+  if (!fields.client_tag.empty() && fields.client_tag == out.tag) {
     server_.answer(ticket, AnswerCode::kSame, out, nullptr);
     return;
   }
-  protocol::Span part;
-  if (fields.span) {
+  protocol::ByteRange range;
+  if (fields.range) {
     const bool within =
-        fields.span->from < bytes->size() && fields.span->length <= bytes->size() - fields.span->from;
-    if (fields.match != out.tag || !within) {
+        fields.range->from < bytes->size() && fields.range->length <= bytes->size() - fields.range->from;
+    if (fields.expected_tag != out.tag || !within) {
       server_.answer(ticket, AnswerCode::kMiss, out, nullptr);
       return;
     }
-    part = *fields.span;
-    out.span = fields.span;
-    out.whole = bytes->size();
+    range = *fields.range;
+    out.range = fields.range;
+    out.total_length = bytes->size();
   }
-  served_bytes_ += fields.span ? part.length : bytes->size();
-  server_.answer(ticket, AnswerCode::kOk, out, std::make_shared<const std::string>(*bytes), part);
+  served_bytes_ += fields.range ? range.length : bytes->size();
+  server_.answer(ticket, AnswerCode::kOk, out, std::make_shared<const std::string>(*bytes), range);
 }
 
-std::string Origin::meter() const {
+std::string Origin::load_report() const {
   char text[48];
   std::snprintf(text, sizeof text, "inflight:%zu;util:%.3f", open_.size(),
                 static_cast<double>(open_.size()) / static_cast<double>(options_.transfers));
--- a/src/cache_node/origin.h
+++ b/src/cache_node/origin.h
@@ -1,7 +1,7 @@
-// A small origin for trying things out and for measurements: it serves made objects or a folder, over the
-// same protocol as caches. It keeps nothing, and every copy that it gives out is new.
+// A small origin for trials and measurements. It serves generated objects or the files of a folder over the
+// protocol of the caches, stores nothing, and sends each copy with the present as its origin time.
 //
-// Package `cache_node`. One thread.
+// Library `cache_node`. Not thread-safe: it belongs to its scheduler's thread.
 #pragma once
 
 #include <cstdint>
@@ -15,24 +15,27 @@
 
 namespace trailcourse::cache_node {
 
-// The bytes of a made object: a function of its name and version alone.
-std::string made_object(const std::string& item, const std::string& chunk, std::uint64_t version,
-                        std::size_t size);
+// Returns the bytes of a generated object, which depend on its name, version and size alone.
+std::string generate_object(const std::string& item, const std::string& chunk, std::uint64_t version,
+                            std::size_t size);
 
-class Origin : public Service {
+// Serves objects under the options given.
+class Origin : public CommandHandler {
  public:
   Origin(transport::Scheduler& scheduler, const OriginOptions& options);
 
-  void start();  // throws std::system_error
+  // Throws std::system_error if the address cannot be listened on.
+  void start();
+  // Closes the listener, and each connection once its answers are written.
   void stop();
 
   void serve(Ticket ticket, protocol::ServeFields fields, std::string body) override;
   void cancel(Ticket ticket) override { open_.erase(ticket); }
-  bool up() const override { return true; }
-  std::string meter() const override;
+  bool accepting() const override { return true; }
+  std::string load_report() const override;
 
-  // Made objects are of this version from now on, as if all had been edited.
-  void edit() { ++version_; }
+  // Changes all generated objects, as if each had been edited.
+  void increment_version() { ++version_; }
   std::uint64_t served() const { return served_; }
   std::uint64_t served_bytes() const { return served_bytes_; }
 
@@ -48,7 +51,7 @@
   std::uint64_t served_ = 0;
   std::uint64_t served_bytes_ = 0;
   std::uint64_t writes_ = 0;
-  transport::Clock::time_point link_free_ = transport::Clock::now();
+  transport::Clock::time_point link_free_at_ = transport::Clock::now();
 };
 
 }  // namespace trailcourse::cache_node
--- a/src/cache_node/source_client.cpp
+++ b/src/cache_node/source_client.cpp
@@ -14,14 +14,14 @@
 using transport::Level;
 using transport::log_line;
 
-SourceLink::SourceLink(SourceClient& client, const std::weak_ptr<Pool::Slot>& slot)
+SourceConnection::SourceConnection(SourceClient& client, const std::weak_ptr<Pool::Slot>& slot)
     : client_(client), slot_(slot), parser_([&client] {
         protocol::resp::Bounds bounds;
         bounds.last_bytes = client.bounds_.answer_bytes;
         return bounds;
       }()) {}
 
-void SourceLink::on_bytes(std::string_view bytes) {
+void SourceConnection::on_bytes(std::string_view bytes) {
   const std::shared_ptr<Pool::Slot> slot = slot_.lock();
   parser_.feed(bytes, [this, &slot](const protocol::resp::Event& event) {
     if (slot && !slot->connection->ended()) {
@@ -30,63 +30,63 @@
   });
 }
 
-void SourceLink::take(const protocol::resp::ArrayHead& head) {
-  words_ = head.words;
+void SourceConnection::take(const protocol::resp::ArrayHead& head) {
+  strings_ = head.strings;
   body_.clear();
-  wanted_ = !words_.empty() && calls_.contains(words_[0]);
-  if (wanted_) {
+  is_pending_ = !strings_.empty() && calls_.contains(strings_[0]);
+  if (is_pending_) {
     body_.reserve(head.last_bytes);
   }
 }
 
-void SourceLink::take(const protocol::resp::ArrayPiece& piece) {
-  if (wanted_) {
+void SourceConnection::take(const protocol::resp::ArrayPiece& piece) {
+  if (is_pending_) {
     body_ += piece.bytes;
   }
 }
 
-void SourceLink::take(const protocol::resp::ArrayEnd&) {
+void SourceConnection::take(const protocol::resp::ArrayEnd&) {
   constexpr std::size_t kWithoutBody = 3;
-  const std::optional<protocol::AnswerCode> word =
-      words_.size() == kWithoutBody ? protocol::parse_answer_code(words_[1]) : std::nullopt;
-  if (!word) {
-    spoilt("an answer in unknown words");
+  const std::optional<protocol::AnswerCode> code =
+      strings_.size() == kWithoutBody ? protocol::parse_answer_code(strings_[1]) : std::nullopt;
+  if (!code) {
+    close_malformed("unknown answer code or number of strings");
     return;
   }
-  if (!wanted_) {
+  if (!is_pending_) {
     return;
   }
   FetchResult result;
-  result.word = *word;
-  result.fields = protocol::read_cache_answer(words_[2]);
+  result.code = *code;
+  result.fields = protocol::read_cache_answer(strings_[2]);
   result.body = std::make_shared<const std::string>(std::exchange(body_, {}));
-  finish(words_[0], result);
+  finish(strings_[0], result);
 }
 
-void SourceLink::take(const protocol::resp::ParseError& unreadable) { spoilt(unreadable.why); }
+void SourceConnection::take(const protocol::resp::ParseError& error) { close_malformed(error.reason); }
 
-void SourceLink::spoilt(std::string_view why) {
+void SourceConnection::close_malformed(std::string_view reason) {
   if (const std::shared_ptr<Pool::Slot> slot = slot_.lock()) {
-    log_line(Level::kWarning) << "source " << slot->peer << " sent what cannot be read: " << why;
+    log_line(Level::kWarning) << "source " << slot->peer << " sent a malformed message: " << reason;
     slot->connection->close(ConnectionEnd::kMalformed);
   }
 }
 
-void SourceLink::finish(const std::string& id, const FetchResult& result) {
+void SourceConnection::finish(const std::string& id, const FetchResult& result) {
   const auto found = calls_.find(id);
   if (found == calls_.end()) {
-    return;  // stopped since its answer began to come
+    return;  // stopped while its answer was being received
   }
   const FillNumber fill = found->second.fill;
   calls_.erase(found);
-  client_.places_.erase(fill);
+  client_.pending_fetches_.erase(fill);
   if (const std::shared_ptr<Pool::Slot> slot = slot_.lock()) {
     client_.pool_.release(slot);
   }
-  client_.done_(fill, result);
+  client_.on_result_(fill, result);
 }
 
-void SourceLink::on_end(ConnectionEnd end) {
+void SourceConnection::on_end(ConnectionEnd end) {
   const std::shared_ptr<Pool::Slot> slot = slot_.lock();
   if (!slot) {
     return;
@@ -94,62 +94,63 @@
   client_.pool_.forget(slot);
   const auto calls = std::exchange(calls_, {});
   for (const auto& [id, call] : calls) {
-    client_.places_.erase(call.fill);
+    client_.pending_fetches_.erase(call.fill);
     FetchResult result;
-    const bool unrun = proves_not_executed(routing::status_of(end, slot->connection->begun(call.token)));
-    result.end = unrun                              ? FetchResult::End::kUnreachable
-                 : end == ConnectionEnd::kMalformed ? FetchResult::End::kSpoilt
+    const bool not_executed =
+        proves_not_executed(routing::status_of(end, slot->connection->begun(call.token)));
+    result.end = not_executed                       ? FetchResult::End::kUnreachable
+                 : end == ConnectionEnd::kMalformed ? FetchResult::End::kMalformed
                                                     : FetchResult::End::kBroken;
-    client_.done_(call.fill, result);
+    client_.on_result_(call.fill, result);
   }
 }
 
-SourceClient::SourceClient(transport::Scheduler& scheduler, const Bounds& bounds, Done done)
+SourceClient::SourceClient(transport::Scheduler& scheduler, const Bounds& bounds, ResultCallback on_result)
     : scheduler_(scheduler),
       bounds_(bounds),
-      done_(std::move(done)),
-      pool_(scheduler, bounds.pool, [this](const SourceLink::Pool::SlotPtr& slot) {
-        return std::make_shared<SourceLink>(*this, slot);
+      on_result_(std::move(on_result)),
+      pool_(scheduler, bounds.pool, [this](const SourceConnection::Pool::SlotPtr& slot) {
+        return std::make_shared<SourceConnection>(*this, slot);
       }) {}
 
 void SourceClient::fetch(FillNumber fill, const std::string& source, const transport::Address& address,
                          const protocol::ServeFields& fields, std::string_view body) {
-  const SourceLink::Pool::SlotPtr slot =
-      pool_.take(source, address, [](const SourceLink::Pool::Slot&) { return true; });
+  const SourceConnection::Pool::SlotPtr slot =
+      pool_.take(source, address, [](const SourceConnection::Pool::Slot&) { return true; });
   if (!slot) {
     scheduler_.post([this, fill] {
       FetchResult result;
       result.end = FetchResult::End::kUnreachable;
-      done_(fill, result);
+      on_result_(fill, result);
     });
     return;
   }
   const std::string id = "f" + std::to_string(++last_id_);
-  SourceLink::Call& call = slot->link->calls_[id];
+  SourceConnection::Call& call = slot->link->calls_[id];
   call.fill = fill;
   call.sent = Clock::now();
   call.token = slot->connection->write(protocol::write_serve(id, fields, body));
-  places_[fill] = Place{slot->link, id};
+  pending_fetches_[fill] = PendingFetch{slot->link, id};
 }
 
-// What is on its way is told to be given up. A source from which nothing came since is taken for gone, with
-// all of its connections: new ones show whether it is there.
+// Sends a cancel command if the request has left. If nothing was received from the source since, all its
+// connections are dropped: new ones show whether it is still reachable.
 void SourceClient::stop(FillNumber fill) {
-  const auto found = places_.find(fill);
-  if (found == places_.end()) {
+  const auto found = pending_fetches_.find(fill);
+  if (found == pending_fetches_.end()) {
     return;
   }
-  const Place place = found->second;
-  places_.erase(found);
-  const std::shared_ptr<SourceLink> link = place.link.lock();
-  const std::shared_ptr<SourceLink::Pool::Slot> slot = link ? link->slot_.lock() : nullptr;
+  const PendingFetch pending = found->second;
+  pending_fetches_.erase(found);
+  const std::shared_ptr<SourceConnection> link = pending.link.lock();
+  const std::shared_ptr<SourceConnection::Pool::Slot> slot = link ? link->slot_.lock() : nullptr;
   if (!slot) {
     return;
   }
-  const SourceLink::Call call = link->calls_.at(place.id);
-  link->calls_.erase(place.id);
+  const SourceConnection::Call call = link->calls_.at(pending.id);
+  link->calls_.erase(pending.id);
   if (!slot->connection->ended() && !slot->connection->withdraw(call.token)) {
-    slot->connection->write(protocol::write_cancel(place.id));
+    slot->connection->write(protocol::write_cancel(pending.id));
     if (Clock::now() - call.sent >= bounds_.silent_after && pool_.last_received(slot->peer) < call.sent) {
       pool_.drop(slot->peer, ConnectionEnd::kSilent);
     }
--- a/src/cache_node/source_client.h
+++ b/src/cache_node/source_client.h
@@ -1,7 +1,8 @@
-// The side of a cache node that asks its sources, over the same protocol as routers ask it.
+// Client of a cache node's sources. It speaks the protocol that routers use for cache nodes.
 //
-// Package `cache_node`, over `transport` and `protocol`. One thread. Each fetch has an id of its own that is
-// never used again, so a late answer can never be taken for another's.
+// Each fetch has a new id, so that a late answer is never mistaken for the answer to another fetch.
+//
+// Library `cache_node`. Not thread-safe: it belongs to its scheduler's thread.
 #pragma once
 
 #include <cstddef>
@@ -21,11 +22,12 @@
 
 class SourceClient;
 
-class SourceLink : public transport::Connection::Handler {
+// One connection to a source, with the fetches that are open on it.
+class SourceConnection : public transport::Connection::Handler {
  public:
-  using Pool = transport::ConnectionPool<SourceLink>;
+  using Pool = transport::ConnectionPool<SourceConnection>;
 
-  SourceLink(SourceClient& client, const std::weak_ptr<Pool::Slot>& slot);
+  SourceConnection(SourceClient& client, const std::weak_ptr<Pool::Slot>& slot);
 
   void on_bytes(std::string_view bytes) override;
   void on_end(transport::ConnectionEnd end) override;
@@ -41,49 +43,53 @@
   void take(const protocol::resp::ArrayHead& head);
   void take(const protocol::resp::ArrayPiece& piece);
   void take(const protocol::resp::ArrayEnd&);
-  void take(const protocol::resp::ParseError& unreadable);
-  void spoilt(std::string_view why);
+  void take(const protocol::resp::ParseError& error);
+  void close_malformed(std::string_view reason);
   void finish(const std::string& id, const FetchResult& result);
 
   SourceClient& client_;
   std::weak_ptr<Pool::Slot> slot_;
   protocol::resp::Parser parser_;
   std::map<std::string, Call> calls_;
-  std::vector<std::string> words_;
+  std::vector<std::string> strings_;
   std::string body_;
-  bool wanted_ = false;
+  bool is_pending_ = false;
 };
 
+// Sends fetches to sources over a pool of connections.
 class SourceClient {
  public:
   struct Bounds {
-    SourceLink::Pool::Bounds pool;
-    std::size_t answer_bytes = 64U << 20U;
+    SourceConnection::Pool::Bounds pool;
+    std::size_t answer_bytes = 64U << 20U;  // of one body; a longer one ends the connection
+    // A fetch that is stopped after this time shows that the source is gone, if nothing was received since.
     transport::Clock::duration silent_after = std::chrono::milliseconds(400);
   };
-  using Done = std::function<void(FillNumber, const FetchResult&)>;
+  using ResultCallback = std::function<void(FillNumber, const FetchResult&)>;
 
-  SourceClient(transport::Scheduler& scheduler, const Bounds& bounds, Done done);
+  SourceClient(transport::Scheduler& scheduler, const Bounds& bounds, ResultCallback on_result);
 
-  // `done` is told the result once, later, unless it is stopped.
+  // Sends a request to a source. The callback is called once with the result, never during this call, unless
+  // stop() comes first. `address` is that of `source`.
   void fetch(FillNumber fill, const std::string& source, const transport::Address& address,
              const protocol::ServeFields& fields, std::string_view body);
+  // Cancels a fetch; its result is not reported. Does nothing if the fetch has ended.
   void stop(FillNumber fill);
-  // The connections to a source that is gone, or has moved, take nothing new.
+  // Removes the connections to a source that is gone or has a new address from the pool.
   void drop(const std::string& source) { pool_.drop(source, transport::ConnectionEnd::kDropped); }
 
  private:
-  friend class SourceLink;
-  struct Place {
-    std::weak_ptr<SourceLink> link;
+  friend class SourceConnection;
+  struct PendingFetch {
+    std::weak_ptr<SourceConnection> link;
     std::string id;
   };
 
   transport::Scheduler& scheduler_;
   Bounds bounds_;
-  Done done_;
-  SourceLink::Pool pool_;
-  std::map<FillNumber, Place> places_;
+  ResultCallback on_result_;
+  SourceConnection::Pool pool_;
+  std::map<FillNumber, PendingFetch> pending_fetches_;
   std::uint64_t last_id_ = 0;
 };
 
--- a/src/discovery/discovery_server.cpp
+++ b/src/discovery/discovery_server.cpp
@@ -89,7 +89,7 @@
   void on_bytes(std::string_view bytes) override {
     parser_.feed(bytes);
     handle_next_request();
-    if (parser_.failed() || parser_.ahead() > kMaxReadAhead) {
+    if (parser_.failed() || parser_.buffered_bytes() > kMaxReadAhead) {
       connection_.close(ConnectionEnd::kMalformed);
     }
   }
--- a/src/fleet/fencing_token_check.cpp
+++ b/src/fleet/fencing_token_check.cpp
@@ -8,7 +8,7 @@
 namespace trailcourse::fleet {
 
 std::vector<std::string> find_token_regressions(const std::string& name, const std::string& log) {
-  const std::string words = "carries out commands under ";
+  const std::string words = "executes commands under fencing token ";
   std::vector<std::string> out;
   std::ifstream file(log);
   std::map<std::string, ownership::Term> highest;
--- a/src/http/client_connection.h
+++ b/src/http/client_connection.h
@@ -1,6 +1,6 @@
 // One connection to an HTTP/1.1 server, for coroutines that send a request and wait for its response.
 //
-// Package `http`, over `transport` and `protocol`. Not thread-safe: it belongs to its scheduler's thread.
+// Library `http`. Not thread-safe: it belongs to its scheduler's thread.
 #pragma once
 
 #include <cstdint>
@@ -15,9 +15,9 @@
 
 namespace trailcourse::http {
 
-// Keeps what was received until the waiting coroutine takes it. The transport connection owns this handler
-// until it has ended; the handler refers to it weakly. One coroutine waits at a time, and holds a shared_ptr
-// to this object while it does.
+// Buffers the received bytes until the waiting coroutine reads them. The transport connection owns this
+// handler until it has ended; the handler refers to it weakly. One coroutine waits at a time, and holds a
+// shared_ptr to this object meanwhile.
 class ClientConnection : public transport::Connection::Handler {
  public:
   // Names a request that was written, for may_have_sent().
@@ -32,28 +32,27 @@
                    const protocol::http::Bounds& response_bounds)
       : changed_(scheduler), parser_(response_bounds), peer_(to) {}
 
-  // Returns whether a request may be written: the connection has not ended, and all that came was readable
-  // HTTP.
+  // Returns whether a request may be written: the connection has not ended, and no response was malformed.
   bool usable() const { return !end_ && !parser_.failed(); }
   // Returns whether the connection has ended, also if on_end() is still to be called.
   bool closed() const;
   const transport::Address& peer() const { return peer_; }
   // Returns how the connection ended; nothing while it is open.
   const std::optional<transport::ConnectionEnd>& end() const { return end_; }
-  // Returns whether a response was malformed; parse_error() then says why in one line.
+  // Returns whether a response was malformed; parse_error() is then the reason.
   bool malformed() const { return parser_.failed(); }
-  const std::string& parse_error() const { return parser_.why(); }
+  const std::string& parse_error() const { return parser_.error(); }
   // Returns the status of the response that is being received; 0 before its first line.
   int status() const { return parser_.status(); }
 
-  // Queues a whole request.
+  // Queues a complete request.
   WriteToken write(std::string request);
-  // Returns whether any byte of the request may have left. For a connection that has not ended.
+  // Returns whether any byte of the request may have been sent. Valid while the connection has not ended.
   bool may_have_sent(WriteToken request) const;
   void close(transport::ConnectionEnd end);
 
   // Waits for the next complete response, until the deadline. Returns nothing if the connection ended, a
-  // response was malformed, or the deadline passed; end() and malformed() tell which.
+  // response was malformed, or the deadline passed; see end() and malformed().
   static transport::Task<std::optional<protocol::http::Response>> receive(
       std::shared_ptr<ClientConnection> connection, transport::Clock::time_point deadline);
 
@@ -61,8 +60,8 @@
   // `longest`.
   transport::Signal::Wait wait(transport::Clock::duration longest) { return changed_.wait(longest); }
   void wake() { changed_.notify(); }
-  // Takes what was received so far of the body of a response that goes on, as a stream is read.
-  std::optional<std::string> take_body_part() { return parser_.take_piece(); }
+  // Removes and returns the bytes received so far of an incomplete body, for a body that is read as a stream.
+  std::optional<std::string> take_body_part() { return parser_.take_body_part(); }
 
   void on_bytes(std::string_view bytes) override;
   void on_end(transport::ConnectionEnd end) override;
--- a/src/program/aggregator_command.cpp
+++ b/src/program/aggregator_command.cpp
@@ -54,7 +54,7 @@
 // How far the notice board tells, and nothing else of it.
 class BoardNumbers : public routing::DiscoveryListener {
  public:
-  void take(const protocol::DiscoveryPage& page) override { last_ = std::max(last_, page.highest); }
+  void take(const protocol::DiscoveryPage& page) override { last_ = std::max(last_, page.highest_sequence); }
   std::uint64_t last() const override { return last_; }
   void reset_sequence() override { last_ = 0; }
 
--- a/src/program/configuration.cpp
+++ b/src/program/configuration.cpp
@@ -283,7 +283,7 @@
 }
 
 std::size_t Configuration::most_open_requests() const {
-  return profile.most_open > 0 ? static_cast<std::size_t>(profile.most_open) : kOpenWithoutLimit;
+  return profile.max_open_requests > 0 ? static_cast<std::size_t>(profile.max_open_requests) : kOpenWithoutLimit;
 }
 
 std::size_t Configuration::part_of_memory(std::int64_t part) const {
--- a/src/program/node_commands.cpp
+++ b/src/program/node_commands.cpp
@@ -112,7 +112,7 @@
                                                                     : std::string();
   fencing::TokenStore terms(
       fence_folder.empty() ? nullptr : std::shared_ptr<store::Files>(store::open_folder(fence_folder)), pool);
-  node.use(terms);
+  node.set_token_store(terms);
   node.start();
   scheduler.spawn(heed_node(scheduler, signals, node, store));
   log_line(Level::kInfo) << "cache node " << file.cache.name << " listens on " << file.cache.listen << ", "
@@ -127,7 +127,7 @@
   cache_node::Origin origin(scheduler, file.origin);
   origin.start();
   const std::function<void()> edit = [&origin] {
-    origin.edit();
+    origin.increment_version();
     log_line(Level::kInfo) << "made objects are of a new version";
   };
   scheduler.spawn(heed(scheduler, signals, edit));
--- a/src/program/start_support.cpp
+++ b/src/program/start_support.cpp
@@ -120,7 +120,7 @@
       gate_->on_list(router_->now(), list);
       poke();
     });
-    if (!configuration_.known.notices.empty()) {
+    if (!configuration_.known.updates.empty()) {
       gate_->restore(router.now(), router.now(), true);
     }
   }
--- a/src/protocol/cache_answer.cpp
+++ b/src/protocol/cache_answer.cpp
@@ -13,12 +13,12 @@
 namespace trailcourse::protocol {
 namespace {
 
-constexpr std::array<std::pair<std::string_view, AnswerCode>, 6> kWords{{{"OK", AnswerCode::kOk},
-                                                                         {"SAME", AnswerCode::kSame},
-                                                                         {"MISS", AnswerCode::kMiss},
-                                                                         {"BUSY", AnswerCode::kBusy},
-                                                                         {"ERR", AnswerCode::kError},
-                                                                         {"VOID", AnswerCode::kVoid}}};
+constexpr std::array<std::pair<std::string_view, AnswerCode>, 6> kAnswerCodes{{{"OK", AnswerCode::kOk},
+                                                                               {"SAME", AnswerCode::kSame},
+                                                                               {"MISS", AnswerCode::kMiss},
+                                                                               {"BUSY", AnswerCode::kBusy},
+                                                                               {"ERR", AnswerCode::kError},
+                                                                               {"VOID", AnswerCode::kVoid}}};
 
 constexpr std::array<std::pair<std::string_view, Note>, 10> kNotes{{{"warm", Note::kHit},
                                                                     {"fill", Note::kFilled},
@@ -31,7 +31,7 @@
                                                                     {"jammed", Note::kNoFillCapacity},
                                                                     {"backfire", Note::kOriginFailed}}};
 
-// Names of a meter that the settings spell otherwise.
+// Fields of a load report that have another name in the settings.
 constexpr std::array<std::pair<std::string_view, std::string_view>, 6> kMeterNames{
     {{"inflight", "concurrent"},
      {"util", "load_share"},
@@ -40,17 +40,17 @@
      {"qps", "tps"},
      {"eps", "err_ps"}}};
 
-constexpr double kMostWaitedMs = 1e9;
+constexpr double kMaxWaitedMs = 1e9;
 
 template <typename Value, std::size_t kSize>
-const Value* find_word(const std::array<std::pair<std::string_view, Value>, kSize>& words,
-                       std::string_view word) {
+const Value* find_by_name(const std::array<std::pair<std::string_view, Value>, kSize>& words,
+                          std::string_view word) {
   const auto found =
       std::find_if(words.begin(), words.end(), [word](const auto& one) { return one.first == word; });
   return found == words.end() ? nullptr : &found->second;
 }
 
-// Calls `take(name, value)` for each "name=value" of a list.
+// Calls `take(name, value)` for each "name=value" of a list; skips other entries.
 template <typename Take>
 void each_field(std::string_view list, char separator, char equals, Take take) {
   while (!list.empty()) {
@@ -63,9 +63,10 @@
   }
 }
 
-void read_meter(std::string_view meter, const std::vector<std::string>& report_fields, LoadReport& load) {
+void read_load_report(std::string_view meter, const std::vector<std::string>& report_fields,
+                      LoadReport& load) {
   each_field(meter, ';', ':', [&](std::string_view name, std::string_view value) {
-    const std::string_view* other = find_word(kMeterNames, name);
+    const std::string_view* other = find_by_name(kMeterNames, name);
     const std::string known(other != nullptr ? *other : name);
     const std::optional<double> number = read_number<double>(value);
     if (number && std::find(report_fields.begin(), report_fields.end(), known) != report_fields.end()) {
@@ -74,7 +75,7 @@
   });
 }
 
-// Whole milliseconds, never 0: that would mean that there is no limit.
+// Returns full milliseconds, rounded down, but never 0, which would mean that there is no limit.
 std::string to_millis(Micros time) {
   return std::to_string(
       std::max<std::int64_t>(1, std::chrono::floor<std::chrono::milliseconds>(time).count()));
@@ -83,7 +84,7 @@
 }  // namespace
 
 std::optional<AnswerCode> parse_answer_code(std::string_view word) {
-  const AnswerCode* found = find_word(kWords, word);
+  const AnswerCode* found = find_by_name(kAnswerCodes, word);
   return found != nullptr ? std::optional<AnswerCode>(*found) : std::nullopt;
 }
 
@@ -94,7 +95,7 @@
 }
 
 std::optional<Note> parse_note(std::string_view word) {
-  const Note* note = find_word(kNotes, word);
+  const Note* note = find_by_name(kNotes, word);
   return note != nullptr ? std::optional<Note>(*note) : std::nullopt;
 }
 
@@ -105,26 +106,26 @@
       out.note = parse_note(value).value_or(out.note);
     } else if (name == "slow") {
       const std::optional<double> millis = read_number<double>(value);
-      const bool usable = millis && *millis >= 0.0 && *millis <= kMostWaitedMs;
+      const bool usable = millis && *millis >= 0.0 && *millis <= kMaxWaitedMs;
       out.waited = usable ? Micros(std::llround(*millis * 1e3)) : out.waited;
     } else if (name == "meter") {
-      read_meter(value, report_fields, out.load);
+      read_load_report(value, report_fields, out.load);
     }
   });
   return out;
 }
 
-std::string write_serve(const Passed& passed, const SendAttempt& order) {
-  std::string fields = "cls=" + passed.request_class;
+std::string write_serve(const ForwardedRequest& request, const SendAttempt& order) {
+  std::string fields = "cls=" + request.request_class;
   const auto add = [&fields](std::string_view name, std::string_view value) {
     if (!value.empty()) {
       fields.append(",").append(name).append("=").append(value);
     }
   };
-  add("item", passed.object);
-  add("chunk", passed.part);
+  add("item", request.object);
+  add("chunk", request.part);
   add("limit", to_millis(order.timeout));
-  add("nonce", passed.dedupe_key);
+  add("nonce", request.dedupe_key);
   if (order.source != order.cache) {
     add("next", order.source);
   }
@@ -137,9 +138,9 @@
   add("ways", std::string(order.join_fill ? "join" : "") +
                   (order.join_fill && order.only_if_cached ? "+" : "") +
                   (order.only_if_cached ? "held" : ""));
-  add("cached", passed.held_tag);
-  add("fence", passed.fence);
-  return resp::write_array({"serve", passed.id, fields, passed.body});
+  add("cached", request.held_tag);
+  add("fence", request.fence);
+  return resp::write_array({"serve", request.id, fields, request.body});
 }
 
 std::string write_cancel(std::string_view id) { return resp::write_array({"cancel", id}); }
--- a/src/protocol/cache_command.cpp
+++ b/src/protocol/cache_command.cpp
@@ -9,66 +9,66 @@
 namespace trailcourse::protocol {
 namespace {
 
-constexpr std::size_t kMostClass = 64;
-constexpr std::size_t kMostItem = 256;
-constexpr std::size_t kMostWord = 128;
-constexpr std::size_t kMostFence = 192;
-constexpr std::int64_t kMostLimitMs = 3'600'000;
-constexpr std::int64_t kMostAgeMs = std::int64_t{100} * 365 * 86'400'000;
-constexpr int kMostRank = 3;
-constexpr std::uint64_t kMostSpan = std::uint64_t{1} << 40U;
+constexpr std::size_t kMaxClassBytes = 64;
+constexpr std::size_t kMaxItemBytes = 256;
+constexpr std::size_t kMaxValueBytes = 128;
+constexpr std::size_t kMaxFenceBytes = 192;
+constexpr std::int64_t kMaxLimitMs = 3'600'000;
+constexpr std::int64_t kMaxAgeMs = std::int64_t{100} * 365 * 86'400'000;
+constexpr int kMaxKeepRank = 3;
+constexpr std::uint64_t kMaxRangeBytes = std::uint64_t{1} << 40U;
 
-bool plain_word(std::string_view text, std::size_t most) {
-  return !text.empty() && text.size() <= most && std::all_of(text.begin(), text.end(), is_plain);
+bool is_plain_value(std::string_view text, std::size_t max) {
+  return !text.empty() && text.size() <= max && std::all_of(text.begin(), text.end(), is_plain);
 }
 
-std::optional<Span> read_span(std::string_view text) {
+std::optional<ByteRange> parse_range(std::string_view text) {
   const std::size_t dash = text.find('-');
   if (dash == std::string_view::npos) {
     return std::nullopt;
   }
   const auto from = read_number<std::uint64_t>(text.substr(0, dash));
   const auto length = read_number<std::uint64_t>(text.substr(dash + 1));
-  const bool good = from && length && *from <= kMostSpan && *length <= kMostSpan && *length > 0;
-  return good ? std::optional<Span>(Span{*from, *length}) : std::nullopt;
+  const bool good = from && length && *from <= kMaxRangeBytes && *length <= kMaxRangeBytes && *length > 0;
+  return good ? std::optional<ByteRange>(ByteRange{*from, *length}) : std::nullopt;
 }
 
-std::string to_text(const Span& span) {
+std::string to_text(const ByteRange& span) {
   return std::to_string(span.from) + '-' + std::to_string(span.length);
 }
 
-// Sets one field; false where its value cannot be used, nothing where the name is unknown.
+// Sets one text field. Returns false if its value is invalid, and nothing if the name is unknown.
 std::optional<bool> set_text(ServeFields& out, std::string_view name, std::string_view value) {
   struct Text {
     std::string_view name;
     std::string ServeFields::* member;
-    std::size_t most;
+    std::size_t max;
   };
-  constexpr std::array<Text, 8> kTexts{{{"cls", &ServeFields::request_class, kMostClass},
-                                        {"item", &ServeFields::item, kMostItem},
-                                        {"chunk", &ServeFields::chunk, kMostWord},
-                                        {"nonce", &ServeFields::nonce, kMostWord},
-                                        {"next", &ServeFields::next, kMostWord},
-                                        {"cached", &ServeFields::cached, kMostWord},
-                                        {"match", &ServeFields::match, kMostWord},
-                                        {"fence", &ServeFields::fence, kMostFence}}};
-  for (const Text& text : kTexts) {
+  constexpr std::array<Text, 8> kTextFields{{{"cls", &ServeFields::request_class, kMaxClassBytes},
+                                             {"item", &ServeFields::item, kMaxItemBytes},
+                                             {"chunk", &ServeFields::chunk, kMaxValueBytes},
+                                             {"nonce", &ServeFields::nonce, kMaxValueBytes},
+                                             {"next", &ServeFields::source, kMaxValueBytes},
+                                             {"cached", &ServeFields::client_tag, kMaxValueBytes},
+                                             {"match", &ServeFields::expected_tag, kMaxValueBytes},
+                                             {"fence", &ServeFields::fence, kMaxFenceBytes}}};
+  for (const Text& text : kTextFields) {
     if (text.name == name) {
       out.*text.member = value;
-      return plain_word(value, text.most);
+      return is_plain_value(value, text.max);
     }
   }
   return std::nullopt;
 }
 
-bool set_ways(ServeFields& out, std::string_view value) {
+bool set_flags(ServeFields& out, std::string_view value) {
   while (!value.empty()) {
     const std::string_view way = value.substr(0, value.find('+'));
     value.remove_prefix(std::min(value.size(), way.size() + 1));
     if (way == "join") {
-      out.join = true;
+      out.join_fill = true;
     } else if (way == "held") {
-      out.held = true;
+      out.only_if_cached = true;
     } else if (way == "nocopy") {
       out.no_copy = true;
     } else if (way == "renew") {
@@ -81,39 +81,41 @@
 }
 
 template <typename Number>
-bool set_number(Number& out, std::string_view value, Number least, Number most) {
+bool set_number(Number& out, std::string_view value, Number min, Number max) {
   const std::optional<Number> number = read_number<Number>(value);
-  if (!number || *number < least || *number > most) {
+  if (!number || *number < min || *number > max) {
     return false;
   }
   out = *number;
   return true;
 }
 
+// Sets one field; the result is that of set_text().
 std::optional<bool> set_field(ServeFields& out, std::string_view name, std::string_view value) {
   if (const std::optional<bool> text = set_text(out, name, value)) {
     return text;
   }
   if (name == "limit") {
-    return set_number<std::int64_t>(out.limit_ms, value, 1, kMostLimitMs);
+    return set_number<std::int64_t>(out.limit_ms, value, 1, kMaxLimitMs);
   }
   if (name == "agelim") {
-    return set_number<std::int64_t>(out.age_limit_ms, value, 0, kMostAgeMs);
+    return set_number<std::int64_t>(out.age_limit_ms, value, 0, kMaxAgeMs);
   }
   if (name == "admit") {
-    return set_number(out.admit, value, 0, kMostRank);
+    return set_number(out.keep_rank, value, 0, kMaxKeepRank);
   }
   if (name == "ways") {
-    return set_ways(out, value);
+    return set_flags(out, value);
   }
   if (name == "span") {
-    out.span = read_span(value);
-    return out.span.has_value();
+    out.range = parse_range(value);
+    return out.range.has_value();
   }
   return std::nullopt;
 }
 
-// Calls `take(name, value)` for each field; false at the first that it refuses, or that is none.
+// Calls `take(name, value, is_field)` for each entry of the list until it returns false. `is_field` is false
+// for an entry without "=". Returns whether all entries were taken.
 template <typename Take>
 bool each_field(std::string_view list, Take take) {
   while (!list.empty()) {
@@ -129,6 +131,7 @@
   return true;
 }
 
+// Builds "name=value,name=value"; fields without a value are left out.
 class FieldList {
  public:
   FieldList& add(std::string_view name, std::string_view value) {
@@ -150,39 +153,39 @@
 
 std::variant<ServeFields, std::string> read_serve_fields(std::string_view text) {
   ServeFields out;
-  std::string fault;
+  std::string error;
   if (text != "-") {
     std::vector<std::string_view> seen;
     each_field(text, [&](std::string_view name, std::string_view value, bool is_field) {
       if (!is_field) {
-        fault = "no field: " + std::string(name.substr(0, kMostClass));
+        error = "no field: " + std::string(name.substr(0, kMaxClassBytes));
         return false;
       }
       if (std::find(seen.begin(), seen.end(), name) != seen.end()) {
-        fault = "twice: " + std::string(name);
+        error = "twice: " + std::string(name);
         return false;
       }
       seen.push_back(name);
       const std::optional<bool> good = set_field(out, name, value);
       if (!good) {
-        fault = "unknown field: " + std::string(name.substr(0, kMostClass));
+        error = "unknown field: " + std::string(name.substr(0, kMaxClassBytes));
       } else if (!*good) {
-        fault = "bad value: " + std::string(name);
+        error = "bad value: " + std::string(name);
       }
-      return fault.empty();
+      return error.empty();
     });
   }
-  if (fault.empty() && out.request_class.empty()) {
-    fault = "missing: cls";
+  if (error.empty() && out.request_class.empty()) {
+    error = "missing: cls";
   }
-  if (fault.empty() && out.limit_ms == 0) {
-    fault = "missing: limit";
+  if (error.empty() && out.limit_ms == 0) {
+    error = "missing: limit";
   }
-  if (fault.empty() && !out.match.empty() != out.span.has_value()) {
-    fault = "span and match go together";
+  if (error.empty() && !out.expected_tag.empty() != out.range.has_value()) {
+    error = "span and match go together";
   }
-  if (!fault.empty()) {
-    return fault;
+  if (!error.empty()) {
+    return error;
   }
   return out;
 }
@@ -194,8 +197,8 @@
       ways += (ways.empty() ? "" : "+") + std::string(word);
     }
   };
-  way(fields.join, "join");
-  way(fields.held, "held");
+  way(fields.join_fill, "join");
+  way(fields.only_if_cached, "held");
   way(fields.no_copy, "nocopy");
   way(fields.renew, "renew");
   FieldList list;
@@ -204,13 +207,13 @@
       .add("chunk", fields.chunk)
       .add("limit", fields.limit_ms, true)
       .add("nonce", fields.nonce)
-      .add("next", fields.next)
-      .add("admit", fields.admit, fields.admit > 0)
+      .add("next", fields.source)
+      .add("admit", fields.keep_rank, fields.keep_rank > 0)
       .add("agelim", fields.age_limit_ms, fields.age_limit_ms > 0)
       .add("ways", ways)
-      .add("cached", fields.cached)
-      .add("span", fields.span ? to_text(*fields.span) : "")
-      .add("match", fields.match)
+      .add("cached", fields.client_tag)
+      .add("span", fields.range ? to_text(*fields.range) : "")
+      .add("match", fields.expected_tag)
       .add("fence", fields.fence);
   return list.take();
 }
@@ -219,8 +222,8 @@
   return resp::write_array({"serve", id, write_serve_fields(fields), body});
 }
 
-std::string_view answer_code_name(AnswerCode word) {
-  switch (word) {
+std::string_view answer_code_name(AnswerCode code) {
+  switch (code) {
     case AnswerCode::kOk:
       return "OK";
     case AnswerCode::kSame:
@@ -237,37 +240,38 @@
   return "VOID";
 }
 
-std::string write_answer(std::string_view id, AnswerCode word, const CacheAnswer& out, std::string_view body) {
+std::string write_answer(std::string_view id, AnswerCode code, const CacheAnswer& out,
+                         std::string_view body) {
   FieldList list;
   list.add("sum", out.tag)
-      .add("t0", out.t0_ms, out.t0_ms != 0)
+      .add("t0", out.origin_time_ms, out.origin_time_ms != 0)
       .add("tell", note_name(out.note))
       .add("slow", out.waited_ms, out.waited_ms > 0)
       .add("group", out.group, out.group >= 0)
-      .add("span", out.span ? to_text(*out.span) : "")
-      .add("whole", static_cast<std::int64_t>(out.whole), out.span.has_value())
-      .add("why", plain_value(out.why))
-      .add("meter", out.meter);
-  return resp::write_array({id, answer_code_name(word), list.take(), body});
+      .add("span", out.range ? to_text(*out.range) : "")
+      .add("whole", static_cast<std::int64_t>(out.total_length), out.range.has_value())
+      .add("why", plain_value(out.error_reason))
+      .add("meter", out.load_report);
+  return resp::write_array({id, answer_code_name(code), list.take(), body});
 }
 
 CacheAnswer read_cache_answer(std::string_view text) {
   CacheAnswer out;
   each_field(text, [&out](std::string_view name, std::string_view value, bool) {
-    if (name == "sum" && plain_word(value, kMostWord)) {
+    if (name == "sum" && is_plain_value(value, kMaxValueBytes)) {
       out.tag = value;
     } else if (name == "t0") {
-      set_number<std::int64_t>(out.t0_ms, value, 0, INT64_MAX / 4);
+      set_number<std::int64_t>(out.origin_time_ms, value, 0, INT64_MAX / 4);
     } else if (name == "tell") {
       out.note = parse_note(value).value_or(out.note);
     } else if (name == "group") {
       set_number(out.group, value, 0, 65'534);
     } else if (name == "span") {
-      out.span = read_span(value);
+      out.range = parse_range(value);
     } else if (name == "whole") {
-      set_number<std::uint64_t>(out.whole, value, 0, kMostSpan);
+      set_number<std::uint64_t>(out.total_length, value, 0, kMaxRangeBytes);
     } else if (name == "why") {
-      out.why = value.substr(0, kMostWord);
+      out.error_reason = value.substr(0, kMaxValueBytes);
     }
     return true;
   });
--- a/src/protocol/cache_command.h
+++ b/src/protocol/cache_command.h
@@ -1,5 +1,7 @@
-// The cache's side of the protocol between routers and caches: commands read, answers written. The router's
-// side is cache_answer.h.
+// The cache's side of the protocol between routers and caches: reads commands and writes answers. The
+// router's side is cache_answer.h.
+//
+// Library `protocol`: no I/O and no clock.
 #pragma once
 
 #include <cstdint>
@@ -14,61 +16,61 @@
 
 namespace trailcourse::protocol {
 
-// A stretch of a value's bytes. An addition of this project's: a cache that holds parts of a copy asks its
-// source for the missing ones alone. A source that does not know it answers with the whole, which is taken as
-// such.
-struct Span {
+// A range of a value's bytes. An extension of the protocol: a cache that has stored some parts of a copy
+// requests only the missing ones from its source. A source without this extension answers with the complete
+// value, which is accepted as such.
+struct ByteRange {
   std::uint64_t from = 0;
   std::uint64_t length = 0;
 
-  friend bool operator==(const Span&, const Span&) = default;
+  friend bool operator==(const ByteRange&, const ByteRange&) = default;
 };
 
-// The fields of `serve`, as they came where they go on, and read where they decide.
+// The fields of the command `serve`.
 struct ServeFields {
   std::string request_class;
   std::string item;
   std::string chunk;
-  std::string nonce;
-  std::string next;    // the source; empty: no fill
-  std::string cached;  // the bare tag of the client's copy
-  std::int64_t limit_ms = 0;
+  std::string nonce;              // idempotency key of a write
+  std::string source;             // from which a miss is filled; empty: no fill
+  std::string client_tag;         // of the copy that the client has, without quotes
+  std::int64_t limit_ms = 0;      // time limit for the answer
   std::int64_t age_limit_ms = 0;  // 0: the fresh time of the class
-  int admit = 0;
-  bool join = false;
-  bool held = false;
-  bool no_copy = false;
-  bool renew = false;
-  std::optional<Span> span;
-  std::string match;  // with `span`: only of the copy of this tag
-  std::string fence;  // an addition: of owned work, "STORE:WORK/SHARD:TERM"
+  int keep_rank = 0;              // 0: the copy is not stored
+  bool join_fill = false;         // may share a fill that is in progress
+  bool only_if_cached = false;    // the source must not fill
+  bool no_copy = false;           // the source must not store a copy
+  bool renew = false;             // a stale copy that is served is also refreshed
+  std::optional<ByteRange> range;
+  std::string expected_tag;  // with `range`: only of the copy with this tag
+  std::string fence;         // an extension: the fencing token of owned work, "STORE:WORK/SHARD:TERM"
 };
 
-// The fields, or what is wrong with them, in words that name the field.
+// Returns the fields, or an error message that names the invalid field.
 std::variant<ServeFields, std::string> read_serve_fields(std::string_view text);
 std::string write_serve_fields(const ServeFields& fields);
 std::string write_serve(std::string_view id, const ServeFields& fields, std::string_view body);
 
-// What an answer tells beside its bytes, as a cache writes it.
+// The fields of an answer, as a cache writes them.
 struct CacheAnswer {
   std::string tag;
-  std::int64_t t0_ms = 0;
+  std::int64_t origin_time_ms = 0;  // Unix time at which the origin sent the copy; 0: unknown
   Note note = Note::kNone;
-  std::int64_t waited_ms = 0;
-  int group = -1;  // an addition: the purge group, where the source knows it
-  std::optional<Span> span;
-  std::uint64_t whole = 0;  // with `span`: the length of the whole value
-  std::string why;          // an addition: what was wrong with a request, in one word of plain characters
-  std::string meter;        // the load report
+  std::int64_t waited_ms = 0;  // for a fill
+  int group = -1;              // an extension: the purge group; -1: unknown
+  std::optional<ByteRange> range;
+  std::uint64_t total_length = 0;  // with `range`: of the complete value, in bytes
+  std::string error_reason;        // an extension: why a request was rejected
+  std::string load_report;         // as in "inflight:7;util:0.61"
 };
 
-std::string_view answer_code_name(AnswerCode word);
-std::string write_answer(std::string_view id, AnswerCode word, const CacheAnswer& out, std::string_view body);
+std::string_view answer_code_name(AnswerCode code);
+std::string write_answer(std::string_view id, AnswerCode code, const CacheAnswer& out, std::string_view body);
 
-// What a cache reads of its source's answer; fields that cannot be used are passed over.
+// Reads the fields that a cache uses of its source's answer; invalid fields are skipped.
 CacheAnswer read_cache_answer(std::string_view text);
 
-// Characters that cannot stand in a field's value become '_'.
+// Replaces each character that is not allowed in a field's value by '_'.
 std::string plain_value(std::string_view text);
 
 }  // namespace trailcourse::protocol
--- a/src/protocol/discovery_page.cpp
+++ b/src/protocol/discovery_page.cpp
@@ -12,103 +12,104 @@
 
 using nlohmann::json;
 
-constexpr std::int64_t kMostMillis = 1'000'000'000'000'000;  // keeps microseconds within 64 bits
+constexpr std::int64_t kMaxMillis = 1'000'000'000'000'000;  // keeps microseconds within 64 bits
 
-constexpr std::array<std::pair<const char*, NodeState>, 3> kStateWords{
+constexpr std::array<std::pair<const char*, NodeState>, 3> kStateNames{
     {{"up", NodeState::kReady}, {"draining", NodeState::kDraining}, {"removed", NodeState::kGone}}};
 
 std::int64_t millis_at(const json& object, const char* key) {
   const std::int64_t millis = integer_or_default(object, key, 0);
-  if (millis < 0 || millis > kMostMillis) {
+  if (millis < 0 || millis > kMaxMillis) {
     throw FormatError(std::string("time out of range: ") + key);
   }
   return millis;
 }
 
-ListedEndpoint read_cache(const json& source, const Profile& profile) {
+ListedEndpoint read_endpoint(const json& source, const Profile& profile) {
   if (!source.is_object()) {
-    throw FormatError("not an entry");
+    throw FormatError("not an endpoint");
   }
-  ListedEndpoint cache;
-  Endpoint& entry = cache.entry;
-  entry.address = string_at(source, "name");
-  // The name goes on to caches as a field's value.
-  if (entry.address.empty() || entry.address.find_first_of(",= \r\n") != std::string::npos) {
-    throw FormatError("unusable name");
+  ListedEndpoint listed;
+  Endpoint& endpoint = listed.endpoint;
+  endpoint.address = string_at(source, "name");
+  // The name is sent to caches as a field's value.
+  if (endpoint.address.empty() || endpoint.address.find_first_of(",= \r\n") != std::string::npos) {
+    throw FormatError("invalid name");
   }
-  entry.state = parse_enum(kStateWords, string_or_default(source, "status", "up"));
-  entry.zone = string_or_default(source, "zone", "");
-  entry.role = profile.role_of(string_or_default(source, "type", ""));
-  entry.cell = small_integer_at(source, "group", 0);
-  entry.weight = number_or_default(source, "weight", 1.0);
-  if (!std::isfinite(entry.weight) || entry.weight < 0.0) {
+  endpoint.state = parse_enum(kStateNames, string_or_default(source, "status", "up"));
+  endpoint.zone = string_or_default(source, "zone", "");
+  endpoint.role = profile.role_of(string_or_default(source, "type", ""));
+  endpoint.cell = small_integer_at(source, "group", 0);
+  endpoint.weight = number_or_default(source, "weight", 1.0);
+  if (!std::isfinite(endpoint.weight) || endpoint.weight < 0.0) {
     throw FormatError("number out of range: weight");
   }
-  cache.address = string_or_default(source, "address", "");
-  cache.since_ms = millis_at(source, "since_ms");
-  return cache;
+  listed.address = string_or_default(source, "address", "");
+  listed.started_unix_ms = millis_at(source, "since_ms");
+  return listed;
 }
 
-EndpointsChanged read_pool(const json& source, const Profile& profile, std::vector<std::string>& skipped) {
-  EndpointsChanged pool;
-  pool.whole = boolean_at(source, "snapshot");
+EndpointsChanged read_endpoints_changed(const json& source, const Profile& profile,
+                                        std::vector<std::string>& skipped) {
+  EndpointsChanged change;
+  change.complete = boolean_at(source, "snapshot");
   for (const json& entry : array_at(source, "endpoints")) {
     try {
-      pool.caches.push_back(read_cache(entry, profile));
+      change.endpoints.push_back(read_endpoint(entry, profile));
     } catch (const FormatError& error) {
-      skipped.push_back(std::string("entry: ") + error.what());
+      skipped.push_back(std::string("endpoint: ") + error.what());
     }
   }
-  return pool;
+  return change;
 }
 
-PurgeReceived read_flush(const json& source) {
-  PurgeReceived flush;
-  flush.whole_group = find(source, "asset") == nullptr;
-  if (flush.whole_group) {
-    flush.group = id_at(source, "collection");
+PurgeReceived read_purge(const json& source) {
+  PurgeReceived purge;
+  purge.whole_group = find(source, "asset") == nullptr;
+  if (purge.whole_group) {
+    purge.group = id_at(source, "collection");
   } else {
-    flush.object = hex_at(source, "asset");
+    purge.object = hex_at(source, "asset");
   }
   require(source, "ms");
-  flush.at_ms = millis_at(source, "ms");
-  return flush;
+  purge.purged_unix_ms = millis_at(source, "ms");
+  return purge;
 }
 
 }  // namespace
 
 DiscoveryPage read_discovery_page(const json& page, const Profile& profile) {
   if (!page.is_object()) {
-    throw FormatError("not a page of notices");
+    throw FormatError("not a discovery page");
   }
   DiscoveryPage out;
-  out.last = id_at(page, "rev");
+  out.last_sequence = id_at(page, "rev");
   for (const json& entry : array_at(page, "notices")) {
     try {
       if (!entry.is_object()) {
-        throw FormatError("not a notice");
+        throw FormatError("not an event");
       }
-      Notice notice;
-      notice.number = id_at(entry, "rev");
-      if (notice.number > out.last) {
-        throw FormatError("numbered beyond the page: rev");
+      DiscoveryUpdate update;
+      update.sequence = id_at(entry, "rev");
+      if (update.sequence > out.last_sequence) {
+        throw FormatError("sequence number beyond that of the page: rev");
       }
-      out.highest = std::max(out.highest, notice.number);
+      out.highest_sequence = std::max(out.highest_sequence, update.sequence);
       if (find(entry, "pool") != nullptr) {
-        notice.what = read_pool(section(entry, "pool"), profile, out.skipped);
+        update.change = read_endpoints_changed(section(entry, "pool"), profile, out.skipped);
       } else if (find(entry, "flush") != nullptr) {
-        notice.what = read_flush(section(entry, "flush"));
+        update.change = read_purge(section(entry, "flush"));
       } else {
-        continue;  // a kind of notice that this build does not know
+        continue;  // a kind of event that this version does not know
       }
-      out.notices.push_back(std::move(notice));
+      out.updates.push_back(std::move(update));
     } catch (const FormatError& error) {
-      out.skipped.push_back(std::string("notice: ") + error.what());
+      out.skipped.push_back(std::string("event: ") + error.what());
     }
   }
-  // A page of which nothing can be read would come again and again.
-  if (out.highest == 0 && !out.skipped.empty()) {
-    out.highest = out.last;
+  // Without this, a page without any valid event would be requested again and again.
+  if (out.highest_sequence == 0 && !out.skipped.empty()) {
+    out.highest_sequence = out.last_sequence;
   }
   return out;
 }
@@ -121,8 +122,8 @@
   return read_discovery_page(page, profile);
 }
 
-std::string poll_path(std::uint64_t last, std::int64_t linger_ms) {
-  return "/board/poll?watch=" + std::to_string(last) + "&linger=" + std::to_string(linger_ms);
+std::string poll_path(std::uint64_t last_sequence, std::int64_t linger_ms) {
+  return "/board/poll?watch=" + std::to_string(last_sequence) + "&linger=" + std::to_string(linger_ms);
 }
 
 }  // namespace trailcourse::protocol
--- a/src/protocol/discovery_page.h
+++ b/src/protocol/discovery_page.h
@@ -1,4 +1,6 @@
-// What the notice board tells: numbered changes of the list of caches and purges, as JSON.
+// Pages of the discovery service: JSON with endpoint updates and purge events, each with a sequence number.
+//
+// Library `protocol`: no I/O and no clock.
 #pragma once
 
 #include <cstdint>
@@ -12,38 +14,43 @@
 
 namespace trailcourse::protocol {
 
-// A cache as the notice board lists it: its name, and where this router reaches it.
+// An endpoint as the discovery service lists it: its name and its network address.
 struct ListedEndpoint {
-  Endpoint entry;             // its address is the name, its start is not set
-  std::string address;        // IP:PORT
-  std::int64_t since_ms = 0;  // Unix time of a late start; 0: long ago
+  Endpoint endpoint;                 // its `address` is the name; its start is not set
+  std::string address;               // IP:PORT
+  std::int64_t started_unix_ms = 0;  // Unix time of its start; 0: long ago
 };
+// An endpoint update.
 struct EndpointsChanged {
-  bool whole = false;  // all there are; else only what has changed
-  std::vector<ListedEndpoint> caches;
+  bool complete = false;  // the list is complete; otherwise it has only the changed endpoints
+  std::vector<ListedEndpoint> endpoints;
 };
+// A purge event for an object or a group.
 struct PurgeReceived {
   bool whole_group = false;
   ObjectId object = 0;
   std::uint64_t group = 0;
-  std::int64_t at_ms = 0;  // Unix time of the purge
+  std::int64_t purged_unix_ms = 0;  // Unix time of the purge
 };
-struct Notice {
-  std::uint64_t number = 0;
-  std::variant<EndpointsChanged, PurgeReceived> what;
+// One event of the discovery service.
+struct DiscoveryUpdate {
+  std::uint64_t sequence = 0;
+  std::variant<EndpointsChanged, PurgeReceived> change;
 };
+// The events after the sequence number of a poll.
 struct DiscoveryPage {
-  std::uint64_t last = 0;
-  std::vector<Notice> notices;
-  std::vector<std::string> skipped;  // what could not be used, in words
-  std::uint64_t highest = 0;         // number seen, also of what was skipped or is not known here
+  std::uint64_t last_sequence = 0;
+  std::vector<DiscoveryUpdate> updates;
+  std::vector<std::string> skipped;    // an error message for each invalid entry
+  std::uint64_t highest_sequence = 0;  // including skipped events and unknown kinds
 };
 
-// Reads {"rev":N,"notices":[...]}. An entry that cannot be used is skipped by itself; a page that is none at
-// all throws FormatError.
+// Reads {"rev":N,"notices":[...]}. Invalid entries are skipped one by one; throws FormatError if the page
+// itself is invalid.
 DiscoveryPage read_discovery_page(const nlohmann::json& page, const Profile& profile);
 DiscoveryPage parse_discovery_page(std::string_view text, const Profile& profile);
 
-std::string poll_path(std::uint64_t last, std::int64_t linger_ms);
+// Returns the path of a poll for the events after `last_sequence`, with its long-poll timeout.
+std::string poll_path(std::uint64_t last_sequence, std::int64_t linger_ms);
 
 }  // namespace trailcourse::protocol
--- a/src/protocol/fastcgi.cpp
+++ b/src/protocol/fastcgi.cpp
@@ -12,7 +12,7 @@
 constexpr std::uint16_t kResponder = 1;
 constexpr std::size_t kBeginBytes = 8;
 constexpr std::size_t kLongLength = 4;
-constexpr std::size_t kMostContent = 65'535;
+constexpr std::size_t kMaxContentBytes = 65'535;
 
 enum RecordType : std::uint8_t {
   kBeginRequest = 1,
@@ -27,12 +27,12 @@
   kUnknownType = 11,
 };
 
-std::uint8_t byte_at(std::string_view bytes, std::size_t place) {
-  return static_cast<std::uint8_t>(bytes[place]);
+std::uint8_t byte_at(std::string_view bytes, std::size_t offset) {
+  return static_cast<std::uint8_t>(bytes[offset]);
 }
 
-std::uint16_t short_at(std::string_view bytes, std::size_t place) {
-  return static_cast<std::uint16_t>((byte_at(bytes, place) << 8U) | byte_at(bytes, place + 1));
+std::uint16_t short_at(std::string_view bytes, std::size_t offset) {
+  return static_cast<std::uint16_t>((byte_at(bytes, offset) << 8U) | byte_at(bytes, offset + 1));
 }
 
 std::string header(std::uint8_t type, RequestKey key, std::size_t length) {
@@ -55,7 +55,7 @@
   return out + std::string(3, '\0');
 }
 
-// One length of a pair: a byte, or four with the highest bit set.
+// Reads a length of a pair: one byte, or four bytes with the highest bit set.
 std::optional<std::size_t> read_length(std::string_view& content) {
   if (content.empty()) {
     return std::nullopt;
@@ -115,23 +115,24 @@
   }
   while (!failed_ && bytes.size() >= kHeaderBytes) {
     if (byte_at(bytes, 0) != kVersion) {
-      fail("version " + std::to_string(byte_at(bytes, 0)), out);
+      fail("unsupported version " + std::to_string(byte_at(bytes, 0)), out);
       break;
     }
     const std::size_t length = short_at(bytes, 4);
-    const std::size_t whole = kHeaderBytes + length + byte_at(bytes, 6);
-    if (bytes.size() < whole) {
+    const std::size_t record_bytes = kHeaderBytes + length + byte_at(bytes, 6);
+    if (bytes.size() < record_bytes) {
       break;
     }
     take_record(byte_at(bytes, 1), short_at(bytes, 2), bytes.substr(kHeaderBytes, length), out);
-    bytes.remove_prefix(whole);
+    bytes.remove_prefix(record_bytes);
   }
   partial_ = failed_ ? std::string() : std::string(bytes);
 }
 
-bool Parser::partial() const {
-  return !partial_.empty() || std::any_of(open_.begin(), open_.end(),
-                                          [](const auto& one) { return one.second.stage != Stage::kWhole; });
+bool Parser::has_partial_message() const {
+  return !partial_.empty() || std::any_of(open_.begin(), open_.end(), [](const auto& one) {
+    return one.second.stage != Stage::kComplete;
+  });
 }
 
 void Parser::take_record(std::uint8_t type, RequestKey key, std::string_view content,
@@ -145,7 +146,7 @@
   } else if (type == kAbortRequest) {
     const auto found = open_.find(key);
     if (found == open_.end()) {
-      return;  // over already: the abort crossed the answer
+      return;  // the answer was sent before the abort arrived
     }
     held_ -= found->second.parameters.size() + found->second.body.size();
     open_.erase(found);
@@ -159,12 +160,12 @@
 
 void Parser::begin(RequestKey key, std::string_view content, std::vector<Event>& out) {
   if (content.size() < kBeginBytes) {
-    fail("a short BEGIN_REQUEST", out);
+    fail("BEGIN_REQUEST too short", out);
     return;
   }
-  // A number that is in use would leave two requests that cannot be told apart.
+  // Two open requests with one key could not be distinguished.
   if (open_.contains(key)) {
-    fail("request " + std::to_string(key) + " was begun twice", out);
+    fail("request " + std::to_string(key) + " is already open", out);
     return;
   }
   if (open_.size() >= bounds_.open_requests) {
@@ -183,10 +184,10 @@
 void Parser::take_stream(RequestKey key, bool body, std::string_view content, std::vector<Event>& out) {
   const auto found = open_.find(key);
   if (found == open_.end()) {
-    return;  // aborted or rejected: what was under way is passed over
+    return;  // the request was aborted or rejected; its remaining records are skipped
   }
   Open& request = found->second;
-  if (request.stage == Stage::kRejected || request.stage == Stage::kWhole) {
+  if (request.stage == Stage::kRejected || request.stage == Stage::kComplete) {
     return;
   }
   if (body != (request.stage == Stage::kBody)) {
@@ -205,8 +206,8 @@
     return;
   }
   std::string& stream = body ? request.body : request.parameters;
-  const std::size_t most = body ? bounds_.body_bytes : bounds_.parameter_bytes;
-  if (stream.size() + content.size() > most || held_ + content.size() > bounds_.connection_bytes) {
+  const std::size_t max_bytes = body ? bounds_.body_bytes : bounds_.parameter_bytes;
+  if (stream.size() + content.size() > max_bytes || held_ + content.size() > bounds_.connection_bytes) {
     reject(key, request, body ? "the body is too long" : "the parameters are too long", out);
     return;
   }
@@ -222,25 +223,25 @@
     return;
   }
   held_ -= request.parameters.size() + request.body.size();
-  request.stage = Stage::kWhole;
+  request.stage = Stage::kComplete;
   read.keep_connection = request.keep_connection;
   request.parameters = std::string();
   read.body = std::exchange(request.body, {});
   out.emplace_back(std::move(read));
 }
 
-void Parser::reject(RequestKey key, Open& request, std::string why, std::vector<Event>& out) {
+void Parser::reject(RequestKey key, Open& request, std::string reason, std::vector<Event>& out) {
   held_ -= request.parameters.size() + request.body.size();
   request = Open{Stage::kRejected, {}, {}, request.keep_connection};
-  out.emplace_back(RequestRejected{key, ProtocolStatus::kRequestComplete, std::move(why)});
+  out.emplace_back(RequestRejected{key, ProtocolStatus::kRequestComplete, std::move(reason)});
 }
 
 void Parser::manage(std::uint8_t type, std::string_view content, std::vector<Event>& out) {
   if (type == kGetValues) {
-    std::vector<std::pair<std::string, std::string>> asked;
-    read_pairs(content, asked);
+    std::vector<std::pair<std::string, std::string>> requested;
+    read_pairs(content, requested);
     std::string values;
-    for (const auto& [name, ignored] : asked) {
+    for (const auto& [name, ignored] : requested) {
       if (name == "FCGI_MPXS_CONNS") {
         append_pair(values, name, "1");
       } else if (name == "FCGI_MAX_REQS") {
@@ -255,9 +256,9 @@
   out.emplace_back(ManagementReply{unknown + std::string(kBeginBytes - 1, '\0')});
 }
 
-void Parser::fail(std::string why, std::vector<Event>& out) {
+void Parser::fail(std::string reason, std::vector<Event>& out) {
   failed_ = true;
-  out.emplace_back(ParseError{std::move(why)});
+  out.emplace_back(ParseError{std::move(reason)});
 }
 
 void AnswerQueue::queue(RequestKey key, Answer& answer) {
@@ -312,10 +313,10 @@
   std::string out;
   std::size_t taken = 0;
   std::string content;
-  while (!answer.parts.empty() && taken < std::min(record_bytes_, kMostContent)) {
+  while (!answer.parts.empty() && taken < std::min(record_bytes_, kMaxContentBytes)) {
     const std::string& part = answer.parts.front();
     const std::size_t piece =
-        std::min(part.size() - answer.offset, std::min(record_bytes_, kMostContent) - taken);
+        std::min(part.size() - answer.offset, std::min(record_bytes_, kMaxContentBytes) - taken);
     content.append(part, answer.offset, piece);
     taken += piece;
     answer.offset += piece;
--- a/src/protocol/fastcgi.h
+++ b/src/protocol/fastcgi.h
@@ -1,5 +1,7 @@
-// FastCGI 1.0, the side of an application in the role Responder: a state machine that is fed bytes in any
-// split and yields requests, and the records of answers, in turns for all requests of a connection.
+// FastCGI 1.0 for an application in the role Responder: an incremental parser of requests, which accepts
+// bytes in any split, and a queue of answers, which writes records for all requests of a connection in turn.
+//
+// Library `protocol`: no I/O and no clock.
 #pragma once
 
 #include <cstddef>
@@ -21,66 +23,69 @@
   kUnknownRole = 3,
 };
 
+// The request id of FastCGI; unique among the open requests of a connection.
 using RequestKey = std::uint16_t;
 
+// The parameters of a request, in the order received.
 struct Parameters {
   std::vector<std::pair<std::string, std::string>> fields;
 
-  // The value of a parameter, or null.
+  // Returns the value of a parameter, or null.
   const std::string* find(std::string_view name) const;
 };
 
-// A request that has come whole.
+// A complete request.
 struct RequestReceived {
   RequestKey key = 0;
   Parameters parameters;
   std::string body;
   bool keep_connection = true;
 };
-// A request that was open, whole or not, and is given up by the client.
+// The client aborted an open request, which may be incomplete.
 struct RequestAborted {
   RequestKey key = 0;
 };
-// A request that cannot be taken: it is answered in these words.
+// An invalid request. `reason` is sent to the client unless `answered` is false.
 struct RequestRejected {
   RequestKey key = 0;
   ProtocolStatus status = ProtocolStatus::kRequestComplete;
-  std::string why;
-  bool answered = true;  // false: only END_REQUEST is owed
+  std::string reason;
+  bool answered = true;  // false: only END_REQUEST is sent
 };
-// Bytes to be sent back as they are, as for management records.
+// The bytes of a reply to a management record, to be sent unchanged.
 struct ManagementReply {
   std::string bytes;
 };
-// Nothing more can be read from this connection.
+// A malformed message; the connection has to be closed.
 struct ParseError {
-  std::string why;
+  std::string reason;
 };
 using Event = std::variant<RequestReceived, RequestAborted, RequestRejected, ManagementReply, ParseError>;
 
 struct Bounds {
   std::size_t open_requests = 64;            // on one connection; clients open 32
   std::size_t parameter_bytes = 16U << 10U;  // of one request
-  std::size_t body_bytes = 64U << 10U;       // of one request; writes bring 48,000 at most
-  std::size_t connection_bytes = 4U << 20U;  // of all requests that have not come whole yet
+  std::size_t body_bytes = 64U << 10U;       // of one request; writes have 48,000 at most
+  std::size_t connection_bytes = 4U << 20U;  // of all incomplete requests
 };
 
+// Parses the requests of one connection.
 class Parser {
  public:
   explicit Parser(const Bounds& bounds) : bounds_(bounds) {}
 
-  // Takes bytes and appends what they complete. After ParseError all further bytes are passed over.
+  // Parses bytes and appends the resulting events to `out`. After ParseError all further bytes are ignored.
   void feed(std::string_view bytes, std::vector<Event>& out);
 
-  // Bytes held of requests that have not come whole.
+  // Returns the buffered bytes of incomplete requests.
   std::size_t held() const { return held_ + partial_.size(); }
-  // Whether a part of a message has come whose rest is still awaited.
-  bool partial() const;
-  // The final answer of a request has been given: its number may be used again.
+  // Returns whether a record or a request was received in part.
+  bool has_partial_message() const;
+  // Closes a request whose answer is complete; the client may then reuse its key.
   void release(RequestKey key) { open_.erase(key); }
 
  private:
-  enum class Stage { kParameters, kBody, kWhole, kRejected };
+  enum class Stage { kParameters, kBody, kComplete, kRejected };
   struct Open {
     Stage stage = Stage::kParameters;
     std::string parameters;
@@ -92,9 +97,9 @@
   void begin(RequestKey key, std::string_view content, std::vector<Event>& out);
   void take_stream(RequestKey key, bool body, std::string_view content, std::vector<Event>& out);
   void finish(RequestKey key, Open& request, std::vector<Event>& out);
-  void reject(RequestKey key, Open& request, std::string why, std::vector<Event>& out);
+  void reject(RequestKey key, Open& request, std::string reason, std::vector<Event>& out);
   void manage(std::uint8_t type, std::string_view content, std::vector<Event>& out);
-  void fail(std::string why, std::vector<Event>& out);
+  void fail(std::string reason, std::vector<Event>& out);
 
   Bounds bounds_;
   std::string partial_;
@@ -103,26 +108,28 @@
   bool failed_ = false;
 };
 
-// Name-value pairs; false where they are cut.
+// Reads name-value pairs. Returns false if the last pair is incomplete.
 bool read_pairs(std::string_view content, std::vector<std::pair<std::string, std::string>>& out);
 
-// The records of answers. Each call gives the next few of one request, so that a large answer lets small ones
-// through; the requests take turns.
+// Queues answers and writes their records. Requests take turns record by record, so that a large answer does
+// not delay small ones.
 class AnswerQueue {
  public:
   explicit AnswerQueue(std::size_t record_bytes) : record_bytes_(record_bytes) {}
 
   // Appends to the request's STDOUT.
   void append(RequestKey key, std::string bytes);
-  // Ends it: END_REQUEST follows what was appended.
+  // Ends the answer: END_REQUEST follows the appended bytes.
   void end(RequestKey key, ProtocolStatus status, std::uint32_t application_status);
-  // Forgets what was not given out yet; true where something was.
+  // Discards the rest of an answer. Returns whether the request had one.
   bool drop(RequestKey key);
 
   bool empty() const { return turns_.empty(); }
+  // Returns the bytes that were appended and not written to a record yet.
   std::size_t waiting() const { return waiting_; }
   std::size_t size() const { return answers_.size(); }
-  // The next record. `ended` is set to the request that it ends, if any.
+  // Returns the next records of one request; the queue must not be empty. `ended` is set to whether they end
+  // the request, and `ended_key` is then its key.
   std::string next(RequestKey& ended_key, bool& ended);
 
  private:
--- a/src/protocol/fastcgi_peer.h
+++ b/src/protocol/fastcgi_peer.h
@@ -1,5 +1,5 @@
-// The other side of FastCGI, for `trailcourse get` and for tests: records of requests written, records of
-// answers read.
+// The client's side of FastCGI, for `trailcourse get` and for tests: writes the records of requests and reads
+// the records of answers.
 #pragma once
 
 #include <cstdint>
@@ -16,6 +16,7 @@
   std::string content;
 };
 
+// Returns the bytes of one record.
 inline std::string record(std::uint8_t type, std::uint16_t key, std::string_view content,
                           std::uint8_t padding = 0) {
   std::string out{1, static_cast<char>(type), static_cast<char>(key >> 8U), static_cast<char>(key & 0xffU)};
@@ -32,6 +33,7 @@
   return record(1, key, content + std::string(5, '\0'));
 }
 
+// Returns the encoding of a length: one byte, or four from 128 on.
 inline std::string length_of(std::size_t size) {
   if (size < 0x80U) {
     return std::string(1, static_cast<char>(size));
@@ -46,6 +48,7 @@
 
 using Fields = std::vector<std::pair<std::string, std::string>>;
 
+// Returns the records of a complete request.
 inline std::string request_bytes(std::uint16_t key, const Fields& fields, std::string_view body,
                                  bool keep = true) {
   std::string parameters;
@@ -61,18 +64,18 @@
   return out + record(5, key, "");
 }
 
-// Takes the whole records off the front of `bytes`.
+// Removes the complete records from the front of `bytes` and returns them.
 inline std::vector<Record> take_records(std::string& bytes) {
-  const auto at = [&bytes](std::size_t place) { return static_cast<std::uint8_t>(bytes[place]); };
+  const auto at = [&bytes](std::size_t offset) { return static_cast<std::uint8_t>(bytes[offset]); };
   std::vector<Record> out;
   while (bytes.size() >= 8) {
     const std::size_t length = (static_cast<std::size_t>(at(4)) << 8U) | at(5);
-    const std::size_t whole = 8 + length + at(6);
-    if (bytes.size() < whole) {
+    const std::size_t record_bytes = 8 + length + at(6);
+    if (bytes.size() < record_bytes) {
       break;
     }
     out.push_back(Record{at(1), static_cast<std::uint16_t>((at(2) << 8U) | at(3)), bytes.substr(8, length)});
-    bytes.erase(0, whole);
+    bytes.erase(0, record_bytes);
   }
   return out;
 }
--- a/src/protocol/http_client.cpp
+++ b/src/protocol/http_client.cpp
@@ -29,15 +29,15 @@
 
 }  // namespace
 
-void ResponseParser::fail(std::string why) {
+void ResponseParser::fail(std::string error) {
   stage_ = Stage::kFailed;
-  why_ = std::move(why);
+  error_ = std::move(error);
 }
 
 void ResponseParser::feed(std::string_view bytes) {
   while (!bytes.empty() && stage_ != Stage::kFailed) {
-    if (stage_ == Stage::kWhole) {
-      fail("bytes behind an answer");
+    if (stage_ == Stage::kComplete) {
+      fail("bytes after the end of a response");
     } else if (stage_ == Stage::kBody || stage_ == Stage::kChunk) {
       take_body(bytes);
     } else if (read_line(bytes)) {
@@ -48,16 +48,16 @@
 }
 
 void ResponseParser::feed_end() {
-  if (stage_ == Stage::kBody && !sized_) {
+  if (stage_ == Stage::kBody && !has_length_) {
     response_.keep_open = false;
-    stage_ = Stage::kWhole;
-  } else if (stage_ != Stage::kWhole) {
-    fail("the answer is cut short");
+    stage_ = Stage::kComplete;
+  } else if (stage_ != Stage::kComplete) {
+    fail("incomplete response");
   }
 }
 
 std::optional<Response> ResponseParser::take() {
-  if (stage_ != Stage::kWhole) {
+  if (stage_ != Stage::kComplete) {
     return std::nullopt;
   }
   std::optional<Response> out = std::move(response_);
@@ -65,18 +65,18 @@
   return out;
 }
 
-std::optional<std::string> ResponseParser::take_piece() {
+std::optional<std::string> ResponseParser::take_body_part() {
   const bool in_body = stage_ == Stage::kBody || stage_ == Stage::kChunkSize || stage_ == Stage::kChunk ||
                        stage_ == Stage::kChunkEnd;
   return in_body ? std::optional<std::string>(std::exchange(response_.body, {})) : std::nullopt;
 }
 
-// Gathers a line; true once it is whole, without its break.
+// Appends to the current line. Returns true once the line is complete; its line break is removed.
 bool ResponseParser::read_line(std::string_view& bytes) {
   const std::size_t end = bytes.find('\n');
   const std::size_t taken = end == std::string_view::npos ? bytes.size() : end + 1;
   if (line_.size() + taken > bounds_.line_bytes) {
-    fail("a line too long");
+    fail("line too long");
     return false;
   }
   line_ += bytes.substr(0, taken);
@@ -99,7 +99,7 @@
     const std::optional<std::size_t> status =
         line.size() >= 12 ? read_number<std::size_t>(line.substr(9, 3)) : std::nullopt;
     if (!line.starts_with("HTTP/1.") || !status) {
-      fail("not a status line");
+      fail("invalid status line");
       return;
     }
     response_.status = static_cast<int>(*status);
@@ -114,40 +114,40 @@
   } else if (stage_ == Stage::kChunkSize) {
     const std::optional<std::size_t> size = read_hex<std::size_t>(trimmed(line.substr(0, line.find(';'))));
     if (!size || *size > bounds_.body_bytes - response_.body.size()) {
-      fail("a bad chunk size");
+      fail("invalid chunk size");
       return;
     }
-    left_ = *size;
-    stage_ = left_ == 0 ? Stage::kTrailers : Stage::kChunk;
+    remaining_bytes_ = *size;
+    stage_ = remaining_bytes_ == 0 ? Stage::kTrailers : Stage::kChunk;
   } else if (stage_ == Stage::kChunkEnd) {
     if (!line.empty()) {
-      fail("a chunk longer than it said");
+      fail("chunk longer than its size");
       return;
     }
     stage_ = Stage::kChunkSize;
   } else if (line.empty()) {
-    stage_ = Stage::kWhole;
+    stage_ = Stage::kComplete;
   }
 }
 
 void ResponseParser::take_header(std::string_view line) {
   const std::size_t colon = line.find(':');
   if (colon == std::string_view::npos) {
-    fail("not a header line");
+    fail("invalid header line");
     return;
   }
   const std::string name = lower(line.substr(0, colon));
-  const std::string_view told = trimmed(line.substr(colon + 1));
-  const std::string value = lower(told);
-  response_.headers[name] = told;
+  const std::string_view trimmed_value = trimmed(line.substr(colon + 1));
+  const std::string value = lower(trimmed_value);
+  response_.headers[name] = trimmed_value;
   if (name == "content-length") {
     const std::optional<std::size_t> size = read_number<std::size_t>(value);
     if (!size || *size > bounds_.body_bytes) {
-      fail("a bad content length");
+      fail("invalid content length");
       return;
     }
-    left_ = *size;
-    sized_ = true;
+    remaining_bytes_ = *size;
+    has_length_ = true;
   } else if (name == "transfer-encoding") {
     chunked_ = value.find("chunked") != std::string::npos;
   } else if (name == "connection") {
@@ -157,32 +157,32 @@
 
 void ResponseParser::end_headers() {
   constexpr int kContinue = 100;
-  constexpr int kOkay = 200;
+  constexpr int kOk = 200;
   constexpr int kNoContent = 204;
   constexpr int kNotModified = 304;
-  if (response_.status >= kContinue && response_.status < kOkay) {
+  if (response_.status >= kContinue && response_.status < kOk) {
     *this = ResponseParser(bounds_);
   } else if (response_.status == kNoContent || response_.status == kNotModified) {
-    stage_ = Stage::kWhole;
+    stage_ = Stage::kComplete;
   } else if (chunked_) {
     stage_ = Stage::kChunkSize;
   } else {
-    stage_ = sized_ && left_ == 0 ? Stage::kWhole : Stage::kBody;
+    stage_ = has_length_ && remaining_bytes_ == 0 ? Stage::kComplete : Stage::kBody;
   }
 }
 
 void ResponseParser::take_body(std::string_view& bytes) {
-  const bool counted = stage_ == Stage::kChunk || sized_;
-  const std::string_view piece = counted ? bytes.substr(0, left_) : bytes;
+  const bool counted = stage_ == Stage::kChunk || has_length_;
+  const std::string_view piece = counted ? bytes.substr(0, remaining_bytes_) : bytes;
   if (response_.body.size() + piece.size() > bounds_.body_bytes) {
-    fail("a body too long");
+    fail("body too long");
     return;
   }
   response_.body += piece;
   bytes.remove_prefix(piece.size());
-  left_ -= counted ? piece.size() : 0;
-  if (counted && left_ == 0) {
-    stage_ = stage_ == Stage::kChunk ? Stage::kChunkEnd : Stage::kWhole;
+  remaining_bytes_ -= counted ? piece.size() : 0;
+  if (counted && remaining_bytes_ == 0) {
+    stage_ = stage_ == Stage::kChunk ? Stage::kChunkEnd : Stage::kComplete;
   }
 }
 
--- a/src/protocol/http_client.h
+++ b/src/protocol/http_client.h
@@ -1,5 +1,7 @@
-// The answers of an HTTP/1.1 server: a state machine that is fed bytes in any split. Bodies of a told length,
-// in chunks, or up to the end of the connection.
+// HTTP/1.1 for a client: an incremental parser of responses, which accepts bytes in any split, and writers of
+// requests. Bodies may have a Content-Length, be chunked, or end with the connection.
+//
+// Library `protocol`: no I/O and no clock.
 #pragma once
 
 #include <cstddef>
@@ -15,17 +17,17 @@
   int status = 0;
   std::string body;
   bool keep_open = true;
-  std::map<std::string, std::string> headers;  // by name in lower case; of a name that comes twice the last
+  std::map<std::string, std::string> headers;  // by name in lower case; the last one of a repeated name
 
-  // The value of a header, empty where it did not come.
+  // Returns the value of a header; empty if there is none.
   std::string header(const std::string& name) const {
     const auto found = headers.find(name);
     return found == headers.end() ? std::string() : found->second;
   }
 };
 
-// The wait that `Retry-After` names (RFC 9110, section 10.2.3): seconds, or a date, which is set against
-// `unix_s`. Nothing where it is neither.
+// Returns the wait in seconds of a `Retry-After` header (RFC 9110, section 10.2.3): a number of seconds, or a
+// date, which is compared with `unix_s`. Returns nothing if it is neither.
 std::optional<std::int64_t> read_retry_after(const std::string& value, std::int64_t unix_s);
 
 struct Bounds {
@@ -34,44 +36,46 @@
   std::size_t body_bytes = 8U << 20U;
 };
 
+// Parses the responses of one connection, one at a time.
 class ResponseParser {
  public:
   explicit ResponseParser(const Bounds& bounds) : bounds_(bounds) {}
 
-  // Takes bytes; one answer is awaited at a time, and what comes behind it is unreadable.
+  // Parses bytes. Bytes after a complete response that was not taken yet are an error.
   void feed(std::string_view bytes);
-  // The connection ended: that may complete a body without length.
+  // The connection has ended, which completes a body without a length.
   void feed_end();
 
-  // The answer once it is whole, taken out; the parser is then ready for the next.
+  // Returns the response once it is complete; the parser is then ready for the next one.
   std::optional<Response> take();
-  // What has come so far of the body of an answer that goes on, taken out: of one that is read as it comes.
-  // Nothing before its head is whole, and once the answer is.
-  std::optional<std::string> take_piece();
-  // Of the answer that is being read; 0 before its first line.
+  // Removes and returns the bytes received so far of an incomplete body, for a body that is read as a stream.
+  // Returns nothing before the headers are complete and after the response is complete.
+  std::optional<std::string> take_body_part();
+  // Returns the status of the response that is being received; 0 before its first line.
   int status() const { return response_.status; }
   bool failed() const { return stage_ == Stage::kFailed; }
-  const std::string& why() const { return why_; }
+  // Returns why a response is malformed; empty if none was.
+  const std::string& error() const { return error_; }
 
  private:
-  enum class Stage { kStatus, kHeaders, kBody, kChunkSize, kChunk, kChunkEnd, kTrailers, kWhole, kFailed };
+  enum class Stage { kStatus, kHeaders, kBody, kChunkSize, kChunk, kChunkEnd, kTrailers, kComplete, kFailed };
 
   bool read_line(std::string_view& bytes);
   void take_line();
   void take_header(std::string_view line);
   void end_headers();
   void take_body(std::string_view& bytes);
-  void fail(std::string why);
+  void fail(std::string error);
 
   Bounds bounds_;
   Stage stage_ = Stage::kStatus;
   Response response_;
   std::string line_;
   std::size_t lines_ = 0;
-  std::size_t left_ = 0;
+  std::size_t remaining_bytes_ = 0;
   bool chunked_ = false;
-  bool sized_ = false;
-  std::string why_;
+  bool has_length_ = false;
+  std::string error_;
 };
 
 std::string write_get(std::string_view path, std::string_view host);
--- a/src/protocol/http_request.cpp
+++ b/src/protocol/http_request.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::string_view kHeadEnd = "\r\n\r\n";
 
-bool same_word(std::string_view one, std::string_view other) {
+bool equal_ignoring_case(std::string_view one, std::string_view other) {
   return std::equal(one.begin(), one.end(), other.begin(), other.end(),
                     [](unsigned char a, unsigned char b) { return std::tolower(a) == std::tolower(b); });
 }
@@ -27,7 +27,7 @@
 
 void RequestParser::feed(std::string_view bytes) {
   if (!failed()) {
-    text_ += bytes;
+    buffer_ += bytes;
   }
 }
 
@@ -36,22 +36,22 @@
     return std::nullopt;
   }
   if (!head_) {
-    const std::size_t end = text_.find(kHeadEnd);
-    if (std::min(end, text_.size()) > bounds_.head_bytes) {
-      why_ = "a head too long";
+    const std::size_t end = buffer_.find(kHeadEnd);
+    if (std::min(end, buffer_.size()) > bounds_.head_bytes) {
+      error_ = "head too long";
       return std::nullopt;
     }
-    if (end == std::string::npos || !read_head(std::string_view(text_).substr(0, end))) {
+    if (end == std::string::npos || !read_head(std::string_view(buffer_).substr(0, end))) {
       return std::nullopt;
     }
-    text_.erase(0, end + kHeadEnd.size());
+    buffer_.erase(0, end + kHeadEnd.size());
   }
-  if (text_.size() < body_) {
+  if (buffer_.size() < body_bytes_) {
     return std::nullopt;
   }
   std::optional<Request> out = std::exchange(head_, std::nullopt);
-  out->body = text_.substr(0, body_);
-  text_.erase(0, std::exchange(body_, 0));
+  out->body = buffer_.substr(0, body_bytes_);
+  buffer_.erase(0, std::exchange(body_bytes_, 0));
   return out;
 }
 
@@ -60,7 +60,7 @@
   const std::size_t first = line.find(' ');
   const std::size_t second = line.rfind(' ');
   if (first == std::string_view::npos || second <= first || !line.substr(second + 1).starts_with("HTTP/1.")) {
-    why_ = "not a request line";
+    error_ = "invalid request line";
     return false;
   }
   Request request;
@@ -71,24 +71,24 @@
     const std::string_view header = next_line(head);
     const std::size_t colon = header.find(':');
     if (colon == std::string_view::npos) {
-      why_ = "not a header line";
+      error_ = "invalid header line";
       return false;
     }
     const std::string_view name = header.substr(0, colon);
     std::string_view value = header.substr(colon + 1);
     value.remove_prefix(std::min(value.find_first_not_of(" \t"), value.size()));
     value = value.substr(0, value.find_last_not_of(" \t") + 1);
-    if (same_word(name, "content-length")) {
+    if (equal_ignoring_case(name, "content-length")) {
       const auto size = read_number<std::size_t>(value);
       if (!size || *size > bounds_.body_bytes) {
-        why_ = "a body that is too long";
+        error_ = "invalid content length or body too long";
         return false;
       }
-      body_ = *size;
-    } else if (same_word(name, "transfer-encoding")) {
-      why_ = "a body in chunks";
+      body_bytes_ = *size;
+    } else if (equal_ignoring_case(name, "transfer-encoding")) {
+      error_ = "chunked body not supported";
       return false;
-    } else if (same_word(name, "connection") && same_word(value, "close")) {
+    } else if (equal_ignoring_case(name, "connection") && equal_ignoring_case(value, "close")) {
       request.keep_open = false;
     }
   }
--- a/src/protocol/http_request.h
+++ b/src/protocol/http_request.h
@@ -1,5 +1,7 @@
-// The requests that an HTTP/1.1 client sends: a state machine that is fed bytes in any split (RFC 9112).
-// Bodies of a told length only; one request is taken out at a time, what comes behind it waits.
+// HTTP/1.1 for a server (RFC 9112): an incremental parser of requests, which accepts bytes in any split, and
+// a writer of responses. A body needs a Content-Length; chunked bodies are an error.
+//
+// Library `protocol`: no I/O and no clock.
 #pragma once
 
 #include <cstddef>
@@ -11,7 +13,7 @@
 
 struct Request {
   std::string method;
-  std::string path;  // as it came, with its query
+  std::string path;  // as received, with its query
   std::string body;
   bool keep_open = true;
 };
@@ -21,27 +23,29 @@
   std::size_t body_bytes = 1U << 20U;
 };
 
+// Parses the requests of one connection. Requests after the first are buffered until they are taken.
 class RequestParser {
  public:
   explicit RequestParser(const RequestBounds& bounds) : bounds_(bounds) {}
 
   void feed(std::string_view bytes);
-  // The next whole request, taken out.
+  // Removes and returns the next complete request.
   std::optional<Request> take();
-  // What came can be no request; nothing is taken any more.
-  bool failed() const { return !why_.empty(); }
-  const std::string& why() const { return why_; }
-  // Bytes that wait to be taken.
-  std::size_t ahead() const { return text_.size(); }
+  // Returns whether a request was malformed. All further bytes are ignored.
+  bool failed() const { return !error_.empty(); }
+  // Returns why a request is malformed; empty if none was.
+  const std::string& error() const { return error_; }
+  // Returns the bytes of the buffered requests.
+  std::size_t buffered_bytes() const { return buffer_.size(); }
 
  private:
   bool read_head(std::string_view head);
 
   RequestBounds bounds_;
-  std::string text_;
-  std::optional<Request> head_;  // whose body is awaited
-  std::size_t body_ = 0;
-  std::string why_;
+  std::string buffer_;
+  std::optional<Request> head_;  // of a request whose body is incomplete
+  std::size_t body_bytes_ = 0;
+  std::string error_;
 };
 
 std::string write_response(int status, std::string_view reason, std::string_view headers,
--- a/src/protocol/json_fields.cpp
+++ b/src/protocol/json_fields.cpp
@@ -55,7 +55,7 @@
   return value->get<double>();
 }
 
-std::int64_t whole(const json& value, const char* key) {
+std::int64_t as_integer(const json& value, const char* key) {
   if (value.is_number_integer()) {
     return value.get<std::int64_t>();
   }
@@ -65,12 +65,12 @@
       return static_cast<std::int64_t>(number);
     }
   }
-  throw FormatError(std::string("not a whole number: ") + key);
+  throw FormatError(std::string("not an integer: ") + key);
 }
 
 std::int64_t integer_or_default(const json& object, const char* key, std::int64_t absent) {
   const json* value = find(object, key);
-  return value == nullptr ? absent : whole(*value, key);
+  return value == nullptr ? absent : as_integer(*value, key);
 }
 
 std::uint64_t id_at(const json& object, const char* key) {
@@ -78,7 +78,7 @@
   if (value.is_number_unsigned()) {
     return value.get<std::uint64_t>();
   }
-  const std::int64_t number = whole(value, key);
+  const std::int64_t number = as_integer(value, key);
   if (number < 0) {
     throw FormatError(std::string("negative id: ") + key);
   }
@@ -99,30 +99,30 @@
     return false;
   }
   if (!value->is_boolean()) {
-    throw FormatError(std::string("not a mark: ") + key);
+    throw FormatError(std::string("not a boolean: ") + key);
   }
   return value->get<bool>();
 }
 
-std::string text(const json& value, const char* key) {
+std::string as_string(const json& value, const char* key) {
   if (!value.is_string()) {
-    throw FormatError(std::string("not a text: ") + key);
+    throw FormatError(std::string("not a string: ") + key);
   }
   return value.get<std::string>();
 }
 
-std::string string_at(const json& object, const char* key) { return text(require(object, key), key); }
+std::string string_at(const json& object, const char* key) { return as_string(require(object, key), key); }
 
 std::string string_or_default(const json& object, const char* key, const char* absent) {
   const json* value = find(object, key);
-  return value == nullptr ? absent : text(*value, key);
+  return value == nullptr ? absent : as_string(*value, key);
 }
 
 std::uint64_t hex_at(const json& object, const char* key) {
   const std::string digits = string_at(object, key);
   const std::optional<std::uint64_t> value = read_hex<std::uint64_t>(digits);
   if (!value) {
-    throw FormatError(std::string("not an object: ") + key);
+    throw FormatError(std::string("not a hexadecimal number: ") + key);
   }
   return *value;
 }
@@ -134,7 +134,7 @@
     return kEmpty;
   }
   if (!value->is_object()) {
-    throw FormatError(std::string("not a section: ") + key);
+    throw FormatError(std::string("not an object: ") + key);
   }
   return *value;
 }
@@ -154,7 +154,7 @@
 std::vector<std::string> strings_at(const json& object, const char* key) {
   std::vector<std::string> values;
   for (const json& value : array_at(object, key)) {
-    values.push_back(text(value, key));
+    values.push_back(as_string(value, key));
   }
   return values;
 }
--- a/src/protocol/numbers.h
+++ b/src/protocol/numbers.h
@@ -1,4 +1,4 @@
-// A text that is one number and nothing else.
+// Parses texts that consist of one number.
 #pragma once
 
 #include <charconv>
@@ -10,7 +10,7 @@
 
 namespace trailcourse::protocol {
 
-// Nothing where other bytes stand before or behind it, where it is out of range, or not finite.
+// Returns nothing if the text has other bytes, or if the number is out of range or not finite.
 template <typename Number>
 std::optional<Number> read_number(std::string_view text) {
   Number value{};
@@ -23,6 +23,7 @@
   return good ? std::optional<Number>(value) : std::nullopt;
 }
 
+// As read_number(), for hexadecimal digits without a prefix.
 template <std::integral Number>
 std::optional<Number> read_hex(std::string_view text) {
   Number value{};
--- a/src/protocol/resp.cpp
+++ b/src/protocol/resp.cpp
@@ -13,12 +13,12 @@
 
 }  // namespace
 
-// Gathers a line; true once it is whole, without its break.
+// Appends to the current line. Returns true once the line is complete; its line break is removed.
 bool Parser::read_line(std::string_view& bytes) {
   const std::size_t end = bytes.find('\n');
   const std::size_t taken = end == std::string_view::npos ? bytes.size() : end + 1;
   if (line_.size() + taken > bounds_.line_bytes) {
-    return fail("a length line without end");
+    return fail("length line too long");
   }
   line_ += bytes.substr(0, taken);
   bytes.remove_prefix(taken);
@@ -26,95 +26,95 @@
     return false;
   }
   if (!line_.ends_with(kBreak)) {
-    return fail("a length line without its break");
+    return fail("length line without a line break");
   }
   line_.resize(line_.size() - kBreak.size());
   return true;
 }
 
-bool Parser::take_length() {
+bool Parser::parse_length() {
   const std::string line = std::exchange(line_, {});
   const char prefix = stage_ == Stage::kArray ? '*' : '$';
   if (line.empty() || line[0] != prefix) {
     return fail(std::string("not a ") + (prefix == '*' ? "array" : "bulk string"));
   }
-  const std::optional<std::size_t> told = read_number<std::size_t>(std::string_view(line).substr(1));
-  if (!told) {
-    return fail("a bad length");
+  const std::optional<std::size_t> value = read_number<std::size_t>(std::string_view(line).substr(1));
+  if (!value) {
+    return fail("invalid length");
   }
-  const std::size_t length = *told;
+  const std::size_t length = *value;
   if (stage_ == Stage::kArray) {
-    if (length == 0 || length > bounds_.words) {
-      return fail("an array of " + std::to_string(length));
+    if (length == 0 || length > bounds_.strings) {
+      return fail("array of " + std::to_string(length) + " strings");
     }
-    expected_ = length;
-    words_.clear();
+    remaining_strings_ = length;
+    strings_.clear();
     stage_ = Stage::kBulk;
     return true;
   }
-  const bool last = expected_ == 1;
-  if (length > (last ? bounds_.last_bytes : bounds_.word_bytes)) {
-    return fail("a string of " + std::to_string(length) + " bytes");
+  const bool last = remaining_strings_ == 1;
+  if (length > (last ? bounds_.last_bytes : bounds_.string_bytes)) {
+    return fail("string of " + std::to_string(length) + " bytes");
   }
-  left_ = length;
-  breaks_ = 0;
+  remaining_bytes_ = length;
+  line_break_bytes_ = 0;
   if (last) {
     stage_ = Stage::kLast;
   } else {
-    words_.emplace_back();
-    stage_ = Stage::kWord;
+    strings_.emplace_back();
+    stage_ = Stage::kString;
   }
   return true;
 }
 
-void Parser::read_word(std::string_view& bytes) {
-  const std::string_view piece = bytes.substr(0, left_);
-  words_.back() += piece;
+void Parser::read_string(std::string_view& bytes) {
+  const std::string_view piece = bytes.substr(0, remaining_bytes_);
+  strings_.back() += piece;
   bytes.remove_prefix(piece.size());
-  left_ -= piece.size();
-  if (left_ == 0) {
-    --expected_;
-    stage_ = Stage::kWordEnd;
+  remaining_bytes_ -= piece.size();
+  if (remaining_bytes_ == 0) {
+    --remaining_strings_;
+    stage_ = Stage::kStringEnd;
   }
 }
 
 bool Parser::read_break(std::string_view& bytes, Stage after) {
-  while (!bytes.empty() && breaks_ < kBreak.size()) {
-    if (bytes[0] != kBreak[breaks_]) {
-      return fail("a string longer than it said");
+  while (!bytes.empty() && line_break_bytes_ < kBreak.size()) {
+    if (bytes[0] != kBreak[line_break_bytes_]) {
+      return fail("string longer than its length");
     }
-    ++breaks_;
+    ++line_break_bytes_;
     bytes.remove_prefix(1);
   }
-  if (breaks_ < kBreak.size()) {
+  if (line_break_bytes_ < kBreak.size()) {
     return false;
   }
-  breaks_ = 0;
+  line_break_bytes_ = 0;
   stage_ = after;
   return true;
 }
 
-bool Parser::fail(std::string why) {
+bool Parser::fail(std::string reason) {
   stage_ = Stage::kFailed;
-  why_ = std::move(why);
+  error_ = std::move(reason);
   return false;
 }
 
-std::string write_array(const std::vector<std::string_view>& words) {
+std::string write_array(const std::vector<std::string_view>& strings) {
   std::size_t bytes = 16;
-  for (const std::string_view word : words) {
-    bytes += word.size() + 16;
+  for (const std::string_view string : strings) {
+    bytes += string.size() + 16;
   }
   std::string out;
   out.reserve(bytes);
   out += '*';
-  out += std::to_string(words.size());
+  out += std::to_string(strings.size());
   out += kBreak;
-  for (const std::string_view word : words) {
+  for (const std::string_view string : strings) {
     out += '$';
-    out += std::to_string(word.size());
+    out += std::to_string(string.size());
     out += kBreak;
-    out += word;
+    out += string;
     out += kBreak;
   }
   return out;
--- a/src/protocol/resp.h
+++ b/src/protocol/resp.h
@@ -1,5 +1,7 @@
-// RESP arrays of bulk strings: a state machine that is fed bytes in any split. The last string of a long
-// array is handed on piece by piece, so that a large one need not be held.
+// Incremental parser and writer of RESP arrays of bulk strings. The parser accepts bytes in any split. It
+// passes on the last string of an array piece by piece, so that a large one need not be buffered.
+//
+// Library `protocol`: no I/O and no clock.
 #pragma once
 
 #include <cstddef>
@@ -11,32 +13,34 @@
 
 namespace trailcourse::protocol::resp {
 
-// All strings of an array but its last have come; the last follows in pieces.
+// All strings of an array except the last were received; the last follows in pieces.
 struct ArrayHead {
-  std::vector<std::string> words;
-  std::size_t last_bytes = 0;
+  std::vector<std::string> strings;
+  std::size_t last_bytes = 0;  // of the last string
 };
 struct ArrayPiece {
   std::string_view bytes;  // valid during the call
 };
 struct ArrayEnd {};
+// A malformed message. No event follows.
 struct ParseError {
-  std::string why;
+  std::string reason;
 };
 using Event = std::variant<ArrayHead, ArrayPiece, ArrayEnd, ParseError>;
 
 struct Bounds {
-  std::size_t words = 8;                 // of one array
-  std::size_t word_bytes = 4096;         // but for the last
-  std::size_t last_bytes = 512U << 10U;  // objects hold 240,000 at most
-  std::size_t line_bytes = 32;           // of a length
+  std::size_t strings = 8;               // of one array
+  std::size_t string_bytes = 4096;       // of one string, except the last
+  std::size_t last_bytes = 512U << 10U;  // objects have 240,000 at most
+  std::size_t line_bytes = 32;           // of a length line
 };
 
 class Parser {
  public:
   explicit Parser(const Bounds& bounds) : bounds_(bounds) {}
 
-  // Hands each event to `sink` as it is found; the pieces point into `bytes`.
+  // Calls `sink` with each event. ArrayPiece refers to `bytes`. After ParseError all further bytes are
+  // ignored.
   template <typename Sink>
   void feed(std::string_view bytes, Sink sink) {
     while (!bytes.empty() && stage_ != Stage::kFailed) {
@@ -44,35 +48,35 @@
     }
   }
 
-  // Whether a part of an array has come whose rest is still awaited.
-  bool partial() const { return stage_ != Stage::kArray || !line_.empty(); }
+  // Returns whether an array was received in part.
+  bool has_partial_message() const { return stage_ != Stage::kArray || !line_.empty(); }
 
  private:
-  enum class Stage { kArray, kBulk, kWord, kWordEnd, kLast, kLastEnd, kFailed };
+  enum class Stage { kArray, kBulk, kString, kStringEnd, kLast, kLastEnd, kFailed };
 
   template <typename Sink>
   void step(std::string_view& bytes, Sink& sink) {
     switch (stage_) {
       case Stage::kArray:
       case Stage::kBulk:
-        if (read_line(bytes) && take_length() && stage_ == Stage::kLast) {
-          sink(Event(ArrayHead{std::exchange(words_, {}), left_}));
+        if (read_line(bytes) && parse_length() && stage_ == Stage::kLast) {
+          sink(Event(ArrayHead{std::exchange(strings_, {}), remaining_bytes_}));
         }
         break;
-      case Stage::kWord:
-        read_word(bytes);
+      case Stage::kString:
+        read_string(bytes);
         break;
-      case Stage::kWordEnd:
+      case Stage::kStringEnd:
         read_break(bytes, Stage::kBulk);
         break;
       case Stage::kLast: {
-        const std::string_view piece = bytes.substr(0, left_);
+        const std::string_view piece = bytes.substr(0, remaining_bytes_);
         bytes.remove_prefix(piece.size());
-        left_ -= piece.size();
+        remaining_bytes_ -= piece.size();
         if (!piece.empty()) {
           sink(Event(ArrayPiece{piece}));
         }
-        stage_ = left_ == 0 ? Stage::kLastEnd : Stage::kLast;
+        stage_ = remaining_bytes_ == 0 ? Stage::kLastEnd : Stage::kLast;
         break;
       }
       case Stage::kLastEnd:
@@ -84,26 +88,27 @@
         break;
     }
     if (stage_ == Stage::kFailed) {
-      sink(Event(ParseError{why_}));
+      sink(Event(ParseError{error_}));
     }
   }
 
   bool read_line(std::string_view& bytes);
-  bool take_length();
-  void read_word(std::string_view& bytes);
+  bool parse_length();
+  void read_string(std::string_view& bytes);
   bool read_break(std::string_view& bytes, Stage after);
-  bool fail(std::string why);
+  bool fail(std::string reason);
 
   Bounds bounds_;
   Stage stage_ = Stage::kArray;
   std::string line_;
-  std::vector<std::string> words_;
-  std::size_t expected_ = 0;  // strings still to come
-  std::size_t left_ = 0;      // bytes of the one at hand
-  std::size_t breaks_ = 0;    // of the line break behind it
-  std::string why_;
+  std::vector<std::string> strings_;
+  std::size_t remaining_strings_ = 0;  // of the current array
+  std::size_t remaining_bytes_ = 0;    // of the current string
+  std::size_t line_break_bytes_ = 0;   // of the line break after it
+  std::string error_;
 };
 
-std::string write_array(const std::vector<std::string_view>& words);
+// Returns the strings as a RESP array.
+std::string write_array(const std::vector<std::string_view>& strings);
 
 }  // namespace trailcourse::protocol::resp
--- a/src/protocol/settings.h
+++ b/src/protocol/settings.h
@@ -1,4 +1,6 @@
-// The settings that a router is given, read from their JSON; the bench adapter and the router share this.
+// Reads the settings of a router from JSON, for the router and the bench adapter.
+//
+// Library `protocol`: no I/O and no clock.
 #pragma once
 
 #include <trailcourse/decider.h>
@@ -10,7 +12,7 @@
 
 namespace trailcourse::protocol {
 
-// The module's settings, and what else of them is needed for reading messages.
+// The settings of the decision module, and the settings that are needed for reading messages.
 struct Profile {
   Settings settings;
   std::unordered_map<std::string, int> class_index;
@@ -18,17 +20,19 @@
   std::vector<std::string> report_fields;
   int parent_kind = -1;
   int origin_kind = -1;
-  Micros connection_idle{0};  // 0: not told
+  Micros connection_idle{0};  // 0: not set
   Micros connect_timeout{0};
   int streams_per_connection = 0;
-  int most_open = 0;
+  int max_open_requests = 0;
 
+  // Returns the role of an endpoint by its kind; a cache if the kind is unknown.
   Role role_of(const std::string& kind) const;
 };
 
+// Throws FormatError if a value has the wrong type.
 Profile read_profile(const nlohmann::json& profile);
 
-// Sets the value of a field named as in the settings; others are passed over.
+// Sets the value of a field that has this name in the settings; ignores unknown names.
 void set_report_value(LoadReport& report, const std::string& field, double value);
 
 }  // namespace trailcourse::protocol
--- a/src/routing/cache_client.cpp
+++ b/src/routing/cache_client.cpp
@@ -40,7 +40,7 @@
 CacheConnection::CacheConnection(CacheClient& client, const std::weak_ptr<Pool::Slot>& slot)
     : client_(client), slot_(slot), parser_(client.bounds_.answers) {}
 
-void CacheConnection::send(const AttemptKey& key, const protocol::Passed& passed, std::string command,
+void CacheConnection::send(const AttemptKey& key, const protocol::ForwardedRequest& passed, std::string command,
                      bool streaming) {
   const std::shared_ptr<Pool::Slot> slot = slot_.lock();
   Call& call = calls_[passed.id];
@@ -114,7 +114,7 @@
 // more use, and what is out on it goes on elsewhere. This also ends one to a machine that vanished in
 // mid-answer. It would harm a cache that pauses for longer within an answer and then goes on.
 void CacheConnection::watch_progress() {
-  if (stall_timer_ || !parser_.partial()) {
+  if (stall_timer_ || !parser_.has_partial_message()) {
     return;
   }
   const std::shared_ptr<Pool::Slot> slot = slot_.lock();
@@ -127,7 +127,7 @@
     const std::shared_ptr<Pool::Slot> late = slot_.lock();
     const bool stalled =
         late && late->connection->last_received() + client_.bounds_.stall_after <= Clock::now();
-    if (stalled && parser_.partial()) {
+    if (stalled && parser_.has_partial_message()) {
       log_line(Level::kDebug) << "cache " << late->peer << " stopped within an answer, " << calls_.size()
                               << " out";
       late->connection->close(ConnectionEnd::kSilent);
@@ -149,7 +149,7 @@
 }
 
 void CacheConnection::take(const protocol::resp::ArrayHead& head) {
-  words_ = head.words;
+  words_ = head.strings;
   body_.clear();
   const auto found = words_.empty() ? calls_.end() : calls_.find(words_[0]);
   // A second copy, a late answer, one that nobody asked for: read past, and not held.
@@ -231,7 +231,7 @@
   client_.router_.attempt_ended(key, std::move(result));
 }
 
-void CacheConnection::take(const protocol::resp::ParseError& unreadable) { end_unreadable(unreadable.why); }
+void CacheConnection::take(const protocol::resp::ParseError& unreadable) { end_unreadable(unreadable.reason); }
 
 void CacheConnection::end_unreadable(std::string_view why) {
   if (const std::shared_ptr<Pool::Slot> slot = slot_.lock()) {
@@ -274,7 +274,7 @@
 
 void CacheClient::send(const AttemptKey& key, const SendAttempt& order,
                        const std::shared_ptr<const void>& passed, bool streaming) {
-  const auto request = std::static_pointer_cast<const protocol::Passed>(passed);
+  const auto request = std::static_pointer_cast<const protocol::ForwardedRequest>(passed);
   const std::optional<transport::Address> address = directory_.find(order.cache);
   if (!address) {
     fail_later(key, ConnectionEnd::kUnreachable);
--- a/src/routing/cache_client.h
+++ b/src/routing/cache_client.h
@@ -31,7 +31,7 @@
 
   // Whether the id is in use here, or may still be answered: it was given up, or an answer may come twice.
   bool knows(const std::string& id) const { return calls_.contains(id) || spent_.contains(id); }
-  void send(const AttemptKey& key, const protocol::Passed& passed, std::string command, bool streaming);
+  void send(const AttemptKey& key, const protocol::ForwardedRequest& passed, std::string command, bool streaming);
   void cancel(const std::string& id);
 
   void on_bytes(std::string_view bytes) override;
@@ -86,7 +86,7 @@
   CacheClient(transport::Scheduler& scheduler, Router& router, const Directory& directory,
               std::vector<std::string> report_fields, const Bounds& bounds);
 
-  // `passed` is a protocol::Passed.
+  // `passed` is a protocol::ForwardedRequest.
   void send(const AttemptKey& key, const SendAttempt& order, const std::shared_ptr<const void>& passed,
             bool streaming) override;
   void cancel(const AttemptKey& key) override;
--- a/src/routing/discovery_update_handler.cpp
+++ b/src/routing/discovery_update_handler.cpp
@@ -24,37 +24,37 @@
   for (const std::string& why : page.skipped) {
     log_line(Level::kWarning) << "notice board: skipped " << why;
   }
-  for (const protocol::Notice& notice : page.notices) {
-    if (notice.number <= last_) {
+  for (const protocol::DiscoveryUpdate& notice : page.updates) {
+    if (notice.sequence <= last_) {
       continue;  // taken in before
     }
-    if (notice.number != last_ + 1 && last_ > 0) {
-      log_line(Level::kWarning) << "notice board: event " << notice.number << " follows " << last_;
+    if (notice.sequence != last_ + 1 && last_ > 0) {
+      log_line(Level::kWarning) << "notice board: event " << notice.sequence << " follows " << last_;
     }
-    last_ = notice.number;
-    std::visit([this](const auto& one) { take(one); }, notice.what);
+    last_ = notice.sequence;
+    std::visit([this](const auto& one) { take(one); }, notice.change);
   }
   // A page may end in events that are not known here or cannot be used.
-  last_ = std::max(last_, page.highest);
-  if (page.last < last_) {
-    log_line(Level::kWarning) << "notice board: its last event is " << page.last << ", ours " << last_;
+  last_ = std::max(last_, page.highest_sequence);
+  if (page.last_sequence < last_) {
+    log_line(Level::kWarning) << "notice board: its last event is " << page.last_sequence << ", ours " << last_;
   }
 }
 
 void DiscoveryUpdateHandler::take(const protocol::EndpointsChanged& pool) {
   EndpointListReceived list;
   const bool first = !std::exchange(listed_, true);
-  const bool whole = pool.whole || first;
+  const bool whole = pool.complete || first;
   list.kind = whole ? ListKind::kFull : ListKind::kChanges;
   const auto before = whole ? known_ : decltype(known_)();
   std::set<std::string> named;
-  for (const protocol::ListedEndpoint& cache : pool.caches) {
-    named.insert(cache.entry.address);
+  for (const protocol::ListedEndpoint& cache : pool.endpoints) {
+    named.insert(cache.endpoint.address);
     if (!place(cache)) {
       continue;
     }
-    Endpoint entry = cache.entry;
-    entry.started = cache.since_ms > 0 ? ModuleClock::after_unix_ms(cache.since_ms) : Micros(0);
+    Endpoint entry = cache.endpoint;
+    entry.started = cache.started_unix_ms > 0 ? ModuleClock::after_unix_ms(cache.started_unix_ms) : Micros(0);
     list.entries.push_back(std::move(entry));
   }
   for (const auto& [name, state] : before) {
@@ -72,33 +72,33 @@
 
 // Keeps the address; false where the entry cannot be used.
 bool DiscoveryUpdateHandler::place(const protocol::ListedEndpoint& cache) {
-  const std::string& name = cache.entry.address;
+  const std::string& name = cache.endpoint.address;
   const std::optional<transport::Address> old = directory_.find(name);
   const std::optional<transport::Address> address = transport::parse_address(cache.address);
-  if (!address && cache.entry.state == NodeState::kReady && !old) {
+  if (!address && cache.endpoint.state == NodeState::kReady && !old) {
     log_line(Level::kWarning) << "notice board: cache " << name << " has no usable address";
     return false;
   }
-  const std::pair<NodeState, std::int64_t> state(cache.entry.state, cache.since_ms);
+  const std::pair<NodeState, std::int64_t> state(cache.endpoint.state, cache.started_unix_ms);
   const auto found = known_.find(name);
   if (found == known_.end() || found->second != state) {
-    log_line(Level::kInfo) << "cache " << name << " is " << state_name(cache.entry.state)
-                           << (cache.since_ms > 0 ? ", started late" : "");
+    log_line(Level::kInfo) << "cache " << name << " is " << state_name(cache.endpoint.state)
+                           << (cache.started_unix_ms > 0 ? ", started late" : "");
   }
-  if (cache.entry.state == NodeState::kGone) {
+  if (cache.endpoint.state == NodeState::kGone) {
     leave_out(name);
     return true;
   }
   if (address) {
     // Another address, or another process at the same one: the old connections lead nowhere.
-    const bool restarted = found != known_.end() && found->second.second != cache.since_ms;
+    const bool restarted = found != known_.end() && found->second.second != cache.started_unix_ms;
     if (old && (*old != *address || restarted)) {
       unwanted_(name);
     }
     directory_.set(name, *address);
   }
   known_[name] = state;
-  if (cache.entry.state == NodeState::kReady) {
+  if (cache.endpoint.state == NodeState::kReady) {
     up_.insert(name);
   } else {
     up_.erase(name);
@@ -121,7 +121,7 @@
   purged.group = flush.group;
   log_line(Level::kDebug) << "purge of " << (flush.whole_group ? "group " : "object ")
                           << (flush.whole_group ? flush.group : flush.object);
-  router_.purged(purged, ModuleClock::after_unix_ms(flush.at_ms));
+  router_.purged(purged, ModuleClock::after_unix_ms(flush.purged_unix_ms));
 }
 
 }  // namespace trailcourse::routing
--- a/src/routing/fastcgi_server.cpp
+++ b/src/routing/fastcgi_server.cpp
@@ -114,7 +114,7 @@
 using FieldFault = std::optional<std::string_view>;
 
 FieldFault read_class(const fastcgi::Parameters& parameters,
-                      const std::unordered_map<std::string, int>& class_index, protocol::Passed& passed,
+                      const std::unordered_map<std::string, int>& class_index, protocol::ForwardedRequest& passed,
                       RequestArrived& arrived) {
   const std::string path = field(parameters, "SCRIPT_NAME");
   if (!path.starts_with(kPathPrefix)) {
@@ -129,7 +129,7 @@
   return std::nullopt;
 }
 
-FieldFault read_call(const fastcgi::RequestReceived& read, protocol::Passed& passed, ParsedRequest& out) {
+FieldFault read_call(const fastcgi::RequestReceived& read, protocol::ForwardedRequest& passed, ParsedRequest& out) {
   passed.id = field(read.parameters, "HTTP_X_CALL_ID");
   if (passed.id.size() != kHexDigits || !all_of(passed.id, is_hex)) {
     return "X-Call-Id";
@@ -149,7 +149,7 @@
 }
 
 FieldFault read_object(const fastcgi::Parameters& parameters, const ClassSettings& kind,
-                       protocol::Passed& passed, RequestArrived& arrived) {
+                       protocol::ForwardedRequest& passed, RequestArrived& arrived) {
   passed.object = field(parameters, "HTTP_X_ENTITY");
   if (!passed.object.empty() || !kind.uncached) {
     const std::optional<ObjectId> object = protocol::read_hex<ObjectId>(passed.object);
@@ -190,7 +190,7 @@
 }
 
 FieldFault read_key_and_tag(const fastcgi::Parameters& parameters, const ClassSettings& kind,
-                            protocol::Passed& passed) {
+                            protocol::ForwardedRequest& passed) {
   const bool key_needed = kind.idempotency == Idempotency::kKeyed;
   passed.dedupe_key = field(parameters, "HTTP_X_DEDUPE_KEY");
   if ((key_needed || !passed.dedupe_key.empty()) && !all_of(passed.dedupe_key, is_plain)) {
@@ -209,7 +209,7 @@
                          const Settings& settings) {
   ParsedRequest out;
   RequestArrived& arrived = out.request.told;
-  auto passed = std::make_shared<protocol::Passed>();
+  auto passed = std::make_shared<protocol::ForwardedRequest>();
   FieldFault fault = read_class(read.parameters, class_index, *passed, arrived);
   if (!fault) {
     const ClassSettings& kind = settings.classes[static_cast<std::size_t>(arrived.request_class)];
@@ -237,7 +237,7 @@
       answers_(front.bounds_.record_bytes) {}
 
 void FastCgiConnection::on_bytes(std::string_view bytes) {
-  const bool awaited = parser_.partial() || !useful_;
+  const bool awaited = parser_.has_partial_message() || !useful_;
   std::vector<fastcgi::Event> events;
   parser_.feed(bytes, events);
   // What completes one message is no half one, however much of the next has come with it.
@@ -346,7 +346,7 @@
 
 void FastCgiConnection::take(fastcgi::RequestRejected&& rejected) {
   log_line(Level::kWarning) << "request from " << to_string(connection_.peer())
-                            << " rejected: " << rejected.why;
+                            << " rejected: " << rejected.reason;
   if (rejected.answered) {
     answer(rejected.key, cgi_head(400, "Bad Request") + "\r\n");
   } else {
@@ -372,7 +372,7 @@
 
 void FastCgiConnection::take(fastcgi::ParseError&& unreadable) {
   log_line(Level::kWarning) << "connection from " << to_string(connection_.peer())
-                            << " cannot be read: " << unreadable.why;
+                            << " cannot be read: " << unreadable.reason;
   connection_.close(ConnectionEnd::kMalformed);
 }
 
--- a/src/routing/fastcgi_server.h
+++ b/src/routing/fastcgi_server.h
@@ -49,17 +49,17 @@
   bool quiet() const { return open_.empty() && answers_.empty() && connection_.waiting() == 0; }
   // Nothing is owed, and either a whole message has come and no part of another, or none ever came that could
   // be used: closing it costs no request that could be served.
-  bool closable() const { return quiet() && (!useful_ || !parser_.partial()) && !connection_.ended(); }
+  bool closable() const { return quiet() && (!useful_ || !parser_.has_partial_message()) && !connection_.ended(); }
   // Nothing is owed, and since `before` it has neither brought its first usable request nor the rest of one.
   bool overdue(transport::Clock::time_point before) const {
-    return quiet() && (!useful_ || parser_.partial()) && awaited_since_ < before && !connection_.ended();
+    return quiet() && (!useful_ || parser_.has_partial_message()) && awaited_since_ < before && !connection_.ended();
   }
   // Those that never brought a usable request come first, then those unused for longest.
   std::pair<bool, transport::Clock::time_point> worth() const {
     return {useful_, connection_.last_received()};
   }
   // A request is on its way: some of it has come.
-  bool has_partial_request() const { return useful_ && parser_.partial() && !connection_.ended(); }
+  bool has_partial_request() const { return useful_ && parser_.has_partial_message() && !connection_.ended(); }
   transport::Clock::time_point since() const { return since_; }
   std::size_t partial_bytes() const { return counted_partial_; }
   transport::Connection& connection() { return connection_; }
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -19,7 +19,7 @@
 
 namespace trailcourse::routing {
 
-// What a client asked for: the fields that decisions need. `Passed` is what goes on as it came; the protocol
+// What a client asked for: the fields that decisions need. `ForwardedRequest` is what goes on as it came; the protocol
 // that took it in and the one that sends it on agree on its content.
 struct ClientRequest {
   RequestArrived told;  // without id and due
--- a/src/tasks/health_check_task.cpp
+++ b/src/tasks/health_check_task.cpp
@@ -43,7 +43,7 @@
   void on_bytes(std::string_view bytes) override {
     parser_.feed(bytes, [this](const protocol::resp::Event& event) {
       if (const auto* head = std::get_if<protocol::resp::ArrayHead>(&event)) {
-        up_ = head->words.size() >= 2 && head->words[0] == "probe" && head->words[1] == "UP";
+        up_ = head->strings.size() >= 2 && head->strings[0] == "probe" && head->strings[1] == "UP";
       } else if (std::holds_alternative<protocol::resp::ArrayEnd>(event)) {
         report(up_);
       } else if (std::holds_alternative<protocol::resp::ParseError>(event)) {
@@ -63,7 +63,7 @@
  private:
   static protocol::resp::Bounds bounds() {
     protocol::resp::Bounds bounds;
-    bounds.words = 4;
+    bounds.strings = 4;
     return bounds;
   }
 
--- a/src/tasks/prefetch_task.cpp
+++ b/src/tasks/prefetch_task.cpp
@@ -220,7 +220,7 @@
 void PrefetchTask::request_object(std::size_t index) {
   const std::string& object = plan_->object(index);
   const std::size_t slash = object.find('/');
-  auto passed = std::make_shared<protocol::Passed>();
+  auto passed = std::make_shared<protocol::ForwardedRequest>();
   passed->id = format_request_id(++last_request_id_);
   passed->request_class = order_->request_class;
   passed->object = object.substr(0, slash);
