--- a/tests/cache_node_test.cpp
+++ b/tests/cache_node_test.cpp
@@ -60,7 +60,7 @@
 }
 
 struct Got {
-  std::string word;
+  std::string code;
   std::map<std::string, std::string> fields;
   std::string body;
 };
@@ -131,13 +131,13 @@
     }
     parser_.feed(std::string_view(buffer, static_cast<std::size_t>(count)), [this](const auto& event) {
       if (const auto* head = std::get_if<protocol::resp::ArrayHead>(&event)) {
-        words_ = head->words;
+        words_ = head->strings;
         body_.clear();
       } else if (const auto* piece = std::get_if<protocol::resp::ArrayPiece>(&event)) {
         body_ += piece->bytes;
       } else if (std::holds_alternative<protocol::resp::ArrayEnd>(event)) {
         Got got;
-        got.word = words_.at(1);
+        got.code = words_.at(1);
         std::istringstream list(words_.at(2));
         for (std::string field; std::getline(list, field, ',');) {
           got.fields[field.substr(0, field.find('='))] = field.substr(field.find('=') + 1);
@@ -284,7 +284,7 @@
   }
   // What was served must be one version of that item, whole.
   static void expect_right(const Got& got, const std::string& item) {
-    ASSERT_EQ(got.word, "OK");
+    ASSERT_EQ(got.code, "OK");
     const int version = std::stoi(got.fields.at("sum").substr(1));
     ASSERT_EQ(got.body, bytes_of(item, version));
   }
@@ -312,7 +312,7 @@
     for (const bool heard : {false, true}) {
       if (heard) {
         ASSERT_TRUE(node.await_log("disk tier open", round + 1)) << node.log();
-        ASSERT_TRUE(node.await_log("board was heard", round + 1)) << node.log();
+        ASSERT_TRUE(node.await_log("received discovery events", round + 1)) << node.log();
       }
       Peer peer(node.port());
       for (int i = 0; i < kItems; ++i) {
@@ -324,14 +324,14 @@
       for (int i = 0; i < kItems; ++i) {
         const std::optional<Got> got = peer.read("h" + std::to_string(i));
         ASSERT_TRUE(got.has_value()) << node.log();
-        if (got->word == "OK") {
+        if (got->code == "OK") {
           expect_right(*got, item_of(i));
           ++from_disk;
           const auto purge = purged.find(item_of(i));
           ASSERT_TRUE(purge == purged.end() || std::stoll(got->fields.at("t0")) > purge->second)
               << "round " << round << ": a copy from before its purge";
         } else {
-          ASSERT_EQ(got->word, "MISS");
+          ASSERT_EQ(got->code, "MISS");
         }
       }
     }
@@ -351,7 +351,7 @@
           if (!got) {
             return;
           }
-          if (got->word == "OK") {
+          if (got->code == "OK") {
             expect_right(*got, item);
           }
         }
@@ -565,7 +565,7 @@
     EXPECT_EQ(peer.ask("1", fields(item_of(3)))->fields["tell"], "fill");
     EXPECT_EQ(peer.ask("2", fields(item_of(3)))->fields["tell"], "warm");
     Got same = *peer.ask("3", fields(item_of(3), "next=origin,cached=v1"));
-    EXPECT_EQ(same.word, "SAME");
+    EXPECT_EQ(same.code, "SAME");
     EXPECT_TRUE(same.body.empty());
   }
   EXPECT_EQ(node.end(), 0) << node.log();
@@ -574,7 +574,7 @@
   ASSERT_TRUE(node.await_log("disk tier open", 2));
   const std::optional<Got> got = peer.ask("d", fields(item_of(3), ""));
   ASSERT_TRUE(got.has_value());
-  ASSERT_EQ(got->word, "OK") << node.log();
+  ASSERT_EQ(got->code, "OK") << node.log();
   expect_right(*got, item_of(3));
   EXPECT_EQ(origin_.count("serve"), 1U);
 }
@@ -586,7 +586,7 @@
     const auto got =
         peer.ask("w" + std::to_string(i), "cls=entry,limit=3000,nonce=k1,next=origin", "payload");
     ASSERT_TRUE(got.has_value());
-    EXPECT_EQ(got->word, "OK");
+    EXPECT_EQ(got->code, "OK");
   }
   EXPECT_EQ(origin_.count("serve"), 3U);
   EXPECT_EQ(origin_.seen()[0].body, "payload");
@@ -598,9 +598,9 @@
   Peer peer(node.port());
   ASSERT_TRUE(peer.send(protocol::resp::write_array({"health", "t1"}) +
                         protocol::resp::write_array({"gauges", "t2"})));
-  EXPECT_EQ(peer.read("t1")->word, "UP");
+  EXPECT_EQ(peer.read("t1")->code, "UP");
   const Got gauges = *peer.read("t2");
-  EXPECT_EQ(gauges.word, "UP");
+  EXPECT_EQ(gauges.code, "UP");
   EXPECT_EQ(gauges.fields.at("meter").rfind("inflight:0;util:", 0), 0U);
 }
 
@@ -630,7 +630,7 @@
   for (const auto& [text, why] : faults) {
     std::optional<Got> got = good.ask("b" + std::to_string(++number), text);
     ASSERT_TRUE(got.has_value()) << text;
-    EXPECT_EQ(got->word, "ERR") << text;
+    EXPECT_EQ(got->code, "ERR") << text;
     EXPECT_EQ(got->fields["why"].rfind(why, 0), 0U) << text << ": " << got->fields["why"];
   }
   ASSERT_TRUE(good.send(protocol::resp::write_array({"dance", "x1"})));
@@ -710,7 +710,7 @@
   for (int i = 5; i < 200; ++i) {
     const std::optional<Got> got = peer.read("c" + std::to_string(i), milliseconds(2'000));
     ASSERT_TRUE(got.has_value()) << i;
-    busy += got->word == "BUSY" ? 1 : 0;
+    busy += got->code == "BUSY" ? 1 : 0;
   }
   EXPECT_EQ(busy, 195);
 }
@@ -728,7 +728,7 @@
   Peer peer(node.port());
   const std::optional<Got> got = peer.ask("1", fields(item_of(1)));
   ASSERT_TRUE(got.has_value()) << node.log();
-  EXPECT_TRUE(got->word == "OK" || got->word == "MISS");
+  EXPECT_TRUE(got->code == "OK" || got->code == "MISS");
   EXPECT_TRUE(node.alive());
 }
 
@@ -842,7 +842,7 @@
     for (int i = 0; !warm && SteadyClock::now() < until; ++i) {
       const std::optional<Got> got = peer.ask("e" + std::to_string(i), fields(item_of(i % 40), ""));
       ASSERT_TRUE(got.has_value());
-      warm = got->word == "OK";
+      warm = got->code == "OK";
     }
     EXPECT_TRUE(warm);
   }
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -76,7 +76,7 @@
   EXPECT_EQ(to_string(configuration.board), "127.0.0.1:2379");
   EXPECT_EQ(configuration.seed, 0x8c1f30d27a5be964U);
   EXPECT_EQ(configuration.sockets, 256);
-  EXPECT_EQ(configuration.known.notices.size(), 1U);
+  EXPECT_EQ(configuration.known.updates.size(), 1U);
   EXPECT_EQ(configuration.profile.connection_idle, std::chrono::seconds(15));
   EXPECT_EQ(configuration.profile.connect_timeout, std::chrono::milliseconds(400));
   EXPECT_EQ(configuration.profile.streams_per_connection, 32);
--- a/tests/discovery_client_test.cpp
+++ b/tests/discovery_client_test.cpp
@@ -44,7 +44,7 @@
     for (std::size_t step = 1; step <= bytes.size(); ++step) {
       protocol::http::ResponseParser parser{protocol::http::Bounds()};
       const auto response = read_http(parser, bytes, step);
-      ASSERT_TRUE(response.has_value()) << parser.why() << " at step " << step;
+      ASSERT_TRUE(response.has_value()) << parser.error() << " at step " << step;
       EXPECT_EQ(response->status, 200);
       EXPECT_EQ(response->body, "hello");
       EXPECT_TRUE(response->keep_open);
@@ -91,7 +91,7 @@
     protocol::http::ResponseParser parser{protocol::http::Bounds()};
     read_http(parser, bytes, bytes.size());
     EXPECT_TRUE(parser.failed()) << bytes.substr(0, 60);
-    EXPECT_FALSE(parser.why().empty());
+    EXPECT_FALSE(parser.error().empty());
   }
 }
 
@@ -104,22 +104,22 @@
       {"rev":42,"flush":{"asset":"7f3a9c21e0b4d655","ms":1764576000123}},
       {"rev":43,"flush":{"collection":17,"ms":1764576000480}}]})",
       plain_profile());
-  EXPECT_EQ(page.last, 43U);
-  EXPECT_EQ(page.highest, 43U);
+  EXPECT_EQ(page.last_sequence, 43U);
+  EXPECT_EQ(page.highest_sequence, 43U);
   EXPECT_TRUE(page.skipped.empty());
-  ASSERT_EQ(page.notices.size(), 3U);
-  const auto& pool = std::get<protocol::EndpointsChanged>(page.notices[0].what);
-  EXPECT_FALSE(pool.whole);
-  ASSERT_EQ(pool.caches.size(), 1U);
-  EXPECT_EQ(pool.caches[0].entry.address, "s-00c41f7a");
-  EXPECT_EQ(pool.caches[0].entry.state, NodeState::kDraining);
-  EXPECT_EQ(pool.caches[0].address, "10.1.0.9:4100");
-  EXPECT_EQ(pool.caches[0].since_ms, 12);
-  EXPECT_EQ(std::get<protocol::PurgeReceived>(page.notices[1].what).object, 0x7f3a9c21e0b4d655U);
-  const auto& group = std::get<protocol::PurgeReceived>(page.notices[2].what);
+  ASSERT_EQ(page.updates.size(), 3U);
+  const auto& pool = std::get<protocol::EndpointsChanged>(page.updates[0].change);
+  EXPECT_FALSE(pool.complete);
+  ASSERT_EQ(pool.endpoints.size(), 1U);
+  EXPECT_EQ(pool.endpoints[0].endpoint.address, "s-00c41f7a");
+  EXPECT_EQ(pool.endpoints[0].endpoint.state, NodeState::kDraining);
+  EXPECT_EQ(pool.endpoints[0].address, "10.1.0.9:4100");
+  EXPECT_EQ(pool.endpoints[0].started_unix_ms, 12);
+  EXPECT_EQ(std::get<protocol::PurgeReceived>(page.updates[1].change).object, 0x7f3a9c21e0b4d655U);
+  const auto& group = std::get<protocol::PurgeReceived>(page.updates[2].change);
   EXPECT_TRUE(group.whole_group);
   EXPECT_EQ(group.group, 17U);
-  EXPECT_EQ(group.at_ms, 1764576000480);
+  EXPECT_EQ(group.purged_unix_ms, 1764576000480);
 }
 
 TEST(NoticeBoard, PagesThatAreNoneAreToldAsSuch) {
@@ -137,18 +137,18 @@
       {"rev":7,"pool":{"endpoints":[{"name":""},{"name":"a,b"},{"address":"x"},{"name":"c","status":"odd"},5,
         {"name":"d","weight":-1},{"name":"d","since_ms":-1},{"name":"d","weight":"x"},{"name":"good"}]}}]})",
       plain_profile());
-  ASSERT_EQ(page.notices.size(), 1U);
-  const auto& pool = std::get<protocol::EndpointsChanged>(page.notices[0].what);
-  ASSERT_EQ(pool.caches.size(), 1U);
-  EXPECT_EQ(pool.caches[0].entry.address, "good");
+  ASSERT_EQ(page.updates.size(), 1U);
+  const auto& pool = std::get<protocol::EndpointsChanged>(page.updates[0].change);
+  ASSERT_EQ(pool.endpoints.size(), 1U);
+  EXPECT_EQ(pool.endpoints[0].endpoint.address, "good");
   EXPECT_EQ(page.skipped.size(), 14U);
-  EXPECT_EQ(page.highest, 7U) << "a number beyond the page is not believed";
+  EXPECT_EQ(page.highest_sequence, 7U) << "a number beyond the page is not believed";
 }
 
 // A page of which nothing can be read would else be asked for again and again.
 TEST(NoticeBoard, APageOfNothingUsableIsPassed) {
-  EXPECT_EQ(protocol::parse_discovery_page(R"({"rev":9,"notices":[{"x":1}]})", plain_profile()).highest, 9U);
-  EXPECT_EQ(protocol::parse_discovery_page(R"({"rev":9,"notices":[]})", plain_profile()).highest, 0U);
+  EXPECT_EQ(protocol::parse_discovery_page(R"({"rev":9,"notices":[{"x":1}]})", plain_profile()).highest_sequence, 9U);
+  EXPECT_EQ(protocol::parse_discovery_page(R"({"rev":9,"notices":[]})", plain_profile()).highest_sequence, 0U);
 }
 
 class NoticeTakerTest : public testing::Test {
--- a/tests/fleet/cold_start_test.cpp
+++ b/tests/fleet/cold_start_test.cpp
@@ -314,7 +314,7 @@
   rig.fleet().start_all(Kind::kRouter);
   ASSERT_EQ(rig.await_states(rig.routers(), {"current"}), "");
   for (int i = 0; i < kProcesses; ++i) {
-    ASSERT_TRUE(rig.fleet().await_log(name(i), "board was heard", kAwaited));
+    ASSERT_TRUE(rig.fleet().await_log(name(i), "received discovery events", kAwaited));
   }
   EXPECT_EQ(ask_all(rig, rig.routers(), 60), kNone);
   EXPECT_EQ(served(rig, 0), 180U);
--- a/tests/fleet/ownership_test.cpp
+++ b/tests/fleet/ownership_test.cpp
@@ -175,8 +175,8 @@
   fields.request_class = "media";
   fields.item = item(object);
   fields.limit_ms = 5'000;
-  fields.next = "origin";
-  fields.admit = 1;
+  fields.source = "origin";
+  fields.keep_rank = 1;
   fields.fence = fence;
   const std::string command = protocol::write_serve("0000000000000abc", fields, "");
   std::vector<std::string> words;
@@ -191,7 +191,7 @@
       parser.feed(std::string_view(buffer, static_cast<std::size_t>(count)),
                   [&](const protocol::resp::Event& event) {
                     if (const auto* head = std::get_if<protocol::resp::ArrayHead>(&event)) {
-                      words = head->words;
+                      words = head->strings;
                     }
                   });
     } else {
--- a/tests/fleet/rig.cpp
+++ b/tests/fleet/rig.cpp
@@ -65,7 +65,7 @@
   }
   for (const Kind kind : {Kind::kParent, Kind::kCache}) {
     for (const std::string& name : layout_->names(kind)) {
-      ASSERT_TRUE(scenario_->fleet().await_log(name, "board was heard", kAwaited))
+      ASSERT_TRUE(scenario_->fleet().await_log(name, "received discovery events", kAwaited))
           << scenario_->fleet().log(name);
     }
   }
--- a/tests/mutation_test.cpp
+++ b/tests/mutation_test.cpp
@@ -10,10 +10,10 @@
 
 #include "fastcgi_peer.h"
 #include "protocol/cache_answer.h"
+#include "protocol/discovery_page.h"
 #include "protocol/fastcgi.h"
 #include "protocol/http_client.h"
 #include "protocol/json_fields.h"
-#include "protocol/discovery_page.h"
 #include "protocol/resp.h"
 
 namespace trailcourse {
@@ -85,9 +85,9 @@
           said.append(" ").append(name).append("=").append(value);
         }
       } else if (const auto* bad = std::get_if<fastcgi::RequestRejected>(&event)) {
-        said += std::to_string(bad->key) + ' ' + bad->why;
+        said += std::to_string(bad->key) + ' ' + bad->reason;
       } else if (const auto* over = std::get_if<fastcgi::ParseError>(&event)) {
-        said += over->why;
+        said += over->reason;
       }
       said += '\n';
     }
@@ -111,14 +111,14 @@
     parser.feed(piece, [&said](const resp::Event& event) {
       if (const auto* head = std::get_if<resp::ArrayHead>(&event)) {
         said += "head " + std::to_string(head->last_bytes);
-        for (const std::string& word : head->words) {
+        for (const std::string& word : head->strings) {
           said += ' ' + word;
         }
         said += ' ';
       } else if (const auto* part = std::get_if<resp::ArrayPiece>(&event)) {
         said += part->bytes;
       } else if (const auto* over = std::get_if<resp::ParseError>(&event)) {
-        said += "unreadable " + over->why;
+        said += "unreadable " + over->reason;
       } else {
         said += " end\n";
       }
@@ -151,7 +151,7 @@
   }
   parser.feed_end();
   const auto response = parser.take();
-  return response ? std::to_string(response->status) + ' ' + response->body : "failed " + parser.why();
+  return response ? std::to_string(response->status) + ' ' + response->body : "failed " + parser.error();
 }
 
 TEST(Mutation, AnswersOfTheNoticeBoard) {
@@ -172,8 +172,9 @@
   int read = 0;
   for (int round = 0; round < kRounds; ++round) {
     try {
-      const protocol::DiscoveryPage page = protocol::parse_discovery_page(mutated(good, random), protocol::Profile());
-      ASSERT_LE(page.notices.size(), 4U);
+      const protocol::DiscoveryPage page =
+          protocol::parse_discovery_page(mutated(good, random), protocol::Profile());
+      ASSERT_LE(page.updates.size(), 4U);
       ++read;
     } catch (const protocol::FormatError&) {
       // told to the watcher, which asks again
--- a/tests/recorded_files_test.cpp
+++ b/tests/recorded_files_test.cpp
@@ -87,17 +87,17 @@
 TEST_F(RecordedFiles, ABoardPageIsReadWholeAndToldOnAsItStands) {
   const json page = json::parse(read_file(fixture("board_page.json")));
   const protocol::DiscoveryPage read = protocol::read_discovery_page(page, profile());
-  EXPECT_EQ(read.last, 3U);
-  EXPECT_THAT(read.notices, SizeIs(3));
+  EXPECT_EQ(read.last_sequence, 3U);
+  EXPECT_THAT(read.updates, SizeIs(3));
   EXPECT_THAT(read.skipped, IsEmpty());
-  const auto& list = std::get<protocol::EndpointsChanged>(read.notices[0].what);
-  EXPECT_TRUE(list.whole);
-  ASSERT_THAT(list.caches, SizeIs(3));
-  EXPECT_EQ(list.caches[2].address, "127.64.36.211:10004");
-  const auto& purge = std::get<protocol::PurgeReceived>(read.notices[1].what);
+  const auto& list = std::get<protocol::EndpointsChanged>(read.updates[0].change);
+  EXPECT_TRUE(list.complete);
+  ASSERT_THAT(list.endpoints, SizeIs(3));
+  EXPECT_EQ(list.endpoints[2].address, "127.64.36.211:10004");
+  const auto& purge = std::get<protocol::PurgeReceived>(read.updates[1].change);
   EXPECT_EQ(purge.object, 0x5c0f6e1a2b3d4c59U);
-  EXPECT_EQ(purge.at_ms, kPurgedAtMs);
-  EXPECT_EQ(std::get<protocol::PurgeReceived>(read.notices[2].what).group, 17U);
+  EXPECT_EQ(purge.purged_unix_ms, kPurgedAtMs);
+  EXPECT_EQ(std::get<protocol::PurgeReceived>(read.updates[2].change).group, 17U);
 
   discovery::EventLog log;
   log.replace(page);
@@ -124,7 +124,7 @@
   EXPECT_EQ(found.last_sequence(), 3U);
   EXPECT_EQ(found.source_id, "80e49a025244b24f");
   EXPECT_EQ(found.confirmed_at, kSnapshotConfirmedAt);
-  EXPECT_THAT(protocol::read_discovery_page(found.page, profile()).notices, SizeIs(3));
+  EXPECT_THAT(protocol::read_discovery_page(found.page, profile()).updates, SizeIs(3));
   EXPECT_EQ(snapshot::encode_snapshot(found), bytes);
 }
 
--- a/tests/resp_test.cpp
+++ b/tests/resp_test.cpp
@@ -29,14 +29,14 @@
   Read out;
   const auto sink = [&out](const resp::Event& event) {
     if (const auto* head = std::get_if<resp::ArrayHead>(&event)) {
-      out.arrays.push_back(Array{head->words, "", false});
+      out.arrays.push_back(Array{head->strings, "", false});
     } else if (const auto* piece = std::get_if<resp::ArrayPiece>(&event)) {
       out.arrays.back().last += piece->bytes;
     } else if (std::holds_alternative<resp::ArrayEnd>(event)) {
       out.arrays.back().whole = true;
     } else {
       EXPECT_TRUE(out.fault.empty()) << "told twice";
-      out.fault = std::get<resp::ParseError>(event).why;
+      out.fault = std::get<resp::ParseError>(event).reason;
     }
   };
   for (std::size_t at = 0; at < bytes.size(); at += step) {
@@ -137,8 +137,9 @@
   EXPECT_FALSE(parse_answer_code("").has_value());
 }
 
-Passed plain_passed() {
-  return Passed{"9b1f03aa5c7e2d41", "media", "7f3a9c21e0b4d655", "3", "", "4be0c1927d55a6f3", "body"};
+ForwardedRequest plain_request() {
+  return ForwardedRequest{"9b1f03aa5c7e2d41", "media", "7f3a9c21e0b4d655", "3", "",
+                          "4be0c1927d55a6f3", "body"};
 }
 
 std::string fields_of(const std::string& command) {
@@ -146,7 +147,7 @@
   std::string fields;
   parser.feed(command, [&fields](const resp::Event& event) {
     if (const auto* head = std::get_if<resp::ArrayHead>(&event)) {
-      fields = head->words.at(2);
+      fields = head->strings.at(2);
     }
   });
   return fields;
@@ -161,7 +162,7 @@
   order.max_age = milliseconds(1500);
   order.join_fill = true;
   order.only_if_cached = true;
-  EXPECT_EQ(fields_of(write_serve(plain_passed(), order)),
+  EXPECT_EQ(fields_of(write_serve(plain_request(), order)),
             "cls=media,item=7f3a9c21e0b4d655,chunk=3,limit=900,next=p1,admit=2,agelim=1500,ways=join+held,"
             "cached=4be0c1927d55a6f3");
 }
@@ -171,10 +172,10 @@
   order.cache = "c1";
   order.source = "c1";
   order.timeout = milliseconds(900);
-  Passed passed = plain_passed();
-  passed.held_tag.clear();
-  passed.dedupe_key = "k1";
-  EXPECT_EQ(fields_of(write_serve(passed, order)),
+  ForwardedRequest request = plain_request();
+  request.held_tag.clear();
+  request.dedupe_key = "k1";
+  EXPECT_EQ(fields_of(write_serve(request, order)),
             "cls=media,item=7f3a9c21e0b4d655,chunk=3,limit=900,nonce=k1");
 }
 
@@ -185,21 +186,21 @@
   order.source = "c1";
   order.timeout = Micros(1);
   order.max_age = Micros(999);
-  std::string fields = fields_of(write_serve(plain_passed(), order));
+  std::string fields = fields_of(write_serve(plain_request(), order));
   EXPECT_NE(fields.find(",limit=1,"), std::string::npos) << fields;
   EXPECT_NE(fields.find(",agelim=1,"), std::string::npos) << fields;
   order.max_age = Micros(2'999);
-  fields = fields_of(write_serve(plain_passed(), order));
+  fields = fields_of(write_serve(plain_request(), order));
   EXPECT_NE(fields.find(",agelim=2,"), std::string::npos) << fields;
 }
 
 TEST(CacheAnswer, PassesTheBodyByteForByte) {
-  Passed passed = plain_passed();
-  passed.body = std::string("\0\r\n*3\r\n", 8);
+  ForwardedRequest request = plain_request();
+  request.body = std::string("\0\r\n*3\r\n", 8);
   SendAttempt order;
   order.timeout = milliseconds(5);
-  const std::string command = write_serve(passed, order);
-  EXPECT_TRUE(command.ends_with("$8\r\n" + passed.body + "\r\n"));
+  const std::string command = write_serve(request, order);
+  EXPECT_TRUE(command.ends_with("$8\r\n" + request.body + "\r\n"));
   EXPECT_EQ(write_cancel("id"), "*2\r\n$6\r\ncancel\r\n$2\r\nid\r\n");
 }
 
--- a/tests/source_client_test.cpp
+++ b/tests/source_client_test.cpp
@@ -69,7 +69,7 @@
   }
   static std::string answer(const std::string& id, const std::string& body) {
     protocol::CacheAnswer fields;
-    fields.t0_ms = 1;
+    fields.origin_time_ms = 1;
     return protocol::write_answer(id, protocol::AnswerCode::kOk, fields, body);
   }
   bool answered(FillNumber fill, const std::string& body) const {
--- a/tests/stand_ins.cpp
+++ b/tests/stand_ins.cpp
@@ -204,9 +204,9 @@
  private:
   void begin(const protocol::resp::ArrayHead& head) {
     request_ = CacheRequest();
-    request_.command = head.words.at(0);
-    request_.id = head.words.size() > 1 ? head.words[1] : "";
-    std::string list = head.words.size() > 2 ? head.words[2] : "";
+    request_.command = head.strings.at(0);
+    request_.id = head.strings.size() > 1 ? head.strings[1] : "";
+    std::string list = head.strings.size() > 2 ? head.strings[2] : "";
     while (!list.empty()) {
       const std::string field = list.substr(0, list.find(','));
       list.erase(0, field.size() + 1);
