--- a/adapter/wire.cpp
+++ b/adapter/wire.cpp
@@ -21,7 +21,7 @@
 using protocol::small_integer_at;
 using protocol::string_at;
 using protocol::to_micros;
-using protocol::whole;
+using protocol::as_integer;
 using protocol::integer_or_default;
 using protocol::string_or_default;
 
@@ -173,7 +173,7 @@
   instance.profile = read_profile(require(message, "ProfileData"));
   const std::uint64_t seed = id_at(message, "Nonce64");
   instance.handler = make_(instance.profile.settings, seed);
-  instances_.insert_or_assign(whole(require(message, "I"), "I"), std::move(instance));
+  instances_.insert_or_assign(as_integer(require(message, "I"), "I"), std::move(instance));
 }
 
 void Adapter::store_list(const json& message) {
@@ -181,7 +181,7 @@
   if (!entries.is_array()) {
     throw WireError("not an array: NodesList");
   }
-  lists_[whole(require(message, "Table"), "Table")] = entries;
+  lists_[as_integer(require(message, "Table"), "Table")] = entries;
 }
 
 EndpointListReceived Adapter::read_list(const json& message, const Profile& profile) const {
@@ -190,7 +190,7 @@
   if (list.kind == ListKind::kLost) {
     return list;
   }
-  const auto found = lists_.find(whole(require(message, "Table"), "Table"));
+  const auto found = lists_.find(as_integer(require(message, "Table"), "Table"));
   if (found == lists_.end()) {
     throw WireError("unknown list number");
   }
@@ -210,7 +210,7 @@
 }
 
 Adapter::Instance* Adapter::find_instance(const json& message) {
-  const auto found = instances_.find(whole(require(message, "I"), "I"));
+  const auto found = instances_.find(as_integer(require(message, "I"), "I"));
   if (found == instances_.end()) {
     throw WireError("event for an instance that was not begun");
   }
@@ -256,7 +256,7 @@
   }
   Instance* instance = find_instance(message);
   if (instance != nullptr) {
-    run(whole(require(message, "I"), "I"), *instance, reader->second(*this, message, instance->profile));
+    run(as_integer(require(message, "I"), "I"), *instance, reader->second(*this, message, instance->profile));
   }
 }
 
@@ -280,7 +280,7 @@
   const std::string type = string_at(message, "event_type");
   if (type == "Frame") {
     now_ = to_micros(require(message, "ClockS"), "ClockS");
-    serial_ = whole(require(message, "serial"), "serial");
+    serial_ = as_integer(require(message, "serial"), "serial");
     in_batch_ = true;
     return;
   }
@@ -294,7 +294,7 @@
   } else if (type == "Pool") {
     store_list(message);
   } else if (type == "Down") {
-    instances_.erase(whole(require(message, "I"), "I"));
+    instances_.erase(as_integer(require(message, "I"), "I"));
   } else {
     handle_event(type, message);
   }
--- a/src/cache_node/command_server.cpp
+++ b/src/cache_node/command_server.cpp
@@ -34,7 +34,7 @@
   void on_bytes(std::string_view bytes) override {
     parser_.feed(bytes, [this](const protocol::resp::Event& event) {
       if (!connection_->ended()) {
-        std::visit([this](const auto& one) { take(one); }, event);
+        std::visit([this](const auto& one) { on_event(one); }, event);
       }
     });
     if (!parser_.has_partial_message()) {
@@ -66,13 +66,13 @@
     return out;
   }
 
-  void take(const protocol::resp::ArrayHead& head) {
+  void on_event(const protocol::resp::ArrayHead& head) {
     strings_ = head.strings;
     last_string_.clear();
   }
-  void take(const protocol::resp::ArrayPiece& piece) { last_string_ += piece.bytes; }
-  void take(const protocol::resp::ParseError& unreadable) { close_malformed(unreadable.reason); }
-  void take(const protocol::resp::ArrayEnd&) {
+  void on_event(const protocol::resp::ArrayPiece& piece) { last_string_ += piece.bytes; }
+  void on_event(const protocol::resp::ParseError& error) { close_malformed(error.reason); }
+  void on_event(const protocol::resp::ArrayEnd&) {
     std::vector<std::string> strings = std::exchange(strings_, {});
     strings.push_back(std::exchange(last_string_, {}));
     if (strings.size() < kShortStrings || strings[1].empty() || strings[1].size() > kMaxIdBytes) {
--- a/src/cache_node/node_core.cpp
+++ b/src/cache_node/node_core.cpp
@@ -194,8 +194,8 @@
   fill.source = source;
   fill.forwarded = !request.rule.cacheable;
   fill.rank = asked.keep_rank;
-  // `no_copy` binds the last node before the origin; a cache that has a source forwards the flag and stores
-  // its copy.
+  // `no_copy` binds a node that is requested as a source. A cache whose request names a source forwards the
+  // flag and stores its own copy.
   fill.store_result =
       request.rule.cacheable && asked.keep_rank > 0 && (!asked.no_copy || !asked.source.empty());
   fill.waiters.insert(number);
--- a/src/cache_node/node_core.h
+++ b/src/cache_node/node_core.h
@@ -49,6 +49,8 @@
 // The answer of a source, or how the fetch failed.
 struct FetchResult {
   enum class End { kAnswered, kUnreachable, kBroken, kMalformed };
+  // kUnreachable: certainly not executed. kBroken: the connection ended, and the request may have been
+  // executed.
   End end = End::kAnswered;  // kMalformed: an unreadable or implausible answer
   protocol::AnswerCode code = protocol::AnswerCode::kError;
   protocol::CacheAnswer fields;
--- a/src/cache_node/source_client.cpp
+++ b/src/cache_node/source_client.cpp
@@ -25,12 +25,12 @@
   const std::shared_ptr<Pool::Slot> slot = slot_.lock();
   parser_.feed(bytes, [this, &slot](const protocol::resp::Event& event) {
     if (slot && !slot->connection->ended()) {
-      std::visit([this](const auto& one) { take(one); }, event);
+      std::visit([this](const auto& one) { on_event(one); }, event);
     }
   });
 }
 
-void SourceConnection::take(const protocol::resp::ArrayHead& head) {
+void SourceConnection::on_event(const protocol::resp::ArrayHead& head) {
   strings_ = head.strings;
   body_.clear();
   is_pending_ = !strings_.empty() && calls_.contains(strings_[0]);
@@ -39,13 +39,13 @@
   }
 }
 
-void SourceConnection::take(const protocol::resp::ArrayPiece& piece) {
+void SourceConnection::on_event(const protocol::resp::ArrayPiece& piece) {
   if (is_pending_) {
     body_ += piece.bytes;
   }
 }
 
-void SourceConnection::take(const protocol::resp::ArrayEnd&) {
+void SourceConnection::on_event(const protocol::resp::ArrayEnd&) {
   constexpr std::size_t kWithoutBody = 3;
   const std::optional<protocol::AnswerCode> code =
       strings_.size() == kWithoutBody ? protocol::parse_answer_code(strings_[1]) : std::nullopt;
@@ -63,7 +63,7 @@
   finish(strings_[0], result);
 }
 
-void SourceConnection::take(const protocol::resp::ParseError& error) { close_malformed(error.reason); }
+void SourceConnection::on_event(const protocol::resp::ParseError& error) { close_malformed(error.reason); }
 
 void SourceConnection::close_malformed(std::string_view reason) {
   if (const std::shared_ptr<Pool::Slot> slot = slot_.lock()) {
--- a/src/cache_node/source_client.h
+++ b/src/cache_node/source_client.h
@@ -40,10 +40,10 @@
     transport::Clock::time_point sent;
   };
 
-  void take(const protocol::resp::ArrayHead& head);
-  void take(const protocol::resp::ArrayPiece& piece);
-  void take(const protocol::resp::ArrayEnd&);
-  void take(const protocol::resp::ParseError& error);
+  void on_event(const protocol::resp::ArrayHead& head);
+  void on_event(const protocol::resp::ArrayPiece& piece);
+  void on_event(const protocol::resp::ArrayEnd&);
+  void on_event(const protocol::resp::ParseError& error);
   void close_malformed(std::string_view reason);
   void finish(const std::string& id, const FetchResult& result);
 
--- a/src/coordination/etcd_server.cpp
+++ b/src/coordination/etcd_server.cpp
@@ -123,7 +123,7 @@
       handle(*request);
     }
     if (parser_.failed()) {
-      send_error(kStatusBadRequest, etcd::ErrorCode::kInvalidArgument, parser_.why());
+      send_error(kStatusBadRequest, etcd::ErrorCode::kInvalidArgument, parser_.error());
       connection_.close_when_written();
     }
   }
--- a/src/routing/discovery_client.cpp
+++ b/src/routing/discovery_client.cpp
@@ -256,14 +256,14 @@
     }
   }
   const std::uint64_t before = taker_.last();
-  switch (sequence_.check(now(), before, notices.last, protocol::string_or_default(page, "board", ""))) {
+  switch (sequence_.check(now(), before, notices.last_sequence, protocol::string_or_default(page, "board", ""))) {
     case startup::PageVerdict::kStale:
       ++counts_.stale;
       on_relay_failure(poll);  // it is behind: it may have been suspended
       return {PollResult::kInvalid, Micros(0),
-              "an older number, " + std::to_string(notices.last) + " after " + std::to_string(before)};
+              "an older number, " + std::to_string(notices.last_sequence) + " after " + std::to_string(before)};
     case startup::PageVerdict::kReset:
-      return restart_numbering(notices.last);
+      return restart_numbering(notices.last_sequence);
     case startup::PageVerdict::kApply:
       break;
   }
--- a/tests/cache_node_test.cpp
+++ b/tests/cache_node_test.cpp
@@ -1,5 +1,5 @@
-// The cache node as a process: killed at any moment, asked in nonsense, crowded, and with a disk that stalls.
-// And the store killed at each of its steps.
+// Tests the cache node as a process: killed at random times, with invalid input, overloaded, and with a disk
+// that stalls. Also tests the store with a kill at each of its file operations.
 #include <fcntl.h>
 #include <gtest/gtest.h>
 #include <poll.h>
@@ -35,7 +35,7 @@
 using testing_support::CacheStandIn;
 using SteadyClock = std::chrono::steady_clock;
 
-constexpr milliseconds kPatience{10'000};
+constexpr milliseconds kMaxWait{10'000};
 
 std::int64_t unix_ms() {
   return std::chrono::duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch())
@@ -59,25 +59,26 @@
   return out;
 }
 
-struct Got {
+// An answer of the node: its code, fields and body.
+struct ReceivedAnswer {
   std::string code;
   std::map<std::string, std::string> fields;
   std::string body;
 };
 
-// A router as a test plays it: one connection, many requests; every wait has an end.
+// The client of one connection with many requests. Each wait ends after kMaxWait.
 class Peer {
  public:
   explicit Peer(std::uint16_t port) {
     socket_ = transport::Descriptor(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
-    sockaddr_in where{};
-    where.sin_family = AF_INET;
-    where.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    where.sin_port = htons(port);
-    up_ = ::connect(socket_.get(), reinterpret_cast<sockaddr*>(&where), sizeof where) == 0;
+    sockaddr_in address{};
+    address.sin_family = AF_INET;
+    address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    address.sin_port = htons(port);
+    connected_ = ::connect(socket_.get(), reinterpret_cast<sockaddr*>(&address), sizeof address) == 0;
   }
 
-  bool up() const { return up_; }
+  bool connected() const { return connected_; }
   bool send(const std::string& bytes) const {
     std::size_t sent = 0;
     while (sent < bytes.size()) {
@@ -92,24 +93,25 @@
   bool serve(const std::string& id, const std::string& fields, const std::string& body = "") const {
     return send(protocol::resp::write_array({"serve", id, fields, body}));
   }
-  // The answer under this id, or nothing where the connection ends or time runs out.
-  std::optional<Got> read(const std::string& id, milliseconds longest = kPatience) {
+  // Returns the answer with this id; nothing if the connection ends or after `longest`.
+  std::optional<ReceivedAnswer> read(const std::string& id, milliseconds longest = kMaxWait) {
     const SteadyClock::time_point until = SteadyClock::now() + longest;
     while (!answers_.contains(id)) {
       if (!receive(until)) {
         return std::nullopt;
       }
     }
-    Got out = std::move(answers_.at(id));
+    ReceivedAnswer out = std::move(answers_.at(id));
     answers_.erase(id);
     return out;
   }
-  std::optional<Got> ask(const std::string& id, const std::string& fields, const std::string& body = "") {
+  std::optional<ReceivedAnswer> request(const std::string& id, const std::string& fields,
+                                        const std::string& body = "") {
     return serve(id, fields, body) ? read(id) : std::nullopt;
   }
-  // Whether the other side ends the connection.
+  // Waits until the node closes the connection, and returns whether it did.
   bool await_close() {
-    const SteadyClock::time_point until = SteadyClock::now() + kPatience;
+    const SteadyClock::time_point until = SteadyClock::now() + kMaxWait;
     while (receive(until)) {
     }
     return closed_;
@@ -131,19 +133,19 @@
     }
     parser_.feed(std::string_view(buffer, static_cast<std::size_t>(count)), [this](const auto& event) {
       if (const auto* head = std::get_if<protocol::resp::ArrayHead>(&event)) {
-        words_ = head->strings;
+        strings_ = head->strings;
         body_.clear();
       } else if (const auto* piece = std::get_if<protocol::resp::ArrayPiece>(&event)) {
         body_ += piece->bytes;
       } else if (std::holds_alternative<protocol::resp::ArrayEnd>(event)) {
-        Got got;
-        got.code = words_.at(1);
-        std::istringstream list(words_.at(2));
+        ReceivedAnswer answer;
+        answer.code = strings_.at(1);
+        std::istringstream list(strings_.at(2));
         for (std::string field; std::getline(list, field, ',');) {
-          got.fields[field.substr(0, field.find('='))] = field.substr(field.find('=') + 1);
+          answer.fields[field.substr(0, field.find('='))] = field.substr(field.find('=') + 1);
         }
-        got.body = body_;
-        answers_[words_.at(0)] = std::move(got);
+        answer.body = body_;
+        answers_[strings_.at(0)] = std::move(answer);
       }
     });
     return true;
@@ -156,15 +158,15 @@
   }
 
   transport::Descriptor socket_;
-  bool up_ = false;
+  bool connected_ = false;
   bool closed_ = false;
   protocol::resp::Parser parser_{bounds()};
-  std::vector<std::string> words_;
+  std::vector<std::string> strings_;
   std::string body_;
-  std::map<std::string, Got> answers_;
+  std::map<std::string, ReceivedAnswer> answers_;
 };
 
-// `trailcourse cache` as a process.
+// Runs `trailcourse cache` as a process.
 class NodeProgram {
  public:
   explicit NodeProgram(json config) : port_(testing_support::free_port()) {
@@ -192,15 +194,15 @@
     std::string command = "cache";
     std::string flag = "--config";
     std::string file = base_ + ".json";
-    char* words[] = {program.data(), command.data(), flag.data(), file.data(), nullptr};
+    char* arguments[] = {program.data(), command.data(), flag.data(), file.data(), nullptr};
     pid_ = ::fork();
     if (pid_ == 0) {
       ::dup2(log.get(), STDERR_FILENO);
-      ::execv(words[0], words);
+      ::execv(arguments[0], arguments);
       ::_exit(127);
     }
-    const SteadyClock::time_point until = SteadyClock::now() + kPatience;
-    while (!Peer(port_).up() && SteadyClock::now() < until) {
+    const SteadyClock::time_point until = SteadyClock::now() + kMaxWait;
+    while (!Peer(port_).connected() && SteadyClock::now() < until) {
       std::this_thread::sleep_for(milliseconds(1));
     }
   }
@@ -211,21 +213,21 @@
       pid_ = -1;
     }
   }
-  // Asks it to end and waits; the exit status, or -1 where it was killed.
-  int end() {
+  // Sends SIGTERM and waits for the exit. Returns the exit status; -1 if a signal ended the process.
+  int terminate() {
     ::kill(pid_, SIGTERM);
     int status = 0;
     ::waitpid(pid_, &status, 0);
     pid_ = -1;
     return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
   }
-  // Waits until the log holds these words so often.
-  bool await_log(const std::string& words, int times) const {
-    const SteadyClock::time_point until = SteadyClock::now() + kPatience;
+  // Waits until the log has the text at least so many times, and returns whether it has.
+  bool await_log(const std::string& text, int times) const {
+    const SteadyClock::time_point until = SteadyClock::now() + kMaxWait;
     while (SteadyClock::now() < until) {
-      const std::string text = log();
+      const std::string content = log();
       int found = 0;
-      for (std::size_t at = text.find(words); at != std::string::npos; at = text.find(words, at + 1)) {
+      for (std::size_t at = content.find(text); at != std::string::npos; at = content.find(text, at + 1)) {
         ++found;
       }
       if (found >= times) {
@@ -282,11 +284,11 @@
   static std::string fields(const std::string& item, const std::string& more = "next=origin,ways=join") {
     return "cls=media,item=" + item + ",chunk=0,limit=5000,admit=2" + (more.empty() ? "" : "," + more);
   }
-  // What was served must be one version of that item, whole.
-  static void expect_right(const Got& got, const std::string& item) {
-    ASSERT_EQ(got.code, "OK");
-    const int version = std::stoi(got.fields.at("sum").substr(1));
-    ASSERT_EQ(got.body, bytes_of(item, version));
+  // Expects the complete bytes of one version of the item.
+  static void expect_version_of(const ReceivedAnswer& answer, const std::string& item) {
+    ASSERT_EQ(answer.code, "OK");
+    const int version = std::stoi(answer.fields.at("sum").substr(1));
+    ASSERT_EQ(answer.body, bytes_of(item, version));
   }
 
   std::string folder_;
@@ -294,10 +296,10 @@
   CacheStandIn origin_;
 };
 
-// A hundred rounds: under load from two connections the process is killed at a drawn moment and started
-// again; every object served then is byte for byte one version as the origin gave it, and none is older than
-// a purge, though many purges are told while the node is down.
-TEST_F(CacheNodeTest, KilledAHundredTimesUnderLoadItServesWholeCopiesOrMisses) {
+// In each of a hundred rounds the process is killed at a random time under load from two connections and
+// started again. Each object that it serves then has the bytes of one version of the origin, and none is
+// older than a purge, although many purge events are sent while the node is down.
+TEST_F(CacheNodeTest, ServesOnlyCompleteCopiesAfterEachOfAHundredKills) {
   constexpr int kItems = 40;
   BoardStandIn board;
   json config_of = config();
@@ -307,10 +309,10 @@
   std::map<std::string, std::int64_t> purged;
   int from_disk = 0;
   for (int round = 0; round < 100; ++round) {
-    // First as soon as it listens, with the age limits of a router that has heard of the purges; then without
-    // any, once it has heard of them itself.
-    for (const bool heard : {false, true}) {
-      if (heard) {
+    // First as soon as the node listens, with the age limits of a router that has received the purge events;
+    // then without age limits, once the node has received them.
+    for (const bool purges_received : {false, true}) {
+      if (purges_received) {
         ASSERT_TRUE(node.await_log("disk tier open", round + 1)) << node.log();
         ASSERT_TRUE(node.await_log("received discovery events", round + 1)) << node.log();
       }
@@ -318,20 +320,21 @@
       for (int i = 0; i < kItems; ++i) {
         const auto purge = purged.find(item_of(i));
         const std::int64_t limit = purge == purged.end() ? 3'600'000 : unix_ms() - purge->second - 1;
-        const std::string more = heard ? "" : "agelim=" + std::to_string(std::max<std::int64_t>(1, limit));
+        const std::string more =
+            purges_received ? "" : "agelim=" + std::to_string(std::max<std::int64_t>(1, limit));
         ASSERT_TRUE(peer.serve("h" + std::to_string(i), fields(item_of(i), more)));
       }
       for (int i = 0; i < kItems; ++i) {
-        const std::optional<Got> got = peer.read("h" + std::to_string(i));
-        ASSERT_TRUE(got.has_value()) << node.log();
-        if (got->code == "OK") {
-          expect_right(*got, item_of(i));
+        const std::optional<ReceivedAnswer> answer = peer.read("h" + std::to_string(i));
+        ASSERT_TRUE(answer.has_value()) << node.log();
+        if (answer->code == "OK") {
+          expect_version_of(*answer, item_of(i));
           ++from_disk;
           const auto purge = purged.find(item_of(i));
-          ASSERT_TRUE(purge == purged.end() || std::stoll(got->fields.at("t0")) > purge->second)
+          ASSERT_TRUE(purge == purged.end() || std::stoll(answer->fields.at("t0")) > purge->second)
               << "round " << round << ": a copy from before its purge";
         } else {
-          ASSERT_EQ(got->code, "MISS");
+          ASSERT_EQ(answer->code, "MISS");
         }
       }
     }
@@ -345,14 +348,15 @@
         Peer peer(node.port());
         for (int i = 0; !stop; ++i) {
           const std::string item = item_of(static_cast<int>(draw() % kItems));
-          // Now and then a young copy is wanted, so that copies are replaced.
+          // Some requests have an age limit, so that copies are replaced.
           const std::string more = draw() % 3 == 0 ? "next=origin,agelim=1" : "next=origin,ways=join";
-          const std::optional<Got> got = peer.ask("l" + std::to_string(i), fields(item, more));
-          if (!got) {
+          const std::optional<ReceivedAnswer> answer =
+              peer.request("l" + std::to_string(i), fields(item, more));
+          if (!answer) {
             return;
           }
-          if (got->code == "OK") {
-            expect_right(*got, item);
+          if (answer->code == "OK") {
+            expect_version_of(*answer, item);
           }
         }
       });
@@ -370,14 +374,14 @@
     }
     node.start();
   }
-  EXPECT_GT(from_disk, 200) << "most rounds find copies on disk";
+  EXPECT_GT(from_disk, 200) << "most rounds serve copies from disk";
 }
 
-// A folder that kills the process at its n-th step: before it, in the middle of a write, or after it.
+// The file operation of a folder at which the process kills itself.
 struct KillPoint {
-  int step = 0;
-  int mode = 0;
-  int count = 0;
+  int step = 0;   // number of the operation
+  int mode = 0;   // 0: before it; 1: in the middle of a write; 2: after it
+  int count = 0;  // of the operations so far
 
   void before() {
     if (count == step && mode == 0) {
@@ -391,9 +395,10 @@
   }
 };
 
-class KillingFile : public store::File {
+class KillPointFile : public store::File {
  public:
-  KillingFile(std::unique_ptr<store::File> file, KillPoint& point) : file_(std::move(file)), point_(point) {}
+  KillPointFile(std::unique_ptr<store::File> file, KillPoint& point)
+      : file_(std::move(file)), point_(point) {}
   std::string read(std::uint64_t offset, std::size_t size) override { return file_->read(offset, size); }
   void write(std::uint64_t offset, std::string_view bytes) override {
     point_.before();
@@ -416,19 +421,19 @@
   KillPoint& point_;
 };
 
-class KillingFolder : public store::Files {
+class KillPointFolder : public store::Files {
  public:
-  KillingFolder(std::unique_ptr<store::Files> files, KillPoint& point)
+  KillPointFolder(std::unique_ptr<store::Files> files, KillPoint& point)
       : files_(std::move(files)), point_(point) {}
   std::vector<std::string> list() override { return files_->list(); }
   std::unique_ptr<store::File> create(const std::string& name) override {
     point_.before();
-    auto out = std::make_unique<KillingFile>(files_->create(name), point_);
+    auto out = std::make_unique<KillPointFile>(files_->create(name), point_);
     point_.after();
     return out;
   }
   std::unique_ptr<store::File> open(const std::string& name) override {
-    return std::make_unique<KillingFile>(files_->open(name), point_);
+    return std::make_unique<KillPointFile>(files_->open(name), point_);
   }
   void remove(const std::string& name) override {
     point_.before();
@@ -451,14 +456,14 @@
   KillPoint& point_;
 };
 
-TEST_F(CacheNodeTest, TheStoreKilledAtEachOfItsStepsServesWholeCopiesOrMisses) {
+TEST_F(CacheNodeTest, StoreServesOnlyCompleteCopiesAfterAKillAtEachStep) {
   using testing_support::copy_of;
   using testing_support::name_of;
   using testing_support::StoreRig;
   const auto open = [this](StoreRig& rig, KillPoint& point) {
     store::Store::Backing backing;
     backing.files = [this, &point] {
-      return std::make_unique<KillingFolder>(store::open_folder(folder_), point);
+      return std::make_unique<KillPointFolder>(store::open_folder(folder_), point);
     };
     backing.index = [this] { return store::open_sqlite_index(folder_); };
     rig.executor = std::make_unique<testing_support::ManualExecutor>();
@@ -469,13 +474,13 @@
     rig.store->open([] {});
     rig.executor->drain();
   };
-  // Made once: the children of this process have them, too.
+  // Created once; the child processes inherit them.
   std::vector<store::Copy> copies;
   copies.reserve(48);
   for (int i = 0; i < 48; ++i) {
     copies.push_back(copy_of(i % 12, i, 120'000, 1'000 + i));
   }
-  // Fills, replaces, purges, and goes round the tier so that segments are cleared.
+  // Inserts, replaces and purges copies, and fills the disk tier so that segments are reused.
   const auto run = [&open, &copies](KillPoint& point) {
     StoreRig rig;
     rig.options.part_kb = 64;
@@ -491,7 +496,7 @@
   };
   int killed = 0;
   for (int mode = 0; mode < 3; ++mode) {
-    // Every step at first, then at a stride that meets all kinds of them.
+    // Each of the first steps, then every ninth, which covers all kinds of operations.
     for (int step = 0;; step += step < 40 ? 1 : 9) {
       std::filesystem::remove_all(folder_);
       const pid_t child = ::fork();
@@ -513,11 +518,11 @@
       ASSERT_EQ(rig.store->disk_state(), store::DiskHealth::State::kGood);
       rig.store->purge({{store::PurgeRecord::Kind::kObject, 5, 1'000 + 20}}, 1);
       for (int number = 0; number < 12; ++number) {
-        if (const auto got = rig.get(name_of(number))) {
-          const int version = std::stoi(got->tag.substr(got->tag.find('v') + 1));
+        if (const auto answer = rig.get(name_of(number))) {
+          const int version = std::stoi(answer->tag.substr(answer->tag.find('v') + 1));
           ASSERT_EQ(version % 12, number);
-          ASSERT_EQ(*got->bytes, *copies[static_cast<std::size_t>(version)].bytes);
-          ASSERT_FALSE(number == 5 && got->t0_ms <= 1'020);
+          ASSERT_EQ(*answer->bytes, *copies[static_cast<std::size_t>(version)].bytes);
+          ASSERT_FALSE(number == 5 && answer->t0_ms <= 1'020);
         }
       }
     }
@@ -525,11 +530,11 @@
   EXPECT_GT(killed, 100);
 }
 
-TEST_F(CacheNodeTest, HundredsOfRequestsForOneMissingObjectAreOneFill) {
-  std::promise<void> go;
-  std::shared_future<void> gone = go.get_future().share();
-  origin_.set_script([this, gone](const CacheRequest& request) {
-    gone.wait_for(kPatience);
+TEST_F(CacheNodeTest, SharesOneFillBetweenHundredsOfRequestsForOneMissingObject) {
+  std::promise<void> release;
+  std::shared_future<void> released = release.get_future().share();
+  origin_.set_script([this, released](const CacheRequest& request) {
+    released.wait_for(kMaxWait);
     return answer(request);
   });
   NodeProgram node(config());
@@ -541,70 +546,70 @@
     }
   }
   ASSERT_TRUE(origin_.await("serve", 1));
-  // A health check behind them on each connection is answered: all of them were taken.
+  // An answered health check on each connection shows that the node has read all requests before it.
   for (const auto& peer : peers) {
     ASSERT_TRUE(peer->send(protocol::resp::write_array({"health", "tag"})));
     ASSERT_TRUE(peer->read("tag").has_value());
   }
-  peers.erase(peers.begin());  // the filler's client leaves
-  go.set_value();
+  peers.erase(peers.begin());  // the client whose request began the fill disconnects
+  release.set_value();
   for (const auto& peer : peers) {
     for (int k = 0; k < 30; ++k) {
-      const std::optional<Got> got = peer->read("r" + std::to_string(k));
-      ASSERT_TRUE(got.has_value());
-      expect_right(*got, item_of(1));
+      const std::optional<ReceivedAnswer> answer = peer->read("r" + std::to_string(k));
+      ASSERT_TRUE(answer.has_value());
+      expect_version_of(*answer, item_of(1));
     }
   }
   EXPECT_EQ(origin_.count("serve"), 1U);
 }
 
-TEST_F(CacheNodeTest, ACopyOnDiskOutlivesAnOrderlyEndAndTellsItsNote) {
+TEST_F(CacheNodeTest, ServesACopyFromDiskAfterAGracefulRestart) {
   NodeProgram node(config());
   {
     Peer peer(node.port());
-    EXPECT_EQ(peer.ask("1", fields(item_of(3)))->fields["tell"], "fill");
-    EXPECT_EQ(peer.ask("2", fields(item_of(3)))->fields["tell"], "warm");
-    Got same = *peer.ask("3", fields(item_of(3), "next=origin,cached=v1"));
+    EXPECT_EQ(peer.request("1", fields(item_of(3)))->fields["tell"], "fill");
+    EXPECT_EQ(peer.request("2", fields(item_of(3)))->fields["tell"], "warm");
+    ReceivedAnswer same = *peer.request("3", fields(item_of(3), "next=origin,cached=v1"));
     EXPECT_EQ(same.code, "SAME");
     EXPECT_TRUE(same.body.empty());
   }
-  EXPECT_EQ(node.end(), 0) << node.log();
+  EXPECT_EQ(node.terminate(), 0) << node.log();
   node.start();
   Peer peer(node.port());
   ASSERT_TRUE(node.await_log("disk tier open", 2));
-  const std::optional<Got> got = peer.ask("d", fields(item_of(3), ""));
-  ASSERT_TRUE(got.has_value());
-  ASSERT_EQ(got->code, "OK") << node.log();
-  expect_right(*got, item_of(3));
+  const std::optional<ReceivedAnswer> answer = peer.request("d", fields(item_of(3), ""));
+  ASSERT_TRUE(answer.has_value());
+  ASSERT_EQ(answer->code, "OK") << node.log();
+  expect_version_of(*answer, item_of(3));
   EXPECT_EQ(origin_.count("serve"), 1U);
 }
 
-TEST_F(CacheNodeTest, WritesGoThroughOnceAndAreNotKept) {
+TEST_F(CacheNodeTest, ForwardsEachWriteOnceAndDoesNotStoreIt) {
   NodeProgram node(config());
   Peer peer(node.port());
   for (int i = 0; i < 3; ++i) {
-    const auto got =
-        peer.ask("w" + std::to_string(i), "cls=entry,limit=3000,nonce=k1,next=origin", "payload");
-    ASSERT_TRUE(got.has_value());
-    EXPECT_EQ(got->code, "OK");
+    const auto answer =
+        peer.request("w" + std::to_string(i), "cls=entry,limit=3000,nonce=k1,next=origin", "payload");
+    ASSERT_TRUE(answer.has_value());
+    EXPECT_EQ(answer->code, "OK");
   }
   EXPECT_EQ(origin_.count("serve"), 3U);
   EXPECT_EQ(origin_.seen()[0].body, "payload");
   EXPECT_EQ(origin_.seen()[0].fields.at("nonce"), "k1");
 }
 
-TEST_F(CacheNodeTest, HealthAndGaugesAreAnsweredUnderTheirTag) {
+TEST_F(CacheNodeTest, AnswersHealthAndGaugesUnderTheirId) {
   NodeProgram node(config());
   Peer peer(node.port());
   ASSERT_TRUE(peer.send(protocol::resp::write_array({"health", "t1"}) +
                         protocol::resp::write_array({"gauges", "t2"})));
   EXPECT_EQ(peer.read("t1")->code, "UP");
-  const Got gauges = *peer.read("t2");
+  const ReceivedAnswer gauges = *peer.read("t2");
   EXPECT_EQ(gauges.code, "UP");
   EXPECT_EQ(gauges.fields.at("meter").rfind("inflight:0;util:", 0), 0U);
 }
 
-TEST_F(CacheNodeTest, NonsenseGetsAClearErrorOrAnEndAndTheOthersAreServed) {
+TEST_F(CacheNodeTest, RejectsInvalidInputAndServesOtherConnections) {
   NodeProgram node(config());
   Peer good(node.port());
   const std::vector<std::pair<std::string, std::string>> faults{
@@ -627,11 +632,11 @@
       {"-", "missing"},
       {"cls=media,limit=100", "no_item"}};
   int number = 0;
-  for (const auto& [text, why] : faults) {
-    std::optional<Got> got = good.ask("b" + std::to_string(++number), text);
-    ASSERT_TRUE(got.has_value()) << text;
-    EXPECT_EQ(got->code, "ERR") << text;
-    EXPECT_EQ(got->fields["why"].rfind(why, 0), 0U) << text << ": " << got->fields["why"];
+  for (const auto& [text, reason] : faults) {
+    std::optional<ReceivedAnswer> answer = good.request("b" + std::to_string(++number), text);
+    ASSERT_TRUE(answer.has_value()) << text;
+    EXPECT_EQ(answer->code, "ERR") << text;
+    EXPECT_EQ(answer->fields["why"].rfind(reason, 0), 0U) << text << ": " << answer->fields["why"];
   }
   ASSERT_TRUE(good.send(protocol::resp::write_array({"dance", "x1"})));
   EXPECT_EQ(good.read("x1")->fields["why"], "unknown_command");
@@ -649,12 +654,12 @@
     bad.send(text);
     EXPECT_TRUE(bad.await_close()) << text.substr(0, 40);
   }
-  EXPECT_NE(node.log().find("127.0.0.1:"), std::string::npos) << "the peer is named";
-  expect_right(*good.ask("last", fields(item_of(1))), item_of(1));
+  EXPECT_NE(node.log().find("127.0.0.1:"), std::string::npos) << "the log names the peer";
+  expect_version_of(*good.request("last", fields(item_of(1))), item_of(1));
 }
 
-// Two open requests under one id: an answer could be taken for the other's, so the connection ends.
-TEST_F(CacheNodeTest, AnIdThatIsInUseEndsItsConnection) {
+// With two open requests under one id, a peer could not tell which of them an answer belongs to.
+TEST_F(CacheNodeTest, ClosesAConnectionThatReusesAnOpenRequestId) {
   origin_.set_script([](const CacheRequest&) { return std::nullopt; });
   NodeProgram node(config());
   Peer peer(node.port());
@@ -664,7 +669,7 @@
   EXPECT_EQ(peer.answered(), 0U);
 }
 
-TEST_F(CacheNodeTest, SeededStormsOfSpoiltBytesDoNotEndIt) {
+TEST_F(CacheNodeTest, SurvivesRandomlyMutatedMessages) {
   NodeProgram node(config());
   std::mt19937 random(61);
   const std::string good_bytes = protocol::resp::write_array({"serve", "id", fields(item_of(1)), ""}) +
@@ -689,13 +694,13 @@
     peer.send(bytes);
   }
   Peer peer(node.port());
-  const std::optional<Got> got = peer.ask("after", fields(item_of(2)));
-  ASSERT_TRUE(got.has_value()) << "alive: " << node.alive() << "\n" << node.log();
-  expect_right(*got, item_of(2));
+  const std::optional<ReceivedAnswer> answer = peer.request("after", fields(item_of(2)));
+  ASSERT_TRUE(answer.has_value()) << "alive: " << node.alive() << "\n" << node.log();
+  expect_version_of(*answer, item_of(2));
   EXPECT_TRUE(node.alive());
 }
 
-TEST_F(CacheNodeTest, CrowdedItShedsAtOnceAndServesOn) {
+TEST_F(CacheNodeTest, RejectsRequestsAtOnceWhenFillsAreExhausted) {
   origin_.set_script([](const CacheRequest&) { return std::nullopt; });
   json config_of = config();
   config_of["cache"]["open_requests"] = 20;
@@ -705,17 +710,17 @@
   for (int i = 0; i < 200; ++i) {
     ASSERT_TRUE(peer.serve("c" + std::to_string(i), fields(item_of(i))));
   }
-  // Five wait for the silent origin; all others are told at once.
+  // Five requests wait for the origin, which does not answer; all others are rejected at once.
   int busy = 0;
   for (int i = 5; i < 200; ++i) {
-    const std::optional<Got> got = peer.read("c" + std::to_string(i), milliseconds(2'000));
-    ASSERT_TRUE(got.has_value()) << i;
-    busy += got->code == "BUSY" ? 1 : 0;
+    const std::optional<ReceivedAnswer> answer = peer.read("c" + std::to_string(i), milliseconds(2'000));
+    ASSERT_TRUE(answer.has_value()) << i;
+    busy += answer->code == "BUSY" ? 1 : 0;
   }
   EXPECT_EQ(busy, 195);
 }
 
-TEST_F(CacheNodeTest, OutOfDescriptorsIdleConnectionsGoAndItServesOn) {
+TEST_F(CacheNodeTest, ClosesIdleConnectionsAndServesWhenOutOfDescriptors) {
   json config_of = config();
   NodeProgram node(config_of);
   rlimit few{48, 48};
@@ -726,13 +731,13 @@
     idle.push_back(std::make_unique<Peer>(node.port()));
   }
   Peer peer(node.port());
-  const std::optional<Got> got = peer.ask("1", fields(item_of(1)));
-  ASSERT_TRUE(got.has_value()) << node.log();
-  EXPECT_TRUE(got->code == "OK" || got->code == "MISS");
+  const std::optional<ReceivedAnswer> answer = peer.request("1", fields(item_of(1)));
+  ASSERT_TRUE(answer.has_value()) << node.log();
+  EXPECT_TRUE(answer->code == "OK" || answer->code == "MISS");
   EXPECT_TRUE(node.alive());
 }
 
-// ---- A disk that stalls, under a node of this process.
+// ---- A disk that stalls, under a node in this process ----
 
 class StallingFile : public store::File {
  public:
@@ -741,7 +746,7 @@
       : file_(std::move(file)), released_(std::move(released)), stalled_(stalled) {}
   std::string read(std::uint64_t offset, std::size_t size) override {
     if (stalled_) {
-      released_.wait_for(kPatience);
+      released_.wait_for(kMaxWait);
     }
     return file_->read(offset, size);
   }
@@ -769,7 +774,7 @@
   std::atomic<bool>& stalled_;
 };
 
-TEST_F(CacheNodeTest, WhileTheDiskStallsMemoryServesAndDiskReadsBecomeMissesInTime) {
+TEST_F(CacheNodeTest, ServesFromMemoryAndTreatsDiskReadsAsMissesWhileTheDiskStalls) {
   std::promise<void> release;
   std::shared_future<void> released = release.get_future().share();
   std::atomic<bool> stalled = false;
@@ -809,10 +814,10 @@
   const auto [scheduler, mailbox] = started.get_future().get();
   {
     Peer peer(port);
-    // Far more than memory holds: the first ones are on disk alone.
+    // More than the memory tier can store, so that the first ones are only on disk.
     for (int i = 0; i < 60; ++i) {
-      ASSERT_TRUE(peer.ask("f" + std::to_string(i), fields(item_of(i))).has_value());
-      ASSERT_TRUE(peer.ask("g" + std::to_string(i), fields(item_of(i))).has_value());
+      ASSERT_TRUE(peer.request("f" + std::to_string(i), fields(item_of(i))).has_value());
+      ASSERT_TRUE(peer.request("g" + std::to_string(i), fields(item_of(i))).has_value());
     }
     const std::string hot = item_of(59);
     stalled = true;
@@ -821,28 +826,29 @@
     for (int i = 0; i < 20; ++i) {
       ASSERT_TRUE(peer.serve("d" + std::to_string(i), fields(item_of(i))));
     }
-    // The answers come while the disk is held: memory's at once, the others from the origin.
-    const std::optional<Got> from_memory = peer.ask("m", fields(hot));
+    // The answers arrive while the disk stalls: from memory at once, the others from the origin.
+    const std::optional<ReceivedAnswer> from_memory = peer.request("m", fields(hot));
     ASSERT_TRUE(from_memory.has_value());
-    expect_right(*from_memory, hot);
+    expect_version_of(*from_memory, hot);
     for (int i = 0; i < 20; ++i) {
-      const std::optional<Got> got = peer.read("d" + std::to_string(i));
-      ASSERT_TRUE(got.has_value());
-      expect_right(*got, item_of(i));
-      filled += got->fields.at("tell") == "warm" ? 0 : 1;
+      const std::optional<ReceivedAnswer> answer = peer.read("d" + std::to_string(i));
+      ASSERT_TRUE(answer.has_value());
+      expect_version_of(*answer, item_of(i));
+      filled += answer->fields.at("tell") == "warm" ? 0 : 1;
     }
     EXPECT_EQ(origin_.count("serve") - before, static_cast<std::size_t>(filled));
     EXPECT_GT(filled, 5);
     stalled = false;
     release.set_value();
     before = origin_.count("serve");
-    // Once a try comes back in time, the disk serves again.
+    // The disk tier serves again once a trial read completes in time.
     bool warm = false;
-    const SteadyClock::time_point until = SteadyClock::now() + kPatience;
+    const SteadyClock::time_point until = SteadyClock::now() + kMaxWait;
     for (int i = 0; !warm && SteadyClock::now() < until; ++i) {
-      const std::optional<Got> got = peer.ask("e" + std::to_string(i), fields(item_of(i % 40), ""));
-      ASSERT_TRUE(got.has_value());
-      warm = got->code == "OK";
+      const std::optional<ReceivedAnswer> answer =
+          peer.request("e" + std::to_string(i), fields(item_of(i % 40), ""));
+      ASSERT_TRUE(answer.has_value());
+      warm = answer->code == "OK";
     }
     EXPECT_TRUE(warm);
   }
--- a/tests/fastcgi_test.cpp
+++ b/tests/fastcgi_test.cpp
@@ -1,4 +1,4 @@
-// FastCGI: bytes in any split in, requests out; the records of answers.
+// Tests the FastCGI parser with bytes in any split, and the queue of answers.
 #include "protocol/fastcgi.h"
 
 #include <gtest/gtest.h>
@@ -31,10 +31,10 @@
   return events;
 }
 
-template <typename Wanted>
-const Wanted& only(const std::vector<Event>& events) {
+template <typename EventType>
+const EventType& only(const std::vector<Event>& events) {
   EXPECT_EQ(events.size(), 1U);
-  return std::get<Wanted>(events.at(0));
+  return std::get<EventType>(events.at(0));
 }
 
 TEST(FastCgiParser, ReadsARequestInAnySplit) {
@@ -56,7 +56,7 @@
   }
 }
 
-TEST(FastCgiParser, InterleavesRequestsAndKeepsThemApart) {
+TEST(FastCgiParser, ReadsInterleavedRequests) {
   Parser parser{Bounds()};
   std::string bytes = begin_record(1) + begin_record(2);
   bytes += record(kParams, 2, pair("A", "two")) + record(kParams, 1, pair("A", "one"));
@@ -78,7 +78,7 @@
   EXPECT_EQ(*only<RequestReceived>(events).parameters.find("A"), "b");
 }
 
-TEST(FastCgiParser, AWrongVersionEndsTheConnectionAndNothingMoreIsRead) {
+TEST(FastCgiParser, ReportsAnErrorForAWrongVersionAndIgnoresFurtherBytes) {
   Parser parser{Bounds()};
   std::string bytes = begin_record(1);
   bytes[0] = 2;
@@ -88,25 +88,25 @@
   EXPECT_TRUE(events.empty());
 }
 
-TEST(FastCgiParser, AnIdUsedTwiceEndsTheConnection) {
+TEST(FastCgiParser, ReportsAnErrorWhenAnOpenIdIsReused) {
   Parser parser{Bounds()};
   const std::vector<Event> events = feed(parser, begin_record(3) + begin_record(3), 64);
   only<ParseError>(events);
 }
 
-TEST(FastCgiParser, AnIdMayBeUsedAgainOnceReleased) {
+TEST(FastCgiParser, AcceptsAnIdAgainAfterItsRelease) {
   Parser parser{Bounds()};
   only<RequestReceived>(feed(parser, request_bytes(3, {}, ""), 64));
   parser.release(3);
   only<RequestReceived>(feed(parser, request_bytes(3, {}, ""), 64));
 }
 
-TEST(FastCgiParser, AShortBeginEndsTheConnection) {
+TEST(FastCgiParser, ReportsAnErrorForAShortBeginRequest) {
   Parser parser{Bounds()};
   only<ParseError>(feed(parser, record(1, 1, "abc"), 64));
 }
 
-TEST(FastCgiParser, UnknownRolesAreRejectedAndTheirRecordsPassedOver) {
+TEST(FastCgiParser, RejectsAnUnknownRoleAndSkipsItsRecords) {
   Parser parser{Bounds()};
   std::string bytes = begin_record(4, 2);
   bytes += record(kParams, 4, pair("A", "b")) + record(kStdin, 4, "");
@@ -115,7 +115,7 @@
   EXPECT_FALSE(only<RequestRejected>(events).answered);
 }
 
-TEST(FastCgiParser, UnknownTypesAreAnsweredAsSuch) {
+TEST(FastCgiParser, AnswersAnUnknownRecordType) {
   Parser parser{Bounds()};
   const std::vector<Event> events = feed(parser, record(77, 0, "?"), 64);
   const std::string& bytes = only<ManagementReply>(events).bytes;
@@ -124,7 +124,7 @@
   EXPECT_EQ(bytes[8], 77);
 }
 
-TEST(FastCgiParser, AnswersWhatValuesItHas) {
+TEST(FastCgiParser, AnswersOnlyKnownValues) {
   Parser parser{Bounds()};
   const std::vector<Event> events =
       feed(parser, record(9, 0, pair("FCGI_MPXS_CONNS", "") + pair("OTHER", "")), 64);
@@ -135,14 +135,14 @@
   EXPECT_EQ(values[0], (std::pair<std::string, std::string>("FCGI_MPXS_CONNS", "1")));
 }
 
-TEST(FastCgiParser, RecordsForIdsNotOpenArePassedOver) {
+TEST(FastCgiParser, SkipsRecordsOfIdsThatAreNotOpen) {
   Parser parser{Bounds()};
   std::string bytes = record(kParams, 9, pair("A", "b")) + record(kStdin, 9, "x") + record(kAbort, 9, "");
   EXPECT_TRUE(feed(parser, bytes, 64).empty());
   only<RequestReceived>(feed(parser, request_bytes(1, {}, ""), 64));
 }
 
-TEST(FastCgiParser, AnAbortEndsARequestAtEachStage) {
+TEST(FastCgiParser, AbortsARequestAtEachStage) {
   for (const std::string& before : {begin_record(5), begin_record(5) + record(kParams, 5, pair("A", "b")),
                                     begin_record(5) + record(kParams, 5, "") + record(kStdin, 5, "x")}) {
     Parser parser{Bounds()};
@@ -152,7 +152,7 @@
   }
 }
 
-TEST(FastCgiParser, CutParametersAreRejected) {
+TEST(FastCgiParser, RejectsTruncatedParameters) {
   const std::string whole = pair("NAME", "value") + pair("OTHER", std::string(200, 'y'));
   for (std::size_t cut = 1; cut < whole.size(); ++cut) {
     if (cut == pair("NAME", "value").size()) {
@@ -165,14 +165,14 @@
   }
 }
 
-TEST(FastCgiParser, ABodyBeforeTheEndOfTheParametersIsRejectedOnce) {
+TEST(FastCgiParser, RejectsABodyBeforeTheEndOfTheParametersOnce) {
   Parser parser{Bounds()};
   const std::string bytes =
       begin_record(1) + record(kStdin, 1, "x") + record(kStdin, 1, "y") + record(kParams, 1, "");
   only<RequestRejected>(feed(parser, bytes, 64));
 }
 
-TEST(FastCgiParser, BoundsHoldForBodyParametersRequestsAndTheWhole) {
+TEST(FastCgiParser, AppliesItsBoundsToBodyParametersRequestsAndConnection) {
   Bounds bounds;
   bounds.body_bytes = 8;
   bounds.parameter_bytes = 16;
@@ -196,7 +196,7 @@
   EXPECT_EQ(only<RequestRejected>(feed(whole, bytes, 64)).key, 2);
 }
 
-TEST(FastCgiParser, TakesAnyBytesWithoutFailingItself) {
+TEST(FastCgiParser, AcceptsRandomBytesWithinItsBounds) {
   std::uint32_t state = 12345;
   for (int round = 0; round < 300; ++round) {
     Parser parser{Bounds()};
@@ -211,13 +211,13 @@
   }
 }
 
-// What a client reads: by request, the output and whether it ended.
-struct Seen {
+// The output of a request, as a client reads it, and the number of its END_REQUEST records.
+struct ReceivedAnswer {
   std::string output;
   int ends = 0;
 };
-std::map<RequestKey, Seen> drain(AnswerQueue& queue, std::vector<RequestKey>& order) {
-  std::map<RequestKey, Seen> seen;
+std::map<RequestKey, ReceivedAnswer> drain(AnswerQueue& queue, std::vector<RequestKey>& order) {
+  std::map<RequestKey, ReceivedAnswer> answers;
   std::string bytes;
   while (!queue.empty()) {
     RequestKey ended_key = 0;
@@ -226,13 +226,13 @@
     order.push_back(ended ? ended_key : 0);
   }
   for (const testing_support::Record& one : testing_support::take_records(bytes)) {
-    Seen& answer = seen[one.key];
+    ReceivedAnswer& answer = answers[one.key];
     EXPECT_EQ(answer.ends, 0) << "a record after the end";
     answer.output += one.type == 6 ? one.content : "";
     answer.ends += one.type == 3 ? 1 : 0;
   }
   EXPECT_TRUE(bytes.empty());
-  return seen;
+  return answers;
 }
 
 // A large answer must not hold up small ones on the same connection.
@@ -244,17 +244,17 @@
   queue.append(2, "small");
   queue.end(2, ProtocolStatus::kRequestComplete, 0);
   std::vector<RequestKey> order;
-  auto seen = drain(queue, order);
-  EXPECT_EQ(seen[1].output, large);
-  EXPECT_EQ(seen[2].output, "small");
-  EXPECT_EQ(seen[1].ends, 1);
-  EXPECT_EQ(seen[2].ends, 1);
+  auto answers = drain(queue, order);
+  EXPECT_EQ(answers[1].output, large);
+  EXPECT_EQ(answers[2].output, "small");
+  EXPECT_EQ(answers[1].ends, 1);
+  EXPECT_EQ(answers[2].ends, 1);
   EXPECT_EQ(order.at(1), 2);
   EXPECT_EQ(order.back(), 1);
   EXPECT_EQ(queue.waiting(), 0U);
 }
 
-TEST(AnswerQueue, ADroppedAnswerLeavesTheOthers) {
+TEST(AnswerQueue, DroppingAnAnswerLeavesTheOthers) {
   AnswerQueue queue(10);
   queue.append(1, std::string(25, 'a'));
   queue.append(2, "b");
@@ -266,12 +266,12 @@
   EXPECT_FALSE(queue.drop(1));
   EXPECT_EQ(queue.waiting(), 1U);
   std::vector<RequestKey> order;
-  auto seen = drain(queue, order);
-  EXPECT_EQ(seen.size(), 1U);
-  EXPECT_EQ(seen[2].output, "b");
+  auto answers = drain(queue, order);
+  EXPECT_EQ(answers.size(), 1U);
+  EXPECT_EQ(answers[2].output, "b");
 }
 
-TEST(AnswerQueue, AnOverloadedEndHasNoOutput) {
+TEST(AnswerQueue, WritesNoOutputWhenARequestEndsAsOverloaded) {
   AnswerQueue queue(10);
   queue.end(6, ProtocolStatus::kOverloaded, 0);
   RequestKey key = 0;
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -1,4 +1,4 @@
-// The HTTP client's connection, against a server in the same scheduler that sends what a test says.
+// Tests ClientConnection against a server in the same scheduler, which sends the bytes that a test sets.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -22,8 +22,8 @@
 
 class ClientConnectionTest : public testing::Test {
  protected:
-  // Answers all that is received with the text of the fixture, and closes the connection if that is asked
-  // for.
+  // Answers each received piece with the fixture's `answer_`; closes the connection if `close_after_answer_`
+  // is set.
   class ServerHandler : public Connection::Handler {
    public:
     ServerHandler(ClientConnectionTest& fixture, const std::shared_ptr<Connection>& connection)
@@ -87,7 +87,7 @@
   bool finished_ = false;
 };
 
-TEST_F(ClientConnectionTest, OneConnectionCarriesSeveralExchanges) {
+TEST_F(ClientConnectionTest, CarriesSeveralExchangesOnOneConnection) {
   listen();
   const auto connection = open();
   for (int i = 0; i < 3; ++i) {
@@ -100,7 +100,7 @@
   EXPECT_TRUE(connection->closed());
 }
 
-TEST_F(ClientConnectionTest, ReceivingEndsAtTheDeadline) {
+TEST_F(ClientConnectionTest, StopsReceivingAtTheDeadline) {
   listen();
   answer_ = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nh";
   const auto connection = open();
@@ -110,14 +110,14 @@
   connection->close(ConnectionEnd::kSilent);
 }
 
-TEST_F(ClientConnectionTest, ARefusedConnectionTellsItsEnd) {
+TEST_F(ClientConnectionTest, ReportsARefusedConnection) {
   const auto connection = open();
   EXPECT_FALSE(exchange(connection, std::chrono::seconds(5)));
   EXPECT_EQ(connection->end(), ConnectionEnd::kRefused);
   EXPECT_FALSE(connection->usable());
 }
 
-TEST_F(ClientConnectionTest, AMalformedResponseIsToldWithAReason) {
+TEST_F(ClientConnectionTest, ReportsTheReasonOfAMalformedResponse) {
   listen();
   answer_ = "no HTTP at all\r\n\r\n";
   const auto connection = open();
@@ -127,7 +127,7 @@
   connection->close(ConnectionEnd::kMalformed);
 }
 
-TEST_F(ClientConnectionTest, AResponseWithoutALengthEndsWithItsConnection) {
+TEST_F(ClientConnectionTest, CompletesAResponseWithoutALengthWhenTheConnectionEnds) {
   listen();
   answer_ = "HTTP/1.1 200 OK\r\n\r\nall of it";
   close_after_answer_ = true;
--- a/tests/mutation_test.cpp
+++ b/tests/mutation_test.cpp
@@ -1,5 +1,5 @@
-// Good messages with a few bytes changed, cut or doubled, from fixed seeds: whatever comes, a parser says the
-// same in one piece and byte by byte, and holds no more than its bounds.
+// Valid messages with a few bytes changed, removed or repeated, from fixed seeds: each parser must produce
+// the same result from one piece and from single bytes, and must not buffer more than its bounds allow.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -25,7 +25,8 @@
 
 constexpr int kRounds = 2000;
 
-// One to four changes; the numbers are drawn without a distribution, which libraries are free to differ in.
+// Makes one to four changes. Random numbers are used without a distribution, since distributions differ
+// between standard libraries.
 std::string mutated(std::string text, std::mt19937& random) {
   for (auto changes = 1 + random() % 4; changes > 0 && !text.empty(); --changes) {
     const std::size_t place = random() % text.size();
@@ -50,11 +51,11 @@
   return text;
 }
 
-// What `read` makes of the text in one piece and byte by byte.
+// Expects that `read` returns the same for each mutated text in one piece and byte by byte.
 template <typename Read>
 void expect_same_in_any_split(const std::string& good, std::uint32_t seed, Read read) {
   std::mt19937 random(seed);
-  int told = 0;
+  int nonempty = 0;
   for (int round = 0; round < kRounds; ++round) {
     const std::string text = round == 0 ? good : mutated(good, random);
     std::vector<std::string> bytes;
@@ -63,39 +64,39 @@
     }
     const std::string whole = read(std::vector<std::string>{text});
     ASSERT_EQ(whole, read(bytes)) << "round " << round;
-    told += whole.empty() ? 0 : 1;
+    nonempty += whole.empty() ? 0 : 1;
   }
-  EXPECT_GT(told, kRounds / 10) << "most mutations must get as far as a parser's words";
+  EXPECT_GT(nonempty, kRounds / 10) << "enough mutations must produce a result";
 }
 
 std::string read_fastcgi(const std::vector<std::string>& pieces) {
   namespace fastcgi = protocol::fastcgi;
   const fastcgi::Bounds bounds;
   fastcgi::Parser parser(bounds);
-  std::string said;
+  std::string events_text;
   for (const std::string& piece : pieces) {
     std::vector<fastcgi::Event> events;
     parser.feed(piece, events);
     EXPECT_LE(parser.held(), bounds.connection_bytes + (80U << 10U));
     for (const fastcgi::Event& event : events) {
-      said += std::to_string(event.index()) + ' ';
+      events_text += std::to_string(event.index()) + ' ';
       if (const auto* read = std::get_if<fastcgi::RequestReceived>(&event)) {
-        said += std::to_string(read->key) + ' ' + read->body;
+        events_text += std::to_string(read->key) + ' ' + read->body;
         for (const auto& [name, value] : read->parameters.fields) {
-          said.append(" ").append(name).append("=").append(value);
+          events_text.append(" ").append(name).append("=").append(value);
         }
       } else if (const auto* bad = std::get_if<fastcgi::RequestRejected>(&event)) {
-        said += std::to_string(bad->key) + ' ' + bad->reason;
+        events_text += std::to_string(bad->key) + ' ' + bad->reason;
       } else if (const auto* over = std::get_if<fastcgi::ParseError>(&event)) {
-        said += over->reason;
+        events_text += over->reason;
       }
-      said += '\n';
+      events_text += '\n';
     }
   }
-  return said;
+  return events_text;
 }
 
-TEST(Mutation, FastCgiRequests) {
+TEST(Mutation, FastCgiRequestsParseTheSameInAnySplit) {
   const std::string good =
       request_bytes(1, testing_support::Fields{{"SCRIPT_NAME", "/v1/media"}, {"A", "b"}}, "body") +
       begin_record(2) + record(2, 2, "") + record(9, 0, "\x0e\0FCGI_MAX_REQS") +
@@ -106,35 +107,35 @@
 std::string read_resp(const std::vector<std::string>& pieces) {
   namespace resp = protocol::resp;
   resp::Parser parser{resp::Bounds()};
-  std::string said;
+  std::string events_text;
   for (const std::string& piece : pieces) {
-    parser.feed(piece, [&said](const resp::Event& event) {
+    parser.feed(piece, [&events_text](const resp::Event& event) {
       if (const auto* head = std::get_if<resp::ArrayHead>(&event)) {
-        said += "head " + std::to_string(head->last_bytes);
+        events_text += "head " + std::to_string(head->last_bytes);
         for (const std::string& word : head->strings) {
-          said += ' ' + word;
+          events_text += ' ' + word;
         }
-        said += ' ';
+        events_text += ' ';
       } else if (const auto* part = std::get_if<resp::ArrayPiece>(&event)) {
-        said += part->bytes;
+        events_text += part->bytes;
       } else if (const auto* over = std::get_if<resp::ParseError>(&event)) {
-        said += "unreadable " + over->reason;
+        events_text += "error " + over->reason;
       } else {
-        said += " end\n";
+        events_text += " end\n";
       }
     });
   }
-  return said;
+  return events_text;
 }
 
-TEST(Mutation, AnswersOfCaches) {
+TEST(Mutation, CacheAnswersParseTheSameInAnySplit) {
   const std::string good =
       protocol::resp::write_array({"9b1f03aa5c7e2d41", "OK", "sum=1,t0=2,tell=warm", "bytes"}) +
       protocol::resp::write_array({"9b1f03aa5c7e2d42", "MISS", "-", ""});
   expect_same_in_any_split(good, 23, read_resp);
 }
 
-TEST(Mutation, FieldsOfAnswersNeverCostTheAnswer) {
+TEST(Mutation, MutatedAnswerFieldsAreReadWithoutAnError) {
   std::mt19937 random(29);
   const std::string good = "sum=4be0,t0=1764576000123,tell=deep_fill,slow=12.5,meter=inflight:7;util:0.61";
   for (int round = 0; round < kRounds; ++round) {
@@ -154,16 +155,16 @@
   return response ? std::to_string(response->status) + ' ' + response->body : "failed " + parser.error();
 }
 
-TEST(Mutation, AnswersOfTheNoticeBoard) {
+TEST(Mutation, DiscoveryResponsesParseTheSameInAnySplit) {
   expect_same_in_any_split("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{\"rev\":1}", 31, read_http);
   expect_same_in_any_split(
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\n{\"re\r\n5\r\nv\":1}\r\n0\r\n\r\n", 37,
       read_http);
 }
 
-// A page is taken or refused as a whole; entries that cannot be used are skipped, and none throws anything
-// else.
-TEST(Mutation, PagesOfTheNoticeBoard) {
+// A page is either read, with invalid entries skipped, or rejected with a FormatError; nothing else is
+// thrown.
+TEST(Mutation, DiscoveryPagesParseOrThrowFormatError) {
   std::mt19937 random(41);
   const std::string good =
       R"({"rev":42,"notices":[{"rev":41,"pool":{"index":7,"snapshot":false,"endpoints":[{"name":"s-1",)"
@@ -177,7 +178,7 @@
       ASSERT_LE(page.updates.size(), 4U);
       ++read;
     } catch (const protocol::FormatError&) {
-      // told to the watcher, which asks again
+      // the discovery client polls again
     }
   }
   EXPECT_GT(read, 0);
--- a/tests/node_core_test.cpp
+++ b/tests/node_core_test.cpp
@@ -1,5 +1,4 @@
-// The core of a cache node, driven event by event: who is served what, who shares a fill, what is turned
-// away.
+// Tests NodeCore event by event: which copy is served, which requests share a fill, and which are rejected.
 #include "cache_node/node_core.h"
 
 #include <gtest/gtest.h>
@@ -19,7 +18,7 @@
 using protocol::ServeFields;
 using store::Copy;
 
-constexpr std::int64_t kNow = 1'764'000'000'000;
+constexpr std::int64_t kStartUnixMs = 1'764'000'000'000;
 
 std::shared_ptr<const std::string> bytes(const std::string& text) {
   return std::make_shared<const std::string>(text);
@@ -29,10 +28,10 @@
  protected:
   NodeCoreTest()
       : core_(
-            rules(), [this](const store::Name&, int group) { return floor(group); },
+            core_options(), [this](const store::Name&, int group) { return purged_until(group); },
             [this](const std::string& name) { return sources_.contains(name); }) {}
 
-  static NodeCoreOptions rules() {
+  static NodeCoreOptions core_options() {
     NodeCoreOptions out;
     out.classes["media"] = ClassRule{0, true};
     out.classes["menu"] = ClassRule{10'000, true};
@@ -43,9 +42,9 @@
     out.max_in_flight_bytes = 1U << 20U;
     return out;
   }
-  std::int64_t floor(int group) const {
-    const auto found = group_floor_.find(group);
-    return std::max(floor_, found == group_floor_.end() ? INT64_MIN : found->second);
+  std::int64_t purged_until(int group) const {
+    const auto found = group_purged_until_.find(group);
+    return std::max(purged_until_, found == group_purged_until_.end() ? INT64_MIN : found->second);
   }
 
   static ServeFields fields(const std::string& item, const std::string& next = "parent") {
@@ -58,21 +57,22 @@
     out.keep_rank = 2;
     return out;
   }
-  EventContext now() const { return EventContext{steady_, kNow + steady_, waiting_}; }
+  EventContext now() const { return EventContext{steady_ms_, kStartUnixMs + steady_ms_, waiting_bytes_}; }
 
-  // Arrives and is looked up: nothing is held.
-  void miss(RequestNumber number, const ServeFields& asked) {
-    core_.on_request(now(), number, asked, "", out_);
+  // Sends a request whose lookup finds nothing.
+  void request_missing(RequestNumber number, const ServeFields& request) {
+    core_.on_request(now(), number, request, "", out_);
     core_.on_lookup_result(now(), number, store::ReadResult{}, out_);
   }
-  void hold(RequestNumber number, const ServeFields& asked, const Copy& copy) {
-    core_.on_request(now(), number, asked, "", out_);
+  // Sends a request whose lookup finds `copy`.
+  void request_stored(RequestNumber number, const ServeFields& request, const Copy& copy) {
+    core_.on_request(now(), number, request, "", out_);
     store::ReadResult result;
     result.status = store::ReadStatus::kWhole;
     result.copy = copy;
     core_.on_lookup_result(now(), number, result, out_);
   }
-  static FetchResult answer(AnswerCode code, const std::string& body = "", std::int64_t t0 = kNow,
+  static FetchResult answer(AnswerCode code, const std::string& body = "", std::int64_t t0 = kStartUnixMs,
                             Note note = Note::kHit) {
     FetchResult out;
     out.code = code;
@@ -109,45 +109,45 @@
   }
 
   std::set<std::string> sources_{"parent", "origin"};
-  std::int64_t floor_ = INT64_MIN;
-  std::map<int, std::int64_t> group_floor_;
-  std::int64_t steady_ = 5'000;
-  std::size_t waiting_ = 0;
+  std::int64_t purged_until_ = INT64_MIN;
+  std::map<int, std::int64_t> group_purged_until_;
+  std::int64_t steady_ms_ = 5'000;
+  std::size_t waiting_bytes_ = 0;
   NodeCore core_;
   std::vector<Action> out_;
 };
 
-TEST_F(NodeCoreTest, AHeldCopyIsServedWithItsTagAndTime) {
-  hold(1, fields("a"), Copy{"t", kNow, 4, bytes("body")});
-  const Answer got = answer_to(1);
-  EXPECT_EQ(got.code, AnswerCode::kOk);
-  EXPECT_EQ(*got.body, "body");
-  EXPECT_EQ(got.fields.tag, "t");
-  EXPECT_EQ(got.fields.origin_time_ms, kNow);
-  EXPECT_EQ(got.fields.note, Note::kHit);
+TEST_F(NodeCoreTest, ServesAStoredCopyWithItsTagAndOriginTime) {
+  request_stored(1, fields("a"), Copy{"t", kStartUnixMs, 4, bytes("body")});
+  const Answer answered = answer_to(1);
+  EXPECT_EQ(answered.code, AnswerCode::kOk);
+  EXPECT_EQ(*answered.body, "body");
+  EXPECT_EQ(answered.fields.tag, "t");
+  EXPECT_EQ(answered.fields.origin_time_ms, kStartUnixMs);
+  EXPECT_EQ(answered.fields.note, Note::kHit);
   EXPECT_TRUE(all<Fetch>().empty());
 }
 
-TEST_F(NodeCoreTest, TheClientsOwnCopyIsToldToHold) {
-  ServeFields asked = fields("a");
-  asked.client_tag = "t";
-  hold(1, asked, Copy{"t", kNow, 4, bytes("body")});
+TEST_F(NodeCoreTest, AnswersSameWhenTheClientHasTheCurrentCopy) {
+  ServeFields request = fields("a");
+  request.client_tag = "t";
+  request_stored(1, request, Copy{"t", kStartUnixMs, 4, bytes("body")});
   EXPECT_EQ(answer_to(1).code, AnswerCode::kSame);
   EXPECT_EQ(answer_to(1).body, nullptr);
-  asked.client_tag = "other";
-  hold(2, asked, Copy{"t", kNow, 4, bytes("body")});
+  request.client_tag = "other";
+  request_stored(2, request, Copy{"t", kStartUnixMs, 4, bytes("body")});
   EXPECT_EQ(answer_to(2).code, AnswerCode::kOk);
 }
 
-TEST_F(NodeCoreTest, AMissIsFilledKeptAndServed) {
-  miss(1, fields("a"));
+TEST_F(NodeCoreTest, FillsStoresAndServesAMiss) {
+  request_missing(1, fields("a"));
   ASSERT_EQ(all<Fetch>().size(), 1U);
   const Fetch fetch = all<Fetch>()[0];
   EXPECT_EQ(fetch.source, "parent");
   EXPECT_TRUE(fetch.fields.source.empty()) << "the parent fills by itself";
   EXPECT_EQ(fetch.fields.keep_rank, 2);
-  steady_ += 30;
-  on_fetch_result(fetch.fill, answer(AnswerCode::kOk, "body", kNow, Note::kFilled));
+  steady_ms_ += 30;
+  on_fetch_result(fetch.fill, answer(AnswerCode::kOk, "body", kStartUnixMs, Note::kFilled));
   EXPECT_EQ(*answer_to(1).body, "body");
   EXPECT_EQ(answer_to(1).fields.note, Note::kFilledFromOrigin);
   EXPECT_EQ(answer_to(1).fields.waited_ms, 30);
@@ -157,29 +157,29 @@
   EXPECT_EQ(core_.fills(), 0U);
 }
 
-TEST_F(NodeCoreTest, WithoutARankNothingIsKeptAndASourceToldSoKeepsNoCopy) {
-  ServeFields asked = fields("a");
-  asked.keep_rank = 0;
-  miss(1, asked);
+TEST_F(NodeCoreTest, StoresNothingWithoutAKeepRankAndForwardsNoCopyToTheSource) {
+  ServeFields request = fields("a");
+  request.keep_rank = 0;
+  request_missing(1, request);
   on_fetch_result(all<Fetch>()[0].fill, answer(AnswerCode::kOk, "body"));
   EXPECT_TRUE(all<StoreCopy>().empty());
   out_.clear();
-  asked = fields("b");
-  asked.no_copy = true;
-  miss(2, asked);
-  EXPECT_TRUE(all<Fetch>()[0].fields.no_copy) << "the code goes on to the source";
+  request = fields("b");
+  request.no_copy = true;
+  request_missing(2, request);
+  EXPECT_TRUE(all<Fetch>()[0].fields.no_copy) << "the flag is forwarded to the source";
   on_fetch_result(all<Fetch>()[0].fill, answer(AnswerCode::kOk, "body"));
-  EXPECT_EQ(all<StoreCopy>().size(), 1U) << "a cache store_result its own";
+  EXPECT_EQ(all<StoreCopy>().size(), 1U) << "a cache stores its own copy";
 }
 
-// Provokes: an object that no answer can hold, from a source, for a class that is passed on, and as a copy
-// kept under another bound. Without the bound routers get what they cannot read.
-TEST_F(NodeCoreTest, AnObjectLargerThanAnAnswerMayHoldIsAnErrorAndNotKept) {
+// An object that is larger than an answer may be comes from a source, for an uncacheable class, and as a copy
+// that was stored under a higher limit. Without the limit routers receive answers that they cannot read.
+TEST_F(NodeCoreTest, AnswersAnErrorAndStoresNothingWhenAnObjectIsTooLarge) {
   const std::string large(protocol::kMaxObjectBytes + 1, 'x');
-  ServeFields asked = fields("a");
-  asked.join_fill = true;
-  miss(1, asked);
-  miss(2, asked);
+  ServeFields request = fields("a");
+  request.join_fill = true;
+  request_missing(1, request);
+  request_missing(2, request);
   on_fetch_result(all<Fetch>()[0].fill, answer(AnswerCode::kOk, large));
   for (const RequestNumber number : {RequestNumber{1}, RequestNumber{2}}) {
     EXPECT_EQ(answer_to(number).code, AnswerCode::kError);
@@ -192,9 +192,9 @@
   EXPECT_EQ(all<ObjectTooLarge>()[0].item, "a");
   EXPECT_EQ(all<ObjectTooLarge>()[0].bytes, large.size());
   EXPECT_EQ(all<ObjectTooLarge>()[0].max_bytes, protocol::kMaxObjectBytes);
-  miss(3, fields("a"));
+  request_missing(3, fields("a"));
   on_fetch_result(all<Fetch>()[1].fill, answer(AnswerCode::kOk, large));
-  EXPECT_EQ(all<ObjectTooLarge>().size(), 1U) << "told once for each object";
+  EXPECT_EQ(all<ObjectTooLarge>().size(), 1U) << "reported once for each object";
 
   ServeFields entry = fields("b", "origin");
   entry.request_class = "entry";
@@ -203,33 +203,33 @@
   EXPECT_EQ(answer_to(4).code, AnswerCode::kError);
   EXPECT_EQ(answer_to(4).body, nullptr);
 
-  hold(5, fields("c"), Copy{"t", kNow, 4, bytes(large)});
+  request_stored(5, fields("c"), Copy{"t", kStartUnixMs, 4, bytes(large)});
   EXPECT_EQ(all<DropCopy>().size(), 1U);
   on_fetch_result(all<Fetch>()[3].fill, answer(AnswerCode::kOk, "small by now"));
   EXPECT_EQ(*answer_to(5).body, "small by now");
   EXPECT_EQ(core_.counts().too_large, 3U);
 }
 
-// The bound itself still fits.
-TEST_F(NodeCoreTest, AnObjectOfJustTheBoundIsServedAndKept) {
-  miss(1, fields("a"));
+// The limit is inclusive.
+TEST_F(NodeCoreTest, ServesAndStoresAnObjectOfExactlyTheMaximumSize) {
+  request_missing(1, fields("a"));
   on_fetch_result(all<Fetch>()[0].fill, answer(AnswerCode::kOk, std::string(protocol::kMaxObjectBytes, 'x')));
   EXPECT_EQ(answer_to(1).body->size(), protocol::kMaxObjectBytes);
   EXPECT_EQ(all<StoreCopy>().size(), 1U);
 }
 
-TEST_F(NodeCoreTest, WithoutASourceItIsAMiss) {
-  miss(1, fields("a", ""));
+TEST_F(NodeCoreTest, AnswersMissWithoutASource) {
+  request_missing(1, fields("a", ""));
   EXPECT_EQ(answer_to(1).code, AnswerCode::kMiss);
   EXPECT_TRUE(all<Fetch>().empty());
 }
 
-// Hundreds of requests for one missing object: one fill, and every one of them is served by it.
-TEST_F(NodeCoreTest, ManyRequestsForOneMissingObjectShareOneFill) {
-  ServeFields asked = fields("a");
-  asked.join_fill = true;
+// Many requests for one missing object start one fill, which serves all of them.
+TEST_F(NodeCoreTest, SharesOneFillBetweenManyRequestsForOneMissingObject) {
+  ServeFields request = fields("a");
+  request.join_fill = true;
   for (RequestNumber number = 1; number <= 40; ++number) {
-    miss(number, asked);
+    request_missing(number, request);
   }
   ASSERT_EQ(all<Fetch>().size(), 1U);
   on_fetch_result(all<Fetch>()[0].fill, answer(AnswerCode::kOk, "body"));
@@ -240,136 +240,135 @@
   EXPECT_EQ(all<StoreCopy>().size(), 1U);
 }
 
-TEST_F(NodeCoreTest, WithoutTheWordAFillIsNotJoined) {
-  miss(1, fields("a"));
-  miss(2, fields("a"));
+TEST_F(NodeCoreTest, DoesNotJoinAFillWithoutTheJoinFlag) {
+  request_missing(1, fields("a"));
+  request_missing(2, fields("a"));
   EXPECT_EQ(all<Fetch>().size(), 2U);
 }
 
-TEST_F(NodeCoreTest, WhenTheFillersClientLeavesTheOthersAreServed) {
-  ServeFields asked = fields("a");
-  asked.join_fill = true;
-  miss(1, asked);
-  miss(2, asked);
+TEST_F(NodeCoreTest, ServesTheOtherWaitersWhenTheFirstRequestOfAFillIsCancelled) {
+  ServeFields request = fields("a");
+  request.join_fill = true;
+  request_missing(1, request);
+  request_missing(2, request);
   core_.cancel(now(), 1, out_);
   EXPECT_TRUE(all<StopFetch>().empty());
   on_fetch_result(all<Fetch>()[0].fill, answer(AnswerCode::kOk, "body"));
   EXPECT_EQ(*answer_to(2).body, "body");
   for (const Answer& one : all<Answer>()) {
-    EXPECT_NE(one.request, 1U) << "who has left gets no answer";
+    EXPECT_NE(one.request, 1U) << "a cancelled request gets no answer";
   }
 }
 
-TEST_F(NodeCoreTest, TheLastOneToLeaveEndsTheFill) {
-  ServeFields asked = fields("a");
-  asked.join_fill = true;
-  miss(1, asked);
-  miss(2, asked);
+TEST_F(NodeCoreTest, StopsTheFillWhenItsLastWaiterIsCancelled) {
+  ServeFields request = fields("a");
+  request.join_fill = true;
+  request_missing(1, request);
+  request_missing(2, request);
   core_.cancel(now(), 1, out_);
   core_.cancel(now(), 2, out_);
   ASSERT_EQ(all<StopFetch>().size(), 1U);
   EXPECT_EQ(core_.fills(), 0U);
   const std::size_t before = out_.size();
   on_fetch_result(all<Fetch>()[0].fill, answer(AnswerCode::kOk, "body"));
-  EXPECT_EQ(out_.size(), before) << "what comes later is not heard";
+  EXPECT_EQ(out_.size(), before) << "a later result is ignored";
 }
 
 TEST_F(NodeCoreTest, AnAgeLimitExcludesOlderCopies) {
-  ServeFields asked = fields("a");
-  asked.age_limit_ms = 1'000;
-  hold(1, asked, Copy{"t", kNow + steady_ - 1'000, 1, bytes("old enough")});
+  ServeFields request = fields("a");
+  request.age_limit_ms = 1'000;
+  request_stored(1, request, Copy{"t", kStartUnixMs + steady_ms_ - 1'000, 1, bytes("young enough")});
   EXPECT_EQ(answer_to(1).code, AnswerCode::kOk);
-  hold(2, asked, Copy{"t", kNow + steady_ - 1'001, 1, bytes("too old")});
+  request_stored(2, request, Copy{"t", kStartUnixMs + steady_ms_ - 1'001, 1, bytes("too old")});
   ASSERT_EQ(all<Fetch>().size(), 1U);
   EXPECT_EQ(all<Fetch>()[0].fields.age_limit_ms, 1'000);
-  EXPECT_EQ(all<Fetch>()[0].fields.client_tag, "t") << "its source may say that it is the one";
+  EXPECT_EQ(all<Fetch>()[0].fields.client_tag, "t") << "the source may answer that this copy is current";
 }
 
-TEST_F(NodeCoreTest, WithoutAnAgeLimitTheFreshTimeOfTheClassBinds) {
-  ServeFields asked = fields("a");
-  asked.request_class = "menu";
-  hold(1, asked, Copy{"t", kNow + steady_ - 10'000, 1, bytes("x")});
+TEST_F(NodeCoreTest, AppliesTheFreshTimeOfTheClassWithoutAnAgeLimit) {
+  ServeFields request = fields("a");
+  request.request_class = "menu";
+  request_stored(1, request, Copy{"t", kStartUnixMs + steady_ms_ - 10'000, 1, bytes("x")});
   EXPECT_EQ(answer_to(1).code, AnswerCode::kOk);
-  hold(2, asked, Copy{"t", kNow + steady_ - 10'001, 1, bytes("x")});
+  request_stored(2, request, Copy{"t", kStartUnixMs + steady_ms_ - 10'001, 1, bytes("x")});
   EXPECT_EQ(all<Fetch>().size(), 1U);
 }
 
-TEST_F(NodeCoreTest, ACopyPastItsFreshTimeIsToldAsAgedAndRenewedBehindOnce) {
-  ServeFields asked = fields("a");
-  asked.request_class = "menu";
-  asked.age_limit_ms = 60'000;
-  asked.renew = true;
-  const Copy copy{"t", kNow + steady_ - 20'000, 1, bytes("x")};
-  hold(1, asked, copy);
-  hold(2, asked, copy);
+TEST_F(NodeCoreTest, ServesAStaleCopyWithItsNoteAndRefreshesItOnce) {
+  ServeFields request = fields("a");
+  request.request_class = "menu";
+  request.age_limit_ms = 60'000;
+  request.renew = true;
+  const Copy copy{"t", kStartUnixMs + steady_ms_ - 20'000, 1, bytes("x")};
+  request_stored(1, request, copy);
+  request_stored(2, request, copy);
   EXPECT_EQ(answer_to(1).fields.note, Note::kStale);
   EXPECT_EQ(answer_to(2).fields.note, Note::kStale);
   ASSERT_EQ(all<Fetch>().size(), 1U);
-  FetchResult same = answer(AnswerCode::kSame, "", kNow + steady_);
+  FetchResult same = answer(AnswerCode::kSame, "", kStartUnixMs + steady_ms_);
   on_fetch_result(all<Fetch>()[0].fill, same);
   ASSERT_EQ(all<StoreCopy>().size(), 1U);
-  EXPECT_EQ(all<StoreCopy>()[0].copy.t0_ms, kNow + steady_);
+  EXPECT_EQ(all<StoreCopy>()[0].copy.t0_ms, kStartUnixMs + steady_ms_);
   EXPECT_EQ(*all<StoreCopy>()[0].copy.bytes, "x");
 }
 
-// A fill begun before a purge and ended after: what it brings is not served and not kept; one more try
-// excludes it.
-TEST_F(NodeCoreTest, AFillThatAPurgeOvertookIsDoneAgainWithAnAgeLimitThatExcludesIt) {
-  miss(1, fields("a"));
-  floor_ = kNow + steady_ + 5;
-  steady_ += 20;
-  on_fetch_result(all<Fetch>()[0].fill, answer(AnswerCode::kOk, "old", kNow + steady_ - 20));
+// A copy from a fill that began before a purge is neither served nor stored; one more fill excludes it.
+TEST_F(NodeCoreTest, RepeatsAFillWithAnAgeLimitWhenAPurgeArrivesMeanwhile) {
+  request_missing(1, fields("a"));
+  purged_until_ = kStartUnixMs + steady_ms_ + 5;
+  steady_ms_ += 20;
+  on_fetch_result(all<Fetch>()[0].fill, answer(AnswerCode::kOk, "old", kStartUnixMs + steady_ms_ - 20));
   EXPECT_TRUE(all<Answer>().empty());
   EXPECT_TRUE(all<StoreCopy>().empty());
   ASSERT_EQ(all<Fetch>().size(), 2U);
   EXPECT_EQ(all<Fetch>()[1].fields.age_limit_ms, 14);
-  // A parent that hands on the old copy all the same: a miss, and its source is told as lacking.
-  on_fetch_result(all<Fetch>()[1].fill, answer(AnswerCode::kOk, "old", kNow + steady_ - 20));
+  // The parent sends the old copy again: the request is a miss, with the note "not at source".
+  on_fetch_result(all<Fetch>()[1].fill, answer(AnswerCode::kOk, "old", kStartUnixMs + steady_ms_ - 20));
   EXPECT_EQ(answer_to(1).code, AnswerCode::kMiss);
   EXPECT_EQ(answer_to(1).fields.note, Note::kNotAtSource);
   EXPECT_TRUE(all<StoreCopy>().empty());
 }
 
-TEST_F(NodeCoreTest, APurgeWhileTheDiskWasReadBindsAndSoDoesThatOfItsGroup) {
+TEST_F(NodeCoreTest, RejectsACopyThatWasPurgedDuringItsDiskRead) {
   core_.on_request(now(), 1, fields("a"), "", out_);
-  group_floor_[4] = kNow + 10;
+  group_purged_until_[4] = kStartUnixMs + 10;
   store::ReadResult result;
   result.status = store::ReadStatus::kWhole;
-  result.copy = Copy{"t", kNow, 4, bytes("old")};
+  result.copy = Copy{"t", kStartUnixMs, 4, bytes("old")};
   core_.on_lookup_result(now(), 1, result, out_);
   EXPECT_TRUE(all<Answer>().empty());
   EXPECT_EQ(all<Fetch>().size(), 1U);
 }
 
-TEST_F(NodeCoreTest, WaitersOfOneFillAreJudgedByTheirOwnAgeLimits) {
-  ServeFields asked = fields("a");
-  asked.join_fill = true;
-  miss(1, asked);
-  asked.age_limit_ms = 50;
-  miss(2, asked);
-  steady_ += 100;
-  on_fetch_result(all<Fetch>()[0].fill, answer(AnswerCode::kOk, "body", kNow + steady_ - 100));
+TEST_F(NodeCoreTest, AppliesToEachWaiterOfAFillItsOwnAgeLimit) {
+  ServeFields request = fields("a");
+  request.join_fill = true;
+  request_missing(1, request);
+  request.age_limit_ms = 50;
+  request_missing(2, request);
+  steady_ms_ += 100;
+  on_fetch_result(all<Fetch>()[0].fill, answer(AnswerCode::kOk, "body", kStartUnixMs + steady_ms_ - 100));
   EXPECT_EQ(answer_to(1).code, AnswerCode::kOk);
-  ASSERT_EQ(all<Fetch>().size(), 2U) << "a fill of its own for the one that may not have it";
-  on_fetch_result(all<Fetch>()[1].fill, answer(AnswerCode::kOk, "body", kNow + steady_));
+  ASSERT_EQ(all<Fetch>().size(), 2U) << "a second fill for the request with the age limit";
+  on_fetch_result(all<Fetch>()[1].fill, answer(AnswerCode::kOk, "body", kStartUnixMs + steady_ms_));
   EXPECT_EQ(answer_to(2).code, AnswerCode::kOk);
 }
 
-TEST_F(NodeCoreTest, BeforeTheBoardWasHeardOldCopiesGoOnlyToThoseThatSayHowOldTheyMayBe) {
-  core_.distrust_copies_before(kNow + steady_);
-  hold(1, fields("a"), Copy{"t", kNow, 1, bytes("from before the start")});
+TEST_F(NodeCoreTest, ServesOldCopiesOnlyWithAnAgeLimitUntilDiscoveryEventsArrive) {
+  core_.distrust_copies_before(kStartUnixMs + steady_ms_);
+  request_stored(1, fields("a"), Copy{"t", kStartUnixMs, 1, bytes("from before the start")});
   EXPECT_TRUE(all<Answer>().empty());
   EXPECT_EQ(all<Fetch>().size(), 1U);
-  ServeFields asked = fields("a");
-  asked.age_limit_ms = 3'600'000;
-  hold(2, asked, Copy{"t", kNow, 1, bytes("from before the start")});
+  ServeFields request = fields("a");
+  request.age_limit_ms = 3'600'000;
+  request_stored(2, request, Copy{"t", kStartUnixMs, 1, bytes("from before the start")});
   EXPECT_EQ(answer_to(2).code, AnswerCode::kOk);
   core_.trust_all_copies();
-  hold(3, fields("a"), Copy{"t", kNow, 1, bytes("from before the start")});
+  request_stored(3, fields("a"), Copy{"t", kStartUnixMs, 1, bytes("from before the start")});
   EXPECT_EQ(answer_to(3).code, AnswerCode::kOk);
 }
 
-TEST_F(NodeCoreTest, OutcomesOfTheSourceAreToldApart) {
+TEST_F(NodeCoreTest, MapsEachOutcomeOfTheSourceToItsAnswerAndNote) {
   struct Case {
     FetchResult result;
     AnswerCode code;
@@ -390,28 +389,29 @@
   RequestNumber number = 0;
   for (const Case& one : cases) {
     out_.clear();
-    miss(++number, fields("a"));
+    request_missing(++number, fields("a"));
     on_fetch_result(all<Fetch>()[0].fill, one.result);
     EXPECT_EQ(answer_to(number).code, one.code) << number;
     EXPECT_EQ(answer_to(number).fields.note, one.note) << number;
-    EXPECT_EQ(all<Fetch>().size(), 1U) << "whether to go elsewhere is for the router to choose";
+    EXPECT_EQ(all<Fetch>().size(), 1U) << "the router chooses whether to try another source";
   }
   out_.clear();
-  miss(100, fields("a", "origin"));
+  request_missing(100, fields("a", "origin"));
   on_fetch_result(all<Fetch>()[0].fill, answer(AnswerCode::kError));
   EXPECT_EQ(answer_to(100).fields.note, Note::kOriginFailed);
 }
 
-// Writes go through once: never shared, never kept, and only a proof that nothing ran is told as a miss.
-TEST_F(NodeCoreTest, AClassThatIsNotKeptGoesOnOnceWithItsKeyAndBody) {
-  ServeFields asked;
-  asked.request_class = "entry";
-  asked.limit_ms = 500;
-  asked.source = "origin";
-  asked.nonce = "key";
-  asked.join_fill = true;
+// Writes are forwarded once, never shared and never stored. They are a miss only if they were certainly not
+// executed.
+TEST_F(NodeCoreTest, ForwardsAnUncacheableClassOnceWithItsKeyAndBody) {
+  ServeFields request;
+  request.request_class = "entry";
+  request.limit_ms = 500;
+  request.source = "origin";
+  request.nonce = "key";
+  request.join_fill = true;
   for (RequestNumber number = 1; number <= 2; ++number) {
-    core_.on_request(now(), number, asked, "payload", out_);
+    core_.on_request(now(), number, request, "payload", out_);
   }
   ASSERT_EQ(all<Fetch>().size(), 2U);
   EXPECT_EQ(all<Fetch>()[0].body, "payload");
@@ -422,28 +422,28 @@
   FetchResult broken;
   broken.end = FetchResult::End::kBroken;
   on_fetch_result(all<Fetch>()[1].fill, broken);
-  EXPECT_EQ(answer_to(2).code, AnswerCode::kError) << "it may have run";
-  core_.on_request(now(), 3, asked, "payload", out_);
+  EXPECT_EQ(answer_to(2).code, AnswerCode::kError) << "it may have been executed";
+  core_.on_request(now(), 3, request, "payload", out_);
   FetchResult unreachable;
   unreachable.end = FetchResult::End::kUnreachable;
   on_fetch_result(all<Fetch>()[2].fill, unreachable);
-  EXPECT_EQ(answer_to(3).code, AnswerCode::kMiss) << "it never ran";
-  core_.on_request(now(), 4, asked, "payload", out_);
-  steady_ += 600;
+  EXPECT_EQ(answer_to(3).code, AnswerCode::kMiss) << "it was not executed";
+  core_.on_request(now(), 4, request, "payload", out_);
+  steady_ms_ += 600;
   core_.tick(now(), out_);
-  EXPECT_EQ(answer_to(4).code, AnswerCode::kError) << "out of time, and it may have run";
-  EXPECT_EQ(all<Fetch>().size(), 4U) << "nothing was asked twice";
+  EXPECT_EQ(answer_to(4).code, AnswerCode::kError) << "its deadline passed, and it may have been executed";
+  EXPECT_EQ(all<Fetch>().size(), 4U) << "no request was sent twice";
 }
 
-TEST_F(NodeCoreTest, AtEachBoundItShedsAtOnce) {
+TEST_F(NodeCoreTest, RejectsRequestsAtOnceAtEachLimit) {
   for (RequestNumber number = 1; number <= 4; ++number) {
-    miss(number, fields("item" + std::to_string(number)));
+    request_missing(number, fields("item" + std::to_string(number)));
   }
-  miss(5, fields("item5"));
+  request_missing(5, fields("item5"));
   EXPECT_EQ(answer_to(5).code, AnswerCode::kBusy);
   EXPECT_EQ(answer_to(5).fields.note, Note::kNoFillCapacity);
-  hold(6, fields("held"), Copy{"t", kNow, 1, bytes("x")});
-  EXPECT_EQ(answer_to(6).code, AnswerCode::kOk) << "what is held needs no place";
+  request_stored(6, fields("held"), Copy{"t", kStartUnixMs, 1, bytes("x")});
+  EXPECT_EQ(answer_to(6).code, AnswerCode::kOk) << "a stored copy needs no fill";
   for (RequestNumber number = 10; number < 56; ++number) {
     core_.on_request(now(), number, fields("x"), "", out_);
   }
@@ -452,16 +452,16 @@
   EXPECT_GE(core_.utilisation(0), 1.0);
 }
 
-TEST_F(NodeCoreTest, AnswersThatArePeersToTakeCountAgainstTheBound) {
-  waiting_ = 1U << 20U;
+TEST_F(NodeCoreTest, CountsUnsentAnswersAgainstTheByteLimit) {
+  waiting_bytes_ = 1U << 20U;
   core_.on_request(now(), 1, fields("a"), "", out_);
   EXPECT_EQ(answer_to(1).code, AnswerCode::kBusy);
 }
 
-TEST_F(NodeCoreTest, WhatCannotBeUsedIsAnErrorInPlainWords) {
-  ServeFields asked = fields("a");
-  asked.request_class = "odd";
-  core_.on_request(now(), 1, asked, "", out_);
+TEST_F(NodeCoreTest, AnswersAnInvalidRequestWithItsErrorReason) {
+  ServeFields request = fields("a");
+  request.request_class = "odd";
+  core_.on_request(now(), 1, request, "", out_);
   EXPECT_EQ(answer_to(1).fields.error_reason, "unknown_class");
   core_.on_request(now(), 2, fields("a", "nobody"), "", out_);
   EXPECT_EQ(answer_to(2).fields.error_reason, "unknown_source");
@@ -475,35 +475,35 @@
   EXPECT_EQ(core_.open(), 0U);
 }
 
-TEST_F(NodeCoreTest, ALookUpThatIsLateIsAMissAndItsResultIsNotHeard) {
+TEST_F(NodeCoreTest, TreatsALateLookupAsAMissAndIgnoresItsResult) {
   core_.on_request(now(), 1, fields("a"), "", out_);
-  EXPECT_EQ(core_.next_deadline_ms(), steady_ + 150);
-  steady_ += 150;
+  EXPECT_EQ(core_.next_deadline_ms(), steady_ms_ + 150);
+  steady_ms_ += 150;
   core_.tick(now(), out_);
   ASSERT_EQ(all<AbandonLookup>().size(), 1U);
   EXPECT_TRUE(all<AbandonLookup>()[0].timed_out);
   ASSERT_EQ(all<Fetch>().size(), 1U);
   store::ReadResult result;
   result.status = store::ReadStatus::kWhole;
-  result.copy = Copy{"t", kNow, 1, bytes("late")};
+  result.copy = Copy{"t", kStartUnixMs, 1, bytes("late")};
   core_.on_lookup_result(now(), 1, result, out_);
   EXPECT_TRUE(all<Answer>().empty());
   on_fetch_result(all<Fetch>()[0].fill, answer(AnswerCode::kOk, "body"));
   EXPECT_EQ(*answer_to(1).body, "body");
 }
 
-TEST_F(NodeCoreTest, OutOfTimeEachRequestIsAnsweredOnceAndItsFillEnds) {
-  ServeFields asked = fields("a");
-  asked.join_fill = true;
-  miss(1, asked);
-  asked.limit_ms = 3'000;
-  miss(2, asked);
-  steady_ += 1'000;
+TEST_F(NodeCoreTest, AnswersEachRequestOnceAtItsDeadlineAndEndsItsFill) {
+  ServeFields request = fields("a");
+  request.join_fill = true;
+  request_missing(1, request);
+  request.limit_ms = 3'000;
+  request_missing(2, request);
+  steady_ms_ += 1'000;
   core_.tick(now(), out_);
   EXPECT_EQ(answer_to(1).code, AnswerCode::kVoid);
   EXPECT_EQ(all<Fetch>().size(), 2U)
-      << "the fill had the first one's time; the other has more, and gets one more";
-  steady_ += 2'000;
+      << "the fill had the deadline of the first request; the other one has time for a second fill";
+  steady_ms_ += 2'000;
   core_.tick(now(), out_);
   EXPECT_EQ(answer_to(2).code, AnswerCode::kVoid);
   EXPECT_EQ(core_.fills(), 0U);
@@ -511,46 +511,46 @@
   EXPECT_FALSE(core_.next_deadline_ms().has_value());
 }
 
-TEST_F(NodeCoreTest, HeldOnlyAsksASourceForWhatItHoldsAndDoesNotFillByItself) {
-  ServeFields asked = fields("a");
-  asked.only_if_cached = true;
-  miss(1, asked);
+TEST_F(NodeCoreTest, ForwardsOnlyIfCachedToTheSource) {
+  ServeFields request = fields("a");
+  request.only_if_cached = true;
+  request_missing(1, request);
   EXPECT_TRUE(all<Fetch>()[0].fields.only_if_cached);
   on_fetch_result(all<Fetch>()[0].fill, answer(AnswerCode::kMiss));
   EXPECT_EQ(answer_to(1).fields.note, Note::kNotAtSource);
 }
 
-// A parent fills from its own source what a cache asks it for, unless it is to give only what it holds.
-TEST(NodeCoreParent, FillsFromItsOwnSource) {
-  NodeCoreOptions rules;
-  rules.classes["media"] = ClassRule{0, true};
-  rules.fill_from = "origin";
-  rules.origin = "origin";
+// A parent fills from its default source what a cache requests, unless the request is only-if-cached.
+TEST(NodeCoreParent, FillsFromItsDefaultSource) {
+  NodeCoreOptions options;
+  options.classes["media"] = ClassRule{0, true};
+  options.fill_from = "origin";
+  options.origin = "origin";
   NodeCore core(
-      rules, [](const store::Name&, int) { return INT64_MIN; }, [](const std::string&) { return true; });
+      options, [](const store::Name&, int) { return INT64_MIN; }, [](const std::string&) { return true; });
   std::vector<Action> out;
-  ServeFields asked;
-  asked.request_class = "media";
-  asked.item = "a";
-  asked.limit_ms = 100;
-  core.on_request(EventContext{}, 1, asked, "", out);
+  ServeFields request;
+  request.request_class = "media";
+  request.item = "a";
+  request.limit_ms = 100;
+  core.on_request(EventContext{}, 1, request, "", out);
   core.on_lookup_result(EventContext{}, 1, {}, out);
   ASSERT_EQ(out.size(), 2U);
   EXPECT_EQ(std::get<Fetch>(out[1]).source, "origin");
   out.clear();
-  asked.only_if_cached = true;
-  core.on_request(EventContext{}, 2, asked, "", out);
+  request.only_if_cached = true;
+  core.on_request(EventContext{}, 2, request, "", out);
   core.on_lookup_result(EventContext{}, 2, {}, out);
   EXPECT_EQ(std::get<Answer>(out[1]).code, AnswerCode::kMiss);
 }
 
 class PartialFill : public NodeCoreTest {
  protected:
-  // Twelve bytes in parts of four; the middle one is missing.
+  // A copy of twelve bytes in parts of four, of which the middle one is missing.
   std::shared_ptr<store::PartialCopy> partial() {
     auto out = std::make_shared<store::PartialCopy>();
     out->tag = "tag-whole";
-    out->t0_ms = kNow;
+    out->t0_ms = kStartUnixMs;
     out->part_bytes = 4;
     out->whole_sum = store::sum_of("aaaabbbbcccc");
     out->bytes = std::string("aaaa\0\0\0\0cccc", 12);
@@ -575,7 +575,7 @@
   }
 };
 
-TEST_F(PartialFill, WhatIsMissingIsFetchedAlone) {
+TEST_F(PartialFill, FetchesOnlyTheMissingRange) {
   const Fetch fetch = begin();
   EXPECT_EQ(fetch.fields.range, (protocol::ByteRange{4, 4}));
   EXPECT_EQ(fetch.fields.expected_tag, "tag-whole");
@@ -585,18 +585,18 @@
   EXPECT_EQ(all<CompletePartialCopy>()[0].initial_parts, (std::vector<bool>{true, false, true}));
 }
 
-TEST_F(PartialFill, PartsThatDoNotMakeUpTheWholeAreNotServed) {
+TEST_F(PartialFill, DropsPartsWhoseChecksumDoesNotMatch) {
   const Fetch fetch = begin();
   on_fetch_result(fetch.fill, part("xxxx"));
   EXPECT_TRUE(all<Answer>().empty());
   EXPECT_EQ(all<DropCopy>().size(), 1U);
   ASSERT_EQ(all<Fetch>().size(), 2U);
-  EXPECT_FALSE(all<Fetch>()[1].fields.range.has_value()) << "all of it is fetched";
+  EXPECT_FALSE(all<Fetch>()[1].fields.range.has_value()) << "the complete copy is fetched";
   on_fetch_result(fetch.fill, answer(AnswerCode::kOk, "another whole"));
   EXPECT_EQ(*answer_to(1).body, "another whole");
 }
 
-TEST_F(PartialFill, ASourceWithAnotherCopyGivesTheWholeOfIt) {
+TEST_F(PartialFill, FetchesTheCompleteCopyWhenTheSourceHasAnotherOne) {
   const Fetch fetch = begin();
   on_fetch_result(fetch.fill, answer(AnswerCode::kMiss));
   ASSERT_EQ(all<Fetch>().size(), 2U);
@@ -606,13 +606,13 @@
   EXPECT_EQ(all<StoreCopy>().size(), 1U);
 }
 
-TEST_F(PartialFill, ASourceThatKnowsNoSpansGivesTheWholeAtOnce) {
+TEST_F(PartialFill, AcceptsACompleteAnswerFromASourceWithoutRanges) {
   const Fetch fetch = begin();
   on_fetch_result(fetch.fill, answer(AnswerCode::kOk, "aaaabbbbcccc"));
   EXPECT_EQ(*answer_to(1).body, "aaaabbbbcccc");
 }
 
-TEST_F(PartialFill, SpansOfTheWrongPlaceLengthTagOrWholeAreNotTaken) {
+TEST_F(PartialFill, RejectsARangeWithAWrongOffsetLengthTagOrTotalLength) {
   for (int wrong = 0; wrong < 4; ++wrong) {
     out_.clear();
     const Fetch fetch = begin();
@@ -628,103 +628,102 @@
   }
 }
 
-TEST_F(NodeCoreTest, ASpanOfAHeldCopyIsServedOnlyOfThatCopy) {
-  ServeFields asked = fields("a");
-  asked.range = protocol::ByteRange{2, 3};
-  asked.expected_tag = "t";
-  hold(1, asked, Copy{"t", kNow, 1, bytes("0123456789")});
+TEST_F(NodeCoreTest, ServesARangeOnlyOfTheExpectedCopy) {
+  ServeFields request = fields("a");
+  request.range = protocol::ByteRange{2, 3};
+  request.expected_tag = "t";
+  request_stored(1, request, Copy{"t", kStartUnixMs, 1, bytes("0123456789")});
   EXPECT_EQ(answer_to(1).range, (protocol::ByteRange{2, 3}));
   EXPECT_EQ(answer_to(1).fields.total_length, 10U);
-  hold(2, asked, Copy{"u", kNow, 1, bytes("0123456789")});
+  request_stored(2, request, Copy{"u", kStartUnixMs, 1, bytes("0123456789")});
   EXPECT_EQ(answer_to(2).code, AnswerCode::kMiss);
-  asked.range = protocol::ByteRange{8, 3};
-  hold(3, asked, Copy{"t", kNow, 1, bytes("0123456789")});
+  request.range = protocol::ByteRange{8, 3};
+  request_stored(3, request, Copy{"t", kStartUnixMs, 1, bytes("0123456789")});
   EXPECT_EQ(answer_to(3).code, AnswerCode::kMiss);
 }
 
-// Seeded storms of every event in any order: each request gets one answer at most, and exactly one unless it
-// was cancelled; nothing is left over; nothing served is older than a purge or than its age limit.
-TEST_F(NodeCoreTest, StormsOfEventsLeaveOneAnswerEach) {
+// Events in random order from fixed seeds: each request gets exactly one answer unless it is cancelled, no
+// request or fill remains open, and no copy is served that is older than a purge or the age limit.
+TEST_F(NodeCoreTest, AnswersEachRequestOnceUnderRandomEvents) {
   for (const std::uint32_t seed : {1U, 2U, 3U, 4U, 5U}) {
     std::mt19937 random(seed);
     NodeCore core(
-        rules(), [this](const store::Name&, int group) { return floor(group); },
+        core_options(), [this](const store::Name&, int group) { return purged_until(group); },
         [](const std::string&) { return true; });
-    floor_ = INT64_MIN;
+    purged_until_ = INT64_MIN;
     std::vector<Action> out;
-    std::map<RequestNumber, ServeFields> asked;
+    std::map<RequestNumber, ServeFields> sent;
     std::map<RequestNumber, int> answers;
     std::set<RequestNumber> cancelled;
-    std::set<FillNumber> out_fills;
-    std::set<RequestNumber> looking;
+    std::set<FillNumber> open_fills;
+    std::set<RequestNumber> open_lookups;
     std::int64_t steady = 0;
     RequestNumber last = 0;
-    const auto draw_copy = [&] {
+    const auto random_copy = [&] {
       return Copy{"t" + std::to_string(random() % 3),
-                  kNow + steady - static_cast<std::int64_t>(random() % 3'000),
+                  kStartUnixMs + steady - static_cast<std::int64_t>(random() % 3'000),
                   static_cast<int>(random() % 4) - 1, bytes("b" + std::to_string(random() % 100))};
     };
-    const auto run_actions = [&] {
+    const auto check_actions = [&] {
       for (const Action& action : std::exchange(out, {})) {
         if (const auto* one = std::get_if<Answer>(&action)) {
           ASSERT_EQ(++answers[one->request], 1) << one->request;
           ASSERT_FALSE(cancelled.contains(one->request));
-          const ServeFields& of = asked.at(one->request);
+          const ServeFields& of = sent.at(one->request);
           if (one->code == AnswerCode::kOk && of.request_class == "media") {
-            ASSERT_GT(one->fields.origin_time_ms, floor(one->fields.group));
+            ASSERT_GT(one->fields.origin_time_ms, purged_until(one->fields.group));
             ASSERT_TRUE(of.age_limit_ms == 0 ||
-                        kNow + steady - one->fields.origin_time_ms <= of.age_limit_ms);
+                        kStartUnixMs + steady - one->fields.origin_time_ms <= of.age_limit_ms);
           }
-          looking.erase(one->request);
-        } else if (const auto* look = std::get_if<Lookup>(&action)) {
-          looking.insert(look->request);
+          open_lookups.erase(one->request);
+        } else if (const auto* lookup = std::get_if<Lookup>(&action)) {
+          open_lookups.insert(lookup->request);
         } else if (const auto* fetch = std::get_if<Fetch>(&action)) {
-          out_fills.insert(fetch->fill);
+          open_fills.insert(fetch->fill);
         } else if (const auto* stop = std::get_if<StopFetch>(&action)) {
-          out_fills.erase(stop->fill);
+          open_fills.erase(stop->fill);
         }
       }
     };
     for (int i = 0; i < 4'000; ++i) {
       steady += static_cast<std::int64_t>(random() % 20);
-      const EventContext at{steady, kNow + steady, 0};
+      const EventContext at{steady, kStartUnixMs + steady, 0};
       switch (random() % 8) {
         case 0:
         case 1: {
-          ServeFields fields_of =
-              fields("i" + std::to_string(random() % 5), random() % 5 == 0 ? "" : "parent");
-          fields_of.request_class = random() % 6 == 0 ? "entry" : "media";
-          fields_of.join_fill = random() % 2 == 0;
-          fields_of.renew = random() % 3 == 0;
-          fields_of.limit_ms = 1 + static_cast<std::int64_t>(random() % 800);
-          fields_of.age_limit_ms = random() % 2 == 0 ? 0 : 1 + static_cast<std::int64_t>(random() % 4'000);
-          asked[++last] = fields_of;
-          core.on_request(at, last, fields_of, "", out);
+          ServeFields request = fields("i" + std::to_string(random() % 5), random() % 5 == 0 ? "" : "parent");
+          request.request_class = random() % 6 == 0 ? "entry" : "media";
+          request.join_fill = random() % 2 == 0;
+          request.renew = random() % 3 == 0;
+          request.limit_ms = 1 + static_cast<std::int64_t>(random() % 800);
+          request.age_limit_ms = random() % 2 == 0 ? 0 : 1 + static_cast<std::int64_t>(random() % 4'000);
+          sent[++last] = request;
+          core.on_request(at, last, request, "", out);
           break;
         }
         case 2:
         case 3:
-          if (!looking.empty()) {
+          if (!open_lookups.empty()) {
             const RequestNumber number =
-                *std::next(looking.begin(), static_cast<long>(random() % looking.size()));
-            looking.erase(number);
+                *std::next(open_lookups.begin(), static_cast<long>(random() % open_lookups.size()));
+            open_lookups.erase(number);
             store::ReadResult result;
             if (random() % 2 == 0) {
               result.status = store::ReadStatus::kWhole;
-              result.copy = draw_copy();
+              result.copy = random_copy();
             }
             core.on_lookup_result(at, number, result, out);
           }
           break;
         case 4:
-          if (!out_fills.empty()) {
+          if (!open_fills.empty()) {
             const FillNumber fill =
-                *std::next(out_fills.begin(), static_cast<long>(random() % out_fills.size()));
-            out_fills.erase(fill);
+                *std::next(open_fills.begin(), static_cast<long>(random() % open_fills.size()));
+            open_fills.erase(fill);
             FetchResult result;
             result.end = static_cast<FetchResult::End>(random() % 4);
             result.code = static_cast<AnswerCode>(random() % 6);
-            const Copy copy = draw_copy();
+            const Copy copy = random_copy();
             result.fields.tag = copy.tag;
             result.fields.origin_time_ms = copy.t0_ms;
             result.fields.group = copy.group;
@@ -737,22 +736,24 @@
             const RequestNumber number = 1 + random() % last;
             if (answers[number] == 0) {
               cancelled.insert(number);
-              looking.erase(number);
+              open_lookups.erase(number);
               core.cancel(at, number, out);
             }
           }
           break;
         case 6:
-          floor_ = random() % 10 == 0 ? kNow + steady - static_cast<std::int64_t>(random() % 2'000) : floor_;
+          purged_until_ = random() % 10 == 0
+                              ? kStartUnixMs + steady - static_cast<std::int64_t>(random() % 2'000)
+                              : purged_until_;
           break;
         default:
           core.tick(at, out);
       }
-      run_actions();
+      check_actions();
     }
     steady += 10'000;
-    core.tick(EventContext{steady, kNow + steady, 0}, out);
-    run_actions();
+    core.tick(EventContext{steady, kStartUnixMs + steady, 0}, out);
+    check_actions();
     EXPECT_EQ(core.open(), 0U);
     EXPECT_EQ(core.fills(), 0U);
     for (RequestNumber number = 1; number <= last; ++number) {
--- a/tests/recorded_files_test.cpp
+++ b/tests/recorded_files_test.cpp
@@ -1,5 +1,5 @@
-// Files that an earlier version recorded (tests/fixtures/README.md): this version reads each of them, and
-// writes the same bytes from what it read.
+// Tests compatibility with files that an earlier version recorded (tests/fixtures/README.md): this version
+// reads each of them and writes the same bytes again.
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 #include <unistd.h>
@@ -39,7 +39,7 @@
 using testing::SizeIs;
 
 constexpr const char* kPurgedObject = "5c0f6e1a2b3d4c59";
-constexpr std::int64_t kPurgedAtMs = 1'796'234'020'305;
+constexpr std::int64_t kPurgedUnixMs = 1'796'234'020'305;
 constexpr snapshot::UnixTime kSnapshotConfirmedAt(std::chrono::milliseconds(1'796'234'020'016));
 constexpr std::uint64_t kStoreId = 115'066'598'373'453;
 const std::string kKeyPrefix = "trailcourse/";
@@ -54,7 +54,7 @@
   return std::filesystem::path(TRAILCOURSE_SOURCE_DIR) / "tests" / "fixtures" / name;
 }
 
-// The list that the fixtures hold names nodes of these kinds.
+// Returns the kinds of the endpoints in the recorded list.
 protocol::Profile profile() {
   protocol::Profile out;
   out.kinds = {"std", "parent", "origin"};
@@ -63,7 +63,7 @@
   return out;
 }
 
-// Opens copies of the recorded files, so that the recorded ones stay as they are.
+// Opens copies of the recorded files, so that the originals stay unchanged.
 class RecordedFiles : public testing::Test {
  public:
   ~RecordedFiles() override { std::filesystem::remove_all(folder_); }
@@ -82,9 +82,9 @@
   std::filesystem::path folder_;
 };
 
-// ---- Discovery: the file of the board, and a router's snapshot of it ----
+// ---- Discovery: the file of the discovery service, and a router's snapshot of it ----
 
-TEST_F(RecordedFiles, ABoardPageIsReadWholeAndToldOnAsItStands) {
+TEST_F(RecordedFiles, ReadsADiscoveryPageCompletelyAndServesItUnchanged) {
   const json page = json::parse(read_file(fixture("board_page.json")));
   const protocol::DiscoveryPage read = protocol::read_discovery_page(page, profile());
   EXPECT_EQ(read.last_sequence, 3U);
@@ -96,7 +96,7 @@
   EXPECT_EQ(list.endpoints[2].address, "127.64.36.211:10004");
   const auto& purge = std::get<protocol::PurgeReceived>(read.updates[1].change);
   EXPECT_EQ(purge.object, 0x5c0f6e1a2b3d4c59U);
-  EXPECT_EQ(purge.purged_unix_ms, kPurgedAtMs);
+  EXPECT_EQ(purge.purged_unix_ms, kPurgedUnixMs);
   EXPECT_EQ(std::get<protocol::PurgeReceived>(read.updates[2].change).group, 17U);
 
   discovery::EventLog log;
@@ -104,18 +104,18 @@
   EXPECT_EQ(json::parse(*log.page_after(0)), page);
 }
 
-TEST_F(RecordedFiles, AnEventIsAddedToABoardPageInTheSameForm) {
+TEST_F(RecordedFiles, AppendsAnEventToADiscoveryPageInTheSameForm) {
   const std::string file = copy_of_fixture("board_page.json");
-  const json event{{"flush", {{"collection", 18}, {"ms", kPurgedAtMs}}}};
+  const json event{{"flush", {{"collection", 18}, {"ms", kPurgedUnixMs}}}};
   EXPECT_EQ(program::append_event(file, event), 4U);
 
   json expected = json::parse(read_file(fixture("board_page.json")));
   expected["rev"] = 4;
-  expected["notices"].push_back({{"flush", {{"collection", 18}, {"ms", kPurgedAtMs}}}, {"rev", 4}});
+  expected["notices"].push_back({{"flush", {{"collection", 18}, {"ms", kPurgedUnixMs}}}, {"rev", 4}});
   EXPECT_EQ(read_file(file), expected.dump(1) + "\n");
 }
 
-TEST_F(RecordedFiles, ASnapshotIsAcceptedAndEncodedToTheSameBytes) {
+TEST_F(RecordedFiles, AcceptsASnapshotAndEncodesTheSameBytes) {
   const std::string bytes = read_file(fixture("snapshot"));
   const auto read = snapshot::decode_snapshot(
       bytes, {"demo", "router0", kSnapshotConfirmedAt + std::chrono::seconds(1), std::chrono::minutes(1)});
@@ -130,7 +130,7 @@
 
 // ---- The fleet's policy ----
 
-TEST_F(RecordedFiles, APolicyDocumentIsReadAndWrittenWithTheSameBytes) {
+TEST_F(RecordedFiles, ReadsAPolicyDocumentAndWritesTheSameBytes) {
   const std::string bytes = read_file(fixture("policy_document.json"));
   const policy::PolicyDocument document = policy::read_document(bytes);
   EXPECT_EQ(document.version, 1U);
@@ -144,7 +144,7 @@
   EXPECT_EQ(policy::write_document_text(document), bytes);
 }
 
-TEST_F(RecordedFiles, APolicyDraftIsReadAsTheDocumentThatWasMadeOfIt) {
+TEST_F(RecordedFiles, ReadsAPolicyDraftAsTheContentOfItsDocument) {
   const policy::PolicyDocument draft = policy::read_draft(read_file(fixture("policy_draft.json")));
   const policy::PolicyDocument document = policy::read_document(read_file(fixture("policy_document.json")));
   EXPECT_EQ(draft.content, document.content);
@@ -167,7 +167,7 @@
   coordination::KeyValueDatabase file_;
 };
 
-TEST_F(RecordedRegistry, KeepsItsIdRevisionEntriesAndLeases) {
+TEST_F(RecordedRegistry, RestoresIdRevisionEntriesAndLeases) {
   EXPECT_EQ(file_.id(), kStoreId);
   EXPECT_EQ(file_.state().revision(), 22U);
   EXPECT_THAT(file_.state().entries(), SizeIs(20));
@@ -181,7 +181,7 @@
   EXPECT_EQ(owner.lease, 7'340'036U);
 }
 
-TEST_F(RecordedRegistry, GoesOnFromItsRevisionAndKeepsWhatIsWritten) {
+TEST_F(RecordedRegistry, ContinuesFromItsRevisionAndStoresNewEntries) {
   coordination::Revision revision = 0;
   file_.transact(coordination::KeyValueDatabase::boot_time(),
                  coordination::KeyValueDatabase::Durability::kSynced,
@@ -195,7 +195,7 @@
   EXPECT_EQ(value("fleet/work/new"), "value");
 }
 
-TEST_F(RecordedRegistry, ItsMembersAreReadAndWrittenWithTheSameBytes) {
+TEST_F(RecordedRegistry, ReadsMembersAndWritesTheSameBytes) {
   const std::string key = "fleet/members/router0/6e4a23d890dd1fa0";
   const auto member = membership::read_member(key, value(key));
   ASSERT_TRUE(member.has_value());
@@ -204,7 +204,7 @@
   EXPECT_EQ(membership::write_member(*member), value(key));
 }
 
-TEST_F(RecordedRegistry, ItsWorkIsReadAndWrittenWithTheSameBytes) {
+TEST_F(RecordedRegistry, ReadsWorkAndWritesTheSameBytes) {
   const std::string work_key = "fleet/work/evening";
   const auto work = ownership::read_work(work_key, value(work_key));
   ASSERT_TRUE(work.has_value());
@@ -223,7 +223,7 @@
   }
 }
 
-TEST_F(RecordedRegistry, ItsPolicyRolloutIsReadAndWrittenWithTheSameBytes) {
+TEST_F(RecordedRegistry, ReadsAPolicyRolloutAndWritesTheSameBytes) {
   const auto rollout = policy::read_rollout(value("policy/change"));
   ASSERT_TRUE(rollout.has_value());
   EXPECT_EQ(rollout->target_version, 1U);
@@ -242,7 +242,7 @@
   std::string path_;
 };
 
-TEST_F(RecordedDiskTier, EachRecordPassesItsSums) {
+TEST_F(RecordedDiskTier, VerifiesTheChecksumsOfEachRecord) {
   const auto files = store::look_into_folder(path_);
   const auto index = store::open_sqlite_index(path_, true);
   const store::VerifyReport verified =
@@ -256,7 +256,7 @@
   EXPECT_EQ(stat.damaged_rows, 0U);
 }
 
-TEST_F(RecordedDiskTier, EachRecordIsWrittenWithTheSameBytes) {
+TEST_F(RecordedDiskTier, EncodesEachRecordToTheSameBytes) {
   const std::string segment = read_file(path_ + "/" + store::segment_name(1));
   EXPECT_TRUE(store::good_segment_head(segment, 1));
   EXPECT_EQ(store::encode_segment_head(1), segment.substr(0, store::kSegmentHeadBytes));
@@ -273,7 +273,7 @@
   EXPECT_EQ(records, 4U);
 }
 
-TEST_F(RecordedDiskTier, AStoreServesItsCopiesButThePurgedOne) {
+TEST_F(RecordedDiskTier, ServesAllCopiesExceptThePurgedOne) {
   testing_support::ManualExecutor executor;
   store::Options options;
   options.memory_mb = 0;
@@ -282,7 +282,7 @@
   backing.index = [this] { return store::open_sqlite_index(path_); };
   std::vector<std::string> faults;
   store::Store tier(
-      options, executor, backing, [] { return store::Store::Now{1'000, kPurgedAtMs + 60'000}; },
+      options, executor, backing, [] { return store::Store::Now{1'000, kPurgedUnixMs + 60'000}; },
       [&faults](bool bad, const std::string& what) {
         if (bad) {
           faults.push_back(what);
@@ -294,7 +294,7 @@
   EXPECT_THAT(faults, IsEmpty());
 
   std::set<std::string> found;
-  // The last one came by work of the fleet, whose list names no part.
+  // The last one was prefetched by a task of the fleet, whose list has no parts.
   struct Recorded {
     std::string object;
     std::string part;
@@ -317,7 +317,7 @@
   EXPECT_THAT(found, ElementsAre("4be0c1927d55a6f3", "7f3a9c21e0b4d655", "9b1f03aa5c7e2d41"));
 }
 
-TEST_F(RecordedFiles, FencingTokensAreReadAndOlderOnesRefused) {
+TEST_F(RecordedFiles, ReadsFencingTokensAndRejectsOlderOnes) {
   std::filesystem::create_directories(folder_ / "fencing");
   std::filesystem::copy(fixture("terms"), folder_ / "fencing" / "terms");
   testing_support::ManualExecutor executor;
@@ -334,7 +334,7 @@
 
 // ---- The operator's file ----
 
-TEST_F(RecordedFiles, AnOperatorsFileIsReadToTheSameValues) {
+TEST_F(RecordedFiles, ReadsAnOperatorsFileToTheSameValues) {
   const program::OperatorFile file = program::read_operator_file(fixture("operator.json").string(), {});
   std::ostringstream printed;
   program::print_operator_file(file, printed);
--- a/tests/resp_test.cpp
+++ b/tests/resp_test.cpp
@@ -1,4 +1,4 @@
-// RESP arrays in any split, and the words that routers and caches exchange in them.
+// Tests the parser of RESP arrays with bytes in any split, and the router's side of the cache protocol.
 #include "protocol/resp.h"
 
 #include <gtest/gtest.h>
@@ -15,28 +15,28 @@
 using std::chrono::milliseconds;
 
 struct Array {
-  std::vector<std::string> words;
+  std::vector<std::string> strings;
   std::string last;
-  bool whole = false;
+  bool complete = false;
 };
-struct Read {
+struct ParseResult {
   std::vector<Array> arrays;
-  std::string fault;
+  std::string error;
 };
 
-Read feed(std::string_view bytes, std::size_t step, const resp::Bounds& bounds = resp::Bounds()) {
+ParseResult feed(std::string_view bytes, std::size_t step, const resp::Bounds& bounds = resp::Bounds()) {
   resp::Parser parser(bounds);
-  Read out;
+  ParseResult out;
   const auto sink = [&out](const resp::Event& event) {
     if (const auto* head = std::get_if<resp::ArrayHead>(&event)) {
       out.arrays.push_back(Array{head->strings, "", false});
     } else if (const auto* piece = std::get_if<resp::ArrayPiece>(&event)) {
       out.arrays.back().last += piece->bytes;
     } else if (std::holds_alternative<resp::ArrayEnd>(event)) {
-      out.arrays.back().whole = true;
+      out.arrays.back().complete = true;
     } else {
-      EXPECT_TRUE(out.fault.empty()) << "told twice";
-      out.fault = std::get<resp::ParseError>(event).reason;
+      EXPECT_TRUE(out.error.empty()) << "reported twice";
+      out.error = std::get<resp::ParseError>(event).reason;
     }
   };
   for (std::size_t at = 0; at < bytes.size(); at += step) {
@@ -50,52 +50,52 @@
   const std::string bytes =
       resp::write_array({"id1", "OK", "sum=1", body}) + resp::write_array({"id2", "MISS", "-", ""});
   for (std::size_t step = 1; step <= bytes.size(); ++step) {
-    const Read read = feed(bytes, step);
+    const ParseResult read = feed(bytes, step);
     ASSERT_EQ(read.arrays.size(), 2U) << "step " << step;
-    EXPECT_EQ(read.arrays[0].words, (std::vector<std::string>{"id1", "OK", "sum=1"}));
+    EXPECT_EQ(read.arrays[0].strings, (std::vector<std::string>{"id1", "OK", "sum=1"}));
     EXPECT_EQ(read.arrays[0].last, body);
-    EXPECT_TRUE(read.arrays[0].whole);
-    EXPECT_EQ(read.arrays[1].words[1], "MISS");
-    EXPECT_TRUE(read.arrays[1].whole);
-    EXPECT_TRUE(read.fault.empty());
+    EXPECT_TRUE(read.arrays[0].complete);
+    EXPECT_EQ(read.arrays[1].strings[1], "MISS");
+    EXPECT_TRUE(read.arrays[1].complete);
+    EXPECT_TRUE(read.error.empty());
   }
 }
 
-TEST(RespParser, ABodyCutShortIsNotWhole) {
+TEST(RespParser, DoesNotCompleteAnArrayWithATruncatedBody) {
   const std::string bytes = resp::write_array({"id1", "OK", "-", "0123456789"});
-  const Read read = feed(bytes.substr(0, bytes.size() - 5), 3);
+  const ParseResult read = feed(bytes.substr(0, bytes.size() - 5), 3);
   ASSERT_EQ(read.arrays.size(), 1U);
-  EXPECT_FALSE(read.arrays[0].whole);
+  EXPECT_FALSE(read.arrays[0].complete);
 }
 
-TEST(RespParser, BadBytesEndTheReadingWithTheirReason) {
-  const std::vector<std::string> bad{"+OK\r\n",
-                                     "*4\r\n:1\r\n",
-                                     "*x\r\n",
-                                     "*-1\r\n",
-                                     "*0\r\n",
-                                     "*99\r\n",
-                                     "*1\n$1\r\n",
-                                     "*1\r\n$-1\r\n",
-                                     "*1\r\n$\r\n",
-                                     "*2\r\n$3\r\nabcdef",
-                                     "*1\r\n$3\r\nabcdef\r\n",
-                                     "*1\r\n$99999999999999999999\r\n",
-                                     "*1\r\n$600000\r\n",
-                                     "*2\r\n$5000\r\n",
-                                     std::string(100, '*')};
-  for (const std::string& bytes : bad) {
+TEST(RespParser, ReportsAnErrorForMalformedBytesAndStops) {
+  const std::vector<std::string> malformed{"+OK\r\n",
+                                           "*4\r\n:1\r\n",
+                                           "*x\r\n",
+                                           "*-1\r\n",
+                                           "*0\r\n",
+                                           "*99\r\n",
+                                           "*1\n$1\r\n",
+                                           "*1\r\n$-1\r\n",
+                                           "*1\r\n$\r\n",
+                                           "*2\r\n$3\r\nabcdef",
+                                           "*1\r\n$3\r\nabcdef\r\n",
+                                           "*1\r\n$99999999999999999999\r\n",
+                                           "*1\r\n$600000\r\n",
+                                           "*2\r\n$5000\r\n",
+                                           std::string(100, '*')};
+  for (const std::string& bytes : malformed) {
     for (const std::size_t step : {std::size_t{1}, bytes.size()}) {
-      const Read read = feed(bytes + resp::write_array({"id", "OK", "-", ""}), step);
-      EXPECT_FALSE(read.fault.empty()) << bytes;
+      const ParseResult read = feed(bytes + resp::write_array({"id", "OK", "-", ""}), step);
+      EXPECT_FALSE(read.error.empty()) << bytes;
       for (const Array& array : read.arrays) {
-        EXPECT_FALSE(array.whole) << bytes;
+        EXPECT_FALSE(array.complete) << bytes;
       }
     }
   }
 }
 
-TEST(CacheAnswer, ReadsNotesWaitsAndReports) {
+TEST(CacheAnswer, ReadsNoteWaitAndLoadReport) {
   const AnswerFields fields = read_answer_fields(
       "sum=abc,t0=5,tell=deep_fill,slow=12.5,meter=inflight:7;util:0.61;x1:0.25", {"concurrent", "x1"});
   EXPECT_EQ(fields.note, Note::kFilledFromOrigin);
@@ -105,16 +105,16 @@
   EXPECT_LT(fields.load.utilisation, 0.0) << "not named by the settings";
 }
 
-TEST(CacheAnswer, EachNoteHasItsWord) {
-  const std::vector<std::string> words{"warm",    "fill",    "deep_fill", "piggy",  "aged",
+TEST(CacheAnswer, ParsesTheNameOfEachNote) {
+  const std::vector<std::string> names{"warm",    "fill",    "deep_fill", "piggy",  "aged",
                                        "bounced", "dropped", "lacking",   "jammed", "backfire"};
-  for (std::size_t i = 0; i < words.size(); ++i) {
-    EXPECT_EQ(read_answer_fields("tell=" + words[i], {}).note, static_cast<Note>(i + 1)) << words[i];
+  for (std::size_t i = 0; i < names.size(); ++i) {
+    EXPECT_EQ(read_answer_fields("tell=" + names[i], {}).note, static_cast<Note>(i + 1)) << names[i];
   }
 }
 
-// A bad report never costs an answer.
-TEST(CacheAnswer, WhatCannotBeUsedIsPassedOver) {
+// A malformed load report must not make an answer unusable.
+TEST(CacheAnswer, SkipsInvalidFields) {
   const std::string texts[] = {"-",          "",
                                "tell=other", "slow=x",
                                "slow=-5",    "slow=nan",
@@ -129,7 +129,7 @@
   }
 }
 
-TEST(CacheAnswer, KnowsItsWordsAndNoOthers) {
+TEST(CacheAnswer, ParsesOnlyKnownAnswerCodes) {
   EXPECT_EQ(parse_answer_code("OK"), AnswerCode::kOk);
   EXPECT_EQ(parse_answer_code("SAME"), AnswerCode::kSame);
   EXPECT_EQ(parse_answer_code("VOID"), AnswerCode::kVoid);
@@ -167,7 +167,7 @@
             "cached=4be0c1927d55a6f3");
 }
 
-TEST(CacheAnswer, WithoutAFillNoSourceIsNamed) {
+TEST(CacheAnswer, WritesNoSourceWhenTheCacheMustNotFill) {
   SendAttempt order;
   order.cache = "c1";
   order.source = "c1";
@@ -179,8 +179,8 @@
             "cls=media,item=7f3a9c21e0b4d655,chunk=3,limit=900,nonce=k1");
 }
 
-// 0 would mean no limit: the one purged a moment ago would be served from an old copy.
-TEST(CacheAnswer, TimesRoundDownButNeverToNone) {
+// 0 would mean that there is no limit, so that a copy from just before a purge would be served.
+TEST(CacheAnswer, RoundsTimesDownToAtLeastOneMillisecond) {
   SendAttempt order;
   order.cache = "c1";
   order.source = "c1";
@@ -194,7 +194,7 @@
   EXPECT_NE(fields.find(",agelim=2,"), std::string::npos) << fields;
 }
 
-TEST(CacheAnswer, PassesTheBodyByteForByte) {
+TEST(CacheAnswer, WritesTheBodyUnchanged) {
   ForwardedRequest request = plain_request();
   request.body = std::string("\0\r\n*3\r\n", 8);
   SendAttempt order;
--- a/tests/source_client_test.cpp
+++ b/tests/source_client_test.cpp
@@ -1,4 +1,4 @@
-// The side of a cache node that asks its sources, against a scripted source on loopback.
+// Tests SourceClient against a scripted source on loopback.
 #include "cache_node/source_client.h"
 
 #include <gtest/gtest.h>
@@ -24,7 +24,7 @@
 constexpr FillNumber kSecondFill = 2;
 constexpr FillNumber kThirdFill = 3;
 
-// A source that says what the test tells it to, on one connection, and the client that asks it.
+// The client and a source whose bytes the test sends, on one connection.
 class SourceClientTest : public testing::Test {
  protected:
   SourceClientTest()
@@ -54,16 +54,16 @@
     }
     return done();
   }
-  // Waits until the source has received these words.
-  [[nodiscard]] bool await_at_source(const std::string& words) {
-    return until([this, &words] {
+  // Waits until the source has received this text.
+  [[nodiscard]] bool await_at_source(const std::string& text) {
+    return until([this, &text] {
       char buffer[4'096];
       const ssize_t count = source_.valid() ? ::recv(source_.get(), buffer, sizeof buffer, MSG_DONTWAIT) : -1;
       received_.append(buffer, count > 0 ? static_cast<std::size_t>(count) : 0);
-      return received_.find(words) != std::string::npos;
+      return received_.find(text) != std::string::npos;
     });
   }
-  void say(const std::string& bytes) const {
+  void send_from_source(const std::string& bytes) const {
     ASSERT_EQ(::send(source_.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL),
               static_cast<ssize_t>(bytes.size()));
   }
@@ -88,19 +88,20 @@
   std::map<FillNumber, FetchResult> results_;
 };
 
-// The first answer and the head of the second come in one read, so the second has surely begun.
-TEST_F(SourceClientTest, AnAnswerWhoseFetchIsStoppedWhileItComesIsReadPast) {
+// The first answer and the start of the second are sent together: once the first is complete, the second has
+// begun to arrive when its fetch is stopped.
+TEST_F(SourceClientTest, IgnoresTheRestOfAnAnswerWhoseFetchIsStopped) {
   fetch(kFirstFill);
   fetch(kSecondFill);
   ASSERT_TRUE(await_at_source("f2"));
   const std::string second = answer("f2", "of the second");
   const std::size_t half = second.size() - 4;
-  say(answer("f1", "of the first") + second.substr(0, half));
+  send_from_source(answer("f1", "of the first") + second.substr(0, half));
   ASSERT_TRUE(until([this] { return answered(kFirstFill, "of the first"); }));
   client_.stop(kSecondFill);
   ASSERT_TRUE(await_at_source("cancel"));
   fetch(kThirdFill);
-  say(second.substr(half) + answer("f3", "of the third"));
+  send_from_source(second.substr(half) + answer("f3", "of the third"));
   ASSERT_TRUE(until([this] { return answered(kThirdFill, "of the third"); }));
   EXPECT_FALSE(results_.contains(kSecondFill));
 }
