--- a/src/cache_node/command_server.h
+++ b/src/cache_node/command_server.h
@@ -40,17 +40,18 @@
   virtual std::string load_report() const = 0;
 };
 
+// Accepts connections and passes their commands to a CommandHandler, which has to outlive the server.
 class CommandServer {
  public:
   struct Bounds {
     int backlog = 1'024;
     // Beyond this limit the longest idle connection is closed; if none is idle, the new one is rejected.
     std::size_t connections = 256;
-    std::size_t open_per_connection = 1'024;
-    std::size_t body_bytes = 1U << 20U;
-    transport::Clock::duration idle = std::chrono::seconds(15);
-    transport::Clock::duration message_timeout =
-        std::chrono::seconds(5);  // for the rest of a partial message
+    std::size_t open_per_connection = 1'024;                     // requests; further ones are answered BUSY
+    std::size_t body_bytes = 1U << 20U;                          // of one request; a larger one is malformed
+    transport::Clock::duration idle = std::chrono::seconds(15);  // after which a connection is closed
+    // For the rest of a partial message.
+    transport::Clock::duration message_timeout = std::chrono::seconds(5);
     transport::Connection::Bounds connection;
   };
 
--- a/src/cache_node/node.cpp
+++ b/src/cache_node/node.cpp
@@ -117,14 +117,15 @@
 
 void Node::take(const protocol::DiscoveryPage& page) {
   std::vector<store::PurgeRecord> purges;
-  for (const protocol::DiscoveryUpdate& notice : page.updates) {
-    if (const auto* pool = std::get_if<protocol::EndpointsChanged>(&notice.change)) {
-      apply_endpoints(*pool);
-    } else if (const auto* flush = std::get_if<protocol::PurgeReceived>(&notice.change)) {
+  for (const protocol::DiscoveryUpdate& update : page.updates) {
+    if (const auto* endpoints = std::get_if<protocol::EndpointsChanged>(&update.change)) {
+      apply_endpoints(*endpoints);
+    } else if (const auto* received = std::get_if<protocol::PurgeReceived>(&update.change)) {
       store::PurgeRecord purge;
-      purge.kind = flush->whole_group ? store::PurgeRecord::Kind::kGroup : store::PurgeRecord::Kind::kObject;
-      purge.id = flush->whole_group ? flush->group : flush->object;
-      purge.ms = flush->purged_unix_ms;
+      purge.kind =
+          received->whole_group ? store::PurgeRecord::Kind::kGroup : store::PurgeRecord::Kind::kObject;
+      purge.id = received->whole_group ? received->group : received->object;
+      purge.ms = received->purged_unix_ms;
       purges.push_back(purge);
     }
   }
@@ -140,11 +141,11 @@
 }
 
 // Updates the addresses of sources and drops the connections to those that are gone or have moved.
-void Node::apply_endpoints(const protocol::EndpointsChanged& pool) {
-  for (const protocol::ListedEndpoint& cache : pool.endpoints) {
-    const std::string& name = cache.endpoint.address;
-    const auto address = transport::parse_address(cache.address);
-    if (cache.endpoint.state == NodeState::kGone || !address) {
+void Node::apply_endpoints(const protocol::EndpointsChanged& change) {
+  for (const protocol::ListedEndpoint& listed : change.endpoints) {
+    const std::string& name = listed.endpoint.address;
+    const auto address = transport::parse_address(listed.address);
+    if (listed.endpoint.state == NodeState::kGone || !address) {
       sources_.drop(name);
       directory_.remove(name);
       continue;
--- a/src/cache_node/node.h
+++ b/src/cache_node/node.h
@@ -41,6 +41,7 @@
   void start();
   // Accepts no more connections; each open connection closes once its answers are written.
   void stop();
+  // Returns the number of open requests.
   std::size_t open() const { return core_.open(); }
 
   void serve(Ticket ticket, protocol::ServeFields fields, std::string body) override;
@@ -56,7 +57,7 @@
   std::string report() const;
 
  private:
-  void apply_endpoints(const protocol::EndpointsChanged& pool);
+  void apply_endpoints(const protocol::EndpointsChanged& change);
   EventContext now() const;
   void on_admitted(Ticket ticket, fencing::AdmitResult result);
   void run_actions(std::vector<Action>& actions);
--- a/src/cache_node/node_core.cpp
+++ b/src/cache_node/node_core.cpp
@@ -164,20 +164,20 @@
 void NodeCore::fill(const EventContext& now, RequestNumber number,
                     std::shared_ptr<store::PartialCopy> partial, std::vector<Action>& out) {
   Request& request = requests_.at(number);
-  const protocol::ServeFields& asked = request.fields;
+  const protocol::ServeFields& fields = request.fields;
   // An only-if-cached request to a source does not start a fill from the default source.
-  const std::string source = !asked.source.empty()  ? asked.source
-                             : asked.only_if_cached ? std::string()
-                                                    : options_.fill_from;
+  const std::string source = !fields.source.empty()  ? fields.source
+                             : fields.only_if_cached ? std::string()
+                                                     : options_.fill_from;
   if (source.empty()) {
     ++counts_.misses;
     reject(number, AnswerCode::kMiss, Note::kNone, "", out);
     return;
   }
   const auto shared = shared_.find(request.name.key);
-  if (request.rule.cacheable && asked.join_fill && shared != shared_.end() && !asked.range) {
+  if (request.rule.cacheable && fields.join_fill && shared != shared_.end() && !fields.range) {
     Fill& in_progress = fills_.at(shared->second);
-    if (!in_progress.fields.only_if_cached || asked.only_if_cached) {
+    if (!in_progress.fields.only_if_cached || fields.only_if_cached) {
       request.fill = shared->second;
       request.joined = true;
       in_progress.waiters.insert(number);
@@ -193,15 +193,15 @@
   fill.name = request.name;
   fill.source = source;
   fill.forwarded = !request.rule.cacheable;
-  fill.rank = asked.keep_rank;
+  fill.rank = fields.keep_rank;
   // `no_copy` binds a node that is requested as a source. A cache whose request names a source forwards the
   // flag and stores its own copy.
   fill.store_result =
-      request.rule.cacheable && asked.keep_rank > 0 && (!asked.no_copy || !asked.source.empty());
+      request.rule.cacheable && fields.keep_rank > 0 && (!fields.no_copy || !fields.source.empty());
   fill.waiters.insert(number);
   fill.partial = std::move(partial);
   fill.stale_copy = request.stale_copy;
-  fill.fields = asked;
+  fill.fields = fields;
   fill.fields.source.clear();
   fill.fields.renew = false;
   fill.fields.range.reset();
@@ -368,12 +368,12 @@
                                 const FetchResult& result, std::vector<Action>& out) {
   store::PartialCopy& partial = *fill.partial;
   const CacheAnswer& fields = result.fields;
-  const std::optional<protocol::ByteRange> wanted = fill.fields.range;
-  const bool fits = is_complete_answer(result) && fields.range == wanted &&
-                    result.body->size() == wanted->length && fields.tag == partial.tag &&
+  const std::optional<protocol::ByteRange> requested = fill.fields.range;
+  const bool fits = is_complete_answer(result) && fields.range == requested &&
+                    result.body->size() == requested->length && fields.tag == partial.tag &&
                     fields.total_length == partial.bytes.size() && fields.origin_time_ms >= partial.t0_ms;
   if (fits) {
-    insert_range(partial, *wanted, *result.body);
+    insert_range(partial, *requested, *result.body);
     if (fetch_next_missing_range(number, fill, out)) {
       return true;
     }
--- a/src/protocol/cache_answer.cpp
+++ b/src/protocol/cache_answer.cpp
@@ -43,22 +43,22 @@
 constexpr double kMaxWaitedMs = 1e9;
 
 template <typename Value, std::size_t kSize>
-const Value* find_by_name(const std::array<std::pair<std::string_view, Value>, kSize>& words,
-                          std::string_view word) {
+const Value* find_by_name(const std::array<std::pair<std::string_view, Value>, kSize>& table,
+                          std::string_view name) {
   const auto found =
-      std::find_if(words.begin(), words.end(), [word](const auto& one) { return one.first == word; });
-  return found == words.end() ? nullptr : &found->second;
+      std::find_if(table.begin(), table.end(), [name](const auto& one) { return one.first == name; });
+  return found == table.end() ? nullptr : &found->second;
 }
 
-// Calls `take(name, value)` for each "name=value" of a list; skips other entries.
-template <typename Take>
-void each_field(std::string_view list, char separator, char equals, Take take) {
+// Calls `on_field(name, value)` for each "name=value" of a list; skips other entries.
+template <typename OnField>
+void each_field(std::string_view list, char separator, char equals, OnField on_field) {
   while (!list.empty()) {
     const std::string_view field = list.substr(0, list.find(separator));
     list.remove_prefix(std::min(list.size(), field.size() + 1));
     const std::size_t middle = field.find(equals);
     if (middle != std::string_view::npos) {
-      take(field.substr(0, middle), field.substr(middle + 1));
+      on_field(field.substr(0, middle), field.substr(middle + 1));
     }
   }
 }
@@ -83,8 +83,8 @@
 
 }  // namespace
 
-std::optional<AnswerCode> parse_answer_code(std::string_view word) {
-  const AnswerCode* found = find_by_name(kAnswerCodes, word);
+std::optional<AnswerCode> parse_answer_code(std::string_view name) {
+  const AnswerCode* found = find_by_name(kAnswerCodes, name);
   return found != nullptr ? std::optional<AnswerCode>(*found) : std::nullopt;
 }
 
@@ -94,8 +94,8 @@
   return found != kNotes.end() ? found->first : std::string_view();
 }
 
-std::optional<Note> parse_note(std::string_view word) {
-  const Note* note = find_by_name(kNotes, word);
+std::optional<Note> parse_note(std::string_view name) {
+  const Note* note = find_by_name(kNotes, name);
   return note != nullptr ? std::optional<Note>(*note) : std::nullopt;
 }
 
@@ -115,7 +115,7 @@
   return out;
 }
 
-std::string write_serve(const ForwardedRequest& request, const SendAttempt& order) {
+std::string write_serve(const ForwardedRequest& request, const SendAttempt& attempt) {
   std::string fields = "cls=" + request.request_class;
   const auto add = [&fields](std::string_view name, std::string_view value) {
     if (!value.empty()) {
@@ -124,20 +124,20 @@
   };
   add("item", request.object);
   add("chunk", request.part);
-  add("limit", to_millis(order.timeout));
+  add("limit", to_millis(attempt.timeout));
   add("nonce", request.dedupe_key);
-  if (order.source != order.cache) {
-    add("next", order.source);
+  if (attempt.source != attempt.cache) {
+    add("next", attempt.source);
   }
-  if (order.keep_rank > 0) {
-    add("admit", std::to_string(order.keep_rank));
+  if (attempt.keep_rank > 0) {
+    add("admit", std::to_string(attempt.keep_rank));
   }
-  if (order.max_age.count() > 0) {
-    add("agelim", to_millis(order.max_age));
+  if (attempt.max_age.count() > 0) {
+    add("agelim", to_millis(attempt.max_age));
   }
-  add("ways", std::string(order.join_fill ? "join" : "") +
-                  (order.join_fill && order.only_if_cached ? "+" : "") +
-                  (order.only_if_cached ? "held" : ""));
+  add("ways", std::string(attempt.join_fill ? "join" : "") +
+                  (attempt.join_fill && attempt.only_if_cached ? "+" : "") +
+                  (attempt.only_if_cached ? "held" : ""));
   add("cached", request.held_tag);
   add("fence", request.fence);
   return resp::write_array({"serve", request.id, fields, request.body});
--- a/src/protocol/cache_answer.h
+++ b/src/protocol/cache_answer.h
@@ -32,11 +32,11 @@
 };
 
 // Returns nothing for an unknown code.
-std::optional<AnswerCode> parse_answer_code(std::string_view word);
+std::optional<AnswerCode> parse_answer_code(std::string_view name);
 // Returns the name of a note in the protocol; empty for Note::kNone.
 std::string_view note_name(Note note);
 // Returns nothing for an unknown name.
-std::optional<Note> parse_note(std::string_view word);
+std::optional<Note> parse_note(std::string_view name);
 
 // Reads "name=value,name=value" or "-". Invalid fields are skipped, so that a malformed load report never
 // makes an answer unusable. `report_fields` are the fields of a load report that the settings name; others
@@ -56,7 +56,7 @@
 };
 
 // Returns the `serve` command that sends a request to a cache.
-std::string write_serve(const ForwardedRequest& request, const SendAttempt& order);
+std::string write_serve(const ForwardedRequest& request, const SendAttempt& attempt);
 // Returns the command that cancels the request with this id.
 std::string write_cancel(std::string_view id);
 
--- a/src/protocol/cache_command.cpp
+++ b/src/protocol/cache_command.cpp
@@ -63,15 +63,15 @@
 
 bool set_flags(ServeFields& out, std::string_view value) {
   while (!value.empty()) {
-    const std::string_view way = value.substr(0, value.find('+'));
-    value.remove_prefix(std::min(value.size(), way.size() + 1));
-    if (way == "join") {
+    const std::string_view flag = value.substr(0, value.find('+'));
+    value.remove_prefix(std::min(value.size(), flag.size() + 1));
+    if (flag == "join") {
       out.join_fill = true;
-    } else if (way == "held") {
+    } else if (flag == "held") {
       out.only_if_cached = true;
-    } else if (way == "nocopy") {
+    } else if (flag == "nocopy") {
       out.no_copy = true;
-    } else if (way == "renew") {
+    } else if (flag == "renew") {
       out.renew = true;
     } else {
       return false;
@@ -114,17 +114,18 @@
   return std::nullopt;
 }
 
-// Calls `take(name, value, is_field)` for each entry of the list until it returns false. `is_field` is false
-// for an entry without "=". Returns whether all entries were taken.
-template <typename Take>
-bool each_field(std::string_view list, Take take) {
+// Calls `on_field(name, value, is_field)` for each entry of the list until it returns false. `is_field` is
+// false for an entry without "=". Returns whether all entries were accepted.
+template <typename OnField>
+bool each_field(std::string_view list, OnField on_field) {
   while (!list.empty()) {
     const std::string_view field = list.substr(0, list.find(','));
     const bool more = field.size() < list.size();
     list.remove_prefix(field.size() + (more ? 1 : 0));
     const std::size_t middle = field.find('=');
     const bool is_field = middle != std::string_view::npos;
-    if (!take(field.substr(0, middle), is_field ? field.substr(middle + 1) : std::string_view(), is_field)) {
+    if (!on_field(field.substr(0, middle), is_field ? field.substr(middle + 1) : std::string_view(),
+                  is_field)) {
       return false;
     }
   }
@@ -140,10 +141,10 @@
     }
     return *this;
   }
-  FieldList& add(std::string_view name, std::int64_t value, bool wanted) {
-    return wanted ? add(name, std::to_string(value)) : *this;
+  FieldList& add(std::string_view name, std::int64_t value, bool present) {
+    return present ? add(name, std::to_string(value)) : *this;
   }
-  std::string take() { return text_.empty() ? "-" : std::move(text_); }
+  std::string build() { return text_.empty() ? "-" : std::move(text_); }
 
  private:
   std::string text_;
@@ -192,15 +193,15 @@
 
 std::string write_serve_fields(const ServeFields& fields) {
   std::string ways;
-  const auto way = [&ways](bool wanted, const char* word) {
-    if (wanted) {
-      ways += (ways.empty() ? "" : "+") + std::string(word);
+  const auto add_flag = [&ways](bool set, const char* flag) {
+    if (set) {
+      ways += (ways.empty() ? "" : "+") + std::string(flag);
     }
   };
-  way(fields.join_fill, "join");
-  way(fields.only_if_cached, "held");
-  way(fields.no_copy, "nocopy");
-  way(fields.renew, "renew");
+  add_flag(fields.join_fill, "join");
+  add_flag(fields.only_if_cached, "held");
+  add_flag(fields.no_copy, "nocopy");
+  add_flag(fields.renew, "renew");
   FieldList list;
   list.add("cls", fields.request_class)
       .add("item", fields.item)
@@ -215,7 +216,7 @@
       .add("span", fields.range ? to_text(*fields.range) : "")
       .add("match", fields.expected_tag)
       .add("fence", fields.fence);
-  return list.take();
+  return list.build();
 }
 
 std::string write_serve(std::string_view id, const ServeFields& fields, std::string_view body) {
@@ -252,7 +253,7 @@
       .add("whole", static_cast<std::int64_t>(out.total_length), out.range.has_value())
       .add("why", plain_value(out.error_reason))
       .add("meter", out.load_report);
-  return resp::write_array({id, answer_code_name(code), list.take(), body});
+  return resp::write_array({id, answer_code_name(code), list.build(), body});
 }
 
 CacheAnswer read_cache_answer(std::string_view text) {
--- a/src/protocol/cache_command.h
+++ b/src/protocol/cache_command.h
@@ -48,7 +48,9 @@
 
 // Returns the fields, or an error message that names the invalid field.
 std::variant<ServeFields, std::string> read_serve_fields(std::string_view text);
+// Returns the fields as read_serve_fields() reads them.
 std::string write_serve_fields(const ServeFields& fields);
+// Returns the `serve` command.
 std::string write_serve(std::string_view id, const ServeFields& fields, std::string_view body);
 
 // The fields of an answer, as a cache writes them.
@@ -64,7 +66,9 @@
   std::string load_report;         // as in "inflight:7;util:0.61"
 };
 
+// Returns the code as it is sent.
 std::string_view answer_code_name(AnswerCode code);
+// Returns the answer to the request with this id.
 std::string write_answer(std::string_view id, AnswerCode code, const CacheAnswer& out, std::string_view body);
 
 // Reads the fields that a cache uses of its source's answer; invalid fields are skipped.
--- a/src/protocol/fastcgi.cpp
+++ b/src/protocol/fastcgi.cpp
@@ -123,7 +123,7 @@
     if (bytes.size() < record_bytes) {
       break;
     }
-    take_record(byte_at(bytes, 1), short_at(bytes, 2), bytes.substr(kHeaderBytes, length), out);
+    on_record(byte_at(bytes, 1), short_at(bytes, 2), bytes.substr(kHeaderBytes, length), out);
     bytes.remove_prefix(record_bytes);
   }
   partial_ = failed_ ? std::string() : std::string(bytes);
@@ -135,8 +135,7 @@
   });
 }
 
-void Parser::take_record(std::uint8_t type, RequestKey key, std::string_view content,
-                         std::vector<Event>& out) {
+void Parser::on_record(std::uint8_t type, RequestKey key, std::string_view content, std::vector<Event>& out) {
   if (key == 0) {
     manage(type, content, out);
     return;
@@ -152,7 +151,7 @@
     open_.erase(found);
     out.emplace_back(RequestAborted{key});
   } else if (type == kParams || type == kStdin) {
-    take_stream(key, type == kStdin, content, out);
+    on_stream(key, type == kStdin, content, out);
   } else if (type != kData) {
     manage(type, content, out);
   }
@@ -181,7 +180,7 @@
   open_.emplace(key, std::move(request));
 }
 
-void Parser::take_stream(RequestKey key, bool body, std::string_view content, std::vector<Event>& out) {
+void Parser::on_stream(RequestKey key, bool body, std::string_view content, std::vector<Event>& out) {
   const auto found = open_.find(key);
   if (found == open_.end()) {
     return;  // the request was aborted or rejected; its remaining records are skipped
@@ -311,23 +310,23 @@
   Answer& answer = answers_[key];
   answer.queued = false;
   std::string out;
-  std::size_t taken = 0;
+  std::size_t content_bytes = 0;
   std::string content;
-  while (!answer.parts.empty() && taken < std::min(record_bytes_, kMaxContentBytes)) {
+  while (!answer.parts.empty() && content_bytes < std::min(record_bytes_, kMaxContentBytes)) {
     const std::string& part = answer.parts.front();
     const std::size_t piece =
-        std::min(part.size() - answer.offset, std::min(record_bytes_, kMaxContentBytes) - taken);
+        std::min(part.size() - answer.offset, std::min(record_bytes_, kMaxContentBytes) - content_bytes);
     content.append(part, answer.offset, piece);
-    taken += piece;
+    content_bytes += piece;
     answer.offset += piece;
     if (answer.offset == part.size()) {
       answer.parts.pop_front();
       answer.offset = 0;
     }
   }
-  waiting_ -= taken;
-  if (taken > 0) {
-    out = header(kStdout, key, taken) + content;
+  waiting_ -= content_bytes;
+  if (content_bytes > 0) {
+    out = header(kStdout, key, content_bytes) + content;
   }
   if (!answer.parts.empty()) {
     queue(key, answer);
--- a/src/protocol/fastcgi.h
+++ b/src/protocol/fastcgi.h
@@ -62,6 +62,7 @@
 };
 using Event = std::variant<RequestReceived, RequestAborted, RequestRejected, ManagementReply, ParseError>;
 
+// Limits of one connection; a request beyond them is rejected.
 struct Bounds {
   std::size_t open_requests = 64;            // on one connection; clients open 32
   std::size_t parameter_bytes = 16U << 10U;  // of one request
@@ -93,9 +94,9 @@
     bool keep_connection = true;
   };
 
-  void take_record(std::uint8_t type, RequestKey key, std::string_view content, std::vector<Event>& out);
+  void on_record(std::uint8_t type, RequestKey key, std::string_view content, std::vector<Event>& out);
   void begin(RequestKey key, std::string_view content, std::vector<Event>& out);
-  void take_stream(RequestKey key, bool body, std::string_view content, std::vector<Event>& out);
+  void on_stream(RequestKey key, bool body, std::string_view content, std::vector<Event>& out);
   void finish(RequestKey key, Open& request, std::vector<Event>& out);
   void reject(RequestKey key, Open& request, std::string reason, std::vector<Event>& out);
   void manage(std::uint8_t type, std::string_view content, std::vector<Event>& out);
--- a/src/protocol/http_client.cpp
+++ b/src/protocol/http_client.cpp
@@ -39,9 +39,9 @@
     if (stage_ == Stage::kComplete) {
       fail("bytes after the end of a response");
     } else if (stage_ == Stage::kBody || stage_ == Stage::kChunk) {
-      take_body(bytes);
+      append_body(bytes);
     } else if (read_line(bytes)) {
-      take_line();
+      parse_line();
       line_.clear();
     }
   }
@@ -74,13 +74,13 @@
 // Appends to the current line. Returns true once the line is complete; its line break is removed.
 bool ResponseParser::read_line(std::string_view& bytes) {
   const std::size_t end = bytes.find('\n');
-  const std::size_t taken = end == std::string_view::npos ? bytes.size() : end + 1;
-  if (line_.size() + taken > bounds_.line_bytes) {
+  const std::size_t line_bytes = end == std::string_view::npos ? bytes.size() : end + 1;
+  if (line_.size() + line_bytes > bounds_.line_bytes) {
     fail("line too long");
     return false;
   }
-  line_ += bytes.substr(0, taken);
-  bytes.remove_prefix(taken);
+  line_ += bytes.substr(0, line_bytes);
+  bytes.remove_prefix(line_bytes);
   if (end == std::string_view::npos) {
     return false;
   }
@@ -91,7 +91,7 @@
   return true;
 }
 
-void ResponseParser::take_line() {
+void ResponseParser::parse_line() {
   const std::string_view line = line_;
   if (++lines_ > bounds_.header_lines && stage_ != Stage::kChunkSize && stage_ != Stage::kChunkEnd) {
     fail("too many header lines");
@@ -109,7 +109,7 @@
     if (line.empty()) {
       end_headers();
     } else {
-      take_header(line);
+      parse_header(line);
     }
   } else if (stage_ == Stage::kChunkSize) {
     const std::optional<std::size_t> size = read_hex<std::size_t>(trimmed(line.substr(0, line.find(';'))));
@@ -130,7 +130,7 @@
   }
 }
 
-void ResponseParser::take_header(std::string_view line) {
+void ResponseParser::parse_header(std::string_view line) {
   const std::size_t colon = line.find(':');
   if (colon == std::string_view::npos) {
     fail("invalid header line");
@@ -171,7 +171,7 @@
   }
 }
 
-void ResponseParser::take_body(std::string_view& bytes) {
+void ResponseParser::append_body(std::string_view& bytes) {
   const bool counted = stage_ == Stage::kChunk || has_length_;
   const std::string_view piece = counted ? bytes.substr(0, remaining_bytes_) : bytes;
   if (response_.body.size() + piece.size() > bounds_.body_bytes) {
--- a/src/protocol/http_client.h
+++ b/src/protocol/http_client.h
@@ -30,6 +30,7 @@
 // date, which is compared with `unix_s`. Returns nothing if it is neither.
 std::optional<std::int64_t> read_retry_after(const std::string& value, std::int64_t unix_s);
 
+// Limits of one response; a larger one is malformed.
 struct Bounds {
   std::size_t line_bytes = 4096;
   std::size_t header_lines = 64;
@@ -61,10 +62,10 @@
   enum class Stage { kStatus, kHeaders, kBody, kChunkSize, kChunk, kChunkEnd, kTrailers, kComplete, kFailed };
 
   bool read_line(std::string_view& bytes);
-  void take_line();
-  void take_header(std::string_view line);
+  void parse_line();
+  void parse_header(std::string_view line);
   void end_headers();
-  void take_body(std::string_view& bytes);
+  void append_body(std::string_view& bytes);
   void fail(std::string error);
 
   Bounds bounds_;
@@ -78,6 +79,7 @@
   std::string error_;
 };
 
+// Return requests that accept JSON; write_post() sends `json` as its body.
 std::string write_get(std::string_view path, std::string_view host);
 std::string write_post(std::string_view path, std::string_view host, std::string_view json);
 
--- a/src/protocol/http_request.h
+++ b/src/protocol/http_request.h
@@ -18,6 +18,7 @@
   bool keep_open = true;
 };
 
+// Limits of one request; a larger one is malformed.
 struct RequestBounds {
   std::size_t head_bytes = 8'192;
   std::size_t body_bytes = 1U << 20U;
@@ -48,6 +49,7 @@
   std::string error_;
 };
 
+// Returns a response with a JSON body. `headers` are further header lines, each with its line break.
 std::string write_response(int status, std::string_view reason, std::string_view headers,
                            std::string_view body);
 
--- a/src/protocol/resp.cpp
+++ b/src/protocol/resp.cpp
@@ -16,12 +16,12 @@
 // Appends to the current line. Returns true once the line is complete; its line break is removed.
 bool Parser::read_line(std::string_view& bytes) {
   const std::size_t end = bytes.find('\n');
-  const std::size_t taken = end == std::string_view::npos ? bytes.size() : end + 1;
-  if (line_.size() + taken > bounds_.line_bytes) {
+  const std::size_t line_bytes = end == std::string_view::npos ? bytes.size() : end + 1;
+  if (line_.size() + line_bytes > bounds_.line_bytes) {
     return fail("length line too long");
   }
-  line_ += bytes.substr(0, taken);
-  bytes.remove_prefix(taken);
+  line_ += bytes.substr(0, line_bytes);
+  bytes.remove_prefix(line_bytes);
   if (end == std::string_view::npos) {
     return false;
   }
--- a/src/protocol/resp.h
+++ b/src/protocol/resp.h
@@ -28,6 +28,7 @@
 };
 using Event = std::variant<ArrayHead, ArrayPiece, ArrayEnd, ParseError>;
 
+// Limits of one array; a larger one is a ParseError.
 struct Bounds {
   std::size_t strings = 8;               // of one array
   std::size_t string_bytes = 4096;       // of one string, except the last
--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -39,8 +39,8 @@
 }
 // Returns a factor of a budget; 1, the strictest useful value, if it is not positive.
 double factor_at(const json& object, const char* key) {
-  const double multiple = number_or_default(object, key, 1.0);
-  return multiple > 0.0 ? multiple : 1.0;
+  const double factor = number_or_default(object, key, 1.0);
+  return factor > 0.0 ? factor : 1.0;
 }
 
 ClassSettings read_class(const json& entry, const json& extra, std::size_t index) {
--- a/tests/fastcgi_test.cpp
+++ b/tests/fastcgi_test.cpp
@@ -153,13 +153,13 @@
 }
 
 TEST(FastCgiParser, RejectsTruncatedParameters) {
-  const std::string whole = pair("NAME", "value") + pair("OTHER", std::string(200, 'y'));
-  for (std::size_t cut = 1; cut < whole.size(); ++cut) {
+  const std::string complete = pair("NAME", "value") + pair("OTHER", std::string(200, 'y'));
+  for (std::size_t cut = 1; cut < complete.size(); ++cut) {
     if (cut == pair("NAME", "value").size()) {
       continue;  // cut between two pairs
     }
     Parser parser{Bounds()};
-    const std::string bytes = begin_record(1) + record(kParams, 1, whole.substr(0, cut)) +
+    const std::string bytes = begin_record(1) + record(kParams, 1, complete.substr(0, cut)) +
                               record(kParams, 1, "") + record(kStdin, 1, "");
     EXPECT_TRUE(only<RequestRejected>(feed(parser, bytes, 64)).answered) << "cut at " << cut;
   }
@@ -188,12 +188,12 @@
   EXPECT_EQ(only<RequestRejected>(events).status, ProtocolStatus::kOverloaded);
   bounds.body_bytes = 100;
   bounds.connection_bytes = 10;
-  Parser whole(bounds);
+  Parser complete(bounds);
   std::string bytes;
   for (const RequestKey key : {1, 2}) {
     bytes += begin_record(key) + record(kParams, key, "") + record(kStdin, key, "123456");
   }
-  EXPECT_EQ(only<RequestRejected>(feed(whole, bytes, 64)).key, 2);
+  EXPECT_EQ(only<RequestRejected>(feed(complete, bytes, 64)).key, 2);
 }
 
 TEST(FastCgiParser, AcceptsRandomBytesWithinItsBounds) {
--- a/tests/mutation_test.cpp
+++ b/tests/mutation_test.cpp
@@ -62,9 +62,9 @@
     for (const char c : text) {
       bytes.emplace_back(1, c);
     }
-    const std::string whole = read(std::vector<std::string>{text});
-    ASSERT_EQ(whole, read(bytes)) << "round " << round;
-    nonempty += whole.empty() ? 0 : 1;
+    const std::string in_one_piece = read(std::vector<std::string>{text});
+    ASSERT_EQ(in_one_piece, read(bytes)) << "round " << round;
+    nonempty += in_one_piece.empty() ? 0 : 1;
   }
   EXPECT_GT(nonempty, kRounds / 10) << "enough mutations must produce a result";
 }
@@ -112,8 +112,8 @@
     parser.feed(piece, [&events_text](const resp::Event& event) {
       if (const auto* head = std::get_if<resp::ArrayHead>(&event)) {
         events_text += "head " + std::to_string(head->last_bytes);
-        for (const std::string& word : head->strings) {
-          events_text += ' ' + word;
+        for (const std::string& string : head->strings) {
+          events_text += ' ' + string;
         }
         events_text += ' ';
       } else if (const auto* part = std::get_if<resp::ArrayPiece>(&event)) {
--- a/tests/resp_test.cpp
+++ b/tests/resp_test.cpp
@@ -154,52 +154,52 @@
 }
 
 TEST(CacheAnswer, WritesAFillWithAllItsFields) {
-  SendAttempt order;
-  order.cache = "c1";
-  order.source = "p1";
-  order.timeout = milliseconds(900);
-  order.keep_rank = 2;
-  order.max_age = milliseconds(1500);
-  order.join_fill = true;
-  order.only_if_cached = true;
-  EXPECT_EQ(fields_of(write_serve(plain_request(), order)),
+  SendAttempt attempt;
+  attempt.cache = "c1";
+  attempt.source = "p1";
+  attempt.timeout = milliseconds(900);
+  attempt.keep_rank = 2;
+  attempt.max_age = milliseconds(1500);
+  attempt.join_fill = true;
+  attempt.only_if_cached = true;
+  EXPECT_EQ(fields_of(write_serve(plain_request(), attempt)),
             "cls=media,item=7f3a9c21e0b4d655,chunk=3,limit=900,next=p1,admit=2,agelim=1500,ways=join+held,"
             "cached=4be0c1927d55a6f3");
 }
 
 TEST(CacheAnswer, WritesNoSourceWhenTheCacheMustNotFill) {
-  SendAttempt order;
-  order.cache = "c1";
-  order.source = "c1";
-  order.timeout = milliseconds(900);
+  SendAttempt attempt;
+  attempt.cache = "c1";
+  attempt.source = "c1";
+  attempt.timeout = milliseconds(900);
   ForwardedRequest request = plain_request();
   request.held_tag.clear();
   request.dedupe_key = "k1";
-  EXPECT_EQ(fields_of(write_serve(request, order)),
+  EXPECT_EQ(fields_of(write_serve(request, attempt)),
             "cls=media,item=7f3a9c21e0b4d655,chunk=3,limit=900,nonce=k1");
 }
 
 // 0 would mean that there is no limit, so that a copy from just before a purge would be served.
 TEST(CacheAnswer, RoundsTimesDownToAtLeastOneMillisecond) {
-  SendAttempt order;
-  order.cache = "c1";
-  order.source = "c1";
-  order.timeout = Micros(1);
-  order.max_age = Micros(999);
-  std::string fields = fields_of(write_serve(plain_request(), order));
+  SendAttempt attempt;
+  attempt.cache = "c1";
+  attempt.source = "c1";
+  attempt.timeout = Micros(1);
+  attempt.max_age = Micros(999);
+  std::string fields = fields_of(write_serve(plain_request(), attempt));
   EXPECT_NE(fields.find(",limit=1,"), std::string::npos) << fields;
   EXPECT_NE(fields.find(",agelim=1,"), std::string::npos) << fields;
-  order.max_age = Micros(2'999);
-  fields = fields_of(write_serve(plain_request(), order));
+  attempt.max_age = Micros(2'999);
+  fields = fields_of(write_serve(plain_request(), attempt));
   EXPECT_NE(fields.find(",agelim=2,"), std::string::npos) << fields;
 }
 
 TEST(CacheAnswer, WritesTheBodyUnchanged) {
   ForwardedRequest request = plain_request();
   request.body = std::string("\0\r\n*3\r\n", 8);
-  SendAttempt order;
-  order.timeout = milliseconds(5);
-  const std::string command = write_serve(request, order);
+  SendAttempt attempt;
+  attempt.timeout = milliseconds(5);
+  const std::string command = write_serve(request, attempt);
   EXPECT_TRUE(command.ends_with("$8\r\n" + request.body + "\r\n"));
   EXPECT_EQ(write_cancel("id"), "*2\r\n$6\r\ncancel\r\n$2\r\nid\r\n");
 }
