--- a/src/cache_node/node.h
+++ b/src/cache_node/node.h
@@ -26,6 +26,7 @@
 
 namespace trailcourse::cache_node {
 
+// Serves requests under the given options.
 class Node : public CommandHandler, public routing::DiscoveryListener {
  public:
   // The addresses in the options must be valid. `lookup_timeout_ms` limits a disk read of a request; `seed`
--- a/src/cache_node/node_core.h
+++ b/src/cache_node/node_core.h
@@ -34,6 +34,7 @@
   bool cacheable = true;      // false: each request is forwarded to its source; nothing is shared or stored
 };
 
+// The limits of a node and its classes.
 struct NodeCoreOptions {
   std::map<std::string, ClassRule> classes;
   std::string fill_from;  // the source if a request names none; empty: the request is then a miss
@@ -121,6 +122,7 @@
   std::size_t waiting_bytes = 0;  // of answers that are queued and not sent yet
 };
 
+// Events since the start of the node.
 struct NodeCounts {
   std::uint64_t requests = 0, hits = 0, stale_hits = 0, not_modified = 0, misses = 0, fills = 0, joined = 0,
                 busy = 0, rejected = 0;
@@ -128,10 +130,11 @@
                 fill_bytes = 0, too_large = 0;
 };
 
+// The state of all open requests and fills of a node.
 class NodeCore {
  public:
   // Returns the Unix time in milliseconds of the latest purge of a name or its group: copies up to that time
-  // must not be served. INT64_MIN: there was none.
+  // must not be served. A value below INT64_MIN / 2: there was none.
   using PurgedUntil = std::function<std::int64_t(const store::Name&, int group)>;
   // Returns whether a source of that name is known.
   using KnowsSource = std::function<bool(const std::string&)>;
