--- a/tests/config_record_test.cpp
+++ b/tests/config_record_test.cpp
@@ -1,4 +1,4 @@
-// Typed records and the operator's file: values, faults that name section and key, the schema, and the page.
+// Typed records and the operator's file: values, error messages, schema and documentation.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -14,15 +14,16 @@
 
 using nlohmann::json;
 
-constexpr const char* kGood = R"({
-  // comments are allowed
+constexpr const char* kValidFile = R"({
+  // a comment
   "store": {"folder": "/tmp/x", "disk_mb": 64, "segment_mb": 4, "most_share": 0.5, "compress": false},
   "cache": {"name": "a", "listen": "127.0.0.1:5001", "sources": ["origin=127.0.0.1:5002"]},
   "classes": {"media": {"fresh_ms": 100}, "entry": {"use": "passed"}},
   "router": {"listen_backlog": 7}
 })";
 
-std::string fault(const std::string& text) {
+// Returns the error message of an invalid file; empty if it is valid.
+std::string error_of(const std::string& text) {
   try {
     parse_operator_file(text, "file", {});
   } catch (const ConfigurationError& error) {
@@ -31,8 +32,8 @@
   return "";
 }
 
-TEST(OperatorFile, ReadsItsSectionsOverTheDefaults) {
-  const OperatorFile file = parse_operator_file(kGood, "file", {"cache", "classes"});
+TEST(OperatorFile, ReadsSectionsAndKeepsDefaultsOfAbsentKeys) {
+  const OperatorFile file = parse_operator_file(kValidFile, "file", {"cache", "classes"});
   EXPECT_EQ(file.store.disk_mb, 64);
   EXPECT_EQ(file.store.most_share, 0.5);
   EXPECT_FALSE(file.store.compress);
@@ -43,13 +44,13 @@
   EXPECT_EQ(file.router.listen_backlog, 7);
 }
 
-TEST(OperatorFile, EachFaultNamesSectionKeyAndWhatIsAllowed) {
-  const auto expect = [](const std::string& text, const std::vector<std::string>& words) {
-    const std::string told = fault(text);
-    for (const std::string& word : words) {
-      EXPECT_NE(told.find(word), std::string::npos) << text << ": '" << told << "' lacks " << word;
+TEST(OperatorFile, NamesSectionKeyAndAllowedValuesInEachError) {
+  const auto expect = [](const std::string& text, const std::vector<std::string>& parts) {
+    const std::string error = error_of(text);
+    for (const std::string& part : parts) {
+      EXPECT_NE(error.find(part), std::string::npos) << text << ": '" << error << "' lacks " << part;
     }
-    EXPECT_EQ(told.find('\n'), std::string::npos);
+    EXPECT_EQ(error.find('\n'), std::string::npos);
   };
   expect(R"({"store": {"disk_mb": 3}})", {"store.disk_mb", "3", "16", "16777216"});
   expect(R"({"store": {"disk_mb": "much"}})", {"store.disk_mb", "much", "not an integer"});
@@ -78,7 +79,7 @@
     return R"({"coordination": {"store": "etcd", "endpoints": ["127.0.0.1:2379"]}, "aggregator": {)" +
            std::string(R"("listen": "127.0.0.1:1", "name": "a", "zones": ["east"])") + keys + "}}";
   };
-  EXPECT_EQ(fault(aggregator("")), "");
+  EXPECT_EQ(error_of(aggregator("")), "");
   expect(R"({"aggregator": {"listen": "127.0.0.1:1", "name": "a", "zones": ["east"]}})",
          {"aggregator", "no store", "coordination"});
   expect(aggregator(R"(, "ttl_ms": 3500)"), {"aggregator.ttl_ms", "policy.ttl_ms", "3000"});
@@ -91,11 +92,11 @@
   expect("[]", {"not a JSON object"});
 }
 
-TEST(OperatorFile, ASectionThatIsNeededMustBeThere) {
-  EXPECT_THROW(parse_operator_file(kGood, "file", {"origin"}), ConfigurationError);
+TEST(OperatorFile, RejectsAFileWithoutARequiredSection) {
+  EXPECT_THROW(parse_operator_file(kValidFile, "file", {"origin"}), ConfigurationError);
 }
 
-TEST(OperatorFile, TheSchemaHoldsEveryKeyWithItsRangeAndDefault) {
+TEST(OperatorFile, SchemaHasEachKeyWithItsRangeDefaultAndDescription) {
   const json schema = operator_schema();
   const json& disk = schema["properties"]["store"]["properties"]["disk_mb"];
   EXPECT_EQ(disk["type"], "integer");
@@ -111,14 +112,14 @@
   }
 }
 
-std::string page(const std::string& name) {
+std::string read_source_file(const std::string& name) {
   std::ifstream file(std::string(TRAILCOURSE_SOURCE_DIR) + "/" + name);
   return {std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
 }
 
-// The page is written by `trailcourse config docs`: what it lists is what is declared.
+// `trailcourse config docs` writes the tables of the page, so each row has to equal the declaration.
 TEST(OperatorFile, ThePageListsEveryKeyAsItIsDeclared) {
-  const std::string text = page("docs/configuration.md");
+  const std::string text = read_source_file("docs/configuration.md");
   std::istringstream lines(operator_documentation());
   int rows = 0;
   for (std::string line; std::getline(lines, line);) {
@@ -130,36 +131,36 @@
   EXPECT_GT(rows, 50);
 }
 
-TEST(OperatorFile, TheOneInDeployIsGood) {
-  const std::string text = page("deploy/operator.json");
-  EXPECT_EQ(fault(text), "");
+TEST(OperatorFile, AcceptsTheFileInDeploy) {
+  const std::string text = read_source_file("deploy/operator.json");
+  EXPECT_EQ(error_of(text), "");
   EXPECT_FALSE(parse_operator_file(text, "deploy/operator.json", {"cache", "store"}).store.folder.empty());
 }
 
-struct Ran {
+struct CommandResult {
   int status;
   std::string out;
   std::string errors;
 };
-Ran run(std::vector<const char*> words) {
-  words.insert(words.begin(), "trailcourse");
+CommandResult run(std::vector<const char*> arguments) {
+  arguments.insert(arguments.begin(), "trailcourse");
   std::ostringstream out;
   std::ostringstream errors;
-  const int status = run_command(static_cast<int>(words.size()), words.data(), out, errors);
+  const int status = run_command(static_cast<int>(arguments.size()), arguments.data(), out, errors);
   return {status, out.str(), errors.str()};
 }
 
 TEST(Commands, EachHasHelpWithAnExample) {
   for (const char* name :
        {"serve", "check-config", "cache", "store", "config", "get", "origin", "board", "notice", "version"}) {
-    const Ran help = run({name, "--help"});
+    const CommandResult help = run({name, "--help"});
     EXPECT_EQ(help.status, 0) << name;
     EXPECT_NE(help.out.find(std::string("Example: trailcourse ") + name), std::string::npos) << name;
     EXPECT_NE(run({"--help"}).out.find(name), std::string::npos) << name;
   }
 }
 
-TEST(Commands, WrongUseAndFaultsHaveTheirStatus) {
+TEST(Commands, ReturnsTheStatusOfUsageErrorsAndFailures) {
   EXPECT_EQ(run({"cache"}).status, 2);
   EXPECT_EQ(run({"cache", "--config", "/no/such/file"}).status, 1);
   EXPECT_EQ(run({"store"}).status, 2);
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -1,4 +1,4 @@
-// Configuration: what is read, what is at fault and how that is told; the command line.
+// Reading and checking the configuration, its error messages, and the command line.
 #include "program/configuration.h"
 
 #include <gtest/gtest.h>
@@ -22,7 +22,7 @@
 
 using nlohmann::json;
 
-json good_config() {
+json valid_config() {
   return json::parse(R"({"name":"n3","listen":"127.0.0.1:4100","seed":"8c1f30d27a5be964",
     "limits":{"cores":1.0,"memory_mb":192,"sockets":256},"board":"127.0.0.1:2379",
     "flow_bytes_per_s":310000,"link_bytes_per_s":1240000,
@@ -51,8 +51,8 @@
     };
     return read_configuration(sources);
   }
-  // The line that a faulty configuration is told by.
-  std::string fault(const json& config) {
+  // Returns the error message of an invalid configuration; empty if it is valid.
+  std::string error_of(const json& config) {
     try {
       read(config);
     } catch (const ConfigurationError& error) {
@@ -67,10 +67,10 @@
   Sources sources_;
 };
 
-TEST_F(ConfigurationTest, ReadsWhatThePlatformTells) {
+TEST_F(ConfigurationTest, ReadsTheFileAndTheEnvironmentOfThePlatform) {
   environment_["NODE_NAME"] = "n3";
   environment_["NODE_LISTEN"] = "127.0.0.1:4100";
-  const Configuration configuration = read(good_config());
+  const Configuration configuration = read(valid_config());
   EXPECT_EQ(configuration.name, "n3");
   EXPECT_EQ(to_string(configuration.listen), "127.0.0.1:4100");
   EXPECT_EQ(to_string(configuration.board), "127.0.0.1:2379");
@@ -82,87 +82,90 @@
   EXPECT_EQ(configuration.profile.streams_per_connection, 32);
 }
 
-TEST_F(ConfigurationTest, TheBoundsFollowTheLimits) {
-  json config = good_config();
+TEST_F(ConfigurationTest, DerivesItsBoundsFromTheLimits) {
+  json config = valid_config();
   const Configuration small = read(config);
-  EXPECT_LE(small.max_cache_connections() + 256 / 3, 256) << "clients hold a third";
-  const auto held = [](const Configuration& one) {
-    return one.max_open_bytes() + one.max_unsent_bytes() + one.max_response_bytes() + one.max_partial_bytes();
+  EXPECT_LE(small.max_cache_connections() + 256 / 3, 256) << "clients hold up to a third";
+  const auto total_bytes = [](const Configuration& configuration) {
+    return configuration.max_open_bytes() + configuration.max_unsent_bytes() +
+           configuration.max_response_bytes() + configuration.max_partial_bytes();
   };
-  EXPECT_LE(held(small), 192U << 20U);
+  EXPECT_LE(total_bytes(small), 192U << 20U);
   config["limits"]["memory_mb"] = 64;
-  EXPECT_LE(held(read(config)), 64U << 20U);
+  EXPECT_LE(total_bytes(read(config)), 64U << 20U);
   EXPECT_LT(read(config).max_open_bytes(), small.max_open_bytes());
   config["settings"]["Limits"]["MaxOpen"] = 5;
   EXPECT_EQ(read(config).max_open_requests(), 5U);
 }
 
-// At the smallest limits some hundreds of requests and dozens of answers still fit at once.
-TEST_F(ConfigurationTest, TheSmallestMemoryStillServes) {
-  json config = good_config();
+// With the smallest memory limit hundreds of requests and 16 responses of maximum size still fit at once.
+TEST_F(ConfigurationTest, AllowsHundredsOfRequestsWithTheSmallestMemoryLimit) {
+  json config = valid_config();
   config["limits"]["memory_mb"] = 32;
-  const Configuration least = read(config);
-  EXPECT_GE(least.max_open_bytes() / static_cast<std::size_t>(least.tuning.open_request_bytes), 500U);
-  EXPECT_GE(least.max_response_bytes(), 16U * 240'000U);
-  EXPECT_GE(least.max_unsent_bytes(), 16U * 240'000U);
+  const Configuration smallest = read(config);
+  EXPECT_GE(smallest.max_open_bytes() / static_cast<std::size_t>(smallest.tuning.open_request_bytes), 500U);
+  EXPECT_GE(smallest.max_response_bytes(), 16U * 240'000U);
+  EXPECT_GE(smallest.max_unsent_bytes(), 16U * 240'000U);
 }
 
-// SIGKILL follows 0.7 s after the longest deadline, which counts as 3 s where it is longer.
-TEST_F(ConfigurationTest, TheTimeToDrainFollowsTheLongestDeadline) {
-  json config = good_config();
-  for (const auto& [give_up, least, most] : {std::tuple(1.2, 1'300, 1'600), std::tuple(9.0, 3'100, 3'400)}) {
-    for (json& one : config["settings"]["Classes"]) {
-      one["GiveUpS"] = give_up;
+// SIGKILL follows 0.7 s after the longest deadline, of which at most 3 s count.
+TEST_F(ConfigurationTest, DerivesTheDrainTimeoutFromTheLongestDeadline) {
+  json config = valid_config();
+  for (const auto& [deadline_s, min_ms, max_ms] :
+       {std::tuple(1.2, 1'300, 1'600), std::tuple(9.0, 3'100, 3'400)}) {
+    for (json& request_class : config["settings"]["Classes"]) {
+      request_class["GiveUpS"] = deadline_s;
     }
-    EXPECT_GE(read(config).drain_timeout().count(), least);
-    EXPECT_LE(read(config).drain_timeout().count(), most);
+    EXPECT_GE(read(config).drain_timeout().count(), min_ms);
+    EXPECT_LE(read(config).drain_timeout().count(), max_ms);
   }
 }
 
-TEST_F(ConfigurationTest, EachFaultNamesItsKey) {
-  const std::vector<std::pair<std::string, json>> faults{{"/listen", "nowhere"},
-                                                         {"/listen", 5},
-                                                         {"/board", "127.0.0.1"},
-                                                         {"/seed", "xyz"},
-                                                         {"/seed", 12},
-                                                         {"/limits", 3},
-                                                         {"/limits/memory_mb", "much"},
-                                                         {"/limits/memory_mb", 8},
-                                                         {"/limits/sockets", 12},
-                                                         {"/limits/sockets", 1.5},
-                                                         {"/known", 5},
-                                                         {"/known/rev", -1},
-                                                         {"/settings", 5},
-                                                         {"/settings/Classes", json::array()},
-                                                         {"/settings/Limits/AttemptsCap", -1},
-                                                         {"/settings/Classes/0/Effect", "odd"},
-                                                         {"/settings/Classes/0/GiveUpS", "long"},
-                                                         {"/name", 5},
-                                                         {"/router", {{"listen_backlog", 0}}},
-                                                         {"/router", {{"listen_backlog", "x"}}},
-                                                         {"/router", {{"no_such_key", 1}}}};
-  for (const auto& [where, value] : faults) {
-    json config = good_config();
-    config[json::json_pointer(where)] = value;
-    const std::string told = fault(config);
-    const std::string key = value.is_object() ? value.begin().key()
-                                              : where.substr(where.find('/', 0) + 1, where.find('/', 1) - 1);
-    EXPECT_NE(told.find(key), std::string::npos) << where << " = " << value << ": '" << told << "'";
+TEST_F(ConfigurationTest, NamesTheKeyInEachError) {
+  const std::vector<std::pair<std::string, json>> invalid_values{{"/listen", "nowhere"},
+                                                                 {"/listen", 5},
+                                                                 {"/board", "127.0.0.1"},
+                                                                 {"/seed", "xyz"},
+                                                                 {"/seed", 12},
+                                                                 {"/limits", 3},
+                                                                 {"/limits/memory_mb", "much"},
+                                                                 {"/limits/memory_mb", 8},
+                                                                 {"/limits/sockets", 12},
+                                                                 {"/limits/sockets", 1.5},
+                                                                 {"/known", 5},
+                                                                 {"/known/rev", -1},
+                                                                 {"/settings", 5},
+                                                                 {"/settings/Classes", json::array()},
+                                                                 {"/settings/Limits/AttemptsCap", -1},
+                                                                 {"/settings/Classes/0/Effect", "odd"},
+                                                                 {"/settings/Classes/0/GiveUpS", "long"},
+                                                                 {"/name", 5},
+                                                                 {"/router", {{"listen_backlog", 0}}},
+                                                                 {"/router", {{"listen_backlog", "x"}}},
+                                                                 {"/router", {{"no_such_key", 1}}}};
+  for (const auto& [pointer, value] : invalid_values) {
+    json config = valid_config();
+    config[json::json_pointer(pointer)] = value;
+    const std::string error = error_of(config);
+    const std::string key = value.is_object()
+                                ? value.begin().key()
+                                : pointer.substr(pointer.find('/', 0) + 1, pointer.find('/', 1) - 1);
+    EXPECT_NE(error.find(key), std::string::npos) << pointer << " = " << value << ": '" << error << "'";
   }
 }
 
-TEST(SettingsOfOthers, UnknownKeysArePassedOverAndOddFiguresGetTheirDefaults) {
-  const nlohmann::json odd = nlohmann::json::parse(R"({"Later":{"x":1},"Balancers":0,
+TEST(Settings, IgnoresUnknownKeysAndReplacesInvalidNumbersByDefaults) {
+  const nlohmann::json settings_json = nlohmann::json::parse(R"({"Later":{"x":1},"Balancers":0,
     "Classes":[{"Name":"a","Effect":"keyed","MemorySpanS":-2,"AimStretch":-1,"New":true}],
     "Extra":{"ParentFloor":7,"ParentBreaksAt":0,"StreamKbPerS":-5,"LifetimeByClassS":[-1]},
     "Limits":{"ConnIdleS":-1,"ConnectTimeoutS":-1,"RetryAfter":true,"MaxRetryAfterS":-1},
     "Rules":{"ColdFrom":-0.5,"ColdS":-1,"OverloadFactor":-3,"OverloadForS":0,"DrainGraceS":-1}})");
-  const protocol::Profile profile = protocol::read_profile(odd);
+  const protocol::Profile profile = protocol::read_profile(settings_json);
   const Settings& settings = profile.settings;
   EXPECT_EQ(settings.classes.at(0).idempotency_window, Micros(0));
   EXPECT_EQ(settings.classes.at(0).latency_objective_stretch, 0.0);
   EXPECT_EQ(settings.classes.at(0).lifetime, Micros(0));
-  EXPECT_EQ(settings.self_index, -1) << "not told";
+  EXPECT_EQ(settings.self_index, -1) << "not set";
   EXPECT_EQ(settings.parent_slow_start_from, 1.0);
   EXPECT_EQ(settings.parent_overload_factor, 1.0);
   EXPECT_EQ(settings.overload_factor, 1.0);
@@ -175,59 +178,59 @@
   EXPECT_EQ(profile.connection_idle, Micros(0));
   EXPECT_EQ(profile.connect_timeout, Micros(0));
   for (const char* key : {"ColdFrom", "ColdS", "OverloadFactor", "OverloadForS", "DrainGraceS"}) {
-    nlohmann::json wrong = odd;
-    wrong["Rules"][key] = "soon";
+    nlohmann::json invalid = settings_json;
+    invalid["Rules"][key] = "soon";
     try {
-      protocol::read_profile(wrong);
-      ADD_FAILURE() << key << " is a word, and was taken";
+      protocol::read_profile(invalid);
+      ADD_FAILURE() << key << " is a string and was accepted";
     } catch (const protocol::FormatError& error) {
       EXPECT_NE(std::string(error.what()).find(key), std::string::npos) << error.what();
     }
   }
 }
 
-TEST_F(ConfigurationTest, MissingKeysAreNamed) {
+TEST_F(ConfigurationTest, NamesEachMissingKey) {
   for (const char* key : {"name", "listen", "board", "known", "settings"}) {
-    json config = good_config();
+    json config = valid_config();
     config.erase(key);
-    EXPECT_EQ(fault(config).rfind(key, 0), 0U) << key << ": " << fault(config);
+    EXPECT_EQ(error_of(config).rfind(key, 0), 0U) << key << ": " << error_of(config);
   }
 }
 
-TEST_F(ConfigurationTest, UnreadableFilesAndNonsenseAreTold) {
+TEST_F(ConfigurationTest, RejectsUnreadableAndMalformedFiles) {
   EXPECT_THROW(read_text("{"), ConfigurationError);
   EXPECT_THROW(read_text("[]"), ConfigurationError);
   EXPECT_THROW(read_text(""), ConfigurationError);
   sources_.file = path_ + ".missing";
-  EXPECT_EQ(fault(good_config()).rfind("--config", 0), 0U);
+  EXPECT_EQ(error_of(valid_config()).rfind("--config", 0), 0U);
   sources_.file.clear();
   Sources none;
   none.environment = [](const char*) -> const char* { return nullptr; };
   EXPECT_THROW(read_configuration(none), ConfigurationError);
 }
 
-TEST_F(ConfigurationTest, AnEnvironmentThatContradictsTheFileIsAFault) {
+TEST_F(ConfigurationTest, RejectsAnEnvironmentThatContradictsTheFile) {
   environment_["NODE_NAME"] = "n4";
-  EXPECT_EQ(fault(good_config()).rfind("NODE_NAME", 0), 0U);
+  EXPECT_EQ(error_of(valid_config()).rfind("NODE_NAME", 0), 0U);
   environment_["NODE_NAME"] = "n3";
   environment_["NODE_LISTEN"] = "127.0.0.1:4101";
-  EXPECT_EQ(fault(good_config()).rfind("NODE_LISTEN", 0), 0U);
+  EXPECT_EQ(error_of(valid_config()).rfind("NODE_LISTEN", 0), 0U);
 }
 
-TEST_F(ConfigurationTest, FlagsOverrideAndAreChecked) {
+TEST_F(ConfigurationTest, AppliesAndChecksCommandLineOptions) {
   sources_.listen = "127.0.0.1:4999";
   sources_.sets = {"listen_backlog=7"};
-  const Configuration configuration = read(good_config());
+  const Configuration configuration = read(valid_config());
   EXPECT_EQ(configuration.listen.port, 4999);
   EXPECT_EQ(configuration.tuning.listen_backlog, 7);
   for (const char* set :
        {"listen_backlog", "listen_backlog=", "listen_backlog=x", "listen_backlog=0", "odd=1"}) {
     sources_.sets = {set};
-    EXPECT_THROW(read(good_config()), ConfigurationError) << set;
+    EXPECT_THROW(read(valid_config()), ConfigurationError) << set;
   }
 }
 
-TEST_F(ConfigurationTest, EachTuningKeyHasADefaultWithinItsRangeAndAReason) {
+TEST_F(ConfigurationTest, EachTuningKeyHasAValidDefaultAndADescription) {
   const Tuning defaults;
   tuning_record().each(defaults, [](const config::Key& key, const json& value) {
     Tuning into;
@@ -236,42 +239,42 @@
   });
 }
 
-struct Ran {
+struct CommandResult {
   int status;
   std::string out;
   std::string errors;
 };
-Ran run(std::vector<const char*> words) {
-  words.insert(words.begin(), "trailcourse");
+CommandResult run(std::vector<const char*> arguments) {
+  arguments.insert(arguments.begin(), "trailcourse");
   std::ostringstream out;
   std::ostringstream errors;
-  const int status = run_command(static_cast<int>(words.size()), words.data(), out, errors);
+  const int status = run_command(static_cast<int>(arguments.size()), arguments.data(), out, errors);
   return {status, out.str(), errors.str()};
 }
 
-TEST(CommandLine, TellsItsVersionAndHelp) {
+TEST(CommandLine, PrintsVersionAndHelp) {
   EXPECT_EQ(run({"version"}).out.rfind("trailcourse ", 0), 0U);
   EXPECT_EQ(run({"version"}).status, 0);
-  const Ran help = run({"--help"});
+  const CommandResult help = run({"--help"});
   EXPECT_EQ(help.status, 0);
-  for (const char* word : {"serve", "version", "check-config", "--config", "--log-level"}) {
-    EXPECT_NE(help.out.find(word), std::string::npos) << word;
+  for (const char* text : {"serve", "version", "check-config", "--config", "--log-level"}) {
+    EXPECT_NE(help.out.find(text), std::string::npos) << text;
   }
 }
 
-TEST(CommandLine, WrongUseIsToldApartFromAFaultyConfiguration) {
+TEST(CommandLine, ReturnsDifferentStatusForUsageErrorsAndInvalidConfigurations) {
   EXPECT_EQ(run({}).status, 2);
   EXPECT_EQ(run({"dance"}).status, 2);
   EXPECT_EQ(run({"serve", "--no-such-flag"}).status, 2);
   EXPECT_EQ(run({"serve", "--log-level", "loud"}).status, 2);
-  const Ran missing = run({"check-config", "--config", "/no/such/file"});
+  const CommandResult missing = run({"check-config", "--config", "/no/such/file"});
   EXPECT_EQ(missing.status, 1);
   EXPECT_NE(missing.errors.find("--config"), std::string::npos);
 }
 
-TEST_F(ConfigurationTest, CheckConfigPrintsWhatIsInForce) {
-  read(good_config());
-  const Ran good = run({"check-config", "--config", path_.c_str(), "--set", "listen_backlog=9"});
+TEST_F(ConfigurationTest, CheckConfigPrintsTheValuesInForce) {
+  read(valid_config());
+  const CommandResult good = run({"check-config", "--config", path_.c_str(), "--set", "listen_backlog=9"});
   EXPECT_EQ(good.status, 0) << good.errors;
   EXPECT_NE(good.out.find("router.listen_backlog = 9"), std::string::npos);
   EXPECT_NE(good.out.find("the configuration is good"), std::string::npos);
--- a/tests/demo_test.cpp
+++ b/tests/demo_test.cpp
@@ -1,4 +1,4 @@
-// scripts/demo as a newcomer runs it, and what it says where a part of it is missing.
+// scripts/demo runs to its end, and reports a process that does not start.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -12,13 +12,13 @@
 namespace trailcourse::testing_support {
 namespace {
 
-struct Ran {
+struct DemoResult {
   int status = -1;
-  std::string said;
+  std::string output;
 };
 
-Ran run_demo(const std::string& build, const std::string& folder) {
-  const std::string out = folder + "/said";
+DemoResult run_demo(const std::string& build, const std::string& folder) {
+  const std::string out = folder + "/output";
   const std::string command = "BUILD='" + build + "' TMPDIR='" + folder + "' '" + TRAILCOURSE_SOURCE_DIR +
                               "/scripts/demo' >'" + out + "' 2>&1";
   const int status = std::system(command.c_str());
@@ -35,11 +35,11 @@
   }
   ~DemoTest() override { std::filesystem::remove_all(folder_); }
 
-  // A program that ends at once for one sub-command and is the real one for all others.
-  std::string without(const std::string& command) const {
+  // Returns a build folder whose program fails at once for one sub-command and works for all others.
+  std::string build_without(const std::string& command) const {
     const std::string path = folder_ + "/build/trailcourse";
     std::ofstream(path) << "#!/bin/sh\n[ \"$1\" = " << command
-                        << " ] && { echo 'not today' >&2; exit 3; }\nexec '" << TRAILCOURSE_PROGRAM
+                        << " ] && { echo 'provoked failure' >&2; exit 3; }\nexec '" << TRAILCOURSE_PROGRAM
                         << "' \"$@\"\n";
     std::filesystem::permissions(path, std::filesystem::perms::owner_all);
     return folder_ + "/build";
@@ -48,20 +48,21 @@
   std::string folder_;
 };
 
-TEST_F(DemoTest, ShowsWhatItSaysAndEndsWell) {
-  const Ran ran = run_demo(std::filesystem::path(TRAILCOURSE_PROGRAM).parent_path(), folder_);
-  EXPECT_EQ(ran.status, 0) << ran.said;
-  EXPECT_NE(ran.said.find("deep_fill"), std::string::npos) << ran.said;
-  EXPECT_NE(ran.said.find("damaged = 0"), std::string::npos) << ran.said;
+TEST_F(DemoTest, ServesFromEachTierAndSucceeds) {
+  const DemoResult result = run_demo(std::filesystem::path(TRAILCOURSE_PROGRAM).parent_path(), folder_);
+  EXPECT_EQ(result.status, 0) << result.output;
+  EXPECT_NE(result.output.find("deep_fill"), std::string::npos) << result.output;
+  EXPECT_NE(result.output.find("damaged = 0"), std::string::npos) << result.output;
 }
 
-// Provokes: a process that ends at its start. The demo once went on without an origin and ended with 0.
-TEST_F(DemoTest, WithoutOneOfItsProcessesItFailsWithThatOnesLog) {
+// Guards against a demo that continues without one of its processes and returns 0, as happened without an
+// origin. A process that fails at its start provokes it.
+TEST_F(DemoTest, FailsWithTheLogOfAProcessThatDoesNotStart) {
   for (const char* command : {"origin", "cache", "serve"}) {
-    const Ran ran = run_demo(without(command), folder_);
-    EXPECT_NE(ran.status, 0) << ran.said;
-    EXPECT_NE(ran.said.find("did not come up"), std::string::npos) << ran.said;
-    EXPECT_NE(ran.said.find("not today"), std::string::npos) << ran.said;
+    const DemoResult result = run_demo(build_without(command), folder_);
+    EXPECT_NE(result.status, 0) << result.output;
+    EXPECT_NE(result.output.find("did not come up"), std::string::npos) << result.output;
+    EXPECT_NE(result.output.find("provoked failure"), std::string::npos) << result.output;
   }
 }
 
