--- a/src/program/aggregator_command.cpp
+++ b/src/program/aggregator_command.cpp
@@ -81,8 +81,8 @@
   }
   static routing::DiscoveryClient::Hooks hooks(tasks::DiscoveryProgress& progress) {
     routing::DiscoveryClient::Hooks out;
-    out.taken = [&progress](const std::string& board, std::uint64_t last) {
-      progress.set_position({board, last});
+    out.taken = [&progress](const std::string& source, std::uint64_t sequence) {
+      progress.set_position({source, sequence});
     };
     return out;
   }
--- a/src/program/command_line.cpp
+++ b/src/program/command_line.cpp
@@ -82,9 +82,9 @@
 void add_no_options(cxxopts::Options&) {}
 
 void add_router_options(cxxopts::Options& options) {
-  options.add_options()("c,config", "configuration file (default: $NODE_CONFIG)",
+  options.add_options()("c,config", "configuration file; if not set, that of NODE_CONFIG",
                         cxxopts::value<std::string>()->default_value(""), "FILE")(
-      "l,listen", "address to listen on (default: $NODE_LISTEN, else that of the configuration file)",
+      "l,listen", "address to listen on; if not set, NODE_LISTEN or that of the configuration file",
       cxxopts::value<std::string>()->default_value(""), "IP:PORT")(
       "operator",
       "operator's file; the section `router` of the configuration file overrides its section `router`",
@@ -118,8 +118,8 @@
   const Configuration configuration = read_configuration(configuration_sources(parsed));
   std::ostream& out = output.out;
   out << "name = " << configuration.name << "\nlisten = " << to_string(configuration.listen)
-      << "\nboard = " << to_string(configuration.board) << "\nlimits.memory_mb = " << configuration.memory_mb
-      << "\nlimits.sockets = " << configuration.sockets
+      << "\nboard = " << to_string(configuration.discovery_address)
+      << "\nlimits.memory_mb = " << configuration.memory_mb << "\nlimits.sockets = " << configuration.sockets
       << "\nopen requests at most = " << configuration.max_open_requests()
       << "\ncache connections at most = " << configuration.max_cache_connections() << '\n';
   tuning_record().each(configuration.tuning, [&out](const config::Key& key, const nlohmann::json& value) {
@@ -311,9 +311,9 @@
                                                          cxxopts::value<int>()->default_value("20"), "KB")(
       "origin-delay", "delay before each response of the origin, in ms",
       cxxopts::value<int>()->default_value("0"),
-      "MS")("program", "program for all processes (default: this one)",
+      "MS")("program", "program for all processes; if not set, this program",
             cxxopts::value<std::string>()->default_value(""),
-            "FILE")("router-program", "program for the routers (default: that of --program)",
+            "FILE")("router-program", "program for the routers; if not set, that of --program",
                     cxxopts::value<std::string>()->default_value(""),
                     "FILE")("json", "print JSON")("quiet", "print only the summary at the end");
 }
@@ -386,7 +386,7 @@
                         cxxopts::value<std::string>()->default_value(""),
                         "FILE")("s,store", "address of the store; overrides --operator",
                                 cxxopts::value<std::string>()->default_value(""), "IP:PORT")(
-      "prefix", "prefix of all keys (default: that of --operator)",
+      "prefix", "prefix of all keys; if not set, that of --operator",
       cxxopts::value<std::string>()->default_value(""), "TEXT")("json", "print JSON");
 }
 
@@ -398,13 +398,13 @@
   options.add_options()("shard", "hand-over: shard to release; -1: all shards",
                         cxxopts::value<int>()->default_value("-1"),
                         "N")("kind", "add: kind of the work: fill, probe or report",
-                             cxxopts::value<std::string>()->default_value("fill"),
-                             "KIND")("zone", "add: zone whose routers may own the work (default: all zones)",
-                                     cxxopts::value<std::string>()->default_value(""), "NAME")(
-      "shards", "add: number of shards", cxxopts::value<int>()->default_value("1"), "N")(
+                             cxxopts::value<std::string>()->default_value("fill"), "KIND")(
+      "zone", "add: zone whose routers may own the work; if not set, all zones",
+      cxxopts::value<std::string>()->default_value(""),
+      "NAME")("shards", "add: number of shards", cxxopts::value<int>()->default_value("1"), "N")(
       "class", "add fill: request class of the objects",
       cxxopts::value<std::string>()->default_value("media"),
-      "NAME")("at", "add fill: start time, as seconds from now or @MS of Unix time (default: now)",
+      "NAME")("at", "add fill: start time, as seconds from now or @MS of Unix time; if not set, at once",
               cxxopts::value<std::string>()->default_value(""),
               "WHEN")("rate", "add fill: objects per second of each shard; 0: no limit",
                       cxxopts::value<double>()->default_value("0"),
--- a/src/program/configuration.cpp
+++ b/src/program/configuration.cpp
@@ -58,7 +58,7 @@
 
 // Calls `read` and turns its errors into a ConfigurationError for `key`.
 template <typename Read>
-auto under(const std::string& key, Read read) {
+auto with_error_key(const std::string& key, Read read) {
   try {
     return read();
   } catch (const config::KeyError& error) {
@@ -71,7 +71,7 @@
 }
 
 std::string string_or_empty(const json& source, const char* key) {
-  return under(key, [&] { return protocol::string_or_default(source, key, ""); });
+  return with_error_key(key, [&] { return protocol::string_or_default(source, key, ""); });
 }
 
 std::uint64_t read_seed(const json& source) {
@@ -92,9 +92,9 @@
   };
   if (!sources.operator_file.empty()) {
     const json file = read_file("--operator", sources.operator_file);
-    apply(under("router", [&]() -> const json& { return protocol::section(file, "router"); }));
+    apply(with_error_key("router", [&]() -> const json& { return protocol::section(file, "router"); }));
   }
-  apply(under("router", [&]() -> const json& { return protocol::section(source, "router"); }));
+  apply(with_error_key("router", [&]() -> const json& { return protocol::section(source, "router"); }));
   for (const std::string& set : sources.sets) {
     const std::size_t equals = set.find('=');
     const std::optional<std::int64_t> value =
@@ -141,10 +141,12 @@
 }
 
 void read_limits(const json& source, Configuration& out) {
-  const json& limits = under("limits", [&]() -> const json& { return protocol::section(source, "limits"); });
-  out.memory_mb =
-      under("limits.memory_mb", [&] { return protocol::integer_or_default(limits, "memory_mb", 0); });
-  out.sockets = under("limits.sockets", [&] { return protocol::integer_or_default(limits, "sockets", 0); });
+  const json& limits =
+      with_error_key("limits", [&]() -> const json& { return protocol::section(source, "limits"); });
+  out.memory_mb = with_error_key("limits.memory_mb",
+                                 [&] { return protocol::integer_or_default(limits, "memory_mb", 0); });
+  out.sockets =
+      with_error_key("limits.sockets", [&] { return protocol::integer_or_default(limits, "sockets", 0); });
   rlimit system{};
   const bool known = ::getrlimit(RLIMIT_NOFILE, &system) == 0 && system.rlim_cur != RLIM_INFINITY;
   const std::int64_t own = known ? static_cast<std::int64_t>(system.rlim_cur) : out.sockets;
@@ -310,8 +312,8 @@
 
 milliseconds Configuration::drain_timeout() const {
   milliseconds longest(0);
-  for (const ClassSettings& one : profile.settings.classes) {
-    longest = std::max(longest, std::chrono::ceil<milliseconds>(one.give_up_after));
+  for (const ClassSettings& request_class : profile.settings.classes) {
+    longest = std::max(longest, std::chrono::ceil<milliseconds>(request_class.give_up_after));
   }
   const milliseconds most(tuning.drain_answer_ms);
   return (longest.count() > 0 ? std::min(longest, most) : most) + milliseconds(tuning.drain_late_ms);
@@ -364,20 +366,20 @@
     out.listen = parse_address("listen", listen);
   }
 
-  out.board = parse_address("board", string_or_empty(source, "board"));
+  out.discovery_address = parse_address("board", string_or_empty(source, "board"));
   out.seed = read_seed(source);
-  json fixed = source;
+  json restart_keys = source;
   for (const char* key : {"board", "known", "seed"}) {
-    fixed.erase(key);
+    restart_keys.erase(key);
   }
-  out.fixed = fixed.dump();
+  out.restart_keys = restart_keys.dump();
   read_limits(source, out);
-  under("router", [&] { read_tuning(source, sources, out.tuning); });
-  out.start = under("--operator", [&] { return read_start_sections(sources); });
+  with_error_key("router", [&] { read_tuning(source, sources, out.tuning); });
+  out.start = with_error_key("--operator", [&] { return read_start_sections(sources); });
   if (protocol::find(source, "settings") == nullptr) {
     fail("settings", "missing");
   }
-  out.profile = under("settings", [&] { return protocol::read_profile(source.at("settings")); });
+  out.profile = with_error_key("settings", [&] { return protocol::read_profile(source.at("settings")); });
   if (out.profile.settings.classes.empty()) {
     fail("settings.Classes", "missing");
   }
@@ -388,7 +390,8 @@
     fail("known", "missing");
   }
   out.known_text = source.at("known").dump();
-  out.known = under("known", [&] { return protocol::read_discovery_page(source.at("known"), out.profile); });
+  out.known =
+      with_error_key("known", [&] { return protocol::read_discovery_page(source.at("known"), out.profile); });
   return out;
 }
 
--- a/src/program/configuration.h
+++ b/src/program/configuration.h
@@ -55,37 +55,40 @@
   std::int64_t open_request_bytes = 4'096;
 };
 
+// The configuration of a router.
 struct Configuration {
   std::string name;
   transport::Address listen;
-  transport::Address board;
-  std::uint64_t seed = 0;
+  transport::Address discovery_address;
+  std::uint64_t seed = 0;      // of all random numbers of this router
   std::int64_t memory_mb = 0;  // 0: no limit
-  std::int64_t sockets = 0;
+  std::int64_t sockets = 0;    // maximum open descriptors
   protocol::Profile profile;
   protocol::DiscoveryPage known;
   std::string known_text;  // `known` as it was configured
   Tuning tuning;
   StartSections start;
-  std::string fixed;  // the keys of the file whose change needs a restart, as JSON
+  std::string restart_keys;  // the keys of the file whose change needs a restart, as JSON
 
   // Limits derived from the configured limits and settings.
   std::size_t max_open_requests() const;
   std::size_t max_open_bytes() const { return memory_share(3); }
-  std::size_t max_unsent_bytes() const {
-    return memory_share(4);
-  }  // responses that wait to be sent to clients
-  std::size_t max_response_bytes() const {
-    return memory_share(4);
-  }  // partially received responses of caches
-  std::size_t max_partial_bytes() const { return memory_share(8); }  // partially received requests
+  // Of responses that wait to be sent to clients.
+  std::size_t max_unsent_bytes() const { return memory_share(4); }
+  // Of partially received responses of caches.
+  std::size_t max_response_bytes() const { return memory_share(4); }
+  // Of partially received requests.
+  std::size_t max_partial_bytes() const { return memory_share(8); }
   // Returns 1/`divisor` of the memory limit, less the memory of the program itself.
   std::size_t memory_share(std::int64_t divisor) const;
-  std::size_t max_clients() const;  // connections
+  // Returns the maximum number of client connections.
+  std::size_t max_clients() const;
   int max_cache_connections() const;
-  int max_lingering()
-      const;  // connections closed here whose peer has not closed yet; for clients and caches each
-  std::chrono::milliseconds drain_timeout() const;  // after SIGTERM; requests that are open then fail
+  // Returns the maximum number of connections that were closed here but not by the peer yet; it applies to
+  // clients and to caches, each.
+  int max_lingering() const;
+  // Returns the time after SIGTERM at which requests that are still open fail.
+  std::chrono::milliseconds drain_timeout() const;
 };
 
 // Checks what depends on more than the type and range of one key. Throws ConfigurationError.
--- a/src/program/fleet_command.cpp
+++ b/src/program/fleet_command.cpp
@@ -392,8 +392,8 @@
       print_summary(summary);
     }
     std::filesystem::remove(command_.folder + "/fleet.pid");
-    for (const std::string& one : missing) {
-      errors_ << "trailcourse: fleet: " << one << '\n';
+    for (const std::string& message : missing) {
+      errors_ << "trailcourse: fleet: " << message << '\n';
     }
     const bool all_ready = ready_at_.size() == static_cast<std::size_t>(command_.routers);
     return !missing.empty() ? kProcessDied : !all_ready && command_.run_time_s > 0.0 ? kStartFailed : 0;
@@ -446,14 +446,15 @@
   void add_requests(json& out) const {
     std::map<std::string, std::size_t> answers;
     std::vector<double> latencies_ms;
-    for (const fleet::Asked& one : load_->all()) {
-      const bool served = one.status == 200;
-      ++answers[served                                   ? "served"
-                : one.status == 503 || one.status == 429 ? "refused"
-                : one.answers > 0                        ? "failed"
-                                                         : "unanswered"];
+    for (const fleet::Asked& request : load_->all()) {
+      const bool served = request.status == 200;
+      ++answers[served                                           ? "served"
+                : request.status == 503 || request.status == 429 ? "refused"
+                : request.answers > 0                            ? "failed"
+                                                                 : "unanswered"];
       if (served) {
-        latencies_ms.push_back(std::chrono::duration<double, std::milli>(*one.answered - one.sent).count());
+        latencies_ms.push_back(
+            std::chrono::duration<double, std::milli>(*request.answered - request.sent).count());
       }
     }
     out["requests"] = answers;
--- a/src/program/fleet_command.h
+++ b/src/program/fleet_command.h
@@ -31,8 +31,7 @@
   std::uint64_t seed = 1;
   double run_time_s = 0.0;  // 0: until a signal
   double load_per_s = 0.0;
-  int aggregators =
-      0;  // number of aggregators between the store and the routers, which follow a policy; 0: none
+  int aggregators = 0;      // between the store and the routers, which follow a policy
   bool registry = false;    // run a coordination store, and let the routers own work
   bool cold = false;        // list caches and parents as just started
   bool disk = false;        // run caches and parents with a disk tier
--- a/src/program/fleet_work.h
+++ b/src/program/fleet_work.h
@@ -25,6 +25,7 @@
                                                             const coordination::CoordinationOptions& options,
                                                             std::uint64_t seed);
 
+// Not thread-safe: all calls come from the thread of the scheduler.
 class FleetWork {
  public:
   // Does nothing if neither a store nor an aggregator is configured. The arguments have to outlive this
@@ -35,6 +36,7 @@
   FleetWork(const FleetWork&) = delete;
   FleetWork& operator=(const FleetWork&) = delete;
 
+  // Starts the task runner and the policy client.
   void start();
 
   // Releases the owned work.
@@ -51,7 +53,7 @@
     discovery_progress_.set_position(position);
   }
 
-  // Returns the policy lease. To be called when no request can arrive any more.
+  // Releases the policy lease. To be called when no request can arrive any more.
   void stop_policy();
   bool policy_stopped() const { return !policy_ || policy_->stopped(); }
 
@@ -79,7 +81,7 @@
   std::optional<tasks::PolicyClient> policy_;
   tasks::OutlierTracker outliers_;
   tasks::VerdictTracker verdicts_;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // false once this object is destroyed
 };
 
 }  // namespace trailcourse::program
--- a/src/program/node_commands.cpp
+++ b/src/program/node_commands.cpp
@@ -128,11 +128,11 @@
   Signals signals(scheduler);
   cache_node::Origin origin(scheduler, file.origin);
   origin.start();
-  const std::function<void()> edit = [&origin] {
+  const std::function<void()> update_objects = [&origin] {
     origin.edit();
     log_line(Level::kInfo) << "generated objects have a new version";
   };
-  scheduler.spawn(handle_signals(scheduler, signals, edit));
+  scheduler.spawn(handle_signals(scheduler, signals, update_objects));
   log_line(Level::kInfo) << "origin listens on " << file.origin.listen << ", "
                          << (file.origin.folder.empty() ? "generated objects" : file.origin.folder);
   scheduler.run();
@@ -145,30 +145,30 @@
   Signals signals(scheduler);
   std::random_device entropy;
   const std::uint64_t seed = (std::uint64_t{entropy()} << 32U) | entropy();
-  DiscoveryFileServer board(scheduler, file.board, seed);
-  board.listen(*transport::parse_address(file.board.listen));
-  const std::function<void()> reread = [&board] {
-    board.reread();
-    log_line(Level::kInfo) << board.report();
+  DiscoveryFileServer server(scheduler, file.board, seed);
+  server.listen(*transport::parse_address(file.board.listen));
+  const std::function<void()> reload = [&server] {
+    server.reread();
+    log_line(Level::kInfo) << server.report();
   };
-  scheduler.spawn(handle_signals(scheduler, signals, reread));
+  scheduler.spawn(handle_signals(scheduler, signals, reload));
   log_line(Level::kInfo) << "discovery service listens on " << file.board.listen;
   scheduler.run();
-  log_line(Level::kInfo) << board.report();
+  log_line(Level::kInfo) << server.report();
   return 0;
 }
 
 int run_registry(const OperatorFile& file) {
   transport::Scheduler scheduler;
   Signals signals(scheduler);
-  coordination::CoordinationServer registry(scheduler, file.registry);
-  registry.listen(*transport::parse_address(file.registry.listen));
-  const std::function<void()> report = [&registry] { log_line(Level::kInfo) << registry.report(); };
+  coordination::CoordinationServer server(scheduler, file.registry);
+  server.listen(*transport::parse_address(file.registry.listen));
+  const std::function<void()> report = [&server] { log_line(Level::kInfo) << server.report(); };
   scheduler.spawn(handle_signals(scheduler, signals, report));
-  log_line(Level::kInfo) << "coordination server " << registry.id() << " listens on " << file.registry.listen
+  log_line(Level::kInfo) << "coordination server " << server.id() << " listens on " << file.registry.listen
                          << ", stores its data in " << file.registry.folder;
   scheduler.run();
-  log_line(Level::kInfo) << registry.report();
+  log_line(Level::kInfo) << server.report();
   return 0;
 }
 
--- a/src/program/policy_command.cpp
+++ b/src/program/policy_command.cpp
@@ -68,15 +68,15 @@
 
 json status_json(const policy::RolloutSnapshot& snapshot) {
   json permits = json::array();
-  for (const auto& [name, permit] : snapshot.reports) {
+  for (const auto& [name, report] : snapshot.reports) {
     permits.push_back({{"router", name.substr(0, name.find('/'))},
-                       {"zone", permit.zone},
-                       {"version", permit.version},
-                       {"ready", permit.ready_stage},
-                       {"held", permit.suspended_stage},
-                       {"no", permit.rejection_reason},
-                       {"routers", permit.represented_routers},
-                       {"awaits", permit.waiting_for}});
+                       {"zone", report.zone},
+                       {"version", report.version},
+                       {"ready", report.ready_stage},
+                       {"held", report.suspended_stage},
+                       {"no", report.rejection_reason},
+                       {"routers", report.represented_routers},
+                       {"awaits", report.waiting_for}});
   }
   json out{{"version", snapshot.current_version},
            {"zones", snapshot.zone_versions},
@@ -90,9 +90,9 @@
 std::string describe_leases(const policy::RolloutSnapshot& snapshot) {
   std::size_t summaries = 0;
   std::uint64_t represented = 0;
-  for (const auto& [name, permit] : snapshot.reports) {
-    summaries += permit.represented_routers > 0 ? 1 : 0;
-    represented += permit.represented_routers;
+  for (const auto& [name, report] : snapshot.reports) {
+    summaries += report.represented_routers > 0 ? 1 : 0;
+    represented += report.represented_routers;
   }
   if (summaries == 0) {
     return std::to_string(snapshot.reports.size()) + " routers have a lease";
--- a/src/program/serve.cpp
+++ b/src/program/serve.cpp
@@ -150,10 +150,11 @@
   try {
     const Configuration next = reload_configuration();
     update_handler.take(next.known);
-    const bool moved = discovery_client.move(next.board);
-    log_line(Level::kInfo) << "configuration reloaded: discovery service " << to_string(next.board)
-                           << (moved ? " (changed)" : " (unchanged)") << ", event " << update_handler.last();
-    if (next.fixed != running.fixed) {
+    const bool moved = discovery_client.move(next.discovery_address);
+    log_line(Level::kInfo) << "configuration reloaded: discovery service "
+                           << to_string(next.discovery_address) << (moved ? " (changed)" : " (unchanged)")
+                           << ", event " << update_handler.last();
+    if (next.restart_keys != running.restart_keys) {
       log_line(Level::kWarning) << "configuration reloaded: changes of other keys need a restart";
     }
   } catch (const std::exception& error) {
@@ -252,9 +253,9 @@
   hooks.taken = [&work](const std::string& source, std::uint64_t sequence) {
     work.set_discovery_position({source, sequence});
   };
-  routing::DiscoveryClient discovery_client(scheduler, configuration.board, update_handler, profile,
-                                            configuration.seed, start.discovery_options(), std::move(hooks),
-                                            start.discovery_relays());
+  routing::DiscoveryClient discovery_client(scheduler, configuration.discovery_address, update_handler,
+                                            profile, configuration.seed, start.discovery_options(),
+                                            std::move(hooks), start.discovery_relays());
   start.set_discovery_client(discovery_client);
   discovery_client.start();
   work.start();
--- a/src/program/start_support.cpp
+++ b/src/program/start_support.cpp
@@ -174,7 +174,8 @@
     return;
   }
   const snapshot::Snapshot& loaded = *decoded;
-  if (loaded.source_address != transport::to_string(configuration_.board) && loaded.source_id.empty()) {
+  if (loaded.source_address != transport::to_string(configuration_.discovery_address) &&
+      loaded.source_id.empty()) {
     log_line(Level::kWarning) << "snapshot: not used: it is of the discovery service at "
                               << loaded.source_address;
     return;
@@ -347,8 +348,8 @@
   snapshot::Snapshot snapshot;
   snapshot.fleet = configuration_.start.snapshot.fleet;
   snapshot.router = configuration_.name;
-  snapshot.source_address =
-      transport::to_string(discovery_client_ != nullptr ? discovery_client_->board() : configuration_.board);
+  snapshot.source_address = transport::to_string(
+      discovery_client_ != nullptr ? discovery_client_->board() : configuration_.discovery_address);
   snapshot.source_id = log_.source_id();
   snapshot.saved_at = unix_now();
   snapshot.confirmed_at =
--- a/src/program/work_command.cpp
+++ b/src/program/work_command.cpp
@@ -27,7 +27,7 @@
 
 namespace {
 
-constexpr int kFailed = 1;
+constexpr int kFailure = 1;
 
 struct ShardState {
   ownership::ShardId id;
@@ -113,24 +113,24 @@
   const auto all = load_work(client);
   if (command.json) {
     json rows = json::array();
-    for (const auto& [name, one] : all) {
-      rows.push_back(to_json(one.first, one.second));
+    for (const auto& [name, entry] : all) {
+      rows.push_back(to_json(entry.first, entry.second));
     }
     out << json{{"store", client.id()}, {"work", rows}}.dump(1) << '\n';
     return 0;
   }
   print_row(out, "%-28s %-8s %-12s %7s %6s %6s %6s %s", "WORK", "KIND", "ZONE", "SHARDS", "OWNED", "DONE",
             "PARKED", "STATE");
-  for (const auto& [name, one] : all) {
-    const auto count = [&rows = one.second](const auto& which) {
-      return static_cast<int>(std::count_if(rows.begin(), rows.end(), which));
+  for (const auto& [name, entry] : all) {
+    const auto count = [&rows = entry.second](const auto& predicate) {
+      return static_cast<int>(std::count_if(rows.begin(), rows.end(), predicate));
     };
-    print_row(out, "%-28s %-8s %-12s %7zu %6d %6d %6d %s", name.c_str(), one.first.kind.c_str(),
-              one.first.zone.empty() ? "-" : one.first.zone.c_str(), one.second.size(),
+    print_row(out, "%-28s %-8s %-12s %7zu %6d %6d %6d %s", name.c_str(), entry.first.kind.c_str(),
+              entry.first.zone.empty() ? "-" : entry.first.zone.c_str(), entry.second.size(),
               count([](const ShardState& row) { return row.owner.term != 0; }),
               count([](const ShardState& row) { return row.done; }),
               count([](const ShardState& row) { return row.progress.parked; }),
-              one.first.paused ? "paused" : "on");
+              entry.first.paused ? "paused" : "on");
   }
   return 0;
 }
@@ -303,18 +303,18 @@
 
 int report(StoreClient& client, const WorkCommand& command, std::ostream& out, std::ostream& errors) {
   const std::vector<Entry> found = client.get(tasks::kFleetReportKey, false);
-  const json text = found.empty() ? json() : json::parse(found.front().value, nullptr, false);
-  if (!text.is_object()) {
+  const json fleet_report = found.empty() ? json() : json::parse(found.front().value, nullptr, false);
+  if (!fleet_report.is_object()) {
     errors << "trailcourse: work: no fleet report exists yet\n";
     return kNoSuchWork;
   }
   if (command.json) {
-    out << text.dump(1) << '\n';
+    out << fleet_report.dump(1) << '\n';
     return 0;
   }
-  out << "report " << text.value("number", 0) << " of term " << text.value("term", 0) << ", "
-      << text.value("routers", 0) << " routers\n";
-  const json sums = text.value("sums", json::object());
+  out << "report " << fleet_report.value("number", 0) << " of term " << fleet_report.value("term", 0) << ", "
+      << fleet_report.value("routers", 0) << " routers\n";
+  const json sums = fleet_report.value("sums", json::object());
   for (const auto& [name, value] : sums.items()) {
     print_row(out, "  %-20s %14llu", name.c_str(),
               static_cast<unsigned long long>(value.is_number_unsigned() ? value.get<std::uint64_t>() : 0));
@@ -383,7 +383,7 @@
     return command.action == "report" ? report(client, command, out, errors) : members(client, command, out);
   } catch (const std::runtime_error& error) {
     errors << "trailcourse: " << error.what() << '\n';
-    return kFailed;
+    return kFailure;
   }
 }
 
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -73,7 +73,7 @@
   const Configuration configuration = read(valid_config());
   EXPECT_EQ(configuration.name, "n3");
   EXPECT_EQ(to_string(configuration.listen), "127.0.0.1:4100");
-  EXPECT_EQ(to_string(configuration.board), "127.0.0.1:2379");
+  EXPECT_EQ(to_string(configuration.discovery_address), "127.0.0.1:2379");
   EXPECT_EQ(configuration.seed, 0x8c1f30d27a5be964U);
   EXPECT_EQ(configuration.sockets, 256);
   EXPECT_EQ(configuration.known.notices.size(), 1U);
