--- a/src/program/serve.cpp
+++ b/src/program/serve.cpp
@@ -110,7 +110,7 @@
   work.drain();
   const Clock::time_point drain_start = Clock::now();
   const milliseconds linger(configuration.tuning.drain_linger_ms);
-  const milliseconds quiet(configuration.tuning.drain_quiet_ms);
+  const milliseconds idle_time(configuration.tuning.drain_quiet_ms);
   const milliseconds timeout = configuration.drain_timeout();
   for (;;) {
     const Clock::duration elapsed = Clock::now() - drain_start;
@@ -121,7 +121,7 @@
     }
     const bool receiving = server.has_partial_request() && elapsed < linger + kPartialTimeout;
     const bool arrivals_ended =
-        elapsed >= linger && Clock::now() - server.last_arrival() >= quiet && !receiving;
+        elapsed >= linger && Clock::now() - server.last_arrival() >= idle_time && !receiving;
     const bool answered = router.open_requests() == 0 && server.quiet();
     // Owned work is released at the same time. The wait for a store that does not respond is limited.
     if (arrivals_ended && answered) {
--- a/src/program/start_support.h
+++ b/src/program/start_support.h
@@ -29,6 +29,7 @@
 
 class StartSupport {
  public:
+  // The arguments have to outlive this object.
   StartSupport(transport::Scheduler& scheduler, const Configuration& configuration);
   ~StartSupport();
   StartSupport(const StartSupport&) = delete;
@@ -38,16 +39,19 @@
   void collect_due_events(Micros now, std::vector<Event>& out);
 
   // Applies the endpoint list and purges of the configuration, and then those of the snapshot if they are
-  // newer. Both objects have to outlive this one.
+  // newer. Both objects have to exist while the scheduler runs.
   void initialize(routing::Router& router, routing::DiscoveryUpdateHandler& update_handler);
 
   // Starts the relay, if there is one. Throws std::system_error if its address is not available.
   void listen();
 
+  // Return the arguments of the discovery client. Hooks and relays refer to this object.
   routing::DiscoveryClient::Bounds discovery_options() const;
   routing::DiscoveryClient::Hooks discovery_hooks();
   routing::DiscoveryClient::Relays discovery_relays();
-  // Sets the client whose fleet size and server id this object maintains. It has to outlive this object.
+
+  // Sets the client whose fleet size and server id this object maintains. It has to exist while the
+  // scheduler runs.
   void set_discovery_client(routing::DiscoveryClient& client);
 
   // Returns whether the endpoint list is current enough to serve.
