--- a/src/program/serve.cpp
+++ b/src/program/serve.cpp
@@ -110,7 +110,7 @@
   work.drain();
   const Clock::time_point drain_start = Clock::now();
   const milliseconds linger(configuration.tuning.drain_linger_ms);
-  const milliseconds quiet(configuration.tuning.drain_quiet_ms);
+  const milliseconds idle_time(configuration.tuning.drain_quiet_ms);
   const milliseconds timeout = configuration.drain_timeout();
   for (;;) {
     const Clock::duration elapsed = Clock::now() - drain_start;
@@ -121,7 +121,7 @@
     }
     const bool receiving = server.has_partial_request() && elapsed < linger + kPartialTimeout;
     const bool arrivals_ended =
-        elapsed >= linger && Clock::now() - server.last_arrival() >= quiet && !receiving;
+        elapsed >= linger && Clock::now() - server.last_arrival() >= idle_time && !receiving;
     const bool answered = router.open_requests() == 0 && server.idle();
     // Owned work is released at the same time. The wait for a store that does not respond is limited.
     if (arrivals_ended && answered) {
@@ -151,11 +151,11 @@
   try {
     const Configuration next = reload_configuration();
     update_handler.apply(next.known);
-    const bool moved = discovery_client.set_server(next.board);
-    log_line(Level::kInfo) << "configuration reloaded: discovery service " << to_string(next.board)
-                           << (moved ? " (changed)" : " (unchanged)") << ", event "
-                           << update_handler.last_sequence();
-    if (next.fixed != running.fixed) {
+    const bool moved = discovery_client.set_server(next.discovery_address);
+    log_line(Level::kInfo) << "configuration reloaded: discovery service "
+                           << to_string(next.discovery_address) << (moved ? " (changed)" : " (unchanged)")
+                           << ", event " << update_handler.last_sequence();
+    if (next.restart_keys != running.restart_keys) {
       log_line(Level::kWarning) << "configuration reloaded: changes of other keys need a restart";
     }
   } catch (const std::exception& error) {
@@ -256,9 +256,9 @@
   hooks.on_applied = [&work](const std::string& source, std::uint64_t sequence) {
     work.set_discovery_position({source, sequence});
   };
-  routing::DiscoveryClient discovery_client(scheduler, configuration.board, update_handler, profile,
-                                            configuration.seed, start.discovery_options(), std::move(hooks),
-                                            start.discovery_relays());
+  routing::DiscoveryClient discovery_client(scheduler, configuration.discovery_address, update_handler,
+                                            profile, configuration.seed, start.discovery_options(),
+                                            std::move(hooks), start.discovery_relays());
   start.set_discovery_client(discovery_client);
   discovery_client.start();
   work.start();
