--- a/tests/fleet/policy_test.cpp
+++ b/tests/fleet/policy_test.cpp
@@ -6,7 +6,7 @@
 #include <random>
 #include <string>
 
-#include "fleet/policy_rig.h"
+#include "fleet/policy_fixture.h"
 
 namespace trailcourse::testing_support {
 namespace {
@@ -16,84 +16,84 @@
 using std::chrono::milliseconds;
 
 TEST(PolicyFleetTest, AChangeTakesHoldEverywhereAndTheCheckerFindsItsMoment) {
-  PolicyRig fleet(policy_shape(5));
+  PolicyFixture fleet(policy_spec(5));
   ASSERT_FALSE(testing::Test::HasFatalFailure());
-  ASSERT_EQ(fleet.propose(2.0), 0) << fleet.said;
-  EXPECT_TRUE(fleet.await_change(fleet.rig.routers(), "done")) << fleet.rig.logs();
-  EXPECT_TRUE(fleet.await_version(fleet.rig.routers(), 1)) << fleet.rig.logs();
-  EXPECT_EQ(fleet.check(), kNone);
+  ASSERT_EQ(fleet.propose(2.0), 0) << fleet.output;
+  EXPECT_TRUE(fleet.await_change(fleet.fixture.routers(), "done")) << fleet.fixture.logs();
+  EXPECT_TRUE(fleet.await_version(fleet.fixture.routers(), 1)) << fleet.fixture.logs();
+  EXPECT_EQ(fleet.check(), kNoViolations);
   const auto decided = fleet.decided();
-  EXPECT_TRUE(decided.contains("0") && decided.contains("1")) << fleet.rig.logs();
+  EXPECT_TRUE(decided.contains("0") && decided.contains("1")) << fleet.fixture.logs();
   // Back: a new change to an old content.
   program::PolicyCommand back;
   back.action = "propose";
   back.version = "1";
-  EXPECT_EQ(fleet.policy(back), 0) << fleet.said;
-  EXPECT_TRUE(fleet.await_change(fleet.rig.routers(), "done")) << fleet.rig.logs();
-  EXPECT_TRUE(fleet.await_version(fleet.rig.routers(), 2));
-  EXPECT_EQ(fleet.check(), kNone);
+  EXPECT_EQ(fleet.policy(back), 0) << fleet.output;
+  EXPECT_TRUE(fleet.await_change(fleet.fixture.routers(), "done")) << fleet.fixture.logs();
+  EXPECT_TRUE(fleet.await_version(fleet.fixture.routers(), 2));
+  EXPECT_EQ(fleet.check(), kNoViolations);
   EXPECT_EQ(fleet.policy("history"), 0);
-  EXPECT_GE(json::parse(fleet.said).size(), 8U) << fleet.said;
+  EXPECT_GE(json::parse(fleet.output).size(), 8U) << fleet.output;
 }
 
 TEST(PolicyFleetTest, AVersionThatOneCannotLiveByIsRefusedEverywhere) {
-  PolicyRig fleet(policy_shape(3));
+  PolicyFixture fleet(policy_spec(3));
   ASSERT_FALSE(testing::Test::HasFatalFailure());
-  ASSERT_EQ(fleet.propose(2.0, false, R"(,"limits":{"open_requests":9000000})"), 0) << fleet.said;
-  EXPECT_TRUE(fleet.await_change(fleet.rig.routers(), "aborted")) << fleet.rig.logs();
+  ASSERT_EQ(fleet.propose(2.0, false, R"(,"limits":{"open_requests":9000000})"), 0) << fleet.output;
+  EXPECT_TRUE(fleet.await_change(fleet.fixture.routers(), "aborted")) << fleet.fixture.logs();
   const json change = fleet.status()["change"];
   EXPECT_NE(change.value("why", "").find("open_requests"), std::string::npos) << change;
   EXPECT_EQ(fleet.version(), 0U);
-  EXPECT_EQ(fleet.check(), kNone);
+  EXPECT_EQ(fleet.check(), kNoViolations);
   EXPECT_FALSE(fleet.decided().contains("1")) << "nobody decided under what was refused";
   // A document that no program could read is not even proposed.
   EXPECT_EQ(fleet.propose(-1.0), program::kBadPolicy);
-  EXPECT_NE(fleet.said.find("worth"), std::string::npos) << fleet.said;
+  EXPECT_NE(fleet.output.find("worth"), std::string::npos) << fleet.output;
 }
 
 // Stopped before the commit and woken after it, with requests in its buffers: they are not decided under the
 // old one.
 TEST(PolicyFleetTest, ARouterThatWakesAfterTheCommitDecidesNothingUnderTheOldVersion) {
-  PolicyRig fleet(policy_shape(4));
+  PolicyFixture fleet(policy_spec(4));
   ASSERT_FALSE(testing::Test::HasFatalFailure());
-  std::vector<std::string> others = fleet.rig.routers();
+  std::vector<std::string> others = fleet.fixture.routers();
   const std::string sleeper = others.back();
   others.pop_back();
-  ASSERT_TRUE(fleet.await_version(fleet.rig.routers(), 0));
-  fleet.rig.fault("stop " + sleeper);
+  ASSERT_TRUE(fleet.await_version(fleet.fixture.routers(), 0));
+  fleet.fixture.apply_fault("stop " + sleeper);
   for (std::uint64_t i = 0; i < 20; ++i) {
-    fleet.rig.ask(sleeper, 1'000 + i);
+    fleet.fixture.send(sleeper, 1'000 + i);
   }
-  ASSERT_EQ(fleet.propose(2.0), 0) << fleet.said;
-  EXPECT_TRUE(fleet.await_change(others, "done")) << "its permission runs out: " << fleet.rig.logs();
+  ASSERT_EQ(fleet.propose(2.0), 0) << fleet.output;
+  EXPECT_TRUE(fleet.await_change(others, "done")) << "its permission runs out: " << fleet.fixture.logs();
   ASSERT_TRUE(fleet.await_version(others, 1));
-  fleet.rig.fault("cont " + sleeper);
-  EXPECT_TRUE(fleet.await_version({sleeper}, 1)) << fleet.rig.logs();
-  EXPECT_EQ(fleet.check(), kNone);
+  fleet.fixture.apply_fault("cont " + sleeper);
+  EXPECT_TRUE(fleet.await_version({sleeper}, 1)) << fleet.fixture.logs();
+  EXPECT_EQ(fleet.check(), kNoViolations);
 }
 
 TEST(PolicyFleetTest, AThirdThatIsCutOffDecidesUnderNothingAndJoinsBehindTheChange) {
-  PolicyRig fleet(policy_shape(6), {"router*>registry"});
+  PolicyFixture fleet(policy_spec(6), {"router*>registry"});
   ASSERT_FALSE(testing::Test::HasFatalFailure());
-  const std::vector<std::string> all = fleet.rig.routers();
+  const std::vector<std::string> all = fleet.fixture.routers();
   const std::vector<std::string> cut(all.begin(), all.begin() + 2);
   const std::vector<std::string> rest(all.begin() + 2, all.end());
   ASSERT_TRUE(fleet.await_version(all, 0));
   for (const std::string& router : cut) {
-    fleet.rig.fault("cut " + router + ">registry both");
+    fleet.fixture.apply_fault("cut " + router + ">registry both");
   }
-  ASSERT_EQ(fleet.propose(2.0), 0) << fleet.said;
-  EXPECT_TRUE(fleet.await_change(all, "done")) << fleet.rig.logs();
-  EXPECT_TRUE(fleet.await_version(rest, 1)) << fleet.rig.logs();
+  ASSERT_EQ(fleet.propose(2.0), 0) << fleet.output;
+  EXPECT_TRUE(fleet.await_change(all, "done")) << fleet.fixture.logs();
+  EXPECT_TRUE(fleet.await_version(rest, 1)) << fleet.fixture.logs();
   EXPECT_TRUE(fleet.await_version(rest, 1));
   for (const std::string& router : cut) {
-    const fleet::Asked asked = fleet.answer(router);
+    const fleet::SentRequest asked = fleet.answer(router);
     EXPECT_EQ(asked.policy, "-") << "without the store it knows nothing";
     EXPECT_EQ(asked.status, 503);
-    fleet.rig.fault("heal " + router + ">registry");
+    fleet.fixture.apply_fault("heal " + router + ">registry");
   }
-  EXPECT_TRUE(fleet.await_version(all, 1)) << fleet.rig.logs();
-  EXPECT_EQ(fleet.check(), kNone);
+  EXPECT_TRUE(fleet.await_version(all, 1)) << fleet.fixture.logs();
+  EXPECT_EQ(fleet.check(), kNoViolations);
 }
 
 struct Kill {
@@ -113,123 +113,125 @@
                          [](const auto& one) { return one.param.name; });
 
 TEST_P(DriverFaultTest, ItsSuccessorEndsTheChangeTheSameWay) {
-  PolicyRig fleet(policy_shape(4));
+  PolicyFixture fleet(policy_spec(4));
   ASSERT_FALSE(testing::Test::HasFatalFailure());
-  const std::vector<std::string> all = fleet.rig.routers();
+  const std::vector<std::string> all = fleet.fixture.routers();
   ASSERT_TRUE(fleet.await_version(all, 0));
-  ASSERT_EQ(fleet.propose(2.0), 0) << fleet.said;
+  ASSERT_EQ(fleet.propose(2.0), 0) << fleet.output;
   std::string driver;
-  ASSERT_TRUE(fleet.until_loaded(all, [&] {
+  ASSERT_TRUE(fleet.run_until_under_load(all, [&] {
     for (const std::string& router : all) {
-      driver = fleet.rig.fleet().log(router).find(GetParam().words) != std::string::npos ? router : driver;
+      driver =
+          fleet.fixture.fleet().log(router).find(GetParam().words) != std::string::npos ? router : driver;
     }
     return !driver.empty();
-  })) << fleet.rig.logs();
+  })) << fleet.fixture.logs();
   std::vector<std::string> rest = all;
   std::erase(rest, driver);
   if (GetParam().stop) {
-    fleet.rig.fault("stop " + driver);
+    fleet.fixture.apply_fault("stop " + driver);
   } else {
-    fleet.rig.fleet().kill(driver);
+    fleet.fixture.fleet().kill(driver);
   }
-  EXPECT_TRUE(fleet.await_change(rest, "done")) << fleet.rig.logs();
-  EXPECT_TRUE(fleet.await_version(rest, 1)) << fleet.rig.logs();
+  EXPECT_TRUE(fleet.await_change(rest, "done")) << fleet.fixture.logs();
+  EXPECT_TRUE(fleet.await_version(rest, 1)) << fleet.fixture.logs();
   if (GetParam().stop) {
-    fleet.rig.fault("cont " + driver);
+    fleet.fixture.apply_fault("cont " + driver);
   } else {
-    fleet.rig.start(driver);
-    EXPECT_TRUE(fleet.rig.await_ready(driver));
+    fleet.fixture.start(driver);
+    EXPECT_TRUE(fleet.fixture.await_ready(driver));
   }
-  EXPECT_TRUE(fleet.await_version(all, 1)) << fleet.rig.logs();
+  EXPECT_TRUE(fleet.await_version(all, 1)) << fleet.fixture.logs();
   EXPECT_EQ(fleet.version(), 1U);
-  EXPECT_EQ(fleet.check(), kNone);
+  EXPECT_EQ(fleet.check(), kNoViolations);
 }
 
 TEST(PolicyFleetTest, ChangesInARowUnderLoadWithRoutersKilledThroughout) {
   constexpr int kChanges = 6;
-  PolicyRig fleet(policy_shape(5));
+  PolicyFixture fleet(policy_spec(5));
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   std::mt19937_64 random(11);
-  const std::vector<std::string> all = fleet.rig.routers();
+  const std::vector<std::string> all = fleet.fixture.routers();
   for (int i = 0; i < kChanges; ++i) {
-    ASSERT_EQ(fleet.propose(1.0 + i), 0) << fleet.said;
+    ASSERT_EQ(fleet.propose(1.0 + i), 0) << fleet.output;
     const std::string& victim = all[random() % all.size()];
-    fleet.until_loaded(all, [] { return true; }, milliseconds(random() % 150));
-    fleet.rig.fleet().kill(victim);
-    fleet.until_loaded(all, [] { return false; }, milliseconds(random() % 200));
-    fleet.rig.start(victim);  // it joins behind the change
-    EXPECT_TRUE(fleet.await_change(all, "done")) << fleet.rig.logs();
+    fleet.run_until_under_load(all, [] { return true; }, milliseconds(random() % 150));
+    fleet.fixture.fleet().kill(victim);
+    fleet.run_until_under_load(all, [] { return false; }, milliseconds(random() % 200));
+    fleet.fixture.start(victim);  // it joins behind the change
+    EXPECT_TRUE(fleet.await_change(all, "done")) << fleet.fixture.logs();
   }
-  EXPECT_TRUE(fleet.await_version(all, kChanges)) << fleet.rig.logs();
-  EXPECT_EQ(fleet.check(), kNone);
+  EXPECT_TRUE(fleet.await_version(all, kChanges)) << fleet.fixture.logs();
+  EXPECT_EQ(fleet.check(), kNoViolations);
 }
 
 TEST(PolicyFleetTest, TheStoreIsKilledWhileAChangeIsMade) {
-  PolicyRig fleet(policy_shape(4));
+  PolicyFixture fleet(policy_spec(4));
   ASSERT_FALSE(testing::Test::HasFatalFailure());
-  const std::vector<std::string> all = fleet.rig.routers();
+  const std::vector<std::string> all = fleet.fixture.routers();
   ASSERT_TRUE(fleet.await_version(all, 0));
   for (int i = 0; i < 3; ++i) {
-    ASSERT_EQ(fleet.propose(1.0 + i), 0) << fleet.said;
-    fleet.until_loaded(all, [] { return false; }, milliseconds(20 * i));
-    fleet.rig.fleet().kill("registry");
-    fleet.until_loaded(all, [] { return false; }, milliseconds(300));
-    fleet.rig.start("registry");
+    ASSERT_EQ(fleet.propose(1.0 + i), 0) << fleet.output;
+    fleet.run_until_under_load(all, [] { return false; }, milliseconds(20 * i));
+    fleet.fixture.fleet().kill("registry");
+    fleet.run_until_under_load(all, [] { return false; }, milliseconds(300));
+    fleet.fixture.start("registry");
     std::string state;
-    EXPECT_TRUE(fleet.until_loaded(all, [&] {
+    EXPECT_TRUE(fleet.run_until_under_load(all, [&] {
       state = fleet.change_state();
       return state == "done" || state == "aborted";
-    })) << fleet.rig.logs();
-    EXPECT_TRUE(fleet.await_version(all, fleet.version())) << fleet.rig.logs();
+    })) << fleet.fixture.logs();
+    EXPECT_TRUE(fleet.await_version(all, fleet.version())) << fleet.fixture.logs();
   }
-  EXPECT_EQ(fleet.check(), kNone);
+  EXPECT_EQ(fleet.check(), kNoViolations);
 }
 
 TEST(PolicyFleetTest, AnUrgentChangeGoesBeforeOneThatHasNotCommittedAndStaffCanAbort) {
-  PolicyRig fleet(policy_shape(3), {"router0>registry"});
+  PolicyFixture fleet(policy_spec(3), {"router0>registry"});
   ASSERT_FALSE(testing::Test::HasFatalFailure());
-  const std::vector<std::string> all = fleet.rig.routers();
+  const std::vector<std::string> all = fleet.fixture.routers();
   ASSERT_TRUE(fleet.await_version(all, 0));
-  fleet.rig.fault("cut router0>registry in");  // it hears nothing for as long as its permission lasts
-  ASSERT_EQ(fleet.propose(2.0), 0) << fleet.said;
+  fleet.fixture.apply_fault(
+      "cut router0>registry in");  // it hears nothing for as long as its permission lasts
+  ASSERT_EQ(fleet.propose(2.0), 0) << fleet.output;
   EXPECT_EQ(fleet.propose(3.0), program::kChangeOpen) << "the second waits";
-  EXPECT_EQ(fleet.propose(4.0, true), 0) << fleet.said;
-  EXPECT_EQ(fleet.policy("abort"), 0) << fleet.said;
-  fleet.rig.fault("heal router0>registry");
-  EXPECT_EQ(fleet.propose(5.0), 0) << fleet.said;
-  EXPECT_TRUE(fleet.await_change(all, "done")) << fleet.rig.logs();
+  EXPECT_EQ(fleet.propose(4.0, true), 0) << fleet.output;
+  EXPECT_EQ(fleet.policy("abort"), 0) << fleet.output;
+  fleet.fixture.apply_fault("heal router0>registry");
+  EXPECT_EQ(fleet.propose(5.0), 0) << fleet.output;
+  EXPECT_TRUE(fleet.await_change(all, "done")) << fleet.fixture.logs();
   EXPECT_TRUE(fleet.await_version(all, fleet.version()));
-  EXPECT_EQ(fleet.check(), kNone);
+  EXPECT_EQ(fleet.check(), kNoViolations);
   const auto decided = fleet.decided();
   EXPECT_FALSE(decided.contains("1") || decided.contains("2")) << "neither took hold";
 }
 
 TEST(PolicyFleetTest, AStageIsWatchedAndTurnedBackWhereItRefusesTooMuch) {
-  FleetSpec shape = policy_shape(4);
-  shape.zones = {"east", "west"};
-  shape.caches = 2;
-  PolicyRig fleet(shape);
+  FleetSpec spec = policy_spec(4);
+  spec.zones = {"east", "west"};
+  spec.caches = 2;
+  PolicyFixture fleet(spec);
   ASSERT_FALSE(testing::Test::HasFatalFailure());
-  const std::vector<std::string> all = fleet.rig.routers();
+  const std::vector<std::string> all = fleet.fixture.routers();
   ASSERT_TRUE(fleet.await_version(all, 0));
   program::PolicyCommand command;
   command.action = "propose";
-  command.file = fleet.rig.folder() + "/no.json";
+  command.file = fleet.fixture.folder() + "/no.json";
   command.stages = {"east"};
   command.watch_s = 60;
   command.most_refused = 0.2;
   std::ofstream(command.file) << R"({"schema":1,"content":{"classes":{"media":{"serve":false}}}})";
-  ASSERT_EQ(fleet.policy(command), 0) << fleet.said;
-  EXPECT_TRUE(fleet.until_loaded(all, [&] {
+  ASSERT_EQ(fleet.policy(command), 0) << fleet.output;
+  EXPECT_TRUE(fleet.run_until_under_load(all, [&] {
     const json change = fleet.status()["change"];
     return change.is_object() &&
            change.value("why", std::string()).find("turned back") != std::string::npos &&
            change.value("state", std::string()) == "done";
-  })) << fleet.rig.logs();
-  EXPECT_TRUE(fleet.await_version(all, 0)) << fleet.rig.logs();
+  })) << fleet.fixture.logs();
+  EXPECT_TRUE(fleet.await_version(all, 0)) << fleet.fixture.logs();
   // In the other zone nobody ever decided under it.
-  for (const fleet::Asked& one : fleet.rig.load().all()) {
-    if (fleet.rig.layout().member(one.router).zone == "west") {
+  for (const fleet::SentRequest& one : fleet.fixture.load().requests()) {
+    if (fleet.fixture.layout().member(one.router).zone == "west") {
       EXPECT_NE(one.policy, "1") << one.router;
     }
   }
--- a/tests/fleet/relay_test.cpp
+++ b/tests/fleet/relay_test.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <string>
 
-#include "fleet/rig.h"
+#include "fleet/fleet_fixture.h"
 #include "stand_ins.h"
 #include "startup/relay_tree.h"
 
@@ -15,41 +15,42 @@
 using fleet::FleetSpec;
 using std::chrono::milliseconds;
 
-FleetSpec relay_shape(int routers) {
-  FleetSpec shape = spread_shape(routers);
-  shape.known = false;
-  shape.operators["relay"] = {{"pass_over_ms", 200}, {"audits_per_s", 20.0}};
-  return shape;
+FleetSpec relay_spec(int routers) {
+  FleetSpec spec = spread_spec(routers);
+  spec.known = false;
+  spec.operators["relay"] = {{"pass_over_ms", 200}, {"audits_per_s", 20.0}};
+  return spec;
 }
 
 TEST(RelayTest, TheBoardBearsAHandfulAndAPurgeReachesAll) {
   constexpr int kRouters = 15;
-  Rig rig(relay_shape(kRouters), {"router*>board"}, 3);
-  rig.start_all();
+  FleetFixture fixture(relay_spec(kRouters), {"router*>board"}, 3);
+  fixture.start_all();
   ASSERT_FALSE(testing::Test::HasFatalFailure());
-  ASSERT_EQ(rig.await_states(rig.routers(), {"current"}), "");
+  ASSERT_EQ(fixture.await_states(fixture.routers(), {"current"}), "");
   // Once the tree stands, who asks the board for pages? Audits open a connection each and are told apart by
   // that.
-  ASSERT_TRUE(rig.until([&] {
+  ASSERT_TRUE(fixture.run_until([&] {
     std::size_t by_relay = 0;
-    for (const std::string& router : rig.routers()) {
-      const std::size_t before = rig.calls(router + ">board");
-      rig.run_for(milliseconds(40));
-      by_relay += rig.calls(router + ">board") - before <= 1 ? 1 : 0;
+    for (const std::string& router : fixture.routers()) {
+      const std::size_t before = fixture.call_count(router + ">board");
+      fixture.run_for(milliseconds(40));
+      by_relay += fixture.call_count(router + ">board") - before <= 1 ? 1 : 0;
     }
     return by_relay >= kRouters - 3;
   }));
-  for (const std::string& router : rig.routers()) {
-    ASSERT_TRUE(rig.await_ready(router));
+  for (const std::string& router : fixture.routers()) {
+    ASSERT_TRUE(fixture.await_ready(router));
   }
-  ASSERT_EQ(ask_all(rig, rig.routers(), 5), kNone);
-  rig.post({{"pool",
-             {{"index", 2},
-              {"snapshot", false},
-              {"endpoints", {rig.layout().entry(rig.layout().member("cache1"), "draining")}}}}});
-  for (const std::string& router : rig.routers()) {
-    EXPECT_TRUE(rig.fleet().await_log(router, "cache cache1 is draining", kAwaited))
-        << rig.fleet().log(router);
+  ASSERT_EQ(send_to_all(fixture, fixture.routers(), 5), kNoViolations);
+  fixture.append_event(
+      {{"pool",
+        {{"index", 2},
+         {"snapshot", false},
+         {"endpoints", {fixture.layout().entry(fixture.layout().member("cache1"), "draining")}}}}});
+  for (const std::string& router : fixture.routers()) {
+    EXPECT_TRUE(fixture.fleet().await_log(router, "cache cache1 is draining", kTestTimeout))
+        << fixture.fleet().log(router);
   }
 }
 
@@ -57,11 +58,11 @@
 // Each time the rest hear of the next event.
 TEST(RelayTest, DeadStalledAndCutOffRelaysAreLeft) {
   constexpr int kRouters = 9;
-  Rig rig(relay_shape(kRouters), {"router*>board"}, 2);
-  rig.start_all();
+  FleetFixture fixture(relay_spec(kRouters), {"router*>board"}, 2);
+  fixture.start_all();
   ASSERT_FALSE(testing::Test::HasFatalFailure());
-  ASSERT_EQ(rig.await_states(rig.routers(), {"current"}), "");
-  std::vector<std::string> names = rig.routers();
+  ASSERT_EQ(fixture.await_states(fixture.routers(), {"current"}), "");
+  std::vector<std::string> names = fixture.routers();
   std::vector<std::string> living = names;
   const auto root = [&] {
     return startup::RelayTree(names[0], names, 2).ancestors().empty()
@@ -72,46 +73,47 @@
   const auto all_hear = [&](const std::string& what) {
     ++number;
     const std::string cache = number % 2 == 1 ? "draining" : "up";
-    rig.post({{"pool",
-               {{"index", 2 + number},
-                {"snapshot", false},
-                {"endpoints", {rig.layout().entry(rig.layout().member("cache1"), cache)}}}}});
+    fixture.append_event(
+        {{"pool",
+          {{"index", 2 + number},
+           {"snapshot", false},
+           {"endpoints", {fixture.layout().entry(fixture.layout().member("cache1"), cache)}}}}});
     const std::string words = "cache cache1 is " + cache;
     for (const std::string& router : living) {
       std::size_t count = 0;
-      EXPECT_TRUE(rig.until([&] {
-        const std::string log = rig.fleet().log(router);
+      EXPECT_TRUE(fixture.run_until([&] {
+        const std::string log = fixture.fleet().log(router);
         count = 0;
         for (std::size_t at = log.find(words); at != std::string::npos; at = log.find(words, at + 1)) {
           ++count;
         }
         return count >= static_cast<std::size_t>((number + 1) / 2);
       })) << what
-          << ": " << rig.fleet().log(router);
+          << ": " << fixture.fleet().log(router);
     }
   };
   all_hear("sound");
-  rig.fault("cut " + root + ">board both");
+  fixture.apply_fault("cut " + root + ">board both");
   living.erase(std::find(living.begin(), living.end(), root));
   all_hear("the first relay is cut off from the board");
-  rig.fault("heal " + root + ">board");
-  rig.fault("stop " + root);
+  fixture.apply_fault("heal " + root + ">board");
+  fixture.apply_fault("stop " + root);
   all_hear("the first relay is stopped");
-  rig.fault("cont " + root);
-  rig.fleet().kill(root);
+  fixture.apply_fault("cont " + root);
+  fixture.fleet().kill(root);
   all_hear("the first relay is dead");
   while (living.size() > 3) {
-    rig.fleet().kill(living.back());
+    fixture.fleet().kill(living.back());
     living.pop_back();
     all_hear("another relay is dead");
   }
 }
 
 // A relay that says it is current and tells nothing of what the board has told since.
-class LyingRelay : public Server {
+class MisreportingRelay : public Server {
  public:
-  LyingRelay() { start(); }
-  ~LyingRelay() override { stop(); }
+  MisreportingRelay() { start(); }
+  ~MisreportingRelay() override { stop(); }
 
  protected:
   void serve(int socket) override {
@@ -129,26 +131,27 @@
 };
 
 TEST(RelayTest, ALyingRelayIsFoundByAnAudit) {
-  LyingRelay liar;
+  MisreportingRelay liar;
   // Of two names the tree's first is the liar's, so that the router asks it.
   std::string name;
   for (int i = 0; name.empty(); ++i) {
     const std::string candidate = "liar" + std::to_string(i);
     name = startup::RelayTree("router0", {candidate}, 2).position() == 1 ? candidate : "";
   }
-  FleetSpec shape = spread_shape(1);
-  shape.operators["relay"] = {{"audits_per_s", 20.0}, {"peers", {name + "=" + liar.address()}}};
-  Rig rig(shape);
-  rig.start_all();
+  FleetSpec spec = spread_spec(1);
+  spec.operators["relay"] = {{"audits_per_s", 20.0}, {"peers", {name + "=" + liar.address()}}};
+  FleetFixture fixture(spec);
+  fixture.start_all();
   ASSERT_FALSE(testing::Test::HasFatalFailure());
-  rig.post({{"pool",
-             {{"index", 2},
-              {"snapshot", false},
-              {"endpoints", {rig.layout().entry(rig.layout().member("cache1"), "draining")}}}}});
-  EXPECT_TRUE(rig.fleet().await_log("router0", "withholds what the board tells", kAwaited))
-      << rig.fleet().log("router0");
-  EXPECT_TRUE(rig.fleet().await_log("router0", "cache cache1 is draining", kAwaited))
-      << rig.fleet().log("router0");
+  fixture.append_event(
+      {{"pool",
+        {{"index", 2},
+         {"snapshot", false},
+         {"endpoints", {fixture.layout().entry(fixture.layout().member("cache1"), "draining")}}}}});
+  EXPECT_TRUE(fixture.fleet().await_log("router0", "withholds what the board tells", kTestTimeout))
+      << fixture.fleet().log("router0");
+  EXPECT_TRUE(fixture.fleet().await_log("router0", "cache cache1 is draining", kTestTimeout))
+      << fixture.fleet().log("router0");
 }
 
 }  // namespace
--- a/tests/fleet_parts_test.cpp
+++ b/tests/fleet_parts_test.cpp
@@ -33,16 +33,16 @@
   EXPECT_EQ(script[0].direction, "in");
   EXPECT_EQ(script[4].target, "parent0");
   EXPECT_EQ(read_script(write_script(script)), script);
-  for (const auto& [bad, words] :
-       std::vector<std::pair<std::string, std::string>>{{"x kill a", "line 1: no time"},
-                                                        {"1 kill a\n2 dance b", "line 2: no such fault"},
-                                                        {"1 kill a>b", "not the name of a process"},
-                                                        {"1 cut a", "not a link"},
-                                                        {"1 cut a>b sideways", "a direction"},
-                                                        {"1 delay a>b", "a number is needed"},
-                                                        {"1 delay a>b -4", "a number is needed"},
-                                                        {"1 kill", "not the name of a process"},
-                                                        {"1 kill a b", "more than is needed"}}) {
+  for (const auto& [bad, words] : std::vector<std::pair<std::string, std::string>>{
+           {"x kill a", "line 1: expected a time in ms"},
+           {"1 kill a\n2 dance b", "line 2: unknown fault"},
+           {"1 kill a>b", "expected the name of a process"},
+           {"1 cut a", "expected a link FROM>TO"},
+           {"1 cut a>b sideways", "expected the direction in, out or both"},
+           {"1 delay a>b", "expected a non-negative number"},
+           {"1 delay a>b -4", "expected a non-negative number"},
+           {"1 kill", "expected the name of a process"},
+           {"1 kill a b", "unexpected text after the fault"}}) {
     try {
       read_script(bad);
       ADD_FAILURE() << bad;
@@ -53,14 +53,14 @@
 }
 
 TEST(FaultScript, DrawnFromASeedItIsTheSameEachTimeAndMendsWhatItBreaks) {
-  Draw draw;
+  RandomScriptOptions draw;
   draw.processes = {"router0", "cache0"};
   draw.links = {"router0>board", "*>cache0"};
   draw.faults = 30;
   std::set<std::string> texts;
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
-    const auto script = draw_script(draw, seed);
-    EXPECT_EQ(script, draw_script(draw, seed));
+    const auto script = random_script(draw, seed);
+    EXPECT_EQ(script, random_script(draw, seed));
     EXPECT_EQ(read_script(write_script(script)), script);
     texts.insert(write_script(script));
     std::map<std::string, bool> broken;
@@ -75,7 +75,7 @@
     for (const auto& [target, still] : broken) {
       EXPECT_FALSE(still) << target << " of seed " << seed << "\n" << write_script(script);
     }
-    for (const auto& part : shorter(script)) {
+    for (const auto& part : shrunk_scripts(script)) {
       EXPECT_LT(part.size(), script.size());
     }
   }
@@ -83,19 +83,19 @@
 }
 
 TEST(FaultScript, PatternsFit) {
-  EXPECT_TRUE(fits("router*>board", "router12>board"));
-  EXPECT_TRUE(fits("*", ""));
-  EXPECT_TRUE(fits("*>*", "a>b"));
-  EXPECT_TRUE(fits("a*b*c", "aXbYbc"));
-  EXPECT_FALSE(fits("a*b", "ac"));
-  EXPECT_FALSE(fits("router1", "router12"));
+  EXPECT_TRUE(matches_pattern("router*>board", "router12>board"));
+  EXPECT_TRUE(matches_pattern("*", ""));
+  EXPECT_TRUE(matches_pattern("*>*", "a>b"));
+  EXPECT_TRUE(matches_pattern("a*b*c", "aXbYbc"));
+  EXPECT_FALSE(matches_pattern("a*b", "ac"));
+  EXPECT_FALSE(matches_pattern("router1", "router12"));
 }
 
 TEST(Figures, TheMostWithinAWindow) {
   const Clock::time_point zero{};
   EXPECT_EQ(max_count_within({}, milliseconds(10)), 0U);
   EXPECT_EQ(max_count_within({zero + milliseconds(30), zero, zero + milliseconds(9), zero + milliseconds(10)},
-                        milliseconds(10)),
+                             milliseconds(10)),
             2U);
   EXPECT_EQ(quantile({3, 1, 2}, 0.5), 2);
   EXPECT_EQ(quantile({3, 1, 2}, 1.0), 3);
@@ -107,7 +107,7 @@
   PortAllocator book;
   std::set<std::uint16_t> seen;
   for (int i = 0; i < 100; ++i) {
-    const transport::Address address = book.take();
+    const transport::Address address = book.allocate();
     EXPECT_EQ(address.ip >> 24U, 127U);
     EXPECT_TRUE(seen.insert(address.port).second);
     EXPECT_TRUE(transport::listen_on(address, 1).descriptor.valid());
@@ -202,14 +202,14 @@
 
 TEST(LayoutTest, RoutersGetTheAggregatorsOfTheirRegionAndThenOneOfTheNext) {
   using Names = std::vector<std::string>;
-  FleetSpec shape;
-  shape.routers = 6;
-  shape.zones = {"a", "b", "c"};
-  shape.registry = true;
-  shape.aggregators = 4;
-  shape.regions = 2;  // a and c, b
+  FleetSpec spec;
+  spec.routers = 6;
+  spec.zones = {"a", "b", "c"};
+  spec.registry = true;
+  spec.aggregators = 4;
+  spec.regions = 2;  // a and c, b
   PortAllocator ports;
-  const Layout layout(shape, ::testing::TempDir(), ports);
+  const Layout layout(spec, ::testing::TempDir(), ports);
   EXPECT_EQ(layout.names(Kind::kAggregator).size(), 4U);
   EXPECT_EQ(layout.served_zones("aggregator0"), (Names{"a", "b", "c"}))
       << "two regions: each helps the other";
@@ -222,8 +222,8 @@
       << "the next of a zone begins at another one";
   EXPECT_TRUE(layout.member("router0").registry.empty());
   EXPECT_FALSE(layout.member("aggregator0").registry.empty());
-  shape.aggregators = shape.regions = 3;
-  const Layout three(shape, ::testing::TempDir(), ports);
+  spec.aggregators = spec.regions = 3;
+  const Layout three(spec, ::testing::TempDir(), ports);
   EXPECT_EQ(three.served_zones("aggregator1"), (Names{"a", "b"})) << "its own, and that of the region before";
 }
 
@@ -236,7 +236,7 @@
     return connection;
   }
   transport::Address address() const { return at_; }
-  bool until(const std::function<bool()>& done) {
+  bool run_until(const std::function<bool()>& done) {
     const Clock::time_point end = Clock::now() + std::chrono::seconds(20);
     while (!done() && Clock::now() < end) {
       scheduler_.turn(milliseconds(2));
@@ -256,7 +256,7 @@
   transport::Scheduler scheduler_;
   PortAllocator ports_;
   Echo echo_;
-  transport::Address at_ = ports_.take();
+  transport::Address at_ = ports_.allocate();
   FaultProxy proxy_{scheduler_, "a>b", at_, *transport::parse_address(echo_.address())};
 };
 
@@ -264,50 +264,50 @@
   const auto asker = std::make_shared<Asker>();
   const auto connection = connect(asker);
   connection->write("one");
-  ASSERT_TRUE(until([&] { return asker->got == "one"; }));
+  ASSERT_TRUE(run_until([&] { return asker->got == "one"; }));
   apply(FaultKind::kCut, 0, "in");
   connection->write("two");
-  ASSERT_TRUE(until([&] { return proxy_.seen().bytes_out == 6; }));
+  ASSERT_TRUE(run_until([&] { return proxy_.traffic().bytes_out == 6; }));
   run_for(milliseconds(20));
   EXPECT_EQ(asker->got, "one");
   EXPECT_FALSE(asker->end.has_value()) << "a cut tells nobody";
   apply(FaultKind::kHeal);
-  ASSERT_TRUE(until([&] { return asker->got == "onetwo"; }));
+  ASSERT_TRUE(run_until([&] { return asker->got == "onetwo"; }));
   apply(FaultKind::kCut, 0, "out");
   connection->write("three");
   run_for(milliseconds(20));
-  EXPECT_EQ(proxy_.seen().bytes_out, 6U);
+  EXPECT_EQ(proxy_.traffic().bytes_out, 6U);
   apply(FaultKind::kHeal);
-  ASSERT_TRUE(until([&] { return asker->got == "onetwothree"; }));
+  ASSERT_TRUE(run_until([&] { return asker->got == "onetwothree"; }));
   apply(FaultKind::kReset);
-  ASSERT_TRUE(until([&] { return asker->end.has_value(); }));
+  ASSERT_TRUE(run_until([&] { return asker->end.has_value(); }));
   EXPECT_EQ(*asker->end, transport::ConnectionEnd::kPeerReset);
-  EXPECT_EQ(proxy_.seen().connections.size(), 1U);
+  EXPECT_EQ(proxy_.traffic().connections.size(), 1U);
 }
 
 TEST_F(FaultProxyTest, RefusesDelaysSlowsAndTruncates) {
   apply(FaultKind::kRefuse);
   const auto refused = std::make_shared<Asker>();
   connect(refused);
-  ASSERT_TRUE(until([&] { return refused->end.has_value(); }));
+  ASSERT_TRUE(run_until([&] { return refused->end.has_value(); }));
   apply(FaultKind::kHeal);
   apply(FaultKind::kDelay, 60);
   const auto delayed = std::make_shared<Asker>();
   const auto late = connect(delayed);
   const Clock::time_point sent = Clock::now();
   late->write("x");
-  ASSERT_TRUE(until([&] { return delayed->got == "x"; }));
+  ASSERT_TRUE(run_until([&] { return delayed->got == "x"; }));
   EXPECT_GE(Clock::now() - sent, milliseconds(120)) << "there and back";
   apply(FaultKind::kHeal);
   apply(FaultKind::kSlow, 1'000);
   const Clock::time_point slow = Clock::now();
   late->write(std::string(300, 'y'));
-  ASSERT_TRUE(until([&] { return delayed->got.size() == 301; }));
+  ASSERT_TRUE(run_until([&] { return delayed->got.size() == 301; }));
   EXPECT_GE(Clock::now() - slow, milliseconds(300));
   apply(FaultKind::kHeal);
   apply(FaultKind::kTruncate, 2);
   late->write("whole");
-  ASSERT_TRUE(until([&] { return delayed->end.has_value(); }));
+  ASSERT_TRUE(run_until([&] { return delayed->end.has_value(); }));
   EXPECT_EQ(delayed->got.substr(301), "wh");
 }
 
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -77,7 +77,7 @@
   }
 
   fleet::PortAllocator ports_;
-  transport::Address address_ = ports_.take();
+  transport::Address address_ = ports_.allocate();
   transport::Scheduler scheduler_;
   std::string answer_{kResponse};
   bool close_after_answer_ = false;
--- a/tests/source_client_test.cpp
+++ b/tests/source_client_test.cpp
@@ -28,7 +28,7 @@
 class SourceClientTest : public testing::Test {
  protected:
   SourceClientTest()
-      : address_(ports_.take()),
+      : address_(ports_.allocate()),
         accept_loop_(scheduler_, address_, 1, milliseconds(20),
                      [this](transport::Descriptor socket) { source_ = std::move(socket); }),
         client_(scheduler_, bounds(),
--- a/tests/transport_test.cpp
+++ b/tests/transport_test.cpp
@@ -112,7 +112,7 @@
 TEST(AcceptLoop, MayEndWhileItWaitsAndWhileAConnectionDoes) {
   Scheduler scheduler;
   fleet::PortAllocator ports;
-  const Address address = *parse_address(ports.take_text());
+  const Address address = *parse_address(ports.allocate_text());
   int taken = 0;
   auto loop =
       std::make_unique<AcceptLoop>(scheduler, address, 8, milliseconds(1), [&taken](Descriptor) { ++taken; });
