--- a/tests/fleet/cold_start_test.cpp
+++ b/tests/fleet/cold_start_test.cpp
@@ -1,6 +1,6 @@
-// Fleets of real processes that start, lose their board and get it back, with faults on the links between.
-// What is judged: exactly one final answer for each request, no copy older than a purge, calls at the board
-// by count.
+// Fleets of real processes that start, lose the discovery service and reconnect, with faults on the links.
+// The tests check that each request gets exactly one final answer, that no copy from before a purge is
+// served, and that the number of polls stays within its bound.
 #include <sys/stat.h>
 #include <sys/un.h>
 
@@ -26,21 +26,22 @@
 using std::chrono::milliseconds;
 using transport::Clock;
 
-// Calls that the fleet may have made in a time, by the bound of startup/poll_scheduler.h, and what settled
-// routers make.
+// Returns the highest number of polls that the fleet may have made in `time`: the bound of
+// startup/poll_scheduler.h and the polls of routers that are up to date.
 std::size_t allowed_calls(int routers, double calls_per_s, Clock::duration time) {
   const double seconds = std::chrono::duration<double>(time).count();
   const double mean = calls_per_s * seconds;
   return static_cast<std::size_t>(mean + 6.0 * std::sqrt(mean) + 12.0 + routers * (1.0 + seconds / 2.0));
 }
 
+// Returns the number of requests from index `from` on that were answered with status 200.
 std::size_t served(FleetFixture& fixture, std::size_t from) {
   const auto& all = fixture.load().requests();
   return static_cast<std::size_t>(std::count_if(all.begin() + static_cast<std::ptrdiff_t>(from), all.end(),
                                                 [](const SentRequest& one) { return one.status == 200; }));
 }
 
-// Makes all objects of a new version and purges the group of each object that is asked for here.
+// Gives all objects at the origin a new version, and purges the objects that send_to_all() requests.
 void edit_and_purge(FleetFixture& fixture) {
   fixture.fleet().signal("origin", SIGHUP);
   ASSERT_TRUE(fixture.fleet().await_log("origin", "of a new version", kTestTimeout));
@@ -51,18 +52,18 @@
   }
 }
 
-// Answers of an old version to requests that were sent after `from`.
-std::size_t old_answers(FleetFixture& fixture, Clock::time_point from, int version) {
+// Returns the number of answers with a version below `version` to requests that were sent after `from`.
+std::size_t stale_answers(FleetFixture& fixture, Clock::time_point from, int version) {
   const auto& all = fixture.load().requests();
   return static_cast<std::size_t>(std::count_if(all.begin(), all.end(), [&](const SentRequest& one) {
     return one.sent >= from && one.status == 200 && one.version < version;
   }));
 }
 
-class Starts : public testing::TestWithParam<int> {};
+class StartIntervalTest : public testing::TestWithParam<int> {};
 
-// All at once, or one after the other.
-TEST_P(Starts, WithoutAListEachHasItWithinTheBoundOfCalls) {
+// The parameter is the time between two starts, in ms.
+TEST_P(StartIntervalTest, RoutersWithoutAnEndpointListGetItWithinTheBoundOnPolls) {
   constexpr int kRouters = 12;
   FleetSpec spec = spread_spec(kRouters);
   spec.known = false;
@@ -86,13 +87,14 @@
   EXPECT_EQ(fixture.fleet().missing(), kNoViolations);
 }
 
-INSTANTIATE_TEST_SUITE_P(ColdStart, Starts, testing::Values(0, 60));
+INSTANTIATE_TEST_SUITE_P(ColdStart, StartIntervalTest, testing::Values(0, 60));
 
-// A board that is down, silent, slow, refuses connections, breaks off in mid-event, or whose answers come
-// late. The routers serve on from what they know, call within the bound, and are current once it is sound.
+// A discovery server that is down, suspended, slow, delayed, refuses connections, or truncates its answers.
+// The routers continue with the endpoint list that they have, poll within the bound, and are current after
+// the fault has ended.
 class FaultyDiscoveryServer : public testing::TestWithParam<const char*> {};
 
-TEST_P(FaultyDiscoveryServer, RoutersServeOnCallWithinTheBoundAndComeBack) {
+TEST_P(FaultyDiscoveryServer, RoutersServePollWithinTheBoundAndRecover) {
   constexpr int kRouters = 8;
   FleetFixture fixture(spread_spec(kRouters), {"router*>board"});
   fixture.start_all();
@@ -100,11 +102,11 @@
   for (const std::string& router : fixture.routers()) {
     ASSERT_TRUE(fixture.await_ready(router));
   }
-  const std::string trouble = GetParam();
-  const bool process = trouble.find('>') == std::string::npos;
+  const std::string fault = GetParam();
+  const bool process = fault.find('>') == std::string::npos;
   const std::size_t before = fixture.call_count("router*>board");
   const Clock::time_point begun = Clock::now();
-  fixture.apply_fault(trouble);
+  fixture.apply_fault(fault);
   fixture.append_event(
       {{"pool",
         {{"index", 2},
@@ -115,7 +117,7 @@
   EXPECT_LE(fixture.call_count("router*>board") - before,
             allowed_calls(kRouters, 40.0, Clock::now() - begun));
   if (process) {
-    fixture.apply_fault(trouble.starts_with("stop") ? "cont board" : "start board");
+    fixture.apply_fault(fault.starts_with("stop") ? "cont board" : "start board");
   } else {
     fixture.apply_fault("heal router*>board");
   }
@@ -140,9 +142,9 @@
                            return name;
                          });
 
-// Provokes: a board restored from nothing: another list, numbered from 1 again. What was known by its old
-// numbers would hide every new event until they are passed.
-TEST(ColdStartTest, ABoardThatBeganAnewIsHeardFromItsStart) {
+// A discovery server that lost its state has another list, with sequence numbers from 1 again. Routers that
+// compared them with the old numbers would ignore every new event until the old numbers are passed.
+TEST(ColdStartTest, FollowsADiscoveryServerFromItsFirstEventAfterASequenceReset) {
   FleetSpec spec = spread_spec(4);
   spec.caches = 3;
   FleetFixture fixture(spec);
@@ -165,7 +167,7 @@
     EXPECT_TRUE(fixture.fleet().await_log(router, "cache cache0 is not listed any more", kTestTimeout))
         << fixture.fleet().log(router);
   }
-  // Its next event, of a low number, is heard by all.
+  // All routers apply its next event, which has a low sequence number.
   fixture.append_event(
       {{"pool",
         {{"index", 2},
@@ -178,8 +180,8 @@
   EXPECT_EQ(send_to_all(fixture, fixture.routers(), 5), kNoViolations);
 }
 
-// Provokes: a stale copy of the board behind its address, for a moment. It must change nothing.
-TEST(ColdStartTest, AnOlderNumberFromTheSameBoardChangesNothing) {
+// A discovery server that for a moment serves an old page with the same server id.
+TEST(ColdStartTest, IgnoresALowerSequenceNumberFromTheSameDiscoveryServer) {
   FleetFixture fixture(spread_spec(3));
   json page = fixture.layout().first_page();
   page["board"] = "one";
@@ -194,7 +196,7 @@
   for (const std::string& router : fixture.routers()) {
     ASSERT_TRUE(fixture.fleet().await_log(router, "cache cache1 is draining", kTestTimeout));
   }
-  std::ofstream(fixture.layout().board_file()) << page.dump();  // as it was before
+  std::ofstream(fixture.layout().board_file()) << page.dump();  // the old page
   ASSERT_TRUE(fixture.fleet().await_log("board", "tells up to event 1", kTestTimeout));
   fixture.run_for(milliseconds(300));
   for (const std::string& router : fixture.routers()) {
@@ -204,13 +206,14 @@
   }
 }
 
-TEST(ColdStartTest, MovedBySighupDuringTheStartTheNewBoardIsAsked) {
+TEST(ColdStartTest, PollsTheNewAddressAfterSighupDuringTheStart) {
   FleetSpec spec = spread_spec(6, 4.0);
   spec.known = false;
   FleetFixture fixture(spec, {"router*>board"});
   fixture.start(Kind::kOrigin);
   fixture.start(Kind::kCache);
-  // The links lead nowhere until the board is up; the new address is the board's own.
+  // The proxied links work only while the discovery server runs, and are cut below; the new address is the
+  // server's own.
   fixture.fleet().start_all(Kind::kRouter);
   for (const std::string& router : fixture.routers()) {
     ASSERT_TRUE(fixture.fleet().await_up(router, kTestTimeout));
@@ -225,9 +228,10 @@
   EXPECT_EQ(fixture.await_states(fixture.routers(), {"current"}), "");
 }
 
-// Provokes: some routers cut off from the board while objects are purged. Those that guard take no copy older
-// than the stated time; those that refuse serve nothing; neither gives out an old version.
-TEST(ColdStartTest, CutOffFromTheBoardNoneServesWhatWasPurgedUnheard) {
+// Objects are purged while some routers are cut off from the discovery service. With `guard` these routers
+// accept no copy that is older than the bound; with `refuse` they reject requests. Neither serves an old
+// version.
+TEST(ColdStartTest, ServesNoPurgedCopyWhileCutOffFromTheDiscoveryService) {
   for (const char* unsure : {"guard", "refuse"}) {
     FleetSpec spec = spread_spec(4);
     spec.operators["startup"]["unsure"] = unsure;
@@ -237,7 +241,8 @@
     ASSERT_FALSE(testing::Test::HasFatalFailure());
     ASSERT_EQ(fixture.await_states(fixture.routers(), {"current"}), "");
     ASSERT_EQ(send_to_all(fixture, fixture.routers(), 10), kNoViolations);
-    // The nodes do not hear of the purge either: nothing but the routers' age limits is left.
+    // The caches and parents do not receive the purge events either, so that only the age limits of the
+    // routers protect against old copies.
     fixture.apply_fault("cut cache*>board both");
     fixture.apply_fault("cut parent*>board both");
     fixture.apply_fault("cut router0>board both");
@@ -245,11 +250,11 @@
     edit_and_purge(fixture);
     ASSERT_EQ(fixture.await_states({"router0", "router1"}, {"doubtful"}), "");
     ASSERT_TRUE(fixture.run_until([&] { return fixture.status("router2").state == "current"; }));
-    fixture.run_for(milliseconds(900));  // the stated time, after which no old copy may pass
+    fixture.run_for(milliseconds(900));  // longer than told_within_ms, after which no old copy may be served
     const std::size_t from = fixture.load().requests().size();
     const Clock::time_point bound = Clock::now();
     EXPECT_EQ(send_to_all(fixture, fixture.routers(), 15), kNoViolations);
-    EXPECT_EQ(old_answers(fixture, bound, 2), 0U) << unsure;
+    EXPECT_EQ(stale_answers(fixture, bound, 2), 0U) << unsure;
     if (std::string(unsure) == "guard") {
       EXPECT_GT(served(fixture, from), 45U);
     } else {
@@ -262,13 +267,13 @@
     fixture.apply_fault("heal *>board");
     EXPECT_EQ(fixture.await_states(fixture.routers(), {"current"}), "");
     EXPECT_EQ(send_to_all(fixture, fixture.routers(), 3), kNoViolations);
-    EXPECT_EQ(old_answers(fixture, bound, 2), 0U);
+    EXPECT_EQ(stale_answers(fixture, bound, 2), 0U);
   }
 }
 
-// Provokes: a router stopped with requests in its buffers, for longer than the stated time, and woken after a
+// A router is suspended for longer than told_within_ms, with requests in its buffers, and resumed after a
 // purge.
-TEST(ColdStartTest, StoppedAndWokenItServesNothingOfBeforeThePurge) {
+TEST(ColdStartTest, ServesNoPurgedCopyAfterItWasSuspended) {
   FleetSpec spec = spread_spec(2);
   spec.operators["startup"]["unsure"] = "guard";
   spec.operators["startup"]["told_within_ms"] = 600;
@@ -285,25 +290,25 @@
   const Clock::time_point bound = Clock::now();
   const std::size_t from = fixture.load().requests().size();
   for (std::uint64_t object = 1'000; object < 1'030; ++object) {
-    fixture.send("router0", object);  // in its buffers when it wakes
+    fixture.send("router0", object);  // in its buffers when it resumes
   }
   fixture.run_for(milliseconds(20));
   fixture.apply_fault("cont router0");
   ASSERT_TRUE(fixture.await_answers());
-  EXPECT_EQ(old_answers(fixture, bound, 2), 0U);
+  EXPECT_EQ(stale_answers(fixture, bound, 2), 0U);
   EXPECT_GT(served(fixture, from), 20U);
 }
 
-// Provokes: a list of which a fifth are gone; their addresses answer nothing.
-TEST(ColdStartTest, AListOf200OfWhichAFifthAreGoneStillServesAll) {
+// No process listens at the addresses of a fifth of the listed caches.
+TEST(ColdStartTest, ServesAllRequestsWhenAFifthOf200ListedCachesAreDown) {
   constexpr int kListed = 200;
-  constexpr int kLiving = 160;
-  constexpr int kProcesses = 16;  // each is listed under ten names: a cache does not know what it is called
+  constexpr int kRunning = 160;
+  constexpr int kProcesses = 16;  // each is listed under ten names, since caches do not check their name
   FleetSpec spec = spread_spec(3);
   spec.caches = kListed;
   FleetFixture fixture(spec);
   const auto name = [](int number) { return "cache" + std::to_string(number); };
-  for (int i = kProcesses; i < kLiving; ++i) {
+  for (int i = kProcesses; i < kRunning; ++i) {
     fixture.layout().member(name(i)).advertised_address =
         fixture.layout().member(name(i % kProcesses)).address;
   }
@@ -315,7 +320,8 @@
     fixture.fleet().start(name(i));
   }
   ASSERT_FALSE(testing::Test::HasFatalFailure());
-  // Not by its log: a line for each of so many caches leaves no room for others in its first second.
+  // Does not wait for log lines: the lines about so many caches reach the limit on log lines in the first
+  // second.
   fixture.fleet().start_all(Kind::kRouter);
   ASSERT_EQ(fixture.await_states(fixture.routers(), {"current"}), "");
   for (int i = 0; i < kProcesses; ++i) {
@@ -325,12 +331,13 @@
   EXPECT_EQ(served(fixture, 0), 180U);
 }
 
-// Provokes: a cache listed as just started while all routers are under load. Together they send it no more
-// than a cold one bears: overload factor times its share of warmth times its transfers, in seconds of sending
-// a second.
-TEST(ColdStartTest, AColdCacheGetsNoMoreThanItsBudgetFromAllRoutersTogether) {
+// A cache is listed as just started while all routers are under load. Together they send it at most its
+// slow-start budget: overload factor times capacity share times concurrent transfers, in seconds of sending a
+// second.
+TEST(ColdStartTest, AllRoutersTogetherStayWithinTheSlowStartBudgetOfACache) {
   constexpr int kRouters = 6;
-  constexpr double kWork = 0.4;  // seconds of sending of one request at full pace, by its told size
+  constexpr double kRequestCost =
+      0.4;  // seconds of sending at full rate, by the size that the request states
   FleetSpec spec = spread_spec(kRouters);
   spec.weight = 2;
   FleetFixture fixture(spec);
@@ -338,9 +345,9 @@
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   ASSERT_EQ(fixture.await_states(fixture.routers(), {"current"}), "");
   fleet::LoadGenerator::Options options;
-  options.size_kb = 5'000 * kWork;
+  options.size_kb = 5'000 * kRequestCost;
   fixture.set_load_options(options);
-  // The routers learn what a request costs.
+  // Lets the routers learn the cost of a request.
   for (int i = 0; i < 10; ++i) {
     for (const std::string& router : fixture.routers()) {
       fixture.send(router, 5'000 + static_cast<std::uint64_t>(i));
@@ -366,12 +373,12 @@
   for (const std::string& router : fixture.routers()) {
     ASSERT_TRUE(fixture.fleet().await_log(router, "cache cache1 is up, started late", kTestTimeout));
   }
-  const unsigned long heard = requests() - before;
+  const unsigned long before_slow_start = requests() - before;
   const Clock::time_point begun = Clock::now();
   const auto all = fixture.routers();
   for (int i = 0; i < 60; ++i) {
     if (i == 20) {
-      // Most of them begin anew in the middle of it, and have spent nothing of their own by what they know.
+      // Most routers restart meanwhile, and lose the record of what they have used of the budget.
       for (int killed = 0; killed < 4; ++killed) {
         fixture.fleet().kill(all[static_cast<std::size_t>(killed)]);
         fixture.fleet().start(all[static_cast<std::size_t>(killed)]);
@@ -384,19 +391,18 @@
     fixture.run_for(milliseconds(10));
   }
   EXPECT_TRUE(fixture.await_answers());
-  const unsigned long sent = requests() - before - heard;
+  const unsigned long sent = requests() - before - before_slow_start;
   const double seconds = std::chrono::duration<double>(Clock::now() - begun).count();
-  const double warmth = std::min(1.0, 0.3 + 0.7 * (seconds + 0.5) / 10.0);
-  EXPECT_LE(static_cast<double>(sent) * kWork, 4.0 * warmth * spec.weight * (seconds + 1.0));
+  const double capacity_share = std::min(1.0, 0.3 + 0.7 * (seconds + 0.5) / 10.0);
+  EXPECT_LE(static_cast<double>(sent) * kRequestCost, 4.0 * capacity_share * spec.weight * (seconds + 1.0));
   for (const SentRequest& one : fixture.load().requests()) {
     EXPECT_LE(one.answers, 1);
     EXPECT_TRUE(one.answers == 1 || one.connection_ended);
   }
 }
 
-// Provokes: caches that hold one request at a time, and links on which every connection and byte is slow to
-// come.
-TEST(ColdStartTest, FullCachesAndSlowLinksLoseNoAnswer) {
+// The caches accept one request at a time, and the links to them are delayed and throttled.
+TEST(ColdStartTest, EveryRequestIsAnsweredWithFullCachesAndSlowLinks) {
   FleetSpec spec = spread_spec(4);
   spec.cache = {{"open_requests", 1}};
   FleetFixture fixture(spec, {"*>cache*"});
@@ -411,8 +417,8 @@
   EXPECT_EQ(fixture.fleet().missing(), kNoViolations);
 }
 
-// Provokes: objects purged while a third of the routers are down, which start again from their snapshots.
-TEST(ColdStartTest, PurgedWhileAThirdAreDownTheyServeNothingOldAfterTheirStart) {
+// Objects are purged while a third of the routers are down. These routers then start from their snapshots.
+TEST(ColdStartTest, RoutersThatWereDownDuringAPurgeServeNoPurgedCopyAfterTheirStart) {
   FleetSpec spec = spread_spec(6);
   spec.operators["startup"]["unsure"] = "guard";
   spec.operators["startup"]["told_within_ms"] = 600;
@@ -435,7 +441,8 @@
   fixture.apply_fault("cut cache*>board both");
   fixture.apply_fault("cut parent*>board both");
   edit_and_purge(fixture);
-  fixture.apply_fault("cut router*>board both");  // and the board is gone before they are back
+  fixture.apply_fault(
+      "cut router*>board both");  // and the discovery service is unreachable before they start
   fixture.run_for(milliseconds(700));
   const Clock::time_point bound = Clock::now();
   const std::size_t from = fixture.load().requests().size();
@@ -446,19 +453,20 @@
     ASSERT_TRUE(fixture.await_ready(router));
   }
   EXPECT_EQ(fixture.await_states({"router0"}, {"provisional"}), "");
-  // Nobody knows when the nodes started, so they are taken for cold, and most is refused at first.
+  // The start times of the caches and parents are unknown, so they are in slow start and most requests are
+  // rejected at first.
   for (int round = 0; round < 200 && served(fixture, from) < 10; ++round) {
     EXPECT_EQ(send_to_all(fixture, third, 5), kNoViolations);
     fixture.run_for(milliseconds(50));
   }
-  EXPECT_EQ(old_answers(fixture, bound, 2), 0U);
+  EXPECT_EQ(stale_answers(fixture, bound, 2), 0U);
   EXPECT_GE(served(fixture, from), 10U);
   fixture.apply_fault("heal *>board");
   EXPECT_EQ(fixture.await_states(fixture.routers(), {"current"}), "");
 }
 
-// Provokes: seven in ten killed under load, and all of them back at once.
-TEST(ColdStartTest, SevenInTenKilledUnderLoadComeBackAndTheOthersLoseNothing) {
+// Seven of ten routers are killed under load and start again at the same time.
+TEST(ColdStartTest, OtherRoutersAnswerEveryRequestWhileSevenOfTenRestart) {
   constexpr int kRouters = 10;
   FleetFixture fixture(spread_spec(kRouters), {"router*>board"});
   fixture.start_all();
@@ -487,8 +495,8 @@
   EXPECT_EQ(send_to_all(fixture, all, 3), kNoViolations);
 }
 
-// What can be wrong with a snapshot folder costs a line each and no start.
-TEST(SnapshotStartTest, TornForeignSharedFutureOrUnwritableTheStartGoesOnWithout) {
+// A router whose snapshot cannot be used logs the reason and starts without it.
+TEST(SnapshotStartTest, StartsWithoutASnapshotThatCannotBeUsed) {
   FleetSpec spec = spread_spec(1);
   spec.operators["snapshot"] = {{"fleet", "test"}, {"write_ms", 20}};
   spec.known = false;
@@ -506,41 +514,42 @@
   ASSERT_TRUE(fixture.run_until([&] { return read().find("\"rev\":2") != std::string::npos; }));
   fixture.fleet().kill("router0");
   const std::string good = read();
-  const auto starts_with = [&](const std::string& bytes, const std::string& words) {
+  const auto expect_start = [&](const std::string& bytes, const std::string& text) {
     std::ofstream(file, std::ios::binary) << bytes;
     fixture.start("router0");
-    EXPECT_TRUE(fixture.fleet().await_log("router0", words, kTestTimeout)) << fixture.fleet().log("router0");
+    EXPECT_TRUE(fixture.fleet().await_log("router0", text, kTestTimeout)) << fixture.fleet().log("router0");
     EXPECT_TRUE(fixture.await_ready("router0"));
     fixture.fleet().kill("router0");
   };
-  starts_with(good, "snapshot: taken in, event 2");
-  starts_with(good.substr(0, good.size() / 2), "not used: it is truncated");
-  std::string rotten = good;
-  rotten[rotten.size() / 2] = static_cast<char>(rotten[rotten.size() / 2] ^ 1);
-  starts_with(rotten, "not used: its checksum does not match");
-  starts_with("", "not used: it is truncated");
+  expect_start(good, "snapshot: taken in, event 2");
+  expect_start(good.substr(0, good.size() / 2), "not used: it is truncated");
+  std::string corrupt = good;
+  corrupt[corrupt.size() / 2] = static_cast<char>(corrupt[corrupt.size() / 2] ^ 1);
+  expect_start(corrupt, "not used: its checksum does not match");
+  expect_start("", "not used: it is truncated");
   const auto changed = [&](const std::function<void(snapshot::Snapshot&)>& change) {
-    const milliseconds far(4'000'000'000'000);
-    snapshot::Snapshot made =
-        snapshot::decode_snapshot(good, {"test", "router0", snapshot::UnixTime(far), far}).value();
-    change(made);
-    return snapshot::encode_snapshot(made);
+    const milliseconds far_future(4'000'000'000'000);
+    snapshot::Snapshot out =
+        snapshot::decode_snapshot(good, {"test", "router0", snapshot::UnixTime(far_future), far_future})
+            .value();
+    change(out);
+    return snapshot::encode_snapshot(out);
   };
-  starts_with(changed([](snapshot::Snapshot& one) { one.fleet = "another"; }),
-              "not used: it is of another fleet");
-  starts_with(changed([](snapshot::Snapshot& one) { one.router = "router1"; }),
-              "not used: it is of another router");
-  // As after the clock was set back by an hour between two starts, or the machine was off for two days.
-  starts_with(changed([](snapshot::Snapshot& one) { one.saved_at += std::chrono::hours(1); }),
-              "not used: it is from the future");
-  starts_with(changed([](snapshot::Snapshot& one) { one.confirmed_at -= milliseconds(200'000'000); }),
-              "not used: it is older");
-  starts_with(changed([](snapshot::Snapshot& one) {
-                one.source_address = "127.0.0.1:9";
-                one.source_id.clear();
-              }),
-              "not used: it is of the board at 127.0.0.1:9");
-  // Another process holds the folder, as a second router would by mistake.
+  expect_start(changed([](snapshot::Snapshot& one) { one.fleet = "another"; }),
+               "not used: it is of another fleet");
+  expect_start(changed([](snapshot::Snapshot& one) { one.router = "router1"; }),
+               "not used: it is of another router");
+  // The clock was set back by an hour between two starts, or the machine was off for two days.
+  expect_start(changed([](snapshot::Snapshot& one) { one.saved_at += std::chrono::hours(1); }),
+               "not used: it is from the future");
+  expect_start(changed([](snapshot::Snapshot& one) { one.confirmed_at -= milliseconds(200'000'000); }),
+               "not used: it is older");
+  expect_start(changed([](snapshot::Snapshot& one) {
+                 one.source_address = "127.0.0.1:9";
+                 one.source_id.clear();
+               }),
+               "not used: it is of the board at 127.0.0.1:9");
+  // Another router uses the same folder by mistake.
   {
     std::ofstream(file, std::ios::binary) << good;
     fixture.fleet().start("router0");
@@ -563,7 +572,7 @@
     fixture.layout().members().pop_back();
     fixture.fleet().kill("router0");
   }
-  // A folder that cannot be: a file stands in its place.
+  // The folder cannot be created, since a file has its path.
   std::filesystem::remove_all(folder);
   std::ofstream(folder) << "in the way";
   fixture.start("router0");
@@ -571,9 +580,9 @@
   EXPECT_TRUE(fixture.await_ready("router0"));
 }
 
-// A board that answers a rate of calls and sends the others away is asked again when it output, and all have
-// their list.
-TEST(ColdStartTest, SentAwayByABoardAtItsRateAllHaveTheirListInTurn) {
+// A discovery server with a rate limit rejects further polls with a Retry-After. The routers poll again at
+// that time, and all get the endpoint list.
+TEST(ColdStartTest, AllRoutersGetTheEndpointListFromARateLimitedDiscoveryServer) {
   constexpr int kRouters = 12;
   FleetSpec spec = spread_spec(kRouters, 1'000.0);
   spec.known = false;
--- a/tests/fleet/ownership_test.cpp
+++ b/tests/fleet/ownership_test.cpp
@@ -1,5 +1,6 @@
-// One owner at a time with several real processes and faults between them: owners killed, stopped and woken,
-// cut off, drained; a store that is down, slow, another one; receivers that restart; clocks that are set.
+// Owned work has one owner at a time, tested with real processes and faults: owners that are killed,
+// suspended and resumed, cut off or drained; a coordination store that is down, slow or a different one;
+// receivers that restart; clocks that are set.
 #include <sys/socket.h>
 
 #include <algorithm>
@@ -26,7 +27,7 @@
 using nlohmann::json;
 using std::chrono::milliseconds;
 
-// Short times, so that a death costs a test a second and not ten.
+// Returns a fleet with short times, so that the lease of a killed owner expires after about a second.
 FleetSpec owned_spec(int routers, std::int64_t ttl_ms = 1'500) {
   FleetSpec spec;
   spec.routers = routers;
@@ -51,7 +52,7 @@
   return text;
 }
 
-// A fleet with a store, as staff and a checker see it.
+// A fleet with a coordination store, and the operators' commands on it.
 class OwnershipFixture {
  public:
   using Change = std::function<void(fleet::Layout&)>;
@@ -64,7 +65,8 @@
     fixture.start_all();
   }
 
-  coordination::CoordinationOptions staff() {
+  // Returns the options with which an operator connects to the store.
+  coordination::CoordinationOptions store_options() {
     coordination::CoordinationOptions options;
     options.store = fixture.layout().spec().embedded.empty() ? "etcd" : "embedded";
     options.folder = fixture.layout().spec().embedded;
@@ -74,9 +76,9 @@
     options.look_ms = 5;
     return options;
   }
-  // Runs `trailcourse work ...` and gives its status; what it printed is in `output`.
+  // Runs `trailcourse work ...` and returns its exit status; `output` has what it printed.
   int work(program::WorkCommand command) {
-    command.store = staff();
+    command.store = store_options();
     std::ostringstream out;
     std::ostringstream errors;
     const int status = run_work_command(command, out, errors);
@@ -110,7 +112,7 @@
     }
     return json::parse(output)["shards"][number];
   }
-  // The router that owns it now; empty while nobody does.
+  // Returns the router that owns the shard now; empty if none does.
   std::string owner(const std::string& name, std::size_t number = 0) {
     return shard(name, number).value("owner", std::string());
   }
@@ -134,14 +136,14 @@
       return shard(name, number).value("state", std::string()) == state;
     });
   }
-  bool await_filled(const std::string& name, std::uint64_t least) {
+  bool await_filled(const std::string& name, std::uint64_t min_count) {
     return fixture.run_until([&] {
       fixture.run_for(milliseconds(10));
-      return filled(name) >= least;
+      return filled(name) >= min_count;
     });
   }
 
-  // Checker: at each receiver the terms of a piece of work never go back, over its restarts too.
+  // Returns the log lines of caches with a lower term of a piece of work than an earlier line.
   std::vector<std::string> find_token_regressions() {
     std::vector<std::string> out;
     for (const std::string& cache : fixture.layout().names(Kind::kCache)) {
@@ -150,7 +152,7 @@
     }
     return out;
   }
-  // The token under which a router last began a piece of work, as it stands in its log.
+  // Returns the fencing token under which a router last started a shard, from its log.
   std::string fencing_token_of(const std::string& router, const std::string& shard) {
     const std::string log = fixture.fleet().log(router);
     const std::string words = "starts " + shard + " under term ";
@@ -166,9 +168,9 @@
   std::string output;
 };
 
-// One command to a cache node, past all routers: the word and the fields of its answer.
-std::pair<std::string, std::string> ask_cache(const std::string& address, const std::string& fence,
-                                              std::uint64_t object) {
+// Sends one command to a cache without a router. Returns the code and the fields of its answer.
+std::pair<std::string, std::string> send_to_cache(const std::string& address, const std::string& fence,
+                                                  std::uint64_t object) {
   const transport::Opened opened = transport::start_connect(*transport::parse_address(address));
   const int socket = opened.descriptor.get();
   protocol::ServeFields fields;
@@ -179,9 +181,9 @@
   fields.admit = 1;
   fields.fence = fence;
   const std::string command = protocol::write_serve("0000000000000abc", fields, "");
-  std::vector<std::string> words;
+  std::vector<std::string> answer;
   protocol::resp::Parser parser({});
-  for (int tries = 0, sent = 0; tries < 4'000 && words.empty(); ++tries) {
+  for (int tries = 0, sent = 0; tries < 4'000 && answer.empty(); ++tries) {
     if (sent == 0 && ::send(socket, command.data(), command.size(), MSG_NOSIGNAL) > 0) {
       sent = 1;
     }
@@ -191,42 +193,42 @@
       parser.feed(std::string_view(buffer, static_cast<std::size_t>(count)),
                   [&](const protocol::resp::Event& event) {
                     if (const auto* head = std::get_if<protocol::resp::ArrayHead>(&event)) {
-                      words = head->words;
+                      answer = head->words;
                     }
                   });
     } else {
       ::usleep(2'000);
     }
   }
-  return words.size() >= 3 ? std::pair(words[1], words[2]) : std::pair<std::string, std::string>();
+  return answer.size() >= 3 ? std::pair(answer[1], answer[2]) : std::pair<std::string, std::string>();
 }
 
-// ---- Owners that stop, die, are cut off ----
+// ---- Owners that are suspended, killed, or cut off ----
 
-struct Stop {
+struct OwnerSuspension {
   std::string name;
-  std::vector<std::string> before;  // faults just before the owner is stopped
+  std::vector<std::string> before;  // faults just before the owner is suspended
 };
-void PrintTo(const Stop& fault, std::ostream* out) { *out << fault.name; }
+void PrintTo(const OwnerSuspension& suspension, std::ostream* out) { *out << suspension.name; }
 
-class StoppedOwnerTest : public testing::TestWithParam<Stop> {};
-INSTANTIATE_TEST_SUITE_P(Steps, StoppedOwnerTest,
-                         testing::Values(Stop{"InItsWork", {}},
+class SuspendedOwnerTest : public testing::TestWithParam<OwnerSuspension> {};
+INSTANTIATE_TEST_SUITE_P(Steps, SuspendedOwnerTest,
+                         testing::Values(OwnerSuspension{"WhileItWorks", {}},
                                          // Its renewals and checkpoints do not leave; or have left, and their
                                          // answers are on the way.
-                                         Stop{"BeforeARenewal", {"cut OWNER>registry out"}},
-                                         Stop{"InTheMiddleOfACheckpoint", {"cut OWNER>registry in"}},
+                                         OwnerSuspension{"BeforeARenewal", {"cut OWNER>registry out"}},
+                                         OwnerSuspension{"DuringACheckpoint", {"cut OWNER>registry in"}},
                                          // Commands to the cache have been written and have not arrived.
-                                         Stop{"WithEffectsOnTheWay", {"cut *>cache0 out"}}),
+                                         OwnerSuspension{"WithEffectsInFlight", {"cut *>cache0 out"}}),
                          [](const auto& one) { return one.param.name; });
 
-TEST_P(StoppedOwnerTest, WakesToNoHarm) {
+TEST_P(SuspendedOwnerTest, ActsNoMoreAfterItResumes) {
   OwnershipFixture fleet(owned_spec(3), {"router*>registry", "*>cache0"});
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   fleet.fill("evening", 60, 20.0);
   const std::string first = fleet.await_owner("evening");
   ASSERT_TRUE(fleet.await_filled("evening", 3)) << fleet.fixture.logs();
-  const std::string old = fleet.fencing_token_of(first, "evening/0");
+  const std::string old_token = fleet.fencing_token_of(first, "evening/0");
   for (std::string line : GetParam().before) {
     if (const std::size_t at = line.find("OWNER"); at != std::string::npos) {
       line.replace(at, 5, first);
@@ -236,14 +238,16 @@
   fleet.fixture.run_for(milliseconds(150));
   fleet.fixture.apply_fault("stop " + first);
   EXPECT_NE(fleet.await_owner("evening", first), first);
-  if (GetParam().name == "WithEffectsOnTheWay") {
+  if (GetParam().name == "WithEffectsInFlight") {
     fleet.fixture.apply_fault("heal *>cache0");
   }
   const std::uint64_t before = fleet.filled("evening");
-  ASSERT_TRUE(fleet.await_filled("evening", before + 3)) << "the second owner acts: " << fleet.fixture.logs();
-  // An effect of the first that was still on its way arrives now.
-  const auto [word, fields] = ask_cache(fleet.fixture.layout().member("cache0").address, old, 0x9999);
-  EXPECT_EQ(word, "VOID") << old;
+  ASSERT_TRUE(fleet.await_filled("evening", before + 3))
+      << "the second owner makes no progress: " << fleet.fixture.logs();
+  // An effect of the first owner that was in flight arrives now.
+  const auto [code, fields] =
+      send_to_cache(fleet.fixture.layout().member("cache0").address, old_token, 0x9999);
+  EXPECT_EQ(code, "VOID") << old_token;
   EXPECT_NE(fields.find("fenced"), std::string::npos) << fields;
   fleet.fixture.apply_fault("cont " + first);
   fleet.fixture.apply_fault("heal " + first + ">registry");
@@ -254,7 +258,7 @@
   EXPECT_EQ(fleet.filled("evening"), 60U);
 }
 
-TEST(OwnershipFleetTest, OwnersKilledInARowLoseNothingThatWasCheckpointed) {
+TEST(OwnershipFleetTest, KeepsCheckpointedProgressWhenOwnersAreKilledInARow) {
   OwnershipFixture fleet(owned_spec(4));
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   fleet.fill("evening", 120, 25.0);
@@ -265,13 +269,13 @@
     ASSERT_TRUE(fleet.await_filled("evening", before + 2)) << fleet.fixture.logs();
     fleet.fixture.fleet().kill(owner);
     killed.insert(owner);
-    EXPECT_GE(fleet.filled("evening"), before) << "progress went back";
+    EXPECT_GE(fleet.filled("evening"), before) << "checkpointed progress was lost";
     fleet.fixture.start(owner);
   }
   EXPECT_TRUE(fleet.await_state("evening", "done")) << fleet.fixture.logs();
   EXPECT_EQ(fleet.filled("evening"), 120U);
   EXPECT_EQ(fleet.find_token_regressions(), kNoViolations);
-  // At most what was open at each death came from the origin twice.
+  // Only the fills that were in flight when an owner was killed may reach the origin twice.
   fleet.fixture.fleet().terminate("origin", kTestTimeout);
   const std::string log = [&] {
     std::ifstream file(fleet.fixture.layout().log_file("origin"));
@@ -282,8 +286,8 @@
   EXPECT_LE(std::stoul(log.substr(at + 7)), 120U + 3 * 4);
 }
 
-// The lease would hold for ten minutes: only a hand-over can be so quick.
-TEST(OwnershipFleetTest, ADrainHandsTheWorkOnAtOnce) {
+// The lease is valid for ten minutes, so the test passes in time only if a draining owner releases it.
+TEST(OwnershipFleetTest, ADrainingOwnerReleasesItsWorkAtOnce) {
   OwnershipFixture fleet(owned_spec(3, 600'000));
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   fleet.fill("evening", 200, 20.0);
@@ -292,15 +296,15 @@
   const auto end = fleet.fixture.fleet().terminate(first, kTestTimeout);
   ASSERT_TRUE(end);
   EXPECT_EQ(fleet::to_string(*end), "ended with status 0");
-  const std::uint64_t kept = fleet.filled("evening");
+  const std::uint64_t before = fleet.filled("evening");
   const std::string second = fleet.await_owner("evening", first);
   EXPECT_NE(second, first);
-  EXPECT_TRUE(fleet.await_filled("evening", kept + 2));
+  EXPECT_TRUE(fleet.await_filled("evening", before + 2));
   EXPECT_EQ(fleet.find_token_regressions(), kNoViolations);
-  // Staff move it on, just as quickly; the one that let go stands back.
+  // An operator hands it over, equally quickly; the router that released it does not acquire it again.
   EXPECT_EQ(fleet.work("hand-over", "evening"), 0) << fleet.output;
   EXPECT_NE(fleet.await_owner("evening", second), second);
-  // And pause it: nobody has it, and what was done stays.
+  // An operator pauses it: no router owns it, and its progress is retained.
   EXPECT_EQ(fleet.work("pause", "evening"), 0) << fleet.output;
   EXPECT_TRUE(fleet.fixture.run_until([&] {
     fleet.fixture.run_for(milliseconds(20));
@@ -311,7 +315,7 @@
   EXPECT_TRUE(fleet.await_filled("evening", paused + 2)) << fleet.fixture.logs();
 }
 
-TEST(OwnershipFleetTest, AnOwnerThatIsCutOffFromTheStoreStopsByItself) {
+TEST(OwnershipFleetTest, AnOwnerThatIsCutOffFromTheStoreAbortsItsWork) {
   OwnershipFixture fleet(owned_spec(3), {"router*>registry"});
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   fleet.fill("evening", 100, 20.0);
@@ -321,7 +325,7 @@
   EXPECT_NE(fleet.await_owner("evening", first), first);
   EXPECT_TRUE(fleet.fixture.fleet().await_log(first, "aborts evening/0", kTestTimeout))
       << fleet.fixture.logs();
-  // It serves on.
+  // It still serves requests.
   EXPECT_EQ(send_to_all(fleet.fixture, {first}, 5), kNoViolations);
   fleet.fixture.apply_fault("heal " + first + ">registry");
   EXPECT_TRUE(fleet.await_state("evening", "done")) << fleet.fixture.logs();
@@ -329,7 +333,7 @@
   EXPECT_EQ(fleet.filled("evening"), 100U);
 }
 
-TEST(OwnershipFleetTest, AllButTheOwnerAreCutOffAndTheOwnerGoesOn) {
+TEST(OwnershipFleetTest, TheOwnerContinuesWhenAllOtherRoutersAreCutOffFromTheStore) {
   OwnershipFixture fleet(owned_spec(3), {"router*>registry"});
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   fleet.fill("evening", 60, 20.0);
@@ -350,7 +354,7 @@
 
 // ---- The store ----
 
-TEST(OwnershipFleetTest, WithoutTheStoreRoutersServeAndOwnedWorkRests) {
+TEST(OwnershipFleetTest, RoutersServeRequestsAndPauseOwnedWorkWhileTheStoreIsDown) {
   OwnershipFixture fleet(owned_spec(3));
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   fleet.fill("evening", 200, 20.0);
@@ -361,7 +365,7 @@
   EXPECT_TRUE(fleet.fixture.fleet().await_log(first, "aborts evening/0", kTestTimeout))
       << fleet.fixture.logs();
   EXPECT_EQ(send_to_all(fleet.fixture, fleet.fixture.routers(), 10), kNoViolations);
-  // A router that starts without the store is ready, and serves.
+  // A router that starts without the store becomes ready and serves requests.
   const std::string other =
       fleet.fixture.routers()[0] == first ? fleet.fixture.routers()[1] : fleet.fixture.routers()[0];
   fleet.fixture.fleet().kill(other);
@@ -369,14 +373,15 @@
   EXPECT_TRUE(fleet.fixture.await_ready(other));
   EXPECT_EQ(send_to_all(fleet.fixture, {other}, 5), kNoViolations);
   fleet.fixture.start("registry");
-  const std::uint64_t kept = fleet.filled("evening");
-  EXPECT_GE(kept, 2U) << "the store forgot what it had answered";
-  EXPECT_TRUE(fleet.await_filled("evening", kept + 3)) << fleet.fixture.logs();
+  const std::uint64_t before = fleet.filled("evening");
+  EXPECT_GE(before, 2U) << "the store lost a confirmed checkpoint";
+  EXPECT_TRUE(fleet.await_filled("evening", before + 3)) << fleet.fixture.logs();
   EXPECT_EQ(fleet.find_token_regressions(), kNoViolations);
 }
 
-// Answers come after the routers have given the call up: was it done? The next call finds out.
-TEST(OwnershipFleetTest, AStoreThatAnswersTooLateStopsOwnedWorkAndHarmsNothing) {
+// The store answers after the routers' timeout, so they do not know whether a call took effect until the next
+// one.
+TEST(OwnershipFleetTest, OwnedWorkContinuesAfterStoreAnswersThatCameTooLate) {
   OwnershipFixture fleet(owned_spec(3), {"router*>registry"});
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   fleet.fixture.apply_fault("delay router*>registry 600");  // call_ms is 400
@@ -389,7 +394,7 @@
   EXPECT_EQ(fleet.filled("evening"), 40U);
 }
 
-TEST(OwnershipFleetTest, RenewalsThatAreLateButInTimeKeepTheWork) {
+TEST(OwnershipFleetTest, SlowRenewalsWithinTheLeaseKeepTheOwner) {
   FleetSpec spec = owned_spec(3, 4'000);
   spec.coordination["call_ms"] = 2'500;
   OwnershipFixture fleet(spec, {"router*>registry"});
@@ -402,24 +407,24 @@
       << fleet.fixture.logs();
 }
 
-TEST(OwnershipFleetTest, ReceiversRefuseOwnersOfASecondStore) {
+TEST(OwnershipFleetTest, ReceiversRejectFencingTokensOfAnotherStore) {
   OwnershipFixture fleet(owned_spec(2));
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   fleet.fill("evening", 5, 0.0);
   ASSERT_TRUE(fleet.await_state("evening", "done")) << fleet.fixture.logs();
   const std::string address = fleet.fixture.layout().member("cache0").address;
-  const auto [word, fields] = ask_cache(address, "12345:evening/0:999999", 0x9999);
-  EXPECT_EQ(word, "VOID");
+  const auto [code, fields] = send_to_cache(address, "12345:evening/0:999999", 0x9999);
+  EXPECT_EQ(code, "VOID");
   EXPECT_NE(fields.find("fence_other_store"), std::string::npos) << fields;
 }
 
-TEST(OwnershipFleetTest, AReceiverThatRestartsBetweenTwoTermsRemembersTheHigher) {
+TEST(OwnershipFleetTest, ARestartedReceiverRejectsTheLowerTerm) {
   OwnershipFixture fleet(owned_spec(2, 600'000));
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   fleet.fill("evening", 400, 20.0);
   const std::string first = fleet.await_owner("evening");
   ASSERT_TRUE(fleet.await_filled("evening", 2));
-  const std::string old = fleet.fencing_token_of(first, "evening/0");
+  const std::string old_token = fleet.fencing_token_of(first, "evening/0");
   ASSERT_EQ(fleet.work("hand-over", "evening"), 0) << fleet.output;
   const std::string second = fleet.await_owner("evening", first);
   const std::uint64_t before = fleet.filled("evening");
@@ -427,14 +432,14 @@
   fleet.fixture.fleet().kill("cache0");
   fleet.fixture.start("cache0");
   const std::string address = fleet.fixture.layout().member("cache0").address;
-  EXPECT_EQ(ask_cache(address, old, 0x9999).first, "VOID") << old;
+  EXPECT_EQ(send_to_cache(address, old_token, 0x9999).first, "VOID") << old_token;
   const std::string now = fleet.fencing_token_of(second, "evening/0");
-  EXPECT_NE(ask_cache(address, now, 0x5000).first, "VOID") << now;
+  EXPECT_NE(send_to_cache(address, now, 0x5000).first, "VOID") << now;
 }
 
-// Clocks that are an hour off and set while they run, and that run a percent apart: nobody asks the wall
-// clock who owns what, and the drift is within the bound.
-TEST(OwnershipFleetTest, ClocksThatAreSetOrRunApartChangeNothing) {
+// Wall clocks are an hour off and are set while the routers run, and steady clocks drift by one percent.
+// Ownership does not depend on wall clocks, and the drift is within the bound that leases allow.
+TEST(OwnershipFleetTest, OwnershipIsUnaffectedByClockStepsAndDrift) {
   FleetSpec spec = owned_spec(3);
   OwnershipFixture fleet(spec, {}, [](fleet::Layout& layout) {
     const char* const rates[] = {"1.01", "0.99", "1.0"};
@@ -452,13 +457,13 @@
   fleet.fill("evening", 100, 20.0);
   const std::string first = fleet.await_owner("evening");
   ASSERT_TRUE(fleet.await_filled("evening", 5)) << fleet.fixture.logs();
-  // Everybody's clock is set, the owner's back and forth.
+  // Sets the wall clocks of all routers, that of the owner back.
   for (const std::string& router : fleet.fixture.routers()) {
     std::ofstream(fleet.fixture.folder() + "/clock-" + router) << (router == first ? "-7200" : "86400");
   }
   const std::uint64_t before = fleet.filled("evening");
   ASSERT_TRUE(fleet.await_filled("evening", before + 20)) << fleet.fixture.logs();
-  EXPECT_EQ(fleet.owner("evening"), first) << "a set clock must not end a lease";
+  EXPECT_EQ(fleet.owner("evening"), first) << "a step of the wall clock must not end a lease";
   fleet.fixture.fleet().kill(first);
   EXPECT_TRUE(fleet.await_state("evening", "done")) << fleet.fixture.logs();
   EXPECT_EQ(fleet.find_token_regressions(), kNoViolations);
@@ -467,7 +472,7 @@
 
 // ---- Members ----
 
-TEST(OwnershipFleetTest, OfTwoRoutersOfOneNameTheLaterDoesTheWork) {
+TEST(OwnershipFleetTest, OfTwoRoutersWithOneNameTheLaterOneDoesTheWork) {
   OwnershipFixture fleet(owned_spec(2));
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   fleet.fill("evening", 400, 20.0);
@@ -498,25 +503,26 @@
                           [](const json& one) { return one["standing"] == "shadowed"; }),
             1)
       << fleet.output;
-  EXPECT_EQ(send_to_all(fleet.fixture, {first}, 5), kNoViolations) << "it serves on";
+  EXPECT_EQ(send_to_all(fleet.fixture, {first}, 5), kNoViolations)
+      << "the shadowed router still serves requests";
 }
 
-// ---- Work that its owners die of ----
+// ---- Work that crashes its owners ----
 
-TEST(OwnershipFleetTest, PoisonedWorkIsParkedBeforeItHasTakenAllDown) {
+TEST(OwnershipFleetTest, PoisonedWorkIsParkedAfterMostStarts) {
   FleetSpec spec = owned_spec(5, 600);
   spec.ownership["most_starts"] = 2;
   spec.ownership["renew_ms"] = 100;
-  spec.origin_delay_ms = 4'000;  // no object is ever there before its owner dies
+  spec.origin_delay_ms = 4'000;  // longer than the test lets an owner live, so that no fill completes
   OwnershipFixture fleet(spec);
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   fleet.fill("poison", 10, 0.0);
-  std::set<std::string> died;
+  std::set<std::string> killed;
   for (int i = 0; i < 2; ++i) {
     std::string victim;
     ASSERT_TRUE(fleet.fixture.run_until([&] {
       for (const std::string& router : fleet.fixture.routers()) {
-        if (!died.contains(router) &&
+        if (!killed.contains(router) &&
             fleet.fixture.fleet().log(router).find("starts poison/0") != std::string::npos) {
           victim = router;
         }
@@ -524,19 +530,19 @@
       return !victim.empty();
     })) << fleet.fixture.logs();
     fleet.fixture.fleet().kill(victim);
-    died.insert(victim);
+    killed.insert(victim);
   }
   EXPECT_TRUE(fleet.await_state("poison", "parked")) << fleet.fixture.logs();
   for (const std::string& router : fleet.fixture.routers()) {
-    EXPECT_EQ(died.contains(router), !fleet.fixture.fleet().alive(router)) << router;
+    EXPECT_EQ(killed.contains(router), !fleet.fixture.fleet().alive(router)) << router;
   }
   fleet.fixture.run_for(milliseconds(500));
-  EXPECT_EQ(fleet.shard("poison").value("state", ""), "parked") << "and stays so";
+  EXPECT_EQ(fleet.shard("poison").value("state", ""), "parked") << "it remains parked";
   EXPECT_EQ(fleet.work("resume", "poison"), 0);
   const std::vector<std::string> routers = fleet.fixture.routers();
   EXPECT_TRUE(fleet.fixture.run_until([&] {
     return std::any_of(routers.begin(), routers.end(), [&](const std::string& router) {
-      return !died.contains(router) &&
+      return !killed.contains(router) &&
              fleet.fixture.fleet().log(router).find("starts poison/0") != std::string::npos;
     });
   })) << fleet.fixture.logs();
@@ -544,7 +550,7 @@
 
 // ---- The other kinds of work ----
 
-TEST(OwnershipFleetTest, OneRouterProbesASuspectCacheForAllAndAllHearOfItsReturn) {
+TEST(OwnershipFleetTest, OneRouterProbesASuspectCacheForAllRouters) {
   FleetSpec spec = owned_spec(4);
   spec.caches = 2;
   spec.ownership["suspect_after"] = 2;
@@ -558,16 +564,16 @@
   ASSERT_EQ(fleet.work(add), 0) << fleet.output;
   const std::string owner = fleet.await_owner("probes");
   fleet.fixture.fleet().kill("cache1");
-  const auto says = [&](const std::string& words) {
+  const auto await_verdict = [&](const std::string& verdict) {
     return fleet.fixture.run_until([&] {
       send_to_all(fleet.fixture, fleet.fixture.routers(), 2);
       const std::string log = fleet.fixture.fleet().log(owner);
-      return log.find("verdict on cache cache1: " + words) != std::string::npos;
+      return log.find("verdict on cache cache1: " + verdict) != std::string::npos;
     });
   };
-  EXPECT_TRUE(says("unhealthy")) << fleet.fixture.logs();
+  EXPECT_TRUE(await_verdict("unhealthy")) << fleet.fixture.logs();
   fleet.fixture.start("cache1");
-  EXPECT_TRUE(says("healthy") || says("withdrawn")) << fleet.fixture.logs();
+  EXPECT_TRUE(await_verdict("healthy") || await_verdict("withdrawn")) << fleet.fixture.logs();
   for (const std::string& router : fleet.fixture.routers()) {
     if (router != owner) {
       EXPECT_EQ(fleet.fixture.fleet().log(router).find("verdict on"), std::string::npos)
@@ -576,7 +582,7 @@
   }
 }
 
-TEST(OwnershipFleetTest, TheReportCountsEachRequestOnceOverDeathsOfItsOwner) {
+TEST(OwnershipFleetTest, TheReportCountsEachRequestOnceWhenItsOwnerIsKilled) {
   OwnershipFixture fleet(owned_spec(3));
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   program::WorkCommand add;
@@ -605,10 +611,10 @@
     return requests() == 30;
   })) << requests();
   fleet.fixture.run_for(milliseconds(600));
-  EXPECT_EQ(requests(), 30U) << "counted twice";
+  EXPECT_EQ(requests(), 30U) << "requests were counted twice";
 }
 
-TEST(OwnershipFleetTest, RoutersOfOneMachineShareAFolderInTheStoresPlace) {
+TEST(OwnershipFleetTest, RoutersOfOneMachineShareAnEmbeddedStore) {
   FleetSpec spec = owned_spec(3);
   spec.registry = false;
   spec.embedded = testing::TempDir() + "trailcourse-shared-" + std::to_string(::getpid());
@@ -628,7 +634,7 @@
   std::filesystem::remove_all(spec.embedded);
 }
 
-TEST(OwnershipFleetTest, WorkThatCannotBeDoneIsOverAndSaysWhy) {
+TEST(OwnershipFleetTest, WorkThatCannotBeDoneEndsWithTheReason) {
   OwnershipFixture fleet(owned_spec(2));
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   program::WorkCommand command;
@@ -640,10 +646,10 @@
   ASSERT_EQ(fleet.work(command), 0) << fleet.output;
   EXPECT_TRUE(fleet.await_state("odd", "done")) << fleet.fixture.logs();
   EXPECT_NE(fleet.shard("odd").value("checkpoint", "").find("cannot be done"), std::string::npos);
-  // Staff's mistakes.
+  // Invalid commands of operators.
   EXPECT_EQ(fleet.work("show", "none"), program::kNoSuchWork);
   EXPECT_EQ(fleet.work("pause", "none"), program::kNoSuchWork);
-  EXPECT_EQ(fleet.work(command), program::kChangedMeanwhile) << "it is there already";
+  EXPECT_EQ(fleet.work(command), program::kChangedMeanwhile) << "the work exists already";
   EXPECT_EQ(fleet.work("remove", "odd"), 0);
   EXPECT_EQ(fleet.work("remove", "odd"), program::kNoSuchWork);
   EXPECT_EQ(fleet.work("list", ""), 0);
--- a/tests/fleet/policy_test.cpp
+++ b/tests/fleet/policy_test.cpp
@@ -1,6 +1,6 @@
-// Changes of policy with several real processes under load and faults between them. The checker: every answer
-// names the version it was decided under and when by the machine's one steady clock; for each change there
-// has to be a moment that separates the old version from the new, over all routers.
+// Policy rollouts with real processes under load, and faults on the links. Every answer states the version
+// that it was decided under and the time of the decision by the machine's steady clock. For each rollout
+// there has to be a moment that separates the old version from the new one over all routers.
 #include <algorithm>
 #include <fstream>
 #include <random>
@@ -15,7 +15,7 @@
 using nlohmann::json;
 using std::chrono::milliseconds;
 
-TEST(PolicyFleetTest, AChangeTakesHoldEverywhereAndTheCheckerFindsItsMoment) {
+TEST(PolicyFleetTest, ARolloutTakesEffectAtOneMomentEverywhere) {
   PolicyFixture fleet(policy_spec(5));
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   ASSERT_EQ(fleet.propose(2.0), 0) << fleet.output;
@@ -24,7 +24,7 @@
   EXPECT_EQ(fleet.check(), kNoViolations);
   const auto decided = fleet.decided();
   EXPECT_TRUE(decided.contains("0") && decided.contains("1")) << fleet.fixture.logs();
-  // Back: a new change to an old content.
+  // A further rollout with the content of an old version.
   program::PolicyCommand back;
   back.action = "propose";
   back.version = "1";
@@ -36,7 +36,7 @@
   EXPECT_GE(json::parse(fleet.output).size(), 8U) << fleet.output;
 }
 
-TEST(PolicyFleetTest, AVersionThatOneCannotLiveByIsRefusedEverywhere) {
+TEST(PolicyFleetTest, AVersionThatOneRouterRejectsIsAborted) {
   PolicyFixture fleet(policy_spec(3));
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   ASSERT_EQ(fleet.propose(2.0, false, R"(,"limits":{"open_requests":9000000})"), 0) << fleet.output;
@@ -45,34 +45,33 @@
   EXPECT_NE(change.value("why", "").find("open_requests"), std::string::npos) << change;
   EXPECT_EQ(fleet.version(), 0U);
   EXPECT_EQ(fleet.check(), kNoViolations);
-  EXPECT_FALSE(fleet.decided().contains("1")) << "nobody decided under what was refused";
-  // A document that no program could read is not even proposed.
+  EXPECT_FALSE(fleet.decided().contains("1")) << "no request was decided under the rejected version";
+  // An invalid document cannot be proposed.
   EXPECT_EQ(fleet.propose(-1.0), program::kBadPolicy);
   EXPECT_NE(fleet.output.find("worth"), std::string::npos) << fleet.output;
 }
 
-// Stopped before the commit and woken after it, with requests in its buffers: they are not decided under the
-// old one.
-TEST(PolicyFleetTest, ARouterThatWakesAfterTheCommitDecidesNothingUnderTheOldVersion) {
+// A router is suspended before the commit and resumed after it, with requests in its buffers.
+TEST(PolicyFleetTest, ARouterThatResumesAfterTheCommitDecidesNothingUnderTheOldVersion) {
   PolicyFixture fleet(policy_spec(4));
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   std::vector<std::string> others = fleet.fixture.routers();
-  const std::string sleeper = others.back();
+  const std::string suspended = others.back();
   others.pop_back();
   ASSERT_TRUE(fleet.await_version(fleet.fixture.routers(), 0));
-  fleet.fixture.apply_fault("stop " + sleeper);
+  fleet.fixture.apply_fault("stop " + suspended);
   for (std::uint64_t i = 0; i < 20; ++i) {
-    fleet.fixture.send(sleeper, 1'000 + i);
+    fleet.fixture.send(suspended, 1'000 + i);
   }
   ASSERT_EQ(fleet.propose(2.0), 0) << fleet.output;
-  EXPECT_TRUE(fleet.await_change(others, "done")) << "its permission runs out: " << fleet.fixture.logs();
+  EXPECT_TRUE(fleet.await_change(others, "done")) << "its permit has to expire: " << fleet.fixture.logs();
   ASSERT_TRUE(fleet.await_version(others, 1));
-  fleet.fixture.apply_fault("cont " + sleeper);
-  EXPECT_TRUE(fleet.await_version({sleeper}, 1)) << fleet.fixture.logs();
+  fleet.fixture.apply_fault("cont " + suspended);
+  EXPECT_TRUE(fleet.await_version({suspended}, 1)) << fleet.fixture.logs();
   EXPECT_EQ(fleet.check(), kNoViolations);
 }
 
-TEST(PolicyFleetTest, AThirdThatIsCutOffDecidesUnderNothingAndJoinsBehindTheChange) {
+TEST(PolicyFleetTest, RoutersThatAreCutOffRejectRequestsAndJoinAfterTheRollout) {
   PolicyFixture fleet(policy_spec(6), {"router*>registry"});
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   const std::vector<std::string> all = fleet.fixture.routers();
@@ -88,7 +87,7 @@
   EXPECT_TRUE(fleet.await_version(rest, 1));
   for (const std::string& router : cut) {
     const fleet::SentRequest asked = fleet.answer(router);
-    EXPECT_EQ(asked.policy, "-") << "without the store it knows nothing";
+    EXPECT_EQ(asked.policy, "-") << "without the store no version is in force";
     EXPECT_EQ(asked.status, 503);
     fleet.fixture.apply_fault("heal " + router + ">registry");
   }
@@ -96,76 +95,78 @@
   EXPECT_EQ(fleet.check(), kNoViolations);
 }
 
-struct Kill {
+struct CoordinatorFault {
   std::string name;
-  std::string words;  // in a driver's log, at which it is killed or stopped
-  bool stop;
+  std::string log_text;  // at which the coordinator is killed or suspended
+  bool suspend;
 };
-void PrintTo(const Kill& fault, std::ostream* out) { *out << fault.name; }
+void PrintTo(const CoordinatorFault& fault, std::ostream* out) { *out << fault.name; }
 
-class DriverFaultTest : public testing::TestWithParam<Kill> {};
-INSTANTIATE_TEST_SUITE_P(Steps, DriverFaultTest,
-                         testing::Values(Kill{"KilledAsItBegins", "starts policy/0", false},
-                                         Kill{"KilledAsAllHold", "routers hold", false},
-                                         Kill{"KilledAtTheCommit", ": committed", false},
-                                         Kill{"StoppedAsAllHold", "routers hold", true},
-                                         Kill{"StoppedAtTheCommit", ": committed", true}),
-                         [](const auto& one) { return one.param.name; });
+class CoordinatorFaultTest : public testing::TestWithParam<CoordinatorFault> {};
+INSTANTIATE_TEST_SUITE_P(
+    Steps, CoordinatorFaultTest,
+    testing::Values(CoordinatorFault{"KilledAtItsStart", "starts policy/0", false},
+                    CoordinatorFault{"KilledWhenAllRoutersArePrepared", "routers hold", false},
+                    CoordinatorFault{"KilledAtTheCommit", ": committed", false},
+                    CoordinatorFault{"SuspendedWhenAllRoutersArePrepared", "routers hold", true},
+                    CoordinatorFault{"SuspendedAtTheCommit", ": committed", true}),
+    [](const auto& one) { return one.param.name; });
 
-TEST_P(DriverFaultTest, ItsSuccessorEndsTheChangeTheSameWay) {
+TEST_P(CoordinatorFaultTest, ItsSuccessorCompletesTheRollout) {
   PolicyFixture fleet(policy_spec(4));
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   const std::vector<std::string> all = fleet.fixture.routers();
   ASSERT_TRUE(fleet.await_version(all, 0));
   ASSERT_EQ(fleet.propose(2.0), 0) << fleet.output;
-  std::string driver;
+  std::string coordinator;
   ASSERT_TRUE(fleet.run_until_under_load(all, [&] {
     for (const std::string& router : all) {
-      driver =
-          fleet.fixture.fleet().log(router).find(GetParam().words) != std::string::npos ? router : driver;
+      coordinator = fleet.fixture.fleet().log(router).find(GetParam().log_text) != std::string::npos
+                        ? router
+                        : coordinator;
     }
-    return !driver.empty();
+    return !coordinator.empty();
   })) << fleet.fixture.logs();
   std::vector<std::string> rest = all;
-  std::erase(rest, driver);
-  if (GetParam().stop) {
-    fleet.fixture.apply_fault("stop " + driver);
+  std::erase(rest, coordinator);
+  if (GetParam().suspend) {
+    fleet.fixture.apply_fault("stop " + coordinator);
   } else {
-    fleet.fixture.fleet().kill(driver);
+    fleet.fixture.fleet().kill(coordinator);
   }
   EXPECT_TRUE(fleet.await_change(rest, "done")) << fleet.fixture.logs();
   EXPECT_TRUE(fleet.await_version(rest, 1)) << fleet.fixture.logs();
-  if (GetParam().stop) {
-    fleet.fixture.apply_fault("cont " + driver);
+  if (GetParam().suspend) {
+    fleet.fixture.apply_fault("cont " + coordinator);
   } else {
-    fleet.fixture.start(driver);
-    EXPECT_TRUE(fleet.fixture.await_ready(driver));
+    fleet.fixture.start(coordinator);
+    EXPECT_TRUE(fleet.fixture.await_ready(coordinator));
   }
   EXPECT_TRUE(fleet.await_version(all, 1)) << fleet.fixture.logs();
   EXPECT_EQ(fleet.version(), 1U);
   EXPECT_EQ(fleet.check(), kNoViolations);
 }
 
-TEST(PolicyFleetTest, ChangesInARowUnderLoadWithRoutersKilledThroughout) {
-  constexpr int kChanges = 6;
+TEST(PolicyFleetTest, RolloutsInARowSucceedWhileRoutersAreKilled) {
+  constexpr int kRollouts = 6;
   PolicyFixture fleet(policy_spec(5));
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   std::mt19937_64 random(11);
   const std::vector<std::string> all = fleet.fixture.routers();
-  for (int i = 0; i < kChanges; ++i) {
+  for (int i = 0; i < kRollouts; ++i) {
     ASSERT_EQ(fleet.propose(1.0 + i), 0) << fleet.output;
     const std::string& victim = all[random() % all.size()];
     fleet.run_until_under_load(all, [] { return true; }, milliseconds(random() % 150));
     fleet.fixture.fleet().kill(victim);
     fleet.run_until_under_load(all, [] { return false; }, milliseconds(random() % 200));
-    fleet.fixture.start(victim);  // it joins behind the change
+    fleet.fixture.start(victim);  // it joins after the rollout
     EXPECT_TRUE(fleet.await_change(all, "done")) << fleet.fixture.logs();
   }
-  EXPECT_TRUE(fleet.await_version(all, kChanges)) << fleet.fixture.logs();
+  EXPECT_TRUE(fleet.await_version(all, kRollouts)) << fleet.fixture.logs();
   EXPECT_EQ(fleet.check(), kNoViolations);
 }
 
-TEST(PolicyFleetTest, TheStoreIsKilledWhileAChangeIsMade) {
+TEST(PolicyFleetTest, RolloutsEndWhenTheStoreIsKilledMeanwhile) {
   PolicyFixture fleet(policy_spec(4));
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   const std::vector<std::string> all = fleet.fixture.routers();
@@ -186,15 +187,14 @@
   EXPECT_EQ(fleet.check(), kNoViolations);
 }
 
-TEST(PolicyFleetTest, AnUrgentChangeGoesBeforeOneThatHasNotCommittedAndStaffCanAbort) {
+TEST(PolicyFleetTest, AnUrgentRolloutReplacesAnUncommittedOneAndOperatorsCanAbort) {
   PolicyFixture fleet(policy_spec(3), {"router0>registry"});
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   const std::vector<std::string> all = fleet.fixture.routers();
   ASSERT_TRUE(fleet.await_version(all, 0));
-  fleet.fixture.apply_fault(
-      "cut router0>registry in");  // it hears nothing for as long as its permission lasts
+  fleet.fixture.apply_fault("cut router0>registry in");  // no rollout can commit until its permit expires
   ASSERT_EQ(fleet.propose(2.0), 0) << fleet.output;
-  EXPECT_EQ(fleet.propose(3.0), program::kChangeOpen) << "the second waits";
+  EXPECT_EQ(fleet.propose(3.0), program::kChangeOpen) << "a rollout is in progress";
   EXPECT_EQ(fleet.propose(4.0, true), 0) << fleet.output;
   EXPECT_EQ(fleet.policy("abort"), 0) << fleet.output;
   fleet.fixture.apply_fault("heal router0>registry");
@@ -203,10 +203,10 @@
   EXPECT_TRUE(fleet.await_version(all, fleet.version()));
   EXPECT_EQ(fleet.check(), kNoViolations);
   const auto decided = fleet.decided();
-  EXPECT_FALSE(decided.contains("1") || decided.contains("2")) << "neither took hold";
+  EXPECT_FALSE(decided.contains("1") || decided.contains("2")) << "neither version took effect";
 }
 
-TEST(PolicyFleetTest, AStageIsWatchedAndTurnedBackWhereItRefusesTooMuch) {
+TEST(PolicyFleetTest, AStageIsRolledBackWhenItRejectsTooManyRequests) {
   FleetSpec spec = policy_spec(4);
   spec.zones = {"east", "west"};
   spec.caches = 2;
@@ -229,7 +229,7 @@
            change.value("state", std::string()) == "done";
   })) << fleet.fixture.logs();
   EXPECT_TRUE(fleet.await_version(all, 0)) << fleet.fixture.logs();
-  // In the other zone nobody ever decided under it.
+  // No router of the other zone decided under it.
   for (const fleet::SentRequest& one : fleet.fixture.load().requests()) {
     if (fleet.fixture.layout().member(one.router).zone == "west") {
       EXPECT_NE(one.policy, "1") << one.router;
