--- a/tests/fleet/bench_test.cpp
+++ b/tests/fleet/bench_test.cpp
@@ -1,5 +1,5 @@
-// The tool that measures with real processes, when what it measures is lost: it says so in the row, ends with
-// a status of its own, and leaves no process behind.
+// The ownership benchmark when the fleet that it measures fails: it states so in the row, exits with a
+// distinct status, and leaves no process running.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -35,17 +35,17 @@
   return {std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
 }
 
-// State and parent of a process; '-' where there is none.
+// Returns the state and the parent of a process; '-' and 0 if it does not exist.
 std::pair<char, pid_t> state_of(pid_t pid) {
   const std::string stat = read_file("/proc/" + std::to_string(pid) + "/stat");
   const std::size_t name_end = stat.rfind(')');
   if (name_end == std::string::npos) {
     return {'-', 0};
   }
-  std::istringstream words(stat.substr(name_end + 1));
+  std::istringstream fields(stat.substr(name_end + 1));
   char state = '-';
   pid_t parent = 0;
-  words >> state >> parent;
+  fields >> state >> parent;
   return {state, parent};
 }
 
@@ -87,14 +87,14 @@
   }
   ~BenchTest() override { std::filesystem::remove_all(folder_); }
 
-  Process start(const std::vector<std::string>& words, const std::string& program = TRAILCOURSE_PROGRAM) {
+  Process start(const std::vector<std::string>& arguments, const std::string& program = TRAILCOURSE_PROGRAM) {
     std::vector<std::string> all{TRAILCOURSE_OWNERSHIP_BENCH, "--program", program};
-    all.insert(all.end(), words.begin(), words.end());
+    all.insert(all.end(), arguments.begin(), arguments.end());
     return Process({"ownership_bench", all, folder_ + "/log", {"TMPDIR=" + folder_}});
   }
-  // Waits until the tool has printed this; its children then.
-  static std::vector<Child> children_once_said(Process& bench, const std::string& words) {
-    EXPECT_TRUE(await([&] { return bench.log().find(words) != std::string::npos || !bench.alive(); }));
+  // Waits until the benchmark has printed `text`; returns its child processes.
+  static std::vector<Child> children_after_output(Process& bench, const std::string& text) {
+    EXPECT_TRUE(await([&] { return bench.log().find(text) != std::string::npos || !bench.alive(); }));
     EXPECT_TRUE(bench.alive()) << bench.log();
     return children_of(bench.pid());
   }
@@ -113,15 +113,15 @@
       EXPECT_TRUE(ended(child.pid)) << child.command;
     }
     const auto left = std::distance(std::filesystem::directory_iterator(folder_), {});
-    EXPECT_EQ(left, 1) << "its log and no folder of a fleet";
+    EXPECT_EQ(left, 1) << "only its log should remain, and no folder of a fleet";
   }
 
   std::string folder_ = testing::TempDir() + "trailcourse-bench-" + std::to_string(::getpid());
 };
 
-TEST_F(BenchTest, WithTheStoreKilledItSaysSoAndLeavesNoProcess) {
+TEST_F(BenchTest, ReportsTheKilledStoreAndLeavesNoProcess) {
   Process bench = start({"--policy", "3", "--flat"});
-  const std::vector<Child> children = children_once_said(bench, "all up");
+  const std::vector<Child> children = children_after_output(bench, "all up");
   ASSERT_GE(children.size(), 7U);
   ASSERT_GT(registry_of(children), 0);
   ::kill(registry_of(children), SIGKILL);
@@ -129,24 +129,24 @@
   EXPECT_NE(bench.log().find("the store has ended"), std::string::npos) << bench.log();
 }
 
-TEST_F(BenchTest, WithTheStoreSilentItSaysSoAndLeavesNoProcess) {
+TEST_F(BenchTest, ReportsNoMeasurementWhenTheStoreIsSuspendedAndLeavesNoProcess) {
   Process bench = start({"--policy", "3", "--flat"});
-  const std::vector<Child> children = children_once_said(bench, "all up");
+  const std::vector<Child> children = children_after_output(bench, "all up");
   ASSERT_GT(registry_of(children), 0);
   ::kill(registry_of(children), SIGSTOP);
   expect_missing_row(bench, children);
 }
 
-TEST_F(BenchTest, WithAProgramThatDoesNotRunItSaysSo) {
+TEST_F(BenchTest, ReportsAProgramThatDoesNotStart) {
   Process bench = start({"--rest", "1", "--flat"}, "/bin/false");
   expect_missing_row(bench, {});
   EXPECT_NE(bench.log().find("did not come up"), std::string::npos) << bench.log();
 }
 
-// However the tool ends, what it started ends with it.
-TEST_F(BenchTest, KilledItLeavesNoProcess) {
+// The child processes of the benchmark end with it, also when it is killed.
+TEST_F(BenchTest, LeavesNoProcessWhenItIsKilled) {
   Process bench = start({"--policy", "3", "--flat"});
-  const std::vector<Child> children = children_once_said(bench, "all up");
+  const std::vector<Child> children = children_after_output(bench, "all up");
   ASSERT_GE(children.size(), 7U);
   bench.signal(SIGKILL);
   bench.wait();
--- a/tests/fleet/broken_nodes_test.cpp
+++ b/tests/fleet/broken_nodes_test.cpp
@@ -1,5 +1,5 @@
-// Two caches, one parent and an origin that may be asked directly; one of the three nodes is killed and
-// started again, over and over, under load. One cache lives always.
+// Two caches, a parent, and an origin that routers may send requests to. Under load one of the three nodes is
+// killed and started again, repeatedly, so that at least one cache runs at any time.
 #include <algorithm>
 #include <chrono>
 #include <random>
@@ -14,14 +14,14 @@
 using std::chrono::milliseconds;
 using transport::Clock;
 
-// What the rules demand here is no refusal at all: no node is listed as cold, one cache lives at every
-// moment, and a dead parent leaves the origin. Before the module asked again the cache that had failed
-// longest ago, 454 of these 780 were refused: a cache that is back stays ejected for up to 8 s, and the other
-// is then killed. A few are allowed to a machine that is busy enough to lose one request's tries to two
-// kills.
-TEST(BrokenNodesTest, OneOfThreeKilledAgainAndAgainTheOthersServe) {
+// No request has to be rejected here: no node is listed as just started, one cache runs at any time, and the
+// origin remains when the parent is down. Routers have to retry the cache whose last failure is the oldest.
+// Without that retry, 454 of these 780 requests were rejected, since a restarted cache stays ejected for up
+// to 8 s, and the other one is killed meanwhile. A few rejections are allowed, since on a busy machine two
+// kills can fail all attempts of a request.
+TEST(BrokenNodesTest, ServesRequestsWhileOneOfThreeNodesIsKilledRepeatedly) {
   constexpr int kRequests = 780;
-  constexpr int kAllowed = 15;
+  constexpr int kMaxRejected = 15;
   FleetFixture fixture(fleet::FleetSpec{});
   fixture.start_all();
   ASSERT_FALSE(testing::Test::HasFatalFailure());
@@ -58,7 +58,7 @@
       std::count_if(all.begin(), all.end(), [](const SentRequest& one) { return one.status == 200; });
   EXPECT_EQ(find_answer_violations(all, milliseconds(2'000), 20U << 10U), std::vector<std::string>{});
   EXPECT_GE(kills, 5);
-  EXPECT_GE(served, kRequests - kAllowed) << fixture.logs();
+  EXPECT_GE(served, kRequests - kMaxRejected) << fixture.logs();
   EXPECT_EQ(fixture.fleet().missing(), std::vector<std::string>{});
 }
 
--- a/tests/fleet/clock_shim.cpp
+++ b/tests/fleet/clock_shim.cpp
@@ -1,5 +1,5 @@
-// Loaded into a process by LD_PRELOAD: its wall clock is off by the seconds that stand in CLOCK_SHIM_FILE,
-// read again now and then, and its steady clock runs at CLOCK_SHIM_RATE.
+// A library for LD_PRELOAD that changes the clocks of a process: it adds the seconds in CLOCK_SHIM_FILE,
+// which it rereads every 64 calls, to the wall clock, and multiplies the steady clock by CLOCK_SHIM_RATE.
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <time.h>
@@ -13,7 +13,7 @@
 using Clock = int (*)(clockid_t, timespec*);
 constexpr std::int64_t kNanos = 1'000'000'000;
 
-Clock real() {
+Clock real_clock_gettime() {
   static const auto kReal = reinterpret_cast<Clock>(::dlsym(RTLD_NEXT, "clock_gettime"));
   return kReal;
 }
@@ -21,18 +21,18 @@
 std::int64_t offset_s() {
   static const char* const kFile = ::getenv("CLOCK_SHIM_FILE");
   static thread_local unsigned calls = 0;
-  static thread_local std::int64_t known = 0;
+  static thread_local std::int64_t offset = 0;
   if (kFile != nullptr && calls++ % 64 == 0) {
     const int file = ::open(kFile, O_RDONLY | O_CLOEXEC);
     char text[32] = {};
     if (file >= 0 && ::read(file, text, sizeof text - 1) > 0) {
-      known = ::atoll(text);
+      offset = ::atoll(text);
     }
     if (file >= 0) {
       ::close(file);
     }
   }
-  return known;
+  return offset;
 }
 
 double rate() {
@@ -44,7 +44,7 @@
 }  // namespace
 
 extern "C" int clock_gettime(clockid_t which, timespec* out) {
-  const int result = real()(which, out);
+  const int result = real_clock_gettime()(which, out);
   if (result != 0) {
     return result;
   }
--- a/tests/fleet/fleet_command_test.cpp
+++ b/tests/fleet/fleet_command_test.cpp
@@ -1,4 +1,4 @@
-// `trailcourse fleet` as an operator runs it.
+// The command `trailcourse fleet`.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -26,18 +26,18 @@
   }
   ~FleetCommandTest() override { std::filesystem::remove_all(folder_); }
 
-  struct Ran {
+  struct CommandResult {
     int status = -1;
     std::string output;
   };
-  fleet::Process start(const std::vector<std::string>& words, const std::string& log) const {
+  fleet::Process start(const std::vector<std::string>& arguments, const std::string& log) const {
     std::vector<std::string> all{TRAILCOURSE_PROGRAM, "fleet"};
-    all.insert(all.end(), words.begin(), words.end());
+    all.insert(all.end(), arguments.begin(), arguments.end());
     return fleet::Process({"fleet", all, folder_ + "/" + log, {}});
   }
-  Ran run(const std::vector<std::string>& words) const {
+  CommandResult run(const std::vector<std::string>& arguments) const {
     std::filesystem::remove(folder_ + "/output");
-    fleet::Process process = start(words, "output");
+    fleet::Process process = start(arguments, "output");
     const int status = process.wait().status;
     return {status, process.log()};
   }
@@ -53,29 +53,29 @@
   std::string folder_;
 };
 
-TEST_F(FleetCommandTest, RunsForAWhileAndGivesItsFigures) {
-  const Ran ran = run({"start", "--folder", fleet_folder(), "--routers", "5", "--for", "2", "--load", "40",
-                       "--spread", "--proxies", "--json"});
-  EXPECT_EQ(ran.status, 0) << ran.output;
-  const json summary = json::parse(ran.output.substr(ran.output.find('{')), nullptr, false);
-  ASSERT_TRUE(summary.is_object()) << ran.output;
+TEST_F(FleetCommandTest, PrintsASummaryAfterALimitedRun) {
+  const CommandResult result = run({"start", "--folder", fleet_folder(), "--routers", "5", "--for", "2",
+                                    "--load", "40", "--spread", "--proxies", "--json"});
+  EXPECT_EQ(result.status, 0) << result.output;
+  const json summary = json::parse(result.output.substr(result.output.find('{')), nullptr, false);
+  ASSERT_TRUE(summary.is_object()) << result.output;
   EXPECT_EQ(summary["ready"], 5);
   EXPECT_GT(summary["requests"]["served"], 20);
   EXPECT_GE(summary["board"]["calls"], 5);
   EXPECT_GT(summary["router_mb_most"], 0.0);
 }
 
-TEST_F(FleetCommandTest, StatusAndStopFromAnotherShell) {
+TEST_F(FleetCommandTest, StatusFaultAndStopWorkFromAnotherProcess) {
   EXPECT_EQ(run({"status", "--folder", fleet_folder()}).status, 6);
   fleet::Process fleet = start({"start", "--folder", fleet_folder(), "--routers", "3"}, "start");
-  Ran status;
+  CommandResult status;
   EXPECT_TRUE(run_until([&] {
     status = run({"status", "--folder", fleet_folder(), "--json"});
     const json page = json::parse(status.output, nullptr, false);
     return page.is_object() && page["states"].value("plain", 0) == 3;
   })) << status.output;
   EXPECT_NE(run({"status", "--folder", fleet_folder()}).output.find("router0"), std::string::npos);
-  EXPECT_EQ(run({"start", "--folder", fleet_folder()}).status, 1) << "one runs there already";
+  EXPECT_EQ(run({"start", "--folder", fleet_folder()}).status, 1) << "a fleet runs in this folder already";
   EXPECT_EQ(run({"fault", "--folder", fleet_folder(), "dance", "router0"}).status, 2);
   EXPECT_EQ(run({"fault", "--folder", fleet_folder(), "kill", "router0"}).status, 0);
   EXPECT_TRUE(run_until([&] {
@@ -87,17 +87,17 @@
   EXPECT_EQ(fleet.wait().status, 0) << fleet.log();
 }
 
-TEST_F(FleetCommandTest, WrongUseAndMissingPartsHaveTheirStatus) {
+TEST_F(FleetCommandTest, UsageErrorsAndMissingMembersHaveDistinctExitStatuses) {
   EXPECT_EQ(run({"dance"}).status, 2);
   EXPECT_EQ(run({"start"}).status, 2);
   EXPECT_EQ(run({"start", "--folder", fleet_folder(), "--routers", "0"}).status, 2);
   EXPECT_EQ(run({"start", "--folder", fleet_folder(), "--faults", "/no/such/file"}).status, 1);
   std::ofstream(folder_ + "/bad") << "1 dance router0\n";
-  const Ran bad = run({"start", "--folder", fleet_folder(), "--faults", folder_ + "/bad"});
+  const CommandResult bad = run({"start", "--folder", fleet_folder(), "--faults", folder_ + "/bad"});
   EXPECT_EQ(bad.status, 1);
   EXPECT_NE(bad.output.find("line 1: unknown fault"), std::string::npos) << bad.output;
-  const Ran missing = run({"start", "--folder", fleet_folder(), "--routers", "2", "--for", "1", "--quiet",
-                           "--router-program", "/bin/false"});
+  const CommandResult missing = run({"start", "--folder", fleet_folder(), "--routers", "2", "--for", "1",
+                                     "--quiet", "--router-program", "/bin/false"});
   EXPECT_EQ(missing.status, 4) << missing.output;
 }
 
--- a/tests/fleet/random_faults_test.cpp
+++ b/tests/fleet/random_faults_test.cpp
@@ -1,5 +1,6 @@
-// Schedules of faults drawn from seeds, played against a fleet under load. Checkers judge what clients saw; a
-// failing schedule is printed as a script that `trailcourse fleet start --faults` plays again.
+// Random fault scripts, generated from seeds and replayed against a fleet under load. The test checks the
+// answers that clients got; it prints a failing script so that `trailcourse fleet start --faults` can replay
+// it.
 #include <chrono>
 #include <csignal>
 #include <random>
@@ -18,11 +19,11 @@
 using std::chrono::milliseconds;
 using transport::Clock;
 
-constexpr milliseconds kTold{800};
+constexpr milliseconds kPurgeBound{800};
 
 class RandomFaultsTest : public testing::TestWithParam<int> {};
 
-TEST_P(RandomFaultsTest, ExactlyOneAnswerEachNothingOldAfterAPurgeAndAllComeBack) {
+TEST_P(RandomFaultsTest, EachRequestGetsOneAnswerNoPurgedCopyIsServedAndTheFleetRecovers) {
   const bool relays = GetParam() % 2 == 0;
   fleet::FleetSpec spec;
   spec.routers = 5;
@@ -30,7 +31,7 @@
                                {"board_calls_per_s", 60},
                                {"window_most_ms", 500},
                                {"unsure", "guard"},
-                               {"told_within_ms", kTold.count()}};
+                               {"told_within_ms", kPurgeBound.count()}};
   spec.operators["snapshot"] = {{"fleet", "drawn"}, {"write_ms", 50}};
   if (relays) {
     spec.operators["relay"] = {{"pass_over_ms", 100}, {"most_age_ms", 400}, {"audits_per_s", 5.0}};
@@ -40,18 +41,18 @@
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   ASSERT_EQ(fixture.await_states(fixture.routers(), {"current"}), "");
 
-  fleet::RandomScriptOptions draw;
-  draw.processes = {"router0", "router1", "router2", "cache0", "cache1", "parent0"};
+  fleet::RandomScriptOptions options;
+  options.processes = {"router0", "router1", "router2", "cache0", "cache1", "parent0"};
   for (const fleet::FaultProxy* proxy : fixture.scenario().links()) {
-    draw.links.push_back(proxy->name());
+    options.links.push_back(proxy->name());
   }
-  draw.faults = 14;
-  draw.length_ms = 2'500;
-  draw.max_fault_ms = 900;
-  const std::vector<Fault> script = fleet::random_script(draw, static_cast<std::uint64_t>(GetParam()));
-  SCOPED_TRACE("the schedule, seed " + std::to_string(GetParam()) + ":\n" + fleet::write_script(script));
+  options.faults = 14;
+  options.length_ms = 2'500;
+  options.max_fault_ms = 900;
+  const std::vector<Fault> script = fleet::random_script(options, static_cast<std::uint64_t>(GetParam()));
+  SCOPED_TRACE("fault script of seed " + std::to_string(GetParam()) + ":\n" + fleet::write_script(script));
   std::set<std::string>
-      touched;  // routers that were killed or stopped may leave clients without an answer in time
+      touched;  // clients of routers that were killed or suspended may get no answer in time
   for (const Fault& fault : script) {
     touched.insert(fault.target);
   }
@@ -62,7 +63,7 @@
   const Clock::time_point begun = Clock::now();
   Clock::time_point next = begun;
   std::optional<Clock::time_point> purged;
-  bool told = false;
+  bool purge_sent = false;
   while (!fixture.scenario().played() || Clock::now() - begun < milliseconds(2'600) || !purged) {
     fixture.scenario().play();
     if (Clock::now() >= next) {
@@ -72,8 +73,8 @@
         fixture.send(router, 1'000 + random() % 30);
       }
     }
-    if (!told && Clock::now() - begun > milliseconds(700)) {
-      told = true;
+    if (!purge_sent && Clock::now() - begun > milliseconds(700)) {
+      purge_sent = true;
       fixture.fleet().signal("origin", SIGHUP);
       ASSERT_TRUE(fixture.fleet().await_log("origin", "of a new version", kTestTimeout));
       const auto now =
@@ -82,8 +83,8 @@
         fixture.append_event({{"flush", {{"asset", fleet::object_name(object)}, {"ms", now.count()}}}});
       }
     }
-    // Told is what the board has read.
-    if (told && !purged && fixture.fleet().log("board").find("up to event 31") != std::string::npos) {
+    // The purge takes effect when the discovery server has read its events.
+    if (purge_sent && !purged && fixture.fleet().log("board").find("up to event 31") != std::string::npos) {
       purged = Clock::now();
     }
     fixture.run_for(milliseconds(1));
@@ -95,21 +96,21 @@
   }
   EXPECT_EQ(fixture.await_states(routers, {"current"}), "");
 
-  int judged = 0;
+  int checked = 0;
   for (const SentRequest& one : fixture.load().requests()) {
     ASSERT_LE(one.answers, 1) << one.object << " at " << one.router;
     if (!touched.contains(one.router)) {
       EXPECT_EQ(one.answers, 1) << one.object << " at " << one.router;
     }
     if (one.status == 200) {
-      EXPECT_EQ(one.bytes, 20U << 10U) << "torn";
-      if (one.sent > *purged + kTold) {
-        ++judged;
+      EXPECT_EQ(one.bytes, 20U << 10U) << "incomplete body";
+      if (one.sent > *purged + kPurgeBound) {
+        ++checked;
         EXPECT_GE(one.version, 2) << one.object << " at " << one.router << " by " << one.via;
       }
     }
   }
-  EXPECT_GT(judged, 0);
+  EXPECT_GT(checked, 0);
   const std::size_t before = fixture.load().requests().size();
   for (int i = 0; i < 10; ++i) {
     for (const std::string& router : routers) {
--- a/tests/fleet/relay_test.cpp
+++ b/tests/fleet/relay_test.cpp
@@ -1,5 +1,5 @@
-// Fleets in which routers pass the board's pages on to each other; relays that die, stall, are cut off, or
-// lie.
+// Fleets whose routers forward the pages of the discovery service to each other, with relays that are killed,
+// suspended, cut off, or withhold events.
 #include <sys/socket.h>
 
 #include <algorithm>
@@ -22,14 +22,14 @@
   return spec;
 }
 
-TEST(RelayTest, TheBoardBearsAHandfulAndAPurgeReachesAll) {
+TEST(RelayTest, OnlyAFewRoutersPollTheDiscoveryServiceAndAllReceiveAnEvent) {
   constexpr int kRouters = 15;
   FleetFixture fixture(relay_spec(kRouters), {"router*>board"}, 3);
   fixture.start_all();
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   ASSERT_EQ(fixture.await_states(fixture.routers(), {"current"}), "");
-  // Once the tree stands, who asks the board for pages? Audits open a connection each and are told apart by
-  // that.
+  // Counts the routers that get their pages through a relay. An audit opens a connection of its own, so up to
+  // one call to the discovery server is allowed to them.
   ASSERT_TRUE(fixture.run_until([&] {
     std::size_t by_relay = 0;
     for (const std::string& router : fixture.routers()) {
@@ -54,62 +54,62 @@
   }
 }
 
-// Relays killed one after another; one stopped; one cut off from the board but not from those that ask it.
-// Each time the rest hear of the next event.
-TEST(RelayTest, DeadStalledAndCutOffRelaysAreLeft) {
+// A relay is cut off from the discovery service but not from its pollers, then suspended, then killed;
+// further relays are killed one after another. Each time the other routers have to receive the next event.
+TEST(RelayTest, RoutersReceiveEventsWhenRelaysAreCutOffSuspendedOrKilled) {
   constexpr int kRouters = 9;
   FleetFixture fixture(relay_spec(kRouters), {"router*>board"}, 2);
   fixture.start_all();
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   ASSERT_EQ(fixture.await_states(fixture.routers(), {"current"}), "");
   std::vector<std::string> names = fixture.routers();
-  std::vector<std::string> living = names;
+  std::vector<std::string> running = names;
   const auto root = [&] {
     return startup::RelayTree(names[0], names, 2).ancestors().empty()
                ? names[0]
                : startup::RelayTree(names[0], names, 2).ancestors().back();
   }();
-  int number = 0;
-  const auto all_hear = [&](const std::string& what) {
-    ++number;
-    const std::string cache = number % 2 == 1 ? "draining" : "up";
+  int event = 0;
+  const auto expect_event_everywhere = [&](const std::string& condition) {
+    ++event;
+    const std::string status = event % 2 == 1 ? "draining" : "up";
     fixture.append_event(
         {{"pool",
-          {{"index", 2 + number},
+          {{"index", 2 + event},
            {"snapshot", false},
-           {"endpoints", {fixture.layout().entry(fixture.layout().member("cache1"), cache)}}}}});
-    const std::string words = "cache cache1 is " + cache;
-    for (const std::string& router : living) {
+           {"endpoints", {fixture.layout().entry(fixture.layout().member("cache1"), status)}}}}});
+    const std::string text = "cache cache1 is " + status;
+    for (const std::string& router : running) {
       std::size_t count = 0;
       EXPECT_TRUE(fixture.run_until([&] {
         const std::string log = fixture.fleet().log(router);
         count = 0;
-        for (std::size_t at = log.find(words); at != std::string::npos; at = log.find(words, at + 1)) {
+        for (std::size_t at = log.find(text); at != std::string::npos; at = log.find(text, at + 1)) {
           ++count;
         }
-        return count >= static_cast<std::size_t>((number + 1) / 2);
-      })) << what
+        return count >= static_cast<std::size_t>((event + 1) / 2);
+      })) << condition
           << ": " << fixture.fleet().log(router);
     }
   };
-  all_hear("sound");
+  expect_event_everywhere("no fault");
   fixture.apply_fault("cut " + root + ">board both");
-  living.erase(std::find(living.begin(), living.end(), root));
-  all_hear("the first relay is cut off from the board");
+  running.erase(std::find(running.begin(), running.end(), root));
+  expect_event_everywhere("the first relay is cut off from the board");
   fixture.apply_fault("heal " + root + ">board");
   fixture.apply_fault("stop " + root);
-  all_hear("the first relay is stopped");
+  expect_event_everywhere("the first relay is suspended");
   fixture.apply_fault("cont " + root);
   fixture.fleet().kill(root);
-  all_hear("the first relay is dead");
-  while (living.size() > 3) {
-    fixture.fleet().kill(living.back());
-    living.pop_back();
-    all_hear("another relay is dead");
+  expect_event_everywhere("the first relay is killed");
+  while (running.size() > 3) {
+    fixture.fleet().kill(running.back());
+    running.pop_back();
+    expect_event_everywhere("another relay is killed");
   }
 }
 
-// A relay that says it is current and tells nothing of what the board has told since.
+// A relay that claims to be current and withholds all events after the first page.
 class MisreportingRelay : public Server {
  public:
   MisreportingRelay() { start(); }
@@ -122,7 +122,7 @@
       const ssize_t count = ::recv(socket, buffer, sizeof buffer, 0);
       const std::string body = R"({"rev":1,"notices":[]})";
       if (count <= 0 ||
-          !send_all(socket, "HTTP/1.1 200 OK\r\nX-Age-Ms: 0\r\nX-Path: liar\r\nContent-Length: " +
+          !send_all(socket, "HTTP/1.1 200 OK\r\nX-Age-Ms: 0\r\nX-Path: relay\r\nContent-Length: " +
                                 std::to_string(body.size()) + "\r\n\r\n" + body)) {
         return;
       }
@@ -130,16 +130,16 @@
   }
 };
 
-TEST(RelayTest, ALyingRelayIsFoundByAnAudit) {
-  MisreportingRelay liar;
-  // Of two names the tree's first is the liar's, so that the router asks it.
+TEST(RelayTest, AnAuditDetectsARelayThatWithholdsEvents) {
+  MisreportingRelay relay;
+  // Searches a name that has the first position of the relay tree, so that the router polls that relay.
   std::string name;
   for (int i = 0; name.empty(); ++i) {
-    const std::string candidate = "liar" + std::to_string(i);
+    const std::string candidate = "relay" + std::to_string(i);
     name = startup::RelayTree("router0", {candidate}, 2).position() == 1 ? candidate : "";
   }
   FleetSpec spec = spread_spec(1);
-  spec.operators["relay"] = {{"audits_per_s", 20.0}, {"peers", {name + "=" + liar.address()}}};
+  spec.operators["relay"] = {{"audits_per_s", 20.0}, {"peers", {name + "=" + relay.address()}}};
   FleetFixture fixture(spec);
   fixture.start_all();
   ASSERT_FALSE(testing::Test::HasFatalFailure());
