--- a/tests/cache_node_test.cpp
+++ b/tests/cache_node_test.cpp
@@ -30,9 +30,9 @@
 
 using nlohmann::json;
 using std::chrono::milliseconds;
-using testing_support::BoardStandIn;
 using testing_support::CacheRequest;
 using testing_support::CacheStandIn;
+using testing_support::DiscoveryStandIn;
 using SteadyClock = std::chrono::steady_clock;
 
 constexpr milliseconds kPatience{10'000};
@@ -299,7 +299,7 @@
 // a purge, though many purges are told while the node is down.
 TEST_F(CacheNodeTest, KilledAHundredTimesUnderLoadItServesWholeCopiesOrMisses) {
   constexpr int kItems = 40;
-  BoardStandIn board;
+  DiscoveryStandIn board;
   json config_of = config();
   config_of["cache"]["board"] = board.address();
   NodeProgram node(config_of);
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -45,7 +45,7 @@
   CacheStandIn late_{CacheStandIn::serving("from the late one"), true};
   CacheStandIn other_{CacheStandIn::serving("from the other")};
   CacheStandIn origin_{CacheStandIn::serving("from origin")};
-  BoardStandIn board_;
+  DiscoveryStandIn board_;
   std::unique_ptr<Program> program_;
 };
 
@@ -59,7 +59,7 @@
   gone.reset();
   Client stays(program_->port());
   send_and_await(stays, read_fields(id_of(2)));
-  late_.come_up();
+  late_.start_accepting();
   const auto answer = stays.read(1);
   ASSERT_TRUE(answer.has_value());
   EXPECT_EQ(answer->status, 200);
@@ -76,7 +76,7 @@
   client.send(record(2, 1, ""));
   Client stays(program_->port());
   send_and_await(stays, read_fields(id_of(2)));
-  late_.come_up();
+  late_.start_accepting();
   ASSERT_TRUE(stays.read(1).has_value());
   const auto seen = late_.seen();
   ASSERT_EQ(seen.size(), 1U);
@@ -93,7 +93,7 @@
       {listed("cache-a", late_.address(), "std", "draining"), listed("cache-b", other_.address(), "std")},
       false));
   ASSERT_TRUE(board_.await_caught_up());
-  late_.come_up();
+  late_.start_accepting();
   const auto answer = client.read(1);
   ASSERT_TRUE(answer.has_value());
   EXPECT_EQ(answer->body, "from the other");
@@ -107,7 +107,7 @@
   send_and_await(client, read_fields(id_of(1)));
   board_.post({{"flush", {{"asset", "7f3a9c21e0b4d655"}, {"ms", unix_ms()}}}});
   ASSERT_TRUE(board_.await_caught_up());
-  late_.come_up();
+  late_.start_accepting();
   const auto answer = client.read(1);
   ASSERT_TRUE(answer.has_value());
   EXPECT_EQ(answer->status, 200);
@@ -127,7 +127,7 @@
   EXPECT_NE(answer->status, 200);
   Client stays(program_->port());
   send_and_await(stays, read_fields(id_of(2)));
-  late_.come_up();
+  late_.start_accepting();
   ASSERT_TRUE(stays.read(1).has_value());
   ASSERT_EQ(late_.seen().size(), 1U);
   EXPECT_EQ(late_.seen()[0].id, id_of(2));
@@ -143,7 +143,7 @@
   ASSERT_EQ(client.ask(1, once(1))->status, 200);
   program_->suspend();
   client.send(request_bytes(2, once(2), ""));
-  origin_.hang_up();
+  origin_.close_connections();
   program_->signal(SIGCONT);
   const auto answer = client.read(2);
   ASSERT_TRUE(answer.has_value());
@@ -244,7 +244,7 @@
 TEST_F(Crossings, AWatchThatFallsSilentAndADrain) {
   list(other_);
   start();
-  board_.fall_silent(1);
+  board_.stop_answering(1);
   const std::size_t before = board_.calls();
   ASSERT_TRUE(board_.await_calls(before + 1)) << "the call that is never answered";
   const auto told = Steady::now();
@@ -260,7 +260,7 @@
 
 TEST_F(Crossings, AStartWhileTheBoardIsDownOrSilent) {
   list(other_);
-  board_.fall_silent(1'000);
+  board_.stop_answering(1'000);
   const auto begin = Steady::now();
   start();
   EXPECT_LT(Steady::now() - begin, milliseconds(10'000));
--- a/tests/fleet_bound.h
+++ b/tests/fleet_bound.h
@@ -1,5 +1,5 @@
-// The bound on events of a whole fleet whose moments are drawn independently, which
-// src/startup/poll_scheduler.h states.
+// The bound, stated in src/startup/poll_scheduler.h, on the events of a whole fleet whose members choose
+// their times at random and independently.
 #pragma once
 
 #include <trailcourse/decider.h>
@@ -8,9 +8,10 @@
 
 namespace trailcourse::testing_support {
 
-// Returns how many events the bound allows in any stretch of that length, at a mean rate of `per_s`.
-inline double max_within(double per_s, Micros stretch) {
-  const double mean = per_s * static_cast<double>(stretch.count()) * 1e-6;
+// Returns the highest number of events that the bound allows in any window of that length, at a mean rate of
+// `per_s` events a second.
+inline double max_within(double per_s, Micros window) {
+  const double mean = per_s * static_cast<double>(window.count()) * 1e-6;
   return mean + 6.0 * std::sqrt(mean) + 12.0;
 }
 
--- a/tests/fleet_parts_test.cpp
+++ b/tests/fleet_parts_test.cpp
@@ -1,4 +1,4 @@
-// The parts of a fleet by themselves: scripts of faults, the proxy on a link, ports, children.
+// Unit tests of the parts of a fleet: fault scripts, fault proxies, ports, layouts and child processes.
 #include <gtest/gtest.h>
 #include <signal.h>
 #include <sys/wait.h>
@@ -23,9 +23,9 @@
 using std::chrono::milliseconds;
 using transport::Clock;
 
-TEST(FaultScript, ReadsWhatItWritesAndNamesTheLineAtFault) {
+TEST(FaultScript, ReadsWhatItWritesAndRejectsAMalformedLineByItsNumber) {
   const std::string text =
-      "# the parent goes\n1200 kill parent0\n1500 start parent0  # and is back\n"
+      "# the parent is killed\n1200 kill parent0\n1500 start parent0  # and is restarted\n"
       "100 cut router*>board in\n200 heal router*>board\n300 delay *>cache1 250\n";
   const auto script = read_script(text);
   ASSERT_EQ(script.size(), 5U);
@@ -33,7 +33,7 @@
   EXPECT_EQ(script[0].direction, "in");
   EXPECT_EQ(script[4].target, "parent0");
   EXPECT_EQ(read_script(write_script(script)), script);
-  for (const auto& [bad, words] : std::vector<std::pair<std::string, std::string>>{
+  for (const auto& [bad, message] : std::vector<std::pair<std::string, std::string>>{
            {"x kill a", "line 1: expected a time in ms"},
            {"1 kill a\n2 dance b", "line 2: unknown fault"},
            {"1 kill a>b", "expected the name of a process"},
@@ -47,33 +47,33 @@
       read_script(bad);
       ADD_FAILURE() << bad;
     } catch (const std::invalid_argument& error) {
-      EXPECT_NE(std::string(error.what()).find(words), std::string::npos) << error.what();
+      EXPECT_NE(std::string(error.what()).find(message), std::string::npos) << error.what();
     }
   }
 }
 
-TEST(FaultScript, DrawnFromASeedItIsTheSameEachTimeAndMendsWhatItBreaks) {
-  RandomScriptOptions draw;
-  draw.processes = {"router0", "cache0"};
-  draw.links = {"router0>board", "*>cache0"};
-  draw.faults = 30;
+TEST(FaultScript, ARandomScriptDependsOnItsSeedOnlyAndRepairsItsFaults) {
+  RandomScriptOptions options;
+  options.processes = {"router0", "cache0"};
+  options.links = {"router0>board", "*>cache0"};
+  options.faults = 30;
   std::set<std::string> texts;
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
-    const auto script = random_script(draw, seed);
-    EXPECT_EQ(script, random_script(draw, seed));
+    const auto script = random_script(options, seed);
+    EXPECT_EQ(script, random_script(options, seed));
     EXPECT_EQ(read_script(write_script(script)), script);
     texts.insert(write_script(script));
     std::map<std::string, bool> broken;
     for (const Fault& fault : script) {
-      const bool mends = fault.kind == FaultKind::kStart || fault.kind == FaultKind::kCont ||
-                         fault.kind == FaultKind::kHeal || fault.kind == FaultKind::kReset;
-      const std::string way =
+      const bool repairs = fault.kind == FaultKind::kStart || fault.kind == FaultKind::kCont ||
+                           fault.kind == FaultKind::kHeal || fault.kind == FaultKind::kReset;
+      const std::string fault_key =
           fault.target + (fault.kind == FaultKind::kStop || fault.kind == FaultKind::kCont ? "/stopped" : "");
-      broken[way] = !mends;
-      EXPECT_LE(fault.at_ms, draw.length_ms);
+      broken[fault_key] = !repairs;
+      EXPECT_LE(fault.at_ms, options.length_ms);
     }
-    for (const auto& [target, still] : broken) {
-      EXPECT_FALSE(still) << target << " of seed " << seed << "\n" << write_script(script);
+    for (const auto& [target, is_broken] : broken) {
+      EXPECT_FALSE(is_broken) << target << " of seed " << seed << "\n" << write_script(script);
     }
     for (const auto& part : shrunk_scripts(script)) {
       EXPECT_LT(part.size(), script.size());
@@ -82,7 +82,7 @@
   EXPECT_EQ(texts.size(), 200U);
 }
 
-TEST(FaultScript, PatternsFit) {
+TEST(FaultScript, MatchesNamesByPattern) {
   EXPECT_TRUE(matches_pattern("router*>board", "router12>board"));
   EXPECT_TRUE(matches_pattern("*", ""));
   EXPECT_TRUE(matches_pattern("*>*", "a>b"));
@@ -91,7 +91,7 @@
   EXPECT_FALSE(matches_pattern("router1", "router12"));
 }
 
-TEST(Figures, TheMostWithinAWindow) {
+TEST(Figures, CountsWithinAWindowQuantilesAndFootprint) {
   const Clock::time_point zero{};
   EXPECT_EQ(max_count_within({}, milliseconds(10)), 0U);
   EXPECT_EQ(max_count_within({zero + milliseconds(30), zero, zero + milliseconds(9), zero + milliseconds(10)},
@@ -103,13 +103,13 @@
   EXPECT_GT(footprint_of(::getpid()).resident_mb, 0.0);
 }
 
-TEST(Ports, AreThisProcessesOwnAndFree) {
-  PortAllocator book;
-  std::set<std::uint16_t> seen;
+TEST(PortAllocatorTest, ReturnsDistinctFreePortsOfALoopbackHost) {
+  PortAllocator ports;
+  std::set<std::uint16_t> allocated;
   for (int i = 0; i < 100; ++i) {
-    const transport::Address address = book.allocate();
+    const transport::Address address = ports.allocate();
     EXPECT_EQ(address.ip >> 24U, 127U);
-    EXPECT_TRUE(seen.insert(address.port).second);
+    EXPECT_TRUE(allocated.insert(address.port).second);
     EXPECT_TRUE(transport::listen_on(address, 1).descriptor.valid());
   }
 }
@@ -123,7 +123,7 @@
   std::string log_;
 };
 
-TEST_F(ProcessTest, IsStartedWithItsLogAndReaped) {
+TEST_F(ProcessTest, WritesItsOutputToTheLogAndReportsItsEnd) {
   Process good({"good", {"/bin/sh", "-c", "echo said; echo more >&2; exit 3"}, log_, {}});
   EXPECT_EQ(good.wait().status, 3);
   EXPECT_FALSE(good.wait().by_signal);
@@ -136,12 +136,12 @@
   EXPECT_EQ(missing.wait().status, 127);
 }
 
-// Provokes: a test that dies. What it started must not live on.
-TEST_F(ProcessTest, NoChildOutlivesTheOneWhoStartedIt) {
+// A test that crashes must not leave its child processes running.
+TEST_F(ProcessTest, IsKilledWhenItsParentIsKilled) {
   int pipe_ends[2];
   ASSERT_EQ(::pipe(pipe_ends), 0);
-  const pid_t dying = ::fork();
-  if (dying == 0) {
+  const pid_t parent = ::fork();
+  if (parent == 0) {
     Process child({"child", {"/bin/sleep", "60"}, log_, {}});
     const pid_t pid = child.pid();
     const ssize_t written = ::write(pipe_ends[1], &pid, sizeof pid);
@@ -149,7 +149,7 @@
   }
   pid_t child = 0;
   ASSERT_EQ(::read(pipe_ends[0], &child, sizeof child), static_cast<ssize_t>(sizeof child));
-  ::waitpid(dying, nullptr, 0);
+  ::waitpid(parent, nullptr, 0);
   ::close(pipe_ends[0]);
   ::close(pipe_ends[1]);
   const auto until = Clock::now() + std::chrono::seconds(20);
@@ -165,11 +165,11 @@
   EXPECT_TRUE(gone());
 }
 
-// A client, the proxy, and a server that answers each line with itself.
-class Echo : public testing_support::Server {
+// A server that sends back what it receives.
+class EchoServer : public testing_support::Server {
  public:
-  Echo() { start(); }
-  ~Echo() override { stop(); }
+  EchoServer() { start(); }
+  ~EchoServer() override { stop(); }
 
  protected:
   void serve(int socket) override {
@@ -183,11 +183,11 @@
   }
 };
 
-class Asker : public transport::Connection::Handler {
+class Client : public transport::Connection::Handler {
  public:
-  void on_bytes(std::string_view bytes) override { got += bytes; }
-  void on_end(transport::ConnectionEnd how) override { end = how; }
-  std::string got;
+  void on_bytes(std::string_view bytes) override { received += bytes; }
+  void on_end(transport::ConnectionEnd reason) override { end = reason; }
+  std::string received;
   std::optional<transport::ConnectionEnd> end;
 };
 
@@ -200,7 +200,7 @@
   return out;
 }
 
-TEST(LayoutTest, RoutersGetTheAggregatorsOfTheirRegionAndThenOneOfTheNext) {
+TEST(LayoutTest, RoutersGetTheAggregatorsOfTheirRegionFollowedByOneOfTheNext) {
   using Names = std::vector<std::string>;
   FleetSpec spec;
   spec.routers = 6;
@@ -212,30 +212,31 @@
   const Layout layout(spec, ::testing::TempDir(), ports);
   EXPECT_EQ(layout.names(Kind::kAggregator).size(), 4U);
   EXPECT_EQ(layout.served_zones("aggregator0"), (Names{"a", "b", "c"}))
-      << "two regions: each helps the other";
+      << "of two regions, each serves the other as well";
   EXPECT_EQ(names_of(layout.member("router0").aggregators),
             (Names{"aggregator0", "aggregator2", "aggregator1"}));
   EXPECT_EQ(names_of(layout.member("router1").aggregators),
             (Names{"aggregator1", "aggregator3", "aggregator0"}));
   EXPECT_EQ(names_of(layout.member("router3").aggregators),
             (Names{"aggregator2", "aggregator0", "aggregator1"}))
-      << "the next of a zone begins at another one";
+      << "the next router of a zone starts with another aggregator";
   EXPECT_TRUE(layout.member("router0").registry.empty());
   EXPECT_FALSE(layout.member("aggregator0").registry.empty());
   spec.aggregators = spec.regions = 3;
   const Layout three(spec, ::testing::TempDir(), ports);
-  EXPECT_EQ(three.served_zones("aggregator1"), (Names{"a", "b"})) << "its own, and that of the region before";
+  EXPECT_EQ(three.served_zones("aggregator1"), (Names{"a", "b"}))
+      << "the zones of its region and of the region before";
 }
 
 class FaultProxyTest : public testing::Test {
  protected:
-  std::shared_ptr<transport::Connection> connect(const std::shared_ptr<Asker>& asker) {
+  std::shared_ptr<transport::Connection> connect(const std::shared_ptr<Client>& client) {
     const auto connection =
         transport::Connection::connect(scheduler_, address(), transport::Connection::Bounds{});
-    connection->start(asker);
+    connection->start(client);
     return connection;
   }
-  transport::Address address() const { return at_; }
+  transport::Address address() const { return address_; }
   bool run_until(const std::function<bool()>& done) {
     const Clock::time_point end = Clock::now() + std::chrono::seconds(20);
     while (!done() && Clock::now() < end) {
@@ -255,60 +256,60 @@
 
   transport::Scheduler scheduler_;
   PortAllocator ports_;
-  Echo echo_;
-  transport::Address at_ = ports_.allocate();
-  FaultProxy proxy_{scheduler_, "a>b", at_, *transport::parse_address(echo_.address())};
+  EchoServer echo_;
+  transport::Address address_ = ports_.allocate();
+  FaultProxy proxy_{scheduler_, "a>b", address_, *transport::parse_address(echo_.address())};
 };
 
-TEST_F(FaultProxyTest, PassesOnCutsHealsAndResets) {
-  const auto asker = std::make_shared<Asker>();
-  const auto connection = connect(asker);
+TEST_F(FaultProxyTest, ForwardsCutsHealsAndResets) {
+  const auto client = std::make_shared<Client>();
+  const auto connection = connect(client);
   connection->write("one");
-  ASSERT_TRUE(run_until([&] { return asker->got == "one"; }));
+  ASSERT_TRUE(run_until([&] { return client->received == "one"; }));
   apply(FaultKind::kCut, 0, "in");
   connection->write("two");
   ASSERT_TRUE(run_until([&] { return proxy_.traffic().bytes_out == 6; }));
   run_for(milliseconds(20));
-  EXPECT_EQ(asker->got, "one");
-  EXPECT_FALSE(asker->end.has_value()) << "a cut tells nobody";
+  EXPECT_EQ(client->received, "one");
+  EXPECT_FALSE(client->end.has_value()) << "a cut link does not end its connections";
   apply(FaultKind::kHeal);
-  ASSERT_TRUE(run_until([&] { return asker->got == "onetwo"; }));
+  ASSERT_TRUE(run_until([&] { return client->received == "onetwo"; }));
   apply(FaultKind::kCut, 0, "out");
   connection->write("three");
   run_for(milliseconds(20));
   EXPECT_EQ(proxy_.traffic().bytes_out, 6U);
   apply(FaultKind::kHeal);
-  ASSERT_TRUE(run_until([&] { return asker->got == "onetwothree"; }));
+  ASSERT_TRUE(run_until([&] { return client->received == "onetwothree"; }));
   apply(FaultKind::kReset);
-  ASSERT_TRUE(run_until([&] { return asker->end.has_value(); }));
-  EXPECT_EQ(*asker->end, transport::ConnectionEnd::kPeerReset);
+  ASSERT_TRUE(run_until([&] { return client->end.has_value(); }));
+  EXPECT_EQ(*client->end, transport::ConnectionEnd::kPeerReset);
   EXPECT_EQ(proxy_.traffic().connections.size(), 1U);
 }
 
 TEST_F(FaultProxyTest, RefusesDelaysSlowsAndTruncates) {
   apply(FaultKind::kRefuse);
-  const auto refused = std::make_shared<Asker>();
+  const auto refused = std::make_shared<Client>();
   connect(refused);
   ASSERT_TRUE(run_until([&] { return refused->end.has_value(); }));
   apply(FaultKind::kHeal);
   apply(FaultKind::kDelay, 60);
-  const auto delayed = std::make_shared<Asker>();
+  const auto delayed = std::make_shared<Client>();
   const auto late = connect(delayed);
   const Clock::time_point sent = Clock::now();
   late->write("x");
-  ASSERT_TRUE(run_until([&] { return delayed->got == "x"; }));
-  EXPECT_GE(Clock::now() - sent, milliseconds(120)) << "there and back";
+  ASSERT_TRUE(run_until([&] { return delayed->received == "x"; }));
+  EXPECT_GE(Clock::now() - sent, milliseconds(120)) << "the delay applies in both directions";
   apply(FaultKind::kHeal);
   apply(FaultKind::kSlow, 1'000);
   const Clock::time_point slow = Clock::now();
   late->write(std::string(300, 'y'));
-  ASSERT_TRUE(run_until([&] { return delayed->got.size() == 301; }));
+  ASSERT_TRUE(run_until([&] { return delayed->received.size() == 301; }));
   EXPECT_GE(Clock::now() - slow, milliseconds(300));
   apply(FaultKind::kHeal);
   apply(FaultKind::kTruncate, 2);
   late->write("whole");
   ASSERT_TRUE(run_until([&] { return delayed->end.has_value(); }));
-  EXPECT_EQ(delayed->got.substr(301), "wh");
+  EXPECT_EQ(delayed->received.substr(301), "wh");
 }
 
 }  // namespace
--- a/tests/integration_test.cpp
+++ b/tests/integration_test.cpp
@@ -43,9 +43,9 @@
   }
   // All caches end the connections that there are.
   void hang_up_all() {
-    a_.hang_up();
-    b_.hang_up();
-    origin_.hang_up();
+    a_.close_connections();
+    b_.close_connections();
+    origin_.close_connections();
   }
   std::size_t sends() const { return a_.count("serve") + b_.count("serve") + origin_.count("serve"); }
   // Waits until any cache was asked.
@@ -71,7 +71,7 @@
   CacheStandIn a_{CacheStandIn::serving("from a")};
   CacheStandIn b_{CacheStandIn::serving("from b")};
   CacheStandIn origin_{CacheStandIn::serving("from origin")};
-  BoardStandIn board_;
+  DiscoveryStandIn board_;
   std::unique_ptr<Program> program_;
 };
 
@@ -331,13 +331,14 @@
   for (const char* nonsense : {"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
                                "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nnonsense!", "what?\r\n\r\n",
                                "HTTP/1.1 200 OK\r\nContent-Length: 22\r\n\r\n{\"rev\":0,\"notices\":[]}"}) {
-    board_.say(nonsense);
+    board_.respond_with(nonsense);
     ASSERT_TRUE(board_.await_calls(board_.calls() + 2)) << nonsense;
     ASSERT_TRUE(connect().ask(1, read_fields(id_of(1))).has_value()) << nonsense;
   }
-  board_.say("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\ncut");  // and then nothing, for longer than it may
+  board_.respond_with(
+      "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\ncut");  // and then nothing, for longer than it may
   ASSERT_TRUE(board_.await_calls(board_.calls() + 1));
-  board_.say("");
+  board_.respond_with("");
   board_.post(pool({listed("cache-a", "", "std", "removed")}, false));
   EXPECT_TRUE(board_.await_caught_up());
 }
@@ -905,7 +906,7 @@
 TEST_F(IntegrationTest, OnSighupItAsksTheNoticeBoardAtItsNewAddress) {
   list_all();
   start();
-  BoardStandIn moved;
+  DiscoveryStandIn moved;
   moved.post(pool({listed("cache-a", a_.address(), "std"), listed("cache-b", b_.address(), "std"),
                    listed("origin-o", origin_.address(), "origin")},
                   true));
@@ -956,8 +957,8 @@
 TEST_F(IntegrationTest, OnSighupItTakesInWhatTheFileKnowsByNumber) {
   list_all();
   start();
-  board_.say("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
-  BoardStandIn ahead;
+  board_.respond_with("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
+  DiscoveryStandIn ahead;
   ahead.post(pool({}, true));
   ahead.post(pool(
       {listed("cache-a", a_.address(), "std", "removed"), listed("cache-b", b_.address(), "std", "removed"),
--- a/tests/run_line_test.cpp
+++ b/tests/run_line_test.cpp
@@ -324,7 +324,7 @@
 
 // The router serves, rereads its file on SIGHUP and ends on SIGTERM, all of it traced.
 TEST_F(RunLineTest, IsOneProcessWithOneListenerAndWritesNothingOutsideItsFolder) {
-  BoardStandIn board;
+  DiscoveryStandIn board;
   CacheStandIn cache(CacheStandIn::serving("bytes"));
   board.post(pool({listed("cache-a", cache.address(), "std")}, true));
   const std::uint16_t port = free_port();
@@ -346,7 +346,7 @@
   }
   ASSERT_TRUE(answer.has_value());
   EXPECT_EQ(answer->body, "bytes");
-  BoardStandIn moved;
+  DiscoveryStandIn moved;
   moved.post(pool({listed("cache-a", cache.address(), "std")}, true));
   config["board"] = moved.address();
   std::ofstream(root_ + "/config.json") << config.dump();
--- a/tests/stand_ins.cpp
+++ b/tests/stand_ins.cpp
@@ -29,15 +29,15 @@
 
 namespace {
 
-constexpr seconds kPatience{20};
+constexpr seconds kTestTimeout{20};
 constexpr transport::Address kAnyPort{0x7f000001U, 0};
 
 void make_blocking(int socket) { ::fcntl(socket, F_SETFL, ::fcntl(socket, F_GETFL) & ~O_NONBLOCK); }
 
 }  // namespace
 
-// Below the range from which the system gives ports by itself, and a stretch of its own for each process:
-// tests that run side by side never take each other's between this look and the program's start.
+// The ports are below the ephemeral range, and each process uses a range of its own, so that tests that run
+// in parallel do not take a port between this check and the start of the program.
 std::uint16_t free_port() {
   constexpr int kFirst = 10'000;
   constexpr int kCount = 20'000;
@@ -49,13 +49,13 @@
       return port;
     }
   }
-  throw std::runtime_error("no port is free");
+  throw std::runtime_error("no loopback port is free");
 }
 
 void Server::start(std::uint16_t port) {
   transport::Opened opened = transport::listen_on({kAnyPort.ip, port}, 64);
   if (!opened.descriptor.valid()) {
-    throw std::runtime_error("cannot listen");
+    throw std::runtime_error("cannot listen on a loopback port");
   }
   listener_ = std::move(opened.descriptor);
   make_blocking(listener_.get());
@@ -68,7 +68,7 @@
   constexpr int kFillers = 8;
   transport::Opened opened = transport::listen_on(kAnyPort, 0);
   if (!opened.descriptor.valid()) {
-    throw std::runtime_error("cannot listen");
+    throw std::runtime_error("cannot listen on a loopback port");
   }
   listener_ = std::move(opened.descriptor);
   make_blocking(listener_.get());
@@ -78,7 +78,7 @@
   }
 }
 
-void Server::come_up() {
+void Server::start_accepting() {
   fillers_.clear();
   ::listen(listener_.get(), 64);
   stopping_ = false;
@@ -105,7 +105,7 @@
   }
 }
 
-void Server::hang_up() {
+void Server::close_connections() {
   const std::lock_guard lock(sockets_mutex_);
   for (const transport::Descriptor& socket : sockets_) {
     ::shutdown(socket.get(), SHUT_RDWR);
@@ -146,9 +146,9 @@
   return true;
 }
 
-std::string CacheStandIn::answer(const CacheRequest& request, const std::string& word,
+std::string CacheStandIn::answer(const CacheRequest& request, const std::string& code,
                                  const std::string& fields, const std::string& body) {
-  return protocol::resp::write_array({request.id, word, fields, body});
+  return protocol::resp::write_array({request.id, code, fields, body});
 }
 
 CacheStandIn::Script CacheStandIn::serving(const std::string& body) {
@@ -173,7 +173,7 @@
 
 bool CacheStandIn::await(const std::string& command, std::size_t wanted) const {
   std::unique_lock lock(mutex_);
-  return changed_.wait_for(lock, kPatience, [&] {
+  return changed_.wait_for(lock, kTestTimeout, [&] {
     return static_cast<std::size_t>(std::count_if(seen_.begin(), seen_.end(), [&](const CacheRequest& one) {
              return one.command == command;
            })) >= wanted;
@@ -182,7 +182,7 @@
 
 namespace {
 
-// Puts the events of the parser together to whole requests.
+// Assembles the events of the parser into complete requests.
 class RequestReader {
  public:
   void take(const protocol::resp::Event& event) {
@@ -194,12 +194,12 @@
       if (request_.id.empty()) {
         request_.id = std::exchange(request_.body, {});
       }
-      whole_.push_back(request_);
+      complete_.push_back(request_);
     }
   }
 
-  // The requests that are complete since the last call.
-  std::vector<CacheRequest> take_whole() { return std::exchange(whole_, {}); }
+  // Returns the requests that were completed since the last call.
+  std::vector<CacheRequest> take_complete() { return std::exchange(complete_, {}); }
 
  private:
   void begin(const protocol::resp::ArrayHead& head) {
@@ -215,7 +215,7 @@
   }
 
   CacheRequest request_;
-  std::vector<CacheRequest> whole_;
+  std::vector<CacheRequest> complete_;
 };
 
 }  // namespace
@@ -231,7 +231,7 @@
     }
     parser.feed(std::string_view(buffer, static_cast<std::size_t>(count)),
                 [&reader](const protocol::resp::Event& event) { reader.take(event); });
-    for (const CacheRequest& request : reader.take_whole()) {
+    for (const CacheRequest& request : reader.take_complete()) {
       if (!reply_to(socket, request)) {
         return;
       }
@@ -258,7 +258,7 @@
   return send_all(socket, *reply) && !then_close;
 }
 
-void BoardStandIn::post(json event) {
+void DiscoveryStandIn::post(json event) {
   {
     const std::lock_guard lock(mutex_);
     event["rev"] = events_.size() + 1;
@@ -267,45 +267,45 @@
   changed_.notify_all();
 }
 
-json BoardStandIn::known() const {
+json DiscoveryStandIn::known() const {
   const std::lock_guard lock(mutex_);
   return {{"rev", events_.size()}, {"notices", events_}};
 }
 
-void BoardStandIn::fall_silent(int calls) {
+void DiscoveryStandIn::stop_answering(int calls) {
   const std::lock_guard lock(mutex_);
-  silent_ = calls;
+  unanswered_calls_ = calls;
 }
 
-void BoardStandIn::say(const std::string& bytes) {
+void DiscoveryStandIn::respond_with(const std::string& bytes) {
   {
     const std::lock_guard lock(mutex_);
-    nonsense_ = bytes;
+    fixed_response_ = bytes;
   }
   changed_.notify_all();
 }
 
-void BoardStandIn::wake() {
+void DiscoveryStandIn::wake() {
   const std::lock_guard lock(mutex_);
   changed_.notify_all();
 }
 
-std::size_t BoardStandIn::calls() const {
+std::size_t DiscoveryStandIn::calls() const {
   const std::lock_guard lock(mutex_);
   return calls_;
 }
 
-bool BoardStandIn::await_caught_up() const {
+bool DiscoveryStandIn::await_caught_up() const {
   std::unique_lock lock(mutex_);
-  return changed_.wait_for(lock, kPatience, [this] { return latest_asked_ >= events_.size(); });
+  return changed_.wait_for(lock, kTestTimeout, [this] { return last_polled_ >= events_.size(); });
 }
 
-bool BoardStandIn::await_calls(std::size_t wanted) const {
+bool DiscoveryStandIn::await_calls(std::size_t wanted) const {
   std::unique_lock lock(mutex_);
-  return changed_.wait_for(lock, kPatience, [&] { return calls_ >= wanted; });
+  return changed_.wait_for(lock, kTestTimeout, [&] { return calls_ >= wanted; });
 }
 
-void BoardStandIn::serve(int socket) {
+void DiscoveryStandIn::serve(int socket) {
   std::string bytes;
   char buffer[4096];
   for (;;) {
@@ -323,29 +323,30 @@
     if (watch == std::string::npos || linger == std::string::npos) {
       return;
     }
-    const std::uint64_t had = std::stoull(bytes.substr(watch + 6));
-    const milliseconds longest(std::stoll(bytes.substr(linger + 7)));
+    const std::uint64_t known_sequence = std::stoull(bytes.substr(watch + 6));
+    const milliseconds timeout(std::stoll(bytes.substr(linger + 7)));
     bytes.erase(0, end + 4);
     std::string reply;
     {
       std::unique_lock lock(mutex_);
       ++calls_;
-      latest_asked_ = std::max(latest_asked_, had);
+      last_polled_ = std::max(last_polled_, known_sequence);
       changed_.notify_all();
-      if (silent_ > 0) {
-        --silent_;
+      if (unanswered_calls_ > 0) {
+        --unanswered_calls_;
         changed_.wait(lock, [this] { return stopping(); });
         return;
       }
-      changed_.wait_for(lock, longest,
-                        [&] { return stopping() || events_.size() > had || !nonsense_.empty(); });
+      changed_.wait_for(lock, timeout, [&] {
+        return stopping() || events_.size() > known_sequence || !fixed_response_.empty();
+      });
       json page = {{"rev", events_.size()}, {"notices", json::array()}};
-      for (std::size_t i = had; i < events_.size(); ++i) {
+      for (std::size_t i = known_sequence; i < events_.size(); ++i) {
         page["notices"].push_back(events_[i]);
       }
       const std::string text = page.dump();
-      reply = !nonsense_.empty()
-                  ? nonsense_
+      reply = !fixed_response_.empty()
+                  ? fixed_response_
                   : "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(text.size()) + "\r\n\r\n" + text;
     }
     if (!send_all(socket, reply)) {
@@ -362,12 +363,12 @@
     const int bytes = 4096;
     ::setsockopt(socket_.get(), SOL_SOCKET, SO_RCVBUF, &bytes, sizeof bytes);
   }
-  sockaddr_in where{};
-  where.sin_family = AF_INET;
-  where.sin_addr.s_addr = htonl(address.ip);
-  where.sin_port = htons(address.port);
-  if (::connect(socket_.get(), reinterpret_cast<sockaddr*>(&where), sizeof where) != 0) {
-    throw std::runtime_error("cannot connect");
+  sockaddr_in peer{};
+  peer.sin_family = AF_INET;
+  peer.sin_addr.s_addr = htonl(address.ip);
+  peer.sin_port = htons(address.port);
+  if (::connect(socket_.get(), reinterpret_cast<sockaddr*>(&peer), sizeof peer) != 0) {
+    throw std::runtime_error("cannot connect to a loopback address");
   }
 }
 
@@ -376,7 +377,7 @@
   while (sent < bytes.size()) {
     const ssize_t count = ::send(socket_.get(), bytes.data() + sent, bytes.size() - sent, MSG_NOSIGNAL);
     if (count <= 0) {
-      return;  // the other side closed; read() tells
+      return;  // the other side closed the connection, which read() reports
     }
     sent += static_cast<std::size_t>(count);
   }
@@ -397,7 +398,7 @@
       output_[one.key] += one.content;
     } else if (one.type == 3 && one.content.size() == 8) {
       if (ended_.contains(one.key)) {
-        throw std::runtime_error("a second answer");
+        throw std::runtime_error("received a second answer to one request");
       }
       Answer answer;
       for (int i = 0; i < 4; ++i) {
@@ -423,8 +424,8 @@
   return !closed_;
 }
 
-std::optional<Answer> Client::read(std::uint16_t key, milliseconds longest) {
-  const Clock::time_point until = Clock::now() + longest;
+std::optional<Answer> Client::read(std::uint16_t key, milliseconds timeout) {
+  const Clock::time_point until = Clock::now() + timeout;
   while (!ended_.contains(key) && receive(until)) {
   }
   const auto found = ended_.find(key);
@@ -437,7 +438,7 @@
 }
 
 bool Client::await_close() {
-  const Clock::time_point until = Clock::now() + kPatience;
+  const Clock::time_point until = Clock::now() + kTestTimeout;
   while (receive(until)) {
   }
   return closed_;
@@ -476,12 +477,12 @@
   base_ = std::string(folder != nullptr ? folder : "/tmp") + "/trailcourse-" + std::to_string(::getpid()) +
           "-" + std::to_string(port_);
   reconfigure(config);
-  std::vector<std::string> words{TRAILCOURSE_PROGRAM, "serve", "--config", base_ + ".json"};
-  words.insert(words.end(), flags.begin(), flags.end());
+  std::vector<std::string> arguments{TRAILCOURSE_PROGRAM, "serve", "--config", base_ + ".json"};
+  arguments.insert(arguments.end(), flags.begin(), flags.end());
   std::vector<char*> raw;
-  raw.reserve(words.size() + 1);
-  for (std::string& word : words) {
-    raw.push_back(word.data());
+  raw.reserve(arguments.size() + 1);
+  for (std::string& argument : arguments) {
+    raw.push_back(argument.data());
   }
   raw.push_back(nullptr);
   const transport::Descriptor log(
@@ -506,8 +507,8 @@
 
 namespace {
 
-// The status that the program at this port answers its health check with; nothing where it does not listen
-// yet.
+// Returns the status with which the program at this port answers its health check; nothing if it does not
+// listen.
 std::optional<int> health_status(std::uint16_t port) {
   try {
     Client client(port);
@@ -521,7 +522,7 @@
 }  // namespace
 
 bool Program::await_health(int status) const {
-  const Clock::time_point until = Clock::now() + kPatience;
+  const Clock::time_point until = Clock::now() + kTestTimeout;
   while (Clock::now() < until) {
     if (health_status(port_) == status) {
       return true;
@@ -535,7 +536,7 @@
 
 void Program::suspend() const {
   signal(SIGSTOP);
-  const Clock::time_point until = Clock::now() + kPatience;
+  const Clock::time_point until = Clock::now() + kTestTimeout;
   for (std::string state; state != "T" && Clock::now() < until;) {
     std::ifstream file("/proc/" + std::to_string(pid_) + "/stat");
     std::string skipped;
@@ -545,7 +546,7 @@
 }
 
 std::optional<int> Program::await_exit() {
-  const Clock::time_point until = Clock::now() + kPatience;
+  const Clock::time_point until = Clock::now() + kTestTimeout;
   int status = 0;
   while (Clock::now() < until) {
     if (::waitpid(pid_, &status, WNOHANG) == pid_) {
@@ -566,21 +567,21 @@
   if (config.is_string()) {
     std::ofstream(base_ + ".next") << config.get<std::string>();
   } else {
-    json whole = config;
-    whole["listen"] = "127.0.0.1:" + std::to_string(port_);
-    std::ofstream(base_ + ".next") << whole.dump();
+    json complete = config;
+    complete["listen"] = "127.0.0.1:" + std::to_string(port_);
+    std::ofstream(base_ + ".next") << complete.dump();
   }
   std::rename((base_ + ".next").c_str(), (base_ + ".json").c_str());
 }
 
 void Program::remove_configuration() const { std::remove((base_ + ".json").c_str()); }
 
-bool Program::await_log(const std::string& words) const {
-  const Clock::time_point until = Clock::now() + kPatience;
-  while (log().find(words) == std::string::npos && Clock::now() < until) {
+bool Program::await_log(const std::string& text) const {
+  const Clock::time_point until = Clock::now() + kTestTimeout;
+  while (log().find(text) == std::string::npos && Clock::now() < until) {
     std::this_thread::sleep_for(milliseconds(5));
   }
-  return log().find(words) != std::string::npos;
+  return log().find(text) != std::string::npos;
 }
 
 json listed(const std::string& name, const std::string& address, const std::string& type,
@@ -590,11 +591,11 @@
           {"weight", 8},  {"since_ms", 0}};
 }
 
-json pool(const std::vector<json>& entries, bool whole) {
-  return {{"pool", {{"index", 1}, {"snapshot", whole}, {"endpoints", entries}}}};
+json pool(const std::vector<json>& entries, bool complete) {
+  return {{"pool", {{"index", 1}, {"snapshot", complete}, {"endpoints", entries}}}};
 }
 
-json plain_config(const BoardStandIn& board) {
+json plain_config(const DiscoveryStandIn& board) {
   json config = json::parse(R"({"name":"n1","seed":"5","limits":{"cores":1.0,"memory_mb":192,"sockets":256},
     "settings":{"Az":"edge","Balancers":1,"SelfIndex":0,"Zones":["hub","edge"],
       "Kinds":["std","parent","origin"],
--- a/tests/stand_ins.h
+++ b/tests/stand_ins.h
@@ -1,4 +1,4 @@
-// Small stand-ins for what the router talks to, and the router itself as a process, all on loopback.
+// Stand-ins for the peers of a router, and the router itself as a process, all on loopback.
 #pragma once
 
 #include <atomic>
@@ -18,10 +18,10 @@
 
 namespace trailcourse::testing_support {
 
-// A loopback port that was free a moment ago.
+// Returns a loopback port that is free now; another process can still take it.
 std::uint16_t free_port();
 
-// Accepts on a loopback port and runs a thread for each connection; blocking sockets.
+// Accepts connections on a loopback port and runs a thread with a blocking socket for each.
 class Server {
  public:
   Server() = default;
@@ -29,14 +29,14 @@
   Server& operator=(const Server&) = delete;
   virtual ~Server() { stop(); }
 
-  // Port 0: any.
+  // Starts to listen; port 0: any.
   void start(std::uint16_t port = 0);
-  // Listens, and lets no connection come up until come_up() is called; the system's next try is up to a
-  // second later.
+  // Listens with a full backlog, so that no connection is established until start_accepting() is called. The
+  // kernel retries within a second.
   void start_late();
-  void come_up();
-  // Ends all connections that there are, as a cache does with idle ones.
-  void hang_up();
+  void start_accepting();
+  // Closes all open connections, as a cache does with idle ones.
+  void close_connections();
   // Closes the listener and all connections.
   void stop();
   std::uint16_t port() const { return port_; }
@@ -44,7 +44,7 @@
 
  protected:
   virtual void serve(int socket) = 0;
-  // What blocks in serve() is to come back.
+  // Makes a blocked serve() return.
   virtual void wake() {}
   static bool send_all(int socket, const std::string& bytes);
   bool stopping() const { return stopping_; }
@@ -54,7 +54,7 @@
 
   std::uint16_t port_ = 0;
   transport::Descriptor listener_;
-  std::vector<transport::Opened> fillers_;  // of the places in its backlog
+  std::vector<transport::Opened> fillers_;  // connections that fill its backlog
   std::thread acceptor_;
   std::mutex sockets_mutex_;
   std::vector<transport::Descriptor> sockets_;
@@ -62,7 +62,7 @@
   std::atomic<bool> stopping_ = false;
 };
 
-// One `serve` or `cancel` as a cache got it.
+// A `serve` or `cancel` command that a cache received.
 struct CacheRequest {
   std::string command;
   std::string id;
@@ -70,10 +70,11 @@
   std::string body;
 };
 
-// A cache that answers as the test scripts it.
+// A cache whose answers the test scripts.
 class CacheStandIn : public Server {
  public:
-  // The raw bytes to be sent back, ending in kThenClose to break the connection off; nothing: stay silent.
+  // Returns the raw bytes of the answer, with kThenClose at the end if the connection is to be closed
+  // afterwards; nothing: no answer is sent.
   using Script = std::function<std::optional<std::string>(const CacheRequest&)>;
 
   static constexpr const char* kThenClose = "\x01then close";
@@ -85,20 +86,20 @@
 
   static std::string answer(const CacheRequest& request, const std::string& word, const std::string& fields,
                             const std::string& body = "");
-  // Answers OK with these bytes.
+  // Returns a script that answers OK with this body.
   static Script serving(const std::string& body);
 
   void set_script(Script script);
   std::vector<CacheRequest> seen() const;
   std::size_t count(const std::string& command) const;
-  // Waits until so many of a command have come.
+  // Waits until `wanted` commands of this name have arrived; returns whether they have.
   bool await(const std::string& command, std::size_t wanted) const;
 
  protected:
   void serve(int socket) override;
 
  private:
-  // Notes the request and sends what the script gives for it; returns whether the connection goes on.
+  // Records the request and sends the answer of the script; returns whether the connection remains open.
   bool reply_to(int socket, const CacheRequest& request);
 
   mutable std::mutex mutex_;
@@ -107,22 +108,22 @@
   std::vector<CacheRequest> seen_;
 };
 
-// A notice board that holds calls back until there is news.
-class BoardStandIn : public Server {
+// A discovery service with long polls: it answers a poll when there are new events.
+class DiscoveryStandIn : public Server {
  public:
-  BoardStandIn() { start(); }
-  ~BoardStandIn() override { stop(); }
+  DiscoveryStandIn() { start(); }
+  ~DiscoveryStandIn() override { stop(); }
 
-  // Adds an event; it gets the next number.
+  // Appends an event with the next sequence number.
   void post(nlohmann::json event);
-  // What the router is started with.
+  // Returns the page that a router starts with: all events so far.
   nlohmann::json known() const;
-  // So many calls from now on are never answered, though their connections stay open.
-  void fall_silent(int calls);
-  // Until changed back, each call is answered with these bytes.
-  void say(const std::string& bytes);
+  // Leaves the next `calls` polls unanswered, with their connections open.
+  void stop_answering(int calls);
+  // Answers each poll with these bytes, until it is called with an empty string.
+  void respond_with(const std::string& bytes);
   std::size_t calls() const;
-  // Waits until a call has come that has the last event.
+  // Waits until a poll has arrived that states the last sequence number.
   bool await_caught_up() const;
   bool await_calls(std::size_t wanted) const;
 
@@ -134,13 +135,13 @@
   mutable std::mutex mutex_;
   mutable std::condition_variable changed_;
   std::vector<nlohmann::json> events_;
-  std::string nonsense_;
-  int silent_ = 0;
+  std::string fixed_response_;
+  int unanswered_calls_ = 0;
   std::size_t calls_ = 0;
-  std::uint64_t latest_asked_ = 0;
+  std::uint64_t last_polled_ = 0;
 };
 
-// An answer as a client reads it.
+// A parsed answer to a client.
 struct Answer {
   int status = 0;
   std::map<std::string, std::string> headers;
@@ -149,18 +150,19 @@
   std::uint32_t application_status = 0;
 };
 
-// A client with one connection; every wait has an end.
+// A FastCGI client with one blocking connection; every wait has a timeout.
 class Client {
  public:
   explicit Client(std::uint16_t port, bool small_window = false);
   explicit Client(const transport::Address& address, bool small_window = false);
 
   void send(const std::string& bytes) const;
-  // Waits for the whole answer to a request; nothing where none came in time or the connection ended.
-  std::optional<Answer> read(std::uint16_t key, std::chrono::milliseconds longest = std::chrono::seconds(10));
-  // Whether the other side ends the connection.
+  // Waits for the complete answer to a request; returns nothing if the time is up or the connection ends
+  // before.
+  std::optional<Answer> read(std::uint16_t key, std::chrono::milliseconds timeout = std::chrono::seconds(10));
+  // Waits until the other side closes the connection; returns whether it did.
   bool await_close();
-  // Sends a whole request and waits for its answer.
+  // Sends a complete request and waits for its answer.
   std::optional<Answer> ask(std::uint16_t key, const Fields& fields, const std::string& body = "");
 
  private:
@@ -173,14 +175,14 @@
   bool closed_ = false;
 };
 
-// The parameters of a plain read; `more` overrides and adds.
+// Returns the parameters of a read of one object. `more` overrides parameters and adds further ones.
 Fields read_fields(const std::string& id, const Fields& more = {});
 std::string id_of(int number);
 
-// The router, started as the operators do.
+// A router process, started as operators start it.
 class Program {
  public:
-  // `settings` and the like come from plain_config().
+  // `config` is one of plain_config(); its listen address is set here.
   explicit Program(const nlohmann::json& config, const std::vector<std::string>& flags = {});
   ~Program();
   Program(const Program&) = delete;
@@ -188,17 +190,18 @@
 
   std::uint16_t port() const { return port_; }
   pid_t pid() const { return pid_; }
-  // Waits until it answers its health check with this status.
+  // Waits until the router answers its health check with this status; returns whether it did.
   bool await_health(int status) const;
   void signal(int number) const;
-  // Stops it, and waits until it does not run any more; SIGCONT wakes it.
+  // Suspends the process and waits until it is suspended; SIGCONT resumes it.
   void suspend() const;
-  // Waits for its end: the exit status, or nothing where it did not end or was killed.
+  // Waits for the end of the process. Returns its exit status; nothing if it did not end in time or was
+  // killed.
   std::optional<int> await_exit();
   std::string log() const;
-  // Waits until the log holds this.
-  bool await_log(const std::string& words) const;
-  // Replaces its configuration file, keeping where it listens; a text is written as it is.
+  // Waits until the log contains `text`; returns whether it does.
+  bool await_log(const std::string& text) const;
+  // Replaces the configuration file, with the same listen address. A JSON string is written verbatim.
   void reconfigure(const nlohmann::json& config) const;
   void remove_configuration() const;
 
@@ -208,11 +211,13 @@
   pid_t pid_ = -1;
 };
 
-// A configuration with one safe class `media`, one keyed `entry` for the origin, one unsafe `once` for the
-// origin and a streamed one `live`.
-nlohmann::json plain_config(const BoardStandIn& board);
+// Returns a configuration with a safe class `media`, a keyed class `entry` for the origin, an unsafe class
+// `once` for the origin, and a streamed class `live`.
+nlohmann::json plain_config(const DiscoveryStandIn& board);
+// Returns an entry of an endpoint list.
 nlohmann::json listed(const std::string& name, const std::string& address, const std::string& type,
                       const std::string& status = "up");
-nlohmann::json pool(const std::vector<nlohmann::json>& entries, bool whole);
+// Returns an endpoint update; `complete`: it replaces the endpoint list.
+nlohmann::json pool(const std::vector<nlohmann::json>& entries, bool complete);
 
 }  // namespace trailcourse::testing_support
