--- a/src/fleet/fault_script.h
+++ b/src/fleet/fault_script.h
@@ -2,7 +2,7 @@
 // fault per line, and replays identically. A random script can be generated from a seed, written and
 // replayed.
 //
-//     # ms   what      target              value
+//     # ms   fault     target              value
 //     1200   kill      router3
 //     1500   start     router3
 //     2000   cut       router*>board       in        (in, out or both; ended by heal)
--- a/src/fleet/figures.cpp
+++ b/src/fleet/figures.cpp
@@ -17,8 +17,8 @@
     return 0.0;
   }
   std::sort(values.begin(), values.end());
-  const auto place = static_cast<std::size_t>(std::ceil(share * static_cast<double>(values.size())));
-  return values[std::min(values.size() - 1, place > 0 ? place - 1 : 0)];
+  const auto rank = static_cast<std::size_t>(std::ceil(share * static_cast<double>(values.size())));
+  return values[std::min(values.size() - 1, rank > 0 ? rank - 1 : 0)];
 }
 
 Footprint footprint_of(pid_t pid) {
--- a/src/fleet/layout.cpp
+++ b/src/fleet/layout.cpp
@@ -99,8 +99,8 @@
 }
 
 std::size_t Layout::region_of_zone(const std::string& zone) const {
-  const auto place = std::find(spec_.zones.begin(), spec_.zones.end(), zone) - spec_.zones.begin();
-  return static_cast<std::size_t>(place) % region_count();
+  const auto index = std::find(spec_.zones.begin(), spec_.zones.end(), zone) - spec_.zones.begin();
+  return static_cast<std::size_t>(index) % region_count();
 }
 
 std::size_t Layout::region_of_aggregator(const std::string& name) const {
--- a/src/fleet/layout.h
+++ b/src/fleet/layout.h
@@ -14,7 +14,10 @@
 
 namespace trailcourse::fleet {
 
+// The kinds of members. kRegistry is the coordination server, kBoard the discovery server.
 enum class Kind { kRegistry, kBoard, kOrigin, kParent, kCache, kAggregator, kRouter };
+// Returns the name of the kind, which is also the command that starts such a member, except of routers and
+// parents.
 const char* to_string(Kind kind);
 // Returns whether the discovery service lists members of this kind.
 bool is_listed(Kind kind);
@@ -30,13 +33,13 @@
   std::vector<std::string> zones{"edge"};  // caches and routers are assigned to the zones round-robin
   int object_kb = 20;
   int origin_delay_ms = 0;
-  int weight = 8;      // concurrent transfers of a cache or parent
-  bool disk = false;   // caches and parents store copies on disk
-  bool direct = true;  // routers may send requests to the origin
-  double purge_grace_s = 0.3;
-  double cold_s = 10.0;
-  double cold_from = 0.3;
-  std::int64_t since_ms = 0;  // listed start time of caches and parents; 0: long ago
+  int weight = 8;              // concurrent transfers of a cache or parent
+  bool disk = false;           // caches and parents store copies on disk
+  bool direct = true;          // routers may send requests to the origin
+  double purge_grace_s = 0.3;  // time after a purge event from which no purged copy may be served
+  double cold_s = 10.0;        // length of the slow start of caches and parents
+  double cold_from = 0.3;      // their capacity share at its begin
+  std::int64_t since_ms = 0;   // listed start time of caches and parents; 0: long ago
   bool known = true;      // routers start with the endpoint list; else they wait for the discovery service
   bool registry = false;  // the fleet has a coordination server, and its routers do owned work
   std::string embedded;   // the folder of an embedded store that all routers share instead of the server
--- a/src/fleet/scenario.h
+++ b/src/fleet/scenario.h
@@ -62,7 +62,7 @@
     std::string router;
     bool up = false;
     bool ready = false;
-    std::string state = "-";
+    std::string state = "-";  // "-": down; "plain": the answer states none
     std::uint64_t event = 0;  // the last one applied
     std::uint64_t calls = 0;
     std::uint64_t failed = 0;
--- a/src/fleet/supervisor.h
+++ b/src/fleet/supervisor.h
@@ -37,6 +37,7 @@
   void signal(const std::string& name, int number);
 
   bool alive(const std::string& name);
+  // Returns the process id of a member; -1 if it was not started.
   pid_t pid(const std::string& name) const;
   std::string log(const std::string& name) const;
   // Returns the log since the last start of the member.
--- a/tests/fleet/aggregation_test.cpp
+++ b/tests/fleet/aggregation_test.cpp
@@ -291,9 +291,9 @@
   EXPECT_TRUE(fleet.await_change(fleet.all, "done")) << fleet.fixture.logs();
   EXPECT_TRUE(fleet.await_version(rest, 1)) << fleet.fixture.logs();
   for (const std::string& router : cut) {
-    const fleet::SentRequest asked = fleet.answer(router);
-    EXPECT_EQ(asked.policy, "-") << "without the store no version is in force";
-    EXPECT_EQ(asked.status, 503);
+    const fleet::SentRequest request = fleet.answer(router);
+    EXPECT_EQ(request.policy, "-") << "without the store no version is in force";
+    EXPECT_EQ(request.status, 503);
   }
   for (const std::string& link : links) {
     fleet.fixture.apply_fault("heal " + link);
--- a/tests/fleet/fleet_fixture.cpp
+++ b/tests/fleet/fleet_fixture.cpp
@@ -188,10 +188,10 @@
     fixture.run_for(milliseconds(2));
   }
   EXPECT_TRUE(fixture.await_answers());
-  const std::vector<fleet::SentRequest> asked(
+  const std::vector<fleet::SentRequest> requests(
       fixture.load().requests().begin() + static_cast<std::ptrdiff_t>(before),
       fixture.load().requests().end());
-  return find_answer_violations(asked, milliseconds(2'000), 20U << 10U);
+  return find_answer_violations(requests, milliseconds(2'000), 20U << 10U);
 }
 
 }  // namespace trailcourse::testing_support
--- a/tests/fleet/fleet_fixture.h
+++ b/tests/fleet/fleet_fixture.h
@@ -19,7 +19,7 @@
 
 namespace trailcourse::testing_support {
 
-// The longest time that a test waits for an expected event.
+// The timeout time that a test waits for an expected event.
 constexpr std::chrono::milliseconds kTestTimeout{60'000};
 
 class FleetFixture {
@@ -70,8 +70,8 @@
   // Appends an event to the page of the discovery service and returns its sequence number.
   std::uint64_t append_event(const nlohmann::json& event);
 
-  bool run_until(const std::function<bool()>& done, std::chrono::milliseconds longest = kTestTimeout) {
-    return scenario_->fleet().run_until(done, longest);
+  bool run_until(const std::function<bool()>& done, std::chrono::milliseconds timeout = kTestTimeout) {
+    return scenario_->fleet().run_until(done, timeout);
   }
   void run_for(std::chrono::milliseconds time) {
     scenario_->fleet().run_until([] { return false; }, time);
--- a/tests/fleet/policy_fixture.cpp
+++ b/tests/fleet/policy_fixture.cpp
@@ -125,13 +125,13 @@
   return out.is_object() ? out : json::object();
 }
 
-bool PolicyFixture::await_acknowledged(std::uint64_t event, milliseconds longest) {
+bool PolicyFixture::await_acknowledged(std::uint64_t event, milliseconds timeout) {
   return fixture.run_until(
       [&] {
         const json record = acknowledged();
         return record.contains("done") && record["done"]["event"] >= event;
       },
-      longest);
+      timeout);
 }
 
 std::string PolicyFixture::change_state() {
@@ -142,7 +142,7 @@
 std::uint64_t PolicyFixture::version() { return status().value("version", std::uint64_t{0}); }
 
 bool PolicyFixture::run_until_under_load(const std::vector<std::string>& routers,
-                                         const std::function<bool()>& done, milliseconds longest) {
+                                         const std::function<bool()>& done, milliseconds timeout) {
   int turns = 0;
   return fixture.run_until(
       [&] {
@@ -153,7 +153,7 @@
         }
         return turns % 12 == 0 && done();
       },
-      longest);
+      timeout);
 }
 
 bool PolicyFixture::await_change(const std::vector<std::string>& routers, const std::string& state) {
--- a/tests/fleet/policy_fixture.h
+++ b/tests/fleet/policy_fixture.h
@@ -38,17 +38,17 @@
   // Adds or removes the work that has events of the discovery service acknowledged.
   void acknowledge_events(bool acknowledge = true);
   // Waits until every router is known to have applied this event; returns whether that was so in time.
-  bool await_acknowledged(std::uint64_t event, std::chrono::milliseconds longest = kTestTimeout);
+  bool await_acknowledged(std::uint64_t event, std::chrono::milliseconds timeout = kTestTimeout);
   // Returns the record of acknowledged events as the operator's command prints it.
   nlohmann::json acknowledged();
-  // Returns the state of the last rollout.
+  // Returns the state of the current or last rollout; empty if there was none.
   std::string change_state();
   // Returns the version in force.
   std::uint64_t version();
 
   // Runs until `done` returns true, and sends requests to these routers meanwhile.
   bool run_until_under_load(const std::vector<std::string>& routers, const std::function<bool()>& done,
-                            std::chrono::milliseconds longest = kTestTimeout);
+                            std::chrono::milliseconds timeout = kTestTimeout);
   bool await_change(const std::vector<std::string>& routers, const std::string& state);
   // Waits until each of these routers decides under this version alone.
   bool await_version(const std::vector<std::string>& routers, std::uint64_t number);
--- a/tests/fleet/policy_test.cpp
+++ b/tests/fleet/policy_test.cpp
@@ -86,9 +86,9 @@
   EXPECT_TRUE(fleet.await_version(rest, 1)) << fleet.fixture.logs();
   EXPECT_TRUE(fleet.await_version(rest, 1));
   for (const std::string& router : cut) {
-    const fleet::SentRequest asked = fleet.answer(router);
-    EXPECT_EQ(asked.policy, "-") << "without the store no version is in force";
-    EXPECT_EQ(asked.status, 503);
+    const fleet::SentRequest request = fleet.answer(router);
+    EXPECT_EQ(request.policy, "-") << "without the store no version is in force";
+    EXPECT_EQ(request.status, 503);
     fleet.fixture.apply_fault("heal " + router + ">registry");
   }
   EXPECT_TRUE(fleet.await_version(all, 1)) << fleet.fixture.logs();
--- a/tests/stand_ins.cpp
+++ b/tests/stand_ins.cpp
@@ -185,7 +185,7 @@
 // Assembles the events of the parser into complete requests.
 class RequestReader {
  public:
-  void take(const protocol::resp::Event& event) {
+  void add(const protocol::resp::Event& event) {
     if (const auto* head = std::get_if<protocol::resp::ArrayHead>(&event)) {
       begin(*head);
     } else if (const auto* piece = std::get_if<protocol::resp::ArrayPiece>(&event)) {
@@ -230,7 +230,7 @@
       return;
     }
     parser.feed(std::string_view(buffer, static_cast<std::size_t>(count)),
-                [&reader](const protocol::resp::Event& event) { reader.take(event); });
+                [&reader](const protocol::resp::Event& event) { reader.add(event); });
     for (const CacheRequest& request : reader.take_complete()) {
       if (!reply_to(socket, request)) {
         return;
--- a/tests/stand_ins.h
+++ b/tests/stand_ins.h
@@ -84,7 +84,8 @@
   }
   ~CacheStandIn() override { stop(); }
 
-  static std::string answer(const CacheRequest& request, const std::string& word, const std::string& fields,
+  // Returns an answer to `request` as a cache sends it.
+  static std::string answer(const CacheRequest& request, const std::string& code, const std::string& fields,
                             const std::string& body = "");
   // Returns a script that answers OK with this body.
   static Script serving(const std::string& body);
