--- a/benchmarks/ownership_bench.cpp
+++ b/benchmarks/ownership_bench.cpp
@@ -221,7 +221,7 @@
   bench.let_store_end();
   bench.fill("w", 150, 20.0);
   const std::vector<fleet::Fault> script = drawn_schedule(bench, seed);
-  bench.scenario().begin(script);
+  bench.scenario().start_script(script);
   std::uint64_t most = 0;
   const auto look = [&]() -> bool {
     if (!bench.fleet().alive("registry")) {
@@ -238,13 +238,13 @@
   };
   const Clock::time_point begun = Clock::now();
   bool done = false;
-  while (what.empty() && Clock::now() - begun < kAwaited && !(done && bench.scenario().played())) {
-    bench.scenario().play();
+  while (what.empty() && Clock::now() - begun < kAwaited && !(done && bench.scenario().script_finished())) {
+    bench.scenario().apply_due_faults();
     bench.run_for(milliseconds(5));
     // Staff ask the store itself, past the proxies; a stopped store answers nobody.
     const auto since = std::chrono::duration_cast<milliseconds>(Clock::now() - begun);
-    if (bench.scenario().played() || since.count() % 500 < 10) {
-      done = bench.scenario().played() && look();
+    if (bench.scenario().script_finished() || since.count() % 500 < 10) {
+      done = bench.scenario().script_finished() && look();
     }
   }
   for (const std::string& line : fleet::find_token_regressions("cache0", bench.layout().log_file("cache0"))) {
--- a/src/fleet/scenario.cpp
+++ b/src/fleet/scenario.cpp
@@ -115,13 +115,13 @@
   }
 }
 
-void Scenario::begin(std::vector<Fault> script) {
+void Scenario::start_script(std::vector<Fault> script) {
   script_ = std::move(script);
   next_ = 0;
   begun_ = Clock::now();
 }
 
-void Scenario::play() {
+void Scenario::apply_due_faults() {
   const auto elapsed_ms =
       std::chrono::duration_cast<std::chrono::milliseconds>(Clock::now() - begun_).count();
   while (next_ < script_.size() && script_[next_].at_ms <= elapsed_ms) {
--- a/src/fleet/scenario.h
+++ b/src/fleet/scenario.h
@@ -40,10 +40,11 @@
 
   // Applies a fault now to all members or links that match its target.
   void apply(const Fault& fault);
-  // Starts a script now; play() applies the faults that are due.
-  void begin(std::vector<Fault> script);
-  void play();
-  bool played() const { return next_ >= script_.size(); }
+  // Starts the clock of a script. apply_due_faults() has to be called repeatedly, and applies the faults whose
+  // time has come.
+  void start_script(std::vector<Fault> script);
+  void apply_due_faults();
+  bool script_finished() const { return next_ >= script_.size(); }
 
  private:
   transport::Scheduler& scheduler_;
--- a/src/program/fleet_command.cpp
+++ b/src/program/fleet_command.cpp
@@ -164,7 +164,7 @@
     status_.emplace(scheduler_, layout_);
     load_.emplace(scheduler_, fleet::LoadGenerator::Options{}, command_.seed << 20U);
     begun_ = Clock::now();
-    scenario_->begin(std::move(script));
+    scenario_->start_script(std::move(script));
     while (!ending_ && (command_.seconds <= 0.0 || since(begun_) < command_.seconds * 1'000)) {
       turn();
     }
@@ -211,7 +211,7 @@
            since(begun_) >= static_cast<double>(started_) * static_cast<double>(command_.stagger_ms)) {
       scenario_->fleet().start(routers[started_++]);
     }
-    scenario_->play();
+    scenario_->apply_due_faults();
     obey();
     look_at_nodes();
     ask();
--- a/tests/fleet/random_faults_test.cpp
+++ b/tests/fleet/random_faults_test.cpp
@@ -51,21 +51,21 @@
   options.max_fault_ms = 900;
   const std::vector<Fault> script = fleet::random_script(options, static_cast<std::uint64_t>(GetParam()));
   SCOPED_TRACE("fault script of seed " + std::to_string(GetParam()) + ":\n" + fleet::write_script(script));
-  std::set<std::string>
-      touched;  // clients of routers that were killed or suspended may get no answer in time
+  // Clients of routers that were killed or suspended may get no answer in time.
+  std::set<std::string> faulted;
   for (const Fault& fault : script) {
-    touched.insert(fault.target);
+    faulted.insert(fault.target);
   }
 
   std::mt19937_64 random(static_cast<std::uint64_t>(GetParam()));
   const auto routers = fixture.routers();
-  fixture.scenario().begin(script);
+  fixture.scenario().start_script(script);
   const Clock::time_point begun = Clock::now();
   Clock::time_point next = begun;
   std::optional<Clock::time_point> purged;
   bool purge_sent = false;
-  while (!fixture.scenario().played() || Clock::now() - begun < milliseconds(2'600) || !purged) {
-    fixture.scenario().play();
+  while (!fixture.scenario().script_finished() || Clock::now() - begun < milliseconds(2'600) || !purged) {
+    fixture.scenario().apply_due_faults();
     if (Clock::now() >= next) {
       next = Clock::now() + milliseconds(8);
       const std::string& router = routers[random() % routers.size()];
@@ -99,7 +99,7 @@
   int checked = 0;
   for (const SentRequest& one : fixture.load().requests()) {
     ASSERT_LE(one.answers, 1) << one.object << " at " << one.router;
-    if (!touched.contains(one.router)) {
+    if (!faulted.contains(one.router)) {
       EXPECT_EQ(one.answers, 1) << one.object << " at " << one.router;
     }
     if (one.status == 200) {
