--- a/tests/fleet/ownership_test.cpp
+++ b/tests/fleet/ownership_test.cpp
@@ -214,11 +214,11 @@
 class SuspendedOwnerTest : public testing::TestWithParam<OwnerSuspension> {};
 INSTANTIATE_TEST_SUITE_P(Steps, SuspendedOwnerTest,
                          testing::Values(OwnerSuspension{"WhileItWorks", {}},
-                                         // Its renewals and checkpoints do not leave; or have left, and their
-                                         // answers are on the way.
+                                         // The renewals and checkpoints do not reach the store.
                                          OwnerSuspension{"BeforeARenewal", {"cut OWNER>registry out"}},
+                                         // They reach the store, but its answers do not arrive.
                                          OwnerSuspension{"DuringACheckpoint", {"cut OWNER>registry in"}},
-                                         // Commands to the cache have been written and have not arrived.
+                                         // Commands to the cache were sent and have not arrived.
                                          OwnerSuspension{"WithEffectsInFlight", {"cut *>cache0 out"}}),
                          [](const auto& one) { return one.param.name; });
 
@@ -401,7 +401,7 @@
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   fleet.fill("evening", 100, 20.0);
   const std::string first = fleet.await_owner("evening");
-  fleet.fixture.apply_fault("delay " + first + ">registry 250");  // each way
+  fleet.fixture.apply_fault("delay " + first + ">registry 250");  // in each direction
   EXPECT_TRUE(fleet.await_state("evening", "done")) << fleet.fixture.logs();
   EXPECT_EQ(fleet.fixture.fleet().log(first).find("aborts evening/0"), std::string::npos)
       << fleet.fixture.logs();
