--- a/benchmarks/rest_measurement.cpp
+++ b/benchmarks/rest_measurement.cpp
@@ -96,7 +96,7 @@
       report.kind = "report";
       bench_.work(report);
     }
-    if (bench_.layout().shape().policy.empty()) {
+    if (bench_.layout().spec().policy.empty()) {
       return;
     }
     bench_.await("permission of all routers", [this] { return all_permitted(); });
--- a/src/program/fleet_command.cpp
+++ b/src/program/fleet_command.cpp
@@ -122,10 +122,10 @@
     for (fleet::Member& member : layout_.members()) {
       if (member.kind == Kind::kRouter) {
         if (command_.relay_degree > 0) {
-          member.relay = ports_.take_text();
+          member.relay = ports_.allocate_text();
         }
         if (!command_.router_program.empty()) {
-          layout_.shape().router_program = command_.router_program;
+          layout_.spec().router_program = command_.router_program;
         }
       }
     }
@@ -166,9 +166,9 @@
       return kStartFailed;
     }
     status_.emplace(scheduler_, layout_);
-    load_.emplace(scheduler_, fleet::Load::Options{}, command_.seed << 20U);
+    load_.emplace(scheduler_, fleet::LoadGenerator::Options{}, command_.seed << 20U);
     start_ = Clock::now();
-    scenario_->begin(std::move(script));
+    scenario_->start_script(std::move(script));
     while (!stop_requested_ &&
            (command_.run_time_s <= 0.0 || elapsed_ms(start_) < command_.run_time_s * 1'000)) {
       step();
@@ -178,7 +178,7 @@
 
  private:
   std::vector<fleet::Fault> random_script() {
-    fleet::Draw draw;
+    fleet::RandomScriptOptions draw;
     for (const fleet::Member& member : layout_.members()) {
       if (member.kind == Kind::kRouter || member.kind == Kind::kCache || member.kind == Kind::kParent) {
         draw.processes.push_back(member.name);
@@ -189,7 +189,7 @@
     }
     draw.faults = command_.draw;
     draw.length_ms = static_cast<std::int64_t>(std::max(2.0, command_.run_time_s * 0.7) * 1'000);
-    return fleet::draw_script(draw, command_.seed);
+    return fleet::random_script(draw, command_.seed);
   }
 
   bool start_nodes() {
@@ -217,7 +217,7 @@
                static_cast<double>(started_routers_) * static_cast<double>(command_.stagger_ms)) {
       scenario_->fleet().start(routers[started_routers_++]);
     }
-    scenario_->play();
+    scenario_->apply_due_faults();
     apply_requested_faults();
     request_node_counters();
     send_load();
@@ -283,7 +283,7 @@
   void send_load() {
     const auto due = static_cast<std::size_t>(elapsed_ms(start_) / 1'000.0 * command_.load_per_s);
     const auto& rows = status_->rows();
-    while (load_->all().size() < due && command_.load_per_s > 0.0) {
+    while (load_->requests().size() < due && command_.load_per_s > 0.0) {
       std::vector<std::string> ready;
       for (const auto& [name, row] : rows) {
         if (row.ready) {
@@ -294,8 +294,8 @@
         break;
       }
       const std::string& router = ready[random_() % ready.size()];
-      load_->ask(router, *transport::parse_address(layout_.member(router).address),
-                 fleet::object_name(1'000 + random_() % kObjectCount));
+      load_->send(router, *transport::parse_address(layout_.member(router).address),
+                  fleet::object_name(1'000 + random_() % kObjectCount));
     }
   }
 
@@ -380,7 +380,7 @@
   // Stops the fleet, writes the summary and returns the exit status.
   int finish() {
     const auto missing = scenario_->fleet().missing();
-    scenario_->fleet().until([this] { return load_->open() == 0; }, milliseconds(4'000));
+    scenario_->fleet().run_until([this] { return load_->open() == 0; }, milliseconds(4'000));
     const json summary = summarize();
     write_file_atomically(command_.folder + "/summary.json", summary.dump(1) + "\n");
     for (const std::string& name : layout_.names(Kind::kRouter)) {
@@ -424,13 +424,13 @@
     std::vector<Clock::time_point> connections;
     std::size_t node_opens = 0;
     for (const fleet::FaultProxy* proxy : scenario_->links()) {
-      const fleet::FaultProxy::Seen& seen = proxy->seen();
+      const fleet::FaultProxy::Traffic& traffic = proxy->traffic();
       const bool router_to_board = proxy->name().starts_with("router");
       if (router_to_board) {
-        calls.insert(calls.end(), seen.requests.begin(), seen.requests.end());
-        connections.insert(connections.end(), seen.connections.begin(), seen.connections.end());
+        calls.insert(calls.end(), traffic.requests.begin(), traffic.requests.end());
+        connections.insert(connections.end(), traffic.connections.begin(), traffic.connections.end());
       } else if (proxy->name().starts_with("*>")) {
-        node_opens = std::max(node_opens, fleet::max_count_within(seen.connections, milliseconds(1'000)));
+        node_opens = std::max(node_opens, fleet::max_count_within(traffic.connections, milliseconds(1'000)));
       }
     }
     out["board"] = {{"calls", calls.size()},
@@ -446,7 +446,7 @@
   void add_requests(json& out) const {
     std::map<std::string, std::size_t> answers;
     std::vector<double> latencies_ms;
-    for (const fleet::Asked& request : load_->all()) {
+    for (const fleet::SentRequest& request : load_->requests()) {
       const bool served = request.status == 200;
       ++answers[served                                           ? "served"
                 : request.status == 503 || request.status == 429 ? "refused"
@@ -485,7 +485,7 @@
         scenario_->fleet().signal(name, SIGHUP);
       }
     }
-    scenario_->fleet().until([] { return false; }, milliseconds(100));
+    scenario_->fleet().run_until([] { return false; }, milliseconds(100));
     std::uint64_t fills = 0;
     std::uint64_t worst_fills = 0;
     std::uint64_t worst_requests = 0;
@@ -515,7 +515,7 @@
   fleet::Layout layout_;
   std::optional<fleet::Scenario> scenario_;
   std::optional<fleet::StatusPoller> status_;
-  std::optional<fleet::Load> load_;
+  std::optional<fleet::LoadGenerator> load_;
   std::mt19937_64 random_;
   Clock::time_point start_ = Clock::now();
   Clock::time_point next_poll_ = start_;
--- a/tests/cache_node_test.cpp
+++ b/tests/cache_node_test.cpp
@@ -30,9 +30,9 @@
 
 using nlohmann::json;
 using std::chrono::milliseconds;
-using testing_support::BoardStandIn;
 using testing_support::CacheRequest;
 using testing_support::CacheStandIn;
+using testing_support::DiscoveryStandIn;
 using SteadyClock = std::chrono::steady_clock;
 
 constexpr milliseconds kMaxWait{10'000};
@@ -301,7 +301,7 @@
 // older than a purge, although many purge events are sent while the node is down.
 TEST_F(CacheNodeTest, ServesOnlyCompleteCopiesAfterEachOfAHundredKills) {
   constexpr int kItems = 40;
-  BoardStandIn board;
+  DiscoveryStandIn board;
   json config_of = config();
   config_of["cache"]["board"] = board.address();
   NodeProgram node(config_of);
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -45,7 +45,7 @@
   CacheStandIn slow_cache_{CacheStandIn::serving("from the slow cache"), true};
   CacheStandIn cache_{CacheStandIn::serving("from the cache")};
   CacheStandIn origin_{CacheStandIn::serving("from origin")};
-  BoardStandIn board_;
+  DiscoveryStandIn board_;
   std::unique_ptr<Program> program_;
 };
 
@@ -59,7 +59,7 @@
   leaving.reset();
   Client remaining(program_->port());
   send_and_await(remaining, read_fields(id_of(2)));
-  slow_cache_.come_up();
+  slow_cache_.start_accepting();
   const auto answer = remaining.read(1);
   ASSERT_TRUE(answer.has_value());
   EXPECT_EQ(answer->status, 200);
@@ -76,7 +76,7 @@
   client.send(record(2, 1, ""));
   Client remaining(program_->port());
   send_and_await(remaining, read_fields(id_of(2)));
-  slow_cache_.come_up();
+  slow_cache_.start_accepting();
   ASSERT_TRUE(remaining.read(1).has_value());
   const auto received = slow_cache_.seen();
   ASSERT_EQ(received.size(), 1U);
@@ -93,7 +93,7 @@
                     listed("cache-b", cache_.address(), "std")},
                    false));
   ASSERT_TRUE(board_.await_caught_up());
-  slow_cache_.come_up();
+  slow_cache_.start_accepting();
   const auto answer = client.read(1);
   ASSERT_TRUE(answer.has_value());
   EXPECT_EQ(answer->body, "from the cache");
@@ -107,7 +107,7 @@
   send_and_await(client, read_fields(id_of(1)));
   board_.post({{"flush", {{"asset", "7f3a9c21e0b4d655"}, {"ms", unix_ms()}}}});
   ASSERT_TRUE(board_.await_caught_up());
-  slow_cache_.come_up();
+  slow_cache_.start_accepting();
   const auto answer = client.read(1);
   ASSERT_TRUE(answer.has_value());
   EXPECT_EQ(answer->status, 200);
@@ -127,7 +127,7 @@
   EXPECT_NE(answer->status, 200);
   Client remaining(program_->port());
   send_and_await(remaining, read_fields(id_of(2)));
-  slow_cache_.come_up();
+  slow_cache_.start_accepting();
   ASSERT_TRUE(remaining.read(1).has_value());
   ASSERT_EQ(slow_cache_.seen().size(), 1U);
   EXPECT_EQ(slow_cache_.seen()[0].id, id_of(2));
@@ -143,7 +143,7 @@
   ASSERT_EQ(client.ask(1, once(1))->status, 200);
   program_->suspend();
   client.send(request_bytes(2, once(2), ""));
-  origin_.hang_up();
+  origin_.close_connections();
   program_->signal(SIGCONT);
   const auto answer = client.read(2);
   ASSERT_TRUE(answer.has_value());
@@ -246,7 +246,7 @@
 TEST_F(CrossingsTest, StopsUsingADrainingCacheWhenAPollIsNeverAnswered) {
   list_cache(cache_);
   start();
-  board_.fall_silent(1);
+  board_.stop_answering(1);
   const std::size_t before = board_.calls();
   ASSERT_TRUE(board_.await_calls(before + 1)) << "the call that is never answered";
   const auto posted = Steady::now();
@@ -262,7 +262,7 @@
 
 TEST_F(CrossingsTest, StartsWhileTheDiscoveryServiceIsDownOrDoesNotAnswer) {
   list_cache(cache_);
-  board_.fall_silent(1'000);
+  board_.stop_answering(1'000);
   const auto begin = Steady::now();
   start();
   EXPECT_LT(Steady::now() - begin, milliseconds(10'000));
--- a/tests/integration_test.cpp
+++ b/tests/integration_test.cpp
@@ -43,9 +43,9 @@
   }
   // Closes all connections at the caches.
   void close_all_connections() {
-    a_.hang_up();
-    b_.hang_up();
-    origin_.hang_up();
+    a_.close_connections();
+    b_.close_connections();
+    origin_.close_connections();
   }
   std::size_t serve_count() const { return a_.count("serve") + b_.count("serve") + origin_.count("serve"); }
   // Waits until any cache has received a request.
@@ -71,7 +71,7 @@
   CacheStandIn a_{CacheStandIn::serving("from a")};
   CacheStandIn b_{CacheStandIn::serving("from b")};
   CacheStandIn origin_{CacheStandIn::serving("from origin")};
-  BoardStandIn board_;
+  DiscoveryStandIn board_;
   std::unique_ptr<Program> program_;
 };
 
@@ -331,13 +331,14 @@
   for (const char* malformed : {"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
                                 "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nnonsense!", "what?\r\n\r\n",
                                 "HTTP/1.1 200 OK\r\nContent-Length: 22\r\n\r\n{\"rev\":0,\"notices\":[]}"}) {
-    board_.say(malformed);
+    board_.respond_with(malformed);
     ASSERT_TRUE(board_.await_calls(board_.calls() + 2)) << malformed;
     ASSERT_TRUE(connect().ask(1, read_fields(id_of(1))).has_value()) << malformed;
   }
-  board_.say("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\ncut");  // and no more, beyond the time-out
+  board_.respond_with(
+      "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\ncut");  // and no more, beyond the time-out
   ASSERT_TRUE(board_.await_calls(board_.calls() + 1));
-  board_.say("");
+  board_.respond_with("");
   board_.post(pool({listed("cache-a", "", "std", "removed")}, false));
   EXPECT_TRUE(board_.await_caught_up());
 }
@@ -913,7 +914,7 @@
 TEST_F(IntegrationTest, PollsTheDiscoveryServiceAtItsNewAddressAfterSighup) {
   list_all();
   start();
-  BoardStandIn moved;
+  DiscoveryStandIn moved;
   moved.post(pool({listed("cache-a", a_.address(), "std"), listed("cache-b", b_.address(), "std"),
                    listed("origin-o", origin_.address(), "origin")},
                   true));
@@ -964,8 +965,8 @@
 TEST_F(IntegrationTest, AppliesLaterEventsOfTheFileAtSighup) {
   list_all();
   start();
-  board_.say("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
-  BoardStandIn ahead;
+  board_.respond_with("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
+  DiscoveryStandIn ahead;
   ahead.post(pool({}, true));
   ahead.post(pool(
       {listed("cache-a", a_.address(), "std", "removed"), listed("cache-b", b_.address(), "std", "removed"),
--- a/tests/run_line_test.cpp
+++ b/tests/run_line_test.cpp
@@ -328,7 +328,7 @@
 
 // Traces a router that serves a request, reloads its file on SIGHUP and ends on SIGTERM.
 TEST_F(RunLineTest, RunsOneProcessWithOneListenerAndWritesNoFilesOutsideItsFolder) {
-  BoardStandIn board;
+  DiscoveryStandIn board;
   CacheStandIn cache(CacheStandIn::serving("bytes"));
   board.post(pool({listed("cache-a", cache.address(), "std")}, true));
   const std::uint16_t port = free_port();
@@ -350,7 +350,7 @@
   }
   ASSERT_TRUE(answer.has_value());
   EXPECT_EQ(answer->body, "bytes");
-  BoardStandIn moved;
+  DiscoveryStandIn moved;
   moved.post(pool({listed("cache-a", cache.address(), "std")}, true));
   config["board"] = moved.address();
   std::ofstream(root_ + "/config.json") << config.dump();
