--- a/src/aggregation/aggregator_service.h
+++ b/src/aggregation/aggregator_service.h
@@ -83,8 +83,8 @@
   std::string prefix_;
   Aggregator aggregator_;
   coordination::EtcdServer server_;
-  transport::Alarm timer_;
-  transport::Deferred next_step_;
+  transport::Timer timer_;
+  transport::DeferredJob next_step_;
   coordination::CoordinationStore::WatchId watch_ = 0;
   coordination::LeaseId lease_ = 0;  // the aggregator's own
   Micros longest_ttl_{0};
--- a/src/cache_node/command_server.cpp
+++ b/src/cache_node/command_server.cpp
@@ -53,7 +53,7 @@
 
   void write(std::string bytes) { connection_->write(std::move(bytes)); }
   void remove_request(const std::string& id) { open_.erase(id); }
-  bool idle() const { return open_.empty() && connection_->waiting() == 0; }
+  bool idle() const { return open_.empty() && connection_->unsent_bytes() == 0; }
   bool has_partial_message() const { return parser_.has_partial_message(); }
   Clock::time_point last_message_at() const { return last_message_at_; }
   Connection& connection() const { return *connection_; }
@@ -248,7 +248,7 @@
 std::size_t CommandServer::waiting_bytes() const {
   std::size_t out = 0;
   for (const std::shared_ptr<Session>& session : sessions_) {
-    out += session->connection().waiting();
+    out += session->connection().unsent_bytes();
   }
   return out;
 }
--- a/src/cache_node/node.cpp
+++ b/src/cache_node/node.cpp
@@ -36,7 +36,7 @@
   CommandServer::Bounds bounds;
   bounds.connections = static_cast<std::size_t>(options.connections);
   bounds.idle = milliseconds(options.idle_ms);
-  bounds.connection.most_waiting = static_cast<std::size_t>(options.in_flight_mb) << 20U;
+  bounds.connection.max_unsent_bytes = static_cast<std::size_t>(options.in_flight_mb) << 20U;
   return bounds;
 }
 
--- a/src/cache_node/node.h
+++ b/src/cache_node/node.h
@@ -89,7 +89,7 @@
   std::uint64_t last_sequence_ = 0;
   bool discovery_received_ = false;
   bool stopping_ = false;
-  transport::Alarm timer_;
+  transport::Timer timer_;
   std::unordered_map<RequestNumber, std::uint64_t> disk_reads_;
   std::vector<Action> actions_;
   bool running_actions_ = false;
--- a/src/cache_node/origin.cpp
+++ b/src/cache_node/origin.cpp
@@ -38,7 +38,7 @@
 
 CommandServer::Bounds bounds_of() {
   CommandServer::Bounds bounds;
-  bounds.connection.most_waiting = 256U << 20U;
+  bounds.connection.max_unsent_bytes = 256U << 20U;
   return bounds;
 }
 
--- a/src/cache_node/source_client.cpp
+++ b/src/cache_node/source_client.cpp
@@ -91,13 +91,13 @@
   if (!slot) {
     return;
   }
-  client_.pool_.forget(slot);
+  client_.pool_.remove(slot);
   const auto calls = std::exchange(calls_, {});
   for (const auto& [id, call] : calls) {
     client_.pending_fetches_.erase(call.fill);
     FetchResult result;
     const bool not_executed =
-        proves_not_executed(routing::status_of(end, slot->connection->begun(call.token)));
+        proves_not_executed(routing::status_of(end, slot->connection->may_have_sent(call.token)));
     result.end = not_executed                       ? FetchResult::End::kUnreachable
                  : end == ConnectionEnd::kMalformed ? FetchResult::End::kMalformed
                                                     : FetchResult::End::kBroken;
@@ -116,7 +116,7 @@
 void SourceClient::fetch(FillNumber fill, const std::string& source, const transport::Address& address,
                          const protocol::ServeFields& fields, std::string_view body) {
   const SourceConnection::Pool::SlotPtr slot =
-      pool_.take(source, address, [](const SourceConnection::Pool::Slot&) { return true; });
+      pool_.acquire(source, address, [](const SourceConnection::Pool::Slot&) { return true; });
   if (!slot) {
     scheduler_.post([this, fill] {
       FetchResult result;
@@ -149,7 +149,7 @@
   }
   const SourceConnection::Call call = link->calls_.at(pending.id);
   link->calls_.erase(pending.id);
-  if (!slot->connection->ended() && !slot->connection->withdraw(call.token)) {
+  if (!slot->connection->ended() && !slot->connection->cancel_write(call.token)) {
     slot->connection->write(protocol::write_cancel(pending.id));
     if (Clock::now() - call.sent >= bounds_.silent_after && pool_.last_received(slot->peer) < call.sent) {
       pool_.drop(slot->peer, ConnectionEnd::kSilent);
--- a/src/coordination/coordination_server.h
+++ b/src/coordination/coordination_server.h
@@ -45,7 +45,7 @@
 
   KeyValueDatabase database_;
   EtcdServer server_;
-  transport::Alarm expiry_timer_;
+  transport::Timer expiry_timer_;
   std::uint64_t rejected_ = 0;  // calls
   std::uint64_t renewals_ = 0;
   std::uint64_t writes_ = 0;  // all other calls
--- a/src/discovery/discovery_server.cpp
+++ b/src/discovery/discovery_server.cpp
@@ -122,7 +122,7 @@
   void hold(PollId poll) { held_poll_ = poll; }
 
   bool is_idle_since(Clock::time_point time) const {
-    return !held_poll_ && connection_.last_received() < time && connection_.waiting() == 0;
+    return !held_poll_ && connection_.last_received() < time && connection_.unsent_bytes() == 0;
   }
 
   void close(ConnectionEnd end) { connection_.close(end); }
--- a/src/discovery/discovery_server.h
+++ b/src/discovery/discovery_server.h
@@ -94,7 +94,7 @@
   std::set<std::shared_ptr<Session>> sessions_;
   std::map<PollId, Session*> held_;
   PollId last_poll_ = 0;
-  transport::Alarm timer_;
+  transport::Timer timer_;
 };
 
 }  // namespace trailcourse::discovery
--- a/src/fleet/fault_proxy.cpp
+++ b/src/fleet/fault_proxy.cpp
@@ -27,7 +27,7 @@
 
 Connection::Bounds bounds() {
   Connection::Bounds out;
-  out.most_waiting = 256U << 20U;
+  out.max_unsent_bytes = 256U << 20U;
   out.stall_timeout = std::chrono::hours(1);
   return out;
 }
--- a/src/http/client_connection.cpp
+++ b/src/http/client_connection.cpp
@@ -31,7 +31,7 @@
 
 bool ClientConnection::may_have_sent(WriteToken request) const {
   const std::shared_ptr<Connection> connection = connection_.lock();
-  return !connection || connection->begun(request);
+  return !connection || connection->may_have_sent(request);
 }
 
 void ClientConnection::close(ConnectionEnd end) {
--- a/src/program/serve.cpp
+++ b/src/program/serve.cpp
@@ -46,15 +46,16 @@
 // Sets a limit of lingering connections that all connections with these bounds share.
 void set_linger_limit(transport::Connection::Bounds& bounds, const Configuration& configuration) {
   bounds.linger = kLinger;
-  bounds.lingering = std::make_shared<transport::Lingering>();
-  bounds.lingering->most = configuration.max_lingering();
+  bounds.lingering = std::make_shared<transport::LingerLimit>();
+  bounds.lingering->max = configuration.max_lingering();
 }
 
 routing::CacheClient::Bounds cache_bounds(const Configuration& configuration, const StartSupport& start) {
   const protocol::Profile& profile = configuration.profile;
   const Tuning& tuning = configuration.tuning;
   routing::CacheClient::Bounds bounds;
-  bounds.pool.streams = profile.streams_per_connection > 0 ? profile.streams_per_connection : kDefaultStreams;
+  bounds.pool.streams_per_connection =
+      profile.streams_per_connection > 0 ? profile.streams_per_connection : kDefaultStreams;
   bounds.pool.connections_per_peer =
       start.max_connections_per_peer(static_cast<int>(tuning.cache_connections));
   bounds.pool.total_connections = configuration.max_cache_connections();
--- a/src/program/start_support.h
+++ b/src/program/start_support.h
@@ -89,7 +89,7 @@
   routing::Router* router_ = nullptr;
   const routing::DiscoveryUpdateHandler* update_handler_ = nullptr;
   routing::DiscoveryClient* discovery_client_ = nullptr;
-  transport::Alarm timer_;
+  transport::Timer timer_;
   bool snapshot_used_ = false;
   bool is_tree_root_ = false;  // of the relay tree
   int tree_size_ = 1;          // routers in the relay tree
--- a/src/routing/cache_client.cpp
+++ b/src/routing/cache_client.cpp
@@ -85,7 +85,7 @@
   const Call call = found->second;
   calls_.erase(found);
   transport::Connection& connection = *slot->connection;
-  if (!connection.ended() && !connection.withdraw(call.token)) {
+  if (!connection.ended() && !connection.cancel_write(call.token)) {
     connection.write(protocol::write_cancel(id));
     retire_id(id);
     // No connection to the cache has received anything since the command was sent: the machine may have
@@ -252,12 +252,12 @@
   log_line(Level::kDebug) << "connection to cache " << slot->peer << ": " << to_string(end) << ", "
                           << calls_.size() << " calls open";
   count_partial_bytes(0);
-  client_.pool_.forget(slot);
+  client_.pool_.remove(slot);
   const auto calls = std::exchange(calls_, {});
   for (const auto& [id, call] : calls) {
     client_.call_locations_.erase(call.key);
     AttemptResult result;
-    result.status = status_of(end, slot->connection->begun(call.token));
+    result.status = status_of(end, slot->connection->may_have_sent(call.token));
     client_.router_.attempt_ended(call.key, std::move(result));
   }
 }
@@ -284,7 +284,7 @@
   // A cancelled attempt may still be answered on its connection: a new attempt with the same id must not get
   // that answer.
   const CacheConnection::Pool::SlotPtr slot =
-      pool_.take(order.cache, *address, [&request](const CacheConnection::Pool::Slot& candidate) {
+      pool_.acquire(order.cache, *address, [&request](const CacheConnection::Pool::Slot& candidate) {
         return !candidate.link->knows_id(request->id);
       });
   if (!slot) {
--- a/src/routing/fastcgi_server.cpp
+++ b/src/routing/fastcgi_server.cpp
@@ -263,7 +263,7 @@
 
 // Updates the sums over all connections.
 void FastCgiConnection::update_byte_counts() {
-  const std::size_t waiting = ended_ ? 0 : answers_.waiting() + connection_.waiting();
+  const std::size_t waiting = ended_ ? 0 : answers_.waiting() + connection_.unsent_bytes();
   const std::size_t partial = ended_ ? 0 : parser_.held();
   server_.unsent_bytes_ += waiting - counted_unsent_;
   server_.partial_bytes_ += partial - counted_partial_;
@@ -369,7 +369,7 @@
 // requests and management records has no other bound; that of served requests is bounded by the open ones.
 void FastCgiConnection::close_if_unread() {
   const bool too_many = answers_.size() > server_.bounds_.max_unread_answers;
-  if (too_many || connection_.waiting() > server_.bounds_.max_unread_bytes) {
+  if (too_many || connection_.unsent_bytes() > server_.bounds_.max_unread_bytes) {
     connection_.close(ConnectionEnd::kOverflow);
   }
 }
@@ -415,7 +415,7 @@
 
 void FastCgiConnection::write_answers() {
   while (!ended_ && !connection_.ended() && !answers_.empty() &&
-         connection_.waiting() < server_.bounds_.connection.low_mark) {
+         connection_.unsent_bytes() < server_.bounds_.connection.low_mark) {
     fastcgi::RequestKey key = 0;
     bool ended = false;
     connection_.write(answers_.next(key, ended));
@@ -560,7 +560,7 @@
   }
   return none_pending &&
          std::none_of(connections_.begin(), connections_.end(),
-                      [](FastCgiConnection* client) { return client->connection().unread(); });
+                      [](FastCgiConnection* client) { return client->connection().has_unread_data(); });
 }
 
 bool FastCgiServer::has_partial_request() const {
@@ -575,8 +575,8 @@
 
 void FastCgiServer::close_all() {
   if (bounds_.connection.lingering) {
-    bounds_.connection.lingering->most =
-        bounds_.connection.lingering->open + static_cast<int>(connections_.size());
+    bounds_.connection.lingering->max =
+        bounds_.connection.lingering->count + static_cast<int>(connections_.size());
   }
   for (FastCgiConnection* client : connections_) {
     client->connection().close(ConnectionEnd::kShutdown);
--- a/src/routing/fastcgi_server.h
+++ b/src/routing/fastcgi_server.h
@@ -52,7 +52,7 @@
            std::uint32_t application_status);
 
   // Returns whether the client has no open request and all its answers are written.
-  bool idle() const { return open_requests_.empty() && answers_.empty() && connection_.waiting() == 0; }
+  bool idle() const { return open_requests_.empty() && answers_.empty() && connection_.unsent_bytes() == 0; }
 
   // Returns whether closing the connection loses no valid request: it is idle, and either the last message is
   // complete or no valid request has come at all.
@@ -175,7 +175,7 @@
 
   // Returns whether any of the closed connections has not been closed by its client yet.
   bool has_lingering_connections() const {
-    return bounds_.connection.lingering && bounds_.connection.lingering->open > 0;
+    return bounds_.connection.lingering && bounds_.connection.lingering->count > 0;
   }
 
  private:
--- a/src/tasks/fleet_report_task.h
+++ b/src/tasks/fleet_report_task.h
@@ -41,7 +41,7 @@
   TaskContext context_;
   FleetReport report_;
   std::uint64_t last_sequence_ = 0;
-  transport::Alarm timer_;
+  transport::Timer timer_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/tasks/health_check_task.h
+++ b/src/tasks/health_check_task.h
@@ -58,7 +58,7 @@
   OwnershipOptions options_;
   TaskContext context_;
   HealthCheckPlan plan_;
-  transport::Alarm timer_;
+  transport::Timer timer_;
   coordination::CoordinationStore::WatchId watch_ = 0;
   std::set<std::string> suspect_keys_;  // as of the last watch event
   std::map<std::string, std::shared_ptr<transport::Connection>>
--- a/src/tasks/peer_health_checks.cpp
+++ b/src/tasks/peer_health_checks.cpp
@@ -93,7 +93,7 @@
 
 void PeerHealthChecks::record_results(const Connections& connections) {
   for (const auto& [name, connection] : connections) {
-    peers_.on_probe_result(name, connection->up());
+    peers_.on_probe_result(name, connection->connected());
   }
 }
 
--- a/src/tasks/prefetch_task.h
+++ b/src/tasks/prefetch_task.h
@@ -60,7 +60,7 @@
   std::optional<PrefetchPlan> plan_;  // after the list of objects was read
   int request_class_ = -1;
   std::map<std::size_t, RequestId> open_requests_;  // by index of the object
-  transport::Alarm timer_;
+  transport::Timer timer_;
   bool stopping_ = false;
   bool completed_ = false;
   bool waits_for_start_ = false;
--- a/src/tasks/reconcile_task.h
+++ b/src/tasks/reconcile_task.h
@@ -66,7 +66,7 @@
   coordination::CoordinationStore& store_;
   std::string prefix_;
   TaskContext context_;
-  transport::Alarm timer_;
+  transport::Timer timer_;
   std::vector<coordination::CoordinationStore::WatchId> watches_;
   transport::Clock::time_point last_snapshot_at_;
   bool snapshot_in_flight_ = false;
--- a/src/tasks/step_loop.h
+++ b/src/tasks/step_loop.h
@@ -66,8 +66,8 @@
 
   Step step_;
   Micros min_interval_;
-  transport::Alarm timer_;
-  transport::Deferred deferred_;
+  transport::Timer timer_;
+  transport::DeferredJob deferred_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/transport/connection.cpp
+++ b/src/transport/connection.cpp
@@ -66,7 +66,7 @@
       bounds_(bounds),
       write_signal_(scheduler),
       open_error_(opened.error),
-      up_(!connecting) {}
+      connected_(!connecting) {}
 
 void Connection::start(std::shared_ptr<Handler> handler) {
   handler_ = std::move(handler);
@@ -83,7 +83,7 @@
 
 Task<bool> Connection::finish_connect() {
   const Scheduler::TimerKey timer = scheduler_.at(Clock::now() + bounds_.connect_timeout, [this] {
-    if (!up_) {
+    if (!connected_) {
       finish(ConnectionEnd::kConnectTimeout);
     }
   });
@@ -98,13 +98,13 @@
     finish(connect_end_of(error));
     co_return false;
   }
-  up_ = true;
+  connected_ = true;
   last_received_ = Clock::now();
   co_return true;
 }
 
 Task<void> Connection::read_loop(std::shared_ptr<Connection> self) {
-  if (!self->up_) {
+  if (!self->connected_) {
     const bool up = co_await self->finish_connect();
     if (!up) {
       co_return;
@@ -165,7 +165,7 @@
     if (self->ended_) {
       break;
     }
-    if (self->waiting_ < self->bounds_.low_mark) {
+    if (self->unsent_bytes_ < self->bounds_.low_mark) {
       const std::shared_ptr<Handler> handler = self->handler_;
       handler->on_drained();
     }
@@ -189,21 +189,21 @@
   }
 }
 
-std::uint64_t Connection::write(std::string bytes, Gate gate) {
+std::uint64_t Connection::write(std::string bytes, SendCheck send_check) {
   const std::uint64_t token = ++last_token_;
   if (ended_ || bytes.empty()) {
     return token;
   }
-  waiting_ += bytes.size();
-  queue_.push_back(QueuedWrite{token, std::move(bytes), 0, std::move(gate)});
-  if (waiting_ > bounds_.most_waiting) {
+  unsent_bytes_ += bytes.size();
+  queue_.push_back(QueuedWrite{token, std::move(bytes), 0, std::move(send_check)});
+  if (unsent_bytes_ > bounds_.max_unsent_bytes) {
     finish(ConnectionEnd::kOverflow);
     return token;
   }
-  if (up_ && watch_ && !write_blocked_) {
+  if (connected_ && watch_ && !write_blocked_) {
     flush();
   }
-  if (up_ && !queue_.empty()) {
+  if (connected_ && !queue_.empty()) {
     write_signal_.notify();
   }
   return token;
@@ -212,7 +212,7 @@
 // Removes the queued writes whose send check returns false.
 void Connection::remove_refused_writes() {
   for (auto entry = queue_.begin(); entry != queue_.end();) {
-    if (entry->written > 0 || !entry->gate || entry->gate()) {
+    if (entry->written > 0 || !entry->send_check || entry->send_check()) {
       ++entry;
       continue;
     }
@@ -223,7 +223,7 @@
         handler->on_send_refused(token);
       }
     });
-    waiting_ -= entry->bytes.size();
+    unsent_bytes_ -= entry->bytes.size();
     entry = queue_.erase(entry);
   }
 }
@@ -241,7 +241,7 @@
     if (queue_.empty()) {
       return;
     }
-    if (queue_.front().gate && queue_.front().written == 0 && peer_closed()) {
+    if (queue_.front().send_check && queue_.front().written == 0 && peer_closed()) {
       finish(ConnectionEnd::kPeerClosed);
       return;
     }
@@ -266,7 +266,7 @@
       continue;
     }
     auto left = static_cast<std::size_t>(count);
-    waiting_ -= left;
+    unsent_bytes_ -= left;
     while (left > 0) {
       QueuedWrite& entry = queue_.front();
       const std::size_t taken = std::min(left, entry.bytes.size() - entry.written);
@@ -284,17 +284,17 @@
                       [token](const QueuedWrite& one) { return one.token == token; });
 }
 
-bool Connection::begun(std::uint64_t token) const {
+bool Connection::may_have_sent(std::uint64_t token) const {
   const auto entry = find_write(token);
   return entry == queue_.end() ? token <= last_token_ && !refused_.contains(token) : entry->written > 0;
 }
 
-bool Connection::withdraw(std::uint64_t token) {
+bool Connection::cancel_write(std::uint64_t token) {
   const auto entry = find_write(token);
   if (entry == queue_.end() || entry->written > 0) {
     return refused_.erase(token) > 0;
   }
-  waiting_ -= entry->bytes.size();
+  unsent_bytes_ -= entry->bytes.size();
   queue_.erase(entry);
   return true;
 }
@@ -310,10 +310,10 @@
   return ::recv(socket_.get(), &next, 1, MSG_PEEK);
 }
 
-bool Connection::unread() const { return !ended_ && up_ && peek() > 0; }
+bool Connection::has_unread_data() const { return !ended_ && connected_ && peek() > 0; }
 
 bool Connection::close_if_read(ConnectionEnd end) {
-  if (unread()) {
+  if (has_unread_data()) {
     return false;
   }
   finish(end);
@@ -326,14 +326,14 @@
   const bool ours = end == ConnectionEnd::kIdle || end == ConnectionEnd::kShutdown ||
                     end == ConnectionEnd::kMalformed || end == ConnectionEnd::kOverflow ||
                     end == ConnectionEnd::kDropped;
-  const bool room = bounds_.lingering && bounds_.lingering->open < bounds_.lingering->most;
-  return ours && room && up_ && watch_ && bounds_.linger > Clock::duration::zero();
+  const bool room = bounds_.lingering && bounds_.lingering->count < bounds_.lingering->max;
+  return ours && room && connected_ && watch_ && bounds_.linger > Clock::duration::zero();
 }
 
 // Closes the descriptor in any state of the connection.
 void Connection::release_socket() {
   if (std::exchange(lingering_, false)) {
-    --bounds_.lingering->open;
+    --bounds_.lingering->count;
   }
   if (watch_) {
     watch_->close();
@@ -348,7 +348,7 @@
   ended_ = true;
   lingering_ = should_linger(end);
   if (lingering_) {
-    ++bounds_.lingering->open;
+    ++bounds_.lingering->count;
     ::shutdown(socket_.get(), SHUT_WR);
     scheduler_.at(Clock::now() + bounds_.linger, [weak = weak_from_this()] {
       if (const auto self = weak.lock(); self && self->lingering_) {
@@ -365,7 +365,7 @@
       handler->on_end(end);
     }
     self->queue_.clear();
-    self->waiting_ = 0;
+    self->unsent_bytes_ = 0;
   });
 }
 
--- a/src/transport/connection.h
+++ b/src/transport/connection.h
@@ -21,9 +21,9 @@
 namespace trailcourse::transport {
 
 // Limits how many connections may linger after their end, each of which keeps its descriptor open.
-struct Lingering {
-  int open = 0;
-  int most = 16;
+struct LingerLimit {
+  int count = 0;
+  int max = 16;
 };
 
 class Connection : public std::enable_shared_from_this<Connection> {
@@ -51,7 +51,7 @@
   struct Bounds {
     Clock::duration connect_timeout = std::chrono::seconds(1);
     Clock::duration stall_timeout = std::chrono::seconds(10);  // longest wait of a write for the peer
-    std::size_t most_waiting = 4U << 20U;                      // more end the connection with kOverflow
+    std::size_t max_unsent_bytes = 4U << 20U;                  // more end the connection with kOverflow
     std::size_t low_mark = 32U << 10U;  // unsent bytes below which on_drained() is called
     int send_buffer = 0;                // size of the socket's send buffer in bytes; 0: the system's default
     bool end_on_hang_up = false;        // once the peer has closed, discard its remaining bytes
@@ -59,7 +59,7 @@
     // has closed too. Closing a socket with unread bytes would reset the connection and could lose the bytes
     // that were written last.
     Clock::duration linger = Clock::duration::zero();
-    std::shared_ptr<Lingering> lingering;  // shared by all connections that count towards the limit
+    std::shared_ptr<LingerLimit> lingering;  // shared by all connections that count towards the limit
   };
 
   // Creates a connection that connects to `to`. Errors are reported to the handler.
@@ -79,18 +79,18 @@
 
   // Returns whether the bytes that it guards may still be sent. Called immediately before the first of these
   // bytes is sent, each time that this is attempted. Must not call the connection.
-  using Gate = std::function<bool()>;
+  using SendCheck = std::function<bool()>;
 
   // Queues bytes and returns a token that identifies them. Bytes written after the end are discarded. Ends
   // the connection with kOverflow if more bytes than the bound are then unsent.
-  std::uint64_t write(std::string bytes, Gate gate = {});
+  std::uint64_t write(std::string bytes, SendCheck send_check = {});
 
   // Returns whether any of the bytes of `token` may have been sent.
-  bool begun(std::uint64_t token) const;
+  bool may_have_sent(std::uint64_t token) const;
 
   // Removes the bytes of `token` from the queue if none of them was sent. Returns whether it did; in that
   // case on_send_refused() is not called for them.
-  bool withdraw(std::uint64_t token);
+  bool cancel_write(std::uint64_t token);
 
   // Ends the connection. Unsent bytes are discarded.
   void close(ConnectionEnd end) { finish(end); }
@@ -103,15 +103,15 @@
   bool close_if_read(ConnectionEnd end);
 
   // Returns whether the socket has received bytes that were not read yet.
-  bool unread() const;
+  bool has_unread_data() const;
 
   // Returns whether the peer has closed the connection, even if this was not reported yet, and all bytes that
   // it sent before were read. A request that is sent then cannot be answered.
-  bool ended_by_peer() const { return up_ && (ended_ || peer_closed()); }
+  bool ended_by_peer() const { return connected_ && (ended_ || peer_closed()); }
 
-  bool up() const { return up_; }
+  bool connected() const { return connected_; }
   bool ended() const { return ended_; }
-  std::size_t waiting() const { return waiting_; }
+  std::size_t unsent_bytes() const { return unsent_bytes_; }
   Clock::time_point last_received() const { return last_received_; }
   const Address& peer() const { return peer_; }
 
@@ -120,7 +120,7 @@
     std::uint64_t token;
     std::string bytes;
     std::size_t written;
-    Gate gate;
+    SendCheck send_check;
   };
 
   static Task<void> read_loop(std::shared_ptr<Connection> self);
@@ -145,7 +145,7 @@
   Signal write_signal_;
   std::shared_ptr<Handler> handler_;
   int open_error_;
-  bool up_;
+  bool connected_;
   bool ended_ = false;
   bool lingering_ = false;      // ended; received bytes are read and discarded
   bool write_blocked_ = false;  // the writer waits until the socket is writable
@@ -153,7 +153,7 @@
   std::uint64_t last_token_ = 0;
   std::deque<QueuedWrite> queue_;
   std::set<std::uint64_t> refused_;  // removed from the queue and not reported yet
-  std::size_t waiting_ = 0;
+  std::size_t unsent_bytes_ = 0;
   Clock::time_point last_received_ = Clock::now();
 };
 
@@ -184,9 +184,9 @@
       connection->close_when_written();
     }
   }
-  std::size_t waiting() const {
+  std::size_t unsent_bytes() const {
     const auto connection = connection_.lock();
-    return connection ? connection->waiting() : 0;
+    return connection ? connection->unsent_bytes() : 0;
   }
   Clock::time_point last_received() const {
     const auto connection = connection_.lock();
--- a/src/transport/connection_pool.h
+++ b/src/transport/connection_pool.h
@@ -21,7 +21,7 @@
 class ConnectionPool {
  public:
   struct Bounds {
-    int streams = 32;  // on one connection at once
+    int streams_per_connection = 32;
     int connections_per_peer = 8;
     int total_connections = 128;
     Clock::duration idle = std::chrono::seconds(10);  // after which a connection without streams is closed
@@ -50,7 +50,7 @@
   // possible, otherwise a new one, otherwise the one with the fewest streams. Null where the bounds allow
   // none.
   template <typename MayUse>
-  SlotPtr take(const std::string& peer, const Address& address, MayUse may_use) {
+  SlotPtr acquire(const std::string& peer, const Address& address, MayUse may_use) {
     std::vector<SlotPtr>& slots = peers_[peer];
     SlotPtr best = least_used(slots, address, may_use);
     // The peer may have closed the connection without this being reported yet: bytes sent there would be
@@ -59,7 +59,7 @@
       best->connection->close(ConnectionEnd::kPeerClosed);
       best = least_used(slots, address, may_use);
     }
-    const bool free = best && best->streams == 0 && best->connection->up();
+    const bool free = best && best->streams == 0 && best->connection->connected();
     const auto open = std::count_if(slots.begin(), slots.end(),
                                     [](const SlotPtr& slot) { return !slot->connection->ended(); });
     if (!free && open < bounds_.connections_per_peer && make_room()) {
@@ -94,7 +94,7 @@
     Clock::time_point latest = Clock::time_point::min();
     if (const auto found = peers_.find(peer); found != peers_.end()) {
       for (const SlotPtr& slot : found->second) {
-        latest = slot->connection->up() ? std::max(latest, slot->connection->last_received()) : latest;
+        latest = slot->connection->connected() ? std::max(latest, slot->connection->last_received()) : latest;
       }
     }
     return latest;
@@ -110,7 +110,7 @@
   }
 
   // Removes a connection from the pool. Has to be called when the connection has ended.
-  void forget(const SlotPtr& slot) {
+  void remove(const SlotPtr& slot) {
     const auto found = peers_.find(slot->peer);
     if (found != peers_.end()) {
       count_ -= static_cast<int>(std::erase(found->second, slot));
@@ -144,7 +144,8 @@
   SlotPtr least_used(const std::vector<SlotPtr>& slots, const Address& address, MayUse may_use) const {
     SlotPtr best;
     for (const SlotPtr& slot : slots) {
-      const bool usable = !slot->retired && !slot->connection->ended() && slot->streams < bounds_.streams &&
+      const bool usable = !slot->retired && !slot->connection->ended() &&
+                          slot->streams < bounds_.streams_per_connection &&
                           slot->connection->peer() == address && may_use(*slot);
       if (usable && (!best || rank(*slot) < rank(*best))) {
         best = slot;
@@ -153,7 +154,7 @@
     return best;
   }
 
-  static std::pair<int, bool> rank(const Slot& slot) { return {slot.streams, !slot.connection->up()}; }
+  static std::pair<int, bool> rank(const Slot& slot) { return {slot.streams, !slot.connection->connected()}; }
 
   bool make_room() { return count_ < bounds_.total_connections || close_one_idle(); }
 
--- a/src/transport/deferred_job.h
+++ b/src/transport/deferred_job.h
@@ -10,12 +10,12 @@
 
 // Runs its job from a later job of the scheduler: never from within post(), and not after this object is
 // destroyed.
-class Deferred {
+class DeferredJob {
  public:
-  Deferred(Scheduler& scheduler, Scheduler::Job job) : scheduler_(scheduler), job_(std::move(job)) {}
-  ~Deferred() { *alive_ = false; }
-  Deferred(const Deferred&) = delete;
-  Deferred& operator=(const Deferred&) = delete;
+  DeferredJob(Scheduler& scheduler, Scheduler::Job job) : scheduler_(scheduler), job_(std::move(job)) {}
+  ~DeferredJob() { *alive_ = false; }
+  DeferredJob(const DeferredJob&) = delete;
+  DeferredJob& operator=(const DeferredJob&) = delete;
 
   // Requests a run of the job. Further calls have no effect until the job runs.
   void post() {
--- a/src/transport/timer.h
+++ b/src/transport/timer.h
@@ -10,12 +10,12 @@
 
 // Runs a job at a given time. The scheduler has to outlive the timer. The job runs on the scheduler's thread,
 // never from within set().
-class Alarm {
+class Timer {
  public:
-  Alarm(Scheduler& scheduler, Scheduler::Job job) : scheduler_(scheduler), job_(std::move(job)) {}
-  ~Alarm() { set(std::nullopt); }
-  Alarm(const Alarm&) = delete;
-  Alarm& operator=(const Alarm&) = delete;
+  Timer(Scheduler& scheduler, Scheduler::Job job) : scheduler_(scheduler), job_(std::move(job)) {}
+  ~Timer() { set(std::nullopt); }
+  Timer(const Timer&) = delete;
+  Timer& operator=(const Timer&) = delete;
 
   // Sets the time at which the job runs, in place of any earlier one; a time in the past means the next
   // iteration of the scheduler. Cancels the timer where `when` is empty.
--- a/tests/transport_test.cpp
+++ b/tests/transport_test.cpp
@@ -127,10 +127,10 @@
   EXPECT_EQ(accepted, 1);
 }
 
-TEST(Deferred, RunsOnceForSeveralPostsAndNotAfterItsDestruction) {
+TEST(DeferredJob, RunsOnceForSeveralPostsAndNotAfterItsDestruction) {
   Scheduler scheduler;
   int runs = 0;
-  auto deferred = std::make_unique<Deferred>(scheduler, [&runs] { ++runs; });
+  auto deferred = std::make_unique<DeferredJob>(scheduler, [&runs] { ++runs; });
   deferred->post();
   deferred->post();
   EXPECT_EQ(runs, 0);
@@ -281,7 +281,7 @@
   bool open = true;
   const auto first = connection->write("first", [&open] { return open; });
   connection->write("second", [] { return true; });
-  EXPECT_FALSE(connection->begun(first));
+  EXPECT_FALSE(connection->may_have_sent(first));
   open = false;
   fillers.clear();
   std::string received;
@@ -309,7 +309,7 @@
   Descriptor peer = accept();
   const std::string large(3'000'000, 'x');
   const auto first = connection->write(large);
-  run_until(scheduler_, [&] { return connection->begun(first); });
+  run_until(scheduler_, [&] { return connection->may_have_sent(first); });
   bool open = true;
   const auto waiting = connection->write("waiting", [&open] { return open; });
   open = false;
@@ -321,11 +321,11 @@
 TEST_F(ConnectionTest, SendsNothingOnAConnectionThatThePeerHasClosed) {
   const auto connection = connect();
   Descriptor peer = accept();
-  run_until(scheduler_, [&] { return connection->up(); });
+  run_until(scheduler_, [&] { return connection->connected(); });
   peer.reset();
   // The peer has closed, but this is not reported yet, since the scheduler has not run since.
   const auto token = connection->write("request", [] { return true; });
-  EXPECT_FALSE(connection->begun(token)) << "a request that was not sent cannot have been executed";
+  EXPECT_FALSE(connection->may_have_sent(token)) << "a request that was not sent cannot have been executed";
   await_end();
   EXPECT_EQ(events_.ends[0], ConnectionEnd::kPeerClosed);
 }
@@ -333,20 +333,20 @@
 TEST_F(ConnectionTest, AClosedConnectionWithUnreadBytesStillDeliversWrittenBytes) {
   Connection::Bounds bounds;
   bounds.linger = std::chrono::seconds(20);
-  bounds.lingering = std::make_shared<Lingering>();
+  bounds.lingering = std::make_shared<LingerLimit>();
   const auto connection = connect(bounds);
   Descriptor peer = accept();
-  run_until(scheduler_, [&] { return connection->up(); });
+  run_until(scheduler_, [&] { return connection->connected(); });
   ASSERT_EQ(::send(peer.get(), "crossing", 8, MSG_NOSIGNAL), 8);
   connection->write("the last answer");
   connection->close(ConnectionEnd::kIdle);
-  EXPECT_EQ(bounds.lingering->open, 1);
+  EXPECT_EQ(bounds.lingering->count, 1);
   EXPECT_EQ(read_from(peer, 15), "the last answer");
   char next = 0;
   EXPECT_EQ(::recv(peer.get(), &next, 1, MSG_DONTWAIT), 0)
       << "the connection is closed in order and not reset";
   peer.reset();
-  run_until(scheduler_, [&] { return bounds.lingering->open == 0; });
+  run_until(scheduler_, [&] { return bounds.lingering->count == 0; });
   EXPECT_EQ(events_.bytes, "") << "no bytes are delivered after the close";
   EXPECT_EQ(events_.ends, std::vector<ConnectionEnd>{ConnectionEnd::kIdle});
 }
@@ -354,9 +354,9 @@
 TEST_F(ConnectionTest, AnIdleCloseIsSkippedWhileReceivedBytesAreUnread) {
   const auto connection = connect();
   Descriptor peer = accept();
-  run_until(scheduler_, [&] { return connection->up(); });
+  run_until(scheduler_, [&] { return connection->connected(); });
   ASSERT_EQ(::send(peer.get(), "request", 7, MSG_NOSIGNAL), 7);
-  EXPECT_TRUE(connection->unread());
+  EXPECT_TRUE(connection->has_unread_data());
   EXPECT_FALSE(connection->close_if_read(ConnectionEnd::kIdle));
   run_until(scheduler_, [&] { return events_.bytes == "request"; });
   EXPECT_TRUE(connection->close_if_read(ConnectionEnd::kIdle));
@@ -366,17 +366,17 @@
 TEST_F(ConnectionTest, StopsLingeringAfterTheTimeWhereThePeerNeverCloses) {
   Connection::Bounds bounds;
   bounds.linger = milliseconds(20);
-  bounds.lingering = std::make_shared<Lingering>();
-  bounds.lingering->most = 1;
+  bounds.lingering = std::make_shared<LingerLimit>();
+  bounds.lingering->max = 1;
   const auto connection = connect(bounds);
   Descriptor peer = accept();
   const auto another = connect(bounds);
   Descriptor second = accept();
-  run_until(scheduler_, [&] { return connection->up() && another->up(); });
+  run_until(scheduler_, [&] { return connection->connected() && another->connected(); });
   connection->close(ConnectionEnd::kShutdown);
   another->close(ConnectionEnd::kShutdown);
-  EXPECT_EQ(bounds.lingering->open, 1) << "at most as many connections linger as the limit allows";
-  run_until(scheduler_, [&] { return bounds.lingering->open == 0; });
+  EXPECT_EQ(bounds.lingering->count, 1) << "at most as many connections linger as the limit allows";
+  run_until(scheduler_, [&] { return bounds.lingering->count == 0; });
 }
 
 TEST_F(ConnectionTest, DiscardsBytesOfAPeerThatHasClosedWhereEndOnHangUpIsSet) {
@@ -384,7 +384,7 @@
   bounds.end_on_hang_up = true;
   const auto connection = connect(bounds);
   Descriptor peer = accept();
-  run_until(scheduler_, [&] { return connection->up(); });
+  run_until(scheduler_, [&] { return connection->connected(); });
   ASSERT_EQ(::send(peer.get(), "request", 7, MSG_NOSIGNAL), 7);
   peer.reset();
   await_end();
@@ -398,7 +398,7 @@
   connection->write("request");
   await_end();
   EXPECT_EQ(events_.ends[0], ConnectionEnd::kRefused);
-  EXPECT_FALSE(connection->up());
+  EXPECT_FALSE(connection->connected());
 }
 
 TEST_F(ConnectionTest, KeepsWhichBytesWereSentUntilTheEndIsReported) {
@@ -409,13 +409,13 @@
   Descriptor peer = accept();
   const auto first = connection->write(std::string(3'000'000, 'x'));
   const auto second = connection->write("behind");
-  run_until(scheduler_, [&] { return connection->begun(first); });
-  EXPECT_FALSE(connection->begun(second));
-  EXPECT_FALSE(connection->withdraw(first)) << "a part was sent";
-  EXPECT_TRUE(connection->withdraw(second));
-  EXPECT_FALSE(connection->withdraw(second));
+  run_until(scheduler_, [&] { return connection->may_have_sent(first); });
+  EXPECT_FALSE(connection->may_have_sent(second));
+  EXPECT_FALSE(connection->cancel_write(first)) << "a part was sent";
+  EXPECT_TRUE(connection->cancel_write(second));
+  EXPECT_FALSE(connection->cancel_write(second));
   connection->close(ConnectionEnd::kStalled);
-  EXPECT_TRUE(connection->begun(first));
+  EXPECT_TRUE(connection->may_have_sent(first));
   await_end();
 }
 
@@ -441,7 +441,7 @@
 
 TEST_F(ConnectionTest, EndsAConnectionAboveTheMaxOfUnsentBytes) {
   Connection::Bounds bounds;
-  bounds.most_waiting = 1000;
+  bounds.max_unsent_bytes = 1000;
   const auto connection = connect(bounds);
   connection->write(std::string(1001, 'x'));
   await_end();
@@ -483,11 +483,11 @@
   }
   static bool any(const Pool::Slot&) { return true; }
   void bring_up(const Pool::SlotPtr& slot) {
-    run_until(scheduler_, [&] { return slot->connection->up(); });
+    run_until(scheduler_, [&] { return slot->connection->connected(); });
   }
   static Pool::Bounds bounds() {
     Pool::Bounds out;
-    out.streams = 2;
+    out.streams_per_connection = 2;
     out.connections_per_peer = 2;
     out.total_connections = 3;
     return out;
@@ -498,39 +498,39 @@
 
 TEST_F(PoolTest, PrefersAFreeConnectionThenANewOneThenTheLeastUsed) {
   Pool pool(scheduler_, bounds(), link_factory());
-  const auto first = pool.take("a", address_, any);
+  const auto first = pool.acquire("a", address_, any);
   ASSERT_TRUE(first);
   bring_up(first);
-  const auto second = pool.take("a", address_, any);
+  const auto second = pool.acquire("a", address_, any);
   EXPECT_NE(first, second);
   bring_up(second);
-  EXPECT_EQ(pool.take("a", address_, any), first)
+  EXPECT_EQ(pool.acquire("a", address_, any), first)
       << "no third connection may be opened: existing ones are shared";
-  EXPECT_EQ(pool.take("a", address_, any), second);
-  EXPECT_FALSE(pool.take("a", address_, any)) << "all streams are in use";
+  EXPECT_EQ(pool.acquire("a", address_, any), second);
+  EXPECT_FALSE(pool.acquire("a", address_, any)) << "all streams are in use";
   pool.release(second);
-  EXPECT_EQ(pool.take("a", address_, any), second);
+  EXPECT_EQ(pool.acquire("a", address_, any), second);
 }
 
 TEST_F(PoolTest, ClosesAnIdleConnectionAtTheTotalLimitAndReturnsNoneIfAllAreInUse) {
   Pool pool(scheduler_, bounds(), link_factory());
-  const auto a = pool.take("a", address_, any);
-  const auto b = pool.take("b", address_, any);
-  const auto c = pool.take("c", address_, any);
+  const auto a = pool.acquire("a", address_, any);
+  const auto b = pool.acquire("b", address_, any);
+  const auto c = pool.acquire("c", address_, any);
   bring_up(a);
-  EXPECT_FALSE(pool.take("d", address_, any)) << "the limit is reached and all connections are in use";
+  EXPECT_FALSE(pool.acquire("d", address_, any)) << "the limit is reached and all connections are in use";
   pool.release(a);
-  EXPECT_TRUE(pool.take("d", address_, any));
+  EXPECT_TRUE(pool.acquire("d", address_, any));
   EXPECT_TRUE(a->connection->ended());
 }
 
 TEST_F(PoolTest, ARetiredOrDroppedConnectionGetsNoNewStreams) {
   Pool pool(scheduler_, bounds(), link_factory());
-  const auto first = pool.take("a", address_, any);
+  const auto first = pool.acquire("a", address_, any);
   bring_up(first);
   pool.retire(first, ConnectionEnd::kSilent);
   EXPECT_FALSE(first->connection->ended()) << "its streams continue";
-  const auto second = pool.take("a", address_, any);
+  const auto second = pool.acquire("a", address_, any);
   EXPECT_NE(second, first);
   pool.release(first);
   EXPECT_TRUE(first->connection->ended());
@@ -541,11 +541,11 @@
 
 TEST_F(PoolTest, AConnectionToAnOldAddressIsNotUsed) {
   Pool pool(scheduler_, bounds(), link_factory());
-  const auto first = pool.take("a", address_, any);
+  const auto first = pool.acquire("a", address_, any);
   bring_up(first);
   pool.release(first);
   Opened other = listen_on(kAnyPort, 4);
-  const auto second = pool.take("a", local_of(other.descriptor.get()), any);
+  const auto second = pool.acquire("a", local_of(other.descriptor.get()), any);
   EXPECT_NE(second, first);
 }
 
@@ -553,7 +553,7 @@
   Pool::Bounds short_idle = bounds();
   short_idle.idle = milliseconds(20);
   Pool pool(scheduler_, short_idle, link_factory());
-  const auto slot = pool.take("a", address_, any);
+  const auto slot = pool.acquire("a", address_, any);
   bring_up(slot);
   pool.release(slot);
   await_end();
