--- a/src/discovery/discovery_server.cpp
+++ b/src/discovery/discovery_server.cpp
@@ -18,12 +18,12 @@
 
 constexpr std::size_t kMaxRequestHead = 8'192;
 constexpr std::size_t kMaxRequestBody = 65'536;
-constexpr std::size_t kMaxReadAhead = kMaxRequestHead + kMaxRequestBody;  // while a poll is held
-constexpr std::size_t kOverflowConnections = 256;  // above the limit, which get a Retry-After and are closed
+constexpr std::size_t kMaxReadAhead = kMaxRequestHead + kMaxRequestBody;  // bytes, while a poll is held
+constexpr std::size_t kOverflowConnections = 256;  // above the limit; each gets a Retry-After, then closes
 constexpr milliseconds kAcceptBackoff{50};
 constexpr milliseconds kOverflowRetryAfter{1'000};
 constexpr milliseconds kMaxRequestedTimeout{3'600'000};
-constexpr int kIdleChecksPerLimit = 4;
+constexpr int kChecksPerIdleTimeout = 4;
 
 constexpr int kOk = 200;
 constexpr int kNotFound = 404;
@@ -206,7 +206,7 @@
 
 transport::Task<void> DiscoveryServer::close_idle_sessions() {
   for (;;) {
-    co_await scheduler_.sleep(limits_.idle / kIdleChecksPerLimit);
+    co_await scheduler_.sleep(limits_.idle / kChecksPerIdleTimeout);
     const Clock::time_point idle_since = Clock::now() - limits_.idle;
     const auto sessions = sessions_;
     for (const std::shared_ptr<Session>& session : sessions) {
@@ -246,11 +246,11 @@
 }
 
 void DiscoveryServer::reject_held_polls() {
-  constexpr milliseconds kShortest{1};
+  constexpr milliseconds kMinRetryAfter{1};
   const auto held = std::exchange(held_, {});
   for (const auto& [poll, session] : held) {
     long_polls_.on_disconnected(poll);
-    session->reject_poll(handlers_.rejection().value_or(kShortest));
+    session->reject_poll(handlers_.rejection().value_or(kMinRetryAfter));
   }
 }
 
--- a/src/discovery/event_log.h
+++ b/src/discovery/event_log.h
@@ -3,8 +3,9 @@
 // rendered once for all clients that poll from the same sequence number.
 //
 // Compaction replaces all changes of the endpoint list by one full list with the sequence number of the last
-// change, and drops purge events that no longer bind. A client that polls from an older sequence number gets
-// the full list and all binding purge events, which has the same effect as the original events.
+// change, and drops purge events from before a given time, which no longer bind. A client that polls from an
+// older sequence number gets the full list and all binding purge events, which has the same effect as the
+// original events.
 //
 // Library `discovery`. Not thread-safe.
 #pragma once
--- a/src/discovery/fenced_event.h
+++ b/src/discovery/fenced_event.h
@@ -1,6 +1,6 @@
 // Publishes an event of owned work exactly once, and only under a fencing token that is not superseded. The
-// highest terms are part of the page of the service, so that a term and its first event are stored together
-// or not at all.
+// highest term of each shard is part of the page of the service, so that a term and its first event are
+// stored together or not at all.
 //
 // Library `discovery`: no I/O and no clock.
 #pragma once
--- a/src/discovery/long_poll_scheduler.cpp
+++ b/src/discovery/long_poll_scheduler.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr double kBurstSeconds = 0.1;  // of polls at the rate limit that are accepted at once
+constexpr double kBurstSeconds = 0.1;  // a burst is as many polls as the rate limit accepts in this time
 constexpr milliseconds kSecond{1'000};
 constexpr milliseconds kPeakWindow{100};
 constexpr double kMillisPerSecond = 1e3;
@@ -23,25 +23,24 @@
                                             "A discovery service for many routers: `trailcourse board`.");
     record
         .string("listen", &DiscoveryOptions::listen, "IP:PORT", StringRule{{}, true},
-                "address on which routers and nodes poll")
+                "address on which the service listens for routers and nodes")
         .string("file", &DiscoveryOptions::file, "-", StringRule{{}, true},
                 "file of the published page, as {\"rev\":N,\"notices\":[...]}; a change is published at once")
         .integer("connections", &DiscoveryOptions::connections, "connections", IntegerRange{1, 1'000'000},
-                 "maximum open connections; a further one is answered 503 with a Retry-After, and closed")
+                 "maximum open connections; a further one gets status 503 with a Retry-After and is closed")
         .integer("waiting", &DiscoveryOptions::waiting, "calls", IntegerRange{1, 1'000'000},
-                 "maximum long polls that wait for an update; further ones are rejected")
+                 "maximum long polls held until an update; further ones are rejected with a Retry-After")
         .integer(
             "calls_per_s", &DiscoveryOptions::calls_per_s, "calls/s", IntegerRange{0, 1'000'000},
-            "calls answered per second, beside the long polls that are released; further calls are queued "
-            "by Retry-After; 0: no limit")
-        .integer(
-            "release_ms", &DiscoveryOptions::release_ms, "ms", IntegerRange{0, 5'000},
-            "window over which an update is sent to the waiting long polls; well below the purge grace of "
-            "the settings")
+            "maximum polls accepted per second, whether they are answered at once or held; further ones are "
+            "rejected with a Retry-After that grows with their number; 0: no limit")
+        .integer("release_ms", &DiscoveryOptions::release_ms, "ms", IntegerRange{0, 5'000},
+                 "window over which the held long polls are answered after an update; has to be well below "
+                 "the purge grace of the settings")
         .integer("retry_after_most_s", &DiscoveryOptions::retry_after_most_s, "s", IntegerRange{1, 3'600},
                  "maximum Retry-After of a rejected call")
         .integer("linger_most_ms", &DiscoveryOptions::linger_most_ms, "ms", IntegerRange{0, 60'000},
-                 "maximum time for which a long poll waits, whatever timeout it requests");
+                 "maximum time for which a long poll is held; a longer requested timeout is reduced to this");
     return record;
   }();
   return kRecord;
@@ -109,13 +108,13 @@
   }
   ++counts_.held;
   held_[poll] = now + hold_for;
-  release_.emplace(now + hold_for, poll);
+  by_answer_time_.emplace(now + hold_for, poll);
   return {PollDecisionKind::kHold, Millis(0)};
 }
 
 void LongPollScheduler::on_disconnected(PollId poll) {
   if (const auto found = held_.find(poll); found != held_.end()) {
-    release_.erase({found->second, poll});
+    by_answer_time_.erase({found->second, poll});
     held_.erase(found);
   }
 }
@@ -133,17 +132,17 @@
     Millis& answer_at = held_[order[static_cast<std::size_t>(i)]];
     answer_at = std::min(answer_at, now + i * options_.release_window / count);
   }
-  release_.clear();
+  by_answer_time_.clear();
   for (const auto& [poll, answer_at] : held_) {
-    release_.emplace(answer_at, poll);
+    by_answer_time_.emplace(answer_at, poll);
   }
 }
 
 std::vector<PollId> LongPollScheduler::step(Millis now) {
   std::vector<PollId> out;
-  while (!release_.empty() && release_.begin()->first <= now) {
-    const PollId poll = release_.begin()->second;
-    release_.erase(release_.begin());
+  while (!by_answer_time_.empty() && by_answer_time_.begin()->first <= now) {
+    const PollId poll = by_answer_time_.begin()->second;
+    by_answer_time_.erase(by_answer_time_.begin());
     held_.erase(poll);
     out.push_back(poll);
     ++counts_.released;
@@ -152,7 +151,7 @@
 }
 
 std::optional<LongPollScheduler::Millis> LongPollScheduler::next_step_at() const {
-  return release_.empty() ? std::nullopt : std::optional<Millis>(release_.begin()->first);
+  return by_answer_time_.empty() ? std::nullopt : std::optional<Millis>(by_answer_time_.begin()->first);
 }
 
 }  // namespace trailcourse::discovery
--- a/src/discovery/long_poll_scheduler.h
+++ b/src/discovery/long_poll_scheduler.h
@@ -3,8 +3,9 @@
 //
 // Two numbers are bounded here: the polls held at once, and the polls accepted per second. A poll above a
 // bound gets a slot in a virtual queue that is served at the configured rate, and its Retry-After is the wait
-// until that slot, so that it grows with the queue and rejected clients do not return all together. Held
-// polls are answered in random order over a release window, which has to be shorter than the bound on purges.
+// until that slot, so that it grows with the queue and rejected clients do not all return at the same time.
+// Held polls are answered in random order over a release window, which has to be shorter than the bound on
+// purges.
 //
 // Library `discovery`: no I/O and no clock. Not thread-safe.
 #pragma once
@@ -45,7 +46,7 @@
 // Options of LongPollScheduler.
 struct LongPollOptions {
   std::size_t max_held = 4'096;
-  double calls_per_s = 0.0;                                // polls accepted; 0: no bound
+  double calls_per_s = 0.0;                                // maximum rate of accepted polls; 0: no limit
   std::chrono::milliseconds release_window{100};           // over which held polls are answered after updates
   std::chrono::milliseconds max_retry_after{60'000};       // longest Retry-After of a rejection
   std::chrono::milliseconds max_long_poll_timeout{5'000};  // longest time for which a poll is held
@@ -60,7 +61,7 @@
 // The decision on a poll.
 struct PollDecision {
   PollDecisionKind kind = PollDecisionKind::kAnswer;
-  std::chrono::milliseconds retry_after{0};  // of a rejection
+  std::chrono::milliseconds retry_after{0};  // set for kReject: when the client may poll again
 };
 
 // Counts since the start.
@@ -110,8 +111,8 @@
 
   LongPollOptions options_;
   std::mt19937_64 random_;
-  std::map<PollId, Millis> held_;                // with the time at which each is answered
-  std::set<std::pair<Millis, PollId>> release_;  // the same entries, ordered by time
+  std::map<PollId, Millis> held_;                       // with the time at which each is answered
+  std::set<std::pair<Millis, PollId>> by_answer_time_;  // the same entries, ordered by time
   double tokens_ = 0.0;
   std::optional<Millis> refilled_at_;
   double next_slot_ms_ = 0.0;         // of the virtual queue
--- a/src/snapshot/snapshot.cpp
+++ b/src/snapshot/snapshot.cpp
@@ -108,12 +108,15 @@
 
 const config::Record<SnapshotOptions>& snapshot_record() {
   static const config::Record<SnapshotOptions> kRecord = [] {
-    config::Record<SnapshotOptions> record("snapshot",
-                                           "The last endpoint list and purges on a persistent disk, so that "
-                                           "a start does not wait for the discovery service.");
+    config::Record<SnapshotOptions> record(
+        "snapshot",
+        "Snapshots of the endpoint list and the purge events on disk, with which a router starts without "
+        "waiting for the discovery service.");
     record
-        .string("folder", &SnapshotOptions::folder, "-", StringRule{},
-                "folder of the snapshots of this router only, created if missing; none: no snapshots")
+        .string(
+            "folder", &SnapshotOptions::folder, "-", StringRule{},
+            "folder for the snapshots of this router, which no other router may use; created if it does not "
+            "exist; empty: no snapshots")
         .string("fleet", &SnapshotOptions::fleet, "-", StringRule{{}, true},
                 "name of the fleet; a snapshot of another fleet is not used")
         .integer("write_ms", &SnapshotOptions::write_ms, "ms", IntegerRange{10, 3'600'000},
@@ -121,7 +124,7 @@
         .integer("confirm_ms", &SnapshotOptions::confirm_ms, "ms", IntegerRange{100, 3'600'000},
                  "interval between two writes that only record that the data is still current")
         .integer("most_age_s", &SnapshotOptions::most_age_s, "s", IntegerRange{1, 31'536'000},
-                 "maximum age of a snapshot; one that was last confirmed before that is not used");
+                 "maximum time since a snapshot was last confirmed; an older one is not used");
     return record;
   }();
   return kRecord;
--- a/src/snapshot/snapshot_directory.h
+++ b/src/snapshot/snapshot_directory.h
@@ -23,8 +23,8 @@
   std::optional<std::string> load() const;
 
   // Replaces the snapshot durably: writes and syncs a new file, renames it over the old one, and syncs the
-  // directory. Throws std::system_error, in which case the old snapshot remains unless only the last sync
-  // failed.
+  // directory. Throws std::system_error on failure; the old snapshot then remains, unless only the sync of
+  // the directory failed.
   void store(const std::string& bytes) const;
 
  private:
--- a/src/snapshot/write_scheduler.cpp
+++ b/src/snapshot/write_scheduler.cpp
@@ -10,8 +10,8 @@
 
 }  // namespace
 
-// Returns a random interval. All routers of a fleet get a change at the same time and may share a disk, so
-// their writes have to be spread.
+// Returns a random interval of at least half of `longest`. All routers of a fleet get a change at the same
+// time and may share a disk, so their writes have to be spread.
 WriteScheduler::Millis WriteScheduler::jitter(Millis longest) {
   std::uniform_int_distribution<Millis::rep> interval(longest.count() / 2, longest.count());
   return Millis(interval(random_));
--- a/src/startup/endpoint_admission.h
+++ b/src/startup/endpoint_admission.h
@@ -8,7 +8,7 @@
 // each time the endpoint flaps. The admission time drawn before remains a lower bound after the endpoint is
 // gone, so that flapping never makes an admission earlier. Draining and removal take effect at once.
 //
-// Library `startup`. The decision module chooses among the admitted endpoints; this class does not choose.
+// Library `startup`. The decision module selects an endpoint for each request from the admitted ones.
 #pragma once
 
 #include <cstddef>
--- a/src/startup/endpoint_view.cpp
+++ b/src/startup/endpoint_view.cpp
@@ -6,8 +6,8 @@
 namespace trailcourse::startup {
 namespace {
 
-constexpr std::uint64_t kPurgeGroups = 256;  // that the protocol defines
-constexpr int kAgeLimitParts = 3;            // renewals of an age limit within its length
+constexpr std::uint64_t kPurgeGroups = 256;  // number of groups in the protocol
+constexpr int kRenewalsPerAgeLimit = 3;      // purges are repeated this often within each age limit
 
 bool same_attributes(const Endpoint& left, const Endpoint& right) {
   return left.zone == right.zone && left.role == right.role && left.cell == right.cell &&
@@ -125,7 +125,7 @@
 // Appends purges of all groups. Their age is the limit minus the time until the next renewal, so that no copy
 // older than the limit is ever served.
 void EndpointView::append_age_limit(Micros now, Micros max_copy_age, std::vector<Event>& events) {
-  const Micros renewal = std::max(Micros(1), max_copy_age / kAgeLimitParts);
+  const Micros renewal = std::max(Micros(1), max_copy_age / kRenewalsPerAgeLimit);
   next_age_limit_ = now + renewal;
   for (std::uint64_t group = 0; group < kPurgeGroups; ++group) {
     Purged purged;
--- a/src/startup/endpoint_view.h
+++ b/src/startup/endpoint_view.h
@@ -1,7 +1,7 @@
 // The endpoint view filters what the decision module sees of the discovery service while this router starts,
 // reconnects to the service or has a stale list. It stores the list as the service sent it and derives the
 // list for the module: an endpoint whose admission is pending appears as draining, a list that may not be
-// served appears as empty, and a limit on the age of cached copies appears as purges. The module makes its
+// used appears as empty, and a limit on the age of cached copies appears as purges. The module makes its
 // usual decisions on the derived list.
 //
 // Where the operator's file has no section `startup`, there is no endpoint view, and the module gets the
@@ -53,8 +53,8 @@
   ServingPermissions permissions(Micros now) const { return readiness_.permissions(now); }
   Staleness staleness(Micros now) const { return readiness_.staleness(now); }
 
-  // Returns whether requests can be served: the list may be served, and at least one cache, parent or origin
-  // in it is admitted.
+  // Returns whether requests can be served: the list may be used, and at least one cache, parent or origin in
+  // it is admitted.
   bool is_ready(Micros now) const;
 
   // Returns the number of listed endpoints that are not admitted yet.
--- a/src/startup/options.cpp
+++ b/src/startup/options.cpp
@@ -28,42 +28,43 @@
         "startup",
         "How a router starts, and reconnects to its dependencies, when many routers do so at the same time.");
     record
-        .boolean(
-            "spread", &StartOptions::spread,
-            "spread calls and connections at random over windows that follow from the number of routers; "
-            "false: make them at once")
+        .boolean("spread", &StartOptions::spread,
+                 "spread calls and connections at random over windows whose length depends on the number of "
+                 "routers; false: make them at once")
         .integer(
             "routers", &StartOptions::routers, "routers", IntegerRange{0, 1'000'000},
-            "number of routers in the fleet; 0: as the settings say, else as the discovery service reports")
-        .number("board_calls_per_s", &StartOptions::board_calls_per_s, "calls/s", NumberRange{0.1, 1e6},
-                "calls that the discovery service can serve for all routers while they start or reconnect")
+            "number of routers in the fleet; 0: the number in the settings, or else an estimate from the "
+            "connections that the discovery service reports")
+        .number(
+            "board_calls_per_s", &StartOptions::board_calls_per_s, "calls/s", NumberRange{0.1, 1e6},
+            "polls per second that the discovery service can serve, from all routers together, while they "
+            "start or reconnect")
         .integer("window_most_ms", &StartOptions::window_most_ms, "ms", IntegerRange{50, 3'600'000},
                  "maximum window over which first calls, and calls after a failure, are spread")
         .integer(
             "reask_ms", &StartOptions::reask_ms, "ms", IntegerRange{0, 10'000},
-            "maximum random delay of the next poll after an update; all routers receive an update at the "
-            "same time")
+            "maximum random delay of the poll that follows an update, because all routers receive an update "
+            "at the same time")
         .integer("retry_after_most_s", &StartOptions::retry_after_most_s, "s", IntegerRange{0, 3'600},
-                 "maximum Retry-After of the discovery service that is followed in full")
-        .number(
-            "node_opens_per_s", &StartOptions::node_opens_per_s, "connections/s", NumberRange{0.0, 1e6},
-            "new connections from all routers that one cache or parent can accept; 0: connections open as "
-            "requests arrive")
+                 "maximum Retry-After of the discovery service; a longer one is reduced to this")
+        .number("node_opens_per_s", &StartOptions::node_opens_per_s, "connections/s", NumberRange{0.0, 1e6},
+                "new connections per second, from all routers together, that one cache or parent can accept; "
+                "0: no slow start, connections open as requests arrive")
         .integer("open_window_most_ms", &StartOptions::open_window_most_ms, "ms", IntegerRange{0, 600'000},
                  "maximum window over which routers start to use a new or returning node")
         .integer("node_connections", &StartOptions::node_connections, "connections",
                  IntegerRange{0, 1'000'000},
-                 "connections from all routers that one cache or parent can hold; 0: no limit")
+                 "connections, from all routers together, that one cache or parent can hold; 0: no limit")
         .integer("flap_s", &StartOptions::flap_s, "s", IntegerRange{0, 86'400},
                  "a node that returns again within this time is flapping, and its admission window doubles")
         .string("unsure", &StartOptions::unsure, "-", StringRule{{"serve", "guard", "refuse"}, false},
-                "policy while the endpoint list may be stale; serve: serve as usual; guard: serve with age "
-                "limits that exclude copies that a missed purge may forbid; refuse: reject all requests")
+                "policy while the endpoint list may be stale; serve: serve as usual; guard: serve, except "
+                "for cached copies that a missed purge may forbid; refuse: reject all requests")
         .integer(
             "told_within_ms", &StartOptions::told_within_ms, "ms", IntegerRange{0, 600'000},
-            "time after which an event of the discovery service is in force, whether it was received or "
-            "not; 0: the purge grace of the settings, and with unsure `serve` at least the duration of a "
-            "long poll")
+            "time from the publication of an event of the discovery service until it is in force, whether it "
+            "was received or not; 0: the purge grace of the settings, and with unsure `serve` at least the "
+            "duration of a long poll")
         .integer("lapse_ms", &StartOptions::lapse_ms, "ms", IntegerRange{0, 86'400'000},
                  "time without a response of the discovery service after which all requests are rejected; 0: "
                  "never");
--- a/src/startup/options.h
+++ b/src/startup/options.h
@@ -16,7 +16,7 @@
 namespace trailcourse::startup {
 
 // The section `startup` of the operator's file; each member is the key of that name. Without the section, a
-// router starts with the default options and without jitter over the fleet.
+// router uses the defaults below, which do not spread calls and connections over time.
 struct StartOptions {
   bool spread = false;
   std::int64_t routers = 0;
@@ -38,8 +38,8 @@
 
 // Options of PollScheduler.
 struct PollOptions {
-  bool spread = false;                      // draw polls from windows that grow with the fleet's size
-  double calls_per_s = 100.0;               // that the discovery service can serve to all routers
+  bool spread = false;                      // draw poll times from windows that grow with the fleet
+  double calls_per_s = 100.0;               // polls that the service can serve, from all routers together
   Micros min_backoff{50'000};               // shortest window after a failure
   Micros max_backoff{400'000};              // longest mean backoff without `spread`
   Micros max_window{60'000'000};            // longest window with `spread`
@@ -52,9 +52,9 @@
 
 // Options of EndpointAdmission.
 struct AdmissionOptions {
-  double admissions_per_s = 0.0;        // that one endpoint accepts from all routers; 0: no slow start
-  Micros max_window{5'000'000};         // longest window from which an admission time is drawn
-  int endpoint_connections = 0;         // that one endpoint holds from all routers; 0: no bound
+  double admissions_per_s = 0.0;  // per second, that an endpoint accepts from all routers; 0: no slow start
+  Micros max_window{5'000'000};   // longest window from which an admission time is drawn
+  int endpoint_connections = 0;   // connections that one endpoint can hold from all routers; 0: no limit
   int max_connections_per_router = 16;  // from this router to one endpoint
   Micros flap_window{60'000'000};       // an endpoint listed again within this time counts as flapping
 };
@@ -69,7 +69,7 @@
 // Options of Readiness.
 struct ReadinessOptions {
   StalePolicy stale_policy = StalePolicy::kServe;
-  Micros notification_bound{300'000};  // from the publication of an event until it binds, received or not
+  Micros notification_bound{300'000};  // from an event's publication until it is in force, received or not
   Micros purge_completion{6'000'000};  // from a purge until all caches have dropped the purged copies
   Micros expiry{0};                    // age above which a list is not used; 0: no limit
 };
--- a/src/startup/relay_selector.h
+++ b/src/startup/relay_selector.h
@@ -1,11 +1,11 @@
 // Selects which process this router polls for the pages of the discovery service: its parent in the relay
 // tree, a more distant ancestor, or the service itself. Also checks whether the answer of a relay is valid.
 //
-// A relay may be dead, stalled, out of date or faulty. The delay by each fault is bounded: a call to a relay
-// ends after its long-poll timeout and grace; a relay that failed is quarantined for a time that doubles with
-// each failure; after two failures in a row the service itself is polled; a relay whose page is too old is
-// quarantined at once. Audits detect a relay that withholds events: routers request the last sequence number
-// from the service itself, at a rate that is set for the whole fleet.
+// A relay may be dead, stalled, out of date or faulty. The delay that each fault causes is bounded: a call to
+// a relay ends after its long-poll timeout and a grace period; a relay that failed is quarantined for a time
+// that doubles with each failure; after two failures in a row the service itself is polled; a relay whose
+// page is too old is quarantined at once. Audits detect a relay that withholds events: routers request the
+// last sequence number from the service itself, at a rate that is set for the whole fleet.
 //
 // Library `startup`.
 #pragma once
@@ -23,11 +23,11 @@
 
 // Options of RelaySelector.
 struct RelaySelectorOptions {
-  Micros max_age{1'000'000};                   // of a page from a relay
-  Micros initial_quarantine{500'000};          // of a relay that failed; doubles with each failure
-  Micros max_quarantine{30'000'000};           // bound of the doubling
+  Micros max_age{1'000'000};           // longest age of a page from a relay
+  Micros initial_quarantine{500'000};  // upper bound for the first failure of a relay; doubles with each
+  Micros max_quarantine{30'000'000};   // the upper bound does not grow beyond this
   Micros withholding_quarantine{300'000'000};  // of a relay that withheld events
-  int failures_before_fallback = 2;            // in a row, of any relays; then the service itself is polled
+  int failures_before_fallback = 2;            // consecutive, of any relays; then the service is polled
   double audits_per_s = 1.0;                   // of all routers together; 0: no audits
 };
 
--- a/src/transport/connection.cpp
+++ b/src/transport/connection.cpp
@@ -14,9 +14,9 @@
 namespace trailcourse::transport {
 namespace {
 
-constexpr std::size_t kReadBytes = 64U << 10U;  // per call of the system
-constexpr int kReadsPerYield = 2;               // before other coroutines run
-constexpr std::size_t kMaxWritesPerCall = 16;   // of the system
+constexpr std::size_t kReadBytes = 64U << 10U;  // per system call
+constexpr int kReadsPerYield = 2;               // number of reads after which other coroutines run
+constexpr std::size_t kMaxWritesPerCall = 16;   // per sendmsg()
 
 // Shared by all connections: only one thread reads, and each handler processes its bytes before the next
 // read.
@@ -37,7 +37,7 @@
   }
 }
 
-// Returns the end for a failed connect: kUnreachable for all errors without a value of their own.
+// Returns the end for a failed connect: kUnreachable for all errors that have no enumerator of their own.
 ConnectionEnd connect_end_of(int error) {
   const ConnectionEnd end = end_of(error);
   return end == ConnectionEnd::kBroken ? ConnectionEnd::kUnreachable : end;
@@ -105,8 +105,8 @@
 
 Task<void> Connection::read_loop(std::shared_ptr<Connection> self) {
   if (!self->connected_) {
-    const bool up = co_await self->finish_connect();
-    if (!up) {
+    const bool connected = co_await self->finish_connect();
+    if (!connected) {
       co_return;
     }
   }
@@ -323,11 +323,11 @@
 // Returns whether to linger after `end`: only where this side closed the connection, except for a peer that
 // does not read.
 bool Connection::should_linger(ConnectionEnd end) const {
-  const bool ours = end == ConnectionEnd::kIdle || end == ConnectionEnd::kShutdown ||
-                    end == ConnectionEnd::kMalformed || end == ConnectionEnd::kOverflow ||
-                    end == ConnectionEnd::kDropped;
+  const bool closed_here = end == ConnectionEnd::kIdle || end == ConnectionEnd::kShutdown ||
+                           end == ConnectionEnd::kMalformed || end == ConnectionEnd::kOverflow ||
+                           end == ConnectionEnd::kDropped;
   const bool room = bounds_.lingering && bounds_.lingering->count < bounds_.lingering->max;
-  return ours && room && connected_ && watch_ && bounds_.linger > Clock::duration::zero();
+  return closed_here && room && connected_ && watch_ && bounds_.linger > Clock::duration::zero();
 }
 
 // Closes the descriptor in any state of the connection.
--- a/src/transport/connection.h
+++ b/src/transport/connection.h
@@ -20,7 +20,7 @@
 
 namespace trailcourse::transport {
 
-// Limits how many connections may linger after their end, each of which keeps its descriptor open.
+// Counts and limits the connections that linger after their end, each of which keeps its descriptor open.
 struct LingerLimit {
   int count = 0;
   int max = 16;
@@ -51,10 +51,10 @@
   struct Bounds {
     Clock::duration connect_timeout = std::chrono::seconds(1);
     Clock::duration stall_timeout = std::chrono::seconds(10);  // longest wait of a write for the peer
-    std::size_t max_unsent_bytes = 4U << 20U;                  // more end the connection with kOverflow
-    std::size_t low_mark = 32U << 10U;  // unsent bytes below which on_drained() is called
-    int send_buffer = 0;                // size of the socket's send buffer in bytes; 0: the system's default
-    bool end_on_hang_up = false;        // once the peer has closed, discard its remaining bytes
+    std::size_t max_unsent_bytes = 4U << 20U;  // a larger number ends the connection with kOverflow
+    std::size_t low_mark = 32U << 10U;         // unsent bytes below which on_drained() is called
+    int send_buffer = 0;          // size of the socket's send buffer in bytes; 0: the system's default
+    bool end_on_hang_up = false;  // once the peer has closed, discard its remaining bytes
     // After a close from this side, received bytes are read and discarded for this long, or until the peer
     // has closed too. Closing a socket with unread bytes would reset the connection and could lose the bytes
     // that were written last.
@@ -109,8 +109,10 @@
   // it sent before were read. A request that is sent then cannot be answered.
   bool ended_by_peer() const { return connected_ && (ended_ || peer_closed()); }
 
+  // Returns whether the connect has succeeded; stays true after the end.
   bool connected() const { return connected_; }
   bool ended() const { return ended_; }
+  // Returns the number of bytes that were queued and neither sent nor removed.
   std::size_t unsent_bytes() const { return unsent_bytes_; }
   Clock::time_point last_received() const { return last_received_; }
   const Address& peer() const { return peer_; }
--- a/src/transport/connection_end.h
+++ b/src/transport/connection_end.h
@@ -9,11 +9,11 @@
 enum class ConnectionEnd {
   kRefused,         // no process listens on the address
   kConnectTimeout,  // not connected in time
-  kUnreachable,     // no route to the address, or another error of the connect
+  kUnreachable,     // no route to the address, or another error while connecting
   kNoDescriptor,    // this process has no descriptor left
-  kPeerClosed,      // closed in order by the peer
+  kPeerClosed,      // closed by the peer without an error
   kPeerReset,       // reset by the peer
-  kBroken,          // another error of the system
+  kBroken,          // another system error
   kMalformed,       // received bytes could not be parsed
   kOverflow,        // a bound on buffered bytes was exceeded
   kIdle,            // closed by this side: unused for too long
--- a/src/transport/connection_pool.h
+++ b/src/transport/connection_pool.h
@@ -154,8 +154,10 @@
     return best;
   }
 
+  // Orders connections by their number of streams, then connected ones before others.
   static std::pair<int, bool> rank(const Slot& slot) { return {slot.streams, !slot.connection->connected()}; }
 
+  // Returns whether one more connection may be opened; closes an idle one for it if necessary.
   bool make_room() { return count_ < bounds_.total_connections || close_one_idle(); }
 
   SlotPtr connect(const std::string& peer, const Address& address) {
--- a/src/transport/scheduler.h
+++ b/src/transport/scheduler.h
@@ -37,7 +37,7 @@
   // this coroutine. Destroying the scheduler destroys the coroutines that have not ended.
   void spawn(Task<void> task);
 
-  // Runs a job later in this iteration of the loop, never from within the caller.
+  // Runs a job later in this iteration of the loop, never before post() returns.
   void post(Job job) { jobs_.push_back(std::move(job)); }
 
   // Runs a job at the given time, or in the next iteration if that time has passed. Returns the key for
--- a/src/transport/socket.cpp
+++ b/src/transport/socket.cpp
@@ -24,7 +24,7 @@
   return Address{ntohl(address.sin_addr.s_addr), ntohs(address.sin_port)};
 }
 
-// Returns the address as the type that the calls of the system accept.
+// Returns the address as the type that the socket functions accept.
 sockaddr* as_sockaddr(sockaddr_in& address) { return reinterpret_cast<sockaddr*>(&address); }
 
 Descriptor new_socket() {
--- a/src/transport/socket.h
+++ b/src/transport/socket.h
@@ -66,7 +66,7 @@
 // then returns its result.
 Opened start_connect(const Address& address);
 
-// Accepts one connection; the error is EAGAIN where none waits.
+// Accepts one connection; the error is EAGAIN where none is pending.
 Opened accept_from(int listener);
 
 // Return the address of the peer, and the local address, of a socket; 0.0.0.0:0 on failure.
