--- a/src/transport/connection_pool.h
+++ b/src/transport/connection_pool.h
@@ -35,7 +35,7 @@
     std::shared_ptr<Link> link;
     int streams = 0;
     std::optional<ConnectionEnd> retired;  // set: gets no new streams and ends with its last one
-    Clock::time_point used = Clock::now();
+    Clock::time_point last_used = Clock::now();
   };
 
   using SlotPtr = std::shared_ptr<Slot>;
@@ -67,7 +67,7 @@
     }
     if (best) {
       ++best->streams;
-      best->used = Clock::now();
+      best->last_used = Clock::now();
     }
     return best;
   }
@@ -75,7 +75,7 @@
   // Ends one stream of the connection.
   void release(const SlotPtr& slot) {
     --slot->streams;
-    slot->used = Clock::now();
+    slot->last_used = Clock::now();
     if (slot->retired && slot->streams <= 0) {
       slot->connection->close(*slot->retired);
     }
@@ -127,7 +127,7 @@
     for (const auto& [peer, slots] : peers_) {
       for (const SlotPtr& slot : slots) {
         const bool idle = slot->streams <= 0 && !slot->connection->ended();
-        if (idle && (!oldest || slot->used < oldest->used)) {
+        if (idle && (!oldest || slot->last_used < oldest->last_used)) {
           oldest = slot;
         }
       }
@@ -177,7 +177,7 @@
       const Clock::time_point before = Clock::now() - bounds_.idle;
       for (const auto& [peer, slots] : peers_) {
         for (const SlotPtr& slot : slots) {
-          if (slot->streams <= 0 && slot->used < before) {
+          if (slot->streams <= 0 && slot->last_used < before) {
             slot->connection->close(ConnectionEnd::kIdle);
           }
         }
