--- a/src/program/store_commands.cpp
+++ b/src/program/store_commands.cpp
@@ -45,7 +45,7 @@
 }
 
 int stat(const StoreCommand& command, std::ostream& out) {
-  const std::unique_ptr<store::Files> files = store::look_into_folder(command.folder);
+  const std::unique_ptr<store::Files> files = store::open_folder_unlocked(command.folder);
   const std::unique_ptr<store::Index> index = store::open_sqlite_index(command.folder, true);
   const store::FolderStat stat = store::stat_folder(*files, *index);
   json report{{"values", stat.values},
@@ -67,7 +67,7 @@
 }
 
 int verify(const StoreCommand& command, std::ostream& out, std::ostream& errors) {
-  const std::unique_ptr<store::Files> files = store::look_into_folder(command.folder);
+  const std::unique_ptr<store::Files> files = store::open_folder_unlocked(command.folder);
   const std::unique_ptr<store::Index> index = store::open_sqlite_index(command.folder, true);
   const store::VerifyReport report = store::verify_folder(*files, *index, make_progress(errors, "records"));
   json damage_lines = json::array();
--- a/src/store/disk_health.cpp
+++ b/src/store/disk_health.cpp
@@ -31,16 +31,16 @@
 }
 
 void DiskHealth::on_write_failed(std::int64_t now_ms, std::string error) {
-  const int doublings = std::min(consecutive_failures_, kMaxDoublings);
+  const int doublings = std::min(consecutive_write_failures_, kMaxDoublings);
   const std::int64_t pause = std::min(options_.max_pause_ms, options_.min_pause_ms << doublings);
   write_after_ms_ = now_ms + pause;
-  ++consecutive_failures_;
+  ++consecutive_write_failures_;
   ++write_failures_;
   error_ = std::move(error);
 }
 
 void DiskHealth::on_write_done() {
-  consecutive_failures_ = 0;
+  consecutive_write_failures_ = 0;
   write_after_ms_ = INT64_MIN;
 }
 
--- a/src/store/disk_health.h
+++ b/src/store/disk_health.h
@@ -2,9 +2,9 @@
 //
 // A disk whose reads time out is stalled: it is not used, except for a probe read at intervals, until a read
 // completes in time. After a failed write the disk is read-only for a pause that doubles with each failure.
-// This protects memory hits and fills from a disk that hangs, is full, is read-only or fails, and should do
-// the same for a network volume. Where single reads are slow by nature (an archive behind a robot) the disk
-// would be taken for stalled: `read_patience_ms` is then too short.
+// Memory hits and fills therefore continue while the disk hangs, is full, is read-only or fails; the same
+// should hold for a network volume. On storage where every read is slow, such as a tape library, a
+// `read_patience_ms` that is too short makes the disk count as stalled.
 //
 // Package `store`; no I/O; times are steady milliseconds given with each call. Not thread-safe.
 #pragma once
@@ -14,6 +14,7 @@
 
 namespace trailcourse::store {
 
+// The state of the disk, from the results of its reads and writes.
 class DiskHealth {
  public:
   struct Options {
@@ -21,14 +22,15 @@
     std::int64_t min_pause_ms = 1'000;     // after a failed write
     std::int64_t max_pause_ms = 60'000;
   };
-  // kOff: there is no usable folder; kReadOnly: a write failed, and its pause is not over.
+  // kOff: there is no usable folder. kStalled: a read timed out, and no read has completed in time since.
+  // kReadOnly: a write failed, and the pause after it is not over.
   enum class State { kOff, kGood, kStalled, kReadOnly };
 
   explicit DiskHealth(const Options& options) : options_(options) {}
 
-  // Sets that the folder was opened. Until then the state is kOff.
+  // Records that the folder is open. Until then the state is kOff.
   void enable() { open_ = true; }
-  // Sets that the folder cannot be used, for the rest of this run.
+  // Records that the folder cannot be used until the process restarts.
   void disable(std::string error);
 
   // A read exceeded its time limit; it may still complete.
@@ -36,7 +38,9 @@
   // A read completed after `duration_ms`, successfully or with an error. Ends a stall if that is within
   // `patience_ms`.
   void on_read_done(std::int64_t duration_ms, std::int64_t patience_ms);
+  // Pauses writes; the pause doubles with each consecutive failure, up to `max_pause_ms`.
   void on_write_failed(std::int64_t now_ms, std::string error);
+  // Ends the pause and resets its length.
   void on_write_done();
 
   // Returns whether a read may begin. On a stalled disk a call that returns true restarts the probe interval.
@@ -55,7 +59,7 @@
   bool stalled_ = false;
   std::int64_t next_probe_ms_ = 0;
   std::int64_t write_after_ms_ = INT64_MIN;
-  int consecutive_failures_ = 0;  // of writes
+  int consecutive_write_failures_ = 0;
   std::uint64_t stalls_ = 0;
   std::uint64_t write_failures_ = 0;
   std::string error_;
--- a/src/store/eviction_set.h
+++ b/src/store/eviction_set.h
@@ -1,7 +1,7 @@
 // The entries of a tier and the order of eviction: an entry of the lowest keep rank first, and within a rank
-// the one with the largest replacement value of the paper (docs/design.md) among a random sample. An entry
-// takes 24 bytes, its payload, and 10 to 20 bytes in tables: the entries of a million copies must fit in
-// memory.
+// the one with the largest replacement value among a random sample. docs/design.md names the paper that
+// defines this value. An entry takes 32 bytes, its payload, and 10 to 20 bytes in tables, so that the entries
+// of a million copies fit in memory.
 //
 // Package `store`; no I/O, no clock; times are ticks given with each call, which never go back. Not
 // thread-safe.
@@ -27,8 +27,8 @@
 struct EvictionWeights {
   double frequency = 1.0;  // alpha
   double size = 0.9;       // beta
-  double idle = 0.6;       // nu; the term for replicas is 0, since a node does not know of any
-  Tick half_life = 600;    // a use count is halved after each such time without use
+  double idle = 0.6;       // nu; the paper's term for replicas is omitted: a node knows of no replicas
+  Tick half_life = 600;    // a use count is halved once per half_life without use
   int sample_size = 16;    // entries compared to choose one victim
 };
 
@@ -202,7 +202,7 @@
   void add_to_rank(Slot slot, int rank) {
     std::vector<Slot>& slots = ranks_[static_cast<std::size_t>(rank)];
     if (slots.size() == slots.capacity()) {
-      slots.reserve(slots.size() + slots.size() / 8 + 16);  // doubling would waste up to half of it
+      slots.reserve(slots.size() + slots.size() / 8 + 16);  // doubling could leave half of the memory unused
     }
     entries_[slot].rank = static_cast<std::uint8_t>(rank);
     entries_[slot].position = static_cast<std::uint32_t>(slots.size());
--- a/src/store/executor.h
+++ b/src/store/executor.h
@@ -1,7 +1,7 @@
 // Runs blocking work outside the event loop's thread.
 //
-// io_uring, POSIX AIO and a thread pool were considered (docs/storage.md). A ring can replace the pool behind
-// this interface.
+// docs/storage.md compares io_uring, POSIX AIO and a thread pool. An implementation by io_uring can replace
+// the thread pool behind this interface.
 #pragma once
 
 #include <condition_variable>
@@ -54,7 +54,7 @@
     std::condition_variable job_added;
   };
 
-  // Runs jobs until the pool stops; `drain`: also those that are still queued then.
+  // Runs jobs until the pool stops. `drain`: runs the jobs that are still queued at that time too.
   void run_jobs(Queue& queue, bool drain);
 
   Post post_;
--- a/src/store/files.cpp
+++ b/src/store/files.cpp
@@ -172,7 +172,7 @@
   return std::make_unique<SystemFolder>(path, std::move(folder), std::move(lock));
 }
 
-std::unique_ptr<Files> look_into_folder(const std::string& path) {
+std::unique_ptr<Files> open_folder_unlocked(const std::string& path) {
   return std::make_unique<SystemFolder>(path, open_path(path), Descriptor());
 }
 
--- a/src/store/files.h
+++ b/src/store/files.h
@@ -67,6 +67,6 @@
 // is locked (EWOULDBLOCK).
 std::unique_ptr<Files> open_folder(const std::string& path);
 // Opens an existing folder without locking it, for example to read it while a node uses it.
-std::unique_ptr<Files> look_into_folder(const std::string& path);
+std::unique_ptr<Files> open_folder_unlocked(const std::string& path);
 
 }  // namespace trailcourse::store
--- a/src/store/format.cpp
+++ b/src/store/format.cpp
@@ -12,7 +12,8 @@
 namespace trailcourse::store {
 namespace {
 
-static_assert(std::endian::native == std::endian::little, "numbers are written in the byte order of memory");
+static_assert(std::endian::native == std::endian::little,
+              "put() and get() copy numbers without converting them to little-endian");
 
 constexpr std::string_view kSegmentMagic = "TCSEG1\r\n";
 constexpr std::uint32_t kRecordMagic = 0x31524354;  // "TCR1"
@@ -37,15 +38,15 @@
   return value;
 }
 
-std::uint64_t place_seed(SegmentId segment, std::uint64_t offset) {
+std::uint64_t position_seed(SegmentId segment, std::uint64_t offset) {
   return (std::uint64_t{segment} << 32U) ^ offset ^ 0x7472616975726365U;
 }
 
-// Returns the checksum over header, name and tag of a record at a place.
+// Returns the checksum over header, name and tag of a record at this position.
 std::uint64_t header_sum(std::string_view record, std::size_t names, SegmentId segment,
                          std::uint64_t offset) {
   const std::uint64_t head =
-      XXH3_64bits_withSeed(record.data(), kHeaderSumOffset, place_seed(segment, offset));
+      XXH3_64bits_withSeed(record.data(), kHeaderSumOffset, position_seed(segment, offset));
   return XXH3_64bits_withSeed(record.data() + kRecordHeadBytes, names, head);
 }
 
@@ -79,7 +80,7 @@
   return out;
 }
 
-bool good_segment_head(std::string_view bytes, SegmentId id) {
+bool is_segment_head(std::string_view bytes, SegmentId id) {
   return bytes.size() >= kSegmentHeadBytes && bytes.substr(0, kSegmentHeadBytes) == encode_segment_head(id);
 }
 
@@ -203,8 +204,8 @@
   return record;
 }
 
-std::optional<std::string> moved_record(std::string_view bytes, SegmentId segment, std::uint64_t offset,
-                                        SegmentId to_segment, std::uint64_t to_offset) {
+std::optional<std::string> relocate_record(std::string_view bytes, SegmentId segment, std::uint64_t offset,
+                                           SegmentId to_segment, std::uint64_t to_offset) {
   const std::optional<RecordHead> head = decode_head(bytes);
   if (!head || bytes.size() < head->size()) {
     return std::nullopt;
--- a/src/store/format.h
+++ b/src/store/format.h
@@ -1,7 +1,7 @@
 // The format of segment files: a header, then records. All numbers are little-endian. Each record has two
-// XXH3 checksums: one over its header, name and tag, seeded with the place of the record, and one over its
-// payload. Because of the seed a record is invalid at any other place, such as a copied one or one that an
-// older file left in the blocks of the disk.
+// XXH3 checksums: one over its header, name and tag, and one over its payload. The first is seeded with the
+// position of the record (segment and offset), so that a record is invalid at any other position, for example
+// when an older file left it in disk blocks that a segment reuses.
 //
 //   segment header, 32 bytes: "TCSEG1\r\n", version u32, zero u32, segment u64, checksum u64
 //   record header, 96 bytes:  magic u32, version u16, flags u8, rank u8, key 16, copy u64, origin time i64,
@@ -32,7 +32,7 @@
 
 std::string encode_segment_head(SegmentId id);
 // Returns whether `bytes` begins with the header of that segment in this version.
-bool good_segment_head(std::string_view bytes, SegmentId id);
+bool is_segment_head(std::string_view bytes, SegmentId id);
 
 enum class RecordKind : std::uint8_t {
   kSingle = 0,    // a complete value
@@ -40,6 +40,7 @@
   kPart = 2,
 };
 
+// The content of one record.
 struct Record {
   RecordKind kind = RecordKind::kSingle;
   std::uint8_t rank = 0;
@@ -56,7 +57,7 @@
   std::string payload;           // uncompressed
 };
 
-// The header of a record, whose checksums were not checked yet.
+// A decoded record header whose checksums have not been checked.
 struct RecordHead {
   Record record;  // without name, tag and payload
   std::size_t name_bytes = 0;
@@ -72,9 +73,9 @@
 // Returns the XXH3 checksum of `bytes`.
 std::uint64_t sum_of(std::string_view bytes);
 
-// Appends a record to `out`, encoded for the place `offset` of `segment`. The payload is `payload`, not the
-// record's own, so that it need not be copied into the record. `compress`: the payload is compressed by zstd
-// if that saves at least an eighth.
+// Appends a record to `out`, encoded for `offset` in `segment`. Writes `payload` in place of record.payload,
+// so that the caller need not copy it into the record. `compress`: compresses the payload with zstd if that
+// saves at least an eighth.
 void append_record(std::string& out, const Record& record, std::string_view payload, SegmentId segment,
                    std::uint64_t offset, bool compress);
 // Returns a record with its own payload, encoded as by append_record().
@@ -84,18 +85,18 @@
 // checked.
 std::optional<RecordHead> decode_head(std::string_view bytes);
 
-// Decodes a complete record and checks both checksums. Returns nothing if the record is damaged or belongs to
-// another place, and then sets `error`.
+// Decodes a complete record and checks both checksums. Returns nothing and sets `error` if the record is
+// damaged or was encoded for another position.
 std::optional<Record> decode_record(std::string bytes, SegmentId segment, std::uint64_t offset,
                                     std::string* error = nullptr);
 
-// Checks a record and returns its bytes, encoded for another place; nothing if it is damaged.
-std::optional<std::string> moved_record(std::string_view bytes, SegmentId segment, std::uint64_t offset,
-                                        SegmentId to_segment, std::uint64_t to_offset);
+// Checks a record and returns its bytes, encoded for another position; nothing if the record is damaged.
+std::optional<std::string> relocate_record(std::string_view bytes, SegmentId segment, std::uint64_t offset,
+                                           SegmentId to_segment, std::uint64_t to_offset);
 
 // Returns the number of parts of a value.
 std::uint32_t part_count(std::uint32_t total_bytes, std::uint32_t part_bytes);
-// Returns the length of a part of a value; 0 behind the last part.
+// Returns the length of a part of a value; 0 if `part` is after the last one.
 std::uint32_t part_length(std::uint32_t total_bytes, std::uint32_t part_bytes, std::uint32_t part);
 
 }  // namespace trailcourse::store
--- a/src/store/frequency_sketch.h
+++ b/src/store/frequency_sketch.h
@@ -1,7 +1,7 @@
 // Estimates how often keys were requested recently, in bounded memory: a count-min sketch of 4-bit counters
 // that are halved after a number of increments (Cormode and Muthukrishnan, "An Improved Data Stream Summary",
-// 2005; the halving as in Einziger, Friedman and Manes, "TinyLFU", 2017). An estimate is at most 15, and up
-// to that never below the true count, apart from halvings.
+// 2005; the halving as in Einziger, Friedman and Manes, "TinyLFU", 2017). An estimate is at most 15. Up
+// to that it is never below the true count, except that halvings lower it.
 //
 // Package `store`; no I/O, no clock. Not thread-safe.
 #pragma once
@@ -26,9 +26,9 @@
   int estimate(const Key& key) const;
   // Returns the memory of the counters.
   std::size_t bytes() const { return words_.size() * sizeof(std::uint64_t); }
-  // Returns the number of increments since the last halving, where each halving also halves this number.
+  // Returns the number of increments; each halving of the counters also halves it.
   std::uint64_t increments() const { return increments_; }
-  // Returns the number of increments that leads to a halving.
+  // Returns the value of increments() at which the counters are halved.
   std::uint64_t halving_threshold() const { return halving_threshold_; }
 
  private:
--- a/src/store/index.h
+++ b/src/store/index.h
@@ -1,5 +1,5 @@
-// The durable index of the disk tier: a row for each record, the purges, and a few marks. All changes are
-// made in transactions, so that the index survives crashes.
+// The durable index of the disk tier: a row for each record, the purges, and named integers (marks).
+// All changes are made in transactions, so that the index survives crashes.
 //
 // Package `store`. An index is used by one thread at a time; calls may block and throw IndexError.
 #pragma once
@@ -28,7 +28,7 @@
   bool damaged_;
 };
 
-// Where a record is stored, and its properties that are needed without reading it.
+// The position of a record, and the properties that are needed before the record is read.
 struct Location {
   std::int64_t origin_time_ms = 0;
   std::uint64_t copy = 0;  // copy_id()
@@ -50,6 +50,7 @@
   std::uint16_t uses = 0;
 };
 
+// Named integers that the index stores beside its rows, by name.
 using IndexMarks = std::map<std::string, std::int64_t>;
 
 // Names of marks: the highest segment ever created, and the sequence number of the last discovery event whose
@@ -62,7 +63,7 @@
   std::vector<IndexRow> put;
   std::vector<Key> erase;
   std::vector<PurgeRecord> add_purges;
-  std::vector<PurgeRecord> remove_purges;  // those that were folded into the floor
+  std::vector<PurgeRecord> remove_purges;  // those that PurgeTable folded into its floor
   IndexMarks marks;
 
   bool empty() const {
@@ -81,7 +82,7 @@
   virtual IndexMarks marks() = 0;
   // Returns all purges; throws if their checksum does not match.
   virtual std::vector<PurgeRecord> purges() = 0;
-  // Returns up to `max_rows` rows after the key `after`, in key order; null: from the first row. A damaged
+  // Returns up to `max_rows` rows in key order, after the key `after` or, if null, from the first. A damaged
   // row is returned with a Location whose `stored` is 0.
   virtual std::vector<IndexRow> rows(const Key* after, std::size_t max_rows) = 0;
   // Applies the changes in one transaction. None of them is applied if it throws.
--- a/src/store/key.h
+++ b/src/store/key.h
@@ -1,5 +1,5 @@
-// Names and keys of copies. Package `store`: a library without sockets, beside `protocol` and below
-// `cache_node`.
+// Names and keys of copies. Package `store`: a library that opens no sockets and on which `cache_node`
+// depends.
 #pragma once
 
 #include <trailcourse/decider.h>
@@ -38,11 +38,11 @@
 };
 
 constexpr int kUnknownGroup = -1;  // the copy may belong to any group
-constexpr int kNoGroup = -2;       // group purges are not considered
+constexpr int kNoGroup = -2;       // group purges are ignored
 
 // One complete copy, as the origin sent it.
 struct Copy {
-  std::string tag;
+  std::string tag;                  // the version tag that the origin sent
   std::int64_t origin_time_ms = 0;  // Unix time at which the origin sent the copy
   int group = kUnknownGroup;
   std::shared_ptr<const std::string> bytes;
--- a/src/store/maintenance.cpp
+++ b/src/store/maintenance.cpp
@@ -218,7 +218,7 @@
       begin_segment();
     }
     const std::optional<std::string> moved_bytes =
-        moved_record(bytes, row.location.segment, row.location.offset, last_, end_);
+        relocate_record(bytes, row.location.segment, row.location.offset, last_, end_);
     if (!moved_bytes) {
       changes_.erase.push_back(row.key);
       ++report_.dropped;
--- a/src/store/maintenance.h
+++ b/src/store/maintenance.h
@@ -14,7 +14,7 @@
 
 namespace trailcourse::store {
 
-// Called from time to time with the number of finished items and the number of all items.
+// Reports progress: called at intervals with the numbers of finished items and of all items.
 using Progress = std::function<void(std::uint64_t done, std::uint64_t total)>;
 
 // Statistics of a folder, from its index and file sizes.
@@ -53,7 +53,8 @@
 // removes the old ones. The folder must not be used by a node meanwhile.
 CompactReport compact_folder(Files& files, Index& index, double min_share, std::uint64_t segment_bytes,
                              const Progress& progress);
-// Removes all files of any format, so that the folder can be used again. Returns their number.
+// Removes all files, whatever format version wrote them, so that the folder can be used again. Returns the
+// number of files.
 std::uint64_t drop_folder(Files& files);
 
 // Returns the file name of a segment.
--- a/src/store/placement.h
+++ b/src/store/placement.h
@@ -1,5 +1,5 @@
-// Decides which copies are written to disk, and bounds how much is written: flash wears by the bytes written
-// to it, and a spinning disk that writes all the time has no time for reads. Admission depends on the keep
+// Decides which copies are written to disk, and bounds how much is written: writes wear out flash, and delay
+// the reads of a spinning disk. Admission depends on the keep
 // rank of the request, the number of requests for the key (also while no copy is stored), the size of the
 // copy, the free capacity and a write budget.
 //
@@ -11,7 +11,7 @@
 //   3. From the second request on a copy of any size is stored while the budget is positive; the copy itself
 //      may overdraw the budget. A newly popular large object is stored at its second request at the latest.
 //   4. A frequently requested copy is stored until the budget is overdrawn by a complete burst.
-// The top rank counts as one more request: a router that sends it has seen the object at other nodes.
+// The top rank counts as one additional request: a router that sends it has seen the object at other nodes.
 //
 // Package `store`; no I/O, no clock. Not thread-safe.
 #pragma once
@@ -30,7 +30,7 @@
   WriteBudget(std::int64_t bytes_per_s, std::int64_t burst_bytes)
       : rate_(bytes_per_s), burst_(burst_bytes), level_(burst_bytes) {}
 
-  // Refills the bucket up to `now_ms` (any steady milliseconds) and returns the bytes left; negative if the
+  // Refills the bucket up to `now_ms` (on a steady clock) and returns the bytes left; negative if the
   // budget is overdrawn.
   std::int64_t left(std::int64_t now_ms);
   void spend(std::int64_t bytes) { level_ -= rate_ == 0 ? 0 : bytes; }
@@ -76,8 +76,9 @@
   // an admitted candidate to the write budget.
   PlacementDecision admit(const Candidate& candidate, std::uint64_t used, std::int64_t now_ms);
 
-  // Returns whether a copy in a segment that is being cleared is rewritten elsewhere: the copy was used
-  // again, and the budget is not overdrawn. Charges the copy to the write budget.
+  // Returns whether a record of a segment that is being cleared should be rewritten to another segment. That
+  // is so if it was used at least twice or has the top rank, and the budget is positive. Charges an admitted
+  // record to the write budget.
   bool admit_move(std::uint64_t bytes, int rank, std::uint32_t uses, std::int64_t now_ms);
 
   // Returns whether a copy is admitted to a full memory tier, where `victim_uses` is the use count of the
--- a/src/store/purge_table.h
+++ b/src/store/purge_table.h
@@ -36,7 +36,8 @@
   explicit PurgeTable(std::size_t max_objects = 100'000) : max_objects_(max_objects) {}
 
   // Adds a purge. Purges may be added in any order and more than once. Returns false if the purge changes
-  // nothing. A durable copy of the table also has to follow drain_folded().
+  // nothing. A caller that stores the purges also has to apply the changes of
+  // drain_folded().
   bool add(const PurgeRecord& purge);
 
   // Returns the Unix millisecond up to which copies are purged; INT64_MIN if no purge applies. Every group
@@ -47,6 +48,7 @@
   }
 
   std::size_t objects() const { return objects_.size(); }
+  // Returns the Unix millisecond up to which the copies of every object are purged.
   std::int64_t floor() const { return floor_; }
   // Returns, and removes, the object purges that were folded into the floor since the last call, each
   // followed by the floor itself as a purge of kind kAll.
@@ -57,7 +59,8 @@
 
   std::size_t max_objects_;
   std::unordered_map<ObjectId, std::int64_t> objects_;
-  std::map<std::pair<std::int64_t, ObjectId>, bool> by_time_;
+  std::map<std::pair<std::int64_t, ObjectId>, bool>
+      by_time_;  // the keys order objects_ by time; the values are unused
   std::map<std::uint64_t, std::int64_t> groups_;
   std::int64_t latest_group_ = INT64_MIN;
   std::int64_t floor_ = INT64_MIN;
--- a/src/store/segment_table.cpp
+++ b/src/store/segment_table.cpp
@@ -36,8 +36,8 @@
       best_share = share;
     }
   }
-  const bool short_of_room = file_bytes() + reserve_ > max_bytes_;
-  return best && (short_of_room || best_share <= 0.0) ? best : std::nullopt;
+  const bool space_is_short = file_bytes() + reserve_ > max_bytes_;
+  return best && (space_is_short || best_share <= 0.0) ? best : std::nullopt;
 }
 
 }  // namespace trailcourse::store
--- a/src/store/segment_table.h
+++ b/src/store/segment_table.h
@@ -1,4 +1,4 @@
-// The size of each segment file, the bytes of it that are live, and which segment is cleared next. A segment
+// Tracks the size and the live bytes of each segment file, and chooses the segment to clear next. A segment
 // is written once from front to end and never changed, so disk space is freed by clearing a complete segment:
 // its records that are kept are rewritten to another segment, then the file is removed.
 //
@@ -13,7 +13,7 @@
 
 using SegmentId = std::uint32_t;
 
-// The segments of one folder; marks and sizes are set by the caller as it writes and clears them.
+// The segments of one folder. The caller updates sizes and flags as it writes and clears segments.
 class SegmentTable {
  public:
   struct Segment {
@@ -34,7 +34,7 @@
   void add_live(SegmentId id, std::uint64_t bytes) { segments_[id].live += bytes; }
   void remove_live(SegmentId id, std::uint64_t bytes);
   void mark_clearing(SegmentId id) { segments_[id].clearing = true; }
-  // Sets that a segment could not be cleared; next_to_clear() may return it again.
+  // Records that a segment could not be cleared; next_to_clear() may return it again.
   void cancel_clearing(SegmentId id) { segments_[id].clearing = false; }
   void remove(SegmentId id) { segments_.erase(id); }
 
--- a/src/store/sqlite_index.cpp
+++ b/src/store/sqlite_index.cpp
@@ -118,7 +118,7 @@
     sqlite3_busy_timeout(raw, kBusyTimeoutMs);
     if (!read_only) {
       // The write-ahead log is synced at checkpoints, not at each commit. A loss of power may undo the latest
-      // complete transactions; copies that are missing in the index then are fetched again.
+      // complete transactions; copies that the index has lost are fetched again.
       run("PRAGMA journal_mode=WAL");
       run("PRAGMA synchronous=NORMAL");
       run("PRAGMA cache_size=-4096");
@@ -323,8 +323,8 @@
     check(result, "step");
     return result == SQLITE_ROW;
   }
-  void bind(sqlite3_stmt* statement, int place, const unsigned char* bytes, std::size_t size) const {
-    check(sqlite3_bind_blob(statement, place, bytes, static_cast<int>(size), SQLITE_TRANSIENT), "bind");
+  void bind(sqlite3_stmt* statement, int parameter, const unsigned char* bytes, std::size_t size) const {
+    check(sqlite3_bind_blob(statement, parameter, bytes, static_cast<int>(size), SQLITE_TRANSIENT), "bind");
   }
 
   Database database_;
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -238,8 +238,8 @@
     });
   }
 
-  // Opens the folder and its index. `wipe`: the index proved damaged, so the folder is emptied first. Stores
-  // the folder's content, or the error, in `recovery`.
+  // Opens the folder and its index. `wipe`: empties the folder first, because the index is damaged. Stores
+  // the segments, purges and marks found, or the error, in `recovery`.
   void open(const Storage& storage, bool wipe, Recovery& recovery);
   // Reads the copy that `work` describes, completely or in part, and reports its damaged records.
   void read_copy(const Name& name, CopyRead& work);
@@ -304,7 +304,7 @@
     std::optional<Location> to;
   };
   bool read = false;
-  std::vector<std::pair<Key, std::uint32_t>> records;  // all in the file, with their offsets
+  std::vector<std::pair<Key, std::uint32_t>> records;  // key and offset of each record in the file
   std::vector<Item> items;
   WriteResult result;
 };
@@ -387,7 +387,7 @@
     if (const std::optional<SegmentId> id = segment_of(name)) {
       const std::unique_ptr<File> file = files->open(name);
       const std::uint64_t size = file->size();
-      const bool good = good_segment_head(file->read(0, kSegmentHeadBytes), *id);
+      const bool good = is_segment_head(file->read(0, kSegmentHeadBytes), *id);
       recovery.segments[*id] = good ? size : 0;
       last_segment = std::max(last_segment, *id);
     }
@@ -899,9 +899,9 @@
   return decision == PlacementDecision::kAdmit;
 }
 
-// Adds the records of a copy to the next batch. Parts precede their manifest, so that the parts of a manifest
-// on disk were written. `had`: the parts that are on disk already, as is the manifest; null if the complete
-// copy is new.
+// Adds the records of a copy to the next batch. Parts precede their manifest, so that all parts of a manifest
+// on disk were written before it. `had`: the parts that are on disk already, together with the manifest; null
+// if the complete copy is new.
 void Store::enqueue(const Name& name, const Copy& copy, const Record& head, const std::vector<bool>* had) {
   const bool in_parts = head.kind == RecordKind::kManifest;
   Record part = head;
@@ -1073,7 +1073,7 @@
     for (const auto& done : std::exchange(flush_callbacks_, {})) {
       done();
     }
-    return;  // without dispatch(), which would retry in a loop: the next write or purge retries
+    return;  // dispatch() would retry in a loop here; the next insert or purge retries
   }
   clear_next_segment();
   dispatch();
@@ -1099,8 +1099,8 @@
         try {
           const std::shared_ptr<File> file = disk->segment(id);
           const std::string bytes = file->read(0, static_cast<std::size_t>(file->size()));
-          // Behind a damaged header the start of the next record is unknown. The records behind it are found
-          // by their rows in on_records_moved() and are dropped with the segment.
+          // After a damaged header the start of the next record is unknown. on_records_moved() finds the
+          // later records by their entries and drops them with the segment.
           for (std::uint64_t at = kSegmentHeadBytes; at < bytes.size();) {
             const std::optional<RecordHead> head = decode_head(std::string_view(bytes).substr(at));
             if (!head) {
@@ -1159,7 +1159,7 @@
             appender.make_room(bytes.size());
             const std::uint64_t offset = appender.offset();
             const std::optional<std::string> moved_bytes =
-                moved_record(bytes, segment, item.from.offset, disk->active_id, offset);
+                relocate_record(bytes, segment, item.from.offset, disk->active_id, offset);
             if (!moved_bytes) {
               continue;
             }
@@ -1204,8 +1204,8 @@
       disk_.at(slot).payload = *item.to;
       stats_.moved_bytes += item.to->stored;
     } else {
-      // The record was purged, evicted or replaced while it was moved, and the commit has put its old row
-      // back.
+      // The record was purged, evicted or replaced while it was moved, and the commit of the move has
+      // restored its row.
       if (slot == DiskSet::kNone) {
         next_batch_->index.erase.push_back(item.key);
       } else {
@@ -1225,7 +1225,8 @@
       drop_from_segment(slot);
     }
   }
-  // Records behind a damaged header were not listed; only then are all entries of the tier checked.
+  // Records after a damaged header were not listed. Only if there are such records, all entries of the tier
+  // are checked.
   if (segments_.all().at(segment).live > 0) {
     for (DiskSet::Slot slot = 0; slot < disk_.end(); ++slot) {
       drop_from_segment(slot);
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -75,7 +75,7 @@
 // The two tiers of one cache node. The memory tier is empty after construction; open() starts the disk tier.
 class Store {
  public:
-  // Opens the folder and its index; called in the write lane. Empty functions: there is no disk tier.
+  // Functions that open the folder and its index, called in the write lane. Empty: there is no disk tier.
   struct Storage {
     std::function<std::unique_ptr<Files>()> files;
     OpenIndex index;
@@ -131,9 +131,9 @@
   void insert(const Name& name, const Copy& copy, int rank);
   // Adds a copy that was read from disk to the memory tier, as far as placement admits it.
   void promote(const Name& name, const Copy& copy, int rank);
-  // Stores the parts of a copy that were missing on disk, once the copy is complete; `had`: the parts that
-  // were not missing. Returns false if the checksum does not match: the parts belong to different copies, and
-  // the stored ones are dropped.
+  // Stores the parts of a copy that were missing on disk, after the caller has filled them in. `had`: the
+  // parts that were on disk. Returns false and drops the stored parts if the checksum does not match, because
+  // the parts then belong to different copies.
   bool complete(const Name& name, const PartialCopy& partial, const std::vector<bool>& had, int rank);
   // Drops the copies of a name.
   void drop(const Name& name);
@@ -205,7 +205,7 @@
   Tick tick() const;
   std::int64_t steady() const { return clock_().steady_ms; }
 
-  // Recovery, in the order of its steps. `wipe`: the index proved damaged, so the folder is emptied.
+  // Recovery, in the order of its steps. `wipe`: the index is damaged, so the folder is emptied first.
   void begin_open(bool wipe);
   void on_folder_opened();
   void load_rows();
@@ -255,7 +255,7 @@
   std::uint64_t memory_limit_;
   std::uint64_t disk_limit_;  // of live records
 
-  std::shared_ptr<DiskFiles> disk_files_;  // used in the lanes
+  std::shared_ptr<DiskFiles> disk_files_;  // used by jobs in the executor's lanes
   std::shared_ptr<WriteBatch> next_batch_;
   bool writing_ = false;
   bool clearing_ = false;
@@ -269,7 +269,7 @@
   std::map<Key, std::uint64_t> pending_copies_;  // by name: the copy_id() of the copy being written
   std::unordered_map<std::uint64_t, PendingRead> pending_reads_;
   std::uint64_t last_read_id_ = 0;
-  std::size_t reads_in_flight_ = 0;  // in the lane, including abandoned ones
+  std::size_t reads_in_flight_ = 0;  // queued or running in the read lane, including abandoned ones
   mutable Stats stats_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/tests/format_test.cpp
+++ b/tests/format_test.cpp
@@ -66,7 +66,7 @@
   const std::string good = encode_record(make_record(100, false), kSegment, kOffset, false);
   EXPECT_FALSE(decode_record(good, kSegment + 1, kOffset).has_value());
   EXPECT_FALSE(decode_record(good, kSegment, kOffset + 512).has_value());
-  const std::optional<std::string> moved = moved_record(good, kSegment, kOffset, kSegment + 1, 32);
+  const std::optional<std::string> moved = relocate_record(good, kSegment, kOffset, kSegment + 1, 32);
   ASSERT_TRUE(moved.has_value());
   EXPECT_TRUE(decode_record(*moved, kSegment + 1, 32).has_value());
   EXPECT_FALSE(decode_record(*moved, kSegment, kOffset).has_value());
@@ -75,7 +75,7 @@
 TEST(Format, DoesNotMoveADamagedRecord) {
   std::string bad = encode_record(make_record(100, false), kSegment, kOffset, false);
   bad.back() = static_cast<char>(bad.back() ^ 1);
-  EXPECT_FALSE(moved_record(bad, kSegment, kOffset, 1, 32).has_value());
+  EXPECT_FALSE(relocate_record(bad, kSegment, kOffset, 1, 32).has_value());
 }
 
 // Random changes, deletions and repetitions of bytes: a record is decoded only if its bytes are unchanged.
@@ -119,13 +119,13 @@
 TEST(Format, RejectsSegmentHeadersOfAnotherNumberOrVersion) {
   const std::string head = encode_segment_head(kSegment);
   EXPECT_EQ(head.size(), kSegmentHeadBytes);
-  EXPECT_TRUE(good_segment_head(head, kSegment));
-  EXPECT_FALSE(good_segment_head(head, kSegment + 1));
-  EXPECT_FALSE(good_segment_head(head.substr(1), kSegment));
+  EXPECT_TRUE(is_segment_head(head, kSegment));
+  EXPECT_FALSE(is_segment_head(head, kSegment + 1));
+  EXPECT_FALSE(is_segment_head(head.substr(1), kSegment));
   for (std::size_t at = 0; at < head.size(); ++at) {
     std::string bad = head;
     bad[at] = static_cast<char>(bad[at] ^ 4);
-    EXPECT_FALSE(good_segment_head(bad, kSegment)) << at;
+    EXPECT_FALSE(is_segment_head(bad, kSegment)) << at;
   }
 }
 
--- a/tests/recorded_files_test.cpp
+++ b/tests/recorded_files_test.cpp
@@ -243,7 +243,7 @@
 };
 
 TEST_F(RecordedDiskTier, VerifiesTheChecksumsOfEachRecord) {
-  const auto files = store::look_into_folder(path_);
+  const auto files = store::open_folder_unlocked(path_);
   const auto index = store::open_sqlite_index(path_, true);
   const store::VerifyReport verified =
       store::verify_folder(*files, *index, [](std::uint64_t, std::uint64_t) {});
@@ -258,7 +258,7 @@
 
 TEST_F(RecordedDiskTier, EncodesEachRecordToTheSameBytes) {
   const std::string segment = read_file(path_ + "/" + store::segment_name(1));
-  EXPECT_TRUE(store::good_segment_head(segment, 1));
+  EXPECT_TRUE(store::is_segment_head(segment, 1));
   EXPECT_EQ(store::encode_segment_head(1), segment.substr(0, store::kSegmentHeadBytes));
   std::size_t records = 0;
   for (std::size_t at = store::kSegmentHeadBytes; at < segment.size(); ++records) {
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -685,7 +685,7 @@
   harness.store = nullptr;
   harness.store = open(harness);
   EXPECT_EQ(correct_copies(harness, 50), 50);
-  const auto files = look_into_folder(path_);
+  const auto files = open_folder_unlocked(path_);
   const auto index = open_sqlite_index(path_, true);
   const FolderStat stat = stat_folder(*files, *index);
   EXPECT_EQ(stat.values, 50U);
@@ -714,7 +714,7 @@
   StoreHarness harness;
   fill(harness, 20);
   harness.store = nullptr;
-  const auto files = look_into_folder(path_);
+  const auto files = open_folder_unlocked(path_);
   const auto index = open_sqlite_index(path_, true);
   const std::vector<IndexRow> rows = index->rows(nullptr, 1'000);
   for (std::size_t i = 0; i < 3; ++i) {
