--- a/src/store/frequency_sketch.h
+++ b/src/store/frequency_sketch.h
@@ -1,7 +1,7 @@
 // Estimates how often keys were requested recently, in bounded memory: a count-min sketch of 4-bit counters
 // that are halved after a number of increments (Cormode and Muthukrishnan, "An Improved Data Stream Summary",
-// 2005; the halving as in Einziger, Friedman and Manes, "TinyLFU", 2017). An estimate is at most 15. Up
-// to that it is never below the true count, except that halvings lower it.
+// 2005; the halving as in Einziger, Friedman and Manes, "TinyLFU", 2017). An estimate is at most 15. Up to
+// that it is never below the true count, except that halvings lower it.
 //
 // Package `store`; no I/O, no clock. Not thread-safe.
 #pragma once
--- a/src/store/placement.h
+++ b/src/store/placement.h
@@ -1,7 +1,6 @@
 // Decides which copies are written to disk, and bounds how much is written: writes wear out flash, and delay
-// the reads of a spinning disk. Admission depends on the keep
-// rank of the request, the number of requests for the key (also while no copy is stored), the size of the
-// copy, the free capacity and a write budget.
+// the reads of a spinning disk. Admission depends on the keep rank of the request, the number of requests for
+// the key (also while no copy is stored), the size of the copy, the free capacity and a write budget.
 //
 // The rules, in order:
 //   1. A copy of rank 0 is not stored. A copy above `max_share` of the tier is not stored, since it would
