--- a/src/cache_node/command_server.cpp
+++ b/src/cache_node/command_server.cpp
@@ -22,7 +22,7 @@
 constexpr std::chrono::milliseconds kAcceptPause{20};
 constexpr std::size_t kMaxIdBytes = 64;
 constexpr std::size_t kServeStrings = 4;
-constexpr std::size_t kShortStrings = 2;
+constexpr std::size_t kCommandWithoutBodyStrings = 2;
 
 }  // namespace
 
@@ -75,14 +75,15 @@
   void on_event(const protocol::resp::ArrayEnd&) {
     std::vector<std::string> strings = std::exchange(strings_, {});
     strings.push_back(std::exchange(last_string_, {}));
-    if (strings.size() < kShortStrings || strings[1].empty() || strings[1].size() > kMaxIdBytes) {
+    if (strings.size() < kCommandWithoutBodyStrings || strings[1].empty() ||
+        strings[1].size() > kMaxIdBytes) {
       close_malformed("a command without a valid request id");
       return;
     }
     const std::string& command = strings[0];
     if (command == "serve" && strings.size() == kServeStrings) {
       serve(strings[1], strings[2], std::move(strings[3]));
-    } else if (command == "cancel" && strings.size() == kShortStrings) {
+    } else if (command == "cancel" && strings.size() == kCommandWithoutBodyStrings) {
       const auto found = open_.find(strings[1]);
       if (found != open_.end()) {
         const Ticket ticket = found->second;
@@ -90,7 +91,7 @@
         server_.open_requests_.erase(ticket);
         server_.handler_.cancel(ticket);
       }
-    } else if ((command == "health" || command == "gauges") && strings.size() == kShortStrings) {
+    } else if ((command == "health" || command == "gauges") && strings.size() == kCommandWithoutBodyStrings) {
       const std::string_view state = server_.handler_.accepting() ? "UP" : "DOWN";
       const std::string fields =
           command == "gauges" ? "meter=" + server_.handler_.load_report() : std::string("-");
@@ -232,16 +233,16 @@
   if (found == open_requests_.end()) {
     return;
   }
-  const OpenRequest place = found->second;
+  const OpenRequest request = found->second;
   open_requests_.erase(found);
-  if (const std::shared_ptr<Session> session = place.session.lock()) {
-    session->remove_request(place.id);
+  if (const std::shared_ptr<Session> session = request.session.lock()) {
+    session->remove_request(request.id);
     std::string_view bytes = body ? std::string_view(*body) : std::string_view();
     if (range.length > 0) {
       bytes = bytes.substr(range.from, range.length);
     }
     fields.load_report = handler_.load_report();
-    session->write(protocol::write_answer(place.id, code, fields, bytes));
+    session->write(protocol::write_answer(request.id, code, fields, bytes));
   }
 }
 
--- a/src/cache_node/command_server.h
+++ b/src/cache_node/command_server.h
@@ -43,6 +43,7 @@
 // Accepts connections and passes their commands to a CommandHandler, which has to outlive the server.
 class CommandServer {
  public:
+  // Limits of the server.
   struct Bounds {
     int backlog = 1'024;
     // Beyond this limit the longest idle connection is closed; if none is idle, the new one is rejected.
@@ -50,7 +51,7 @@
     std::size_t open_per_connection = 1'024;                     // requests; further ones are answered BUSY
     std::size_t body_bytes = 1U << 20U;                          // of one request; a larger one is malformed
     transport::Clock::duration idle = std::chrono::seconds(15);  // after which a connection is closed
-    // For the rest of a partial message.
+    // Time for receiving the rest of a partial message; after it the connection is closed.
     transport::Clock::duration message_timeout = std::chrono::seconds(5);
     transport::Connection::Bounds connection;
   };
@@ -69,6 +70,7 @@
 
   // Returns the bytes of answers that are queued and not sent yet.
   std::size_t waiting_bytes() const;
+  // Returns the number of open requests.
   std::size_t open() const { return open_requests_.size(); }
   std::size_t connections() const { return sessions_.size(); }
   // Returns the number of connections that were closed because of a malformed message.
@@ -86,6 +88,7 @@
   void adopt(transport::Descriptor socket);
   bool close_idle_connection();
   transport::Task<void> accept_loop();
+  // Closes idle connections and those whose partial message is not completed in time.
   transport::Task<void> reap();
 
   transport::Scheduler& scheduler_;
--- a/src/cache_node/node.cpp
+++ b/src/cache_node/node.cpp
@@ -101,8 +101,8 @@
   scheduler_.spawn(report_periodically());
 }
 
-// Polls the discovery service from its first event on: the endpoint list is not stored across restarts,
-// repeated purge events change nothing, and those sent while this node was down are among them.
+// Polls the discovery service from its first event on: the endpoint list is not stored across restarts, and
+// the node may have missed purge events while it was down. Receiving a purge event again changes nothing.
 void Node::on_store_opened() {
   if (discovery_) {
     discovery_->start();
@@ -157,8 +157,8 @@
   }
 }
 
-// Executes a command of owned work only once its fencing token is durable. A former lease holder gets an
-// answer that says that nothing was executed.
+// Executes a command whose fencing token was admitted and is durable. Otherwise, for example if the sender is
+// a former lease holder, answers VOID: nothing was executed.
 void Node::on_admitted(Ticket ticket, fencing::AdmitResult result) {
   const auto found = awaiting_admission_.find(ticket);
   if (found == awaiting_admission_.end()) {
@@ -263,10 +263,10 @@
   });
 }
 
-void Node::perform(const AbandonLookup& give_up) {
-  const auto found = disk_reads_.find(give_up.request);
+void Node::perform(const AbandonLookup& abandoned) {
+  const auto found = disk_reads_.find(abandoned.request);
   if (found != disk_reads_.end()) {
-    store_.abandon_read(found->second, give_up.timed_out);
+    store_.abandon_read(found->second, abandoned.timed_out);
     disk_reads_.erase(found);
   }
 }
--- a/src/cache_node/node.h
+++ b/src/cache_node/node.h
@@ -26,17 +26,17 @@
 
 namespace trailcourse::cache_node {
 
-// Serves requests under the given options.
+// Serves the commands of routers and other nodes, and applies the events of the discovery service.
 class Node : public CommandHandler, public routing::DiscoveryListener {
  public:
   // The addresses in the options must be valid. `lookup_timeout_ms` limits a disk read of a request; `seed`
-  // sets the jitter of polls of the discovery service. The scheduler and the store have to outlive the node.
+  // seeds the jitter of polls of the discovery service. The scheduler and the store have to outlive the node.
   Node(transport::Scheduler& scheduler, const NodeOptions& options, const ClassMap& classes,
        std::int64_t lookup_timeout_ms, store::Store& store, std::uint64_t seed);
 
   // Sets the store of the fencing tokens, which has to outlive the node. Without one, commands with a fencing
   // token are rejected.
-  void set_token_store(fencing::TokenStore& terms) { token_store_ = &terms; }
+  void set_token_store(fencing::TokenStore& token_store) { token_store_ = &token_store; }
   // Listens at once; while the store recovers, its copies count as missing. Throws std::system_error if the
   // address cannot be listened on.
   void start();
@@ -54,7 +54,7 @@
   std::uint64_t last_sequence() const override { return last_sequence_; }
   void reset_sequence() override { last_sequence_ = 0; }
 
-  // Returns one line of figures as "name=value name=value".
+  // Returns the counters as one line, "name=value name=value".
   std::string report() const;
 
  private:
@@ -64,10 +64,10 @@
   void run_actions(std::vector<Action>& actions);
   void perform(const Answer& answer);
   void perform(const Lookup& lookup);
-  void perform(const AbandonLookup& give_up);
+  void perform(const AbandonLookup& abandoned);
   void perform(const Fetch& fetch);
   void perform(const StopFetch& stop) { sources_.stop(stop.fill); }
-  void perform(const StoreCopy& keep) { store_.insert(keep.name, keep.copy, keep.rank); }
+  void perform(const StoreCopy& insert) { store_.insert(insert.name, insert.copy, insert.rank); }
   void perform(const ObjectTooLarge& object);
   void perform(const CompletePartialCopy& complete);
   void perform(const DropCopy& drop) { store_.drop(drop.name); }
@@ -84,7 +84,7 @@
   NodeCore core_;
   CommandServer server_;
   SourceClient sources_;
-  protocol::Profile profile_;  // empty: a node needs no kinds of endpoints
+  protocol::Profile profile_;  // default values: a node does not distinguish kinds of endpoints
   std::optional<routing::DiscoveryClient> discovery_;
   std::uint64_t last_sequence_ = 0;
   bool discovery_received_ = false;
@@ -95,8 +95,8 @@
   bool running_actions_ = false;
   fencing::TokenStore* token_store_ = nullptr;
   std::string last_logged_token_;
-  std::unordered_map<Ticket, std::pair<protocol::ServeFields, std::string>>
-      awaiting_admission_;  // until the fencing token is durable
+  // Commands whose fencing token is not durable yet.
+  std::unordered_map<Ticket, std::pair<protocol::ServeFields, std::string>> awaiting_admission_;
 };
 
 }  // namespace trailcourse::cache_node
--- a/src/cache_node/node_core.cpp
+++ b/src/cache_node/node_core.cpp
@@ -50,7 +50,7 @@
   if (!known) {
     reject(number, AnswerCode::kError, Note::kNone, "unknown_class", out);
   } else if (!source.empty() && !knows_source_(source) && distrusted_before_ms_ != INT64_MIN) {
-    // The endpoint list has not arrived yet, so the request is not at fault.
+    // The endpoint list has not been received yet, and the source may be on it: a miss, not an error.
     reject(number, AnswerCode::kMiss, Note::kSourceUnreachable, "source_not_known_yet", out);
   } else if (!source.empty() && !knows_source_(source)) {
     reject(number, AnswerCode::kError, Note::kNone, "unknown_source", out);
@@ -95,7 +95,7 @@
   request.lookup_deadline_ms = 0;
   const bool complete = found.status == store::ReadStatus::kComplete;
   if (complete && found.copy.size() > options_.max_answer_bytes) {
-    out.emplace_back(DropCopy{request.name});  // stored under a higher limit
+    out.emplace_back(DropCopy{request.name});  // was stored while the limit was higher
     fill(now, number, nullptr, out);
     return;
   }
@@ -196,8 +196,8 @@
   fill.source = source;
   fill.forwarded = !request.rule.cacheable;
   fill.rank = fields.keep_rank;
-  // `no_copy` binds a node that is requested as a source. A cache whose request names a source forwards the
-  // flag and stores its own copy.
+  // `no_copy` applies to the node that receives the request as a source. A cache whose request names a source
+  // forwards the flag to that source and stores its own copy.
   fill.store_result =
       request.rule.cacheable && fields.keep_rank > 0 && (!fields.no_copy || !fields.source.empty());
   fill.waiters.insert(number);
@@ -335,7 +335,7 @@
   }
   Fill& fill = at->second;
   if (result.body && result.body->size() > options_.max_answer_bytes) {
-    too_large(now, number, result.body->size(), out);
+    on_too_large(now, number, result.body->size(), out);
     return;
   }
   if (fill.forwarded) {
@@ -450,7 +450,7 @@
   const bool origin = fill.source == options_.origin;
   Note note = Note::kSourceUnreachable;
   AnswerCode code = AnswerCode::kMiss;
-  bool again = false;
+  bool refill = false;
   if (result.end == FetchResult::End::kAnswered) {
     switch (result.code) {
       case AnswerCode::kMiss:
@@ -460,7 +460,7 @@
         note = Note::kSourceRejected;
         break;
       case AnswerCode::kVoid:
-        again = true;  // the fill had the deadline of its first waiter; the others may have time left
+        refill = true;  // the fill had the deadline of its first waiter; the others may have time left
         break;
       case AnswerCode::kError:
       case AnswerCode::kOk:
@@ -475,7 +475,7 @@
     note = origin ? Note::kOriginFailed : Note::kSourceRejected;
   }
   for (const RequestNumber waiter : fill.waiters) {
-    if (again) {
+    if (refill) {
       refill_or_miss(now, waiter, note, out);
     } else {
       ++(code == AnswerCode::kError ? counts_.errors : counts_.misses);
@@ -484,9 +484,10 @@
   }
 }
 
-// No node can answer with an object of this size: it counts as a failure of the origin and is not stored.
-void NodeCore::too_large(const EventContext& now, FillNumber number, std::size_t bytes,
-                         std::vector<Action>& out) {
+// Handles an object that exceeds the limit of an answer: it counts as a failure of the origin and is not
+// stored, because no node could answer with it.
+void NodeCore::on_too_large(const EventContext& now, FillNumber number, std::size_t bytes,
+                            std::vector<Action>& out) {
   constexpr std::size_t kMaxReported = 1'024;
   const Fill& fill = fills_.at(number);
   ++counts_.too_large;
--- a/src/cache_node/node_core.h
+++ b/src/cache_node/node_core.h
@@ -43,16 +43,19 @@
   std::size_t max_in_flight_bytes = 64U << 20U;  // of fills in progress and of unsent answers
   std::size_t max_fills = 64;
   std::size_t max_answer_bytes = protocol::kMaxObjectBytes;  // a larger object is answered with ERR
-  std::size_t expected_fill_bytes = 64U << 10U;  // counted for each fill; its size is not known yet
+  std::size_t expected_fill_bytes = 64U << 10U;  // counted for a fill, whose size is not known yet
   std::int64_t lookup_timeout_ms = 150;          // after which a disk read counts as a miss
 };
 
 // The answer of a source, or how the fetch failed.
 struct FetchResult {
-  enum class End { kAnswered, kUnreachable, kBroken, kMalformed };
-  // kUnreachable: certainly not executed. kBroken: the connection ended, and the request may have been
-  // executed.
-  End end = End::kAnswered;  // kMalformed: an unreadable or implausible answer
+  enum class End {
+    kAnswered,
+    kUnreachable,  // the source certainly did not execute the request
+    kBroken,       // the connection ended, and the source may have executed the request
+    kMalformed,    // the answer was unreadable or implausible
+  };
+  End end = End::kAnswered;
   protocol::AnswerCode code = protocol::AnswerCode::kError;
   protocol::CacheAnswer fields;
   std::shared_ptr<const std::string> body;
@@ -105,7 +108,8 @@
 struct DropCopy {
   store::Name name;
 };
-// Reports an object that is larger than an answer may be; once for each object, as long as it is remembered.
+// Reports an object that exceeds the limit of an answer. An object is reported again only after the list of
+// reported objects was full and has been cleared.
 struct ObjectTooLarge {
   std::string item;
   std::string chunk;
@@ -122,7 +126,10 @@
   std::size_t waiting_bytes = 0;  // of answers that are queued and not sent yet
 };
 
-// Events since the start of the node.
+// Numbers of events since the start of the node. `joined`: requests that waited for the fill of another
+// request. `rejected`: requests answered ERR because they are invalid, or because their source gave a reason.
+// `too_old`: copies that a request could not use because of a purge or its age limit. `late_lookups`: disk
+// reads that exceeded their timeout.
 struct NodeCounts {
   std::uint64_t requests = 0, hits = 0, stale_hits = 0, not_modified = 0, misses = 0, fills = 0, joined = 0,
                 busy = 0, rejected = 0;
@@ -171,7 +178,8 @@
   // Returns the number of open requests.
   std::size_t open() const { return requests_.size(); }
   std::size_t fills() const { return fills_.size(); }
-  // Returns the use of the limit that is nearest to its bound; 1 or more: at the bound.
+  // Returns the highest ratio of use to limit among open requests, fills and bytes in flight; from 1 on,
+  // requests are rejected.
   double utilisation(std::size_t waiting_bytes) const;
   const NodeCounts& counts() const { return counts_; }
 
@@ -186,7 +194,7 @@
     std::int64_t lookup_deadline_ms = 0;  // 0: no lookup is in progress
     FillNumber fill = 0;                  // that it waits for; 0: none
     bool joined = false;
-    bool refilled = false;
+    bool refilled = false;                          // refill_or_miss() has started a second fill
     std::shared_ptr<const store::Copy> stale_copy;  // stored, but too old for this request
   };
   struct Fill {
@@ -207,10 +215,11 @@
   };
 
   std::int64_t age_limit(const Request& request) const;
-  bool within_age_limit(const EventContext& now, const Request& request, std::int64_t t0_ms) const;
+  bool within_age_limit(const EventContext& now, const Request& request, std::int64_t origin_time_ms) const;
   bool usable(const EventContext& now, const Request& request, const store::Copy& copy) const;
   void serve_copy(const EventContext& now, RequestNumber number, const store::Copy& copy, Note note,
                   std::int64_t waited_ms, std::vector<Action>& out);
+  // Joins a fill in progress or starts one. Without a source the request is a miss, beyond a limit BUSY.
   void fill(const EventContext& now, RequestNumber number, std::shared_ptr<store::PartialCopy> partial,
             std::vector<Action>& out);
   void begin_fill(const EventContext& now, Fill fill, std::int64_t limit_ms, const std::string& body,
@@ -225,7 +234,7 @@
                  std::vector<Action>& out);
   void on_fill_failed(const EventContext& now, FillNumber number, const FetchResult& result,
                       std::vector<Action>& out);
-  void too_large(const EventContext& now, FillNumber number, std::size_t bytes, std::vector<Action>& out);
+  void on_too_large(const EventContext& now, FillNumber number, std::size_t bytes, std::vector<Action>& out);
   void return_source_answer(const EventContext& now, FillNumber number, const FetchResult& result,
                             std::vector<Action>& out);
   void refill_or_miss(const EventContext& now, RequestNumber number, Note note, std::vector<Action>& out);
@@ -242,7 +251,7 @@
   KnowsSource knows_source_;
   std::map<RequestNumber, Request> requests_;
   std::map<FillNumber, Fill> fills_;
-  std::map<store::Key, FillNumber> shared_;
+  std::map<store::Key, FillNumber> shared_;                            // fills that other requests may join
   std::set<std::pair<std::int64_t, RequestNumber>> deadlines_;         // of requests
   std::set<std::pair<std::int64_t, RequestNumber>> lookup_deadlines_;  // of their lookups
   std::set<std::pair<std::int64_t, FillNumber>> fill_deadlines_;
--- a/src/cache_node/node_options.cpp
+++ b/src/cache_node/node_options.cpp
@@ -12,17 +12,17 @@
         .string("name", &NodeOptions::name, "-", StringRule{{}, true},
                 "name of this node in the endpoint list")
         .string("listen", &NodeOptions::listen, "IP:PORT", StringRule{{}, true},
-                "address on which routers and other nodes connect")
+                "address to which routers and other nodes connect")
         .string("board", &NodeOptions::board, "IP:PORT", StringRule{},
                 "address of the discovery service, which reports purges and the addresses of sources; none: "
-                "only the sources below, and no purges but by age limits")
+                "only the sources below are known, and copies expire only by their age")
         .strings("sources", &NodeOptions::sources, "NAME=IP:PORT",
                  "addresses of sources, in addition to those that the discovery service lists")
+        .string("fill_from", &NodeOptions::fill_from, "-", StringRule{},
+                "source of a fill if the request names none, as for a parent; none: such a request is a miss")
         .string(
-            "fill_from", &NodeOptions::fill_from, "-", StringRule{},
-            "source of a fill where the request names none, as at a parent; none: such a request is a miss")
-        .string("origin", &NodeOptions::origin, "-", StringRule{},
-                "name of the source that is the origin, for the notes in responses")
+            "origin", &NodeOptions::origin, "-", StringRule{},
+            "name of the source that is the origin; the notes in responses distinguish it from other nodes")
         .integer("open_requests", &NodeOptions::open_requests, "requests", IntegerRange{1, 1'000'000},
                  "maximum open requests; further requests are answered BUSY at once")
         .integer(
@@ -43,7 +43,7 @@
         .integer("source_connections", &NodeOptions::source_connections, "connections",
                  IntegerRange{1, 1'024}, "maximum connections to one source")
         .integer("connect_ms", &NodeOptions::connect_ms, "ms", IntegerRange{10, 60'000},
-                 "timeout of a connection to a source")
+                 "timeout for connecting to a source")
         .integer("idle_ms", &NodeOptions::idle_ms, "ms", IntegerRange{100, 3'600'000},
                  "idle time after which a connection is closed; has to match the settings of the routers")
         .integer(
@@ -53,8 +53,8 @@
         .integer("report_s", &NodeOptions::report_s, "s", IntegerRange{1, 86'400},
                  "interval between two log lines of counters")
         .string("fence_folder", &NodeOptions::fence_folder, "path", StringRule{},
-                "folder of the fencing tokens; none: beside the folder of the store, and without that fenced "
-                "commands are rejected");
+                "folder of the fencing tokens; none: beside the folder of the store; without either folder, "
+                "commands with a fencing token are rejected");
     return record;
   }();
   return kRecord;
@@ -82,7 +82,7 @@
     config::Record<OriginOptions> record("origin", "A small origin for tests: `trailcourse origin`.");
     record
         .string("listen", &OriginOptions::listen, "IP:PORT", StringRule{{}, true},
-                "address on which nodes connect")
+                "address to which nodes connect")
         .string("name", &OriginOptions::name, "-", StringRule{}, "name of this origin in the endpoint list")
         .string(
             "folder", &OriginOptions::folder, "-", StringRule{},
--- a/src/cache_node/origin.h
+++ b/src/cache_node/origin.h
@@ -1,5 +1,5 @@
-// A small origin for trials and measurements. It serves generated objects or the files of a folder over the
-// protocol of the caches, stores nothing, and sends each copy with the present as its origin time.
+// A small origin for tests and benchmarks. It serves generated objects or the files of a folder over the
+// protocol of the caches, stores nothing, and sends each copy with the current time as its origin time.
 //
 // Library `cache_node`. Not thread-safe: it belongs to its scheduler's thread.
 #pragma once
@@ -19,7 +19,7 @@
 std::string generate_object(const std::string& item, const std::string& chunk, std::uint64_t version,
                             std::size_t size);
 
-// Serves objects under the options given.
+// Serves objects with the given options.
 class Origin : public CommandHandler {
  public:
   Origin(transport::Scheduler& scheduler, const OriginOptions& options);
@@ -36,6 +36,7 @@
 
   // Changes all generated objects, as if each had been edited.
   void increment_version() { ++version_; }
+  // Return the number of requests for objects that exist, and the bytes of objects in the answers.
   std::uint64_t served() const { return served_; }
   std::uint64_t served_bytes() const { return served_bytes_; }
 
--- a/src/cache_node/source_client.cpp
+++ b/src/cache_node/source_client.cpp
@@ -46,9 +46,9 @@
 }
 
 void SourceConnection::on_event(const protocol::resp::ArrayEnd&) {
-  constexpr std::size_t kWithoutBody = 3;
+  constexpr std::size_t kStringsBeforeBody = 3;
   const std::optional<protocol::AnswerCode> code =
-      strings_.size() == kWithoutBody ? protocol::parse_answer_code(strings_[1]) : std::nullopt;
+      strings_.size() == kStringsBeforeBody ? protocol::parse_answer_code(strings_[1]) : std::nullopt;
   if (!code) {
     close_malformed("unknown answer code or number of strings");
     return;
@@ -133,8 +133,9 @@
   pending_fetches_[fill] = PendingFetch{slot->link, id};
 }
 
-// Sends a cancel command if the request has left. If nothing was received from the source since, all its
-// connections are dropped: new ones show whether it is still reachable.
+// Sends a cancel command if a part of the request may have been sent. If that was at least
+// `silent_after` ago and nothing was received from the source since, drops all connections to the source: new
+// ones show whether it is still reachable.
 void SourceClient::stop(FillNumber fill) {
   const auto found = pending_fetches_.find(fill);
   if (found == pending_fetches_.end()) {
--- a/src/cache_node/source_client.h
+++ b/src/cache_node/source_client.h
@@ -36,7 +36,7 @@
   friend class SourceClient;
   struct Call {
     FillNumber fill = 0;
-    std::uint64_t token = 0;
+    std::uint64_t token = 0;  // of the write, for Connection::withdraw()
     transport::Clock::time_point sent;
   };
 
@@ -53,7 +53,7 @@
   std::map<std::string, Call> calls_;
   std::vector<std::string> strings_;
   std::string body_;
-  bool is_pending_ = false;
+  bool is_pending_ = false;  // the answer that is being received belongs to an open fetch
 };
 
 // Sends fetches to sources over a pool of connections.
@@ -62,7 +62,8 @@
   struct Bounds {
     SourceConnection::Pool::Bounds pool;
     std::size_t answer_bytes = 64U << 20U;  // of one body; a longer one ends the connection
-    // A fetch that is stopped after this time shows that the source is gone, if nothing was received since.
+    // If a fetch is stopped after this time, and nothing was received from its source since it was sent, the
+    // connections to the source are dropped.
     transport::Clock::duration silent_after = std::chrono::milliseconds(400);
   };
   using ResultCallback = std::function<void(FillNumber, const FetchResult&)>;
--- a/src/http/client_connection.h
+++ b/src/http/client_connection.h
@@ -20,10 +20,10 @@
 // shared_ptr to this object meanwhile.
 class ClientConnection : public transport::Connection::Handler {
  public:
-  // Names a request that was written, for may_have_sent().
+  // Identifies a request that was written, for may_have_sent().
   using WriteToken = std::uint64_t;
 
-  // Starts to connect. Requests may be written at once; they leave when the connection is established.
+  // Starts to connect. Requests may be written at once; they are sent once the connection is established.
   static std::shared_ptr<ClientConnection> open(transport::Scheduler& scheduler, const transport::Address& to,
                                                 const transport::Connection::Bounds& connection_bounds,
                                                 const protocol::http::Bounds& response_bounds);
@@ -34,7 +34,7 @@
 
   // Returns whether a request may be written: the connection has not ended, and no response was malformed.
   bool usable() const { return !end_ && !parser_.failed(); }
-  // Returns whether the connection has ended, also if on_end() is still to be called.
+  // Returns whether the connection has ended, even if on_end() has not been called yet.
   bool closed() const;
   const transport::Address& peer() const { return peer_; }
   // Returns how the connection ended; nothing while it is open.
@@ -57,8 +57,9 @@
       std::shared_ptr<ClientConnection> connection, transport::Clock::time_point deadline);
 
   // Awaitable: true once anything was received, the connection ended, or wake() was called; false after
-  // `longest`.
-  transport::Signal::Wait wait(transport::Clock::duration longest) { return changed_.wait(longest); }
+  // `timeout`.
+  transport::Signal::Wait wait(transport::Clock::duration timeout) { return changed_.wait(timeout); }
+  // Resumes the coroutine that waits.
   void wake() { changed_.notify(); }
   // Removes and returns the bytes received so far of an incomplete body, for a body that is read as a stream.
   std::optional<std::string> take_body_part() { return parser_.take_body_part(); }
--- a/src/protocol/cache_answer.cpp
+++ b/src/protocol/cache_answer.cpp
@@ -32,7 +32,7 @@
                                                                     {"backfire", Note::kOriginFailed}}};
 
 // Fields of a load report that have another name in the settings.
-constexpr std::array<std::pair<std::string_view, std::string_view>, 6> kMeterNames{
+constexpr std::array<std::pair<std::string_view, std::string_view>, 6> kReportFieldNames{
     {{"inflight", "concurrent"},
      {"util", "load_share"},
      {"queue", "depth"},
@@ -66,7 +66,7 @@
 void read_load_report(std::string_view meter, const std::vector<std::string>& report_fields,
                       LoadReport& load) {
   each_field(meter, ';', ':', [&](std::string_view name, std::string_view value) {
-    const std::string_view* other = find_by_name(kMeterNames, name);
+    const std::string_view* other = find_by_name(kReportFieldNames, name);
     const std::string known(other != nullptr ? *other : name);
     const std::optional<double> number = read_number<double>(value);
     if (number && std::find(report_fields.begin(), report_fields.end(), known) != report_fields.end()) {
--- a/src/protocol/cache_command.cpp
+++ b/src/protocol/cache_command.cpp
@@ -90,7 +90,7 @@
   return true;
 }
 
-// Sets one field; the result is that of set_text().
+// Sets one field. Returns the same as set_text().
 std::optional<bool> set_field(ServeFields& out, std::string_view name, std::string_view value) {
   if (const std::optional<bool> text = set_text(out, name, value)) {
     return text;
@@ -241,18 +241,18 @@
   return "VOID";
 }
 
-std::string write_answer(std::string_view id, AnswerCode code, const CacheAnswer& out,
+std::string write_answer(std::string_view id, AnswerCode code, const CacheAnswer& answer,
                          std::string_view body) {
   FieldList list;
-  list.add("sum", out.tag)
-      .add("t0", out.origin_time_ms, out.origin_time_ms != 0)
-      .add("tell", note_name(out.note))
-      .add("slow", out.waited_ms, out.waited_ms > 0)
-      .add("group", out.group, out.group >= 0)
-      .add("span", out.range ? to_text(*out.range) : "")
-      .add("whole", static_cast<std::int64_t>(out.total_length), out.range.has_value())
-      .add("why", plain_value(out.error_reason))
-      .add("meter", out.load_report);
+  list.add("sum", answer.tag)
+      .add("t0", answer.origin_time_ms, answer.origin_time_ms != 0)
+      .add("tell", note_name(answer.note))
+      .add("slow", answer.waited_ms, answer.waited_ms > 0)
+      .add("group", answer.group, answer.group >= 0)
+      .add("span", answer.range ? to_text(*answer.range) : "")
+      .add("whole", static_cast<std::int64_t>(answer.total_length), answer.range.has_value())
+      .add("why", plain_value(answer.error_reason))
+      .add("meter", answer.load_report);
   return resp::write_array({id, answer_code_name(code), list.build(), body});
 }
 
--- a/src/protocol/cache_command.h
+++ b/src/protocol/cache_command.h
@@ -35,14 +35,14 @@
   std::string source;             // from which a miss is filled; empty: no fill
   std::string client_tag;         // of the copy that the client has, without quotes
   std::int64_t limit_ms = 0;      // time limit for the answer
-  std::int64_t age_limit_ms = 0;  // 0: the fresh time of the class
+  std::int64_t age_limit_ms = 0;  // 0: `fresh_ms` of the class
   int keep_rank = 0;              // 0: the copy is not stored
   bool join_fill = false;         // may share a fill that is in progress
   bool only_if_cached = false;    // the source must not fill
   bool no_copy = false;           // the source must not store a copy
   bool renew = false;             // a stale copy that is served is also refreshed
   std::optional<ByteRange> range;
-  std::string expected_tag;  // with `range`: only of the copy with this tag
+  std::string expected_tag;  // with `range`: the tag that the copy must have
   std::string fence;         // an extension: the fencing token of owned work, "STORE:WORK/SHARD:TERM"
 };
 
@@ -58,7 +58,7 @@
   std::string tag;
   std::int64_t origin_time_ms = 0;  // Unix time at which the origin sent the copy; 0: unknown
   Note note = Note::kNone;
-  std::int64_t waited_ms = 0;  // for a fill
+  std::int64_t waited_ms = 0;  // time that the request waited for a fill
   int group = -1;              // an extension: the purge group; -1: unknown
   std::optional<ByteRange> range;
   std::uint64_t total_length = 0;  // with `range`: of the complete value, in bytes
@@ -69,7 +69,8 @@
 // Returns the code as it is sent.
 std::string_view answer_code_name(AnswerCode code);
 // Returns the answer to the request with this id.
-std::string write_answer(std::string_view id, AnswerCode code, const CacheAnswer& out, std::string_view body);
+std::string write_answer(std::string_view id, AnswerCode code, const CacheAnswer& answer,
+                         std::string_view body);
 
 // Reads the fields that a cache uses of its source's answer; invalid fields are skipped.
 CacheAnswer read_cache_answer(std::string_view text);
--- a/src/protocol/discovery_page.cpp
+++ b/src/protocol/discovery_page.cpp
@@ -27,7 +27,7 @@
 
 ListedEndpoint read_endpoint(const json& source, const Profile& profile) {
   if (!source.is_object()) {
-    throw FormatError("not an endpoint");
+    throw FormatError("not an object");
   }
   ListedEndpoint listed;
   Endpoint& endpoint = listed.endpoint;
@@ -87,7 +87,7 @@
   for (const json& entry : array_at(page, "notices")) {
     try {
       if (!entry.is_object()) {
-        throw FormatError("not an event");
+        throw FormatError("not an object");
       }
       DiscoveryUpdate update;
       update.sequence = id_at(entry, "rev");
@@ -122,8 +122,9 @@
   return read_discovery_page(page, profile);
 }
 
-std::string poll_path(std::uint64_t last_sequence, std::int64_t linger_ms) {
-  return "/board/poll?watch=" + std::to_string(last_sequence) + "&linger=" + std::to_string(linger_ms);
+std::string poll_path(std::uint64_t last_sequence, std::int64_t long_poll_timeout_ms) {
+  return "/board/poll?watch=" + std::to_string(last_sequence) +
+         "&linger=" + std::to_string(long_poll_timeout_ms);
 }
 
 }  // namespace trailcourse::protocol
--- a/src/protocol/discovery_page.h
+++ b/src/protocol/discovery_page.h
@@ -16,7 +16,7 @@
 
 // An endpoint as the discovery service lists it: its name and its network address.
 struct ListedEndpoint {
-  Endpoint endpoint;                 // its `address` is the name; its start is not set
+  Endpoint endpoint;                 // its `address` is the name; its start time is not set
   std::string address;               // IP:PORT
   std::int64_t started_unix_ms = 0;  // Unix time of its start; 0: long ago
 };
@@ -51,6 +51,6 @@
 DiscoveryPage parse_discovery_page(std::string_view text, const Profile& profile);
 
 // Returns the path of a poll for the events after `last_sequence`, with its long-poll timeout.
-std::string poll_path(std::uint64_t last_sequence, std::int64_t linger_ms);
+std::string poll_path(std::uint64_t last_sequence, std::int64_t long_poll_timeout_ms);
 
 }  // namespace trailcourse::protocol
--- a/src/protocol/fastcgi.cpp
+++ b/src/protocol/fastcgi.cpp
@@ -191,7 +191,7 @@
   }
   if (body != (request.stage == Stage::kBody)) {
     if (!body) {
-      return;  // parameters after their end
+      return;  // a parameter record after the end of the parameters is skipped
     }
     reject(key, request, "a body before the end of the parameters", out);
     return;
--- a/src/protocol/fastcgi.h
+++ b/src/protocol/fastcgi.h
@@ -45,7 +45,7 @@
 struct RequestAborted {
   RequestKey key = 0;
 };
-// An invalid request. `reason` is sent to the client unless `answered` is false.
+// A request that is invalid or exceeds a limit. `reason` is sent to the client unless `answered` is false.
 struct RequestRejected {
   RequestKey key = 0;
   ProtocolStatus status = ProtocolStatus::kRequestComplete;
@@ -128,6 +128,7 @@
   bool empty() const { return turns_.empty(); }
   // Returns the bytes that were appended and not written to a record yet.
   std::size_t waiting() const { return waiting_; }
+  // Returns the number of requests whose answer is not completely written.
   std::size_t size() const { return answers_.size(); }
   // Returns the next records of one request; the queue must not be empty. `ended` is set to whether they end
   // the request, and `ended_key` is then its key.
--- a/src/protocol/fastcgi_peer.h
+++ b/src/protocol/fastcgi_peer.h
@@ -10,6 +10,7 @@
 
 namespace trailcourse::protocol::fastcgi_peer {
 
+// One record of the protocol; `type` as in the FastCGI specification.
 struct Record {
   std::uint8_t type = 0;
   std::uint16_t key = 0;
@@ -27,6 +28,7 @@
   return out.append(content) + std::string(padding, '\0');
 }
 
+// Returns BEGIN_REQUEST; role 1 is Responder.
 inline std::string begin_record(std::uint16_t key, std::uint16_t role = 1, bool keep = true) {
   std::string content{static_cast<char>(role >> 8U), static_cast<char>(role & 0xffU),
                       static_cast<char>(keep ? 1 : 0)};
--- a/src/protocol/http_client.cpp
+++ b/src/protocol/http_client.cpp
@@ -187,9 +187,9 @@
 }
 
 std::optional<std::int64_t> read_retry_after(const std::string& value, std::int64_t unix_s) {
-  constexpr std::size_t kMostDigits = 9;
+  constexpr std::size_t kMaxDigits = 9;
   if (const auto seconds = read_number<std::int64_t>(value)) {
-    return *seconds >= 0 && value.size() <= kMostDigits ? seconds : std::nullopt;
+    return *seconds >= 0 && value.size() <= kMaxDigits ? seconds : std::nullopt;
   }
   std::tm date{};
   const char* end = ::strptime(value.c_str(), "%a, %d %b %Y %H:%M:%S GMT", &date);
--- a/src/protocol/http_client.h
+++ b/src/protocol/http_client.h
@@ -44,7 +44,7 @@
 
   // Parses bytes. Bytes after a complete response that was not taken yet are an error.
   void feed(std::string_view bytes);
-  // The connection has ended, which completes a body without a length.
+  // Reports that the connection has ended, which completes a body without a length.
   void feed_end();
 
   // Returns the response once it is complete; the parser is then ready for the next one.
--- a/src/protocol/json_fields.h
+++ b/src/protocol/json_fields.h
@@ -37,7 +37,7 @@
 std::int64_t integer_or_default(const nlohmann::json& object, const char* key, std::int64_t absent);
 // Returns a required integer of 0 or more.
 std::uint64_t id_at(const nlohmann::json& object, const char* key);
-// Returns an integer of 32 bits.
+// Returns an integer; throws if it exceeds 32 bits.
 int small_integer_at(const nlohmann::json& object, const char* key, int absent);
 // Returns false if the key is absent.
 bool boolean_at(const nlohmann::json& object, const char* key);
--- a/src/protocol/resp.cpp
+++ b/src/protocol/resp.cpp
@@ -9,7 +9,7 @@
 namespace trailcourse::protocol::resp {
 namespace {
 
-constexpr std::string_view kBreak = "\r\n";
+constexpr std::string_view kLineBreak = "\r\n";
 
 }  // namespace
 
@@ -25,10 +25,10 @@
   if (end == std::string_view::npos) {
     return false;
   }
-  if (!line_.ends_with(kBreak)) {
+  if (!line_.ends_with(kLineBreak)) {
     return fail("length line without a line break");
   }
-  line_.resize(line_.size() - kBreak.size());
+  line_.resize(line_.size() - kLineBreak.size());
   return true;
 }
 
@@ -36,7 +36,7 @@
   const std::string line = std::exchange(line_, {});
   const char prefix = stage_ == Stage::kArray ? '*' : '$';
   if (line.empty() || line[0] != prefix) {
-    return fail(std::string("not a ") + (prefix == '*' ? "array" : "bulk string"));
+    return fail(prefix == '*' ? "not an array" : "not a bulk string");
   }
   const std::optional<std::size_t> value = read_number<std::size_t>(std::string_view(line).substr(1));
   if (!value) {
@@ -45,7 +45,7 @@
   const std::size_t length = *value;
   if (stage_ == Stage::kArray) {
     if (length == 0 || length > bounds_.strings) {
-      return fail("array of " + std::to_string(length) + " strings");
+      return fail("invalid number of strings in an array: " + std::to_string(length));
     }
     remaining_strings_ = length;
     strings_.clear();
@@ -54,7 +54,7 @@
   }
   const bool last = remaining_strings_ == 1;
   if (length > (last ? bounds_.last_bytes : bounds_.string_bytes)) {
-    return fail("string of " + std::to_string(length) + " bytes");
+    return fail("string too long: " + std::to_string(length) + " bytes");
   }
   remaining_bytes_ = length;
   line_break_bytes_ = 0;
@@ -79,14 +79,14 @@
 }
 
 bool Parser::read_break(std::string_view& bytes, Stage after) {
-  while (!bytes.empty() && line_break_bytes_ < kBreak.size()) {
-    if (bytes[0] != kBreak[line_break_bytes_]) {
+  while (!bytes.empty() && line_break_bytes_ < kLineBreak.size()) {
+    if (bytes[0] != kLineBreak[line_break_bytes_]) {
       return fail("string longer than its length");
     }
     ++line_break_bytes_;
     bytes.remove_prefix(1);
   }
-  if (line_break_bytes_ < kBreak.size()) {
+  if (line_break_bytes_ < kLineBreak.size()) {
     return false;
   }
   line_break_bytes_ = 0;
@@ -109,13 +109,13 @@
   out.reserve(bytes);
   out += '*';
   out += std::to_string(strings.size());
-  out += kBreak;
+  out += kLineBreak;
   for (const std::string_view string : strings) {
     out += '$';
     out += std::to_string(string.size());
-    out += kBreak;
+    out += kLineBreak;
     out += string;
-    out += kBreak;
+    out += kLineBreak;
   }
   return out;
 }
--- a/src/protocol/resp.h
+++ b/src/protocol/resp.h
@@ -36,6 +36,7 @@
   std::size_t line_bytes = 32;           // of a length line
 };
 
+// Parses the arrays of one connection.
 class Parser {
  public:
   explicit Parser(const Bounds& bounds) : bounds_(bounds) {}
--- a/src/protocol/settings.h
+++ b/src/protocol/settings.h
@@ -1,4 +1,4 @@
-// Reads the settings of a router from JSON, for the router and the bench adapter.
+// Reads the settings of a router from JSON, for the router and the benchmark adapter.
 //
 // Library `protocol`: no I/O and no clock.
 #pragma once
