--- a/src/config/record.h
+++ b/src/config/record.h
@@ -1,8 +1,8 @@
-// Typed records: one declaration of a key gives its reader, its error messages, the output of `check-config`,
-// its JSON Schema and its row in docs/configuration.md.
+// Typed records: the declaration of a key defines how the key is read, its error messages, its line in the
+// output of `check-config`, its JSON Schema and its row in docs/configuration.md.
 //
-// Library `config`, beside `protocol`: knows JSON, no file and no socket. Not thread-safe; a Record is
-// declared once and only read after that.
+// Works on JSON values only and does no file or network I/O. Not thread-safe; a Record is declared once and
+// only read after that.
 #pragma once
 
 #include <cstdint>
@@ -45,6 +45,7 @@
   double max = 0.0;
 };
 
+// Allowed strings. Keys of type kBoolean and kStrings hold a default StringRule, which is not checked.
 struct StringRule {
   std::vector<std::string> allowed;  // empty: any string
   bool required = false;             // the key has to be present and not empty
@@ -90,12 +91,14 @@
 template <typename T>
 class Record {
  public:
+  // Pointer to the member of `T` that stores the value of a key.
   using Member = std::variant<std::int64_t T::*, double T::*, bool T::*, std::string T::*,
                               std::vector<std::string> T::*>;
 
   Record(std::string section, std::string description)
       : section_(std::move(section)), description_(std::move(description)) {}
 
+  // Each declares a key whose value is stored in `member`, and returns this record.
   Record& integer(const char* name, std::int64_t T::* member, const char* unit, IntegerRange range,
                   const char* description) {
     return add(Key{name, unit, range, description, Key::Type::kInteger}, member);
--- a/src/program/aggregator_command.cpp
+++ b/src/program/aggregator_command.cpp
@@ -67,12 +67,12 @@
  public:
   SequenceFollower(transport::Scheduler& scheduler, const transport::Address& address, std::uint64_t seed,
                    tasks::DiscoveryProgress& progress)
-      : client_(scheduler, address, listener_, profile_, seed, bounds(), hooks(progress), {}) {
+      : client_(scheduler, address, listener_, profile_, seed, client_options(), hooks(progress), {}) {
     client_.start();
   }
 
  private:
-  static routing::DiscoveryClient::Options bounds() {
+  static routing::DiscoveryClient::Options client_options() {
     routing::DiscoveryClient::Options out;
     out.reset_detection_delay = Micros(0);  // a sequence number that is applied again changes nothing
     out.response_bounds.body_bytes = kMaxPageBytes;
@@ -92,7 +92,8 @@
   routing::DiscoveryClient client_;
 };
 
-// Waits until no router has a lease from here and the owned work is released, then stops the scheduler.
+// Waits until no router has a lease from this aggregator and the owned work is released, then stops the
+// scheduler.
 transport::Task<void> drain_aggregator(transport::Scheduler& scheduler, AggregatorService& service,
                                        TaskRunner& runner) {
   service.drain();
--- a/src/program/command_line.cpp
+++ b/src/program/command_line.cpp
@@ -362,7 +362,7 @@
   command.snapshots = parsed.count("snapshots") > 0;
   command.without_list = parsed.count("without-list") > 0;
   command.faults = parsed["faults"].as<std::string>();
-  command.draw = parsed["draw"].as<int>();
+  command.random_faults = parsed["draw"].as<int>();
   command.seed = parsed["seed"].as<std::uint64_t>();
   command.run_time_s = parsed["for"].as<double>();
   command.load_per_s = parsed["load"].as<double>();
@@ -501,13 +501,14 @@
       "TEXT")("content-of", "propose: use the content of this earlier version",
               cxxopts::value<std::string>()->default_value(""),
               "VERSION")("urgent", "propose: supersede a change that has not committed")(
-      "wait", "propose, acknowledged: wait until it is done")(
+      "wait", "propose, acknowledged: wait until the change has ended or the event is acknowledged")(
       "stages", "propose: zones to change first, in this order", cxxopts::value<std::vector<std::string>>(),
       "A,B")("watch", "propose: time for which each stage is observed, in seconds",
              cxxopts::value<double>()->default_value("60"), "SECONDS")(
       "most-refused", "propose: share of rejected and failed requests above which a stage is reverted",
-      cxxopts::value<double>()->default_value("0.05"),
-      "SHARE")("forget", "acknowledged: withdraw the request for acknowledgements; remove the work first")(
+      cxxopts::value<double>()->default_value("0.05"), "SHARE")(
+      "forget",
+      "acknowledged: withdraw the request for acknowledgements; remove the work of kind acknowledge first")(
       "for", "wait, --wait: maximum wait, in seconds", cxxopts::value<double>()->default_value("120"),
       "SECONDS");
 }
--- a/src/program/configuration.cpp
+++ b/src/program/configuration.cpp
@@ -24,7 +24,7 @@
 constexpr std::int64_t kReservedSockets = 16;  // standard streams, epoll, listener, discovery service, spare
 constexpr std::size_t kDefaultMaxOpenRequests = 4096;
 
-constexpr std::size_t kDefaultMemoryShare = 256U << 20U;
+constexpr std::size_t kDefaultMemoryShare = 256U << 20U;  // bytes, without a memory limit
 
 [[noreturn]] void fail(const std::string& key, const std::string& reason) {
   throw ConfigurationError(key + ": " + reason);
@@ -148,9 +148,9 @@
   out.sockets =
       with_error_key("limits.sockets", [&] { return protocol::integer_or_default(limits, "sockets", 0); });
   rlimit system{};
-  const bool known = ::getrlimit(RLIMIT_NOFILE, &system) == 0 && system.rlim_cur != RLIM_INFINITY;
-  const std::int64_t own = known ? static_cast<std::int64_t>(system.rlim_cur) : out.sockets;
-  out.sockets = out.sockets > 0 ? std::min(out.sockets, own) : own;
+  const bool limited = ::getrlimit(RLIMIT_NOFILE, &system) == 0 && system.rlim_cur != RLIM_INFINITY;
+  const std::int64_t process_limit = limited ? static_cast<std::int64_t>(system.rlim_cur) : out.sockets;
+  out.sockets = out.sockets > 0 ? std::min(out.sockets, process_limit) : process_limit;
   if (out.sockets < kMinSockets) {
     fail("limits.sockets", std::to_string(out.sockets) + " descriptors are too few, the minimum is " +
                                std::to_string(kMinSockets));
@@ -199,8 +199,8 @@
 void add_client_keys(config::Record<Tuning>& record) {
   record
       .integer("listen_backlog", &Tuning::listen_backlog, "connections", IntegerRange{1, 65'535},
-               "connections that may wait to be accepted; a request on a connection that the system has "
-               "accepted is answered")
+               "connections that may wait to be accepted; the router also answers requests on connections "
+               "that only the system has accepted")
       .integer(
           "client_idle_ms", &Tuning::client_idle_ms, "ms", IntegerRange{1'000, 3'600'000},
           "idle time after which a client connection is closed; clients close after 4 s, so this reclaims "
@@ -221,9 +221,10 @@
                IntegerRange{4'096, 16'777'216},
                "maximum unsent bytes on one connection, checked when a rejection or a management response is "
                "added")
-      .integer("client_lead_ms", &Tuning::client_lead_ms, "ms", IntegerRange{0, 1'000},
-               "time that a request is assumed to need from the client to here; a deadline counts from the "
-               "moment the client sent the request")
+      .integer(
+          "client_lead_ms", &Tuning::client_lead_ms, "ms", IntegerRange{0, 1'000},
+          "time that a request is assumed to need from the client to the router; a deadline counts from the "
+          "moment the client sent the request")
       .integer(
           "client_stall_ms", &Tuning::client_stall_ms, "ms", IntegerRange{100, 3'600'000},
           "time without progress after which the connection of a client that does not read its responses "
@@ -231,8 +232,8 @@
       .integer("client_send_buffer", &Tuning::client_send_buffer, "bytes", IntegerRange{0, 16'777'216},
                "size of the system's send buffer of one client; 0: the system's default")
       .integer("answer_record_bytes", &Tuning::answer_record_bytes, "bytes", IntegerRange{512, 65'535},
-               "size of the record by which responses on one connection take turns, so that a large one does "
-               "not block small ones")
+               "size of the records in which responses on one connection are interleaved, so that a large "
+               "one does not block small ones")
       .integer("write_low_mark", &Tuning::write_low_mark, "bytes", IntegerRange{1'024, 16'777'216},
                "bytes handed to a connection before its socket has accepted them");
 }
@@ -259,10 +260,9 @@
                "time after the long-poll timeout at which a poll of the discovery service has failed")
       .integer("board_pause_ms", &Tuning::board_pause_ms, "ms", IntegerRange{1, 60'000},
                "mean backoff after the first failed poll; doubles with each further failure")
-      .integer(
-          "board_most_pause_ms", &Tuning::board_most_pause_ms, "ms", IntegerRange{1, 60'000},
-          "maximum mean backoff between failed polls; an update of the discovery service is in force 2 s "
-          "after a connection loss, whether it was received or not");
+      .integer("board_most_pause_ms", &Tuning::board_most_pause_ms, "ms", IntegerRange{1, 60'000},
+               "maximum mean backoff between failed polls; an update of the discovery service takes effect "
+               "2 s after a connection loss, whether or not the router has received it");
 }
 
 void add_drain_and_memory_keys(config::Record<Tuning>& record) {
@@ -275,9 +275,9 @@
       .integer("drain_answer_ms", &Tuning::drain_answer_ms, "ms", IntegerRange{100, 600'000},
                "maximum time after SIGTERM to answer open requests; less where the longest deadline of the "
                "settings is shorter")
-      .integer(
-          "drain_late_ms", &Tuning::drain_late_ms, "ms", IntegerRange{0, 60'000},
-          "extra time to answer requests that arrived late; SIGKILL comes 0.7 s after the longest deadline")
+      .integer("drain_late_ms", &Tuning::drain_late_ms, "ms", IntegerRange{0, 60'000},
+               "extra time to answer requests that arrived late; the platform sends SIGKILL 0.7 s after "
+               "the longest deadline")
       .integer("base_memory_mb", &Tuning::base_memory_mb, "MB", IntegerRange{1, 1'024},
                "memory of the program itself, its tables and the allocator's overhead; the rest is divided "
                "between the limits")
--- a/src/program/configuration.h
+++ b/src/program/configuration.h
@@ -60,29 +60,31 @@
   std::string name;
   transport::Address listen;
   transport::Address discovery_address;
-  std::uint64_t seed = 0;      // of all random numbers of this router
+  std::uint64_t seed = 0;      // for all random numbers of this router
   std::int64_t memory_mb = 0;  // 0: no limit
   std::int64_t sockets = 0;    // maximum open descriptors
   protocol::Profile profile;
-  protocol::DiscoveryPage known;
-  std::string known_text;  // `known` as it was configured
+  protocol::DiscoveryPage known;  // endpoint list and purges to start with
+  std::string known_text;         // `known` as it was configured
   Tuning tuning;
   StartSections start;
   std::string restart_keys;  // the keys of the file whose change needs a restart, as JSON
 
   // Limits derived from the configured limits and settings.
   std::size_t max_open_requests() const;
+  // Returns the maximum bytes of open requests.
   std::size_t max_open_bytes() const { return memory_share(3); }
-  // Of responses that wait to be sent to clients.
+  // Returns the maximum bytes of responses that wait to be sent to clients.
   std::size_t max_unsent_bytes() const { return memory_share(4); }
-  // Of partially received responses of caches.
+  // Returns the maximum bytes of partially received responses of caches.
   std::size_t max_response_bytes() const { return memory_share(4); }
-  // Of partially received requests.
+  // Returns the maximum bytes of partially received requests.
   std::size_t max_partial_bytes() const { return memory_share(8); }
   // Returns 1/`divisor` of the memory limit, less the memory of the program itself.
   std::size_t memory_share(std::int64_t divisor) const;
   // Returns the maximum number of client connections.
   std::size_t max_clients() const;
+  // Returns the maximum number of connections to all caches together.
   int max_cache_connections() const;
   // Returns the maximum number of connections that were closed here but not by the peer yet; it applies to
   // clients and to caches, each.
@@ -104,7 +106,7 @@
   std::string file;                                     // overrides NODE_CONFIG
   std::string listen;                                   // overrides NODE_LISTEN and the file
   std::string operator_file;      // its section `router` is read before that of the file
-  std::vector<std::string> sets;  // KEY=NUMBER of keys of the section `router`
+  std::vector<std::string> sets;  // KEY=NUMBER, each for a key of the section `router`
 };
 
 // Reads and checks the configuration. Throws ConfigurationError.
--- a/src/program/discovery_file_server.h
+++ b/src/program/discovery_file_server.h
@@ -11,6 +11,7 @@
 
 namespace trailcourse::program {
 
+// Serves the events of a file, and reads the file again when it changes.
 class DiscoveryFileServer {
  public:
   // Throws ConfigurationError if the file is invalid. The id of the service is the key `board` of the file,
@@ -41,8 +42,8 @@
   std::uint64_t fenced_rejected_ = 0;
 };
 
-// Appends an event to such a file by replacing the file, and returns the sequence number that the event got.
-// Throws ConfigurationError if the file is invalid or cannot be replaced.
+// Appends an event to the file of a discovery service by replacing the file, and returns the sequence number
+// of the event. Throws ConfigurationError if the file is invalid or cannot be replaced.
 std::uint64_t append_event(const std::string& file, nlohmann::json event);
 
 }  // namespace trailcourse::program
--- a/src/program/fleet_command.cpp
+++ b/src/program/fleet_command.cpp
@@ -31,7 +31,7 @@
 
 namespace {
 
-constexpr milliseconds kStartTimeout{30'000};  // of a process, and of an answer of the running fleet
+constexpr milliseconds kStartTimeout{30'000};  // of a process; also for fault and stop to take effect
 constexpr milliseconds kPollInterval{50};
 constexpr milliseconds kDisplayInterval{500};
 constexpr std::size_t kMaxRows = 24;
@@ -145,13 +145,13 @@
         throw ConfigurationError(command_.faults + ": " + error.what());
       }
     }
-    const bool use_proxies = command_.proxies || command_.draw > 0 ||
+    const bool use_proxies = command_.proxies || command_.random_faults > 0 ||
                              std::any_of(script.begin(), script.end(), [](const fleet::Fault& fault) {
                                return fleet::is_link_fault(fault.kind);
                              });
     scenario_.emplace(scheduler_, layout_, ports_, command_.program,
                       use_proxies ? std::vector<std::string>{"*>*"} : std::vector<std::string>{});
-    if (command_.draw > 0) {
+    if (command_.random_faults > 0) {
       script = random_script();
       write_file_atomically(command_.folder + "/faults.txt", fleet::write_script(script));
     }
@@ -178,18 +178,18 @@
 
  private:
   std::vector<fleet::Fault> random_script() {
-    fleet::RandomScriptOptions draw;
+    fleet::RandomScriptOptions options;
     for (const fleet::Member& member : layout_.members()) {
       if (member.kind == Kind::kRouter || member.kind == Kind::kCache || member.kind == Kind::kParent) {
-        draw.processes.push_back(member.name);
+        options.processes.push_back(member.name);
       }
     }
     for (const fleet::FaultProxy* proxy : scenario_->links()) {
-      draw.links.push_back(proxy->name());
+      options.links.push_back(proxy->name());
     }
-    draw.faults = command_.draw;
-    draw.length_ms = static_cast<std::int64_t>(std::max(2.0, command_.run_time_s * 0.7) * 1'000);
-    return fleet::random_script(draw, command_.seed);
+    options.faults = command_.random_faults;
+    options.length_ms = static_cast<std::int64_t>(std::max(2.0, command_.run_time_s * 0.7) * 1'000);
+    return fleet::random_script(options, command_.seed);
   }
 
   bool start_nodes() {
@@ -263,7 +263,7 @@
     }
   }
 
-  // Makes each node log its counters every second, from which the second with most fills is found.
+  // Makes each node log its counters every second. The summary takes the highest rates from these logs.
   void request_node_counters() {
     if (Clock::now() < next_counter_request_) {
       return;
--- a/src/program/fleet_command.h
+++ b/src/program/fleet_command.h
@@ -13,7 +13,7 @@
   std::string action;          // start, status, stop or fault
   std::string fault;           // of fault: one line of a fault script, without its time
   std::string folder;          // working folder of the fleet
-  std::string program;         // of all processes; a path
+  std::string program;         // path of the program of all processes
   std::string router_program;  // of the routers; empty: `program`
   int routers = 4;
   int caches = 2;
@@ -27,7 +27,7 @@
   bool snapshots = false;
   bool without_list = false;  // start routers without an endpoint list
   std::string faults;         // path of a fault script
-  int draw = 0;               // number of random faults
+  int random_faults = 0;      // number of random faults to inject
   std::uint64_t seed = 1;
   double run_time_s = 0.0;  // 0: until a signal
   double load_per_s = 0.0;
@@ -42,7 +42,7 @@
   bool quiet = false;
 };
 
-// Exit status beside 0, 1 (failure) and 2 (usage error).
+// Exit statuses besides 0, 1 (failure) and 2 (usage error).
 constexpr int kProcessDied = 4;      // a process ended unexpectedly
 constexpr int kStartFailed = 5;      // a process did not start, or a router did not become ready
 constexpr int kFleetNotRunning = 6;  // status, stop and fault: no fleet runs in the folder
--- a/src/program/fleet_work.cpp
+++ b/src/program/fleet_work.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-// Modify the seed for each part, so that their random numbers are independent.
+// XORed with the seed of the router, so that each part has independent random numbers.
 constexpr std::uint64_t kStoreSeed = 0x5354'4f52'45;
 constexpr std::uint64_t kPrefetchSeed = 0x4649'4c4c;
 
--- a/src/program/get_command.cpp
+++ b/src/program/get_command.cpp
@@ -24,7 +24,8 @@
 using Clock = std::chrono::steady_clock;
 using std::chrono::milliseconds;
 
-constexpr int kGroups = 256;
+constexpr int kGroups = 256;  // a request names the group of its object: the id modulo this
+// Types of FastCGI records.
 constexpr std::uint8_t kStdout = 6;
 constexpr std::uint8_t kEndRequest = 3;
 constexpr milliseconds kGrace{1'000};  // after the deadline, for the rest of the response
--- a/src/program/get_command.h
+++ b/src/program/get_command.h
@@ -7,7 +7,7 @@
 
 namespace trailcourse::program {
 
-// Exit status beside 0, 1 (the body cannot be written) and 2 (usage error).
+// Exit statuses besides 0, 1 (the body cannot be written) and 2 (usage error).
 constexpr int kGetRejected = 4;     // status 429 or 503: a retry is safe
 constexpr int kGetFailed = 5;       // any other status
 constexpr int kGetUnreachable = 6;  // no connection, or no complete response in time
--- a/src/program/node_commands.cpp
+++ b/src/program/node_commands.cpp
@@ -37,12 +37,12 @@
 }
 
 store::Store::Storage storage_of(const store::Options& options) {
-  store::Store::Storage backing;
+  store::Store::Storage storage;
   if (!options.folder.empty()) {
-    backing.files = [folder = options.folder] { return store::open_folder(folder); };
-    backing.index = [folder = options.folder] { return store::open_sqlite_index(folder); };
+    storage.files = [folder = options.folder] { return store::open_folder(folder); };
+    storage.index = [folder = options.folder] { return store::open_sqlite_index(folder); };
   }
-  return backing;
+  return storage;
 }
 
 // Waits for open requests, stops the node, writes queued copies to disk, and stops the scheduler.
@@ -95,7 +95,7 @@
 
 int run_cache(const OperatorFile& file) {
   constexpr int kMmapThreshold = 128 << 10;
-  mallopt(M_MMAP_THRESHOLD, kMmapThreshold);  // returns the memory of copies to the system
+  mallopt(M_MMAP_THRESHOLD, kMmapThreshold);  // so that freed copies go back to the system
   transport::Scheduler scheduler;
   Signals signals(scheduler);
   transport::Mailbox mailbox(scheduler);
--- a/src/program/operator_file.cpp
+++ b/src/program/operator_file.cpp
@@ -176,7 +176,7 @@
   std::string out;
   const auto section = [&out](const auto& record, const auto& defaults) {
     out += "### `" + record.section() + "`\n\n" + record.description() +
-           "\n\n| key | unit | default | range | reason |\n| --- | --- | --- | --- | --- |\n";
+           "\n\n| key | unit | default | range | description |\n| --- | --- | --- | --- | --- |\n";
     record.each(defaults, [&out](const config::Key& key, const json& value) {
       out += config::documentation_row(key, value) + "\n";
     });
--- a/src/program/operator_file.h
+++ b/src/program/operator_file.h
@@ -37,7 +37,7 @@
 };
 
 // Reads and checks the file. Throws ConfigurationError, whose text is one line that names section and key,
-// also if one of the required sections is missing.
+// also if one of the required sections is missing. parse_operator_file() uses `path` in errors only.
 OperatorFile read_operator_file(const std::string& path, const std::vector<std::string>& required_sections);
 OperatorFile parse_operator_file(const std::string& text, const std::string& path,
                                  const std::vector<std::string>& required_sections);
--- a/src/program/policy_command.cpp
+++ b/src/program/policy_command.cpp
@@ -53,7 +53,7 @@
       const std::uint64_t version = document.version;
       out[version] = std::move(document);
     } catch (const policy::InvalidDocument&) {
-      // The document was written by a later program; its version number is in use all the same.
+      // A newer version of this program wrote the document. Its version number must not be used again.
       out[std::strtoull(entry.key.c_str() + std::string(policy::kDocumentPrefix).size(), nullptr, 10)] = {};
     }
   }
@@ -159,8 +159,8 @@
   }
 }
 
-// Returns the proposed document without its version and parent, or nullopt if it is to have the content of a
-// version that does not exist. Throws policy::InvalidDocument.
+// Returns the proposed document without its version and parent, or nullopt if the command asks for the
+// content of a version that does not exist. Throws policy::InvalidDocument.
 std::optional<policy::PolicyDocument> proposed_document(
     const PolicyCommand& command, const std::map<std::uint64_t, policy::PolicyDocument>& all) {
   policy::PolicyDocument document;
--- a/src/program/policy_command.h
+++ b/src/program/policy_command.h
@@ -11,7 +11,7 @@
 
 namespace trailcourse::program {
 
-// Exit status beside 0, 1 (the store is unavailable) and 2 (usage error).
+// Exit statuses besides 0, 1 (the store is unavailable) and 2 (usage error).
 constexpr int kInvalidPolicy = 3;  // the document is invalid, or the version does not exist
 constexpr int kChangeOpen = 4;     // another change is open, or a concurrent change won
 constexpr int kChangeAborted = 5;  // the awaited change was aborted
--- a/src/program/serve.cpp
+++ b/src/program/serve.cpp
@@ -58,8 +58,8 @@
   bounds.pool.connections_per_peer =
       start.max_connections_per_peer(static_cast<int>(tuning.cache_connections));
   bounds.pool.total_connections = configuration.max_cache_connections();
-  // The cache closes an idle connection after this time, and a request could be sent just then. Half of it
-  // avoids that.
+  // The cache closes an idle connection after this time. The router closes it after half of that, so that it
+  // sends no request on a connection that the cache is about to close.
   const Micros idle =
       profile.connection_idle.count() > 0 ? profile.connection_idle : Micros(kDefaultIdleTime);
   bounds.pool.idle = idle / 2;
@@ -144,8 +144,8 @@
 }
 
 // Applies what a running router can change: the address of the discovery service, and events of `known` that
-// it does not have yet. Other changes are logged and need a restart; an invalid file changes nothing. No
-// request fails by it.
+// it does not have yet. Other changes are logged and need a restart; an invalid file changes nothing. A
+// reload fails no request.
 void reload(const ReloadConfiguration& reload_configuration, const Configuration& running,
             routing::DiscoveryClient& discovery_client, routing::DiscoveryUpdateHandler& update_handler) {
   try {
--- a/src/program/start_options.cpp
+++ b/src/program/start_options.cpp
@@ -21,13 +21,13 @@
         .strings("peers", &RelayOptions::peers, "NAME=IP:PORT",
                  "routers of this zone and their relay addresses; the same list at each router")
         .integer("degree", &RelayOptions::degree, "routers", IntegerRange{1, 1'000},
-                 "number of routers that poll one relay; the tree follows from a hash of the names")
+                 "number of routers that poll one relay; the tree is computed from a hash of the names")
         .integer("linger_ms", &RelayOptions::linger_ms, "ms", IntegerRange{1, 5'000},
                  "long-poll timeout of a relay; each level of the tree adds up to this to the age of a page")
         .integer(
             "grace_ms", &RelayOptions::grace_ms, "ms", IntegerRange{1, 5'000},
-            "time after linger_ms at which a poll of a relay has failed; the two are the delay by a dead "
-            "or stalled relay")
+            "time after linger_ms at which a poll of a relay has failed; linger_ms and grace_ms together "
+            "are the delay that a dead or stalled relay causes")
         .integer(
             "most_age_ms", &RelayOptions::most_age_ms, "ms", IntegerRange{10, 60'000},
             "maximum age of a page that is accepted or relayed; a relay delays an update by at most this")
--- a/src/program/start_support.cpp
+++ b/src/program/start_support.cpp
@@ -19,10 +19,11 @@
 namespace {
 
 constexpr milliseconds kCheckInterval{20};
-// A lower sequence number for less than this may come from a stale replica of the discovery service.
+// A sequence number that stays lower than before for less than this may come from a stale replica of the
+// discovery service.
 constexpr Micros kResetDetectionDelay = std::chrono::seconds(5);
 constexpr milliseconds kPurgeMargin{2'000};
-// Modify the seed for each part, so that their random numbers are independent.
+// XORed with the seed of the router, so that each part has independent random numbers.
 constexpr std::uint64_t kEndpointViewSeed = 0x9e3779b97f4a7c15ULL;
 constexpr std::uint64_t kRelaySelectorSeed = 0xc2b2ae3d27d4eb4fULL;
 constexpr std::uint64_t kRelaySeed = 0x165667b19e3779f9ULL;
@@ -214,9 +215,9 @@
 
 routing::DiscoveryClient::Options StartSupport::discovery_options() const {
   const Tuning& tuning = configuration_.tuning;
-  routing::DiscoveryClient::Options bounds;
-  bounds.first_poll_immediate = configuration_.start.policy.follow;
-  bounds.polling =
+  routing::DiscoveryClient::Options options;
+  options.first_poll_immediate = configuration_.start.policy.follow;
+  options.polling =
       startup::poll_options(configuration_.start.startup, milliseconds(tuning.board_pause_ms),
                             milliseconds(tuning.board_most_pause_ms), milliseconds(tuning.board_linger_ms));
   if (endpoint_view_) {
@@ -224,24 +225,24 @@
     const startup::ReadinessOptions readiness = startup::readiness_options(
         configuration_.start.startup, configuration_.profile.settings, max_poll_duration(tuning));
     if (readiness.stale_policy != startup::StalePolicy::kServe) {
-      bounds.polling.long_poll_timeout =
-          std::min(bounds.polling.long_poll_timeout, readiness.notification_bound / 2);
-      bounds.polling.max_long_poll_timeout = bounds.polling.long_poll_timeout;
+      options.polling.long_poll_timeout =
+          std::min(options.polling.long_poll_timeout, readiness.notification_bound / 2);
+      options.polling.max_long_poll_timeout = options.polling.long_poll_timeout;
     }
-    bounds.reset_detection_delay = kResetDetectionDelay;
+    options.reset_detection_delay = kResetDetectionDelay;
   }
   if (relay_ && tree_depth_ <= 2) {
     // A relay's pages must not be old on arrival. The shorter timeout is limited to the root of the tree and
     // the routers that poll it: with it on all levels, a lost relay would move the polls of all routers to
     // the discovery service.
-    bounds.polling.long_poll_timeout = std::min(
-        bounds.polling.long_poll_timeout, Micros(milliseconds(configuration_.start.relay.most_age_ms)) / 4);
-    bounds.polling.max_long_poll_timeout = bounds.polling.long_poll_timeout;
+    options.polling.long_poll_timeout = std::min(
+        options.polling.long_poll_timeout, Micros(milliseconds(configuration_.start.relay.most_age_ms)) / 4);
+    options.polling.max_long_poll_timeout = options.polling.long_poll_timeout;
   }
-  bounds.response_grace = milliseconds(tuning.board_grace_ms);
-  bounds.relay_long_poll_timeout = milliseconds(configuration_.start.relay.linger_ms);
-  bounds.relay_grace = milliseconds(configuration_.start.relay.grace_ms);
-  return bounds;
+  options.response_grace = milliseconds(tuning.board_grace_ms);
+  options.relay_long_poll_timeout = milliseconds(configuration_.start.relay.linger_ms);
+  options.relay_grace = milliseconds(configuration_.start.relay.grace_ms);
+  return options;
 }
 
 routing::DiscoveryClient::Hooks StartSupport::discovery_hooks() {
--- a/src/program/start_support.h
+++ b/src/program/start_support.h
@@ -27,6 +27,7 @@
 
 namespace trailcourse::program {
 
+// Owns these parts and connects them to the router.
 class StartSupport {
  public:
   // The arguments have to outlive this object.
@@ -35,7 +36,7 @@
   StartSupport(const StartSupport&) = delete;
   StartSupport& operator=(const StartSupport&) = delete;
 
-  // Appends the events that the decision module has to handle before another event at `now`.
+  // Appends the events that the decision module has to handle before any other event at `now`.
   void collect_due_events(Micros now, std::vector<Event>& out);
 
   // Applies the endpoint list and purges of the configuration, and then those of the snapshot if they are
--- a/src/program/store_client.cpp
+++ b/src/program/store_client.cpp
@@ -36,9 +36,9 @@
   return (*reply)->value;
 }
 
-std::vector<coordination::Entry> StoreClient::get(const std::string& stem, bool prefix) {
+std::vector<coordination::Entry> StoreClient::get(const std::string& name, bool prefix) {
   coordination::Transaction read;
-  read.then = {coordination::Get{coordination::Range{options_.prefix + stem, prefix}}};
+  read.then = {coordination::Get{coordination::Range{options_.prefix + name, prefix}}};
   std::vector<coordination::Entry> out = commit(read).results.at(0).found;
   for (coordination::Entry& entry : out) {
     entry.key.erase(0, options_.prefix.size());
--- a/src/program/store_client.h
+++ b/src/program/store_client.h
@@ -19,9 +19,9 @@
 
   // Executes a transaction. Throws std::runtime_error if it fails or no response arrives within 5 s.
   coordination::TransactionResult commit(const coordination::Transaction& transaction);
-  // Returns the entry of the key `stem`, or with `prefix` all whose keys begin with it. The keys are returned
-  // without the prefix of the store. Throws as commit() does.
-  std::vector<coordination::Entry> get(const std::string& stem, bool prefix = true);
+  // Returns the entry of the key `name`, or with `prefix` all entries whose keys begin with `name`. The
+  // returned keys lack the prefix of the store. Throws as commit() does.
+  std::vector<coordination::Entry> get(const std::string& name, bool prefix = true);
   // Returns the full key in the store.
   std::string key(const std::string& rest) const { return options_.prefix + rest; }
   const std::string& prefix() const { return options_.prefix; }
--- a/src/program/store_commands.h
+++ b/src/program/store_commands.h
@@ -6,7 +6,7 @@
 
 namespace trailcourse::program {
 
-// Exit status beside 0, 1 (failure) and 2 (usage error).
+// Exit statuses besides 0, 1 (failure) and 2 (usage error).
 constexpr int kDamageFound = 3;
 constexpr int kFolderInUse = 4;  // by a cache node
 
--- a/src/program/work_command.cpp
+++ b/src/program/work_command.cpp
@@ -34,7 +34,7 @@
   ownership::Owner owner;
   ownership::Progress progress;
   bool done = false;
-  std::string release_member;  // that is requested to release the shard; empty: none
+  std::string release_member;  // member that is requested to release the shard; empty: none
 };
 
 std::string state_of(const ownership::Work& work, const ShardState& row) {
@@ -58,9 +58,9 @@
       out[work->name] = {*work, std::move(rows)};
     }
   }
-  const auto apply = [&](const char* stem, const auto& update) {
-    for (const Entry& entry : client.get(stem)) {
-      const auto id = ownership::read_shard_key(entry.key, stem);
+  const auto apply = [&](const char* prefix, const auto& update) {
+    for (const Entry& entry : client.get(prefix)) {
+      const auto id = ownership::read_shard_key(entry.key, prefix);
       const auto found = id ? out.find(id->work) : out.end();
       if (found != out.end() && id->shard < found->second.second.size()) {
         update(found->second.second[id->shard], entry);
@@ -325,8 +325,8 @@
 int members(StoreClient& client, const WorkCommand& command, std::ostream& out) {
   membership::MembershipView view{membership::MembershipOptions{}};
   const Micros now = std::chrono::duration_cast<Micros>(Clock::now().time_since_epoch());
-  for (const char* stem : {membership::kMemberPrefix, membership::kSuspicionPrefix}) {
-    for (const Entry& entry : client.get(stem)) {
+  for (const char* prefix : {membership::kMemberPrefix, membership::kSuspicionPrefix}) {
+    for (const Entry& entry : client.get(prefix)) {
       view.apply(now, entry.key, entry.value, entry.created, entry.modified);
     }
   }
--- a/src/program/work_command.h
+++ b/src/program/work_command.h
@@ -10,7 +10,7 @@
 
 namespace trailcourse::program {
 
-// Exit status beside 0, 1 (the store is unavailable) and 2 (usage error).
+// Exit statuses besides 0, 1 (the store is unavailable) and 2 (usage error).
 constexpr int kNoSuchWork = 3;
 constexpr int kConflict = 4;  // the work was changed concurrently, or exists already
 
