--- a/src/program/configuration.h
+++ b/src/program/configuration.h
@@ -72,7 +72,7 @@
 
   // Limits derived from the configured limits and settings.
   std::size_t max_open_requests() const;
-  // Returns the maximum bytes of open requests.
+  // Returns the maximum bytes of open requests: their bodies, and open_request_bytes for each.
   std::size_t max_open_bytes() const { return memory_share(3); }
   // Returns the maximum bytes of responses that wait to be sent to clients.
   std::size_t max_unsent_bytes() const { return memory_share(4); }
