--- a/tests/store_stand_ins.h
+++ b/tests/store_stand_ins.h
@@ -312,8 +312,8 @@
   return store::Name::of("media", item, "0");
 }
 
-// Returns a copy whose bytes repeat the number, the version and the offset throughout, so that mixed parts are
-// detected.
+// Returns a copy whose bytes repeat the number, the version and the offset throughout, so that a test detects
+// mixed parts.
 inline store::Copy copy_of(int number, int version, std::size_t size, std::int64_t origin_time_ms,
                            int group = 3) {
   const std::string label = std::to_string(number) + "." + std::to_string(version) + ";";
