--- a/src/decision/decider.cpp
+++ b/src/decision/decider.cpp
@@ -1,5 +1,5 @@
-// Dispatches events to the parts of the decision module. A request passes them in this order: first the rules
-// (drains, slow start, purges, idempotency), then normal operation (keep rank, cache and source selection),
+// Dispatches events to the parts of the decision module. A request passes them in this order: first the
+// constraints that must always hold (drains, slow start, purges, idempotency), then normal operation (keep rank, cache and source selection),
 // then overload and failures (fill window, load shedding, outliers, retries).
 #include <trailcourse/decider.h>
 
@@ -31,8 +31,8 @@
 namespace trailcourse {
 namespace {
 
-constexpr double kDefaultTransferCapacity = 8.0;  // transfers, of a node whose weight does not give it
-constexpr Micros kRejectionRetryAfter = std::chrono::milliseconds(400);  // at most `max_retry_after`
+constexpr double kDefaultTransferCapacity = 8.0;  // transfers; used if the weight does not state it
+constexpr Micros kRejectionRetryAfter = std::chrono::milliseconds(400);  // limited by `max_retry_after`
 
 }  // namespace
 
@@ -80,7 +80,7 @@
   RequestTable requests_;
   DecisionContext context_;
   SendingTimes sending_times_;
-  // The rules.
+  // Constraints that must always hold.
   SlowStart slow_start_;
   PurgeFloors purges_{context_};
   IdempotencyRules idempotency_{context_};
@@ -120,7 +120,7 @@
 void Decider::Impl::apply_endpoint(const Endpoint& endpoint) {
   const auto [node, added] = context_.nodes.find_or_add(endpoint.address);
   if (added || endpoint.started != node.endpoint.started) {
-    // A new process at this address: it is in slow start, and the failures of the last one do not count.
+    // A new process at this address: it is in slow start, and failures of the previous process do not count.
     Node fresh;
     fresh.hash = node.hash;
     fresh.in_flight = node.in_flight;
@@ -218,8 +218,8 @@
   }
 }
 
-// The only place that checks client, deadline, drain, purge, idempotency and slow start again before the
-// first byte.
+// Checks the client, the deadline, draining, purges, idempotency and slow start again just before the first
+// byte. No other function repeats these checks.
 bool Decider::Impl::may_begin(Micros now, RequestId id, int index) {
   context_.now = std::max(context_.now, now);
   Request* request = requests_.find_open(id);
--- a/src/decision/decision_context.h
+++ b/src/decision/decision_context.h
@@ -16,7 +16,7 @@
 
 // Not thread-safe; has to outlive the parts that refer to it.
 struct DecisionContext {
-  // Maximum number of addresses; further ones reuse the slots of nodes that are not listed and idle.
+  // Maximum number of addresses; further ones reuse the slots of idle nodes that are not listed.
   static constexpr std::size_t kMaxNodes = 4096;
 
   DecisionContext(Settings initial_settings, std::uint64_t seed)
--- a/src/decision/failure_attribution.cpp
+++ b/src/decision/failure_attribution.cpp
@@ -16,8 +16,8 @@
   const bool from_cache = shows_holder(context_.settings, ended.note);
   if (latency_.on_time(request)) {
     outliers_.record_success(source);
-    sources_.record_fill(source, true, FillOrigin::kSource);
-    sources_.record_fill(source, true, from_cache ? FillOrigin::kSource : FillOrigin::kOrigin);
+    sources_.record_fill(source, true, QuotaOwner::kSource);
+    sources_.record_fill(source, true, from_cache ? QuotaOwner::kSource : QuotaOwner::kOrigin);
     return;
   }
   if (loads_.overloaded(context_.nodes.at(attempt.node))) {
@@ -26,7 +26,7 @@
   const bool began_soon =
       context_.settings.notes == NoteLevel::kAll && 2 * ended.source_first_byte_time < ended.latency;
   const bool by_source = source.endpoint.role == Role::kOrigin || from_cache || began_soon;
-  sources_.record_fill(source, false, by_source ? FillOrigin::kSource : FillOrigin::kOrigin);
+  sources_.record_fill(source, false, by_source ? QuotaOwner::kSource : QuotaOwner::kOrigin);
   if (by_source) {
     outliers_.record_failure(source, FailurePenalty::kLate);
   }
@@ -53,7 +53,7 @@
   attempt.avoid_source = attempt.fills();
   if (note != Note::kNotAtSource) {
     const bool by_origin = note == Note::kOriginFailed;
-    sources_.record_fill(source, false, by_origin ? FillOrigin::kOrigin : FillOrigin::kSource);
+    sources_.record_fill(source, false, by_origin ? QuotaOwner::kOrigin : QuotaOwner::kSource);
   }
   if (attempt.fills() && note == Note::kSourceUnreachable) {
     outliers_.record_failure(source, FailurePenalty::kFailure);
@@ -88,7 +88,7 @@
   if (silent) {
     outliers_.eject_for_silence(node);
   } else if (attempt.avoid_source) {
-    sources_.record_fill(source, false, FillOrigin::kSource);
+    sources_.record_fill(source, false, QuotaOwner::kSource);
     outliers_.record_failure(source, FailurePenalty::kFailure);
   }
   return attempt.avoid_node || attempt.avoid_source;
--- a/src/decision/fill_window.cpp
+++ b/src/decision/fill_window.cpp
@@ -9,12 +9,12 @@
 // at the same time.
 constexpr double kMinWindow = 0.03;
 constexpr double kMaxWindow = 5.0;
-constexpr double kGrowth = 0.04;  // seconds per window of successful fills
+constexpr double kGrowth = 0.04;  // seconds added per full window of successful fills
 constexpr double kShrinkFactor = 0.8;
 constexpr Micros kShrinkPause = std::chrono::milliseconds(300);  // between two reductions
 
 constexpr double kMinOfferSpan = 1.0;       // seconds; minimum span over which the offered rate is averaged
-constexpr double kOfferDecay = 0.998;       // per request, so the offered rate covers the last few hundred
+constexpr double kOfferDecay = 0.998;       // per request; the rate covers the last few hundred requests
 constexpr double kFailureSmoothing = 0.05;  // weight of a new fill in the failure rate
 constexpr double kFailingThreshold = 0.2;   // failure rate above which the window shrinks
 
@@ -59,7 +59,7 @@
   if (attempt.fill_work <= 0.0 || indicates_hit(ended.note)) {
     return false;
   }
-  // An attempt that was cancelled in favour of another one; the outcome of that one counts instead.
+  // If another attempt replaced this one, only the outcome of the other attempt counts.
   const bool replaced = attempt.avoid_node || attempt.avoid_source;
   switch (ended.status) {
     case Status::kCancelled:
--- a/src/decision/keep_rank.cpp
+++ b/src/decision/keep_rank.cpp
@@ -16,12 +16,12 @@
 constexpr double kMu = 0.3;     // of the share of the parents that are known holders
 constexpr double kNu = 0.6;     // of the idle time
 
-constexpr double kTopCut = 1.2;                  // scores below get the top rank
-constexpr double kMiddleCut = 2.0;               // scores below get the middle rank
+constexpr double kTopThreshold = 1.2;            // lower scores get the top rank
+constexpr double kMiddleThreshold = 2.0;         // lower scores get at most the middle rank
 constexpr double kTopShare = 0.25;               // maximum share of the requested bytes with the top rank
-constexpr double kByteDecay = 0.9995;            // per request, so that share covers the last few thousand
+constexpr double kByteDecay = 0.9995;            // per request; the share covers the last few thousand
 constexpr Micros kCountHalfLife = seconds(60);   // known holders expire after the same time
-constexpr Micros kDefaultMaxIdle = seconds(30);  // tmax of a class without a lifetime
+constexpr Micros kDefaultMaxIdle = seconds(30);  // maximum idle time of a class without a lifetime
 
 enum Rank { kLowestRank = 1, kMiddleRank = 2, kTopRank = 3 };
 
@@ -29,7 +29,7 @@
 
 int KeepRank::rank(const Request& request) {
   const double value = score(request);
-  const int wanted = value < kTopCut ? kTopRank : value < kMiddleCut ? kMiddleRank : kLowestRank;
+  const int wanted = value < kTopThreshold ? kTopRank : value < kMiddleThreshold ? kMiddleRank : kLowestRank;
   const double size_kb = std::max(1.0, request.arrival.size_kb);
   const bool top = top_bytes_.add(size_kb, wanted == kTopRank, kTopShare, kByteDecay);
   return top ? kTopRank : std::min<int>(wanted, kMiddleRank);
@@ -38,7 +38,7 @@
 double KeepRank::score(const Request& request) {
   ObjectEntry& entry = objects_.touch(request.object_key);
   const double idle = idle_share(entry, request);
-  entry.age_count(context_.now, kCountHalfLife);
+  entry.halve_count(context_.now, kCountHalfLife);
   entry.remove_holders(context_.now - kCountHalfLife);
   entry.request_count += request.arrival.is_retry && entry.request_count > 0.0 ? 0.0 : 1.0;
   entry.last_request = context_.now;
@@ -47,7 +47,7 @@
   return kAlpha / std::max(1.0, entry.request_count) + kBeta * size + kMu * holder_share(entry) + kNu * idle;
 }
 
-// Returns the idle time divided by tmax, at most 1. A first request has the value 1.
+// Returns the idle time divided by its maximum, limited to 1. A first request has the value 1.
 double KeepRank::idle_share(const ObjectEntry& entry, const Request& request) const {
   const double lifetime = to_seconds(context_.class_of(request).lifetime);
   const double max_idle = lifetime > 0.0 ? lifetime : to_seconds(kDefaultMaxIdle);
--- a/src/decision/load_estimate.cpp
+++ b/src/decision/load_estimate.cpp
@@ -8,7 +8,7 @@
 
 constexpr double kSmoothing = 0.3;          // weight of a new report
 constexpr double kMaxForeignLoad = 1000.0;  // requests; a higher report is not plausible
-constexpr double kMaxUtilisation = 0.9;     // nearer to 1 the queue cannot be estimated from it
+constexpr double kMaxUtilisation = 0.9;     // above it, the queue cannot be estimated
 
 bool usable(double value) { return std::isfinite(value) && value >= 0.0; }
 
--- a/src/decision/object_table.h
+++ b/src/decision/object_table.h
@@ -27,7 +27,7 @@
   Micros cached_since{0};  // when it answered last
 
   // Halves the request count once for each full `interval` since the last halving.
-  void age_count(Micros now, Micros interval) {
+  void halve_count(Micros now, Micros interval) {
     halved_at = request_count > 0.0 ? halved_at : now;
     const std::int64_t times = (now - halved_at) / interval;
     request_count *= std::exp2(-static_cast<double>(times));
--- a/src/decision/outlier_detection.cpp
+++ b/src/decision/outlier_detection.cpp
@@ -8,8 +8,8 @@
 namespace trailcourse {
 namespace {
 
-constexpr double kMaxConsecutiveFailures = 3.0;  // from which a node is ejected
-constexpr double kMaxFailureRate = 0.4;          // above which a node is ejected
+constexpr double kMaxConsecutiveFailures = 3.0;  // a node that reaches it is ejected
+constexpr double kMaxFailureRate = 0.4;          // a node that exceeds it is ejected
 constexpr double kRateSmoothing = 0.1;           // weight of a new outcome in the failure rate
 
 // A parent is an outlier if its failure rate is above kDeadParentRate, which a running parent does not reach
@@ -19,7 +19,8 @@
 
 constexpr double kFirstEjection = 1.0;  // seconds; doubles with each further ejection
 constexpr int kMaxDoublings = 3;
-constexpr double kEjectionJitter = 0.25;  // of the length, so that routers do not retry at the same time
+constexpr double kEjectionJitter =
+    0.25;  // share of an ejection's length, so that routers do not retry at the same time
 
 // A connection refused within this time costs a request almost no time.
 constexpr Micros kImmediateRefusal = std::chrono::milliseconds(50);
@@ -80,9 +81,9 @@
   }
   NodeHealth& health = source.health;
   health.failure_rate += kRateSmoothing * (1.0 - health.failure_rate);
-  const bool stands_out =
+  const bool is_outlier =
       health.failure_rate > kDeadParentRate && health.failure_rate > kOutlierFactor * lowest_rate;
-  if (health.ejections > 0 || stands_out) {
+  if (health.ejections > 0 || is_outlier) {
     eject(source, false);
   }
 }
--- a/src/decision/rendezvous.cpp
+++ b/src/decision/rendezvous.cpp
@@ -11,7 +11,7 @@
 
 struct Candidate {
   double distance = 0.0;
-  std::uint64_t hash = 0;  // breaks ties by address
+  std::uint64_t hash = 0;  // of the address; breaks ties
   int index = 0;
 
   friend bool operator<(const Candidate& a, const Candidate& b) {
--- a/src/decision/request_timers.h
+++ b/src/decision/request_timers.h
@@ -33,7 +33,7 @@
 // Returns when an attempt sent now is overdue, if its answer is expected to take `expected_latency` seconds.
 inline Micros overdue_time(Micros now, double expected_latency) {
   constexpr double kBase = 0.3;     // seconds
-  constexpr double kStretch = 2.0;  // times the expected latency, added to the base
+  constexpr double kStretch = 2.0;  // multiple of the expected latency that is added
   return now + from_seconds(kBase + kStretch * expected_latency);
 }
 
--- a/src/decision/retry_budget.h
+++ b/src/decision/retry_budget.h
@@ -12,13 +12,13 @@
   // The context has to outlive this object.
   explicit RetryBudget(const DecisionContext& context) : context_(context) {}
 
-  // Adds the share of a further attempt that each request allows.
+  // Adds the tokens of a request, which permit a fraction of a further attempt.
   void on_request() { tokens_.add(kAttemptsPerRequest); }
 
   // Charges a further attempt to the budget and returns true, or returns false if none is left.
   bool try_consume() { return tokens_.try_consume(); }
 
-  // Returns whether the request may have another attempt by the maximum number and by its deadline.
+  // Returns whether neither the maximum number of attempts nor the deadline excludes another attempt.
   bool attempts_left(const Request& request) const;
 
  private:
--- a/src/decision/slow_start.cpp
+++ b/src/decision/slow_start.cpp
@@ -7,13 +7,13 @@
 namespace trailcourse {
 namespace {
 
-constexpr double kBudgetShare = 0.7;  // of the overload budget that the slots of all routers give out
-constexpr double kSlotLength = 1.0;   // of the overload span that a time slot stays open
-constexpr double kMinPeriod = 0.25;   // of the overload span, from one slot of a router to its next
-constexpr double kMinPause = 0.999;   // of a period; less than 1, so that rounding skips no slot
+constexpr double kBudgetShare = 0.7;  // share of the overload budget that the slots of all routers use
+constexpr double kSlotLength = 1.0;   // time that a slot stays open, in overload spans
+constexpr double kMinPeriod = 0.25;   // minimum time between slots of a router, in overload spans
+constexpr double kMinPause = 0.999;   // in periods; less than 1, so that rounding skips no slot
 constexpr double kPeriodStep = 0.5;   // octaves, so that routers with similar means have the same period
 constexpr double kMinCapacityShare = 0.01;
-constexpr double kGoldenRatio = 0.6180339887498949;  // any number of its multiples is evenly spaced modulo 1
+constexpr double kGoldenRatio = 0.6180339887498949;  // its multiples modulo 1 are spaced almost evenly
 
 }  // namespace
 
@@ -81,9 +81,9 @@
 }
 
 bool SlowStart::may_begin(const Node& node, const Attempt& attempt) const {
-  const bool paid =
+  const bool charged_to_open_slot =
       attempt.sent >= node.slow_start.begin && node.slow_start.begin > Micros(0) && slot_open(node);
-  return paid || !limits(node);
+  return charged_to_open_slot || !limits(node);
 }
 
 }  // namespace trailcourse
--- a/src/decision/slow_start.h
+++ b/src/decision/slow_start.h
@@ -68,7 +68,7 @@
 
   const DecisionContext& context_;
   const SendingTimes& sending_times_;
-  double phase_;  // of a period
+  double phase_;  // offset of this router's slots, in periods
 };
 
 }  // namespace trailcourse
--- a/src/decision/source_selection.cpp
+++ b/src/decision/source_selection.cpp
@@ -8,8 +8,8 @@
 namespace trailcourse {
 namespace {
 
-constexpr double kQuotaCut = 0.8;      // factor after a bad fill
-constexpr double kQuotaGrowth = 0.02;  // added after a good fill
+constexpr double kQuotaCut = 0.8;      // factor of the quota after a bad fill
+constexpr double kQuotaGrowth = 0.02;  // added to the quota after a good fill
 constexpr double kMinQuota = 0.05;
 
 }  // namespace
@@ -47,9 +47,9 @@
          to_unit_interval(mix(source.hash) ^ request.object_key) < source.source_quota;
 }
 
-void SourceSelection::record_fill(Node& source, bool good, FillOrigin origin) {
+void SourceSelection::record_fill(Node& source, bool good, QuotaOwner owner) {
   const std::vector<int>& origins = context_.nodes.members(Role::kOrigin);
-  const bool of_source = origin == FillOrigin::kSource || origins.empty();
+  const bool of_source = owner == QuotaOwner::kSource || origins.empty();
   double& quota = of_source ? source.source_quota : context_.nodes.at(origins.front()).source_quota;
   quota = good ? std::min(1.0, quota + kQuotaGrowth) : std::max(kMinQuota, quota * kQuotaCut);
 }
--- a/tests/decision/keep_rank_test.cpp
+++ b/tests/decision/keep_rank_test.cpp
@@ -38,7 +38,7 @@
   }
 }
 
-TEST(KeepRank, FollowsCountSizeAndIdleTime) {
+TEST(KeepRank, DependsOnCountSizeAndIdleTime) {
   TestRouter router;
   router.receive_list(default_endpoints());
   add_requested_bytes(router);
--- a/tests/decision/purge_floors_test.cpp
+++ b/tests/decision/purge_floors_test.cpp
@@ -20,7 +20,7 @@
   EXPECT_EQ(router.serve(4, kVideo, 7).max_age, Micros(0));
 }
 
-TEST(PurgeFloors, OfAGroupApplyOnlyToItsObjects) {
+TEST(PurgeFloors, ForAGroupApplyOnlyToItsObjects) {
   TestRouter router;
   router.receive_list(default_endpoints());
   router.handle(Purged{true, 0, 3, Micros(0)});
--- a/tests/decision/slow_start_test.cpp
+++ b/tests/decision/slow_start_test.cpp
@@ -15,7 +15,7 @@
 // Returns the most seconds of sending that the router sends to the node `name` within one overload span.
 double max_work_per_span(TestRouter& router, const std::string& name, bool as_source) {
   std::vector<Micros> sent;
-  for (RequestId id = 1; id <= 6000; ++id) {  // 12 s, while the node is still cold
+  for (RequestId id = 1; id <= 6000; ++id) {  // 12 s, while the node is in slow start
     router.request(id, kVideo, id, 100.0);
     if (!router.sends[id].empty()) {
       const SendAttempt& send = router.sends[id][0];
--- a/tests/decision/source_selection_test.cpp
+++ b/tests/decision/source_selection_test.cpp
@@ -34,8 +34,8 @@
   EXPECT_GT(attempts_with_slow_source("p1", Note::kFilledFromOrigin), 35);
 }
 
-// Ends a third of the fills through parents late. A short `first_byte_time` stands for a slow transfer, a
-// long one for a slow origin. Returns how many of the last hundred requests have the origin as their source.
+// Ends a third of the fills through parents late. A short `first_byte_time` simulates a slow transfer, a
+// long one a slow origin. Returns how many of the last hundred requests have the origin as their source.
 int attempts_with_origin(Micros first_byte_time) {
   TestRouter router;
   router.receive_list(default_endpoints());
