--- a/src/decision/decider.cpp
+++ b/src/decision/decider.cpp
@@ -1,6 +1,7 @@
 // Dispatches events to the parts of the decision module. A request passes them in this order: first the
-// constraints that must always hold (drains, slow start, purges, idempotency), then normal operation (keep rank, cache and source selection),
-// then overload and failures (fill window, load shedding, outliers, retries).
+// constraints that must always hold (drains, slow start, purges, idempotency), then normal operation (keep
+// rank, cache and source selection), then overload and failures (fill window, load shedding, outliers,
+// retries).
 #include <trailcourse/decider.h>
 
 #include <algorithm>
--- a/src/decision/keep_rank.h
+++ b/src/decision/keep_rank.h
@@ -1,7 +1,7 @@
 // The keep rank of a request: the Criteria Weighted score V = alpha/f + beta*s/smax + mu*r/rmax + nu*t/tmax,
 // mapped to the three ranks with which caches store a copy. f is the request count, s the size, r the number
-// of known holders among the rmax parents, and t the idle time. smax is the largest size requested so far; tmax is
-// the lifetime of the class, or a default.
+// of known holders among the rmax parents, and t the idle time. smax is the largest size requested so far;
+// tmax is the lifetime of the class, or a default.
 #pragma once
 
 #include <cstddef>
--- a/src/decision/source_selection.h
+++ b/src/decision/source_selection.h
@@ -2,9 +2,9 @@
 // order. If that one is ejected, in slow start or has just failed the request, the next parent is used, and
 // after the parents the origin.
 //
-// A source whose fills are rejected, late or never answered serves only a quota of the objects. All routers move the
-// same objects to the next source, so that a slow or overloaded source serves as much as it can. If all
-// parents are slow, this shifts more load to the origin, up to its own quota.
+// A source whose fills are rejected, late or never answered serves only a quota of the objects. All routers
+// move the same objects to the next source, so that a slow or overloaded source serves as much as it can. If
+// all parents are slow, this shifts more load to the origin, up to its own quota.
 #pragma once
 
 #include <vector>
@@ -29,7 +29,8 @@
   // usable, it is the last candidate, and if none is listed, the cache itself.
   int select(const Request& request, int cache);
 
-  // Raises the quota of the source, or of the origin behind it, if the fill was `good`, and lowers it otherwise.
+  // Raises the quota of the source, or of the origin behind it, if the fill was `good`, and lowers it
+  // otherwise.
   void record_fill(Node& source, bool good, QuotaOwner owner);
 
  private:
