--- a/adapter/wire.cpp
+++ b/adapter/wire.cpp
@@ -197,15 +197,15 @@
   if (found == lists_.end()) {
     throw WireError("unknown endpoint list: " + std::to_string(table));
   }
-  for (const json& source : found->second) {
+  for (const json& fields : found->second) {
     Endpoint entry;
-    entry.address = string_at(source, "Cache");
-    entry.zone = string_or_default(source, "Zone", "");
-    entry.cell = small_integer_at(source, "Cohort", 0);
-    entry.state = parse_enum(kNodeStateNames, string_or_default(source, "Lifecycle", "ready"));
-    entry.weight = number_or_default(source, "Weight", 1.0);
-    entry.started = seconds_at(source, "ReadyAtS");
-    const std::string kind = string_or_default(source, "Type", "");
+    entry.address = string_at(fields, "Cache");
+    entry.zone = string_or_default(fields, "Zone", "");
+    entry.cell = small_integer_at(fields, "Cohort", 0);
+    entry.state = parse_enum(kNodeStateNames, string_or_default(fields, "Lifecycle", "ready"));
+    entry.weight = number_or_default(fields, "Weight", 1.0);
+    entry.started = seconds_at(fields, "ReadyAtS");
+    const std::string kind = string_or_default(fields, "Type", "");
     entry.role = profile.role_of(kind);
     list.entries.push_back(std::move(entry));
   }
--- a/src/decision/node.h
+++ b/src/decision/node.h
@@ -18,7 +18,7 @@
   bool ejected_for_silence = false;   // the next success ends the ejection
   bool trial_in_flight = false;       // the single attempt that tests an ejected node
   bool connect_failed = false;        // the last attempt could not connect
-  bool connect_refused = false;       // the connection was refused: the machine runs, the process does not
+  bool connect_refused = false;       // refused immediately: the machine runs but the process does not
 };
 
 // The time slot of this router at a node in slow start; only `SlowStart` changes it.
--- a/src/decision/outlier_detection.cpp
+++ b/src/decision/outlier_detection.cpp
@@ -19,8 +19,8 @@
 
 constexpr double kFirstEjection = 1.0;  // seconds; doubles with each further ejection
 constexpr int kMaxDoublings = 3;
-constexpr double kEjectionJitter =
-    0.25;  // share of an ejection's length, so that routers do not retry at the same time
+// As a share of the length of an ejection. It spreads the trials of the routers over time.
+constexpr double kEjectionJitter = 0.25;
 
 // A connection refused within this time costs a request almost no time.
 constexpr Micros kImmediateRefusal = std::chrono::milliseconds(50);
--- a/src/decision/retry_budget.h
+++ b/src/decision/retry_budget.h
@@ -18,7 +18,8 @@
   // Charges a further attempt to the budget and returns true, or returns false if none is left.
   bool try_consume() { return tokens_.try_consume(); }
 
-  // Returns whether neither the maximum number of attempts nor the deadline excludes another attempt.
+  // Returns whether the request may have another attempt before its deadline and has not reached the
+  // maximum number of attempts.
   bool attempts_left(const Request& request) const;
 
  private:
--- a/src/decision/source_selection.cpp
+++ b/src/decision/source_selection.cpp
@@ -8,8 +8,8 @@
 namespace trailcourse {
 namespace {
 
-constexpr double kQuotaCut = 0.8;      // factor of the quota after a bad fill
-constexpr double kQuotaGrowth = 0.02;  // added to the quota after a good fill
+constexpr double kQuotaDecrease = 0.8;   // factor of the quota after a bad fill
+constexpr double kQuotaIncrease = 0.02;  // added to the quota after a good fill
 constexpr double kMinQuota = 0.05;
 
 }  // namespace
@@ -51,7 +51,7 @@
   const std::vector<int>& origins = context_.nodes.members(Role::kOrigin);
   const bool of_source = owner == QuotaOwner::kSource || origins.empty();
   double& quota = of_source ? source.source_quota : context_.nodes.at(origins.front()).source_quota;
-  quota = good ? std::min(1.0, quota + kQuotaGrowth) : std::max(kMinQuota, quota * kQuotaCut);
+  quota = good ? std::min(1.0, quota + kQuotaIncrease) : std::max(kMinQuota, quota * kQuotaDecrease);
 }
 
 }  // namespace trailcourse
--- a/tests/decision/decision_fixture.h
+++ b/tests/decision/decision_fixture.h
@@ -71,7 +71,7 @@
   return out;
 }
 
-// Returns four caches, two parents and an origin, all ready and long started.
+// Returns four caches, two parents and an origin, all ready and started long ago.
 inline std::vector<Endpoint> default_endpoints() {
   return {endpoint("c1"),
           endpoint("c2"),
--- a/tests/decision/keep_rank_test.cpp
+++ b/tests/decision/keep_rank_test.cpp
@@ -38,6 +38,7 @@
   }
 }
 
+// The sums in the comments are the score: the terms for the request count, the size and the idle time.
 TEST(KeepRank, DependsOnCountSizeAndIdleTime) {
   TestRouter router;
   router.receive_list(default_endpoints());
--- a/tests/decision/load_estimate_test.cpp
+++ b/tests/decision/load_estimate_test.cpp
@@ -32,7 +32,7 @@
 }
 
 TEST(LoadEstimate, UsesUtilisationIfTheNumberOfRequestsIsNotReported) {
-  EXPECT_EQ(caches_used(0.2), 1U);  // two own requests give no evidence about 17 other routers
+  EXPECT_EQ(caches_used(0.2), 1U);  // two requests of this router give no evidence about 17 other routers
   EXPECT_GT(caches_used(1.0), 1U);
 }
 
--- a/tests/decision/slow_start_test.cpp
+++ b/tests/decision/slow_start_test.cpp
@@ -12,7 +12,7 @@
 namespace trailcourse::decision_testing {
 namespace {
 
-// Returns the most seconds of sending that the router sends to the node `name` within one overload span.
+// Returns the maximum seconds of sending that the router sends to the node `name` within one overload span.
 double max_work_per_span(TestRouter& router, const std::string& name, bool as_source) {
   std::vector<Micros> sent;
   for (RequestId id = 1; id <= 6000; ++id) {  // 12 s, while the node is in slow start
