--- a/src/decision/keep_rank.cpp
+++ b/src/decision/keep_rank.cpp
@@ -17,7 +17,7 @@
 constexpr double kNu = 0.6;     // of the idle time
 
 constexpr double kTopThreshold = 1.2;            // lower scores get the top rank
-constexpr double kMiddleThreshold = 2.0;         // lower scores get at most the middle rank
+constexpr double kMiddleThreshold = 2.0;         // lower scores get at least the middle rank
 constexpr double kTopShare = 0.25;               // maximum share of the requested bytes with the top rank
 constexpr double kByteDecay = 0.9995;            // per request; the share covers the last few thousand
 constexpr Micros kCountHalfLife = seconds(60);   // known holders expire after the same time
--- a/src/decision/load_shedding.cpp
+++ b/src/decision/load_shedding.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr double kBusyLoad = 1.0;        // load of a node below which nothing is shed
-constexpr double kObjectiveShare = 0.9;  // share of the time left that a predicted answer may take
+constexpr double kObjectiveShare = 0.9;  // share of the remaining objective that a predicted answer may take
 constexpr double kMaxSizeBucket = 2.0;   // the last bucket: sizes from twice the mean of the class
 constexpr double kSmoothing = 0.05;      // weight of a new request in an answered share
 // A size is underserved if its answered share is less than this fraction of the answered share of its class.
--- a/src/decision/purge_floors.cpp
+++ b/src/decision/purge_floors.cpp
@@ -8,7 +8,7 @@
 namespace trailcourse {
 namespace {
 
-constexpr std::size_t kMaxPurges = 20'000;  // a single floor for all objects replaces more than these
+constexpr std::size_t kMaxPurges = 20'000;  // beyond this, a single floor for all objects replaces them
 // A purge floor applies this long past `Settings::purge_done`, in case clocks are late.
 constexpr Micros kPurgeMargin = std::chrono::seconds(1);
 constexpr Micros kNoPurge{-1};
--- a/src/decision/slow_start.cpp
+++ b/src/decision/slow_start.cpp
@@ -9,7 +9,7 @@
 
 constexpr double kBudgetShare = 0.7;  // share of the overload budget that the slots of all routers use
 constexpr double kSlotLength = 1.0;   // time that a slot stays open, in overload spans
-constexpr double kMinPeriod = 0.25;   // minimum time between slots of a router, in overload spans
+constexpr double kMinPeriod = 0.25;   // minimum time between a router's slot starts, in overload spans
 constexpr double kMinPause = 0.999;   // in periods; less than 1, so that rounding skips no slot
 constexpr double kPeriodStep = 0.5;   // octaves, so that routers with similar means have the same period
 constexpr double kMinCapacityShare = 0.01;
