--- a/src/decision/keep_rank.cpp
+++ b/src/decision/keep_rank.cpp
@@ -19,7 +19,7 @@
 constexpr double kTopThreshold = 1.2;            // lower scores get the top rank
 constexpr double kMiddleThreshold = 2.0;         // lower scores get at least the middle rank
 constexpr double kTopShare = 0.25;               // maximum share of the requested bytes with the top rank
-constexpr double kByteDecay = 0.9995;            // per request; the share covers the last few thousand
+constexpr double kByteDecay = 0.9995;            // per request; it covers the last few thousand requests
 constexpr Micros kCountHalfLife = seconds(60);   // known holders expire after the same time
 constexpr Micros kDefaultMaxIdle = seconds(30);  // maximum idle time of a class without a lifetime
 
