--- a/src/coordination/coordination_server.h
+++ b/src/coordination/coordination_server.h
@@ -3,7 +3,8 @@
 // before they are confirmed, but the store is unavailable while its process or machine is down.
 //
 // Package `coordination`, over `transport` and `protocol`. Not thread-safe: it belongs to its scheduler's
-// thread. That thread also writes to the disk: each call but a renewal waits for a sync.
+// thread. That thread also writes to the disk, and each call except a lease renewal
+// waits for a sync.
 #pragma once
 
 #include <cstdint>
@@ -46,7 +47,7 @@
   KeyValueDatabase database_;
   EtcdServer server_;
   transport::Alarm expiry_timer_;
-  std::uint64_t rejected_ = 0;  // calls
+  std::uint64_t rejected_ = 0;  // calls that the state rejected
   std::uint64_t renewals_ = 0;
   std::uint64_t writes_ = 0;  // all other calls
 };
--- a/src/coordination/embedded_store.h
+++ b/src/coordination/embedded_store.h
@@ -18,9 +18,10 @@
 
 namespace trailcourse::coordination {
 
+// A coordination store in a folder of the local machine.
 class EmbeddedStore : public CoordinationStore {
  public:
-  // Opens the database with the first call; a folder that cannot be used fails the calls.
+  // The first call opens the database. If the folder cannot be used, each call fails.
   EmbeddedStore(transport::Scheduler& scheduler, const CoordinationOptions& options);
   ~EmbeddedStore() override;
 
--- a/src/coordination/etcd_requests.cpp
+++ b/src/coordination/etcd_requests.cpp
@@ -13,7 +13,7 @@
 struct TargetName {
   Compare::Target value;
   const char* name;
-  const char* field;  // that contains the operand
+  const char* field;  // field that contains the operand
 };
 constexpr std::array<TargetName, 5> kTargets{{{Compare::Target::kVersion, "VERSION", "version"},
                                               {Compare::Target::kCreated, "CREATE", "create_revision"},
--- a/src/coordination/etcd_server.cpp
+++ b/src/coordination/etcd_server.cpp
@@ -100,7 +100,7 @@
   std::vector<Update> updates_;
 };
 
-// A client connection. It serves calls one after the other, until a watch uses it for the rest of its life.
+// A client connection. It serves calls one after the other. After a watch request it only serves the watch.
 class EtcdServer::Session : public Connection::Handler, public std::enable_shared_from_this<Session> {
  public:
   Session(EtcdServer& server, const std::shared_ptr<Connection>& connection)
@@ -213,7 +213,7 @@
   }
 
   EtcdServer& server_;
-  std::shared_ptr<bool> alive_;  // of the server, which may be destroyed before the connection ends
+  std::shared_ptr<bool> alive_;  // false after the server is destroyed, which may precede the end
   transport::ConnectionHandle connection_;
   protocol::http::RequestParser parser_;
   bool watching_ = false;
--- a/src/coordination/etcd_server.h
+++ b/src/coordination/etcd_server.h
@@ -60,6 +60,7 @@
   std::uint64_t bytes_written = 0;
 };
 
+// Accepts connections, passes calls to the service, and sends changes to the watches.
 class EtcdServer {
  public:
   EtcdServer(transport::Scheduler& scheduler, EtcdService& service, std::size_t max_connections);
--- a/src/coordination/etcd_store.h
+++ b/src/coordination/etcd_store.h
@@ -16,7 +16,7 @@
 
 namespace trailcourse::coordination {
 
-// Its calls and watches use one EtcdClient.
+// Implements the store's interface; its calls and watches share one EtcdClient.
 class EtcdStore : public CoordinationStore {
  public:
   using FirstEndpoint = coordination::FirstEndpoint;
--- a/src/coordination/etcd_watch.cpp
+++ b/src/coordination/etcd_watch.cpp
@@ -116,7 +116,7 @@
   if (result || stopped()) {
     co_return;
   }
-  // An endpoint that sent a line is alive: the end of the watch is no failure of the endpoint.
+  // An endpoint that sent a line is alive: the end of the watch does not count as a failure of the endpoint.
   if (!any_received_) {
     client_->on_endpoint_failure(endpoint);
   }
--- a/src/coordination/key_value_database.cpp
+++ b/src/coordination/key_value_database.cpp
@@ -188,8 +188,8 @@
   }
 }
 
-// Gives leases of an earlier boot, or of an earlier process with exclusive use, their full time to live:
-// their expiry was measured by a clock that does not exist any more.
+// Gives leases of an earlier boot, or of an earlier process with exclusive use, their full time to live. The
+// boot time clock restarts with each boot, and renewals in an exclusive database are not stored.
 void KeyValueDatabase::renew_stale_leases() {
   const std::string boot = boot_id();
   if (sharing_ != Sharing::kExclusive && read_meta(database_, "boot") == boot) {
--- a/src/coordination/key_value_state.h
+++ b/src/coordination/key_value_state.h
@@ -109,7 +109,7 @@
   std::map<LeaseId, LeaseChange> take_lease_changes();
   // Replaces the entries and the revision, and clears the history. The leases stay.
   void restore(std::vector<Entry> entries, Revision revision);
-  // Applies a change of another copy of the state. It has to follow on all that were restored or applied.
+  // Applies a change of another copy of the state. Changes have to be applied in order and without gaps.
   void apply(const KeyChange& change);
   // Replaces the leases.
   void set_leases(std::map<LeaseId, Lease> leases);
--- a/src/coordination/options.cpp
+++ b/src/coordination/options.cpp
@@ -9,8 +9,8 @@
   static const config::Record<CoordinationOptions> kRecord = [] {
     config::Record<CoordinationOptions> record(
         "coordination",
-        "The coordination store, for work that one router does for the whole fleet. Off unless a store is "
-        "named; no request ever waits for it.");
+        "The coordination store, for work that one router does for the whole fleet. Disabled "
+        "unless `store` is set; no request waits for it.");
     record
         .string("store", &CoordinationOptions::store, "-", StringRule{{"none", "etcd", "embedded"}, false},
                 "type of the coordination store; etcd: the v3 interface over HTTP, which `trailcourse "
@@ -21,14 +21,14 @@
                 "folder of the store, for embedded; on a local disk")
         .string(
             "store_id", &CoordinationOptions::store_id, "-", StringRule{},
-            "expected id of the store (cluster_id); responses of another store are not used; none: the id "
-            "of the first store that responds")
+            "expected id of the store (cluster_id); responses of other stores are rejected; if empty, the "
+            "first store that responds is accepted")
         .string("prefix", &CoordinationOptions::prefix, "-", StringRule{},
                 "prefix of all keys; one for each fleet")
         .integer("call_ms", &CoordinationOptions::call_ms, "ms", IntegerRange{10, 60'000},
                  "timeout of a call; whether a call that timed out was executed is unknown")
         .integer("connect_ms", &CoordinationOptions::connect_ms, "ms", IntegerRange{10, 60'000},
-                 "timeout of a connection attempt; nothing was executed then")
+                 "timeout of a connection attempt; the call was not sent in that case")
         .integer(
             "rest_ms", &CoordinationOptions::rest_ms, "ms", IntegerRange{1, 60'000},
             "backoff after all endpoints have failed; multiplied by a random 0.5 to 1.5, and doubles each "
@@ -56,7 +56,7 @@
         .string("folder", &RegistryOptions::folder, "path", StringRule{{}, true},
                 "folder of the data, synced before each response; used by one server only")
         .integer("connections", &RegistryOptions::connections, "connections", IntegerRange{1, 100'000},
-                 "maximum open connections; a router has two")
+                 "maximum open connections; a router has up to two for calls and one for each watch")
         .integer("entries", &RegistryOptions::entries, "keys", IntegerRange{100, 10'000'000},
                  "maximum number of keys")
         .integer("history", &RegistryOptions::history, "changes", IntegerRange{16, 10'000'000},
--- a/src/coordination/watch_progress.h
+++ b/src/coordination/watch_progress.h
@@ -17,7 +17,7 @@
 
   // The new content of a watch response.
   struct Update {
-    std::vector<KeyChange> changes;  // that were not delivered before
+    std::vector<KeyChange> changes;  // changes that were not delivered before
     Revision revision = 0;           // of the store after the changes
     bool snapshot_required = false;  // missing changes were compacted: a snapshot has to be read
     bool ended = false;              // whether the store canceled the watch
--- a/src/fencing/token_store.cpp
+++ b/src/fencing/token_store.cpp
@@ -18,7 +18,7 @@
 
 constexpr const char* kFile = "terms";
 constexpr const char* kTemporaryFile = "terms.next";
-constexpr std::size_t kMaxWorks = 20'000;
+constexpr std::size_t kMaxStoredTerms = 20'000;
 
 std::string checksum(const std::string& text) {
   return std::to_string(XXH3_64bits(text.data(), text.size()));
@@ -35,7 +35,7 @@
     files.sync_names();
     return true;
   } catch (const std::exception&) {
-    return false;  // the waiting commands are rejected
+    return false;  // on_persisted() rejects the waiting commands
   }
 }
 
@@ -141,7 +141,7 @@
       break;
   }
   const bool is_new_work = fence_.persisted_term(token->work) == 0;
-  if (is_new_work && fence_.terms().size() + pending_.size() >= kMaxWorks) {
+  if (is_new_work && fence_.terms().size() + pending_.size() >= kMaxStoredTerms) {
     return reject(AdmitResult::kStorageFull);
   }
   return std::nullopt;
--- a/src/fencing/token_store.h
+++ b/src/fencing/token_store.h
@@ -1,5 +1,5 @@
 // Durable fencing terms of a receiver. A term is synced to the disk before the first effect under it, so that
-// a receiver rejects former owners also after a restart. Terms of two stores cannot be compared: the receiver
+// a receiver rejects former owners even after a restart. Terms of two stores cannot be compared: the receiver
 // accepts only terms of the first store that it sees, until an operator removes the file.
 //
 // Library `fencing`, on top of `ownership` (the fence) and `store` (files and the executor). Not thread-safe;
@@ -30,7 +30,7 @@
   kNoStorage,       // the receiver has no folder for terms
   kOtherStore,      // the token is from another store than earlier ones
   kStaleTerm,       // a higher term was received
-  kStorageFull,     // the terms of the maximum number of works are stored
+  kStorageFull,     // the maximum number of terms is stored
   kNotPersisted     // the term could not be written to the disk
 };
 
--- a/src/membership/member_records.h
+++ b/src/membership/member_records.h
@@ -13,9 +13,9 @@
 // A running process of a router.
 struct Member {
   std::string name;
-  std::string incarnation;  // of this process: 16 hex digits
+  std::string incarnation;  // identifies this process: 16 hex digits
   std::string zone;
-  std::string address;          // that peers probe
+  std::string address;          // address that peers probe
   std::int64_t started_ms = 0;  // Unix time, only shown to operators
   bool draining = false;
   std::string version;
--- a/src/membership/membership_view.cpp
+++ b/src/membership/membership_view.cpp
@@ -69,7 +69,7 @@
   }
   revision_ = std::max(revision_, revision);
   const bool deleted = value.empty();
-  // A deletion carries no value. An empty record is read instead, for the names in its key.
+  // A deletion has no value. Parsing an empty record yields the names in the key.
   const std::string& record = deleted ? "{}" : value;
   if (const auto member = read_member(key, record)) {
     if (deleted) {
--- a/src/membership/membership_view.h
+++ b/src/membership/membership_view.h
@@ -33,7 +33,7 @@
   double suppress = 3.0;
   double reuse = 1.0;
   Micros half_life{60'000'000};
-  int min_suspecting_peers = 2;  // from which a member is suspected; at most the number of other members
+  int min_suspecting_peers = 2;  // number of suspecting peers from which a member counts as suspected
 };
 
 // The table above describes each status.
@@ -45,7 +45,7 @@
 // A running router process and its status.
 struct MemberEntry {
   Member member;
-  std::uint64_t joined_revision = 0;  // of the store when its session was created
+  std::uint64_t joined_revision = 0;  // revision of the store at which the session was created
   MemberStatus status = MemberStatus::kActive;
   double flap_penalty = 0.0;
   int suspecting_peers = 0;
--- a/src/membership/peer_prober.h
+++ b/src/membership/peer_prober.h
@@ -1,6 +1,6 @@
-// Selection of the peers that this member probes, and suspicion of those that it cannot reach. A member with
-// a session that its peers cannot reach should get no work. Each member probes its successors on a hash ring,
-// so that it is probed by as many members as it probes.
+// Selection of the peers that this member probes, and suspicion of those that it cannot reach. A member that
+// has a session but that its peers cannot reach should get no work. Each member probes its successors on a
+// hash ring, so that as many members probe it as it probes.
 //
 // Library `membership`: no I/O and no clock. Not thread-safe.
 #pragma once
@@ -15,7 +15,7 @@
 
 namespace trailcourse::membership {
 
-// Counts the failed probes of the peers that are probed.
+// Counts consecutive failed probes of each target.
 class PeerProber {
  public:
   // `self` probes up to `target_count` members and suspects one after `failure_threshold` failures in a row.
@@ -25,7 +25,7 @@
   // Returns the members to probe out of `members`.
   std::vector<std::string> select_targets(const std::vector<std::string>& members) const;
 
-  // Sets the members that are probed from now on. The results of other members are dropped.
+  // Sets the members to probe from now on. Failure counts of all other members are discarded.
   void set_targets(const std::vector<std::string>& members);
 
   // Records the result of a probe. Ignored if the member is not probed any more.
--- a/src/ownership/lease.h
+++ b/src/ownership/lease.h
@@ -27,7 +27,7 @@
 // Timing of a lease.
 struct LeaseOptions {
   Micros ttl{6'000'000};          // duration of a grant by the store's clock
-  double drift = 0.01;            // maximum share by which the store's clock may run faster than the router's
+  double drift = 0.01;            // maximum fraction by which the store's clock runs faster than the router's
   Micros margin{50'000};          // maximum time from the check of the lease to the sending of an effect
   Micros renew_after{2'000'000};  // from the sending of the last granted call to the next renewal
   Micros retry_backoff{500'000};  // after a call that was rejected or got no response
--- a/src/ownership/lease_manager.cpp
+++ b/src/ownership/lease_manager.cpp
@@ -71,7 +71,7 @@
   const bool lost = shard->term != 0 && revision > shard->term && (!owner || owner->term != shard->term);
   if (lost) {
     ++counts_.lost;
-    lose(now, id, *shard);
+    end_ownership(now, id, *shard);
   }
 }
 
@@ -122,7 +122,7 @@
   shard->lease.on_rejected(now, call_id);
   if (shard->term != 0 && shard->lease.term() == 0) {
     ++counts_.lost;
-    lose(now, id, *shard);
+    end_ownership(now, id, *shard);
   }
 }
 
@@ -188,6 +188,7 @@
   }
   std::erase_if(shards_, [this](const auto& entry) {
     const Shard& shard = entry.second;
+    // The time does not matter: whether a lease is a candidate depends only on its term and on stop().
     return active_work(entry.first) == nullptr && shard.term == 0 && shard.phase == ShardPhase::kUnassigned &&
            shard.lease.phase(Micros(0)) == LeasePhase::kCandidate;
   });
@@ -216,7 +217,7 @@
     actions_.push_back(LeaseCallAction{id, *call});
   } else if (shard.lease.released()) {
     // There was no grant to release.
-    lose(now, id, shard);
+    end_ownership(now, id, shard);
     shard.lease.restart();
   }
 }
--- a/src/ownership/lease_manager.h
+++ b/src/ownership/lease_manager.h
@@ -53,23 +53,24 @@
   // Sets the members that may own work, each with its zone.
   void set_members(Micros now, MemberZones zones);
 
-  // Sets the definition of a work; nothing: it was deleted.
+  // Sets the definition of the work with this name. `work` is empty if the definition was deleted.
   void set_work(Micros now, const std::string& name, std::optional<Work> work);
 
-  // The owner of a shard changed at `revision`; nothing: it has no owner.
+  // The owner of a shard changed at `revision`. `owner` is empty if the shard has no owner now.
   void on_owner(Micros now, const ShardId& id, std::optional<Owner> owner, coordination::Revision revision);
 
   // The shard was marked as done, or the mark was deleted.
   void on_done(Micros now, const ShardId& id, bool done);
 
-  // An operator requested that `member` release the shard; empty: the request was deleted.
+  // An operator requested that `member` release the shard. `member` is empty if the request was deleted.
   void on_release_request(Micros now, const ShardId& id, const std::string& member);
 
   // Sets whether a process that started later has this router's name. A superseded router may not act and
   // releases all shards.
   void set_superseded(Micros now, bool superseded);
 
-  // Sets the kinds that the effective policy allows; shards of other kinds are released. Nothing: all kinds.
+  // Sets the kinds that the effective policy allows; shards of other kinds are released. If
+  // `kinds` is empty (std::nullopt), all kinds are allowed.
   void set_allowed_kinds(Micros now, std::optional<std::set<std::string>> kinds);
 
   // Sets whether the watch of the store is connected. No shard is acquired while it is not.
@@ -104,7 +105,8 @@
   // Returns the actions to execute now, in order.
   std::vector<LeaseManagerAction> step(Micros now);
 
-  // Returns when step() has to be called next if no input arrives earlier; nothing: only after an input.
+  // Returns when step() has to be called next if no input arrives earlier, or nothing if only an input
+  // can cause a step.
   std::optional<Micros> next_step_at(Micros now) const;
 
   // Returns the status of all known shards of the kinds that this router can execute.
@@ -117,7 +119,7 @@
 
     Lease lease;
     ShardPhase phase = ShardPhase::kUnassigned;
-    Term term = 0;  // under which this router owns the shard; 0: it does not
+    Term term = 0;  // term of this router's ownership; 0: it does not own the shard
     ProgressWriter progress;
     Micros vacant_since{0};
     Micros acquire_not_before{0};
@@ -125,7 +127,7 @@
     bool task_started = false;
     bool task_finished = false;  // ended after StopTaskAction, not aborted
     std::optional<Micros> releasing_since;
-    std::optional<Micros> preferred_elsewhere_since;  // since when another member is the preferred owner
+    std::optional<Micros> preferred_elsewhere_since;  // since another member became the preferred owner
   };
 
   Shard* find(const ShardId& id);
@@ -145,11 +147,11 @@
   Micros restart_backoff(std::uint64_t starts) const;
 
   // Release.
-  void lose(Micros now, const ShardId& id, Shard& shard);
+  void end_ownership(Micros now, const ShardId& id, Shard& shard);
   void begin_release(Micros now, const ShardId& id, Shard& shard);
   void abort_task(const ShardId& id, Shard& shard);
   bool consume_release_request(const ShardId& id);
-  bool is_unwanted(const ShardId& id, const Work* work) const;
+  bool must_release(const ShardId& id, const Work* work) const;
   void check_assignment(Micros now, const ShardId& id, Shard& shard, const Work* work);
 
   // Steps.
@@ -172,7 +174,7 @@
   MemberZones member_zones_;
   std::map<std::string, Work> works_;
   std::map<ShardId, Shard> shards_;
-  std::map<ShardId, Owner> owners_;  // as reported, also of works whose definition has not arrived yet
+  std::map<ShardId, Owner> owners_;  // as reported, even for work whose definition has not arrived yet
   std::set<ShardId> done_;
   std::map<ShardId, std::string> release_requests_;
   std::vector<LeaseManagerAction> actions_;
--- a/src/ownership/progress_writer.h
+++ b/src/ownership/progress_writer.h
@@ -15,7 +15,7 @@
 
 namespace trailcourse::ownership {
 
-// State machine of these writes. on_response() or on_no_response() has to be called for each write that
+// State machine of the writes of one shard's progress. on_response() or on_no_response() has to be called for each write that
 // step() returns.
 class ProgressWriter {
  public:
--- a/src/ownership/shard_acquisition.cpp
+++ b/src/ownership/shard_acquisition.cpp
@@ -28,6 +28,7 @@
 
 bool LeaseManager::may_acquire(const ShardId& id, const Shard& shard, const Work& work) const {
   const bool router_available = !draining_ && !superseded_ && connected_;
+  // The time does not matter: whether a lease is a candidate depends only on its term and on stop().
   const bool shard_idle = shard.phase == ShardPhase::kUnassigned && shard.term == 0 &&
                           shard.lease.phase(Micros(0)) == LeasePhase::kCandidate;
   return router_available && shard_idle && !work.paused && !owners_.contains(id) && !done_.contains(id);
--- a/src/ownership/shard_progress.cpp
+++ b/src/ownership/shard_progress.cpp
@@ -53,7 +53,7 @@
   if (!result.owned) {
     ++counts_.rejected_writes;
     ++counts_.lost;
-    lose(now, id, *shard);
+    end_ownership(now, id, *shard);
     return;
   }
   shard->progress.set_stored(result.stored);
--- a/src/ownership/shard_release.cpp
+++ b/src/ownership/shard_release.cpp
@@ -17,8 +17,8 @@
   return true;
 }
 
-// Returns whether this router must not own the shard.
-bool LeaseManager::is_unwanted(const ShardId& id, const Work* work) const {
+// Returns whether this router has to release the shard at once.
+bool LeaseManager::must_release(const ShardId& id, const Work* work) const {
   if (work == nullptr || work->paused || draining_ || superseded_ || done_.contains(id)) {
     return true;
   }
@@ -32,7 +32,7 @@
     begin_release(now, id, shard);
     return;
   }
-  if (is_unwanted(id, work)) {
+  if (must_release(id, work)) {
     begin_release(now, id, shard);
     return;
   }
@@ -66,8 +66,8 @@
 // Releases the lease when the last checkpoint is written, or after the release timeout.
 void LeaseManager::step_releasing(Micros now, const ShardId& id, Shard& shard) {
   const bool timed_out = now >= shard.releasing_since.value_or(now) + options_.release_timeout;
-  const bool settled = !shard.task_started && shard.progress.idle();
-  if (!settled && !timed_out) {
+  const bool task_and_writes_ended = !shard.task_started && shard.progress.idle();
+  if (!task_and_writes_ended && !timed_out) {
     return;
   }
   if (shard.task_started) {
@@ -87,7 +87,7 @@
   }
   if (shard->term != 0) {
     ++counts_.released;
-    lose(now, id, *shard);
+    end_ownership(now, id, *shard);
   }
   shard->lease.restart();
 }
@@ -98,7 +98,7 @@
 }
 
 // Ends the ownership of the shard. If the lease has not ended yet, it is released.
-void LeaseManager::lose(Micros now, const ShardId& id, Shard& shard) {
+void LeaseManager::end_ownership(Micros now, const ShardId& id, Shard& shard) {
   if (shard.task_started) {
     abort_task(id, shard);
   }
--- a/src/ownership/work_records.cpp
+++ b/src/ownership/work_records.cpp
@@ -222,7 +222,7 @@
   const auto& owner = outcome.results.at(0).found;
   out.owned = !owner.empty() && owner.front().created == term;
   out.stored = stored_progress_of(outcome.results.at(1).found);
-  // An earlier attempt without a response has written it.
+  // If equal, an earlier attempt without a response has written the progress.
   out.written = out.owned && out.stored.progress == attempted;
   return out;
 }
--- a/src/ownership/work_records.h
+++ b/src/ownership/work_records.h
@@ -22,11 +22,11 @@
 
 namespace trailcourse::ownership {
 
-// Definition of a work.
+// Definition of background work, which is divided into shards that routers own.
 struct Work {
   std::string name;
-  std::string kind;  // of the task that executes it
-  std::string zone;  // whose members may own it; empty: all zones
+  std::string kind;  // kind of the task that executes the work
+  std::string zone;  // zone whose members may own the work; empty: all zones
   std::uint64_t shards = 1;
   bool paused = false;
   std::uint64_t resumed = 0;  // number of resumptions by operators; each one starts parked shards again
@@ -46,7 +46,7 @@
 
 // Progress of one shard.
 struct Progress {
-  Term term = 0;              // under which it was written
+  Term term = 0;              // term of the owner that wrote it
   std::uint64_t writes = 0;   // number of the write within the term; identifies a write without a response
   std::uint64_t starts = 0;   // number of starts since the last checkpoint
   bool parked = false;        // not started until an operator resumes the work
@@ -64,7 +64,7 @@
   coordination::Revision modified = 0;  // 0: there is no record
 };
 
-// Identifies a shard of a work.
+// Identifies a shard by the name of its work and its number.
 struct ShardId {
   std::string work;
   std::uint64_t shard = 0;
@@ -117,7 +117,7 @@
 // release request. If the shard has an owner, the transaction reads it. `prefix` precedes all keys.
 coordination::Transaction acquire_transaction(const std::string& prefix, const ShardId& id,
                                               const Owner& owner, coordination::LeaseId lease);
-// Reads the result of this transaction.
+// Reads the result of acquire_transaction().
 AcquireResult read_acquire_result(const coordination::TransactionResult& outcome);
 
 // Result of write_progress_transaction().
@@ -132,7 +132,7 @@
 coordination::Transaction write_progress_transaction(const std::string& prefix, const ShardId& id, Term term,
                                                      coordination::Revision modified,
                                                      const Progress& progress);
-// Reads the result of this transaction. `attempted` is the progress to write: if the store contains it
+// Reads the result of write_progress_transaction(). `attempted` is the progress to write: if the store contains it
 // already, an earlier attempt without a response has written it.
 ProgressWriteResult read_progress_write_result(const coordination::TransactionResult& outcome, Term term,
                                                const Progress& attempted);
