--- a/src/coordination/coordination_server.h
+++ b/src/coordination/coordination_server.h
@@ -3,8 +3,8 @@
 // before they are confirmed, but the store is unavailable while its process or machine is down.
 //
 // Package `coordination`, over `transport` and `protocol`. Not thread-safe: it belongs to its scheduler's
-// thread. That thread also writes to the disk, and each call except a lease renewal
-// waits for a sync.
+// thread. That thread also writes to the disk, and each call except a lease renewal waits
+// for a sync.
 #pragma once
 
 #include <cstdint>
--- a/src/coordination/etcd_client.h
+++ b/src/coordination/etcd_client.h
@@ -28,7 +28,8 @@
 // Which endpoint is called first. A random one spreads the clients over a cluster.
 enum class FirstEndpoint { kRandom, kFirstListed };
 
-// Sends the calls of one EtcdStore. Has to be owned by a shared_ptr: suspended coroutines keep it alive after close().
+// Sends the calls of one EtcdStore. Has to be owned by a shared_ptr: suspended coroutines keep it alive after
+// close().
 class EtcdClient : public std::enable_shared_from_this<EtcdClient> {
  public:
   // A connection to one endpoint.
--- a/src/coordination/etcd_server.cpp
+++ b/src/coordination/etcd_server.cpp
@@ -213,7 +213,7 @@
   }
 
   EtcdServer& server_;
-  std::shared_ptr<bool> alive_;  // false after the server is destroyed, which may precede the end
+  std::shared_ptr<bool> alive_;  // false once the server is destroyed, maybe before on_end()
   transport::ConnectionHandle connection_;
   protocol::http::RequestParser parser_;
   bool watching_ = false;
--- a/src/coordination/options.cpp
+++ b/src/coordination/options.cpp
@@ -10,7 +10,7 @@
     config::Record<CoordinationOptions> record(
         "coordination",
         "The coordination store, for work that one router does for the whole fleet. Disabled "
-        "unless `store` is set; no request waits for it.");
+        "while `store` is none; no request waits for it.");
     record
         .string("store", &CoordinationOptions::store, "-", StringRule{{"none", "etcd", "embedded"}, false},
                 "type of the coordination store; etcd: the v3 interface over HTTP, which `trailcourse "
--- a/src/membership/membership_view.h
+++ b/src/membership/membership_view.h
@@ -33,7 +33,7 @@
   double suppress = 3.0;
   double reuse = 1.0;
   Micros half_life{60'000'000};
-  int min_suspecting_peers = 2;  // number of suspecting peers from which a member counts as suspected
+  int min_suspecting_peers = 2;  // needed to suspect a member; all other members if there are fewer
 };
 
 // The table above describes each status.
--- a/src/ownership/lease_manager.h
+++ b/src/ownership/lease_manager.h
@@ -69,8 +69,8 @@
   // releases all shards.
   void set_superseded(Micros now, bool superseded);
 
-  // Sets the kinds that the effective policy allows; shards of other kinds are released. If
-  // `kinds` is empty (std::nullopt), all kinds are allowed.
+  // Sets the kinds that the effective policy allows; shards of other kinds are released. If `kinds` is empty
+  // (std::nullopt), all kinds are allowed.
   void set_allowed_kinds(Micros now, std::optional<std::set<std::string>> kinds);
 
   // Sets whether the watch of the store is connected. No shard is acquired while it is not.
@@ -105,8 +105,8 @@
   // Returns the actions to execute now, in order.
   std::vector<LeaseManagerAction> step(Micros now);
 
-  // Returns when step() has to be called next if no input arrives earlier, or nothing if only an input
-  // can cause a step.
+  // Returns when step() has to be called next if no input arrives earlier, or nothing if only an input can
+  // cause a step.
   std::optional<Micros> next_step_at(Micros now) const;
 
   // Returns the status of all known shards of the kinds that this router can execute.
--- a/src/ownership/lease_manager_types.h
+++ b/src/ownership/lease_manager_types.h
@@ -22,11 +22,11 @@
   LeaseOptions lease;
   Micros candidate_slot{200'000};        // wait of a candidate for each candidate with a better rank
   Micros max_candidate_wait{2'000'000};  // maximum total wait of a candidate
-  Micros handover_delay{10'000'000};     // how long another member is preferred until the owner releases
-  Micros release_timeout{500'000};       // time for the last checkpoint of a shard that is released
-  Micros cooldown{5'000'000};            // after a requested release, before this router may acquire again
-  std::uint64_t max_starts = 3;          // starts without a checkpoint, after which the shard is parked
-  Micros restart_backoff{1'000'000};     // before the second start; doubles with each further start
+  Micros handover_delay{10'000'000};  // time for which another member is preferred before the owner releases
+  Micros release_timeout{500'000};    // time for the last checkpoint of a shard that is released
+  Micros cooldown{5'000'000};         // after a requested release, before this router may acquire again
+  std::uint64_t max_starts = 3;       // starts without a checkpoint, after which the shard is parked
+  Micros restart_backoff{1'000'000};  // before the second start; doubles with each further start
   Micros max_restart_backoff{60'000'000};
   std::size_t max_owned = 64;  // maximum number of shards that one router owns
 };
--- a/src/ownership/progress_writer.h
+++ b/src/ownership/progress_writer.h
@@ -15,8 +15,8 @@
 
 namespace trailcourse::ownership {
 
-// State machine of the writes of one shard's progress. on_response() or on_no_response() has to be called for each write that
-// step() returns.
+// State machine of the writes of one shard's progress. on_response() or on_no_response() has to be called for
+// each write that step() returns.
 class ProgressWriter {
  public:
   // The progress that was last read from the store or written to it.
--- a/src/ownership/shard_release.cpp
+++ b/src/ownership/shard_release.cpp
@@ -17,7 +17,7 @@
   return true;
 }
 
-// Returns whether this router has to release the shard at once.
+// Returns whether this router has to release the shard without the handover delay.
 bool LeaseManager::must_release(const ShardId& id, const Work* work) const {
   if (work == nullptr || work->paused || draining_ || superseded_ || done_.contains(id)) {
     return true;
--- a/src/ownership/work_records.h
+++ b/src/ownership/work_records.h
@@ -132,8 +132,8 @@
 coordination::Transaction write_progress_transaction(const std::string& prefix, const ShardId& id, Term term,
                                                      coordination::Revision modified,
                                                      const Progress& progress);
-// Reads the result of write_progress_transaction(). `attempted` is the progress to write: if the store contains it
-// already, an earlier attempt without a response has written it.
+// Reads the result of write_progress_transaction(). `attempted` is the progress to write: if the store
+// contains it already, an earlier attempt without a response has written it.
 ProgressWriteResult read_progress_write_result(const coordination::TransactionResult& outcome, Term term,
                                                const Progress& attempted);
 
