--- a/src/fleet/fault_proxy.cpp
+++ b/src/fleet/fault_proxy.cpp
@@ -21,10 +21,11 @@
 
 // Makes the close of the socket reset its connection.
 void reset_on_close(int descriptor) {
-  linger now{1, 0};
-  ::setsockopt(descriptor, SOL_SOCKET, SO_LINGER, &now, sizeof now);
+  linger no_wait{1, 0};
+  ::setsockopt(descriptor, SOL_SOCKET, SO_LINGER, &no_wait, sizeof no_wait);
 }
 
+// Returns bounds that are high enough that only injected faults end connections.
 Connection::Bounds bounds() {
   Connection::Bounds out;
   out.most_waiting = 256U << 20U;
@@ -46,7 +47,7 @@
     }
     if (from_client) {
       proxy_->traffic_.requests.push_back(Clock::now());
-      truncated_ = 0;
+      answer_bytes_ = 0;
     }
     queue(from_client).push_back({Clock::now() + proxy_->state_.delay, std::string(bytes)});
     pump();
@@ -59,11 +60,15 @@
     // While the link is cut, the end of one connection is not passed to the other.
     pump();
   }
+  // Forwards what is due in both directions, and closes the pair when one side has ended and its bytes were
+  // forwarded.
   void pump();
+  // Closes the pair and resets the client connection.
   void reset() {
     reset_on_close(client_socket_.get());
     close();
   }
+  // Closes both connections and removes the pair from the proxy.
   void close() {
     if (proxy_ == nullptr) {
       return;
@@ -93,11 +98,12 @@
   std::deque<Chunk> to_client_;
   bool client_ended_ = false;
   bool server_ended_ = false;
-  std::int64_t truncated_ = 0;
-  double allowance_ = 0.0;  // bytes that a throttled link may forward now
-  Clock::time_point allowed_at_ = Clock::now();
+  std::int64_t answer_bytes_ = 0;  // of the current answer, forwarded under a truncate fault
+  double allowance_ = 0.0;         // bytes that a throttled link may forward now
+  Clock::time_point refilled_at_ = Clock::now();
 };
 
+// Passes the events of one connection of a pair to the pair.
 class FaultProxy::End : public Connection::Handler {
  public:
   End(std::shared_ptr<Pair> pair, bool client) : pair_(std::move(pair)), client_(client) {}
@@ -131,13 +137,13 @@
       size = std::min(size, static_cast<std::size_t>(std::max(0.0, allowance_)));
     }
     if (!to_server && state.truncate >= 0) {
-      const auto left = std::max<std::int64_t>(0, state.truncate - truncated_);
+      const auto left = std::max<std::int64_t>(0, state.truncate - answer_bytes_);
       size = std::min(size, static_cast<std::size_t>(left));
-      truncated_ += static_cast<std::int64_t>(size);
+      answer_bytes_ += static_cast<std::int64_t>(size);
       if (size > 0) {
         to.write(bytes.substr(0, size));
       }
-      if (truncated_ >= state.truncate) {
+      if (answer_bytes_ >= state.truncate) {
         to.close_when_written();
         server_.close(ConnectionEnd::kDropped);
         chunks.clear();
@@ -166,17 +172,17 @@
   const State& state = proxy_->state_;
   const Clock::time_point now = Clock::now();
   if (state.bytes_per_s > 0) {
-    const double seconds = std::chrono::duration<double>(now - allowed_at_).count();
+    const double seconds = std::chrono::duration<double>(now - refilled_at_).count();
     const auto rate = static_cast<double>(state.bytes_per_s);
     allowance_ = std::min(rate, allowance_ + seconds * rate);
   }
-  allowed_at_ = now;
+  refilled_at_ = now;
   forward(true);
   forward(false);
   const bool cut = state.cut_in || state.cut_out;
-  const bool client_finished = server_ended_ && to_client_.empty() && !cut;
-  const bool server_finished = client_ended_ && to_server_.empty() && !cut;
-  if (client_finished || server_finished) {
+  const bool all_sent_to_client = server_ended_ && to_client_.empty() && !cut;
+  const bool all_sent_to_server = client_ended_ && to_server_.empty() && !cut;
+  if (all_sent_to_client || all_sent_to_server) {
     close();
   }
 }
--- a/src/fleet/fault_proxy.h
+++ b/src/fleet/fault_proxy.h
@@ -35,7 +35,7 @@
   FaultProxy& operator=(const FaultProxy&) = delete;
 
   const std::string& name() const { return name_; }
-  // Starts a link fault, or ends all of them where it is FaultKind::kHeal. Faults of processes do nothing.
+  // Starts a link fault, or ends all of them where it is FaultKind::kHeal. Ignores faults of processes.
   void apply(const Fault& fault);
   const Traffic& traffic() const { return traffic_; }
   // Returns the number of open client connections.
@@ -49,13 +49,14 @@
   void pump_all();
   void accept(transport::Descriptor socket);
 
+  // The faults of the link that are active.
   struct State {
-    bool cut_in = false;
-    bool cut_out = false;
+    bool cut_in = false;   // towards the client
+    bool cut_out = false;  // towards the server
     bool refuse = false;
     std::chrono::milliseconds delay{0};
-    std::int64_t bytes_per_s = 0;
-    std::int64_t truncate = -1;
+    std::int64_t bytes_per_s = 0;  // 0: not throttled
+    std::int64_t truncate = -1;    // bytes of each answer; -1: not truncated
   };
 
   transport::Scheduler& scheduler_;
--- a/src/fleet/fault_script.cpp
+++ b/src/fleet/fault_script.cpp
@@ -15,7 +15,7 @@
 struct FaultSyntax {
   const char* name;
   FaultKind kind;
-  bool link;
+  bool link;  // the target is a link, not a process
   enum class Value { kNone, kDirection, kNumber } value;
 };
 
@@ -93,13 +93,13 @@
     const FaultKind repair = is_link_fault(fault.kind)        ? FaultKind::kHeal
                              : fault.kind == FaultKind::kStop ? FaultKind::kCont
                                                               : FaultKind::kStart;
-    const bool breaks = fault.kind != FaultKind::kStart && fault.kind != FaultKind::kCont &&
-                        fault.kind != FaultKind::kHeal && fault.kind != FaultKind::kHup &&
-                        fault.kind != FaultKind::kReset;
-    const bool later =
+    const bool needs_repair = fault.kind != FaultKind::kStart && fault.kind != FaultKind::kCont &&
+                              fault.kind != FaultKind::kHeal && fault.kind != FaultKind::kHup &&
+                              fault.kind != FaultKind::kReset;
+    const bool repaired_later =
         std::any_of(out.begin() + static_cast<std::ptrdiff_t>(i) + 1, out.end(),
                     [&](const Fault& one) { return one.kind == repair && one.target == fault.target; });
-    if (breaks && !later) {
+    if (needs_repair && !repaired_later) {
       out.push_back(Fault{std::max(at_ms, fault.at_ms), repair, fault.target, "", 0});
     }
   }
--- a/src/fleet/fault_script.h
+++ b/src/fleet/fault_script.h
@@ -25,7 +25,7 @@
   kStop,      // SIGSTOP
   kCont,      // SIGCONT
   kHup,       // SIGHUP
-  kCut,       // a link: forwards nothing and ends nothing, towards the server (out), the client (in) or both
+  kCut,       // a link: forwards neither bytes nor a close, towards the server (out), the client (in) or both
   kDelay,     // a link: forwards each byte `value` ms later
   kReset,     // a link: resets its open connections, once
   kRefuse,    // a link: resets new connections
@@ -37,9 +37,9 @@
 struct Fault {
   std::int64_t at_ms = 0;
   FaultKind kind = FaultKind::kStart;
-  std::string target;     // a member, or a link "FROM>TO"; '*' matches any run of characters
-  std::string direction;  // of a cut: "in", "out" or "both"
-  std::int64_t value = 0;
+  std::string target;      // a member, or a link "FROM>TO"; '*' matches any run of characters
+  std::string direction;   // of a cut: "in", "out" or "both"
+  std::int64_t value = 0;  // ms, bytes a second or bytes: see FaultKind
 
   friend bool operator==(const Fault&, const Fault&) = default;
 };
@@ -59,7 +59,7 @@
   std::vector<std::string> links;
   std::int64_t length_ms = 10'000;
   int faults = 10;
-  std::int64_t max_fault_ms = 2'000;  // from the begin of a fault to its repair
+  std::int64_t max_fault_ms = 2'000;  // from the start of a fault to its repair
 };
 
 // Returns a script that depends on the options and the seed only. Every fault is repaired by the end: killed
--- a/src/fleet/layout.cpp
+++ b/src/fleet/layout.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr const char* kHub = "hub";  // parents and the origin
+constexpr const char* kHub = "hub";  // zone of all members but caches and routers
 constexpr int kDiskMb = 64;
 
 void write_file(const std::string& path, const json& content) {
@@ -110,10 +110,10 @@
 
 std::vector<std::string> Layout::served_zones(const std::string& aggregator) const {
   const std::size_t own = region_of_aggregator(aggregator);
-  const std::size_t before = (own + region_count() - 1) % region_count();
+  const std::size_t previous = (own + region_count() - 1) % region_count();
   std::vector<std::string> out;
   std::copy_if(spec_.zones.begin(), spec_.zones.end(), std::back_inserter(out), [&](const auto& zone) {
-    return region_of_zone(zone) == own || region_of_zone(zone) == before;
+    return region_of_zone(zone) == own || region_of_zone(zone) == previous;
   });
   return out;
 }
--- a/src/fleet/layout.h
+++ b/src/fleet/layout.h
@@ -36,16 +36,17 @@
   int weight = 8;              // concurrent transfers of a cache or parent
   bool disk = false;           // caches and parents store copies on disk
   bool direct = true;          // routers may send requests to the origin
-  double purge_grace_s = 0.3;  // time after a purge event from which no purged copy may be served
+  double purge_grace_s = 0.3;  // latest time after a purge event at which a purged copy may be served
   double cold_s = 10.0;        // length of the slow start of caches and parents
-  double cold_from = 0.3;      // their capacity share at its begin
+  double cold_from = 0.3;      // their capacity share at the start of the slow start
   std::int64_t since_ms = 0;   // listed start time of caches and parents; 0: long ago
   bool known = true;      // routers start with the endpoint list; else they wait for the discovery service
   bool registry = false;  // the fleet has a coordination server, and its routers do owned work
   std::string embedded;   // the folder of an embedded store that all routers share instead of the server
-  nlohmann::json ownership = nlohmann::json::object();  // keys of this section, for each router
-  nlohmann::json coordination = nlohmann::json::object();
-  nlohmann::json policy = nlohmann::json::object();  // the same; empty: routers follow no policy
+  nlohmann::json ownership = nlohmann::json::object();     // keys of the section "ownership"
+  nlohmann::json coordination = nlohmann::json::object();  // keys of the section "coordination"
+  nlohmann::json policy =
+      nlohmann::json::object();  // keys of the section "policy"; empty: routers follow no policy
   // Aggregators between the routers and the coordination server, assigned to the regions round-robin; 0:
   // routers connect to the coordination server.
   int aggregators = 0;
@@ -54,7 +55,7 @@
   std::string router_program;                            // program of the routers; empty: that of all members
   int memory_mb = 192;
   int sockets = 1'024;
-  nlohmann::json router = nlohmann::json::object();     // tuning keys of the routers
+  nlohmann::json router = nlohmann::json::object();     // keys of the routers' section "router"
   nlohmann::json operators = nlohmann::json::object();  // additional sections of each router's operator file
   nlohmann::json cache = nlohmann::json::object();      // additional keys of the caches' section
   nlohmann::json board = nlohmann::json::object();      // additional keys of the discovery service's section
@@ -77,7 +78,7 @@
   std::vector<Endpoint> aggregators;  // of a router, in order of preference
   std::vector<std::string> environment;  // NAME=VALUE, of its process
   std::string relay;                     // listen address of a router's relay; empty: it has no relay
-  int starts = 0;                        // number of starts so far; each has its own seed
+  int starts = 0;                        // number of starts so far; each start gets its own seed
 };
 
 class Layout {
@@ -94,8 +95,8 @@
   const Member& member(const std::string& name) const;
   Member& member(const std::string& name);
   std::vector<std::string> names(Kind kind) const;
-  // Returns the zones whose routers an aggregator serves: those of its region, and those of the region
-  // before, whose routers fail over to it.
+  // Returns the zones whose routers an aggregator serves: those of its region, and those of the
+  // previous region, whose routers fail over to it.
   std::vector<std::string> served_zones(const std::string& aggregator) const;
 
   // Returns the first page of the discovery service: all caches, parents and the origin, with status up.
@@ -106,7 +107,8 @@
   // Returns an entry of the endpoint list.
   nlohmann::json entry(const Member& member, const std::string& status = "up",
                        std::int64_t since_ms = 0) const;
-  // Returns the settings that the platform passes to a router of `zone`; `index` is the router's index.
+  // Returns the settings that the platform passes to a router of `zone`; `index` is its position
+  // among all routers.
   nlohmann::json settings(const std::string& zone, int index) const;
 
   // Gives each router with a relay the relays of its zone as peers, with this degree of the relay tree.
--- a/src/fleet/load_generator.cpp
+++ b/src/fleet/load_generator.cpp
@@ -18,8 +18,8 @@
 
 constexpr std::uint8_t kStdout = 6;
 constexpr std::uint8_t kEndRequest = 3;
-constexpr std::uint16_t kMaxKey = 30'000;
-constexpr std::uint64_t kGroups = 256;
+constexpr std::uint16_t kMaxKey = 30'000;  // highest FastCGI request id that is used
+constexpr std::uint64_t kGroups = 256;     // the group of an object is its number modulo this
 
 // Returns the value of a header in the head of a CGI response; empty if it has none.
 std::string_view header(std::string_view head, std::string_view name) {
@@ -48,7 +48,7 @@
  public:
   Link(LoadGenerator& generator, const std::shared_ptr<Connection>& connection)
       : generator_(&generator), connection_(connection) {}
-  // Closes the connection, and uses the load generator no more.
+  // Closes the connection and stops using the load generator.
   void detach() {
     generator_ = nullptr;
     connection_.close(ConnectionEnd::kDropped);
@@ -107,8 +107,8 @@
   void end(std::uint16_t key, std::string_view ended) {
     const std::string text = std::exchange(texts_[key], {});
     texts_.erase(key);
-    // Keys are reused only after kMaxKey requests, so the end of a key that is not open is a second answer to
-    // its last request.
+    // Keys are reused only after kMaxKey requests, so an end record whose key is not open is a second
+    // answer to the last request with that key.
     const auto open = open_.find(key);
     const auto last = last_.find(key);
     if (open == open_.end()) {
@@ -150,9 +150,9 @@
   transport::ConnectionHandle connection_;
   std::uint16_t key_ = 0;
   std::string bytes_;
-  std::map<std::uint16_t, std::string> texts_;
-  std::map<std::uint16_t, std::size_t> open_;
-  std::map<std::uint16_t, std::size_t> last_;
+  std::map<std::uint16_t, std::string> texts_;  // output so far, by FastCGI request id
+  std::map<std::uint16_t, std::size_t> open_;   // index of the request without an answer
+  std::map<std::uint16_t, std::size_t> last_;   // index of the last answered request
 };
 
 LoadGenerator::LoadGenerator(transport::Scheduler& scheduler, Options options, std::uint64_t seed)
--- a/src/fleet/load_generator.h
+++ b/src/fleet/load_generator.h
@@ -29,15 +29,15 @@
   std::string body;               // only with Options::keep_bodies
   std::size_t bytes = 0;          // of the body
   int version = 0;                // in the first line of a generated object; 0: it has none
-  bool connection_ended = false;  // before the complete answer
+  bool connection_ended = false;  // the connection ended before the complete answer
 };
 
 class LoadGenerator {
  public:
   struct Options {
     std::string request_class = "media";
-    std::chrono::milliseconds patience{2'000};
-    double size_kb = 0.0;
+    std::chrono::milliseconds patience{2'000};  // time that the client waits for an answer
+    double size_kb = 0.0;                       // size of the object that requests state; 0: they state none
     bool keep_bodies = false;
   };
 
@@ -51,6 +51,7 @@
   const std::vector<SentRequest>& requests() const { return requests_; }
   // Returns the number of requests without an answer on connections that are up.
   std::size_t open() const { return open_; }
+  // Returns the same number for one router.
   std::size_t open_at(const std::string& router) const;
 
  private:
--- a/src/fleet/port_allocator.cpp
+++ b/src/fleet/port_allocator.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::uint32_t kFirstHost = 0x7f400000U;  // 127.64.0.0
-constexpr std::uint32_t kHosts = 0x00400000U;      // the highest number of process ids of the system
+constexpr std::uint32_t kHosts = 0x00400000U;      // limit of Linux on the number of process ids
 constexpr int kFirstPort = 10'000;
 constexpr int kLastPort = 32'000;  // below the ephemeral range
 
--- a/src/fleet/port_allocator.h
+++ b/src/fleet/port_allocator.h
@@ -20,7 +20,7 @@
 
   std::uint32_t host() const { return host_; }
   // Returns an address that is free now, and does not return it again until all ports were tried. Throws
-  // std::runtime_error where no port is free.
+  // std::runtime_error if no port is free.
   transport::Address allocate();
   std::string allocate_text() { return transport::to_string(allocate()); }
 
--- a/src/fleet/process.cpp
+++ b/src/fleet/process.cpp
@@ -17,7 +17,7 @@
 namespace trailcourse::fleet {
 namespace {
 
-constexpr int kCannotRun = 127;
+constexpr int kCannotRun = 127;  // exit status of shells for a program that cannot be run
 
 std::vector<char*> pointers(std::vector<std::string>& strings) {
   std::vector<char*> out;
--- a/src/fleet/process.h
+++ b/src/fleet/process.h
@@ -15,7 +15,7 @@
 class Process {
  public:
   struct Spec {
-    std::string name;                      // in messages
+    std::string name;                      // for messages
     std::vector<std::string> arguments;    // the path of the program and its arguments
     std::string log;                       // a file; standard output and error are appended to it
     std::vector<std::string> environment;  // NAME=VALUE, added to that of this process
@@ -25,7 +25,7 @@
     bool by_signal = false;
   };
 
-  // Starts the process. Throws std::system_error where the log cannot be opened or no process can be created.
+  // Starts the process. Throws std::system_error if the log cannot be opened or no process can be created.
   // A program that cannot be run ends with status 127.
   explicit Process(Spec spec);
   // Kills the process if it still runs, and waits for its end.
--- a/src/fleet/scenario.cpp
+++ b/src/fleet/scenario.cpp
@@ -118,12 +118,12 @@
 void Scenario::start_script(std::vector<Fault> script) {
   script_ = std::move(script);
   next_ = 0;
-  begun_ = Clock::now();
+  started_at_ = Clock::now();
 }
 
 void Scenario::apply_due_faults() {
   const auto elapsed_ms =
-      std::chrono::duration_cast<std::chrono::milliseconds>(Clock::now() - begun_).count();
+      std::chrono::duration_cast<std::chrono::milliseconds>(Clock::now() - started_at_).count();
   while (next_ < script_.size() && script_[next_].at_ms <= elapsed_ms) {
     apply(script_[next_++]);
   }
--- a/src/fleet/scenario.h
+++ b/src/fleet/scenario.h
@@ -53,17 +53,18 @@
   Supervisor supervisor_;
   std::vector<Fault> script_;
   std::size_t next_ = 0;
-  transport::Clock::time_point begun_;
+  transport::Clock::time_point started_at_;
 };
 
 // Polls the health check of each router over one connection.
 class StatusPoller {
  public:
+  // The status of one router, from the last answer to a health check.
   struct Row {
     std::string router;
     bool up = false;
     bool ready = false;
-    std::string state = "-";  // "-": down; "plain": the answer states none
+    std::string state = "-";  // "-": down; "plain": the answer has no state
     std::uint64_t event = 0;  // the last one applied
     std::uint64_t calls = 0;
     std::uint64_t failed = 0;
--- a/src/fleet/supervisor.h
+++ b/src/fleet/supervisor.h
@@ -2,8 +2,8 @@
 // destroyed.
 //
 // Package `fleet`, over `transport`. It has to be used by one thread only, since children are killed when the
-// thread that started them ends. Functions that wait turn the scheduler, so that proxies and load in the same
-// process continue.
+// thread that started them ends. Functions that wait run the scheduler, so that proxies and load generators in
+// the same process continue to work.
 #pragma once
 
 #include <chrono>
@@ -39,6 +39,7 @@
   bool alive(const std::string& name);
   // Returns the process id of a member; -1 if it was not started.
   pid_t pid(const std::string& name) const;
+  // Returns the whole log of a member; empty if it was not started.
   std::string log(const std::string& name) const;
   // Returns the log since the last start of the member.
   std::string log_since_start(const std::string& name) const;
--- a/tests/fleet/aggregation_test.cpp
+++ b/tests/fleet/aggregation_test.cpp
@@ -15,7 +15,7 @@
 using fleet::FleetSpec;
 using nlohmann::json;
 
-// Returns a fleet with a zone and a cache for each region and `aggregators` in all. Its times are short
+// Returns a fleet with a zone and a cache for each region and this total number of aggregators. Its times are short
 // enough for a test.
 FleetSpec aggregated_spec(int routers, int regions, int aggregators) {
   FleetSpec spec = policy_spec(routers);
@@ -116,8 +116,8 @@
   }
 }
 
-// A suspended router may send, once it resumes, what it had decided before. It is awaited until its lease has
-// certainly expired, and is never reported to have applied an event that it has not.
+// A suspended router may send, once it resumes, what it had decided before. The round waits for it until its
+// lease has certainly expired, and never reports it to have applied an event that it has not.
 TEST(AcknowledgementFleetTest, SuspendedRouterIsAwaitedUntilItsLeaseExpires) {
   AcknowledgingFleet fleet(6, 2);
   ASSERT_FALSE(testing::Test::HasFailure());
@@ -185,8 +185,8 @@
       << fleet.fixture.logs();
 }
 
-// No further round is requested, and the discovery service of the last one is gone: only operators can let a
-// router join.
+// No further round is requested, and the discovery service of the last round was replaced, so that a router
+// can join only after an operator has reset the acknowledgement.
 TEST(AcknowledgementFleetTest, RouterJoinsAfterTheAcknowledgementIsReset) {
   AcknowledgingFleet fleet(4, 2);
   ASSERT_FALSE(testing::Test::HasFailure());
@@ -216,15 +216,18 @@
 class AggregatorFaultTest : public testing::TestWithParam<AggregatorFault> {};
 INSTANTIATE_TEST_SUITE_P(
     Faults, AggregatorFaultTest,
-    testing::Values(
-        AggregatorFault{"Killed", {"kill aggregator0"}, {"start aggregator0"}},
-        AggregatorFault{"Stopped", {"stop aggregator0"}, {"cont aggregator0"}},
-        AggregatorFault{"Ended", {"end aggregator0"}, {"start aggregator0"}},
-        AggregatorFault{"CutOffAbove", {"cut aggregator0>registry both"}, {"heal aggregator0>registry"}},
-        AggregatorFault{"CutOffBelow", {"cut router*>aggregator0 both"}, {"heal router*>aggregator0"}}),
+    testing::Values(AggregatorFault{"Killed", {"kill aggregator0"}, {"start aggregator0"}},
+                    AggregatorFault{"Stopped", {"stop aggregator0"}, {"cont aggregator0"}},
+                    AggregatorFault{"Ended", {"end aggregator0"}, {"start aggregator0"}},
+                    AggregatorFault{"CutOffFromTheStore",
+                                    {"cut aggregator0>registry both"},
+                                    {"heal aggregator0>registry"}},
+                    AggregatorFault{"CutOffFromItsRouters",
+                                    {"cut router*>aggregator0 both"},
+                                    {"heal router*>aggregator0"}}),
     [](const auto& fault) { return fault.param.name; });
 
-// Its routers continue at the other region's aggregator. Rollouts meanwhile and afterwards take effect
+// The routers of the faulty aggregator use the other region's aggregator. Rollouts meanwhile and afterwards take effect
 // everywhere.
 TEST_P(AggregatorFaultTest, RoutersMoveAndRolloutsSucceedMeanwhileAndAfterwards) {
   AggregatedFleet fleet(aggregated_spec(6, 2, 2), {"router*>aggregator*", "aggregator*>registry"});
@@ -378,7 +381,7 @@
   EXPECT_EQ(fleet.check(), kNoViolations);
 }
 
-TEST(AggregationFleetTest, TwoAggregatorsOfOneNameAreHarmless) {
+TEST(AggregationFleetTest, RolloutsSucceedWithTwoAggregatorsOfOneName) {
   FleetSpec spec = aggregated_spec(6, 1, 2);
   spec.aggregator["name"] = "east";
   AggregatedFleet fleet(spec);
--- a/tests/fleet/cold_start_test.cpp
+++ b/tests/fleet/cold_start_test.cpp
@@ -253,9 +253,9 @@
     ASSERT_TRUE(fixture.run_until([&] { return fixture.status("router2").state == "current"; }));
     fixture.run_for(milliseconds(900));  // longer than told_within_ms, after which no old copy may be served
     const std::size_t from = fixture.load().requests().size();
-    const Clock::time_point bound = Clock::now();
+    const Clock::time_point no_stale_from = Clock::now();
     EXPECT_EQ(send_to_all(fixture, fixture.routers(), 15), kNoViolations);
-    EXPECT_EQ(stale_answers(fixture, bound, 2), 0U) << unsure;
+    EXPECT_EQ(stale_answers(fixture, no_stale_from, 2), 0U) << unsure;
     if (std::string(unsure) == "guard") {
       EXPECT_GT(served(fixture, from), 45U);
     } else {
@@ -268,7 +268,7 @@
     fixture.apply_fault("heal *>board");
     EXPECT_EQ(fixture.await_states(fixture.routers(), {"current"}), "");
     EXPECT_EQ(send_to_all(fixture, fixture.routers(), 3), kNoViolations);
-    EXPECT_EQ(stale_answers(fixture, bound, 2), 0U);
+    EXPECT_EQ(stale_answers(fixture, no_stale_from, 2), 0U);
   }
 }
 
@@ -288,7 +288,7 @@
   fixture.apply_fault("stop router0");
   edit_and_purge(fixture);
   fixture.run_for(milliseconds(2'000));
-  const Clock::time_point bound = Clock::now();
+  const Clock::time_point no_stale_from = Clock::now();
   const std::size_t from = fixture.load().requests().size();
   for (std::uint64_t object = 1'000; object < 1'030; ++object) {
     fixture.send("router0", object);  // in its buffers when it resumes
@@ -296,7 +296,7 @@
   fixture.run_for(milliseconds(20));
   fixture.apply_fault("cont router0");
   ASSERT_TRUE(fixture.await_answers());
-  EXPECT_EQ(stale_answers(fixture, bound, 2), 0U);
+  EXPECT_EQ(stale_answers(fixture, no_stale_from, 2), 0U);
   EXPECT_GT(served(fixture, from), 20U);
 }
 
@@ -333,8 +333,8 @@
 }
 
 // A cache is listed as just started while all routers are under load. Together they send it at most its
-// slow-start budget: overload factor times capacity share times concurrent transfers, in seconds of sending a
-// second.
+// slow-start budget: overload factor times capacity share times concurrent transfers, in seconds of sending
+// per second.
 TEST(ColdStartTest, AllRoutersTogetherStayWithinTheSlowStartBudgetOfACache) {
   constexpr int kRouters = 6;
   constexpr double kRequestCost =
@@ -442,10 +442,10 @@
   fixture.apply_fault("cut cache*>board both");
   fixture.apply_fault("cut parent*>board both");
   edit_and_purge(fixture);
-  fixture.apply_fault(
-      "cut router*>board both");  // and the discovery service is unreachable before they start
+  // The discovery service is unreachable when the routers start.
+  fixture.apply_fault("cut router*>board both");
   fixture.run_for(milliseconds(700));
-  const Clock::time_point bound = Clock::now();
+  const Clock::time_point no_stale_from = Clock::now();
   const std::size_t from = fixture.load().requests().size();
   for (const std::string& router : third) {
     fixture.start(router);
@@ -460,7 +460,7 @@
     EXPECT_EQ(send_to_all(fixture, third, 5), kNoViolations);
     fixture.run_for(milliseconds(50));
   }
-  EXPECT_EQ(stale_answers(fixture, bound, 2), 0U);
+  EXPECT_EQ(stale_answers(fixture, no_stale_from, 2), 0U);
   EXPECT_GE(served(fixture, from), 10U);
   fixture.apply_fault("heal *>board");
   EXPECT_EQ(fixture.await_states(fixture.routers(), {"current"}), "");
--- a/tests/fleet/fleet_command_test.cpp
+++ b/tests/fleet/fleet_command_test.cpp
@@ -76,7 +76,7 @@
   })) << status.output;
   EXPECT_NE(run({"status", "--folder", fleet_folder()}).output.find("router0"), std::string::npos);
   EXPECT_EQ(run({"start", "--folder", fleet_folder()}).status, 1) << "a fleet runs in this folder already";
-  EXPECT_EQ(run({"fault", "--folder", fleet_folder(), "dance", "router0"}).status, 2);
+  EXPECT_EQ(run({"fault", "--folder", fleet_folder(), "no-such-fault", "router0"}).status, 2);
   EXPECT_EQ(run({"fault", "--folder", fleet_folder(), "kill", "router0"}).status, 0);
   EXPECT_TRUE(run_until([&] {
     const json page =
@@ -88,11 +88,11 @@
 }
 
 TEST_F(FleetCommandTest, UsageErrorsAndMissingMembersHaveDistinctExitStatuses) {
-  EXPECT_EQ(run({"dance"}).status, 2);
+  EXPECT_EQ(run({"no-such-action"}).status, 2);
   EXPECT_EQ(run({"start"}).status, 2);
   EXPECT_EQ(run({"start", "--folder", fleet_folder(), "--routers", "0"}).status, 2);
   EXPECT_EQ(run({"start", "--folder", fleet_folder(), "--faults", "/no/such/file"}).status, 1);
-  std::ofstream(folder_ + "/bad") << "1 dance router0\n";
+  std::ofstream(folder_ + "/bad") << "1 no-such-fault router0\n";
   const CommandResult bad = run({"start", "--folder", fleet_folder(), "--faults", folder_ + "/bad"});
   EXPECT_EQ(bad.status, 1);
   EXPECT_NE(bad.output.find("line 1: unknown fault"), std::string::npos) << bad.output;
--- a/tests/fleet/fleet_fixture.h
+++ b/tests/fleet/fleet_fixture.h
@@ -19,7 +19,7 @@
 
 namespace trailcourse::testing_support {
 
-// The timeout time that a test waits for an expected event.
+// How long a test waits for an expected event.
 constexpr std::chrono::milliseconds kTestTimeout{60'000};
 
 class FleetFixture {
--- a/tests/fleet/ownership_test.cpp
+++ b/tests/fleet/ownership_test.cpp
@@ -222,7 +222,7 @@
                                          OwnerSuspension{"WithEffectsInFlight", {"cut *>cache0 out"}}),
                          [](const auto& one) { return one.param.name; });
 
-TEST_P(SuspendedOwnerTest, ActsNoMoreAfterItResumes) {
+TEST_P(SuspendedOwnerTest, DoesNotActAfterItResumes) {
   OwnershipFixture fleet(owned_spec(3), {"router*>registry", "*>cache0"});
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   fleet.fill("evening", 60, 20.0);
@@ -457,7 +457,7 @@
   fleet.fill("evening", 100, 20.0);
   const std::string first = fleet.await_owner("evening");
   ASSERT_TRUE(fleet.await_filled("evening", 5)) << fleet.fixture.logs();
-  // Sets the wall clocks of all routers, that of the owner back.
+  // Sets the owner's wall clock back, and those of the other routers forward.
   for (const std::string& router : fleet.fixture.routers()) {
     std::ofstream(fleet.fixture.folder() + "/clock-" + router) << (router == first ? "-7200" : "86400");
   }
@@ -472,26 +472,26 @@
 
 // ---- Members ----
 
-TEST(OwnershipFleetTest, OfTwoRoutersWithOneNameTheLaterOneDoesTheWork) {
+TEST(OwnershipFleetTest, TheLaterOfTwoRoutersWithOneNameDoesTheWork) {
   OwnershipFixture fleet(owned_spec(2));
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   fleet.fill("evening", 400, 20.0);
   const std::string first = fleet.await_owner("evening");
   // A second process with the same name and another address, by mistake.
   const std::string config = fleet.fixture.layout().config_file(first);
-  json twin = [&] {
+  json duplicate = [&] {
     std::ifstream file(config);
     return json::parse(file);
   }();
-  twin["listen"] = fleet.fixture.ports().allocate_text();
-  twin["seed"] = "00000000000000ff";
-  std::ofstream(fleet.fixture.folder() + "/twin.json") << twin;
+  duplicate["listen"] = fleet.fixture.ports().allocate_text();
+  duplicate["seed"] = "00000000000000ff";
+  std::ofstream(fleet.fixture.folder() + "/duplicate.json") << duplicate;
   fleet::Process::Spec spec;
-  spec.name = "twin";
+  spec.name = "duplicate";
   spec.arguments = {TRAILCOURSE_PROGRAM, "serve",
-                    "--config",          fleet.fixture.folder() + "/twin.json",
+                    "--config",          fleet.fixture.folder() + "/duplicate.json",
                     "--operator",        fleet.fixture.layout().operator_file(first)};
-  spec.log = fleet.fixture.folder() + "/twin.log";
+  spec.log = fleet.fixture.folder() + "/duplicate.log";
   fleet::Process process(spec);
   EXPECT_TRUE(fleet.fixture.fleet().await_log(first, "another instance has this router's name", kTestTimeout))
       << fleet.fixture.logs();
@@ -509,7 +509,7 @@
 
 // ---- Work that crashes its owners ----
 
-TEST(OwnershipFleetTest, PoisonedWorkIsParkedAfterMostStarts) {
+TEST(OwnershipFleetTest, WorkThatKillsItsOwnersIsParkedAfterTheAllowedStarts) {
   FleetSpec spec = owned_spec(5, 600);
   spec.ownership["most_starts"] = 2;
   spec.ownership["renew_ms"] = 100;
--- a/tests/fleet/policy_fixture.h
+++ b/tests/fleet/policy_fixture.h
@@ -33,9 +33,11 @@
   // Writes a draft with this priority weight of the class "media", and with the fields `more`, and returns
   // its path.
   std::string draft(double priority_weight, const std::string& more = "");
+  // Proposes such a draft and returns the exit status of the command.
   int propose(double priority_weight, bool urgent = false, const std::string& more = "");
+  // Returns the output of the command `status`; an empty object if it fails.
   nlohmann::json status();
-  // Adds or removes the work that has events of the discovery service acknowledged.
+  // Adds or removes the work whose owner collects the acknowledgements of discovery events.
   void acknowledge_events(bool acknowledge = true);
   // Waits until every router is known to have applied this event; returns whether that was so in time.
   bool await_acknowledged(std::uint64_t event, std::chrono::milliseconds timeout = kTestTimeout);
@@ -49,6 +51,7 @@
   // Runs until `done` returns true, and sends requests to these routers meanwhile.
   bool run_until_under_load(const std::vector<std::string>& routers, const std::function<bool()>& done,
                             std::chrono::milliseconds timeout = kTestTimeout);
+  // Waits, under load, until the rollout is in this state.
   bool await_change(const std::vector<std::string>& routers, const std::string& state);
   // Waits until each of these routers decides under this version alone.
   bool await_version(const std::vector<std::string>& routers, std::uint64_t number);
@@ -56,7 +59,7 @@
   fleet::SentRequest answer(const std::string& router);
   // Waits for all answers and returns the violations of the version order.
   std::vector<std::string> check();
-  // Returns the number of decisions under each version.
+  // Returns the number of requests by the version that their answer states.
   std::map<std::string, std::size_t> decided();
 
   FleetFixture fixture;
--- a/tests/fleet/random_faults_test.cpp
+++ b/tests/fleet/random_faults_test.cpp
@@ -19,6 +19,7 @@
 using std::chrono::milliseconds;
 using transport::Clock;
 
+// Time after a purge from which no purged copy may be served.
 constexpr milliseconds kPurgeBound{800};
 
 class RandomFaultsTest : public testing::TestWithParam<int> {};
--- a/tests/fleet/relay_test.cpp
+++ b/tests/fleet/relay_test.cpp
@@ -95,7 +95,7 @@
   expect_event_everywhere("no fault");
   fixture.apply_fault("cut " + root + ">board both");
   running.erase(std::find(running.begin(), running.end(), root));
-  expect_event_everywhere("the first relay is cut off from the board");
+  expect_event_everywhere("the first relay is cut off from the discovery service");
   fixture.apply_fault("heal " + root + ">board");
   fixture.apply_fault("stop " + root);
   expect_event_everywhere("the first relay is suspended");
@@ -132,7 +132,7 @@
 
 TEST(RelayTest, AnAuditDetectsARelayThatWithholdsEvents) {
   MisreportingRelay relay;
-  // Searches a name that has the first position of the relay tree, so that the router polls that relay.
+  // Finds a name that has the first position of the relay tree, so that the router polls that relay.
   std::string name;
   for (int i = 0; name.empty(); ++i) {
     const std::string candidate = "relay" + std::to_string(i);
