--- a/src/fleet/fault_proxy.cpp
+++ b/src/fleet/fault_proxy.cpp
@@ -61,7 +61,7 @@
     pump();
   }
   // Forwards what is due in both directions, and closes the pair when one side has ended and its bytes were
-  // forwarded.
+  // forwarded, unless the link is cut.
   void pump();
   // Closes the pair and resets the client connection.
   void reset() {
@@ -137,8 +137,8 @@
       size = std::min(size, static_cast<std::size_t>(std::max(0.0, allowance_)));
     }
     if (!to_server && state.truncate >= 0) {
-      const auto left = std::max<std::int64_t>(0, state.truncate - answer_bytes_);
-      size = std::min(size, static_cast<std::size_t>(left));
+      const auto remaining = std::max<std::int64_t>(0, state.truncate - answer_bytes_);
+      size = std::min(size, static_cast<std::size_t>(remaining));
       answer_bytes_ += static_cast<std::int64_t>(size);
       if (size > 0) {
         to.write(bytes.substr(0, size));
--- a/src/fleet/fencing_token_check.h
+++ b/src/fleet/fencing_token_check.h
@@ -9,8 +9,8 @@
 
 namespace trailcourse::fleet {
 
-// Returns the lines with a lower term than an earlier line of the same piece of work, as "NAME: LINE". `log` is the path of the log of
-// a cache node.
+// Returns the lines with a lower term than an earlier line of the same piece of work, as "NAME:
+// LINE". `log` is the path of the log of a cache node.
 std::vector<std::string> find_token_regressions(const std::string& name, const std::string& log);
 
 }  // namespace trailcourse::fleet
--- a/src/fleet/layout.h
+++ b/src/fleet/layout.h
@@ -45,8 +45,7 @@
   std::string embedded;   // the folder of an embedded store that all routers share instead of the server
   nlohmann::json ownership = nlohmann::json::object();     // keys of the section "ownership"
   nlohmann::json coordination = nlohmann::json::object();  // keys of the section "coordination"
-  nlohmann::json policy =
-      nlohmann::json::object();  // keys of the section "policy"; empty: routers follow no policy
+  nlohmann::json policy = nlohmann::json::object();  // keys of "policy"; empty: routers follow no policy
   // Aggregators between the routers and the coordination server, assigned to the regions round-robin; 0:
   // routers connect to the coordination server.
   int aggregators = 0;
@@ -95,8 +94,8 @@
   const Member& member(const std::string& name) const;
   Member& member(const std::string& name);
   std::vector<std::string> names(Kind kind) const;
-  // Returns the zones whose routers an aggregator serves: those of its region, and those of the
-  // previous region, whose routers fail over to it.
+  // Returns the zones whose routers an aggregator serves: those of its region, and those of the previous
+  // region, whose routers fail over to it.
   std::vector<std::string> served_zones(const std::string& aggregator) const;
 
   // Returns the first page of the discovery service: all caches, parents and the origin, with status up.
@@ -107,8 +106,8 @@
   // Returns an entry of the endpoint list.
   nlohmann::json entry(const Member& member, const std::string& status = "up",
                        std::int64_t since_ms = 0) const;
-  // Returns the settings that the platform passes to a router of `zone`; `index` is its position
-  // among all routers.
+  // Returns the settings that the platform passes to a router of `zone`; `index` is its position among
+  // all routers.
   nlohmann::json settings(const std::string& zone, int index) const;
 
   // Gives each router with a relay the relays of its zone as peers, with this degree of the relay tree.
--- a/src/fleet/load_generator.cpp
+++ b/src/fleet/load_generator.cpp
@@ -18,8 +18,8 @@
 
 constexpr std::uint8_t kStdout = 6;
 constexpr std::uint8_t kEndRequest = 3;
-constexpr std::uint16_t kMaxKey = 30'000;  // highest FastCGI request id that is used
-constexpr std::uint64_t kGroups = 256;     // the group of an object is its number modulo this
+constexpr std::uint16_t kMaxRequestId = 30'000;  // highest FastCGI request id that is used
+constexpr std::uint64_t kGroups = 256;           // the group of an object is its number modulo this
 
 // Returns the value of a header in the head of a CGI response; empty if it has none.
 std::string_view header(std::string_view head, std::string_view name) {
@@ -59,7 +59,7 @@
 
   void send(std::size_t index, const std::string& object) {
     do {
-      key_ = key_ >= kMaxKey ? std::uint16_t{1} : static_cast<std::uint16_t>(key_ + 1);
+      key_ = key_ >= kMaxRequestId ? std::uint16_t{1} : static_cast<std::uint16_t>(key_ + 1);
     } while (open_.contains(key_));
     open_[key_] = index;
     const Options& options = generator_->options_;
@@ -107,7 +107,7 @@
   void end(std::uint16_t key, std::string_view ended) {
     const std::string text = std::exchange(texts_[key], {});
     texts_.erase(key);
-    // Keys are reused only after kMaxKey requests, so an end record whose key is not open is a second
+    // Keys are reused only after kMaxRequestId requests, so an end record whose key is not open is a second
     // answer to the last request with that key.
     const auto open = open_.find(key);
     const auto last = last_.find(key);
--- a/src/fleet/scenario.h
+++ b/src/fleet/scenario.h
@@ -62,19 +62,19 @@
   // The status of one router, from the last answer to a health check.
   struct Row {
     std::string router;
-    bool up = false;
-    bool ready = false;
-    std::string state = "-";  // "-": down; "plain": the answer has no state
-    std::uint64_t event = 0;  // the last one applied
-    std::uint64_t calls = 0;
-    std::uint64_t failed = 0;
-    std::int64_t age_ms = -1;
+    bool up = false;           // the connection is open and a check was answered
+    bool ready = false;        // the answer was 200
+    std::string state = "-";   // "-": down; "plain": the answer has no state
+    std::uint64_t event = 0;   // the last one applied
+    std::uint64_t calls = 0;   // polls of the discovery service
+    std::uint64_t failed = 0;  // failed polls
+    std::int64_t age_ms = -1;  // since the endpoint list was last confirmed; -1: unknown
   };
 
   StatusPoller(transport::Scheduler& scheduler, const Layout& layout);
   ~StatusPoller();
 
-  // Sends a health check to each router; the answers are processed when the scheduler turns.
+  // Sends a health check to each router; the answers are processed when the scheduler runs.
   void refresh(const std::vector<std::string>& routers);
   const std::map<std::string, Row>& rows() const { return rows_; }
 
--- a/src/fleet/supervisor.h
+++ b/src/fleet/supervisor.h
@@ -2,8 +2,8 @@
 // destroyed.
 //
 // Package `fleet`, over `transport`. It has to be used by one thread only, since children are killed when the
-// thread that started them ends. Functions that wait run the scheduler, so that proxies and load generators in
-// the same process continue to work.
+// thread that started them ends. Functions that wait run the scheduler, so that proxies and load generators
+// in the same process continue to work.
 #pragma once
 
 #include <chrono>
--- a/tests/fleet/aggregation_test.cpp
+++ b/tests/fleet/aggregation_test.cpp
@@ -15,8 +15,8 @@
 using fleet::FleetSpec;
 using nlohmann::json;
 
-// Returns a fleet with a zone and a cache for each region and this total number of aggregators. Its times are short
-// enough for a test.
+// Returns a fleet with a zone and a cache for each region and this total number of aggregators. Its times are
+// short enough for a test.
 FleetSpec aggregated_spec(int routers, int regions, int aggregators) {
   FleetSpec spec = policy_spec(routers);
   spec.zones.clear();
@@ -227,8 +227,8 @@
                                     {"heal router*>aggregator0"}}),
     [](const auto& fault) { return fault.param.name; });
 
-// The routers of the faulty aggregator use the other region's aggregator. Rollouts meanwhile and afterwards take effect
-// everywhere.
+// The routers of the faulty aggregator use the other region's aggregator. Rollouts meanwhile and
+// afterwards take effect everywhere.
 TEST_P(AggregatorFaultTest, RoutersMoveAndRolloutsSucceedMeanwhileAndAfterwards) {
   AggregatedFleet fleet(aggregated_spec(6, 2, 2), {"router*>aggregator*", "aggregator*>registry"});
   ASSERT_FALSE(testing::Test::HasFailure());
