--- a/src/fleet/scenario.h
+++ b/src/fleet/scenario.h
@@ -40,8 +40,8 @@
 
   // Applies a fault now to all members or links that match its target.
   void apply(const Fault& fault);
-  // Starts the clock of a script. apply_due_faults() has to be called repeatedly, and applies the faults whose
-  // time has come.
+  // Starts the clock of a script. apply_due_faults() has to be called repeatedly, and applies the faults
+  // that are due.
   void start_script(std::vector<Fault> script);
   void apply_due_faults();
   bool script_finished() const { return next_ >= script_.size(); }
--- a/tests/fleet/broken_nodes_test.cpp
+++ b/tests/fleet/broken_nodes_test.cpp
@@ -15,10 +15,10 @@
 using transport::Clock;
 
 // No request needs to be rejected here: no node is listed as just started, one cache runs at any time, and
-// the origin remains when the parent is down. Routers have to retry the cache whose last failure is the oldest.
-// Without that retry, 454 of these 780 requests were rejected, since a restarted cache stays ejected for up
-// to 8 s, and the other one is killed meanwhile. A few rejections are allowed, since on a busy machine two
-// kills can fail all attempts of a request.
+// the origin remains when the parent is down. Routers have to retry the cache whose last failure is the
+// oldest. Without that retry, 454 of these 780 requests were rejected, since a restarted cache stays ejected
+// for up to 8 s, and the other one is killed meanwhile. A few rejections are allowed, since on a busy machine
+// two kills can fail all attempts of a request.
 TEST(BrokenNodesTest, ServesRequestsWhileOneOfThreeNodesIsKilledRepeatedly) {
   constexpr int kRequests = 780;
   constexpr int kMaxRejected = 15;
