--- a/src/fleet/scenario.h
+++ b/src/fleet/scenario.h
@@ -40,8 +40,8 @@
 
   // Applies a fault now to all members or links that match its target.
   void apply(const Fault& fault);
-  // Starts the clock of a script. The caller then calls apply_due_faults() repeatedly, which applies the
-  // faults whose time has come.
+  // Starts the clock of a script. apply_due_faults() has to be called repeatedly, and applies the faults
+  // that are due.
   void start_script(std::vector<Fault> script);
   void apply_due_faults();
   bool script_finished() const { return next_ >= script_.size(); }
@@ -53,27 +53,28 @@
   Supervisor supervisor_;
   std::vector<Fault> script_;
   std::size_t next_ = 0;
-  transport::Clock::time_point begun_;
+  transport::Clock::time_point started_at_;
 };
 
 // Polls the health check of each router over one connection.
 class StatusPoller {
  public:
+  // The status of one router, from the last answer to a health check.
   struct Row {
     std::string router;
-    bool up = false;
-    bool ready = false;
-    std::string state = "-";  // "-": down; "plain": the answer states none
-    std::uint64_t event = 0;  // the last one applied
-    std::uint64_t calls = 0;
-    std::uint64_t failed = 0;
-    std::int64_t age_ms = -1;
+    bool up = false;           // the connection is open and a check was answered
+    bool ready = false;        // the answer was 200
+    std::string state = "-";   // "-": down; "plain": the answer has no state
+    std::uint64_t event = 0;   // the last one applied
+    std::uint64_t calls = 0;   // polls of the discovery service
+    std::uint64_t failed = 0;  // failed polls
+    std::int64_t age_ms = -1;  // since the endpoint list was last confirmed; -1: unknown
   };
 
   StatusPoller(transport::Scheduler& scheduler, const Layout& layout);
   ~StatusPoller();
 
-  // Sends a health check to each router; the answers are processed when the scheduler turns.
+  // Sends a health check to each router; the answers are processed when the scheduler runs.
   void refresh(const std::vector<std::string>& routers);
   const std::map<std::string, Row>& rows() const { return rows_; }
 
