--- a/src/aggregation/options.cpp
+++ b/src/aggregation/options.cpp
@@ -54,7 +54,7 @@
   const std::int64_t left_ms = valid_ms - options.renew_ms;
   if (router_ttl_ms > left_ms) {
     throw KeyError("aggregator.ttl_ms",
-                   "of the " + std::to_string(valid_ms) + " ms for which its lease is guaranteed, " +
+                   "its lease is guaranteed for " + std::to_string(valid_ms) + " ms, of which " +
                        std::to_string(left_ms) +
                        " ms are left before a renewal: less than policy.ttl_ms of routers, " +
                        std::to_string(router_ttl_ms));
@@ -66,9 +66,10 @@
 const config::Record<AggregatorOptions>& aggregator_record() {
   static const config::Record<AggregatorOptions> kRecord = [] {
     using O = AggregatorOptions;
-    config::Record<O> record("aggregator",
-                             "A process between the routers of a region and the coordination store, which is "
-                             "that of the section coordination.");
+    config::Record<O> record(
+        "aggregator",
+        "A process between the routers of a region and the coordination store, which the "
+        "section coordination sets.");
     const IntegerRange ms{1, 600'000};
     record
         .string("listen", &O::listen, "IP:PORT", StringRule{{}, true},
@@ -79,12 +80,12 @@
         .string("board", &O::board, "IP:PORT", StringRule{},
                 "address of the discovery service; with it this aggregator may own the fleet's work of kind "
                 "acknowledge")
+        .integer("ttl_ms", &O::ttl_ms, "ms", IntegerRange{200, 600'000},
+                 "duration of its own lease at the store; a rollout waits this long for a failed aggregator")
         .integer(
-            "ttl_ms", &O::ttl_ms, "ms", IntegerRange{200, 600'000},
-            "time of its own lease at the store; a rollout waits this long for an aggregator that is lost")
-        .integer("renew_ms", &O::renew_ms, "ms", ms,
-                 "time after which it renews its lease; ttl_ms has to cover two renewals, and one beside a "
-                 "router's lease")
+            "renew_ms", &O::renew_ms, "ms", ms,
+            "time after which it renews its lease; ttl_ms has to cover two renewals, and one renewal plus "
+            "policy.ttl_ms of the routers")
         .number("drift_percent", &O::drift_percent, "%", NumberRange{0.0, 20.0},
                 "maximum difference in rate between its clock and the store's")
         .integer("margin_ms", &O::margin_ms, "ms", IntegerRange{0, 60'000},
@@ -92,7 +93,7 @@
         .integer("retry_ms", &O::retry_ms, "ms", ms,
                  "delay before a retry of a store call that was lost or rejected")
         .integer("routers", &O::routers, "routers", IntegerRange{1, 100'000},
-                 "maximum number of routers with a lease; others are redirected to the next aggregator")
+                 "maximum number of routers with a lease; others are rejected and try the next aggregator")
         .integer("connections", &O::connections, "connections", IntegerRange{1, 1'000'000},
                  "maximum open connections; a router has usually two, at most three");
     return record;
@@ -124,8 +125,9 @@
   static const config::Record<AggregationOptions> kRecord = [] {
     config::Record<AggregationOptions> record(
         "aggregation",
-        "The aggregators of a router's region. With them it gets the policy and its lease there, and "
-        "needs the store of the section coordination only for owned work.");
+        "The aggregators of a router's region. If they are set, the router gets the policy and its lease "
+        "from "
+        "them, and needs the store of the section coordination only for owned work.");
     record.strings(
         "endpoints", &AggregationOptions::endpoints, "IP:PORT",
         "addresses of aggregators that serve this router's zone, in the order in which they are tried");
--- a/src/aggregation/upstream_lease.cpp
+++ b/src/aggregation/upstream_lease.cpp
@@ -52,7 +52,7 @@
   if (auto action = lease_step(now, connected, observed, summaries)) {
     out.push_back(std::move(*action));
   }
-  if (auto action = summaries_step(now, without_idle_counts(observed, summaries))) {
+  if (auto action = summaries_step(now, without_unwatched_counts(observed, summaries))) {
     out.push_back(std::move(*action));
   }
   return out;
@@ -60,8 +60,8 @@
 
 // Restores the stored request counts unless the coordinator watches them, so that a change of the counts
 // alone causes no write.
-SummariesByZone UpstreamLease::without_idle_counts(const ObservedByZone& observed,
-                                                   SummariesByZone summaries) const {
+SummariesByZone UpstreamLease::without_unwatched_counts(const ObservedByZone& observed,
+                                                        SummariesByZone summaries) const {
   for (auto& [zone, report] : summaries) {
     const auto stored = stored_.find(zone);
     if (stored != stored_.end() && stored->second.report && !is_watched(observed, zone)) {
@@ -86,7 +86,7 @@
   LeaseAction action;
   action.call = *call;
   if (call->kind == LeaseCallKind::kAcquire) {
-    forget_summaries();
+    reset_joined_state();
     for (const std::string& zone : zones_) {
       action.summaries.push_back(ZoneSummary{zone, summaries.at(zone), 0});
     }
@@ -156,7 +156,7 @@
 
 // ---- Results ----
 
-void UpstreamLease::forget_summaries() {
+void UpstreamLease::reset_joined_state() {
   joined_ = false;
   write_in_flight_ = false;
   stored_.clear();
@@ -167,7 +167,7 @@
   if (result.status != JoinResult::Status::kJoined) {
     lease_.on_rejected(now, call_id);
     if (lease_.term() == 0) {
-      forget_summaries();
+      reset_joined_state();
     }
     return;
   }
@@ -189,14 +189,14 @@
   }
   lease_.on_rejected(now, call_id);
   if (lease_.term() == 0) {
-    forget_summaries();
+    reset_joined_state();
   }
 }
 
 void UpstreamLease::on_release_result(Micros now, std::uint64_t call_id) {
   lease_.on_granted(now, call_id, kReleasedTerm);
   if (lease_.released()) {
-    forget_summaries();
+    reset_joined_state();
   }
 }
 
--- a/src/aggregation/upstream_lease.h
+++ b/src/aggregation/upstream_lease.h
@@ -62,13 +62,13 @@
     std::optional<Micros> waiting_for_changed_at;  // when `waiting_for` began to differ from the stored one
   };
 
-  void forget_summaries();
+  void reset_joined_state();
   bool may_call(Micros now, bool connected) const;
   bool may_write(Micros now) const { return joined_ && !write_in_flight_ && lease_.may_act(now); }
   std::optional<UpstreamAction> lease_step(Micros now, bool connected, const ObservedByZone& observed,
                                            const SummariesByZone& summaries);
   std::optional<UpstreamAction> summaries_step(Micros now, const SummariesByZone& summaries);
-  SummariesByZone without_idle_counts(const ObservedByZone& observed, SummariesByZone summaries) const;
+  SummariesByZone without_unwatched_counts(const ObservedByZone& observed, SummariesByZone summaries) const;
   static bool needs_write(Micros now, StoredSummary& stored, const policy::ParticipantReport& report);
 
   ownership::LeaseOptions options_;
--- a/src/policy/acknowledgement.h
+++ b/src/policy/acknowledgement.h
@@ -5,7 +5,7 @@
 //
 // A completed position stays completed: a router can join only if the record is unchanged since the router
 // observed it, and if the router has applied the requested events. A router without a lease decides no
-// requests, so a round does not wait for it. docs/aggregation.md, "Acknowledged events".
+// requests, so a round does not wait for it. See "Acknowledged events" in docs/aggregation.md.
 //
 // Package `policy`: knows JSON; no I/O, no clock.
 #pragma once
--- a/src/policy/options.cpp
+++ b/src/policy/options.cpp
@@ -18,9 +18,10 @@
     record
         .boolean("follow", &O::follow,
                  "decide only by the policy in force, and only while this router has its lease")
-        .string("without", &O::without, "-", StringRule{{"both", "refuse"}, false},
-                "behaviour between two versions; both: serve what both versions allow; refuse: reject all "
-                "requests. Without the store all requests are rejected")
+        .string(
+            "without", &O::without, "-", StringRule{{"both", "refuse"}, false},
+            "behaviour while a rollout is suspending; both: serve what both versions allow; refuse: reject "
+            "all requests. Without a lease all requests are rejected")
         .string(
             "folder", &O::folder, "path", StringRule{},
             "folder where policy versions are stored before they are reported as ready; none: they are not "
--- a/src/policy/rollout.cpp
+++ b/src/policy/rollout.cpp
@@ -25,7 +25,7 @@
 constexpr std::uint64_t kStagesPerRollout = 1'000;
 constexpr std::uint64_t kMaxWatchMs = 86'400'000;
 
-std::optional<RolloutState> state_named(const std::string& name) {
+std::optional<RolloutState> parse_state(const std::string& name) {
   const auto found = std::find(kStateNames.begin(), kStateNames.end(), name);
   if (found == kStateNames.end()) {
     return std::nullopt;
@@ -87,7 +87,7 @@
   if (!record.is_object()) {
     return std::nullopt;
   }
-  const auto state = state_named(text_field(record, "state"));
+  const auto state = parse_state(text_field(record, "state"));
   auto stages = read_stages(record);
   if (!state || !stages) {
     return std::nullopt;
--- a/src/tasks/options.cpp
+++ b/src/tasks/options.cpp
@@ -83,15 +83,16 @@
   using O = OwnershipOptions;
   record
       .integer("suspect_after", &O::suspect_after, "failures", IntegerRange{1, 1'000},
-               "consecutive failures after which a router reports a cache to the prober")
+               "consecutive failures after which a router reports a cache to the router that owns its health "
+               "checks")
       .integer("probe_ms", &O::probe_ms, "ms", kMilliseconds,
                "interval between two health checks of a suspected cache")
       .integer("probe_timeout_ms", &O::probe_timeout_ms, "ms", kMilliseconds,
                "timeout of the connection of a health check, and of its response")
-      .integer(
-          "verdict_ms", &O::verdict_ms, "ms", kMilliseconds,
-          "time for which the result of a health check is valid; the prober renews it after half of this "
-          "time")
+      .integer("verdict_ms", &O::verdict_ms, "ms", kMilliseconds,
+               "time for which the result of a health check is valid; the router that checks renews it after "
+               "half of this "
+               "time")
       .integer("report_ms", &O::report_ms, "ms", IntegerRange{100, 600'000},
                "interval between two counter updates of a router, and between two fleet reports")
       .integer("acknowledge_ms", &O::acknowledge_ms, "ms", IntegerRange{10, 600'000},
--- a/src/tasks/prefetch_task.cpp
+++ b/src/tasks/prefetch_task.cpp
@@ -18,9 +18,9 @@
 
 namespace {
 
-constexpr milliseconds kListRetry{1'000};     // until the store answers
-constexpr milliseconds kMaxStartWait{1'000};  // between two readings of the wall clock
-constexpr milliseconds kPermissionRetry{50};  // while the lease is uncertain
+constexpr milliseconds kListRetryInterval{1'000};  // until the store answers
+constexpr milliseconds kMaxStartWait{1'000};       // between two readings of the wall clock
+constexpr milliseconds kMayActRetryInterval{50};   // while the lease is uncertain
 constexpr milliseconds kMinStepInterval{1};
 
 std::string format_request_id(std::uint64_t id) {
@@ -55,7 +55,7 @@
     }
     task_.scheduler_.post([&task = task_, index = index_, alive = alive_, result, retry_after] {
       if (*alive) {
-        task.on_answer(index, result, retry_after);
+        task.on_request_result(index, result, retry_after);
       }
     });
   }
@@ -108,11 +108,11 @@
   const std::string& name = order_->request_class;
   const auto found = profile_.class_index.find(name);
   if (found == profile_.class_index.end()) {
-    throw InvalidPrefetchOrder("class", "'" + name + "' is not served here");
+    throw InvalidPrefetchOrder("class", "'" + name + "' is not a request class of this router");
   }
   const ClassSettings& settings = profile_.settings.classes[static_cast<std::size_t>(found->second)];
   if (settings.idempotency != Idempotency::kSafe || settings.uncached) {
-    throw InvalidPrefetchOrder("class", "'" + name + "' is not one that caches keep");
+    throw InvalidPrefetchOrder("class", "'" + name + "' is not a class of safe requests that caches store");
   }
   request_class_ = found->second;
 }
@@ -131,13 +131,13 @@
     }
     order_->objects = read_prefetch_list(text.value_or(""));
     if (order_->objects.empty()) {
-      fail("objects: none are listed for this shard");
+      fail("objects: the list of this shard is empty or was not found");
     } else {
       make_plan(0, 1);  // the list contains the objects of this shard alone
     }
   };
   context_.read_key(prefetch_list_key(context_.id.work, context_.id.shard), on_list);
-  wake_up_in(kListRetry);
+  wake_up_in(kListRetryInterval);
 }
 
 void PrefetchTask::make_plan(std::uint64_t shard, std::uint64_t shards) {
@@ -187,7 +187,7 @@
   } else if (plan_->done()) {
     save_progress();
   } else if (!context_.may_act()) {
-    wake_up_in(kPermissionRetry);
+    wake_up_in(kMayActRetryInterval);
   } else {
     start_requests();
   }
@@ -221,25 +221,25 @@
 void PrefetchTask::request_object(std::size_t index) {
   const std::string& object = plan_->object(index);
   const std::size_t slash = object.find('/');
-  auto passed = std::make_shared<protocol::ForwardedRequest>();
-  passed->id = format_request_id(++last_request_id_);
-  passed->request_class = order_->request_class;
-  passed->object = object.substr(0, slash);
-  passed->part = slash == std::string::npos ? "" : object.substr(slash + 1);
-  passed->fence = context_.fencing_token;
+  auto forwarded = std::make_shared<protocol::ForwardedRequest>();
+  forwarded->id = format_request_id(++last_request_id_);
+  forwarded->request_class = order_->request_class;
+  forwarded->object = object.substr(0, slash);
+  forwarded->part = slash == std::string::npos ? "" : object.substr(slash + 1);
+  forwarded->fence = context_.fencing_token;
   routing::ClientRequest request;
   request.arrival.request_class = request_class_;
-  request.arrival.object = protocol::read_hex<ObjectId>(passed->object).value_or(0);
-  request.arrival.part = protocol::read_number<std::uint32_t>(passed->part).value_or(0);
+  request.arrival.object = protocol::read_hex<ObjectId>(forwarded->object).value_or(0);
+  request.arrival.part = protocol::read_number<std::uint32_t>(forwarded->part).value_or(0);
   request.patience = milliseconds(options_.fill_patience_ms);
-  request.forwarded = std::move(passed);
+  request.forwarded = std::move(forwarded);
   const RequestId id = router_.accept(std::move(request), std::make_shared<ReplyHandler>(*this, index));
   if (id != 0) {
     open_requests_[index] = id;
   }
 }
 
-void PrefetchTask::on_answer(std::size_t index, PrefetchResult result, Micros retry_after) {
+void PrefetchTask::on_request_result(std::size_t index, PrefetchResult result, Micros retry_after) {
   open_requests_.erase(index);
   if (stopping_ || !plan_) {
     return;
--- a/src/tasks/prefetch_task.h
+++ b/src/tasks/prefetch_task.h
@@ -44,7 +44,7 @@
   bool is_start_time_reached();
   void start_requests();
   void request_object(std::size_t index);
-  void on_answer(std::size_t index, PrefetchResult result, Micros retry_after);
+  void on_request_result(std::size_t index, PrefetchResult result, Micros retry_after);
 
   void wake_up_in(Micros time);
   void save_progress();
