--- a/src/aggregation/router_leases.h
+++ b/src/aggregation/router_leases.h
@@ -27,8 +27,8 @@
   Micros min_ttl{100'000};          // shorter leases are rejected
 };
 
-// Requests at all routers of a zone since the aggregator started. The counts never decrease, also when
-// routers leave.
+// Requests at all routers of a zone since the aggregator started. The counts do not decrease when routers
+// leave.
 struct RequestCounts {
   std::uint64_t requests = 0;
   std::uint64_t failed = 0;  // rejected or failed
--- a/src/aggregation/upstream_lease.cpp
+++ b/src/aggregation/upstream_lease.cpp
@@ -20,7 +20,7 @@
 // usually end sooner.
 constexpr Micros kWaitingForWriteDelay{1'000'000};
 
-// Returns whether two reports are the same for the coordinator: they differ at most in what operators read.
+// Returns whether two reports are the same for the coordinator: they differ at most in the sequence number and in fields for operators.
 bool is_equivalent(ParticipantReport left, const ParticipantReport& right) {
   left.sequence = right.sequence;
   left.waiting_for = right.waiting_for;
@@ -133,7 +133,7 @@
   return connected || lease_.phase(now) == LeasePhase::kStopped;
 }
 
-// While no lease call may be made, the lease adds no time, since only an event can change that.
+// While no lease call may be made, the lease determines no next step, since only an event can change that.
 std::optional<Micros> UpstreamLease::next_step_at(Micros now, bool connected) const {
   std::optional<Micros> out = may_call(now, connected) ? lease_.next_step_at(now) : std::nullopt;
   if (lease_.may_act(now)) {
--- a/src/policy/participant.cpp
+++ b/src/policy/participant.cpp
@@ -132,7 +132,7 @@
     return;
   }
   const StageId stage = stage_id(*rollout);
-  // Once it has observed the suspension, this router decides under neither version alone, ready or not.
+  // Once it has observed the suspension, this router decides under neither version alone, whether or not it is ready.
   report.suspended_stage = is_suspending ? stage : 0;
   const std::uint64_t target = rollout->target_version;
   const bool decides_under_target = observed_.version == target;
@@ -197,8 +197,8 @@
   }
 }
 
-void Participant::on_renew_result(Micros now, std::uint64_t call_id, bool alive) {
-  if (alive) {
+void Participant::on_renew_result(Micros now, std::uint64_t call_id, bool valid) {
+  if (valid) {
     lease_.on_granted(now, call_id, kGranted);
     return;
   }
@@ -315,7 +315,7 @@
   actions.emplace_back(std::move(action));
 }
 
-// While no lease call may be made, the lease adds no time, since only an event can change that.
+// While no lease call may be made, the lease determines no next step, since only an event can change that.
 std::optional<Micros> Participant::next_step_at(Micros now) const {
   std::optional<Micros> out = may_call_for_lease(now) ? lease_.next_step_at(now) : std::nullopt;
   if (lease_.may_act(now)) {
--- a/src/policy/participant.h
+++ b/src/policy/participant.h
@@ -109,7 +109,8 @@
   // `joined` is true if the store was as observed and the report was written. If not, the caller has to read
   // the state again.
   void on_join_result(Micros now, std::uint64_t call_id, bool joined);
-  void on_renew_result(Micros now, std::uint64_t call_id, bool alive);
+  // `valid` is true if the store still had the lease.
+  void on_renew_result(Micros now, std::uint64_t call_id, bool valid);
   void on_release_result(Micros now, std::uint64_t call_id);
   // A lease call was not answered. It may or may not have been executed.
   void on_no_response(Micros now, std::uint64_t call_id);
--- a/src/tasks/outlier_tracker.h
+++ b/src/tasks/outlier_tracker.h
@@ -11,7 +11,7 @@
 
 namespace trailcourse::tasks {
 
-// A cache that this router has started or stopped to suspect.
+// A cache that this router has begun or ceased to suspect.
 struct SuspicionChange {
   std::string cache;
   bool suspected = false;
--- a/src/tasks/peer_health_checks.cpp
+++ b/src/tasks/peer_health_checks.cpp
@@ -28,8 +28,8 @@
     : scheduler_(scheduler),
       view_(view),
       session_(session),
-      peers_(session.identity().name, static_cast<std::size_t>(options.neighbours),
-             static_cast<int>(options.neighbour_misses)),
+      prober_(session.identity().name, static_cast<std::size_t>(options.neighbours),
+              static_cast<int>(options.neighbour_misses)),
       peer_count_(static_cast<std::size_t>(options.neighbours)),
       interval_(milliseconds(options.neighbour_ms)),
       timeout_(milliseconds(options.probe_timeout_ms)) {}
@@ -78,8 +78,8 @@
       addresses[member.name] = *address;
     }
   }
-  names = peers_.select_targets(names);
-  peers_.set_targets(names);
+  names = prober_.select_targets(names);
+  prober_.set_targets(names);
   Connections connections;
   for (const std::string& name : names) {
     Connection::Bounds bounds;
@@ -93,13 +93,13 @@
 
 void PeerHealthChecks::record_results(const Connections& connections) {
   for (const auto& [name, connection] : connections) {
-    peers_.on_probe_result(name, connection->up());
+    prober_.on_probe_result(name, connection->up());
   }
 }
 
 void PeerHealthChecks::report_suspicions() {
   const std::string& self = session_.identity().name;
-  const auto suspicions = peers_.suspicions();
+  const auto suspicions = prober_.suspicions();
   for (const auto& [name, suspicion] : suspicions) {
     session_.set_key(membership::suspicion_key(name, self), membership::write_suspicion(suspicion));
     reported_.insert(name);
--- a/src/tasks/peer_health_checks.h
+++ b/src/tasks/peer_health_checks.h
@@ -47,7 +47,7 @@
   transport::Scheduler& scheduler_;
   const membership::MembershipView& view_;
   FleetSession& session_;
-  membership::PeerProber peers_;
+  membership::PeerProber prober_;
   std::size_t peer_count_;
   Micros interval_;
   Micros timeout_;
--- a/src/tasks/prefetch_plan.cpp
+++ b/src/tasks/prefetch_plan.cpp
@@ -87,7 +87,7 @@
     }
     in_flight_.insert(index);
     indices.push_back(index);
-    // A pause must not be followed by a burst.
+    // Prevents a burst of requests after a pause.
     next_paced_at_ = std::max(next_paced_at_, now - pacing_interval_) + pacing_interval_;
   }
   return indices;
--- a/src/tasks/reconcile_task.cpp
+++ b/src/tasks/reconcile_task.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr milliseconds kMaxInterval{5'000};  // between two snapshots, also without changes
+constexpr milliseconds kMaxInterval{5'000};  // between two snapshots, even if nothing has changed
 constexpr milliseconds kRetryInterval{200};  // after a call that failed, or a write that was rejected
 constexpr Micros kMinDelay{1'000};
 // A snapshot reads the reports of all routers, which change all the time in a large fleet.
@@ -94,14 +94,14 @@
                     reconcile_in(kRetryInterval);
                     return;
                   }
-                  on_snapshot(reply.value);
+                  handle_snapshot(reply.value);
                   if (std::exchange(reconcile_again_, false)) {
                     schedule_reconcile();
                   }
                 });
 }
 
-void ReconcileTask::on_snapshot(const TransactionResult& snapshot) {
+void ReconcileTask::handle_snapshot(const TransactionResult& snapshot) {
   const Micros now = steady_now();
   Decision decision = decide(now, snapshot);
   if (decision.next_step_at) {
--- a/src/tasks/reconcile_task.h
+++ b/src/tasks/reconcile_task.h
@@ -59,7 +59,7 @@
 
  private:
   void reconcile();
-  void on_snapshot(const coordination::TransactionResult& snapshot);
+  void handle_snapshot(const coordination::TransactionResult& snapshot);
   void write(coordination::Transaction transaction);
   void reconcile_in(Micros time);
 
--- a/src/tasks/step_loop.h
+++ b/src/tasks/step_loop.h
@@ -23,7 +23,7 @@
   // event can cause one.
   using Step = std::function<std::optional<Micros>()>;
 
-  // A step that no event has caused follows the last step after at least `min_interval`.
+  // A step that its time alone has caused runs at least `min_interval` after the last step.
   StepLoop(transport::Scheduler& scheduler, Micros min_interval, Step step)
       : step_(std::move(step)),
         min_interval_(min_interval),
@@ -33,7 +33,7 @@
   StepLoop(const StepLoop&) = delete;
   StepLoop& operator=(const StepLoop&) = delete;
 
-  // Schedules one step, also if it is called several times before that. The step never runs within this call.
+  // Schedules a step, which never runs within this call. Several calls before the step schedule only one step.
   void schedule() { deferred_.post(); }
 
   // Wraps the handler of a response. The handler is not called once the loop is destroyed.
--- a/src/tasks/task_runner.cpp
+++ b/src/tasks/task_runner.cpp
@@ -197,11 +197,11 @@
   lease_manager_.set_members(now, std::move(zones));
   const bool superseded = view_.superseded(identity().name, identity().incarnation);
   lease_manager_.set_superseded(now, superseded);
-  if (superseded && last_view_version_ != view_.revision()) {
+  if (superseded && last_view_revision_ != view_.revision()) {
     log_line(Level::kWarning) << "another instance has this router's name, " << identity().name
                               << ": this one does no owned work";
   }
-  last_view_version_ = view_.revision();
+  last_view_revision_ = view_.revision();
   loop_.schedule();
 }
 
--- a/src/tasks/task_runner.h
+++ b/src/tasks/task_runner.h
@@ -100,7 +100,7 @@
   coordination::CoordinationStore::WatchId watch_ = 0;
   bool connected_ = false;
   bool draining_ = false;
-  std::uint64_t last_view_version_ = 0;  // of the view as of the last update_members()
+  std::uint64_t last_view_revision_ = 0;  // of the view as of the last update_members()
 };
 
 }  // namespace trailcourse::tasks
