--- a/src/aggregation/upstream_lease.cpp
+++ b/src/aggregation/upstream_lease.cpp
@@ -20,7 +20,8 @@
 // usually end sooner.
 constexpr Micros kWaitingForWriteDelay{1'000'000};
 
-// Returns whether two reports are the same for the coordinator: they differ at most in the sequence number and in fields for operators.
+// Returns whether two reports are the same for the coordinator: they differ at most in the sequence number
+// and in fields for operators.
 bool is_equivalent(ParticipantReport left, const ParticipantReport& right) {
   left.sequence = right.sequence;
   left.waiting_for = right.waiting_for;
--- a/src/policy/participant.cpp
+++ b/src/policy/participant.cpp
@@ -132,7 +132,8 @@
     return;
   }
   const StageId stage = stage_id(*rollout);
-  // Once it has observed the suspension, this router decides under neither version alone, whether or not it is ready.
+  // Once it has observed the suspension, this router decides under neither version alone, whether or not it
+  // is ready.
   report.suspended_stage = is_suspending ? stage : 0;
   const std::uint64_t target = rollout->target_version;
   const bool decides_under_target = observed_.version == target;
--- a/src/policy/rollout_coordinator.cpp
+++ b/src/policy/rollout_coordinator.cpp
@@ -23,7 +23,8 @@
   return out;
 }
 
-// Aborts if a participant cannot apply the target version. A participant may join, or detect the error, at any time.
+// Aborts if a participant cannot apply the target version. A participant may join, or detect the error, at
+// any time.
 std::optional<RolloutStep> abort_if_rejected(const Rollout& rollout, const ParticipantReports& reports) {
   for (const auto& [name, report] : reports) {
     if (report.rejected_stage == stage_id(rollout)) {
--- a/src/tasks/step_loop.h
+++ b/src/tasks/step_loop.h
@@ -33,7 +33,7 @@
   StepLoop(const StepLoop&) = delete;
   StepLoop& operator=(const StepLoop&) = delete;
 
-  // Schedules a step, which never runs within this call. Several calls before the step schedule only one step.
+  // Schedules a step, which never runs within this call. Several calls before the step schedule only one.
   void schedule() { deferred_.post(); }
 
   // Wraps the handler of a response. The handler is not called once the loop is destroyed.
