--- a/src/aggregation/aggregator.cpp
+++ b/src/aggregation/aggregator.cpp
@@ -148,7 +148,7 @@
   const auto is_replicated = [&](const Compare& compare) { return compare.key.starts_with(records_prefix); };
   if (!std::all_of(transaction.when.begin(), transaction.when.end(), is_replicated)) {
     throw RequestRejected(Reason::kUnsupported,
-                          "an aggregator supports conditions only on the policy's records");
+                          "an aggregator compares the policy's records, and nothing else");
   }
 }
 
@@ -156,14 +156,13 @@
   const bool is_one_put = transaction.then.size() == 1 && transaction.otherwise.empty() &&
                           std::holds_alternative<Put>(transaction.then.front());
   if (!is_one_put) {
-    throw RequestRejected(Reason::kUnsupported,
-                          "an aggregator accepts only transactions that write one report");
+    throw RequestRejected(Reason::kUnsupported, "an aggregator takes one permit at a time, and nothing else");
   }
   const Put& put = std::get<Put>(transaction.then.front());
   const RouterReport report = checked_report(put);
   // Reports are accepted while draining, too, since a router that still has a lease has to report.
   if (!upstream_.is_active(now)) {
-    throw RequestRejected(Reason::kNoUpstreamLease, "the aggregator has no valid lease of its own");
+    throw RequestRejected(Reason::kNoUpstreamLease, "the aggregator has no permission itself");
   }
   TransactionResult out = records_.commit(Transaction{transaction.when, {}, {}});
   if (out.succeeded) {
@@ -177,17 +176,15 @@
 RouterReport Aggregator::checked_report(const Put& put) const {
   const std::string router = checked_router(put);
   if (put.value.size() > settings_.max_report_bytes) {
-    throw RequestRejected(Reason::kTooLarge, "value: a report of " + std::to_string(put.value.size()) +
-                                                 " bytes, above the limit of " +
-                                                 std::to_string(settings_.max_report_bytes));
+    throw RequestRejected(Reason::kTooLarge, "a permit of " + std::to_string(put.value.size()) + " bytes");
   }
   const std::optional<ParticipantReport> report = policy::read_report(put.value);
   if (!report || report->incarnation.empty()) {
-    throw RequestRejected(Reason::kMalformed, "value: not a valid report");
+    throw RequestRejected(Reason::kMalformed, "value: no permit");
   }
   if (!observed_.contains(report->zone)) {
-    throw RequestRejected(Reason::kUnknownZone, "zone: this aggregator does not serve '" +
-                                                    report->zone.substr(0, kMaxQuotedZoneBytes) + "'");
+    throw RequestRejected(Reason::kUnknownZone,
+                          "zone: " + report->zone.substr(0, kMaxQuotedZoneBytes) + " is not served here");
   }
   return {router, *report};
 }
@@ -195,21 +192,21 @@
 std::string Aggregator::checked_router(const Put& put) const {
   const std::string reports_prefix = identity_.prefix + policy::kReportPrefix;
   if (!put.key.starts_with(reports_prefix)) {
-    throw RequestRejected(Reason::kUnsupported, "an aggregator accepts only writes of reports");
+    throw RequestRejected(Reason::kUnsupported, "an aggregator takes permits, and nothing else");
   }
   const std::size_t name_end = put.key.find('/', reports_prefix.size());
   const std::string router = put.key.substr(reports_prefix.size(), name_end - reports_prefix.size());
   const bool is_report_key = put.lease != 0 && coordination::is_name(router) &&
                              put.key == identity_.prefix + policy::report_key(router, put.lease);
   if (!is_report_key) {
-    throw RequestRejected(Reason::kMalformed, "key: not the report key of a router and its lease");
+    throw RequestRejected(Reason::kMalformed, "key: not of a router and its lease");
   }
   return router;
 }
 
 TransactionResult Aggregator::read_records(const Transaction& transaction) {
   if (!has_snapshot_) {
-    throw RequestRejected(Reason::kNoUpstreamLease, "the store's records have not been received yet");
+    throw RequestRejected(Reason::kNoUpstreamLease, "the store's records are not here yet");
   }
   check_reads(transaction.then);
   check_reads(transaction.otherwise);
@@ -222,8 +219,7 @@
   for (const Operation& operation : operations) {
     const Get* const get = std::get_if<Get>(&operation);
     if (get == nullptr || !get->range.key.starts_with(records_prefix)) {
-      throw RequestRejected(Reason::kUnsupported,
-                            "an aggregator supports reads only of the policy's records");
+      throw RequestRejected(Reason::kUnsupported, "an aggregator has the policy's records, and nothing else");
     }
   }
 }
--- a/src/aggregation/aggregator_service.cpp
+++ b/src/aggregation/aggregator_service.cpp
@@ -251,7 +251,7 @@
 
 AggregatorService::Response AggregatorService::handle(const std::string& path, const json& body) {
   if (store_.id() == 0) {
-    throw coordination::ServiceUnavailable("the coordination store has not responded yet");
+    throw coordination::ServiceUnavailable("the store above was not heard yet");
   }
   try {
     return Response{kOk, handle_call(path, body)};
@@ -273,7 +273,7 @@
   if (path == etcd::kRevokePath) {
     return handle_revoke(body);
   }
-  throw RequestRejected(Reason::kUnsupported, "an aggregator does not support the call " + path);
+  throw RequestRejected(Reason::kUnsupported, "no such call here: " + path);
 }
 
 json AggregatorService::handle_transaction(const json& body) {
@@ -286,7 +286,7 @@
 json AggregatorService::handle_grant(const json& body) {
   const etcd::LeaseGrantRequest call = etcd::read_lease_grant_request(body);
   if (call.id != 0) {
-    throw RequestRejected(Reason::kUnsupported, "an aggregator assigns lease ids itself");
+    throw RequestRejected(Reason::kUnsupported, "an aggregator numbers leases itself");
   }
   const milliseconds ttl(call.ttl_ms > 0 ? call.ttl_ms : call.ttl_s * 1'000);
   const LeaseId id = aggregator_.grant(now(), ttl);
@@ -309,7 +309,7 @@
 
 void AggregatorService::read_state(const StateReader& reader) {
   if (!aggregator_.has_snapshot() || store_.id() == 0) {
-    throw coordination::ServiceUnavailable("the store's records have not been received yet");
+    throw coordination::ServiceUnavailable("the store's records are not here yet");
   }
   reader(aggregator_.records(), header());
 }
--- a/src/aggregation/router_leases.cpp
+++ b/src/aggregation/router_leases.cpp
@@ -16,16 +16,15 @@
 void check_within_upstream_lease(Micros now, Micros ttl, std::optional<Micros> upstream_end) {
   // Compares with a difference, since the sum now + ttl may overflow: a caller may request any duration.
   if (!upstream_end || ttl > *upstream_end - now) {
-    throw RequestRejected(Reason::kNoUpstreamLease,
-                          "the aggregator has no lease, or its lease ends before the requested one would");
+    throw RequestRejected(Reason::kNoUpstreamLease, "the aggregator's own permission ends sooner");
   }
 }
 
 void check_acknowledged(const ParticipantReport& report, std::uint64_t min_round) {
   if (report.acknowledged_round < min_round) {
     throw RequestRejected(Reason::kOutOfOrder, "acknowledged: round " +
-                                                   std::to_string(report.acknowledged_round) +
-                                                   " after round " + std::to_string(min_round));
+                                                   std::to_string(report.acknowledged_round) + " where " +
+                                                   std::to_string(min_round) + " was said");
   }
 }
 
@@ -37,13 +36,11 @@
 
 LeaseId RouterLeases::grant(Micros now, Micros ttl, std::optional<Micros> upstream_end) {
   if (ttl < options_.min_ttl) {
-    throw RequestRejected(Reason::kMalformed, "ttl: " + std::to_string(ttl.count()) +
-                                                  " us is below the minimum of " +
-                                                  std::to_string(options_.min_ttl.count()) + " us");
+    throw RequestRejected(Reason::kMalformed, "a lease of " + std::to_string(ttl.count()) + " us");
   }
   check_within_upstream_lease(now, ttl, upstream_end);
   if (leases_.size() >= options_.max_routers) {
-    throw RequestRejected(Reason::kTooManyRouters, "the aggregator serves its maximum number of routers");
+    throw RequestRejected(Reason::kTooManyRouters, "as many routers as this aggregator may have");
   }
   const LeaseId id = unused_id();
   leases_[id] = RouterLease{ttl, now + ttl, {}};
@@ -99,7 +96,7 @@
     return;
   }
   if (zone != report.report.zone) {
-    throw RequestRejected(Reason::kMalformed, "zone: differs from that of the last report under this lease");
+    throw RequestRejected(Reason::kMalformed, "zone: another than before under this lease");
   }
   record_next_report(reports_.at(zone).at(id), report);
 }
@@ -113,8 +110,7 @@
 
 void RouterLeases::record_next_report(RouterReport& stored, const RouterReport& report) {
   if (stored.router != report.router) {
-    throw RequestRejected(Reason::kMalformed,
-                          "key: the router differs from that of the last report under this lease");
+    throw RequestRejected(Reason::kMalformed, "key: of another router than before under this lease");
   }
   const ParticipantReport& before = stored.report;
   const ParticipantReport& after = report.report;
--- a/src/policy/document.cpp
+++ b/src/policy/document.cpp
@@ -54,19 +54,19 @@
 
 std::string read_text(const std::string& field, const json& value) {
   if (!value.is_string() || value.get_ref<const std::string&>().size() > kMaxTextBytes) {
-    throw InvalidDocument(field + ": not a string of at most 1,000 bytes");
+    throw InvalidDocument(field + ": not a text of 1,000 bytes at most");
   }
   return value.get<std::string>();
 }
 
 std::map<std::string, ClassPolicy> read_classes(const json& value) {
   if (!value.is_object() || value.size() > kMaxClasses) {
-    throw InvalidDocument("content.classes: not an object with at most 64 classes");
+    throw InvalidDocument("content.classes: not an object of 64 classes at most");
   }
   std::map<std::string, ClassPolicy> out;
   for (const auto& [name, rule] : value.items()) {
     if (!coordination::is_name(name)) {
-      throw InvalidDocument("content.classes: '" + name + "' is not a valid class name");
+      throw InvalidDocument("content.classes: '" + name + "' is no name of a class");
     }
     out[name] = class_policy_record().read(rule, "content.classes." + name);
   }
@@ -84,7 +84,7 @@
     } else if (section == "classes") {
       out.classes = read_classes(section_value);
     } else {
-      throw InvalidDocument("content." + section + ": unknown section");
+      throw InvalidDocument("content." + section + ": no such section");
     }
   }
   return out;
@@ -98,7 +98,7 @@
   }
   const auto out = schema->get<std::int64_t>();
   if (out != kSchema) {
-    throw InvalidDocument("schema: " + std::to_string(out) + " is not supported; this program supports " +
+    throw InvalidDocument("schema: " + std::to_string(out) + " is not known to this program, which knows " +
                           std::to_string(kSchema));
   }
   return out;
@@ -140,8 +140,7 @@
                           " is below objective_ms, " + std::to_string(rule.objective_ms));
   }
   if (rule.fresh_ms == 0 && rule.grace_ms > 0) {
-    throw InvalidDocument(
-        field + ".grace_ms: has to be 0 if fresh_ms is 0, since the copy is valid until it is purged");
+    throw InvalidDocument(field + ".grace_ms: a copy that is good until purged has none");
   }
 }
 
@@ -149,8 +148,7 @@
   std::set<std::string> kinds;
   for (const std::string& kind : work) {
     if (!coordination::is_name(kind) || !kinds.insert(kind).second) {
-      throw InvalidDocument("content.limits.work: '" + kind +
-                            "' is not a valid kind of work, or is listed twice");
+      throw InvalidDocument("content.limits.work: '" + kind + "' is no kind of work, or stands twice");
     }
   }
 }
@@ -164,10 +162,10 @@
 
 void check_stored(const PolicyDocument& document, const std::string& digest) {
   if (document.version == 0 || document.parent >= document.version) {
-    throw InvalidDocument("version: not above its parent");
+    throw InvalidDocument("version: not later than its parent");
   }
   if (digest != digest_of(document)) {
-    throw InvalidDocument("digest: does not match the document");
+    throw InvalidDocument("digest: is not of this document");
   }
 }
 
@@ -185,8 +183,8 @@
           read_draft_field(field, field_value, out) ||
           (form == DocumentForm::kStored && read_stored_field(field, field_value, out, digest));
       if (!is_read) {
-        throw InvalidDocument(field + ": not a field of a " +
-                              (form == DocumentForm::kDraft ? "draft" : "stored document"));
+        throw InvalidDocument(field + ": no such field" +
+                              (form == DocumentForm::kDraft ? " of a draft" : ""));
       }
     }
     check_content(out.content);
@@ -232,8 +230,7 @@
       break;
   }
   return "content.limits.open_requests: " + std::to_string(demand.open_requests) +
-         " is above the limit of this router's memory and sockets, " +
-         std::to_string(demand.max_open_requests);
+         " is over what this router's memory and sockets bear, " + std::to_string(demand.max_open_requests);
 }
 
 tl::expected<void, UnsupportedDemand> check_capabilities(const PolicyDocument& document,
--- a/src/policy/rollout_coordinator.cpp
+++ b/src/policy/rollout_coordinator.cpp
@@ -28,7 +28,7 @@
 std::optional<RolloutStep> abort_if_rejected(const Rollout& rollout, const ParticipantReports& reports) {
   for (const auto& [name, report] : reports) {
     if (report.rejected_stage == stage_id(rollout)) {
-      return abort_with(rollout, router_of(name) + " rejected the version: " + report.rejection_reason);
+      return abort_with(rollout, router_of(name) + " says no: " + report.rejection_reason);
     }
   }
   return std::nullopt;
@@ -66,8 +66,8 @@
   out.rollout.stage = 0;
   out.rollout.watch_time = Micros(0);
   out.rollout.max_rejected_share = 1.0;
-  out.rollout.reason = "reverted: " + std::to_string(failed) + " of " + std::to_string(requests) +
-                       " requests were rejected or failed in zone " + rollout.stages[rollout.stage];
+  out.rollout.reason = "turned back: " + std::to_string(failed) + " of " + std::to_string(requests) +
+                       " requests refused or failed in zone " + rollout.stages[rollout.stage];
   out.audit = out.rollout.reason;
   return out;
 }
@@ -124,7 +124,7 @@
   }
   const std::string missing = routers_behind(rollout, reports, &ParticipantReport::ready_stage);
   if (missing.empty()) {
-    return move_to(rollout, RolloutState::kSuspending, "all participants are ready; suspending");
+    return move_to(rollout, RolloutState::kSuspending, "all are ready; routers hold");
   }
   const Micros deadline = state_since_ + timeouts_.prepare_timeout;
   return abort_at(now, deadline, rollout, "not ready in time: " + missing);
@@ -143,7 +143,7 @@
     return out;
   }
   const Micros deadline = state_since_ + timeouts_.suspend_timeout;
-  return abort_at(now, deadline, rollout, "not suspended in time: " + missing);
+  return abort_at(now, deadline, rollout, "do not hold, and are there: " + missing);
 }
 
 // Waits until all participants decide under the target version. There is no timeout, since the participants
@@ -156,11 +156,10 @@
     }
   }
   if (rollout.is_last_stage()) {
-    return move_to(rollout, RolloutState::kDone, "done: all participants decide under the target version");
+    return move_to(rollout, RolloutState::kDone, "done: all decide under it");
   }
-  return move_to(
-      rollout, RolloutState::kWatching,
-      "zone " + rollout.stages[rollout.stage] + " decides under the target version and is watched");
+  return move_to(rollout, RolloutState::kWatching,
+                 "zone " + rollout.stages[rollout.stage] + " decides under it and is watched");
 }
 
 // Counts only the requests since this coordinator first observed each process.
@@ -189,8 +188,8 @@
     next_step_at_ = end;
     return std::nullopt;
   }
-  RolloutStep out = move_to(rollout, RolloutState::kPreparing,
-                            "the share of rejected requests is within its limit; preparing the next stage");
+  RolloutStep out =
+      move_to(rollout, RolloutState::kPreparing, "within its limits; the next stage is prepared");
   ++out.rollout.stage;
   return out;
 }
--- a/src/tasks/policy_documents.cpp
+++ b/src/tasks/policy_documents.cpp
@@ -24,8 +24,7 @@
     files->rename(new_name, name);
     files->sync_names();
   } catch (const std::exception& error) {
-    return policy::preparation_failed(ErrorKind::kNotStored,
-                                      std::string("cannot be written to disk: ") + error.what());
+    return policy::preparation_failed(ErrorKind::kNotStored, std::string("cannot be kept: ") + error.what());
   }
   return {};
 }
@@ -44,7 +43,7 @@
   try {
     policy::PolicyDocument document = policy::read_document(text);
     if (document.version != version) {
-      throw policy::InvalidDocument("version: differs from that of its key");
+      throw policy::InvalidDocument("version: of another");
     }
     documents_[version] = std::move(document);
   } catch (const policy::InvalidDocument& error) {
@@ -67,7 +66,7 @@
   const policy::PolicyDocument* document = find(version);
   if (document == nullptr) {
     return version == 0 ? policy::PreparationResult()
-                        : policy::preparation_failed(ErrorKind::kMissing, "the document was not received");
+                        : policy::preparation_failed(ErrorKind::kMissing, "its text is not here");
   }
   const auto supported = policy::check_capabilities(*document, capabilities);
   return supported ? policy::PreparationResult()
--- a/src/tasks/prefetch_order.cpp
+++ b/src/tasks/prefetch_order.cpp
@@ -44,7 +44,7 @@
   } else if (name == "objects" && value.is_array() && !value.empty() && value.size() <= kMaxObjects) {
     order.objects = read_objects(value);
   } else {
-    throw InvalidPrefetchOrder(name, "unknown field or invalid value");
+    throw InvalidPrefetchOrder(name, "no such field, or a value that cannot be used");
   }
 }
 
@@ -53,7 +53,7 @@
 PrefetchOrder read_prefetch_order(const std::string& params) {
   const json fields = json::parse(params, nullptr, false);
   if (!fields.is_object()) {
-    throw InvalidPrefetchOrder("params", "not a JSON object");
+    throw InvalidPrefetchOrder("params", "no JSON object");
   }
   PrefetchOrder order;
   for (const auto& [name, value] : fields.items()) {
--- a/src/tasks/prefetch_task.cpp
+++ b/src/tasks/prefetch_task.cpp
@@ -131,7 +131,7 @@
     }
     order_->objects = read_prefetch_list(text.value_or(""));
     if (order_->objects.empty()) {
-      fail("objects: the list of this shard is empty or was not found");
+      fail("objects: none are listed for this shard");
     } else {
       make_plan(0, 1);  // the list contains the objects of this shard alone
     }
--- a/tests/aggregation/aggregator_service_test.cpp
+++ b/tests/aggregation/aggregator_service_test.cpp
@@ -129,10 +129,9 @@
   expect_rejected(report_write("r1", lease, report_of("east", 0, 4)), "number");
   expect_rejected(report_write("r1", lease, report_of("north", 0, 6)), "zone");
   expect_rejected(report_write("r1", lease + 1, report_of("east", 0, 6)), "lease not found");
-  expect_rejected(Transaction{{}, {Put{at(policy::report_key("r1", lease)), "{", lease}}, {}},
-                  "not a valid report");
-  expect_rejected(Transaction{{}, {Put{at(policy::kCurrentKey), "9", 0}}, {}}, "writes of reports");
-  expect_rejected(Transaction{{}, {Delete{Range{at("policy/"), true}}}, {}}, "write one report");
+  expect_rejected(Transaction{{}, {Put{at(policy::report_key("r1", lease)), "{", lease}}, {}}, "no permit");
+  expect_rejected(Transaction{{}, {Put{at(policy::kCurrentKey), "9", 0}}, {}}, "permits");
+  expect_rejected(Transaction{{}, {Delete{Range{at("policy/"), true}}}, {}}, "one permit");
   expect_rejected(Transaction{{}, {Get{Range{at("fleet/"), true}}}, {}}, "policy's records");
   EXPECT_EQ(service.aggregator().counts().total_rejected() - rejected_before, 7U);
   EXPECT_EQ(service.aggregator().router_count(), 1U);
--- a/tests/fleet/policy_test.cpp
+++ b/tests/fleet/policy_test.cpp
@@ -103,15 +103,14 @@
 void PrintTo(const CoordinatorFault& fault, std::ostream* out) { *out << fault.name; }
 
 class CoordinatorFaultTest : public testing::TestWithParam<CoordinatorFault> {};
-INSTANTIATE_TEST_SUITE_P(Steps, CoordinatorFaultTest,
-                         testing::Values(CoordinatorFault{"KilledAtItsStart", "starts policy/0", false},
-                                         CoordinatorFault{"KilledWhenAllRoutersArePrepared",
-                                                          "all participants are ready", false},
-                                         CoordinatorFault{"KilledAtTheCommit", ": committed", false},
-                                         CoordinatorFault{"SuspendedWhenAllRoutersArePrepared",
-                                                          "all participants are ready", true},
-                                         CoordinatorFault{"SuspendedAtTheCommit", ": committed", true}),
-                         [](const auto& one) { return one.param.name; });
+INSTANTIATE_TEST_SUITE_P(
+    Steps, CoordinatorFaultTest,
+    testing::Values(CoordinatorFault{"KilledAtItsStart", "starts policy/0", false},
+                    CoordinatorFault{"KilledWhenAllRoutersArePrepared", "routers hold", false},
+                    CoordinatorFault{"KilledAtTheCommit", ": committed", false},
+                    CoordinatorFault{"SuspendedWhenAllRoutersArePrepared", "routers hold", true},
+                    CoordinatorFault{"SuspendedAtTheCommit", ": committed", true}),
+    [](const auto& one) { return one.param.name; });
 
 TEST_P(CoordinatorFaultTest, ItsSuccessorCompletesTheRollout) {
   PolicyFixture fleet(policy_spec(4));
@@ -225,7 +224,8 @@
   ASSERT_EQ(fleet.policy(command), 0) << fleet.output;
   EXPECT_TRUE(fleet.run_until_under_load(all, [&] {
     const json change = fleet.status()["change"];
-    return change.is_object() && change.value("why", std::string()).find("reverted") != std::string::npos &&
+    return change.is_object() &&
+           change.value("why", std::string()).find("turned back") != std::string::npos &&
            change.value("state", std::string()) == "done";
   })) << fleet.fixture.logs();
   EXPECT_TRUE(fleet.await_version(all, 0)) << fleet.fixture.logs();
--- a/tests/policy_document_test.cpp
+++ b/tests/policy_document_test.cpp
@@ -116,7 +116,7 @@
   ASSERT_FALSE(too_many.has_value());
   EXPECT_EQ(too_many.error().kind, UnsupportedDemand::Kind::kTooManyOpenRequests);
   EXPECT_EQ(describe(too_many.error()),
-            "content.limits.open_requests: 1000 is above the limit of this router's memory and sockets, 500");
+            "content.limits.open_requests: 1000 is over what this router's memory and sockets bear, 500");
 
   capabilities = {{"page"}, 1'000'000};
   const auto unknown = check_capabilities(document, capabilities);
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -92,7 +92,7 @@
   auto transition = coordinator_.step(now_, snapshot_);
   ASSERT_TRUE(transition);
   EXPECT_EQ(transition->rollout.state, RolloutState::kAborted);
-  EXPECT_EQ(transition->rollout.reason, "b rejected the version: full disk");
+  EXPECT_EQ(transition->rollout.reason, "b says no: full disk");
   snapshot_.reports["b"].rejected_stage = 0;
   EXPECT_FALSE(coordinator_.step(now_, snapshot_));
   ASSERT_TRUE(coordinator_.next_step_at());
