--- a/src/tasks/prefetch_task.cpp
+++ b/src/tasks/prefetch_task.cpp
@@ -108,11 +108,11 @@
   const std::string& name = order_->request_class;
   const auto found = profile_.class_index.find(name);
   if (found == profile_.class_index.end()) {
-    throw InvalidPrefetchOrder("class", "'" + name + "' is not a request class of this router");
+    throw InvalidPrefetchOrder("class", "'" + name + "' is not served here");
   }
   const ClassSettings& settings = profile_.settings.classes[static_cast<std::size_t>(found->second)];
   if (settings.idempotency != Idempotency::kSafe || settings.uncached) {
-    throw InvalidPrefetchOrder("class", "'" + name + "' is not a class of safe requests that caches store");
+    throw InvalidPrefetchOrder("class", "'" + name + "' is not one that caches keep");
   }
   request_class_ = found->second;
 }
