--- a/tests/fleet/cold_start_test.cpp
+++ b/tests/fleet/cold_start_test.cpp
@@ -44,7 +44,7 @@
 // Gives all objects at the origin a new version, and purges the objects that send_to_all() requests.
 void edit_and_purge(FleetFixture& fixture) {
   fixture.fleet().signal("origin", SIGHUP);
-  ASSERT_TRUE(fixture.fleet().await_log("origin", "of a new version", kTestTimeout));
+  ASSERT_TRUE(fixture.fleet().await_log("origin", "generated objects have a new version", kTestTimeout));
   const auto now =
       std::chrono::duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch());
   for (std::uint64_t object = 1'000; object < 1'030; ++object) {
@@ -198,7 +198,7 @@
     ASSERT_TRUE(fixture.fleet().await_log(router, "cache cache1 is draining", kTestTimeout));
   }
   std::ofstream(fixture.layout().board_file()) << page.dump();  // the old page
-  ASSERT_TRUE(fixture.fleet().await_log("board", "tells up to event 1", kTestTimeout));
+  ASSERT_TRUE(fixture.fleet().await_log("board", "publishes events up to event 1", kTestTimeout));
   fixture.run_for(milliseconds(300));
   for (const std::string& router : fixture.routers()) {
     EXPECT_EQ(fixture.fleet().log(router).find("sequence reset of the discovery service"), std::string::npos);
@@ -449,7 +449,7 @@
   const std::size_t from = fixture.load().requests().size();
   for (const std::string& router : third) {
     fixture.start(router);
-    ASSERT_TRUE(fixture.fleet().await_log(router, "snapshot: taken in", kTestTimeout))
+    ASSERT_TRUE(fixture.fleet().await_log(router, "snapshot: loaded", kTestTimeout))
         << fixture.fleet().log(router);
     ASSERT_TRUE(fixture.await_ready(router));
   }
@@ -522,7 +522,7 @@
     EXPECT_TRUE(fixture.await_ready("router0"));
     fixture.fleet().kill("router0");
   };
-  expect_start(good, "snapshot: taken in, event 2");
+  expect_start(good, "snapshot: loaded, event 2");
   expect_start(good.substr(0, good.size() / 2), "not used: it is truncated");
   std::string corrupt = good;
   corrupt[corrupt.size() / 2] = static_cast<char>(corrupt[corrupt.size() / 2] ^ 1);
@@ -577,7 +577,7 @@
   std::filesystem::remove_all(folder);
   std::ofstream(folder) << "in the way";
   fixture.start("router0");
-  EXPECT_TRUE(fixture.fleet().await_log("router0", "going on without one", kTestTimeout));
+  EXPECT_TRUE(fixture.fleet().await_log("router0", "starting without snapshots", kTestTimeout));
   EXPECT_TRUE(fixture.await_ready("router0"));
 }
 
--- a/tests/fleet/random_faults_test.cpp
+++ b/tests/fleet/random_faults_test.cpp
@@ -77,7 +77,7 @@
     if (!purge_sent && Clock::now() - begun > milliseconds(700)) {
       purge_sent = true;
       fixture.fleet().signal("origin", SIGHUP);
-      ASSERT_TRUE(fixture.fleet().await_log("origin", "of a new version", kTestTimeout));
+      ASSERT_TRUE(fixture.fleet().await_log("origin", "generated objects have a new version", kTestTimeout));
       const auto now =
           std::chrono::duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch());
       for (std::uint64_t object = 1'000; object < 1'030; ++object) {
--- a/tests/integration_test.cpp
+++ b/tests/integration_test.cpp
@@ -949,7 +949,7 @@
   ASSERT_TRUE(program_->await_log("cannot read"));
   program_->reconfigure(plain_config(board_));
   program_->signal(SIGHUP);
-  ASSERT_TRUE(program_->await_log("as before"));
+  ASSERT_TRUE(program_->await_log(" (unchanged)"));
   json other = plain_config(board_);
   other["name"] = "another";
   other["router"]["client_stall_ms"] = 5000;
