--- a/tests/fleet/cold_start_test.cpp
+++ b/tests/fleet/cold_start_test.cpp
@@ -537,19 +537,19 @@
     return snapshot::encode_snapshot(out);
   };
   expect_start(changed([](snapshot::Snapshot& one) { one.fleet = "another"; }),
-               "not used: it is of another fleet");
+               "not used: it is from another fleet");
   expect_start(changed([](snapshot::Snapshot& one) { one.router = "router1"; }),
-               "not used: it is of another router");
+               "not used: it is from another router");
   // The clock was set back by an hour between two starts, or the machine was off for two days.
   expect_start(changed([](snapshot::Snapshot& one) { one.saved_at += std::chrono::hours(1); }),
-               "not used: it is from the future");
+               "not used: its time is in the future");
   expect_start(changed([](snapshot::Snapshot& one) { one.confirmed_at -= milliseconds(200'000'000); }),
                "not used: it is older");
   expect_start(changed([](snapshot::Snapshot& one) {
                  one.source_address = "127.0.0.1:9";
                  one.source_id.clear();
                }),
-               "not used: it is of the board at 127.0.0.1:9");
+               "not used: it is of the discovery service at 127.0.0.1:9");
   // Another router uses the same folder by mistake.
   {
     std::ofstream(file, std::ios::binary) << good;
