--- a/src/program/command_line.cpp
+++ b/src/program/command_line.cpp
@@ -319,8 +319,7 @@
 }
 
 int run_fleet(const cxxopts::ParseResult& parsed, const Output& output) {
-  FleetCommand command;
-  command.action = argument(parsed, 0, "start, status, stop or fault");
+  FleetCommand command{.action = argument(parsed, 0, "start, status, stop or fault")};
   if (command.action != "start" && command.action != "status" && command.action != "stop" &&
       command.action != "fault") {
     throw UsageError("unknown action '" + command.action + "', expected start, status, stop or fault");
