--- a/src/program/command_line.cpp
+++ b/src/program/command_line.cpp
@@ -319,7 +319,8 @@
 }
 
 int run_fleet(const cxxopts::ParseResult& parsed, const Output& output) {
-  FleetCommand command{.action = argument(parsed, 0, "start, status, stop or fault")};
+  FleetCommand command;
+  command.action = argument(parsed, 0, "start, status, stop or fault");
   if (command.action != "start" && command.action != "status" && command.action != "stop" &&
       command.action != "fault") {
     throw UsageError("unknown action '" + command.action + "', expected start, status, stop or fault");
@@ -368,11 +369,10 @@
   command.proxies = parsed.count("proxies") > 0;
   command.json = parsed.count("json") > 0;
   command.quiet = parsed.count("quiet") > 0;
-  const bool valid = command.routers >= 1 && command.routers <= 2'000 && command.caches >= 0 &&
-                     command.caches <= 500 && command.parents >= 0 && command.parents <= 100 &&
-                     command.aggregators >= 0 && command.aggregators <= 100 && !command.zones.empty() &&
-                     command.relay_degree >= 0 && command.object_kb >= 0 && command.object_kb <= 234;
-  if (!valid) {
+  if (!(command.routers >= 1 && command.routers <= 2'000 && command.caches >= 0 && command.caches <= 500 &&
+        command.parents >= 0 && command.parents <= 100 && command.aggregators >= 0 &&
+        command.aggregators <= 100 && !command.zones.empty() && command.relay_degree >= 0 &&
+        command.object_kb >= 0 && command.object_kb <= 234)) {
     throw UsageError(
         "--routers has to be 1 to 2000, --caches up to 500, --parents and --aggregators up to 100, "
         "--object-kb up to 234; --zones needs at least one zone");
