--- a/src/aggregation/aggregator.h
+++ b/src/aggregation/aggregator.h
@@ -6,7 +6,7 @@
 // docs/aggregation.md explains why no request is decided under an old version after another one was decided
 // under the new version, and what an aggregator can do that resumes after a long pause.
 //
-// Package `aggregation`: no I/O, no clock; time is Micros of the caller's steady clock. Not thread-safe.
+// Library `aggregation`: no I/O, no clock; time is Micros of the caller's steady clock. Not thread-safe.
 #pragma once
 
 #include <array>
--- a/src/aggregation/aggregator_service.h
+++ b/src/aggregation/aggregator_service.h
@@ -1,7 +1,7 @@
 // The I/O of an aggregator: executes the calls to the store that aggregator.h decides on, and serves routers
 // over the store's own protocol. All decisions are made by aggregator.h.
 //
-// Package `aggregation`, over `coordination` and `policy`. One thread.
+// Library `aggregation`, over `coordination` and `policy`. One thread.
 #pragma once
 
 #include <cstdint>
--- a/src/aggregation/options.h
+++ b/src/aggregation/options.h
@@ -1,7 +1,7 @@
 // The sections of the operator's file for aggregation: `aggregator` for the process of an aggregator, and
 // `aggregation` for a router that uses aggregators.
 //
-// Package `aggregation`.
+// Library `aggregation`.
 #pragma once
 
 #include <cstdint>
--- a/src/aggregation/report_summary.h
+++ b/src/aggregation/report_summary.h
@@ -5,7 +5,7 @@
 // than the aggregator has observed in the store itself, since a router that joins later starts from the state
 // that the aggregator has observed. It acknowledges a round after every router has acknowledged it.
 //
-// Package `aggregation`: no I/O, no clock.
+// Library `aggregation`: no I/O, no clock.
 #pragma once
 
 #include <cstdint>
--- a/src/aggregation/request_rejected.h
+++ b/src/aggregation/request_rejected.h
@@ -1,6 +1,6 @@
 // The error of a router's call that an aggregator rejects.
 //
-// Package `aggregation`: no I/O, no clock.
+// Library `aggregation`: no I/O, no clock.
 #pragma once
 
 #include <cstddef>
--- a/src/aggregation/router_leases.h
+++ b/src/aggregation/router_leases.h
@@ -4,7 +4,7 @@
 // The summary includes a router from its first report until its lease expires or is revoked, even if the
 // router has moved to another aggregator meanwhile, since it may still decide under the lease granted here.
 //
-// Package `aggregation`: no I/O, no clock; time is Micros of the aggregator's steady clock. Not thread-safe.
+// Library `aggregation`: no I/O, no clock; time is Micros of the aggregator's steady clock. Not thread-safe.
 #pragma once
 
 #include <trailcourse/decider.h>
--- a/src/aggregation/upstream_calls.h
+++ b/src/aggregation/upstream_calls.h
@@ -4,7 +4,7 @@
 // each zone, all under one lease. A compare-and-set replaces only the aggregator's previous summary, so that
 // a late write changes nothing.
 //
-// Package `aggregation`: no I/O, no clock.
+// Library `aggregation`: no I/O, no clock.
 #pragma once
 
 #include <cstdint>
--- a/src/aggregation/upstream_lease.h
+++ b/src/aggregation/upstream_lease.h
@@ -3,7 +3,7 @@
 // All summaries are deleted when the lease ends, and each start of an aggregator acquires a new lease. The
 // store rejects the writes of an aggregator whose lease has expired during a pause.
 //
-// Package `aggregation`: no I/O, no clock; time is Micros of the caller's steady clock. Not thread-safe.
+// Library `aggregation`: no I/O, no clock; time is Micros of the caller's steady clock. Not thread-safe.
 #pragma once
 
 #include <trailcourse/decider.h>
--- a/src/coordination/coordination_server.h
+++ b/src/coordination/coordination_server.h
@@ -2,7 +2,7 @@
 // the part of etcd's v3 interface that this project uses. It replaces an etcd cluster. Changes are durable
 // before they are confirmed, but the store is unavailable while its process or machine is down.
 //
-// Package `coordination`, over `transport` and `protocol`. Not thread-safe: it belongs to its scheduler's
+// Library `coordination`, over `transport` and `protocol`. Not thread-safe: it belongs to its scheduler's
 // thread. That thread also writes to the disk, and each call except a lease renewal waits
 // for a sync.
 #pragma once
--- a/src/coordination/coordination_store.h
+++ b/src/coordination/coordination_store.h
@@ -1,7 +1,7 @@
 // The interface of a coordination store: conditional transactions, leases, and watches over a range of keys.
 // All backends behave alike: they pass one conformance suite (tests/coordination_test.cpp).
 //
-// Package `coordination`. Not thread-safe: a store belongs to its scheduler's thread. Callbacks and observers
+// Library `coordination`. Not thread-safe: a store belongs to its scheduler's thread. Callbacks and observers
 // are called from the scheduler, never from within a call of this interface. Every call ends within a time
 // limit. No call is retried here, because only the caller knows whether it may be executed twice.
 #pragma once
--- a/src/coordination/embedded_store.h
+++ b/src/coordination/embedded_store.h
@@ -1,7 +1,7 @@
 // A coordination store for all routers of one machine: a database in a folder that they share. Calls run in
 // the store's own thread. Watches poll the database every `look_ms`.
 //
-// Package `coordination`, over `transport` and the executor of `store`. Not thread-safe: it belongs to its
+// Library `coordination`, over `transport` and the executor of `store`. Not thread-safe: it belongs to its
 // scheduler's thread.
 #pragma once
 
--- a/src/coordination/endpoint_selector.h
+++ b/src/coordination/endpoint_selector.h
@@ -1,6 +1,6 @@
 // Selection of the store endpoint that is called.
 //
-// Package `coordination`: no I/O, no clock; time is Micros of the caller's steady clock.
+// Library `coordination`: no I/O, no clock; time is Micros of the caller's steady clock.
 #pragma once
 
 #include <trailcourse/decider.h>
--- a/src/coordination/etcd_client.h
+++ b/src/coordination/etcd_client.h
@@ -1,7 +1,7 @@
 // The calls of an EtcdStore: the queue, the connections to the store's endpoints, and the status of each
 // call.
 //
-// Package `coordination`, over `http`. Not thread-safe: it belongs to its scheduler's thread.
+// Library `coordination`, over `http`. Not thread-safe: it belongs to its scheduler's thread.
 #pragma once
 
 #include <cstdint>
--- a/src/coordination/etcd_fields.h
+++ b/src/coordination/etcd_fields.h
@@ -1,7 +1,7 @@
 // Readers and writers of the fields of etcd's JSON messages: bytes are in Base64, 64-bit numbers are strings,
 // and default values are omitted (https://protobuf.dev/programming-guides/json/).
 //
-// Package `coordination`: no I/O, no clock. All functions are pure. Every read function throws BadMessage if
+// Library `coordination`: no I/O, no clock. All functions are pure. Every read function throws BadMessage if
 // a field has the wrong type.
 #pragma once
 
--- a/src/coordination/etcd_requests.h
+++ b/src/coordination/etcd_requests.h
@@ -2,7 +2,7 @@
 // (https://etcd.io/docs/v3.5/dev-guide/api_grpc_gateway/; messages in api/etcdserverpb/rpc.proto). This
 // file has readers and writers, so that client and server are tested against each other.
 //
-// Package `coordination`: no I/O, no clock. Every read function checks the complete message and throws
+// Library `coordination`: no I/O, no clock. Every read function checks the complete message and throws
 // BadMessage if it is invalid.
 #pragma once
 
--- a/src/coordination/etcd_server.h
+++ b/src/coordination/etcd_server.h
@@ -1,7 +1,7 @@
 // The HTTP server of etcd's v3 interface: connections, calls, watches and their heartbeats. An EtcdService
 // executes the calls; the coordination server and the aggregator implement it.
 //
-// Package `coordination`, over `transport` and `protocol`. Not thread-safe: it belongs to its scheduler's
+// Library `coordination`, over `transport` and `protocol`. Not thread-safe: it belongs to its scheduler's
 // thread.
 #pragma once
 
--- a/src/coordination/etcd_store.h
+++ b/src/coordination/etcd_store.h
@@ -4,7 +4,7 @@
 //
 // A call without a usable response ends with kNotSent if no connection was established, else with kUnknown.
 //
-// Package `coordination`, over `http`. Not thread-safe: it belongs to its scheduler's thread.
+// Library `coordination`, over `http`. Not thread-safe: it belongs to its scheduler's thread.
 #pragma once
 
 #include <map>
--- a/src/coordination/etcd_watch.h
+++ b/src/coordination/etcd_watch.h
@@ -1,6 +1,6 @@
 // One watch of an EtcdStore. It reads a snapshot, follows the changes, and reconnects after a failure.
 //
-// Package `coordination`, over `http`. Not thread-safe: it belongs to its scheduler's thread.
+// Library `coordination`, over `http`. Not thread-safe: it belongs to its scheduler's thread.
 #pragma once
 
 #include <memory>
--- a/src/coordination/key_value_database.h
+++ b/src/coordination/key_value_database.h
@@ -1,6 +1,6 @@
 // A key-value state in an SQLite database, used by one process or shared by all processes of a machine.
 //
-// Package `coordination`. Not thread-safe. Every call may wait for the disk.
+// Library `coordination`. Not thread-safe. Every call may wait for the disk.
 #pragma once
 
 #include <cstdint>
--- a/src/coordination/key_value_state.h
+++ b/src/coordination/key_value_state.h
@@ -5,7 +5,7 @@
 // After each call that may change the state, take_changes() and take_lease_changes() return the changes. The
 // caller has to persist them before it responds to the call. A state can be restored from them.
 //
-// Package `coordination`: no I/O, no clock; times are those of the caller's steady clock. Not thread-safe.
+// Library `coordination`: no I/O, no clock; times are those of the caller's steady clock. Not thread-safe.
 #pragma once
 
 #include <chrono>
--- a/src/coordination/options.h
+++ b/src/coordination/options.h
@@ -1,7 +1,7 @@
 // The sections `coordination` and `registry` of the operator's file. The fields have the names of the keys;
 // times are in milliseconds.
 //
-// Package `coordination`.
+// Library `coordination`.
 #pragma once
 
 #include <cstdint>
--- a/src/coordination/record_fields.h
+++ b/src/coordination/record_fields.h
@@ -1,7 +1,7 @@
 // Lenient readers of the fields of a stored JSON record: a field that is missing or of another type has its
 // default.
 //
-// Package `coordination`: no I/O, no clock. All functions are pure; none throws for a field of another type.
+// Library `coordination`: no I/O, no clock. All functions are pure; none throws for a field of another type.
 #pragma once
 
 #include <cstdint>
--- a/src/coordination/sqlite.h
+++ b/src/coordination/sqlite.h
@@ -1,6 +1,6 @@
 // RAII wrappers of SQLite's handles (https://sqlite.org/c3ref/).
 //
-// Package `coordination`. Not thread-safe: one thread at a time.
+// Library `coordination`. Not thread-safe: one thread at a time.
 #pragma once
 
 #include <sqlite3.h>
--- a/src/coordination/store_identity.h
+++ b/src/coordination/store_identity.h
@@ -1,6 +1,6 @@
 // A check that all responses come from one store whose revisions only grow.
 //
-// Package `coordination`: no I/O, no clock.
+// Library `coordination`: no I/O, no clock.
 #pragma once
 
 #include <cstdint>
--- a/src/coordination/types.h
+++ b/src/coordination/types.h
@@ -1,7 +1,7 @@
 // Data types of a coordination store: entries with revisions that only grow, conditional transactions, and
 // leases. The terms are those of etcd's v3 interface (https://etcd.io/docs/v3.5/learning/api/).
 //
-// Package `coordination`: no I/O, no clock.
+// Library `coordination`: no I/O, no clock.
 #pragma once
 
 #include <algorithm>
--- a/src/coordination/watch_progress.h
+++ b/src/coordination/watch_progress.h
@@ -1,6 +1,6 @@
 // The revision up to which a watch has delivered changes.
 //
-// Package `coordination`: no I/O, no clock.
+// Library `coordination`: no I/O, no clock.
 #pragma once
 
 #include <vector>
--- a/src/fleet/fault_proxy.h
+++ b/src/fleet/fault_proxy.h
@@ -1,7 +1,7 @@
 // A TCP proxy on one link between two processes that injects faults: it forwards, blocks, delays, throttles
 // or truncates the bytes that pass, and resets connections. It counts the traffic for tests.
 //
-// Package `fleet`, over `transport`. Single-threaded.
+// Library `fleet`, over `transport`. Single-threaded.
 #pragma once
 
 #include <chrono>
--- a/src/fleet/fault_script.h
+++ b/src/fleet/fault_script.h
@@ -8,7 +8,7 @@
 //     2000   cut       router*>board       in        (in, out or both; ended by heal)
 //     2500   heal      router*>board
 //
-// Package `fleet`: no I/O and no clock.
+// Library `fleet`: no I/O and no clock.
 #pragma once
 
 #include <cstdint>
--- a/src/fleet/fencing_token_check.h
+++ b/src/fleet/fencing_token_check.h
@@ -1,7 +1,7 @@
 // Checks the log of a receiver of fenced commands: the terms under which it executes the commands of one
 // piece of work never decrease, also across its restarts.
 //
-// Package `fleet`; reads files.
+// Library `fleet`; reads files.
 #pragma once
 
 #include <string>
--- a/src/fleet/figures.h
+++ b/src/fleet/figures.h
@@ -1,6 +1,6 @@
 // Statistics of measurements: the highest count in any window, quantiles, and the resources of a process.
 //
-// Package `fleet`.
+// Library `fleet`.
 #pragma once
 
 #include <sys/types.h>
--- a/src/fleet/layout.h
+++ b/src/fleet/layout.h
@@ -1,7 +1,7 @@
 // The members of a small fleet on one machine: names, zones, addresses, and the configuration of each
 // process. Starts no process (see supervisor.h).
 //
-// Package `fleet`. Reads and writes files in the fleet's folder. Not thread-safe.
+// Library `fleet`. Reads and writes files in the fleet's folder. Not thread-safe.
 #pragma once
 
 #include <array>
--- a/src/fleet/load_generator.h
+++ b/src/fleet/load_generator.h
@@ -1,6 +1,6 @@
 // Sends requests to routers as a web server does, and records the outcome of each.
 //
-// Package `fleet`, over `protocol` and `transport`. Single-threaded.
+// Library `fleet`, over `protocol` and `transport`. Single-threaded.
 #pragma once
 
 #include <chrono>
--- a/src/fleet/port_allocator.h
+++ b/src/fleet/port_allocator.h
@@ -1,7 +1,7 @@
 // Free loopback addresses: a host address that only this process uses, and ports that were free when they
 // were allocated.
 //
-// Package `fleet`, over `transport`. Not thread-safe.
+// Library `fleet`, over `transport`. Not thread-safe.
 #pragma once
 
 #include <cstdint>
--- a/src/fleet/process.h
+++ b/src/fleet/process.h
@@ -1,7 +1,7 @@
 // A child process with its own log file. It is signalled by its id, reaped, and killed when its parent ends,
 // even if the parent crashes.
 //
-// Package `fleet`, over `transport`. Single-threaded; a child is killed when the thread that started it ends.
+// Library `fleet`, over `transport`. Single-threaded; a child is killed when the thread that started it ends.
 #pragma once
 
 #include <sys/types.h>
--- a/src/fleet/scenario.h
+++ b/src/fleet/scenario.h
@@ -1,7 +1,7 @@
 // A running fleet: its members, fault proxies on links, a fault script that is replayed against them, and the
 // status of its routers.
 //
-// Package `fleet`. Single-threaded.
+// Library `fleet`. Single-threaded.
 #pragma once
 
 #include <chrono>
--- a/src/fleet/supervisor.h
+++ b/src/fleet/supervisor.h
@@ -1,7 +1,7 @@
 // Starts the members of a layout as child processes, signals them by name, and kills all of them when it is
 // destroyed.
 //
-// Package `fleet`, over `transport`. It has to be used by one thread only, since children are killed when the
+// Library `fleet`, over `transport`. It has to be used by one thread only, since children are killed when the
 // thread that started them ends. Functions that wait run the scheduler, so that proxies and load generators
 // in the same process continue to work.
 #pragma once
--- a/src/policy/acknowledgement.h
+++ b/src/policy/acknowledgement.h
@@ -7,7 +7,7 @@
 // observed it, and if the router has applied the requested events. A router without a lease decides no
 // requests, so a round does not wait for it. See "Acknowledged events" in docs/aggregation.md.
 //
-// Package `policy`: knows JSON; no I/O, no clock.
+// Library `policy`: knows JSON; no I/O, no clock.
 #pragma once
 
 #include <cstdint>
--- a/src/policy/acknowledgement_coordinator.h
+++ b/src/policy/acknowledgement_coordinator.h
@@ -2,7 +2,7 @@
 // The store rejects the late write of a coordinator that was replaced, since the record has changed
 // meanwhile.
 //
-// Package `policy`: no I/O, no clock; time is Micros of the caller's steady clock. Not thread-safe.
+// Library `policy`: no I/O, no clock; time is Micros of the caller's steady clock. Not thread-safe.
 #pragma once
 
 #include <trailcourse/decider.h>
--- a/src/policy/document.h
+++ b/src/policy/document.h
@@ -2,7 +2,7 @@
 // describes how it is replaced. (The key `policy` of deploy/balancer.toml names files of the decision module,
 // which are unrelated.)
 //
-// Package `policy`: knows JSON; no I/O, no clock.
+// Library `policy`: knows JSON; no I/O, no clock.
 #pragma once
 
 #include <cstdint>
--- a/src/policy/document_preparation.h
+++ b/src/policy/document_preparation.h
@@ -1,7 +1,7 @@
 // The preparation of policy versions at a participant: whether the document of each version was received,
 // checked against the router's capabilities, and stored on disk.
 //
-// Package `policy`: no I/O, no clock. Not thread-safe.
+// Library `policy`: no I/O, no clock. Not thread-safe.
 #pragma once
 
 #include <cstdint>
--- a/src/policy/observed_state.h
+++ b/src/policy/observed_state.h
@@ -1,6 +1,6 @@
 // The state of the policy in the store as a participant has observed it, by a read or by a watch.
 //
-// Package `policy`: no I/O, no clock.
+// Library `policy`: no I/O, no clock.
 #pragma once
 
 #include <cstdint>
--- a/src/policy/options.h
+++ b/src/policy/options.h
@@ -1,7 +1,7 @@
 // The section `policy` of the operator's file: whether a router applies the fleet's policy, and how it
 // handles requests while it does not know which version is in force.
 //
-// Package `policy`.
+// Library `policy`.
 #pragma once
 
 #include <cstdint>
--- a/src/policy/participant.h
+++ b/src/policy/participant.h
@@ -19,7 +19,7 @@
 // received the document of the version, and has stored it on disk if documents are stored. A prepared version
 // has no effect by itself: after a restart the router reads the version in force from the store.
 //
-// Package `policy`: no I/O, no clock; time is Micros of the caller's steady clock. Not thread-safe.
+// Library `policy`: no I/O, no clock; time is Micros of the caller's steady clock. Not thread-safe.
 #pragma once
 
 #include <trailcourse/decider.h>
--- a/src/policy/participant_report.h
+++ b/src/policy/participant_report.h
@@ -2,7 +2,7 @@
 // router, or an aggregator on behalf of its routers. The report disappears with the lease, and a router
 // without a lease decides no requests.
 //
-// Package `policy`: knows JSON; no I/O, no clock.
+// Library `policy`: knows JSON; no I/O, no clock.
 #pragma once
 
 #include <cstdint>
--- a/src/policy/policy_content.h
+++ b/src/policy/policy_content.h
@@ -3,7 +3,7 @@
 // The keys of these records apply to the whole fleet; all other keys of the operator's file apply to one
 // machine.
 //
-// Package `policy`: knows JSON; no I/O, no clock.
+// Library `policy`: knows JSON; no I/O, no clock.
 #pragma once
 
 #include <cstdint>
--- a/src/policy/rollout.h
+++ b/src/policy/rollout.h
@@ -12,7 +12,7 @@
 // a router without a lease has to join again, which fails unless it has observed the suspension. A router
 // decides under the target version only after it has read the commit.
 //
-// Package `policy`: knows JSON; no I/O, no clock.
+// Library `policy`: knows JSON; no I/O, no clock.
 #pragma once
 
 #include <trailcourse/decider.h>
--- a/src/policy/rollout_coordinator.h
+++ b/src/policy/rollout_coordinator.h
@@ -2,7 +2,7 @@
 // runs as owned work. The store rejects the late write of a coordinator that was replaced, since the record
 // has changed meanwhile. A successor has only the snapshot, and its timeouts start again.
 //
-// Package `policy`: no I/O, no clock; time is Micros of the caller's steady clock. Not thread-safe.
+// Library `policy`: no I/O, no clock; time is Micros of the caller's steady clock. Not thread-safe.
 #pragma once
 
 #include <trailcourse/decider.h>
--- a/src/policy/rollout_snapshot.h
+++ b/src/policy/rollout_snapshot.h
@@ -1,6 +1,6 @@
 // The state of a rollout in the store at one revision, which is the input of its coordinator.
 //
-// Package `policy`: no I/O, no clock.
+// Library `policy`: no I/O, no clock.
 #pragma once
 
 #include <cstdint>
--- a/src/policy/rollout_transactions.h
+++ b/src/policy/rollout_transactions.h
@@ -1,7 +1,7 @@
 // The transactions that change a rollout in the store. Each of them compares the record and the version in
 // force with a snapshot, so that a late write has no effect, and writes a line of the audit log.
 //
-// Package `policy`: no I/O, no clock.
+// Library `policy`: no I/O, no clock.
 #pragma once
 
 #include <cstdint>
--- a/src/policy/store_keys.h
+++ b/src/policy/store_keys.h
@@ -1,6 +1,6 @@
 // Keys of the policy's records in the coordination store, without the prefix of all keys.
 //
-// Package `policy`: no I/O, no clock.
+// Library `policy`: no I/O, no clock.
 #pragma once
 
 #include <string>
--- a/src/routing/discovery_client.h
+++ b/src/routing/discovery_client.h
@@ -3,7 +3,7 @@
 // startup/sequence_tracker.h whether a page continues the sequence of events. No request waits for this
 // client.
 //
-// Package `routing`, over `http` and `startup`. Not thread-safe: the client belongs to the thread of its
+// Library `routing`, over `http` and `startup`. Not thread-safe: the client belongs to the thread of its
 // scheduler, and has to live as long as the scheduler runs the coroutines of the client.
 #pragma once
 
--- a/src/routing/relay.h
+++ b/src/routing/relay.h
@@ -4,7 +4,7 @@
 //
 // A relay serves no page that is older than allowed: it rejects new polls and the polls that it holds.
 //
-// Package `routing`, over `discovery`. One thread.
+// Library `routing`, over `discovery`. One thread.
 #pragma once
 
 #include <trailcourse/decider.h>
--- a/src/store/disk_health.h
+++ b/src/store/disk_health.h
@@ -6,7 +6,7 @@
 // should hold for a network volume. On storage where every read is slow, such as a tape library, a
 // `read_patience_ms` that is too short makes the disk count as stalled.
 //
-// Package `store`; no I/O; times are steady milliseconds given with each call. Not thread-safe.
+// Library `store`; no I/O; times are steady milliseconds given with each call. Not thread-safe.
 #pragma once
 
 #include <cstdint>
--- a/src/store/eviction_set.h
+++ b/src/store/eviction_set.h
@@ -3,7 +3,7 @@
 // defines this value. An entry takes 32 bytes, its payload, and 10 to 20 bytes in tables, so that the entries
 // of a million copies fit in memory.
 //
-// Package `store`; no I/O, no clock; times are ticks given with each call, which never go back. Not
+// Library `store`; no I/O, no clock; times are ticks given with each call, which never go back. Not
 // thread-safe.
 #pragma once
 
--- a/src/store/files.h
+++ b/src/store/files.h
@@ -1,7 +1,7 @@
 // The file operations that a store needs on its folder. Tests substitute a folder that records operations or
 // injects faults.
 //
-// Package `store`. Each call may block, may come from any of the store's threads, and throws FileError.
+// Library `store`. Each call may block, may come from any of the store's threads, and throws FileError.
 #pragma once
 
 #include <cstddef>
--- a/src/store/format.h
+++ b/src/store/format.h
@@ -10,7 +10,7 @@
 //                             u64, payload checksum u64, header checksum u64
 //   then name, tag, payload
 //
-// Package `store`; no I/O. Thread-safe: the functions depend on their arguments only.
+// Library `store`; no I/O. Thread-safe: the functions depend on their arguments only.
 #pragma once
 
 #include <cstddef>
--- a/src/store/frequency_sketch.h
+++ b/src/store/frequency_sketch.h
@@ -3,7 +3,7 @@
 // 2005; the halving as in Einziger, Friedman and Manes, "TinyLFU", 2017). An estimate is at most 15. Up to
 // that it is never below the true count, except that halvings lower it.
 //
-// Package `store`; no I/O, no clock. Not thread-safe.
+// Library `store`; no I/O, no clock. Not thread-safe.
 #pragma once
 
 #include <cstddef>
--- a/src/store/index.h
+++ b/src/store/index.h
@@ -1,7 +1,7 @@
 // The durable index of the disk tier: a row for each record, the purges, and named integers (marks).
 // All changes are made in transactions, so that the index survives crashes.
 //
-// Package `store`. An index is used by one thread at a time; calls may block and throw IndexError.
+// Library `store`. An index is used by one thread at a time; calls may block and throw IndexError.
 #pragma once
 
 #include <cstdint>
--- a/src/store/key.h
+++ b/src/store/key.h
@@ -1,4 +1,4 @@
-// Names and keys of copies. Package `store`: a library that opens no sockets and on which `cache_node`
+// Names and keys of copies. Library `store`: a library that opens no sockets and on which `cache_node`
 // depends.
 #pragma once
 
--- a/src/store/maintenance.h
+++ b/src/store/maintenance.h
@@ -1,6 +1,6 @@
 // Maintenance of a store's folder by operators: statistics, verification, compaction and removal.
 //
-// Package `store`. The functions block and throw FileError and IndexError; they are for the command line.
+// Library `store`. The functions block and throw FileError and IndexError; they are for the command line.
 #pragma once
 
 #include <cstdint>
--- a/src/store/placement.h
+++ b/src/store/placement.h
@@ -12,7 +12,7 @@
 //   4. A frequently requested copy is stored until the budget is overdrawn by a complete burst.
 // The top rank counts as one additional request: a router that sends it has seen the object at other nodes.
 //
-// Package `store`; no I/O, no clock. Not thread-safe.
+// Library `store`; no I/O, no clock. Not thread-safe.
 #pragma once
 
 #include <cstdint>
--- a/src/store/purge_table.h
+++ b/src/store/purge_table.h
@@ -5,7 +5,7 @@
 // The table is bounded: beyond `max_objects` the earliest purge is folded into a floor that applies to every
 // object. This may reject copies that no purge covers, but never allows a purged copy.
 //
-// Package `store`; no I/O, no clock. Not thread-safe.
+// Library `store`; no I/O, no clock. Not thread-safe.
 #pragma once
 
 #include <cstddef>
--- a/src/store/segment_table.h
+++ b/src/store/segment_table.h
@@ -2,7 +2,7 @@
 // is written once from front to end and never changed, so disk space is freed by clearing a complete segment:
 // its records that are kept are rewritten to another segment, then the file is removed.
 //
-// Package `store`; no I/O, no clock. Not thread-safe.
+// Library `store`; no I/O, no clock. Not thread-safe.
 #pragma once
 
 #include <cstdint>
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -4,7 +4,7 @@
 // stored where; this class carries the decisions out. Disk work runs in an Executor. The store returns only
 // complete copies, whose records all passed both checksums, and no copy that is purged at that moment.
 //
-// Package `store`; no sockets. All calls and callbacks are on the event loop's thread.
+// Library `store`; no sockets. All calls and callbacks are on the event loop's thread.
 #pragma once
 
 #include <cstddef>
--- a/src/store/unix_clock.h
+++ b/src/store/unix_clock.h
@@ -5,7 +5,7 @@
 // behind the last time of an earlier run (stored in the index) or the origin time of a copy that was
 // received. A clock that is ahead only makes copies look older, so that they are fetched again.
 //
-// Package `store`; no I/O; the caller provides both clocks. Not thread-safe.
+// Library `store`; no I/O; the caller provides both clocks. Not thread-safe.
 #pragma once
 
 #include <algorithm>
--- a/src/tasks/acknowledgement_task.h
+++ b/src/tasks/acknowledgement_task.h
@@ -2,7 +2,7 @@
 // discovery service that every router has applied, with policy::AcknowledgementCoordinator. Each round
 // requests the events that this process has applied itself.
 //
-// Package `tasks`, over `policy`. One thread.
+// Library `tasks`, over `policy`. One thread.
 #pragma once
 
 #include <string>
--- a/src/tasks/clock.h
+++ b/src/tasks/clock.h
@@ -1,6 +1,6 @@
 // The steady clock and the wall clock, in the units of the state machines and of the stored records.
 //
-// Package `tasks`. Thread-safe.
+// Library `tasks`. Thread-safe.
 #pragma once
 
 #include <trailcourse/decider.h>
--- a/src/tasks/discovery_progress.h
+++ b/src/tasks/discovery_progress.h
@@ -1,6 +1,6 @@
 // The position up to which this process has applied the events of the discovery service.
 //
-// Package `tasks`. One thread.
+// Library `tasks`. One thread.
 #pragma once
 
 #include <cstdint>
--- a/src/tasks/fleet_report.h
+++ b/src/tasks/fleet_report.h
@@ -1,6 +1,6 @@
 // The counters of all routers of the fleet: the record of each router's counters, and their sums.
 //
-// Package `tasks`: knows JSON; no I/O, no clock. Not thread-safe.
+// Library `tasks`: knows JSON; no I/O, no clock. Not thread-safe.
 #pragma once
 
 #include <cstdint>
--- a/src/tasks/health_check_plan.h
+++ b/src/tasks/health_check_plan.h
@@ -1,6 +1,6 @@
 // Plans the health checks of the caches that routers of a zone suspect, and derives the verdicts to publish.
 //
-// Package `tasks`: no I/O, no clock; time is Micros of the caller's steady clock. Not thread-safe.
+// Library `tasks`: no I/O, no clock; time is Micros of the caller's steady clock. Not thread-safe.
 #pragma once
 
 #include <trailcourse/decider.h>
--- a/src/tasks/options.h
+++ b/src/tasks/options.h
@@ -1,6 +1,6 @@
 // The section `ownership` of the operator's file: the work that a router does for the whole fleet.
 //
-// Package `tasks`.
+// Library `tasks`.
 #pragma once
 
 #include <cstdint>
--- a/src/tasks/outlier_tracker.h
+++ b/src/tasks/outlier_tracker.h
@@ -1,7 +1,7 @@
 // Detects the caches with several consecutive failures at this router, so that the health checks of its zone
 // include them.
 //
-// Package `tasks`: no I/O, no clock. Not thread-safe.
+// Library `tasks`: no I/O, no clock. Not thread-safe.
 #pragma once
 
 #include <map>
--- a/src/tasks/peer_health_checks.h
+++ b/src/tasks/peer_health_checks.h
@@ -1,7 +1,7 @@
 // Periodic checks whether this member can connect to its peers. Peers that it cannot reach are reported as
 // suspected, since their sessions at the store may still be valid.
 //
-// Package `tasks`, over `membership` and `transport`. One thread.
+// Library `tasks`, over `membership` and `transport`. One thread.
 #pragma once
 
 #include <functional>
--- a/src/tasks/policy_client.h
+++ b/src/tasks/policy_client.h
@@ -1,7 +1,7 @@
 // A router's side of the fleet's policy: passes the records of the store to the participant
 // (policy/participant.h), executes its actions, and sets the rule for each request that arrives.
 //
-// Package `tasks`, over `coordination`, `policy` and `routing`. One thread.
+// Library `tasks`, over `coordination`, `policy` and `routing`. One thread.
 #pragma once
 
 #include <cstdint>
--- a/src/tasks/policy_documents.h
+++ b/src/tasks/policy_documents.h
@@ -1,6 +1,6 @@
 // The policy documents that this process has read from the store, by version, and their copies on disk.
 //
-// Package `tasks`, over `policy` and `store`. One thread; the disk is written on another.
+// Library `tasks`, over `policy` and `store`. One thread; the disk is written on another.
 #pragma once
 
 #include <cstdint>
--- a/src/tasks/policy_rollout_task.h
+++ b/src/tasks/policy_rollout_task.h
@@ -1,6 +1,6 @@
 // Owned work of kind `policy`: runs rollouts of policy versions with policy::RolloutCoordinator.
 //
-// Package `tasks`, over `policy`. One thread.
+// Library `tasks`, over `policy`. One thread.
 #pragma once
 
 #include <string>
--- a/src/tasks/prefetch_order.h
+++ b/src/tasks/prefetch_order.h
@@ -1,7 +1,7 @@
 // An operator's order to prefetch objects: the parameters of work of kind `fill`, and the lists of objects
 // per shard.
 //
-// Package `tasks`: knows JSON; no I/O, no clock.
+// Library `tasks`: knows JSON; no I/O, no clock.
 #pragma once
 
 #include <cstdint>
--- a/src/tasks/prefetch_plan.h
+++ b/src/tasks/prefetch_plan.h
@@ -2,7 +2,7 @@
 // progress of the work. Objects are requested as clients request them: the decision module selects the cache
 // and the rank or rejects the request, within the budgets of slow start.
 //
-// Package `tasks`: knows JSON; no I/O, no clock; time is Micros of the caller's steady clock. Not
+// Library `tasks`: knows JSON; no I/O, no clock; time is Micros of the caller's steady clock. Not
 // thread-safe.
 #pragma once
 
--- a/src/tasks/step_loop.h
+++ b/src/tasks/step_loop.h
@@ -1,7 +1,7 @@
 // Runs the steps of a state machine on a scheduler: soon after an event, and at the time that the last step
 // has returned.
 //
-// Package `tasks`. One thread.
+// Library `tasks`. One thread.
 #pragma once
 
 #include <algorithm>
--- a/src/tasks/task_host.h
+++ b/src/tasks/task_host.h
@@ -1,6 +1,6 @@
 // Owns the tasks that run in this process: creates, stops and destroys them as the lease manager requests.
 //
-// Package `tasks`, over `coordination` and `ownership`. One thread.
+// Library `tasks`, over `coordination` and `ownership`. One thread.
 #pragma once
 
 #include <map>
--- a/src/tasks/task_runner.h
+++ b/src/tasks/task_runner.h
@@ -2,7 +2,7 @@
 // to the lease manager and the membership view, and executes the actions of the lease manager as calls and
 // tasks. All decisions are made by the lease manager, the membership view and the leases.
 //
-// Package `tasks`, over `coordination`, `membership` and `ownership`. One thread. No request waits for the
+// Library `tasks`, over `coordination`, `membership` and `ownership`. One thread. No request waits for the
 // runner.
 #pragma once
 
--- a/src/tasks/verdict.h
+++ b/src/tasks/verdict.h
@@ -1,7 +1,7 @@
 // The verdict on a cache that health checks publish in the store for all routers of a zone: its record and
 // its key, and the keys under which routers report the caches that they suspect.
 //
-// Package `tasks`: knows JSON; no I/O, no clock.
+// Library `tasks`: knows JSON; no I/O, no clock.
 #pragma once
 
 #include <cstdint>
--- a/src/tasks/verdict_tracker.h
+++ b/src/tasks/verdict_tracker.h
@@ -1,6 +1,6 @@
 // A router's handling of the verdicts on caches that the health checks of its zone publish.
 //
-// Package `tasks`: no I/O, no clock; time is Micros of the caller's steady clock. Not thread-safe.
+// Library `tasks`: no I/O, no clock; time is Micros of the caller's steady clock. Not thread-safe.
 #pragma once
 
 #include <trailcourse/decider.h>
