--- a/src/aggregation/aggregator_service.cpp
+++ b/src/aggregation/aggregator_service.cpp
@@ -332,7 +332,7 @@
   return "routers=" + std::to_string(aggregator_.router_count()) +
          " permission=" + (aggregator_.upstream().is_active(now()) ? "yes" : "no") +
          format_count("revision", aggregator_.records().revision()) + format_counts(aggregator_.counts()) +
-         format_count("calls", server.calls) + format_count("unreadable", server.unreadable) +
+         format_count("calls", server.calls) + format_count("unreadable", server.invalid_calls) +
          format_count("connections", server_.connections()) +
          format_count("connections_refused", server.refused) + format_count("bytes_read", server.bytes_read) +
          format_count("bytes_written", server.bytes_written) + format_count("store_calls", store.calls) +
--- a/src/cache_node/node_core.cpp
+++ b/src/cache_node/node_core.cpp
@@ -256,7 +256,7 @@
 
 // Requests the next run of missing parts from the source. Returns false if no part is missing.
 bool NodeCore::fetch_next_missing_range(FillNumber number, Fill& fill, std::vector<Action>& out) {
-  const auto [from, length] = fill.partial->hole();
+  const auto [from, length] = fill.partial->first_missing_range();
   if (length == 0) {
     return false;
   }
@@ -381,7 +381,7 @@
       return true;
     }
     // The parts may come from two different copies with the same tag; the result is then not served.
-    if (store::sum_of(partial.bytes) == partial.value_sum) {
+    if (store::checksum_of(partial.bytes) == partial.value_sum) {
       const Copy copy{partial.tag, partial.origin_time_ms, partial.group,
                       std::make_shared<const std::string>(partial.bytes)};
       on_filled(now, number, copy, fields.note, out);
--- a/src/cache_node/origin.cpp
+++ b/src/cache_node/origin.cpp
@@ -124,7 +124,7 @@
     server_.answer(ticket, AnswerCode::kMiss, out, nullptr);
     return;
   }
-  out.tag = hex(store::sum_of(*bytes));
+  out.tag = hex(store::checksum_of(*bytes));
   const auto object = protocol::read_hex<std::uint64_t>(fields.item);
   out.group = static_cast<int>((object ? *object : store::key_of(fields.item).low) % kPurgeGroups);
   ++served_;
--- a/src/cache_node/source_client.cpp
+++ b/src/cache_node/source_client.cpp
@@ -153,7 +153,7 @@
   if (!slot->connection->ended() && !slot->connection->cancel_write(call.token)) {
     slot->connection->write(protocol::write_cancel(pending.id));
     if (Clock::now() - call.sent >= bounds_.silent_after && pool_.last_received(slot->peer) < call.sent) {
-      pool_.drop(slot->peer, ConnectionEnd::kSilent);
+      pool_.retire_all(slot->peer, ConnectionEnd::kSilent);
     }
   }
   pool_.release(slot);
--- a/src/cache_node/source_client.h
+++ b/src/cache_node/source_client.h
@@ -76,8 +76,8 @@
              const protocol::ServeFields& fields, std::string_view body);
   // Cancels a fetch; its result is not reported. Does nothing if the fetch has ended.
   void stop(FillNumber fill);
-  // Removes the connections to a source that is gone or has a new address from the pool.
-  void drop(const std::string& source) { pool_.drop(source, transport::ConnectionEnd::kDropped); }
+  // Retires all connections to a source: they get no new fetches and are closed after their last one.
+  void drop(const std::string& source) { pool_.retire_all(source, transport::ConnectionEnd::kDropped); }
 
  private:
   friend class SourceConnection;
--- a/src/coordination/coordination_server.cpp
+++ b/src/coordination/coordination_server.cpp
@@ -179,7 +179,7 @@
           " entries=" + std::to_string(state.entries().size()) +
           " leases=" + std::to_string(state.leases().size()) + " calls=" + std::to_string(counts.calls) +
           " renewals=" + std::to_string(renewals_) + " writes=" + std::to_string(writes_) +
-          " rejected=" + std::to_string(rejected_ + counts.unreadable) +
+          " rejected=" + std::to_string(rejected_ + counts.invalid_calls) +
           " refused=" + std::to_string(counts.refused) +
           " connections=" + std::to_string(server_.connections()) +
           " bytes_read=" + std::to_string(counts.bytes_read) +
--- a/src/coordination/etcd_server.cpp
+++ b/src/coordination/etcd_server.cpp
@@ -156,7 +156,7 @@
     try {
       dispatch(request);
     } catch (const etcd::BadMessage& error) {
-      ++server_.counts_.unreadable;
+      ++server_.counts_.invalid_calls;
       send_error(kStatusBadRequest, etcd::ErrorCode::kInvalidArgument, error.what());
     } catch (const ServiceUnavailable& error) {
       send_error(kStatusUnavailable, etcd::ErrorCode::kUnavailable, error.what());
--- a/src/coordination/etcd_server.h
+++ b/src/coordination/etcd_server.h
@@ -54,8 +54,8 @@
 // Counters since the start of the server.
 struct EtcdServerCounts {
   std::uint64_t calls = 0;
-  std::uint64_t unreadable = 0;  // calls whose message was invalid
-  std::uint64_t refused = 0;     // connections that were rejected because of `max_connections`
+  std::uint64_t invalid_calls = 0;  // calls whose message was invalid
+  std::uint64_t refused = 0;        // connections that were rejected because of `max_connections`
   std::uint64_t bytes_read = 0;
   std::uint64_t bytes_written = 0;
 };
--- a/src/fleet/scenario.h
+++ b/src/fleet/scenario.h
@@ -32,6 +32,7 @@
   Scenario(const Scenario&) = delete;
   Scenario& operator=(const Scenario&) = delete;
 
+  // Returns the supervisor, which starts and stops the processes of the fleet.
   Supervisor& fleet() { return supervisor_; }
   Layout& layout() { return layout_; }
   // Returns the proxy of a link; null if the link has none.
--- a/src/fleet/supervisor.cpp
+++ b/src/fleet/supervisor.cpp
@@ -104,7 +104,7 @@
     if (Clock::now() >= end) {
       return false;
     }
-    scheduler_.turn(kPollInterval);
+    scheduler_.run_iteration(kPollInterval);
   }
   return true;
 }
--- a/src/fleet/supervisor.h
+++ b/src/fleet/supervisor.h
@@ -43,11 +43,11 @@
   std::string log(const std::string& name) const;
   // Returns the log since the last start of the member.
   std::string log_since_start(const std::string& name) const;
-  // Returns the members that have ended although neither kill() nor terminate() was called, with their exit
-  // status.
+  // Returns the members that have ended although neither kill() nor terminate() was called for them, each
+  // as its name and how its process ended.
   std::vector<std::string> missing();
 
-  // Turns the scheduler until `done` returns true or `timeout` has passed. Returns whether `done` returned
+  // Runs the scheduler until `done` returns true or `timeout` has passed. Returns whether `done` returned
   // true.
   bool run_until(const std::function<bool()>& done, std::chrono::milliseconds timeout);
   // Waits until the member listens; returns false if it ends or does not listen in time.
--- a/src/program/fleet_command.cpp
+++ b/src/program/fleet_command.cpp
@@ -230,7 +230,7 @@
       next_display_ = Clock::now() + kDisplayInterval;
       publish_status();
     }
-    scheduler_.turn(milliseconds(2));
+    scheduler_.run_iteration(milliseconds(2));
   }
 
   // Applies the faults that `trailcourse fleet fault` requests. Each is a line in a file of its own, which is
--- a/src/program/start_support.cpp
+++ b/src/program/start_support.cpp
@@ -116,7 +116,7 @@
       endpoint_view_ ? endpoint_view_->next_step_at(router_->now()) : std::nullopt;
   std::optional<Clock::time_point> time;
   if (due) {
-    time = scheduler_.turn_time() + (*due - router_->now());
+    time = scheduler_.iteration_time() + (*due - router_->now());
   }
   timer_.set(time);
 }
@@ -208,7 +208,7 @@
   if (relay_) {
     const transport::Address address = *transport::parse_address(configuration_.start.relay.listen);
     relay_->listen(address);
-    scheduler_.spawn(drop_stale_polls());
+    scheduler_.spawn(reject_stale_polls_periodically());
     log_line(Level::kInfo) << "relay: serves pages at " << transport::to_string(address);
   }
 }
@@ -326,10 +326,10 @@
   }
 }
 
-transport::Task<void> StartSupport::drop_stale_polls() {
+transport::Task<void> StartSupport::reject_stale_polls_periodically() {
   for (;;) {
     co_await scheduler_.sleep(kCheckInterval);
-    relay_->drop_stale_polls();
+    relay_->reject_polls_if_stale();
   }
 }
 
--- a/src/program/start_support.h
+++ b/src/program/start_support.h
@@ -71,7 +71,7 @@
   void set_timer();
   void update_fleet_size();
   transport::Task<void> write_snapshots();
-  transport::Task<void> drop_stale_polls();
+  transport::Task<void> reject_stale_polls_periodically();
   void write_snapshot();
 
   transport::Scheduler& scheduler_;
--- a/src/program/store_client.cpp
+++ b/src/program/store_client.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr std::chrono::seconds kTimeout{5};
-constexpr std::chrono::milliseconds kMaxTurn{20};
+constexpr std::chrono::milliseconds kMaxIteration{20};
 
 }  // namespace
 
@@ -27,7 +27,7 @@
                  [reply](const StoreResponse<TransactionResult>& response) { *reply = response; });
   const Clock::time_point end = Clock::now() + kTimeout;
   while (!*reply && Clock::now() < end) {
-    scheduler_.turn(kMaxTurn);
+    scheduler_.run_iteration(kMaxIteration);
   }
   if (!*reply || !(*reply)->ok()) {
     throw std::runtime_error("the coordination store is unavailable: " +
@@ -49,7 +49,7 @@
 void StoreClient::pause(Clock::duration time) {
   const Clock::time_point end = Clock::now() + time;
   while (Clock::now() < end) {
-    scheduler_.turn(std::min<Clock::duration>(kMaxTurn, end - Clock::now()));
+    scheduler_.run_iteration(std::min<Clock::duration>(kMaxIteration, end - Clock::now()));
   }
 }
 
--- a/src/protocol/cache_answer.cpp
+++ b/src/protocol/cache_answer.cpp
@@ -138,7 +138,7 @@
   add("ways", std::string(attempt.join_fill ? "join" : "") +
                   (attempt.join_fill && attempt.only_if_cached ? "+" : "") +
                   (attempt.only_if_cached ? "held" : ""));
-  add("cached", request.held_tag);
+  add("cached", request.client_tag);
   add("fence", request.fence);
   return resp::write_array({"serve", request.id, fields, request.body});
 }
--- a/src/protocol/cache_answer.h
+++ b/src/protocol/cache_answer.h
@@ -50,7 +50,7 @@
   std::string object;
   std::string part;
   std::string dedupe_key;
-  std::string held_tag;  // of the copy that the client has
+  std::string client_tag;  // tag, as in an HTTP ETag, of the copy that the client has; empty: it has none
   std::string body;
   std::string fence{};  // an extension: the fencing token of owned work, which the cache checks
 };
--- a/src/protocol/cache_command.h
+++ b/src/protocol/cache_command.h
@@ -33,7 +33,7 @@
   std::string chunk;
   std::string nonce;              // idempotency key of a write
   std::string source;             // from which a miss is filled; empty: no fill
-  std::string client_tag;         // of the copy that the client has, without quotes
+  std::string client_tag;         // tag of the copy that the client has, without quotes; empty: it has none
   std::int64_t limit_ms = 0;      // time limit for the answer
   std::int64_t age_limit_ms = 0;  // 0: `fresh_ms` of the class
   int keep_rank = 0;              // 0: the copy is not stored
--- a/src/routing/cache_client.cpp
+++ b/src/routing/cache_client.cpp
@@ -49,7 +49,7 @@
   call.key = key;
   call.sent = Clock::now();
   call.streaming = streaming;
-  call.has_client_tag = !request.held_tag.empty();
+  call.has_client_tag = !request.client_tag.empty();
   call.token = slot->connection->write(std::move(command),
                                        [&router = client_.router_, key] { return router.may_begin(key); });
 }
@@ -96,7 +96,7 @@
     if (Clock::now() - call.sent >= client_.bounds_.silent_after &&
         client_.pool_.last_received(slot->peer) < call.sent) {
       log_line(Level::kDebug) << "cache " << slot->peer << " does not respond: its connections are retired";
-      client_.pool_.drop(slot->peer, ConnectionEnd::kSilent);
+      client_.pool_.retire_all(slot->peer, ConnectionEnd::kSilent);
     }
   }
   client_.pool_.release(slot);
--- a/src/routing/cache_client.h
+++ b/src/routing/cache_client.h
@@ -101,8 +101,8 @@
             bool streaming) override;
   void cancel(const AttemptKey& key) override;
 
-  // Retires all connections to a cache.
-  void drop(const std::string& name) { pool_.drop(name, transport::ConnectionEnd::kDropped); }
+  // Retires all connections to a cache: they get no new attempts and are closed after their last one.
+  void drop(const std::string& name) { pool_.retire_all(name, transport::ConnectionEnd::kDropped); }
   // Closes the connection that has been idle for longest. Returns false if all connections are in use.
   bool close_one_idle() { return pool_.close_one_idle(); }
 
--- a/src/routing/discovery_update_handler.cpp
+++ b/src/routing/discovery_update_handler.cpp
@@ -57,7 +57,7 @@
     }
     Endpoint endpoint = cache.endpoint;
     endpoint.started =
-        cache.started_unix_ms > 0 ? ModuleClock::after_unix_ms(cache.started_unix_ms) : Micros(0);
+        cache.started_unix_ms > 0 ? ModuleClock::end_of_unix_ms(cache.started_unix_ms) : Micros(0);
     list.entries.push_back(std::move(endpoint));
   }
   for (const auto& [name, state] : before) {
@@ -124,7 +124,7 @@
   purged.group = purge.group;
   log_line(Level::kDebug) << "purge of " << (purge.whole_group ? "group " : "object ")
                           << (purge.whole_group ? purge.group : purge.object);
-  router_.purged(purged, ModuleClock::after_unix_ms(purge.purged_unix_ms));
+  router_.purged(purged, ModuleClock::end_of_unix_ms(purge.purged_unix_ms));
 }
 
 }  // namespace trailcourse::routing
--- a/src/routing/fastcgi_server.cpp
+++ b/src/routing/fastcgi_server.cpp
@@ -199,8 +199,8 @@
   if ((key_needed || !forwarded.dedupe_key.empty()) && !all_of(forwarded.dedupe_key, is_plain)) {
     return "X-Dedupe-Key";
   }
-  forwarded.held_tag = field(parameters, "HTTP_X_GOT");
-  if (!forwarded.held_tag.empty() && !all_of(forwarded.held_tag, is_plain)) {
+  forwarded.client_tag = field(parameters, "HTTP_X_GOT");
+  if (!forwarded.client_tag.empty() && !all_of(forwarded.client_tag, is_plain)) {
     return "X-Got";
   }
   return std::nullopt;
@@ -249,7 +249,7 @@
     return std::holds_alternative<fastcgi::RequestReceived>(event);
   });
   if (completed || !pending) {
-    message_pending_since_ = server_.scheduler_.turn_time();
+    message_pending_since_ = server_.scheduler_.iteration_time();
   }
   for (fastcgi::Event& event : events) {
     if (connection_.ended()) {
@@ -306,7 +306,7 @@
                  : cgi_head(503, "Service Unavailable") + (status.empty() ? "\r\n" : type + status + "\n"));
     return;
   }
-  server_.last_arrival_ = server_.scheduler_.turn_time();
+  server_.last_arrival_ = server_.scheduler_.iteration_time();
   const bool traced = field(received.parameters, "HTTP_X_TRACE") == "1";
   ParsedRequest request = parse_request(std::move(received), server_.class_index_, server_.settings_);
   if (!request.error.empty()) {
@@ -401,7 +401,7 @@
   }
 }
 
-// Writes all answers of one turn of the scheduler together.
+// Writes all answers of one iteration of the scheduler together.
 void FastCgiConnection::schedule_write() {
   if (!std::exchange(write_scheduled_, true)) {
     server_.scheduler_.post([weak = weak_from_this()] {
@@ -505,7 +505,7 @@
       lowest = candidate && (lowest == nullptr || client->keep_priority() < lowest->keep_priority()) ? client
                                                                                                      : lowest;
     }
-    if (lowest == nullptr || lowest->connection().close_if_read(ConnectionEnd::kIdle)) {
+    if (lowest == nullptr || lowest->connection().close_if_nothing_unread(ConnectionEnd::kIdle)) {
       return lowest != nullptr;
     }
     unread.insert(lowest);
@@ -541,7 +541,7 @@
       const bool unused =
           client->may_close() && client->connection().last_received() < now - bounds_.client_idle;
       if (unused || client->timed_out(now - bounds_.client_request)) {
-        client->connection().close_if_read(ConnectionEnd::kIdle);
+        client->connection().close_if_nothing_unread(ConnectionEnd::kIdle);
       }
     }
   }
--- a/src/routing/fastcgi_server.h
+++ b/src/routing/fastcgi_server.h
@@ -162,7 +162,8 @@
   // Returns whether all connections are idle.
   bool idle() const;
 
-  // Accepts all pending connections. Returns whether there was none and no other connection has unread data.
+  // Accepts all pending connections. Returns true if there were none and no open connection has received
+  // bytes that were not read yet: then no request is waiting to be read.
   bool accept_pending();
 
   // Returns whether a part of a request has been received from any client that has sent a valid one before.
--- a/src/routing/module_clock.h
+++ b/src/routing/module_clock.h
@@ -21,7 +21,7 @@
     return unix_ + std::chrono::duration_cast<Micros>(when - steady_);
   }
   // Returns the end of the Unix millisecond `ms`, which is the start of the next one.
-  static Micros after_unix_ms(std::int64_t ms) { return std::chrono::milliseconds(ms + 1); }
+  static Micros end_of_unix_ms(std::int64_t ms) { return std::chrono::milliseconds(ms + 1); }
 
  private:
   transport::Clock::time_point steady_;
--- a/src/routing/relay.cpp
+++ b/src/routing/relay.cpp
@@ -58,7 +58,7 @@
   server_.reject_held_polls();
 }
 
-void Relay::drop_stale_polls() {
+void Relay::reject_polls_if_stale() {
   if (!is_current() && server_.long_polls().held() > 0) {
     server_.reject_held_polls();
   }
--- a/src/routing/relay.h
+++ b/src/routing/relay.h
@@ -49,8 +49,8 @@
   // resets the log.
   void reset();
 
-  // Rejects the held polls if the pages have become too old. To be called periodically.
-  void drop_stale_polls();
+  // Rejects the held polls if the last page is older than `max_age`. To be called periodically.
+  void reject_polls_if_stale();
 
   const discovery::LongPollScheduler& long_polls() const { return server_.long_polls(); }
 
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -212,7 +212,7 @@
     return;
   }
   // The router itself enforces the timeout. A later answer of the cache is ignored.
-  request->attempts.back().timer = scheduler_.at(scheduler_.turn_time() + send.timeout, [this, key] {
+  request->attempts.back().timer = scheduler_.at(scheduler_.iteration_time() + send.timeout, [this, key] {
     if (OpenRequest* late = find(key.request)) {
       if (Attempt* attempt = find_open_attempt(*late, key.attempt)) {
         upstream_->cancel(key);
@@ -258,7 +258,7 @@
 }
 
 void Router::perform(const SetTimer& timer) {
-  scheduler_.at(scheduler_.turn_time() + timer.delay,
+  scheduler_.at(scheduler_.iteration_time() + timer.delay,
                 [this, token = timer.token] { dispatch(TimerFired{token}); });
 }
 
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -179,8 +179,8 @@
 
   std::size_t open_requests() const { return open_; }
 
-  // Returns the time of the module for the current turn of the scheduler.
-  Micros now() const { return clock_.at(scheduler_.turn_time()); }
+  // Returns the time of the module for the current iteration of the scheduler.
+  Micros now() const { return clock_.at(scheduler_.iteration_time()); }
 
  private:
   struct Attempt {
--- a/src/store/format.cpp
+++ b/src/store/format.cpp
@@ -69,14 +69,14 @@
 
 }  // namespace
 
-std::uint64_t sum_of(std::string_view bytes) { return XXH3_64bits(bytes.data(), bytes.size()); }
+std::uint64_t checksum_of(std::string_view bytes) { return XXH3_64bits(bytes.data(), bytes.size()); }
 
 std::string encode_segment_head(SegmentId id) {
   std::string out(kSegmentMagic);
   put<std::uint32_t>(out, kFormatVersion);
   put<std::uint32_t>(out, 0);
   put<std::uint64_t>(out, id);
-  put<std::uint64_t>(out, sum_of(out));
+  put<std::uint64_t>(out, checksum_of(out));
   return out;
 }
 
@@ -110,7 +110,7 @@
   put(out, record.part_bytes);
   put<std::uint32_t>(out, 0);
   put(out, record.value_sum);
-  put(out, sum_of(stored));
+  put(out, checksum_of(stored));
   put<std::uint64_t>(out, 0);
   out += record.name;
   out += record.tag;
@@ -179,7 +179,7 @@
   }
   const std::string_view stored =
       std::string_view(bytes).substr(kRecordHeadBytes + names, head->stored_bytes);
-  if (sum_of(stored) != head->payload_sum) {
+  if (checksum_of(stored) != head->payload_sum) {
     set_error(error, "payload checksum does not match");
     return std::nullopt;
   }
@@ -213,7 +213,7 @@
   const std::size_t names = head->name_bytes + head->tag_bytes;
   const std::string_view stored = bytes.substr(kRecordHeadBytes + names, head->stored_bytes);
   if (header_sum(bytes, names, segment, offset) != get<std::uint64_t>(bytes, kHeaderSumOffset) ||
-      sum_of(stored) != head->payload_sum) {
+      checksum_of(stored) != head->payload_sum) {
     return std::nullopt;
   }
   std::string out(bytes.substr(0, head->size()));
--- a/src/store/format.h
+++ b/src/store/format.h
@@ -71,7 +71,7 @@
 };
 
 // Returns the XXH3 checksum of `bytes`.
-std::uint64_t sum_of(std::string_view bytes);
+std::uint64_t checksum_of(std::string_view bytes);
 
 // Appends a record to `out`, encoded for `offset` in `segment`. Writes `payload` in place of record.payload,
 // so that the caller need not copy it into the record. `compress`: compresses the payload with zstd if that
--- a/src/store/key.h
+++ b/src/store/key.h
@@ -1,5 +1,6 @@
-// Names and keys of copies. Library `store`: a library that opens no sockets and on which `cache_node`
-// depends.
+// Names and keys of copies.
+//
+// Library `store`: opens no sockets; `cache_node` depends on it.
 #pragma once
 
 #include <trailcourse/decider.h>
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -16,7 +16,6 @@
 constexpr std::size_t kWriteBufferBytes = 4U << 20U;
 constexpr double kLiveShare = 0.85;  // of the disk; the rest is for segments that are being cleared
 constexpr std::int64_t kTickMs = 100;
-constexpr Tick kUseHalfLife = 600;  // as EvictionWeights::half_life
 constexpr const char* kFormatFile = "format";
 constexpr std::string_view kFormatContent = "trailcourse store 1\n";
 constexpr const char* kClockMark = "clock_ms";
@@ -50,7 +49,7 @@
   return out;
 }
 
-std::pair<std::size_t, std::size_t> PartialCopy::hole(std::size_t from) const {
+std::pair<std::size_t, std::size_t> PartialCopy::first_missing_range(std::size_t from) const {
   while (from < have.size() && have[from]) {
     ++from;
   }
@@ -417,7 +416,7 @@
   if (partial->missing_bytes() > 0) {
     work.result.status = ReadStatus::kPartial;
     work.result.partial = std::move(partial);
-  } else if (sum_of(partial->bytes) == partial->value_sum) {
+  } else if (checksum_of(partial->bytes) == partial->value_sum) {
     work.result.status = ReadStatus::kComplete;
     work.result.copy = Copy{partial->tag, partial->origin_time_ms, partial->group,
                             std::make_shared<const std::string>(std::move(partial->bytes))};
@@ -760,7 +759,7 @@
 }
 
 bool Store::complete(const Name& name, const PartialCopy& partial, const std::vector<bool>& had, int rank) {
-  if (sum_of(partial.bytes) != partial.value_sum) {
+  if (checksum_of(partial.bytes) != partial.value_sum) {
     drop(name);
     return false;
   }
@@ -849,7 +848,7 @@
   head.tag = copy.tag;
   head.total_bytes = total;
   head.part_bytes = in_parts ? part_bytes : 0;
-  head.value_sum = sum_of(*copy.bytes);
+  head.value_sum = checksum_of(*copy.bytes);
   enqueue(name, copy, head, had);
   next_batch_->bytes += bytes;
   next_batch_->names.push_back(name.key);
@@ -1133,7 +1132,7 @@
       continue;
     }
     const std::uint32_t uses =
-        aged_uses(entry.uses, tick() - std::min(tick(), entry.last_used), kUseHalfLife);
+        aged_uses(entry.uses, tick() - std::min(tick(), entry.last_used), EvictionWeights{}.half_life);
     if (may_write && segments_.has_room_for(entry.bytes) &&
         placement_.admit_move(entry.bytes, entry.rank, uses, steady())) {
       SegmentMove::Item item;
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -33,8 +33,8 @@
 
 namespace trailcourse::store {
 
-// A copy of which some parts are not stored. The caller fetches the missing parts and fills the gaps of
-// `bytes`.
+// A copy of which some parts are not stored. The caller fetches the missing parts and writes them
+// into `bytes`.
 struct PartialCopy {
   std::string tag;
   std::int64_t origin_time_ms = 0;
@@ -46,9 +46,9 @@
   std::uint64_t copy = 0;       // copy_id()
 
   std::size_t missing_bytes() const;
-  // Returns offset and length of the first run of missing parts, starting at part `from`; length 0: no part
-  // is missing.
-  std::pair<std::size_t, std::size_t> hole(std::size_t from = 0) const;
+  // Returns offset and length, in bytes of the value, of the first run of missing parts at or after part
+  // `from`; length 0: no part is missing there.
+  std::pair<std::size_t, std::size_t> first_missing_range(std::size_t from = 0) const;
 };
 
 // kFailed: the copy is no longer stored, or its records are damaged.
--- a/src/transport/connection.cpp
+++ b/src/transport/connection.cpp
@@ -312,7 +312,7 @@
 
 bool Connection::has_unread_data() const { return !ended_ && connected_ && peek() > 0; }
 
-bool Connection::close_if_read(ConnectionEnd end) {
+bool Connection::close_if_nothing_unread(ConnectionEnd end) {
   if (has_unread_data()) {
     return false;
   }
--- a/src/transport/connection.h
+++ b/src/transport/connection.h
@@ -98,9 +98,9 @@
   // Ends the connection with kShutdown once all queued bytes are written.
   void close_when_written();
 
-  // Ends the connection unless the socket has received bytes that were not read yet. Returns whether it has
-  // ended.
-  bool close_if_read(ConnectionEnd end);
+  // Ends the connection unless the socket has received bytes that were not read yet. Returns whether it
+  // ended the connection.
+  bool close_if_nothing_unread(ConnectionEnd end);
 
   // Returns whether the socket has received bytes that were not read yet.
   bool has_unread_data() const;
--- a/src/transport/connection_pool.h
+++ b/src/transport/connection_pool.h
@@ -101,7 +101,7 @@
   }
 
   // Retires all current connections to the peer.
-  void drop(const std::string& peer, ConnectionEnd end) {
+  void retire_all(const std::string& peer, ConnectionEnd end) {
     if (const auto found = peers_.find(peer); found != peers_.end()) {
       for (const SlotPtr& slot : found->second) {
         retire(slot, end);
--- a/src/transport/scheduler.cpp
+++ b/src/transport/scheduler.cpp
@@ -80,7 +80,7 @@
 void Scheduler::run() {
   stopped_ = false;
   while (!stopped_) {
-    turn(std::chrono::hours(1));
+    run_iteration(std::chrono::hours(1));
   }
 }
 
@@ -101,14 +101,14 @@
 }
 
 void Scheduler::run_timers() {
-  while (!timers_.empty() && timers_.begin()->first.first <= turn_time_) {
+  while (!timers_.empty() && timers_.begin()->first.first <= iteration_time_) {
     auto due = timers_.extract(timers_.begin());
     run_guarded(due.mapped());
     run_jobs();
   }
 }
 
-void Scheduler::turn(Clock::duration longest) {
+void Scheduler::run_iteration(Clock::duration longest) {
   run_jobs();
   std::swap(jobs_, next_iteration_);
   run_jobs();
@@ -123,7 +123,7 @@
   std::array<epoll_event, 256> events{};
   const int count = epoll_wait(epoll_.get(), events.data(), static_cast<int>(events.size()),
                                static_cast<int>(std::min<std::int64_t>(millis, 3'600'000)));
-  turn_time_ = Clock::now();
+  iteration_time_ = Clock::now();
   for (int i = 0; i < count; ++i) {
     const epoll_event& event = events[static_cast<std::size_t>(i)];
     const auto found = watches_.find(event.data.u64);
--- a/src/transport/scheduler.h
+++ b/src/transport/scheduler.h
@@ -55,10 +55,10 @@
 
   // Runs one iteration: the jobs that are ready, then the events and timers that occur while it waits for at
   // most `longest`.
-  void turn(Clock::duration longest);
+  void run_iteration(Clock::duration longest);
 
-  // Returns when the events of this iteration were received: all events of one iteration have the same time.
-  Clock::time_point turn_time() const { return turn_time_; }
+  // Returns when the events of the current iteration were received. It is the same for all of them.
+  Clock::time_point iteration_time() const { return iteration_time_; }
 
   // Awaitable that resumes after `delay`.
   struct Sleep {
@@ -94,7 +94,7 @@
 
   Descriptor epoll_;
   bool stopped_ = false;
-  Clock::time_point turn_time_ = Clock::now();
+  Clock::time_point iteration_time_ = Clock::now();
   std::uint64_t last_timer_ = 0;
   std::uint64_t last_watch_ = 0;
   std::map<TimerKey, Job> timers_;
--- a/tests/decision/outlier_detection_test.cpp
+++ b/tests/decision/outlier_detection_test.cpp
@@ -53,7 +53,6 @@
 TEST(OutlierDetection, CountsABrokenConnectionOnceAndRetriesTheSameCache) {
   TestRouter router;
   router.receive_list(default_endpoints());
-  std::vector<RequestId> on_it;
   router.request(1, kVideo, 7);
   const std::string home = router.sends[1][0].cache;
   for (RequestId id = 2; id <= 6; ++id) {
--- a/tests/discovery_client_test.cpp
+++ b/tests/discovery_client_test.cpp
@@ -248,7 +248,7 @@
   EXPECT_TRUE(removed_.empty());
   apply_list(3, false, {entry("a", "127.0.0.1:1", "up", 6)});
   EXPECT_EQ(removed_, std::vector<std::string>{"a"});
-  EXPECT_EQ(lists_.back().entries.at(0).started, routing::ModuleClock::after_unix_ms(6));
+  EXPECT_EQ(lists_.back().entries.at(0).started, routing::ModuleClock::end_of_unix_ms(6));
 }
 
 TEST_F(DiscoveryUpdateHandlerTest, IgnoresEventsThatWereAppliedBefore) {
--- a/tests/fleet_parts_test.cpp
+++ b/tests/fleet_parts_test.cpp
@@ -240,14 +240,14 @@
   bool run_until(const std::function<bool()>& done) {
     const Clock::time_point end = Clock::now() + std::chrono::seconds(20);
     while (!done() && Clock::now() < end) {
-      scheduler_.turn(milliseconds(2));
+      scheduler_.run_iteration(milliseconds(2));
     }
     return done();
   }
   void run_for(milliseconds time) {
     const Clock::time_point end = Clock::now() + time;
     while (Clock::now() < end) {
-      scheduler_.turn(milliseconds(2));
+      scheduler_.run_iteration(milliseconds(2));
     }
   }
   void apply(FaultKind kind, std::int64_t value = 0, const std::string& direction = "") {
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -55,7 +55,7 @@
   bool until(const std::function<bool()>& done) {
     const Clock::time_point deadline = Clock::now() + std::chrono::seconds(10);
     while (!done() && Clock::now() < deadline) {
-      scheduler_.turn(milliseconds(5));
+      scheduler_.run_iteration(milliseconds(5));
     }
     return done();
   }
--- a/tests/node_core_test.cpp
+++ b/tests/node_core_test.cpp
@@ -552,7 +552,7 @@
     out->tag = "tag-whole";
     out->origin_time_ms = kStartUnixMs;
     out->part_bytes = 4;
-    out->value_sum = store::sum_of("aaaabbbbcccc");
+    out->value_sum = store::checksum_of("aaaabbbbcccc");
     out->bytes = std::string("aaaa\0\0\0\0cccc", 12);
     out->have = {true, false, true};
     return out;
--- a/tests/resp_test.cpp
+++ b/tests/resp_test.cpp
@@ -173,7 +173,7 @@
   attempt.source = "c1";
   attempt.timeout = milliseconds(900);
   ForwardedRequest request = plain_request();
-  request.held_tag.clear();
+  request.client_tag.clear();
   request.dedupe_key = "k1";
   EXPECT_EQ(fields_of(write_serve(request, attempt)),
             "cls=media,item=7f3a9c21e0b4d655,chunk=3,limit=900,nonce=k1");
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -196,7 +196,7 @@
   };
   const RequestId id = accept();
   while (events<AttemptEnded>().empty()) {
-    scheduler_.turn(milliseconds(50));
+    scheduler_.run_iteration(milliseconds(50));
   }
   EXPECT_EQ(events<AttemptEnded>().at(0).status, Status::kTimeout);
   EXPECT_EQ(upstream_.cancelled, std::vector<AttemptKey>{(AttemptKey{id, 0})});
@@ -310,7 +310,7 @@
   const RequestId id = accept(1);
   router_.stream_started({id, 0}, false);
   while (events<TimerFired>().empty()) {
-    scheduler_.turn(milliseconds(50));
+    scheduler_.run_iteration(milliseconds(50));
   }
   EXPECT_TRUE(events<AttemptEnded>().empty());
   router_.attempt_ended({id, 0}, result(Status::kOk));
@@ -374,20 +374,21 @@
   };
   accept();
   while (events<TimerFired>().size() < 2) {
-    scheduler_.turn(milliseconds(50));
+    scheduler_.run_iteration(milliseconds(50));
   }
   EXPECT_EQ(events<TimerFired>()[0].token, 78U);
   EXPECT_EQ(events<TimerFired>()[1].token, 77U);
 }
 
-// The module counts failures of the same time once, so all events of one turn of the scheduler have one time.
-TEST_F(RouterTest, KeepsTheTimeWithinATurnOfTheScheduler) {
+// The module counts failures of the same time once, so all events of one iteration of the scheduler have one
+// time.
+TEST_F(RouterTest, KeepsTheTimeWithinAnIterationOfTheScheduler) {
   const Micros first = router_.now();
   const auto until = transport::Clock::now() + milliseconds(3);
   while (transport::Clock::now() < until) {
   }
   EXPECT_EQ(router_.now(), first);
-  scheduler_.turn(milliseconds(0));
+  scheduler_.run_iteration(milliseconds(0));
   EXPECT_GT(router_.now(), first);
 }
 
--- a/tests/source_client_test.cpp
+++ b/tests/source_client_test.cpp
@@ -50,7 +50,7 @@
   [[nodiscard]] bool until(const std::function<bool()>& done) {
     const Clock::time_point end = Clock::now() + std::chrono::seconds(20);
     while (!done() && Clock::now() < end) {
-      scheduler_.turn(milliseconds(5));
+      scheduler_.run_iteration(milliseconds(5));
     }
     return done();
   }
--- a/tests/store_calls.h
+++ b/tests/store_calls.h
@@ -25,7 +25,7 @@
       if (transport::Clock::now() > end) {
         return false;
       }
-      scheduler.turn(std::chrono::milliseconds(5));
+      scheduler.run_iteration(std::chrono::milliseconds(5));
     }
     return true;
   }
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -518,9 +518,9 @@
   read();
   ASSERT_TRUE(partial);
   EXPECT_EQ(partial->missing_bytes(), 4'096U);
-  const auto [from, length] = partial->hole();
+  const auto [from, length] = partial->first_missing_range();
   EXPECT_EQ(length, 4'096U);
-  EXPECT_EQ(partial->hole((from + length) / 4'096).second, 0U);
+  EXPECT_EQ(partial->first_missing_range((from + length) / 4'096).second, 0U);
 
   const std::uint64_t written = harness.store->stats().written_bytes;
   const std::vector<bool> had = partial->have;
--- a/tests/task_runner_test.cpp
+++ b/tests/task_runner_test.cpp
@@ -237,7 +237,7 @@
   EXPECT_EQ(steps, 0) << "schedule() itself runs no step";
   const auto end = transport::Clock::now() + milliseconds(200);
   while (transport::Clock::now() < end) {
-    scheduler.turn(milliseconds(5));
+    scheduler.run_iteration(milliseconds(5));
   }
   EXPECT_EQ(steps, 3) << "one scheduled, two timed";
 }
@@ -252,12 +252,12 @@
   });
   const auto handler = loop->then_step([&](int value) { answers += value; });
   handler(2);
-  scheduler.turn(milliseconds(5));
+  scheduler.run_iteration(milliseconds(5));
   EXPECT_EQ(answers, 2);
   EXPECT_EQ(steps, 1);
   loop.reset();
   handler(2);
-  scheduler.turn(milliseconds(5));
+  scheduler.run_iteration(milliseconds(5));
   EXPECT_EQ(answers, 2);
   EXPECT_EQ(steps, 1);
 }
--- a/tests/transport_test.cpp
+++ b/tests/transport_test.cpp
@@ -29,7 +29,7 @@
 void run_until(Scheduler& scheduler, const std::function<bool()>& done) {
   const Clock::time_point deadline = Clock::now() + std::chrono::seconds(20);
   while (!done() && Clock::now() < deadline) {
-    scheduler.turn(milliseconds(20));
+    scheduler.run_iteration(milliseconds(20));
   }
   ASSERT_TRUE(done()) << "the condition did not hold within 20 seconds";
 }
@@ -138,7 +138,7 @@
   EXPECT_EQ(runs, 1);
   deferred->post();
   deferred.reset();
-  scheduler.turn(milliseconds(0));
+  scheduler.run_iteration(milliseconds(0));
   EXPECT_EQ(runs, 1);
 }
 
@@ -267,7 +267,7 @@
   await_end();
   EXPECT_EQ(events_.ends, std::vector<ConnectionEnd>{ConnectionEnd::kPeerClosed});
   connection->close(ConnectionEnd::kIdle);
-  scheduler_.turn(milliseconds(0));
+  scheduler_.run_iteration(milliseconds(0));
   EXPECT_EQ(events_.ends.size(), 1U) << "the end is reported once";
 }
 
@@ -357,9 +357,9 @@
   run_until(scheduler_, [&] { return connection->connected(); });
   ASSERT_EQ(::send(peer.get(), "request", 7, MSG_NOSIGNAL), 7);
   EXPECT_TRUE(connection->has_unread_data());
-  EXPECT_FALSE(connection->close_if_read(ConnectionEnd::kIdle));
+  EXPECT_FALSE(connection->close_if_nothing_unread(ConnectionEnd::kIdle));
   run_until(scheduler_, [&] { return events_.bytes == "request"; });
-  EXPECT_TRUE(connection->close_if_read(ConnectionEnd::kIdle));
+  EXPECT_TRUE(connection->close_if_nothing_unread(ConnectionEnd::kIdle));
   EXPECT_TRUE(connection->ended());
 }
 
@@ -534,7 +534,7 @@
   EXPECT_NE(second, first);
   pool.release(first);
   EXPECT_TRUE(first->connection->ended());
-  pool.drop("a", ConnectionEnd::kDropped);
+  pool.retire_all("a", ConnectionEnd::kDropped);
   pool.release(second);
   EXPECT_TRUE(second->connection->ended());
 }
