--- a/src/fencing/token_store.cpp
+++ b/src/fencing/token_store.cpp
@@ -26,13 +26,13 @@
 
 // Replaces the file atomically: the new content is synced under another name and then renamed. Returns
 // whether it succeeded.
-bool write_file(store::Files& files, const std::string& content) {
+bool write_file(store::Directory& directory, const std::string& content) {
   try {
-    const auto file = files.create(kTemporaryFile);
+    const auto file = directory.create(kTemporaryFile);
     file->write(0, content);
     file->sync();
-    files.rename(kTemporaryFile, kFile);
-    files.sync_names();
+    directory.rename(kTemporaryFile, kFile);
+    directory.sync_names();
     return true;
   } catch (const std::exception&) {
     return false;  // on_persisted() rejects the waiting commands
@@ -61,9 +61,9 @@
   return "fence_not_kept";
 }
 
-TokenStore::TokenStore(std::shared_ptr<store::Files> files, store::Executor& executor)
-    : files_(std::move(files)), executor_(executor) {
-  if (files_) {
+TokenStore::TokenStore(std::shared_ptr<store::Directory> directory, store::Executor& executor)
+    : directory_(std::move(directory)), executor_(executor) {
+  if (directory_) {
     load();
   }
 }
@@ -72,11 +72,11 @@
 
 // Reads the file. The first line is the checksum of the rest, each further line is a token.
 void TokenStore::load() {
-  const std::vector<std::string> names = files_->list();
+  const std::vector<std::string> names = directory_->list();
   if (std::find(names.begin(), names.end(), kFile) == names.end()) {
     return;
   }
-  const auto file = files_->open(kFile);
+  const auto file = directory_->open(kFile);
   const std::string content = file->read(0, file->size());
   const std::size_t end = content.find('\n');
   const std::string body = end == std::string::npos ? "" : content.substr(end + 1);
@@ -120,7 +120,7 @@
   if (!token) {
     return reject(AdmitResult::kMalformedToken);
   }
-  if (!files_) {
+  if (!directory_) {
     return reject(AdmitResult::kNoStorage);
   }
   if (store_ != 0 && token->store != store_) {
@@ -167,8 +167,8 @@
   const auto succeeded = std::make_shared<bool>(false);
   executor_.run(
       store::Executor::Lane::kWrite,
-      [files = files_, content = file_content(token), succeeded] {
-        *succeeded = write_file(*files, content);
+      [directory = directory_, content = file_content(token), succeeded] {
+        *succeeded = write_file(*directory, content);
       },
       [this, alive = alive_, token, succeeded] {
         if (*alive) {
--- a/src/fencing/token_store.h
+++ b/src/fencing/token_store.h
@@ -52,7 +52,7 @@
   // Reads the persisted terms. If `files` is null, nothing can be persisted and no command is admitted.
   // Throws store::FileError, and std::runtime_error if the file is damaged, because a receiver without its
   // terms would admit former owners.
-  TokenStore(std::shared_ptr<store::Files> files, store::Executor& executor);
+  TokenStore(std::shared_ptr<store::Directory> directory, store::Executor& executor);
   ~TokenStore();
   TokenStore(const TokenStore&) = delete;
   TokenStore& operator=(const TokenStore&) = delete;
@@ -89,7 +89,7 @@
   void persist(const FencingToken& token);
   void on_persisted(const FencingToken& token, bool succeeded);
 
-  std::shared_ptr<store::Files> files_;
+  std::shared_ptr<store::Directory> directory_;
   store::Executor& executor_;
   ownership::Fence fence_;
   std::uint64_t store_ = 0;
--- a/src/program/discovery_file_server.cpp
+++ b/src/program/discovery_file_server.cpp
@@ -95,7 +95,7 @@
       return {409, json{{"error", error}}.dump()};
     }
     if (published->page_changed) {
-      const std::unique_ptr<store::Files> folder = store::open_folder_unlocked(folder_of(file_));
+      const std::unique_ptr<store::Directory> folder = store::open_folder_unlocked(folder_of(file_));
       const std::string name = file_.substr(file_.rfind('/') + 1);
       const std::unique_ptr<store::File> file = folder->create(name + ".next");
       file->write(0, page.dump(1) + "\n");
--- a/src/program/node_commands.cpp
+++ b/src/program/node_commands.cpp
@@ -39,7 +39,7 @@
 store::Store::Storage storage_of(const store::Options& options) {
   store::Store::Storage storage;
   if (!options.folder.empty()) {
-    storage.files = [folder = options.folder] { return store::open_folder(folder); };
+    storage.open_directory = [folder = options.folder] { return store::open_folder(folder); };
     storage.index = [folder = options.folder] { return store::open_sqlite_index(folder); };
   }
   return storage;
@@ -113,7 +113,8 @@
                                    : !file.store.folder.empty()     ? file.store.folder + ".fence"
                                                                     : std::string();
   fencing::TokenStore token_store(
-      fence_folder.empty() ? nullptr : std::shared_ptr<store::Files>(store::open_folder(fence_folder)), pool);
+      fence_folder.empty() ? nullptr : std::shared_ptr<store::Directory>(store::open_folder(fence_folder)),
+      pool);
   node.set_token_store(token_store);
   node.start();
   scheduler.spawn(handle_node_signals(scheduler, signals, node, store));
--- a/src/program/store_commands.cpp
+++ b/src/program/store_commands.cpp
@@ -45,9 +45,9 @@
 }
 
 int stat(const StoreCommand& command, std::ostream& out) {
-  const std::unique_ptr<store::Files> files = store::open_folder_unlocked(command.folder);
+  const std::unique_ptr<store::Directory> directory = store::open_folder_unlocked(command.folder);
   const std::unique_ptr<store::Index> index = store::open_sqlite_index(command.folder, true);
-  const store::FolderStat stat = store::stat_folder(*files, *index);
+  const store::FolderStat stat = store::stat_folder(*directory, *index);
   json report{{"values", stat.values},
               {"parts", stat.parts},
               {"live_bytes", stat.live_bytes},
@@ -67,9 +67,10 @@
 }
 
 int verify(const StoreCommand& command, std::ostream& out, std::ostream& errors) {
-  const std::unique_ptr<store::Files> files = store::open_folder_unlocked(command.folder);
+  const std::unique_ptr<store::Directory> directory = store::open_folder_unlocked(command.folder);
   const std::unique_ptr<store::Index> index = store::open_sqlite_index(command.folder, true);
-  const store::VerifyReport report = store::verify_folder(*files, *index, make_progress(errors, "records"));
+  const store::VerifyReport report =
+      store::verify_folder(*directory, *index, make_progress(errors, "records"));
   json damage_lines = json::array();
   for (const store::Damage& damage : report.damaged) {
     damage_lines.push_back(damage.location + ": " + damage.reason);
@@ -86,10 +87,10 @@
 
 int compact(const StoreCommand& command, std::ostream& out, std::ostream& errors) {
   constexpr std::uint64_t kMegabyte = 1U << 20U;
-  const std::unique_ptr<store::Files> files = store::open_folder(command.folder);
+  const std::unique_ptr<store::Directory> directory = store::open_folder(command.folder);
   const std::unique_ptr<store::Index> index = store::open_sqlite_index(command.folder);
   const store::CompactReport report = store::compact_folder(
-      *files, *index, command.min_live_share, static_cast<std::uint64_t>(command.segment_mb) * kMegabyte,
+      *directory, *index, command.min_live_share, static_cast<std::uint64_t>(command.segment_mb) * kMegabyte,
       make_progress(errors, "segments"));
   print_report(json{{"segments_before", report.segments_before},
                     {"segments_after", report.segments_after},
@@ -107,8 +108,8 @@
            << "; confirm with --yes\n";
     return 1;
   }
-  const std::unique_ptr<store::Files> files = store::open_folder(command.folder);
-  print_report(json{{"files_removed", store::drop_folder(*files)}}, command.json, out);
+  const std::unique_ptr<store::Directory> directory = store::open_folder(command.folder);
+  print_report(json{{"files_removed", store::drop_folder(*directory)}}, command.json, out);
   return 0;
 }
 
--- a/src/store/files.cpp
+++ b/src/store/files.cpp
@@ -88,9 +88,9 @@
   Descriptor descriptor_;
 };
 
-class SystemFolder : public Files {
+class SystemDirectory : public Directory {
  public:
-  SystemFolder(std::string path, Descriptor folder, Descriptor lock)
+  SystemDirectory(std::string path, Descriptor folder, Descriptor lock)
       : path_(std::move(path)), folder_(std::move(folder)), lock_(std::move(lock)) {}
 
   std::vector<std::string> list() override {
@@ -157,7 +157,7 @@
 FileError::FileError(const std::string& what, int code)
     : std::runtime_error(what + ": " + std::generic_category().message(code)), code_(code) {}
 
-std::unique_ptr<Files> open_folder(const std::string& path) {
+std::unique_ptr<Directory> open_folder(const std::string& path) {
   if (::mkdir(path.c_str(), kFolderMode) != 0 && errno != EEXIST) {
     fail("cannot create folder " + path);
   }
@@ -169,11 +169,11 @@
   if (::flock(lock.get(), LOCK_EX | LOCK_NB) != 0) {
     fail("folder " + path + " is in use by another process");
   }
-  return std::make_unique<SystemFolder>(path, std::move(folder), std::move(lock));
+  return std::make_unique<SystemDirectory>(path, std::move(folder), std::move(lock));
 }
 
-std::unique_ptr<Files> open_folder_unlocked(const std::string& path) {
-  return std::make_unique<SystemFolder>(path, open_path(path), Descriptor());
+std::unique_ptr<Directory> open_folder_unlocked(const std::string& path) {
+  return std::make_unique<SystemDirectory>(path, open_path(path), Descriptor());
 }
 
 }  // namespace trailcourse::store
--- a/src/store/files.h
+++ b/src/store/files.h
@@ -41,13 +41,13 @@
   virtual std::uint64_t size() = 0;
 };
 
-// An open folder. Files in it are named relative to it; there are no subfolders.
-class Files {
+// An open folder. Its files are named relative to it; it has no subfolders.
+class Directory {
  public:
-  Files() = default;
-  Files(const Files&) = delete;
-  Files& operator=(const Files&) = delete;
-  virtual ~Files() = default;
+  Directory() = default;
+  Directory(const Directory&) = delete;
+  Directory& operator=(const Directory&) = delete;
+  virtual ~Directory() = default;
 
   // Returns the names of all files, except the lock file.
   virtual std::vector<std::string> list() = 0;
@@ -65,8 +65,8 @@
 // Opens a folder of the file system, creates it if it does not exist, and locks it against other processes;
 // the lock is held until the returned object is destroyed. Throws FileError if the folder cannot be used or
 // is locked (EWOULDBLOCK).
-std::unique_ptr<Files> open_folder(const std::string& path);
+std::unique_ptr<Directory> open_folder(const std::string& path);
 // Opens an existing folder without locking it, for example to read it while a node uses it.
-std::unique_ptr<Files> open_folder_unlocked(const std::string& path);
+std::unique_ptr<Directory> open_folder_unlocked(const std::string& path);
 
 }  // namespace trailcourse::store
--- a/src/store/maintenance.cpp
+++ b/src/store/maintenance.cpp
@@ -35,12 +35,12 @@
 // Opens each segment once. Returns null if a segment cannot be opened.
 class SegmentFiles {
  public:
-  explicit SegmentFiles(Files& files) : files_(files) {}
+  explicit SegmentFiles(Directory& directory) : directory_(directory) {}
   File* open(SegmentId id) {
     const auto [found, inserted] = open_.emplace(id, nullptr);
     if (inserted) {
       try {
-        found->second = files_.open(segment_name(id));
+        found->second = directory_.open(segment_name(id));
       } catch (const FileError&) {
         return nullptr;
       }
@@ -49,7 +49,7 @@
   }
 
  private:
-  Files& files_;
+  Directory& directory_;
   std::map<SegmentId, std::unique_ptr<File>> open_;
 };
 
@@ -69,7 +69,7 @@
   return protocol::read_number<SegmentId>(std::string_view(name).substr(4, 10));
 }
 
-FolderStat stat_folder(Files& files, Index& index) {
+FolderStat stat_folder(Directory& directory, Index& index) {
   FolderStat out;
   std::set<SegmentId> referenced;
   for_each_row(index, [&](const IndexRow& row) {
@@ -88,10 +88,10 @@
     out.newest_ms = std::max(out.newest_ms, location.origin_time_ms);
     referenced.insert(location.segment);
   });
-  for (const std::string& name : files.list()) {
+  for (const std::string& name : directory.list()) {
     if (const std::optional<SegmentId> id = segment_of(name)) {
       ++out.segments;
-      out.file_bytes += files.open(name)->size();
+      out.file_bytes += directory.open(name)->size();
       out.orphans += referenced.contains(*id) ? 0 : 1;
     }
   }
@@ -102,9 +102,9 @@
   return out;
 }
 
-VerifyReport verify_folder(Files& files, Index& index, const Progress& progress) {
+VerifyReport verify_folder(Directory& directory, Index& index, const Progress& progress) {
   VerifyReport out;
-  SegmentFiles segments(files);
+  SegmentFiles segments(directory);
   std::vector<IndexRow> rows;
   std::set<Key> stored_keys;
   for_each_row(index, [&](const IndexRow& row) {
@@ -164,8 +164,8 @@
 // after the new segment is synced, and a segment is removed after the index refers to none of its records.
 class Compaction {
  public:
-  Compaction(Files& files, Index& index, std::uint64_t segment_bytes)
-      : files_(files), index_(index), segment_bytes_(segment_bytes) {
+  Compaction(Directory& directory, Index& index, std::uint64_t segment_bytes)
+      : directory_(directory), index_(index), segment_bytes_(segment_bytes) {
     for_each_row(index_, [&](const IndexRow& row) {
       live_[row.location.segment] += row.location.stored;
       rows_[row.location.segment].push_back(row);
@@ -178,9 +178,9 @@
   // Returns the segments whose live share is below `min_share`, and counts all segments for the report.
   std::vector<SegmentId> choose(double min_share) {
     std::vector<SegmentId> out;
-    for (const std::string& name : files_.list()) {
+    for (const std::string& name : directory_.list()) {
       if (const std::optional<SegmentId> id = segment_of(name)) {
-        const std::uint64_t size = files_.open(name)->size();
+        const std::uint64_t size = directory_.open(name)->size();
         ++report_.segments_before;
         report_.bytes_before += size;
         last_ = std::max(last_, *id);
@@ -193,20 +193,20 @@
   }
 
   void clear(SegmentId id) {
-    const std::unique_ptr<File> file = files_.open(segment_name(id));
+    const std::unique_ptr<File> file = directory_.open(segment_name(id));
     for (const IndexRow& row : rows_[id]) {
       move(row, file->read(row.location.offset, row.location.stored));
     }
     commit();
-    files_.remove(segment_name(id));
+    directory_.remove(segment_name(id));
   }
 
   CompactReport finish() {
     index_.compact();
-    for (const std::string& name : files_.list()) {
+    for (const std::string& name : directory_.list()) {
       if (segment_of(name)) {
         ++report_.segments_after;
-        report_.bytes_after += files_.open(name)->size();
+        report_.bytes_after += directory_.open(name)->size();
       }
     }
     return report_;
@@ -238,7 +238,7 @@
 
   void begin_segment() {
     commit();
-    active_ = files_.create(segment_name(++last_));
+    active_ = directory_.create(segment_name(++last_));
     active_->write(0, encode_segment_head(last_));
     end_ = kSegmentHeadBytes;
   }
@@ -246,14 +246,14 @@
   void commit() {
     if (active_) {
       active_->sync();
-      files_.sync_names();
+      directory_.sync_names();
     }
     changes_.marks[kSegmentMark] = last_;
     index_.commit(changes_);
     changes_ = IndexBatch();
   }
 
-  Files& files_;
+  Directory& directory_;
   Index& index_;
   std::uint64_t segment_bytes_;
   std::map<SegmentId, std::uint64_t> live_;  // bytes
@@ -267,9 +267,9 @@
 
 }  // namespace
 
-CompactReport compact_folder(Files& files, Index& index, double min_share, std::uint64_t segment_bytes,
-                             const Progress& progress) {
-  Compaction compaction(files, index, segment_bytes);
+CompactReport compact_folder(Directory& directory, Index& index, double min_share,
+                             std::uint64_t segment_bytes, const Progress& progress) {
+  Compaction compaction(directory, index, segment_bytes);
   const std::vector<SegmentId> segments = compaction.choose(min_share);
   std::uint64_t done = 0;
   for (const SegmentId id : segments) {
@@ -279,13 +279,13 @@
   return compaction.finish();
 }
 
-std::uint64_t drop_folder(Files& files) {
+std::uint64_t drop_folder(Directory& directory) {
   std::uint64_t out = 0;
-  for (const std::string& name : files.list()) {
-    files.remove(name);
+  for (const std::string& name : directory.list()) {
+    directory.remove(name);
     ++out;
   }
-  files.sync_names();
+  directory.sync_names();
   return out;
 }
 
--- a/src/store/maintenance.h
+++ b/src/store/maintenance.h
@@ -46,16 +46,16 @@
 };
 
 // Returns the statistics of a folder, without reading its records.
-FolderStat stat_folder(Files& files, Index& index);
+FolderStat stat_folder(Directory& directory, Index& index);
 // Reads every record that the index refers to and checks both of its checksums.
-VerifyReport verify_folder(Files& files, Index& index, const Progress& progress);
+VerifyReport verify_folder(Directory& directory, Index& index, const Progress& progress);
 // Rewrites the live records of each segment whose live share is below `min_share` to new segments, and
 // removes the old ones. The folder must not be used by a node meanwhile.
-CompactReport compact_folder(Files& files, Index& index, double min_share, std::uint64_t segment_bytes,
-                             const Progress& progress);
+CompactReport compact_folder(Directory& directory, Index& index, double min_share,
+                             std::uint64_t segment_bytes, const Progress& progress);
 // Removes all files, whatever format version wrote them, so that the folder can be used again. Returns the
 // number of files.
-std::uint64_t drop_folder(Files& files);
+std::uint64_t drop_folder(Directory& directory);
 
 // Returns the file name of a segment.
 std::string segment_name(SegmentId id);
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -64,7 +64,7 @@
 // The files of the disk tier, used by jobs in the lanes. Only the write lane uses the index and the active
 // segment; the read lane opens segments separately.
 struct Store::DiskFiles {
-  std::unique_ptr<Files> files;
+  std::unique_ptr<Directory> directory;
   std::unique_ptr<Index> index;
   SegmentId last_segment = 0;  // the highest ever created
   std::unique_ptr<File> active;
@@ -83,7 +83,7 @@
         return found->second;
       }
     }
-    std::shared_ptr<File> file = files->open(segment_name(id));
+    std::shared_ptr<File> file = directory->open(segment_name(id));
     const std::lock_guard lock(mutex);
     if (open_segments.size() >= kMaxOpenSegments) {
       open_segments.erase(open_segments.begin());
@@ -98,7 +98,7 @@
 
   void begin_segment() {
     active_id = ++last_segment;
-    active = files->create(segment_name(active_id));
+    active = directory->create(segment_name(active_id));
     active->write(0, encode_segment_head(active_id));
     active_end = kSegmentHeadBytes;
   }
@@ -144,7 +144,7 @@
         result_.file_sizes.emplace_back(disk_.active_id, disk_.active_end);
       }
       if (std::exchange(unsynced_name_, false)) {
-        disk_.files->sync_names();
+        disk_.directory->sync_names();
       }
       unsynced_bytes_ = false;
     }
@@ -232,7 +232,7 @@
       // Files are removed after the commit: before it, a crash could leave an index that refers to them.
       for (const SegmentId id : batch.remove) {
         close_segment(id);
-        files->remove(segment_name(id));
+        directory->remove(segment_name(id));
       }
     });
   }
@@ -312,11 +312,11 @@
 
 void Store::DiskFiles::open(const Storage& storage, bool wipe, Recovery& recovery) {
   try {
-    files = storage.files();
+    directory = storage.open_directory();
     if (wipe) {
       empty_folder();
     }
-    std::vector<std::string> names = files->list();
+    std::vector<std::string> names = directory->list();
     if (!check_format(names, recovery)) {
       return;
     }
@@ -330,9 +330,9 @@
 }
 
 void Store::DiskFiles::empty_folder() {
-  for (const std::string& name : files->list()) {
+  for (const std::string& name : directory->list()) {
     if (name != kFormatFile) {
-      files->remove(name);
+      directory->remove(name);
     }
   }
 }
@@ -342,7 +342,7 @@
     write_format();
     return true;
   }
-  const std::string content = files->open(kFormatFile)->read(0, 64);
+  const std::string content = directory->open(kFormatFile)->read(0, 64);
   if (content == kFormatContent) {
     return true;
   }
@@ -355,11 +355,11 @@
 // for another format.
 void Store::DiskFiles::write_format() {
   const std::string next = std::string(kFormatFile) + ".next";
-  const std::unique_ptr<File> file = files->create(next);
+  const std::unique_ptr<File> file = directory->create(next);
   file->write(0, kFormatContent);
   file->sync();
-  files->rename(next, kFormatFile);
-  files->sync_names();
+  directory->rename(next, kFormatFile);
+  directory->sync_names();
 }
 
 void Store::DiskFiles::open_index(const Storage& storage, std::vector<std::string>& names,
@@ -384,7 +384,7 @@
 void Store::DiskFiles::find_segments(const std::vector<std::string>& names, Recovery& recovery) {
   for (const std::string& name : names) {
     if (const std::optional<SegmentId> id = segment_of(name)) {
-      const std::unique_ptr<File> file = files->open(name);
+      const std::unique_ptr<File> file = directory->open(name);
       const std::uint64_t size = file->size();
       const bool good = is_segment_head(file->read(0, kSegmentHeadBytes), *id);
       recovery.segments[*id] = good ? size : 0;
@@ -468,7 +468,7 @@
       segments_(megabytes(options.disk_mb), 2 * segment_bytes(options)),
       health_(DiskHealth::Options{}),
       memory_(EvictionWeights{}, 1'024),
-      disk_(EvictionWeights{}, options.folder.empty() && !storage_.files
+      disk_(EvictionWeights{}, options.folder.empty() && !storage_.open_directory
                                    ? 64
                                    : static_cast<std::size_t>(options.expected_objects)),
       memory_limit_(megabytes(options.memory_mb)),
@@ -481,7 +481,7 @@
 
 void Store::open(std::function<void()> opened) {
   on_opened_ = std::move(opened);
-  if (!storage_.files) {
+  if (!storage_.open_directory) {
     on_opened_();
     return;
   }
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -77,7 +77,7 @@
  public:
   // Functions that open the folder and its index, called in the write lane. Empty: there is no disk tier.
   struct Storage {
-    std::function<std::unique_ptr<Files>()> files;
+    std::function<std::unique_ptr<Directory>()> open_directory;
     OpenIndex index;
   };
   struct TimeReading {
--- a/tests/cache_node_test.cpp
+++ b/tests/cache_node_test.cpp
@@ -421,38 +421,38 @@
   KillPoint& point_;
 };
 
-class KillPointFolder : public store::Files {
+class KillPointDirectory : public store::Directory {
  public:
-  KillPointFolder(std::unique_ptr<store::Files> files, KillPoint& point)
-      : files_(std::move(files)), point_(point) {}
-  std::vector<std::string> list() override { return files_->list(); }
+  KillPointDirectory(std::unique_ptr<store::Directory> directory, KillPoint& point)
+      : directory_(std::move(directory)), point_(point) {}
+  std::vector<std::string> list() override { return directory_->list(); }
   std::unique_ptr<store::File> create(const std::string& name) override {
     point_.before();
-    auto out = std::make_unique<KillPointFile>(files_->create(name), point_);
+    auto out = std::make_unique<KillPointFile>(directory_->create(name), point_);
     point_.after();
     return out;
   }
   std::unique_ptr<store::File> open(const std::string& name) override {
-    return std::make_unique<KillPointFile>(files_->open(name), point_);
+    return std::make_unique<KillPointFile>(directory_->open(name), point_);
   }
   void remove(const std::string& name) override {
     point_.before();
-    files_->remove(name);
+    directory_->remove(name);
     point_.after();
   }
   void rename(const std::string& from, const std::string& to) override {
     point_.before();
-    files_->rename(from, to);
+    directory_->rename(from, to);
     point_.after();
   }
   void sync_names() override {
     point_.before();
-    files_->sync_names();
+    directory_->sync_names();
     point_.after();
   }
 
  private:
-  std::unique_ptr<store::Files> files_;
+  std::unique_ptr<store::Directory> directory_;
   KillPoint& point_;
 };
 
@@ -462,8 +462,8 @@
   using testing_support::StoreHarness;
   const auto open = [this](StoreHarness& rig, KillPoint& point) {
     store::Store::Storage backing;
-    backing.files = [this, &point] {
-      return std::make_unique<KillPointFolder>(store::open_folder(folder_), point);
+    backing.open_directory = [this, &point] {
+      return std::make_unique<KillPointDirectory>(store::open_folder(folder_), point);
     };
     backing.index = [this] { return store::open_sqlite_index(folder_); };
     rig.executor = std::make_unique<testing_support::ManualExecutor>();
@@ -761,13 +761,13 @@
   std::atomic<bool>& stalled_;
 };
 
-class StallingFolder : public testing_support::MemoryFolder {
+class StallingDirectory : public testing_support::MemoryDirectory {
  public:
-  StallingFolder(std::shared_ptr<testing_support::FolderState> state, std::shared_future<void> released,
-                 std::atomic<bool>& stalled)
-      : MemoryFolder(std::move(state)), released_(std::move(released)), stalled_(stalled) {}
+  StallingDirectory(std::shared_ptr<testing_support::FolderState> state, std::shared_future<void> released,
+                    std::atomic<bool>& stalled)
+      : MemoryDirectory(std::move(state)), released_(std::move(released)), stalled_(stalled) {}
   std::unique_ptr<store::File> open(const std::string& name) override {
-    return std::make_unique<StallingFile>(MemoryFolder::open(name), released_, stalled_);
+    return std::make_unique<StallingFile>(MemoryDirectory::open(name), released_, stalled_);
   }
 
  private:
@@ -797,7 +797,7 @@
     transport::Mailbox mailbox(scheduler);
     store::IoPool pool(2, [&mailbox](std::function<void()> job) { mailbox.post(std::move(job)); });
     store::Store::Storage backing;
-    backing.files = [&] { return std::make_unique<StallingFolder>(state, released, stalled); };
+    backing.open_directory = [&] { return std::make_unique<StallingDirectory>(state, released, stalled); };
     backing.index = [&] { return std::make_unique<testing_support::MemoryIndex>(history, state); };
     store::Store store(
         options, pool, backing,
--- a/tests/fencing_test.cpp
+++ b/tests/fencing_test.cpp
@@ -55,8 +55,8 @@
   void start() {
     tokens.reset();
     executor.discard();
-    tokens =
-        std::make_unique<TokenStore>(std::shared_ptr<store::Files>(store::open_folder(folder_)), executor);
+    tokens = std::make_unique<TokenStore>(std::shared_ptr<store::Directory>(store::open_folder(folder_)),
+                                          executor);
   }
   // Returns the error code of admit(); "waits" if it has not decided yet.
   std::string admit(const std::string& token) {
--- a/tests/recorded_files_test.cpp
+++ b/tests/recorded_files_test.cpp
@@ -243,14 +243,14 @@
 };
 
 TEST_F(RecordedDiskTier, VerifiesTheChecksumsOfEachRecord) {
-  const auto files = store::open_folder_unlocked(path_);
+  const auto directory = store::open_folder_unlocked(path_);
   const auto index = store::open_sqlite_index(path_, true);
   const store::VerifyReport verified =
-      store::verify_folder(*files, *index, [](std::uint64_t, std::uint64_t) {});
+      store::verify_folder(*directory, *index, [](std::uint64_t, std::uint64_t) {});
   EXPECT_EQ(verified.records, 4U);
   EXPECT_EQ(verified.good, 4U);
   EXPECT_EQ(verified.damaged_total, 0U);
-  const store::FolderStat stat = store::stat_folder(*files, *index);
+  const store::FolderStat stat = store::stat_folder(*directory, *index);
   EXPECT_EQ(stat.purges, 2U);
   EXPECT_EQ(stat.last_sequence, 3);
   EXPECT_EQ(stat.damaged_rows, 0U);
@@ -278,7 +278,7 @@
   store::Options options;
   options.memory_mb = 0;
   store::Store::Storage backing;
-  backing.files = [this] { return store::open_folder(path_); };
+  backing.open_directory = [this] { return store::open_folder(path_); };
   backing.index = [this] { return store::open_sqlite_index(path_); };
   std::vector<std::string> faults;
   store::Store tier(
@@ -322,7 +322,7 @@
   std::filesystem::copy(fixture("terms"), folder_ / "fencing" / "terms");
   testing_support::ManualExecutor executor;
   fencing::TokenStore tokens(
-      std::shared_ptr<store::Files>(store::open_folder((folder_ / "fencing").string())), executor);
+      std::shared_ptr<store::Directory>(store::open_folder((folder_ / "fencing").string())), executor);
   EXPECT_EQ(tokens.store(), kStoreId);
   ASSERT_TRUE(tokens.terms().contains("evening/0"));
   EXPECT_EQ(tokens.terms().at("evening/0"), 7U);
--- a/tests/store_stand_ins.h
+++ b/tests/store_stand_ins.h
@@ -69,7 +69,7 @@
 // The content of a folder: the bytes of each file by name.
 using Folder = std::map<std::string, std::string>;
 
-// The state of a folder in memory, shared by its MemoryFolder and MemoryFile objects.
+// The state of a folder in memory, shared by its MemoryDirectory and MemoryFile objects.
 struct FolderState {
   Folder now;
   std::vector<FileOp> history;
@@ -127,9 +127,9 @@
   std::string name_;
 };
 
-class MemoryFolder : public store::Files {
+class MemoryDirectory : public store::Directory {
  public:
-  explicit MemoryFolder(std::shared_ptr<FolderState> state) : state_(std::move(state)) {}
+  explicit MemoryDirectory(std::shared_ptr<FolderState> state) : state_(std::move(state)) {}
 
   std::vector<std::string> list() override {
     state_->check("list", "");
@@ -255,7 +255,7 @@
     store.reset();
     executor = std::make_unique<ManualExecutor>();
     store::Store::Storage storage;
-    storage.files = [state = folder] { return std::make_unique<MemoryFolder>(state); };
+    storage.open_directory = [state = folder] { return std::make_unique<MemoryDirectory>(state); };
     storage.index = [history = index, state = folder] {
       return std::make_unique<MemoryIndex>(history, state);
     };
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -64,7 +64,9 @@
   StoreHarness& again = harness;
   again.executor = std::make_unique<testing_support::ManualExecutor>();
   Store::Storage storage;
-  storage.files = [&harness] { return std::make_unique<testing_support::MemoryFolder>(harness.folder); };
+  storage.open_directory = [&harness] {
+    return std::make_unique<testing_support::MemoryDirectory>(harness.folder);
+  };
   storage.index = [&harness] {
     return std::make_unique<testing_support::MemoryIndex>(harness.index, harness.folder);
   };
@@ -275,7 +277,9 @@
   harness.insert(name_of(1), copy_of(1, 1, 500, kT0));
   harness.executor->drain();
   Store::Storage storage;
-  storage.files = [&harness] { return std::make_unique<testing_support::MemoryFolder>(harness.folder); };
+  storage.open_directory = [&harness] {
+    return std::make_unique<testing_support::MemoryDirectory>(harness.folder);
+  };
   storage.index = [&harness] {
     return std::make_unique<testing_support::MemoryIndex>(harness.index, harness.folder);
   };
@@ -420,7 +424,9 @@
   harness.executor->drain();
   bool first = true;
   Store::Storage storage;
-  storage.files = [&harness] { return std::make_unique<testing_support::MemoryFolder>(harness.folder); };
+  storage.open_directory = [&harness] {
+    return std::make_unique<testing_support::MemoryDirectory>(harness.folder);
+  };
   storage.index = [&harness, &first]() -> std::unique_ptr<Index> {
     if (std::exchange(first, false)) {
       throw IndexError("malformed", true);
@@ -644,7 +650,7 @@
   // Opens a store over the folder; the harness runs its jobs.
   std::unique_ptr<Store> open(StoreHarness& harness) {
     Store::Storage storage;
-    storage.files = [this] { return open_folder(path_); };
+    storage.open_directory = [this] { return open_folder(path_); };
     storage.index = [this] { return open_sqlite_index(path_); };
     harness.executor = std::make_unique<testing_support::ManualExecutor>();
     auto store = std::make_unique<Store>(
@@ -685,13 +691,13 @@
   harness.store = nullptr;
   harness.store = open(harness);
   EXPECT_EQ(correct_copies(harness, 50), 50);
-  const auto files = open_folder_unlocked(path_);
+  const auto directory = open_folder_unlocked(path_);
   const auto index = open_sqlite_index(path_, true);
-  const FolderStat stat = stat_folder(*files, *index);
+  const FolderStat stat = stat_folder(*directory, *index);
   EXPECT_EQ(stat.values, 50U);
   EXPECT_EQ(stat.damaged_rows, 0U);
   EXPECT_EQ(stat.by_rank.at(2), stat.records);
-  const VerifyReport report = verify_folder(*files, *index, [](std::uint64_t, std::uint64_t) {});
+  const VerifyReport report = verify_folder(*directory, *index, [](std::uint64_t, std::uint64_t) {});
   EXPECT_EQ(report.good, report.records);
   EXPECT_EQ(report.damaged_total, 0U);
 }
@@ -714,7 +720,7 @@
   StoreHarness harness;
   fill(harness, 20);
   harness.store = nullptr;
-  const auto files = open_folder_unlocked(path_);
+  const auto directory = open_folder_unlocked(path_);
   const auto index = open_sqlite_index(path_, true);
   const std::vector<IndexRow> rows = index->rows(nullptr, 1'000);
   for (std::size_t i = 0; i < 3; ++i) {
@@ -724,7 +730,7 @@
     file.seekp(where.offset + where.stored - 1);
     file.put('~');
   }
-  const VerifyReport report = verify_folder(*files, *index, [](std::uint64_t, std::uint64_t) {});
+  const VerifyReport report = verify_folder(*directory, *index, [](std::uint64_t, std::uint64_t) {});
   EXPECT_EQ(report.damaged_total, 3U);
   EXPECT_EQ(report.good, rows.size() - 3);
 }
@@ -744,10 +750,10 @@
   harness.store = nullptr;
   harness.executor = nullptr;
   {
-    const auto files = open_folder(path_);
+    const auto directory = open_folder(path_);
     const auto index = open_sqlite_index(path_);
     const CompactReport report =
-        compact_folder(*files, *index, 0.8, 1U << 20U, [](std::uint64_t, std::uint64_t) {});
+        compact_folder(*directory, *index, 0.8, 1U << 20U, [](std::uint64_t, std::uint64_t) {});
     EXPECT_LT(report.bytes_after, report.bytes_before * 6 / 10);
     EXPECT_EQ(report.moved, 100U);
     EXPECT_EQ(report.dropped, 0U);
@@ -806,8 +812,8 @@
   harness.executor = nullptr;
   std::ofstream(path_ + "/format") << "trailcourse store 9\n";
   {
-    const auto files = open_folder(path_);
-    EXPECT_GT(drop_folder(*files), 2U);
+    const auto directory = open_folder(path_);
+    EXPECT_GT(drop_folder(*directory), 2U);
   }
   harness.store = open(harness);
   EXPECT_EQ(harness.store->disk_state(), DiskHealth::State::kGood);
