--- a/include/trailcourse/decider.h
+++ b/include/trailcourse/decider.h
@@ -112,21 +112,21 @@
   return note == Note::kFilled || note == Note::kFilledFromOrigin || note == Note::kJoined;
 }
 
-// The rules for a class of requests.
+// The rules for a class of requests. "Not read by this module" marks a field that the decider ignores.
 struct ClassSettings {
   Idempotency idempotency = Idempotency::kSafe;
   RetryScope retry_scope = RetryScope::kAll;  // for kKeyed only
   Micros idempotency_window{0};  // for kKeyed only: time from the first send in which a retry is recognised
   Micros latency_objective{0};   // time from arrival in which a request should be answered
   double latency_objective_stretch = 0.0;  // seconds added to the objective for each second of sending
-  Micros give_up_after{0};                 // time after which a client abandons the request
-  double priority_weight = 1.0;            // value of an answer relative to the other classes
-  double late_priority_share = 0.0;        // share of the priority weight that a late answer has, 0 to 1
-  bool streaming = false;                  // answers are streamed and have no deadline once they have begun
-  Micros lifetime{0};                      // age up to which a copy is fresh; 0: until it is purged
-  Micros grace{0};                         // how long past its lifetime a copy may be accepted
-  bool segmented = false;                  // objects are requested and cached in parts
-  bool uncached = false;                   // caches do not store the answers
+  Micros give_up_after{0};       // time after which a client abandons the request; not read by this module
+  double priority_weight = 1.0;  // value of an answer relative to other classes; not read by this module
+  double late_priority_share = 0.0;  // of the weight, for a late answer, 0 to 1; not read by this module
+  bool streaming = false;            // answers are streamed and have no deadline once they have begun
+  Micros lifetime{0};                // age up to which a copy is fresh; 0: until it is purged
+  Micros grace{0};                   // how long past its lifetime a copy may be accepted
+  bool segmented = false;            // objects are requested and cached in parts; not read by this module
+  bool uncached = false;             // caches do not store the answers
 };
 
 // The settings of a deployment, as one router sees it.
@@ -135,13 +135,13 @@
   int routers = 1;                     // number of routers in all zones
   std::string zone;                    // zone of this router; only caches of this zone get its attempts
   int routers_in_zone = 1;             // number of routers in this router's zone
-  double zone_link_kb_per_s = 0.0;     // capacity of the link of this router's zone; 0: not known
+  double zone_link_kb_per_s = 0.0;     // capacity of the zone's link; 0: not known; not read by this module
   std::vector<ClassSettings> classes;  // indexed by RequestArrived::request_class
 
   bool must_subscribe = false;  // endpoint lists arrive only after a Subscribe action
   bool direct = false;          // requests may be sent to a parent or the origin without a cache in between
   bool can_join_fills = false;  // a request may wait for a fill that is already in progress
-  SiblingSources siblings = SiblingSources::kNone;
+  SiblingSources siblings = SiblingSources::kNone;  // not read by this module
   NoteLevel notes = NoteLevel::kNone;
   bool weights_are_sizes = false;  // endpoint weights are the numbers of transfers sent at full rate at once
   double stream_kb_per_s = 0.0;    // full rate of one transfer to a client, in kilobytes per second
@@ -150,11 +150,14 @@
   bool may_cancel = false;         // attempts in flight can be cancelled
   bool parallel_attempts = false;  // two attempts of one request may be in flight at the same time
   Micros max_retry_after{0};       // longest Retry-After that clients follow; 0: a Reject carries none
-  Micros answer_slack{0};          // time past the deadline within which a final answer still counts
+  Micros answer_slack{0};  // time after the deadline in which an answer still counts; not read by this module
 
-  Micros drain_grace{0};  // time within which attempts at a draining or gone node must end
-  Micros purge_grace{0};  // time after a purge from which no attempt may be answered from a purged copy
-  Micros purge_done{0};   // time after a purge within which all nodes have dropped the purged copies
+  // Time within which attempts at a draining or gone node must end. Not read by this module.
+  Micros drain_grace{0};
+  // Time after a purge from which no attempt may be answered from a purged copy. Not read by this module; the
+  // router derives from it how old an endpoint list may be.
+  Micros purge_grace{0};
+  Micros purge_done{0};  // time after a purge within which all nodes have dropped the purged copies
 
   // Slow start of caches, then of parents. The share of its capacity that a node has reached rises linearly
   // from `slow_start_from` (0 to 1) at its start to 1 after `slow_start_span`. In each overload span all
@@ -181,9 +184,9 @@
 
 // A load report of a node. A field that the deployment does not report is negative.
 struct LoadReport {
-  double utilisation = -1.0;      // share of the node's cores in use, 0 to 1
-  double concurrent = -1.0;       // number of requests in progress at the node, from all routers
-  double hit_share = -1.0;        // share of the node's requests that are hits, 0 to 1
+  double utilisation = -1.0;  // share of the node's cores in use, 0 to 1
+  double concurrent = -1.0;   // number of requests in progress at the node, from all routers
+  double hit_share = -1.0;    // share of the node's requests that are hits, 0 to 1; not read by this module
   double link_or_fetches = -1.0;  // of a cache: share of its zone's link in use; of other nodes: not used
 };
 
