--- a/adapter/wire.cpp
+++ b/adapter/wire.cpp
@@ -47,12 +47,12 @@
   return valid ? static_cast<Note>(code) : Note::kNone;
 }
 
-LoadReport read_load(const json& message, const Profile& profile) {
+LoadReport read_load(const json& message, const DeploymentSettings& deployment) {
   const json* values = find(message, "Telemetry");
-  return values == nullptr ? LoadReport{} : read_report(*values, profile.report_fields);
+  return values == nullptr ? LoadReport{} : read_report(*values, deployment.report_fields);
 }
 
-AttemptEnded read_outcome(const json& message, const Profile& profile) {
+AttemptEnded read_outcome(const json& message, const DeploymentSettings& deployment) {
   AttemptEnded ended;
   ended.id = id_at(message, "Ref");
   ended.attempt = small_integer_at(message, "Try", 0);
@@ -61,14 +61,14 @@
   ended.finished = boolean_at(message, "Finished");
   ended.note = read_note(message);
   ended.source_first_byte_time = seconds_at(message, "UpstreamWaitS");
-  ended.load = read_load(message, profile);
+  ended.load = read_load(message, deployment);
   return ended;
 }
 
-RequestArrived read_request(const json& message, const Profile& profile) {
+RequestArrived read_request(const json& message, const DeploymentSettings& deployment) {
   const std::string name = string_at(message, "Kind");
-  const auto found = profile.class_index.find(name);
-  if (found == profile.class_index.end()) {
+  const auto found = deployment.class_index.find(name);
+  if (found == deployment.class_index.end()) {
     throw WireError("unknown request class: " + name);
   }
   RequestArrived request;
@@ -172,9 +172,9 @@
 
 void Adapter::begin_instance(const json& message) {
   Instance instance;
-  instance.profile = read_profile(require(message, "ProfileData"));
+  instance.deployment = read_deployment_settings(require(message, "ProfileData"));
   const std::uint64_t seed = id_at(message, "Nonce64");
-  instance.handler = make_handler_(instance.profile.settings, seed);
+  instance.handler = make_handler_(instance.deployment.settings, seed);
   instances_.insert_or_assign(as_integer(require(message, "I"), "I"), std::move(instance));
 }
 
@@ -186,7 +186,7 @@
   lists_[as_integer(require(message, "Table"), "Table")] = entries;
 }
 
-EndpointListReceived Adapter::read_list(const json& message, const Profile& profile) const {
+EndpointListReceived Adapter::read_list(const json& message, const DeploymentSettings& deployment) const {
   EndpointListReceived list;
   list.kind = parse_enum(kListKindNames, string_at(message, "Mode"));
   if (list.kind == ListKind::kLost) {
@@ -206,7 +206,7 @@
     entry.weight = number_or_default(fields, "Weight", 1.0);
     entry.started = seconds_at(fields, "ReadyAtS");
     const std::string kind = string_or_default(fields, "Type", "");
-    entry.role = profile.role_of(kind);
+    entry.role = deployment.role_of(kind);
     list.entries.push_back(std::move(entry));
   }
   return list;
@@ -236,22 +236,31 @@
 }
 
 void Adapter::handle_event(const std::string& type, const json& message) {
-  using Reader = Event (*)(const Adapter&, const json&, const Profile&);
+  using Reader = Event (*)(const Adapter&, const json&, const DeploymentSettings&);
   static const std::map<std::string, Reader> kReaders{
       {"Discovery",
-       [](const Adapter& self, const json& m, const Profile& p) -> Event { return self.read_list(m, p); }},
+       [](const Adapter& self, const json& m, const DeploymentSettings& d) -> Event {
+         return self.read_list(m, d);
+       }},
       {"WorkItem",
-       [](const Adapter&, const json& m, const Profile& p) -> Event { return read_request(m, p); }},
+       [](const Adapter&, const json& m, const DeploymentSettings& d) -> Event {
+         return read_request(m, d);
+       }},
       {"Returned",
-       [](const Adapter&, const json& m, const Profile& p) -> Event { return read_outcome(m, p); }},
+       [](const Adapter&, const json& m, const DeploymentSettings& d) -> Event {
+         return read_outcome(m, d);
+       }},
       {"AckFirst",
-       [](const Adapter&, const json& m, const Profile&) -> Event {
+       [](const Adapter&, const json& m, const DeploymentSettings&) -> Event {
          return StreamStarted{id_at(m, "Ref"), small_integer_at(m, "Try", 0)};
        }},
-      {"Recalled", [](const Adapter&, const json& m, const Profile&) -> Event { return read_purge(m); }},
+      {"Recalled",
+       [](const Adapter&, const json& m, const DeploymentSettings&) -> Event { return read_purge(m); }},
       {"Left",
-       [](const Adapter&, const json& m, const Profile&) -> Event { return ClientLeft{id_at(m, "Ref")}; }},
-      {"Bell", [](const Adapter&, const json& m, const Profile&) -> Event {
+       [](const Adapter&, const json& m, const DeploymentSettings&) -> Event {
+         return ClientLeft{id_at(m, "Ref")};
+       }},
+      {"Bell", [](const Adapter&, const json& m, const DeploymentSettings&) -> Event {
          return TimerFired{id_at(m, "Handle")};
        }}};
   const auto reader = kReaders.find(type);
@@ -260,7 +269,8 @@
   }
   Instance* instance = find_instance(message);
   if (instance != nullptr) {
-    run(as_integer(require(message, "I"), "I"), *instance, reader->second(*this, message, instance->profile));
+    run(as_integer(require(message, "I"), "I"), *instance,
+        reader->second(*this, message, instance->deployment));
   }
 }
 
--- a/adapter/wire.h
+++ b/adapter/wire.h
@@ -22,8 +22,8 @@
 
 // Thrown for a line that violates the protocol. The process prints its text and exits with status 2.
 using WireError = protocol::FormatError;
-using protocol::Profile;
-using protocol::read_profile;
+using protocol::DeploymentSettings;
+using protocol::read_deployment_settings;
 
 // Returns the load report in `values`, an array whose elements have the names in `fields`. Unknown fields and
 // elements that are not numbers are skipped. Throws WireError if `values` is not an array.
@@ -53,7 +53,7 @@
 
  private:
   struct Instance {
-    Profile profile;
+    DeploymentSettings deployment;
     Handler handler;
     bool faulted = false;  // its handler threw an exception
   };
@@ -65,7 +65,7 @@
   void run(std::int64_t id, Instance& instance, const Event& event);
   // Returns the instance of the message, or null if it is faulted.
   Instance* find_instance(const nlohmann::json& message);
-  EndpointListReceived read_list(const nlohmann::json& message, const Profile& profile) const;
+  EndpointListReceived read_list(const nlohmann::json& message, const DeploymentSettings& deployment) const;
 
   std::ostream& out_;
   MakeHandler make_handler_;
--- a/src/cache_node/node.cpp
+++ b/src/cache_node/node.cpp
@@ -80,7 +80,7 @@
     bounds.polling.max_backoff = milliseconds(400);
     bounds.reset_detection_delay = Micros(0);  // receiving all events again changes no state
     bounds.response_bounds.body_bytes = 64U << 20U;
-    discovery_.emplace(scheduler, *address, *this, profile_, seed, bounds);
+    discovery_.emplace(scheduler, *address, *this, deployment_, seed, bounds);
   }
 }
 
--- a/src/cache_node/node.h
+++ b/src/cache_node/node.h
@@ -84,7 +84,7 @@
   NodeCore core_;
   CommandServer server_;
   SourceClient sources_;
-  protocol::Profile profile_;  // default values: a node does not distinguish kinds of endpoints
+  protocol::DeploymentSettings deployment_;  // default values: a node does not distinguish kinds of endpoints
   std::optional<routing::DiscoveryClient> discovery_;
   std::uint64_t last_sequence_ = 0;
   bool discovery_received_ = false;
--- a/src/fencing/token_store.h
+++ b/src/fencing/token_store.h
@@ -49,7 +49,7 @@
 // Decides which fenced commands a receiver executes.
 class TokenStore {
  public:
-  // Reads the persisted terms. If `files` is null, nothing can be persisted and no command is admitted.
+  // Reads the persisted terms. If `directory` is null, nothing can be persisted and no command is admitted.
   // Throws store::FileError, and std::runtime_error if the file is damaged, because a receiver without its
   // terms would admit former owners.
   TokenStore(std::shared_ptr<store::Directory> directory, store::Executor& executor);
--- a/src/program/aggregator_command.cpp
+++ b/src/program/aggregator_command.cpp
@@ -67,7 +67,7 @@
  public:
   SequenceFollower(transport::Scheduler& scheduler, const transport::Address& address, std::uint64_t seed,
                    tasks::DiscoveryProgress& progress)
-      : client_(scheduler, address, listener_, profile_, seed, client_options(), hooks(progress), {}) {
+      : client_(scheduler, address, listener_, deployment_, seed, client_options(), hooks(progress), {}) {
     client_.start();
   }
 
@@ -88,7 +88,7 @@
   }
 
   SequenceListener listener_;
-  protocol::Profile profile_;  // empty: endpoint lists are not used here
+  protocol::DeploymentSettings deployment_;  // empty: endpoint lists are not used here
   routing::DiscoveryClient client_;
 };
 
--- a/src/program/configuration.cpp
+++ b/src/program/configuration.cpp
@@ -302,8 +302,8 @@
 }
 
 std::size_t Configuration::max_open_requests() const {
-  return profile.max_open_requests > 0 ? static_cast<std::size_t>(profile.max_open_requests)
-                                       : kDefaultMaxOpenRequests;
+  return deployment.max_open_requests > 0 ? static_cast<std::size_t>(deployment.max_open_requests)
+                                          : kDefaultMaxOpenRequests;
 }
 
 std::size_t Configuration::memory_share(std::int64_t divisor) const {
@@ -313,7 +313,7 @@
 
 milliseconds Configuration::drain_timeout() const {
   milliseconds longest(0);
-  for (const ClassSettings& request_class : profile.settings.classes) {
+  for (const ClassSettings& request_class : deployment.settings.classes) {
     longest = std::max(longest, std::chrono::ceil<milliseconds>(request_class.give_up_after));
   }
   const milliseconds most(tuning.drain_answer_ms);
@@ -380,19 +380,20 @@
   if (protocol::find(source, "settings") == nullptr) {
     fail("settings", "missing");
   }
-  out.profile = with_error_key("settings", [&] { return protocol::read_profile(source.at("settings")); });
-  if (out.profile.settings.classes.empty()) {
+  out.deployment =
+      with_error_key("settings", [&] { return protocol::read_deployment_settings(source.at("settings")); });
+  if (out.deployment.settings.classes.empty()) {
     fail("settings.Classes", "missing");
   }
-  if (out.profile.settings.max_attempts < 1) {
+  if (out.deployment.settings.max_attempts < 1) {
     fail("settings.Limits.AttemptsCap", "has to be at least 1");
   }
   if (protocol::find(source, "known") == nullptr) {
     fail("known", "missing");
   }
   out.known_text = source.at("known").dump();
-  out.known =
-      with_error_key("known", [&] { return protocol::read_discovery_page(source.at("known"), out.profile); });
+  out.known = with_error_key(
+      "known", [&] { return protocol::read_discovery_page(source.at("known"), out.deployment); });
   return out;
 }
 
--- a/src/program/configuration.h
+++ b/src/program/configuration.h
@@ -63,7 +63,7 @@
   std::uint64_t seed = 0;      // for all random numbers of this router
   std::int64_t memory_mb = 0;  // 0: no limit
   std::int64_t sockets = 0;    // maximum open descriptors
-  protocol::Profile profile;
+  protocol::DeploymentSettings deployment;
   protocol::DiscoveryPage known;  // endpoint list and purges to start with
   std::string known_text;         // `known` as it was configured
   Tuning tuning;
--- a/src/program/fleet_work.cpp
+++ b/src/program/fleet_work.cpp
@@ -73,13 +73,13 @@
   task_runner_.emplace(
       scheduler_, *store_, options, prefix,
       tasks::MemberIdentity{configuration_.name, make_incarnation(configuration_.seed),
-                            configuration_.profile.settings.zone, to_string(configuration_.listen), ""});
+                            configuration_.deployment.settings.zone, to_string(configuration_.listen), ""});
   task_runner_->register_kind("probe", [this, prefix, options](tasks::TaskContext context) {
     return std::make_unique<tasks::HealthCheckTask>(scheduler_, *store_, prefix, directory_, options,
                                                     std::move(context));
   });
   task_runner_->register_kind("fill", [this, options](tasks::TaskContext context) {
-    return std::make_unique<tasks::PrefetchTask>(scheduler_, router_, configuration_.profile, options,
+    return std::make_unique<tasks::PrefetchTask>(scheduler_, router_, configuration_.deployment, options,
                                                  configuration_.seed ^ kPrefetchSeed, std::move(context));
   });
   task_runner_->register_kind("report", [this, prefix, options](tasks::TaskContext context) {
@@ -103,11 +103,11 @@
 
 void FleetWork::create_policy_client() {
   const tasks::PolicyClient::Identity identity{configuration_.name, make_incarnation(configuration_.seed),
-                                               configuration_.profile.settings.zone,
+                                               configuration_.deployment.settings.zone,
                                                static_cast<std::int64_t>(configuration_.max_open_requests())};
   policy_.emplace(
       scheduler_, policy_store_ ? *policy_store_ : *store_, configuration_.start.policy,
-      configuration_.start.coordination.prefix, identity, configuration_.profile, router_,
+      configuration_.start.coordination.prefix, identity, configuration_.deployment, router_,
       [this](std::optional<std::set<std::string>> kinds) { set_allowed_kinds(std::move(kinds)); });
   discovery_progress_.subscribe(
       [this](const policy::DiscoveryPosition& position) { policy_->on_discovery_position(position); });
@@ -163,7 +163,7 @@
 }
 
 void FleetWork::publish_suspicions() {
-  const std::string& zone = configuration_.profile.settings.zone;
+  const std::string& zone = configuration_.deployment.settings.zone;
   for (const tasks::SuspicionChange& change : outliers_.take_changes()) {
     const std::string key = tasks::suspect_key(zone, change.cache, configuration_.name);
     task_runner_->set_session_key(key, change.suspected ? "1" : "");
@@ -171,7 +171,7 @@
 }
 
 void FleetWork::on_verdict(const std::string& key, const std::string& value) {
-  const std::string prefix = tasks::kVerdictPrefix + configuration_.profile.settings.zone + "/";
+  const std::string prefix = tasks::kVerdictPrefix + configuration_.deployment.settings.zone + "/";
   if (!key.starts_with(prefix)) {
     return;  // a verdict of another zone
   }
--- a/src/program/serve.cpp
+++ b/src/program/serve.cpp
@@ -51,21 +51,21 @@
 }
 
 routing::CacheClient::Bounds cache_bounds(const Configuration& configuration, const StartSupport& start) {
-  const protocol::Profile& profile = configuration.profile;
+  const protocol::DeploymentSettings& deployment = configuration.deployment;
   const Tuning& tuning = configuration.tuning;
   routing::CacheClient::Bounds bounds;
   bounds.pool.streams_per_connection =
-      profile.streams_per_connection > 0 ? profile.streams_per_connection : kDefaultStreams;
+      deployment.streams_per_connection > 0 ? deployment.streams_per_connection : kDefaultStreams;
   bounds.pool.connections_per_peer =
       start.max_connections_per_peer(static_cast<int>(tuning.cache_connections));
   bounds.pool.total_connections = configuration.max_cache_connections();
   // The cache closes an idle connection after this time. The router closes it after half of that, so that it
   // sends no request on a connection that the cache is about to close.
   const Micros idle =
-      profile.connection_idle.count() > 0 ? profile.connection_idle : Micros(kDefaultIdleTime);
+      deployment.connection_idle.count() > 0 ? deployment.connection_idle : Micros(kDefaultIdleTime);
   bounds.pool.idle = idle / 2;
   bounds.pool.connection.connect_timeout =
-      profile.connect_timeout.count() > 0 ? profile.connect_timeout : Micros(kDefaultConnectTimeout);
+      deployment.connect_timeout.count() > 0 ? deployment.connect_timeout : Micros(kDefaultConnectTimeout);
   set_linger_limit(bounds.pool.connection, configuration);
   bounds.silent_after = milliseconds(tuning.cache_silent_ms);
   bounds.stall_after = milliseconds(tuning.cache_stall_ms);
@@ -216,14 +216,14 @@
 int serve(const Configuration& configuration, const ReloadConfiguration& reload_configuration) {
   limit_heap_fragmentation();
   limit_descriptors(configuration.sockets);
-  const protocol::Profile& profile = configuration.profile;
+  const protocol::DeploymentSettings& deployment = configuration.deployment;
   transport::Scheduler scheduler;
   Signals signals(scheduler);
   const routing::ModuleClock clock;
-  Decider decider(profile.settings, configuration.seed);
+  Decider decider(deployment.settings, configuration.seed);
   StartSupport start(scheduler, configuration);
   routing::Router router(
-      scheduler, clock, profile.settings,
+      scheduler, clock, deployment.settings,
       [&decider, &start](Micros now, const Event& event, std::vector<Action>& out) {
         std::vector<Event> due;
         start.collect_due_events(now, due);
@@ -237,7 +237,7 @@
     return decider.may_begin(now, request, attempt);
   });
   routing::EndpointDirectory directory;
-  routing::CacheClient caches(scheduler, router, directory, profile.report_fields,
+  routing::CacheClient caches(scheduler, router, directory, deployment.report_fields,
                               cache_bounds(configuration, start));
   router.set_upstream(caches);
   routing::DiscoveryUpdateHandler update_handler(router, directory,
@@ -245,7 +245,7 @@
   start.initialize(router, update_handler);
   FleetWork work(scheduler, configuration, router, directory);
   routing::FastCgiServer server(
-      scheduler, router, profile.settings, profile.class_index, server_bounds(configuration),
+      scheduler, router, deployment.settings, deployment.class_index, server_bounds(configuration),
       [&update_handler, &start, &work] {
         return update_handler.has_ready_endpoint() && start.ready() && work.ready();
       },
@@ -258,7 +258,7 @@
     work.set_discovery_position({source, sequence});
   };
   routing::DiscoveryClient discovery_client(scheduler, configuration.discovery_address, update_handler,
-                                            profile, configuration.seed, start.discovery_options(),
+                                            deployment, configuration.seed, start.discovery_options(),
                                             std::move(hooks), start.discovery_relays());
   start.set_discovery_client(discovery_client);
   discovery_client.start();
--- a/src/program/start_support.cpp
+++ b/src/program/start_support.cpp
@@ -44,7 +44,8 @@
 
 // Returns how long a purge is relayed and stored: until the caches have applied it, and a margin.
 milliseconds purge_retention(const Configuration& configuration) {
-  return std::chrono::duration_cast<milliseconds>(configuration.profile.settings.purge_done) + kPurgeMargin;
+  return std::chrono::duration_cast<milliseconds>(configuration.deployment.settings.purge_done) +
+         kPurgeMargin;
 }
 
 routing::Relay::Options relay_options(const Configuration& configuration) {
@@ -63,13 +64,13 @@
 StartSupport::StartSupport(transport::Scheduler& scheduler, const Configuration& configuration)
     : scheduler_(scheduler),
       configuration_(configuration),
-      fleet_size_(configuration.start.startup.routers, configuration.profile.settings.routers),
+      fleet_size_(configuration.start.startup.routers, configuration.deployment.settings.routers),
       timer_(scheduler, [this] { step_router(); }) {
   const StartSections& start = configuration.start;
   if (start.has_startup) {
     endpoint_view_.emplace(
         startup::admission_options(start.startup, static_cast<int>(configuration.tuning.cache_connections)),
-        startup::readiness_options(start.startup, configuration.profile.settings,
+        startup::readiness_options(start.startup, configuration.deployment.settings,
                                    max_poll_duration(configuration.tuning)),
         configuration.seed ^ kEndpointViewSeed);
     endpoint_view_->set_fleet_size(fleet_size_.routers());
@@ -188,7 +189,8 @@
   }
   const Micros age = std::max(milliseconds(0), unix_now() - loaded.confirmed_at);
   try {
-    const protocol::DiscoveryPage page = protocol::read_discovery_page(loaded.page, configuration_.profile);
+    const protocol::DiscoveryPage page =
+        protocol::read_discovery_page(loaded.page, configuration_.deployment);
     if (endpoint_view_) {
       endpoint_view_->restore(router_->now(), router_->now() - age, false);
     }
@@ -223,7 +225,7 @@
   if (endpoint_view_) {
     // A stale list limits what is served, so a response has to arrive well before the list becomes stale.
     const startup::ReadinessOptions readiness = startup::readiness_options(
-        configuration_.start.startup, configuration_.profile.settings, max_poll_duration(tuning));
+        configuration_.start.startup, configuration_.deployment.settings, max_poll_duration(tuning));
     if (readiness.stale_policy != startup::StalePolicy::kServe) {
       options.polling.long_poll_timeout =
           std::min(options.polling.long_poll_timeout, readiness.notification_bound / 2);
--- a/src/protocol/discovery_page.cpp
+++ b/src/protocol/discovery_page.cpp
@@ -25,7 +25,7 @@
   return millis;
 }
 
-ListedEndpoint read_endpoint(const json& source, const Profile& profile) {
+ListedEndpoint read_endpoint(const json& source, const DeploymentSettings& deployment) {
   if (!source.is_object()) {
     throw FormatError("not an object");
   }
@@ -38,7 +38,7 @@
   }
   endpoint.state = parse_enum(kStateNames, string_or_default(source, "status", "up"));
   endpoint.zone = string_or_default(source, "zone", "");
-  endpoint.role = profile.role_of(string_or_default(source, "type", ""));
+  endpoint.role = deployment.role_of(string_or_default(source, "type", ""));
   endpoint.cell = small_integer_at(source, "group", 0);
   endpoint.weight = number_or_default(source, "weight", 1.0);
   if (!std::isfinite(endpoint.weight) || endpoint.weight < 0.0) {
@@ -49,13 +49,13 @@
   return listed;
 }
 
-EndpointsChanged read_endpoints_changed(const json& source, const Profile& profile,
+EndpointsChanged read_endpoints_changed(const json& source, const DeploymentSettings& deployment,
                                         std::vector<std::string>& skipped) {
   EndpointsChanged change;
   change.complete = boolean_at(source, "snapshot");
   for (const json& entry : array_at(source, "endpoints")) {
     try {
-      change.endpoints.push_back(read_endpoint(entry, profile));
+      change.endpoints.push_back(read_endpoint(entry, deployment));
     } catch (const FormatError& error) {
       skipped.push_back(std::string("endpoint: ") + error.what());
     }
@@ -78,7 +78,7 @@
 
 }  // namespace
 
-DiscoveryPage read_discovery_page(const json& page, const Profile& profile) {
+DiscoveryPage read_discovery_page(const json& page, const DeploymentSettings& deployment) {
   if (!page.is_object()) {
     throw FormatError("not a discovery page");
   }
@@ -96,7 +96,7 @@
       }
       out.highest_sequence = std::max(out.highest_sequence, update.sequence);
       if (find(entry, "pool") != nullptr) {
-        update.change = read_endpoints_changed(section(entry, "pool"), profile, out.skipped);
+        update.change = read_endpoints_changed(section(entry, "pool"), deployment, out.skipped);
       } else if (find(entry, "flush") != nullptr) {
         update.change = read_purge(section(entry, "flush"));
       } else {
@@ -114,12 +114,12 @@
   return out;
 }
 
-DiscoveryPage parse_discovery_page(std::string_view text, const Profile& profile) {
+DiscoveryPage parse_discovery_page(std::string_view text, const DeploymentSettings& deployment) {
   const json page = json::parse(text, nullptr, false);
   if (page.is_discarded()) {
     throw FormatError("not JSON");
   }
-  return read_discovery_page(page, profile);
+  return read_discovery_page(page, deployment);
 }
 
 std::string poll_path(std::uint64_t last_sequence, std::int64_t long_poll_timeout_ms) {
--- a/src/protocol/discovery_page.h
+++ b/src/protocol/discovery_page.h
@@ -47,8 +47,8 @@
 
 // Reads {"rev":N,"notices":[...]}. Invalid entries are skipped one by one; throws FormatError if the page
 // itself is invalid.
-DiscoveryPage read_discovery_page(const nlohmann::json& page, const Profile& profile);
-DiscoveryPage parse_discovery_page(std::string_view text, const Profile& profile);
+DiscoveryPage read_discovery_page(const nlohmann::json& page, const DeploymentSettings& deployment);
+DiscoveryPage parse_discovery_page(std::string_view text, const DeploymentSettings& deployment);
 
 // Returns the path of a poll for the events after `last_sequence`, with its long-poll timeout.
 std::string poll_path(std::uint64_t last_sequence, std::int64_t long_poll_timeout_ms);
--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -120,12 +120,12 @@
 
 }  // namespace
 
-Profile read_profile(const json& source) {
+DeploymentSettings read_deployment_settings(const json& source) {
   if (!source.is_object()) {
     throw FormatError("settings are not an object");
   }
-  Profile profile;
-  Settings& settings = profile.settings;
+  DeploymentSettings deployment;
+  Settings& settings = deployment.settings;
   const json& extra = section(source, "Extra");
   settings.zone = string_or_default(source, "Az", "");
   settings.self_index = small_integer_at(source, "SelfIndex", -1);
@@ -134,26 +134,26 @@
   settings.weights_are_sizes = parse_enum(kWeightModeNames, string_or_default(source, "Weights", "none"));
   const json& classes = array_at(source, "Classes");
   for (std::size_t i = 0; i < classes.size(); ++i) {
-    profile.class_index[string_at(classes[i], "Name")] = static_cast<int>(i);
+    deployment.class_index[string_at(classes[i], "Name")] = static_cast<int>(i);
     settings.classes.push_back(read_class(classes[i], extra, i));
   }
   read_limits(section(source, "Limits"), settings);
   read_rules(section(source, "Rules"), extra, settings);
   read_extra(extra, settings);
   read_own_zone(strings_at(source, "Zones"), extra, settings);
-  profile.kinds = strings_at(source, "Kinds");
-  profile.parent_kind = small_integer_at(extra, "MidKind", -1);
-  profile.origin_kind = small_integer_at(extra, "OriginKind", -1);
-  profile.report_fields = strings_at(section(source, "Report"), "Fields");
+  deployment.kinds = strings_at(source, "Kinds");
+  deployment.parent_kind = small_integer_at(extra, "MidKind", -1);
+  deployment.origin_kind = small_integer_at(extra, "OriginKind", -1);
+  deployment.report_fields = strings_at(section(source, "Report"), "Fields");
   const json& limits = section(source, "Limits");
-  profile.connection_idle = duration_at(limits, "ConnIdleS");
-  profile.connect_timeout = duration_at(limits, "ConnectTimeoutS");
-  profile.streams_per_connection = small_integer_at(limits, "StreamsPerConn", 0);
-  profile.max_open_requests = small_integer_at(limits, "MaxOpen", 0);
-  return profile;
+  deployment.connection_idle = duration_at(limits, "ConnIdleS");
+  deployment.connect_timeout = duration_at(limits, "ConnectTimeoutS");
+  deployment.streams_per_connection = small_integer_at(limits, "StreamsPerConn", 0);
+  deployment.max_open_requests = small_integer_at(limits, "MaxOpen", 0);
+  return deployment;
 }
 
-Role Profile::role_of(const std::string& kind) const {
+Role DeploymentSettings::role_of(const std::string& kind) const {
   const auto is_kind = [&](int index) {
     return index >= 0 && static_cast<std::size_t>(index) < kinds.size() &&
            kinds[static_cast<std::size_t>(index)] == kind;
--- a/src/routing/discovery_client.cpp
+++ b/src/routing/discovery_client.cpp
@@ -67,18 +67,18 @@
 }  // namespace
 
 DiscoveryClient::DiscoveryClient(transport::Scheduler& scheduler, const transport::Address& server,
-                                 DiscoveryListener& listener, const protocol::Profile& profile,
+                                 DiscoveryListener& listener, const protocol::DeploymentSettings& deployment,
                                  std::uint64_t seed, const Options& options)
-    : DiscoveryClient(scheduler, server, listener, profile, seed, options, Hooks(), Relays()) {}
+    : DiscoveryClient(scheduler, server, listener, deployment, seed, options, Hooks(), Relays()) {}
 
 DiscoveryClient::DiscoveryClient(transport::Scheduler& scheduler, const transport::Address& server,
-                                 DiscoveryListener& listener, const protocol::Profile& profile,
+                                 DiscoveryListener& listener, const protocol::DeploymentSettings& deployment,
                                  std::uint64_t seed, const Options& options, Hooks hooks, Relays relays)
     : scheduler_(scheduler),
       server_(server),
       server_changed_(scheduler),
       listener_(listener),
-      profile_(profile),
+      deployment_(deployment),
       options_(options),
       hooks_(std::move(hooks)),
       relays_(std::move(relays)),
@@ -252,7 +252,7 @@
                                                           const Poll& poll) {
   using startup::RelayValidity;
   const nlohmann::json page = parse_page(response);
-  const protocol::DiscoveryPage parsed = protocol::read_discovery_page(page, profile_);
+  const protocol::DiscoveryPage parsed = protocol::read_discovery_page(page, deployment_);
   Micros age{0};
   if (poll.relay) {
     const startup::RelayStatus status = relay_status_of(response);
--- a/src/routing/discovery_client.h
+++ b/src/routing/discovery_client.h
@@ -73,14 +73,14 @@
     std::uint64_t stale = 0;     // responses with a lower sequence number than the applied one
   };
 
-  // `scheduler`, `listener` and `profile` have to outlive this object, as has the selector of `relays`.
+  // `scheduler`, `listener` and `deployment` have to outlive this object, as has the selector of `relays`.
   // `server` is the address of the discovery service.
   DiscoveryClient(transport::Scheduler& scheduler, const transport::Address& server,
-                  DiscoveryListener& listener, const protocol::Profile& profile, std::uint64_t seed,
-                  const Options& options);
+                  DiscoveryListener& listener, const protocol::DeploymentSettings& deployment,
+                  std::uint64_t seed, const Options& options);
   DiscoveryClient(transport::Scheduler& scheduler, const transport::Address& server,
-                  DiscoveryListener& listener, const protocol::Profile& profile, std::uint64_t seed,
-                  const Options& options, Hooks hooks, Relays relays);
+                  DiscoveryListener& listener, const protocol::DeploymentSettings& deployment,
+                  std::uint64_t seed, const Options& options, Hooks hooks, Relays relays);
   ~DiscoveryClient();
 
   // Starts to poll. To be called once.
@@ -153,7 +153,7 @@
   transport::Address server_;
   transport::Signal server_changed_;
   DiscoveryListener& listener_;
-  const protocol::Profile& profile_;
+  const protocol::DeploymentSettings& deployment_;
   Options options_;
   Hooks hooks_;
   Relays relays_;
--- a/src/tasks/policy_client.cpp
+++ b/src/tasks/policy_client.cpp
@@ -40,7 +40,7 @@
 
 PolicyClient::PolicyClient(transport::Scheduler& scheduler, coordination::CoordinationStore& store,
                            const policy::PolicyOptions& options, std::string prefix, Identity identity,
-                           const protocol::Profile& profile, routing::Router& router,
+                           const protocol::DeploymentSettings& deployment, routing::Router& router,
                            AllowedKindsHandler on_allowed_kinds)
     : store_(store),
       options_(options),
@@ -49,7 +49,7 @@
       router_(router),
       on_allowed_kinds_(std::move(on_allowed_kinds)),
       documents_(scheduler, options.folder),
-      request_policy_(profile, router, documents_),
+      request_policy_(deployment, router, documents_),
       participant_(identity_.incarnation, identity_.zone, policy::participant_options(options),
                    [this](std::uint64_t version) { return check_document(version); }),
       loop_(scheduler, kMinStepInterval, [this] { return run_step(); }) {
--- a/src/tasks/policy_client.h
+++ b/src/tasks/policy_client.h
@@ -23,7 +23,7 @@
 
 namespace trailcourse::tasks {
 
-// Scheduler, store, profile and router have to outlive this object.
+// Scheduler, store, deployment settings and router have to outlive this object.
 class PolicyClient : public coordination::WatchObserver {
  public:
   struct Identity {
@@ -37,7 +37,7 @@
 
   PolicyClient(transport::Scheduler& scheduler, coordination::CoordinationStore& store,
                const policy::PolicyOptions& options, std::string prefix, Identity identity,
-               const protocol::Profile& profile, routing::Router& router,
+               const protocol::DeploymentSettings& deployment, routing::Router& router,
                AllowedKindsHandler on_allowed_kinds);
   ~PolicyClient() override;
 
--- a/src/tasks/prefetch_task.cpp
+++ b/src/tasks/prefetch_task.cpp
@@ -66,11 +66,11 @@
 };
 
 PrefetchTask::PrefetchTask(transport::Scheduler& scheduler, routing::Router& router,
-                           const protocol::Profile& profile, const OwnershipOptions& options,
+                           const protocol::DeploymentSettings& deployment, const OwnershipOptions& options,
                            std::uint64_t seed, TaskContext context)
     : scheduler_(scheduler),
       router_(router),
-      profile_(profile),
+      deployment_(deployment),
       options_(options),
       context_(std::move(context)),
       last_request_id_(seed ^ context_.term),
@@ -106,11 +106,11 @@
 void PrefetchTask::read_order() {
   order_ = read_prefetch_order(context_.work.params);
   const std::string& name = order_->request_class;
-  const auto found = profile_.class_index.find(name);
-  if (found == profile_.class_index.end()) {
+  const auto found = deployment_.class_index.find(name);
+  if (found == deployment_.class_index.end()) {
     throw InvalidPrefetchOrder("class", "'" + name + "' is not served here");
   }
-  const ClassSettings& settings = profile_.settings.classes[static_cast<std::size_t>(found->second)];
+  const ClassSettings& settings = deployment_.settings.classes[static_cast<std::size_t>(found->second)];
   if (settings.idempotency != Idempotency::kSafe || settings.uncached) {
     throw InvalidPrefetchOrder("class", "'" + name + "' is not one that caches keep");
   }
--- a/src/tasks/prefetch_task.h
+++ b/src/tasks/prefetch_task.h
@@ -19,12 +19,13 @@
 
 namespace trailcourse::tasks {
 
-// Scheduler, router and profile have to outlive this object.
+// Scheduler, router and deployment settings have to outlive this object.
 class PrefetchTask : public OwnedTask {
  public:
   // `seed` makes the ids of its requests distinct from those of other routers.
-  PrefetchTask(transport::Scheduler& scheduler, routing::Router& router, const protocol::Profile& profile,
-               const OwnershipOptions& options, std::uint64_t seed, TaskContext context);
+  PrefetchTask(transport::Scheduler& scheduler, routing::Router& router,
+               const protocol::DeploymentSettings& deployment, const OwnershipOptions& options,
+               std::uint64_t seed, TaskContext context);
   ~PrefetchTask() override;
 
   void start() override;
@@ -52,7 +53,7 @@
 
   transport::Scheduler& scheduler_;
   routing::Router& router_;
-  const protocol::Profile& profile_;
+  const protocol::DeploymentSettings& deployment_;
   OwnershipOptions options_;
   TaskContext context_;
   std::uint64_t last_request_id_;
--- a/src/tasks/request_policy.cpp
+++ b/src/tasks/request_policy.cpp
@@ -49,13 +49,13 @@
 
 }  // namespace
 
-RequestPolicy::RequestPolicy(const protocol::Profile& profile, routing::Router& router,
+RequestPolicy::RequestPolicy(const protocol::DeploymentSettings& deployment, routing::Router& router,
                              const PolicyDocuments& documents)
-    : profile_(profile),
+    : deployment_(deployment),
       router_(router),
       documents_(documents),
-      class_names_(profile.settings.classes.size()) {
-  for (const auto& [name, index] : profile.class_index) {
+      class_names_(deployment.settings.classes.size()) {
+  for (const auto& [name, index] : deployment.class_index) {
     class_names_.at(static_cast<std::size_t>(index)) = name;
   }
   // Version 0 stands for the settings, whose classes the decision module has from the start.
@@ -65,7 +65,7 @@
 policy::PolicyContent RequestPolicy::content_of(std::uint64_t version) const {
   policy::PolicyContent content;
   for (std::size_t i = 0; i < class_names_.size(); ++i) {
-    content.classes[class_names_[i]] = policy_of(profile_.settings.classes[i]);
+    content.classes[class_names_[i]] = policy_of(deployment_.settings.classes[i]);
   }
   const policy::PolicyDocument* document = documents_.find(version);
   if (document == nullptr) {
@@ -99,7 +99,7 @@
 void RequestPolicy::add_classes(const ClassSet& set) {
   ClassesUpdated update;
   update.first = set.first_class;
-  update.classes = profile_.settings.classes;
+  update.classes = deployment_.settings.classes;
   for (std::size_t i = 0; i < class_names_.size(); ++i) {
     apply_policy(set.content.classes.at(class_names_[i]), update.classes[i]);
   }
--- a/src/tasks/request_policy.h
+++ b/src/tasks/request_policy.h
@@ -20,7 +20,8 @@
 // All arguments of the constructor have to outlive this object.
 class RequestPolicy {
  public:
-  RequestPolicy(const protocol::Profile& profile, routing::Router& router, const PolicyDocuments& documents);
+  RequestPolicy(const protocol::DeploymentSettings& deployment, routing::Router& router,
+                const PolicyDocuments& documents);
 
   // Returns the rule for a request of one of the settings' classes. The first call for a policy adds its
   // classes to the decision module.
@@ -49,7 +50,7 @@
   const ClassSet& class_set(const policy::EffectivePolicy& effective);
   void add_classes(const ClassSet& set);
 
-  const protocol::Profile& profile_;
+  const protocol::DeploymentSettings& deployment_;
   routing::Router& router_;
   const PolicyDocuments& documents_;
   std::vector<std::string> class_names_;
--- a/tests/adapter_test.cpp
+++ b/tests/adapter_test.cpp
@@ -14,7 +14,7 @@
 
 using nlohmann::json;
 
-const char* const kProfile =
+const char* const kDeploymentSettings =
     R"({"Az":"z","Balancers":2,"Zones":["hub","z"],"Kinds":["box","parent","origin"],"Weights":"nominal",
     "Classes":[{"Name":"media","Effect":"safe","ObjectiveS":0.6,"GiveUpS":6},
                {"Name":"entry","Effect":"keyed","Group":"zone","MemorySpanS":3,"GiveUpS":3}],
@@ -24,7 +24,7 @@
 
 std::string begin(int instance) {
   json line = {{"event_type", "Begin"}, {"I", instance}, {"Nonce64", 5}};
-  line["ProfileData"] = json::parse(kProfile);
+  line["ProfileData"] = json::parse(kDeploymentSettings);
   return line.dump();
 }
 
@@ -93,16 +93,16 @@
 }
 
 TEST_F(AdapterTest, SettingsAreRead) {
-  const Profile profile = read_profile(json::parse(kProfile));
-  EXPECT_EQ(profile.settings.routers_in_zone, 2);
-  EXPECT_EQ(profile.settings.zone_link_kb_per_s, 9000.0);
-  EXPECT_EQ(profile.settings.notes, NoteLevel::kHit);
-  ASSERT_EQ(profile.settings.classes.size(), 2U);
-  EXPECT_EQ(profile.settings.classes[0].lifetime, Micros(20'000'000));
-  EXPECT_EQ(profile.settings.classes[0].grace, Micros(5'000'000));
-  EXPECT_EQ(profile.settings.classes[1].idempotency, Idempotency::kKeyed);
-  EXPECT_EQ(profile.settings.classes[1].retry_scope, RetryScope::kZone);
-  EXPECT_TRUE(profile.settings.classes[1].uncached);
+  const DeploymentSettings deployment = read_deployment_settings(json::parse(kDeploymentSettings));
+  EXPECT_EQ(deployment.settings.routers_in_zone, 2);
+  EXPECT_EQ(deployment.settings.zone_link_kb_per_s, 9000.0);
+  EXPECT_EQ(deployment.settings.notes, NoteLevel::kHit);
+  ASSERT_EQ(deployment.settings.classes.size(), 2U);
+  EXPECT_EQ(deployment.settings.classes[0].lifetime, Micros(20'000'000));
+  EXPECT_EQ(deployment.settings.classes[0].grace, Micros(5'000'000));
+  EXPECT_EQ(deployment.settings.classes[1].idempotency, Idempotency::kKeyed);
+  EXPECT_EQ(deployment.settings.classes[1].retry_scope, RetryScope::kZone);
+  EXPECT_TRUE(deployment.settings.classes[1].uncached);
 }
 
 TEST_F(AdapterTest, ARequestBecomesAnAttempt) {
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -77,9 +77,9 @@
   EXPECT_EQ(configuration.seed, 0x8c1f30d27a5be964U);
   EXPECT_EQ(configuration.sockets, 256);
   EXPECT_EQ(configuration.known.updates.size(), 1U);
-  EXPECT_EQ(configuration.profile.connection_idle, std::chrono::seconds(15));
-  EXPECT_EQ(configuration.profile.connect_timeout, std::chrono::milliseconds(400));
-  EXPECT_EQ(configuration.profile.streams_per_connection, 32);
+  EXPECT_EQ(configuration.deployment.connection_idle, std::chrono::seconds(15));
+  EXPECT_EQ(configuration.deployment.connect_timeout, std::chrono::milliseconds(400));
+  EXPECT_EQ(configuration.deployment.streams_per_connection, 32);
 }
 
 TEST_F(ConfigurationTest, DerivesItsBoundsFromTheLimits) {
@@ -160,8 +160,8 @@
     "Extra":{"ParentFloor":7,"ParentBreaksAt":0,"StreamKbPerS":-5,"LifetimeByClassS":[-1]},
     "Limits":{"ConnIdleS":-1,"ConnectTimeoutS":-1,"RetryAfter":true,"MaxRetryAfterS":-1},
     "Rules":{"ColdFrom":-0.5,"ColdS":-1,"OverloadFactor":-3,"OverloadForS":0,"DrainGraceS":-1}})");
-  const protocol::Profile profile = protocol::read_profile(settings_json);
-  const Settings& settings = profile.settings;
+  const protocol::DeploymentSettings deployment = protocol::read_deployment_settings(settings_json);
+  const Settings& settings = deployment.settings;
   EXPECT_EQ(settings.classes.at(0).idempotency_window, Micros(0));
   EXPECT_EQ(settings.classes.at(0).latency_objective_stretch, 0.0);
   EXPECT_EQ(settings.classes.at(0).lifetime, Micros(0));
@@ -175,13 +175,13 @@
   EXPECT_EQ(settings.drain_grace, Micros(0));
   EXPECT_EQ(settings.max_retry_after, Micros(0));
   EXPECT_EQ(settings.stream_kb_per_s, 0.0);
-  EXPECT_EQ(profile.connection_idle, Micros(0));
-  EXPECT_EQ(profile.connect_timeout, Micros(0));
+  EXPECT_EQ(deployment.connection_idle, Micros(0));
+  EXPECT_EQ(deployment.connect_timeout, Micros(0));
   for (const char* key : {"ColdFrom", "ColdS", "OverloadFactor", "OverloadForS", "DrainGraceS"}) {
     nlohmann::json invalid = settings_json;
     invalid["Rules"][key] = "soon";
     try {
-      protocol::read_profile(invalid);
+      protocol::read_deployment_settings(invalid);
       ADD_FAILURE() << key << " is a string and was accepted";
     } catch (const protocol::FormatError& error) {
       EXPECT_NE(std::string(error.what()).find(key), std::string::npos) << error.what();
--- a/tests/discovery_client_test.cpp
+++ b/tests/discovery_client_test.cpp
@@ -14,16 +14,16 @@
 namespace {
 
 using nlohmann::json;
+using protocol::DeploymentSettings;
 using protocol::DiscoveryPage;
-using protocol::Profile;
 
-Profile plain_profile() {
-  Profile profile;
-  profile.kinds = {"std", "parent", "origin"};
-  profile.parent_kind = 1;
-  profile.origin_kind = 2;
-  profile.settings.classes.resize(1);
-  return profile;
+DeploymentSettings plain_deployment() {
+  DeploymentSettings deployment;
+  deployment.kinds = {"std", "parent", "origin"};
+  deployment.parent_kind = 1;
+  deployment.origin_kind = 2;
+  deployment.settings.classes.resize(1);
+  return deployment;
 }
 
 std::optional<protocol::http::Response> parse_in_steps(protocol::http::ResponseParser& parser,
@@ -102,7 +102,7 @@
        "zone":"east","type":"std","group":2,"status":"draining","weight":4,"since_ms":12}]}},
       {"rev":42,"flush":{"asset":"7f3a9c21e0b4d655","ms":1764576000123}},
       {"rev":43,"flush":{"collection":17,"ms":1764576000480}}]})",
-      plain_profile());
+      plain_deployment());
   EXPECT_EQ(page.last_sequence, 43U);
   EXPECT_EQ(page.highest_sequence, 43U);
   EXPECT_TRUE(page.skipped.empty());
@@ -124,7 +124,7 @@
 TEST(DiscoveryPage, ThrowsOnInvalidPages) {
   for (const char* text : {"", "[]", "nonsense", "{\"rev\":1", "{\"notices\":[]}",
                            "{\"rev\":-1,\"notices\":[]}", "{\"rev\":\"x\"}", "{\"rev\":1,\"notices\":{}}"}) {
-    EXPECT_THROW(protocol::parse_discovery_page(text, plain_profile()), protocol::FormatError) << text;
+    EXPECT_THROW(protocol::parse_discovery_page(text, plain_deployment()), protocol::FormatError) << text;
   }
 }
 
@@ -135,7 +135,7 @@
       {"rev":5,"flush":{"collection":1}},{"rev":6,"flush":{"collection":1,"ms":-4}},{"rev":99,"flush":{}},
       {"rev":7,"pool":{"endpoints":[{"name":""},{"name":"a,b"},{"address":"x"},{"name":"c","status":"odd"},5,
         {"name":"d","weight":-1},{"name":"d","since_ms":-1},{"name":"d","weight":"x"},{"name":"good"}]}}]})",
-      plain_profile());
+      plain_deployment());
   ASSERT_EQ(page.updates.size(), 1U);
   const auto& pool = std::get<protocol::EndpointsChanged>(page.updates[0].change);
   ASSERT_EQ(pool.endpoints.size(), 1U);
@@ -147,9 +147,9 @@
 // Without this, a page without any valid event would be polled for again and again.
 TEST(DiscoveryPage, AdvancesPastAPageWithoutValidEvents) {
   EXPECT_EQ(
-      protocol::parse_discovery_page(R"({"rev":9,"notices":[{"x":1}]})", plain_profile()).highest_sequence,
+      protocol::parse_discovery_page(R"({"rev":9,"notices":[{"x":1}]})", plain_deployment()).highest_sequence,
       9U);
-  EXPECT_EQ(protocol::parse_discovery_page(R"({"rev":9,"notices":[]})", plain_profile()).highest_sequence,
+  EXPECT_EQ(protocol::parse_discovery_page(R"({"rev":9,"notices":[]})", plain_deployment()).highest_sequence,
             0U);
 }
 
@@ -157,7 +157,7 @@
  protected:
   DiscoveryUpdateHandlerTest()
       : router_(
-            scheduler_, clock_, plain_profile().settings,
+            scheduler_, clock_, plain_deployment().settings,
             [this](Micros now, const Event& event, std::vector<Action>&) {
               now_ = now;
               if (const auto* list = std::get_if<EndpointListReceived>(&event)) {
@@ -178,7 +178,7 @@
     json page = {{"rev", sequence}, {"notices", json::array()}};
     json pool = {{"snapshot", complete}, {"endpoints", entries}};
     page["notices"].push_back({{"rev", sequence}, {"pool", pool}});
-    handler_.apply(protocol::read_discovery_page(page, plain_profile()));
+    handler_.apply(protocol::read_discovery_page(page, plain_deployment()));
   }
 
   transport::Scheduler scheduler_;
@@ -279,7 +279,7 @@
   const json page = {
       {"rev", 2},
       {"notices", {{{"rev", 2}, {"flush", {{"asset", "00000000000000ff"}, {"ms", now_ms - 500}}}}}}};
-  handler_.apply(protocol::read_discovery_page(page, plain_profile()));
+  handler_.apply(protocol::read_discovery_page(page, plain_deployment()));
   ASSERT_EQ(purges_.size(), 1U);
   EXPECT_EQ(purges_[0].object, 0xffU);
   EXPECT_GE(purges_[0].age, std::chrono::milliseconds(498));
--- a/tests/mutation_test.cpp
+++ b/tests/mutation_test.cpp
@@ -174,7 +174,7 @@
   for (int round = 0; round < kRounds; ++round) {
     try {
       const protocol::DiscoveryPage page =
-          protocol::parse_discovery_page(mutated(good, random), protocol::Profile());
+          protocol::parse_discovery_page(mutated(good, random), protocol::DeploymentSettings());
       ASSERT_LE(page.updates.size(), 4U);
       ++read;
     } catch (const protocol::FormatError&) {
--- a/tests/recorded_files_test.cpp
+++ b/tests/recorded_files_test.cpp
@@ -55,8 +55,8 @@
 }
 
 // Returns the kinds of the endpoints in the recorded list.
-protocol::Profile profile() {
-  protocol::Profile out;
+protocol::DeploymentSettings deployment() {
+  protocol::DeploymentSettings out;
   out.kinds = {"std", "parent", "origin"};
   out.parent_kind = 1;
   out.origin_kind = 2;
@@ -86,7 +86,7 @@
 
 TEST_F(RecordedFiles, ReadsADiscoveryPageCompletelyAndServesItUnchanged) {
   const json page = json::parse(read_file(fixture("board_page.json")));
-  const protocol::DiscoveryPage read = protocol::read_discovery_page(page, profile());
+  const protocol::DiscoveryPage read = protocol::read_discovery_page(page, deployment());
   EXPECT_EQ(read.last_sequence, 3U);
   EXPECT_THAT(read.updates, SizeIs(3));
   EXPECT_THAT(read.skipped, IsEmpty());
@@ -124,7 +124,7 @@
   EXPECT_EQ(found.last_sequence(), 3U);
   EXPECT_EQ(found.source_id, "80e49a025244b24f");
   EXPECT_EQ(found.confirmed_at, kSnapshotConfirmedAt);
-  EXPECT_THAT(protocol::read_discovery_page(found.page, profile()).updates, SizeIs(3));
+  EXPECT_THAT(protocol::read_discovery_page(found.page, deployment()).updates, SizeIs(3));
   EXPECT_EQ(snapshot::encode_snapshot(found), bytes);
 }
 
