--- a/adapter/wire.h
+++ b/adapter/wire.h
@@ -36,7 +36,7 @@
 using Handler = std::function<void(Micros, const Event&, std::vector<Action>&)>;
 // Creates the handler of a new instance from its settings and the seed of its random numbers.
 using MakeHandler = std::function<Handler(const Settings&, std::uint64_t seed)>;
-// Returns a handler with a Decider of its own.
+// Returns a handler that owns a new Decider.
 Handler make_decider(const Settings& settings, std::uint64_t seed);
 
 // Runs the instances of the bench protocol. Not thread-safe.
--- a/src/cache_node/source_client.h
+++ b/src/cache_node/source_client.h
@@ -1,4 +1,4 @@
-// Client of a cache node's sources. It speaks the protocol that routers use for cache nodes.
+// Client of a cache node's sources. It uses the same protocol as routers do for cache nodes.
 //
 // Each fetch has a new id, so that a late answer is never mistaken for the answer to another fetch.
 //
--- a/src/decision/fill_window.h
+++ b/src/decision/fill_window.h
@@ -1,5 +1,5 @@
 // The fill window limits the sending work that may wait for fills at once. It shrinks while fills fail or are
-// late, whatever the cause (the origin, parents, the link, a mass purge). Requests that do not fit it accept
+// late, for any cause (the origin, parents, the link, a mass purge). Requests that do not fit it accept
 // only cached copies.
 #pragma once
 
--- a/src/decision/idempotency.h
+++ b/src/decision/idempotency.h
@@ -18,7 +18,7 @@
   // attempt itself if it is already among those of the request.
   bool may_send(const Request& request, const Node& node, const Attempt* own = nullptr) const;
 
-  // Returns whether another attempt may follow a failed one, at whatever node.
+  // Returns whether another attempt may follow a failed one, at any node.
   bool may_retry(const Request& request) const;
 
  private:
--- a/src/decision/rendezvous.h
+++ b/src/decision/rendezvous.h
@@ -11,7 +11,8 @@
 namespace trailcourse {
 
 // Returns the indices of the listed nodes with the role, ordered by the hash of `key` and the address,
-// weighted by capacity. The order is the same on all routers, whatever the order of their endpoint lists.
+// weighted by capacity. The order is the same on all routers, for any order
+// of their endpoint lists.
 std::vector<int> rendezvous_order(const NodeTable& nodes, Role role, std::uint64_t key);
 
 }  // namespace trailcourse
--- a/src/fleet/layout.h
+++ b/src/fleet/layout.h
@@ -40,7 +40,7 @@
   double cold_s = 10.0;        // length of the slow start of caches and parents
   double cold_from = 0.3;      // their capacity share at the start of the slow start
   std::int64_t since_ms = 0;   // listed start time of caches and parents; 0: long ago
-  bool known = true;      // routers start with the endpoint list; else they wait for the discovery service
+  bool known = true;  // routers start with the endpoint list; false: they get it from the discovery service
   bool registry = false;  // the fleet has a coordination server, and its routers do owned work
   std::string embedded;   // the folder of an embedded store that all routers share instead of the server
   nlohmann::json ownership = nlohmann::json::object();     // keys of the section "ownership"
--- a/src/policy/observed_state.h
+++ b/src/policy/observed_state.h
@@ -31,9 +31,9 @@
 
 // Returns the entry of a key without the store's prefix, or an empty entry if there is none.
 using EntryLookup = std::function<coordination::Entry(const std::string& key)>;
-// Returns the state for zones that have no version of their own.
+// Returns the state for zones without a version record.
 ObservedState read_observed_state(const EntryLookup& entry_of);
-// Returns `observed` with the version of `zone`, which may have one of its own.
+// Returns `observed` with the version of `zone`, which may differ from the version of the other zones.
 ObservedState observed_in_zone(ObservedState observed, const EntryLookup& entry_of, const std::string& zone);
 // Returns the conditions under which a participant may join: no record has changed since it was observed.
 // Otherwise the participant could join under a version that is no longer in force.
--- a/src/policy/participant.cpp
+++ b/src/policy/participant.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// The terms that are passed to ownership::Lease, since a participant's lease has no term of its own.
+// The terms that are passed to ownership::Lease, since a participant's lease has no term.
 constexpr ownership::Term kGranted = 1;
 constexpr ownership::Term kReleased = 0;
 
--- a/src/policy/participant_report.h
+++ b/src/policy/participant_report.h
@@ -17,7 +17,7 @@
 
 namespace trailcourse::policy {
 
-// The report. A stage of 0 stands for no stage.
+// The report. A stage of 0 means no stage.
 struct ParticipantReport {
   std::string incarnation;                // of the process
   std::string zone;                       // of the participant
--- a/src/program/fleet_command.cpp
+++ b/src/program/fleet_command.cpp
@@ -233,7 +233,7 @@
     scheduler_.run_iteration(milliseconds(2));
   }
 
-  // Applies the faults that `trailcourse fleet fault` requests. Each is a line in a file of its own, which is
+  // Applies the faults that `trailcourse fleet fault` requests. Each is a line in a separate file, which is
   // removed once it is read.
   void apply_requested_faults() {
     if (Clock::now() < next_fault_check_) {
--- a/src/program/store_client.h
+++ b/src/program/store_client.h
@@ -12,7 +12,7 @@
 
 namespace trailcourse::program {
 
-// Runs a scheduler of its own while it waits.
+// Makes blocking calls to a coordination store. Runs its own scheduler while it waits.
 class StoreClient {
  public:
   explicit StoreClient(const coordination::CoordinationOptions& options);
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -47,7 +47,7 @@
 
   // `not_modified`: the copy that the client has is valid, and there is no body.
   virtual void served(std::string body, bool not_modified, const ServedBy& by) = 0;
-  // `retry_after` is zero if the client is not told when to retry.
+  // `retry_after` is zero if the answer carries no Retry-After.
   virtual void rejected(Micros retry_after) = 0;
   virtual void failed() = 0;
   // The answer is streamed.
@@ -116,7 +116,7 @@
   struct Bounds {
     std::size_t open = 4096;           // requests
     std::size_t bytes = 64U << 20U;    // of all their bodies, and `request_bytes` for each
-    std::size_t request_bytes = 4096;  // memory of a request beside its body
+    std::size_t request_bytes = 4096;  // memory of a request in addition to its body
   };
 
   // `scheduler` has to outlive this object.
--- a/src/startup/poll_scheduler.h
+++ b/src/startup/poll_scheduler.h
@@ -3,8 +3,8 @@
 //
 // The bound (derived in docs/cold-start.md): with N routers and a service that can serve R calls per second,
 // the first poll is drawn uniformly from a window of W = 2.4·N/R, and each poll after a failed one from a
-// window of 2W, which begins no earlier than Retry-After says. Whenever the routers start, and for whatever
-// reason, the expected number of their polls in any L seconds is at most N·L/W·(1 + e/2) <= R·L. The draws
+// window of 2W, which begins no earlier than Retry-After. Whenever and for any reason the routers start,
+// the expected number of their polls in any L seconds is at most N·L/W·(1 + e/2) <= R·L. The draws
 // are independent, so the number stays within R·L + 6·sqrt(R·L) + 12 except in one interval in millions.
 //
 // Library `startup`.
--- a/src/startup/readiness.h
+++ b/src/startup/readiness.h
@@ -48,7 +48,7 @@
 
   // Records a list that is known at startup. `current_at` is the last time at which it is known to have been
   // current: now for a list from the platform, the time stated in a snapshot otherwise.
-  // `start_times_known` says that the start times of its endpoints are still valid.
+  // `start_times_known`: the start times of its endpoints are still valid.
   void restore(Micros now, Micros current_at, bool start_times_known);
 
   // Records that the router has received all events that the service had at `current_at`.
--- a/src/store/index.h
+++ b/src/store/index.h
@@ -50,7 +50,7 @@
   std::uint16_t uses = 0;
 };
 
-// Named integers that the index stores beside its rows, by name.
+// Integers that the index stores in addition to its rows, by name.
 using IndexMarks = std::map<std::string, std::int64_t>;
 
 // Names of marks: the highest segment ever created, and the sequence number of the last discovery event whose
--- a/src/store/maintenance.h
+++ b/src/store/maintenance.h
@@ -53,8 +53,7 @@
 // removes the old ones. The folder must not be used by a node meanwhile.
 CompactReport compact_folder(Directory& directory, Index& index, double min_share,
                              std::uint64_t segment_bytes, const Progress& progress);
-// Removes all files, whatever format version wrote them, so that the folder can be used again. Returns the
-// number of files.
+// Removes all files, of any format version, so that the folder can be used again. Returns their number.
 std::uint64_t drop_folder(Directory& directory);
 
 // Returns the file name of a segment.
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -110,7 +110,7 @@
    public:
     Appender(DiskFiles& disk, WriteResult& result) : disk_(disk), result_(result) {}
 
-    // Makes room for a record of at most `bytes`; begins a new segment if the active one is full.
+    // Ensures that a record of at most `bytes` fits; begins a new segment if the active one is full.
     void make_room(std::uint64_t bytes) {
       const bool full = disk_.active && disk_.active_end + buffer_.size() + bytes > disk_.segment_bytes &&
                         disk_.active_end + buffer_.size() > kSegmentHeadBytes;
--- a/src/store/unix_clock.h
+++ b/src/store/unix_clock.h
@@ -1,4 +1,4 @@
-// A Unix clock that never goes back, neither within a run nor over restarts, whatever the system clock does.
+// A Unix clock that never goes back, neither within a run nor over restarts, even if the system clock does.
 //
 // The age of a copy decides whether it may be served. If the clock went back, a copy from before a purge
 // could pass the age limit of a request. The clock therefore advances with the steady clock, and is never
--- a/src/tasks/policy_documents.h
+++ b/src/tasks/policy_documents.h
@@ -29,8 +29,8 @@
   // Returns the document, or null if there is no valid one. The pointer is valid until the next add().
   const policy::PolicyDocument* find(std::uint64_t version) const;
 
-  // Checks whether a router with these capabilities can decide under the version. Version 0 stands for the
-  // settings without a document.
+  // Checks whether a router with these capabilities can decide under the version. Version 0 is the settings
+  // without a document.
   policy::PreparationResult check(std::uint64_t version,
                                   const policy::RouterCapabilities& capabilities) const;
 
--- a/src/tasks/request_policy.cpp
+++ b/src/tasks/request_policy.cpp
@@ -58,7 +58,7 @@
   for (const auto& [name, index] : deployment.class_index) {
     class_names_.at(static_cast<std::size_t>(index)) = name;
   }
-  // Version 0 stands for the settings, whose classes the decision module has from the start.
+  // Version 0 is the settings, whose classes the decision module has from the start.
   class_sets_[Key{0, 0}] = ClassSet{0, content_of(0)};
 }
 
