--- a/benchmarks/scale/board_costs.cpp
+++ b/benchmarks/scale/board_costs.cpp
@@ -227,13 +227,13 @@
   const transport::Address& address() const { return address_; }
   void run_until_held(std::size_t calls) {
     while (server_.long_polls().held() < calls) {
-      scheduler_.turn(milliseconds(5));
+      scheduler_.run_iteration(milliseconds(5));
     }
   }
   void run_for(milliseconds time) {
     const auto end = transport::Clock::now() + time;
     while (transport::Clock::now() < end) {
-      scheduler_.turn(milliseconds(5));
+      scheduler_.run_iteration(milliseconds(5));
     }
   }
   // A purge told to all that wait, until all wait again.
@@ -242,7 +242,7 @@
     log_.append(purge_page(log_.last_sequence(), 1, unix_ms_now()));
     server_.on_published();
     while (counts().released < released + askers) {
-      scheduler_.turn(milliseconds(5));
+      scheduler_.run_iteration(milliseconds(5));
     }
     run_until_held(askers);
   }
--- a/benchmarks/scale/purge_costs.cpp
+++ b/benchmarks/scale/purge_costs.cpp
@@ -30,7 +30,7 @@
   CostSeries bytes{
       "router.bytes.purge", "a page that tells so many purges", "bytes", "purges", "in process", {}};
   CostSeries cpu{"router.cpu.purge.parse", "that page parsed", "us", "purges", "in process", {}};
-  const protocol::Profile profile = protocol::read_profile(router_settings(1, 1));
+  const protocol::DeploymentSettings profile = protocol::read_deployment_settings(router_settings(1, 1));
   for (const int purges : kPageSizes) {
     // The board's name and numbers of the length that they have after a few weeks.
     discovery::EventLog log("0123456789abcdef");
@@ -48,7 +48,7 @@
 // Purges at an even pace, so many of which bind at any time.
 class PurgeStream {
  public:
-  PurgeStream(const protocol::Profile& profile, std::uint64_t seed, int binds)
+  PurgeStream(const protocol::DeploymentSettings& profile, std::uint64_t seed, int binds)
       : decider_(profile.settings, seed), step_((profile.settings.purge_done + kSecond) / binds) {}
 
   void tell(int purges) {
@@ -79,7 +79,7 @@
                     "purges that bind",
                     "in process",
                     {}};
-  const protocol::Profile profile = protocol::read_profile(router_settings(1, 1));
+  const protocol::DeploymentSettings profile = protocol::read_deployment_settings(router_settings(1, 1));
   for (const int binds : kBinding) {
     memory.points.emplace_back(binds, bytes_held_by([&] {
                                  auto stream = std::make_unique<PurgeStream>(profile, context.seed, binds);
@@ -149,7 +149,7 @@
 
 // The share of requests for objects that no purge named which are sent with an age limit all the same: each
 // copy older than the fold is fetched anew.
-double limited_share(const protocol::Profile& profile, std::uint64_t seed, int purges) {
+double limited_share(const protocol::DeploymentSettings& profile, std::uint64_t seed, int purges) {
   Decider decider(profile.settings, seed);
   std::vector<Action> actions;
   EndpointListReceived list;
@@ -196,7 +196,7 @@
       "purges at once",
       "in process",
       {}};
-  const protocol::Profile profile = protocol::read_profile(router_settings(1, 1));
+  const protocol::DeploymentSettings profile = protocol::read_deployment_settings(router_settings(1, 1));
   for (const int purges : {20'001, 25'000, 30'000}) {
     share.points.emplace_back(purges, limited_share(profile, context.seed, purges));
   }
--- a/benchmarks/scale/router_costs.cpp
+++ b/benchmarks/scale/router_costs.cpp
@@ -25,7 +25,7 @@
 // The part of a router that takes the board's pages in, with its decision module.
 class PageReader {
  public:
-  PageReader(const protocol::Profile& profile, std::uint64_t seed)
+  PageReader(const protocol::DeploymentSettings& profile, std::uint64_t seed)
       : profile_(profile),
         decider_(profile.settings, seed),
         router_(
@@ -39,7 +39,7 @@
   void take(const std::string& text) { taker_.apply(protocol::parse_discovery_page(text, profile_)); }
 
  private:
-  const protocol::Profile& profile_;
+  const protocol::DeploymentSettings& profile_;
   transport::Scheduler scheduler_;
   Decider decider_;
   routing::EndpointDirectory directory_;
@@ -94,7 +94,8 @@
                     "caches",
                     "in process",
                     {}};
-  const protocol::Profile profile = protocol::read_profile(router_settings(kRouters, kZones));
+  const protocol::DeploymentSettings profile =
+      protocol::read_deployment_settings(router_settings(kRouters, kZones));
   for (const int caches : kListSizes) {
     const std::string text = page_text(list_page(caches, kZones));
     bytes.points.emplace_back(caches, text.size());
@@ -140,7 +141,8 @@
                  "caches",
                  "in process",
                  {}};
-  const protocol::Profile profile = protocol::read_profile(router_settings(kRouters, kZones));
+  const protocol::DeploymentSettings profile =
+      protocol::read_deployment_settings(router_settings(kRouters, kZones));
   for (const int caches : kListSizes) {
     const nlohmann::json page = list_page(caches, kZones);
     PageReader reader(profile, context.seed);
@@ -159,7 +161,8 @@
 // Requests decided and answered, one after the other.
 class RequestLoop {
  public:
-  RequestLoop(const protocol::Profile& profile, std::uint64_t seed, const EndpointListReceived& list)
+  RequestLoop(const protocol::DeploymentSettings& profile, std::uint64_t seed,
+              const EndpointListReceived& list)
       : decider_(profile.settings, seed), random_(seed) {
     tell(list);
   }
@@ -224,7 +227,8 @@
                     "caches",
                     "in process",
                     {}};
-  const protocol::Profile profile = protocol::read_profile(router_settings(kRouters, kZones));
+  const protocol::DeploymentSettings profile =
+      protocol::read_deployment_settings(router_settings(kRouters, kZones));
   for (const int caches : kZoneSizes) {
     RequestLoop loop(profile, context.seed, whole_list(caches, kSampleZone));
     zone.points.emplace_back(caches, cpu_us_per_call(2'000, [&] { loop.one_request(); }));
--- a/benchmarks/scale/store_costs.cpp
+++ b/benchmarks/scale/store_costs.cpp
@@ -261,7 +261,7 @@
   template <typename Done>
   void run_until(Done done) {
     while (!done()) {
-      scheduler_.turn(milliseconds(1));
+      scheduler_.run_iteration(milliseconds(1));
     }
   }
 
