--- a/src/startup/endpoint_admission.h
+++ b/src/startup/endpoint_admission.h
@@ -6,7 +6,8 @@
 // A connections per second that the endpoint accepts from all of them. By the argument in poll_scheduler.h,
 // the sum over the fleet stays within A per second, for any event that the routers react to. The window
 // doubles each time the endpoint flaps. The admission time drawn before remains a lower bound after the
-// endpoint is gone, so that flapping never makes an admission earlier. Draining and removal take effect at once.
+// endpoint is gone, so that flapping never makes an admission earlier. Draining and removal take effect
+// at once.
 //
 // Library `startup`. The decision module selects an endpoint for each request from the admitted ones.
 #pragma once
