--- a/src/aggregation/aggregator_service.h
+++ b/src/aggregation/aggregator_service.h
@@ -1,7 +1,8 @@
 // The I/O of an aggregator: executes the calls to the store that aggregator.h decides on, and serves routers
 // over the store's own protocol. All decisions are made by aggregator.h.
 //
-// Library `aggregation`, over `coordination` and `policy`. One thread.
+// Library `aggregation`, over `coordination` and `policy`. Not thread-safe: it belongs to its scheduler's
+// thread.
 #pragma once
 
 #include <cstdint>
--- a/src/tasks/acknowledgement_task.h
+++ b/src/tasks/acknowledgement_task.h
@@ -2,7 +2,7 @@
 // discovery service that every router has applied, with policy::AcknowledgementCoordinator. Each round
 // requests the events that this process has applied itself.
 //
-// Library `tasks`, over `policy`. One thread.
+// Library `tasks`, over `policy`. Not thread-safe: it belongs to its scheduler's thread.
 #pragma once
 
 #include <string>
--- a/src/tasks/discovery_progress.h
+++ b/src/tasks/discovery_progress.h
@@ -1,6 +1,6 @@
 // The position up to which this process has applied the events of the discovery service.
 //
-// Library `tasks`. One thread.
+// Library `tasks`. Not thread-safe.
 #pragma once
 
 #include <cstdint>
--- a/src/tasks/fleet_report_task.h
+++ b/src/tasks/fleet_report_task.h
@@ -2,7 +2,7 @@
 // report under its term. The store rejects the writes of a former owner, so there is one report, and its sums
 // never decrease.
 //
-// Library `tasks`. One thread.
+// Library `tasks`. Not thread-safe: it belongs to its scheduler's thread.
 #pragma once
 
 #include <memory>
--- a/src/tasks/fleet_session.h
+++ b/src/tasks/fleet_session.h
@@ -1,6 +1,6 @@
 // A process's membership of the fleet: its session lease at the store, and the keys under this lease.
 //
-// Library `tasks`, over `coordination`, `membership` and `ownership`. One thread.
+// Library `tasks`, over `coordination`, `membership` and `ownership`. Not thread-safe.
 #pragma once
 
 #include <map>
--- a/src/tasks/health_check_task.h
+++ b/src/tasks/health_check_task.h
@@ -5,7 +5,7 @@
 // check the term. Verdicts contain the term, and a router rejects a verdict of an earlier term
 // (verdict_tracker.h).
 //
-// Library `tasks`, over `routing` and `transport`. One thread.
+// Library `tasks`, over `routing` and `transport`. Not thread-safe: it belongs to its scheduler's thread.
 #pragma once
 
 #include <map>
--- a/src/tasks/lease_calls.h
+++ b/src/tasks/lease_calls.h
@@ -1,6 +1,6 @@
 // Makes the calls to the store that a lease state machine (ownership/lease.h) requests.
 //
-// Library `tasks`, over `coordination` and `ownership`. One thread.
+// Library `tasks`, over `coordination` and `ownership`. Not thread-safe.
 #pragma once
 
 #include <functional>
--- a/src/tasks/owned_task.h
+++ b/src/tasks/owned_task.h
@@ -1,7 +1,7 @@
 // The interface between the task runner and the task of one shard of owned work. The runner starts and stops
 // the task. The task reports its progress, and checks before each effect whether it still may act.
 //
-// Library `tasks`. One thread.
+// Library `tasks`. Not thread-safe.
 #pragma once
 
 #include <functional>
--- a/src/tasks/peer_health_checks.h
+++ b/src/tasks/peer_health_checks.h
@@ -1,7 +1,7 @@
 // Periodic checks whether this member can connect to its peers. Peers that it cannot reach are reported as
 // suspected, since their sessions at the store may still be valid.
 //
-// Library `tasks`, over `membership` and `transport`. One thread.
+// Library `tasks`, over `membership` and `transport`. Not thread-safe: it belongs to its scheduler's thread.
 #pragma once
 
 #include <functional>
--- a/src/tasks/policy_documents.h
+++ b/src/tasks/policy_documents.h
@@ -1,6 +1,7 @@
 // The policy documents that this process has read from the store, by version, and their copies on disk.
 //
-// Library `tasks`, over `policy` and `store`. One thread; the disk is written on another.
+// Library `tasks`, over `policy` and `store`. Not thread-safe: it belongs to its scheduler's thread. The
+// disk is written on another thread.
 #pragma once
 
 #include <cstdint>
--- a/src/tasks/policy_rollout_task.h
+++ b/src/tasks/policy_rollout_task.h
@@ -1,6 +1,6 @@
 // Owned work of kind `policy`: runs rollouts of policy versions with policy::RolloutCoordinator.
 //
-// Library `tasks`, over `policy`. One thread.
+// Library `tasks`, over `policy`. Not thread-safe: it belongs to its scheduler's thread.
 #pragma once
 
 #include <string>
--- a/src/tasks/prefetch_task.h
+++ b/src/tasks/prefetch_task.h
@@ -2,7 +2,7 @@
 // router's decisions, as a client's request does. Each command contains the fencing token, so that a cache
 // node of this project rejects the commands of a former owner. Other caches are filled twice at worst.
 //
-// Library `tasks`, over `routing`. One thread.
+// Library `tasks`, over `routing`. Not thread-safe: it belongs to its scheduler's thread.
 #pragma once
 
 #include <map>
--- a/src/tasks/reconcile_task.h
+++ b/src/tasks/reconcile_task.h
@@ -2,7 +2,7 @@
 // state, and writes it if the store is unchanged since the snapshot and this process still owns the work. All
 // state is in the store, so that a successor continues from there.
 //
-// Library `tasks`. One thread.
+// Library `tasks`. Not thread-safe: it belongs to its scheduler's thread.
 #pragma once
 
 #include <memory>
--- a/src/tasks/request_policy.h
+++ b/src/tasks/request_policy.h
@@ -1,7 +1,7 @@
 // Applies the effective policy to requests: registers the request classes of each version at the decision
 // module, and returns the rule for each request that arrives.
 //
-// Library `tasks`, over `policy` and `routing`. One thread.
+// Library `tasks`, over `policy` and `routing`. Not thread-safe.
 #pragma once
 
 #include <compare>
--- a/src/tasks/step_loop.h
+++ b/src/tasks/step_loop.h
@@ -1,7 +1,7 @@
 // Runs the steps of a state machine on a scheduler: soon after an event, and at the time that the last step
 // has returned.
 //
-// Library `tasks`. One thread.
+// Library `tasks`. Not thread-safe: it belongs to its scheduler's thread.
 #pragma once
 
 #include <algorithm>
--- a/src/tasks/task_host.h
+++ b/src/tasks/task_host.h
@@ -1,6 +1,7 @@
 // Owns the tasks that run in this process: creates, stops and destroys them as the lease manager requests.
 //
-// Library `tasks`, over `coordination` and `ownership`. One thread.
+// Library `tasks`, over `coordination` and `ownership`. Not thread-safe: it belongs to its scheduler's
+// thread.
 #pragma once
 
 #include <map>
--- a/src/tasks/task_runner.h
+++ b/src/tasks/task_runner.h
@@ -2,8 +2,8 @@
 // to the lease manager and the membership view, and executes the actions of the lease manager as calls and
 // tasks. All decisions are made by the lease manager, the membership view and the leases.
 //
-// Library `tasks`, over `coordination`, `membership` and `ownership`. One thread. No request waits for the
-// runner.
+// Library `tasks`, over `coordination`, `membership` and `ownership`. Not thread-safe: it belongs to its
+// scheduler's thread. No request waits for the runner.
 #pragma once
 
 #include <functional>
