--- a/src/policy/participant.cpp
+++ b/src/policy/participant.cpp
@@ -19,7 +19,7 @@
 
 const char* to_string(ParticipantState state) {
   switch (state) {
-    case ParticipantState::kNoLease:
+    case ParticipantState::kNotParticipating:
       return "outside";
     case ParticipantState::kCurrent:
       return "current";
@@ -150,7 +150,7 @@
 
 ParticipantState Participant::state(Micros now) const {
   if (!joined_ || !lease_.may_act(now) || !has_observed_ || !documents_.is_prepared(observed_.version)) {
-    return ParticipantState::kNoLease;
+    return ParticipantState::kNotParticipating;
   }
   if (is_suspended()) {
     return ParticipantState::kInDoubt;
@@ -163,10 +163,11 @@
 
 EffectivePolicy Participant::effective_policy(Micros now) const {
   const ParticipantState current = state(now);
-  if (current != ParticipantState::kNoLease && current != ParticipantState::kInDoubt) {
+  if (current != ParticipantState::kNotParticipating && current != ParticipantState::kInDoubt) {
     return {EffectivePolicy::Kind::kSingle, observed_.version, observed_.version};
   }
-  // Without a lease the router may have missed later rollouts.
+  // No policy is in effect without a valid lease and a prepared document, since later rollouts may have been
+  // missed, nor during a suspension unless `serve_intersection` is set.
   if (!options_.serve_intersection || current != ParticipantState::kInDoubt) {
     return {};
   }
@@ -179,7 +180,7 @@
   return {};
 }
 
-bool Participant::ready(Micros now) const { return state(now) != ParticipantState::kNoLease; }
+bool Participant::ready(Micros now) const { return state(now) != ParticipantState::kNotParticipating; }
 
 // ---- Results of actions ----
 
--- a/src/policy/participant.h
+++ b/src/policy/participant.h
@@ -4,7 +4,8 @@
 //
 // | state     | meaning                                              | decides under                        |
 // | --------- | ---------------------------------------------------- | ------------------------------------ |
-// | no lease  | the lease was not granted yet, or has expired        | none: rejects requests               |
+// | outside   | has no valid lease, or no prepared document of the   | none: rejects requests               |
+// |           | version in force, or has observed no state yet       |                                      |
 // | current   | has a lease, and is not suspended                    | the version in force                 |
 // | prepared  | as current, and has reported that it is ready        | the version in force                 |
 // | in doubt  | is suspended, and does not know the outcome          | none: rejects requests, or serves    |
@@ -39,7 +40,9 @@
 
 namespace trailcourse::policy {
 
-enum class ParticipantState { kNoLease, kCurrent, kPrepared, kInDoubt, kSwitching };
+// The table above describes the states. kNotParticipating ("outside"): the lease is not valid, no state of
+// the store has been observed, or the document of the observed version is not prepared.
+enum class ParticipantState { kNotParticipating, kCurrent, kPrepared, kInDoubt, kSwitching };
 // Returns the name of the state in /healthz and in the log.
 const char* to_string(ParticipantState state);
 
--- a/src/tasks/policy_client.cpp
+++ b/src/tasks/policy_client.cpp
@@ -213,7 +213,7 @@
 void PolicyClient::log_state(Micros now) {
   const policy::ParticipantState state = participant_.state(now);
   if (state != std::exchange(logged_state_, state)) {
-    log_line(state == policy::ParticipantState::kNoLease ? Level::kWarning : Level::kInfo)
+    log_line(state == policy::ParticipantState::kNotParticipating ? Level::kWarning : Level::kInfo)
         << "policy: " << policy::to_string(state) << ", version " << participant_.observed().version;
   }
 }
--- a/src/tasks/policy_client.h
+++ b/src/tasks/policy_client.h
@@ -1,7 +1,8 @@
 // A router's side of the fleet's policy: passes the records of the store to the participant
 // (policy/participant.h), executes its actions, and sets the rule for each request that arrives.
 //
-// Library `tasks`, over `coordination`, `policy` and `routing`. One thread.
+// Library `tasks`, over `coordination`, `policy` and `routing`. Not thread-safe: it belongs to its
+// scheduler's thread.
 #pragma once
 
 #include <cstdint>
@@ -93,7 +94,7 @@
   coordination::LeaseId lease_ = 0;
   coordination::CoordinationStore::WatchId watch_ = 0;
   std::optional<std::uint64_t> logged_version_;
-  policy::ParticipantState logged_state_ = policy::ParticipantState::kNoLease;
+  policy::ParticipantState logged_state_ = policy::ParticipantState::kNotParticipating;
   bool stopping_ = false;
   StepLoop loop_;
 };
--- a/tests/participant_test.cpp
+++ b/tests/participant_test.cpp
@@ -84,7 +84,7 @@
 };
 
 TEST_F(ParticipantTest, RejectsRequestsWithoutALease) {
-  EXPECT_EQ(participant.state(kNow), ParticipantState::kNoLease);
+  EXPECT_EQ(participant.state(kNow), ParticipantState::kNotParticipating);
   EXPECT_FALSE(participant.ready(kNow));
   EXPECT_EQ(participant.effective_policy(kNow).kind, EffectivePolicy::Kind::kReject);
 }
@@ -99,7 +99,7 @@
 
 TEST_F(ParticipantTest, RejectsRequestsFromTheEndOfItsLease) {
   join();
-  EXPECT_EQ(participant.state(participant.lease_end()), ParticipantState::kNoLease);
+  EXPECT_EQ(participant.state(participant.lease_end()), ParticipantState::kNotParticipating);
 }
 
 TEST_F(ParticipantTest, ReportsThatItIsReadyWhenTheTargetVersionIsStored) {
