--- a/src/decision/keep_rank.cpp
+++ b/src/decision/keep_rank.cpp
@@ -10,11 +10,11 @@
 
 using std::chrono::seconds;
 
-// The weights of the score.
-constexpr double kAlpha = 1.0;  // of 1 / request count
-constexpr double kBeta = 0.9;   // of the size
-constexpr double kMu = 0.3;     // of the share of the parents that are known holders
-constexpr double kNu = 0.6;     // of the idle time
+// The weights of the terms of the score.
+constexpr double kRarityWeight = 1.0;  // of 1 / request count
+constexpr double kSizeWeight = 0.9;    // of the size
+constexpr double kHolderWeight = 0.3;  // of the share of the parents that are known holders
+constexpr double kIdleWeight = 0.6;    // of the idle time
 
 constexpr double kTopThreshold = 1.2;            // lower scores get the top rank
 constexpr double kMiddleThreshold = 2.0;         // lower scores get at least the middle rank
@@ -44,7 +44,8 @@
   entry.last_request = context_.now;
   largest_kb_ = std::max(largest_kb_, request.arrival.size_kb);
   const double size = largest_kb_ > 0.0 ? request.arrival.size_kb / largest_kb_ : 0.0;
-  return kAlpha / std::max(1.0, entry.request_count) + kBeta * size + kMu * holder_share(entry) + kNu * idle;
+  return kRarityWeight / std::max(1.0, entry.request_count) + kSizeWeight * size +
+         kHolderWeight * holder_share(entry) + kIdleWeight * idle;
 }
 
 // Returns the idle time divided by its maximum, limited to 1. A first request has the value 1.
