--- a/adapter/wire.h
+++ b/adapter/wire.h
@@ -74,7 +74,7 @@
   bool in_batch_ = false;
   std::string reply_;
   std::vector<Action> actions_;
-  std::map<std::int64_t, nlohmann::json> lists_;  // endpoint lists by their number in `Table`
+  std::map<std::int64_t, nlohmann::json> lists_;  // endpoint lists by the number in the message field `Table`
   std::map<std::int64_t, Instance> instances_;
 };
 
--- a/include/trailcourse/decider.h
+++ b/include/trailcourse/decider.h
@@ -80,7 +80,8 @@
   kNotCached       // only a cached copy was accepted, and there is none
 };
 
-// What an answer reports about the copy or the fill.
+// What an answer reports about the copy or the fill. kNotAtSource: the origin does not have the object, the
+// source was asked for a cached copy only and has none, or its copy is too old, purged or of another version.
 enum class Note {
   kNone,               // the deployment reports nothing
   kHit,                // the cache had a fresh copy
@@ -90,7 +91,7 @@
   kStale,              // the cache answered with a copy past its lifetime
   kSourceRejected,     // the source rejected the fill
   kSourceUnreachable,  // the cache could not connect to the source
-  kNotAtSource,        // the source was limited to cached copies and has none
+  kNotAtSource,        // the source has no copy that may answer the request, see above
   kNoFillCapacity,     // the cache has no capacity for another fill
   kOriginFailed        // the source could not get the object from the origin
 };
--- a/src/aggregation/report_summary.h
+++ b/src/aggregation/report_summary.h
@@ -1,9 +1,9 @@
 // The summary of the reports of all routers of a zone on a policy rollout.
 //
-// A summary never reports more progress than each router: it reports that the zone is ready, is suspended or
-// has switched to the new version only after every router has reported so. Nor does it report more progress
-// than the aggregator has observed in the store itself, since a router that joins later starts from the state
-// that the aggregator has observed. It acknowledges a round after every router has acknowledged it.
+// A summary reports no more progress than the slowest router of the zone: it reports that the zone is ready,
+// is suspended or has switched to the new version only after every router has reported so. It also reports no
+// more progress than the aggregator has read from the store, because a router that joins later starts from
+// the state that the aggregator has read. It acknowledges a round after every router has acknowledged it.
 //
 // Library `aggregation`: no I/O, no clock.
 #pragma once
--- a/src/aggregation/upstream_lease.cpp
+++ b/src/aggregation/upstream_lease.cpp
@@ -134,7 +134,9 @@
   return connected || lease_.phase(now) == LeasePhase::kStopped;
 }
 
-// While no lease call may be made, the lease determines no next step, since only an event can change that.
+// While no lease call may be made, the retry and renewal times of the lease are left out, since calls only
+// become possible again after an event, such as a reconnect to the store. The expiry of the lease still
+// counts.
 std::optional<Micros> UpstreamLease::next_step_at(Micros now, bool connected) const {
   std::optional<Micros> out = may_call(now, connected) ? lease_.next_step_at(now) : std::nullopt;
   if (lease_.may_act(now)) {
--- a/src/cache_node/node_core.h
+++ b/src/cache_node/node_core.h
@@ -126,10 +126,13 @@
   std::size_t waiting_bytes = 0;  // of answers that are queued and not sent yet
 };
 
-// Numbers of events since the start of the node. `joined`: requests that waited for the fill of another
-// request. `rejected`: requests answered ERR because they are invalid, or because their source gave a reason.
-// `too_old`: copies that a request could not use because of a purge or its age limit. `late_lookups`: disk
-// reads that exceeded their timeout.
+// Numbers of events since the start of the node.
+//
+// `joined`: requests that waited for the fill of another request.
+// `busy`: requests answered BUSY, because the node or their source has no capacity for them.
+// `rejected`: requests answered ERR because they are invalid, or because their source gave a reason.
+// `late_lookups`: disk reads that exceeded their timeout and counted as misses.
+// `too_old`: copies that a request could not use because of a purge or its age limit.
 struct NodeCounts {
   std::uint64_t requests = 0, hits = 0, stale_hits = 0, not_modified = 0, misses = 0, fills = 0, joined = 0,
                 busy = 0, rejected = 0;
--- a/src/cache_node/source_client.cpp
+++ b/src/cache_node/source_client.cpp
@@ -133,9 +133,9 @@
   pending_fetches_[fill] = PendingFetch{slot->link, id};
 }
 
-// Sends a cancel command if a part of the request may have been sent. If that was at least
-// `silent_after` ago and nothing was received from the source since, drops all connections to the source: new
-// ones show whether it is still reachable.
+// Sends a cancel command if a part of the request may have been sent. If the request was sent at least
+// `silent_after` ago and nothing has been received from the source since, retires all connections to the
+// source: new ones show whether it is still reachable.
 void SourceClient::stop(FillNumber fill) {
   const auto found = pending_fetches_.find(fill);
   if (found == pending_fetches_.end()) {
--- a/src/cache_node/source_client.h
+++ b/src/cache_node/source_client.h
@@ -62,8 +62,8 @@
   struct Bounds {
     SourceConnection::Pool::Bounds pool;
     std::size_t answer_bytes = 64U << 20U;  // of one body; a longer one ends the connection
-    // If a fetch is stopped after this time, and nothing was received from its source since it was sent, the
-    // connections to the source are dropped.
+    // When a fetch is stopped at least this long after it was sent, and nothing has been received from its
+    // source since then, the connections to the source are retired: they get no new fetches.
     transport::Clock::duration silent_after = std::chrono::milliseconds(400);
   };
   using ResultCallback = std::function<void(FillNumber, const FetchResult&)>;
--- a/src/decision/load_shedding.h
+++ b/src/decision/load_shedding.h
@@ -1,6 +1,6 @@
 // Load shedding: a request whose predicted latency misses its objective is rejected early, large objects
-// first. No size is answered far less often than the rest of its class, since otherwise every retry for a
-// large object would be rejected as well.
+// first. Requests for a large size that is already answered far less often than its class are not shed:
+// otherwise every retry for such an object would be rejected too.
 #pragma once
 
 #include <array>
--- a/src/discovery/event_log.cpp
+++ b/src/discovery/event_log.cpp
@@ -127,7 +127,7 @@
   return pages_[sequence] = std::make_shared<const std::string>(page.dump());
 }
 
-EventLog::Events EventLog::compacted_events(UnixTime binding_since) const {
+EventLog::Events EventLog::compacted_events(UnixTime purges_since) const {
   EndpointsByName endpoints;
   json index;
   std::uint64_t list_sequence = 0;
@@ -138,7 +138,7 @@
       list_sequence = sequence;
       index = pool.contains("index") ? pool["index"] : json();
       apply_list(endpoints, pool);
-    } else if (purge_time(event) >= binding_since) {
+    } else if (purge_time(event) >= purges_since) {
       out[sequence] = event;
     }
   }
@@ -148,16 +148,16 @@
   return out;
 }
 
-json EventLog::compacted_page(UnixTime binding_since) const {
-  const Events compacted = compacted_events(binding_since);
+json EventLog::compacted_page(UnixTime purges_since) const {
+  const Events compacted = compacted_events(purges_since);
   return page_of(compacted.begin(), compacted.end());
 }
 
-void EventLog::compact(std::size_t max_events, UnixTime binding_since) {
+void EventLog::compact(std::size_t max_events, UnixTime purges_since) {
   if (events_.size() <= max_events) {
     return;
   }
-  events_ = compacted_events(binding_since);
+  events_ = compacted_events(purges_since);
   pages_.clear();
 }
 
--- a/src/discovery/event_log.h
+++ b/src/discovery/event_log.h
@@ -3,9 +3,9 @@
 // rendered once for all clients that poll from the same sequence number.
 //
 // Compaction replaces all changes of the endpoint list by one full list with the sequence number of the last
-// change, and drops purge events from before a given time, which no longer bind. A client that polls from an
-// older sequence number gets the full list and all binding purge events, which has the same effect as the
-// original events.
+// change. It drops purge events from before a given time: they no longer have to be applied, since no cache
+// has a copy purged by them any more. A client that polls from an older sequence number gets the full list
+// and all remaining purge events, which has the same effect as the original events.
 //
 // Library `discovery`. Not thread-safe.
 #pragma once
@@ -62,16 +62,16 @@
   std::uint64_t rendered_pages() const { return rendered_pages_; }
   std::uint64_t requested_pages() const { return requested_pages_; }
 
-  // Compacts the log if it has more than `max_events` events. Drops purge events from before `binding_since`.
-  void compact(std::size_t max_events, UnixTime binding_since);
+  // Compacts the log if it has more than `max_events` events. Drops purge events from before `purges_since`.
+  void compact(std::size_t max_events, UnixTime purges_since);
 
-  // Returns the log as one compacted page: a full list, and the purge events since `binding_since`.
-  nlohmann::json compacted_page(UnixTime binding_since) const;
+  // Returns the log as one compacted page: a full list, and the purge events since `purges_since`.
+  nlohmann::json compacted_page(UnixTime purges_since) const;
 
  private:
   using Events = std::map<std::uint64_t, nlohmann::json>;  // by sequence number
 
-  Events compacted_events(UnixTime binding_since) const;
+  Events compacted_events(UnixTime purges_since) const;
   nlohmann::json page_of(Events::const_iterator first, Events::const_iterator last) const;
 
   std::string source_id_;
--- a/src/discovery/long_poll_scheduler.h
+++ b/src/discovery/long_poll_scheduler.h
@@ -4,8 +4,9 @@
 // Two numbers are bounded here: the polls held at once, and the polls accepted per second. A poll above a
 // bound gets a slot in a virtual queue that is served at the configured rate, and its Retry-After is the wait
 // until that slot, so that it grows with the queue and rejected clients do not all return at the same time.
-// Held polls are answered in random order over a release window, which has to be shorter than the bound on
-// purges.
+// Held polls are answered in random order over a release window. It has to be shorter than the routers'
+// setting
+// `Settings::purge_grace`, the time after a purge from which no purged copy may be served.
 //
 // Library `discovery`: no I/O and no clock. Not thread-safe.
 #pragma once
--- a/src/fleet/fault_proxy.cpp
+++ b/src/fleet/fault_proxy.cpp
@@ -57,8 +57,7 @@
     if (proxy_ == nullptr) {
       return;
     }
-    // While the link is cut, the end of one connection is not passed to the other.
-    pump();
+    pump();  // closes the other connection too, unless the link is cut
   }
   // Forwards what is due in both directions, and closes the pair when one side has ended and its bytes were
   // forwarded, unless the link is cut.
--- a/src/ownership/work_records.h
+++ b/src/ownership/work_records.h
@@ -114,7 +114,9 @@
 };
 
 // Returns the transaction that makes `owner` the owner of a shard without an owner, and deletes a pending
-// release request. If the shard has an owner, the transaction reads it. `prefix` precedes all keys.
+// release request. If the shard already has an owner, the transaction changes nothing and only reads the
+// owner.
+// `prefix` precedes all keys.
 coordination::Transaction acquire_transaction(const std::string& prefix, const ShardId& id,
                                               const Owner& owner, coordination::LeaseId lease);
 // Reads the result of acquire_transaction().
--- a/src/program/aggregator_command.cpp
+++ b/src/program/aggregator_command.cpp
@@ -136,7 +136,7 @@
       open_store(scheduler, file.coordination, seed);
   AggregatorService service(scheduler, *store, options, prefix, seed);
   tasks::DiscoveryProgress progress;
-  // The aggregator has no zone: work of a zone is owned by routers of that zone.
+  // Registers with an empty zone, so that this process takes no work of a zone: routers of the zone own it.
   TaskRunner runner(scheduler, *store, ownership_options(file), prefix,
                     tasks::MemberIdentity{options.name, service.aggregator().identity().incarnation, "",
                                           options.listen, ""});
--- a/src/program/configuration.cpp
+++ b/src/program/configuration.cpp
@@ -83,7 +83,8 @@
   return *seed;
 }
 
-// Applies the section `router` of the operator's file, then that of the configuration file, then the flags.
+// Applies the section `router` of the operator's file, then that of the configuration file, then the options
+// of the command line. Later values override earlier ones.
 void read_tuning(const json& source, const Sources& sources, Tuning& tuning) {
   const auto apply = [&tuning](const json& section) {
     for (const auto& [name, value] : section.items()) {
--- a/src/program/configuration.h
+++ b/src/program/configuration.h
@@ -105,7 +105,8 @@
   std::function<const char*(const char*)> environment;  // std::getenv, or a substitute in tests
   std::string file;                                     // overrides NODE_CONFIG
   std::string listen;                                   // overrides NODE_LISTEN and the file
-  std::string operator_file;      // its section `router` is read before that of the file
+  // Path of the operator's file. Keys of the section `router` in the configuration file override its keys.
+  std::string operator_file;
   std::vector<std::string> sets;  // KEY=NUMBER, each for a key of the section `router`
 };
 
--- a/src/routing/cache_client.cpp
+++ b/src/routing/cache_client.cpp
@@ -221,7 +221,9 @@
     return;
   }
   if (code != AnswerCode::kOk && code != AnswerCode::kSame) {
-    retire_id(id);  // a further attempt may follow, and this answer may be repeated
+    // A retry may reuse this id. It must not use this connection, where a duplicate of this answer would be
+    // taken for the answer to the retry.
+    retire_id(id);
   }
   const AttemptKey key = end_call(found);
   AttemptResult result;
--- a/src/routing/cache_client.h
+++ b/src/routing/cache_client.h
@@ -82,8 +82,8 @@
  public:
   struct Bounds {
     CacheConnection::Pool::Bounds pool;
-    // If a call is cancelled at least this long after it was sent, and its cache has sent nothing since, all
-    // connections to the cache are retired.
+    // When a call is cancelled at least this long after it was sent, and nothing has been received from its
+    // cache since then, all connections to the cache are retired: they get no new calls.
     transport::Clock::duration silent_after = std::chrono::seconds(1);
     // Time without data within an answer after which the connection is closed.
     transport::Clock::duration stall_after = std::chrono::milliseconds(400);
--- a/src/routing/relay.h
+++ b/src/routing/relay.h
@@ -1,10 +1,10 @@
 // Relays the pages of the discovery service to other routers of the zone, with the protocol of the service
-// and two additional headers. `X-Age-Ms` is an upper bound of the time since the page certainly held all
+// and two additional headers. `X-Age-Ms` is an upper bound of the time since the page last contained all
 // events of the service. `X-Path` names the routers that the page passed through, this one first.
 //
 // A relay serves no page that is older than allowed: it rejects new polls and the polls that it holds.
 //
-// Library `routing`, over `discovery`. One thread.
+// Library `routing`, over `discovery`. Not thread-safe: it belongs to its scheduler's thread.
 #pragma once
 
 #include <trailcourse/decider.h>
--- a/src/snapshot/snapshot.h
+++ b/src/snapshot/snapshot.h
@@ -1,6 +1,7 @@
-// The snapshot that a router keeps across restarts: the endpoint list and the binding purge events, with
-// their sequence number, the identifier of the discovery service and the time at which they are known to have
-// been current. decode_snapshot() checks whether a stored snapshot may be used.
+// The snapshot that a router keeps across restarts: the endpoint list, the purge events that still have to be
+// applied since caches may have copies purged by them, the sequence number of both, the identifier of the
+// discovery service, and the time at which the list and the events are known to have been current.
+// decode_snapshot() checks whether a stored snapshot may be used.
 //
 // A file is the line "trailcourse-snapshot VERSION CHECKSUM LENGTH", followed by LENGTH bytes of JSON whose
 // XXH3 is CHECKSUM, so that a truncated or damaged file is detected before its JSON is parsed.
--- a/src/startup/options.h
+++ b/src/startup/options.h
@@ -40,8 +40,8 @@
 struct PollOptions {
   bool spread = false;                      // draw poll times from windows that grow with the fleet
   double calls_per_s = 100.0;               // polls that the service can serve, from all routers together
-  Micros min_backoff{50'000};               // shortest window after a failure
-  Micros max_backoff{400'000};              // longest mean backoff without `spread`
+  Micros min_backoff{50'000};               // shortest mean backoff; with `spread`: shortest window W
+  Micros max_backoff{400'000};              // without `spread`: upper limit of the mean backoff
   Micros max_window{60'000'000};            // longest window with `spread`
   Micros update_jitter{0};                  // longest delay of the poll that follows updates
   Micros max_retry_after{120'000'000};      // a longer Retry-After is reduced to this
--- a/src/startup/poll_scheduler.cpp
+++ b/src/startup/poll_scheduler.cpp
@@ -16,8 +16,9 @@
   return Micros(delay(random_));
 }
 
-// Returns, with `spread`, W for the first poll and 2W after failures. Without it, returns twice the backoff,
-// so that the mean of the draw is the backoff.
+// Returns the length of the window from which the delay of the next poll is drawn uniformly. With `spread`: W
+// for the first poll and 2W after failures (W is defined in poll_scheduler.h), at most `max_window`. Without
+// `spread`: twice the backoff, so that the mean delay equals the backoff.
 Micros PollScheduler::backoff_window(int doublings) const {
   if (!options_.spread) {
     const int factor = 1 << std::clamp(doublings, 0, kMaxDoublings);
--- a/src/startup/readiness.cpp
+++ b/src/startup/readiness.cpp
@@ -53,8 +53,9 @@
   return list_age <= options_.notification_bound ? Staleness::kCurrent : Staleness::kStale;
 }
 
-// Caches have dropped all copies that were purged longer than `purge_completion` ago, and a purge binds from
-// `notification_bound` on. Only purges of an age between the two can be missed and binding.
+// Caches have dropped all copies that were purged longer than `purge_completion` ago, and a router has to
+// have applied a purge by the age of `notification_bound`. So only a purge of an age between the two can be
+// one that still has to be applied and is missing here.
 bool Readiness::purges_may_be_missing(Micros now) const {
   return age(now) > options_.notification_bound && options_.notification_bound < options_.purge_completion;
 }
--- a/src/startup/relay_selector.h
+++ b/src/startup/relay_selector.h
@@ -33,7 +33,7 @@
 
 // What the page of a relay states about itself.
 struct RelayStatus {
-  Micros age{0};                  // time since the page is known to have had all events of the service
+  Micros age{0};                  // time since the page was last known to contain all events of the service
   std::vector<std::string> path;  // routers that the page passed through, the relay first
 };
 
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -1048,8 +1048,8 @@
   } else {
     stats_.writes_shed += batch->records.size();
     if (result->disk_full) {
-      // The lower limits apply until the pause is over: other programs may have filled the disk, and may free
-      // space again.
+      // The disk is full: lowers the size limits to the space in use now. The first insert after the write
+      // pause restores them, since other programs may have freed space by then.
       disk_was_full_ = true;
       segments_.shrink(segments_.file_bytes());
       disk_limit_ = std::min(
