--- a/src/program/work_command.cpp
+++ b/src/program/work_command.cpp
@@ -16,7 +16,7 @@
 #include "program/store_client.h"
 #include "protocol/numbers.h"
 #include "tasks/fleet_report_task.h"
-#include "tasks/prefetch_order.h"
+#include "tasks/prefetch_parameters.h"
 
 namespace trailcourse::program {
 
@@ -262,17 +262,18 @@
   work.zone = command.zone;
   work.shards = static_cast<std::uint64_t>(std::max(0, command.shards));
   if (work.kind == "fill") {
-    tasks::PrefetchOrder order;
-    order.request_class = command.request_class;
-    order.at_ms = parse_start_time(command.at);
-    order.objects_per_s = command.objects_per_s;
-    order.objects = command.objects;
-    tasks::read_prefetch_order(tasks::write_prefetch_order(order));  // throws if the order is invalid
-    if (order.objects.empty()) {
+    tasks::PrefetchParameters parameters;
+    parameters.request_class = command.request_class;
+    parameters.at_ms = parse_start_time(command.at);
+    parameters.objects_per_s = command.objects_per_s;
+    parameters.objects = command.objects;
+    // Throws if the parameters are invalid.
+    tasks::read_prefetch_parameters(tasks::write_prefetch_parameters(parameters));
+    if (parameters.objects.empty()) {
       throw std::invalid_argument("--objects: the list is empty");
     }
-    order.objects.clear();
-    work.params = tasks::write_prefetch_order(order);
+    parameters.objects.clear();
+    work.params = tasks::write_prefetch_parameters(parameters);
   }
   if (work.kind == "probe" && work.zone.empty()) {
     throw std::invalid_argument("--zone: work of kind probe needs a zone");
--- a/src/tasks/prefetch_order.cpp
+++ b/src/tasks/prefetch_parameters.cpp
@@ -1,4 +1,4 @@
-#include "tasks/prefetch_order.h"
+#include "tasks/prefetch_parameters.h"
 
 #include <nlohmann/json.hpp>
 #include <sstream>
@@ -26,49 +26,51 @@
   std::vector<std::string> objects;
   for (const json& value : values) {
     if (!value.is_string() || !is_object_name(value.get<std::string>())) {
-      throw InvalidPrefetchOrder("objects",
-                                 value.dump() + " is not of the form ITEM or ITEM/PART, ITEM 16 hex digits");
+      throw InvalidPrefetchParameters(
+          "objects", value.dump() + " is not of the form ITEM or ITEM/PART, ITEM 16 hex digits");
     }
     objects.push_back(value.get<std::string>());
   }
   return objects;
 }
 
-void read_field(const std::string& name, const json& value, PrefetchOrder& order) {
+void read_field(const std::string& name, const json& value, PrefetchParameters& parameters) {
   if (name == "class" && value.is_string()) {
-    order.request_class = value.get<std::string>();
+    parameters.request_class = value.get<std::string>();
   } else if (name == "at_ms" && value.is_number_integer() && value.get<std::int64_t>() >= 0) {
-    order.at_ms = value.get<std::int64_t>();
+    parameters.at_ms = value.get<std::int64_t>();
   } else if (name == "objects_per_s" && value.is_number() && value.get<double>() >= 0.0) {
-    order.objects_per_s = value.get<double>();
+    parameters.objects_per_s = value.get<double>();
   } else if (name == "objects" && value.is_array() && !value.empty() && value.size() <= kMaxObjects) {
-    order.objects = read_objects(value);
+    parameters.objects = read_objects(value);
   } else {
-    throw InvalidPrefetchOrder(name, "no such field, or a value that cannot be used");
+    throw InvalidPrefetchParameters(name, "no such field, or a value that cannot be used");
   }
 }
 
 }  // namespace
 
-PrefetchOrder read_prefetch_order(const std::string& params) {
+PrefetchParameters read_prefetch_parameters(const std::string& params) {
   const json fields = json::parse(params, nullptr, false);
   if (!fields.is_object()) {
-    throw InvalidPrefetchOrder("params", "no JSON object");
+    throw InvalidPrefetchParameters("params", "no JSON object");
   }
-  PrefetchOrder order;
+  PrefetchParameters parameters;
   for (const auto& [name, value] : fields.items()) {
-    read_field(name, value, order);
+    read_field(name, value, parameters);
   }
-  if (order.request_class.empty()) {
-    throw InvalidPrefetchOrder("class", "missing");
+  if (parameters.request_class.empty()) {
+    throw InvalidPrefetchParameters("class", "missing");
   }
-  return order;
+  return parameters;
 }
 
-std::string write_prefetch_order(const PrefetchOrder& order) {
-  json fields{{"class", order.request_class}, {"at_ms", order.at_ms}, {"objects_per_s", order.objects_per_s}};
-  if (!order.objects.empty()) {
-    fields["objects"] = order.objects;
+std::string write_prefetch_parameters(const PrefetchParameters& parameters) {
+  json fields{{"class", parameters.request_class},
+              {"at_ms", parameters.at_ms},
+              {"objects_per_s", parameters.objects_per_s}};
+  if (!parameters.objects.empty()) {
+    fields["objects"] = parameters.objects;
   }
   return fields.dump();
 }
--- a/src/tasks/prefetch_order.h
+++ b/src/tasks/prefetch_parameters.h
@@ -1,5 +1,4 @@
-// An operator's order to prefetch objects: the parameters of work of kind `fill`, and the lists of objects
-// per shard.
+// The parameters of prefetching, which is owned work of kind `fill`, and the lists of objects per shard.
 //
 // Library `tasks`: knows JSON; no I/O, no clock.
 #pragma once
@@ -11,8 +10,8 @@
 
 namespace trailcourse::tasks {
 
-// The parameters of the work.
-struct PrefetchOrder {
+// The parameters of one prefetch, given by the operator.
+struct PrefetchParameters {
   std::string request_class;
   std::int64_t at_ms = 0;      // Unix time of the first request; 0: now
   double objects_per_s = 0.0;  // of each shard; 0: no limit
@@ -20,13 +19,13 @@
   // list in the store, so that a long list is not sent to every router.
   std::vector<std::string> objects;
 
-  friend bool operator==(const PrefetchOrder&, const PrefetchOrder&) = default;
+  friend bool operator==(const PrefetchParameters&, const PrefetchParameters&) = default;
 };
 
-// Thrown for an order that cannot be executed. what() is "FIELD: REASON".
-class InvalidPrefetchOrder : public std::invalid_argument {
+// Thrown for parameters that cannot be executed. what() is "FIELD: REASON".
+class InvalidPrefetchParameters : public std::invalid_argument {
  public:
-  InvalidPrefetchOrder(const std::string& field, const std::string& reason)
+  InvalidPrefetchParameters(const std::string& field, const std::string& reason)
       : std::invalid_argument(field + ": " + reason), field_(field) {}
 
   const std::string& field() const { return field_; }
@@ -35,11 +34,11 @@
   std::string field_;
 };
 
-// Reads the JSON parameters of the work. Throws InvalidPrefetchOrder.
-PrefetchOrder read_prefetch_order(const std::string& params);
+// Reads the JSON parameters of the work. Throws InvalidPrefetchParameters.
+PrefetchParameters read_prefetch_parameters(const std::string& params);
 
 // Writes the parameters as JSON.
-std::string write_prefetch_order(const PrefetchOrder& order);
+std::string write_prefetch_parameters(const PrefetchParameters& parameters);
 
 // Returns the key of the list of one shard's objects, without the store's prefix.
 std::string prefetch_list_key(const std::string& work, std::uint64_t shard);
--- a/src/tasks/prefetch_plan.cpp
+++ b/src/tasks/prefetch_plan.cpp
@@ -34,15 +34,15 @@
 
 }  // namespace
 
-PrefetchPlan::PrefetchPlan(const PrefetchOrder& order, std::uint64_t shard, std::uint64_t shards,
+PrefetchPlan::PrefetchPlan(const PrefetchParameters& parameters, std::uint64_t shard, std::uint64_t shards,
                            const PrefetchOptions& options, const std::string& checkpoint)
     : options_(options) {
   const std::uint64_t stride = std::max<std::uint64_t>(1, shards);
-  for (std::size_t i = shard; i < order.objects.size(); i += stride) {
-    objects_.push_back(order.objects[i]);
+  for (std::size_t i = shard; i < parameters.objects.size(); i += stride) {
+    objects_.push_back(parameters.objects[i]);
   }
-  if (order.objects_per_s > 0.0) {
-    pacing_interval_ = Micros(static_cast<Micros::rep>(1e6 / order.objects_per_s));
+  if (parameters.objects_per_s > 0.0) {
+    pacing_interval_ = Micros(static_cast<Micros::rep>(1e6 / parameters.objects_per_s));
   }
   progress_.total = objects_.size();
   restore(checkpoint);
@@ -60,7 +60,7 @@
   progress.total = unsigned_field(saved, "of");
   const std::uint64_t prefix = unsigned_field(saved, "all_before");
   std::set<std::size_t> beyond = read_indices(saved, "beyond", prefix, objects_.size());
-  // A checkpoint of an earlier, different order does not apply to this one.
+  // A checkpoint that was written under other parameters does not apply.
   const bool consistent = prefix <= objects_.size() && progress.total == objects_.size() &&
                           progress.finished() == prefix + beyond.size();
   if (!consistent) {
--- a/src/tasks/prefetch_plan.h
+++ b/src/tasks/prefetch_plan.h
@@ -15,7 +15,7 @@
 #include <string>
 #include <vector>
 
-#include "tasks/prefetch_order.h"
+#include "tasks/prefetch_parameters.h"
 
 namespace trailcourse::tasks {
 
@@ -44,7 +44,7 @@
  public:
   // Plans the objects of `shard` out of `shards`. Continues from `checkpoint`. A checkpoint that is
   // malformed, or of another list of objects, is ignored.
-  PrefetchPlan(const PrefetchOrder& order, std::uint64_t shard, std::uint64_t shards,
+  PrefetchPlan(const PrefetchParameters& parameters, std::uint64_t shard, std::uint64_t shards,
                const PrefetchOptions& options, const std::string& checkpoint);
 
   // Returns the indices of the objects to request now. Each request counts as in flight until on_result().
--- a/src/tasks/prefetch_task.cpp
+++ b/src/tasks/prefetch_task.cpp
@@ -91,28 +91,28 @@
 
 void PrefetchTask::start() {
   try {
-    read_order();
-  } catch (const InvalidPrefetchOrder& error) {
+    read_parameters();
+  } catch (const InvalidPrefetchParameters& error) {
     fail(error.what());
     return;
   }
-  if (order_->objects.empty()) {
+  if (parameters_->objects.empty()) {
     load_list();
   } else {
     make_plan(context_.id.shard, context_.work.shards);
   }
 }
 
-void PrefetchTask::read_order() {
-  order_ = read_prefetch_order(context_.work.params);
-  const std::string& name = order_->request_class;
+void PrefetchTask::read_parameters() {
+  parameters_ = read_prefetch_parameters(context_.work.params);
+  const std::string& name = parameters_->request_class;
   const auto found = deployment_.class_index.find(name);
   if (found == deployment_.class_index.end()) {
-    throw InvalidPrefetchOrder("class", "'" + name + "' is not served here");
+    throw InvalidPrefetchParameters("class", "'" + name + "' is not served here");
   }
   const ClassSettings& settings = deployment_.settings.classes[static_cast<std::size_t>(found->second)];
   if (settings.idempotency != Idempotency::kSafe || settings.uncached) {
-    throw InvalidPrefetchOrder("class", "'" + name + "' is not one that caches keep");
+    throw InvalidPrefetchParameters("class", "'" + name + "' is not one that caches keep");
   }
   request_class_ = found->second;
 }
@@ -129,8 +129,8 @@
     if (!*alive || plan_ || completed_ || stopping_) {
       return;
     }
-    order_->objects = read_prefetch_list(text.value_or(""));
-    if (order_->objects.empty()) {
+    parameters_->objects = read_prefetch_list(text.value_or(""));
+    if (parameters_->objects.empty()) {
       fail("objects: none are listed for this shard");
     } else {
       make_plan(0, 1);  // the list contains the objects of this shard alone
@@ -145,7 +145,7 @@
   options.max_in_flight = static_cast<std::size_t>(options_.fill_open);
   options.max_attempts = static_cast<int>(options_.fill_tries);
   options.retry_backoff = milliseconds(options_.fill_retry_ms);
-  plan_.emplace(*order_, shard, shards, options, context_.checkpoint);
+  plan_.emplace(*parameters_, shard, shards, options, context_.checkpoint);
   run_step();
 }
 
@@ -194,7 +194,7 @@
 }
 
 bool PrefetchTask::is_start_time_reached() {
-  const milliseconds wait(order_->at_ms - unix_now_ms());
+  const milliseconds wait(parameters_->at_ms - unix_now_ms());
   if (wait <= milliseconds(0)) {
     return true;
   }
@@ -223,7 +223,7 @@
   const std::size_t slash = object.find('/');
   auto forwarded = std::make_shared<protocol::ForwardedRequest>();
   forwarded->id = format_request_id(++last_request_id_);
-  forwarded->request_class = order_->request_class;
+  forwarded->request_class = parameters_->request_class;
   forwarded->object = object.substr(0, slash);
   forwarded->part = slash == std::string::npos ? "" : object.substr(slash + 1);
   forwarded->fence = context_.fencing_token;
--- a/src/tasks/prefetch_task.h
+++ b/src/tasks/prefetch_task.h
@@ -34,14 +34,14 @@
  private:
   class ReplyHandler;
 
-  // Reads the order from the work's parameters. Throws InvalidPrefetchOrder if no router can execute it.
-  void read_order();
+  // Reads the parameters of the work. Throws InvalidPrefetchParameters if no router can execute them.
+  void read_parameters();
   void fail(const std::string& reason);
   void load_list();
   void make_plan(std::uint64_t shard, std::uint64_t shards);
 
   void run_step();
-  // Returns whether the start time of the order is reached. If not, sets the timer.
+  // Returns whether the start time of the prefetch is reached. If not, sets the timer.
   bool is_start_time_reached();
   void start_requests();
   void request_object(std::size_t index);
@@ -57,7 +57,7 @@
   OwnershipOptions options_;
   TaskContext context_;
   std::uint64_t last_request_id_;
-  std::optional<PrefetchOrder> order_;
+  std::optional<PrefetchParameters> parameters_;
   std::optional<PrefetchPlan> plan_;  // after the list of objects was read
   int request_class_ = -1;
   std::map<std::size_t, RequestId> open_requests_;  // by index of the object
--- a/tests/prefetch_plan_test.cpp
+++ b/tests/prefetch_plan_test.cpp
@@ -1,4 +1,4 @@
-// Prefetching: the plan of one shard's objects, and the orders of operators.
+// Prefetching: the plan of one shard's objects, and the parameters of prefetching.
 #include "tasks/prefetch_plan.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "tasks/prefetch_order.h"
+#include "tasks/prefetch_parameters.h"
 
 namespace trailcourse::tasks {
 namespace {
@@ -18,22 +18,22 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-PrefetchOrder make_order(int objects) {
-  PrefetchOrder order;
-  order.request_class = "media";
+PrefetchParameters make_parameters(int objects) {
+  PrefetchParameters parameters;
+  parameters.request_class = "media";
   for (int i = 0; i < objects; ++i) {
     char text[17];
     std::snprintf(text, sizeof text, "%016x", i + 1);
-    order.objects.push_back(text);
+    parameters.objects.push_back(text);
   }
-  return order;
+  return parameters;
 }
 
 TEST(PrefetchPlanTest, RequestsEachObjectOnceInOneShard) {
-  const PrefetchOrder order = make_order(23);
+  const PrefetchParameters parameters = make_parameters(23);
   std::map<std::string, int> requests;
   for (std::uint64_t shard = 0; shard < 4; ++shard) {
-    PrefetchPlan plan(order, shard, 4, PrefetchOptions{}, "");
+    PrefetchPlan plan(parameters, shard, 4, PrefetchOptions{}, "");
     while (!plan.done()) {
       const auto started = plan.start_requests(Micros(0));
       ASSERT_FALSE(started.empty());
@@ -55,14 +55,14 @@
 TEST(PrefetchPlanTest, ASuccessorContinuesFromTheCheckpoint) {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     std::mt19937_64 random(seed);
-    const PrefetchOrder order = make_order(40);
+    const PrefetchParameters parameters = make_parameters(40);
     std::map<std::string, int> answered;
     std::string checkpoint;
     std::size_t repeated = 0;
     int crashes = 0;
     bool done = false;
     while (!done) {
-      PrefetchPlan plan(order, 0, 1, PrefetchOptions{}, checkpoint);
+      PrefetchPlan plan(parameters, 0, 1, PrefetchOptions{}, checkpoint);
       std::vector<std::size_t> in_flight;
       for (bool alive = true; alive && !(done = plan.done());) {
         for (const std::size_t index : plan.start_requests(Micros(0))) {
@@ -91,7 +91,7 @@
 TEST(PrefetchPlanTest, RetriesRejectionsAfterTheirDelayUpToMaxAttempts) {
   PrefetchOptions options;
   options.max_attempts = 3;
-  PrefetchPlan plan(make_order(1), 0, 1, options, "");
+  PrefetchPlan plan(make_parameters(1), 0, 1, options, "");
   Micros now{0};
   ASSERT_EQ(plan.start_requests(now).size(), 1U);
   plan.on_result(now, 0, PrefetchResult::kRejected, seconds(3));
@@ -108,11 +108,11 @@
 }
 
 TEST(PrefetchPlanTest, PacesRequestsWithoutABurstAfterAPause) {
-  PrefetchOrder order = make_order(100);
-  order.objects_per_s = 10.0;
+  PrefetchParameters parameters = make_parameters(100);
+  parameters.objects_per_s = 10.0;
   PrefetchOptions options;
   options.max_in_flight = 100;
-  PrefetchPlan plan(order, 0, 1, options, "");
+  PrefetchPlan plan(parameters, 0, 1, options, "");
   EXPECT_EQ(plan.start_requests(Micros(0)).size(), 1U);
   EXPECT_EQ(plan.next_step_at(Micros(0)), milliseconds(100));
   std::size_t requested = 1;
@@ -125,18 +125,18 @@
 }
 
 TEST(PrefetchPlanTest, IgnoresACheckpointThatIsMalformedOrOfAnotherOrder) {
-  PrefetchPlan first(make_order(10), 0, 1, PrefetchOptions{}, "");
+  PrefetchPlan first(make_parameters(10), 0, 1, PrefetchOptions{}, "");
   for (const std::size_t index : first.start_requests(Micros(0))) {
     first.on_result(Micros(0), index, PrefetchResult::kAlreadyCached, Micros(0));
   }
   const std::string good = first.checkpoint();
-  EXPECT_EQ(PrefetchPlan(make_order(10), 0, 1, PrefetchOptions{}, good).progress().already_cached, 4U);
-  EXPECT_EQ(PrefetchPlan(make_order(11), 0, 1, PrefetchOptions{}, good).progress().filled, 0U);
+  EXPECT_EQ(PrefetchPlan(make_parameters(10), 0, 1, PrefetchOptions{}, good).progress().already_cached, 4U);
+  EXPECT_EQ(PrefetchPlan(make_parameters(11), 0, 1, PrefetchOptions{}, good).progress().filled, 0U);
   std::mt19937_64 random(4);
   for (int round = 0; round < 3'000; ++round) {
     std::string text = good;
     text[random() % text.size()] = "0123456789\"{}[]:,-"[random() % 18];
-    PrefetchPlan plan(make_order(10), 0, 1, PrefetchOptions{}, text);
+    PrefetchPlan plan(make_parameters(10), 0, 1, PrefetchOptions{}, text);
     // The plan ends with any checkpoint.
     for (int i = 0; i < 20 && !plan.done(); ++i) {
       for (const std::size_t index : plan.start_requests(Micros(0))) {
@@ -150,13 +150,13 @@
 TEST(PrefetchOrderTest, ErrorNamesTheInvalidField) {
   const auto error_of = [](const std::string& params) -> std::string {
     try {
-      read_prefetch_order(params);
-    } catch (const InvalidPrefetchOrder& error) {
+      read_prefetch_parameters(params);
+    } catch (const InvalidPrefetchParameters& error) {
       return error.what();
     }
     return "";
   };
-  EXPECT_EQ(error_of(write_prefetch_order(make_order(3))), "");
+  EXPECT_EQ(error_of(write_prefetch_parameters(make_parameters(3))), "");
   EXPECT_NE(error_of("[]").find("params"), std::string::npos);
   EXPECT_NE(error_of(R"({"class":"media","objects":["xyz"]})").find("objects"), std::string::npos);
   EXPECT_NE(error_of(R"({"class":"media","objects":[]})").find("objects"), std::string::npos);
