--- a/src/fleet/load_generator.cpp
+++ b/src/fleet/load_generator.cpp
@@ -59,9 +59,10 @@
 
   void send(std::size_t index, const std::string& object) {
     do {
-      key_ = key_ >= kMaxRequestId ? std::uint16_t{1} : static_cast<std::uint16_t>(key_ + 1);
-    } while (open_.contains(key_));
-    open_[key_] = index;
+      request_id_ =
+          request_id_ >= kMaxRequestId ? std::uint16_t{1} : static_cast<std::uint16_t>(request_id_ + 1);
+    } while (open_.contains(request_id_));
+    open_[request_id_] = index;
     const Options& options = generator_->options_;
     char id[17];
     std::snprintf(id, sizeof id, "%016llx", static_cast<unsigned long long>(generator_->requests_[index].id));
@@ -76,7 +77,7 @@
     if (options.size_kb > 0.0) {
       fields.emplace_back("HTTP_X_HEAP_KB", std::to_string(options.size_kb));
     }
-    connection_.write(protocol::fastcgi_peer::request_bytes(key_, fields, ""));
+    connection_.write(protocol::fastcgi_peer::request_bytes(request_id_, fields, ""));
   }
 
   void on_bytes(std::string_view bytes) override {
@@ -86,9 +87,9 @@
     bytes_ += bytes;
     for (const protocol::fastcgi_peer::Record& record : protocol::fastcgi_peer::take_records(bytes_)) {
       if (record.type == kStdout) {
-        texts_[record.key] += record.content;
+        texts_[record.request_id] += record.content;
       } else if (record.type == kEndRequest) {
-        end(record.key, record.content);
+        end(record.request_id, record.content);
       }
     }
   }
@@ -97,20 +98,20 @@
     if (generator_ == nullptr) {
       return;
     }
-    for (const auto& [key, index] : std::exchange(open_, {})) {
+    for (const auto& [request_id, index] : std::exchange(open_, {})) {
       generator_->requests_[index].connection_ended = true;
       --generator_->open_;
     }
   }
 
  private:
-  void end(std::uint16_t key, std::string_view ended) {
-    const std::string text = std::exchange(texts_[key], {});
-    texts_.erase(key);
-    // Keys are reused only after kMaxRequestId requests, so an end record whose key is not open is a second
-    // answer to the last request with that key.
-    const auto open = open_.find(key);
-    const auto last = last_.find(key);
+  void end(std::uint16_t request_id, std::string_view ended) {
+    const std::string text = std::exchange(texts_[request_id], {});
+    texts_.erase(request_id);
+    // Ids are reused only after kMaxRequestId requests, so an end record whose id is not open is a second
+    // answer to the last request with that id.
+    const auto open = open_.find(request_id);
+    const auto last = last_.find(request_id);
     if (open == open_.end()) {
       if (last != last_.end()) {
         ++generator_->requests_[last->second].answers;
@@ -118,7 +119,7 @@
       return;
     }
     SentRequest& request = generator_->requests_[open->second];
-    last_[key] = open->second;
+    last_[request_id] = open->second;
     open_.erase(open);
     --generator_->open_;
     ++request.answers;
@@ -148,7 +149,7 @@
 
   LoadGenerator* generator_;
   transport::ConnectionHandle connection_;
-  std::uint16_t key_ = 0;
+  std::uint16_t request_id_ = 0;
   std::string bytes_;
   std::map<std::uint16_t, std::string> texts_;  // output so far, by FastCGI request id
   std::map<std::uint16_t, std::size_t> open_;   // index of the request without an answer
--- a/src/protocol/fastcgi.cpp
+++ b/src/protocol/fastcgi.cpp
@@ -35,19 +35,19 @@
   return static_cast<std::uint16_t>((byte_at(bytes, offset) << 8U) | byte_at(bytes, offset + 1));
 }
 
-std::string header(std::uint8_t type, RequestKey key, std::size_t length) {
+std::string header(std::uint8_t type, RequestId request_id, std::size_t length) {
   std::string out(kHeaderBytes, '\0');
   out[0] = static_cast<char>(kVersion);
   out[1] = static_cast<char>(type);
-  out[2] = static_cast<char>(key >> 8U);
-  out[3] = static_cast<char>(key & 0xffU);
+  out[2] = static_cast<char>(request_id >> 8U);
+  out[3] = static_cast<char>(request_id & 0xffU);
   out[4] = static_cast<char>(length >> 8U);
   out[5] = static_cast<char>(length & 0xffU);
   return out;
 }
 
-std::string end_record(RequestKey key, ProtocolStatus status, std::uint32_t application_status) {
-  std::string out = header(kEndRequest, key, kBeginBytes);
+std::string end_record(RequestId request_id, ProtocolStatus status, std::uint32_t application_status) {
+  std::string out = header(kEndRequest, request_id, kBeginBytes);
   for (int shift = 24; shift >= 0; shift -= 8) {
     out += static_cast<char>((application_status >> shift) & 0xffU);
   }
@@ -135,53 +135,55 @@
   });
 }
 
-void Parser::on_record(std::uint8_t type, RequestKey key, std::string_view content, std::vector<Event>& out) {
-  if (key == 0) {
+void Parser::on_record(std::uint8_t type, RequestId request_id, std::string_view content,
+                       std::vector<Event>& out) {
+  if (request_id == 0) {
     manage(type, content, out);
     return;
   }
   if (type == kBeginRequest) {
-    begin(key, content, out);
+    begin(request_id, content, out);
   } else if (type == kAbortRequest) {
-    const auto found = open_.find(key);
+    const auto found = open_.find(request_id);
     if (found == open_.end()) {
       return;  // the answer was sent before the abort arrived
     }
     held_ -= found->second.parameters.size() + found->second.body.size();
     open_.erase(found);
-    out.emplace_back(RequestAborted{key});
+    out.emplace_back(RequestAborted{request_id});
   } else if (type == kParams || type == kStdin) {
-    on_stream(key, type == kStdin, content, out);
+    on_stream(request_id, type == kStdin, content, out);
   } else if (type != kData) {
     manage(type, content, out);
   }
 }
 
-void Parser::begin(RequestKey key, std::string_view content, std::vector<Event>& out) {
+void Parser::begin(RequestId request_id, std::string_view content, std::vector<Event>& out) {
   if (content.size() < kBeginBytes) {
     fail("BEGIN_REQUEST too short", out);
     return;
   }
-  // Two open requests with one key could not be distinguished.
-  if (open_.contains(key)) {
-    fail("request " + std::to_string(key) + " is already open", out);
+  // Two open requests with one id could not be distinguished.
+  if (open_.contains(request_id)) {
+    fail("request " + std::to_string(request_id) + " is already open", out);
     return;
   }
   if (open_.size() >= bounds_.open_requests) {
-    out.emplace_back(RequestRejected{key, ProtocolStatus::kOverloaded, "too many open requests", false});
+    out.emplace_back(
+        RequestRejected{request_id, ProtocolStatus::kOverloaded, "too many open requests", false});
     return;
   }
   if (short_at(content, 0) != kResponder) {
-    out.emplace_back(RequestRejected{key, ProtocolStatus::kUnknownRole, "unknown role", false});
+    out.emplace_back(RequestRejected{request_id, ProtocolStatus::kUnknownRole, "unknown role", false});
     return;
   }
   Open request;
   request.keep_connection = (byte_at(content, 2) & kKeepConnection) != 0;
-  open_.emplace(key, std::move(request));
+  open_.emplace(request_id, std::move(request));
 }
 
-void Parser::on_stream(RequestKey key, bool body, std::string_view content, std::vector<Event>& out) {
-  const auto found = open_.find(key);
+void Parser::on_stream(RequestId request_id, bool body, std::string_view content, std::vector<Event>& out) {
+  const auto found = open_.find(request_id);
   if (found == open_.end()) {
     return;  // the request was aborted or rejected; its remaining records are skipped
   }
@@ -193,12 +195,12 @@
     if (!body) {
       return;  // a parameter record after the end of the parameters is skipped
     }
-    reject(key, request, "a body before the end of the parameters", out);
+    reject(request_id, request, "a body before the end of the parameters", out);
     return;
   }
   if (content.empty()) {
     if (body) {
-      finish(key, request, out);
+      finish(request_id, request, out);
     } else {
       request.stage = Stage::kBody;
     }
@@ -207,18 +209,18 @@
   std::string& stream = body ? request.body : request.parameters;
   const std::size_t max_bytes = body ? bounds_.body_bytes : bounds_.parameter_bytes;
   if (stream.size() + content.size() > max_bytes || held_ + content.size() > bounds_.connection_bytes) {
-    reject(key, request, body ? "the body is too long" : "the parameters are too long", out);
+    reject(request_id, request, body ? "the body is too long" : "the parameters are too long", out);
     return;
   }
   stream += content;
   held_ += content.size();
 }
 
-void Parser::finish(RequestKey key, Open& request, std::vector<Event>& out) {
+void Parser::finish(RequestId request_id, Open& request, std::vector<Event>& out) {
   RequestReceived read;
-  read.key = key;
+  read.request_id = request_id;
   if (!read_pairs(request.parameters, read.parameters.fields)) {
-    reject(key, request, "parameters are cut", out);
+    reject(request_id, request, "parameters are cut", out);
     return;
   }
   held_ -= request.parameters.size() + request.body.size();
@@ -229,10 +231,10 @@
   out.emplace_back(std::move(read));
 }
 
-void Parser::reject(RequestKey key, Open& request, std::string reason, std::vector<Event>& out) {
+void Parser::reject(RequestId request_id, Open& request, std::string reason, std::vector<Event>& out) {
   held_ -= request.parameters.size() + request.body.size();
   request = Open{Stage::kRejected, {}, {}, request.keep_connection};
-  out.emplace_back(RequestRejected{key, ProtocolStatus::kRequestComplete, std::move(reason)});
+  out.emplace_back(RequestRejected{request_id, ProtocolStatus::kRequestComplete, std::move(reason)});
 }
 
 void Parser::manage(std::uint8_t type, std::string_view content, std::vector<Event>& out) {
@@ -260,34 +262,34 @@
   out.emplace_back(ParseError{std::move(reason)});
 }
 
-void AnswerQueue::queue(RequestKey key, Answer& answer) {
+void AnswerQueue::queue(RequestId request_id, Answer& answer) {
   if (!answer.queued) {
     answer.queued = true;
-    turns_.push_back(key);
+    turns_.push_back(request_id);
   }
 }
 
-void AnswerQueue::append(RequestKey key, std::string bytes) {
+void AnswerQueue::append(RequestId request_id, std::string bytes) {
   if (bytes.empty()) {
     return;
   }
-  Answer& answer = answers_[key];
+  Answer& answer = answers_[request_id];
   waiting_ += bytes.size();
   answer.any_output = true;
   answer.parts.push_back(std::move(bytes));
-  queue(key, answer);
+  queue(request_id, answer);
 }
 
-void AnswerQueue::end(RequestKey key, ProtocolStatus status, std::uint32_t application_status) {
-  Answer& answer = answers_[key];
+void AnswerQueue::end(RequestId request_id, ProtocolStatus status, std::uint32_t application_status) {
+  Answer& answer = answers_[request_id];
   answer.ended = true;
   answer.status = status;
   answer.application_status = application_status;
-  queue(key, answer);
+  queue(request_id, answer);
 }
 
-bool AnswerQueue::drop(RequestKey key) {
-  const auto found = answers_.find(key);
+bool AnswerQueue::drop(RequestId request_id) {
+  const auto found = answers_.find(request_id);
   if (found == answers_.end()) {
     return false;
   }
@@ -297,17 +299,17 @@
   }
   waiting_ -= bytes - found->second.offset;
   if (found->second.queued) {
-    turns_.erase(std::find(turns_.begin(), turns_.end(), key));
+    turns_.erase(std::find(turns_.begin(), turns_.end(), request_id));
   }
   answers_.erase(found);
   return true;
 }
 
-std::string AnswerQueue::next(RequestKey& ended_key, bool& ended) {
+std::string AnswerQueue::next(RequestId& ended_id, bool& ended) {
   ended = false;
-  const RequestKey key = turns_.front();
+  const RequestId request_id = turns_.front();
   turns_.pop_front();
-  Answer& answer = answers_[key];
+  Answer& answer = answers_[request_id];
   answer.queued = false;
   std::string out;
   std::size_t content_bytes = 0;
@@ -326,17 +328,17 @@
   }
   waiting_ -= content_bytes;
   if (content_bytes > 0) {
-    out = header(kStdout, key, content_bytes) + content;
+    out = header(kStdout, request_id, content_bytes) + content;
   }
   if (!answer.parts.empty()) {
-    queue(key, answer);
+    queue(request_id, answer);
   } else if (answer.ended) {
     if (answer.any_output) {
-      out += header(kStdout, key, 0);
+      out += header(kStdout, request_id, 0);
     }
-    out += end_record(key, answer.status, answer.application_status);
-    answers_.erase(key);
-    ended_key = key;
+    out += end_record(request_id, answer.status, answer.application_status);
+    answers_.erase(request_id);
+    ended_id = request_id;
     ended = true;
   }
   return out;
--- a/src/protocol/fastcgi.h
+++ b/src/protocol/fastcgi.h
@@ -23,8 +23,8 @@
   kUnknownRole = 3,
 };
 
-// The request id of FastCGI; unique among the open requests of a connection.
-using RequestKey = std::uint16_t;
+// The id of a request in the FastCGI protocol; unique among the open requests of a connection.
+using RequestId = std::uint16_t;
 
 // The parameters of a request, in the order received.
 struct Parameters {
@@ -36,18 +36,18 @@
 
 // A complete request.
 struct RequestReceived {
-  RequestKey key = 0;
+  RequestId request_id = 0;
   Parameters parameters;
   std::string body;
   bool keep_connection = true;
 };
 // The client aborted an open request, which may be incomplete.
 struct RequestAborted {
-  RequestKey key = 0;
+  RequestId request_id = 0;
 };
 // A request that is invalid or exceeds a limit. `reason` is sent to the client unless `answered` is false.
 struct RequestRejected {
-  RequestKey key = 0;
+  RequestId request_id = 0;
   ProtocolStatus status = ProtocolStatus::kRequestComplete;
   std::string reason;
   bool answered = true;  // false: only END_REQUEST is sent
@@ -82,8 +82,8 @@
   std::size_t held() const { return held_ + partial_.size(); }
   // Returns whether a record or a request was received in part.
   bool has_partial_message() const;
-  // Closes a request whose answer is complete; the client may then reuse its key.
-  void release(RequestKey key) { open_.erase(key); }
+  // Closes a request whose answer is complete; the client may then reuse its id.
+  void release(RequestId request_id) { open_.erase(request_id); }
 
  private:
   enum class Stage { kParameters, kBody, kComplete, kRejected };
@@ -94,17 +94,17 @@
     bool keep_connection = true;
   };
 
-  void on_record(std::uint8_t type, RequestKey key, std::string_view content, std::vector<Event>& out);
-  void begin(RequestKey key, std::string_view content, std::vector<Event>& out);
-  void on_stream(RequestKey key, bool body, std::string_view content, std::vector<Event>& out);
-  void finish(RequestKey key, Open& request, std::vector<Event>& out);
-  void reject(RequestKey key, Open& request, std::string reason, std::vector<Event>& out);
+  void on_record(std::uint8_t type, RequestId request_id, std::string_view content, std::vector<Event>& out);
+  void begin(RequestId request_id, std::string_view content, std::vector<Event>& out);
+  void on_stream(RequestId request_id, bool body, std::string_view content, std::vector<Event>& out);
+  void finish(RequestId request_id, Open& request, std::vector<Event>& out);
+  void reject(RequestId request_id, Open& request, std::string reason, std::vector<Event>& out);
   void manage(std::uint8_t type, std::string_view content, std::vector<Event>& out);
   void fail(std::string reason, std::vector<Event>& out);
 
   Bounds bounds_;
   std::string partial_;
-  std::map<RequestKey, Open> open_;
+  std::map<RequestId, Open> open_;
   std::size_t held_ = 0;
   bool failed_ = false;
 };
@@ -119,11 +119,11 @@
   explicit AnswerQueue(std::size_t record_bytes) : record_bytes_(record_bytes) {}
 
   // Appends to the request's STDOUT.
-  void append(RequestKey key, std::string bytes);
+  void append(RequestId request_id, std::string bytes);
   // Ends the answer: END_REQUEST follows the appended bytes.
-  void end(RequestKey key, ProtocolStatus status, std::uint32_t application_status);
+  void end(RequestId request_id, ProtocolStatus status, std::uint32_t application_status);
   // Discards the rest of an answer. Returns whether the request had one.
-  bool drop(RequestKey key);
+  bool drop(RequestId request_id);
 
   bool empty() const { return turns_.empty(); }
   // Returns the bytes that were appended and not written to a record yet.
@@ -131,8 +131,8 @@
   // Returns the number of requests whose answer is not completely written.
   std::size_t size() const { return answers_.size(); }
   // Returns the next records of one request; the queue must not be empty. `ended` is set to whether they end
-  // the request, and `ended_key` is then its key.
-  std::string next(RequestKey& ended_key, bool& ended);
+  // the request, and `ended_id` is then its id.
+  std::string next(RequestId& ended_id, bool& ended);
 
  private:
   struct Answer {
@@ -144,11 +144,11 @@
     std::uint32_t application_status = 0;
     bool queued = false;
   };
-  void queue(RequestKey key, Answer& answer);
+  void queue(RequestId request_id, Answer& answer);
 
   std::size_t record_bytes_;
-  std::map<RequestKey, Answer> answers_;
-  std::deque<RequestKey> turns_;
+  std::map<RequestId, Answer> answers_;
+  std::deque<RequestId> turns_;
   std::size_t waiting_ = 0;
 };
 
--- a/src/protocol/fastcgi_peer.h
+++ b/src/protocol/fastcgi_peer.h
@@ -13,14 +13,15 @@
 // One record of the protocol; `type` as in the FastCGI specification.
 struct Record {
   std::uint8_t type = 0;
-  std::uint16_t key = 0;
+  std::uint16_t request_id = 0;
   std::string content;
 };
 
 // Returns the bytes of one record.
-inline std::string record(std::uint8_t type, std::uint16_t key, std::string_view content,
+inline std::string record(std::uint8_t type, std::uint16_t request_id, std::string_view content,
                           std::uint8_t padding = 0) {
-  std::string out{1, static_cast<char>(type), static_cast<char>(key >> 8U), static_cast<char>(key & 0xffU)};
+  std::string out{1, static_cast<char>(type), static_cast<char>(request_id >> 8U),
+                  static_cast<char>(request_id & 0xffU)};
   out += static_cast<char>(content.size() >> 8U);
   out += static_cast<char>(content.size() & 0xffU);
   out += static_cast<char>(padding);
@@ -29,10 +30,10 @@
 }
 
 // Returns BEGIN_REQUEST; role 1 is Responder.
-inline std::string begin_record(std::uint16_t key, std::uint16_t role = 1, bool keep = true) {
+inline std::string begin_record(std::uint16_t request_id, std::uint16_t role = 1, bool keep = true) {
   std::string content{static_cast<char>(role >> 8U), static_cast<char>(role & 0xffU),
                       static_cast<char>(keep ? 1 : 0)};
-  return record(1, key, content + std::string(5, '\0'));
+  return record(1, request_id, content + std::string(5, '\0'));
 }
 
 // Returns the encoding of a length: one byte, or four from 128 on.
@@ -51,19 +52,19 @@
 using Fields = std::vector<std::pair<std::string, std::string>>;
 
 // Returns the records of a complete request.
-inline std::string request_bytes(std::uint16_t key, const Fields& fields, std::string_view body,
+inline std::string request_bytes(std::uint16_t request_id, const Fields& fields, std::string_view body,
                                  bool keep = true) {
   std::string parameters;
   for (const auto& [name, value] : fields) {
     parameters += pair(name, value);
   }
-  std::string out = begin_record(key, 1, keep);
-  out += parameters.empty() ? "" : record(4, key, parameters);
-  out += record(4, key, "");
+  std::string out = begin_record(request_id, 1, keep);
+  out += parameters.empty() ? "" : record(4, request_id, parameters);
+  out += record(4, request_id, "");
   for (std::size_t at = 0; at < body.size(); at += 60'000) {
-    out += record(5, key, body.substr(at, 60'000));
+    out += record(5, request_id, body.substr(at, 60'000));
   }
-  return out + record(5, key, "");
+  return out + record(5, request_id, "");
 }
 
 // Removes the complete records from the front of `bytes` and returns them.
--- a/src/routing/fastcgi_server.cpp
+++ b/src/routing/fastcgi_server.cpp
@@ -45,14 +45,15 @@
 // The answer to one FastCGI request.
 class FastCgiReply : public Reply {
  public:
-  FastCgiReply(std::weak_ptr<FastCgiConnection> connection, fastcgi::RequestKey key, bool traced = false)
-      : connection_(std::move(connection)), key_(key), traced_(traced) {}
+  FastCgiReply(std::weak_ptr<FastCgiConnection> connection, fastcgi::RequestId request_id,
+               bool traced = false)
+      : connection_(std::move(connection)), request_id_(request_id), traced_(traced) {}
 
   void served(std::string body, bool not_modified, const ServedBy& by) override {
     if (const auto connection = connection_.lock()) {
-      connection->append(key_, head(not_modified, traced_ ? via(by) + policy_header_ : ""));
-      connection->append(key_, std::move(body));
-      connection->end(key_, fastcgi::ProtocolStatus::kRequestComplete, 0);
+      connection->append(request_id_, head(not_modified, traced_ ? via(by) + policy_header_ : ""));
+      connection->append(request_id_, std::move(body));
+      connection->end(request_id_, fastcgi::ProtocolStatus::kRequestComplete, 0);
     }
   }
   void rejected(Micros retry_after) override {
@@ -70,17 +71,18 @@
   }
   void begin(bool not_modified) override {
     if (const auto connection = connection_.lock()) {
-      connection->append(key_, head(not_modified, policy_header_));
+      connection->append(request_id_, head(not_modified, policy_header_));
     }
   }
   void piece(std::string_view bytes) override {
     if (const auto connection = connection_.lock()) {
-      connection->append(key_, std::string(bytes));
+      connection->append(request_id_, std::string(bytes));
     }
   }
   void finish(bool complete) override {
     if (const auto connection = connection_.lock()) {
-      connection->end(key_, fastcgi::ProtocolStatus::kRequestComplete, complete ? 0 : kIncompleteAnswer);
+      connection->end(request_id_, fastcgi::ProtocolStatus::kRequestComplete,
+                      complete ? 0 : kIncompleteAnswer);
     }
   }
 
@@ -97,12 +99,12 @@
   }
   void send(std::string text) {
     if (const auto connection = connection_.lock()) {
-      connection->answer(key_, std::move(text));
+      connection->answer(request_id_, std::move(text));
     }
   }
 
   std::weak_ptr<FastCgiConnection> connection_;
-  fastcgi::RequestKey key_;
+  fastcgi::RequestId request_id_;
   bool traced_;
   std::string policy_header_;  // X-Policy header line; empty without X-Trace
 };
@@ -282,8 +284,8 @@
   }
 }
 
-RequestId FastCgiConnection::close_request(fastcgi::RequestKey key) {
-  const auto found = open_requests_.find(key);
+RequestId FastCgiConnection::close_request(fastcgi::RequestId request_id) {
+  const auto found = open_requests_.find(request_id);
   if (found == open_requests_.end()) {
     return 0;
   }
@@ -294,14 +296,14 @@
 }
 
 void FastCgiConnection::handle(fastcgi::RequestReceived&& received) {
-  const fastcgi::RequestKey key = received.key;
+  const fastcgi::RequestId request_id = received.request_id;
   keep_connection_ = keep_connection_ && received.keep_connection;
   if (field(received.parameters, "SCRIPT_NAME") == kHealthPath) {
     sent_valid_request_ = true;
     const bool ready = server_.ready_() && !server_.draining_;
     const std::string status = server_.status_ ? server_.status_() : std::string();
     const std::string type = "Content-Type: text/plain\r\n\r\n";
-    answer(key,
+    answer(request_id,
            ready ? cgi_head(200, "OK") + type + (status.empty() ? "ok" : status) + "\n"
                  : cgi_head(503, "Service Unavailable") + (status.empty() ? "\r\n" : type + status + "\n"));
     return;
@@ -310,7 +312,7 @@
   const bool traced = field(received.parameters, "HTTP_X_TRACE") == "1";
   ParsedRequest request = parse_request(std::move(received), server_.class_index_, server_.settings_);
   if (!request.error.empty()) {
-    reject_request(key, request.error);
+    reject_request(request_id, request.error);
     return;
   }
   sent_valid_request_ = true;
@@ -318,43 +320,43 @@
   // Answers that clients do not read fill the memory that other answers need. Nothing was sent for this
   // request, so a retry is safe.
   if (server_.unsent_bytes_ > server_.bounds_.max_unsent_bytes) {
-    FastCgiReply(weak_from_this(), key).rejected(Micros(0));
+    FastCgiReply(weak_from_this(), request_id).rejected(Micros(0));
     return;
   }
   // Two open requests must not have the same id, since neither a cache nor its answers would distinguish
   // them. The first one continues, and this one is rejected.
   if (!server_.open_call_ids_.insert(request.call_id).second) {
-    reject_request(key, "X-Call-Id is in use by an open request");
+    reject_request(request_id, "X-Call-Id is in use by an open request");
     return;
   }
   // Added before the call, since the router may answer within it.
-  open_requests_[key] = OpenRequest{0, request.call_id};
-  const RequestId id = server_.router_.accept(std::move(request.request),
-                                              std::make_shared<FastCgiReply>(weak_from_this(), key, traced));
-  if (const auto found = open_requests_.find(key); found != open_requests_.end()) {
+  open_requests_[request_id] = OpenRequest{0, request.call_id};
+  const RequestId id = server_.router_.accept(
+      std::move(request.request), std::make_shared<FastCgiReply>(weak_from_this(), request_id, traced));
+  if (const auto found = open_requests_.find(request_id); found != open_requests_.end()) {
     found->second.id = id;
   }
 }
 
-void FastCgiConnection::reject_request(fastcgi::RequestKey key, std::string_view reason) {
+void FastCgiConnection::reject_request(fastcgi::RequestId request_id, std::string_view reason) {
   log_line(Level::kWarning) << "request from " << to_string(connection_.peer()) << " is invalid: " << reason;
-  answer(key, cgi_head(400, "Bad Request") + "\r\n");
+  answer(request_id, cgi_head(400, "Bad Request") + "\r\n");
 }
 
 void FastCgiConnection::handle(fastcgi::RequestAborted&& aborted) {
-  if (const RequestId id = close_request(aborted.key); id != 0) {
+  if (const RequestId id = close_request(aborted.request_id); id != 0) {
     server_.router_.client_left(id);
   }
-  answers_.drop(aborted.key);
+  answers_.drop(aborted.request_id);
 }
 
 void FastCgiConnection::handle(fastcgi::RequestRejected&& rejected) {
   log_line(Level::kWarning) << "request from " << to_string(connection_.peer())
                             << " rejected: " << rejected.reason;
   if (rejected.answered) {
-    answer(rejected.key, cgi_head(400, "Bad Request") + "\r\n");
+    answer(rejected.request_id, cgi_head(400, "Bad Request") + "\r\n");
   } else {
-    answers_.end(rejected.key, rejected.status, 0);
+    answers_.end(rejected.request_id, rejected.status, 0);
     schedule_write();
     close_if_unread();
   }
@@ -380,23 +382,23 @@
   connection_.close(ConnectionEnd::kMalformed);
 }
 
-void FastCgiConnection::answer(fastcgi::RequestKey key, std::string text) {
-  append(key, std::move(text));
-  end(key, fastcgi::ProtocolStatus::kRequestComplete, 0);
+void FastCgiConnection::answer(fastcgi::RequestId request_id, std::string text) {
+  append(request_id, std::move(text));
+  end(request_id, fastcgi::ProtocolStatus::kRequestComplete, 0);
 }
 
-void FastCgiConnection::append(fastcgi::RequestKey key, std::string bytes) {
+void FastCgiConnection::append(fastcgi::RequestId request_id, std::string bytes) {
   if (!ended_) {
-    answers_.append(key, std::move(bytes));
+    answers_.append(request_id, std::move(bytes));
     schedule_write();
   }
 }
 
-void FastCgiConnection::end(fastcgi::RequestKey key, fastcgi::ProtocolStatus status,
+void FastCgiConnection::end(fastcgi::RequestId request_id, fastcgi::ProtocolStatus status,
                             std::uint32_t application_status) {
   if (!ended_) {
-    close_request(key);
-    answers_.end(key, status, application_status);
+    close_request(request_id);
+    answers_.end(request_id, status, application_status);
     schedule_write();
   }
 }
@@ -416,11 +418,11 @@
 void FastCgiConnection::write_answers() {
   while (!ended_ && !connection_.ended() && !answers_.empty() &&
          connection_.unsent_bytes() < server_.bounds_.connection.low_mark) {
-    fastcgi::RequestKey key = 0;
+    fastcgi::RequestId request_id = 0;
     bool ended = false;
-    connection_.write(answers_.next(key, ended));
+    connection_.write(answers_.next(request_id, ended));
     if (ended) {
-      parser_.release(key);
+      parser_.release(request_id);
     }
   }
   update_byte_counts();
--- a/src/routing/fastcgi_server.h
+++ b/src/routing/fastcgi_server.h
@@ -45,10 +45,10 @@
   void on_end(transport::ConnectionEnd end) override;
 
   // Sends a complete answer.
-  void answer(protocol::fastcgi::RequestKey key, std::string text);
+  void answer(protocol::fastcgi::RequestId request_id, std::string text);
   // Sends a part of an answer, which end() completes.
-  void append(protocol::fastcgi::RequestKey key, std::string bytes);
-  void end(protocol::fastcgi::RequestKey key, protocol::fastcgi::ProtocolStatus status,
+  void append(protocol::fastcgi::RequestId request_id, std::string bytes);
+  void end(protocol::fastcgi::RequestId request_id, protocol::fastcgi::ProtocolStatus status,
            std::uint32_t application_status);
 
   // Returns whether the client has no open request and all its answers are written.
@@ -93,19 +93,19 @@
   void handle(protocol::fastcgi::ManagementReply&& reply);
   void handle(protocol::fastcgi::ParseError&& error);
   // Answers a complete but invalid request with status 400. No cache receives it.
-  void reject_request(protocol::fastcgi::RequestKey key, std::string_view reason);
+  void reject_request(protocol::fastcgi::RequestId request_id, std::string_view reason);
   void write_answers();
   void schedule_write();
   void close_if_unread();
   void update_byte_counts();
   // Removes a request from the open ones. Returns its id at the router; 0 if it has none.
-  RequestId close_request(protocol::fastcgi::RequestKey key);
+  RequestId close_request(protocol::fastcgi::RequestId request_id);
 
   FastCgiServer& server_;
   transport::Connection& connection_;
   protocol::fastcgi::Parser parser_;
   protocol::fastcgi::AnswerQueue answers_;
-  std::map<protocol::fastcgi::RequestKey, OpenRequest> open_requests_;
+  std::map<protocol::fastcgi::RequestId, OpenRequest> open_requests_;
   bool keep_connection_ = true;  // after the last answer
   bool ended_ = false;
   bool write_scheduled_ = false;
--- a/tests/fastcgi_test.cpp
+++ b/tests/fastcgi_test.cpp
@@ -46,7 +46,7 @@
     const std::vector<Event> events = feed(parser, bytes, step);
     ASSERT_EQ(events.size(), 1U) << "step " << step;
     const auto& read = std::get<RequestReceived>(events[0]);
-    EXPECT_EQ(read.key, 7);
+    EXPECT_EQ(read.request_id, 7);
     EXPECT_EQ(*read.parameters.find("SCRIPT_NAME"), "/v1/media");
     EXPECT_EQ(read.parameters.find("LONG")->size(), 300U);
     EXPECT_EQ(read.parameters.find("ABSENT"), nullptr);
@@ -147,7 +147,7 @@
                                     begin_record(5) + record(kParams, 5, "") + record(kStdin, 5, "x")}) {
     Parser parser{Bounds()};
     const std::vector<Event> events = feed(parser, before + record(kAbort, 5, ""), 64);
-    EXPECT_EQ(only<RequestAborted>(events).key, 5);
+    EXPECT_EQ(only<RequestAborted>(events).request_id, 5);
     EXPECT_EQ(parser.held(), 0U);
   }
 }
@@ -190,10 +190,11 @@
   bounds.connection_bytes = 10;
   Parser complete(bounds);
   std::string bytes;
-  for (const RequestKey key : {1, 2}) {
-    bytes += begin_record(key) + record(kParams, key, "") + record(kStdin, key, "123456");
+  for (const RequestId request_id : {1, 2}) {
+    bytes +=
+        begin_record(request_id) + record(kParams, request_id, "") + record(kStdin, request_id, "123456");
   }
-  EXPECT_EQ(only<RequestRejected>(feed(complete, bytes, 64)).key, 2);
+  EXPECT_EQ(only<RequestRejected>(feed(complete, bytes, 64)).request_id, 2);
 }
 
 TEST(FastCgiParser, AcceptsRandomBytesWithinItsBounds) {
@@ -216,17 +217,17 @@
   std::string output;
   int ends = 0;
 };
-std::map<RequestKey, ReceivedAnswer> drain(AnswerQueue& queue, std::vector<RequestKey>& order) {
-  std::map<RequestKey, ReceivedAnswer> answers;
+std::map<RequestId, ReceivedAnswer> drain(AnswerQueue& queue, std::vector<RequestId>& order) {
+  std::map<RequestId, ReceivedAnswer> answers;
   std::string bytes;
   while (!queue.empty()) {
-    RequestKey ended_key = 0;
+    RequestId ended_id = 0;
     bool ended = false;
-    bytes += queue.next(ended_key, ended);
-    order.push_back(ended ? ended_key : 0);
+    bytes += queue.next(ended_id, ended);
+    order.push_back(ended ? ended_id : 0);
   }
   for (const testing_support::Record& one : testing_support::take_records(bytes)) {
-    ReceivedAnswer& answer = answers[one.key];
+    ReceivedAnswer& answer = answers[one.request_id];
     EXPECT_EQ(answer.ends, 0) << "a record after the end";
     answer.output += one.type == 6 ? one.content : "";
     answer.ends += one.type == 3 ? 1 : 0;
@@ -243,7 +244,7 @@
   queue.end(1, ProtocolStatus::kRequestComplete, 0);
   queue.append(2, "small");
   queue.end(2, ProtocolStatus::kRequestComplete, 0);
-  std::vector<RequestKey> order;
+  std::vector<RequestId> order;
   auto answers = drain(queue, order);
   EXPECT_EQ(answers[1].output, large);
   EXPECT_EQ(answers[2].output, "small");
@@ -259,13 +260,13 @@
   queue.append(1, std::string(25, 'a'));
   queue.append(2, "b");
   queue.end(2, ProtocolStatus::kRequestComplete, 0);
-  RequestKey key = 0;
+  RequestId request_id = 0;
   bool ended = false;
-  queue.next(key, ended);
+  queue.next(request_id, ended);
   EXPECT_TRUE(queue.drop(1));
   EXPECT_FALSE(queue.drop(1));
   EXPECT_EQ(queue.waiting(), 1U);
-  std::vector<RequestKey> order;
+  std::vector<RequestId> order;
   auto answers = drain(queue, order);
   EXPECT_EQ(answers.size(), 1U);
   EXPECT_EQ(answers[2].output, "b");
@@ -274,14 +275,14 @@
 TEST(AnswerQueue, WritesNoOutputWhenARequestEndsAsOverloaded) {
   AnswerQueue queue(10);
   queue.end(6, ProtocolStatus::kOverloaded, 0);
-  RequestKey key = 0;
+  RequestId request_id = 0;
   bool ended = false;
-  const std::string bytes = queue.next(key, ended);
+  const std::string bytes = queue.next(request_id, ended);
   ASSERT_EQ(bytes.size(), 16U);
   EXPECT_EQ(bytes[1], 3);
   EXPECT_EQ(bytes[12], 2);
   EXPECT_TRUE(ended);
-  EXPECT_EQ(key, 6);
+  EXPECT_EQ(request_id, 6);
 }
 
 }  // namespace
--- a/tests/stand_ins.cpp
+++ b/tests/stand_ins.cpp
@@ -395,9 +395,9 @@
   bytes_.append(buffer, count > 0 ? static_cast<std::size_t>(count) : 0);
   for (const Record& one : take_records(bytes_)) {
     if (one.type == 6) {
-      output_[one.key] += one.content;
+      output_[one.request_id] += one.content;
     } else if (one.type == 3 && one.content.size() == 8) {
-      if (ended_.contains(one.key)) {
+      if (ended_.contains(one.request_id)) {
         throw std::runtime_error("received a second answer to one request");
       }
       Answer answer;
@@ -406,7 +406,7 @@
                                     static_cast<std::uint8_t>(one.content[static_cast<std::size_t>(i)]);
       }
       answer.protocol_status = static_cast<std::uint8_t>(one.content[4]);
-      std::string text = std::exchange(output_[one.key], {});
+      std::string text = std::exchange(output_[one.request_id], {});
       const std::size_t end = text.find("\r\n\r\n");
       answer.body = end == std::string::npos ? "" : text.substr(end + 4);
       std::string head = text.substr(0, end) + "\r\n";
@@ -418,7 +418,7 @@
         }
       }
       answer.status = std::atoi(answer.headers["Status"].c_str());
-      ended_[one.key] = answer;
+      ended_[one.request_id] = answer;
     }
   }
   return !closed_;
