--- a/src/ownership/lease_manager.cpp
+++ b/src/ownership/lease_manager.cpp
@@ -47,7 +47,7 @@
   for (std::uint64_t i = 0; i < count; ++i) {
     const auto [found, added] = shards_.try_emplace(ShardId{name, i}, options_.lease);
     if (added) {
-      found->second.vacant_since = now;
+      found->second.unowned_since = now;
     }
   }
 }
@@ -64,7 +64,7 @@
     return;
   }
   if (!owner) {
-    shard->vacant_since = now;
+    shard->unowned_since = now;
   }
   // A change after this router's own grant to another owner, or to none, ends its ownership. Earlier changes
   // are outdated.
--- a/src/ownership/lease_manager.h
+++ b/src/ownership/lease_manager.h
@@ -121,7 +121,7 @@
     ShardPhase phase = ShardPhase::kUnassigned;
     Term term = 0;  // term of this router's ownership; 0: it does not own the shard
     ProgressWriter progress;
-    Micros vacant_since{0};
+    Micros unowned_since{0};
     Micros acquire_not_before{0};
     Micros start_at{0};
     bool task_started = false;
--- a/src/ownership/shard_acquisition.cpp
+++ b/src/ownership/shard_acquisition.cpp
@@ -47,7 +47,7 @@
   }
   const std::size_t rank = candidate_rank(id.work, id.shard, member_, members);
   const Micros wait = candidate_wait(rank, options_.candidate_slot, options_.max_candidate_wait);
-  return std::max(shard.vacant_since + wait, shard.acquire_not_before);
+  return std::max(shard.unowned_since + wait, shard.acquire_not_before);
 }
 
 void LeaseManager::on_acquire_result(Micros now, const ShardId& id, std::uint64_t call_id,
