--- a/src/cache_node/node.cpp
+++ b/src/cache_node/node.cpp
@@ -144,7 +144,7 @@
 void Node::apply_endpoints(const protocol::EndpointsChanged& change) {
   for (const protocol::ListedEndpoint& listed : change.endpoints) {
     const std::string& name = listed.endpoint.address;
-    const auto address = transport::parse_address(listed.address);
+    const auto address = transport::parse_address(listed.network_address);
     if (listed.endpoint.state == NodeState::kGone || !address) {
       sources_.drop(name);
       directory_.remove(name);
@@ -307,7 +307,7 @@
   char text[96];
   const NodeCounts& counts = core_.counts();
   const double lookups = static_cast<double>(std::max<std::uint64_t>(1, counts.hits + counts.fills));
-  std::snprintf(text, sizeof text, "inflight:%zu;util:%.3f;x0:%.3f;x1:%zu", core_.open(),
+  std::snprintf(text, sizeof text, "inflight:%zu;util:%.3f;x0:%.3f;x1:%zu", core_.open_requests(),
                 core_.utilisation(server_.waiting_bytes()), static_cast<double>(counts.hits) / lookups,
                 core_.fills());
   return text;
--- a/src/cache_node/node.h
+++ b/src/cache_node/node.h
@@ -43,7 +43,7 @@
   // Accepts no more connections; each open connection closes once its answers are written.
   void stop();
   // Returns the number of open requests.
-  std::size_t open() const { return core_.open(); }
+  std::size_t open_requests() const { return core_.open_requests(); }
 
   void serve(Ticket ticket, protocol::ServeFields fields, std::string body) override;
   void cancel(Ticket ticket) override;
--- a/src/cache_node/node_core.cpp
+++ b/src/cache_node/node_core.cpp
@@ -209,7 +209,7 @@
   fill.fields.range.reset();
   fill.fields.expected_tag.clear();
   if (request.rule.cacheable) {
-    fill.fields.nonce.clear();
+    fill.fields.idempotency_key.clear();
     fill.fields.client_tag = fill.stale_copy && !fill.partial ? fill.stale_copy->tag : std::string();
     // The age limit excludes purged copies at the source, which may not have received the purge event yet.
     const int group = fill.stale_copy ? fill.stale_copy->group
--- a/src/cache_node/node_core.h
+++ b/src/cache_node/node_core.h
@@ -179,7 +179,7 @@
   void trust_all_copies() { distrusted_before_ms_ = INT64_MIN; }
 
   // Returns the number of open requests.
-  std::size_t open() const { return requests_.size(); }
+  std::size_t open_requests() const { return requests_.size(); }
   std::size_t fills() const { return fills_.size(); }
   // Returns the highest ratio of use to limit among open requests, fills and bytes in flight; from 1 on,
   // requests are rejected.
--- a/src/program/node_commands.cpp
+++ b/src/program/node_commands.cpp
@@ -49,7 +49,7 @@
 transport::Task<void> shut_down_node(transport::Scheduler& scheduler, cache_node::Node& node,
                                      store::Store& store) {
   const Clock::time_point start = Clock::now();
-  while (node.open() > 0 && Clock::now() - start < kMaxDrain) {
+  while (node.open_requests() > 0 && Clock::now() - start < kMaxDrain) {
     co_await scheduler.sleep(kDrainCheck);
   }
   node.stop();
@@ -72,7 +72,8 @@
     if (signal == SIGHUP) {
       log_line(Level::kInfo) << node.report();
     } else if (!std::exchange(shutting_down, true)) {
-      log_line(Level::kInfo) << "signal " << signal << ": shutting down, " << node.open() << " requests open";
+      log_line(Level::kInfo) << "signal " << signal << ": shutting down, " << node.open_requests()
+                             << " requests open";
       scheduler.spawn(shut_down_node(scheduler, node, store));
     }
   }
--- a/src/program/serve.cpp
+++ b/src/program/serve.cpp
@@ -219,7 +219,7 @@
   const protocol::DeploymentSettings& deployment = configuration.deployment;
   transport::Scheduler scheduler;
   Signals signals(scheduler);
-  const routing::ModuleClock clock;
+  const routing::DeciderClock clock;
   Decider decider(deployment.settings, configuration.seed);
   StartSupport start(scheduler, configuration);
   routing::Router router(
--- a/src/protocol/cache_command.cpp
+++ b/src/protocol/cache_command.cpp
@@ -47,7 +47,7 @@
   constexpr std::array<Text, 8> kTextFields{{{"cls", &ServeFields::request_class, kMaxClassBytes},
                                              {"item", &ServeFields::item, kMaxItemBytes},
                                              {"chunk", &ServeFields::chunk, kMaxValueBytes},
-                                             {"nonce", &ServeFields::nonce, kMaxValueBytes},
+                                             {"nonce", &ServeFields::idempotency_key, kMaxValueBytes},
                                              {"next", &ServeFields::source, kMaxValueBytes},
                                              {"cached", &ServeFields::client_tag, kMaxValueBytes},
                                              {"match", &ServeFields::expected_tag, kMaxValueBytes},
@@ -207,7 +207,7 @@
       .add("item", fields.item)
       .add("chunk", fields.chunk)
       .add("limit", fields.limit_ms, true)
-      .add("nonce", fields.nonce)
+      .add("nonce", fields.idempotency_key)
       .add("next", fields.source)
       .add("admit", fields.keep_rank, fields.keep_rank > 0)
       .add("agelim", fields.age_limit_ms, fields.age_limit_ms > 0)
--- a/src/protocol/cache_command.h
+++ b/src/protocol/cache_command.h
@@ -31,7 +31,7 @@
   std::string request_class;
   std::string item;
   std::string chunk;
-  std::string nonce;              // idempotency key of a write
+  std::string idempotency_key;    // of a write
   std::string source;             // from which a miss is filled; empty: no fill
   std::string client_tag;         // tag of the copy that the client has, without quotes; empty: it has none
   std::int64_t limit_ms = 0;      // time limit for the answer
--- a/src/protocol/discovery_page.cpp
+++ b/src/protocol/discovery_page.cpp
@@ -44,7 +44,7 @@
   if (!std::isfinite(endpoint.weight) || endpoint.weight < 0.0) {
     throw FormatError("number out of range: weight");
   }
-  listed.address = string_or_default(source, "address", "");
+  listed.network_address = string_or_default(source, "address", "");
   listed.started_unix_ms = millis_at(source, "since_ms");
   return listed;
 }
--- a/src/protocol/discovery_page.h
+++ b/src/protocol/discovery_page.h
@@ -17,7 +17,7 @@
 // An endpoint as the discovery service lists it: its name and its network address.
 struct ListedEndpoint {
   Endpoint endpoint;                 // its `address` is the name; its start time is not set
-  std::string address;               // IP:PORT
+  std::string network_address;       // IP:PORT
   std::int64_t started_unix_ms = 0;  // Unix time of its start; 0: long ago
 };
 // An endpoint update.
--- a/src/routing/discovery_update_handler.cpp
+++ b/src/routing/discovery_update_handler.cpp
@@ -57,7 +57,7 @@
     }
     Endpoint endpoint = cache.endpoint;
     endpoint.started =
-        cache.started_unix_ms > 0 ? ModuleClock::end_of_unix_ms(cache.started_unix_ms) : Micros(0);
+        cache.started_unix_ms > 0 ? DeciderClock::end_of_unix_ms(cache.started_unix_ms) : Micros(0);
     list.entries.push_back(std::move(endpoint));
   }
   for (const auto& [name, state] : before) {
@@ -76,7 +76,7 @@
 bool DiscoveryUpdateHandler::set_endpoint(const protocol::ListedEndpoint& cache) {
   const std::string& name = cache.endpoint.address;
   const std::optional<transport::Address> old = directory_.find(name);
-  const std::optional<transport::Address> address = transport::parse_address(cache.address);
+  const std::optional<transport::Address> address = transport::parse_address(cache.network_address);
   if (!address && cache.endpoint.state == NodeState::kReady && !old) {
     log_line(Level::kWarning) << "discovery service: cache " << name << " has no valid address";
     return false;
@@ -124,7 +124,7 @@
   purged.group = purge.group;
   log_line(Level::kDebug) << "purge of " << (purge.whole_group ? "group " : "object ")
                           << (purge.whole_group ? purge.group : purge.object);
-  router_.purged(purged, ModuleClock::end_of_unix_ms(purge.purged_unix_ms));
+  router_.purged(purged, DeciderClock::end_of_unix_ms(purge.purged_unix_ms));
 }
 
 }  // namespace trailcourse::routing
--- a/src/routing/module_clock.h
+++ b/src/routing/module_clock.h
@@ -1,4 +1,4 @@
-// The clock of the decision module: Unix time at its construction, and steady from then on.
+// The clock of the decision module (Decider): Unix time at its construction, and steady from then on.
 #pragma once
 
 #include <trailcourse/decider.h>
@@ -10,10 +10,10 @@
 
 namespace trailcourse::routing {
 
-class ModuleClock {
+class DeciderClock {
  public:
-  ModuleClock() : ModuleClock(transport::Clock::now(), std::chrono::system_clock::now()) {}
-  ModuleClock(transport::Clock::time_point steady, std::chrono::system_clock::time_point unix_time)
+  DeciderClock() : DeciderClock(transport::Clock::now(), std::chrono::system_clock::now()) {}
+  DeciderClock(transport::Clock::time_point steady, std::chrono::system_clock::time_point unix_time)
       : steady_(steady), unix_(std::chrono::duration_cast<Micros>(unix_time.time_since_epoch())) {}
 
   // Converts a time of the steady clock to the time of the module.
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -120,8 +120,8 @@
   };
 
   // `scheduler` has to outlive this object.
-  Router(transport::Scheduler& scheduler, const ModuleClock& clock, const Settings& settings, Handler handler,
-         const Bounds& bounds)
+  Router(transport::Scheduler& scheduler, const DeciderClock& clock, const Settings& settings,
+         Handler handler, const Bounds& bounds)
       : scheduler_(scheduler),
         clock_(clock),
         classes_(settings.classes),
@@ -221,7 +221,7 @@
   void fail_after_error(const Event& event);
 
   transport::Scheduler& scheduler_;
-  ModuleClock clock_;
+  DeciderClock clock_;
   std::vector<ClassSettings> classes_;
   std::size_t attempts_cap_;
   Handler handler_;
--- a/tests/discovery_client_test.cpp
+++ b/tests/discovery_client_test.cpp
@@ -112,7 +112,7 @@
   ASSERT_EQ(pool.endpoints.size(), 1U);
   EXPECT_EQ(pool.endpoints[0].endpoint.address, "s-00c41f7a");
   EXPECT_EQ(pool.endpoints[0].endpoint.state, NodeState::kDraining);
-  EXPECT_EQ(pool.endpoints[0].address, "10.1.0.9:4100");
+  EXPECT_EQ(pool.endpoints[0].network_address, "10.1.0.9:4100");
   EXPECT_EQ(pool.endpoints[0].started_unix_ms, 12);
   EXPECT_EQ(std::get<protocol::PurgeReceived>(page.updates[1].change).object, 0x7f3a9c21e0b4d655U);
   const auto& group = std::get<protocol::PurgeReceived>(page.updates[2].change);
@@ -182,7 +182,7 @@
   }
 
   transport::Scheduler scheduler_;
-  routing::ModuleClock clock_;
+  routing::DeciderClock clock_;
   Micros now_{0};
   std::vector<EndpointListReceived> lists_;
   std::vector<Purged> purges_;
@@ -248,7 +248,7 @@
   EXPECT_TRUE(removed_.empty());
   apply_list(3, false, {entry("a", "127.0.0.1:1", "up", 6)});
   EXPECT_EQ(removed_, std::vector<std::string>{"a"});
-  EXPECT_EQ(lists_.back().entries.at(0).started, routing::ModuleClock::end_of_unix_ms(6));
+  EXPECT_EQ(lists_.back().entries.at(0).started, routing::DeciderClock::end_of_unix_ms(6));
 }
 
 TEST_F(DiscoveryUpdateHandlerTest, IgnoresEventsThatWereAppliedBefore) {
--- a/tests/node_core_test.cpp
+++ b/tests/node_core_test.cpp
@@ -153,7 +153,7 @@
   EXPECT_EQ(answer_to(1).fields.waited_ms, 30);
   ASSERT_EQ(all<StoreCopy>().size(), 1U);
   EXPECT_EQ(all<StoreCopy>()[0].rank, 2);
-  EXPECT_EQ(core_.open(), 0U);
+  EXPECT_EQ(core_.open_requests(), 0U);
   EXPECT_EQ(core_.fills(), 0U);
 }
 
@@ -408,14 +408,14 @@
   request.request_class = "entry";
   request.limit_ms = 500;
   request.source = "origin";
-  request.nonce = "key";
+  request.idempotency_key = "key";
   request.join_fill = true;
   for (RequestNumber number = 1; number <= 2; ++number) {
     core_.on_request(now(), number, request, "payload", out_);
   }
   ASSERT_EQ(all<Fetch>().size(), 2U);
   EXPECT_EQ(all<Fetch>()[0].body, "payload");
-  EXPECT_EQ(all<Fetch>()[0].fields.nonce, "key");
+  EXPECT_EQ(all<Fetch>()[0].fields.idempotency_key, "key");
   on_fetch_result(all<Fetch>()[0].fill, answer(AnswerCode::kOk, "done"));
   EXPECT_EQ(*answer_to(1).body, "done");
   EXPECT_TRUE(all<StoreCopy>().empty());
@@ -472,7 +472,7 @@
   for (RequestNumber number = 1; number <= 4; ++number) {
     EXPECT_EQ(answer_to(number).code, AnswerCode::kError);
   }
-  EXPECT_EQ(core_.open(), 0U);
+  EXPECT_EQ(core_.open_requests(), 0U);
 }
 
 TEST_F(NodeCoreTest, TreatsALateLookupAsAMissAndIgnoresItsResult) {
@@ -507,7 +507,7 @@
   core_.tick(now(), out_);
   EXPECT_EQ(answer_to(2).code, AnswerCode::kVoid);
   EXPECT_EQ(core_.fills(), 0U);
-  EXPECT_EQ(core_.open(), 0U);
+  EXPECT_EQ(core_.open_requests(), 0U);
   EXPECT_FALSE(core_.next_deadline_ms().has_value());
 }
 
@@ -754,7 +754,7 @@
     steady += 10'000;
     core.tick(EventContext{steady, kStartUnixMs + steady, 0}, out);
     check_actions();
-    EXPECT_EQ(core.open(), 0U);
+    EXPECT_EQ(core.open_requests(), 0U);
     EXPECT_EQ(core.fills(), 0U);
     for (RequestNumber number = 1; number <= last; ++number) {
       EXPECT_EQ(answers[number], cancelled.contains(number) ? 0 : 1)
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -126,7 +126,7 @@
   }
 
   transport::Scheduler scheduler_;
-  ModuleClock clock_;
+  DeciderClock clock_;
   std::vector<Event> events_;
   Script script_ = send_once;
   std::shared_ptr<ReplyLog> replies_ = std::make_shared<ReplyLog>();
