--- a/src/fleet/layout.cpp
+++ b/src/fleet/layout.cpp
@@ -33,9 +33,9 @@
 
 const char* to_string(Kind kind) {
   switch (kind) {
-    case Kind::kRegistry:
+    case Kind::kCoordinationServer:
       return "registry";
-    case Kind::kBoard:
+    case Kind::kDiscoveryServer:
       return "board";
     case Kind::kOrigin:
       return "origin";
@@ -67,9 +67,9 @@
   const auto zone = [this](int number) {
     return spec_.zones[static_cast<std::size_t>(number) % spec_.zones.size()];
   };
-  add(Kind::kBoard, "board", kHub);
-  if (spec_.registry) {
-    add(Kind::kRegistry, "registry", kHub);
+  add(Kind::kDiscoveryServer, "board", kHub);
+  if (spec_.has_coordination_server) {
+    add(Kind::kCoordinationServer, "registry", kHub);
   }
   add(Kind::kOrigin, "origin", kHub);
   for (int i = 0; i < spec_.parents; ++i) {
@@ -85,11 +85,11 @@
     add(Kind::kRouter, numbered("router", i), zone(i));
   }
   const std::string board = members_.front().address;
-  const std::string registry = spec_.registry ? member("registry").address : "";
+  const std::string registry = spec_.has_coordination_server ? member("registry").address : "";
   for (Member& one : members_) {
-    one.board = board;
+    one.discovery_address = board;
     const Kind store_client = spec_.aggregators > 0 ? Kind::kAggregator : Kind::kRouter;
-    one.registry = one.kind == store_client ? registry : "";
+    one.coordination_address = one.kind == store_client ? registry : "";
   }
   connect_aggregators();
 }
@@ -173,7 +173,7 @@
           {"type", type},
           {"group", 0},
           {"status", status},
-          {"weight", spec_.weight},
+          {"weight", spec_.max_transfers},
           {"since_ms", since_ms}};
 }
 
@@ -181,7 +181,7 @@
   json entries = json::array();
   for (const Member& member : members_) {
     if (is_listed(member.kind)) {
-      entries.push_back(entry(member, "up", member.kind == Kind::kOrigin ? 0 : spec_.since_ms));
+      entries.push_back(entry(member, "up", member.kind == Kind::kOrigin ? 0 : spec_.started_unix_ms));
     }
   }
   const json pool{{"index", 1}, {"snapshot", true}, {"endpoints", entries}};
@@ -224,22 +224,22 @@
   out["Zones"] = zones;
   out["Extra"]["CountByZone"] = counts;
   out["Extra"]["ZoneLinkKbPerS"] = links;
-  out["Extra"]["Direct"] = spec_.direct;
+  out["Extra"]["Direct"] = spec_.may_use_origin;
   out["Extra"]["HeedWithinS"] = spec_.purge_grace_s;
-  out["Extra"]["ParentFloor"] = spec_.cold_from;
-  out["Extra"]["ParentRampS"] = spec_.cold_s;
-  out["Rules"]["ColdFrom"] = spec_.cold_from;
-  out["Rules"]["ColdS"] = spec_.cold_s;
+  out["Extra"]["ParentFloor"] = spec_.slow_start_from;
+  out["Extra"]["ParentRampS"] = spec_.slow_start_s;
+  out["Rules"]["ColdFrom"] = spec_.slow_start_from;
+  out["Rules"]["ColdS"] = spec_.slow_start_s;
   return out;
 }
 
 json Layout::config(const Member& member) const {
   switch (member.kind) {
-    case Kind::kRegistry:
+    case Kind::kCoordinationServer:
       return {{"registry", {{"listen", member.address}, {"folder", folder_ + "/registry-store"}}}};
-    case Kind::kBoard: {
+    case Kind::kDiscoveryServer: {
       json board{{"listen", member.address}, {"file", board_file()}};
-      board.update(spec_.board);
+      board.update(spec_.discovery);
       return {{"board", board}};
     }
     case Kind::kOrigin:
@@ -252,10 +252,13 @@
       if (spec_.disk) {
         store.update({{"folder", folder_ + "/disk-" + member.name}, {"disk_mb", kDiskMb}, {"segment_mb", 4}});
       }
-      json cache{{"name", member.name},   {"listen", member.address},
-                 {"board", member.board}, {"fill_from", member.kind == Kind::kParent ? "origin" : ""},
-                 {"connections", 4'096},  {"origin", "origin"}};
-      if (spec_.registry || !spec_.embedded.empty()) {
+      json cache{{"name", member.name},
+                 {"listen", member.address},
+                 {"board", member.discovery_address},
+                 {"fill_from", member.kind == Kind::kParent ? "origin" : ""},
+                 {"connections", 4'096},
+                 {"origin", "origin"}};
+      if (spec_.has_coordination_server || !spec_.embedded_store_folder.empty()) {
         cache["fence_folder"] = folder_ + "/terms-" + member.name;
       }
       if (member.kind == Kind::kCache) {
@@ -275,10 +278,10 @@
                 std::hash<std::string>()(member.name + member.address + "/" + std::to_string(member.starts)));
   json out{{"name", member.name},
            {"listen", member.address},
-           {"board", member.board},
+           {"board", member.discovery_address},
            {"seed", seed},
-           {"limits", {{"memory_mb", spec_.memory_mb}, {"sockets", spec_.sockets}}},
-           {"known", spec_.known ? current_page() : json{{"rev", 0}, {"notices", json::array()}}},
+           {"limits", {{"memory_mb", spec_.memory_mb}, {"sockets", spec_.max_sockets}}},
+           {"known", spec_.starts_with_list ? current_page() : json{{"rev", 0}, {"notices", json::array()}}},
            {"settings", settings(member.zone, static_cast<int>(index))}};
   if (!spec_.router.empty()) {
     out["router"] = spec_.router;
@@ -290,9 +293,9 @@
   json section{{"listen", member.address},
                {"name", member.name},
                {"zones", served_zones(member.name)},
-               {"board", member.board}};
+               {"board", member.discovery_address}};
   section.update(spec_.aggregator);
-  json coordination{{"store", "etcd"}, {"endpoints", {member.registry}}};
+  json coordination{{"store", "etcd"}, {"endpoints", {member.coordination_address}}};
   coordination.update(spec_.coordination);
   return {{"aggregator", section},
           {"coordination", coordination},
@@ -302,7 +305,7 @@
 
 // Returns the operator file of a router: the sections that its platform does not pass to it.
 json Layout::operator_config(const Member& member) const {
-  json out = spec_.operators;
+  json out = spec_.operator_sections;
   if (relay_degree_ > 0 && !member.relay.empty()) {
     json& relay = out["relay"];
     relay["listen"] = member.relay;
@@ -314,10 +317,10 @@
       }
     }
   }
-  if (!member.registry.empty()) {
-    out["coordination"] = {{"store", "etcd"}, {"endpoints", {member.registry}}};
-  } else if (!spec_.embedded.empty()) {
-    out["coordination"] = {{"store", "embedded"}, {"folder", spec_.embedded}};
+  if (!member.coordination_address.empty()) {
+    out["coordination"] = {{"store", "etcd"}, {"endpoints", {member.coordination_address}}};
+  } else if (!spec_.embedded_store_folder.empty()) {
+    out["coordination"] = {{"store", "embedded"}, {"folder", spec_.embedded_store_folder}};
   } else if (!member.aggregators.empty()) {
     out["coordination"] = {{"store", "none"}};  // its timeouts apply to the calls to the aggregators
     for (const Endpoint& endpoint : member.aggregators) {
--- a/src/fleet/layout.h
+++ b/src/fleet/layout.h
@@ -14,16 +14,17 @@
 
 namespace trailcourse::fleet {
 
-// The kinds of members. kRegistry is the coordination server, kBoard the discovery server.
-enum class Kind { kRegistry, kBoard, kOrigin, kParent, kCache, kAggregator, kRouter };
+// The kinds of members.
+enum class Kind { kCoordinationServer, kDiscoveryServer, kOrigin, kParent, kCache, kAggregator, kRouter };
 // Returns the name of the kind, which is also the command that starts such a member, except of routers and
 // parents.
 const char* to_string(Kind kind);
 // Returns whether the discovery service lists members of this kind.
 bool is_listed(Kind kind);
 // The order in which members are started: each kind after those that it depends on.
-inline constexpr std::array kStartOrder{Kind::kRegistry, Kind::kBoard,      Kind::kOrigin, Kind::kParent,
-                                        Kind::kCache,    Kind::kAggregator, Kind::kRouter};
+inline constexpr std::array kStartOrder{
+    Kind::kCoordinationServer, Kind::kDiscoveryServer, Kind::kOrigin, Kind::kParent, Kind::kCache,
+    Kind::kAggregator,         Kind::kRouter};
 
 // The size of a fleet and the options of its members.
 struct FleetSpec {
@@ -33,16 +34,17 @@
   std::vector<std::string> zones{"edge"};  // caches and routers are assigned to the zones round-robin
   int object_kb = 20;
   int origin_delay_ms = 0;
-  int weight = 8;              // concurrent transfers of a cache or parent
-  bool disk = false;           // caches and parents store copies on disk
-  bool direct = true;          // routers may send requests to the origin
-  double purge_grace_s = 0.3;  // latest time after a purge event at which a purged copy may be served
-  double cold_s = 10.0;        // length of the slow start of caches and parents
-  double cold_from = 0.3;      // their capacity share at the start of the slow start
-  std::int64_t since_ms = 0;   // listed start time of caches and parents; 0: long ago
-  bool known = true;  // routers start with the endpoint list; false: they get it from the discovery service
-  bool registry = false;  // the fleet has a coordination server, and its routers do owned work
-  std::string embedded;   // the folder of an embedded store that all routers share instead of the server
+  int max_transfers = 8;             // concurrent, of a cache or parent
+  bool disk = false;                 // caches and parents store copies on disk
+  bool may_use_origin = true;        // routers may send requests to the origin
+  double purge_grace_s = 0.3;        // latest time after a purge event at which a purged copy may be served
+  double slow_start_s = 10.0;        // length of the slow start of caches and parents
+  double slow_start_from = 0.3;      // their capacity share at the start of the slow start, 0 to 1
+  std::int64_t started_unix_ms = 0;  // listed start time of caches and parents; 0: long ago
+  // Routers start with the endpoint list. False: they get it from the discovery service.
+  bool starts_with_list = true;
+  bool has_coordination_server = false;  // if so, the routers do owned work
+  std::string embedded_store_folder;  // of a store that all routers share instead of the server; empty: none
   nlohmann::json ownership = nlohmann::json::object();     // keys of the section "ownership"
   nlohmann::json coordination = nlohmann::json::object();  // keys of the section "coordination"
   nlohmann::json policy = nlohmann::json::object();  // keys of "policy"; empty: routers follow no policy
@@ -52,12 +54,13 @@
   int regions = 1;                                       // zones are assigned to the regions round-robin
   nlohmann::json aggregator = nlohmann::json::object();  // additional keys of the aggregators' section
   std::string router_program;                            // program of the routers; empty: that of all members
-  int memory_mb = 192;
-  int sockets = 1'024;
-  nlohmann::json router = nlohmann::json::object();     // keys of the routers' section "router"
-  nlohmann::json operators = nlohmann::json::object();  // additional sections of each router's operator file
+  int memory_mb = 192;                                   // limit of one router
+  int max_sockets = 1'024;                               // limit of one router
+  nlohmann::json router = nlohmann::json::object();      // keys of the routers' section "router"
+  // Additional sections of each router's operator file.
+  nlohmann::json operator_sections = nlohmann::json::object();
   nlohmann::json cache = nlohmann::json::object();      // additional keys of the caches' section
-  nlohmann::json board = nlohmann::json::object();      // additional keys of the discovery service's section
+  nlohmann::json discovery = nlohmann::json::object();  // additional keys of the discovery service's section
 };
 
 // Another member and the address at which to connect to it.
@@ -72,8 +75,8 @@
   std::string zone;
   std::string address;                // listen address
   std::string advertised_address;     // address that the discovery service lists: that of a proxy, or its own
-  std::string board;                  // where it connects to the discovery service, possibly through a proxy
-  std::string registry;               // where it connects to the coordination server; empty: it does not
+  std::string discovery_address;      // of the discovery service, or of a proxy before it
+  std::string coordination_address;   // of the coordination server, or of a proxy; empty: it does not connect
   std::vector<Endpoint> aggregators;  // of a router, in order of preference
   std::vector<std::string> environment;  // NAME=VALUE, of its process
   std::string relay;                     // listen address of a router's relay; empty: it has no relay
--- a/src/fleet/scenario.cpp
+++ b/src/fleet/scenario.cpp
@@ -25,7 +25,7 @@
 Scenario::Scenario(transport::Scheduler& scheduler, Layout& layout, PortAllocator& ports, std::string program,
                    const std::vector<std::string>& proxied)
     : scheduler_(scheduler), layout_(layout), supervisor_(scheduler, layout, std::move(program)) {
-  const std::string board = layout.member(layout.names(Kind::kBoard).front()).address;
+  const std::string board = layout.member(layout.names(Kind::kDiscoveryServer).front()).address;
   for (Member& member : layout.members()) {
     const std::string to_board = member.name + ">board";
     const std::string to_node = "*>" + member.name;
@@ -39,10 +39,10 @@
     const bool polls_discovery =
         member.kind == Kind::kRouter || member.kind == Kind::kCache || member.kind == Kind::kParent;
     if (polls_discovery && matches_any(proxied, to_board)) {
-      member.board = add(to_board, board);
+      member.discovery_address = add(to_board, board);
     }
-    if (!member.registry.empty() && matches_any(proxied, to_registry)) {
-      member.registry = add(to_registry, member.registry);
+    if (!member.coordination_address.empty() && matches_any(proxied, to_registry)) {
+      member.coordination_address = add(to_registry, member.coordination_address);
     }
     for (Endpoint& endpoint : member.aggregators) {
       if (const std::string to_aggregator = member.name + ">" + endpoint.name;
@@ -132,7 +132,8 @@
 // A connection to one router.
 class StatusPoller::Link : public Connection::Handler {
  public:
-  Link(Row& row, const std::shared_ptr<Connection>& connection) : row_(&row), connection_(connection) {}
+  Link(RouterStatus& status, const std::shared_ptr<Connection>& connection)
+      : status_(&status), connection_(connection) {}
 
   bool ended() const { return connection_.ended(); }
   void send_check() {
@@ -142,7 +143,7 @@
     }
   }
   void detach() {
-    row_ = nullptr;
+    status_ = nullptr;
     connection_.close(ConnectionEnd::kDropped);
   }
   void on_bytes(std::string_view bytes) override {
@@ -159,35 +160,35 @@
     }
   }
   void on_end(ConnectionEnd) override {
-    if (row_ != nullptr) {
-      row_->up = false;
-      row_->ready = false;
-      row_->state = "-";
+    if (status_ != nullptr) {
+      status_->up = false;
+      status_->ready = false;
+      status_->state = "-";
     }
   }
 
  private:
   void apply(const std::string& text) {
-    if (row_ == nullptr) {
+    if (status_ == nullptr) {
       return;
     }
-    row_->up = true;
-    row_->ready = text.starts_with("Status: 200");
+    status_->up = true;
+    status_->ready = text.starts_with("Status: 200");
     const std::size_t end = text.find("\r\n\r\n");
     const nlohmann::json body =
         nlohmann::json::parse(end == std::string::npos ? "" : text.substr(end + 4), nullptr, false);
     if (body.is_object()) {
-      row_->state = body.value("state", std::string("plain"));
-      row_->event = body.value("event", std::uint64_t{0});
-      row_->calls = body.value("calls", std::uint64_t{0});
-      row_->failed = body.value("failed", std::uint64_t{0});
-      row_->age_ms = body.value("age_ms", std::int64_t{-1});
+      status_->state = body.value("state", std::string("plain"));
+      status_->event = body.value("event", std::uint64_t{0});
+      status_->polls = body.value("calls", std::uint64_t{0});
+      status_->failed_polls = body.value("failed", std::uint64_t{0});
+      status_->age_ms = body.value("age_ms", std::int64_t{-1});
     } else {
-      row_->state = "plain";
+      status_->state = "plain";
     }
   }
 
-  Row* row_;
+  RouterStatus* status_;
   transport::ConnectionHandle connection_;
   std::string bytes_;
   std::string text_;
@@ -197,7 +198,7 @@
 StatusPoller::StatusPoller(transport::Scheduler& scheduler, const Layout& layout)
     : scheduler_(scheduler), layout_(layout) {
   for (const std::string& router : layout.names(Kind::kRouter)) {
-    rows_[router].router = router;
+    statuses_[router].router = router;
   }
 }
 
@@ -214,7 +215,7 @@
       const Connection::Bounds bounds;
       const auto connection =
           Connection::connect(scheduler_, *transport::parse_address(layout_.member(router).address), bounds);
-      link = std::make_shared<Link>(rows_[router], connection);
+      link = std::make_shared<Link>(statuses_[router], connection);
       connection->start(link);
     }
     link->send_check();
--- a/src/fleet/scenario.h
+++ b/src/fleet/scenario.h
@@ -33,7 +33,7 @@
   Scenario& operator=(const Scenario&) = delete;
 
   // Returns the supervisor, which starts and stops the processes of the fleet.
-  Supervisor& fleet() { return supervisor_; }
+  Supervisor& supervisor() { return supervisor_; }
   Layout& layout() { return layout_; }
   // Returns the proxy of a link; null if the link has none.
   FaultProxy* link(const std::string& name);
@@ -61,14 +61,14 @@
 class StatusPoller {
  public:
   // The status of one router, from the last answer to a health check.
-  struct Row {
+  struct RouterStatus {
     std::string router;
-    bool up = false;           // the connection is open and a check was answered
-    bool ready = false;        // the answer was 200
-    std::string state = "-";   // "-": down; "plain": the answer has no state
-    std::uint64_t event = 0;   // the last one applied
-    std::uint64_t calls = 0;   // polls of the discovery service
-    std::uint64_t failed = 0;  // failed polls
+    bool up = false;          // the connection is open and a check was answered
+    bool ready = false;       // the answer was 200
+    std::string state = "-";  // "-": down; "plain": the answer has no state
+    std::uint64_t event = 0;  // the last one applied
+    std::uint64_t polls = 0;  // of the discovery service, since the start of the router
+    std::uint64_t failed_polls = 0;
     std::int64_t age_ms = -1;  // since the endpoint list was last confirmed; -1: unknown
   };
 
@@ -77,14 +77,14 @@
 
   // Sends a health check to each router; the answers are processed when the scheduler runs.
   void refresh(const std::vector<std::string>& routers);
-  const std::map<std::string, Row>& rows() const { return rows_; }
+  const std::map<std::string, RouterStatus>& statuses() const { return statuses_; }
 
  private:
   class Link;
 
   transport::Scheduler& scheduler_;
   const Layout& layout_;
-  std::map<std::string, Row> rows_;
+  std::map<std::string, RouterStatus> statuses_;
   std::map<std::string, std::shared_ptr<Link>> links_;
 };
 
--- a/src/fleet/supervisor.cpp
+++ b/src/fleet/supervisor.cpp
@@ -88,7 +88,7 @@
   return all.substr(std::min(child->second.log_from, all.size()));
 }
 
-std::vector<std::string> Supervisor::missing() {
+std::vector<std::string> Supervisor::unexpected_exits() {
   std::vector<std::string> out;
   for (auto& [name, child] : children_) {
     if (const auto& end = child.process.poll()) {
--- a/src/fleet/supervisor.h
+++ b/src/fleet/supervisor.h
@@ -45,7 +45,7 @@
   std::string log_since_start(const std::string& name) const;
   // Returns the members that have ended although neither kill() nor terminate() was called for them, each
   // as its name and how its process ended.
-  std::vector<std::string> missing();
+  std::vector<std::string> unexpected_exits();
 
   // Runs the scheduler until `done` returns true or `timeout` has passed. Returns whether `done` returned
   // true.
--- a/src/program/fleet_command.cpp
+++ b/src/program/fleet_command.cpp
@@ -81,12 +81,12 @@
   spec.caches = command.caches;
   spec.parents = command.parents;
   spec.zones = command.zones;
-  spec.known = !command.without_list;
+  spec.starts_with_list = !command.without_list;
   if (command.cold) {
-    spec.since_ms =
+    spec.started_unix_ms =
         std::chrono::duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch()).count();
   }
-  spec.registry = command.registry || command.aggregators > 0;
+  spec.has_coordination_server = command.registry || command.aggregators > 0;
   spec.aggregators = command.aggregators;
   if (command.aggregators > 0) {
     spec.regions = std::min(command.aggregators, static_cast<int>(command.zones.size()));
@@ -96,12 +96,12 @@
   spec.object_kb = command.object_kb;
   spec.origin_delay_ms = command.origin_delay_ms;
   if (command.spread) {
-    spec.operators["startup"] = {{"spread", true},
-                                 {"board_calls_per_s", command.board_calls_per_s},
-                                 {"node_opens_per_s", command.node_opens_per_s}};
+    spec.operator_sections["startup"] = {{"spread", true},
+                                         {"board_calls_per_s", command.board_calls_per_s},
+                                         {"node_opens_per_s", command.node_opens_per_s}};
   }
   if (command.snapshots) {
-    spec.operators["snapshot"] = {{"fleet", "demo"}};
+    spec.operator_sections["snapshot"] = {{"fleet", "demo"}};
   }
   return spec;
 }
@@ -197,11 +197,11 @@
       if (kind == Kind::kRouter) {
         continue;  // started by step()
       }
-      scenario_->fleet().start_all(kind);
+      scenario_->supervisor().start_all(kind);
       for (const std::string& name : layout_.names(kind)) {
-        if (!scenario_->fleet().await_up(name, kStartTimeout)) {
-          errors_ << "trailcourse: fleet: " << name << " did not come up: " << scenario_->fleet().log(name)
-                  << '\n';
+        if (!scenario_->supervisor().await_up(name, kStartTimeout)) {
+          errors_ << "trailcourse: fleet: " << name
+                  << " did not come up: " << scenario_->supervisor().log(name) << '\n';
           return false;
         }
       }
@@ -215,7 +215,7 @@
     while (started_routers_ < routers.size() &&
            elapsed_ms(start_) >=
                static_cast<double>(started_routers_) * static_cast<double>(command_.stagger_ms)) {
-      scenario_->fleet().start(routers[started_routers_++]);
+      scenario_->supervisor().start(routers[started_routers_++]);
     }
     scenario_->apply_due_faults();
     apply_requested_faults();
@@ -272,8 +272,8 @@
     for (const Kind kind : {Kind::kCache, Kind::kParent}) {
       for (const std::string& name : layout_.names(kind)) {
         // SIGHUP would end a process that has not installed its signal handling yet.
-        if (scenario_->fleet().log_since_start(name).find("listens on") != std::string::npos) {
-          scenario_->fleet().signal(name, SIGHUP);
+        if (scenario_->supervisor().log_since_start(name).find("listens on") != std::string::npos) {
+          scenario_->supervisor().signal(name, SIGHUP);
         }
       }
     }
@@ -282,11 +282,11 @@
   // Sends the requests that are due, each to a random router that is ready, as a web server does.
   void send_load() {
     const auto due = static_cast<std::size_t>(elapsed_ms(start_) / 1'000.0 * command_.load_per_s);
-    const auto& rows = status_->rows();
+    const auto& statuses = status_->statuses();
     while (load_->requests().size() < due && command_.load_per_s > 0.0) {
       std::vector<std::string> ready;
-      for (const auto& [name, row] : rows) {
-        if (row.ready) {
+      for (const auto& [name, status] : statuses) {
+        if (status.ready) {
           ready.push_back(name);
         }
       }
@@ -300,11 +300,11 @@
   }
 
   void record_state_times() {
-    for (const auto& [name, row] : status_->rows()) {
-      if (row.ready && ready_at_.emplace(name, elapsed_ms(start_)).second) {
+    for (const auto& [name, status] : status_->statuses()) {
+      if (status.ready && ready_at_.emplace(name, elapsed_ms(start_)).second) {
         ready_ms_.push_back(elapsed_ms(start_));
       }
-      const bool current = row.state == "current" || (row.state == "plain" && row.ready);
+      const bool current = status.state == "current" || (status.state == "plain" && status.ready);
       if (current && current_at_.emplace(name, elapsed_ms(start_)).second) {
         current_ms_.push_back(elapsed_ms(start_));
       }
@@ -313,8 +313,8 @@
 
   std::map<std::string, int> states() const {
     std::map<std::string, int> out;
-    for (const auto& [name, row] : status_->rows()) {
-      ++out[row.up ? row.state : "down"];
+    for (const auto& [name, status] : status_->statuses()) {
+      ++out[status.up ? status.state : "down"];
     }
     return out;
   }
@@ -323,17 +323,17 @@
   void publish_status() {
     json page{{"pid", ::getpid()}, {"seconds", elapsed_ms(start_) / 1'000.0}, {"states", states()}};
     page["routers"] = json::array();
-    for (const auto& [name, row] : status_->rows()) {
+    for (const auto& [name, status] : status_->statuses()) {
       page["routers"].push_back({{"router", name},
-                                 {"up", row.up},
-                                 {"ready", row.ready},
-                                 {"state", row.state},
-                                 {"event", row.event},
-                                 {"calls", row.calls},
-                                 {"failed", row.failed},
-                                 {"age_ms", row.age_ms}});
-    }
-    page["missing"] = scenario_->fleet().missing();
+                                 {"up", status.up},
+                                 {"ready", status.ready},
+                                 {"state", status.state},
+                                 {"event", status.event},
+                                 {"calls", status.polls},
+                                 {"failed", status.failed_polls},
+                                 {"age_ms", status.age_ms}});
+    }
+    page["missing"] = scenario_->supervisor().unexpected_exits();
     write_file_atomically(command_.folder + "/status.json", page.dump(1) + "\n");
     if (!command_.json && !command_.quiet) {
       print_status(page, out_, ::isatty(STDOUT_FILENO) == 1);
@@ -379,12 +379,12 @@
 
   // Stops the fleet, writes the summary and returns the exit status.
   int finish() {
-    const auto missing = scenario_->fleet().missing();
-    scenario_->fleet().run_until([this] { return load_->open() == 0; }, milliseconds(4'000));
+    const auto unexpected_exits = scenario_->supervisor().unexpected_exits();
+    scenario_->supervisor().run_until([this] { return load_->open() == 0; }, milliseconds(4'000));
     const json summary = summarize();
     write_file_atomically(command_.folder + "/summary.json", summary.dump(1) + "\n");
     for (const std::string& name : layout_.names(Kind::kRouter)) {
-      scenario_->fleet().kill(name);
+      scenario_->supervisor().kill(name);
     }
     if (command_.json) {
       out_ << summary.dump() << '\n';
@@ -392,11 +392,13 @@
       print_summary(summary);
     }
     std::filesystem::remove(command_.folder + "/fleet.pid");
-    for (const std::string& message : missing) {
+    for (const std::string& message : unexpected_exits) {
       errors_ << "trailcourse: fleet: " << message << '\n';
     }
     const bool all_ready = ready_at_.size() == static_cast<std::size_t>(command_.routers);
-    return !missing.empty() ? kProcessDied : !all_ready && command_.run_time_s > 0.0 ? kStartFailed : 0;
+    return !unexpected_exits.empty()                 ? kProcessDied
+           : !all_ready && command_.run_time_s > 0.0 ? kStartFailed
+                                                     : 0;
   }
 
   json summarize() {
@@ -465,8 +467,8 @@
     std::vector<double> memory;
     std::vector<double> descriptors;
     for (const std::string& name : layout_.names(Kind::kRouter)) {
-      if (scenario_->fleet().alive(name)) {
-        const fleet::Footprint footprint = fleet::footprint_of(scenario_->fleet().pid(name));
+      if (scenario_->supervisor().alive(name)) {
+        const fleet::Footprint footprint = fleet::footprint_of(scenario_->supervisor().pid(name));
         memory.push_back(footprint.resident_mb);
         descriptors.push_back(footprint.descriptors);
       }
@@ -481,16 +483,16 @@
     const std::vector<std::string> parents = layout_.names(Kind::kParent);
     nodes.insert(nodes.end(), parents.begin(), parents.end());
     for (const std::string& name : nodes) {
-      if (scenario_->fleet().log_since_start(name).find("listens on") != std::string::npos) {
-        scenario_->fleet().signal(name, SIGHUP);
+      if (scenario_->supervisor().log_since_start(name).find("listens on") != std::string::npos) {
+        scenario_->supervisor().signal(name, SIGHUP);
       }
     }
-    scenario_->fleet().run_until([] { return false; }, milliseconds(100));
+    scenario_->supervisor().run_until([] { return false; }, milliseconds(100));
     std::uint64_t fills = 0;
     std::uint64_t worst_fills = 0;
     std::uint64_t worst_requests = 0;
     for (const std::string& name : nodes) {
-      const std::string log = scenario_->fleet().log(name);
+      const std::string log = scenario_->supervisor().log(name);
       fills += last_counter(log, "fills");
       worst_fills = std::max(worst_fills, max_increase(log, "fills"));
       worst_requests = std::max(worst_requests, max_increase(log, "requests"));
--- a/tests/fleet/aggregation_test.cpp
+++ b/tests/fleet/aggregation_test.cpp
@@ -154,10 +154,10 @@
   ASSERT_FALSE(testing::Test::HasFailure());
   ASSERT_TRUE(fleet.await_acknowledged(fleet.purge())) << fleet.output << fleet.fixture.logs();
   const bool first_coordinates =
-      fleet.fixture.fleet().log("aggregator0").find("starts events/0") != std::string::npos;
+      fleet.fixture.supervisor().log("aggregator0").find("starts events/0") != std::string::npos;
   const std::string coordinator = first_coordinates ? "aggregator0" : "aggregator1";
-  fleet.fixture.fleet().kill(coordinator);
-  fleet.fixture.fleet().kill(fleet.all.front());
+  fleet.fixture.supervisor().kill(coordinator);
+  fleet.fixture.supervisor().kill(fleet.all.front());
   const std::uint64_t event = fleet.purge();
   fleet.fixture.start(fleet.all.front());
   EXPECT_TRUE(fleet.await_acknowledged(event)) << fleet.output << fleet.fixture.logs();
@@ -174,7 +174,7 @@
   }
   ASSERT_TRUE(fleet.await_acknowledged(fleet.purge())) << fleet.output << fleet.fixture.logs();
   const std::string before = fleet.acknowledged()["done"]["board"];
-  fleet.fixture.fleet().kill("board");
+  fleet.fixture.supervisor().kill("board");
   fleet.fixture.layout().write();  // the first page only: its sequence numbers start again
   fleet.fixture.start("board");
   const std::uint64_t event = fleet.purge();
@@ -193,8 +193,8 @@
   ASSERT_TRUE(fleet.await_acknowledged(fleet.purge())) << fleet.output << fleet.fixture.logs();
   fleet.acknowledge_events(false);
   const std::string router = fleet.all.front();
-  fleet.fixture.fleet().kill(router);
-  fleet.fixture.fleet().kill("board");
+  fleet.fixture.supervisor().kill(router);
+  fleet.fixture.supervisor().kill("board");
   fleet.fixture.layout().write();
   fleet.fixture.start("board");
   fleet.fixture.start(router);
@@ -237,7 +237,7 @@
   }
   ASSERT_NO_FATAL_FAILURE(fleet.expect_rollout(fleet.all, 2.0));
   if (GetParam().name == "Ended") {
-    EXPECT_TRUE(fleet.fixture.run_until([&] { return !fleet.fixture.fleet().alive("aggregator0"); }))
+    EXPECT_TRUE(fleet.fixture.run_until([&] { return !fleet.fixture.supervisor().alive("aggregator0"); }))
         << fleet.fixture.logs();
   }
   for (const std::string& line : GetParam().ends) {
@@ -255,7 +255,7 @@
   ASSERT_EQ(fleet.propose(2.0), 0) << fleet.output;
   ASSERT_TRUE(fleet.run_until_under_load(fleet.all, [&] {
     const std::string log =
-        fleet.fixture.fleet().log("aggregator0") + fleet.fixture.fleet().log("aggregator1");
+        fleet.fixture.supervisor().log("aggregator0") + fleet.fixture.supervisor().log("aggregator1");
     return log.find("starts policy/0") != std::string::npos;
   })) << fleet.fixture.logs();
   for (const std::string& line : GetParam().begins) {
@@ -313,7 +313,7 @@
   for (int i = 0; i < kRollouts; ++i) {
     ASSERT_EQ(fleet.propose(2.0 + i), 0) << fleet.output;
     for (const std::string& router : half) {
-      fleet.fixture.fleet().kill(router);
+      fleet.fixture.supervisor().kill(router);
     }
     for (const std::string& router : half) {
       fleet.fixture.start(router);
@@ -330,7 +330,7 @@
   ASSERT_FALSE(testing::Test::HasFailure());
   const std::vector<std::string> joiners(fleet.all.begin() + 5, fleet.all.end());
   for (const std::string& router : joiners) {
-    fleet.fixture.fleet().kill(router);
+    fleet.fixture.supervisor().kill(router);
   }
   ASSERT_EQ(fleet.propose(2.0), 0) << fleet.output;
   for (const std::string& router : joiners) {
@@ -346,7 +346,7 @@
   ASSERT_FALSE(testing::Test::HasFailure());
   for (int i = 0; i < 3; ++i) {
     ASSERT_EQ(fleet.propose(2.0 + i), 0) << fleet.output;
-    fleet.fixture.fleet().kill("registry");
+    fleet.fixture.supervisor().kill("registry");
     fleet.fixture.start("registry");
     EXPECT_TRUE(fleet.run_until_under_load(fleet.all, [&] {
       const std::string state = fleet.change_state();
@@ -364,18 +364,18 @@
   ASSERT_FALSE(testing::Test::HasFailure());
   const std::string folder = fleet.fixture.folder() + "/registry-store";
   ASSERT_NO_FATAL_FAILURE(fleet.expect_rollout(fleet.all, 2.0));
-  fleet.fixture.fleet().kill("registry");
+  fleet.fixture.supervisor().kill("registry");
   std::filesystem::copy(folder, folder + "-copy", std::filesystem::copy_options::recursive);
   fleet.fixture.start("registry");
   EXPECT_TRUE(fleet.await_version(fleet.all, 1)) << fleet.fixture.logs();
   ASSERT_NO_FATAL_FAILURE(fleet.expect_rollout(fleet.all, 3.0));
-  fleet.fixture.fleet().kill("registry");
+  fleet.fixture.supervisor().kill("registry");
   std::filesystem::remove_all(folder);
   std::filesystem::rename(folder + "-copy", folder);
   fleet.fixture.start("registry");
   EXPECT_TRUE(fleet.await_rejection(fleet.all)) << fleet.fixture.logs();
   // A restarted router has seen no higher revision, but its aggregator has.
-  fleet.fixture.fleet().kill(fleet.all.front());
+  fleet.fixture.supervisor().kill(fleet.all.front());
   fleet.fixture.start(fleet.all.front());
   EXPECT_TRUE(fleet.await_rejection({fleet.all.front()})) << fleet.fixture.logs();
   EXPECT_EQ(fleet.check(), kNoViolations);
@@ -387,7 +387,7 @@
   AggregatedFleet fleet(spec);
   ASSERT_FALSE(testing::Test::HasFailure());
   ASSERT_NO_FATAL_FAILURE(fleet.expect_rollout(fleet.all, 2.0));
-  fleet.fixture.fleet().kill("aggregator0");
+  fleet.fixture.supervisor().kill("aggregator0");
   ASSERT_NO_FATAL_FAILURE(fleet.expect_rollout(fleet.all, 3.0));
   fleet.fixture.start("aggregator0");
   ASSERT_NO_FATAL_FAILURE(fleet.expect_rollout(fleet.all, 4.0));
--- a/tests/fleet/broken_nodes_test.cpp
+++ b/tests/fleet/broken_nodes_test.cpp
@@ -42,7 +42,7 @@
       next = Clock::now() + milliseconds(200);
       if (down.empty()) {
         down = nodes[random() % nodes.size()];
-        fixture.fleet().kill(down);
+        fixture.supervisor().kill(down);
         ++kills;
       } else {
         fixture.start(down);
@@ -59,7 +59,7 @@
   EXPECT_EQ(find_answer_violations(all, milliseconds(2'000), 20U << 10U), std::vector<std::string>{});
   EXPECT_GE(kills, 5);
   EXPECT_GE(served, kRequests - kMaxRejected) << fixture.logs();
-  EXPECT_EQ(fixture.fleet().missing(), std::vector<std::string>{});
+  EXPECT_EQ(fixture.supervisor().unexpected_exits(), std::vector<std::string>{});
 }
 
 }  // namespace
--- a/tests/fleet/cold_start_test.cpp
+++ b/tests/fleet/cold_start_test.cpp
@@ -43,8 +43,8 @@
 
 // Gives all objects at the origin a new version, and purges the objects that send_to_all() requests.
 void edit_and_purge(FleetFixture& fixture) {
-  fixture.fleet().signal("origin", SIGHUP);
-  ASSERT_TRUE(fixture.fleet().await_log("origin", "generated objects have a new version", kTestTimeout));
+  fixture.supervisor().signal("origin", SIGHUP);
+  ASSERT_TRUE(fixture.supervisor().await_log("origin", "generated objects have a new version", kTestTimeout));
   const auto now =
       std::chrono::duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch());
   for (std::uint64_t object = 1'000; object < 1'030; ++object) {
@@ -66,15 +66,15 @@
 TEST_P(StartIntervalTest, RoutersWithoutAnEndpointListGetItWithinTheBoundOnPolls) {
   constexpr int kRouters = 12;
   FleetSpec spec = spread_spec(kRouters);
-  spec.known = false;
+  spec.starts_with_list = false;
   FleetFixture fixture(spec, {"router*>board"});
-  fixture.start(Kind::kBoard);
+  fixture.start(Kind::kDiscoveryServer);
   fixture.start(Kind::kOrigin);
   fixture.start(Kind::kParent);
   fixture.start(Kind::kCache);
   const Clock::time_point begun = Clock::now();
   for (const std::string& router : fixture.routers()) {
-    fixture.fleet().start(router);
+    fixture.supervisor().start(router);
     fixture.run_for(milliseconds(GetParam()));
   }
   ASSERT_EQ(fixture.await_states(fixture.routers(), {"current"}), "");
@@ -84,7 +84,7 @@
   }
   EXPECT_EQ(send_to_all(fixture, fixture.routers(), 5), kNoViolations);
   EXPECT_EQ(served(fixture, 0), 60U);
-  EXPECT_EQ(fixture.fleet().missing(), kNoViolations);
+  EXPECT_EQ(fixture.supervisor().unexpected_exits(), kNoViolations);
 }
 
 INSTANTIATE_TEST_SUITE_P(ColdStart, StartIntervalTest, testing::Values(0, 60));
@@ -122,12 +122,12 @@
     fixture.apply_fault("heal router*>board");
   }
   for (const std::string& router : fixture.routers()) {
-    EXPECT_TRUE(fixture.fleet().await_log(router, "cache cache1 is draining", kTestTimeout))
-        << fixture.fleet().log(router);
+    EXPECT_TRUE(fixture.supervisor().await_log(router, "cache cache1 is draining", kTestTimeout))
+        << fixture.supervisor().log(router);
   }
   ASSERT_EQ(fixture.await_states(fixture.routers(), {"current"}), "");
   EXPECT_EQ(send_to_all(fixture, fixture.routers(), 3), kNoViolations);
-  EXPECT_EQ(fixture.fleet().missing(), kNoViolations);
+  EXPECT_EQ(fixture.supervisor().unexpected_exits(), kNoViolations);
 }
 
 INSTANTIATE_TEST_SUITE_P(ColdStart, FaultyDiscoveryServer,
@@ -154,7 +154,7 @@
     fixture.append_event({{"flush", {{"collection", 3}, {"ms", 1}}}});
   }
   ASSERT_EQ(fixture.await_states(fixture.routers(), {"current"}), "");
-  fixture.fleet().kill("board");
+  fixture.supervisor().kill("board");
   json page = fixture.layout().first_page();
   auto& entries = page["notices"][0]["pool"]["endpoints"];
   entries.erase(std::remove_if(entries.begin(), entries.end(),
@@ -163,10 +163,11 @@
   std::ofstream(fixture.layout().board_file()) << page.dump();
   fixture.start("board");
   for (const std::string& router : fixture.routers()) {
-    EXPECT_TRUE(fixture.fleet().await_log(router, "sequence reset of the discovery service", kTestTimeout))
-        << fixture.fleet().log(router);
-    EXPECT_TRUE(fixture.fleet().await_log(router, "cache cache0 is not listed any more", kTestTimeout))
-        << fixture.fleet().log(router);
+    EXPECT_TRUE(
+        fixture.supervisor().await_log(router, "sequence reset of the discovery service", kTestTimeout))
+        << fixture.supervisor().log(router);
+    EXPECT_TRUE(fixture.supervisor().await_log(router, "cache cache0 is not listed any more", kTestTimeout))
+        << fixture.supervisor().log(router);
   }
   // All routers apply its next event, which has a low sequence number.
   fixture.append_event(
@@ -175,8 +176,8 @@
          {"snapshot", false},
          {"endpoints", {fixture.layout().entry(fixture.layout().member("cache1"), "draining")}}}}});
   for (const std::string& router : fixture.routers()) {
-    EXPECT_TRUE(fixture.fleet().await_log(router, "cache cache1 is draining", kTestTimeout))
-        << fixture.fleet().log(router);
+    EXPECT_TRUE(fixture.supervisor().await_log(router, "cache cache1 is draining", kTestTimeout))
+        << fixture.supervisor().log(router);
   }
   EXPECT_EQ(send_to_all(fixture, fixture.routers(), 5), kNoViolations);
 }
@@ -195,36 +196,38 @@
          {"snapshot", false},
          {"endpoints", {fixture.layout().entry(fixture.layout().member("cache1"), "draining")}}}}});
   for (const std::string& router : fixture.routers()) {
-    ASSERT_TRUE(fixture.fleet().await_log(router, "cache cache1 is draining", kTestTimeout));
+    ASSERT_TRUE(fixture.supervisor().await_log(router, "cache cache1 is draining", kTestTimeout));
   }
   std::ofstream(fixture.layout().board_file()) << page.dump();  // the old page
-  ASSERT_TRUE(fixture.fleet().await_log("board", "publishes events up to event 1", kTestTimeout));
+  ASSERT_TRUE(fixture.supervisor().await_log("board", "publishes events up to event 1", kTestTimeout));
   fixture.run_for(milliseconds(300));
   for (const std::string& router : fixture.routers()) {
-    EXPECT_EQ(fixture.fleet().log(router).find("sequence reset of the discovery service"), std::string::npos);
-    EXPECT_EQ(fixture.fleet().log(router).find("cache1 is up", fixture.fleet().log(router).find("draining")),
+    EXPECT_EQ(fixture.supervisor().log(router).find("sequence reset of the discovery service"),
+              std::string::npos);
+    EXPECT_EQ(fixture.supervisor().log(router).find("cache1 is up",
+                                                    fixture.supervisor().log(router).find("draining")),
               std::string::npos);
   }
 }
 
 TEST(ColdStartTest, PollsTheNewAddressAfterSighupDuringTheStart) {
   FleetSpec spec = spread_spec(6, 4.0);
-  spec.known = false;
+  spec.starts_with_list = false;
   FleetFixture fixture(spec, {"router*>board"});
   fixture.start(Kind::kOrigin);
   fixture.start(Kind::kCache);
   // The proxied links work only while the discovery server runs, and are cut below; the new address is the
   // server's own.
-  fixture.fleet().start_all(Kind::kRouter);
+  fixture.supervisor().start_all(Kind::kRouter);
   for (const std::string& router : fixture.routers()) {
-    ASSERT_TRUE(fixture.fleet().await_up(router, kTestTimeout));
+    ASSERT_TRUE(fixture.supervisor().await_up(router, kTestTimeout));
   }
-  fixture.start(Kind::kBoard);
+  fixture.start(Kind::kDiscoveryServer);
   fixture.apply_fault("cut router*>board both");
   for (const std::string& router : fixture.routers()) {
-    fixture.layout().member(router).board = fixture.layout().member("board").address;
+    fixture.layout().member(router).discovery_address = fixture.layout().member("board").address;
     fixture.layout().write(fixture.layout().member(router));
-    fixture.fleet().signal(router, SIGHUP);
+    fixture.supervisor().signal(router, SIGHUP);
   }
   EXPECT_EQ(fixture.await_states(fixture.routers(), {"current"}), "");
 }
@@ -235,8 +238,8 @@
 TEST(ColdStartTest, ServesNoPurgedCopyWhileCutOffFromTheDiscoveryService) {
   for (const char* unsure : {"guard", "refuse"}) {
     FleetSpec spec = spread_spec(4);
-    spec.operators["startup"]["unsure"] = unsure;
-    spec.operators["startup"]["told_within_ms"] = 800;
+    spec.operator_sections["startup"]["unsure"] = unsure;
+    spec.operator_sections["startup"]["told_within_ms"] = 800;
     FleetFixture fixture(spec, {"router*>board", "cache*>board", "parent*>board"});
     fixture.start_all();
     ASSERT_FALSE(testing::Test::HasFatalFailure());
@@ -276,8 +279,8 @@
 // purge.
 TEST(ColdStartTest, ServesNoPurgedCopyAfterItWasSuspended) {
   FleetSpec spec = spread_spec(2);
-  spec.operators["startup"]["unsure"] = "guard";
-  spec.operators["startup"]["told_within_ms"] = 600;
+  spec.operator_sections["startup"]["unsure"] = "guard";
+  spec.operator_sections["startup"]["told_within_ms"] = 600;
   FleetFixture fixture(spec, {"cache*>board", "parent*>board"});
   fixture.start_all();
   ASSERT_FALSE(testing::Test::HasFatalFailure());
@@ -314,19 +317,19 @@
         fixture.layout().member(name(i % kProcesses)).address;
   }
   fixture.layout().write();
-  fixture.start(Kind::kBoard);
+  fixture.start(Kind::kDiscoveryServer);
   fixture.start(Kind::kOrigin);
   fixture.start(Kind::kParent);
   for (int i = 0; i < kProcesses; ++i) {
-    fixture.fleet().start(name(i));
+    fixture.supervisor().start(name(i));
   }
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   // Does not wait for log lines: the lines about so many caches reach the limit on log lines in the first
   // second.
-  fixture.fleet().start_all(Kind::kRouter);
+  fixture.supervisor().start_all(Kind::kRouter);
   ASSERT_EQ(fixture.await_states(fixture.routers(), {"current"}), "");
   for (int i = 0; i < kProcesses; ++i) {
-    ASSERT_TRUE(fixture.fleet().await_log(name(i), "received discovery events", kTestTimeout));
+    ASSERT_TRUE(fixture.supervisor().await_log(name(i), "received discovery events", kTestTimeout));
   }
   EXPECT_EQ(send_to_all(fixture, fixture.routers(), 60), kNoViolations);
   EXPECT_EQ(served(fixture, 0), 180U);
@@ -340,7 +343,7 @@
   constexpr double kRequestCost =
       0.4;  // seconds of sending at full rate, by the size that the request states
   FleetSpec spec = spread_spec(kRouters);
-  spec.weight = 2;
+  spec.max_transfers = 2;
   FleetFixture fixture(spec);
   fixture.start_all();
   ASSERT_FALSE(testing::Test::HasFatalFailure());
@@ -356,11 +359,11 @@
     ASSERT_TRUE(fixture.await_answers());
   }
   const auto requests = [&fixture] {
-    const std::size_t before = fixture.fleet().log("cache1").size();
-    fixture.fleet().signal("cache1", SIGHUP);
+    const std::size_t before = fixture.supervisor().log("cache1").size();
+    fixture.supervisor().signal("cache1", SIGHUP);
     EXPECT_TRUE(fixture.run_until(
-        [&] { return fixture.fleet().log("cache1").find(" requests=", before) != std::string::npos; }));
-    const std::string log = fixture.fleet().log("cache1");
+        [&] { return fixture.supervisor().log("cache1").find(" requests=", before) != std::string::npos; }));
+    const std::string log = fixture.supervisor().log("cache1");
     return std::strtoul(log.c_str() + log.rfind(" requests=") + 10, nullptr, 10);
   };
   const auto since =
@@ -372,7 +375,7 @@
          {"snapshot", false},
          {"endpoints", {fixture.layout().entry(fixture.layout().member("cache1"), "up", since.count())}}}}});
   for (const std::string& router : fixture.routers()) {
-    ASSERT_TRUE(fixture.fleet().await_log(router, "cache cache1 is up, started recently", kTestTimeout));
+    ASSERT_TRUE(fixture.supervisor().await_log(router, "cache cache1 is up, started recently", kTestTimeout));
   }
   const unsigned long before_slow_start = requests() - before;
   const Clock::time_point begun = Clock::now();
@@ -381,9 +384,9 @@
     if (i == 20) {
       // Most routers restart meanwhile, and lose the record of what they have used of the budget.
       for (int killed = 0; killed < 4; ++killed) {
-        fixture.fleet().kill(all[static_cast<std::size_t>(killed)]);
-        fixture.fleet().start(all[static_cast<std::size_t>(killed)]);
-        ASSERT_TRUE(fixture.fleet().await_up(all[static_cast<std::size_t>(killed)], kTestTimeout));
+        fixture.supervisor().kill(all[static_cast<std::size_t>(killed)]);
+        fixture.supervisor().start(all[static_cast<std::size_t>(killed)]);
+        ASSERT_TRUE(fixture.supervisor().await_up(all[static_cast<std::size_t>(killed)], kTestTimeout));
       }
     }
     for (const std::string& router : all) {
@@ -395,7 +398,8 @@
   const unsigned long sent = requests() - before - before_slow_start;
   const double seconds = std::chrono::duration<double>(Clock::now() - begun).count();
   const double capacity_share = std::min(1.0, 0.3 + 0.7 * (seconds + 0.5) / 10.0);
-  EXPECT_LE(static_cast<double>(sent) * kRequestCost, 4.0 * capacity_share * spec.weight * (seconds + 1.0));
+  EXPECT_LE(static_cast<double>(sent) * kRequestCost,
+            4.0 * capacity_share * spec.max_transfers * (seconds + 1.0));
   for (const SentRequest& one : fixture.load().requests()) {
     EXPECT_LE(one.answers, 1);
     EXPECT_TRUE(one.answers == 1 || one.connection_ended);
@@ -415,16 +419,16 @@
   fixture.apply_fault("slow *>cache1 30000");
   EXPECT_EQ(send_to_all(fixture, fixture.routers(), 25), kNoViolations);
   EXPECT_GT(served(fixture, 0), 0U);
-  EXPECT_EQ(fixture.fleet().missing(), kNoViolations);
+  EXPECT_EQ(fixture.supervisor().unexpected_exits(), kNoViolations);
 }
 
 // Objects are purged while a third of the routers are down. These routers then start from their snapshots.
 TEST(ColdStartTest, RoutersThatWereDownDuringAPurgeServeNoPurgedCopyAfterTheirStart) {
   FleetSpec spec = spread_spec(6);
-  spec.operators["startup"]["unsure"] = "guard";
-  spec.operators["startup"]["told_within_ms"] = 600;
-  spec.operators["snapshot"] = {{"fleet", "test"}, {"write_ms", 20}};
-  spec.known = false;
+  spec.operator_sections["startup"]["unsure"] = "guard";
+  spec.operator_sections["startup"]["told_within_ms"] = 600;
+  spec.operator_sections["snapshot"] = {{"fleet", "test"}, {"write_ms", 20}};
+  spec.starts_with_list = false;
   FleetFixture fixture(spec, {"cache*>board", "parent*>board", "router*>board"});
   fixture.start_all();
   ASSERT_FALSE(testing::Test::HasFatalFailure());
@@ -437,7 +441,7 @@
   for (const std::string& router : third) {
     ASSERT_TRUE(fixture.run_until(
         [&] { return std::filesystem::exists(fixture.folder() + "/snapshot-" + router + "/snapshot"); }));
-    fixture.fleet().kill(router);
+    fixture.supervisor().kill(router);
   }
   fixture.apply_fault("cut cache*>board both");
   fixture.apply_fault("cut parent*>board both");
@@ -449,8 +453,8 @@
   const std::size_t from = fixture.load().requests().size();
   for (const std::string& router : third) {
     fixture.start(router);
-    ASSERT_TRUE(fixture.fleet().await_log(router, "snapshot: loaded", kTestTimeout))
-        << fixture.fleet().log(router);
+    ASSERT_TRUE(fixture.supervisor().await_log(router, "snapshot: loaded", kTestTimeout))
+        << fixture.supervisor().log(router);
     ASSERT_TRUE(fixture.await_ready(router));
   }
   EXPECT_EQ(fixture.await_states({"router0"}, {"provisional"}), "");
@@ -484,10 +488,10 @@
   const Clock::time_point begun = Clock::now();
   const std::size_t before = fixture.call_count("router*>board");
   for (const std::string& router : killed) {
-    fixture.fleet().kill(router);
+    fixture.supervisor().kill(router);
   }
   for (const std::string& router : killed) {
-    fixture.fleet().start(router);
+    fixture.supervisor().start(router);
   }
   EXPECT_EQ(send_to_all(fixture, rest, 20), kNoViolations);
   ASSERT_EQ(fixture.await_states(all, {"current"}), "");
@@ -499,8 +503,8 @@
 // A router whose snapshot cannot be used logs the reason and starts without it.
 TEST(SnapshotStartTest, StartsWithoutASnapshotThatCannotBeUsed) {
   FleetSpec spec = spread_spec(1);
-  spec.operators["snapshot"] = {{"fleet", "test"}, {"write_ms", 20}};
-  spec.known = false;
+  spec.operator_sections["snapshot"] = {{"fleet", "test"}, {"write_ms", 20}};
+  spec.starts_with_list = false;
   FleetFixture fixture(spec);
   fixture.start_all();
   ASSERT_FALSE(testing::Test::HasFatalFailure());
@@ -513,14 +517,15 @@
     return std::string{std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>()};
   };
   ASSERT_TRUE(fixture.run_until([&] { return read().find("\"rev\":2") != std::string::npos; }));
-  fixture.fleet().kill("router0");
+  fixture.supervisor().kill("router0");
   const std::string good = read();
   const auto expect_start = [&](const std::string& bytes, const std::string& text) {
     std::ofstream(file, std::ios::binary) << bytes;
     fixture.start("router0");
-    EXPECT_TRUE(fixture.fleet().await_log("router0", text, kTestTimeout)) << fixture.fleet().log("router0");
+    EXPECT_TRUE(fixture.supervisor().await_log("router0", text, kTestTimeout))
+        << fixture.supervisor().log("router0");
     EXPECT_TRUE(fixture.await_ready("router0"));
-    fixture.fleet().kill("router0");
+    fixture.supervisor().kill("router0");
   };
   expect_start(good, "snapshot: loaded, event 2");
   expect_start(good.substr(0, good.size() / 2), "not used: it is truncated");
@@ -553,8 +558,8 @@
   // Another router uses the same folder by mistake.
   {
     std::ofstream(file, std::ios::binary) << good;
-    fixture.fleet().start("router0");
-    ASSERT_TRUE(fixture.fleet().await_up("router0", kTestTimeout));
+    fixture.supervisor().start("router0");
+    ASSERT_TRUE(fixture.supervisor().await_up("router0", kTestTimeout));
     fleet::Member second = fixture.layout().member("router0");
     second.name = "second";
     second.address = fixture.ports().allocate_text();
@@ -571,13 +576,13 @@
     })) << process.log();
     ASSERT_TRUE(fixture.run_until([&] { return process.log().find("listens on") != std::string::npos; }));
     fixture.layout().members().pop_back();
-    fixture.fleet().kill("router0");
+    fixture.supervisor().kill("router0");
   }
   // The folder cannot be created, since a file has its path.
   std::filesystem::remove_all(folder);
   std::ofstream(folder) << "in the way";
   fixture.start("router0");
-  EXPECT_TRUE(fixture.fleet().await_log("router0", "starting without snapshots", kTestTimeout));
+  EXPECT_TRUE(fixture.supervisor().await_log("router0", "starting without snapshots", kTestTimeout));
   EXPECT_TRUE(fixture.await_ready("router0"));
 }
 
@@ -586,16 +591,16 @@
 TEST(ColdStartTest, AllRoutersGetTheEndpointListFromARateLimitedDiscoveryServer) {
   constexpr int kRouters = 12;
   FleetSpec spec = spread_spec(kRouters, 1'000.0);
-  spec.known = false;
-  spec.board = {{"calls_per_s", 20}};
+  spec.starts_with_list = false;
+  spec.discovery = {{"calls_per_s", 20}};
   FleetFixture fixture(spec);
   fixture.start_all();
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   ASSERT_EQ(fixture.await_states(fixture.routers(), {"current"}), "");
-  fixture.fleet().signal("board", SIGHUP);
-  ASSERT_TRUE(fixture.fleet().await_log("board", "sent_away=", kTestTimeout));
-  EXPECT_EQ(fixture.fleet().log("board").find(" sent_away=0 "), std::string::npos)
-      << fixture.fleet().log("board");
+  fixture.supervisor().signal("board", SIGHUP);
+  ASSERT_TRUE(fixture.supervisor().await_log("board", "sent_away=", kTestTimeout));
+  EXPECT_EQ(fixture.supervisor().log("board").find(" sent_away=0 "), std::string::npos)
+      << fixture.supervisor().log("board");
 }
 
 }  // namespace
--- a/tests/fleet/fleet_fixture.cpp
+++ b/tests/fleet/fleet_fixture.cpp
@@ -47,16 +47,16 @@
 }
 
 void FleetFixture::start(const std::string& name) {
-  scenario_->fleet().start(name);
-  ASSERT_TRUE(scenario_->fleet().await_up(name, kTestTimeout))
-      << name << ": " << scenario_->fleet().log(name);
+  scenario_->supervisor().start(name);
+  ASSERT_TRUE(scenario_->supervisor().await_up(name, kTestTimeout))
+      << name << ": " << scenario_->supervisor().log(name);
 }
 
 void FleetFixture::start(Kind kind) {
-  scenario_->fleet().start_all(kind);
+  scenario_->supervisor().start_all(kind);
   for (const std::string& name : layout_->names(kind)) {
-    ASSERT_TRUE(scenario_->fleet().await_up(name, kTestTimeout))
-        << name << ": " << scenario_->fleet().log(name);
+    ASSERT_TRUE(scenario_->supervisor().await_up(name, kTestTimeout))
+        << name << ": " << scenario_->supervisor().log(name);
   }
 }
 
@@ -68,8 +68,8 @@
   }
   for (const Kind kind : {Kind::kParent, Kind::kCache}) {
     for (const std::string& name : layout_->names(kind)) {
-      ASSERT_TRUE(scenario_->fleet().await_log(name, "received discovery events", kTestTimeout))
-          << scenario_->fleet().log(name);
+      ASSERT_TRUE(scenario_->supervisor().await_log(name, "received discovery events", kTestTimeout))
+          << scenario_->supervisor().log(name);
     }
   }
   start(Kind::kRouter);
@@ -111,10 +111,10 @@
   });
 }
 
-fleet::StatusPoller::Row FleetFixture::status(const std::string& router) {
+fleet::StatusPoller::RouterStatus FleetFixture::status(const std::string& router) {
   status_->refresh({router});
   run_for(milliseconds(2));
-  return status_->rows().at(router);
+  return status_->statuses().at(router);
 }
 
 std::string FleetFixture::await_states(const std::vector<std::string>& routers,
@@ -124,9 +124,9 @@
     unexpected.clear();
     status_->refresh(routers);
     for (const std::string& router : routers) {
-      const fleet::StatusPoller::Row& row = status_->rows().at(router);
-      if (!row.up || std::find(states.begin(), states.end(), row.state) == states.end()) {
-        unexpected = router + " is " + row.state + "\n" + scenario_->fleet().log(router);
+      const fleet::StatusPoller::RouterStatus& status = status_->statuses().at(router);
+      if (!status.up || std::find(states.begin(), states.end(), status.state) == states.end()) {
+        unexpected = router + " is " + status.state + "\n" + scenario_->supervisor().log(router);
       }
     }
     return unexpected.empty();
@@ -172,7 +172,7 @@
 fleet::FleetSpec spread_spec(int routers, double calls_per_s) {
   fleet::FleetSpec spec;
   spec.routers = routers;
-  spec.operators["startup"] = {
+  spec.operator_sections["startup"] = {
       {"spread", true}, {"board_calls_per_s", calls_per_s}, {"window_most_ms", 2'000}};
   return spec;
 }
--- a/tests/fleet/fleet_fixture.h
+++ b/tests/fleet/fleet_fixture.h
@@ -34,7 +34,7 @@
 
   transport::Scheduler& scheduler() { return scheduler_; }
   fleet::Layout& layout() { return *layout_; }
-  fleet::Supervisor& fleet() { return scenario_->fleet(); }
+  fleet::Supervisor& supervisor() { return scenario_->supervisor(); }
   fleet::Scenario& scenario() { return *scenario_; }
   fleet::LoadGenerator& load() { return *load_; }
   fleet::PortAllocator& ports() { return ports_; }
@@ -48,7 +48,7 @@
   // Waits until the health check of the router answers 200; returns whether it did.
   bool await_ready(const std::string& router);
   // Polls the health check of the router and returns the last answer.
-  fleet::StatusPoller::Row status(const std::string& router);
+  fleet::StatusPoller::RouterStatus status(const std::string& router);
   // Waits until each router is in one of these states. Returns the name, state and log of one that is not;
   // empty if all are.
   std::string await_states(const std::vector<std::string>& routers, const std::vector<std::string>& states);
@@ -71,10 +71,10 @@
   std::uint64_t append_event(const nlohmann::json& event);
 
   bool run_until(const std::function<bool()>& done, std::chrono::milliseconds timeout = kTestTimeout) {
-    return scenario_->fleet().run_until(done, timeout);
+    return scenario_->supervisor().run_until(done, timeout);
   }
   void run_for(std::chrono::milliseconds time) {
-    scenario_->fleet().run_until([] { return false; }, time);
+    scenario_->supervisor().run_until([] { return false; }, time);
   }
   std::string logs() const;
 
--- a/tests/fleet/ownership_test.cpp
+++ b/tests/fleet/ownership_test.cpp
@@ -34,7 +34,7 @@
   spec.caches = 1;
   spec.parents = 0;
   spec.disk = true;
-  spec.registry = true;
+  spec.has_coordination_server = true;
   spec.ownership = {{"ttl_ms", ttl_ms},       {"renew_ms", ttl_ms / 4},    {"retry_ms", 100},
                     {"turn_ms", 50},          {"longest_turn_ms", 500},    {"member_ttl_ms", 1'500},
                     {"member_renew_ms", 400}, {"neighbours", 0},           {"settle_ms", 600'000 / 1'000},
@@ -68,8 +68,8 @@
   // Returns the options with which an operator connects to the store.
   coordination::CoordinationOptions store_options() {
     coordination::CoordinationOptions options;
-    options.store = fixture.layout().spec().embedded.empty() ? "etcd" : "embedded";
-    options.folder = fixture.layout().spec().embedded;
+    options.store = fixture.layout().spec().embedded_store_folder.empty() ? "etcd" : "embedded";
+    options.folder = fixture.layout().spec().embedded_store_folder;
     if (options.store == "etcd") {
       options.endpoints = {fixture.layout().member("registry").address};
     }
@@ -154,7 +154,7 @@
   }
   // Returns the fencing token under which a router last started a shard, from its log.
   std::string fencing_token_of(const std::string& router, const std::string& shard) {
-    const std::string log = fixture.fleet().log(router);
+    const std::string log = fixture.supervisor().log(router);
     const std::string words = "starts " + shard + " under term ";
     const std::size_t at = log.rfind(words);
     const std::string rest = at == std::string::npos ? "" : log.substr(at + words.size());
@@ -251,7 +251,7 @@
   EXPECT_NE(fields.find("fenced"), std::string::npos) << fields;
   fleet.fixture.apply_fault("cont " + first);
   fleet.fixture.apply_fault("heal " + first + ">registry");
-  EXPECT_TRUE(fleet.fixture.fleet().await_log(first, "aborts evening/0", kTestTimeout))
+  EXPECT_TRUE(fleet.fixture.supervisor().await_log(first, "aborts evening/0", kTestTimeout))
       << fleet.fixture.logs();
   EXPECT_TRUE(fleet.await_state("evening", "done")) << fleet.fixture.logs();
   EXPECT_EQ(fleet.find_token_regressions(), kNoViolations);
@@ -267,7 +267,7 @@
     const std::string owner = fleet.await_owner("evening");
     const std::uint64_t before = fleet.filled("evening");
     ASSERT_TRUE(fleet.await_filled("evening", before + 2)) << fleet.fixture.logs();
-    fleet.fixture.fleet().kill(owner);
+    fleet.fixture.supervisor().kill(owner);
     killed.insert(owner);
     EXPECT_GE(fleet.filled("evening"), before) << "checkpointed progress was lost";
     fleet.fixture.start(owner);
@@ -276,7 +276,7 @@
   EXPECT_EQ(fleet.filled("evening"), 120U);
   EXPECT_EQ(fleet.find_token_regressions(), kNoViolations);
   // Only the fills that were in flight when an owner was killed may reach the origin twice.
-  fleet.fixture.fleet().terminate("origin", kTestTimeout);
+  fleet.fixture.supervisor().terminate("origin", kTestTimeout);
   const std::string log = [&] {
     std::ifstream file(fleet.fixture.layout().log_file("origin"));
     return std::string{std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
@@ -293,7 +293,7 @@
   fleet.fill("evening", 200, 20.0);
   const std::string first = fleet.await_owner("evening");
   ASSERT_TRUE(fleet.await_filled("evening", 3));
-  const auto end = fleet.fixture.fleet().terminate(first, kTestTimeout);
+  const auto end = fleet.fixture.supervisor().terminate(first, kTestTimeout);
   ASSERT_TRUE(end);
   EXPECT_EQ(fleet::to_string(*end), "ended with status 0");
   const std::uint64_t before = fleet.filled("evening");
@@ -323,7 +323,7 @@
   ASSERT_TRUE(fleet.await_filled("evening", 2));
   fleet.fixture.apply_fault("cut " + first + ">registry both");
   EXPECT_NE(fleet.await_owner("evening", first), first);
-  EXPECT_TRUE(fleet.fixture.fleet().await_log(first, "aborts evening/0", kTestTimeout))
+  EXPECT_TRUE(fleet.fixture.supervisor().await_log(first, "aborts evening/0", kTestTimeout))
       << fleet.fixture.logs();
   // It still serves requests.
   EXPECT_EQ(send_to_all(fleet.fixture, {first}, 5), kNoViolations);
@@ -344,10 +344,10 @@
     }
   }
   EXPECT_TRUE(fleet.await_state("evening", "done")) << fleet.fixture.logs();
-  EXPECT_EQ(fleet.fixture.fleet().log(first).find("aborts evening/0"), std::string::npos);
+  EXPECT_EQ(fleet.fixture.supervisor().log(first).find("aborts evening/0"), std::string::npos);
   for (const std::string& router : fleet.fixture.routers()) {
     if (router != first) {
-      EXPECT_EQ(fleet.fixture.fleet().log(router).find("starts evening"), std::string::npos) << router;
+      EXPECT_EQ(fleet.fixture.supervisor().log(router).find("starts evening"), std::string::npos) << router;
     }
   }
 }
@@ -360,15 +360,15 @@
   fleet.fill("evening", 200, 20.0);
   const std::string first = fleet.await_owner("evening");
   ASSERT_TRUE(fleet.await_filled("evening", 2));
-  fleet.fixture.fleet().kill("registry");
+  fleet.fixture.supervisor().kill("registry");
   EXPECT_EQ(send_to_all(fleet.fixture, fleet.fixture.routers(), 10), kNoViolations);
-  EXPECT_TRUE(fleet.fixture.fleet().await_log(first, "aborts evening/0", kTestTimeout))
+  EXPECT_TRUE(fleet.fixture.supervisor().await_log(first, "aborts evening/0", kTestTimeout))
       << fleet.fixture.logs();
   EXPECT_EQ(send_to_all(fleet.fixture, fleet.fixture.routers(), 10), kNoViolations);
   // A router that starts without the store becomes ready and serves requests.
   const std::string other =
       fleet.fixture.routers()[0] == first ? fleet.fixture.routers()[1] : fleet.fixture.routers()[0];
-  fleet.fixture.fleet().kill(other);
+  fleet.fixture.supervisor().kill(other);
   fleet.fixture.start(other);
   EXPECT_TRUE(fleet.fixture.await_ready(other));
   EXPECT_EQ(send_to_all(fleet.fixture, {other}, 5), kNoViolations);
@@ -403,7 +403,7 @@
   const std::string first = fleet.await_owner("evening");
   fleet.fixture.apply_fault("delay " + first + ">registry 250");  // in each direction
   EXPECT_TRUE(fleet.await_state("evening", "done")) << fleet.fixture.logs();
-  EXPECT_EQ(fleet.fixture.fleet().log(first).find("aborts evening/0"), std::string::npos)
+  EXPECT_EQ(fleet.fixture.supervisor().log(first).find("aborts evening/0"), std::string::npos)
       << fleet.fixture.logs();
 }
 
@@ -429,7 +429,7 @@
   const std::string second = fleet.await_owner("evening", first);
   const std::uint64_t before = fleet.filled("evening");
   ASSERT_TRUE(fleet.await_filled("evening", before + 2)) << fleet.fixture.logs();
-  fleet.fixture.fleet().kill("cache0");
+  fleet.fixture.supervisor().kill("cache0");
   fleet.fixture.start("cache0");
   const std::string address = fleet.fixture.layout().member("cache0").address;
   EXPECT_EQ(send_to_cache(address, old_token, 0x9999).first, "VOID") << old_token;
@@ -464,7 +464,7 @@
   const std::uint64_t before = fleet.filled("evening");
   ASSERT_TRUE(fleet.await_filled("evening", before + 20)) << fleet.fixture.logs();
   EXPECT_EQ(fleet.owner("evening"), first) << "a step of the wall clock must not end a lease";
-  fleet.fixture.fleet().kill(first);
+  fleet.fixture.supervisor().kill(first);
   EXPECT_TRUE(fleet.await_state("evening", "done")) << fleet.fixture.logs();
   EXPECT_EQ(fleet.find_token_regressions(), kNoViolations);
   EXPECT_EQ(fleet.filled("evening"), 100U);
@@ -493,9 +493,10 @@
                     "--operator",        fleet.fixture.layout().operator_file(first)};
   spec.log = fleet.fixture.folder() + "/duplicate.log";
   fleet::Process process(spec);
-  EXPECT_TRUE(fleet.fixture.fleet().await_log(first, "another instance has this router's name", kTestTimeout))
+  EXPECT_TRUE(
+      fleet.fixture.supervisor().await_log(first, "another instance has this router's name", kTestTimeout))
       << fleet.fixture.logs();
-  EXPECT_TRUE(fleet.fixture.fleet().await_log(first, "releases evening/0", kTestTimeout))
+  EXPECT_TRUE(fleet.fixture.supervisor().await_log(first, "releases evening/0", kTestTimeout))
       << fleet.fixture.logs();
   EXPECT_EQ(fleet.work("members", ""), 0);
   const json members = json::parse(fleet.output)["members"];
@@ -523,18 +524,18 @@
     ASSERT_TRUE(fleet.fixture.run_until([&] {
       for (const std::string& router : fleet.fixture.routers()) {
         if (!killed.contains(router) &&
-            fleet.fixture.fleet().log(router).find("starts poison/0") != std::string::npos) {
+            fleet.fixture.supervisor().log(router).find("starts poison/0") != std::string::npos) {
           victim = router;
         }
       }
       return !victim.empty();
     })) << fleet.fixture.logs();
-    fleet.fixture.fleet().kill(victim);
+    fleet.fixture.supervisor().kill(victim);
     killed.insert(victim);
   }
   EXPECT_TRUE(fleet.await_state("poison", "parked")) << fleet.fixture.logs();
   for (const std::string& router : fleet.fixture.routers()) {
-    EXPECT_EQ(killed.contains(router), !fleet.fixture.fleet().alive(router)) << router;
+    EXPECT_EQ(killed.contains(router), !fleet.fixture.supervisor().alive(router)) << router;
   }
   fleet.fixture.run_for(milliseconds(500));
   EXPECT_EQ(fleet.shard("poison").value("state", ""), "parked") << "it remains parked";
@@ -543,7 +544,7 @@
   EXPECT_TRUE(fleet.fixture.run_until([&] {
     return std::any_of(routers.begin(), routers.end(), [&](const std::string& router) {
       return !killed.contains(router) &&
-             fleet.fixture.fleet().log(router).find("starts poison/0") != std::string::npos;
+             fleet.fixture.supervisor().log(router).find("starts poison/0") != std::string::npos;
     });
   })) << fleet.fixture.logs();
 }
@@ -563,11 +564,11 @@
   add.zone = "edge";
   ASSERT_EQ(fleet.work(add), 0) << fleet.output;
   const std::string owner = fleet.await_owner("probes");
-  fleet.fixture.fleet().kill("cache1");
+  fleet.fixture.supervisor().kill("cache1");
   const auto await_verdict = [&](const std::string& verdict) {
     return fleet.fixture.run_until([&] {
       send_to_all(fleet.fixture, fleet.fixture.routers(), 2);
-      const std::string log = fleet.fixture.fleet().log(owner);
+      const std::string log = fleet.fixture.supervisor().log(owner);
       return log.find("verdict on cache cache1: " + verdict) != std::string::npos;
     });
   };
@@ -576,7 +577,7 @@
   EXPECT_TRUE(await_verdict("healthy") || await_verdict("withdrawn")) << fleet.fixture.logs();
   for (const std::string& router : fleet.fixture.routers()) {
     if (router != owner) {
-      EXPECT_EQ(fleet.fixture.fleet().log(router).find("verdict on"), std::string::npos)
+      EXPECT_EQ(fleet.fixture.supervisor().log(router).find("verdict on"), std::string::npos)
           << router << " probed too";
     }
   }
@@ -603,7 +604,7 @@
     fleet.fixture.run_for(milliseconds(20));
     return requests() == 20;
   })) << requests();
-  fleet.fixture.fleet().kill(owner);
+  fleet.fixture.supervisor().kill(owner);
   fleet.await_owner("counts", owner);
   EXPECT_EQ(send_to_all(fleet.fixture, others, 5), kNoViolations);
   EXPECT_TRUE(fleet.fixture.run_until([&] {
@@ -616,9 +617,9 @@
 
 TEST(OwnershipFleetTest, RoutersOfOneMachineShareAnEmbeddedStore) {
   FleetSpec spec = owned_spec(3);
-  spec.registry = false;
-  spec.embedded = testing::TempDir() + "trailcourse-shared-" + std::to_string(::getpid());
-  std::filesystem::remove_all(spec.embedded);
+  spec.has_coordination_server = false;
+  spec.embedded_store_folder = testing::TempDir() + "trailcourse-shared-" + std::to_string(::getpid());
+  std::filesystem::remove_all(spec.embedded_store_folder);
   spec.coordination["look_ms"] = 20;
   {
     OwnershipFixture fleet(spec);
@@ -626,12 +627,12 @@
     fleet.fill("evening", 40, 20.0);
     const std::string first = fleet.await_owner("evening");
     ASSERT_TRUE(fleet.await_filled("evening", 2)) << fleet.fixture.logs();
-    fleet.fixture.fleet().kill(first);
+    fleet.fixture.supervisor().kill(first);
     EXPECT_TRUE(fleet.await_state("evening", "done")) << fleet.fixture.logs();
     EXPECT_EQ(fleet.filled("evening"), 40U);
     EXPECT_EQ(fleet.find_token_regressions(), kNoViolations);
   }
-  std::filesystem::remove_all(spec.embedded);
+  std::filesystem::remove_all(spec.embedded_store_folder);
 }
 
 TEST(OwnershipFleetTest, WorkThatCannotBeDoneEndsWithTheReason) {
--- a/tests/fleet/policy_fixture.cpp
+++ b/tests/fleet/policy_fixture.cpp
@@ -17,7 +17,7 @@
   spec.routers = routers;
   spec.caches = 1;
   spec.parents = 0;
-  spec.registry = true;
+  spec.has_coordination_server = true;
   spec.ownership = {{"ttl_ms", 1'000},        {"renew_ms", 250},        {"retry_ms", 100},
                     {"turn_ms", 30},          {"longest_turn_ms", 300}, {"member_ttl_ms", 1'000},
                     {"member_renew_ms", 250}, {"neighbours", 0},        {"settle_ms", 60'000},
--- a/tests/fleet/policy_test.cpp
+++ b/tests/fleet/policy_test.cpp
@@ -121,7 +121,7 @@
   std::string coordinator;
   ASSERT_TRUE(fleet.run_until_under_load(all, [&] {
     for (const std::string& router : all) {
-      coordinator = fleet.fixture.fleet().log(router).find(GetParam().log_text) != std::string::npos
+      coordinator = fleet.fixture.supervisor().log(router).find(GetParam().log_text) != std::string::npos
                         ? router
                         : coordinator;
     }
@@ -132,7 +132,7 @@
   if (GetParam().suspend) {
     fleet.fixture.apply_fault("stop " + coordinator);
   } else {
-    fleet.fixture.fleet().kill(coordinator);
+    fleet.fixture.supervisor().kill(coordinator);
   }
   EXPECT_TRUE(fleet.await_change(rest, "done")) << fleet.fixture.logs();
   EXPECT_TRUE(fleet.await_version(rest, 1)) << fleet.fixture.logs();
@@ -157,7 +157,7 @@
     ASSERT_EQ(fleet.propose(1.0 + i), 0) << fleet.output;
     const std::string& victim = all[random() % all.size()];
     fleet.run_until_under_load(all, [] { return true; }, milliseconds(random() % 150));
-    fleet.fixture.fleet().kill(victim);
+    fleet.fixture.supervisor().kill(victim);
     fleet.run_until_under_load(all, [] { return false; }, milliseconds(random() % 200));
     fleet.fixture.start(victim);  // it joins after the rollout
     EXPECT_TRUE(fleet.await_change(all, "done")) << fleet.fixture.logs();
@@ -174,7 +174,7 @@
   for (int i = 0; i < 3; ++i) {
     ASSERT_EQ(fleet.propose(1.0 + i), 0) << fleet.output;
     fleet.run_until_under_load(all, [] { return false; }, milliseconds(20 * i));
-    fleet.fixture.fleet().kill("registry");
+    fleet.fixture.supervisor().kill("registry");
     fleet.run_until_under_load(all, [] { return false; }, milliseconds(300));
     fleet.fixture.start("registry");
     std::string state;
--- a/tests/fleet/random_faults_test.cpp
+++ b/tests/fleet/random_faults_test.cpp
@@ -28,14 +28,14 @@
   const bool relays = GetParam() % 2 == 0;
   fleet::FleetSpec spec;
   spec.routers = 5;
-  spec.operators["startup"] = {{"spread", true},
-                               {"board_calls_per_s", 60},
-                               {"window_most_ms", 500},
-                               {"unsure", "guard"},
-                               {"told_within_ms", kPurgeBound.count()}};
-  spec.operators["snapshot"] = {{"fleet", "drawn"}, {"write_ms", 50}};
+  spec.operator_sections["startup"] = {{"spread", true},
+                                       {"board_calls_per_s", 60},
+                                       {"window_most_ms", 500},
+                                       {"unsure", "guard"},
+                                       {"told_within_ms", kPurgeBound.count()}};
+  spec.operator_sections["snapshot"] = {{"fleet", "drawn"}, {"write_ms", 50}};
   if (relays) {
-    spec.operators["relay"] = {{"pass_over_ms", 100}, {"most_age_ms", 400}, {"audits_per_s", 5.0}};
+    spec.operator_sections["relay"] = {{"pass_over_ms", 100}, {"most_age_ms", 400}, {"audits_per_s", 5.0}};
   }
   FleetFixture fixture(spec, {"*>*"}, relays ? 2 : 0);
   fixture.start_all();
@@ -76,8 +76,9 @@
     }
     if (!purge_sent && Clock::now() - begun > milliseconds(700)) {
       purge_sent = true;
-      fixture.fleet().signal("origin", SIGHUP);
-      ASSERT_TRUE(fixture.fleet().await_log("origin", "generated objects have a new version", kTestTimeout));
+      fixture.supervisor().signal("origin", SIGHUP);
+      ASSERT_TRUE(
+          fixture.supervisor().await_log("origin", "generated objects have a new version", kTestTimeout));
       const auto now =
           std::chrono::duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch());
       for (std::uint64_t object = 1'000; object < 1'030; ++object) {
@@ -85,15 +86,16 @@
       }
     }
     // The purge takes effect when the discovery server has read its events.
-    if (purge_sent && !purged && fixture.fleet().log("board").find("up to event 31") != std::string::npos) {
+    if (purge_sent && !purged &&
+        fixture.supervisor().log("board").find("up to event 31") != std::string::npos) {
       purged = Clock::now();
     }
     fixture.run_for(milliseconds(1));
   }
   ASSERT_TRUE(fixture.await_answers());
   for (const std::string& router : routers) {
-    fixture.fleet().signal(router, SIGCONT);
-    EXPECT_TRUE(fixture.await_ready(router)) << fixture.fleet().log(router);
+    fixture.supervisor().signal(router, SIGCONT);
+    EXPECT_TRUE(fixture.await_ready(router)) << fixture.supervisor().log(router);
   }
   EXPECT_EQ(fixture.await_states(routers, {"current"}), "");
 
@@ -122,7 +124,7 @@
   for (std::size_t i = before; i < fixture.load().requests().size(); ++i) {
     EXPECT_EQ(fixture.load().requests()[i].answers, 1);
   }
-  EXPECT_EQ(fixture.fleet().missing(), std::vector<std::string>{});
+  EXPECT_EQ(fixture.supervisor().unexpected_exits(), std::vector<std::string>{});
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, RandomFaultsTest, testing::Range(1, 7));
--- a/tests/fleet/relay_test.cpp
+++ b/tests/fleet/relay_test.cpp
@@ -17,8 +17,8 @@
 
 FleetSpec relay_spec(int routers) {
   FleetSpec spec = spread_spec(routers);
-  spec.known = false;
-  spec.operators["relay"] = {{"pass_over_ms", 200}, {"audits_per_s", 20.0}};
+  spec.starts_with_list = false;
+  spec.operator_sections["relay"] = {{"pass_over_ms", 200}, {"audits_per_s", 20.0}};
   return spec;
 }
 
@@ -49,8 +49,8 @@
          {"snapshot", false},
          {"endpoints", {fixture.layout().entry(fixture.layout().member("cache1"), "draining")}}}}});
   for (const std::string& router : fixture.routers()) {
-    EXPECT_TRUE(fixture.fleet().await_log(router, "cache cache1 is draining", kTestTimeout))
-        << fixture.fleet().log(router);
+    EXPECT_TRUE(fixture.supervisor().await_log(router, "cache cache1 is draining", kTestTimeout))
+        << fixture.supervisor().log(router);
   }
 }
 
@@ -82,14 +82,14 @@
     for (const std::string& router : running) {
       std::size_t count = 0;
       EXPECT_TRUE(fixture.run_until([&] {
-        const std::string log = fixture.fleet().log(router);
+        const std::string log = fixture.supervisor().log(router);
         count = 0;
         for (std::size_t at = log.find(text); at != std::string::npos; at = log.find(text, at + 1)) {
           ++count;
         }
         return count >= static_cast<std::size_t>((event + 1) / 2);
       })) << condition
-          << ": " << fixture.fleet().log(router);
+          << ": " << fixture.supervisor().log(router);
     }
   };
   expect_event_everywhere("no fault");
@@ -100,10 +100,10 @@
   fixture.apply_fault("stop " + root);
   expect_event_everywhere("the first relay is suspended");
   fixture.apply_fault("cont " + root);
-  fixture.fleet().kill(root);
+  fixture.supervisor().kill(root);
   expect_event_everywhere("the first relay is killed");
   while (running.size() > 3) {
-    fixture.fleet().kill(running.back());
+    fixture.supervisor().kill(running.back());
     running.pop_back();
     expect_event_everywhere("another relay is killed");
   }
@@ -139,7 +139,7 @@
     name = startup::RelayTree("router0", {candidate}, 2).position() == 1 ? candidate : "";
   }
   FleetSpec spec = spread_spec(1);
-  spec.operators["relay"] = {{"audits_per_s", 20.0}, {"peers", {name + "=" + relay.address()}}};
+  spec.operator_sections["relay"] = {{"audits_per_s", 20.0}, {"peers", {name + "=" + relay.address()}}};
   FleetFixture fixture(spec);
   fixture.start_all();
   ASSERT_FALSE(testing::Test::HasFatalFailure());
@@ -148,10 +148,11 @@
         {{"index", 2},
          {"snapshot", false},
          {"endpoints", {fixture.layout().entry(fixture.layout().member("cache1"), "draining")}}}}});
-  EXPECT_TRUE(fixture.fleet().await_log("router0", "withholds events of the discovery service", kTestTimeout))
-      << fixture.fleet().log("router0");
-  EXPECT_TRUE(fixture.fleet().await_log("router0", "cache cache1 is draining", kTestTimeout))
-      << fixture.fleet().log("router0");
+  EXPECT_TRUE(
+      fixture.supervisor().await_log("router0", "withholds events of the discovery service", kTestTimeout))
+      << fixture.supervisor().log("router0");
+  EXPECT_TRUE(fixture.supervisor().await_log("router0", "cache cache1 is draining", kTestTimeout))
+      << fixture.supervisor().log("router0");
 }
 
 }  // namespace
--- a/tests/fleet_parts_test.cpp
+++ b/tests/fleet_parts_test.cpp
@@ -205,7 +205,7 @@
   FleetSpec spec;
   spec.routers = 6;
   spec.zones = {"a", "b", "c"};
-  spec.registry = true;
+  spec.has_coordination_server = true;
   spec.aggregators = 4;
   spec.regions = 2;  // a and c, b
   PortAllocator ports;
@@ -220,8 +220,8 @@
   EXPECT_EQ(names_of(layout.member("router3").aggregators),
             (Names{"aggregator2", "aggregator0", "aggregator1"}))
       << "the next router of a zone starts with another aggregator";
-  EXPECT_TRUE(layout.member("router0").registry.empty());
-  EXPECT_FALSE(layout.member("aggregator0").registry.empty());
+  EXPECT_TRUE(layout.member("router0").coordination_address.empty());
+  EXPECT_FALSE(layout.member("aggregator0").coordination_address.empty());
   spec.aggregators = spec.regions = 3;
   const Layout three(spec, ::testing::TempDir(), ports);
   EXPECT_EQ(three.served_zones("aggregator1"), (Names{"a", "b"}))
