--- a/tests/prefetch_plan_test.cpp
+++ b/tests/prefetch_plan_test.cpp
@@ -147,7 +147,7 @@
   }
 }
 
-TEST(PrefetchOrderTest, ErrorNamesTheInvalidField) {
+TEST(PrefetchParametersTest, ErrorNamesTheInvalidField) {
   const auto error_of = [](const std::string& params) -> std::string {
     try {
       read_prefetch_parameters(params);
