--- a/src/policy/participant.cpp
+++ b/src/policy/participant.cpp
@@ -317,7 +317,9 @@
   actions.emplace_back(std::move(action));
 }
 
-// While no lease call may be made, the lease determines no next step, since only an event can change that.
+// While no lease call may be made, the retry and renewal times of the lease are left out, since calls only
+// become possible again after an event, such as a reconnect to the store. The expiry of the lease still
+// counts.
 std::optional<Micros> Participant::next_step_at(Micros now) const {
   std::optional<Micros> out = may_call_for_lease(now) ? lease_.next_step_at(now) : std::nullopt;
   if (lease_.may_act(now)) {
--- a/src/policy/participant.h
+++ b/src/policy/participant.h
@@ -131,7 +131,7 @@
   std::optional<Micros> next_step_at(Micros now) const;
   // Returns the time until which the lease is valid.
   Micros lease_end() const { return lease_.valid_until(); }
-  // Returns whether the router should receive requests: it has a lease, whether or not it is suspended.
+  // Returns whether the router should receive requests: it participates, whether or not it is suspended.
   bool ready(Micros now) const;
   // Starts to release the lease; step() returns the call.
   void stop(Micros now);
