--- a/src/cache_node/source_client.h
+++ b/src/cache_node/source_client.h
@@ -1,4 +1,4 @@
-// Client of a cache node's sources. It speaks the protocol that routers use for cache nodes.
+// Client of a cache node's sources. It uses the same protocol as routers do for cache nodes.
 //
 // Each fetch has a new id, so that a late answer is never mistaken for the answer to another fetch.
 //
@@ -62,8 +62,8 @@
   struct Bounds {
     SourceConnection::Pool::Bounds pool;
     std::size_t answer_bytes = 64U << 20U;  // of one body; a longer one ends the connection
-    // If a fetch is stopped after this time, and nothing was received from its source since it was sent, the
-    // connections to the source are dropped.
+    // When a fetch is stopped at least this long after it was sent, and nothing has been received from its
+    // source since then, the connections to the source are retired: they get no new fetches.
     transport::Clock::duration silent_after = std::chrono::milliseconds(400);
   };
   using ResultCallback = std::function<void(FillNumber, const FetchResult&)>;
@@ -76,8 +76,8 @@
              const protocol::ServeFields& fields, std::string_view body);
   // Cancels a fetch; its result is not reported. Does nothing if the fetch has ended.
   void stop(FillNumber fill);
-  // Removes the connections to a source that is gone or has a new address from the pool.
-  void drop(const std::string& source) { pool_.drop(source, transport::ConnectionEnd::kDropped); }
+  // Retires all connections to a source: they get no new fetches and are closed after their last one.
+  void drop(const std::string& source) { pool_.retire_all(source, transport::ConnectionEnd::kDropped); }
 
  private:
   friend class SourceConnection;
--- a/src/coordination/etcd_server.h
+++ b/src/coordination/etcd_server.h
@@ -1,7 +1,7 @@
 // The HTTP server of etcd's v3 interface: connections, calls, watches and their heartbeats. An EtcdService
 // executes the calls; the coordination server and the aggregator implement it.
 //
-// Package `coordination`, over `transport` and `protocol`. Not thread-safe: it belongs to its scheduler's
+// Library `coordination`, over `transport` and `protocol`. Not thread-safe: it belongs to its scheduler's
 // thread.
 #pragma once
 
@@ -54,8 +54,8 @@
 // Counters since the start of the server.
 struct EtcdServerCounts {
   std::uint64_t calls = 0;
-  std::uint64_t unreadable = 0;  // calls whose message was invalid
-  std::uint64_t refused = 0;     // connections that were rejected because of `max_connections`
+  std::uint64_t invalid_calls = 0;  // calls whose message was invalid
+  std::uint64_t refused = 0;        // connections that were rejected because of `max_connections`
   std::uint64_t bytes_read = 0;
   std::uint64_t bytes_written = 0;
 };
--- a/src/policy/participant.h
+++ b/src/policy/participant.h
@@ -4,7 +4,8 @@
 //
 // | state     | meaning                                              | decides under                        |
 // | --------- | ---------------------------------------------------- | ------------------------------------ |
-// | no lease  | the lease was not granted yet, or has expired        | none: rejects requests               |
+// | outside   | has no valid lease, or no prepared document of the   | none: rejects requests               |
+// |           | version in force, or has observed no state yet       |                                      |
 // | current   | has a lease, and is not suspended                    | the version in force                 |
 // | prepared  | as current, and has reported that it is ready        | the version in force                 |
 // | in doubt  | is suspended, and does not know the outcome          | none: rejects requests, or serves    |
@@ -19,7 +20,7 @@
 // received the document of the version, and has stored it on disk if documents are stored. A prepared version
 // has no effect by itself: after a restart the router reads the version in force from the store.
 //
-// Package `policy`: no I/O, no clock; time is Micros of the caller's steady clock. Not thread-safe.
+// Library `policy`: no I/O, no clock; time is Micros of the caller's steady clock. Not thread-safe.
 #pragma once
 
 #include <trailcourse/decider.h>
@@ -39,7 +40,9 @@
 
 namespace trailcourse::policy {
 
-enum class ParticipantState { kNoLease, kCurrent, kPrepared, kInDoubt, kSwitching };
+// The table above describes the states. kNotParticipating ("outside"): the lease is not valid, no state of
+// the store has been observed, or the document of the observed version is not prepared.
+enum class ParticipantState { kNotParticipating, kCurrent, kPrepared, kInDoubt, kSwitching };
 // Returns the name of the state in /healthz and in the log.
 const char* to_string(ParticipantState state);
 
@@ -128,7 +131,7 @@
   std::optional<Micros> next_step_at(Micros now) const;
   // Returns the time until which the lease is valid.
   Micros lease_end() const { return lease_.valid_until(); }
-  // Returns whether the router should receive requests: it has a lease, whether or not it is suspended.
+  // Returns whether the router should receive requests: it participates, whether or not it is suspended.
   bool ready(Micros now) const;
   // Starts to release the lease; step() returns the call.
   void stop(Micros now);
--- a/src/policy/participant_report.h
+++ b/src/policy/participant_report.h
@@ -2,7 +2,7 @@
 // router, or an aggregator on behalf of its routers. The report disappears with the lease, and a router
 // without a lease decides no requests.
 //
-// Package `policy`: knows JSON; no I/O, no clock.
+// Library `policy`: knows JSON; no I/O, no clock.
 #pragma once
 
 #include <cstdint>
@@ -17,7 +17,7 @@
 
 namespace trailcourse::policy {
 
-// The report. A stage of 0 stands for no stage.
+// The report. A stage of 0 means no stage.
 struct ParticipantReport {
   std::string incarnation;                // of the process
   std::string zone;                       // of the participant
--- a/src/program/aggregator_command.cpp
+++ b/src/program/aggregator_command.cpp
@@ -67,7 +67,7 @@
  public:
   SequenceFollower(transport::Scheduler& scheduler, const transport::Address& address, std::uint64_t seed,
                    tasks::DiscoveryProgress& progress)
-      : client_(scheduler, address, listener_, profile_, seed, client_options(), hooks(progress), {}) {
+      : client_(scheduler, address, listener_, deployment_, seed, client_options(), hooks(progress), {}) {
     client_.start();
   }
 
@@ -88,7 +88,7 @@
   }
 
   SequenceListener listener_;
-  protocol::Profile profile_;  // empty: endpoint lists are not used here
+  protocol::DeploymentSettings deployment_;  // empty: endpoint lists are not used here
   routing::DiscoveryClient client_;
 };
 
@@ -136,7 +136,7 @@
       open_store(scheduler, file.coordination, seed);
   AggregatorService service(scheduler, *store, options, prefix, seed);
   tasks::DiscoveryProgress progress;
-  // The aggregator has no zone: work of a zone is owned by routers of that zone.
+  // Registers with an empty zone, so that this process takes no work of a zone: routers of the zone own it.
   TaskRunner runner(scheduler, *store, ownership_options(file), prefix,
                     tasks::MemberIdentity{options.name, service.aggregator().identity().incarnation, "",
                                           options.listen, ""});
--- a/src/program/node_commands.cpp
+++ b/src/program/node_commands.cpp
@@ -39,7 +39,7 @@
 store::Store::Storage storage_of(const store::Options& options) {
   store::Store::Storage storage;
   if (!options.folder.empty()) {
-    storage.files = [folder = options.folder] { return store::open_folder(folder); };
+    storage.open_directory = [folder = options.folder] { return store::open_folder(folder); };
     storage.index = [folder = options.folder] { return store::open_sqlite_index(folder); };
   }
   return storage;
@@ -49,7 +49,7 @@
 transport::Task<void> shut_down_node(transport::Scheduler& scheduler, cache_node::Node& node,
                                      store::Store& store) {
   const Clock::time_point start = Clock::now();
-  while (node.open() > 0 && Clock::now() - start < kMaxDrain) {
+  while (node.open_requests() > 0 && Clock::now() - start < kMaxDrain) {
     co_await scheduler.sleep(kDrainCheck);
   }
   node.stop();
@@ -72,7 +72,8 @@
     if (signal == SIGHUP) {
       log_line(Level::kInfo) << node.report();
     } else if (!std::exchange(shutting_down, true)) {
-      log_line(Level::kInfo) << "signal " << signal << ": shutting down, " << node.open() << " requests open";
+      log_line(Level::kInfo) << "signal " << signal << ": shutting down, " << node.open_requests()
+                             << " requests open";
       scheduler.spawn(shut_down_node(scheduler, node, store));
     }
   }
@@ -113,7 +114,8 @@
                                    : !file.store.folder.empty()     ? file.store.folder + ".fence"
                                                                     : std::string();
   fencing::TokenStore token_store(
-      fence_folder.empty() ? nullptr : std::shared_ptr<store::Files>(store::open_folder(fence_folder)), pool);
+      fence_folder.empty() ? nullptr : std::shared_ptr<store::Directory>(store::open_folder(fence_folder)),
+      pool);
   node.set_token_store(token_store);
   node.start();
   scheduler.spawn(handle_node_signals(scheduler, signals, node, store));
--- a/src/routing/cache_client.cpp
+++ b/src/routing/cache_client.cpp
@@ -49,7 +49,7 @@
   call.key = key;
   call.sent = Clock::now();
   call.streaming = streaming;
-  call.has_client_tag = !request.held_tag.empty();
+  call.has_client_tag = !request.client_tag.empty();
   call.token = slot->connection->write(std::move(command),
                                        [&router = client_.router_, key] { return router.may_begin(key); });
 }
@@ -96,7 +96,7 @@
     if (Clock::now() - call.sent >= client_.bounds_.silent_after &&
         client_.pool_.last_received(slot->peer) < call.sent) {
       log_line(Level::kDebug) << "cache " << slot->peer << " does not respond: its connections are retired";
-      client_.pool_.drop(slot->peer, ConnectionEnd::kSilent);
+      client_.pool_.retire_all(slot->peer, ConnectionEnd::kSilent);
     }
   }
   client_.pool_.release(slot);
@@ -221,7 +221,9 @@
     return;
   }
   if (code != AnswerCode::kOk && code != AnswerCode::kSame) {
-    retire_id(id);  // a further attempt may follow, and this answer may be repeated
+    // A retry may reuse this id. It must not use this connection, where a duplicate of this answer would be
+    // taken for the answer to the retry.
+    retire_id(id);
   }
   const AttemptKey key = end_call(found);
   AttemptResult result;
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -47,7 +47,7 @@
 
   // `not_modified`: the copy that the client has is valid, and there is no body.
   virtual void served(std::string body, bool not_modified, const ServedBy& by) = 0;
-  // `retry_after` is zero if the client is not told when to retry.
+  // `retry_after` is zero if the answer carries no Retry-After.
   virtual void rejected(Micros retry_after) = 0;
   virtual void failed() = 0;
   // The answer is streamed.
@@ -116,12 +116,12 @@
   struct Bounds {
     std::size_t open = 4096;           // requests
     std::size_t bytes = 64U << 20U;    // of all their bodies, and `request_bytes` for each
-    std::size_t request_bytes = 4096;  // memory of a request beside its body
+    std::size_t request_bytes = 4096;  // memory of a request in addition to its body
   };
 
   // `scheduler` has to outlive this object.
-  Router(transport::Scheduler& scheduler, const ModuleClock& clock, const Settings& settings, Handler handler,
-         const Bounds& bounds)
+  Router(transport::Scheduler& scheduler, const DeciderClock& clock, const Settings& settings,
+         Handler handler, const Bounds& bounds)
       : scheduler_(scheduler),
         clock_(clock),
         classes_(settings.classes),
@@ -179,8 +179,8 @@
 
   std::size_t open_requests() const { return open_; }
 
-  // Returns the time of the module for the current turn of the scheduler.
-  Micros now() const { return clock_.at(scheduler_.turn_time()); }
+  // Returns the time of the module for the current iteration of the scheduler.
+  Micros now() const { return clock_.at(scheduler_.iteration_time()); }
 
  private:
   struct Attempt {
@@ -221,7 +221,7 @@
   void fail_after_error(const Event& event);
 
   transport::Scheduler& scheduler_;
-  ModuleClock clock_;
+  DeciderClock clock_;
   std::vector<ClassSettings> classes_;
   std::size_t attempts_cap_;
   Handler handler_;
--- a/src/store/format.h
+++ b/src/store/format.h
@@ -10,7 +10,7 @@
 //                             u64, payload checksum u64, header checksum u64
 //   then name, tag, payload
 //
-// Package `store`; no I/O. Thread-safe: the functions depend on their arguments only.
+// Library `store`; no I/O. Thread-safe: the functions depend on their arguments only.
 #pragma once
 
 #include <cstddef>
@@ -71,7 +71,7 @@
 };
 
 // Returns the XXH3 checksum of `bytes`.
-std::uint64_t sum_of(std::string_view bytes);
+std::uint64_t checksum_of(std::string_view bytes);
 
 // Appends a record to `out`, encoded for `offset` in `segment`. Writes `payload` in place of record.payload,
 // so that the caller need not copy it into the record. `compress`: compresses the payload with zstd if that
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -16,7 +16,6 @@
 constexpr std::size_t kWriteBufferBytes = 4U << 20U;
 constexpr double kLiveShare = 0.85;  // of the disk; the rest is for segments that are being cleared
 constexpr std::int64_t kTickMs = 100;
-constexpr Tick kUseHalfLife = 600;  // as EvictionWeights::half_life
 constexpr const char* kFormatFile = "format";
 constexpr std::string_view kFormatContent = "trailcourse store 1\n";
 constexpr const char* kClockMark = "clock_ms";
@@ -50,7 +49,7 @@
   return out;
 }
 
-std::pair<std::size_t, std::size_t> PartialCopy::hole(std::size_t from) const {
+std::pair<std::size_t, std::size_t> PartialCopy::first_missing_range(std::size_t from) const {
   while (from < have.size() && have[from]) {
     ++from;
   }
@@ -65,7 +64,7 @@
 // The files of the disk tier, used by jobs in the lanes. Only the write lane uses the index and the active
 // segment; the read lane opens segments separately.
 struct Store::DiskFiles {
-  std::unique_ptr<Files> files;
+  std::unique_ptr<Directory> directory;
   std::unique_ptr<Index> index;
   SegmentId last_segment = 0;  // the highest ever created
   std::unique_ptr<File> active;
@@ -84,7 +83,7 @@
         return found->second;
       }
     }
-    std::shared_ptr<File> file = files->open(segment_name(id));
+    std::shared_ptr<File> file = directory->open(segment_name(id));
     const std::lock_guard lock(mutex);
     if (open_segments.size() >= kMaxOpenSegments) {
       open_segments.erase(open_segments.begin());
@@ -99,7 +98,7 @@
 
   void begin_segment() {
     active_id = ++last_segment;
-    active = files->create(segment_name(active_id));
+    active = directory->create(segment_name(active_id));
     active->write(0, encode_segment_head(active_id));
     active_end = kSegmentHeadBytes;
   }
@@ -111,7 +110,7 @@
    public:
     Appender(DiskFiles& disk, WriteResult& result) : disk_(disk), result_(result) {}
 
-    // Makes room for a record of at most `bytes`; begins a new segment if the active one is full.
+    // Ensures that a record of at most `bytes` fits; begins a new segment if the active one is full.
     void make_room(std::uint64_t bytes) {
       const bool full = disk_.active && disk_.active_end + buffer_.size() + bytes > disk_.segment_bytes &&
                         disk_.active_end + buffer_.size() > kSegmentHeadBytes;
@@ -145,7 +144,7 @@
         result_.file_sizes.emplace_back(disk_.active_id, disk_.active_end);
       }
       if (std::exchange(unsynced_name_, false)) {
-        disk_.files->sync_names();
+        disk_.directory->sync_names();
       }
       unsynced_bytes_ = false;
     }
@@ -233,7 +232,7 @@
       // Files are removed after the commit: before it, a crash could leave an index that refers to them.
       for (const SegmentId id : batch.remove) {
         close_segment(id);
-        files->remove(segment_name(id));
+        directory->remove(segment_name(id));
       }
     });
   }
@@ -313,11 +312,11 @@
 
 void Store::DiskFiles::open(const Storage& storage, bool wipe, Recovery& recovery) {
   try {
-    files = storage.files();
+    directory = storage.open_directory();
     if (wipe) {
       empty_folder();
     }
-    std::vector<std::string> names = files->list();
+    std::vector<std::string> names = directory->list();
     if (!check_format(names, recovery)) {
       return;
     }
@@ -331,9 +330,9 @@
 }
 
 void Store::DiskFiles::empty_folder() {
-  for (const std::string& name : files->list()) {
+  for (const std::string& name : directory->list()) {
     if (name != kFormatFile) {
-      files->remove(name);
+      directory->remove(name);
     }
   }
 }
@@ -343,7 +342,7 @@
     write_format();
     return true;
   }
-  const std::string content = files->open(kFormatFile)->read(0, 64);
+  const std::string content = directory->open(kFormatFile)->read(0, 64);
   if (content == kFormatContent) {
     return true;
   }
@@ -356,11 +355,11 @@
 // for another format.
 void Store::DiskFiles::write_format() {
   const std::string next = std::string(kFormatFile) + ".next";
-  const std::unique_ptr<File> file = files->create(next);
+  const std::unique_ptr<File> file = directory->create(next);
   file->write(0, kFormatContent);
   file->sync();
-  files->rename(next, kFormatFile);
-  files->sync_names();
+  directory->rename(next, kFormatFile);
+  directory->sync_names();
 }
 
 void Store::DiskFiles::open_index(const Storage& storage, std::vector<std::string>& names,
@@ -385,7 +384,7 @@
 void Store::DiskFiles::find_segments(const std::vector<std::string>& names, Recovery& recovery) {
   for (const std::string& name : names) {
     if (const std::optional<SegmentId> id = segment_of(name)) {
-      const std::unique_ptr<File> file = files->open(name);
+      const std::unique_ptr<File> file = directory->open(name);
       const std::uint64_t size = file->size();
       const bool good = is_segment_head(file->read(0, kSegmentHeadBytes), *id);
       recovery.segments[*id] = good ? size : 0;
@@ -417,7 +416,7 @@
   if (partial->missing_bytes() > 0) {
     work.result.status = ReadStatus::kPartial;
     work.result.partial = std::move(partial);
-  } else if (sum_of(partial->bytes) == partial->value_sum) {
+  } else if (checksum_of(partial->bytes) == partial->value_sum) {
     work.result.status = ReadStatus::kComplete;
     work.result.copy = Copy{partial->tag, partial->origin_time_ms, partial->group,
                             std::make_shared<const std::string>(std::move(partial->bytes))};
@@ -469,7 +468,7 @@
       segments_(megabytes(options.disk_mb), 2 * segment_bytes(options)),
       health_(DiskHealth::Options{}),
       memory_(EvictionWeights{}, 1'024),
-      disk_(EvictionWeights{}, options.folder.empty() && !storage_.files
+      disk_(EvictionWeights{}, options.folder.empty() && !storage_.open_directory
                                    ? 64
                                    : static_cast<std::size_t>(options.expected_objects)),
       memory_limit_(megabytes(options.memory_mb)),
@@ -482,7 +481,7 @@
 
 void Store::open(std::function<void()> opened) {
   on_opened_ = std::move(opened);
-  if (!storage_.files) {
+  if (!storage_.open_directory) {
     on_opened_();
     return;
   }
@@ -760,7 +759,7 @@
 }
 
 bool Store::complete(const Name& name, const PartialCopy& partial, const std::vector<bool>& had, int rank) {
-  if (sum_of(partial.bytes) != partial.value_sum) {
+  if (checksum_of(partial.bytes) != partial.value_sum) {
     drop(name);
     return false;
   }
@@ -849,7 +848,7 @@
   head.tag = copy.tag;
   head.total_bytes = total;
   head.part_bytes = in_parts ? part_bytes : 0;
-  head.value_sum = sum_of(*copy.bytes);
+  head.value_sum = checksum_of(*copy.bytes);
   enqueue(name, copy, head, had);
   next_batch_->bytes += bytes;
   next_batch_->names.push_back(name.key);
@@ -1049,8 +1048,8 @@
   } else {
     stats_.writes_shed += batch->records.size();
     if (result->disk_full) {
-      // The lower limits apply until the pause is over: other programs may have filled the disk, and may free
-      // space again.
+      // The disk is full: lowers the size limits to the space in use now. The first insert after the write
+      // pause restores them, since other programs may have freed space by then.
       disk_was_full_ = true;
       segments_.shrink(segments_.file_bytes());
       disk_limit_ = std::min(
@@ -1133,7 +1132,7 @@
       continue;
     }
     const std::uint32_t uses =
-        aged_uses(entry.uses, tick() - std::min(tick(), entry.last_used), kUseHalfLife);
+        aged_uses(entry.uses, tick() - std::min(tick(), entry.last_used), EvictionWeights{}.half_life);
     if (may_write && segments_.has_room_for(entry.bytes) &&
         placement_.admit_move(entry.bytes, entry.rank, uses, steady())) {
       SegmentMove::Item item;
--- a/src/store/unix_clock.h
+++ b/src/store/unix_clock.h
@@ -1,11 +1,11 @@
-// A Unix clock that never goes back, neither within a run nor over restarts, whatever the system clock does.
+// A Unix clock that never goes back, neither within a run nor over restarts, even if the system clock does.
 //
 // The age of a copy decides whether it may be served. If the clock went back, a copy from before a purge
 // could pass the age limit of a request. The clock therefore advances with the steady clock, and is never
 // behind the last time of an earlier run (stored in the index) or the origin time of a copy that was
 // received. A clock that is ahead only makes copies look older, so that they are fetched again.
 //
-// Package `store`; no I/O; the caller provides both clocks. Not thread-safe.
+// Library `store`; no I/O; the caller provides both clocks. Not thread-safe.
 #pragma once
 
 #include <algorithm>
--- a/src/tasks/prefetch_plan.h
+++ b/src/tasks/prefetch_plan.h
@@ -2,7 +2,7 @@
 // progress of the work. Objects are requested as clients request them: the decision module selects the cache
 // and the rank or rejects the request, within the budgets of slow start.
 //
-// Package `tasks`: knows JSON; no I/O, no clock; time is Micros of the caller's steady clock. Not
+// Library `tasks`: knows JSON; no I/O, no clock; time is Micros of the caller's steady clock. Not
 // thread-safe.
 #pragma once
 
@@ -15,7 +15,7 @@
 #include <string>
 #include <vector>
 
-#include "tasks/prefetch_order.h"
+#include "tasks/prefetch_parameters.h"
 
 namespace trailcourse::tasks {
 
@@ -44,7 +44,7 @@
  public:
   // Plans the objects of `shard` out of `shards`. Continues from `checkpoint`. A checkpoint that is
   // malformed, or of another list of objects, is ignored.
-  PrefetchPlan(const PrefetchOrder& order, std::uint64_t shard, std::uint64_t shards,
+  PrefetchPlan(const PrefetchParameters& parameters, std::uint64_t shard, std::uint64_t shards,
                const PrefetchOptions& options, const std::string& checkpoint);
 
   // Returns the indices of the objects to request now. Each request counts as in flight until on_result().
--- a/src/tasks/prefetch_task.h
+++ b/src/tasks/prefetch_task.h
@@ -2,7 +2,7 @@
 // router's decisions, as a client's request does. Each command contains the fencing token, so that a cache
 // node of this project rejects the commands of a former owner. Other caches are filled twice at worst.
 //
-// Package `tasks`, over `routing`. One thread.
+// Library `tasks`, over `routing`. Not thread-safe: it belongs to its scheduler's thread.
 #pragma once
 
 #include <map>
@@ -19,12 +19,13 @@
 
 namespace trailcourse::tasks {
 
-// Scheduler, router and profile have to outlive this object.
+// Scheduler, router and deployment settings have to outlive this object.
 class PrefetchTask : public OwnedTask {
  public:
   // `seed` makes the ids of its requests distinct from those of other routers.
-  PrefetchTask(transport::Scheduler& scheduler, routing::Router& router, const protocol::Profile& profile,
-               const OwnershipOptions& options, std::uint64_t seed, TaskContext context);
+  PrefetchTask(transport::Scheduler& scheduler, routing::Router& router,
+               const protocol::DeploymentSettings& deployment, const OwnershipOptions& options,
+               std::uint64_t seed, TaskContext context);
   ~PrefetchTask() override;
 
   void start() override;
@@ -33,14 +34,14 @@
  private:
   class ReplyHandler;
 
-  // Reads the order from the work's parameters. Throws InvalidPrefetchOrder if no router can execute it.
-  void read_order();
+  // Reads the parameters of the work. Throws InvalidPrefetchParameters if no router can execute them.
+  void read_parameters();
   void fail(const std::string& reason);
   void load_list();
   void make_plan(std::uint64_t shard, std::uint64_t shards);
 
   void run_step();
-  // Returns whether the start time of the order is reached. If not, sets the timer.
+  // Returns whether the start time of the prefetch is reached. If not, sets the timer.
   bool is_start_time_reached();
   void start_requests();
   void request_object(std::size_t index);
@@ -52,11 +53,11 @@
 
   transport::Scheduler& scheduler_;
   routing::Router& router_;
-  const protocol::Profile& profile_;
+  const protocol::DeploymentSettings& deployment_;
   OwnershipOptions options_;
   TaskContext context_;
   std::uint64_t last_request_id_;
-  std::optional<PrefetchOrder> order_;
+  std::optional<PrefetchParameters> parameters_;
   std::optional<PrefetchPlan> plan_;  // after the list of objects was read
   int request_class_ = -1;
   std::map<std::size_t, RequestId> open_requests_;  // by index of the object
