--- a/benchmarks/scale/cost_meter.h
+++ b/benchmarks/scale/cost_meter.h
@@ -1,7 +1,6 @@
-// What a piece of code costs the process that runs it: processor time of one thread, and memory that it
-// holds.
+// Measures the cost of a piece of code: CPU time of the calling thread, and allocated memory of the process.
 //
-// Benchmarks only.
+// Used by benchmarks only.
 #pragma once
 
 #include <algorithm>
@@ -13,51 +12,51 @@
 
 namespace trailcourse::scale {
 
-// Measured figures of one cost: y against x.
+// Measured values of one cost at several sizes: points (x, y), where x is the size and y the cost.
 struct CostSeries {
   std::string name;     // "ROLE.RESOURCE.WHAT"
-  std::string what;     // in plain words
-  std::string unit;     // of y
-  std::string per;      // what x counts
+  std::string what;     // description in plain words
+  std::string unit;     // unit of y
+  std::string per;      // the quantity that x counts
   std::string setting;  // "in process" or "real processes"
   std::vector<std::pair<double, double>> points;
 };
 
-// Takes in series as they are measured.
+// Receives each series when its measurement is complete.
 using CostSink = std::function<void(CostSeries)>;
 
-// Processor time of this thread, in microseconds.
+// CPU time of the calling thread, in microseconds.
 double thread_cpu_us();
-// Wall time, in microseconds.
+// Reading of the monotonic clock, in microseconds.
 double wall_us();
-// Bytes that the process has allocated and not freed, the allocator's own part included.
+// Bytes that the process has allocated and not freed, including the allocator's overhead.
 double allocated_bytes();
 
-// Processor time of one call of `work`, in microseconds: the least of `rounds` means over `calls` each, since
-// whatever else the machine does only adds to it.
+// CPU time of one call of `work`, in microseconds: the minimum of `rounds` means, each over `calls` calls. The
+// minimum is used because other load on the machine can only increase the measured time.
 template <typename Work>
 double cpu_us_per_call(int calls, Work work, int rounds = 7) {
-  double least = 0.0;
+  double minimum = 0.0;
   for (int round = 0; round < rounds; ++round) {
     const double before = thread_cpu_us();
     for (int i = 0; i < calls; ++i) {
       work();
     }
     const double mean = (thread_cpu_us() - before) / calls;
-    least = round == 0 ? mean : std::min(least, mean);
+    minimum = round == 0 ? mean : std::min(minimum, mean);
   }
-  return least;
+  return minimum;
 }
 
-// Bytes held by what `make` returns, beside what was held before.
+// Bytes that the object returned by `make` keeps allocated.
 template <typename Make>
 double bytes_held_by(Make make) {
   const double before = allocated_bytes();
-  const auto made = make();
+  const auto object = make();
   return allocated_bytes() - before;
 }
 
-// Keeps the compiler from leaving out work whose result nobody reads.
+// Prevents the compiler from removing a computation whose result is otherwise unused.
 template <typename Value>
 void keep_result(const Value& value) {
   asm volatile("" : : "r"(&value) : "memory");
--- a/benchmarks/scale/role_costs.cpp
+++ b/benchmarks/scale/role_costs.cpp
@@ -1,11 +1,11 @@
-// Measures what one role of a fleet costs, on the project's own code at several sizes, and fits how each cost
-// grows: the slopes that docs/CAPACITY.md is worked out from.
+// Measures the cost of each role of a fleet by running the project's own code at several sizes, and fits how
+// each cost grows. docs/CAPACITY.md is computed from these slopes.
 //
 //     role_costs --write docs/capacity/slopes.json
 //     role_costs --only process --program build/trailcourse --json
 //
-// The groups `process.idle` and `process.purges` count all that passes over loopback: on a machine that does
-// other work too, in a network of their own:
+// The groups `process.idle` and `process.purges` count all traffic on the loopback interface. On a machine with
+// other loopback traffic, run them in a network namespace:
 //
 //     unshare -n sh -c 'ip link set lo up; role_costs --only process.idle --write docs/capacity/slopes.json'
 #include "role_costs.h"
@@ -29,7 +29,7 @@
 namespace {
 
 struct Measurement {
-  const char* group;  // by which --only chooses
+  const char* group;  // name that --only selects by prefix
   void (*run)(const CostContext&, const CostSink&);
 };
 
@@ -49,19 +49,20 @@
                                          {"process.purges.relays", measure_purges_by_relays},
                                          {"process.purges.http", measure_purges_http}};
 
-// A folder of this process, gone with it.
-class OwnFolder {
+// Temporary folder of this process, removed on destruction.
+class TemporaryFolder {
  public:
-  OwnFolder() : path_(std::filesystem::temp_directory_path() / ("role-costs-" + std::to_string(::getpid()))) {
+  TemporaryFolder()
+      : path_(std::filesystem::temp_directory_path() / ("role-costs-" + std::to_string(::getpid()))) {
     std::filesystem::remove_all(path_);
     std::filesystem::create_directories(path_);
   }
-  ~OwnFolder() {
-    std::error_code none;
-    std::filesystem::remove_all(path_, none);
+  ~TemporaryFolder() {
+    std::error_code ignored;
+    std::filesystem::remove_all(path_, ignored);
   }
-  OwnFolder(const OwnFolder&) = delete;
-  OwnFolder& operator=(const OwnFolder&) = delete;
+  TemporaryFolder(const TemporaryFolder&) = delete;
+  TemporaryFolder& operator=(const TemporaryFolder&) = delete;
   std::string path() const { return path_.string(); }
 
  private:
@@ -90,22 +91,22 @@
   std::fflush(stdout);
 }
 
-struct Measured {
+struct MeasurementResults {
   std::vector<Slope> slopes;
-  int failed = 0;  // groups that ended before their end
+  int failed_groups = 0;  // groups that an exception ended early
 };
 
-Measured measure_all(const CostContext& context, const std::string& only, bool quiet) {
+MeasurementResults measure_all(const CostContext& context, const std::string& only, bool quiet) {
   const bool shows_progress = ::isatty(STDERR_FILENO) == 1;
-  Measured out;
-  const auto take = [&](const CostSeries& series, const std::string& group) {
+  MeasurementResults out;
+  const auto add_slope = [&](const CostSeries& series, const std::string& group) {
     out.slopes.push_back(slope_of(series, group));
     if (!quiet) {
       print(out.slopes.back());
     }
   };
-  for (const Measurement& one : kMeasurements) {
-    const std::string group = one.group;
+  for (const Measurement& measurement : kMeasurements) {
+    const std::string group = measurement.group;
     if (!group.starts_with(only)) {
       continue;
     }
@@ -113,54 +114,56 @@
       std::cerr << "measuring " << group << " ...\n";
     }
     try {
-      one.run(context, [&](const CostSeries& series) { take(series, group); });
+      measurement.run(context, [&](const CostSeries& series) { add_slope(series, group); });
     } catch (const std::exception& error) {
       std::cerr << "role_costs: " << group << ": " << error.what() << '\n';
-      ++out.failed;
+      ++out.failed_groups;
     }
   }
   return out;
 }
 
-int main_of(int count, char** words) {
-  cxxopts::Options options("role_costs", "Measures what one role of a fleet costs, and how that grows.");
-  options.add_options()("program", "the built program, for real processes",
+int run(int argc, char** argv) {
+  cxxopts::Options options("role_costs", "Measures the cost of each role of a fleet, and how it grows.");
+  options.add_options()("program", "path of the built program, for measurements of real processes",
                         cxxopts::value<std::string>()->default_value("build/trailcourse"))(
       "only",
-      "groups that begin so: router, purges, policy, cache, board, store, driver, membership, aggregator, "
+      "run only the groups with this prefix: router, purges, policy, cache, board, store, driver, "
+      "membership, aggregator, "
       "process",
       cxxopts::value<std::string>()->default_value(""),
-      "PREFIX")("write", "merges the slopes into this file by name", cxxopts::value<std::string>(), "FILE")(
-      "json", "prints the slopes as JSON")(
-      "seed", "of what is drawn", cxxopts::value<std::uint64_t>()->default_value("1"))("h,help", "this");
-  const cxxopts::ParseResult parsed = options.parse(count, words);
+      "PREFIX")("write", "merge the slopes into this file by name", cxxopts::value<std::string>(), "FILE")(
+      "json", "print the slopes as JSON")("seed", "seed of the random numbers",
+                                          cxxopts::value<std::uint64_t>()->default_value("1"))(
+      "h,help", "print this help");
+  const cxxopts::ParseResult parsed = options.parse(argc, argv);
   if (parsed.count("help") > 0) {
     std::cout << options.help() << '\n';
     return 0;
   }
   transport::set_log_level(transport::Level::kError);
-  const OwnFolder folder;
+  const TemporaryFolder folder;
   CostContext context;
   context.program = std::filesystem::absolute(parsed["program"].as<std::string>());
   context.folder = folder.path();
   context.seed = parsed["seed"].as<std::uint64_t>();
   const bool as_json = parsed.count("json") > 0;
-  const auto [slopes, failed] = measure_all(context, parsed["only"].as<std::string>(), as_json);
+  const auto [slopes, failed_groups] = measure_all(context, parsed["only"].as<std::string>(), as_json);
   if (as_json) {
     std::cout << write_slopes(slopes).dump(1) << '\n';
   }
   if (parsed.count("write") > 0) {
     save_slopes(parsed["write"].as<std::string>(), slopes);
   }
-  return slopes.empty() || failed > 0 ? 1 : 0;
+  return slopes.empty() || failed_groups > 0 ? 1 : 0;
 }
 
 }  // namespace
 }  // namespace trailcourse::scale
 
-int main(int count, char** words) {
+int main(int argc, char** argv) {
   try {
-    return trailcourse::scale::main_of(count, words);
+    return trailcourse::scale::run(argc, argv);
   } catch (const std::exception& error) {
     std::cerr << "role_costs: " << error.what() << '\n';
     return 1;
--- a/benchmarks/scale/role_costs.h
+++ b/benchmarks/scale/role_costs.h
@@ -1,6 +1,6 @@
-// The measurements of role_costs, one function a role. Each runs the project's own code at several sizes.
+// The measurements that role_costs can run. Each runs the project's own code at several sizes.
 //
-// Benchmarks only.
+// Used by benchmarks only.
 #pragma once
 
 #include <cstdint>
@@ -10,11 +10,11 @@
 
 namespace trailcourse::scale {
 
-// What a measurement has to know beside its sizes.
+// Inputs common to all measurements.
 struct CostContext {
-  std::string program;  // the built trailcourse, for real processes
-  std::string folder;   // of its own, for files; removed afterwards
-  std::uint64_t seed = 1;
+  std::string program;     // path of the built trailcourse program, for measurements of real processes
+  std::string folder;      // temporary folder for files, removed when role_costs ends
+  std::uint64_t seed = 1;  // of the random numbers
 };
 
 void measure_router(const CostContext& context, const CostSink& sink);
--- a/benchmarks/scale/sample_fleet.cpp
+++ b/benchmarks/scale/sample_fleet.cpp
@@ -12,30 +12,31 @@
 
 namespace {
 
-fleet::FleetSpec shape_of(int routers, int caches, int zones, std::int64_t since_ms) {
-  fleet::FleetSpec shape;
-  shape.routers = routers;
-  shape.caches = caches;
-  shape.parents = 0;
-  shape.since_ms = since_ms;
-  shape.zones.clear();
+fleet::FleetSpec fleet_spec(int routers, int caches, int zones, std::int64_t since_ms) {
+  fleet::FleetSpec spec;
+  spec.routers = routers;
+  spec.caches = caches;
+  spec.parents = 0;
+  spec.since_ms = since_ms;
+  spec.zones.clear();
   for (int i = 0; i < zones; ++i) {
-    shape.zones.push_back("zone" + std::to_string(i));
+    spec.zones.push_back("zone" + std::to_string(i));
   }
-  return shape;
+  return spec;
 }
 
 }  // namespace
 
 json list_page(int caches, int zones, std::int64_t since_ms) {
   fleet::PortAllocator ports;
-  const fleet::Layout layout(shape_of(1, caches, zones, since_ms), "", ports);
-  return json::parse(layout.first_page().dump());  // with the types of numbers that a reader finds
+  const fleet::Layout layout(fleet_spec(1, caches, zones, since_ms), "", ports);
+  // Writing and parsing the page gives its numbers the JSON types that a reader of the page gets.
+  return json::parse(layout.first_page().dump());
 }
 
 json router_settings(int routers, int zones) {
   fleet::PortAllocator ports;
-  json out = fleet::Layout(shape_of(1, 1, zones, 0), "", ports).settings(kSampleZone, 0);
+  json out = fleet::Layout(fleet_spec(1, 1, zones, 0), "", ports).settings(kSampleZone, 0);
   out["Balancers"] = routers;
   return out;
 }
--- a/benchmarks/scale/sample_fleet.h
+++ b/benchmarks/scale/sample_fleet.h
@@ -1,6 +1,7 @@
-// Lists, purges and settings as a fleet's board and platform would tell them, for measurements.
+// Sample input for measurements: endpoint lists, purge events and router settings in the formats that a
+// fleet's discovery service and platform send.
 //
-// Benchmarks only.
+// Used by benchmarks only.
 #pragma once
 
 #include <cstdint>
@@ -13,15 +14,17 @@
 
 constexpr const char* kSampleZone = "zone0";
 
-// The board's page with one whole list of so many caches, dealt out to `zones`, and an origin, by the writer
-// that the project's fleets use. `since_ms`: when they are listed to have started.
+// A page of the discovery service with one complete endpoint list: `caches` caches spread over `zones` zones,
+// and an origin. `since_ms` is the listed start time of the endpoints, in Unix milliseconds. fleet::Layout
+// writes the page, as it does for real fleets.
 nlohmann::json list_page(int caches, int zones, std::int64_t since_ms = 0);
-// Settings of a router of kSampleZone.
+// Settings of a router in kSampleZone, in a fleet of `routers` routers and `zones` zones.
 nlohmann::json router_settings(int routers, int zones);
 
-// An event of the board that purges one object, as `trailcourse notice` writes it.
+// A discovery event that purges one object, in the format that `trailcourse notice` writes.
 nlohmann::json purge_event(std::uint64_t number, std::uint64_t object, std::int64_t at_ms);
-// A page of `purges` such events that follow event `after`.
+// A page of `purges` purge events, numbered from `after` + 1. `at_ms` is the purge time of each, in Unix
+// milliseconds.
 nlohmann::json purge_page(std::uint64_t after, int purges, std::int64_t at_ms);
 
 std::int64_t unix_ms_now();
--- a/benchmarks/scale/slopes.cpp
+++ b/benchmarks/scale/slopes.cpp
@@ -45,7 +45,7 @@
   return sum / static_cast<double>(points.size());
 }
 
-double squares_about(const Points& points, const Fit& line) {
+double sum_of_squared_errors(const Points& points, const Fit& line) {
   double sum = 0.0;
   for (const auto& [x, y] : points) {
     const double error = y - value_at(line, x);
@@ -54,7 +54,7 @@
   return sum;
 }
 
-bool is_even(const Points& points, double mean) {
+bool is_constant(const Points& points, double mean) {
   return std::all_of(points.begin(), points.end(), [mean](const auto& point) {
     return std::abs(point.second - mean) <= kConstantWithin * std::abs(mean);
   });
@@ -62,24 +62,24 @@
 
 Fit least_squares(const Points& points, Form form) {
   const double mean_y = mean_of(points);
-  double mean_f = 0.0;
+  double basis_mean = 0.0;
   for (const auto& [x, y] : points) {
-    mean_f += basis(form, x);
+    basis_mean += basis(form, x);
   }
-  mean_f /= static_cast<double>(points.size());
-  double together = 0.0;
-  double spread = 0.0;
+  basis_mean /= static_cast<double>(points.size());
+  double covariance_sum = 0.0;
+  double variance_sum = 0.0;
   for (const auto& [x, y] : points) {
-    const double difference = basis(form, x) - mean_f;
-    together += difference * (y - mean_y);
-    spread += difference * difference;
+    const double difference = basis(form, x) - basis_mean;
+    covariance_sum += difference * (y - mean_y);
+    variance_sum += difference * difference;
   }
   Fit out;
   out.form = form;
-  out.slope = spread > 0.0 ? together / spread : 0.0;
-  out.offset = mean_y - out.slope * mean_f;
-  const double whole = squares_about(points, Fit{Form::kConstant, mean_y, 0.0, 0.0});
-  out.r_squared = whole > 0.0 ? 1.0 - squares_about(points, out) / whole : 1.0;
+  out.slope = variance_sum > 0.0 ? covariance_sum / variance_sum : 0.0;
+  out.offset = mean_y - out.slope * basis_mean;
+  const double total_squares = sum_of_squared_errors(points, Fit{Form::kConstant, mean_y, 0.0, 0.0});
+  out.r_squared = total_squares > 0.0 ? 1.0 - sum_of_squared_errors(points, out) / total_squares : 1.0;
   return out;
 }
 
@@ -129,7 +129,7 @@
 
 Slope read_slope(const json& entry) {
   if (!entry.is_object()) {
-    throw BadSlopes("an entry is no object");
+    throw BadSlopes("an entry is not an object");
   }
   Slope out;
   out.name = field<std::string>(entry, "an entry", "name");
@@ -165,8 +165,8 @@
   return text.data();
 }
 
-// Of the working folder; "unknown" outside a repository.
-std::string commit_here() {
+// Abbreviated commit of the repository in the working directory; "unknown" outside a repository.
+std::string current_commit() {
   const std::unique_ptr<FILE, int (*)(FILE*)> pipe(popen("git rev-parse --short=7 HEAD 2>/dev/null", "r"),
                                                    pclose);
   std::array<char, 64> line{};
@@ -178,7 +178,7 @@
   return out;
 }
 
-std::string machine_here() {
+std::string machine_description() {
   constexpr double kGib = 1024.0 * 1024.0 * 1024.0;
   const double bytes =
       static_cast<double>(sysconf(_SC_PHYS_PAGES)) * static_cast<double>(sysconf(_SC_PAGESIZE));
@@ -208,14 +208,14 @@
   }
   const double mean = mean_of(points);
   const Fit constant{Form::kConstant, mean, 0.0, 0.0};
-  if (is_even(points, mean)) {
+  if (is_constant(points, mean)) {
     double squares = 0.0;
     for (const auto& [x, y] : points) {
       squares += y * y;
     }
-    // About 0, not about the mean: there is nothing to be explained but noise.
+    // R squared is taken relative to 0 here: relative to the mean, a constant fit of noise always gets 0.
     return {Form::kConstant, mean, 0.0,
-            squares > 0.0 ? 1.0 - squares_about(points, constant) / squares : 1.0};
+            squares > 0.0 ? 1.0 - sum_of_squared_errors(points, constant) / squares : 1.0};
   }
   std::vector<Fit> fits = {constant};
   for (const Form form : {Form::kLinear, Form::kLinearithmic, Form::kQuadratic}) {
@@ -224,7 +224,7 @@
   const auto less = [](const Fit& a, const Fit& b) { return a.r_squared < b.r_squared; };
   const double best = std::max_element(fits.begin(), fits.end(), less)->r_squared;
   return *std::find_if(fits.begin(), fits.end(),
-                       [best](const Fit& one) { return one.r_squared >= best - kSimplerWithin; });
+                       [best](const Fit& candidate) { return candidate.r_squared >= best - kSimplerWithin; });
 }
 
 double value_at(const Fit& fit, double x) { return fit.offset + fit.slope * basis(fit.form, x); }
@@ -234,8 +234,8 @@
   slope.fit = fit(slope.points);
   slope.bound = slope.points.back().first;
   slope.date = date_today();
-  slope.commit = commit_here();
-  slope.machine = machine_here();
+  slope.commit = current_commit();
+  slope.machine = machine_description();
   return slope;
 }
 
@@ -249,7 +249,7 @@
 
 std::vector<Slope> read_slopes(const json& list) {
   if (!list.is_array()) {
-    throw BadSlopes("the slopes are no list");
+    throw BadSlopes("the slopes are not an array");
   }
   std::vector<Slope> out;
   for (const json& entry : list) {
@@ -286,15 +286,15 @@
 
 void save_slopes(const std::string& path, const std::vector<Slope>& fresh) {
   const std::string text = write_slopes(merge_slopes(load_slopes(path), fresh)).dump(1) + "\n";
-  const std::string beside = path + ".new";
+  const std::string temporary = path + ".new";
   {
-    std::ofstream out(beside);
+    std::ofstream out(temporary);
     out << text;
     if (!out.flush()) {
-      throw std::runtime_error(beside + " cannot be written");
+      throw std::runtime_error(temporary + ": cannot be written");
     }
   }
-  std::filesystem::rename(beside, path);
+  std::filesystem::rename(temporary, path);
 }
 
 }  // namespace trailcourse::scale
--- a/benchmarks/scale/slopes.h
+++ b/benchmarks/scale/slopes.h
@@ -1,7 +1,7 @@
-// What was measured of how a cost grows, in one file that the measuring tools write and the page of capacity
-// is worked out from. Each slope has a name; a tool replaces its own by name and leaves the others alone.
+// Measured growth of costs. The benchmarks write the slopes to one file, from which the capacity page is
+// computed. Each slope has a unique name; a benchmark replaces the slopes that it measured and keeps the others.
 //
-// The form of growth is chosen by the points themselves, not assumed: see fit().
+// The form of growth is fitted to the measured points, not assumed: see fit().
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -17,63 +17,66 @@
 enum class Form { kConstant, kLinear, kLinearithmic, kQuadratic };
 const char* to_string(Form form);
 
-// (x, y): the size, and what was measured at it.
+// Points (x, y): x is the size, y the value measured at that size.
 using Points = std::vector<std::pair<double, double>>;
 
 struct Fit {
   Form form = Form::kConstant;
   double offset = 0.0;
   double slope = 0.0;
-  double r_squared = 0.0;  // 1: exact
+  double r_squared = 0.0;  // coefficient of determination; 1 is an exact fit
 };
 
-// Points that all lie within this share of their mean are constant.
+// Points are treated as constant if each deviates from their mean by at most this fraction of the mean.
 constexpr double kConstantWithin = 0.05;
-// A simpler form is preferred where its R squared is within this of the best.
+// A simpler form is preferred if its R squared is at most this much below the best one.
 constexpr double kSimplerWithin = 0.01;
 
-// Least squares; the simplest form whose R squared is within kSimplerWithin of the best one's. Throws
-// std::invalid_argument without any point.
+// Fits each form by least squares and returns the simplest one whose R squared is within kSimplerWithin of the
+// best. Throws std::invalid_argument if `points` is empty.
 Fit fit(const Points& points);
-// What the fitted form says at `x`.
+// Value of the fitted form at `x`.
 double value_at(const Fit& fit, double x);
 
+// A measured cost with its fitted growth and the conditions of the measurement.
 struct Slope {
-  std::string name;  // "store.calls.change.flat": unique in the file
-  std::string what;  // in plain words
-  std::string unit;  // of y
-  std::string per;   // what x counts
+  std::string name;  // unique in the file, such as "store.calls.change.flat"
+  std::string what;  // description in plain words
+  std::string unit;  // unit of y
+  std::string per;   // the quantity that x counts
   Fit fit;
-  Points points;        // by x
+  Points points;        // sorted by x
   std::string setting;  // one of kSettings
-  double bound = 0.0;   // the largest x measured
-  std::string command;  // that measured it
-  std::string date;     // "2026-12-02", UTC
-  std::string commit;   // abbreviated
-  std::string machine;  // "8 cores, 24 GiB"
+  double bound = 0.0;   // the largest measured x
+  std::string command;  // the command that measured the points
+  std::string date;     // UTC, such as "2026-12-02"
+  std::string commit;   // abbreviated hash
+  std::string machine;  // such as "8 cores, 24 GiB"
 };
 
+// Ways to run a measurement: the allowed values of Slope::setting.
 constexpr std::string_view kSettings[] = {"real processes", "hollow, loopback sockets",
                                           "hollow, virtual time", "in process"};
 
-// Names the entry and the field that cannot be used.
+// Thrown for an invalid list of slopes; the message names the entry and the field.
 class BadSlopes : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// A slope whose fit, bound, date, commit and machine are filled in from its points and from this machine.
-// The rest is the caller's. Throws std::invalid_argument without any point.
+// Returns `slope` with its points sorted and its fit, bound, date, commit and machine filled in from the points
+// and from this machine. The caller sets the other fields. Throws std::invalid_argument without points.
 Slope measured_here(Slope slope);
 
 nlohmann::json write_slopes(const std::vector<Slope>& slopes);
 // Throws BadSlopes.
 std::vector<Slope> read_slopes(const nlohmann::json& list);
-// Throws BadSlopes; without a file there are none.
+// Returns no slopes if the file does not exist or cannot be opened. Throws BadSlopes for invalid content.
 std::vector<Slope> load_slopes(const std::string& path);
-// `fresh` in the place of those of the same names, sorted by name.
+// All slopes of both lists, sorted by name; one in `fresh` replaces one of the same name in `old`.
 std::vector<Slope> merge_slopes(const std::vector<Slope>& old, const std::vector<Slope>& fresh);
-// Merges `fresh` into the file, whole or not at all. Throws BadSlopes, std::runtime_error.
+// Merges `fresh` into the file, which is replaced atomically. Throws BadSlopes if the existing file is invalid,
+// std::runtime_error if the new one cannot be written.
 void save_slopes(const std::string& path, const std::vector<Slope>& fresh);
 
 }  // namespace trailcourse::scale
