--- a/benchmarks/scale/capacity_page.h
+++ b/benchmarks/scale/capacity_page.h
@@ -1,8 +1,8 @@
-// The capacity page: tables and figures worked out from its data and put between markers of a Markdown file,
-// whose other text is left as it is.
+// The capacity page: computes tables and figures from the capacity data and writes them between markers of a
+// Markdown file. The rest of the file is unchanged.
 //
-//     <!-- table: plan -->             a table, up to the line <!-- end -->
-//     <!--= routers * 2 | calls/s -->38,000 calls/s<!--.-->    one figure within a line
+//     <!-- table: plan -->             a table, which ends at the line <!-- end -->
+//     <!--= routers * 2 | calls/s -->38,000 calls/s<!--.-->    one figure in a line
 #pragma once
 
 #include <cstddef>
@@ -14,50 +14,54 @@
 
 namespace trailcourse::scale {
 
-// Names the line of the page and what is wrong with its marker.
+// Thrown for an invalid marker; the message names the line or the table.
 class BadPage : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// A number with its unit as people read it: "3.42 million", "217 MB/s", "1.8%". Three digits count.
-std::string show_number(double value, const std::string& unit);
-// The same of a figure; one that is not known says "no slope", one beyond what was measured by which factor.
-std::string show_figure(const Figure& figure, const std::string& unit);
+// Formats a number with its unit: "3.42 million", "217 MB/s", "1.8%". Numbers other than whole
+// ones are rounded to three significant digits.
+std::string format_number(double value, const std::string& unit);
+// Formats a figure in the same way: "no slope" if a slope is missing; with the factor of extrapolation or the
+// R squared appended if the measured sizes are exceeded or the fit is poor.
+std::string format_figure(const Figure& figure, const std::string& unit);
 
 class CapacityPage {
  public:
   // Throws FormulaError, BadCapacityData.
   explicit CapacityPage(CapacityData data);
 
-  // The page with its tables and figures as they follow from the data. Throws BadPage, FormulaError.
+  // Returns `page` with its tables and figures computed from the data. Throws BadPage, FormulaError.
   std::string fill(const std::string& page) const;
-  // One table by the name of its marker: target, meaning, situations, plan, met, unknown, slopes, or role
-  // NAME. Throws BadPage.
+  // Returns the table with the name given in a marker: target, meaning, situations, plan, met, unknown,
+  // slopes, or role NAME. Throws BadPage for an unknown name, BadCapacityData for invalid data, FormulaError.
   std::string table(const std::string& name) const;
 
  private:
-  std::string targets() const;
-  std::string meaning() const;
-  std::string situations() const;
-  std::string role(const std::string& name) const;
-  std::string plan(bool met) const;
-  std::string unknown() const;
-  std::string slopes() const;
-  std::string fill_figures(const std::string& line, std::size_t number) const;
+  std::string targets_table() const;
+  std::string meaning_table() const;
+  std::string situations_table() const;
+  std::string role_table(const std::string& name) const;
+  // The requirements that are met, or those that are not, sorted by descending ratio.
+  std::string plan_table(bool met) const;
+  std::string unknown_list() const;
+  std::string slopes_table() const;
+  std::string fill_figures(const std::string& line, std::size_t line_number) const;
   std::string fill_cell(const std::string& cell) const;
-  std::string show_formula(const std::string& formula_and_unit) const;
+  std::string format_formula(const std::string& formula_and_unit) const;
 
   CapacityData data_;
   FormulaNames names_;
 };
 
-// Where two texts differ first.
+// The first line in which two texts differ.
 struct LineDifference {
-  std::size_t line = 0;  // from 1
+  std::size_t line = 0;  // counted from 1
   std::string found;
   std::string expected;
 };
+// Returns std::nullopt if the texts have the same lines.
 std::optional<LineDifference> first_difference(const std::string& found, const std::string& expected);
 
 }  // namespace trailcourse::scale
--- a/benchmarks/scale/capacity_page_data.cpp
+++ b/benchmarks/scale/capacity_page_data.cpp
@@ -15,124 +15,124 @@
 constexpr const char* kModelFile = "model.json";
 constexpr const char* kSlopesFile = "slopes.json";
 
-const json& field(const json& object, const char* name, const std::string& where) {
+const json& field(const json& object, const char* name, const std::string& location) {
   if (!object.is_object() || !object.contains(name)) {
-    throw BadCapacityData(where + ": no field " + name);
+    throw BadCapacityData(location + ": field " + name + " is missing");
   }
   return object.at(name);
 }
 
-std::string text_of(const json& value, const std::string& where) {
+std::string as_string(const json& value, const std::string& location) {
   if (!value.is_string()) {
-    throw BadCapacityData(where + ": not a text");
+    throw BadCapacityData(location + ": not a string");
   }
   return value.get<std::string>();
 }
 
-std::string text(const json& object, const char* name, const std::string& where) {
-  return text_of(field(object, name, where), where + ": " + name);
+std::string read_string(const json& object, const char* name, const std::string& location) {
+  return as_string(field(object, name, location), location + ": " + name);
 }
 
-std::string text_or_none(const json& object, const char* name, const std::string& where) {
-  return object.contains(name) ? text(object, name, where) : std::string();
+std::string read_optional_string(const json& object, const char* name, const std::string& location) {
+  return object.contains(name) ? read_string(object, name, location) : std::string();
 }
 
-const json& list(const json& object, const char* name, const std::string& where) {
-  const json& out = field(object, name, where);
+const json& read_array(const json& object, const char* name, const std::string& location) {
+  const json& out = field(object, name, location);
   if (!out.is_array()) {
-    throw BadCapacityData(where + ": " + name + " is not a list");
+    throw BadCapacityData(location + ": " + name + " is not an array");
   }
   return out;
 }
 
-Target read_target(const json& entry, const std::string& where) {
+Target read_target(const json& entry, const std::string& location) {
   Target out;
-  out.name = text(entry, "name", where);
-  const std::string here = where + ": " + out.name;
-  const json& value = field(entry, "value", here);
+  out.name = read_string(entry, "name", location);
+  const std::string entry_location = location + ": " + out.name;
+  const json& value = field(entry, "value", entry_location);
   if (!value.is_number()) {
-    throw BadCapacityData(here + ": value is not a number");
+    throw BadCapacityData(entry_location + ": value is not a number");
   }
   out.value = value.get<double>();
-  out.unit = text(entry, "unit", here);
-  out.what = text(entry, "what", here);
-  out.key = text_or_none(entry, "key", here);
+  out.unit = read_string(entry, "unit", entry_location);
+  out.what = read_string(entry, "what", entry_location);
+  out.key = read_optional_string(entry, "key", entry_location);
   return out;
 }
 
-Derived read_derived(const json& entry, const std::string& where) {
+Derived read_derived(const json& entry, const std::string& location) {
   Derived out;
-  out.name = text(entry, "name", where);
-  const std::string here = where + ": " + out.name;
-  out.formula = text(entry, "formula", here);
-  out.unit = text(entry, "unit", here);
-  out.what = text(entry, "what", here);
+  out.name = read_string(entry, "name", location);
+  const std::string entry_location = location + ": " + out.name;
+  out.formula = read_string(entry, "formula", entry_location);
+  out.unit = read_string(entry, "unit", entry_location);
+  out.what = read_string(entry, "what", entry_location);
   out.shown = entry.value("shown", false);
   return out;
 }
 
-// A cell that is not named says that there is nothing to say.
-RoleRow read_row(const json& entry, const std::string& where) {
+// A missing cell is shown as "-".
+RoleRow read_row(const json& entry, const std::string& location) {
   RoleRow out;
-  out.situation = text(entry, "situation", where);
-  const std::string here = where + ": " + out.situation;
+  out.situation = read_string(entry, "situation", location);
+  const std::string entry_location = location + ": " + out.situation;
   for (const char* column : kRoleColumns) {
-    const std::string cell = text_or_none(entry, column, here);
+    const std::string cell = read_optional_string(entry, column, entry_location);
     out.cells.push_back(cell.empty() ? "-" : cell);
   }
   for (const auto& [name, value] : entry.items()) {
     const bool known = std::any_of(std::begin(kRoleColumns), std::end(kRoleColumns),
                                    [&name = name](const char* column) { return name == column; });
     if (!known && name != "situation") {
-      throw BadCapacityData(here + ": there is no column " + name);
+      throw BadCapacityData(entry_location + ": unknown column " + name);
     }
   }
   return out;
 }
 
-Role read_role(const json& entry, const std::string& where) {
+Role read_role(const json& entry, const std::string& location) {
   Role out;
-  out.name = text(entry, "name", where);
-  const std::string here = where + ": " + out.name;
-  out.mechanism = text(entry, "mechanism", here);
-  for (const json& row : list(entry, "rows", here)) {
-    out.rows.push_back(read_row(row, here));
+  out.name = read_string(entry, "name", location);
+  const std::string entry_location = location + ": " + out.name;
+  out.mechanism = read_string(entry, "mechanism", entry_location);
+  for (const json& row : read_array(entry, "rows", entry_location)) {
+    out.rows.push_back(read_row(row, entry_location));
   }
   return out;
 }
 
-PlanLine::Sense read_sense(const std::string& word, const std::string& where) {
-  if (word == "at least") {
+PlanLine::Sense read_sense(const std::string& text, const std::string& location) {
+  if (text == "at least") {
     return PlanLine::Sense::kAtLeast;
   }
-  if (word == "at most") {
+  if (text == "at most") {
     return PlanLine::Sense::kAtMost;
   }
-  throw BadCapacityData(where + ": sense is neither `at least` nor `at most`");
+  throw BadCapacityData(location + ": sense is neither `at least` nor `at most`");
 }
 
-PlanLine read_line(const json& entry, const std::string& where) {
+PlanLine read_plan_line(const json& entry, const std::string& location) {
   PlanLine out;
-  out.what = text(entry, "what", where);
-  const std::string here = where + ": " + out.what;
-  out.role = text(entry, "role", here);
-  out.situation = text(entry, "situation", here);
-  out.unit = text(entry, "unit", here);
-  out.wanted = text(entry, "wanted", here);
-  out.reached = text(entry, "reached", here);
-  out.sense = read_sense(text(entry, "sense", here), here);
-  out.mechanism = text(entry, "mechanism", here);
-  out.exists = text(entry, "exists", here);
-  out.file = text(entry, "file", here);
-  out.note = text_or_none(entry, "note", here);
+  out.what = read_string(entry, "what", location);
+  const std::string entry_location = location + ": " + out.what;
+  out.role = read_string(entry, "role", entry_location);
+  out.situation = read_string(entry, "situation", entry_location);
+  out.unit = read_string(entry, "unit", entry_location);
+  out.wanted = read_string(entry, "wanted", entry_location);
+  out.reached = read_string(entry, "reached", entry_location);
+  out.sense = read_sense(read_string(entry, "sense", entry_location), entry_location);
+  out.mechanism = read_string(entry, "mechanism", entry_location);
+  out.exists = read_string(entry, "exists", entry_location);
+  out.file = read_string(entry, "file", entry_location);
+  out.note = read_optional_string(entry, "note", entry_location);
   return out;
 }
 
-json load(const std::string& path) {
+json load_json(const std::string& path) {
   std::ifstream file(path);
   json out = json::parse(file, nullptr, false);
   if (!file || out.is_discarded()) {
-    throw BadCapacityData(path + ": cannot be read, or is not JSON");
+    throw BadCapacityData(path + ": cannot be read or is not valid JSON");
   }
   return out;
 }
@@ -141,11 +141,11 @@
 
 std::vector<TargetGroup> read_targets(const json& file) {
   std::vector<TargetGroup> out;
-  for (const json& entry : list(file, "groups", kTargetFile)) {
+  for (const json& entry : read_array(file, "groups", kTargetFile)) {
     TargetGroup group;
-    group.name = text(entry, "name", kTargetFile);
-    group.what = text(entry, "what", kTargetFile);
-    for (const json& target : list(entry, "targets", kTargetFile)) {
+    group.name = read_string(entry, "name", kTargetFile);
+    group.what = read_string(entry, "what", kTargetFile);
+    for (const json& target : read_array(entry, "targets", kTargetFile)) {
       group.targets.push_back(read_target(target, kTargetFile));
     }
     out.push_back(std::move(group));
@@ -154,28 +154,28 @@
 }
 
 void read_model(const json& file, CapacityData& out) {
-  const std::string where = kModelFile;
-  for (const json& entry : list(file, "derived", where)) {
-    out.derived.push_back(read_derived(entry, where));
+  const std::string location = kModelFile;
+  for (const json& entry : read_array(file, "derived", location)) {
+    out.derived.push_back(read_derived(entry, location));
   }
-  for (const json& entry : list(file, "situations", where)) {
-    out.situations.emplace_back(text(entry, "name", where), text(entry, "what", where));
+  for (const json& entry : read_array(file, "situations", location)) {
+    out.situations.emplace_back(read_string(entry, "name", location), read_string(entry, "what", location));
   }
-  for (const json& entry : list(file, "roles", where)) {
-    out.roles.push_back(read_role(entry, where));
+  for (const json& entry : read_array(file, "roles", location)) {
+    out.roles.push_back(read_role(entry, location));
   }
-  for (const json& entry : list(file, "plan", where)) {
-    out.plan.push_back(read_line(entry, where));
+  for (const json& entry : read_array(file, "plan", location)) {
+    out.plan.push_back(read_plan_line(entry, location));
   }
-  for (const json& entry : list(file, "unknowable", where)) {
-    out.unknowable.push_back(text_of(entry, where + ": unknowable"));
+  for (const json& entry : read_array(file, "unknowable", location)) {
+    out.unknowable.push_back(as_string(entry, location + ": unknowable"));
   }
 }
 
 CapacityData load_capacity_data(const std::string& folder) {
   CapacityData out;
-  out.targets = read_targets(load(folder + "/" + kTargetFile));
-  read_model(load(folder + "/" + kModelFile), out);
+  out.targets = read_targets(load_json(folder + "/" + kTargetFile));
+  read_model(load_json(folder + "/" + kModelFile), out);
   for (const Slope& slope : load_slopes(folder + "/" + kSlopesFile)) {
     out.slopes.emplace(slope.name, slope);
   }
@@ -187,7 +187,7 @@
   out.slopes = data.slopes;
   const auto add = [&out](const std::string& name, const Figure& figure) {
     if (!out.figures.emplace(name, figure).second) {
-      throw BadCapacityData("the name " + name + " is given twice");
+      throw BadCapacityData("the name " + name + " is used twice");
     }
   };
   for (const TargetGroup& group : data.targets) {
--- a/benchmarks/scale/capacity_page_data.h
+++ b/benchmarks/scale/capacity_page_data.h
@@ -1,5 +1,5 @@
-// What the capacity page is worked out from: the size that is wanted (docs/capacity/target.json), what each
-// role does and what has to hold (docs/capacity/model.json), and the measured slopes
+// Data that the capacity page is computed from: the intended size of a fleet (docs/capacity/target.json), the
+// costs of each role and the requirements (docs/capacity/model.json), and the measured slopes
 // (docs/capacity/slopes.json).
 #pragma once
 
@@ -15,41 +15,41 @@
 
 namespace trailcourse::scale {
 
-// Names the file, the entry and the field that cannot be used.
+// Thrown for invalid data; the message names the file, the entry and the field.
 class BadCapacityData : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// One number that is given, not measured.
+// A number that is given, not measured.
 struct Target {
   std::string name;
   double value = 0.0;
   std::string unit;
-  std::string what;  // in plain words
-  std::string key;   // of a setting: SECTION.KEY of the operator's file; else empty
+  std::string what;  // description in plain words
+  std::string key;   // SECTION.KEY of the operator's file if the number is a setting; otherwise empty
 };
 
-// Where the numbers of a group come from.
+// Targets from one source.
 struct TargetGroup {
-  std::string name;  // size, settings, assumptions
+  std::string name;  // "size", "settings" or "assumptions"
   std::string what;
   std::vector<Target> targets;
 };
 
-// A number that follows from others; later ones may name earlier ones.
+// A number computed from targets and from earlier derived numbers.
 struct Derived {
   std::string name;
   std::string formula;
   std::string unit;
   std::string what;
-  bool shown = false;  // in the table of what the size means
+  bool shown = false;  // listed in the table `meaning`
 };
 
-// What a role costs in one situation. Each cell is words with formulas in braces: "{routers * 2 | calls/s}".
+// Costs of a role in one situation. Each cell is text with formulas in braces: "{routers * 2 | calls/s}".
 struct RoleRow {
   std::string situation;
-  std::vector<std::string> cells;  // by kRoleColumns
+  std::vector<std::string> cells;  // in the order of kRoleColumns
 };
 inline constexpr const char* kRoleColumns[] = {
     "state", "messages in a second", "messages out a second", "bytes in and out a second", "processor",
@@ -57,11 +57,11 @@
 
 struct Role {
   std::string name;
-  std::string mechanism;  // and its files
+  std::string mechanism;  // the mechanism that the role uses, and its source files
   std::vector<RoleRow> rows;
 };
 
-// Something that has to hold at the size wanted, and what holds today.
+// A requirement at the intended size, compared with the present state.
 struct PlanLine {
   enum class Sense { kAtLeast, kAtMost };
 
@@ -69,11 +69,11 @@
   std::string situation;
   std::string what;
   std::string unit;
-  std::string wanted;   // a formula
-  std::string reached;  // a formula; empty: nothing does it
+  std::string wanted;   // formula of the required value
+  std::string reached;  // formula of the present value; empty if no mechanism exists
   Sense sense = Sense::kAtMost;
   std::string mechanism;
-  std::string exists;  // yes, no, in part
+  std::string exists;  // "yes", "no" or "in part"
   std::string file;
   std::string note;
 };
@@ -81,21 +81,21 @@
 struct CapacityData {
   std::vector<TargetGroup> targets;
   std::vector<Derived> derived;
-  std::vector<std::pair<std::string, std::string>> situations;  // name, what
+  std::vector<std::pair<std::string, std::string>> situations;  // name, description
   std::vector<Role> roles;
   std::vector<PlanLine> plan;
-  std::vector<std::string> unknowable;  // on one machine
-  std::map<std::string, Slope> slopes;
+  std::vector<std::string> unknowable;  // facts that cannot be measured on one machine
+  std::map<std::string, Slope> slopes;  // by name
 };
 
-// Throw BadCapacityData.
+// Both read a parsed JSON file and throw BadCapacityData if it is invalid; read_model() appends to `out`.
 std::vector<TargetGroup> read_targets(const nlohmann::json& file);
 void read_model(const nlohmann::json& file, CapacityData& out);
 
-// All three files of a folder. Throws BadCapacityData, BadSlopes.
+// Reads the three files from `folder`. Throws BadCapacityData, BadSlopes.
 CapacityData load_capacity_data(const std::string& folder);
 
-// Targets and derived figures by name. Throws FormulaError, and BadCapacityData for a name given twice.
+// Targets, derived figures and slopes by name. Throws FormulaError, and BadCapacityData for a duplicate name.
 FormulaNames names_of(const CapacityData& data);
 
 }  // namespace trailcourse::scale
--- a/benchmarks/scale/capacity_page_formula.cpp
+++ b/benchmarks/scale/capacity_page_formula.cpp
@@ -10,19 +10,20 @@
 
 namespace {
 
-bool is_name_start(char letter) { return letter >= 'a' && letter <= 'z'; }
-bool is_digit(char letter) { return letter >= '0' && letter <= '9'; }
-bool is_name_part(char letter) {
-  return is_name_start(letter) || is_digit(letter) || letter == '_' || letter == '.';
+bool is_name_start(char character) { return character >= 'a' && character <= 'z'; }
+bool is_digit(char character) { return character >= '0' && character <= '9'; }
+bool is_name_part(char character) {
+  return is_name_start(character) || is_digit(character) || character == '_' || character == '.';
 }
 
-// The value of `operation` over two figures; what either lacks or was worked out from belongs to both.
+// Applies `operation` to two figures. The result depends on the slopes of both, and has no value if either
+// has none.
 template <typename Operation>
 Figure combine(const Figure& left, const Figure& right, Operation operation) {
   Figure out = left;
   out.missing.insert(right.missing.begin(), right.missing.end());
   out.slopes.insert(right.slopes.begin(), right.slopes.end());
-  out.beyond = std::max(left.beyond, right.beyond);
+  out.extrapolation = std::max(left.extrapolation, right.extrapolation);
   out.r_squared = std::min(left.r_squared, right.r_squared);
   out.value = out.known() ? operation(left.value, right.value) : 0.0;
   return out;
@@ -32,60 +33,61 @@
  public:
   Parser(std::string_view text, const FormulaNames& names) : text_(text), names_(names) {}
 
-  Figure whole() {
-    const Figure out = formula();
+  Figure parse() {
+    const Figure out = parse_formula();
     skip_spaces();
-    if (place_ != text_.size()) {
-      fail("something is left over");
+    if (position_ != text_.size()) {
+      fail("unexpected text after the formula");
     }
     return out;
   }
 
  private:
   [[noreturn]] void fail(const std::string& why) const {
-    throw FormulaError("`" + std::string(text_) + "` at " + std::to_string(place_) + ": " + why);
+    throw FormulaError("`" + std::string(text_) + "` at " + std::to_string(position_) + ": " + why);
   }
 
   void skip_spaces() {
-    while (place_ < text_.size() && text_[place_] == ' ') {
-      ++place_;
+    while (position_ < text_.size() && text_[position_] == ' ') {
+      ++position_;
     }
   }
-  bool next_is(char letter) {
+  bool next_is(char character) {
     skip_spaces();
-    return place_ < text_.size() && text_[place_] == letter;
+    return position_ < text_.size() && text_[position_] == character;
   }
-  bool take(char letter) {
-    const bool taken = next_is(letter);
-    place_ += taken ? 1 : 0;
-    return taken;
+  // Skips `character` and returns true if it is next.
+  bool consume(char character) {
+    const bool found = next_is(character);
+    position_ += found ? 1 : 0;
+    return found;
   }
-  void expect(char letter) {
-    if (!take(letter)) {
-      fail(std::string("expected ") + letter);
+  void expect(char character) {
+    if (!consume(character)) {
+      fail(std::string("expected ") + character);
     }
   }
 
-  Figure formula() {
-    Figure out = term();
+  Figure parse_formula() {
+    Figure out = parse_term();
     while (true) {
-      if (take('+')) {
-        out = combine(out, term(), std::plus<>());
-      } else if (take('-')) {
-        out = combine(out, term(), std::minus<>());
+      if (consume('+')) {
+        out = combine(out, parse_term(), std::plus<>());
+      } else if (consume('-')) {
+        out = combine(out, parse_term(), std::minus<>());
       } else {
         return out;
       }
     }
   }
 
-  Figure term() {
-    Figure out = factor();
+  Figure parse_term() {
+    Figure out = parse_factor();
     while (true) {
-      if (take('*')) {
-        out = combine(out, factor(), std::multiplies<>());
-      } else if (take('/')) {
-        out = divide(out, factor());
+      if (consume('*')) {
+        out = combine(out, parse_factor(), std::multiplies<>());
+      } else if (consume('/')) {
+        out = divide(out, parse_factor());
       } else {
         return out;
       }
@@ -94,93 +96,94 @@
 
   Figure divide(const Figure& left, const Figure& right) const {
     if (right.known() && right.value == 0.0) {
-      fail("a division by nought");
+      fail("division by zero");
     }
     return combine(left, right, std::divides<>());
   }
 
-  Figure factor() {
-    if (take('-')) {
-      return combine(Figure{}, factor(), std::minus<>());
+  Figure parse_factor() {
+    if (consume('-')) {
+      return combine(Figure{}, parse_factor(), std::minus<>());
     }
-    if (take('(')) {
-      const Figure out = formula();
+    if (consume('(')) {
+      const Figure out = parse_formula();
       expect(')');
       return out;
     }
     skip_spaces();
-    if (place_ < text_.size() && is_digit(text_[place_])) {
-      return number();
+    if (position_ < text_.size() && is_digit(text_[position_])) {
+      return parse_number();
     }
     if (next_is_name()) {
-      return named();
+      return parse_name_or_call();
     }
     fail("expected a number, a name or (");
   }
 
-  Figure number() {
+  Figure parse_number() {
     Figure out;
-    const char* begin = text_.data() + place_;
+    const char* begin = text_.data() + position_;
     const auto [end, error] = std::from_chars(begin, text_.data() + text_.size(), out.value);
     if (error != std::errc()) {
       fail("not a number");
     }
-    place_ += static_cast<std::size_t>(end - begin);
+    position_ += static_cast<std::size_t>(end - begin);
     return out;
   }
 
-  bool next_is_name() const { return place_ < text_.size() && is_name_start(text_[place_]); }
+  bool next_is_name() const { return position_ < text_.size() && is_name_start(text_[position_]); }
 
-  // Empty where none stands here.
-  std::string name() {
+  // Returns an empty string if no name starts at the current position.
+  std::string parse_name() {
     skip_spaces();
-    const std::size_t begin = place_;
+    const std::size_t begin = position_;
     if (!next_is_name()) {
       return "";
     }
-    while (place_ < text_.size() && is_name_part(text_[place_])) {
-      ++place_;
+    while (position_ < text_.size() && is_name_part(text_[position_])) {
+      ++position_;
     }
-    return std::string(text_.substr(begin, place_ - begin));
+    return std::string(text_.substr(begin, position_ - begin));
   }
 
-  Figure named() {
-    const std::string word = name();
+  Figure parse_name_or_call() {
+    const std::string word = parse_name();
     if (next_is('(')) {
-      return call(word);
+      return parse_call(word);
     }
     const auto found = names_.figures.find(word);
     if (found == names_.figures.end()) {
-      fail("there is no target or figure " + word);
+      fail("unknown target or figure " + word);
     }
     return found->second;
   }
 
-  Figure call(const std::string& function) {
+  Figure parse_call(const std::string& function) {
     expect('(');
-    const Figure out = function == "fit"        ? fitted()
-                       : function == "measured" ? measured()
-                                                : over_arguments(function);
+    const Figure out = function == "fit"        ? parse_fit_arguments()
+                       : function == "measured" ? parse_measured_arguments()
+                                                : parse_min_max_ceil_arguments(function);
     expect(')');
     return out;
   }
 
-  std::string slope_name() {
-    if (!take('"')) {
-      return name();
+  std::string parse_slope_name() {
+    if (!consume('"')) {
+      return parse_name();
     }
-    const std::size_t begin = place_;
-    while (place_ < text_.size() && text_[place_] != '"') {
-      ++place_;
+    const std::size_t begin = position_;
+    while (position_ < text_.size() && text_[position_] != '"') {
+      ++position_;
     }
-    const std::string out(text_.substr(begin, place_ - begin));
+    const std::string out(text_.substr(begin, position_ - begin));
     expect('"');
     return out;
   }
 
-  // Nothing where it was not measured; `out` says so then.
-  const Slope* find_slope(Figure& out) {
-    const std::string word = slope_name();
+  // Parses the name of a slope and adds it to `out.slopes`. If the slope was not measured, adds the name to
+  // `out.missing` instead and returns nullptr.
+  const Slope* parse_slope(Figure& out) {
+    const std::string word = parse_slope_name();
     if (word.empty()) {
       fail("expected the name of a slope");
     }
@@ -193,25 +196,25 @@
     return &found->second;
   }
 
-  Figure fitted() {
+  Figure parse_fit_arguments() {
     Figure out;
-    const Slope* slope = find_slope(out);
+    const Slope* slope = parse_slope(out);
     expect(',');
-    const Figure size = formula();
+    const Figure size = parse_formula();
     out = combine(out, size, [&](double, double x) { return slope ? value_at(slope->fit, x) : 0.0; });
     const bool grows = slope != nullptr && slope->fit.form != Form::kConstant;
     if (grows && slope->bound > 0.0 && out.known()) {
-      out.beyond = std::max(out.beyond, size.value / slope->bound);
+      out.extrapolation = std::max(out.extrapolation, size.value / slope->bound);
       out.r_squared = std::min(out.r_squared, slope->fit.r_squared);
     }
     return out;
   }
 
-  Figure measured() {
+  Figure parse_measured_arguments() {
     Figure out;
-    const Slope* slope = find_slope(out);
+    const Slope* slope = parse_slope(out);
     expect(',');
-    const Figure size = formula();
+    const Figure size = parse_formula();
     out = combine(out, size, [](double, double x) { return x; });
     if (!out.known()) {
       return out;
@@ -226,17 +229,17 @@
     return out;
   }
 
-  Figure over_arguments(const std::string& function) {
-    Figure out = formula();
+  Figure parse_min_max_ceil_arguments(const std::string& function) {
+    Figure out = parse_formula();
     if (function == "ceil") {
       out.value = std::ceil(out.value);
       return out;
     }
     if (function != "min" && function != "max") {
-      fail("there is no function " + function);
+      fail("unknown function " + function);
     }
-    while (take(',')) {
-      out = combine(out, formula(), [&](double left, double right) {
+    while (consume(',')) {
+      out = combine(out, parse_formula(), [&](double left, double right) {
         return function == "min" ? std::min(left, right) : std::max(left, right);
       });
     }
@@ -245,13 +248,13 @@
 
   std::string_view text_;
   const FormulaNames& names_;
-  std::size_t place_ = 0;
+  std::size_t position_ = 0;
 };
 
 }  // namespace
 
 Figure evaluate(std::string_view formula, const FormulaNames& names) {
-  return Parser(formula, names).whole();
+  return Parser(formula, names).parse();
 }
 
 }  // namespace trailcourse::scale
--- a/benchmarks/scale/capacity_page_formula.h
+++ b/benchmarks/scale/capacity_page_formula.h
@@ -1,14 +1,16 @@
-// The formulas of the capacity page: arithmetic over the names of targets and of figures worked out before,
-// and over measured slopes. A formula that needs a slope which was not measured has no value and says which.
+// Formulas of the capacity page: arithmetic over named targets, previously computed figures and measured
+// slopes. A formula has no value if a slope that it needs was not measured; its result lists the missing
+// slopes.
 //
 //     formula = term { ("+" | "-") term }
 //     term    = factor { ("*" | "/") factor }
 //     factor  = number | name | call | "-" factor | "(" formula ")"
-//     call    = "fit" "(" slope "," formula ")"    the cost at a size, by the form that was fitted
-//             | "measured" "(" slope "," formula ")"    what was measured at just that size, if anything was
+//     call    = "fit" "(" slope "," formula ")"    value of the fitted form at a size
+//             | "measured" "(" slope "," formula ")"    the value measured at exactly this size
 //             | "min" | "max" | "ceil"  "(" formula { "," formula } ")"
 //
-// Names are made of lower-case letters, digits, `_` and `.`; those of slopes may stand in quotes.
+// Names consist of lower-case letters, digits, `_` and `.`, and start with a letter. The name of a slope may
+// be quoted.
 #pragma once
 
 #include <map>
@@ -21,29 +23,31 @@
 
 namespace trailcourse::scale {
 
-// Names the formula and what is wrong with it.
+// Thrown for an invalid formula; the message contains the formula, the position and the reason.
 class FormulaError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
+// Result of a formula, with the slopes that it was computed from.
 struct Figure {
-  double value = 0.0;             // of no meaning where a slope is missing
-  std::set<std::string> missing;  // slopes that were not measured
-  std::set<std::string> slopes;   // that it was worked out from
-  double beyond = 1.0;            // the largest size asked of a slope over the largest measured; 1 at least
-  double r_squared = 1.0;         // of the worst fit that it was worked out from
+  double value = 0.0;             // undefined if a slope is missing
+  std::set<std::string> missing;  // names of the slopes needed but not measured
+  std::set<std::string> slopes;   // names of the slopes used
+  // Largest ratio of the size at which a slope was evaluated to its largest measured size; at least 1.
+  double extrapolation = 1.0;
+  double r_squared = 1.0;  // of the worst fit used
 
   bool known() const { return missing.empty(); }
 };
 
-// What a formula may name.
+// Figures and slopes that a formula can refer to by name.
 struct FormulaNames {
   std::map<std::string, Figure> figures;
   std::map<std::string, Slope> slopes;
 };
 
-// Throws FormulaError: what cannot be parsed, a name that is none, a division by nought.
+// Throws FormulaError for a syntax error, an unknown name or a division by zero.
 Figure evaluate(std::string_view formula, const FormulaNames& names);
 
 }  // namespace trailcourse::scale
--- a/benchmarks/scale/capacity_page_main.cpp
+++ b/benchmarks/scale/capacity_page_main.cpp
@@ -1,9 +1,10 @@
-// Works out the tables of docs/CAPACITY.md from docs/capacity/*.json.
+// Computes the tables and figures of docs/CAPACITY.md from docs/capacity/*.json.
 //
-//     capacity_page --write [--root FOLDER]     puts them into the page
-//     capacity_page --check [--root FOLDER]     fails where the page does not agree, naming the first line
+//     capacity_page --write [--root FOLDER]     updates the page
+//     capacity_page --check [--root FOLDER]     fails if the page is out of date, prints the first difference
 //
-// Exit status: 0; 1: the page or its data cannot be used; 2: the page does not agree with its data.
+// Exit status: 0 on success; 1 for invalid arguments, page or data, or a file error; 2 if the page is out of
+// date.
 #include <cstdio>
 #include <cxxopts.hpp>
 #include <exception>
@@ -20,8 +21,8 @@
 using trailcourse::scale::first_difference;
 using trailcourse::scale::load_capacity_data;
 
-constexpr int kUnusable = 1;
-constexpr int kDiffers = 2;
+constexpr int kInvalid = 1;
+constexpr int kOutOfDate = 2;
 
 std::string read_file(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
@@ -54,27 +55,29 @@
   }
   std::fprintf(
       stderr,
-      "%s:%zu: does not agree with docs/capacity; run capacity_page --write\n found: %s\n data:  %s\n",
+      "%s:%zu: does not match docs/capacity; run capacity_page --write\n found:    %s\n expected: %s\n",
       path.c_str(), difference->line, difference->found.c_str(), difference->expected.c_str());
-  return kDiffers;
+  return kOutOfDate;
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  cxxopts::Options options("capacity_page", "The tables of docs/CAPACITY.md, from docs/capacity/*.json");
-  options.add_options()("write", "put them into the page")("check", "fail where the page does not agree")(
-      "root", "of the repository", cxxopts::value<std::string>()->default_value("."))("help", "this text");
+  cxxopts::Options options("capacity_page",
+                           "Computes the tables and figures of docs/CAPACITY.md from docs/capacity/*.json.");
+  options.add_options()("write", "update the page")("check", "fail if the page is out of date")(
+      "root", "root folder of the repository", cxxopts::value<std::string>()->default_value("."))(
+      "help", "print this help");
   try {
-    const auto given = options.parse(argc, argv);
-    const bool write = given.count("write") > 0;
-    if (given.count("help") > 0 || write == (given.count("check") > 0)) {
+    const auto parsed = options.parse(argc, argv);
+    const bool write = parsed.count("write") > 0;
+    if (parsed.count("help") > 0 || write == (parsed.count("check") > 0)) {
       std::printf("%s", options.help().c_str());
-      return given.count("help") > 0 ? 0 : kUnusable;
+      return parsed.count("help") > 0 ? 0 : kInvalid;
     }
-    return run(given["root"].as<std::string>(), write);
+    return run(parsed["root"].as<std::string>(), write);
   } catch (const std::exception& error) {
     std::fprintf(stderr, "capacity_page: %s\n", error.what());
-    return kUnusable;
+    return kInvalid;
   }
 }
--- a/benchmarks/scale/cost_meter.h
+++ b/benchmarks/scale/cost_meter.h
@@ -32,8 +32,8 @@
 // Bytes that the process has allocated and not freed, including the allocator's overhead.
 double allocated_bytes();
 
-// CPU time of one call of `work`, in microseconds: the minimum of `rounds` means, each over `calls` calls. The
-// minimum is used because other load on the machine can only increase the measured time.
+// CPU time of one call of `work`, in microseconds: the minimum of `rounds` means, each over `calls` calls.
+// The minimum is used because other load on the machine can only increase the measured time.
 template <typename Work>
 double cpu_us_per_call(int calls, Work work, int rounds = 7) {
   double minimum = 0.0;
--- a/benchmarks/scale/role_costs.cpp
+++ b/benchmarks/scale/role_costs.cpp
@@ -4,8 +4,8 @@
 //     role_costs --write docs/capacity/slopes.json
 //     role_costs --only process --program build/trailcourse --json
 //
-// The groups `process.idle` and `process.purges` count all traffic on the loopback interface. On a machine with
-// other loopback traffic, run them in a network namespace:
+// The groups `process.idle` and `process.purges` count all traffic on the loopback interface. On a machine
+// with other loopback traffic, run them in a network namespace:
 //
 //     unshare -n sh -c 'ip link set lo up; role_costs --only process.idle --write docs/capacity/slopes.json'
 #include "role_costs.h"
--- a/benchmarks/scale/sample_fleet.h
+++ b/benchmarks/scale/sample_fleet.h
@@ -15,8 +15,8 @@
 constexpr const char* kSampleZone = "zone0";
 
 // A page of the discovery service with one complete endpoint list: `caches` caches spread over `zones` zones,
-// and an origin. `since_ms` is the listed start time of the endpoints, in Unix milliseconds. fleet::Layout
-// writes the page, as it does for real fleets.
+// and an origin. `since_ms` is the listed start time of the caches, in Unix milliseconds; 0 means long ago.
+// fleet::Layout writes the page, as it does for real fleets.
 nlohmann::json list_page(int caches, int zones, std::int64_t since_ms = 0);
 // Settings of a router in kSampleZone, in a fleet of `routers` routers and `zones` zones.
 nlohmann::json router_settings(int routers, int zones);
--- a/benchmarks/scale/slopes.h
+++ b/benchmarks/scale/slopes.h
@@ -1,5 +1,6 @@
 // Measured growth of costs. The benchmarks write the slopes to one file, from which the capacity page is
-// computed. Each slope has a unique name; a benchmark replaces the slopes that it measured and keeps the others.
+// computed. Each slope has a unique name; a benchmark replaces the slopes that it measured and keeps the
+// others.
 //
 // The form of growth is fitted to the measured points, not assumed: see fit().
 #pragma once
@@ -27,13 +28,13 @@
   double r_squared = 0.0;  // coefficient of determination; 1 is an exact fit
 };
 
-// Points are treated as constant if each deviates from their mean by at most this fraction of the mean.
+// Points are constant if each deviates from their mean by at most this fraction of the mean.
 constexpr double kConstantWithin = 0.05;
 // A simpler form is preferred if its R squared is at most this much below the best one.
 constexpr double kSimplerWithin = 0.01;
 
-// Fits each form by least squares and returns the simplest one whose R squared is within kSimplerWithin of the
-// best. Throws std::invalid_argument if `points` is empty.
+// Fits each form by least squares and returns the simplest one whose R squared is within kSimplerWithin of
+// the best. Throws std::invalid_argument if `points` is empty.
 Fit fit(const Points& points);
 // Value of the fitted form at `x`.
 double value_at(const Fit& fit, double x);
@@ -64,8 +65,9 @@
   using std::runtime_error::runtime_error;
 };
 
-// Returns `slope` with its points sorted and its fit, bound, date, commit and machine filled in from the points
-// and from this machine. The caller sets the other fields. Throws std::invalid_argument without points.
+// Returns `slope` with its points sorted and its fit, bound, date, commit and machine filled in from the
+// points and from this machine. The caller sets the other fields. Throws std::invalid_argument if there are no
+// points.
 Slope measured_here(Slope slope);
 
 nlohmann::json write_slopes(const std::vector<Slope>& slopes);
@@ -75,8 +77,8 @@
 std::vector<Slope> load_slopes(const std::string& path);
 // All slopes of both lists, sorted by name; one in `fresh` replaces one of the same name in `old`.
 std::vector<Slope> merge_slopes(const std::vector<Slope>& old, const std::vector<Slope>& fresh);
-// Merges `fresh` into the file, which is replaced atomically. Throws BadSlopes if the existing file is invalid,
-// std::runtime_error if the new one cannot be written.
+// Merges `fresh` into the file, which is replaced atomically. Throws BadSlopes if the existing file is
+// invalid, std::runtime_error if the new one cannot be written.
 void save_slopes(const std::string& path, const std::vector<Slope>& fresh);
 
 }  // namespace trailcourse::scale
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -1,5 +1,5 @@
-// The capacity page: formulas over targets and slopes, figures put between markers, the check that fails
-// where the page does not agree with its data; and the settings that its data repeats.
+// Tests of the capacity page: formulas over targets and slopes, figures written between markers, the check
+// that fails if the page does not match its data, and the settings whose defaults the data repeats.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 
@@ -52,12 +52,12 @@
   out.figures["routers"].value = 1'000.0;
   out.figures["zones"].value = 4.0;
   out.slopes["store.calls"] = slope_of("store.calls", {{10, 25}, {20, 45}, {100, 205}});  // 5 + 2 x
-  out.slopes["store.told"] =
-      slope_of("store.told", {{10, 300}, {30, 2'700}, {60, 10'800}, {100, 30'000}});  // 3 x^2
+  out.slopes["store.deliveries"] =
+      slope_of("store.deliveries", {{10, 300}, {30, 2'700}, {60, 10'800}, {100, 30'000}});  // 3 x^2
   return out;
 }
 
-TEST(CapacityFormulaTest, ArithmeticBindsAsUsual) {
+TEST(CapacityFormulaTest, OperatorsHaveTheUsualPrecedence) {
   const FormulaNames names = sample_names();
   EXPECT_DOUBLE_EQ(evaluate("1 + 2 * 3 - 4 / 2", names).value, 5.0);
   EXPECT_DOUBLE_EQ(evaluate("8 - 2 - 1", names).value, 5.0);
@@ -66,7 +66,7 @@
   EXPECT_DOUBLE_EQ(evaluate("1e3 / zones+routers", names).value, 1'250.0);
 }
 
-TEST(CapacityFormulaTest, ANameThatIsNoneOrTextThatIsNoFormulaIsAnError) {
+TEST(CapacityFormulaTest, UnknownNamesAndInvalidSyntaxAreErrors) {
   const FormulaNames names = sample_names();
   for (const char* text : {"",
                            "1 +",
@@ -80,7 +80,7 @@
                            "fit(store.calls)",
                            "fit(, 1)",
                            "fit(\"store.calls, 1)",
-                           "slope(store.told)",
+                           "slope(store.deliveries)",
                            "fit(1, 2)",
                            "fit(store.calls; 2)",
                            "2 ^ 3",
@@ -92,7 +92,7 @@
   }
 }
 
-TEST(CapacityFormulaTest, TextThatIsDrawnIsAValueOrAnErrorAndNothingElse) {
+TEST(CapacityFormulaTest, RandomTextGivesAValueOrAFormulaError) {
   const FormulaNames names = sample_names();
   const std::string letters = "routers store.calls fit( ) , + - * / 1 2e \" zones";
   for (std::uint64_t seed = 1; seed <= 3'000; ++seed) {
@@ -109,15 +109,15 @@
   }
 }
 
-TEST(CapacityFormulaTest, ASlopeIsAppliedAsItWasFitted) {
+TEST(CapacityFormulaTest, FitEvaluatesTheFittedForm) {
   const FormulaNames names = sample_names();
   EXPECT_NEAR(evaluate("fit(store.calls, 50)", names).value, 105.0, 1e-6);
-  EXPECT_NEAR(evaluate("fit(\"store.told\", routers)", names).value, 3e6, 1.0);
+  EXPECT_NEAR(evaluate("fit(\"store.deliveries\", routers)", names).value, 3e6, 1.0);
   EXPECT_NEAR(evaluate("max(fit(store.calls, 1), 3, zones)", names).value, 7.0, 1e-6);
   EXPECT_DOUBLE_EQ(evaluate("min(ceil(7 / 2), 9)", names).value, 4.0);
 }
 
-TEST(CapacityFormulaTest, WhatWasMeasuredAtASizeIsNotTheLineThrough) {
+TEST(CapacityFormulaTest, MeasuredReturnsThePointNotTheFittedValue) {
   FormulaNames names = sample_names();
   names.slopes["store.calls"].points[1].second = 48.0;
   EXPECT_DOUBLE_EQ(evaluate("measured(store.calls, 2 * 10)", names).value, 48.0);
@@ -126,47 +126,48 @@
   EXPECT_FALSE(evaluate("measured(store.calls, fit(board.calls, 1))", names).known());
 }
 
-TEST(CapacityFormulaTest, AFigureBeyondWhatWasMeasuredKnowsByHowMuch) {
+TEST(CapacityFormulaTest, ExtrapolationIsTheRatioToTheLargestMeasuredSize) {
   const FormulaNames names = sample_names();
-  EXPECT_DOUBLE_EQ(evaluate("fit(store.calls, 50)", names).beyond, 1.0);
-  EXPECT_DOUBLE_EQ(evaluate("fit(store.calls, routers) + fit(store.calls, 1)", names).beyond, 10.0);
+  EXPECT_DOUBLE_EQ(evaluate("fit(store.calls, 50)", names).extrapolation, 1.0);
+  EXPECT_DOUBLE_EQ(evaluate("fit(store.calls, routers) + fit(store.calls, 1)", names).extrapolation, 10.0);
 }
 
-TEST(CapacityFormulaTest, AFigureOfAPoorFitSaysSo) {
+TEST(CapacityFormulaTest, APoorFitIsShownWithItsRSquared) {
   FormulaNames names = sample_names();
   names.slopes["store.calls"].fit.r_squared = 0.42;
-  const Figure figure = evaluate("fit(store.told, 1) + fit(store.calls, 10)", names);
+  const Figure figure = evaluate("fit(store.deliveries, 1) + fit(store.calls, 10)", names);
   EXPECT_DOUBLE_EQ(figure.r_squared, 0.42);
-  EXPECT_NE(show_figure(figure, "").find("poor fit, R² 0.42"), std::string::npos);
-  EXPECT_EQ(show_figure(evaluate("fit(store.told, 1)", names), "").find("fit"), std::string::npos);
+  EXPECT_NE(format_figure(figure, "").find("poor fit, R² 0.42"), std::string::npos);
+  EXPECT_EQ(format_figure(evaluate("fit(store.deliveries, 1)", names), "").find("fit"), std::string::npos);
 }
 
-TEST(CapacityFormulaTest, WithoutASlopeThereIsNoFigure) {
+TEST(CapacityFormulaTest, AFigureWithoutItsSlopesHasNoValue) {
   FormulaNames names = sample_names();
   const Figure figure =
       evaluate("zones + fit(store.calls, 1) / fit(board.calls, 2) * fit(relay.calls, 1)", names);
   EXPECT_FALSE(figure.known());
   EXPECT_EQ(figure.missing, (std::set<std::string>{"board.calls", "relay.calls"}));
-  names.figures["told"] = figure;
-  EXPECT_EQ(evaluate("1 / told", names).missing.size(), 2U) << "what is worked out from it has none either";
+  names.figures["deliveries"] = figure;
+  EXPECT_EQ(evaluate("1 / deliveries", names).missing.size(), 2U)
+      << "a figure computed from one without a value has none either";
 }
 
-TEST(CapacityPageTest, NumbersAreShownWithThreeDigits) {
-  EXPECT_EQ(show_number(19'000, ""), "19,000");
-  EXPECT_EQ(show_number(7'142.86, "requests/s"), "7,140 requests/s");
-  EXPECT_EQ(show_number(3.42e6, "deliveries/s"), "3.42 million deliveries/s");
-  EXPECT_EQ(show_number(35e9, ""), "35 billion");
-  EXPECT_EQ(show_number(217.1e6, "B/s"), "217 MB/s");
-  EXPECT_EQ(show_number(999.6e6, "B/s"), "1 GB/s");
-  EXPECT_EQ(show_number(33e12, "bit/s"), "33 Tbit/s");
-  EXPECT_EQ(show_number(0.018, "core"), "1.8% of a core");
-  EXPECT_EQ(show_number(4.547, "s"), "4.55 s");
-  EXPECT_EQ(show_number(0.0005, "s"), "0.5 ms");
-  EXPECT_EQ(show_number(0.0, "calls/s"), "0 calls/s");
-  EXPECT_EQ(show_number(999.9, ""), "1,000");
+TEST(CapacityPageTest, NumbersAreFormattedWithThreeSignificantDigits) {
+  EXPECT_EQ(format_number(19'000, ""), "19,000");
+  EXPECT_EQ(format_number(7'142.86, "requests/s"), "7,140 requests/s");
+  EXPECT_EQ(format_number(3.42e6, "deliveries/s"), "3.42 million deliveries/s");
+  EXPECT_EQ(format_number(35e9, ""), "35 billion");
+  EXPECT_EQ(format_number(217.1e6, "B/s"), "217 MB/s");
+  EXPECT_EQ(format_number(999.6e6, "B/s"), "1 GB/s");
+  EXPECT_EQ(format_number(33e12, "bit/s"), "33 Tbit/s");
+  EXPECT_EQ(format_number(0.018, "core"), "1.8% of a core");
+  EXPECT_EQ(format_number(4.547, "s"), "4.55 s");
+  EXPECT_EQ(format_number(0.0005, "s"), "0.5 ms");
+  EXPECT_EQ(format_number(0.0, "calls/s"), "0 calls/s");
+  EXPECT_EQ(format_number(999.9, ""), "1,000");
 }
 
-// A repository of a page and its data in a folder of its own.
+// Creates a repository with a capacity page and its data in a temporary folder.
 class CapacityFilesTest : public testing::Test {
  protected:
   void SetUp() override {
@@ -187,29 +188,29 @@
   void TearDown() override { fs::remove_all(root_); }
 
   static json target() {
-    return json::parse(R"({"groups": [{"name": "size", "what": "theirs", "targets": [
+    return json::parse(R"({"groups": [{"name": "size", "what": "intended size", "targets": [
       {"name": "routers", "value": 1000, "unit": "", "what": "routers"},
-      {"name": "most_calls", "value": 500, "unit": "calls/s", "what": "that are borne"}]}]})");
+      {"name": "max_calls", "value": 500, "unit": "calls/s", "what": "limit of calls"}]}]})");
   }
   static json model() {
     return json::parse(R"json({"derived": [
         {"name": "calls", "formula": "fit(store.calls, routers)", "unit": "calls/s", "what": "calls"}],
-      "situations": [{"name": "steady", "what": "nothing happens"}],
-      "roles": [{"name": "store", "mechanism": "the registry", "rows": [
-        {"situation": "steady", "state": "{routers} permits", "messages in a second": "{calls | calls/s}",
+      "situations": [{"name": "steady", "what": "no changes"}],
+      "roles": [{"name": "store", "mechanism": "coordination server", "rows": [
+        {"situation": "steady", "state": "{routers} leases", "messages in a second": "{calls | calls/s}",
          "memory": "{fit(store.memory, routers) | B}"}]}],
       "plan": [
-        {"role": "store", "situation": "steady", "what": "calls", "unit": "calls/s", "wanted": "most_calls",
+        {"role": "store", "situation": "steady", "what": "calls", "unit": "calls/s", "wanted": "max_calls",
          "reached": "calls", "sense": "at most", "mechanism": "m", "exists": "yes", "file": "f"},
-        {"role": "store", "situation": "steady", "what": "calls that are borne", "unit": "calls/s",
-         "wanted": "calls", "reached": "most_calls / 10", "sense": "at least", "mechanism": "m",
+        {"role": "store", "situation": "steady", "what": "served calls", "unit": "calls/s",
+         "wanted": "calls", "reached": "max_calls / 10", "sense": "at least", "mechanism": "m",
          "exists": "no", "file": ""},
-        {"role": "store", "situation": "steady", "what": "told", "unit": "", "wanted": "1", "reached": "",
+        {"role": "store", "situation": "steady", "what": "deliveries", "unit": "", "wanted": "1", "reached": "",
          "sense": "at least", "mechanism": "m", "exists": "no", "file": ""},
         {"role": "store", "situation": "steady", "what": "memory", "unit": "B", "wanted": "1",
          "reached": "fit(store.memory, routers)", "sense": "at most", "mechanism": "m", "exists": "yes",
          "file": ""}],
-      "unknowable": ["what a second machine adds"]})json");
+      "unknowable": ["cost of a second machine"]})json");
   }
 
   void write(const std::string& name, const std::string& text) {
@@ -219,26 +220,26 @@
     std::ifstream file(root_ / name);
     return {std::istreambuf_iterator<char>(file), {}};
   }
-  // The program's exit status; what it says is kept.
-  int page(const std::string& flags) {
-    const std::string said = (root_ / "said").string();
+  // Runs capacity_page, stores its output in output_ and returns its exit status, or -1 if it did not exit.
+  int run_capacity_page(const std::string& flags) {
+    const std::string output_file = (root_ / "output").string();
     const std::string command = std::string(TRAILCOURSE_CAPACITY_PAGE) + " " + flags + " --root '" +
-                                root_.string() + "' >" + said + " 2>&1";
+                                root_.string() + "' >" + output_file + " 2>&1";
     const int status = std::system(command.c_str());
-    said_ = read("said");
+    output_ = read("output");
     return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
   }
 
   fs::path root_;
-  std::string said_;
+  std::string output_;
 };
 
-constexpr int kAgrees = 0;
-constexpr int kUnusable = 1;
-constexpr int kDiffers = 2;
+constexpr int kUpToDate = 0;
+constexpr int kInvalid = 1;
+constexpr int kOutOfDate = 2;
 
-TEST_F(CapacityFilesTest, WhatIsBetweenMarkersIsReplacedAndNothingElse) {
-  ASSERT_EQ(page("--write"), kAgrees) << said_;
+TEST_F(CapacityFilesTest, OnlyTextBetweenMarkersIsReplaced) {
+  ASSERT_EQ(run_capacity_page("--write"), kUpToDate) << output_;
   const std::string text = read("docs/CAPACITY.md");
   EXPECT_NE(text.find("# Page\nWords with <!--= routers * 2 | calls/s -->2,000 calls/s<!--.--> in them.\n"),
             std::string::npos)
@@ -246,101 +247,101 @@
   EXPECT_EQ(text.find("stale"), std::string::npos);
   EXPECT_EQ(text.substr(text.size() - 6), "Last.\n");
   EXPECT_NE(text.find("| 2,010 calls/s (extrapolated ×10) |"), std::string::npos) << text;
-  ASSERT_EQ(page("--write"), kAgrees);
-  EXPECT_EQ(read("docs/CAPACITY.md"), text) << "a second time changes nothing";
+  ASSERT_EQ(run_capacity_page("--write"), kUpToDate);
+  EXPECT_EQ(read("docs/CAPACITY.md"), text) << "a second run changes nothing";
 }
 
-TEST_F(CapacityFilesTest, ThePlanIsSortedByWhatIsMissing) {
-  ASSERT_EQ(page("--write"), kAgrees) << said_;
+TEST_F(CapacityFilesTest, ThePlanIsSortedByDescendingRatio) {
+  ASSERT_EQ(run_capacity_page("--write"), kUpToDate) << output_;
   const std::string text = read("docs/CAPACITY.md");
-  const std::size_t nothing = text.find("| nothing does it | store, steady | told |");
-  const std::size_t borne = text.find("| 40.1 | store, steady | calls that are borne |");
+  const std::size_t nothing = text.find("| nothing does it | store, steady | deliveries |");
+  const std::size_t served = text.find("| 40.1 | store, steady | served calls |");
   const std::size_t calls = text.find("| 4.01 | store, steady | calls |");
   ASSERT_NE(nothing, std::string::npos) << text;
   ASSERT_NE(calls, std::string::npos) << text;
-  EXPECT_LT(nothing, borne);
-  EXPECT_LT(borne, calls);
+  EXPECT_LT(nothing, served);
+  EXPECT_LT(served, calls);
 }
 
-TEST_F(CapacityFilesTest, AFigureWithoutASlopeIsListedAsNotKnown) {
-  ASSERT_EQ(page("--write"), kAgrees) << said_;
+TEST_F(CapacityFilesTest, FiguresWithoutASlopeAreListedAsUnknown) {
+  ASSERT_EQ(run_capacity_page("--write"), kUpToDate) << output_;
   const std::string text = read("docs/CAPACITY.md");
-  EXPECT_NE(text.find("- store, steady: memory. No slope: `store.memory`\n- what a second machine adds\n"),
+  EXPECT_NE(text.find("- store, steady: memory. No slope: `store.memory`\n- cost of a second machine\n"),
             std::string::npos)
       << text;
   EXPECT_NE(text.find("| no slope |\n"), std::string::npos) << text;
 }
 
 TEST_F(CapacityFilesTest, TheCheckFailsOnAChangedSlopeTargetOrPage) {
-  ASSERT_EQ(page("--check"), kDiffers) << "the page was never written";
-  EXPECT_NE(said_.find("CAPACITY.md:2:"), std::string::npos) << said_;
-  ASSERT_EQ(page("--write"), kAgrees);
-  ASSERT_EQ(page("--check"), kAgrees) << said_;
-  const std::string good = read("docs/CAPACITY.md");
+  ASSERT_EQ(run_capacity_page("--check"), kOutOfDate) << "the page was not written yet";
+  EXPECT_NE(output_.find("CAPACITY.md:2:"), std::string::npos) << output_;
+  ASSERT_EQ(run_capacity_page("--write"), kUpToDate);
+  ASSERT_EQ(run_capacity_page("--check"), kUpToDate) << output_;
+  const std::string up_to_date = read("docs/CAPACITY.md");
 
   save_slopes((root_ / "docs/capacity/slopes.json").string(),
               {slope_of("store.calls", {{10, 27}, {100, 217}})});
-  EXPECT_EQ(page("--check"), kDiffers);
-  EXPECT_NE(said_.find("2,120 calls/s"), std::string::npos) << said_;
+  EXPECT_EQ(run_capacity_page("--check"), kOutOfDate);
+  EXPECT_NE(output_.find("2,120 calls/s"), std::string::npos) << output_;
   save_slopes((root_ / "docs/capacity/slopes.json").string(),
               {slope_of("store.calls", {{10, 27}, {100, 207}})});
-  ASSERT_EQ(page("--check"), kAgrees) << said_;
+  ASSERT_EQ(run_capacity_page("--check"), kUpToDate) << output_;
 
   json changed = target();
   changed["groups"][0]["targets"][0]["value"] = 1'100;
   write("docs/capacity/target.json", changed.dump());
-  EXPECT_EQ(page("--check"), kDiffers);
-  EXPECT_NE(said_.find("CAPACITY.md:2:"), std::string::npos) << said_;
+  EXPECT_EQ(run_capacity_page("--check"), kOutOfDate);
+  EXPECT_NE(output_.find("CAPACITY.md:2:"), std::string::npos) << output_;
   write("docs/capacity/target.json", target().dump());
-  ASSERT_EQ(page("--check"), kAgrees) << said_;
+  ASSERT_EQ(run_capacity_page("--check"), kUpToDate) << output_;
 
-  for (std::size_t line = 0; line < good.size(); line = good.find('\n', line) + 1) {
-    std::string spoilt = good;
-    spoilt.insert(line, "x");
-    write("docs/CAPACITY.md", spoilt);
-    const bool inside = good[line] == '|' || good[line] == '-';
+  for (std::size_t line = 0; line < up_to_date.size(); line = up_to_date.find('\n', line) + 1) {
+    std::string modified = up_to_date;
+    modified.insert(line, "x");
+    write("docs/CAPACITY.md", modified);
+    const bool inside = up_to_date[line] == '|' || up_to_date[line] == '-';
     if (inside) {
-      EXPECT_EQ(page("--check"), kDiffers) << spoilt;
+      EXPECT_EQ(run_capacity_page("--check"), kOutOfDate) << modified;
     }
   }
 }
 
-TEST_F(CapacityFilesTest, DataThatCannotBeUsedIsNamed) {
+TEST_F(CapacityFilesTest, TheErrorNamesTheInvalidData) {
   json broken = model();
-  broken["plan"][0]["wanted"] = "most_call";
+  broken["plan"][0]["wanted"] = "max_call";
   write("docs/capacity/model.json", broken.dump());
-  EXPECT_EQ(page("--check"), kUnusable);
-  EXPECT_NE(said_.find("most_call"), std::string::npos) << said_;
+  EXPECT_EQ(run_capacity_page("--check"), kInvalid);
+  EXPECT_NE(output_.find("max_call"), std::string::npos) << output_;
   broken = model();
   broken["roles"][0]["rows"][0].erase("situation");
   write("docs/capacity/model.json", broken.dump());
-  EXPECT_EQ(page("--check"), kUnusable);
-  EXPECT_NE(said_.find("situation"), std::string::npos) << said_;
+  EXPECT_EQ(run_capacity_page("--check"), kInvalid);
+  EXPECT_NE(output_.find("situation"), std::string::npos) << output_;
   broken = model();
   broken["derived"][0]["name"] = "routers";
   write("docs/capacity/model.json", broken.dump());
-  EXPECT_EQ(page("--check"), kUnusable);
-  EXPECT_NE(said_.find("twice"), std::string::npos) << said_;
+  EXPECT_EQ(run_capacity_page("--check"), kInvalid);
+  EXPECT_NE(output_.find("twice"), std::string::npos) << output_;
   write("docs/capacity/model.json", "{");
-  EXPECT_EQ(page("--check"), kUnusable);
-  EXPECT_EQ(page(""), kUnusable);
+  EXPECT_EQ(run_capacity_page("--check"), kInvalid);
+  EXPECT_EQ(run_capacity_page(""), kInvalid);
 }
 
-TEST_F(CapacityFilesTest, MarkersThatAreNotClosedAreRefused) {
+TEST_F(CapacityFilesTest, InvalidMarkersAreRejected) {
   for (const char* text :
        {"<!-- table: plan -->\n", "<!-- table: plan\n", "<!-- table: plans -->\n<!-- end -->\n",
         "<!--= routers -->x\n", "<!--= routers\n"}) {
     write("docs/CAPACITY.md", text);
-    EXPECT_EQ(page("--write"), kUnusable) << text;
-    EXPECT_EQ(read("docs/CAPACITY.md"), text) << "left as it was";
+    EXPECT_EQ(run_capacity_page("--write"), kInvalid) << text;
+    EXPECT_EQ(read("docs/CAPACITY.md"), text) << "the page is unchanged";
   }
 }
 
-// ---- The repository's own ----
+// ---- The page and data of this repository ----
 
 std::string source_dir() { return TRAILCOURSE_SOURCE_DIR; }
 
-TEST(CapacityDataTest, ThePageOfTheRepositoryAgreesWithItsData) {
+TEST(CapacityDataTest, ThePageOfTheRepositoryMatchesItsData) {
   const std::string command =
       std::string(TRAILCOURSE_CAPACITY_PAGE) + " --check --root '" + source_dir() + "'";
   EXPECT_EQ(std::system(command.c_str()), 0);
@@ -352,7 +353,7 @@
   EXPECT_DOUBLE_EQ(record.value(Options{}, key).template get<double>() * scale, target.value) << target.key;
 }
 
-// Each setting that the page goes by is what the program does without an operator's file.
+// Each setting in the capacity data equals the default that the program uses without an operator's file.
 TEST(CapacityDataTest, SettingsAreTheDefaultsOfTheProgram) {
   std::size_t checked = 0;
   for (const TargetGroup& group : load_capacity_data(source_dir() + "/docs/capacity").targets) {
