--- a/benchmarks/scale/aggregator_costs.cpp
+++ b/benchmarks/scale/aggregator_costs.cpp
@@ -1,4 +1,4 @@
-// What an aggregator pays for the routers below it.
+// Measures the memory and CPU time that an aggregator needs for the routers that report to it.
 #include <array>
 #include <memory>
 #include <string>
@@ -15,8 +15,8 @@
 using aggregation::Aggregator;
 using coordination::LeaseId;
 
-constexpr std::array<int, 5> kRouters{100, 360, 1'000, 2'000, 4'000};
-constexpr int kZones = 4;  // of a region
+constexpr std::array<int, 5> kRouterCounts{100, 360, 1'000, 2'000, 4'000};
+constexpr int kZones = 4;
 constexpr Micros kRouterTtl{3'000'000};
 constexpr const char* kPrefix = "trailcourse/";
 
@@ -25,7 +25,7 @@
 
 aggregation::AggregatorSettings settings_without_limits() {
   aggregation::AggregatorSettings settings;
-  settings.lease.ttl = Micros(3'600'000'000);  // no lease ends while it is measured
+  settings.lease.ttl = Micros(3'600'000'000);  // no lease expires during a measurement
   settings.routers.max_routers = 100'000;
   return settings;
 }
@@ -41,15 +41,16 @@
   return out;
 }
 
-std::vector<coordination::Entry> records() {
+std::vector<coordination::Entry> initial_entries() {
   return {coordination::Entry{std::string(kPrefix) + policy::kCurrentKey, "812", 5, 5, 1, 0}};
 }
 
-// An aggregator with an active lease, and so many routers that have reported once each.
-class Region {
+// An aggregator with an active lease and with `routers` routers, each of which has reported once.
+class LoadedAggregator {
  public:
-  Region(int routers, std::uint64_t seed) : aggregator_(settings_without_limits(), identity(), seed) {
-    aggregator_.on_snapshot(records());
+  LoadedAggregator(int routers, std::uint64_t seed)
+      : aggregator_(settings_without_limits(), identity(), seed) {
+    aggregator_.on_snapshot(initial_entries());
     aggregator_.set_connected(true);
     for (const aggregation::UpstreamAction& action : aggregator_.step(now_)) {
       if (const auto* lease = std::get_if<aggregation::LeaseAction>(&action)) {
@@ -71,7 +72,7 @@
     report.incarnation = "0123456789abcdef";
     report.zone = zone_name(router);
     report.version = 812;
-    report.sequence = ++number_;
+    report.sequence = ++sequence_;
     aggregator_.commit(now_, {{},
                               {coordination::Put{kPrefix + policy::report_key(router_name(router), lease),
                                                  policy::write_report(report), lease}},
@@ -84,7 +85,7 @@
   Aggregator aggregator_;
   Micros now_{1'000'000};
   std::vector<LeaseId> leases_;
-  std::uint64_t number_ = 0;
+  std::uint64_t sequence_ = 0;
 };
 
 }  // namespace
@@ -112,22 +113,22 @@
                        {}};
   CostSeries step{
       "aggregator.cpu.turn", "what is due now, asked for after each call", "us", "routers", "in process", {}};
-  for (const int routers : kRouters) {
+  for (const int routers : kRouterCounts) {
     memory.points.emplace_back(
-        routers, bytes_held_by([&] { return std::make_unique<Region>(routers, context.seed); }));
-    Region region(routers, context.seed);
+        routers, bytes_held_by([&] { return std::make_unique<LoadedAggregator>(routers, context.seed); }));
+    LoadedAggregator aggregator(routers, context.seed);
     renewal.points.emplace_back(routers, cpu_us_per_call(1, [&] {
-                                  for (std::size_t i = 0; i < region.size(); ++i) {
-                                    region.renew(i);
+                                  for (std::size_t i = 0; i < aggregator.size(); ++i) {
+                                    aggregator.renew(i);
                                   }
                                 }));
     reports.points.emplace_back(routers, cpu_us_per_call(1, [&] {
-                                  for (std::size_t i = 0; i < region.size(); ++i) {
-                                    region.report(static_cast<int>(i));
+                                  for (std::size_t i = 0; i < aggregator.size(); ++i) {
+                                    aggregator.report(static_cast<int>(i));
                                   }
                                 }));
-    summaries.points.emplace_back(routers, cpu_us_per_call(50, [&] { region.summarize(); }));
-    step.points.emplace_back(routers, cpu_us_per_call(50, [&] { region.step(); }));
+    summaries.points.emplace_back(routers, cpu_us_per_call(50, [&] { aggregator.summarize(); }));
+    step.points.emplace_back(routers, cpu_us_per_call(50, [&] { aggregator.step(); }));
   }
   for (const CostSeries& series : {memory, renewal, reports, summaries, step}) {
     sink(series);
--- a/benchmarks/scale/board_costs.cpp
+++ b/benchmarks/scale/board_costs.cpp
@@ -1,4 +1,5 @@
-// What a board and a relay pay: for each call that they hold, each page that they tell, and each event kept.
+// Measures the costs of a discovery service and a relay: of each held long poll, each page that they send,
+// and each stored event.
 #include <array>
 #include <filesystem>
 #include <fstream>
@@ -22,23 +23,24 @@
 using std::chrono::milliseconds;
 
 constexpr std::array<int, 5> kCallRates{100, 300, 1'000, 3'000, 9'500};
-constexpr std::array<int, 5> kHeld{100, 300, 1'000, 3'000, 19'000};
-constexpr std::array<int, 4> kAskers{50, 100, 300, 1'000};
-constexpr std::array<int, 4> kEvents{100, 500, 2'000, 4'000};
-constexpr std::array<int, 4> kFileEvents{100, 300, 1'000, 3'000};
-constexpr std::array<int, 4> kCaches{40, 500, 2'100, 8'400};
+constexpr std::array<int, 5> kHeldPolls{100, 300, 1'000, 3'000, 19'000};
+constexpr std::array<int, 4> kPollers{50, 100, 300, 1'000};
+constexpr std::array<int, 4> kEventCounts{100, 500, 2'000, 4'000};
+constexpr std::array<int, 4> kFileEventCounts{100, 300, 1'000, 3'000};
+constexpr std::array<int, 4> kCacheCounts{40, 500, 2'100, 8'400};
 
-discovery::LongPollOptions open_rules() {
-  discovery::LongPollOptions rules;
-  rules.max_held = 100'000;
-  rules.max_long_poll_timeout = milliseconds(60'000);
-  return rules;
+discovery::LongPollOptions long_poll_options() {
+  discovery::LongPollOptions options;
+  options.max_held = 100'000;
+  options.max_long_poll_timeout = milliseconds(60'000);
+  return options;
 }
 
-// ---- The core alone ----
+// ---- Long-poll scheduler without sockets ----
 
-// Calls that are held and go, at a steady rate, after a first second.
-void measure_core_calls(const CostContext& context, const CostSink& sink) {
+// Polls that are held and then disconnected, at a steady rate. The polls of the first second are not
+// measured.
+void measure_scheduler_polls(const CostContext& context, const CostSink& sink) {
   CostSeries cpu{"board.cpu.core.call",
                  "a call judged and held, by the core alone",
                  "us",
@@ -46,13 +48,13 @@
                  "in process",
                  {}};
   for (const int rate : kCallRates) {
-    discovery::LongPollScheduler core(open_rules(), context.seed);
+    discovery::LongPollScheduler scheduler(long_poll_options(), context.seed);
     std::int64_t calls = 0;
     const auto call = [&] {
       ++calls;
       const auto number = static_cast<discovery::PollId>(calls);
-      core.on_poll(milliseconds(calls * 1'000 / rate), number, 7, milliseconds(2'000), 7);
-      core.on_disconnected(number);
+      scheduler.on_poll(milliseconds(calls * 1'000 / rate), number, 7, milliseconds(2'000), 7);
+      scheduler.on_disconnected(number);
     };
     for (int i = 0; i < rate; ++i) {
       call();
@@ -62,47 +64,47 @@
   sink(cpu);
 }
 
-void measure_core_release(const CostContext& context, const CostSink& sink) {
+void measure_scheduler_release(const CostContext& context, const CostSink& sink) {
   CostSeries cpu{"board.cpu.core.release",
                  "news told to all held calls, by the core alone",
                  "us",
                  "calls held",
                  "in process",
                  {}};
-  for (const int held : kHeld) {
-    double least = 0.0;
+  for (const int held : kHeldPolls) {
+    double minimum = 0.0;
     for (int round = 0; round < 5; ++round) {
-      discovery::LongPollScheduler core(open_rules(), context.seed);
+      discovery::LongPollScheduler scheduler(long_poll_options(), context.seed);
       for (int i = 0; i < held; ++i) {
-        core.on_poll(milliseconds(i), static_cast<discovery::PollId>(i) + 1, 7, milliseconds(60'000), 7);
+        scheduler.on_poll(milliseconds(i), static_cast<discovery::PollId>(i) + 1, 7, milliseconds(60'000), 7);
       }
       const double before = thread_cpu_us();
-      core.on_published(milliseconds(held));
+      scheduler.on_published(milliseconds(held));
       for (int ms = 0; ms <= 100; ++ms) {
-        keep_result(core.step(milliseconds(held + ms)));
+        keep_result(scheduler.step(milliseconds(held + ms)));
       }
-      const double took = thread_cpu_us() - before;
-      least = round == 0 ? took : std::min(least, took);
+      const double cpu_time_us = thread_cpu_us() - before;
+      minimum = round == 0 ? cpu_time_us : std::min(minimum, cpu_time_us);
     }
-    cpu.points.emplace_back(held, least);
+    cpu.points.emplace_back(held, minimum);
   }
   sink(cpu);
 }
 
-// ---- Events that are kept ----
+// ---- Stored events ----
 
-void measure_log(const CostSink& sink) {
+void measure_event_log(const CostSink& sink) {
   CostSeries append{"relay.cpu.append",
                     "one purge appended to a log, and its page made",
                     "us",
                     "events kept",
                     "in process",
                     {}};
-  CostSeries fold{
+  CostSeries compaction{
       "relay.cpu.fold", "a log folded, half of its purges being over", "us", "events kept", "in process", {}};
   CostSeries memory{"relay.memory.event", "a log of purges", "bytes", "events kept", "in process", {}};
   const std::int64_t now = unix_ms_now();
-  for (const int events : kEvents) {
+  for (const int events : kEventCounts) {
     const auto filled = [&] {
       auto log = std::make_unique<discovery::EventLog>("0123456789abcdef");
       log->replace(list_page(40, 4));
@@ -117,17 +119,17 @@
                                  log->append(purge_page(before, 1, now));
                                  keep_result(log->page_after(before));
                                }));
-    double least = 0.0;
+    double minimum = 0.0;
     for (int round = 0; round < 3; ++round) {
-      const auto folded = filled();
+      const auto compacted = filled();
       const double before = thread_cpu_us();
-      folded->compact(1, discovery::UnixTime(milliseconds(now - 10'000)));
-      const double took = thread_cpu_us() - before;
-      least = round == 0 ? took : std::min(least, took);
+      compacted->compact(1, discovery::UnixTime(milliseconds(now - 10'000)));
+      const double cpu_time_us = thread_cpu_us() - before;
+      minimum = round == 0 ? cpu_time_us : std::min(minimum, cpu_time_us);
     }
-    fold.points.emplace_back(events, least);
+    compaction.points.emplace_back(events, minimum);
   }
-  for (const CostSeries& series : {append, fold, memory}) {
+  for (const CostSeries& series : {append, compaction, memory}) {
     sink(series);
   }
 }
@@ -141,7 +143,7 @@
                    "caches that change",
                    "in process",
                    {}};
-  for (const int caches : kCaches) {
+  for (const int caches : kCacheCounts) {
     const json page = list_page(caches, 203);
     discovery::EventLog log;
     cpu.points.emplace_back(caches, cpu_us_per_call(5, [&] {
@@ -153,7 +155,7 @@
     json change = list_page(caches, 203);
     json& pool = change["notices"][0]["pool"];
     pool["snapshot"] = false;
-    pool["endpoints"].erase(0);  // the origin
+    pool["endpoints"].erase(0);  // remove the origin
     discovery::EventLog log("0123456789abcdef");
     log.replace(change);
     bytes.points.emplace_back(caches, log.page_after(0)->size());
@@ -162,8 +164,8 @@
   sink(bytes);
 }
 
-// The board's file with so many purges, read again because one was added.
-void measure_reread(const CostContext& context, const CostSink& sink) {
+// Adding one purge to the file of a discovery service, and rereading the file.
+void measure_file_update(const CostContext& context, const CostSink& sink) {
   CostSeries cpu{"board.cpu.reread",
                  "a board reads its file again: what each purge costs it",
                  "us",
@@ -178,7 +180,7 @@
                  {}};
   CostSeries bytes{"board.bytes.file", "that file", "bytes", "purges in the file", "in process", {}};
   const std::string file = context.folder + "/board-page.json";
-  for (const int events : kFileEvents) {
+  for (const int events : kFileEventCounts) {
     json page = list_page(40, 4);
     const json purges = purge_page(1, events, unix_ms_now());
     page["rev"] = purges["rev"];
@@ -191,20 +193,20 @@
     discovery::DiscoveryOptions options;
     options.file = file;
     program::DiscoveryFileServer server(scheduler, options, context.seed);
-    double adding = 0.0;
-    double reading = 0.0;
+    double add_us = 0.0;
+    double reread_us = 0.0;
     constexpr int kRounds = 10;
     for (int round = 0; round < kRounds; ++round) {
       json event = purge_event(0, static_cast<std::uint64_t>(round), unix_ms_now());
-      const double begun = thread_cpu_us();
+      const double start = thread_cpu_us();
       program::append_event(file, std::move(event));
-      const double added = thread_cpu_us();
+      const double reread_start = thread_cpu_us();
       server.reread();
-      adding += added - begun;
-      reading += thread_cpu_us() - added;
+      add_us += reread_start - start;
+      reread_us += thread_cpu_us() - reread_start;
     }
-    add.points.emplace_back(events, adding / kRounds);
-    cpu.points.emplace_back(events, reading / kRounds);
+    add.points.emplace_back(events, add_us / kRounds);
+    cpu.points.emplace_back(events, reread_us / kRounds);
   }
   for (const CostSeries& series : {cpu, add, bytes}) {
     sink(series);
@@ -213,20 +215,21 @@
 
 // ---- With sockets ----
 
-// A server of pages in this thread.
-class ServedLog {
+// Serves an event log on a loopback socket, in the calling thread.
+class LocalDiscoveryServer {
  public:
-  explicit ServedLog(std::uint64_t seed)
+  explicit LocalDiscoveryServer(std::uint64_t seed)
       : log_("0123456789abcdef"),
-        server_(scheduler_, log_, open_rules(), bounds(), discovery::DiscoveryServer::Handlers(), seed) {
+        server_(scheduler_, log_, long_poll_options(), limits(), discovery::DiscoveryServer::Handlers(),
+                seed) {
     log_.replace(list_page(40, 4));
     address_ = ports_.allocate();
     server_.listen(address_);
   }
 
   const transport::Address& address() const { return address_; }
-  void run_until_held(std::size_t calls) {
-    while (server_.long_polls().held() < calls) {
+  void run_until_held(std::size_t polls) {
+    while (server_.long_polls().held() < polls) {
       scheduler_.turn(milliseconds(5));
     }
   }
@@ -236,20 +239,20 @@
       scheduler_.turn(milliseconds(5));
     }
   }
-  // A purge told to all that wait, until all wait again.
-  void tell_purge(std::size_t askers) {
+  // Publishes a purge and runs until all pollers have received it and poll again.
+  void publish_purge(std::size_t pollers) {
     const std::uint64_t released = counts().released;
     log_.append(purge_page(log_.last_sequence(), 1, unix_ms_now()));
     server_.on_published();
-    while (counts().released < released + askers) {
+    while (counts().released < released + pollers) {
       scheduler_.turn(milliseconds(5));
     }
-    run_until_held(askers);
+    run_until_held(pollers);
   }
   const discovery::LongPollCounts& counts() const { return server_.long_polls().counts(); }
 
  private:
-  static discovery::DiscoveryServer::Limits bounds() {
+  static discovery::DiscoveryServer::Limits limits() {
     discovery::DiscoveryServer::Limits out;
     out.connections = 10'000;
     return out;
@@ -262,7 +265,7 @@
   transport::Address address_;
 };
 
-void measure_told_pages(const CostContext& context, const CostSink& sink) {
+void measure_published_pages(const CostContext& context, const CostSink& sink) {
   CostSeries memory{"board.memory.asker",
                     "connections with a call held, at the server",
                     "bytes",
@@ -281,30 +284,30 @@
                    "askers",
                    "hollow, loopback sockets",
                    {}};
-  for (const int askers : kAskers) {
-    ServedLog served(context.seed);
+  for (const int pollers : kPollers) {
+    LocalDiscoveryServer server(context.seed);
     const double before = allocated_bytes();
-    PollingPeers peers(served.address(), askers, 60'000);
-    const auto all = static_cast<std::size_t>(askers);
-    served.run_until_held(all);
-    memory.points.emplace_back(askers, allocated_bytes() - before);
+    PollingPeers peers(server.address(), pollers, 60'000);
+    const auto all = static_cast<std::size_t>(pollers);
+    server.run_until_held(all);
+    memory.points.emplace_back(pollers, allocated_bytes() - before);
     constexpr int kRounds = 10;
     const double cpu_before = thread_cpu_us();
     const std::uint64_t bytes_before = peers.counts().bytes_in + peers.counts().bytes_out;
     for (int round = 0; round < kRounds; ++round) {
-      served.tell_purge(all);
+      server.publish_purge(all);
     }
-    cpu.points.emplace_back(askers, (thread_cpu_us() - cpu_before) / kRounds);
-    const std::uint64_t passed = peers.counts().bytes_in + peers.counts().bytes_out - bytes_before;
-    bytes.points.emplace_back(askers, static_cast<double>(passed) / kRounds);
+    cpu.points.emplace_back(pollers, (thread_cpu_us() - cpu_before) / kRounds);
+    const std::uint64_t transferred = peers.counts().bytes_in + peers.counts().bytes_out - bytes_before;
+    bytes.points.emplace_back(pollers, static_cast<double>(transferred) / kRounds);
   }
   for (const CostSeries& series : {memory, cpu, bytes}) {
     sink(series);
   }
 }
 
-// Calls held for 100 ms and answered without news, as a relay's askers make them at rest.
-void measure_held_calls(const CostContext& context, const CostSink& sink) {
+// Polls that are held for 100 ms and answered without events, as a relay's clients make them when idle.
+void measure_held_polls(const CostContext& context, const CostSink& sink) {
   CostSeries cpu{"relay.cpu.held.call",
                  "calls held for 100 ms and answered without news",
                  "us/s",
@@ -317,20 +320,20 @@
                    "calls a second",
                    "hollow, loopback sockets",
                    {}};
-  for (const int askers : kAskers) {
-    ServedLog served(context.seed);
-    PollingPeers peers(served.address(), askers, 100);
-    served.run_for(milliseconds(500));
-    const double begun = wall_us();
+  for (const int pollers : kPollers) {
+    LocalDiscoveryServer server(context.seed);
+    PollingPeers peers(server.address(), pollers, 100);
+    server.run_for(milliseconds(500));
+    const double start = wall_us();
     const double cpu_before = thread_cpu_us();
-    const std::uint64_t calls_before = served.counts().calls;
+    const std::uint64_t calls_before = server.counts().calls;
     const std::uint64_t bytes_before = peers.counts().bytes_in + peers.counts().bytes_out;
-    served.run_for(milliseconds(1'500));
-    const double seconds = (wall_us() - begun) / 1e6;
-    const double calls = static_cast<double>(served.counts().calls - calls_before) / seconds;
+    server.run_for(milliseconds(1'500));
+    const double seconds = (wall_us() - start) / 1e6;
+    const double calls = static_cast<double>(server.counts().calls - calls_before) / seconds;
     cpu.points.emplace_back(calls, (thread_cpu_us() - cpu_before) / seconds);
-    const std::uint64_t passed = peers.counts().bytes_in + peers.counts().bytes_out - bytes_before;
-    bytes.points.emplace_back(calls, static_cast<double>(passed) / seconds);
+    const std::uint64_t transferred = peers.counts().bytes_in + peers.counts().bytes_out - bytes_before;
+    bytes.points.emplace_back(calls, static_cast<double>(transferred) / seconds);
   }
   sink(cpu);
   sink(bytes);
@@ -339,13 +342,13 @@
 }  // namespace
 
 void measure_board(const CostContext& context, const CostSink& sink) {
-  measure_core_calls(context, sink);
-  measure_core_release(context, sink);
-  measure_log(sink);
+  measure_scheduler_polls(context, sink);
+  measure_scheduler_release(context, sink);
+  measure_event_log(sink);
   measure_list_rendering(sink);
-  measure_reread(context, sink);
-  measure_told_pages(context, sink);
-  measure_held_calls(context, sink);
+  measure_file_update(context, sink);
+  measure_published_pages(context, sink);
+  measure_held_polls(context, sink);
 }
 
 }  // namespace trailcourse::scale
--- a/benchmarks/scale/cache_costs.cpp
+++ b/benchmarks/scale/cache_costs.cpp
@@ -1,4 +1,4 @@
-// What a cache node pays for a request, a purge, and each object that it holds on disk.
+// Measures the costs of a cache node: of a request, a purge, and each object that it stores on disk.
 #include <sys/wait.h>
 #include <unistd.h>
 
@@ -31,10 +31,10 @@
 constexpr std::array<int, 4> kPurges{1'000, 10'000, 30'000, 100'000};
 constexpr std::array<int, 4> kObjects{50'000, 100'000, 200'000, 400'000};
 constexpr std::array<int, 4> kRequests{1'000, 10'000, 30'000, 100'000};
-constexpr std::size_t kMostPurges = 100'000;  // as a cache's ledger holds
+constexpr std::size_t kMaxPurges = 100'000;  // capacity of a cache's purge table
 constexpr std::int64_t kUnixMs = 1'764'000'000'000;
 
-Name numbered(std::uint64_t number) {
+Name object_name(std::uint64_t number) {
   char item[17];
   std::snprintf(item, sizeof item, "%016llx", static_cast<unsigned long long>(number));
   return Name::of("media", item, "0");
@@ -46,7 +46,7 @@
   return {store::PurgeRecord::Kind::kObject, number, kUnixMs + static_cast<std::int64_t>(number)};
 }
 
-void measure_ledger(const CostSink& sink) {
+void measure_purge_table(const CostSink& sink) {
   CostSeries memory{"cache.memory.purge",
                     "a cache's purges, held until more than 100,000 are",
                     "bytes",
@@ -60,21 +60,21 @@
                  "in process",
                  {}};
   std::uint64_t next = 0;
-  const auto fill = [&](store::PurgeTable& ledger, std::size_t most) {
-    while (ledger.objects() < most) {
-      ledger.add(purge_of(++next));
+  const auto fill = [&](store::PurgeTable& table, std::size_t size) {
+    while (table.objects() < size) {
+      table.add(purge_of(++next));
     }
   };
   for (const int purges : kPurges) {
-    const auto most = static_cast<std::size_t>(purges);
+    const auto size = static_cast<std::size_t>(purges);
     memory.points.emplace_back(purges, bytes_held_by([&] {
-                                 auto ledger = std::make_unique<store::PurgeTable>(most);
-                                 fill(*ledger, most);
-                                 return ledger;
+                                 auto table = std::make_unique<store::PurgeTable>(size);
+                                 fill(*table, size);
+                                 return table;
                                }));
   }
-  store::PurgeTable full(kMostPurges);
-  fill(full, kMostPurges);
+  store::PurgeTable full(kMaxPurges);
+  fill(full, kMaxPurges);
   for (const int purges : kPurges) {
     cpu.points.emplace_back(purges, cpu_us_per_call(1, [&] {
                               for (int i = 0; i < purges; ++i) {
@@ -101,27 +101,30 @@
   return fields;
 }
 
-// A request that is a hit: command read, decided, copy judged against the purges, answer's head written.
-class HitLoop {
+// Processes requests that hit: parses the request, decides, checks the copy against the purges, and writes
+// the head of the answer.
+class HitProcessor {
  public:
-  HitLoop()
+  HitProcessor()
       : core_(
-            rules(), [this](const Name& name, int group) { return ledger_.purged_until(name.object, group); },
+            node_options(),
+            [this](const Name& name, int group) { return purges_.purged_until(name.object, group); },
             [](const std::string&) { return true; }) {
-    for (std::uint64_t i = 0; i < kMostPurges; ++i) {
-      ledger_.add(purge_of(i));
+    for (std::uint64_t i = 0; i < kMaxPurges; ++i) {
+      purges_.add(purge_of(i));
     }
-    found_.status = store::ReadStatus::kComplete;
-    found_.copy = Copy{"tag", kUnixMs + 1'000'000, 3, std::make_shared<const std::string>(20'000, 'x')};
+    lookup_result_.status = store::ReadStatus::kComplete;
+    lookup_result_.copy =
+        Copy{"tag", kUnixMs + 1'000'000, 3, std::make_shared<const std::string>(20'000, 'x')};
   }
 
-  void one_hit() {
-    ++number_;
-    const std::string wire = protocol::write_serve_fields(fields_of(number_ * 7'919));
+  void process_hit() {
+    ++request_number_;
+    const std::string wire = protocol::write_serve_fields(fields_of(request_number_ * 7'919));
     auto read = protocol::read_serve_fields(wire);
     actions_.clear();
-    core_.on_request(now_, number_, std::move(std::get<protocol::ServeFields>(read)), "", actions_);
-    core_.on_lookup_result(now_, number_, found_, actions_);
+    core_.on_request(now_, request_number_, std::move(std::get<protocol::ServeFields>(read)), "", actions_);
+    core_.on_lookup_result(now_, request_number_, lookup_result_, actions_);
     for (const cache_node::Action& action : actions_) {
       if (const auto* answer = std::get_if<cache_node::Answer>(&action)) {
         keep_result(protocol::write_answer("1", answer->code, answer->fields, ""));
@@ -130,17 +133,17 @@
   }
 
  private:
-  static cache_node::NodeCoreOptions rules() {
+  static cache_node::NodeCoreOptions node_options() {
     cache_node::NodeCoreOptions out;
     out.classes["media"] = {};
     return out;
   }
 
-  store::PurgeTable ledger_;
+  store::PurgeTable purges_;
   cache_node::NodeCore core_;
-  store::ReadResult found_;
+  store::ReadResult lookup_result_;
   cache_node::EventContext now_{1'000, kUnixMs + 2'000'000, 0};
-  std::uint64_t number_ = 0;
+  std::uint64_t request_number_ = 0;
   std::vector<cache_node::Action> actions_;
 };
 
@@ -152,11 +155,11 @@
       "requests",
       "in process",
       {}};
-  HitLoop loop;
+  HitProcessor processor;
   for (const int requests : kRequests) {
     cpu.points.emplace_back(requests, cpu_us_per_call(1, [&] {
                               for (int i = 0; i < requests; ++i) {
-                                loop.one_hit();
+                                processor.process_hit();
                               }
                             }));
   }
@@ -165,31 +168,32 @@
 
 // ---- Objects on disk ----
 
-// The thread that decides, as a queue: what the pool posts is run by whoever waits.
+// Replaces the node's main thread: queues the jobs that the I/O pool posts, and runs them in the thread that
+// calls run_until().
 class JobQueue {
  public:
   void post(std::function<void()> job) {
     const std::lock_guard lock(mutex_);
     jobs_.push_back(std::move(job));
-    more_.notify_one();
+    not_empty_.notify_one();
   }
   void run_until(const std::function<bool()>& done) {
     while (!done()) {
-      next()();
+      pop()();
     }
   }
 
  private:
-  std::function<void()> next() {
+  std::function<void()> pop() {
     std::unique_lock lock(mutex_);
-    more_.wait(lock, [this] { return !jobs_.empty(); });
+    not_empty_.wait(lock, [this] { return !jobs_.empty(); });
     std::function<void()> job = std::move(jobs_.front());
     jobs_.pop_front();
     return job;
   }
 
   std::mutex mutex_;
-  std::condition_variable more_;
+  std::condition_variable not_empty_;
   std::deque<std::function<void()>> jobs_;
 };
 
@@ -206,7 +210,7 @@
   return options;
 }
 
-// A store with its pool and the queue that it is told by.
+// A store with its I/O pool and the queue that receives its completions.
 class DiskStore {
  public:
   DiskStore(const std::string& folder, int objects)
@@ -231,13 +235,13 @@
     queue_.run_until([&done] { return done; });
   }
   void fill(int objects) {
-    constexpr int kAtOnce = 20'000;
+    constexpr int kBatchSize = 20'000;
     const auto value = std::make_shared<const std::string>(std::string(32, 'x'));
     for (int i = 0; i < objects; ++i) {
-      const Name name = numbered(static_cast<std::uint64_t>(i));
+      const Name name = object_name(static_cast<std::uint64_t>(i));
       store_.find(name, 2);
       store_.insert(name, Copy{"t", 1, 3, value}, 2);
-      if (i % kAtOnce == kAtOnce - 1) {
+      if (i % kBatchSize == kBatchSize - 1) {
         flush();
       }
     }
@@ -252,7 +256,8 @@
   store::Store store_;
 };
 
-// Written by another process: what this one had freed would be used again, and not be counted.
+// Fills the folder in a child process. If this process did it, the later measurement would reuse the memory
+// freed here and not count it.
 void fill_folder(const std::string& folder, int objects) {
   std::filesystem::remove_all(folder);
   const pid_t child = ::fork();
@@ -265,7 +270,7 @@
   ::waitpid(child, nullptr, 0);
 }
 
-void measure_index(const CostContext& context, const CostSink& sink) {
+void measure_recovery(const CostContext& context, const CostSink& sink) {
   CostSeries memory{"cache.memory.object",
                     "a store after recovery, beside payload: table, lists, sketch",
                     "bytes",
@@ -283,12 +288,12 @@
     fill_folder(folder, objects);
     const double before = allocated_bytes();
     DiskStore disk(folder, objects);
-    const double begun = wall_us();
+    const double start = wall_us();
     disk.open();
-    const double took_ms = (wall_us() - begun) / 1e3;
+    const double elapsed_ms = (wall_us() - start) / 1e3;
     const auto recovered = static_cast<double>(disk.stats().recovered);
     memory.points.emplace_back(recovered, allocated_bytes() - before);
-    time.points.emplace_back(recovered, took_ms);
+    time.points.emplace_back(recovered, elapsed_ms);
   }
   std::filesystem::remove_all(folder);
   for (const CostSeries& series : {memory, time}) {
@@ -299,9 +304,9 @@
 }  // namespace
 
 void measure_cache(const CostContext& context, const CostSink& sink) {
-  measure_ledger(sink);
+  measure_purge_table(sink);
   measure_hits(sink);
-  measure_index(context, sink);
+  measure_recovery(context, sink);
 }
 
 }  // namespace trailcourse::scale
--- a/benchmarks/scale/capacity_page_formula.h
+++ b/benchmarks/scale/capacity_page_formula.h
@@ -31,7 +31,7 @@
 
 // Result of a formula, with the slopes that it was computed from.
 struct Figure {
-  double value = 0.0;             // undefined if a slope is missing
+  double value = 0.0;             // not meaningful if a slope is missing
   std::set<std::string> missing;  // names of the slopes needed but not measured
   std::set<std::string> slopes;   // names of the slopes used
   // Largest ratio of the size at which a slope was evaluated to its largest measured size; at least 1.
--- a/benchmarks/scale/control_costs.cpp
+++ b/benchmarks/scale/control_costs.cpp
@@ -1,4 +1,5 @@
-// What it costs to drive a change of policy, to know who is in the fleet, and to be a candidate for its work.
+// Measures the costs of coordinating a policy rollout, of the view of the fleet's members, and of competing
+// for ownership of shared work.
 #include <array>
 #include <map>
 #include <memory>
@@ -17,16 +18,16 @@
 namespace trailcourse::scale {
 namespace {
 
-constexpr std::array<int, 7> kPermits{30, 100, 203, 1'000, 3'000, 10'000, 19'000};
-constexpr std::array<int, 5> kMembers{100, 300, 1'000, 3'000, 19'000};
+constexpr std::array<int, 7> kReportCounts{30, 100, 203, 1'000, 3'000, 10'000, 19'000};
+constexpr std::array<int, 5> kMemberCounts{100, 300, 1'000, 3'000, 19'000};
 constexpr const char* kPrefix = "trailcourse/";
 
 std::string router_name(int index) { return "router-" + std::to_string(10'000 + index); }
 std::string zone_name(int index) { return "zone" + std::to_string(index % 203); }
 
-// ---- The driver of a change ----
+// ---- Coordinator of a policy rollout ----
 
-policy::Rollout open_change() {
+policy::Rollout sample_rollout() {
   policy::Rollout out;
   out.id = 812;
   out.target_version = 813;
@@ -34,30 +35,30 @@
   return out;
 }
 
-// A store in which all of so many routers are ready for a change.
-coordination::KeyValueState ledger_with_permits(int permits) {
-  coordination::KeyValueState ledger{coordination::KeyValueLimits()};
-  const policy::Rollout change = open_change();
+// State of a coordination store in which all routers have reported that they are ready for a rollout.
+coordination::KeyValueState state_with_reports(int reports) {
+  coordination::KeyValueState state{coordination::KeyValueLimits()};
+  const policy::Rollout rollout = sample_rollout();
   coordination::Transaction write;
   write.then = {
-      coordination::Put{std::string(kPrefix) + policy::kRolloutKey, policy::write_rollout(change), 0},
+      coordination::Put{std::string(kPrefix) + policy::kRolloutKey, policy::write_rollout(rollout), 0},
       coordination::Put{std::string(kPrefix) + policy::kCurrentKey, "812", 0}};
-  ledger.commit(write);
-  for (int i = 0; i < permits; ++i) {
-    policy::ParticipantReport permit;
-    permit.incarnation = "0123456789abcdef";
-    permit.zone = zone_name(i);
-    permit.version = change.previous_version;
-    permit.ready_stage = policy::stage_id(change);
-    permit.sequence = 2;
+  state.commit(write);
+  for (int i = 0; i < reports; ++i) {
+    policy::ParticipantReport report;
+    report.incarnation = "0123456789abcdef";
+    report.zone = zone_name(i);
+    report.version = rollout.previous_version;
+    report.ready_stage = policy::stage_id(rollout);
+    report.sequence = 2;
     const auto lease = static_cast<coordination::LeaseId>((123'456ULL << 20U) + static_cast<unsigned>(i));
     const std::string key = kPrefix + policy::report_key(router_name(i), lease);
-    ledger.commit({{}, {coordination::Put{key, policy::write_report(permit), 0}}, {}});
+    state.commit({{}, {coordination::Put{key, policy::write_report(report), 0}}, {}});
   }
-  return ledger;
+  return state;
 }
 
-void measure_reads(const CostSink& sink) {
+void measure_rollout_reads(const CostSink& sink) {
   namespace etcd = coordination::etcd;
   CostSeries bytes{"driver.bytes.look",
                    "all that the driver of a change goes by, read once",
@@ -70,22 +71,23 @@
   CostSeries driver{
       "driver.cpu.look", "that read taken in, and the next step found", "us", "permits", "in process", {}};
   const etcd::ResponseHeader header{0xabcd'ef01'2345, 123'456'789};
-  for (const int permits : kPermits) {
-    coordination::KeyValueState ledger = ledger_with_permits(permits);
-    const coordination::Transaction look = policy::snapshot_transaction(kPrefix);
+  for (const int reports : kReportCounts) {
+    coordination::KeyValueState state = state_with_reports(reports);
+    const coordination::Transaction snapshot_read = policy::snapshot_transaction(kPrefix);
     std::string answer;
-    const int calls = std::max(1, 3'000 / permits);
-    store.points.emplace_back(permits, cpu_us_per_call(calls, [&] {
-                                answer =
-                                    etcd::write_transaction_result(header, look, ledger.commit(look)).dump();
-                              }));
-    bytes.points.emplace_back(permits, answer.size());
-    policy::RolloutCoordinator decides(policy::rollout_timeouts(policy::PolicyOptions()));
+    const int calls = std::max(1, 3'000 / reports);
+    store.points.emplace_back(
+        reports, cpu_us_per_call(calls, [&] {
+          answer = etcd::write_transaction_result(header, snapshot_read, state.commit(snapshot_read)).dump();
+        }));
+    bytes.points.emplace_back(reports, answer.size());
+    policy::RolloutCoordinator coordinator(policy::rollout_timeouts(policy::PolicyOptions()));
     driver.points.emplace_back(
-        permits, cpu_us_per_call(calls, [&] {
-          etcd::ResponseHeader told;
-          const auto outcome = etcd::read_transaction_result(etcd::parse_object(answer), look, told);
-          keep_result(decides.step(Micros(1), policy::read_snapshot(kPrefix, outcome)));
+        reports, cpu_us_per_call(calls, [&] {
+          etcd::ResponseHeader received_header;
+          const auto outcome =
+              etcd::read_transaction_result(etcd::parse_object(answer), snapshot_read, received_header);
+          keep_result(coordinator.step(Micros(1), policy::read_snapshot(kPrefix, outcome)));
         }));
   }
   for (const CostSeries& series : {bytes, store, driver}) {
@@ -93,7 +95,7 @@
   }
 }
 
-// ---- Who is in the fleet ----
+// ---- Membership ----
 
 membership::Member member_of(int index) {
   membership::Member out;
@@ -106,11 +108,11 @@
   return out;
 }
 
-void take(membership::MembershipView& view, const membership::Member& member, bool there,
-          std::uint64_t revision) {
+void apply_member(membership::MembershipView& view, const membership::Member& member, bool present,
+                  std::uint64_t revision) {
   view.apply(Micros(static_cast<std::int64_t>(revision)),
              membership::member_key(member.name, member.incarnation),
-             there ? membership::write_member(member) : "", revision, revision);
+             present ? membership::write_member(member) : "", revision, revision);
 }
 
 void measure_view(const CostSink& sink) {
@@ -124,11 +126,11 @@
                       "members",
                       "in process",
                       {}};
-  for (const int members : kMembers) {
+  for (const int members : kMemberCounts) {
     const auto filled = [&] {
       auto view = std::make_unique<membership::MembershipView>(membership::MembershipOptions());
       for (int i = 0; i < members; ++i) {
-        take(*view, member_of(i), true, static_cast<std::uint64_t>(i) + 1);
+        apply_member(*view, member_of(i), true, static_cast<std::uint64_t>(i) + 1);
       }
       return view;
     };
@@ -137,9 +139,9 @@
     std::uint64_t revision = 100'000;
     change.points.emplace_back(members, cpu_us_per_call(500, [&] {
                                  ++revision;
-                                 const int which =
+                                 const int member_index =
                                      static_cast<int>(revision / 2 % static_cast<unsigned>(members));
-                                 take(*view, member_of(which), revision % 2 == 1, revision);
+                                 apply_member(*view, member_of(member_index), revision % 2 == 1, revision);
                                }));
     eligible.points.emplace_back(members, cpu_us_per_call(std::max(1, 20'000 / members), [&] {
                                    keep_result(view->eligible(Micros(200'000), ""));
@@ -150,7 +152,7 @@
   }
 }
 
-// ---- Candidates for the fleet's work ----
+// ---- Ownership of shared work ----
 
 ownership::MemberZones member_zones(int members) {
   std::map<std::string, std::string> out;
@@ -160,7 +162,7 @@
   return out;
 }
 
-std::unique_ptr<ownership::LeaseManager> candidate(int members) {
+std::unique_ptr<ownership::LeaseManager> make_lease_manager(int members) {
   auto manager = std::make_unique<ownership::LeaseManager>(router_name(0), "0123456789abcdef", zone_name(0),
                                                            std::set<std::string>{"fill"},
                                                            ownership::LeaseManagerOptions());
@@ -178,7 +180,7 @@
   return manager;
 }
 
-void measure_candidates(const CostSink& sink) {
+void measure_lease_managers(const CostSink& sink) {
   CostSeries memory{"ownership.memory.candidate",
                     "one router's lease manager, for work of four shards",
                     "bytes",
@@ -197,9 +199,9 @@
                    "members",
                    "in process",
                    {}};
-  for (const int members : kMembers) {
-    memory.points.emplace_back(members, bytes_held_by([&] { return candidate(members); }));
-    const auto manager = candidate(members);
+  for (const int members : kMemberCounts) {
+    memory.points.emplace_back(members, bytes_held_by([&] { return make_lease_manager(members); }));
+    const auto manager = make_lease_manager(members);
     const auto list = member_zones(members);
     Micros now(1'000'000);
     const int calls = std::max(1, 5'000 / members);
@@ -225,11 +227,11 @@
 
 }  // namespace
 
-void measure_driver(const CostContext&, const CostSink& sink) { measure_reads(sink); }
+void measure_driver(const CostContext&, const CostSink& sink) { measure_rollout_reads(sink); }
 
 void measure_membership(const CostContext&, const CostSink& sink) {
   measure_view(sink);
-  measure_candidates(sink);
+  measure_lease_managers(sink);
 }
 
 }  // namespace trailcourse::scale
--- a/benchmarks/scale/policy_costs.cpp
+++ b/benchmarks/scale/policy_costs.cpp
@@ -1,4 +1,4 @@
-// What the fleet's policy costs a router: documents, and the permission that it renews.
+// Measures the costs of the fleet's policy for a router: of policy documents, and of its policy lease.
 #include <array>
 #include <memory>
 #include <string>
@@ -14,8 +14,8 @@
 namespace trailcourse::scale {
 namespace {
 
-constexpr std::array<int, 4> kClasses{3, 10, 30, 60};
-constexpr std::array<int, 4> kParticipants{100, 300, 1'000, 3'000};
+constexpr std::array<int, 4> kClassCounts{3, 10, 30, 60};
+constexpr std::array<int, 4> kParticipantCounts{100, 300, 1'000, 3'000};
 
 policy::PolicyDocument document_of(int classes) {
   policy::PolicyDocument out;
@@ -44,7 +44,7 @@
                  {}};
   CostSeries memory{
       "router.memory.policy.document", "that version held", "bytes", "classes", "in process", {}};
-  for (const int classes : kClasses) {
+  for (const int classes : kClassCounts) {
     const std::string text = policy::write_document_text(document_of(classes));
     bytes.points.emplace_back(classes, text.size());
     cpu.points.emplace_back(classes, cpu_us_per_call(200, [&] { keep_result(policy::read_document(text)); }));
@@ -63,26 +63,26 @@
   auto participant = std::make_unique<policy::Participant>(
       "0123456789abcdef", zone_of(index), policy::participant_options(policy::PolicyOptions()),
       [](std::uint64_t) { return policy::PreparationResult(); });
-  policy::ObservedState known;
-  known.version = 7;
-  known.current_revision = 40;
+  policy::ObservedState state;
+  state.version = 7;
+  state.current_revision = 40;
   participant->set_connected(now, true);
-  participant->on_observed_state(now, known);
+  participant->on_observed_state(now, state);
   participant->on_document(now, 7);
   participant->on_persist_result(now, 7, {});
-  for (const policy::ParticipantAction& order : participant->step(now)) {
-    if (const auto* ask = std::get_if<policy::LeaseAction>(&order)) {
-      participant->on_join_result(now, ask->call.call_id, true);
+  for (const policy::ParticipantAction& action : participant->step(now)) {
+    if (const auto* lease = std::get_if<policy::LeaseAction>(&action)) {
+      participant->on_join_result(now, lease->call.call_id, true);
     }
   }
   return participant;
 }
 
-// A second in the life of a router whose policy does not change: one renewal, answered.
+// Renews the lease once and gets the answer, as a router does each second while its policy does not change.
 void renew(policy::Participant& participant, Micros now) {
-  for (const policy::ParticipantAction& order : participant.step(now)) {
-    if (const auto* ask = std::get_if<policy::LeaseAction>(&order)) {
-      participant.on_renew_result(now, ask->call.call_id, true);
+  for (const policy::ParticipantAction& action : participant.step(now)) {
+    if (const auto* lease = std::get_if<policy::LeaseAction>(&action)) {
+      participant.on_renew_result(now, lease->call.call_id, true);
     }
   }
   keep_result(participant.effective_policy(now));
@@ -101,7 +101,7 @@
                  "holders",
                  "in process",
                  {}};
-  for (const int count : kParticipants) {
+  for (const int count : kParticipantCounts) {
     Micros now(1'000'000);
     std::vector<std::unique_ptr<policy::Participant>> participants(static_cast<std::size_t>(count));
     const double before = allocated_bytes();
--- a/benchmarks/scale/purge_costs.cpp
+++ b/benchmarks/scale/purge_costs.cpp
@@ -1,4 +1,5 @@
-// What purges cost a router: bytes, processor time, memory, and from when on too many bind at once.
+// Measures the costs of purges for a router: bytes, CPU time and memory, and the number of active purges
+// above which the router folds them into one purge of all objects.
 #include <trailcourse/decider.h>
 
 #include <array>
@@ -15,9 +16,9 @@
 namespace {
 
 constexpr std::array<int, 4> kPageSizes{1, 10, 100, 1'000};
-constexpr std::array<int, 5> kBinding{500, 1'000, 3'000, 6'000, 9'900};
+constexpr std::array<int, 5> kActivePurges{500, 1'000, 3'000, 6'000, 9'900};
 constexpr std::array<int, 6> kRates{30, 60, 90, 180, 360, 720};
-constexpr std::size_t kCapacity = 20'000;  // as in the decision module
+constexpr std::size_t kCapacity = 20'000;  // the purge capacity of the decision module
 constexpr Micros kSecond{1'000'000};
 
 Purged purge_of(ObjectId object) {
@@ -32,7 +33,7 @@
   CostSeries cpu{"router.cpu.purge.parse", "that page parsed", "us", "purges", "in process", {}};
   const protocol::Profile profile = protocol::read_profile(router_settings(1, 1));
   for (const int purges : kPageSizes) {
-    // The board's name and numbers of the length that they have after a few weeks.
+    // The service ID and the sequence numbers are as long as after a few weeks of operation.
     discovery::EventLog log("0123456789abcdef");
     log.replace(purge_page(200'000'000, purges, unix_ms_now()));
     const std::string text = *log.page_after(0);
@@ -45,13 +46,13 @@
   sink(cpu);
 }
 
-// Purges at an even pace, so many of which bind at any time.
+// Sends purges at a constant rate, at which `active` purges are active at any time.
 class PurgeStream {
  public:
-  PurgeStream(const protocol::Profile& profile, std::uint64_t seed, int binds)
-      : decider_(profile.settings, seed), step_((profile.settings.purge_done + kSecond) / binds) {}
+  PurgeStream(const protocol::Profile& profile, std::uint64_t seed, int active)
+      : decider_(profile.settings, seed), step_((profile.settings.purge_done + kSecond) / active) {}
 
-  void tell(int purges) {
+  void send(int purges) {
     for (int i = 0; i < purges; ++i) {
       now_ += step_;
       decider_.handle(now_, purge_of(++last_), actions_);
@@ -66,7 +67,7 @@
   std::vector<Action> actions_;
 };
 
-void measure_module(const CostContext& context, const CostSink& sink) {
+void measure_decision_module(const CostContext& context, const CostSink& sink) {
   CostSeries cpu{"router.cpu.purge",
                  "so many purges taken in by the module while 6,000 bind",
                  "us",
@@ -80,26 +81,26 @@
                     "in process",
                     {}};
   const protocol::Profile profile = protocol::read_profile(router_settings(1, 1));
-  for (const int binds : kBinding) {
-    memory.points.emplace_back(binds, bytes_held_by([&] {
-                                 auto stream = std::make_unique<PurgeStream>(profile, context.seed, binds);
-                                 stream->tell(binds);
+  for (const int active : kActivePurges) {
+    memory.points.emplace_back(active, bytes_held_by([&] {
+                                 auto stream = std::make_unique<PurgeStream>(profile, context.seed, active);
+                                 stream->send(active);
                                  return stream;
                                }));
   }
-  // More than the table holds, so that forgetting what binds no longer is part of each figure.
+  // More purges than the table holds, so that each value includes the removal of expired purges.
   for (const int purges : {25'000, 50'000, 100'000, 200'000}) {
     PurgeStream stream(profile, context.seed, 6'000);
-    stream.tell(static_cast<int>(kCapacity));
-    cpu.points.emplace_back(purges, cpu_us_per_call(1, [&] { stream.tell(purges); }));
+    stream.send(static_cast<int>(kCapacity));
+    cpu.points.emplace_back(purges, cpu_us_per_call(1, [&] { stream.send(purges); }));
   }
   sink(cpu);
   sink(memory);
 }
 
-// Whether so many purges a second, each binding for so long, ever fold into one for all objects.
-bool folds(int rate, Micros binding) {
-  PurgeHistory history(kCapacity, binding);
+// Whether `rate` purges a second, each active for `active_time`, are folded into one purge of all objects.
+bool is_folded(int rate, Micros active_time) {
+  PurgeHistory history(kCapacity, active_time);
   const Micros step = kSecond / rate;
   Micros now = kSecond;
   constexpr std::uint64_t kNeverPurged = 0;
@@ -114,41 +115,42 @@
   return false;
 }
 
-// The longest binding time that never folds at a rate, to a hundredth of a second.
-double longest_binding_s(int rate) {
-  double not_folding = 0.0;
-  double folding = 4.0 * kCapacity / rate;
-  while (folding - not_folding > 0.01) {
-    const double middle = (not_folding + folding) / 2.0;
-    (folds(rate, Micros(static_cast<std::int64_t>(middle * 1e6))) ? folding : not_folding) = middle;
+// Longest time in seconds for which purges at `rate` purges a second can be active without being folded, to
+// within 0.01 s.
+double longest_active_time_s(int rate) {
+  double lower = 0.0;
+  double upper = 4.0 * kCapacity / rate;
+  while (upper - lower > 0.01) {
+    const double middle = (lower + upper) / 2.0;
+    (is_folded(rate, Micros(static_cast<std::int64_t>(middle * 1e6))) ? upper : lower) = middle;
   }
-  return not_folding;
+  return lower;
 }
 
 void measure_fold(const CostSink& sink) {
-  CostSeries bind{"router.purges.before.fold",
-                  "purges that bind at once before they fold into one for all objects",
-                  "purges",
-                  "purges a second",
-                  "in process",
-                  {}};
-  CostSeries binding{"router.purges.binding.before.fold",
-                     "reciprocal of the longest binding time that never folds",
-                     "1/s",
-                     "purges a second",
-                     "in process",
-                     {}};
+  CostSeries active{"router.purges.before.fold",
+                    "purges that bind at once before they fold into one for all objects",
+                    "purges",
+                    "purges a second",
+                    "in process",
+                    {}};
+  CostSeries active_time{"router.purges.binding.before.fold",
+                         "reciprocal of the longest binding time that never folds",
+                         "1/s",
+                         "purges a second",
+                         "in process",
+                         {}};
   for (const int rate : kRates) {
-    const double longest = longest_binding_s(rate);
-    bind.points.emplace_back(rate, longest * rate);
-    binding.points.emplace_back(rate, 1.0 / longest);
+    const double longest = longest_active_time_s(rate);
+    active.points.emplace_back(rate, longest * rate);
+    active_time.points.emplace_back(rate, 1.0 / longest);
   }
-  sink(bind);
-  sink(binding);
+  sink(active);
+  sink(active_time);
 }
 
-// The share of requests for objects that no purge named which are sent with an age limit all the same: each
-// copy older than the fold is fetched anew.
+// Share of requests for objects that were never purged, but are sent with an age limit because purges were
+// folded. Each copy older than the fold is fetched again.
 double limited_share(const protocol::Profile& profile, std::uint64_t seed, int purges) {
   Decider decider(profile.settings, seed);
   std::vector<Action> actions;
@@ -188,7 +190,7 @@
   return sent > 0 ? static_cast<double>(limited) / sent : 0.0;
 }
 
-void measure_folded_requests(const CostContext& context, const CostSink& sink) {
+void measure_limited_requests(const CostContext& context, const CostSink& sink) {
   CostSeries share{
       "router.purges.limited.after.fold",
       "share of requests for objects never purged that bear an age limit once purges have folded",
@@ -207,9 +209,9 @@
 
 void measure_purges(const CostContext& context, const CostSink& sink) {
   measure_pages(sink);
-  measure_module(context, sink);
+  measure_decision_module(context, sink);
   measure_fold(sink);
-  measure_folded_requests(context, sink);
+  measure_limited_requests(context, sink);
 }
 
 }  // namespace trailcourse::scale
--- a/benchmarks/scale/router_costs.cpp
+++ b/benchmarks/scale/router_costs.cpp
@@ -1,4 +1,4 @@
-// What a router pays for its list of caches and for each decision.
+// Measures the costs of a router: of its endpoint list and of each decision.
 #include <trailcourse/decider.h>
 
 #include <array>
@@ -22,10 +22,10 @@
 constexpr int kRouters = 19'000;
 constexpr int kZones = 203;
 
-// The part of a router that takes the board's pages in, with its decision module.
-class PageReader {
+// The part of a router that applies the pages of the discovery service, with the router's decision module.
+class PageApplier {
  public:
-  PageReader(const protocol::Profile& profile, std::uint64_t seed)
+  PageApplier(const protocol::Profile& profile, std::uint64_t seed)
       : profile_(profile),
         decider_(profile.settings, seed),
         router_(
@@ -34,9 +34,11 @@
               decider_.handle(now, event, out);
             },
             routing::Router::Bounds()),
-        taker_(router_, directory_, [](const std::string&) {}) {}
+        update_handler_(router_, directory_, [](const std::string&) {}) {}
 
-  void take(const std::string& text) { taker_.apply(protocol::parse_discovery_page(text, profile_)); }
+  void apply(const std::string& text) {
+    update_handler_.apply(protocol::parse_discovery_page(text, profile_));
+  }
 
  private:
   const protocol::Profile& profile_;
@@ -44,7 +46,7 @@
   Decider decider_;
   routing::EndpointDirectory directory_;
   routing::Router router_;
-  routing::DiscoveryUpdateHandler taker_;
+  routing::DiscoveryUpdateHandler update_handler_;
 };
 
 std::string page_text(const nlohmann::json& page) {
@@ -53,7 +55,7 @@
   return *log.page_after(0);
 }
 
-EndpointListReceived whole_list(int caches, const std::string& zone) {
+EndpointListReceived complete_list(int caches, const std::string& zone) {
   EndpointListReceived list;
   for (int i = 0; i < caches; ++i) {
     Endpoint entry;
@@ -98,24 +100,24 @@
   for (const int caches : kListSizes) {
     const std::string text = page_text(list_page(caches, kZones));
     bytes.points.emplace_back(caches, text.size());
-    double least = 0.0;
+    double minimum = 0.0;
     for (int round = 0; round < 5; ++round) {
-      PageReader reader(profile, context.seed);
+      PageApplier applier(profile, context.seed);
       const double before = thread_cpu_us();
-      reader.take(text);
-      const double took = thread_cpu_us() - before;
-      least = round == 0 ? took : std::min(least, took);
+      applier.apply(text);
+      const double cpu_time_us = thread_cpu_us() - before;
+      minimum = round == 0 ? cpu_time_us : std::min(minimum, cpu_time_us);
     }
-    cpu.points.emplace_back(caches, least);
+    cpu.points.emplace_back(caches, minimum);
     memory.points.emplace_back(caches, bytes_held_by([&] {
-                                 auto reader = std::make_unique<PageReader>(profile, context.seed);
-                                 reader->take(text);
-                                 return reader;
+                                 auto applier = std::make_unique<PageApplier>(profile, context.seed);
+                                 applier->apply(text);
+                                 return applier;
                                }));
     module.points.emplace_back(caches, bytes_held_by([&] {
                                  auto decider = std::make_unique<Decider>(profile.settings, context.seed);
                                  std::vector<Action> actions;
-                                 decider->handle(Micros(1), whole_list(caches, kSampleZone), actions);
+                                 decider->handle(Micros(1), complete_list(caches, kSampleZone), actions);
                                  return decider;
                                }));
   }
@@ -124,15 +126,15 @@
   }
 }
 
-// A page that tells a change of one cache.
-nlohmann::json change_page(std::uint64_t number, const nlohmann::json& entry) {
+// A page with an update of one endpoint.
+nlohmann::json update_page(std::uint64_t number, const nlohmann::json& entry) {
   const nlohmann::json pool{
       {"index", number}, {"snapshot", false}, {"endpoints", nlohmann::json::array({entry})}};
   const nlohmann::json event{{"rev", number}, {"pool", pool}};
   return {{"rev", number}, {"notices", nlohmann::json::array({event})}};
 }
 
-// A change of one cache in a list of so many, as on the page that tells it.
+// Applying a page that updates one cache, for lists of several sizes.
 void measure_list_change(const CostContext& context, const CostSink& sink) {
   CostSeries cpu{"router.cpu.list.change",
                  "one cache of the list changes: page parsed, directory, module",
@@ -143,37 +145,37 @@
   const protocol::Profile profile = protocol::read_profile(router_settings(kRouters, kZones));
   for (const int caches : kListSizes) {
     const nlohmann::json page = list_page(caches, kZones);
-    PageReader reader(profile, context.seed);
-    reader.take(page_text(page));
+    PageApplier applier(profile, context.seed);
+    applier.apply(page_text(page));
     nlohmann::json entry = page["notices"][0]["pool"]["endpoints"][1];
     std::uint64_t number = 1;
     cpu.points.emplace_back(caches, cpu_us_per_call(200, [&] {
                               ++number;
                               entry["status"] = number % 2 == 0 ? "draining" : "up";
-                              reader.take(page_text(change_page(number, entry)));
+                              applier.apply(page_text(update_page(number, entry)));
                             }));
   }
   sink(cpu);
 }
 
-// Requests decided and answered, one after the other.
-class RequestLoop {
+// Decides and completes one request after the other.
+class RequestProcessor {
  public:
-  RequestLoop(const protocol::Profile& profile, std::uint64_t seed, const EndpointListReceived& list)
+  RequestProcessor(const protocol::Profile& profile, std::uint64_t seed, const EndpointListReceived& list)
       : decider_(profile.settings, seed), random_(seed) {
-    tell(list);
+    handle(list);
   }
 
-  void one_request() {
+  void process_request() {
     now_ += Micros(1'000);
     RequestArrived arrived;
     arrived.id = ++last_;
     arrived.object = random_() % kObjects;
     arrived.deadline = now_ + Micros(2'000'000);
     arrived.size_kb = 100.0;
-    tell(arrived);
-    answer_attempts();
-    // Timers of requests that are over change nothing and are not fired.
+    handle(arrived);
+    complete_attempts();
+    // Timers of completed requests have no effect, so they are not fired.
   }
 
   std::size_t sent() const { return sent_; }
@@ -181,15 +183,15 @@
  private:
   static constexpr std::uint64_t kObjects = 10'000;
 
-  void tell(const Event& event) {
+  void handle(const Event& event) {
     actions_.clear();
     decider_.handle(now_, event, actions_);
   }
-  void answer_attempts() {
-    std::vector<Action> ordered;
-    ordered.swap(actions_);
+  void complete_attempts() {
+    std::vector<Action> pending_actions;
+    pending_actions.swap(actions_);
     int attempt = 0;
-    for (const Action& action : ordered) {
+    for (const Action& action : pending_actions) {
       if (std::holds_alternative<SendAttempt>(action)) {
         ++sent_;
         AttemptEnded ended;
@@ -198,7 +200,7 @@
         ended.latency = Micros(5'000);
         ended.finished = true;
         ended.note = Note::kHit;
-        tell(ended);
+        handle(ended);
       }
     }
   }
@@ -226,16 +228,16 @@
                     {}};
   const protocol::Profile profile = protocol::read_profile(router_settings(kRouters, kZones));
   for (const int caches : kZoneSizes) {
-    RequestLoop loop(profile, context.seed, whole_list(caches, kSampleZone));
-    zone.points.emplace_back(caches, cpu_us_per_call(2'000, [&] { loop.one_request(); }));
+    RequestProcessor processor(profile, context.seed, complete_list(caches, kSampleZone));
+    zone.points.emplace_back(caches, cpu_us_per_call(2'000, [&] { processor.process_request(); }));
   }
   for (const int caches : kListSizes) {
-    EndpointListReceived list = whole_list(caches, kSampleZone);
+    EndpointListReceived list = complete_list(caches, kSampleZone);
     for (std::size_t i = 10; i + 1 < list.entries.size(); ++i) {
       list.entries[i].zone = "zone1";
     }
-    RequestLoop loop(profile, context.seed, list);
-    others.points.emplace_back(caches, cpu_us_per_call(2'000, [&] { loop.one_request(); }));
+    RequestProcessor processor(profile, context.seed, list);
+    others.points.emplace_back(caches, cpu_us_per_call(2'000, [&] { processor.process_request(); }));
   }
   sink(zone);
   sink(others);
--- a/benchmarks/scale/slopes.h
+++ b/benchmarks/scale/slopes.h
@@ -66,7 +66,7 @@
 };
 
 // Returns `slope` with its points sorted and its fit, bound, date, commit and machine filled in from the
-// points and from this machine. The caller sets the other fields. Throws std::invalid_argument if there are no
+// points and from this machine. The caller sets the other fields. Throws std::invalid_argument without
 // points.
 Slope measured_here(Slope slope);
 
