--- a/benchmarks/scale/capacity_page.h
+++ b/benchmarks/scale/capacity_page.h
@@ -32,7 +32,8 @@
   // Throws FormulaError, BadCapacityData.
   explicit CapacityPage(CapacityData data);
 
-  // Returns `page` with its tables and figures computed from the data. Throws BadPage, FormulaError.
+  // Returns `page` with its tables and figures computed from the data. Throws BadPage, FormulaError,
+  // BadCapacityData.
   std::string fill(const std::string& page) const;
   // Returns the table with the name given in a marker: target, meaning, situations, plan, met, unknown,
   // slopes, or role NAME. Throws BadPage for an unknown name, BadCapacityData for invalid data, FormulaError.
--- a/benchmarks/scale/cost_meter.h
+++ b/benchmarks/scale/cost_meter.h
@@ -18,7 +18,7 @@
   std::string what;     // description in plain words
   std::string unit;     // unit of y
   std::string per;      // the quantity that x counts
-  std::string setting;  // "in process" or "real processes"
+  std::string setting;  // one of kSettings in slopes.h
   std::vector<std::pair<double, double>> points;
 };
 
--- a/benchmarks/scale/role_costs.cpp
+++ b/benchmarks/scale/role_costs.cpp
@@ -129,8 +129,7 @@
                         cxxopts::value<std::string>()->default_value("build/trailcourse"))(
       "only",
       "run only the groups with this prefix: router, purges, policy, cache, board, store, driver, "
-      "membership, aggregator, "
-      "process",
+      "membership, aggregator, process",
       cxxopts::value<std::string>()->default_value(""),
       "PREFIX")("write", "merge the slopes into this file by name", cxxopts::value<std::string>(), "FILE")(
       "json", "print the slopes as JSON")("seed", "seed of the random numbers",
