--- a/benchmarks/scale/cost_meter.h
+++ b/benchmarks/scale/cost_meter.h
@@ -14,7 +14,7 @@
 
 // Measured values of one cost at several sizes: points (x, y), where x is the size and y the cost.
 struct CostSeries {
-  std::string name;     // "ROLE.RESOURCE.WHAT"
+  std::string name;     // ROLE.RESOURCE.DETAIL, such as "store.memory.lease"
   std::string what;     // description in plain words
   std::string unit;     // unit of y
   std::string per;      // the quantity that x counts
--- a/benchmarks/scale/sample_fleet.cpp
+++ b/benchmarks/scale/sample_fleet.cpp
@@ -12,6 +12,8 @@
 
 namespace {
 
+constexpr std::uint64_t kPurgedObjectBase = 0x7f3a'0000'0000'0000U;
+
 fleet::FleetSpec fleet_spec(int routers, int caches, int zones, std::int64_t since_ms) {
   fleet::FleetSpec spec;
   spec.routers = routers;
@@ -30,7 +32,7 @@
 json list_page(int caches, int zones, std::int64_t since_ms) {
   fleet::PortAllocator ports;
   const fleet::Layout layout(fleet_spec(1, caches, zones, since_ms), "", ports);
-  // Writing and parsing the page gives its numbers the JSON types that a reader of the page gets.
+  // A page that is written and parsed has the same JSON number types as one that a client receives.
   return json::parse(layout.first_page().dump());
 }
 
@@ -52,7 +54,7 @@
   std::uint64_t number = after;
   for (int i = 0; i < purges; ++i) {
     ++number;
-    events.push_back(purge_event(number, 0x7f3a'0000'0000'0000U + number, at_ms));
+    events.push_back(purge_event(number, kPurgedObjectBase + number, at_ms));
   }
   return {{"rev", number}, {"notices", events}};
 }
--- a/benchmarks/scale/slopes.cpp
+++ b/benchmarks/scale/slopes.cpp
@@ -23,6 +23,7 @@
 
 constexpr std::array kForms = {Form::kConstant, Form::kLinear, Form::kLinearithmic, Form::kQuadratic};
 
+// The function f(x) of a form of growth.
 double basis(Form form, double x) {
   switch (form) {
     case Form::kConstant:
@@ -37,7 +38,7 @@
   return 0.0;
 }
 
-double mean_of(const Points& points) {
+double mean_of_y(const Points& points) {
   double sum = 0.0;
   for (const auto& [x, y] : points) {
     sum += y;
@@ -45,23 +46,23 @@
   return sum / static_cast<double>(points.size());
 }
 
-double sum_of_squared_errors(const Points& points, const Fit& line) {
+double sum_of_squared_errors(const Points& points, const Fit& fitted) {
   double sum = 0.0;
   for (const auto& [x, y] : points) {
-    const double error = y - value_at(line, x);
-    sum += error * error;
+    const double deviation = y - value_at(fitted, x);
+    sum += deviation * deviation;
   }
   return sum;
 }
 
 bool is_constant(const Points& points, double mean) {
   return std::all_of(points.begin(), points.end(), [mean](const auto& point) {
-    return std::abs(point.second - mean) <= kConstantWithin * std::abs(mean);
+    return std::abs(point.second - mean) <= kConstantTolerance * std::abs(mean);
   });
 }
 
 Fit least_squares(const Points& points, Form form) {
-  const double mean_y = mean_of(points);
+  const double mean_y = mean_of_y(points);
   double basis_mean = 0.0;
   for (const auto& [x, y] : points) {
     basis_mean += basis(form, x);
@@ -92,6 +93,7 @@
   throw BadSlopes(name + ": form: '" + text + "' is none that is known");
 }
 
+// Reads the field `key` of an entry; `name` identifies the entry in error messages.
 template <typename Value>
 Value field(const json& entry, const std::string& name, const char* key) {
   const auto found = entry.find(key);
@@ -206,7 +208,7 @@
   if (points.empty()) {
     throw std::invalid_argument("no points to fit");
   }
-  const double mean = mean_of(points);
+  const double mean = mean_of_y(points);
   const Fit constant{Form::kConstant, mean, 0.0, 0.0};
   if (is_constant(points, mean)) {
     double squares = 0.0;
@@ -223,8 +225,9 @@
   }
   const auto less = [](const Fit& a, const Fit& b) { return a.r_squared < b.r_squared; };
   const double best = std::max_element(fits.begin(), fits.end(), less)->r_squared;
-  return *std::find_if(fits.begin(), fits.end(),
-                       [best](const Fit& candidate) { return candidate.r_squared >= best - kSimplerWithin; });
+  return *std::find_if(fits.begin(), fits.end(), [best](const Fit& candidate) {
+    return candidate.r_squared >= best - kSimplerFormTolerance;
+  });
 }
 
 double value_at(const Fit& fit, double x) { return fit.offset + fit.slope * basis(fit.form, x); }
--- a/benchmarks/scale/slopes.h
+++ b/benchmarks/scale/slopes.h
@@ -1,6 +1,6 @@
-// Measured growth of costs. The benchmarks write the slopes to one file, from which the capacity page is
-// computed. Each slope has a unique name; a benchmark replaces the slopes that it measured and keeps the
-// others.
+// Slopes: costs measured at several sizes, each with the growth that was fitted to them. The benchmarks write
+// all slopes to one file, from which the capacity page is computed. A benchmark replaces its own slopes in
+// the file, by name, and keeps the others.
 //
 // The form of growth is fitted to the measured points, not assumed: see fit().
 #pragma once
@@ -14,13 +14,14 @@
 
 namespace trailcourse::scale {
 
-// y = offset + slope * f(x), where f(x) is 0, x, x * ln(x) or x^2.
+// Forms of growth: y = offset + slope * f(x), where f(x) is 0, x, x * ln(x) or x^2.
 enum class Form { kConstant, kLinear, kLinearithmic, kQuadratic };
 const char* to_string(Form form);
 
 // Points (x, y): x is the size, y the value measured at that size.
 using Points = std::vector<std::pair<double, double>>;
 
+// The growth fitted to a set of points.
 struct Fit {
   Form form = Form::kConstant;
   double offset = 0.0;
@@ -28,18 +29,18 @@
   double r_squared = 0.0;  // coefficient of determination; 1 is an exact fit
 };
 
-// Points are constant if each deviates from their mean by at most this fraction of the mean.
-constexpr double kConstantWithin = 0.05;
-// A simpler form is preferred if its R squared is at most this much below the best one.
-constexpr double kSimplerWithin = 0.01;
+// Points are constant if no y deviates from the mean of all y by more than this fraction of the mean.
+constexpr double kConstantTolerance = 0.05;
+// A simpler form is preferred if its R squared is at most this much below that of the best form.
+constexpr double kSimplerFormTolerance = 0.01;
 
-// Fits each form by least squares and returns the simplest one whose R squared is within kSimplerWithin of
-// the best. Throws std::invalid_argument if `points` is empty.
+// Fits each form by least squares and returns the simplest one whose R squared is within
+// kSimplerFormTolerance of the best. Throws std::invalid_argument if `points` is empty.
 Fit fit(const Points& points);
-// Value of the fitted form at `x`.
+// Returns the value of the fitted form at `x`.
 double value_at(const Fit& fit, double x);
 
-// A measured cost with its fitted growth and the conditions of the measurement.
+// A cost with its measured points, its fitted growth and the conditions of the measurement.
 struct Slope {
   std::string name;  // unique in the file, such as "store.calls.change.flat"
   std::string what;  // description in plain words
@@ -55,7 +56,8 @@
   std::string machine;  // such as "8 cores, 24 GiB"
 };
 
-// Ways to run a measurement: the allowed values of Slope::setting.
+// Ways to run a measurement: the allowed values of Slope::setting. In the "hollow" ones, simplified peers
+// replace the real clients or routers.
 constexpr std::string_view kSettings[] = {"real processes", "hollow, loopback sockets",
                                           "hollow, virtual time", "in process"};
 
@@ -65,17 +67,17 @@
   using std::runtime_error::runtime_error;
 };
 
-// Returns `slope` with its points sorted and its fit, bound, date, commit and machine filled in from the
-// points and from this machine. The caller sets the other fields. Throws std::invalid_argument without
-// points.
+// Completes a slope that was measured on this machine: sorts its points and sets its fit, bound, date, commit
+// and machine. The caller sets the other fields. Throws std::invalid_argument if there are no points.
 Slope measured_here(Slope slope);
 
+// Converts slopes to a JSON array.
 nlohmann::json write_slopes(const std::vector<Slope>& slopes);
-// Throws BadSlopes.
+// Converts a JSON array to slopes. Throws BadSlopes if it is invalid.
 std::vector<Slope> read_slopes(const nlohmann::json& list);
-// Returns no slopes if the file does not exist or cannot be opened. Throws BadSlopes for invalid content.
+// Reads the slopes from a file. Returns no slopes if the file does not exist or cannot be opened. Throws BadSlopes for invalid content.
 std::vector<Slope> load_slopes(const std::string& path);
-// All slopes of both lists, sorted by name; one in `fresh` replaces one of the same name in `old`.
+// Returns all slopes of both lists, sorted by name. A slope in `fresh` replaces one of the same name in `old`.
 std::vector<Slope> merge_slopes(const std::vector<Slope>& old, const std::vector<Slope>& fresh);
 // Merges `fresh` into the file, which is replaced atomically. Throws BadSlopes if the existing file is
 // invalid, std::runtime_error if the new one cannot be written.
