--- a/benchmarks/scale/aggregator_costs.cpp
+++ b/benchmarks/scale/aggregator_costs.cpp
@@ -1,4 +1,6 @@
-// Measures the memory and CPU time that an aggregator needs for the routers that report to it.
+// Measures the memory and CPU time that an aggregator needs for the routers that report to it. In the names
+// and texts of the measured points, a permit is a participant report with its lease, and a turn is a call of
+// step().
 #include <array>
 #include <memory>
 #include <string>
@@ -23,7 +25,7 @@
 std::string router_name(int index) { return "router-" + std::to_string(10'000 + index); }
 std::string zone_name(int index) { return "zone" + std::to_string(index % kZones); }
 
-aggregation::AggregatorSettings settings_without_limits() {
+aggregation::AggregatorSettings settings_with_raised_limits() {
   aggregation::AggregatorSettings settings;
   settings.lease.ttl = Micros(3'600'000'000);  // no lease expires during a measurement
   settings.routers.max_routers = 100'000;
@@ -41,15 +43,17 @@
   return out;
 }
 
+// Returns the records of the store that the aggregator replicates at its start: the policy version in force.
 std::vector<coordination::Entry> initial_entries() {
   return {coordination::Entry{std::string(kPrefix) + policy::kCurrentKey, "812", 5, 5, 1, 0}};
 }
 
-// An aggregator with an active lease and with `routers` routers, each of which has reported once.
+// An aggregator that holds its own lease and has granted one to each of `routers` routers, which have all
+// reported once.
 class LoadedAggregator {
  public:
   LoadedAggregator(int routers, std::uint64_t seed)
-      : aggregator_(settings_without_limits(), identity(), seed) {
+      : aggregator_(settings_with_raised_limits(), identity(), seed) {
     aggregator_.on_snapshot(initial_entries());
     aggregator_.set_connected(true);
     for (const aggregation::UpstreamAction& action : aggregator_.step(now_)) {
--- a/benchmarks/scale/board_costs.cpp
+++ b/benchmarks/scale/board_costs.cpp
@@ -1,5 +1,6 @@
 // Measures the costs of a discovery service and a relay: of each held long poll, each page that they send,
-// and each stored event.
+// and each stored event. In the names and texts of the measured points, the discovery service is the board,
+// its polling clients are askers, a poll is a call, and to fold a log is to compact it.
 #include <array>
 #include <filesystem>
 #include <fstream>
@@ -22,12 +23,14 @@
 using nlohmann::json;
 using std::chrono::milliseconds;
 
-constexpr std::array<int, 5> kCallRates{100, 300, 1'000, 3'000, 9'500};
-constexpr std::array<int, 5> kHeldPolls{100, 300, 1'000, 3'000, 19'000};
-constexpr std::array<int, 4> kPollers{50, 100, 300, 1'000};
+constexpr std::array<int, 5> kPollsPerSecond{100, 300, 1'000, 3'000, 9'500};
+constexpr std::array<int, 5> kHeldPollCounts{100, 300, 1'000, 3'000, 19'000};
+constexpr std::array<int, 4> kPollerCounts{50, 100, 300, 1'000};
 constexpr std::array<int, 4> kEventCounts{100, 500, 2'000, 4'000};
 constexpr std::array<int, 4> kFileEventCounts{100, 300, 1'000, 3'000};
 constexpr std::array<int, 4> kCacheCounts{40, 500, 2'100, 8'400};
+constexpr int kZones = 203;
+constexpr std::uint64_t kLastSequence = 7;  // sequence number of the last event, known to all clients
 
 discovery::LongPollOptions long_poll_options() {
   discovery::LongPollOptions options;
@@ -36,10 +39,10 @@
   return options;
 }
 
-// ---- Long-poll scheduler without sockets ----
+// ---- Long-poll scheduler alone ----
 
-// Polls that are held and then disconnected, at a steady rate. The polls of the first second are not
-// measured.
+// Measures polls that are held and whose clients then disconnect, at a steady rate. The polls of the first
+// second are not measured.
 void measure_scheduler_polls(const CostContext& context, const CostSink& sink) {
   CostSeries cpu{"board.cpu.core.call",
                  "a call judged and held, by the core alone",
@@ -47,23 +50,25 @@
                  "calls a second",
                  "in process",
                  {}};
-  for (const int rate : kCallRates) {
+  for (const int rate : kPollsPerSecond) {
     discovery::LongPollScheduler scheduler(long_poll_options(), context.seed);
-    std::int64_t calls = 0;
-    const auto call = [&] {
-      ++calls;
-      const auto number = static_cast<discovery::PollId>(calls);
-      scheduler.on_poll(milliseconds(calls * 1'000 / rate), number, 7, milliseconds(2'000), 7);
-      scheduler.on_disconnected(number);
+    std::int64_t polls = 0;
+    const auto poll = [&] {
+      ++polls;
+      const auto poll_id = static_cast<discovery::PollId>(polls);
+      scheduler.on_poll(milliseconds(polls * 1'000 / rate), poll_id, kLastSequence, milliseconds(2'000),
+                        kLastSequence);
+      scheduler.on_disconnected(poll_id);
     };
     for (int i = 0; i < rate; ++i) {
-      call();
+      poll();
     }
-    cpu.points.emplace_back(rate, cpu_us_per_call(std::min(rate, 2'000), call, 3));
+    cpu.points.emplace_back(rate, cpu_us_per_call(std::min(rate, 2'000), poll, 3));
   }
   sink(cpu);
 }
 
+// Measures the answering of all held polls after a published event, with one step per millisecond.
 void measure_scheduler_release(const CostContext& context, const CostSink& sink) {
   CostSeries cpu{"board.cpu.core.release",
                  "news told to all held calls, by the core alone",
@@ -71,12 +76,13 @@
                  "calls held",
                  "in process",
                  {}};
-  for (const int held : kHeldPolls) {
+  for (const int held : kHeldPollCounts) {
     double minimum = 0.0;
     for (int round = 0; round < 5; ++round) {
       discovery::LongPollScheduler scheduler(long_poll_options(), context.seed);
       for (int i = 0; i < held; ++i) {
-        scheduler.on_poll(milliseconds(i), static_cast<discovery::PollId>(i) + 1, 7, milliseconds(60'000), 7);
+        scheduler.on_poll(milliseconds(i), static_cast<discovery::PollId>(i) + 1, kLastSequence,
+                          milliseconds(60'000), kLastSequence);
       }
       const double before = thread_cpu_us();
       scheduler.on_published(milliseconds(held));
@@ -93,6 +99,7 @@
 
 // ---- Stored events ----
 
+// Measures an event log that holds `events` purges. Half of them are old enough to be dropped by compaction.
 void measure_event_log(const CostSink& sink) {
   CostSeries append{"relay.cpu.append",
                     "one purge appended to a log, and its page made",
@@ -105,15 +112,15 @@
   CostSeries memory{"relay.memory.event", "a log of purges", "bytes", "events kept", "in process", {}};
   const std::int64_t now = unix_ms_now();
   for (const int events : kEventCounts) {
-    const auto filled = [&] {
+    const auto filled_log = [&] {
       auto log = std::make_unique<discovery::EventLog>("0123456789abcdef");
       log->replace(list_page(40, 4));
       log->append(purge_page(1, events / 2, now - 60'000));
       log->append(purge_page(log->last_sequence(), events - events / 2, now));
       return log;
     };
-    memory.points.emplace_back(events, bytes_held_by(filled));
-    const auto log = filled();
+    memory.points.emplace_back(events, bytes_held_by(filled_log));
+    const auto log = filled_log();
     append.points.emplace_back(events, cpu_us_per_call(100, [&] {
                                  const std::uint64_t before = log->last_sequence();
                                  log->append(purge_page(before, 1, now));
@@ -121,7 +128,7 @@
                                }));
     double minimum = 0.0;
     for (int round = 0; round < 3; ++round) {
-      const auto compacted = filled();
+      const auto compacted = filled_log();
       const double before = thread_cpu_us();
       compacted->compact(1, discovery::UnixTime(milliseconds(now - 10'000)));
       const double cpu_time_us = thread_cpu_us() - before;
@@ -134,6 +141,8 @@
   }
 }
 
+// Measures the rendering of a page with a complete endpoint list, and the size of a page that updates some
+// caches.
 void measure_list_rendering(const CostSink& sink) {
   CostSeries cpu{
       "board.cpu.render.list", "a page with one whole list made", "us", "caches", "in process", {}};
@@ -144,7 +153,7 @@
                    "in process",
                    {}};
   for (const int caches : kCacheCounts) {
-    const json page = list_page(caches, 203);
+    const json page = list_page(caches, kZones);
     discovery::EventLog log;
     cpu.points.emplace_back(caches, cpu_us_per_call(5, [&] {
                               log.replace(page);
@@ -152,26 +161,26 @@
                             }));
   }
   for (const int caches : {1, 10, 40, 100}) {
-    json change = list_page(caches, 203);
-    json& pool = change["notices"][0]["pool"];
+    json update = list_page(caches, kZones);
+    json& pool = update["notices"][0]["pool"];
     pool["snapshot"] = false;
     pool["endpoints"].erase(0);  // remove the origin
     discovery::EventLog log("0123456789abcdef");
-    log.replace(change);
+    log.replace(update);
     bytes.points.emplace_back(caches, log.page_after(0)->size());
   }
   sink(cpu);
   sink(bytes);
 }
 
-// Adding one purge to the file of a discovery service, and rereading the file.
+// Measures adding one purge to the file of a discovery service, and the server's rereading of the file.
 void measure_file_update(const CostContext& context, const CostSink& sink) {
-  CostSeries cpu{"board.cpu.reread",
-                 "a board reads its file again: what each purge costs it",
-                 "us",
-                 "purges in the file",
-                 "in process",
-                 {}};
+  CostSeries reread{"board.cpu.reread",
+                    "a board reads its file again: what each purge costs it",
+                    "us",
+                    "purges in the file",
+                    "in process",
+                    {}};
   CostSeries add{"board.cpu.notice",
                  "one purge added to that file, by `trailcourse notice`",
                  "us",
@@ -198,22 +207,22 @@
     constexpr int kRounds = 10;
     for (int round = 0; round < kRounds; ++round) {
       json event = purge_event(0, static_cast<std::uint64_t>(round), unix_ms_now());
-      const double start = thread_cpu_us();
+      const double add_start = thread_cpu_us();
       program::append_event(file, std::move(event));
       const double reread_start = thread_cpu_us();
       server.reread();
-      add_us += reread_start - start;
+      add_us += reread_start - add_start;
       reread_us += thread_cpu_us() - reread_start;
     }
     add.points.emplace_back(events, add_us / kRounds);
-    cpu.points.emplace_back(events, reread_us / kRounds);
+    reread.points.emplace_back(events, reread_us / kRounds);
   }
-  for (const CostSeries& series : {cpu, add, bytes}) {
+  for (const CostSeries& series : {reread, add, bytes}) {
     sink(series);
   }
 }
 
-// ---- With sockets ----
+// ---- Server on a loopback socket ----
 
 // Serves an event log on a loopback socket, in the calling thread.
 class LocalDiscoveryServer {
@@ -233,8 +242,8 @@
       scheduler_.turn(milliseconds(5));
     }
   }
-  void run_for(milliseconds time) {
-    const auto end = transport::Clock::now() + time;
+  void run_for(milliseconds duration) {
+    const auto end = transport::Clock::now() + duration;
     while (transport::Clock::now() < end) {
       scheduler_.turn(milliseconds(5));
     }
@@ -265,6 +274,7 @@
   transport::Address address_;
 };
 
+// Measures the sending of a published purge to all pollers, and the memory of their connections.
 void measure_published_pages(const CostContext& context, const CostSink& sink) {
   CostSeries memory{"board.memory.asker",
                     "connections with a call held, at the server",
@@ -284,18 +294,18 @@
                    "askers",
                    "hollow, loopback sockets",
                    {}};
-  for (const int pollers : kPollers) {
+  for (const int pollers : kPollerCounts) {
     LocalDiscoveryServer server(context.seed);
     const double before = allocated_bytes();
     PollingPeers peers(server.address(), pollers, 60'000);
-    const auto all = static_cast<std::size_t>(pollers);
-    server.run_until_held(all);
+    const auto poller_count = static_cast<std::size_t>(pollers);
+    server.run_until_held(poller_count);
     memory.points.emplace_back(pollers, allocated_bytes() - before);
     constexpr int kRounds = 10;
     const double cpu_before = thread_cpu_us();
     const std::uint64_t bytes_before = peers.counts().bytes_in + peers.counts().bytes_out;
     for (int round = 0; round < kRounds; ++round) {
-      server.publish_purge(all);
+      server.publish_purge(poller_count);
     }
     cpu.points.emplace_back(pollers, (thread_cpu_us() - cpu_before) / kRounds);
     const std::uint64_t transferred = peers.counts().bytes_in + peers.counts().bytes_out - bytes_before;
@@ -306,7 +316,7 @@
   }
 }
 
-// Polls that are held for 100 ms and answered without events, as a relay's clients make them when idle.
+// Measures long polls that time out after 100 ms without an event, like those of a relay's idle clients.
 void measure_held_polls(const CostContext& context, const CostSink& sink) {
   CostSeries cpu{"relay.cpu.held.call",
                  "calls held for 100 ms and answered without news",
@@ -320,20 +330,20 @@
                    "calls a second",
                    "hollow, loopback sockets",
                    {}};
-  for (const int pollers : kPollers) {
+  for (const int pollers : kPollerCounts) {
     LocalDiscoveryServer server(context.seed);
     PollingPeers peers(server.address(), pollers, 100);
     server.run_for(milliseconds(500));
-    const double start = wall_us();
+    const double start_us = wall_us();
     const double cpu_before = thread_cpu_us();
-    const std::uint64_t calls_before = server.counts().calls;
+    const std::uint64_t polls_before = server.counts().calls;
     const std::uint64_t bytes_before = peers.counts().bytes_in + peers.counts().bytes_out;
     server.run_for(milliseconds(1'500));
-    const double seconds = (wall_us() - start) / 1e6;
-    const double calls = static_cast<double>(server.counts().calls - calls_before) / seconds;
-    cpu.points.emplace_back(calls, (thread_cpu_us() - cpu_before) / seconds);
+    const double seconds = (wall_us() - start_us) / 1e6;
+    const double polls_per_second = static_cast<double>(server.counts().calls - polls_before) / seconds;
+    cpu.points.emplace_back(polls_per_second, (thread_cpu_us() - cpu_before) / seconds);
     const std::uint64_t transferred = peers.counts().bytes_in + peers.counts().bytes_out - bytes_before;
-    bytes.points.emplace_back(calls, static_cast<double>(transferred) / seconds);
+    bytes.points.emplace_back(polls_per_second, static_cast<double>(transferred) / seconds);
   }
   sink(cpu);
   sink(bytes);
@@ -341,7 +351,7 @@
 
 }  // namespace
 
-void measure_board(const CostContext& context, const CostSink& sink) {
+void measure_discovery_service(const CostContext& context, const CostSink& sink) {
   measure_scheduler_polls(context, sink);
   measure_scheduler_release(context, sink);
   measure_event_log(sink);
--- a/benchmarks/scale/cache_costs.cpp
+++ b/benchmarks/scale/cache_costs.cpp
@@ -1,4 +1,5 @@
-// Measures the costs of a cache node: of a request, a purge, and each object that it stores on disk.
+// Measures the costs of a cache node: of a request, a purge, and each object that it stores on disk. In the
+// text of a measured point, the ledger is the purge table.
 #include <sys/wait.h>
 #include <unistd.h>
 
@@ -28,11 +29,12 @@
 using store::Copy;
 using store::Name;
 
-constexpr std::array<int, 4> kPurges{1'000, 10'000, 30'000, 100'000};
-constexpr std::array<int, 4> kObjects{50'000, 100'000, 200'000, 400'000};
-constexpr std::array<int, 4> kRequests{1'000, 10'000, 30'000, 100'000};
+constexpr std::array<int, 4> kPurgeCounts{1'000, 10'000, 30'000, 100'000};
+constexpr std::array<int, 4> kObjectCounts{50'000, 100'000, 200'000, 400'000};
+constexpr std::array<int, 4> kRequestCounts{1'000, 10'000, 30'000, 100'000};
 constexpr std::size_t kMaxPurges = 100'000;  // capacity of a cache's purge table
-constexpr std::int64_t kUnixMs = 1'764'000'000'000;
+// An arbitrary Unix time, to which the sample times are relative.
+constexpr std::int64_t kBaseUnixMs = 1'764'000'000'000;
 
 Name object_name(std::uint64_t number) {
   char item[17];
@@ -43,9 +45,11 @@
 // ---- Purges ----
 
 store::PurgeRecord purge_of(std::uint64_t number) {
-  return {store::PurgeRecord::Kind::kObject, number, kUnixMs + static_cast<std::int64_t>(number)};
+  return {store::PurgeRecord::Kind::kObject, number, kBaseUnixMs + static_cast<std::int64_t>(number)};
 }
 
+// Measures the memory of a purge table, and the CPU time of adding purges to a full one. Each added purge
+// makes a full table fold its earliest purge into the purge of all objects.
 void measure_purge_table(const CostSink& sink) {
   CostSeries memory{"cache.memory.purge",
                     "a cache's purges, held until more than 100,000 are",
@@ -59,13 +63,13 @@
                  "purges",
                  "in process",
                  {}};
-  std::uint64_t next = 0;
+  std::uint64_t last_number = 0;
   const auto fill = [&](store::PurgeTable& table, std::size_t size) {
     while (table.objects() < size) {
-      table.add(purge_of(++next));
+      table.add(purge_of(++last_number));
     }
   };
-  for (const int purges : kPurges) {
+  for (const int purges : kPurgeCounts) {
     const auto size = static_cast<std::size_t>(purges);
     memory.points.emplace_back(purges, bytes_held_by([&] {
                                  auto table = std::make_unique<store::PurgeTable>(size);
@@ -75,10 +79,10 @@
   }
   store::PurgeTable full(kMaxPurges);
   fill(full, kMaxPurges);
-  for (const int purges : kPurges) {
+  for (const int purges : kPurgeCounts) {
     cpu.points.emplace_back(purges, cpu_us_per_call(1, [&] {
                               for (int i = 0; i < purges; ++i) {
-                                full.add(purge_of(++next));
+                                full.add(purge_of(++last_number));
                                 keep_result(full.drain_folded());
                               }
                             }));
@@ -101,8 +105,8 @@
   return fields;
 }
 
-// Processes requests that hit: parses the request, decides, checks the copy against the purges, and writes
-// the head of the answer.
+// Processes requests that the cache answers with a stored copy: encodes and parses the request, passes it to
+// the node's core, which checks the copy against the purges, and writes the head of the answer.
 class HitProcessor {
  public:
   HitProcessor()
@@ -115,15 +119,15 @@
     }
     lookup_result_.status = store::ReadStatus::kComplete;
     lookup_result_.copy =
-        Copy{"tag", kUnixMs + 1'000'000, 3, std::make_shared<const std::string>(20'000, 'x')};
+        Copy{"tag", kBaseUnixMs + 1'000'000, 3, std::make_shared<const std::string>(20'000, 'x')};
   }
 
   void process_hit() {
     ++request_number_;
-    const std::string wire = protocol::write_serve_fields(fields_of(request_number_ * 7'919));
-    auto read = protocol::read_serve_fields(wire);
+    const std::string encoded = protocol::write_serve_fields(fields_of(request_number_ * 7'919));
+    auto parsed = protocol::read_serve_fields(encoded);
     actions_.clear();
-    core_.on_request(now_, request_number_, std::move(std::get<protocol::ServeFields>(read)), "", actions_);
+    core_.on_request(now_, request_number_, std::move(std::get<protocol::ServeFields>(parsed)), "", actions_);
     core_.on_lookup_result(now_, request_number_, lookup_result_, actions_);
     for (const cache_node::Action& action : actions_) {
       if (const auto* answer = std::get_if<cache_node::Answer>(&action)) {
@@ -142,7 +146,7 @@
   store::PurgeTable purges_;
   cache_node::NodeCore core_;
   store::ReadResult lookup_result_;
-  cache_node::EventContext now_{1'000, kUnixMs + 2'000'000, 0};
+  cache_node::EventContext now_{1'000, kBaseUnixMs + 2'000'000, 0};
   std::uint64_t request_number_ = 0;
   std::vector<cache_node::Action> actions_;
 };
@@ -156,7 +160,7 @@
       "in process",
       {}};
   HitProcessor processor;
-  for (const int requests : kRequests) {
+  for (const int requests : kRequestCounts) {
     cpu.points.emplace_back(requests, cpu_us_per_call(1, [&] {
                               for (int i = 0; i < requests; ++i) {
                                 processor.process_hit();
@@ -221,7 +225,7 @@
             options_, pool_,
             store::Store::Storage{[folder] { return store::open_folder(folder); },
                                   [folder] { return store::open_sqlite_index(folder); }},
-            [] { return store::Store::TimeReading{static_cast<std::int64_t>(wall_us() / 1e3), kUnixMs}; },
+            [] { return store::Store::TimeReading{static_cast<std::int64_t>(wall_us() / 1e3), kBaseUnixMs}; },
             [](bool, const std::string&) {}, 1) {}
 
   void open() {
@@ -234,13 +238,15 @@
     store_.flush([&done] { done = true; });
     queue_.run_until([&done] { return done; });
   }
+  // Stores `objects` small objects on disk.
   void fill(int objects) {
     constexpr int kBatchSize = 20'000;
+    constexpr int kKeepRank = 2;
     const auto value = std::make_shared<const std::string>(std::string(32, 'x'));
     for (int i = 0; i < objects; ++i) {
       const Name name = object_name(static_cast<std::uint64_t>(i));
-      store_.find(name, 2);
-      store_.insert(name, Copy{"t", 1, 3, value}, 2);
+      store_.find(name, kKeepRank);  // as for a request that misses
+      store_.insert(name, Copy{"t", 1, 3, value}, kKeepRank);
       if (i % kBatchSize == kBatchSize - 1) {
         flush();
       }
@@ -256,8 +262,8 @@
   store::Store store_;
 };
 
-// Fills the folder in a child process. If this process did it, the later measurement would reuse the memory
-// freed here and not count it.
+// Fills the folder in a child process, so that this process frees no memory here. The measured store would
+// reuse freed memory, and allocated_bytes() would not count it.
 void fill_folder(const std::string& folder, int objects) {
   std::filesystem::remove_all(folder);
   const pid_t child = ::fork();
@@ -270,6 +276,7 @@
   ::waitpid(child, nullptr, 0);
 }
 
+// Measures the memory of a store and the time to open it, with objects on disk.
 void measure_recovery(const CostContext& context, const CostSink& sink) {
   CostSeries memory{"cache.memory.object",
                     "a store after recovery, beside payload: table, lists, sketch",
@@ -284,13 +291,13 @@
                   "in process",
                   {}};
   const std::string folder = context.folder + "/store";
-  for (const int objects : kObjects) {
+  for (const int objects : kObjectCounts) {
     fill_folder(folder, objects);
     const double before = allocated_bytes();
     DiskStore disk(folder, objects);
-    const double start = wall_us();
+    const double start_us = wall_us();
     disk.open();
-    const double elapsed_ms = (wall_us() - start) / 1e3;
+    const double elapsed_ms = (wall_us() - start_us) / 1e3;
     const auto recovered = static_cast<double>(disk.stats().recovered);
     memory.points.emplace_back(recovered, allocated_bytes() - before);
     time.points.emplace_back(recovered, elapsed_ms);
--- a/benchmarks/scale/role_costs.cpp
+++ b/benchmarks/scale/role_costs.cpp
@@ -1,5 +1,5 @@
-// Measures the cost of each role of a fleet by running the project's own code at several sizes, and fits how
-// each cost grows. docs/CAPACITY.md is computed from these slopes.
+// Measures the cost of each role of a fleet by running the project's own code at several sizes, and fits the
+// growth of each cost. The results are slopes (see slopes.h), from which docs/CAPACITY.md is computed.
 //
 //     role_costs --write docs/capacity/slopes.json
 //     role_costs --only process --program build/trailcourse --json
@@ -28,26 +28,26 @@
 namespace trailcourse::scale {
 namespace {
 
-struct Measurement {
-  const char* group;  // name that --only selects by prefix
+struct MeasurementGroup {
+  const char* name;  // --only selects groups by a prefix of their names
   void (*run)(const CostContext&, const CostSink&);
 };
 
-constexpr Measurement kMeasurements[] = {{"router", measure_router},
-                                         {"purges", measure_purges},
-                                         {"policy", measure_policy},
-                                         {"cache", measure_cache},
-                                         {"board", measure_board},
-                                         {"store", measure_store},
-                                         {"driver", measure_driver},
-                                         {"membership", measure_membership},
-                                         {"aggregator", measure_aggregator},
-                                         {"process.idle", measure_idle_processes},
-                                         {"process.requests", measure_request_processes},
-                                         {"process.purges.board", measure_purges_by_board},
-                                         {"process.purges.long", measure_purges_by_board_long},
-                                         {"process.purges.relays", measure_purges_by_relays},
-                                         {"process.purges.http", measure_purges_http}};
+constexpr MeasurementGroup kGroups[] = {{"router", measure_router},
+                                        {"purges", measure_router_purges},
+                                        {"policy", measure_router_policy},
+                                        {"cache", measure_cache},
+                                        {"board", measure_discovery_service},
+                                        {"store", measure_coordination_store},
+                                        {"driver", measure_rollout_coordinator},
+                                        {"membership", measure_membership},
+                                        {"aggregator", measure_aggregator},
+                                        {"process.idle", measure_idle_processes},
+                                        {"process.requests", measure_request_processes},
+                                        {"process.purges.board", measure_purges_by_board},
+                                        {"process.purges.long", measure_purges_by_board_long},
+                                        {"process.purges.relays", measure_purges_by_relays},
+                                        {"process.purges.http", measure_purges_http}};
 
 // Temporary folder of this process, removed on destruction.
 class TemporaryFolder {
@@ -69,7 +69,7 @@
   std::filesystem::path path_;
 };
 
-Slope slope_of(const CostSeries& series, const std::string& group) {
+Slope slope_of(const CostSeries& series, const std::string& group_name) {
   Slope out;
   out.name = series.name;
   out.what = series.what;
@@ -77,11 +77,11 @@
   out.per = series.per;
   out.setting = series.setting;
   out.points = series.points;
-  out.command = "role_costs --only " + group;
+  out.command = "role_costs --only " + group_name;
   return measured_here(std::move(out));
 }
 
-void print(const Slope& slope) {
+void print_slope(const Slope& slope) {
   std::printf("%-36s %-10s %12.4g + %10.4g/%s  R2 %.4f |", slope.name.c_str(), to_string(slope.fit.form),
               slope.fit.offset, slope.fit.slope, slope.unit.c_str(), slope.fit.r_squared);
   for (const auto& [x, y] : slope.points) {
@@ -93,30 +93,31 @@
 
 struct MeasurementResults {
   std::vector<Slope> slopes;
-  int failed_groups = 0;  // groups that an exception ended early
+  int failed_groups = 0;  // number of groups that ended with an exception
 };
 
-MeasurementResults measure_all(const CostContext& context, const std::string& only, bool quiet) {
+// Runs the groups whose names start with `only`. Prints each slope, unless `quiet`.
+MeasurementResults measure_selected_groups(const CostContext& context, const std::string& only, bool quiet) {
   const bool shows_progress = ::isatty(STDERR_FILENO) == 1;
   MeasurementResults out;
-  const auto add_slope = [&](const CostSeries& series, const std::string& group) {
-    out.slopes.push_back(slope_of(series, group));
+  const auto add_slope = [&](const CostSeries& series, const std::string& group_name) {
+    out.slopes.push_back(slope_of(series, group_name));
     if (!quiet) {
-      print(out.slopes.back());
+      print_slope(out.slopes.back());
     }
   };
-  for (const Measurement& measurement : kMeasurements) {
-    const std::string group = measurement.group;
-    if (!group.starts_with(only)) {
+  for (const MeasurementGroup& group : kGroups) {
+    const std::string name = group.name;
+    if (!name.starts_with(only)) {
       continue;
     }
     if (shows_progress) {
-      std::cerr << "measuring " << group << " ...\n";
+      std::cerr << "measuring " << name << " ...\n";
     }
     try {
-      measurement.run(context, [&](const CostSeries& series) { add_slope(series, group); });
+      group.run(context, [&](const CostSeries& series) { add_slope(series, name); });
     } catch (const std::exception& error) {
-      std::cerr << "role_costs: " << group << ": " << error.what() << '\n';
+      std::cerr << "role_costs: " << name << ": " << error.what() << '\n';
       ++out.failed_groups;
     }
   }
@@ -147,7 +148,8 @@
   context.folder = folder.path();
   context.seed = parsed["seed"].as<std::uint64_t>();
   const bool as_json = parsed.count("json") > 0;
-  const auto [slopes, failed_groups] = measure_all(context, parsed["only"].as<std::string>(), as_json);
+  const auto [slopes, failed_groups] =
+      measure_selected_groups(context, parsed["only"].as<std::string>(), as_json);
   if (as_json) {
     std::cout << write_slopes(slopes).dump(1) << '\n';
   }
--- a/benchmarks/scale/role_costs.h
+++ b/benchmarks/scale/role_costs.h
@@ -1,4 +1,5 @@
-// The measurements that role_costs can run. Each runs the project's own code at several sizes.
+// The groups of measurements that the program role_costs runs. Each runs the project's own code at several
+// sizes.
 //
 // Used by benchmarks only.
 #pragma once
@@ -14,16 +15,16 @@
 struct CostContext {
   std::string program;     // path of the built trailcourse program, for measurements of real processes
   std::string folder;      // temporary folder for files, removed when role_costs ends
-  std::uint64_t seed = 1;  // of the random numbers
+  std::uint64_t seed = 1;  // seed of the random numbers
 };
 
 void measure_router(const CostContext& context, const CostSink& sink);
-void measure_purges(const CostContext& context, const CostSink& sink);
-void measure_policy(const CostContext& context, const CostSink& sink);
+void measure_router_purges(const CostContext& context, const CostSink& sink);
+void measure_router_policy(const CostContext& context, const CostSink& sink);
 void measure_cache(const CostContext& context, const CostSink& sink);
-void measure_board(const CostContext& context, const CostSink& sink);
-void measure_store(const CostContext& context, const CostSink& sink);
-void measure_driver(const CostContext& context, const CostSink& sink);
+void measure_discovery_service(const CostContext& context, const CostSink& sink);
+void measure_coordination_store(const CostContext& context, const CostSink& sink);
+void measure_rollout_coordinator(const CostContext& context, const CostSink& sink);
 void measure_membership(const CostContext& context, const CostSink& sink);
 void measure_aggregator(const CostContext& context, const CostSink& sink);
 void measure_idle_processes(const CostContext& context, const CostSink& sink);
--- a/benchmarks/scale/slopes.h
+++ b/benchmarks/scale/slopes.h
@@ -75,9 +75,11 @@
 nlohmann::json write_slopes(const std::vector<Slope>& slopes);
 // Converts a JSON array to slopes. Throws BadSlopes if it is invalid.
 std::vector<Slope> read_slopes(const nlohmann::json& list);
-// Reads the slopes from a file. Returns no slopes if the file does not exist or cannot be opened. Throws BadSlopes for invalid content.
+// Reads the slopes from a file. Returns no slopes if the file does not exist or cannot be opened. Throws
+// BadSlopes for invalid content.
 std::vector<Slope> load_slopes(const std::string& path);
-// Returns all slopes of both lists, sorted by name. A slope in `fresh` replaces one of the same name in `old`.
+// Returns all slopes of both lists, sorted by name. A slope in `fresh` replaces one of the same name in
+// `old`.
 std::vector<Slope> merge_slopes(const std::vector<Slope>& old, const std::vector<Slope>& fresh);
 // Merges `fresh` into the file, which is replaced atomically. Throws BadSlopes if the existing file is
 // invalid, std::runtime_error if the new one cannot be written.
