--- a/benchmarks/scale/control_costs.cpp
+++ b/benchmarks/scale/control_costs.cpp
@@ -1,5 +1,6 @@
 // Measures the costs of coordinating a policy rollout, of the view of the fleet's members, and of competing
-// for ownership of shared work.
+// for ownership of shared work. In the names and texts of the measured points, the driver of a change is the
+// rollout coordinator, its look is its read of the store, and a permit is a participant report.
 #include <array>
 #include <map>
 #include <memory>
@@ -21,9 +22,10 @@
 constexpr std::array<int, 7> kReportCounts{30, 100, 203, 1'000, 3'000, 10'000, 19'000};
 constexpr std::array<int, 5> kMemberCounts{100, 300, 1'000, 3'000, 19'000};
 constexpr const char* kPrefix = "trailcourse/";
+constexpr int kZones = 203;
 
 std::string router_name(int index) { return "router-" + std::to_string(10'000 + index); }
-std::string zone_name(int index) { return "zone" + std::to_string(index % 203); }
+std::string zone_name(int index) { return "zone" + std::to_string(index % kZones); }
 
 // ---- Coordinator of a policy rollout ----
 
@@ -35,7 +37,8 @@
   return out;
 }
 
-// State of a coordination store in which all routers have reported that they are ready for a rollout.
+// Returns the state of a coordination store in which all routers have reported that they are ready for a
+// rollout.
 coordination::KeyValueState state_with_reports(int reports) {
   coordination::KeyValueState state{coordination::KeyValueLimits()};
   const policy::Rollout rollout = sample_rollout();
@@ -58,6 +61,8 @@
   return state;
 }
 
+// Measures one read of all records that the rollout coordinator needs: its size, and its CPU time at the
+// store and at the coordinator.
 void measure_rollout_reads(const CostSink& sink) {
   namespace etcd = coordination::etcd;
   CostSeries bytes{"driver.bytes.look",
@@ -66,9 +71,9 @@
                    "permits",
                    "in process",
                    {}};
-  CostSeries store{
+  CostSeries store_cpu{
       "store.cpu.look", "that read served: found, and written as JSON", "us", "permits", "in process", {}};
-  CostSeries driver{
+  CostSeries coordinator_cpu{
       "driver.cpu.look", "that read taken in, and the next step found", "us", "permits", "in process", {}};
   const etcd::ResponseHeader header{0xabcd'ef01'2345, 123'456'789};
   for (const int reports : kReportCounts) {
@@ -76,13 +81,13 @@
     const coordination::Transaction snapshot_read = policy::snapshot_transaction(kPrefix);
     std::string answer;
     const int calls = std::max(1, 3'000 / reports);
-    store.points.emplace_back(
+    store_cpu.points.emplace_back(
         reports, cpu_us_per_call(calls, [&] {
           answer = etcd::write_transaction_result(header, snapshot_read, state.commit(snapshot_read)).dump();
         }));
     bytes.points.emplace_back(reports, answer.size());
     policy::RolloutCoordinator coordinator(policy::rollout_timeouts(policy::PolicyOptions()));
-    driver.points.emplace_back(
+    coordinator_cpu.points.emplace_back(
         reports, cpu_us_per_call(calls, [&] {
           etcd::ResponseHeader received_header;
           const auto outcome =
@@ -90,7 +95,7 @@
           keep_result(coordinator.step(Micros(1), policy::read_snapshot(kPrefix, outcome)));
         }));
   }
-  for (const CostSeries& series : {bytes, store, driver}) {
+  for (const CostSeries& series : {bytes, store_cpu, coordinator_cpu}) {
     sink(series);
   }
 }
@@ -108,6 +113,7 @@
   return out;
 }
 
+// Adds the member to the view, or removes it if it is not `present`.
 void apply_member(membership::MembershipView& view, const membership::Member& member, bool present,
                   std::uint64_t revision) {
   view.apply(Micros(static_cast<std::int64_t>(revision)),
@@ -115,7 +121,9 @@
              present ? membership::write_member(member) : "", revision, revision);
 }
 
-void measure_view(const CostSink& sink) {
+// Measures a membership view: its memory, the removal and return of single members, and the list of eligible
+// members.
+void measure_membership_view(const CostSink& sink) {
   CostSeries memory{
       "membership.memory.view", "one router's view of the members", "bytes", "members", "in process", {}};
   CostSeries change{
@@ -127,17 +135,18 @@
                       "in process",
                       {}};
   for (const int members : kMemberCounts) {
-    const auto filled = [&] {
+    const auto filled_view = [&] {
       auto view = std::make_unique<membership::MembershipView>(membership::MembershipOptions());
       for (int i = 0; i < members; ++i) {
         apply_member(*view, member_of(i), true, static_cast<std::uint64_t>(i) + 1);
       }
       return view;
     };
-    memory.points.emplace_back(members, bytes_held_by(filled));
-    const auto view = filled();
+    memory.points.emplace_back(members, bytes_held_by(filled_view));
+    const auto view = filled_view();
     std::uint64_t revision = 100'000;
     change.points.emplace_back(members, cpu_us_per_call(500, [&] {
+                                 // An even revision removes a member, the next one adds it again.
                                  ++revision;
                                  const int member_index =
                                      static_cast<int>(revision / 2 % static_cast<unsigned>(members));
@@ -162,6 +171,7 @@
   return out;
 }
 
+// Returns the lease manager of router 0, with work of four shards that router 1 owns.
 std::unique_ptr<ownership::LeaseManager> make_lease_manager(int members) {
   auto manager = std::make_unique<ownership::LeaseManager>(router_name(0), "0123456789abcdef", zone_name(0),
                                                            std::set<std::string>{"fill"},
@@ -180,6 +190,7 @@
   return manager;
 }
 
+// Measures a lease manager: its memory, a new list of members, and a shard that loses and regains its owner.
 void measure_lease_managers(const CostSink& sink) {
   CostSeries memory{"ownership.memory.candidate",
                     "one router's lease manager, for work of four shards",
@@ -202,12 +213,12 @@
   for (const int members : kMemberCounts) {
     memory.points.emplace_back(members, bytes_held_by([&] { return make_lease_manager(members); }));
     const auto manager = make_lease_manager(members);
-    const auto list = member_zones(members);
+    const auto zones_by_member = member_zones(members);
     Micros now(1'000'000);
     const int calls = std::max(1, 5'000 / members);
     change.points.emplace_back(members, cpu_us_per_call(calls, [&] {
                                  now += Micros(1'000);
-                                 manager->set_members(now, list);
+                                 manager->set_members(now, zones_by_member);
                                  keep_result(manager->step(now));
                                }));
     std::uint64_t revision = 8;
@@ -227,10 +238,10 @@
 
 }  // namespace
 
-void measure_driver(const CostContext&, const CostSink& sink) { measure_rollout_reads(sink); }
+void measure_rollout_coordinator(const CostContext&, const CostSink& sink) { measure_rollout_reads(sink); }
 
 void measure_membership(const CostContext&, const CostSink& sink) {
-  measure_view(sink);
+  measure_membership_view(sink);
   measure_lease_managers(sink);
 }
 
--- a/benchmarks/scale/policy_costs.cpp
+++ b/benchmarks/scale/policy_costs.cpp
@@ -1,4 +1,6 @@
-// Measures the costs of the fleet's policy for a router: of policy documents, and of its policy lease.
+// Measures the costs of the fleet's policy for a router: of policy documents, and of its policy lease. In the
+// names and texts of the measured points, a holder is a participant, the permission is its policy lease, and
+// a ruling is an evaluation of the effective policy.
 #include <array>
 #include <memory>
 #include <string>
@@ -16,6 +18,7 @@
 
 constexpr std::array<int, 4> kClassCounts{3, 10, 30, 60};
 constexpr std::array<int, 4> kParticipantCounts{100, 300, 1'000, 3'000};
+constexpr int kZones = 203;
 
 policy::PolicyDocument document_of(int classes) {
   policy::PolicyDocument out;
@@ -29,6 +32,7 @@
   return out;
 }
 
+// Measures a policy document with `classes` request classes: its text, its parsing and its memory.
 void measure_documents(const CostSink& sink) {
   CostSeries bytes{"router.bytes.policy.document",
                    "a version of the policy as it stands in the store",
@@ -57,8 +61,9 @@
   }
 }
 
-std::string zone_of(int index) { return "zone" + std::to_string(index % 203); }
+std::string zone_of(int index) { return "zone" + std::to_string(index % kZones); }
 
+// Returns a participant that holds its policy lease, with policy version 7 in force.
 std::unique_ptr<policy::Participant> joined_participant(int index, Micros now) {
   auto participant = std::make_unique<policy::Participant>(
       "0123456789abcdef", zone_of(index), policy::participant_options(policy::PolicyOptions()),
@@ -78,7 +83,8 @@
   return participant;
 }
 
-// Renews the lease once and gets the answer, as a router does each second while its policy does not change.
+// Renews the policy lease once and evaluates the effective policy, as a router does each second while its
+// policy does not change.
 void renew(policy::Participant& participant, Micros now) {
   for (const policy::ParticipantAction& action : participant.step(now)) {
     if (const auto* lease = std::get_if<policy::LeaseAction>(&action)) {
@@ -88,6 +94,7 @@
   keep_result(participant.effective_policy(now));
 }
 
+// Measures the participants of `count` routers: their memory, and one renewal of each.
 void measure_participants(const CostSink& sink) {
   CostSeries memory{"router.memory.policy.holder",
                     "routers' sides of the policy, with permission",
@@ -122,7 +129,7 @@
 
 }  // namespace
 
-void measure_policy(const CostContext&, const CostSink& sink) {
+void measure_router_policy(const CostContext&, const CostSink& sink) {
   measure_documents(sink);
   measure_participants(sink);
 }
--- a/benchmarks/scale/purge_costs.cpp
+++ b/benchmarks/scale/purge_costs.cpp
@@ -1,5 +1,6 @@
 // Measures the costs of purges for a router: bytes, CPU time and memory, and the number of active purges
-// above which the router folds them into one purge of all objects.
+// above which the router folds them into one purge of all objects. In the names and texts of the measured
+// points, a purge binds while it is active.
 #include <trailcourse/decider.h>
 
 #include <array>
@@ -17,8 +18,8 @@
 
 constexpr std::array<int, 4> kPageSizes{1, 10, 100, 1'000};
 constexpr std::array<int, 5> kActivePurges{500, 1'000, 3'000, 6'000, 9'900};
-constexpr std::array<int, 6> kRates{30, 60, 90, 180, 360, 720};
-constexpr std::size_t kCapacity = 20'000;  // the purge capacity of the decision module
+constexpr std::array<int, 6> kPurgesPerSecond{30, 60, 90, 180, 360, 720};
+constexpr std::size_t kPurgeCapacity = 20'000;  // purges that the decision module can hold
 constexpr Micros kSecond{1'000'000};
 
 Purged purge_of(ObjectId object) {
@@ -27,6 +28,7 @@
   return out;
 }
 
+// Measures a page of the discovery service with `purges` purges, and its parsing.
 void measure_pages(const CostSink& sink) {
   CostSeries bytes{
       "router.bytes.purge", "a page that tells so many purges", "bytes", "purges", "in process", {}};
@@ -46,27 +48,28 @@
   sink(cpu);
 }
 
-// Sends purges at a constant rate, at which `active` purges are active at any time.
+// Sends purges to a decision module, at a constant rate that keeps `active` purges active.
 class PurgeStream {
  public:
   PurgeStream(const protocol::Profile& profile, std::uint64_t seed, int active)
-      : decider_(profile.settings, seed), step_((profile.settings.purge_done + kSecond) / active) {}
+      : decider_(profile.settings, seed), interval_((profile.settings.purge_done + kSecond) / active) {}
 
   void send(int purges) {
     for (int i = 0; i < purges; ++i) {
-      now_ += step_;
-      decider_.handle(now_, purge_of(++last_), actions_);
+      now_ += interval_;
+      decider_.handle(now_, purge_of(++last_object_), actions_);
     }
   }
 
  private:
   Decider decider_;
-  Micros step_;
+  Micros interval_;
   Micros now_ = kSecond;
-  ObjectId last_ = 0;
+  ObjectId last_object_ = 0;
   std::vector<Action> actions_;
 };
 
+// Measures the CPU time and memory of the decision module for purges.
 void measure_decision_module(const CostContext& context, const CostSink& sink) {
   CostSeries cpu{"router.cpu.purge",
                  "so many purges taken in by the module while 6,000 bind",
@@ -88,38 +91,39 @@
                                  return stream;
                                }));
   }
-  // More purges than the table holds, so that each value includes the removal of expired purges.
+  // More purges than the module can hold, so that each value includes the removal of expired purges.
   for (const int purges : {25'000, 50'000, 100'000, 200'000}) {
     PurgeStream stream(profile, context.seed, 6'000);
-    stream.send(static_cast<int>(kCapacity));
+    stream.send(static_cast<int>(kPurgeCapacity));
     cpu.points.emplace_back(purges, cpu_us_per_call(1, [&] { stream.send(purges); }));
   }
   sink(cpu);
   sink(memory);
 }
 
-// Whether `rate` purges a second, each active for `active_time`, are folded into one purge of all objects.
+// Returns whether purges at `rate` purges a second, each active for `active_time`, are folded into one purge
+// of all objects.
 bool is_folded(int rate, Micros active_time) {
-  PurgeHistory history(kCapacity, active_time);
-  const Micros step = kSecond / rate;
+  PurgeHistory history(kPurgeCapacity, active_time);
+  const Micros interval = kSecond / rate;
   Micros now = kSecond;
-  constexpr std::uint64_t kNeverPurged = 0;
-  const auto events = static_cast<std::uint64_t>(4 * kCapacity);
+  constexpr std::uint64_t kUnpurgedKey = 0;
+  const auto events = static_cast<std::uint64_t>(4 * kPurgeCapacity);
   for (std::uint64_t event = 1; event <= events; ++event) {
-    now += step;
+    now += interval;
     history.add(event, now, now);
-    if (history.latest(kNeverPurged, now) >= Micros(0)) {
+    if (history.latest(kUnpurgedKey, now) >= Micros(0)) {
       return true;
     }
   }
   return false;
 }
 
-// Longest time in seconds for which purges at `rate` purges a second can be active without being folded, to
-// within 0.01 s.
+// Returns the longest active time in seconds, to within 0.01 s, for which purges at `rate` purges a second are
+// not folded.
 double longest_active_time_s(int rate) {
   double lower = 0.0;
-  double upper = 4.0 * kCapacity / rate;
+  double upper = 4.0 * kPurgeCapacity / rate;
   while (upper - lower > 0.01) {
     const double middle = (lower + upper) / 2.0;
     (is_folded(rate, Micros(static_cast<std::int64_t>(middle * 1e6))) ? upper : lower) = middle;
@@ -127,6 +131,7 @@
   return lower;
 }
 
+// Measures the largest number of active purges, and their longest active time, at which no purges are folded.
 void measure_fold(const CostSink& sink) {
   CostSeries active{"router.purges.before.fold",
                     "purges that bind at once before they fold into one for all objects",
@@ -134,23 +139,24 @@
                     "purges a second",
                     "in process",
                     {}};
-  CostSeries active_time{"router.purges.binding.before.fold",
-                         "reciprocal of the longest binding time that never folds",
-                         "1/s",
-                         "purges a second",
-                         "in process",
-                         {}};
-  for (const int rate : kRates) {
+  CostSeries inverse_active_time{"router.purges.binding.before.fold",
+                                 "reciprocal of the longest binding time that never folds",
+                                 "1/s",
+                                 "purges a second",
+                                 "in process",
+                                 {}};
+  for (const int rate : kPurgesPerSecond) {
     const double longest = longest_active_time_s(rate);
     active.points.emplace_back(rate, longest * rate);
-    active_time.points.emplace_back(rate, 1.0 / longest);
+    inverse_active_time.points.emplace_back(rate, 1.0 / longest);
   }
   sink(active);
-  sink(active_time);
+  sink(inverse_active_time);
 }
 
-// Share of requests for objects that were never purged, but are sent with an age limit because purges were
-// folded. Each copy older than the fold is fetched again.
+// Returns the share of the attempts that carry an age limit, for requests of objects that were not purged.
+// `purges` purges of other objects come first. If they are folded into one purge of all objects, caches must
+// fetch every older copy again.
 double limited_share(const protocol::Profile& profile, std::uint64_t seed, int purges) {
   Decider decider(profile.settings, seed);
   std::vector<Action> actions;
@@ -207,7 +213,7 @@
 
 }  // namespace
 
-void measure_purges(const CostContext& context, const CostSink& sink) {
+void measure_router_purges(const CostContext& context, const CostSink& sink) {
   measure_pages(sink);
   measure_decision_module(context, sink);
   measure_fold(sink);
--- a/benchmarks/scale/router_costs.cpp
+++ b/benchmarks/scale/router_costs.cpp
@@ -17,8 +17,8 @@
 namespace trailcourse::scale {
 namespace {
 
-constexpr std::array<int, 5> kListSizes{40, 500, 2'100, 4'200, 8'400};
-constexpr std::array<int, 6> kZoneSizes{5, 10, 40, 100, 400, 1'600};
+constexpr std::array<int, 5> kCacheCounts{40, 500, 2'100, 4'200, 8'400};
+constexpr std::array<int, 6> kLocalCacheCounts{5, 10, 40, 100, 400, 1'600};  // caches in the router's zone
 constexpr int kRouters = 19'000;
 constexpr int kZones = 203;
 
@@ -49,12 +49,14 @@
   routing::DiscoveryUpdateHandler update_handler_;
 };
 
+// Returns the text of the page as the discovery service sends it.
 std::string page_text(const nlohmann::json& page) {
   discovery::EventLog log;
   log.replace(page);
   return *log.page_after(0);
 }
 
+// Returns an endpoint list with `caches` caches, all in `zone`, followed by one origin.
 EndpointListReceived complete_list(int caches, const std::string& zone) {
   EndpointListReceived list;
   for (int i = 0; i < caches; ++i) {
@@ -71,6 +73,8 @@
   return list;
 }
 
+// Measures a page with a complete endpoint list: its size, the CPU time of applying it, and the memory that
+// the router then holds.
 void measure_lists(const CostContext& context, const CostSink& sink) {
   CostSeries bytes{"router.bytes.list",
                    "one whole list of caches on a page of the board",
@@ -97,7 +101,7 @@
                     "in process",
                     {}};
   const protocol::Profile profile = protocol::read_profile(router_settings(kRouters, kZones));
-  for (const int caches : kListSizes) {
+  for (const int caches : kCacheCounts) {
     const std::string text = page_text(list_page(caches, kZones));
     bytes.points.emplace_back(caches, text.size());
     double minimum = 0.0;
@@ -126,7 +130,7 @@
   }
 }
 
-// A page with an update of one endpoint.
+// Returns a page with an update of one endpoint.
 nlohmann::json update_page(std::uint64_t number, const nlohmann::json& entry) {
   const nlohmann::json pool{
       {"index", number}, {"snapshot", false}, {"endpoints", nlohmann::json::array({entry})}};
@@ -134,7 +138,7 @@
   return {{"rev", number}, {"notices", nlohmann::json::array({event})}};
 }
 
-// Applying a page that updates one cache, for lists of several sizes.
+// Measures the CPU time of applying a page that updates one cache of a list.
 void measure_list_change(const CostContext& context, const CostSink& sink) {
   CostSeries cpu{"router.cpu.list.change",
                  "one cache of the list changes: page parsed, directory, module",
@@ -143,11 +147,11 @@
                  "in process",
                  {}};
   const protocol::Profile profile = protocol::read_profile(router_settings(kRouters, kZones));
-  for (const int caches : kListSizes) {
+  for (const int caches : kCacheCounts) {
     const nlohmann::json page = list_page(caches, kZones);
     PageApplier applier(profile, context.seed);
     applier.apply(page_text(page));
-    nlohmann::json entry = page["notices"][0]["pool"]["endpoints"][1];
+    nlohmann::json entry = page["notices"][0]["pool"]["endpoints"][1];  // the first cache; 0 is the origin
     std::uint64_t number = 1;
     cpu.points.emplace_back(caches, cpu_us_per_call(200, [&] {
                               ++number;
@@ -158,7 +162,7 @@
   sink(cpu);
 }
 
-// Decides and completes one request after the other.
+// Passes requests to the decision module one at a time, and completes the attempts of each.
 class RequestProcessor {
  public:
   RequestProcessor(const protocol::Profile& profile, std::uint64_t seed, const EndpointListReceived& list)
@@ -213,34 +217,37 @@
   std::vector<Action> actions_;
 };
 
+// Measures the CPU time of the decisions on one request: by the number of caches in the router's zone, and by
+// the number of caches in the list if only ten of them are in the zone.
 void measure_decisions(const CostContext& context, const CostSink& sink) {
-  CostSeries zone{"router.cpu.decision",
-                  "one request from its arrival to its one answer, in the module",
-                  "us",
-                  "caches of the router's zone",
-                  "in process",
-                  {}};
-  CostSeries others{"router.cpu.decision.others",
-                    "the same, ten caches in the zone and all others elsewhere",
-                    "us",
-                    "caches",
-                    "in process",
-                    {}};
+  CostSeries by_local_caches{"router.cpu.decision",
+                             "one request from its arrival to its one answer, in the module",
+                             "us",
+                             "caches of the router's zone",
+                             "in process",
+                             {}};
+  CostSeries by_all_caches{"router.cpu.decision.others",
+                           "the same, ten caches in the zone and all others elsewhere",
+                           "us",
+                           "caches",
+                           "in process",
+                           {}};
   const protocol::Profile profile = protocol::read_profile(router_settings(kRouters, kZones));
-  for (const int caches : kZoneSizes) {
+  for (const int caches : kLocalCacheCounts) {
     RequestProcessor processor(profile, context.seed, complete_list(caches, kSampleZone));
-    zone.points.emplace_back(caches, cpu_us_per_call(2'000, [&] { processor.process_request(); }));
+    by_local_caches.points.emplace_back(caches, cpu_us_per_call(2'000, [&] { processor.process_request(); }));
   }
-  for (const int caches : kListSizes) {
+  for (const int caches : kCacheCounts) {
     EndpointListReceived list = complete_list(caches, kSampleZone);
-    for (std::size_t i = 10; i + 1 < list.entries.size(); ++i) {
+    constexpr std::size_t kLocalCaches = 10;
+    for (std::size_t i = kLocalCaches; i + 1 < list.entries.size(); ++i) {  // the last entry is the origin
       list.entries[i].zone = "zone1";
     }
     RequestProcessor processor(profile, context.seed, list);
-    others.points.emplace_back(caches, cpu_us_per_call(2'000, [&] { processor.process_request(); }));
+    by_all_caches.points.emplace_back(caches, cpu_us_per_call(2'000, [&] { processor.process_request(); }));
   }
-  sink(zone);
-  sink(others);
+  sink(by_local_caches);
+  sink(by_all_caches);
 }
 
 }  // namespace
--- a/benchmarks/scale/store_costs.cpp
+++ b/benchmarks/scale/store_costs.cpp
@@ -1,5 +1,6 @@
 // Measures the costs of the coordination store for a transaction, a renewal, a lease and a watch: in the
-// key-value state alone, in the database file, and in the server process.
+// key-value state alone, in the database file, and in the server. In the names and texts of the measured
+// points, the ledger is the key-value state, and a permit is a participant report.
 #include <array>
 #include <filesystem>
 #include <memory>
@@ -30,8 +31,9 @@
 constexpr std::array<int, 5> kWatchCounts{1, 30, 100, 300, 1'000};
 constexpr std::chrono::milliseconds kTtl{60'000'000};  // no lease expires during a measurement
 constexpr const char* kPrefix = "trailcourse/";
+constexpr std::size_t kLeaseStride = 7'919;  // prime, so that steps of this size visit every lease
 
-// The limits of a coordination server, with a lease limit that is sufficient for every router of the fleet.
+// Returns the default limits of a coordination server, except that every router of the fleet can get a lease.
 coordination::KeyValueLimits raised_limits() {
   coordination::KeyValueLimits limits;
   limits.leases = 100'000;
@@ -40,19 +42,20 @@
 
 std::string router_name(int index) { return "router-" + std::to_string(10'000 + index); }
 
-policy::ParticipantReport sample_report(std::uint64_t number) {
+policy::ParticipantReport sample_report(std::uint64_t sequence) {
   policy::ParticipantReport out;
   out.incarnation = "0123456789abcdef";
   out.zone = "zone117";
   out.version = 1'234;
-  out.sequence = number;
+  out.sequence = sequence;
   return out;
 }
 
-Transaction put_report(int index, LeaseId lease, std::uint64_t number) {
+// Returns a transaction that writes the participant report of a router under its lease.
+Transaction put_report(int router, LeaseId lease, std::uint64_t sequence) {
   Transaction out;
-  out.then = {Put{kPrefix + policy::report_key(router_name(index), lease),
-                  policy::write_report(sample_report(number)), lease}};
+  out.then = {Put{kPrefix + policy::report_key(router_name(router), lease),
+                  policy::write_report(sample_report(sequence)), lease}};
   return out;
 }
 
@@ -68,36 +71,39 @@
 
 // ---- Key-value state alone ----
 
+// Measures the memory of leases without reports, and of leases with one report each.
 void measure_state_memory(const CostSink& sink) {
-  CostSeries lease{"store.memory.lease", "leases, in the ledger", "bytes", "leases", "in process", {}};
-  CostSeries entry{"store.memory.permit",
-                   "leases with a permit each, in the ledger; its history of changes is full",
-                   "bytes",
-                   "routers",
-                   "in process",
-                   {}};
+  CostSeries without_report{
+      "store.memory.lease", "leases, in the ledger", "bytes", "leases", "in process", {}};
+  CostSeries with_report{"store.memory.permit",
+                         "leases with a permit each, in the ledger; its history of changes is full",
+                         "bytes",
+                         "routers",
+                         "in process",
+                         {}};
   for (const int leases : {1'000, 3'000, 10'000, 19'000}) {
-    lease.points.emplace_back(leases, bytes_held_by([&] {
-                                auto state = std::make_unique<KeyValueState>(raised_limits());
-                                for (int i = 0; i < leases; ++i) {
-                                  state->grant(std::chrono::milliseconds(0), kTtl, 0);
-                                }
-                                return state;
-                              }));
-    entry.points.emplace_back(leases, bytes_held_by([&] {
-                                auto state = std::make_unique<KeyValueState>(raised_limits());
-                                const auto held = grant_leases(*state, leases);
-                                for (int i = 0; i < 10'000; ++i) {
-                                  state->commit(put_report(0, held.front(), 2));
-                                }
-                                state->take_changes();
-                                return state;
-                              }));
+    without_report.points.emplace_back(leases, bytes_held_by([&] {
+                                         auto state = std::make_unique<KeyValueState>(raised_limits());
+                                         for (int i = 0; i < leases; ++i) {
+                                           state->grant(std::chrono::milliseconds(0), kTtl, 0);
+                                         }
+                                         return state;
+                                       }));
+    with_report.points.emplace_back(leases, bytes_held_by([&] {
+                                      auto state = std::make_unique<KeyValueState>(raised_limits());
+                                      const auto held = grant_leases(*state, leases);
+                                      for (int i = 0; i < 10'000; ++i) {  // fill the history of changes
+                                        state->commit(put_report(0, held.front(), 2));
+                                      }
+                                      state->take_changes();
+                                      return state;
+                                    }));
   }
-  sink(lease);
-  sink(entry);
+  sink(without_report);
+  sink(with_report);
 }
 
+// Measures the CPU time of a transaction, a renewal and a search for expired leases.
 void measure_state(const CostSink& sink) {
   CostSeries commit{"store.cpu.ledger.transaction",
                     "a permit written, in the ledger alone",
@@ -117,14 +123,14 @@
     KeyValueState state(raised_limits());
     const std::vector<LeaseId> held = grant_leases(state, leases);
     std::size_t index = 0;
-    const auto next = [&] { return index = (index + 7'919) % held.size(); };
+    const auto next_index = [&] { return index = (index + kLeaseStride) % held.size(); };
     commit.points.emplace_back(leases, cpu_us_per_call(500, [&] {
-                                 const std::size_t position = next();
+                                 const std::size_t position = next_index();
                                  state.commit(put_report(static_cast<int>(position), held[position], 2));
                                  state.take_changes();
                                }));
     renew.points.emplace_back(leases, cpu_us_per_call(2'000, [&] {
-                                state.keep_alive(std::chrono::milliseconds(1), held[next()]);
+                                state.keep_alive(std::chrono::milliseconds(1), held[next_index()]);
                               }));
     expire.points.emplace_back(leases,
                                cpu_us_per_call(20, [&] { state.expire(std::chrono::milliseconds(1)); }));
@@ -136,11 +142,12 @@
 
 // ---- Database file ----
 
-// A series of measurements of the database file, without points.
+// Returns a series for the database file, without points.
 CostSeries database_series(const std::string& name, const std::string& what) {
   return {name, what, "us", "leases", "in process", {}};
 }
 
+// Measures a transaction and a renewal in the database file.
 void measure_database(const CostContext& context, const CostSink& sink) {
   CostSeries commit =
       database_series("store.cpu.file.transaction", "a permit written durably, processor time");
@@ -157,20 +164,20 @@
     database.transact(now, KeyValueDatabase::Durability::kSynced,
                       [&](KeyValueState& state) { held = grant_leases(state, leases); });
     std::size_t index = 0;
-    const auto next = [&] { return index = (index + 7'919) % held.size(); };
+    const auto next_index = [&] { return index = (index + kLeaseStride) % held.size(); };
     constexpr int kCalls = 30;
     double minimum_wall_us = 0.0;
     const double cpu = cpu_us_per_call(
         1,
         [&] {
-          const double start = wall_us();
+          const double start_us = wall_us();
           for (int i = 0; i < kCalls; ++i) {
-            const std::size_t position = next();
+            const std::size_t position = next_index();
             database.transact(now, KeyValueDatabase::Durability::kSynced, [&](KeyValueState& state) {
               state.commit(put_report(static_cast<int>(position), held[position], 2));
             });
           }
-          const double elapsed_us = (wall_us() - start) / kCalls;
+          const double elapsed_us = (wall_us() - start_us) / kCalls;
           minimum_wall_us = minimum_wall_us == 0.0 ? elapsed_us : std::min(minimum_wall_us, elapsed_us);
         },
         3);
@@ -179,7 +186,7 @@
     renew.points.emplace_back(leases, cpu_us_per_call(
                                           kCalls,
                                           [&] {
-                                            const LeaseId id = held[next()];
+                                            const LeaseId id = held[next_index()];
                                             database.transact(
                                                 now, KeyValueDatabase::Durability::kUnsynced,
                                                 [&](KeyValueState& state) { state.keep_alive(now, id); });
@@ -194,8 +201,9 @@
 
 // ---- JSON ----
 
-// Messages of one renewal and of one written report: bytes of their bodies, and CPU time for reading and
-// writing them at the store.
+// Measures the messages of a renewal and of a written report: the bytes of their bodies, and the CPU time in
+// which the store parses the request and writes the response. The values for several messages are multiples
+// of those for one.
 void measure_messages(const CostSink& sink) {
   namespace etcd = coordination::etcd;
   CostSeries renewal{"store.cpu.json.renewal",
@@ -250,7 +258,7 @@
   }
 }
 
-// ---- Server process ----
+// ---- Server on a loopback socket ----
 
 // Runs a coordination server on a loopback socket, in the calling thread.
 class LocalCoordinationServer {
@@ -301,6 +309,8 @@
   return minimum;
 }
 
+// Measures the server while `watches` connections watch the records of the policy: the memory of the watches,
+// and the CPU time of a write that notifies them, of a write that does not, and of a renewal.
 void measure_watches(const CostContext& context, const CostSink& sink) {
   namespace etcd = coordination::etcd;
   const std::string setting = "hollow, loopback sockets";
@@ -349,7 +359,7 @@
 
 }  // namespace
 
-void measure_store(const CostContext& context, const CostSink& sink) {
+void measure_coordination_store(const CostContext& context, const CostSink& sink) {
   measure_state_memory(sink);
   measure_state(sink);
   measure_database(context, sink);
