--- a/benchmarks/scale/capacity_page.cpp
+++ b/benchmarks/scale/capacity_page.cpp
@@ -16,17 +16,19 @@
 
 namespace {
 
-constexpr std::string_view kTableBegin = "<!-- table: ";
-constexpr std::string_view kTableEnd = "<!-- end -->";
-constexpr std::string_view kMarkerEnd = " -->";
-constexpr std::string_view kFigureBegin = "<!--=";
-constexpr std::string_view kFigureOpen = "-->";
-constexpr std::string_view kFigureEnd = "<!--.-->";
+// A table is between a marker with its name and an end marker, a figure between a marker with its formula and
+// an end marker.
+constexpr std::string_view kTableMarkerBegin = "<!-- table: ";
+constexpr std::string_view kTableMarkerEnd = " -->";
+constexpr std::string_view kTableEndMarker = "<!-- end -->";
+constexpr std::string_view kFigureMarkerBegin = "<!--=";
+constexpr std::string_view kFigureMarkerEnd = "-->";
+constexpr std::string_view kFigureEndMarker = "<!--.-->";
 constexpr const char* kNoSlope = "no slope";
 constexpr double kMinShownExtrapolation = 1.05;  // smaller factors of extrapolation are not shown
 constexpr double kPoorFitBelow = 0.9;            // R squared below which a figure is marked as a poor fit
 constexpr int kSignificantDigits = 3;
-constexpr double kMillionFrom = 999'500.0;  // numbers from here on are shown with "million"
+constexpr double kMillionFrom = 999'500.0;  // rounds to a million with kSignificantDigits
 
 int decimal_exponent(double value) { return static_cast<int>(std::floor(std::log10(std::abs(value)))); }
 
@@ -61,6 +63,7 @@
   return out;
 }
 
+// Formats with the word "million" or "billion" if the rounded number is at least that large.
 std::string format_with_magnitude_word(double value) {
   if (std::abs(value) >= 999.5e6) {
     return format_plain(value / 1e9) + " billion";
@@ -71,7 +74,7 @@
   return format_plain(value);
 }
 
-// Formats with an SI prefix from K to P before the unit.
+// Formats with an SI prefix from K to P before the unit, if the rounded number is at least 1000.
 std::string format_with_prefix(double value, const std::string& unit) {
   constexpr std::array<const char*, 6> kPrefixes = {"", "K", "M", "G", "T", "P"};
   std::size_t prefix = 0;
@@ -115,8 +118,8 @@
 }
 
 // A requirement with its computed values.
-struct PlanAssessment {
-  const PlanLine* line = nullptr;
+struct RequirementAssessment {
+  const Requirement* requirement = nullptr;
   Figure wanted;
   Figure reached;
   double ratio = 0.0;  // above 1: the requirement is missed by this factor
@@ -124,17 +127,17 @@
   bool known() const { return wanted.known() && reached.known(); }
 };
 
-PlanAssessment assess(const PlanLine& line, const FormulaNames& names) {
-  PlanAssessment out{&line, evaluate(line.wanted, names), Figure{}, 0.0};
-  if (line.reached.empty()) {
+RequirementAssessment assess(const Requirement& requirement, const FormulaNames& names) {
+  RequirementAssessment out{&requirement, evaluate(requirement.wanted, names), Figure{}, 0.0};
+  if (requirement.reached.empty()) {
     out.ratio = std::numeric_limits<double>::infinity();
     return out;
   }
-  out.reached = evaluate(line.reached, names);
+  out.reached = evaluate(requirement.reached, names);
   if (!out.known()) {
     return out;
   }
-  const bool at_least = line.sense == PlanLine::Sense::kAtLeast;
+  const bool at_least = requirement.sense == Requirement::Sense::kAtLeast;
   const double numerator = at_least ? out.wanted.value : out.reached.value;
   const double denominator = at_least ? out.reached.value : out.wanted.value;
   out.ratio = denominator == 0.0 ? std::numeric_limits<double>::infinity() : numerator / denominator;
@@ -213,7 +216,7 @@
 
 CapacityPage::CapacityPage(CapacityData data) : data_(std::move(data)), names_(names_of(data_)) {}
 
-std::string CapacityPage::format_formula(const std::string& formula_and_unit) const {
+std::string CapacityPage::evaluate_and_format(const std::string& formula_and_unit) const {
   const std::size_t bar = formula_and_unit.find('|');
   const std::string formula = formula_and_unit.substr(0, bar);
   const std::string unit = bar == std::string::npos ? "" : trim_spaces(formula_and_unit.substr(bar + 1));
@@ -233,7 +236,7 @@
     if (close == std::string::npos) {
       throw BadCapacityData("`" + cell + "`: a brace is not closed");
     }
-    out += format_formula(cell.substr(open + 1, close - open - 1));
+    out += evaluate_and_format(cell.substr(open + 1, close - open - 1));
     position = close + 1;
   }
 }
@@ -242,20 +245,22 @@
   std::string out;
   std::size_t position = 0;
   while (true) {
-    const std::size_t begin = line.find(kFigureBegin, position);
+    const std::size_t begin = line.find(kFigureMarkerBegin, position);
     out += line.substr(position, begin - position);
     if (begin == std::string::npos) {
       return out;
     }
-    const std::size_t open = line.find(kFigureOpen, begin);
-    const std::size_t end = open == std::string::npos ? open : line.find(kFigureEnd, open);
-    if (end == std::string::npos) {
+    const std::size_t formula_end = line.find(kFigureMarkerEnd, begin);
+    const std::size_t figure_end =
+        formula_end == std::string::npos ? formula_end : line.find(kFigureEndMarker, formula_end);
+    if (figure_end == std::string::npos) {
       throw BadPage("line " + std::to_string(line_number) + ": the marker of a figure is not closed");
     }
-    const std::string marker = line.substr(begin, open + kFigureOpen.size() - begin);
-    const std::size_t inner = begin + kFigureBegin.size();
-    out += marker + format_formula(line.substr(inner, open - inner)) + std::string(kFigureEnd);
-    position = end + kFigureEnd.size();
+    const std::string marker = line.substr(begin, formula_end + kFigureMarkerEnd.size() - begin);
+    const std::size_t formula_begin = begin + kFigureMarkerBegin.size();
+    out += marker + evaluate_and_format(line.substr(formula_begin, formula_end - formula_begin)) +
+           std::string(kFigureEndMarker);
+    position = figure_end + kFigureEndMarker.size();
   }
 }
 
@@ -266,21 +271,21 @@
   for (const std::string& line : split_lines(page)) {
     ++line_number;
     if (!table_name.empty()) {
-      if (line == kTableEnd) {
+      if (line == kTableEndMarker) {
         table_name.clear();
         out += line + "\n";
       }
       continue;
     }
-    if (line.rfind(kTableBegin, 0) != 0) {
+    if (line.rfind(kTableMarkerBegin, 0) != 0) {
       out += fill_figures(line, line_number) + "\n";
       continue;
     }
-    const std::size_t end = line.find(kMarkerEnd);
+    const std::size_t end = line.find(kTableMarkerEnd);
     if (end == std::string::npos) {
       throw BadPage("line " + std::to_string(line_number) + ": the marker of a table is not closed");
     }
-    table_name = line.substr(kTableBegin.size(), end - kTableBegin.size());
+    table_name = line.substr(kTableMarkerBegin.size(), end - kTableMarkerBegin.size());
     out += line + "\n" + table(table_name);
   }
   if (!table_name.empty()) {
@@ -329,7 +334,7 @@
 
 std::string CapacityPage::meaning_table() const {
   std::string out = table_header({"what", "figure", "formula"});
-  for (const Derived& derived : data_.derived) {
+  for (const DerivedNumber& derived : data_.derived) {
     if (derived.shown) {
       const Figure& figure = names_.figures.at(derived.name);
       out += table_row({derived.what, format_figure(figure, derived.unit), "`" + derived.formula + "`"});
@@ -357,7 +362,7 @@
   std::string out = fill_cell(found->mechanism) + "\n\n" + table_header(titles);
   for (const auto& [situation, what] : data_.situations) {
     const auto role_row = std::find_if(found->rows.begin(), found->rows.end(),
-                                       [&](const RoleRow& each) { return each.situation == situation; });
+                                       [&](const RoleRow& row) { return row.situation == situation; });
     if (role_row == found->rows.end()) {
       throw BadCapacityData("role " + name + " has no row for situation " + situation);
     }
@@ -371,42 +376,45 @@
 }
 
 std::string CapacityPage::plan_table(bool met) const {
-  std::vector<PlanAssessment> assessments;
-  for (const PlanLine& line : data_.plan) {
-    const PlanAssessment assessment = assess(line, names_);
+  std::vector<RequirementAssessment> assessments;
+  for (const Requirement& requirement : data_.plan) {
+    const RequirementAssessment assessment = assess(requirement, names_);
     if (assessment.known() && (assessment.ratio <= 1.0) == met) {
       assessments.push_back(assessment);
     }
   }
-  std::stable_sort(
-      assessments.begin(), assessments.end(),
-      [](const PlanAssessment& left, const PlanAssessment& right) { return left.ratio > right.ratio; });
+  std::stable_sort(assessments.begin(), assessments.end(),
+                   [](const RequirementAssessment& left, const RequirementAssessment& right) {
+                     return left.ratio > right.ratio;
+                   });
   std::string out = table_header(
       {"ratio", "role, situation", "what", "has to reach", "reaches today", "mechanism", "exists"});
-  for (const PlanAssessment& assessment : assessments) {
-    const PlanLine& line = *assessment.line;
-    const std::string sense = line.sense == PlanLine::Sense::kAtLeast ? "at least " : "at most ";
-    const std::string note = line.note.empty() ? "" : ". " + fill_cell(line.note);
-    out += table_row({format_ratio(assessment.ratio), line.role + ", " + line.situation, line.what + note,
-                      sense + format_figure(assessment.wanted, line.unit),
-                      line.reached.empty() ? "nothing" : format_figure(assessment.reached, line.unit),
-                      fill_cell(line.mechanism), line.exists + (line.file.empty() ? "" : ": " + line.file)});
+  for (const RequirementAssessment& assessment : assessments) {
+    const Requirement& requirement = *assessment.requirement;
+    const std::string sense = requirement.sense == Requirement::Sense::kAtLeast ? "at least " : "at most ";
+    const std::string note = requirement.note.empty() ? "" : ". " + fill_cell(requirement.note);
+    out += table_row(
+        {format_ratio(assessment.ratio), requirement.role + ", " + requirement.situation,
+         requirement.what + note, sense + format_figure(assessment.wanted, requirement.unit),
+         requirement.reached.empty() ? "nothing" : format_figure(assessment.reached, requirement.unit),
+         fill_cell(requirement.mechanism),
+         requirement.exists + (requirement.file.empty() ? "" : ": " + requirement.file)});
   }
   return out;
 }
 
 std::string CapacityPage::unknown_list() const {
   std::string out;
-  for (const PlanLine& line : data_.plan) {
-    const PlanAssessment assessment = assess(line, names_);
+  for (const Requirement& requirement : data_.plan) {
+    const RequirementAssessment assessment = assess(requirement, names_);
     std::set<std::string> missing = assessment.wanted.missing;
     missing.insert(assessment.reached.missing.begin(), assessment.reached.missing.end());
     if (!missing.empty()) {
-      out += "- " + line.role + ", " + line.situation + ": " + line.what +
+      out += "- " + requirement.role + ", " + requirement.situation + ": " + requirement.what +
              ". No slope: " + join_quoted(missing) + "\n";
     }
   }
-  for (const Derived& derived : data_.derived) {
+  for (const DerivedNumber& derived : data_.derived) {
     const Figure& figure = names_.figures.at(derived.name);
     if (!figure.known()) {
       out += "- " + derived.what + ". No slope: " + join_quoted(figure.missing) + "\n";
--- a/benchmarks/scale/capacity_page.h
+++ b/benchmarks/scale/capacity_page.h
@@ -20,13 +20,15 @@
   using std::runtime_error::runtime_error;
 };
 
-// Formats a number with its unit: "3.42 million", "217 MB/s", "1.8%". Numbers other than whole
-// ones are rounded to three significant digits.
+// Formats a number with its unit: "3.42 million", "217 MB/s", "1.8%". Numbers are rounded to three
+// significant digits, except whole numbers that need neither an SI prefix nor a word such as "million".
 std::string format_number(double value, const std::string& unit);
-// Formats a figure in the same way: "no slope" if a slope is missing; with the factor of extrapolation or the
-// R squared appended if the measured sizes are exceeded or the fit is poor.
+// Formats a figure in the same way, rounded also if it is whole and depends on a slope. Appends the factor of
+// extrapolation if the figure goes beyond the measured sizes, and the R squared if a fit is poor. Returns
+// "no slope" if a slope is missing.
 std::string format_figure(const Figure& figure, const std::string& unit);
 
+// Fills in the capacity page from one set of data.
 class CapacityPage {
  public:
   // Throws FormulaError, BadCapacityData.
@@ -44,13 +46,17 @@
   std::string meaning_table() const;
   std::string situations_table() const;
   std::string role_table(const std::string& name) const;
-  // The requirements that are met, or those that are not, sorted by descending ratio.
+  // Lists the requirements that are met, or those that are not, sorted by descending ratio.
   std::string plan_table(bool met) const;
+  // Lists the requirements and derived numbers whose slopes are missing, and the unknowable facts.
   std::string unknown_list() const;
   std::string slopes_table() const;
+  // Returns the line with the text after each figure marker recomputed.
   std::string fill_figures(const std::string& line, std::size_t line_number) const;
+  // Returns the cell with each "{FORMULA | UNIT}" replaced by its figure.
   std::string fill_cell(const std::string& cell) const;
-  std::string format_formula(const std::string& formula_and_unit) const;
+  // Evaluates "FORMULA | UNIT" and formats the result. The unit may be omitted.
+  std::string evaluate_and_format(const std::string& formula_and_unit) const;
 
   CapacityData data_;
   FormulaNames names_;
--- a/benchmarks/scale/capacity_page_data.cpp
+++ b/benchmarks/scale/capacity_page_data.cpp
@@ -60,8 +60,8 @@
   return out;
 }
 
-Derived read_derived(const json& entry, const std::string& location) {
-  Derived out;
+DerivedNumber read_derived(const json& entry, const std::string& location) {
+  DerivedNumber out;
   out.name = read_string(entry, "name", location);
   const std::string entry_location = location + ": " + out.name;
   out.formula = read_string(entry, "formula", entry_location);
@@ -71,7 +71,7 @@
   return out;
 }
 
-// A missing cell is shown as "-".
+// Reads a row of a role. A missing cell becomes "-".
 RoleRow read_row(const json& entry, const std::string& location) {
   RoleRow out;
   out.situation = read_string(entry, "situation", location);
@@ -101,18 +101,18 @@
   return out;
 }
 
-PlanLine::Sense read_sense(const std::string& text, const std::string& location) {
+Requirement::Sense read_sense(const std::string& text, const std::string& location) {
   if (text == "at least") {
-    return PlanLine::Sense::kAtLeast;
+    return Requirement::Sense::kAtLeast;
   }
   if (text == "at most") {
-    return PlanLine::Sense::kAtMost;
+    return Requirement::Sense::kAtMost;
   }
   throw BadCapacityData(location + ": sense is neither `at least` nor `at most`");
 }
 
-PlanLine read_plan_line(const json& entry, const std::string& location) {
-  PlanLine out;
+Requirement read_requirement(const json& entry, const std::string& location) {
+  Requirement out;
   out.what = read_string(entry, "what", location);
   const std::string entry_location = location + ": " + out.what;
   out.role = read_string(entry, "role", entry_location);
@@ -165,7 +165,7 @@
     out.roles.push_back(read_role(entry, location));
   }
   for (const json& entry : read_array(file, "plan", location)) {
-    out.plan.push_back(read_plan_line(entry, location));
+    out.plan.push_back(read_requirement(entry, location));
   }
   for (const json& entry : read_array(file, "unknowable", location)) {
     out.unknowable.push_back(as_string(entry, location + ": unknowable"));
@@ -197,7 +197,7 @@
       add(target.name, figure);
     }
   }
-  for (const Derived& derived : data.derived) {
+  for (const DerivedNumber& derived : data.derived) {
     add(derived.name, evaluate(derived.formula, out));
   }
   return out;
--- a/benchmarks/scale/capacity_page_data.h
+++ b/benchmarks/scale/capacity_page_data.h
@@ -30,7 +30,7 @@
   std::string key;   // SECTION.KEY of the operator's file if the number is a setting; otherwise empty
 };
 
-// Targets from one source.
+// Targets of one kind.
 struct TargetGroup {
   std::string name;  // "size", "settings" or "assumptions"
   std::string what;
@@ -38,7 +38,7 @@
 };
 
 // A number computed from targets and from earlier derived numbers.
-struct Derived {
+struct DerivedNumber {
   std::string name;
   std::string formula;
   std::string unit;
@@ -46,7 +46,8 @@
   bool shown = false;  // listed in the table `meaning`
 };
 
-// Costs of a role in one situation. Each cell is text with formulas in braces: "{routers * 2 | calls/s}".
+// Costs of a role in one situation of the fleet. Each cell is text with formulas in braces:
+// "{routers * 2 | calls/s}".
 struct RoleRow {
   std::string situation;
   std::vector<std::string> cells;  // in the order of kRoleColumns
@@ -55,6 +56,7 @@
     "state", "messages in a second", "messages out a second", "bytes in and out a second", "processor",
     "memory"};
 
+// A role of the fleet, such as the router, with its costs.
 struct Role {
   std::string name;
   std::string mechanism;  // the mechanism that the role uses, and its source files
@@ -62,8 +64,8 @@
 };
 
 // A requirement at the intended size, compared with the present state.
-struct PlanLine {
-  enum class Sense { kAtLeast, kAtMost };
+struct Requirement {
+  enum class Sense { kAtLeast, kAtMost };  // direction of the limit that `wanted` sets
 
   std::string role;
   std::string situation;
@@ -72,30 +74,32 @@
   std::string wanted;   // formula of the required value
   std::string reached;  // formula of the present value; empty if no mechanism exists
   Sense sense = Sense::kAtMost;
-  std::string mechanism;
-  std::string exists;  // "yes", "no" or "in part"
-  std::string file;
-  std::string note;
+  std::string mechanism;  // the mechanism that meets the requirement
+  std::string exists;     // whether the mechanism exists: "yes", "no" or "in part"
+  std::string file;       // source file of the mechanism; may be empty
+  std::string note;       // shown after `what`; may be empty
 };
 
 struct CapacityData {
   std::vector<TargetGroup> targets;
-  std::vector<Derived> derived;
+  std::vector<DerivedNumber> derived;
   std::vector<std::pair<std::string, std::string>> situations;  // name, description
   std::vector<Role> roles;
-  std::vector<PlanLine> plan;
+  std::vector<Requirement> plan;
   std::vector<std::string> unknowable;  // facts that cannot be measured on one machine
   std::map<std::string, Slope> slopes;  // by name
 };
 
-// Both read a parsed JSON file and throw BadCapacityData if it is invalid; read_model() appends to `out`.
+// Convert the parsed target file and the parsed model file. read_model() appends to `out`. Both throw
+// BadCapacityData if the file is invalid.
 std::vector<TargetGroup> read_targets(const nlohmann::json& file);
 void read_model(const nlohmann::json& file, CapacityData& out);
 
-// Reads the three files from `folder`. Throws BadCapacityData, BadSlopes.
+// Reads the three data files from `folder`. Throws BadCapacityData, BadSlopes.
 CapacityData load_capacity_data(const std::string& folder);
 
-// Targets, derived figures and slopes by name. Throws FormulaError, and BadCapacityData for a duplicate name.
+// Returns all targets, derived numbers and slopes by name. Throws FormulaError for an invalid formula of a
+// derived number, and BadCapacityData for a duplicate name.
 FormulaNames names_of(const CapacityData& data);
 
 }  // namespace trailcourse::scale
--- a/benchmarks/scale/capacity_page_formula.cpp
+++ b/benchmarks/scale/capacity_page_formula.cpp
@@ -16,8 +16,8 @@
   return is_name_start(character) || is_digit(character) || character == '_' || character == '.';
 }
 
-// Applies `operation` to two figures. The result depends on the slopes of both, and has no value if either
-// has none.
+// Applies `operation` to the values of two figures. The result depends on the slopes of both figures, and has
+// no value if one of them has no value.
 template <typename Operation>
 Figure combine(const Figure& left, const Figure& right, Operation operation) {
   Figure out = left;
@@ -29,11 +29,12 @@
   return out;
 }
 
-class Parser {
+// Parses a formula and evaluates it at the same time.
+class Evaluator {
  public:
-  Parser(std::string_view text, const FormulaNames& names) : text_(text), names_(names) {}
+  Evaluator(std::string_view text, const FormulaNames& names) : text_(text), names_(names) {}
 
-  Figure parse() {
+  Figure evaluate_all() {
     const Figure out = parse_formula();
     skip_spaces();
     if (position_ != text_.size()) {
@@ -43,8 +44,8 @@
   }
 
  private:
-  [[noreturn]] void fail(const std::string& why) const {
-    throw FormulaError("`" + std::string(text_) + "` at " + std::to_string(position_) + ": " + why);
+  [[noreturn]] void fail(const std::string& reason) const {
+    throw FormulaError("`" + std::string(text_) + "` at " + std::to_string(position_) + ": " + reason);
   }
 
   void skip_spaces() {
@@ -52,11 +53,12 @@
       ++position_;
     }
   }
+  // Skips spaces and returns whether `character` is next.
   bool next_is(char character) {
     skip_spaces();
     return position_ < text_.size() && text_[position_] == character;
   }
-  // Skips `character` and returns true if it is next.
+  // Skips spaces. If `character` is next, skips it too and returns true.
   bool consume(char character) {
     const bool found = next_is(character);
     position_ += found ? 1 : 0;
@@ -133,7 +135,7 @@
 
   bool next_is_name() const { return position_ < text_.size() && is_name_start(text_[position_]); }
 
-  // Returns an empty string if no name starts at the current position.
+  // Skips spaces and returns the name that follows, or an empty string if none does.
   std::string parse_name() {
     skip_spaces();
     const std::size_t begin = position_;
@@ -147,13 +149,13 @@
   }
 
   Figure parse_name_or_call() {
-    const std::string word = parse_name();
+    const std::string name = parse_name();
     if (next_is('(')) {
-      return parse_call(word);
+      return parse_call(name);
     }
-    const auto found = names_.figures.find(word);
+    const auto found = names_.figures.find(name);
     if (found == names_.figures.end()) {
-      fail("unknown target or figure " + word);
+      fail("unknown target or figure " + name);
     }
     return found->second;
   }
@@ -180,19 +182,19 @@
     return out;
   }
 
-  // Parses the name of a slope and adds it to `out.slopes`. If the slope was not measured, adds the name to
-  // `out.missing` instead and returns nullptr.
+  // Parses the name of a slope, adds it to `out.slopes` and returns the slope. If the slope was not measured,
+  // adds the name to `out.missing` instead and returns nullptr.
   const Slope* parse_slope(Figure& out) {
-    const std::string word = parse_slope_name();
-    if (word.empty()) {
+    const std::string name = parse_slope_name();
+    if (name.empty()) {
       fail("expected the name of a slope");
     }
-    const auto found = names_.slopes.find(word);
+    const auto found = names_.slopes.find(name);
     if (found == names_.slopes.end()) {
-      out.missing.insert(word);
+      out.missing.insert(name);
       return nullptr;
     }
-    out.slopes.insert(word);
+    out.slopes.insert(name);
     return &found->second;
   }
 
@@ -254,7 +256,7 @@
 }  // namespace
 
 Figure evaluate(std::string_view formula, const FormulaNames& names) {
-  return Parser(formula, names).parse();
+  return Evaluator(formula, names).evaluate_all();
 }
 
 }  // namespace trailcourse::scale
--- a/benchmarks/scale/capacity_page_formula.h
+++ b/benchmarks/scale/capacity_page_formula.h
@@ -1,5 +1,5 @@
 // Formulas of the capacity page: arithmetic over named targets, previously computed figures and measured
-// slopes. A formula has no value if a slope that it needs was not measured; its result lists the missing
+// slopes. A formula has no value if it needs a slope that was not measured. Its result then lists the missing
 // slopes.
 //
 //     formula = term { ("+" | "-") term }
@@ -29,7 +29,7 @@
   using std::runtime_error::runtime_error;
 };
 
-// Result of a formula, with the slopes that it was computed from.
+// Result of a formula, or a target, with the slopes that it was computed from.
 struct Figure {
   double value = 0.0;             // not meaningful if a slope is missing
   std::set<std::string> missing;  // names of the slopes needed but not measured
@@ -47,7 +47,7 @@
   std::map<std::string, Slope> slopes;
 };
 
-// Throws FormulaError for a syntax error, an unknown name or a division by zero.
+// Evaluates a formula. Throws FormulaError for a syntax error, an unknown name or a division by zero.
 Figure evaluate(std::string_view formula, const FormulaNames& names);
 
 }  // namespace trailcourse::scale
--- a/benchmarks/scale/purge_costs.cpp
+++ b/benchmarks/scale/purge_costs.cpp
@@ -119,8 +119,8 @@
   return false;
 }
 
-// Returns the longest active time in seconds, to within 0.01 s, for which purges at `rate` purges a second are
-// not folded.
+// Returns the longest active time in seconds, to within 0.01 s, for which purges at `rate` purges a second
+// are not folded.
 double longest_active_time_s(int rate) {
   double lower = 0.0;
   double upper = 4.0 * kPurgeCapacity / rate;
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -1,5 +1,6 @@
-// Tests of the capacity page: formulas over targets and slopes, figures written between markers, the check
-// that fails if the page does not match its data, and the settings whose defaults the data repeats.
+// Tests of the capacity page: formulas over targets and slopes, figures written between markers, and the
+// check that fails if the page does not match its data. The settings in the data must equal the program's
+// defaults.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 
@@ -234,6 +235,7 @@
   std::string output_;
 };
 
+// Exit statuses of capacity_page.
 constexpr int kUpToDate = 0;
 constexpr int kInvalid = 1;
 constexpr int kOutOfDate = 2;
@@ -295,12 +297,13 @@
   write("docs/capacity/target.json", target().dump());
   ASSERT_EQ(run_capacity_page("--check"), kUpToDate) << output_;
 
-  for (std::size_t line = 0; line < up_to_date.size(); line = up_to_date.find('\n', line) + 1) {
+  // A change of any line of a table or list is found.
+  for (std::size_t begin = 0; begin < up_to_date.size(); begin = up_to_date.find('\n', begin) + 1) {
     std::string modified = up_to_date;
-    modified.insert(line, "x");
+    modified.insert(begin, "x");
     write("docs/CAPACITY.md", modified);
-    const bool inside = up_to_date[line] == '|' || up_to_date[line] == '-';
-    if (inside) {
+    const bool is_computed = up_to_date[begin] == '|' || up_to_date[begin] == '-';
+    if (is_computed) {
       EXPECT_EQ(run_capacity_page("--check"), kOutOfDate) << modified;
     }
   }
@@ -347,6 +350,8 @@
   EXPECT_EQ(std::system(command.c_str()), 0);
 }
 
+// Checks that a target equals the default of a setting. Times are in seconds in the targets, and in
+// milliseconds in settings whose names end in "_ms".
 template <typename Options>
 void expect_default(const config::Record<Options>& record, const std::string& key, const Target& target) {
   const double scale = key.size() > 3 && key.substr(key.size() - 3) == "_ms" ? 1e-3 : 1.0;
