--- a/benchmarks/scale/capacity_page_data.h
+++ b/benchmarks/scale/capacity_page_data.h
@@ -74,7 +74,7 @@
   std::string wanted;   // formula of the required value
   std::string reached;  // formula of the present value; empty if no mechanism exists
   Sense sense = Sense::kAtMost;
-  std::string mechanism;  // the mechanism that meets the requirement
+  std::string mechanism;  // the mechanism that has to meet the requirement
   std::string exists;     // whether the mechanism exists: "yes", "no" or "in part"
   std::string file;       // source file of the mechanism; may be empty
   std::string note;       // shown after `what`; may be empty
