--- a/benchmarks/scale/cache_costs.cpp
+++ b/benchmarks/scale/cache_costs.cpp
@@ -1,4 +1,5 @@
-// What a cache node pays for a request, a purge, and each object that it holds on disk.
+// Measures the costs of a cache node: of a request, a purge, and each object that it stores on disk. In the
+// text of a measured point, the ledger is the purge table.
 #include <sys/wait.h>
 #include <unistd.h>
 
@@ -28,13 +29,14 @@
 using store::Copy;
 using store::Name;
 
-constexpr std::array<int, 4> kPurges{1'000, 10'000, 30'000, 100'000};
-constexpr std::array<int, 4> kObjects{50'000, 100'000, 200'000, 400'000};
-constexpr std::array<int, 4> kRequests{1'000, 10'000, 30'000, 100'000};
-constexpr std::size_t kMostPurges = 100'000;  // as a cache's ledger holds
-constexpr std::int64_t kUnixMs = 1'764'000'000'000;
+constexpr std::array<int, 4> kPurgeCounts{1'000, 10'000, 30'000, 100'000};
+constexpr std::array<int, 4> kObjectCounts{50'000, 100'000, 200'000, 400'000};
+constexpr std::array<int, 4> kRequestCounts{1'000, 10'000, 30'000, 100'000};
+constexpr std::size_t kMaxPurges = 100'000;  // capacity of a cache's purge table
+// An arbitrary Unix time, to which the sample times are relative.
+constexpr std::int64_t kBaseUnixMs = 1'764'000'000'000;
 
-Name numbered(std::uint64_t number) {
+Name object_name(std::uint64_t number) {
   char item[17];
   std::snprintf(item, sizeof item, "%016llx", static_cast<unsigned long long>(number));
   return Name::of("media", item, "0");
@@ -43,10 +45,12 @@
 // ---- Purges ----
 
 store::PurgeRecord purge_of(std::uint64_t number) {
-  return {store::PurgeRecord::Kind::kObject, number, kUnixMs + static_cast<std::int64_t>(number)};
+  return {store::PurgeRecord::Kind::kObject, number, kBaseUnixMs + static_cast<std::int64_t>(number)};
 }
 
-void measure_ledger(const CostSink& sink) {
+// Measures the memory of a purge table, and the CPU time of adding purges to a full one. Each added purge
+// makes a full table fold its earliest purge into the purge of all objects.
+void measure_purge_table(const CostSink& sink) {
   CostSeries memory{"cache.memory.purge",
                     "a cache's purges, held until more than 100,000 are",
                     "bytes",
@@ -59,26 +63,26 @@
                  "purges",
                  "in process",
                  {}};
-  std::uint64_t next = 0;
-  const auto fill = [&](store::PurgeTable& ledger, std::size_t most) {
-    while (ledger.objects() < most) {
-      ledger.add(purge_of(++next));
+  std::uint64_t last_number = 0;
+  const auto fill = [&](store::PurgeTable& table, std::size_t size) {
+    while (table.objects() < size) {
+      table.add(purge_of(++last_number));
     }
   };
-  for (const int purges : kPurges) {
-    const auto most = static_cast<std::size_t>(purges);
+  for (const int purges : kPurgeCounts) {
+    const auto size = static_cast<std::size_t>(purges);
     memory.points.emplace_back(purges, bytes_held_by([&] {
-                                 auto ledger = std::make_unique<store::PurgeTable>(most);
-                                 fill(*ledger, most);
-                                 return ledger;
+                                 auto table = std::make_unique<store::PurgeTable>(size);
+                                 fill(*table, size);
+                                 return table;
                                }));
   }
-  store::PurgeTable full(kMostPurges);
-  fill(full, kMostPurges);
-  for (const int purges : kPurges) {
+  store::PurgeTable full(kMaxPurges);
+  fill(full, kMaxPurges);
+  for (const int purges : kPurgeCounts) {
     cpu.points.emplace_back(purges, cpu_us_per_call(1, [&] {
                               for (int i = 0; i < purges; ++i) {
-                                full.add(purge_of(++next));
+                                full.add(purge_of(++last_number));
                                 keep_result(full.drain_folded());
                               }
                             }));
@@ -101,27 +105,30 @@
   return fields;
 }
 
-// A request that is a hit: command read, decided, copy judged against the purges, answer's head written.
-class HitLoop {
+// Processes requests that the cache answers with a stored copy: encodes and parses the request, passes it to
+// the node's core, which checks the copy against the purges, and writes the head of the answer.
+class HitProcessor {
  public:
-  HitLoop()
+  HitProcessor()
       : core_(
-            rules(), [this](const Name& name, int group) { return ledger_.purged_until(name.object, group); },
+            node_options(),
+            [this](const Name& name, int group) { return purges_.purged_until(name.object, group); },
             [](const std::string&) { return true; }) {
-    for (std::uint64_t i = 0; i < kMostPurges; ++i) {
-      ledger_.add(purge_of(i));
+    for (std::uint64_t i = 0; i < kMaxPurges; ++i) {
+      purges_.add(purge_of(i));
     }
-    found_.status = store::ReadStatus::kComplete;
-    found_.copy = Copy{"tag", kUnixMs + 1'000'000, 3, std::make_shared<const std::string>(20'000, 'x')};
+    lookup_result_.status = store::ReadStatus::kComplete;
+    lookup_result_.copy =
+        Copy{"tag", kBaseUnixMs + 1'000'000, 3, std::make_shared<const std::string>(20'000, 'x')};
   }
 
-  void one_hit() {
-    ++number_;
-    const std::string wire = protocol::write_serve_fields(fields_of(number_ * 7'919));
-    auto read = protocol::read_serve_fields(wire);
+  void process_hit() {
+    ++request_number_;
+    const std::string encoded = protocol::write_serve_fields(fields_of(request_number_ * 7'919));
+    auto parsed = protocol::read_serve_fields(encoded);
     actions_.clear();
-    core_.on_request(now_, number_, std::move(std::get<protocol::ServeFields>(read)), "", actions_);
-    core_.on_lookup_result(now_, number_, found_, actions_);
+    core_.on_request(now_, request_number_, std::move(std::get<protocol::ServeFields>(parsed)), "", actions_);
+    core_.on_lookup_result(now_, request_number_, lookup_result_, actions_);
     for (const cache_node::Action& action : actions_) {
       if (const auto* answer = std::get_if<cache_node::Answer>(&action)) {
         keep_result(protocol::write_answer("1", answer->code, answer->fields, ""));
@@ -130,17 +137,17 @@
   }
 
  private:
-  static cache_node::NodeCoreOptions rules() {
+  static cache_node::NodeCoreOptions node_options() {
     cache_node::NodeCoreOptions out;
     out.classes["media"] = {};
     return out;
   }
 
-  store::PurgeTable ledger_;
+  store::PurgeTable purges_;
   cache_node::NodeCore core_;
-  store::ReadResult found_;
-  cache_node::EventContext now_{1'000, kUnixMs + 2'000'000, 0};
-  std::uint64_t number_ = 0;
+  store::ReadResult lookup_result_;
+  cache_node::EventContext now_{1'000, kBaseUnixMs + 2'000'000, 0};
+  std::uint64_t request_number_ = 0;
   std::vector<cache_node::Action> actions_;
 };
 
@@ -152,11 +159,11 @@
       "requests",
       "in process",
       {}};
-  HitLoop loop;
-  for (const int requests : kRequests) {
+  HitProcessor processor;
+  for (const int requests : kRequestCounts) {
     cpu.points.emplace_back(requests, cpu_us_per_call(1, [&] {
                               for (int i = 0; i < requests; ++i) {
-                                loop.one_hit();
+                                processor.process_hit();
                               }
                             }));
   }
@@ -165,31 +172,32 @@
 
 // ---- Objects on disk ----
 
-// The thread that decides, as a queue: what the pool posts is run by whoever waits.
+// Replaces the node's main thread: queues the jobs that the I/O pool posts, and runs them in the thread that
+// calls run_until().
 class JobQueue {
  public:
   void post(std::function<void()> job) {
     const std::lock_guard lock(mutex_);
     jobs_.push_back(std::move(job));
-    more_.notify_one();
+    not_empty_.notify_one();
   }
   void run_until(const std::function<bool()>& done) {
     while (!done()) {
-      next()();
+      pop()();
     }
   }
 
  private:
-  std::function<void()> next() {
+  std::function<void()> pop() {
     std::unique_lock lock(mutex_);
-    more_.wait(lock, [this] { return !jobs_.empty(); });
+    not_empty_.wait(lock, [this] { return !jobs_.empty(); });
     std::function<void()> job = std::move(jobs_.front());
     jobs_.pop_front();
     return job;
   }
 
   std::mutex mutex_;
-  std::condition_variable more_;
+  std::condition_variable not_empty_;
   std::deque<std::function<void()>> jobs_;
 };
 
@@ -206,7 +214,7 @@
   return options;
 }
 
-// A store with its pool and the queue that it is told by.
+// A store with its I/O pool and the queue that receives its completions.
 class DiskStore {
  public:
   DiskStore(const std::string& folder, int objects)
@@ -217,7 +225,7 @@
             options_, pool_,
             store::Store::Storage{[folder] { return store::open_folder(folder); },
                                   [folder] { return store::open_sqlite_index(folder); }},
-            [] { return store::Store::TimeReading{static_cast<std::int64_t>(wall_us() / 1e3), kUnixMs}; },
+            [] { return store::Store::TimeReading{static_cast<std::int64_t>(wall_us() / 1e3), kBaseUnixMs}; },
             [](bool, const std::string&) {}, 1) {}
 
   void open() {
@@ -230,14 +238,16 @@
     store_.flush([&done] { done = true; });
     queue_.run_until([&done] { return done; });
   }
+  // Stores `objects` small objects on disk.
   void fill(int objects) {
-    constexpr int kAtOnce = 20'000;
+    constexpr int kBatchSize = 20'000;
+    constexpr int kKeepRank = 2;
     const auto value = std::make_shared<const std::string>(std::string(32, 'x'));
     for (int i = 0; i < objects; ++i) {
-      const Name name = numbered(static_cast<std::uint64_t>(i));
-      store_.find(name, 2);
-      store_.insert(name, Copy{"t", 1, 3, value}, 2);
-      if (i % kAtOnce == kAtOnce - 1) {
+      const Name name = object_name(static_cast<std::uint64_t>(i));
+      store_.find(name, kKeepRank);  // as for a request that misses
+      store_.insert(name, Copy{"t", 1, 3, value}, kKeepRank);
+      if (i % kBatchSize == kBatchSize - 1) {
         flush();
       }
     }
@@ -252,7 +262,8 @@
   store::Store store_;
 };
 
-// Written by another process: what this one had freed would be used again, and not be counted.
+// Fills the folder in a child process, so that this process frees no memory here. The measured store would
+// reuse freed memory, and allocated_bytes() would not count it.
 void fill_folder(const std::string& folder, int objects) {
   std::filesystem::remove_all(folder);
   const pid_t child = ::fork();
@@ -265,7 +276,8 @@
   ::waitpid(child, nullptr, 0);
 }
 
-void measure_index(const CostContext& context, const CostSink& sink) {
+// Measures the memory of a store and the time to open it, with objects on disk.
+void measure_recovery(const CostContext& context, const CostSink& sink) {
   CostSeries memory{"cache.memory.object",
                     "a store after recovery, beside payload: table, lists, sketch",
                     "bytes",
@@ -279,16 +291,16 @@
                   "in process",
                   {}};
   const std::string folder = context.folder + "/store";
-  for (const int objects : kObjects) {
+  for (const int objects : kObjectCounts) {
     fill_folder(folder, objects);
     const double before = allocated_bytes();
     DiskStore disk(folder, objects);
-    const double begun = wall_us();
+    const double start_us = wall_us();
     disk.open();
-    const double took_ms = (wall_us() - begun) / 1e3;
+    const double elapsed_ms = (wall_us() - start_us) / 1e3;
     const auto recovered = static_cast<double>(disk.stats().recovered);
     memory.points.emplace_back(recovered, allocated_bytes() - before);
-    time.points.emplace_back(recovered, took_ms);
+    time.points.emplace_back(recovered, elapsed_ms);
   }
   std::filesystem::remove_all(folder);
   for (const CostSeries& series : {memory, time}) {
@@ -299,9 +311,9 @@
 }  // namespace
 
 void measure_cache(const CostContext& context, const CostSink& sink) {
-  measure_ledger(sink);
+  measure_purge_table(sink);
   measure_hits(sink);
-  measure_index(context, sink);
+  measure_recovery(context, sink);
 }
 
 }  // namespace trailcourse::scale
--- a/benchmarks/scale/role_costs.h
+++ b/benchmarks/scale/role_costs.h
@@ -1,6 +1,7 @@
-// The measurements of role_costs, one function a role. Each runs the project's own code at several sizes.
+// The groups of measurements that the program role_costs runs. Each runs the project's own code at several
+// sizes.
 //
-// Benchmarks only.
+// Used by benchmarks only.
 #pragma once
 
 #include <cstdint>
@@ -10,20 +11,20 @@
 
 namespace trailcourse::scale {
 
-// What a measurement has to know beside its sizes.
+// Inputs common to all measurements.
 struct CostContext {
-  std::string program;  // the built trailcourse, for real processes
-  std::string folder;   // of its own, for files; removed afterwards
-  std::uint64_t seed = 1;
+  std::string program;     // path of the built trailcourse program, for measurements of real processes
+  std::string folder;      // temporary folder for files, removed when role_costs ends
+  std::uint64_t seed = 1;  // seed of the random numbers
 };
 
 void measure_router(const CostContext& context, const CostSink& sink);
-void measure_purges(const CostContext& context, const CostSink& sink);
-void measure_policy(const CostContext& context, const CostSink& sink);
+void measure_router_purges(const CostContext& context, const CostSink& sink);
+void measure_router_policy(const CostContext& context, const CostSink& sink);
 void measure_cache(const CostContext& context, const CostSink& sink);
-void measure_board(const CostContext& context, const CostSink& sink);
-void measure_store(const CostContext& context, const CostSink& sink);
-void measure_driver(const CostContext& context, const CostSink& sink);
+void measure_discovery_service(const CostContext& context, const CostSink& sink);
+void measure_coordination_store(const CostContext& context, const CostSink& sink);
+void measure_rollout_coordinator(const CostContext& context, const CostSink& sink);
 void measure_membership(const CostContext& context, const CostSink& sink);
 void measure_aggregator(const CostContext& context, const CostSink& sink);
 void measure_idle_processes(const CostContext& context, const CostSink& sink);
--- a/benchmarks/scale/sample_fleet.cpp
+++ b/benchmarks/scale/sample_fleet.cpp
@@ -12,30 +12,33 @@
 
 namespace {
 
-fleet::FleetSpec shape_of(int routers, int caches, int zones, std::int64_t since_ms) {
-  fleet::FleetSpec shape;
-  shape.routers = routers;
-  shape.caches = caches;
-  shape.parents = 0;
-  shape.started_unix_ms = since_ms;
-  shape.zones.clear();
+constexpr std::uint64_t kPurgedObjectBase = 0x7f3a'0000'0000'0000U;
+
+fleet::FleetSpec fleet_spec(int routers, int caches, int zones, std::int64_t since_ms) {
+  fleet::FleetSpec spec;
+  spec.routers = routers;
+  spec.caches = caches;
+  spec.parents = 0;
+  spec.started_unix_ms = since_ms;
+  spec.zones.clear();
   for (int i = 0; i < zones; ++i) {
-    shape.zones.push_back("zone" + std::to_string(i));
+    spec.zones.push_back("zone" + std::to_string(i));
   }
-  return shape;
+  return spec;
 }
 
 }  // namespace
 
 json list_page(int caches, int zones, std::int64_t since_ms) {
   fleet::PortAllocator ports;
-  const fleet::Layout layout(shape_of(1, caches, zones, since_ms), "", ports);
-  return json::parse(layout.first_page().dump());  // with the types of numbers that a reader finds
+  const fleet::Layout layout(fleet_spec(1, caches, zones, since_ms), "", ports);
+  // A page that is written and parsed has the same JSON number types as one that a client receives.
+  return json::parse(layout.first_page().dump());
 }
 
 json router_settings(int routers, int zones) {
   fleet::PortAllocator ports;
-  json out = fleet::Layout(shape_of(1, 1, zones, 0), "", ports).settings(kSampleZone, 0);
+  json out = fleet::Layout(fleet_spec(1, 1, zones, 0), "", ports).settings(kSampleZone, 0);
   out["Balancers"] = routers;
   return out;
 }
@@ -51,7 +54,7 @@
   std::uint64_t number = after;
   for (int i = 0; i < purges; ++i) {
     ++number;
-    events.push_back(purge_event(number, 0x7f3a'0000'0000'0000U + number, at_ms));
+    events.push_back(purge_event(number, kPurgedObjectBase + number, at_ms));
   }
   return {{"rev", number}, {"notices", events}};
 }
