--- a/benchmarks/scale/http_peers.cpp
+++ b/benchmarks/scale/http_peers.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-constexpr int kWaitMs = 20;
+constexpr int kEpollTimeoutMs = 20;
 constexpr std::size_t kReadBytes = 65'536;
 
 Descriptor connect_to(const transport::Address& server) {
@@ -44,7 +44,7 @@
   }
 }
 
-// What has come, up to a bound; empty where nothing has, or the connection ended.
+// Returns the received bytes, at most kReadBytes; empty if there are none or the connection is closed.
 std::string_view receive(const Descriptor& socket, int flags, PeerCounts& counts) {
   static thread_local std::array<char, kReadBytes> buffer;
   const ssize_t count = ::recv(socket.get(), buffer.data(), buffer.size(), flags);
@@ -55,17 +55,18 @@
   return {buffer.data(), static_cast<std::size_t>(count)};
 }
 
-void watch_for_input(const Descriptor& epoll, const Descriptor& socket, std::size_t place) {
+void watch_for_input(const Descriptor& epoll, const Descriptor& socket, std::size_t index) {
   epoll_event event{};
   event.events = EPOLLIN;
-  event.data.u64 = place;
+  event.data.u64 = index;
   ::epoll_ctl(epoll.get(), EPOLL_CTL_ADD, socket.get(), &event);
 }
 
-// The places of those that have something to be read.
+// Returns the indexes of the sockets that are readable.
 std::vector<std::size_t> wait_for_input(const Descriptor& epoll) {
   std::array<epoll_event, 256> events;
-  const int count = ::epoll_wait(epoll.get(), events.data(), static_cast<int>(events.size()), kWaitMs);
+  const int count =
+      ::epoll_wait(epoll.get(), events.data(), static_cast<int>(events.size()), kEpollTimeoutMs);
   std::vector<std::size_t> out;
   for (int i = 0; i < count; ++i) {
     out.push_back(events[static_cast<std::size_t>(i)].data.u64);
@@ -73,8 +74,8 @@
   return out;
 }
 
-// The number of the last event of a page, which stands behind the events.
-std::uint64_t last_event(const std::string& page) {
+// Returns the sequence number of the last event of a page. It is the last "rev" field of the page.
+std::uint64_t last_event_of(const std::string& page) {
   constexpr std::string_view kField = "\"rev\":";
   const std::size_t at = page.rfind(kField);
   return at == std::string::npos ? 0 : std::strtoull(page.c_str() + at + kField.size(), nullptr, 10);
@@ -82,11 +83,11 @@
 
 }  // namespace
 
-// ---- Those that ask a board ----
+// ---- Polls of a discovery server ----
 
-PollingPeers::PollingPeers(const transport::Address& server, int peers, int linger_ms)
+PollingPeers::PollingPeers(const transport::Address& server, int peers, int long_poll_ms)
     : server_(server),
-      linger_ms_(linger_ms),
+      long_poll_ms_(long_poll_ms),
       epoll_(::epoll_create1(EPOLL_CLOEXEC)),
       peers_(static_cast<std::size_t>(peers)),
       thread_([this] { run(); }) {}
@@ -100,30 +101,30 @@
   for (std::size_t i = 0; i < peers_.size() && !stopping_; ++i) {
     peers_[i].socket = connect_to(server_);
     watch_for_input(epoll_, peers_[i].socket, i);
-    ask(peers_[i], 0);
+    send_poll(peers_[i], 0);
   }
   while (!stopping_) {
-    for (const std::size_t place : wait_for_input(epoll_)) {
-      read(peers_[place]);
+    for (const std::size_t index : wait_for_input(epoll_)) {
+      read_response(peers_[index]);
     }
   }
 }
 
-void PollingPeers::ask(Peer& peer, std::uint64_t last) {
-  const std::string request =
-      protocol::http::write_get(protocol::poll_path(last, linger_ms_), transport::to_string(server_));
+void PollingPeers::send_poll(Peer& peer, std::uint64_t last_event) {
+  const std::string request = protocol::http::write_get(protocol::poll_path(last_event, long_poll_ms_),
+                                                        transport::to_string(server_));
   send_all(peer.socket, request, counts_);
 }
 
-void PollingPeers::read(Peer& peer) {
+void PollingPeers::read_response(Peer& peer) {
   peer.parser.feed(receive(peer.socket, MSG_DONTWAIT, counts_));
   if (const auto response = peer.parser.take()) {
     ++counts_.answers;
-    ask(peer, last_event(response->body));
+    send_poll(peer, last_event_of(response->body));
   }
 }
 
-// ---- Those that watch a store ----
+// ---- Watches of a store ----
 
 ListeningPeers::ListeningPeers(const transport::Address& server, int peers, std::string request)
     : server_(server),
@@ -144,13 +145,13 @@
     send_all(sockets_[i], request_, counts_);
   }
   while (!stopping_) {
-    for (const std::size_t place : wait_for_input(epoll_)) {
-      counts_.answers += receive(sockets_[place], MSG_DONTWAIT, counts_).empty() ? 0 : 1;
+    for (const std::size_t index : wait_for_input(epoll_)) {
+      counts_.answers += receive(sockets_[index], MSG_DONTWAIT, counts_).empty() ? 0 : 1;
     }
   }
 }
 
-// ---- One that makes calls ----
+// ---- Sequential calls ----
 
 CallingPeer::CallingPeer(const transport::Address& server, std::string request, int calls)
     : request_(std::move(request)), thread_([this, server, calls] { run(server, calls); }) {}
--- a/benchmarks/scale/http_peers.h
+++ b/benchmarks/scale/http_peers.h
@@ -1,8 +1,8 @@
-// Many clients of one server on loopback, in a thread of their own, so that what the server costs can be told
-// apart by its thread. They make the calls that the project's routers make, and read no more of the answers
-// than they need.
+// Many clients of one server on loopback, in a separate thread, so that the processor time of the server's
+// thread excludes the clients. They make the same calls as routers and parse only what they need of the
+// responses.
 //
-// Benchmarks only. A connection that does not come up ends the program.
+// For benchmarks only: a failed connection ends the program.
 #pragma once
 
 #include <atomic>
@@ -16,18 +16,18 @@
 
 namespace trailcourse::scale {
 
-// What passed so far: headers of HTTP are counted, those of TCP and IP are not.
+// Traffic so far, in bytes with the headers of HTTP and without those of TCP and IP.
 struct PeerCounts {
   std::atomic<std::uint64_t> answers{0};
   std::atomic<std::uint64_t> bytes_out{0};
   std::atomic<std::uint64_t> bytes_in{0};
 };
 
-// Clients that ask a board's pages again and again, each for what is later than the last page it got.
+// Clients that poll a discovery server continuously, each for the events after its last page.
 class PollingPeers {
  public:
-  // `linger_ms`: for which each call may be held.
-  PollingPeers(const transport::Address& server, int peers, int linger_ms);
+  // The server may hold each poll for up to `long_poll_ms`.
+  PollingPeers(const transport::Address& server, int peers, int long_poll_ms);
   ~PollingPeers();
   PollingPeers(const PollingPeers&) = delete;
   PollingPeers& operator=(const PollingPeers&) = delete;
@@ -41,11 +41,11 @@
   };
 
   void run();
-  void ask(Peer& peer, std::uint64_t last);
-  void read(Peer& peer);
+  void send_poll(Peer& peer, std::uint64_t last_event);
+  void read_response(Peer& peer);
 
   transport::Address server_;
-  int linger_ms_;
+  int long_poll_ms_;
   transport::Descriptor epoll_;
   std::vector<Peer> peers_;
   PeerCounts counts_;
@@ -53,7 +53,7 @@
   std::thread thread_;
 };
 
-// Clients that send one request each and then take whatever comes: watches of a store.
+// Clients that send one request each and then read the stream of the response, as watches of a store do.
 class ListeningPeers {
  public:
   ListeningPeers(const transport::Address& server, int peers, std::string request);
@@ -75,7 +75,7 @@
   std::thread thread_;
 };
 
-// One client that makes the same call so many times, each after the answer to the one before.
+// One client that makes the same call `calls` times, each after the response to the previous one.
 class CallingPeer {
  public:
   CallingPeer(const transport::Address& server, std::string request, int calls);
@@ -84,7 +84,7 @@
   CallingPeer& operator=(const CallingPeer&) = delete;
 
   bool done() const { return done_; }
-  // `answers`: those with status 200.
+  // `answers` counts the responses with status 200.
   const PeerCounts& counts() const { return counts_; }
 
  private:
--- a/benchmarks/scale/process_costs.cpp
+++ b/benchmarks/scale/process_costs.cpp
@@ -1,5 +1,5 @@
-// What routers cost as real processes on loopback: traffic, processor time and memory, at rest and under
-// purges.
+// Costs of routers as real processes on loopback: traffic, processor time and memory, while idle and during
+// purges, and processor time for each request.
 #include <array>
 #include <cstdio>
 #include <filesystem>
@@ -26,19 +26,19 @@
 using std::chrono::milliseconds;
 using transport::Clock;
 
-constexpr std::array<int, 3> kRouters{10, 30, 100};
-constexpr std::array<int, 4> kPurgeRates{30, 60, 90, 180};
+constexpr std::array<int, 3> kRouterCounts{10, 30, 100};
+constexpr std::array<int, 4> kPurgeRates{30, 60, 90, 180};  // per second
 constexpr std::array<int, 5> kObjectSizesKb{1, 20, 60, 120, 200};
-constexpr int kWarmRequests = 400;
-constexpr int kCountedRequests = 3'000;
-constexpr milliseconds kUp{60'000};
-constexpr milliseconds kSettle{3'000};
-constexpr milliseconds kMeasured{6'000};
-constexpr milliseconds kPurgeStep{50};  // as often as a board looks at its file
+constexpr int kWarmUpRequests = 400;
+constexpr int kMeasuredRequests = 3'000;
+constexpr milliseconds kStartTimeout{60'000};
+constexpr milliseconds kSettleTime{3'000};
+constexpr milliseconds kMeasureTime{6'000};
+constexpr milliseconds kPurgeInterval{50};  // the discovery server reads its file as often
 constexpr int kRelayDegree = 8;
 constexpr const char* kSetting = "real processes";
 
-// Bytes that passed over loopback since the machine was started, headers of TCP and IP counted.
+// Returns the bytes sent over loopback since the machine was started, with the headers of TCP and IP.
 double loopback_bytes() {
   std::ifstream file("/proc/net/dev");
   for (std::string line; std::getline(file, line);) {
@@ -47,14 +47,14 @@
       return std::strtod(line.c_str() + at + 3, nullptr);
     }
   }
-  throw std::runtime_error("/proc/net/dev tells nothing of loopback");
+  throw std::runtime_error("/proc/net/dev has no loopback interface");
 }
 
-// Processor time of all threads of a process, in microseconds.
+// Returns the processor time of all threads of a process, in microseconds.
 double process_cpu_us(pid_t pid) {
   double sum = 0.0;
-  std::error_code none;
-  const std::filesystem::directory_iterator threads("/proc/" + std::to_string(pid) + "/task", none);
+  std::error_code ignored;
+  const std::filesystem::directory_iterator threads("/proc/" + std::to_string(pid) + "/task", ignored);
   for (const auto& thread : threads) {
     std::ifstream file(thread.path() / "schedstat");
     double nanoseconds = 0.0;
@@ -74,71 +74,72 @@
   return 0.0;
 }
 
-struct FleetKind {
+struct IdleFleetOptions {
   int routers = 10;
-  int listed_caches = 40;  // that the board lists; none of them runs
+  int listed_caches = 40;  // in the list of the discovery server; none of them runs
   bool relays = false;
-  bool store = false;    // routers that share a store and follow its policy
-  bool proxies = false;  // between routers and board, to count the bytes of HTTP
+  bool store = false;    // the routers share a store and apply its policy
+  bool proxies = false;  // between routers and discovery server, to count the bytes of HTTP
 };
 
-// Board, origin and routers; nobody asks the routers for anything.
-class QuietFleet {
+// A discovery server, an origin and routers that receive no requests.
+class IdleFleet {
  public:
-  QuietFleet(const CostContext& context, const FleetKind& kind)
-      : folder_(context.folder + "/fleet"), routers_(kind.routers) {
+  IdleFleet(const CostContext& context, const IdleFleetOptions& options)
+      : folder_(context.folder + "/fleet"), routers_(options.routers) {
     std::filesystem::remove_all(folder_);
     std::filesystem::create_directories(folder_);
-    layout_ = std::make_unique<fleet::Layout>(shape_of(kind), folder_, ports_);
-    if (kind.relays) {
+    layout_ = std::make_unique<fleet::Layout>(fleet_spec(options), folder_, ports_);
+    if (options.relays) {
       for (fleet::Member& member : layout_->members()) {
         member.relay = member.kind == Kind::kRouter ? ports_.allocate_text() : "";
       }
       layout_->connect_relays(kRelayDegree);
     }
     const std::vector<std::string> proxied =
-        kind.proxies ? std::vector<std::string>{"router*>board"} : std::vector<std::string>{};
+        options.proxies ? std::vector<std::string>{"router*>board"} : std::vector<std::string>{};
     scenario_ = std::make_unique<fleet::Scenario>(scheduler_, *layout_, ports_, context.program, proxied);
     page_ = json::parse(layout_->first_page().dump());
-    for (const Kind one : {Kind::kRegistry, Kind::kBoard, Kind::kOrigin, Kind::kRouter}) {
-      start(one);
+    for (const Kind kind : {Kind::kRegistry, Kind::kBoard, Kind::kOrigin, Kind::kRouter}) {
+      start(kind);
     }
-    // Told once all run: a router logs no more than some lines a second, and that it listens must be seen.
-    tell_list(kind.listed_caches);
-    run_for(kSettle);
+    // Published once all routers run: routers limit their log lines per second, and the line that says that a
+    // router listens must not be dropped.
+    publish_list(options.listed_caches);
+    run_for(kSettleTime);
   }
-  ~QuietFleet() {
+  ~IdleFleet() {
     scenario_.reset();
     std::filesystem::remove_all(folder_);
   }
-  QuietFleet(const QuietFleet&) = delete;
-  QuietFleet& operator=(const QuietFleet&) = delete;
+  IdleFleet(const IdleFleet&) = delete;
+  IdleFleet& operator=(const IdleFleet&) = delete;
 
   int routers() const { return routers_; }
   void run_for(milliseconds time) {
     scenario_->fleet().run_until([] { return false; }, time);
   }
-  // Purges put on the board at an even rate.
+  // Publishes purges at an even rate.
   void run_with_purges(milliseconds time, int purges_per_s) {
-    const Clock::time_point begun = Clock::now();
-    int told = 0;
-    while (Clock::now() - begun < time) {
-      const auto passed = std::chrono::duration_cast<milliseconds>(Clock::now() - begun);
+    const Clock::time_point started_at = Clock::now();
+    int published = 0;
+    while (Clock::now() - started_at < time) {
+      const auto passed = std::chrono::duration_cast<milliseconds>(Clock::now() - started_at);
       const int due = static_cast<int>(passed.count() * purges_per_s / 1'000);
-      if (due > told) {
-        add_purges(due - told);
-        told = due;
+      if (due > published) {
+        add_purges(due - published);
+        published = due;
       }
-      run_for(kPurgeStep);
+      run_for(kPurgeInterval);
     }
   }
   double routers_cpu_us() const {
     return sum_over_routers([](pid_t pid) { return process_cpu_us(pid); });
   }
-  double routers_memory() const {
+  double routers_memory_bytes() const {
     return sum_over_routers([](pid_t pid) { return anonymous_bytes(pid); });
   }
-  // Through the proxies, to and from the routers.
+  // Bytes of HTTP through the proxies.
   double http_bytes_to_routers() const {
     double sum = 0.0;
     for (fleet::FaultProxy* link : scenario_->links()) {
@@ -155,32 +156,32 @@
   }
 
  private:
-  static fleet::FleetSpec shape_of(const FleetKind& kind) {
-    fleet::FleetSpec shape;
-    shape.routers = kind.routers;
-    shape.caches = 0;
-    shape.parents = 0;
-    shape.registry = kind.store;
-    shape.sockets = 256;
-    if (kind.store) {
-      shape.policy = {{"without", "both"}};
+  static fleet::FleetSpec fleet_spec(const IdleFleetOptions& options) {
+    fleet::FleetSpec spec;
+    spec.routers = options.routers;
+    spec.caches = 0;
+    spec.parents = 0;
+    spec.registry = options.store;
+    spec.sockets = 256;
+    if (options.store) {
+      spec.policy = {{"without", "both"}};
     }
-    return shape;
+    return spec;
   }
 
   void start(Kind kind) {
     scenario_->fleet().start_all(kind);
     for (const std::string& name : layout_->names(kind)) {
-      if (!scenario_->fleet().await_up(name, kUp)) {
-        throw std::runtime_error(name + " did not come up: " + scenario_->fleet().log(name));
+      if (!scenario_->fleet().await_up(name, kStartTimeout)) {
+        throw std::runtime_error(name + " did not start: " + scenario_->fleet().log(name));
       }
     }
   }
-  void tell_list(int caches) {
+  void publish_list(int caches) {
     json event = list_page(caches, 1)["notices"][0];
-    const std::uint64_t number = page_["rev"].get<std::uint64_t>() + 1;
-    event["rev"] = number;
-    page_["rev"] = number;
+    const std::uint64_t sequence = page_["rev"].get<std::uint64_t>() + 1;
+    event["rev"] = sequence;
+    page_["rev"] = sequence;
     page_["notices"].push_back(std::move(event));
     write_page();
   }
@@ -193,9 +194,9 @@
     write_page();
   }
   void write_page() const {
-    const std::string next = layout_->board_file() + ".next";
-    std::ofstream(next, std::ios::binary) << page_.dump(1) << '\n';
-    std::filesystem::rename(next, layout_->board_file());
+    const std::string new_file = layout_->board_file() + ".next";
+    std::ofstream(new_file, std::ios::binary) << page_.dump(1) << '\n';
+    std::filesystem::rename(new_file, layout_->board_file());
   }
   template <typename Figure>
   double sum_over_routers(Figure figure) const {
@@ -215,23 +216,23 @@
   json page_;
 };
 
-// What all routers of a fleet cost in a second.
-struct SecondOfRouters {
+// Costs per second of all routers of a fleet together.
+struct RouterCosts {
   double wire_bytes = 0.0;  // over loopback
   double http_bytes_to = 0.0;
   double http_bytes_from = 0.0;
   double cpu_us = 0.0;
 };
 
-SecondOfRouters measure(QuietFleet& fleet, int purges_per_s) {
-  const double seconds_begun = wall_us() / 1e6;
+RouterCosts measure(IdleFleet& fleet, int purges_per_s) {
+  const double started_at_s = wall_us() / 1e6;
   const double wire = loopback_bytes();
   const double to = fleet.http_bytes_to_routers();
   const double from = fleet.http_bytes_from_routers();
   const double cpu = fleet.routers_cpu_us();
-  fleet.run_with_purges(kMeasured, purges_per_s);
-  const double seconds = wall_us() / 1e6 - seconds_begun;
-  SecondOfRouters out;
+  fleet.run_with_purges(kMeasureTime, purges_per_s);
+  const double seconds = wall_us() / 1e6 - started_at_s;
+  RouterCosts out;
   out.wire_bytes = (loopback_bytes() - wire) / seconds;
   out.http_bytes_to = (fleet.http_bytes_to_routers() - to) / seconds;
   out.http_bytes_from = (fleet.http_bytes_from_routers() - from) / seconds;
@@ -239,60 +240,60 @@
   return out;
 }
 
-void measure_idle(const CostContext& context, const CostSink& sink, const std::string& with,
-                  const std::string& words, FleetKind kind) {
+void measure_idle(const CostContext& context, const CostSink& sink, const std::string& name,
+                  const std::string& description, IdleFleetOptions options) {
   CostSeries bytes{
-      "process.bytes.idle." + with,
-      "control traffic of all routers at rest, " + words + ", both ways, TCP and IP headers counted",
+      "process.bytes.idle." + name,
+      "control traffic of all routers at rest, " + description + ", both ways, TCP and IP headers counted",
       "bytes/s",
       "routers",
       kSetting,
       {}};
-  CostSeries cpu{"process.cpu.idle." + with,
-                 "processor time of all routers at rest, " + words,
+  CostSeries cpu{"process.cpu.idle." + name,
+                 "processor time of all routers at rest, " + description,
                  "us/s",
                  "routers",
                  kSetting,
                  {}};
-  CostSeries memory{"process.memory.idle." + with,
-                    "anonymous memory of all routers, " + words,
+  CostSeries memory{"process.memory.idle." + name,
+                    "anonymous memory of all routers, " + description,
                     "bytes",
                     "routers",
                     kSetting,
                     {}};
-  for (const int routers : kRouters) {
-    kind.routers = routers;
-    QuietFleet fleet(context, kind);
-    const SecondOfRouters second = measure(fleet, 0);
-    bytes.points.emplace_back(routers, second.wire_bytes);
-    cpu.points.emplace_back(routers, second.cpu_us);
-    memory.points.emplace_back(routers, fleet.routers_memory());
+  for (const int routers : kRouterCounts) {
+    options.routers = routers;
+    IdleFleet fleet(context, options);
+    const RouterCosts costs = measure(fleet, 0);
+    bytes.points.emplace_back(routers, costs.wire_bytes);
+    cpu.points.emplace_back(routers, costs.cpu_us);
+    memory.points.emplace_back(routers, fleet.routers_memory_bytes());
   }
   for (const CostSeries& series : {bytes, cpu, memory}) {
     sink(series);
   }
 }
 
-void measure_wire_bytes(const CostContext& context, const CostSink& sink, const std::string& with,
-                        const std::string& words, const FleetKind& kind) {
-  CostSeries wire{
-      "process.bytes.purges." + with,
-      "control traffic of one router under purges, " + words + ", both ways, TCP and IP headers counted",
-      "bytes/s",
-      "purges a second",
-      kSetting,
-      {}};
-  CostSeries cpu{"process.cpu.purges." + with,
-                 "processor time of one router under purges, " + words,
+void measure_wire_bytes(const CostContext& context, const CostSink& sink, const std::string& name,
+                        const std::string& description, const IdleFleetOptions& options) {
+  CostSeries wire{"process.bytes.purges." + name,
+                  "control traffic of one router under purges, " + description +
+                      ", both ways, TCP and IP headers counted",
+                  "bytes/s",
+                  "purges a second",
+                  kSetting,
+                  {}};
+  CostSeries cpu{"process.cpu.purges." + name,
+                 "processor time of one router under purges, " + description,
                  "us/s",
                  "purges a second",
                  kSetting,
                  {}};
   for (const int rate : kPurgeRates) {
-    QuietFleet fleet(context, kind);
-    const SecondOfRouters second = measure(fleet, rate);
-    wire.points.emplace_back(rate, second.wire_bytes / fleet.routers());
-    cpu.points.emplace_back(rate, second.cpu_us / fleet.routers());
+    IdleFleet fleet(context, options);
+    const RouterCosts costs = measure(fleet, rate);
+    wire.points.emplace_back(rate, costs.wire_bytes / fleet.routers());
+    cpu.points.emplace_back(rate, costs.cpu_us / fleet.routers());
   }
   sink(wire);
   sink(cpu);
@@ -311,13 +312,13 @@
                   "purges a second",
                   kSetting,
                   {}};
-  FleetKind kind;
-  kind.proxies = true;
+  IdleFleetOptions options;
+  options.proxies = true;
   for (const int rate : kPurgeRates) {
-    QuietFleet fleet(context, kind);
-    const SecondOfRouters second = measure(fleet, rate);
-    to.points.emplace_back(rate, second.http_bytes_to / fleet.routers());
-    from.points.emplace_back(rate, second.http_bytes_from / fleet.routers());
+    IdleFleet fleet(context, options);
+    const RouterCosts costs = measure(fleet, rate);
+    to.points.emplace_back(rate, costs.http_bytes_to / fleet.routers());
+    from.points.emplace_back(rate, costs.http_bytes_from / fleet.routers());
   }
   sink(to);
   sink(from);
@@ -325,24 +326,24 @@
 
 // ---- Requests ----
 
-// Origin, one cache and one router; requests come over one connection, a few at once.
+// An origin, one cache and one router, which receive several concurrent requests over one connection.
 class ServingFleet {
  public:
   ServingFleet(const CostContext& context, int object_kb) : folder_(context.folder + "/serving") {
     std::filesystem::remove_all(folder_);
     std::filesystem::create_directories(folder_);
-    fleet::FleetSpec shape;
-    shape.caches = 1;
-    shape.parents = 0;
-    shape.object_kb = object_kb;
-    layout_ = std::make_unique<fleet::Layout>(shape, folder_, ports_);
+    fleet::FleetSpec spec;
+    spec.caches = 1;
+    spec.parents = 0;
+    spec.object_kb = object_kb;
+    layout_ = std::make_unique<fleet::Layout>(spec, folder_, ports_);
     scenario_ = std::make_unique<fleet::Scenario>(scheduler_, *layout_, ports_, context.program,
                                                   std::vector<std::string>{});
     for (const Kind kind : {Kind::kBoard, Kind::kOrigin, Kind::kCache, Kind::kRouter}) {
       scenario_->fleet().start_all(kind);
       for (const std::string& name : layout_->names(kind)) {
-        if (!scenario_->fleet().await_up(name, kUp)) {
-          throw std::runtime_error(name + " did not come up: " + scenario_->fleet().log(name));
+        if (!scenario_->fleet().await_up(name, kStartTimeout)) {
+          throw std::runtime_error(name + " did not start: " + scenario_->fleet().log(name));
         }
       }
     }
@@ -358,16 +359,16 @@
   ServingFleet(const ServingFleet&) = delete;
   ServingFleet& operator=(const ServingFleet&) = delete;
 
-  // Asks for few objects again and again; how many were answered with 200.
-  int ask(int requests) {
-    constexpr std::size_t kAtOnce = 8;
+  // Sends this number of requests for a few objects. Returns the number of responses with status 200.
+  int send_requests(int requests) {
+    constexpr std::size_t kMaxConcurrentRequests = 8;
     constexpr std::size_t kObjects = 16;
     const transport::Address router = *transport::parse_address(layout_->member(kRouterName).address);
     const std::size_t first = load_->requests().size();
     const std::size_t last = first + static_cast<std::size_t>(requests);
     scenario_->fleet().run_until(
         [&] {
-          while (load_->open() < kAtOnce && load_->requests().size() < last) {
+          while (load_->open() < kMaxConcurrentRequests && load_->requests().size() < last) {
             load_->send(kRouterName, router, fleet::object_name(1 + load_->requests().size() % kObjects));
           }
           return load_->open() == 0;
@@ -410,12 +411,13 @@
                    {}};
   for (const int object_kb : kObjectSizesKb) {
     ServingFleet fleet(context, object_kb);
-    fleet.ask(kWarmRequests);
+    fleet.send_requests(kWarmUpRequests);
     const double router_before = fleet.cpu_us(ServingFleet::kRouterName);
     const double cache_before = fleet.cpu_us(ServingFleet::kCacheName);
-    const int served = fleet.ask(kCountedRequests);
-    if (served < kCountedRequests * 9 / 10) {
-      throw std::runtime_error("only " + std::to_string(served) + " requests were served");
+    const int served = fleet.send_requests(kMeasuredRequests);
+    if (served < kMeasuredRequests * 9 / 10) {
+      throw std::runtime_error("only " + std::to_string(served) + " of " + std::to_string(kMeasuredRequests) +
+                               " requests succeeded");
     }
     router.points.emplace_back(object_kb, (fleet.cpu_us(ServingFleet::kRouterName) - router_before) / served);
     cache.points.emplace_back(object_kb, (fleet.cpu_us(ServingFleet::kCacheName) - cache_before) / served);
@@ -425,30 +427,30 @@
 }
 
 void measure_idle_processes(const CostContext& context, const CostSink& sink) {
-  FleetKind kind;
-  measure_idle(context, sink, "board", "each asking the board", kind);
-  kind.relays = true;
-  measure_idle(context, sink, "relays", "relays of degree 8", kind);
-  kind.relays = false;
-  kind.store = true;
-  measure_idle(context, sink, "store", "each asking the board, one store and its policy", kind);
+  IdleFleetOptions options;
+  measure_idle(context, sink, "board", "each asking the board", options);
+  options.relays = true;
+  measure_idle(context, sink, "relays", "relays of degree 8", options);
+  options.relays = false;
+  options.store = true;
+  measure_idle(context, sink, "store", "each asking the board, one store and its policy", options);
 }
 
 void measure_purges_by_board(const CostContext& context, const CostSink& sink) {
-  measure_wire_bytes(context, sink, "board", "a list of 40 caches", FleetKind());
+  measure_wire_bytes(context, sink, "board", "a list of 40 caches", IdleFleetOptions());
 }
 
 void measure_purges_by_board_long(const CostContext& context, const CostSink& sink) {
-  FleetKind kind;
-  kind.listed_caches = 2'100;
-  measure_wire_bytes(context, sink, "board.2100", "a list of 2,100 caches", kind);
+  IdleFleetOptions options;
+  options.listed_caches = 2'100;
+  measure_wire_bytes(context, sink, "board.2100", "a list of 2,100 caches", options);
 }
 
 void measure_purges_by_relays(const CostContext& context, const CostSink& sink) {
-  FleetKind kind;
-  kind.relays = true;
-  kind.routers = 30;
-  measure_wire_bytes(context, sink, "relays", "30 routers, relays of degree 8", kind);
+  IdleFleetOptions options;
+  options.relays = true;
+  options.routers = 30;
+  measure_wire_bytes(context, sink, "relays", "30 routers, relays of degree 8", options);
 }
 
 void measure_purges_http(const CostContext& context, const CostSink& sink) {
--- a/benchmarks/scale/simulated_process.cpp
+++ b/benchmarks/scale/simulated_process.cpp
@@ -123,7 +123,7 @@
 
 void SimulatedProcess::step_at(Micros reading) {
   const Micros now = simulation_.events.now();
-  // A step that is due already waits for a message, not for the time.
+  // An overdue step waits for a message and not for a time, so it is retried less often.
   const bool overdue = reading <= clock();
   const Micros when =
       std::max(clock_.true_time_at(reading), now + (overdue ? kOverdueStepDelay : kMinStepDelay));
