--- a/benchmarks/scale/simulated_process.h
+++ b/benchmarks/scale/simulated_process.h
@@ -30,7 +30,7 @@
 
 struct NetworkOptions {
   DelayOptions within_region;
-  DelayOptions between_regions;       // without the region's distance; the store counts as another region
+  DelayOptions between_regions;      // without the region's distance; the store counts as another region
   Micros max_region_distance{0};     // each region's one-way delay is drawn between 0 and this
   Micros call_timeout{1'000'000};    // CoordinationOptions::call_ms
   Micros watch_timeout{15'000'000};  // CoordinationOptions::watch_silent_ms
