--- a/benchmarks/scale/fleet_model.cpp
+++ b/benchmarks/scale/fleet_model.cpp
@@ -184,7 +184,7 @@
       }
       next_check = now() + kCheckInterval;
     }
-    simulation_->events.step(std::min(end, std::max(next_check, now())));
+    simulation_->events.run_next(std::min(end, std::max(next_check, now())));
   }
   return condition();
 }
--- a/benchmarks/scale/simulated_process.cpp
+++ b/benchmarks/scale/simulated_process.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr Micros kMinStepDelay{1'000};
-constexpr Micros kOverdueStepDelay{100'000};
+constexpr Micros kOverdueStepDelay{100'000};  // minimum delay of a step that is already due
 
 }  // namespace
 
@@ -27,13 +27,13 @@
   return out;
 }
 
-Traffic operator-(Traffic one, const Traffic& other) {
-  one.calls -= other.calls;
-  one.watch_events -= other.watch_events;
-  one.bytes_in -= other.bytes_in;
-  one.bytes_out -= other.bytes_out;
-  one.cpu_time -= other.cpu_time;
-  return one;
+Traffic operator-(Traffic after, const Traffic& before) {
+  after.calls -= before.calls;
+  after.watch_events -= before.watch_events;
+  after.bytes_in -= before.bytes_in;
+  after.bytes_out -= before.bytes_out;
+  after.cpu_time -= before.cpu_time;
+  return after;
 }
 
 // ---- The network ----
@@ -123,7 +123,7 @@
 
 void SimulatedProcess::step_at(Micros reading) {
   const Micros now = simulation_.events.now();
-  // An overdue step waits for a message and not for a time, so it is retried less often.
+  // A step that is already due can proceed only after a message arrives, so it is retried less often.
   const bool overdue = reading <= clock();
   const Micros when =
       std::max(clock_.true_time_at(reading), now + (overdue ? kOverdueStepDelay : kMinStepDelay));
--- a/benchmarks/scale/simulated_process.h
+++ b/benchmarks/scale/simulated_process.h
@@ -30,11 +30,11 @@
 
 struct NetworkOptions {
   DelayOptions within_region;
-  DelayOptions between_regions;      // without the region's distance; the store counts as another region
-  Micros max_region_distance{0};     // each region's one-way delay is drawn between 0 and this
-  Micros call_timeout{1'000'000};    // CoordinationOptions::call_ms
-  Micros watch_timeout{15'000'000};  // CoordinationOptions::watch_silent_ms
-  Micros watch_heartbeat_interval{3'000'000};  // of a server, on each watch
+  DelayOptions between_regions;                // plus the region's distance; also to and from the store
+  Micros max_region_distance{0};               // each region has a random one-way distance from 0 to this
+  Micros call_timeout{1'000'000};              // CoordinationOptions::call_ms
+  Micros watch_timeout{15'000'000};            // CoordinationOptions::watch_silent_ms
+  Micros watch_heartbeat_interval{3'000'000};  // between the heartbeats of a server on each watch
   // Whether a client closes its watch at a server as soon as its calls go to another server. Otherwise the
   // watch ends after `watch_timeout`.
   bool watch_follows_calls = true;
@@ -54,7 +54,7 @@
 };
 inline Micros to_micros(double count) { return Micros(static_cast<Micros::rep>(count)); }
 
-// Counts of the calls, bytes and processor time of one process.
+// Totals of one process since its construction.
 struct Traffic {
   std::uint64_t calls = 0;         // served; events of watches are not calls
   std::uint64_t watch_events = 0;  // sent
@@ -63,8 +63,8 @@
   Micros cpu_time{0};
   Micros max_queue_time{0};  // longest time that a call waited before it was served
 
-  // The difference of each count; `max_queue_time` stays that of `one`.
-  friend Traffic operator-(Traffic one, const Traffic& other);
+  // Subtracts the totals. `max_queue_time` is that of `after`.
+  friend Traffic operator-(Traffic after, const Traffic& before);
 };
 
 class SimulatedProcess;
@@ -94,7 +94,7 @@
 // The answer of a server to a call.
 struct Reply {
   bool ok = false;           // the call was executed
-  bool unavailable = false;  // it was not, and another server may execute it
+  bool unavailable = false;  // the call was not executed; another server may execute it
   bool succeeded = false;    // transaction: its conditions held; renewal: the lease exists
   coordination::LeaseId lease = 0;
   coordination::TransactionResult transaction_result;
@@ -106,14 +106,14 @@
   std::size_t request_bytes = 0;
   std::size_t response_bytes = 0;
   std::function<Reply()> execute;  // at the server
-  // At the client, at most one of these is called, once; none if the client has been killed.
+  // The client calls one of these, once. If the client was killed, neither is called.
   std::function<void(const Reply&)> on_reply;
   std::function<void()> on_lost;  // no reply; the call may or may not have been executed
 };
 
 constexpr int kNoRegion = -1;
 
-// A process of the simulated fleet, as a server and as a client of calls. It serves one call at a time.
+// A process of the simulated fleet. It can make calls, and it serves the calls of others one at a time.
 class SimulatedProcess {
  public:
   SimulatedProcess(Simulation& simulation, std::string name, int region);
@@ -125,6 +125,7 @@
   // Numbers the processes of the simulation in the order of their construction.
   std::uint64_t serial() const { return serial_; }
   int region() const { return region_; }
+  // Increases with each start and each kill.
   int incarnation() const { return incarnation_; }
   bool alive() const { return alive_; }
   bool running() const { return alive_ && !paused_; }
@@ -132,7 +133,8 @@
   const Traffic& traffic() const { return traffic_; }
   std::size_t queued_calls() const { return queue_.size(); }
 
-  // Cut links of this process alone.
+  // Whether the links of this process to other processes are cut. The links to the store are among
+  // those to other regions.
   bool cut_from_other_regions = false;
   bool cut_within_region = false;
 
@@ -144,6 +146,7 @@
 
   // Delivers a message to this incarnation. A paused process handles it when it is resumed.
   void deliver(int incarnation, Job job);
+  // Sends a call to the server. The call times out after NetworkOptions::call_timeout.
   void call(SimulatedProcess& server, Call call);
 
  protected:
@@ -151,7 +154,8 @@
   virtual void on_started() = 0;
   // Called when the process is resumed, before the messages that arrived meanwhile are handled.
   virtual void on_resumed() {}
-  // Called after each message.
+  // Runs the state machine of the process. Called after each message, at a start and at the times set with
+  // step_at().
   virtual void step() = 0;
   // Schedules a call of step() at a reading of the clock of this process.
   void step_at(Micros reading);
@@ -166,7 +170,7 @@
   void receive_call(const std::shared_ptr<PendingCall>& pending);
   void serve_next();
   void send_reply(const std::shared_ptr<PendingCall>& pending, const Reply& reply);
-  // Reports the call as lost to its client at this true time, unless the client has received a reply by then.
+  // Calls on_lost of the call at this true time, unless its client has received a reply by then.
   static void lose_call_at(const std::shared_ptr<PendingCall>& pending, Micros when);
 
   Simulation& simulation_;
--- a/benchmarks/scale/simulated_store.cpp
+++ b/benchmarks/scale/simulated_store.cpp
@@ -16,11 +16,11 @@
 
 namespace {
 
-// The clock of the store runs this much faster than true time, within the drift that leases allow for.
+// The clock of the store runs 0.9% faster than true time, which is within the drift that leases tolerate.
 constexpr double kClockRate = 1.009;
 constexpr Micros kExpiryInterval{10'000};
 
-// The coordination server has lower limits (10,000 leases). Here only time and bytes are limited.
+// Limits that no simulated fleet reaches. Those of the coordination server are lower (10,000 leases).
 coordination::KeyValueLimits large_limits() {
   coordination::KeyValueLimits out;
   out.leases = 1'000'000;
@@ -28,7 +28,7 @@
   return out;
 }
 
-bool is_policy(const KeyChange& change) { return change.entry.key.starts_with("policy/"); }
+bool is_policy_change(const KeyChange& change) { return change.entry.key.starts_with("policy/"); }
 
 }  // namespace
 
@@ -83,7 +83,7 @@
                                                          [coordinator] { coordinator->on_change(); });
                                   });
   }
-  std::erase_if(changes, [](const KeyChange& change) { return !is_policy(change); });
+  std::erase_if(changes, [](const KeyChange& change) { return !is_policy_change(change); });
   if (changes.empty()) {
     return cpu_time;
   }
@@ -117,7 +117,7 @@
   try {
     state_.revoke(lease);
   } catch (const coordination::OperationRejected&) {
-    // The lease does not exist, which is the result the caller wants.
+    // The lease has already ended, so there is nothing to revoke.
   }
   out.ok = true;
   out.cpu_time += send_changes(out.cpu_time);
--- a/benchmarks/scale/simulated_store_client.cpp
+++ b/benchmarks/scale/simulated_store_client.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// The defaults of CoordinationOptions.
+// The default backoffs of CoordinationOptions.
 constexpr Micros kMinBackoff{200'000};
 constexpr Micros kMaxBackoff{5'000'000};
 
@@ -62,7 +62,7 @@
 void SimulatedStoreClient::start_client() {
   endpoints_ =
       coordination::EndpointSelector(servers_.size(), kMinBackoff, kMaxBackoff, simulation().random());
-  ++watch_;
+  ++watch_number_;
   watch_open_ = false;
   open_watch();
 }
@@ -90,7 +90,7 @@
       return;
     }
     endpoints_.on_success(*endpoint);
-    if (simulation().network.watch_follows_calls && watch_open_ && watched_ != *endpoint) {
+    if (simulation().network.watch_follows_calls && watch_open_ && watched_server_ != *endpoint) {
       reopen_watch();
     }
     on_reply(reply);
@@ -133,10 +133,10 @@
 // ---- The watch of a client ----
 
 void SimulatedStoreClient::open_watch() {
-  const std::uint64_t watch = ++watch_;
+  const std::uint64_t watch = ++watch_number_;
   const auto endpoint = endpoints_.select(clock());
   const auto reopen = [this, watch] {
-    if (watch == watch_) {
+    if (watch == watch_number_) {
       reopen_watch();
     }
   };
@@ -144,12 +144,12 @@
     reopen();
     return;
   }
-  watched_ = *endpoint;
-  watched_incarnation_ = servers_[watched_]->process().incarnation();
+  watched_server_ = *endpoint;
+  watched_server_incarnation_ = servers_[watched_server_]->process().incarnation();
   send_request({call_sizes().watch_request, call_sizes().watch_response,
                 [this, watch](StoreServer& server) { return server.begin_watch(*this, watch); },
                 [this, watch, reopen](const Reply& reply) {
-                  if (watch != watch_ || !reply.snapshot) {
+                  if (watch != watch_number_ || !reply.snapshot) {
                     reopen();
                     return;
                   }
@@ -160,14 +160,14 @@
 }
 
 void SimulatedStoreClient::receive_update(std::uint64_t watch, const SharedWatchUpdate& update) {
-  if (watch == watch_ && watch_open_) {
+  if (watch == watch_number_ && watch_open_) {
     on_watch_update(*update);
   }
 }
 
 bool SimulatedStoreClient::watch_reachable() const {
-  const SimulatedProcess& server = servers_[watched_]->process();
-  return server.running() && server.incarnation() == watched_incarnation_ &&
+  const SimulatedProcess& server = servers_[watched_server_]->process();
+  return server.running() && server.incarnation() == watched_server_incarnation_ &&
          simulation().is_reachable(server, *this);
 }
 
@@ -175,12 +175,12 @@
   if (!alive() || !watch_open_) {
     return;
   }
-  SimulatedProcess& server = servers_[watched_]->process();
-  if (!server.alive() || server.incarnation() != watched_incarnation_) {
+  SimulatedProcess& server = servers_[watched_server_]->process();
+  if (!server.alive() || server.incarnation() != watched_server_incarnation_) {
     simulation().events.add_after(simulation().random_delay(server, *this),
-                                  [this, incarnation = incarnation(), watch = watch_] {
+                                  [this, incarnation = incarnation(), watch = watch_number_] {
                                     deliver(incarnation, [this, watch] {
-                                      if (watch == watch_) {
+                                      if (watch == watch_number_) {
                                         reopen_watch();
                                       }
                                     });
@@ -188,16 +188,16 @@
     return;
   }
   if (watch_reachable()) {
-    servers_[watched_]->resend_snapshot(*this);
+    servers_[watched_server_]->resend_snapshot(*this);
     return;
   }
-  // The last heartbeat arrived up to one interval ago.
+  // The timeout runs from the last heartbeat, which arrived at most one interval ago.
   const NetworkOptions& network = simulation().network;
   const Micros remaining =
       network.watch_timeout - simulation().random_duration(network.watch_heartbeat_interval);
-  simulation().events.add_after(remaining, [this, incarnation = incarnation(), watch = watch_] {
+  simulation().events.add_after(remaining, [this, incarnation = incarnation(), watch = watch_number_] {
     deliver(incarnation, [this, watch] {
-      if (watch == watch_ && watch_open_ && !watch_reachable()) {
+      if (watch == watch_number_ && watch_open_ && !watch_reachable()) {
         reopen_watch();
       }
     });
@@ -205,15 +205,15 @@
 }
 
 void SimulatedStoreClient::reopen_watch() {
-  const std::uint64_t closed = ++watch_;
+  const std::uint64_t closed = ++watch_number_;
   watch_open_ = false;
   if (watch_reachable()) {
-    servers_[watched_]->end_watch(*this);
+    servers_[watched_server_]->end_watch(*this);
   }
   on_watch_closed();
   simulation().events.add_after(kMinBackoff / 4, [this, incarnation = incarnation(), closed] {
     deliver(incarnation, [this, closed] {
-      if (closed == watch_) {
+      if (closed == watch_number_) {
         open_watch();
       }
     });
--- a/benchmarks/scale/simulated_store_client.h
+++ b/benchmarks/scale/simulated_store_client.h
@@ -1,5 +1,5 @@
-// A client of the store's calls, like coordination::EtcdStore: sends each call to one of several servers,
-// fails over to another server, and watches the policy records at one of them.
+// A client of the coordination store, like coordination::EtcdStore: sends each call to one of several
+// servers, fails over to another server after a failure, and watches the policy records at one of the servers.
 #pragma once
 
 #include <cstdint>
@@ -18,11 +18,11 @@
 
 class SimulatedStoreClient;
 
-// An update of a watch of the policy records.
+// A message on a watch of the policy records: a snapshot of them, or changes.
 struct WatchUpdate {
-  policy::ObservedState observed;            // for any zone: the model has no stages
-  bool is_snapshot = false;                  // has all entries: first update, or first after an interruption
-  std::vector<coordination::Entry> entries;  // of a snapshot
+  policy::ObservedState observed;                // the same for all zones: the model has no rollout stages
+  bool is_snapshot = false;                      // the first update, and the first after an interruption
+  std::vector<coordination::Entry> entries;      // all entries, of a snapshot
   std::vector<coordination::KeyChange> changes;  // of an update that is not a snapshot
   std::size_t bytes = 0;                         // on the wire
 };
@@ -48,13 +48,13 @@
   struct Watch {
     SimulatedStoreClient* client = nullptr;
     std::uint64_t number = 0;
-    Micros last_arrival{0};  // updates of a watch arrive in the order in which they were sent
+    Micros last_arrival{0};  // no later update arrives before this; keeps updates in order
   };
   Simulation& simulation_;
   std::map<std::uint64_t, Watch> watches_;  // by the client's serial number, so that runs are reproducible
 };
 
-// A server of the calls that routers make: the store itself, or an aggregator.
+// Executes the store calls of routers. The store itself and the aggregators implement it.
 class StoreServer {
  public:
   StoreServer() = default;
@@ -67,8 +67,9 @@
   virtual Reply keep_alive(coordination::LeaseId lease) = 0;
   virtual Reply revoke(coordination::LeaseId lease) = 0;
   virtual Reply commit(const coordination::Transaction& transaction) = 0;
+  // Opens a watch for the client, under the client's number for it. The reply contains a snapshot.
   virtual Reply begin_watch(SimulatedStoreClient& client, std::uint64_t watch) = 0;
-  // The client has closed its watch.
+  // Removes the watch of a client that has closed it.
   virtual void end_watch(SimulatedStoreClient& client) = 0;
   // Sends a snapshot to the watch of a client after a network interruption that the connection survived.
   virtual void resend_snapshot(SimulatedStoreClient& client) = 0;
@@ -82,8 +83,8 @@
 
   // Receives an update of the watch with this number. Ignores updates of closed watches.
   void receive_update(std::uint64_t watch, const SharedWatchUpdate& update);
-  // Detects, after the delay that detection takes, whether the watch has ended. Called when links or servers
-  // have changed.
+  // Checks whether the watch still works, and reopens it otherwise, after the time that a client needs to
+  // detect the loss. Called when links or servers have changed.
   void check_watch();
 
  protected:
@@ -91,8 +92,8 @@
     std::size_t request_bytes = 0;
     std::size_t response_bytes = 0;
     std::function<Reply(StoreServer&)> execute;
-    std::function<void(const Reply&)> on_reply;  // executed or rejected
-    std::function<void()> on_lost;               // no answer, or no server available
+    std::function<void(const Reply&)> on_reply;  // the call was executed or rejected
+    std::function<void()> on_lost;               // no reply came, or no server is available
   };
   void send_request(StoreRequest request);
   void request_grant(Micros ttl, std::function<void(const Reply&)> on_reply, std::function<void()> on_lost);
@@ -112,16 +113,16 @@
  private:
   Micros true_now() const { return simulation().events.now(); }
   void open_watch();
-  // Closes the watch and opens a new one after a pause.
+  // Closes the watch and opens a new one after a backoff.
   void reopen_watch();
   bool watch_reachable() const;
 
   std::vector<StoreServer*> servers_;
   coordination::EndpointSelector endpoints_;
-  std::uint64_t watch_ = 0;  // number of the current watch
+  std::uint64_t watch_number_ = 0;  // of the current watch; messages of earlier watches are ignored
   bool watch_open_ = false;
-  std::size_t watched_ = 0;  // index of the server of the watch
-  int watched_incarnation_ = 0;
+  std::size_t watched_server_ = 0;      // index in `servers_`
+  int watched_server_incarnation_ = 0;  // when the watch was opened
 };
 
 }  // namespace trailcourse::scale
--- a/benchmarks/scale/simulation_clock.h
+++ b/benchmarks/scale/simulation_clock.h
@@ -1,7 +1,7 @@
 // Virtual time: the queue of simulated events, and clocks of machines that drift apart.
 //
-// All times are microseconds of simulated true time since the start of the simulation, except readings of a
-// DriftingClock.
+// True time is the time in microseconds since the start of the simulation. All times are true times, except
+// the readings of a DriftingClock.
 #pragma once
 
 #include <trailcourse/decider.h>
@@ -21,8 +21,9 @@
  public:
   Micros now() const { return now_; }
   // The number of jobs run so far.
-  std::uint64_t steps() const { return steps_; }
+  std::uint64_t jobs_run() const { return jobs_run_; }
 
+  // Adds a job that runs at this time, or at the current time if this time is past.
   void add_at(Micros when, Job job) {
     heap_.push_back(Event{std::max(when, now_), ++last_number_, std::move(job)});
     std::push_heap(heap_.begin(), heap_.end(), is_later);
@@ -31,7 +32,7 @@
 
   // Runs the next job if it is due by `until` and returns true. Otherwise advances the time to `until` and
   // returns false.
-  bool step(Micros until) {
+  bool run_next(Micros until) {
     if (heap_.empty() || heap_.front().at > until) {
       now_ = std::max(now_, until);
       return false;
@@ -40,7 +41,7 @@
     const Event event = std::move(heap_.back());
     heap_.pop_back();
     now_ = event.at;
-    ++steps_;
+    ++jobs_run_;
     event.job();
     return true;
   }
@@ -48,7 +49,7 @@
  private:
   struct Event {
     Micros at{0};
-    std::uint64_t number = 0;  // in the order of addition
+    std::uint64_t number = 0;  // counts the added events; orders those with the same time
     Job job;
   };
   static bool is_later(const Event& one, const Event& other) {
@@ -57,11 +58,12 @@
 
   Micros now_{0};
   std::uint64_t last_number_ = 0;
-  std::uint64_t steps_ = 0;
+  std::uint64_t jobs_run_ = 0;
   std::vector<Event> heap_;
 };
 
-// The steady clock of one machine, which runs at `rate` times the true speed and reads `offset` at time 0.
+// The steady clock of one machine. It runs at `rate` times the speed of true time and reads `offset` at true
+// time 0.
 struct DriftingClock {
   double rate = 1.0;
   Micros offset{0};
--- a/benchmarks/scale/store_call_sizes.h
+++ b/benchmarks/scale/store_call_sizes.h
@@ -1,5 +1,5 @@
-// Sizes in bytes of the store's calls on the wire, computed with the production code that writes them: HTTP
-// headers and JSON bodies, without the headers of TCP and IP.
+// Sizes of the store's calls on the wire in bytes: HTTP headers and JSON bodies, without the headers of TCP
+// and IP. Computed by writing each call with the production code.
 #pragma once
 
 #include <cstddef>
@@ -13,10 +13,10 @@
 std::size_t request_size(std::string_view path, const nlohmann::json& body);
 std::size_t response_size(const nlohmann::json& body);
 std::size_t watch_event_size(const coordination::etcd::WatchResponse& response);
-// The size of the request of a transaction.
+// Returns the size of the request that sends this transaction.
 std::size_t transaction_size(const coordination::Transaction& transaction);
 
-// Sizes of the calls whose size depends on their content only by a few digits.
+// Sizes of the calls whose size varies only by a few digits.
 struct CallSizes {
   std::size_t grant_request = 0;
   std::size_t grant_response = 0;
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -132,13 +132,13 @@
 }
 
 TEST(FleetModelTest, RunsWithTheSameSeedAreIdentical) {
-  const auto steps = [](std::uint64_t seed) {
+  const auto jobs_run = [](std::uint64_t seed) {
     const auto model = settled_fleet(fleet_model_options(100, false, seed));
     model->change(60 * kSecond);
-    return model->simulation().events.steps();
+    return model->simulation().events.jobs_run();
   };
-  EXPECT_EQ(steps(3), steps(3));
-  EXPECT_NE(steps(3), steps(4));
+  EXPECT_EQ(jobs_run(3), jobs_run(3));
+  EXPECT_NE(jobs_run(3), jobs_run(4));
 }
 
 TEST(FleetModelTest, EffectivePolicyRulesHoldUnderRandomFaults) {
