--- a/benchmarks/scale/simulated_aggregator.cpp
+++ b/benchmarks/scale/simulated_aggregator.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-constexpr double kMaxClockDrift = 0.00095;
+constexpr double kMaxClockDrift = 0.00095;  // relative, in either direction
 
-// The model has no stages, so the state is the same for all zones.
+// Returns the state for any zone. It is the same for all zones, because the model has no rollout stages.
 policy::ObservedState observed_state(const coordination::KeyValueState& records) {
   const auto entry = [&records](const std::string& key) {
     const auto found = records.entries().find(key);
@@ -265,8 +265,8 @@
 std::string SimulatedAggregator::describe() const {
   return name() +
          (running() ? ""
-          : alive() ? " (stopped)"
-                    : " (dead)") +
+          : alive() ? " (paused)"
+                    : " (killed)") +
          (has_lease() ? " with a lease" : "") + " " + std::to_string(router_count()) + " routers";
 }
 
--- a/benchmarks/scale/simulated_aggregator.h
+++ b/benchmarks/scale/simulated_aggregator.h
@@ -39,6 +39,7 @@
   void on_watch_closed() override;
 
  private:
+  // Executes a router's call: `function` sets the fields of the reply, or throws RequestRejected.
   template <typename Function>
   Reply execute_call(Function function);
   void execute(const aggregation::LeaseAction& action);
@@ -47,6 +48,7 @@
   void acquire(const aggregation::LeaseAction& action);
   void renew(std::uint64_t call_id);
   void release(std::uint64_t call_id);
+  // Writes the first summaries of this aggregator under its new lease. Revokes the lease if that fails.
   void join(const aggregation::LeaseAction& action, coordination::LeaseId lease);
 
   aggregation::AggregatorSettings settings_;
@@ -57,9 +59,9 @@
   bool changed_ = false;  // whether an event or a result has arrived since the last step
 };
 
-// An update with all records under policy/, as the first one of a watch.
+// Returns an update with all records under policy/, such as the first update of a watch.
 SharedWatchUpdate snapshot_update(const coordination::KeyValueState& records);
-// An update with these changes, taken from `records`.
+// Returns an update with these changes. `records` already contains them.
 SharedWatchUpdate changes_update(const coordination::KeyValueState& records,
                                  std::vector<coordination::KeyChange> changes);
 
--- a/benchmarks/scale/simulated_coordinators.cpp
+++ b/benchmarks/scale/simulated_coordinators.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-// The values of tasks::ReconcileTask.
+// The intervals of tasks::ReconcileTask.
 constexpr Micros kIdleReadInterval{5'000'000};
 constexpr Micros kRetryDelay{200'000};
 constexpr Micros kMinReadInterval{20'000};
@@ -20,7 +20,7 @@
 constexpr const char* kDocument =
     R"({"schema":1,"author":"ops","content":{"classes":{"media":{"objective_ms":2000,"give_up_ms":6000}}}})";
 
-// Estimates the size of a response with these reports, all of which have about the same size.
+// Estimates the size of a response with these reports, from the first one: all have about the same size.
 std::size_t reports_size(const std::vector<coordination::Entry>& reports) {
   if (reports.empty()) {
     return 0;
@@ -106,7 +106,7 @@
   read_after(kIdleReadInterval);
   read(
       [this](const Reply& reply) {
-        // The response is parsed before the coordinator sees it.
+        // Parsing the response delays the decision.
         const auto entries = static_cast<double>(reply.transaction_result.results.back().found.size());
         simulation().events.add_after(to_micros(simulation().costs.entry_parsed * entries),
                                       [this, incarnation = incarnation(), reply] {
@@ -149,7 +149,7 @@
 SimulatedRolloutCoordinator::SimulatedRolloutCoordinator(Simulation& simulation, SimulatedStore& store,
                                                          const policy::RolloutTimeouts& timeouts,
                                                          StepCallback on_step)
-    : SimulatedCoordinator(simulation, store, "driver"),
+    : SimulatedCoordinator(simulation, store, "rollout-coordinator"),
       timeouts_(timeouts),
       coordinator_(timeouts),
       on_step_(std::move(on_step)) {}
@@ -200,7 +200,11 @@
         write(
             policy::begin_transaction("", current, rollout, kDocument, "begun"),
             [on_begun, on_refused, version](const Reply& written) {
-              written.ok&& written.succeeded ? on_begun(version) : on_refused();
+              if (written.ok && written.succeeded) {
+                on_begun(version);
+              } else {
+                on_refused();
+              }
             },
             on_refused);
       },
@@ -213,7 +217,7 @@
                                                                          SimulatedStore& store,
                                                                          Micros min_round_interval,
                                                                          RecordCallback on_record)
-    : SimulatedCoordinator(simulation, store, "acknowledgements"),
+    : SimulatedCoordinator(simulation, store, "acknowledgement-coordinator"),
       coordinator_(min_round_interval),
       on_record_(std::move(on_record)) {}
 
--- a/benchmarks/scale/simulated_coordinators.h
+++ b/benchmarks/scale/simulated_coordinators.h
@@ -1,6 +1,6 @@
-// The coordinators of a simulated fleet, which read and write records of the store as tasks::ReconcileTask
-// does: policy rollouts by policy::RolloutCoordinator, acknowledged events by
-// policy::AcknowledgementCoordinator.
+// The coordinators of a simulated fleet. policy::RolloutCoordinator decides about policy rollouts, and
+// policy::AcknowledgementCoordinator about acknowledged events. They read and write the records of the store
+// at the same intervals as tasks::ReconcileTask.
 #pragma once
 
 #include <functional>
@@ -13,14 +13,15 @@
 
 namespace trailcourse::scale {
 
-// A process that reads a snapshot of the store when a relevant key changes, and writes what its coordinator
-// decides.
+// A process that reads a snapshot of the store when a relevant key changes and periodically, and commits the
+// transaction that decide() returns.
 class SimulatedCoordinator : public SimulatedProcess {
  public:
   SimulatedCoordinator(Simulation& simulation, SimulatedStore& store, std::string name);
 
-  // A relevant key has changed in the store.
+  // Called when a relevant key has changed in the store.
   void on_change() { read_soon(); }
+  // Returns whether a change of the key can change the decision.
   virtual bool is_relevant(const std::string& key) const = 0;
 
  protected:
@@ -38,7 +39,7 @@
 
   // Reads a snapshot as soon as the minimum interval between reads allows.
   void read_soon();
-  // Reads a snapshot and executes the decision.
+  // Reads a snapshot, decides and commits the decision.
   void reconcile();
   void read(std::function<void(const Reply&)> on_reply, std::function<void()> on_lost);
   void write(coordination::Transaction transaction, std::function<void(const Reply&)> on_reply,
@@ -46,29 +47,29 @@
 
  private:
   void on_snapshot(const Reply& reply);
-  // Schedules the next read. Replaces the one scheduled before.
+  // Schedules the next read, in place of the one that was scheduled before.
   void read_after(Micros delay);
 
   SimulatedStore& store_;
   Micros last_read_at_{-1'000'000};  // by the clock of this process
   bool reading_ = false;
   bool read_again_ = false;  // a relevant key has changed during a read
-  std::uint64_t timer_ = 0;
+  std::uint64_t timer_ = 0;  // number of the scheduled read; earlier ones are ignored
 };
 
 class SimulatedRolloutCoordinator : public SimulatedCoordinator {
  public:
-  // Called for each step of a rollout that the store has committed.
+  // Called for each step of a rollout, after the store has committed it.
   using StepCallback = std::function<void(const policy::RolloutStep&)>;
 
   SimulatedRolloutCoordinator(Simulation& simulation, SimulatedStore& store,
                               const policy::RolloutTimeouts& timeouts, StepCallback on_step);
 
-  // Proposes a new version, as an operator does. Calls `on_refused` if a rollout is open and this one is not
-  // urgent, or if the store did not answer.
+  // Proposes a new version, as an operator does. Calls `on_begun` if its rollout has begun, and `on_refused`
+  // if another rollout is open and this one is not urgent, or if a call to the store fails.
   void propose(bool urgent, const std::function<void(std::uint64_t version)>& on_begun,
                const std::function<void()>& on_refused);
-  // Replaces the coordinator by a new one, which knows only the records of the store.
+  // Replaces the rollout coordinator by a new one without state, as after a restart.
   void replace();
   std::uint64_t last_version() const { return last_version_; }
   bool is_relevant(const std::string& key) const override;
@@ -88,13 +89,13 @@
 
 class SimulatedAcknowledgementCoordinator : public SimulatedCoordinator {
  public:
-  // Called for each acknowledgement record that the store has committed.
+  // Called for each acknowledgement record, after the store has committed it.
   using RecordCallback = std::function<void(const policy::Acknowledgement&)>;
 
   SimulatedAcknowledgementCoordinator(Simulation& simulation, SimulatedStore& store,
                                       Micros min_round_interval, RecordCallback on_record);
 
-  // This process has received all events up to `position`.
+  // Called when this process has received all events up to `position`.
   void on_events_applied(const policy::DiscoveryPosition& position);
   bool is_relevant(const std::string& key) const override;
 
--- a/benchmarks/scale/simulated_discovery_server.h
+++ b/benchmarks/scale/simulated_discovery_server.h
@@ -1,5 +1,5 @@
-// The discovery server of a simulated fleet. It models only the sequence number of its events: a subscriber
-// receives it after one network delay and the delay of the relays.
+// The discovery server of a simulated fleet. Its events have no content, only sequence numbers. A page
+// reaches a subscriber after one network delay and a random delay of the relays.
 #pragma once
 
 #include <cstdint>
@@ -16,8 +16,9 @@
   using PositionCallback = std::function<void(const policy::DiscoveryPosition&)>;
 
   explicit SimulatedDiscoveryServer(Simulation& simulation)
-      : SimulatedProcess(simulation, "board", kNoRegion) {}
+      : SimulatedProcess(simulation, "discovery-server", kNoRegion) {}
 
+  // Calls `on_position` in the process for each page that reaches it.
   void add_subscriber(SimulatedProcess& process, PositionCallback on_position) {
     subscribers_[process.serial()] = {&process, std::move(on_position)};
   }
--- a/benchmarks/scale/simulated_router.cpp
+++ b/benchmarks/scale/simulated_router.cpp
@@ -36,10 +36,10 @@
   start_client();
 }
 
-// Pages may arrive out of order.
 void SimulatedRouter::subscribe(SimulatedDiscoveryServer& server) {
   discovery_server_ = &server;
   server.add_subscriber(*this, [this](const policy::DiscoveryPosition& position) {
+    // Pages may arrive out of order.
     if (position.sequence > position_.sequence) {
       position_ = position;
       participant_->on_events_applied(clock(), position);
@@ -159,10 +159,10 @@
   const policy::ObservedState& observed = participant_->observed();
   return name() +
          (running() ? ""
-          : alive() ? " (stopped)"
-                    : " (dead)") +
+          : alive() ? " (paused)"
+                    : " (killed)") +
          " is " + policy::to_string(participant_->state(clock())) + ", version " +
-         std::to_string(observed.version) + ", change " +
+         std::to_string(observed.version) + ", rollout " +
          (observed.rollout ? policy::to_string(observed.rollout->state) : "none") +
          (watching() ? "" : ", without an open watch");
 }
--- a/benchmarks/scale/simulated_router.h
+++ b/benchmarks/scale/simulated_router.h
@@ -1,5 +1,5 @@
-// A router of a simulated fleet. It runs policy::Participant and serves no requests; the checks treat every
-// time as one at which a request may arrive.
+// A router of a simulated fleet. It runs policy::Participant and serves no requests. EffectivePolicyCheck
+// assumes that a request may arrive at any time.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +18,7 @@
  public:
   struct Options {
     policy::ParticipantOptions participant;
-    Micros max_persist_time{2'000};  // of a document on disk
+    Micros max_persist_time{2'000};  // writing a document to disk takes a random time up to this
   };
   // Called whenever the effective policy of the router may have changed.
   using PolicyCallback = std::function<void(SimulatedRouter&)>;
@@ -26,16 +26,16 @@
   SimulatedRouter(Simulation& simulation, std::string name, int region, const std::string& zone,
                   std::vector<StoreServer*> servers, const Options& options, PolicyCallback on_policy);
 
-  // Subscribes to the events of the server. Takes effect with the next start of the router.
+  // Subscribes to the events of the discovery server. Call before the router starts.
   void subscribe(SimulatedDiscoveryServer& server);
-  // The sequence number of the last event that the router has applied.
+  // Returns the sequence number of the last event that the router has applied.
   std::uint64_t applied_event() const { return position_.sequence; }
   policy::EffectivePolicy effective_policy() const {
     return participant_ ? participant_->effective_policy(clock()) : policy::EffectivePolicy{};
   }
   bool ready() const { return participant_ && participant_->ready(clock()); }
   std::string describe() const;
-  // For the policy callback, which may keep a version here.
+  // A version that the policy callback can store for its next call. The router does not use it.
   std::uint64_t last_version = 0;
 
  protected:
@@ -49,6 +49,7 @@
   void execute(const policy::LeaseAction& action);
   void execute(const policy::ReportAction& action);
   void execute(const policy::PersistDocumentAction& action);
+  // Writes the first report of this router under its new lease. Revokes the lease if that fails.
   void join(const policy::LeaseAction& action, coordination::LeaseId lease);
 
   Options options_;
