--- a/benchmarks/scale/fleet_model.cpp
+++ b/benchmarks/scale/fleet_model.cpp
@@ -15,9 +15,9 @@
 constexpr double kPlannedRegions = 53.0;
 constexpr double kPlannedZones = 203.0;
 
-constexpr Micros kCheckInterval{1'000};  // between two checks of a condition
-constexpr Micros kSettleCheckInterval{50'000};
-constexpr int kMaxDescribed = 5;
+constexpr Micros kCheckInterval{1'000};         // between two checks of a condition
+constexpr Micros kSettleCheckInterval{50'000};  // longer, because settled() examines all routers
+constexpr int kMaxDescribed = 5;                // limit of the routers in a description
 
 }  // namespace
 
@@ -39,19 +39,21 @@
 
 // ---- The check of effective policies ----
 
-void EffectivePolicyCheck::fail(Micros now, const SimulatedRouter& router, const std::string& what) {
+void EffectivePolicyCheck::record_violation(Micros now, const SimulatedRouter& router,
+                                            const std::string& violation) {
   if (violation_.empty()) {
-    violation_ = "at " + std::to_string(now.count() / 1'000) + " ms: " + what + ": " + router.describe();
+    violation_ = "at " + std::to_string(now.count() / 1'000) + " ms: " + violation + ": " + router.describe();
   }
 }
 
-void EffectivePolicyCheck::check_event(const SimulatedRouter& router,
-                                       const policy::EffectivePolicy& effective_policy, Micros now) {
+void EffectivePolicyCheck::check_events_applied(const SimulatedRouter& router,
+                                                const policy::EffectivePolicy& effective_policy, Micros now) {
   const bool decides = router.running() && effective_policy.kind != policy::EffectivePolicy::Kind::kReject;
   if (decides && router.applied_event() < acknowledged_event_) {
-    fail(now, router,
-         "decides with the events up to " + std::to_string(router.applied_event()) + " although event " +
-             std::to_string(acknowledged_event_) + " was acknowledged by the whole fleet");
+    record_violation(now, router,
+                     "decides with the events up to " + std::to_string(router.applied_event()) +
+                         " although event " + std::to_string(acknowledged_event_) +
+                         " was acknowledged by the whole fleet");
   }
 }
 
@@ -61,7 +63,7 @@
   }
   acknowledged_event_ = event;
   for (const auto& router : *routers_) {
-    check_event(*router, router->effective_policy(), now);
+    check_events_applied(*router, router->effective_policy(), now);
   }
 }
 
@@ -71,22 +73,22 @@
   }
   const policy::EffectivePolicy effective_policy = router.effective_policy();
   ++checked_policies_;
-  check_event(router, effective_policy, now);
+  check_events_applied(router, effective_policy, now);
   if (effective_policy.kind != policy::EffectivePolicy::Kind::kSingle ||
       effective_policy.version == newest_version_) {
     return;
   }
   if (effective_policy.version < newest_version_) {
-    fail(now, router,
-         "decides under version " + std::to_string(effective_policy.version) + " after " +
-             std::to_string(newest_version_) + " was used");
+    record_violation(now, router,
+                     "decides under version " + std::to_string(effective_policy.version) + " after " +
+                         std::to_string(newest_version_) + " was used");
     return;
   }
   if (effective_policy.version > store_.version_in_force()) {
-    fail(now, router, "decides under a version that is not in force");
+    record_violation(now, router, "decides under a version that is not in force");
   }
   if (aborted_.contains(effective_policy.version)) {
-    fail(now, router, "decides under a version whose change was aborted");
+    record_violation(now, router, "decides under a version whose rollout was aborted");
   }
   newest_version_ = effective_policy.version;
   for (const auto& other : *routers_) {
@@ -95,7 +97,8 @@
     }
     const policy::EffectivePolicy others = other->effective_policy();
     if (others.kind == policy::EffectivePolicy::Kind::kSingle && others.version < newest_version_) {
-      fail(now, *other, "may still decide under a version before " + std::to_string(newest_version_));
+      record_violation(now, *other,
+                       "may still decide under a version before " + std::to_string(newest_version_));
     }
   }
 }
@@ -247,7 +250,7 @@
       urgent,
       [this](std::uint64_t version) {
         if (open_version_ != 0) {
-          policy_check_->on_aborted(open_version_);  // superseded
+          policy_check_->on_aborted(open_version_);  // superseded by this one
           ++aborted_;
         }
         open_version_ = version;
--- a/benchmarks/scale/fleet_model.h
+++ b/benchmarks/scale/fleet_model.h
@@ -1,13 +1,16 @@
-// The policy control of a whole fleet in virtual time: simulated routers that run the production state
-// machines, aggregators in each region or none, one store, one rollout coordinator. Two runs with the same
-// seed are identical.
+// The policy control of a whole fleet in virtual time: simulated routers, aggregators in each region or none,
+// one store, one discovery server and the coordinators. All run the production state machines. Two runs with
+// the same seed are identical.
 //
-// Agreement with real processes (`ownership_bench --policy` and `--rest`, 30 to 300 routers, against --near
-// with as many regions and one aggregator each): At rest, calls at the store are 12% low, calls at an
-// aggregator are equal, and its bytes are 6% high. During a change, calls are 3 to 22% low if every router
-// calls the store. With regions they are 30 to 40% low without the benchmark's own calls, so use them for
-// growth rates and not as counts. Do not use the durations with loopback delays: the model lacks the
-// processor time of hundreds of processes on one machine.
+// The model was compared with real processes: `ownership_bench --policy` and `--rest` with 30 to 300 routers,
+// and `scale_bench --near` with the same number of regions and one aggregator in each.
+// - While idle, the model has 12% fewer calls at the store, as many calls at an aggregator, and 6% more bytes
+//   there.
+// - During a change, it has 3 to 22% fewer calls at the store if every router calls the store. With
+//   aggregators it has 30 to 40% fewer, not counting the calls of the benchmark itself: use these numbers for
+//   growth rates and not as counts.
+// - Do not use the durations with loopback delays: the model lacks the processor time of hundreds of
+//   processes on one machine.
 #pragma once
 
 #include <cstdint>
@@ -45,22 +48,23 @@
 // Returns options with the default intervals and timeouts of the production program.
 FleetModelOptions fleet_model_options(int routers, bool flat, std::uint64_t seed);
 
-// Checks that a router decides requests only under the version in force, never under one whose rollout was
-// aborted, and not after another router has decided under a later version. Checks also that the router has
-// applied every event that was acknowledged by the whole fleet. The check is exact: it runs whenever an
-// effective policy may have changed.
+// Checks these rules whenever the effective policy of a router may have changed, so that no violation is
+// missed:
+// - A router decides requests only under the version in force, and never under one whose rollout was aborted.
+// - Once a router has decided under a version, no router decides under an earlier one.
+// - A router that decides requests has applied every event that the whole fleet has acknowledged.
 class EffectivePolicyCheck {
  public:
   explicit EffectivePolicyCheck(const SimulatedStore& store) : store_(store) {}
 
   void set_routers(const std::vector<std::unique_ptr<SimulatedRouter>>& routers) { routers_ = &routers; }
-  // The effective policy of this router may have changed.
+  // Called when the effective policy of this router may have changed.
   void on_policy(SimulatedRouter& router, Micros now);
-  // The rollout of this version was aborted.
+  // Called when the rollout of this version was aborted.
   void on_aborted(std::uint64_t version) { aborted_.insert(version); }
-  // Every router was reported to have applied the events up to this one.
+  // Called when the store records that every router has applied the events up to this one.
   void on_acknowledged(std::uint64_t event, Micros now);
-  // The first violation of the rules; empty if there is none.
+  // Returns a description of the first violation of a rule; empty if there is none.
   const std::string& violation() const { return violation_; }
   // The newest version that a router has decided under.
   std::uint64_t newest_version() const { return newest_version_; }
@@ -68,9 +72,11 @@
   std::uint64_t checked_policies() const { return checked_policies_; }
 
  private:
-  void fail(Micros now, const SimulatedRouter& router, const std::string& what);
-  void check_event(const SimulatedRouter& router, const policy::EffectivePolicy& effective_policy,
-                   Micros now);
+  // Records the first violation; ignores later ones.
+  void record_violation(Micros now, const SimulatedRouter& router, const std::string& violation);
+  // Checks that the router has applied the acknowledged events if it decides requests.
+  void check_events_applied(const SimulatedRouter& router, const policy::EffectivePolicy& effective_policy,
+                            Micros now);
 
   const SimulatedStore& store_;
   const std::vector<std::unique_ptr<SimulatedRouter>>* routers_ = nullptr;
@@ -86,7 +92,7 @@
   bool done = false;
   Micros to_commit{0};  // from the proposal
   Micros to_done{0};    // from the proposal until all routers decide under the new version
-  Traffic store;        // of the store in this time
+  Traffic store;        // traffic of the store during the change
 };
 
 class FleetModel {
@@ -111,13 +117,13 @@
   // Publishes a page with this number of events. The acknowledgement rounds begin with the first page.
   void publish(std::uint64_t events);
   std::uint64_t published() const { return discovery_server_->position().sequence; }
-  // The last event that is known to be applied by every router.
+  // The last event that every router is known to have applied.
   std::uint64_t acknowledged_event() const { return acknowledged_event_; }
-  // The number of acknowledgement records written.
+  // The number of acknowledgement records that the store has committed.
   std::uint64_t rounds() const { return rounds_; }
 
   // ---- Faults ----
-  // The clients of a changed link or server detect the change after their usual delays.
+  // Clients detect the change of a link or a server after their usual delays.
   // Cuts a region off from the store and the other regions, or reconnects it.
   void cut_region(int region, bool cut);
   void cut_from_other_regions(SimulatedAggregator& aggregator, bool cut);
@@ -141,6 +147,7 @@
   std::uint64_t refused() const { return refused_; }
   std::uint64_t finished() const { return finished_; }
   std::uint64_t aborted() const { return aborted_; }
+  // Whether a rollout is neither done nor aborted.
   bool change_open() const { return open_version_ != 0; }
   // Describes the state for a failed check, with a few routers and aggregators that are not in the expected
   // state.
--- a/benchmarks/scale/fleet_model_runs.cpp
+++ b/benchmarks/scale/fleet_model_runs.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-constexpr double kStoppedShare = 0.004;
-constexpr Micros kMaxFaultAge{4'000'000};  // at the proposal of a change
+constexpr double kPausedShare = 0.004;     // of the routers
+constexpr Micros kMaxFaultAge{4'000'000};  // from the fault to the proposal of a change
 constexpr Micros kRestartSpread{5'000'000};
 constexpr Micros kStartSpread{3'000};
 constexpr Micros kSettleLimit{120'000'000};
@@ -105,9 +105,9 @@
   switch (condition) {
     case Condition::kAllUp:
       return "all up";
-    case Condition::kFewStopped:
+    case Condition::kFewRoutersPaused:
       return "0.4% stopped";
-    case Condition::kAggregatorStopped:
+    case Condition::kAggregatorPaused:
       return "an aggregator stopped";
     case Condition::kRegionDisconnected:
       return "a region cut off";
@@ -120,12 +120,12 @@
 }
 
 bool is_applicable(Condition condition, const FleetModelOptions& options) {
-  return condition != Condition::kAggregatorStopped || !options.flat;
+  return condition != Condition::kAggregatorPaused || !options.flat;
 }
 
 namespace {
 
-// Injects the fault of a condition and undoes it.
+// Injects the fault of a condition, and undoes it on request.
 class InjectedFault {
  public:
   // Injects the fault and runs the model for a random time up to `max_age`.
@@ -139,7 +139,7 @@
     for (SimulatedRouter* router : paused_routers_) {
       router->resume();
     }
-    if (condition_ == Condition::kAggregatorStopped) {
+    if (condition_ == Condition::kAggregatorPaused) {
       model_.resume(*aggregator_);
     }
     if (condition_ == Condition::kRegionDisconnected) {
@@ -152,10 +152,10 @@
     switch (condition_) {
       case Condition::kAllUp:
         return;
-      case Condition::kFewStopped:
+      case Condition::kFewRoutersPaused:
         pause_few_routers();
         return;
-      case Condition::kAggregatorStopped:
+      case Condition::kAggregatorPaused:
         aggregator_ = model_.aggregators()[random_index(model_, model_.aggregators().size())].get();
         model_.pause(*aggregator_);
         return;
@@ -183,7 +183,7 @@
   }
   void pause_few_routers() {
     const auto count = std::max<std::size_t>(
-        1, static_cast<std::size_t>(kStoppedShare * static_cast<double>(model_.routers().size())));
+        1, static_cast<std::size_t>(kPausedShare * static_cast<double>(model_.routers().size())));
     while (paused_routers_.size() < count) {
       SimulatedRouter* router = model_.routers()[random_index(model_, model_.routers().size())].get();
       router->pause();
@@ -315,6 +315,7 @@
 
 namespace {
 
+// Injects random faults while changes are proposed and, if requested, events are published.
 class RandomFaults {
  public:
   RandomFaults(FleetModel& model, const RandomFaultOptions& options) : model_(model), options_(options) {}
@@ -350,7 +351,7 @@
   }
 
  private:
-  // Schedules the end of a fault after a random time up to `max`.
+  // Schedules the end of a fault, or a restart, after a random time up to `max`.
   void undo_within(Micros max, Job undo) {
     model_.simulation().events.add_after(model_.simulation().random_duration(max), std::move(undo));
   }
@@ -396,6 +397,7 @@
             static_cast<int>(random_index(model_, static_cast<std::size_t>(model_.options().regions)));
         model_.cut_region(region, true);
         undo_within(Micros(10'000'000), [this, region] {
+          // The cut that run() made lasts until RandomFaultOptions::region_cut.
           const bool cut_for_longer = region == 0 && options_.region_cut > Micros(0);
           cut_for_longer ? void() : model_.cut_region(region, false);
         });
--- a/benchmarks/scale/fleet_model_runs.h
+++ b/benchmarks/scale/fleet_model_runs.h
@@ -1,5 +1,5 @@
-// Measurements on a simulated fleet: calls and bytes while it is idle, policy changes in several conditions,
-// acknowledgements of purges, queued policy changes, and random faults.
+// Measurements on a simulated fleet: calls and bytes while idle, durations of policy changes under several
+// conditions, acknowledgements of purges, queued policy changes, and random faults.
 #pragma once
 
 #include <cstddef>
@@ -12,14 +12,14 @@
 
 namespace trailcourse::scale {
 
-// Keeps all samples, so quantiles are exact.
+// A set of measured values. Keeps all of them, so quantiles are exact.
 class Samples {
  public:
   void add(double value) { values_.push_back(value); }
   void add(const Samples& other);
   std::size_t size() const { return values_.size(); }
   bool empty() const { return values_.empty(); }
-  // The nearest-rank quantile for `share` from 0 to 1; 0 without samples.
+  // Returns the nearest-rank quantile for `share`, from 0 to 1; 0 if there are no samples.
   double quantile(double share) const;
   double max() const { return quantile(1.0); }
   double mean() const;
@@ -34,36 +34,37 @@
   double store_bytes = 0.0;       // in and out
   double store_cpu_share = 0.0;   // of one core, by CostOptions
   double aggregator_calls = 0.0;  // mean of all aggregators
-  double aggregator_bytes = 0.0;
-  double router_bytes = 0.0;
+  double aggregator_bytes = 0.0;  // mean of all aggregators, in and out
+  double router_bytes = 0.0;      // mean of all routers, in and out
 };
 IdleTraffic measure_idle_traffic(FleetModel& model, Micros time);
 
-// The condition of the fleet during a measurement.
+// The fault during a measurement, or none.
 enum class Condition {
-  kAllUp,
-  kFewStopped,          // 0.4% of the routers are paused
-  kAggregatorStopped,   // one aggregator is paused
+  kAllUp,               // no fault
+  kFewRoutersPaused,    // 0.4% of the routers are paused
+  kAggregatorPaused,    // one aggregator is paused
   kRegionDisconnected,  // one region is cut off from the store
   kAllRestarted,        // all routers and aggregators restart within 3 ms
-  kHalfRestarted        // every second router restarts
+  kHalfRestarted        // every second router restarts within 5 s
 };
 inline constexpr Condition kConditions[] = {Condition::kAllUp,
-                                            Condition::kFewStopped,
-                                            Condition::kAggregatorStopped,
+                                            Condition::kFewRoutersPaused,
+                                            Condition::kAggregatorPaused,
                                             Condition::kRegionDisconnected,
                                             Condition::kAllRestarted,
                                             Condition::kHalfRestarted};
 const char* to_string(Condition condition);
-// Returns false for the conditions that need aggregators if the fleet has none.
+// Returns false if the condition needs aggregators and the fleet has none.
 bool is_applicable(Condition condition, const FleetModelOptions& options);
 
+// Results of policy changes under one condition.
 struct ChangeSeries {
-  Samples duration_ms;  // from the proposal until all routers decide under the new version
-  int unfinished = 0;   // changes that were not done within the limit
-  Samples store_calls;  // of each change
-  Samples store_bytes;
-  Samples store_wait_ms;  // the longest queue time of a call at the store since the start of the run
+  Samples duration_ms;    // from the proposal until all routers decide under the new version
+  int unfinished = 0;     // changes that were not done within the limit
+  Samples store_calls;    // of each change
+  Samples store_bytes;    // of each change, in and out
+  Samples store_wait_ms;  // longest queue time of a call at the store, from the start of the model on
   std::string violation;  // the first violation of a rule
 };
 
@@ -71,39 +72,44 @@
   int changes = 3;  // for each seed
   Micros limit{60'000'000};
 };
-// Requires a started and settled model. Leaves it settled if it can.
+// Makes changes under the condition and adds their results to `series`. Requires a started and settled model.
+// After each change, undoes the fault and waits until the fleet has settled; a timeout is a violation.
 void measure_changes(FleetModel& model, Condition condition, const ChangeSeriesOptions& options,
                      ChangeSeries& series);
 
-// Results for purges that are published continuously.
+// Results of purges that are published continuously.
 struct AcknowledgementSeries {
   Samples duration_ms;       // from the publication of a page until it is known to be applied by every router
   int unfinished = 0;        // pages not acknowledged within the time
   double rounds = 0.0;       // per second
   double store_calls = 0.0;  // per second, including renewals
   double store_bytes = 0.0;  // per second, in and out
-  // Mean of all routers, per second, in and out, including leases; as counted by their servers.
+  // Mean of all routers, per second, in and out, including leases. Counted at the store or the aggregators.
   double router_bytes = 0.0;
   std::string violation;
 };
 struct AcknowledgementOptions {
   double events_per_second = 180.0;
   Micros page_interval{100'000};
-  Micros time{20'000'000};  // of publishing; then waits as long for the last pages
+  Micros time{20'000'000};  // of publishing; the wait for the last pages follows
 };
-// Requires a started and settled model.
+// Publishes pages. Adds the durations to `series` and sets its rates. The fault of the condition begins after a
+// quarter of the time. Requires a started and settled model.
 void measure_acknowledgements(FleetModel& model, Condition condition, const AcknowledgementOptions& options,
                               AcknowledgementSeries& series);
 
-// Results for proposals at random times. One change is open at a time; the others wait in a queue.
+// Results of policy changes that are proposed at random times. One is open at a time; the others wait in a
+// queue.
 struct QueueResult {
   Samples duration_ms;  // from the proposal until the change is done, including the wait in the queue
   int longest_queue = 0;
   std::string violation;
 };
+// Proposes changes during `time`, then waits at most as long for the queued ones.
 QueueResult measure_queue(FleetModel& model, Micros mean_interval, Micros time);
 
-// Results of random faults followed by a calm period. The rules must hold, and the fleet must recover.
+// Results of random faults followed by a period without faults. It is a violation if a rule of
+// EffectivePolicyCheck is broken or if the fleet does not recover.
 struct FaultResult {
   std::uint64_t faults = 0, begun = 0, done = 0, aborted = 0, checked_policies = 0;
   std::string violation;
@@ -112,7 +118,7 @@
   Micros time{60'000'000};
   Micros mean_interval{500'000};  // between two faults
   Micros region_cut{0};           // time for which one region is cut off, from the start; 0: none
-  bool publish = false;           // publish events throughout, which the routers acknowledge
+  bool publish = false;           // whether to publish events, which the routers acknowledge
 };
 FaultResult run_random_faults(FleetModel& model, const RandomFaultOptions& options);
 
--- a/benchmarks/scale/scale_bench.cpp
+++ b/benchmarks/scale/scale_bench.cpp
@@ -405,8 +405,8 @@
   }
 
   void run_acknowledgements(int size) {
-    for (const Condition condition : {Condition::kAllUp, Condition::kFewStopped,
-                                      Condition::kAggregatorStopped, Condition::kRegionDisconnected}) {
+    for (const Condition condition : {Condition::kAllUp, Condition::kFewRoutersPaused,
+                                      Condition::kAggregatorPaused, Condition::kRegionDisconnected}) {
       AcknowledgementSeries series;
       FleetModelOptions model_settings;
       for (int i = 0; i < options_.seeds; ++i) {
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -107,7 +107,7 @@
 
 TEST(FleetModelTest, AChangeTakesLessThanFiveSecondsWithAThousandRouters) {
   for (const Condition condition :
-       {Condition::kAllUp, Condition::kFewStopped, Condition::kAggregatorStopped}) {
+       {Condition::kAllUp, Condition::kFewRoutersPaused, Condition::kAggregatorPaused}) {
     const auto model = settled_fleet(fleet_model_options(1'000, false, 1));
     ChangeSeries series;
     measure_changes(*model, condition, ChangeSeriesOptions{2, 60 * kSecond}, series);
