--- a/benchmarks/scale/fleet_model_runs.h
+++ b/benchmarks/scale/fleet_model_runs.h
@@ -93,8 +93,8 @@
   Micros page_interval{100'000};
   Micros time{20'000'000};  // of publishing; the wait for the last pages follows
 };
-// Publishes pages. Adds the durations to `series` and sets its rates. The fault of the condition begins after a
-// quarter of the time. Requires a started and settled model.
+// Publishes pages. Adds the durations to `series` and sets its rates. The fault of the condition begins after
+// a quarter of the time. Requires a started and settled model.
 void measure_acknowledgements(FleetModel& model, Condition condition, const AcknowledgementOptions& options,
                               AcknowledgementSeries& series);
 
--- a/benchmarks/scale/http_peers.cpp
+++ b/benchmarks/scale/http_peers.cpp
@@ -33,6 +33,7 @@
   return socket;
 }
 
+// Sends all bytes, or stops at an error.
 void send_all(const Descriptor& socket, std::string_view bytes, PeerCounts& counts) {
   counts.bytes_out += bytes.size();
   while (!bytes.empty()) {
@@ -62,7 +63,7 @@
   ::epoll_ctl(epoll.get(), EPOLL_CTL_ADD, socket.get(), &event);
 }
 
-// Returns the indexes of the sockets that are readable.
+// Returns the indexes of the readable sockets; empty if there are none within kEpollTimeoutMs.
 std::vector<std::size_t> wait_for_input(const Descriptor& epoll) {
   std::array<epoll_event, 256> events;
   const int count =
@@ -74,7 +75,7 @@
   return out;
 }
 
-// Returns the sequence number of the last event of a page. It is the last "rev" field of the page.
+// Returns the sequence number of the last event of a page, which is the last "rev" field; 0 if there is none.
 std::uint64_t last_event_of(const std::string& page) {
   constexpr std::string_view kField = "\"rev\":";
   const std::size_t at = page.rfind(kField);
--- a/benchmarks/scale/http_peers.h
+++ b/benchmarks/scale/http_peers.h
@@ -1,8 +1,8 @@
-// Many clients of one server on loopback, in a separate thread, so that the processor time of the server's
-// thread excludes the clients. They make the same calls as routers and parse only what they need of the
-// responses.
+// Clients that load one server on loopback with the calls that routers make. They run in a thread of their
+// own, so that the processor time of the server's thread excludes them, and parse no more of the responses
+// than they need.
 //
-// For benchmarks only: a failed connection ends the program.
+// For benchmarks only: if a client cannot connect, the program terminates.
 #pragma once
 
 #include <atomic>
@@ -16,14 +16,14 @@
 
 namespace trailcourse::scale {
 
-// Traffic so far, in bytes with the headers of HTTP and without those of TCP and IP.
+// Traffic of all clients so far. Bytes include the headers of HTTP but not those of TCP and IP.
 struct PeerCounts {
-  std::atomic<std::uint64_t> answers{0};
+  std::atomic<std::uint64_t> answers{0};  // responses; of ListeningPeers: reads that returned data
   std::atomic<std::uint64_t> bytes_out{0};
   std::atomic<std::uint64_t> bytes_in{0};
 };
 
-// Clients that poll a discovery server continuously, each for the events after its last page.
+// Clients that poll a discovery server continuously. Each requests the events after its last page.
 class PollingPeers {
  public:
   // The server may hold each poll for up to `long_poll_ms`.
@@ -53,7 +53,7 @@
   std::thread thread_;
 };
 
-// Clients that send one request each and then read the stream of the response, as watches of a store do.
+// Clients that send one request each and then read the streamed response, as the watches of a store do.
 class ListeningPeers {
  public:
   ListeningPeers(const transport::Address& server, int peers, std::string request);
@@ -75,7 +75,7 @@
   std::thread thread_;
 };
 
-// One client that makes the same call `calls` times, each after the response to the previous one.
+// One client that makes the same call `calls` times, one after the other.
 class CallingPeer {
  public:
   CallingPeer(const transport::Address& server, std::string request, int calls);
@@ -83,6 +83,7 @@
   CallingPeer(const CallingPeer&) = delete;
   CallingPeer& operator=(const CallingPeer&) = delete;
 
+  // Whether all calls were answered or the server has closed the connection.
   bool done() const { return done_; }
   // `answers` counts the responses with status 200.
   const PeerCounts& counts() const { return counts_; }
--- a/benchmarks/scale/process_costs.cpp
+++ b/benchmarks/scale/process_costs.cpp
@@ -1,5 +1,5 @@
-// Costs of routers as real processes on loopback: traffic, processor time and memory, while idle and during
-// purges, and processor time for each request.
+// Measures routers that run as real processes on loopback: traffic and processor time while idle and during
+// purges, memory while idle, and the processor time of a router and a cache for each request.
 #include <array>
 #include <cstdio>
 #include <filesystem>
@@ -34,7 +34,7 @@
 constexpr milliseconds kStartTimeout{60'000};
 constexpr milliseconds kSettleTime{3'000};
 constexpr milliseconds kMeasureTime{6'000};
-constexpr milliseconds kPurgeInterval{50};  // the discovery server reads its file as often
+constexpr milliseconds kPurgeInterval{50};  // the discovery server reads its file at this interval
 constexpr int kRelayDegree = 8;
 constexpr const char* kSetting = "real processes";
 
@@ -64,6 +64,7 @@
   return sum;
 }
 
+// Returns the resident anonymous memory of a process; 0 if it does not run.
 double anonymous_bytes(pid_t pid) {
   std::ifstream file("/proc/" + std::to_string(pid) + "/status");
   for (std::string line; std::getline(file, line);) {
@@ -79,7 +80,7 @@
   int listed_caches = 40;  // in the list of the discovery server; none of them runs
   bool relays = false;
   bool store = false;    // the routers share a store and apply its policy
-  bool proxies = false;  // between routers and discovery server, to count the bytes of HTTP
+  bool proxies = false;  // between routers and discovery server; they count the bytes of HTTP
 };
 
 // A discovery server, an origin and routers that receive no requests.
@@ -103,8 +104,8 @@
     for (const Kind kind : {Kind::kRegistry, Kind::kBoard, Kind::kOrigin, Kind::kRouter}) {
       start(kind);
     }
-    // Published once all routers run: routers limit their log lines per second, and the line that says that a
-    // router listens must not be dropped.
+    // An earlier list could make a router drop the log line that reports its start: routers limit their log
+    // lines per second.
     publish_list(options.listed_caches);
     run_for(kSettleTime);
   }
@@ -119,7 +120,7 @@
   void run_for(milliseconds time) {
     scenario_->fleet().run_until([] { return false; }, time);
   }
-  // Publishes purges at an even rate.
+  // Publishes purges at an even rate for this time.
   void run_with_purges(milliseconds time, int purges_per_s) {
     const Clock::time_point started_at = Clock::now();
     int published = 0;
@@ -139,7 +140,7 @@
   double routers_memory_bytes() const {
     return sum_over_routers([](pid_t pid) { return anonymous_bytes(pid); });
   }
-  // Bytes of HTTP through the proxies.
+  // The following two return the bytes of HTTP through the proxies so far; 0 without proxies.
   double http_bytes_to_routers() const {
     double sum = 0.0;
     for (fleet::FaultProxy* link : scenario_->links()) {
@@ -198,11 +199,12 @@
     std::ofstream(new_file, std::ios::binary) << page_.dump(1) << '\n';
     std::filesystem::rename(new_file, layout_->board_file());
   }
-  template <typename Figure>
-  double sum_over_routers(Figure figure) const {
+  // Sums the results of `read_value` for the process ids of all routers.
+  template <typename Function>
+  double sum_over_routers(Function read_value) const {
     double sum = 0.0;
     for (const std::string& name : layout_->names(Kind::kRouter)) {
-      sum += figure(scenario_->fleet().pid(name));
+      sum += read_value(scenario_->fleet().pid(name));
     }
     return sum;
   }
@@ -216,7 +218,7 @@
   json page_;
 };
 
-// Costs per second of all routers of a fleet together.
+// Sums over all routers of a fleet, per second.
 struct RouterCosts {
   double wire_bytes = 0.0;  // over loopback
   double http_bytes_to = 0.0;
@@ -224,6 +226,7 @@
   double cpu_us = 0.0;
 };
 
+// Measures the fleet while purges are published at this rate; 0: none.
 RouterCosts measure(IdleFleet& fleet, int purges_per_s) {
   const double started_at_s = wall_us() / 1e6;
   const double wire = loopback_bytes();
@@ -326,7 +329,8 @@
 
 // ---- Requests ----
 
-// An origin, one cache and one router, which receive several concurrent requests over one connection.
+// A discovery server, an origin, one cache and one router. The router receives several concurrent requests
+// over one connection.
 class ServingFleet {
  public:
   ServingFleet(const CostContext& context, int object_kb) : folder_(context.folder + "/serving") {
@@ -359,7 +363,8 @@
   ServingFleet(const ServingFleet&) = delete;
   ServingFleet& operator=(const ServingFleet&) = delete;
 
-  // Sends this number of requests for a few objects. Returns the number of responses with status 200.
+  // Sends this number of requests for a few objects and waits for the responses, at most 30 s. Returns the
+  // number of responses with status 200.
   int send_requests(int requests) {
     constexpr std::size_t kMaxConcurrentRequests = 8;
     constexpr std::size_t kObjects = 16;
@@ -380,6 +385,7 @@
     }
     return served;
   }
+  // Returns the processor time of a process so far, in microseconds.
   double cpu_us(const std::string& name) const { return process_cpu_us(scenario_->fleet().pid(name)); }
 
   static constexpr const char* kRouterName = "router0";
--- a/benchmarks/scale/scale_bench.cpp
+++ b/benchmarks/scale/scale_bench.cpp
@@ -1,7 +1,12 @@
-// Measures the policy control of fleets of any size, simulated in virtual time with the production state
-// machines: the traffic of the store, the aggregators and the routers while idle and during a change, the
-// duration of a change, and whether the rules for effective policies hold under random faults. Prints a table
-// with virtual times.
+// Measures the policy control of simulated fleets of any size, in virtual time and with the production state
+// machines:
+// - the traffic of the store, the aggregators and the routers while idle,
+// - the duration of policy changes and of the acknowledgement of purges, and the traffic of the store during
+//   them,
+// - the polls at the discovery server,
+// - whether the rules for effective policies hold under random faults.
+//
+// Prints one row for each measurement. All times are virtual.
 //
 //     scale_bench --rest --changes --write docs/capacity/slopes.json
 //     scale_bench --flat --rest --changes --sizes 30,100,200,300,1000,3000
@@ -61,6 +66,7 @@
 constexpr Micros kWarmUp{3'000'000};  // after the fleet has settled, before a measurement
 constexpr Micros kIdleTime{10'000'000};
 
+// The command-line options, which read_options() describes.
 struct Options {
   std::vector<int> sizes;
   bool flat = false;
@@ -87,6 +93,7 @@
   std::string command;
 };
 
+// Shows the running measurement on a line of the terminal that it overwrites.
 class Progress {
  public:
   void show(const std::string& text) const {
@@ -100,7 +107,7 @@
   bool shown_ = isatty(STDERR_FILENO) != 0;
 };
 
-// Collects the points of slopes by the name of the slope.
+// Collects measured points by the name of the slope, the function that is fitted to them.
 class SlopeTable {
  public:
   void add_point(const std::string& name, const std::string& what, const std::string& unit,
@@ -112,6 +119,7 @@
     slope.per = per;
     slope.points.emplace_back(x, y);
   }
+  // Fits a function to the points of each slope. `command` is recorded as the command that measured them.
   std::vector<Slope> fitted_slopes(const std::string& command) {
     std::vector<Slope> out;
     for (auto& [name, slope] : slopes_) {
@@ -129,6 +137,7 @@
 constexpr const char* kIdleText = "at rest, a second";
 constexpr const char* kChangeText = "a change, ";
 
+// Each of the following functions adds the points of a row to the slopes.
 void add_idle(SlopeTable& table, const json& row) {
   const std::string topology = row.at("way");
   const bool flat = topology == "flat";
@@ -224,12 +233,13 @@
                   "routers", routers, row.at("most_in_second"));
 }
 
-// The rows of the printed table, from which the slopes are computed. Can include rows of earlier runs, so
-// that large fleets can be measured one at a time.
+// The rows of the measurements, from which the slopes are computed. Can include rows of earlier runs, so that
+// large fleets can be measured one at a time.
 class Table {
  public:
   explicit Table(const Options& options) : options_(options) {}
 
+  // Adds a row and prints it, unless finish() prints all rows as JSON.
   void add_row(json row) {
     if (!options_.as_json) {
       std::string line;
@@ -248,7 +258,7 @@
       rows_.push_back(std::move(row));
     }
   }
-  // Prints the rows as JSON and writes the slopes, if the options say so.
+  // Prints the rows as JSON and writes the slopes to a file, each if the options request it.
   void finish() const {
     if (options_.as_json) {
       std::cout << rows_.dump(1) << '\n' << std::flush;
@@ -300,6 +310,7 @@
   model.run_for(kWarmUp);
 }
 
+// Rounds to one decimal place.
 double rounded(double value) { return std::round(value * 10.0) / 10.0; }
 
 // Runs the measurements that the options select.
@@ -343,7 +354,7 @@
 
   void run_idle(int size) {
     FleetModel model(model_options(options_, size, options_.seed));
-    progress_.show("at rest, " + std::to_string(size) + " routers");
+    progress_.show("idle, " + std::to_string(size) + " routers");
     start_and_settle(model);
     const IdleTraffic traffic = measure_idle_traffic(model, kIdleTime);
     const std::size_t servers = std::max<std::size_t>(1, model.aggregators().size());
@@ -448,7 +459,7 @@
 
   void run_queue(int size, double mean_interval_s) {
     FleetModel model(model_options(options_, size, options_.seed));
-    progress_.show(std::to_string(size) + " routers, changes in a row");
+    progress_.show(std::to_string(size) + " routers, queued changes");
     start_and_settle(model);
     const QueueResult result =
         measure_queue(model, Micros(static_cast<Micros::rep>(mean_interval_s * 1e6)), Micros(300'000'000));
@@ -465,7 +476,7 @@
     check(model.policy_check().violation());
   }
 
-  // Uses the poll options of the production program for a fleet.
+  // Measures polls with the poll options that the production program uses in a fleet.
   void run_discovery_polls(int size, const char* what, Micros available_at) {
     trailcourse::startup::PollOptions poll_options;
     poll_options.spread = true;
@@ -500,6 +511,7 @@
     check(result.violation);
   }
 
+  // Prints the violation and lets run() return false, unless the violation is empty.
   void check(const std::string& violation) {
     if (!violation.empty()) {
       passed_ = false;
@@ -513,6 +525,7 @@
   bool passed_ = true;
 };
 
+// Exits after printing the help, if it was requested.
 Options read_options(int argc, char** argv) {
   cxxopts::Options parser("scale_bench", "Measures the policy control of simulated fleets in virtual time.");
   Options out;
@@ -520,7 +533,7 @@
       "sizes", "numbers of routers",
       cxxopts::value(out.sizes)->default_value("30,100,200,300,1000,3000,10000,19000,38000"))(
       "flat", "no aggregators: every router calls the store", cxxopts::value(out.flat))(
-      "near", "use loopback delays instead of those of regions all over the world", cxxopts::value(out.near))(
+      "near", "use loopback delays instead of wide-area delays", cxxopts::value(out.near))(
       "aggregators", "aggregators in each region", cxxopts::value(out.aggregators)->default_value("2"))(
       "regions", "number of regions; 0: in proportion to the planned fleet, at least 2",
       cxxopts::value(out.regions)->default_value("0"))(
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -16,6 +16,7 @@
 namespace trailcourse::scale {
 namespace {
 
+// Returns the points of the function with a random relative error up to `noise`.
 Points points_of(double (*function)(double), double noise, std::uint64_t seed) {
   std::mt19937_64 random(seed);
   std::uniform_real_distribution<double> share(-noise, noise);
@@ -96,6 +97,7 @@
 
 constexpr Micros kSecond{1'000'000};
 
+// Starts a fleet and waits until it has settled.
 std::unique_ptr<FleetModel> settled_fleet(const FleetModelOptions& fleet) {
   auto out = std::make_unique<FleetModel>(fleet);
   out->start(kSecond);
@@ -118,6 +120,7 @@
 }
 
 TEST(FleetModelTest, StoreCallsGrowWithRegionsAndNotWithRouters) {
+  // The calls of one change plus those of an idle second.
   const auto calls = [](int routers, bool flat) {
     FleetModelOptions fleet = fleet_model_options(routers, flat, 2);
     fleet.regions = 6;
@@ -125,9 +128,10 @@
     return static_cast<double>(model->change(60 * kSecond).store.calls) +
            measure_idle_traffic(*model, 10 * kSecond).store_calls;
   };
-  const double by_regions = calls(300, false);
-  EXPECT_LT(by_regions, 0.25 * calls(300, true));
-  EXPECT_LT(calls(1'200, false), 1.25 * by_regions) << "four times the routers in as many regions";
+  const double calls_with_regions = calls(300, false);
+  EXPECT_LT(calls_with_regions, 0.25 * calls(300, true));
+  EXPECT_LT(calls(1'200, false), 1.25 * calls_with_regions)
+      << "four times the routers in the same number of regions";
   EXPECT_GT(calls(1'200, true), 3.0 * calls(300, true));
 }
 
@@ -170,8 +174,8 @@
   EXPECT_LT(series.duration_ms.max(), 1'600.0);
 }
 
-// Verifies that the check detects violations: with a negative lease margin, routers use their lease for
-// longer than the aggregator grants it.
+// Verifies that EffectivePolicyCheck detects violations: with a negative lease margin, routers use their
+// leases after the aggregator has expired them.
 TEST(FleetModelTest, TheCheckDetectsRoutersThatUseExpiredLeases) {
   std::string violation;
   for (std::uint64_t seed = 1; seed <= 20 && violation.empty(); ++seed) {
