--- a/benchmarks/scale/fleet_model_runs.cpp
+++ b/benchmarks/scale/fleet_model_runs.cpp
@@ -19,6 +19,10 @@
 constexpr double kShareBeforeFault = 0.25;  // of the publishing time
 constexpr Micros kPageInterval{100'000};    // during random faults
 constexpr std::uint64_t kEventsPerPage = 18;
+constexpr Micros kMeanProposalInterval{4'500'000};  // during random faults
+constexpr double kUrgentShare = 0.1;                // of the proposals during random faults
+constexpr Micros kRecoveryTime{12'000'000};         // longer than any random fault
+constexpr Micros kCloseLimit{90'000'000};           // for the end of the open rollout
 
 double seconds_of(Micros time) { return static_cast<double>(time.count()) / 1e6; }
 double ms_of(Micros time) { return static_cast<double>(time.count()) / 1e3; }
@@ -340,8 +344,8 @@
             model_.publish(kEventsPerPage);
           }
           if (model_.now() >= next_proposal) {
-            next_proposal = model_.now() + random_interval(model_, Micros(4'500'000));
-            model_.propose(model_.simulation().random_chance(0.1));
+            next_proposal = model_.now() + random_interval(model_, kMeanProposalInterval);
+            model_.propose(model_.simulation().random_chance(kUrgentShare));
           }
           return model_.now() >= end_at;
         },
@@ -434,9 +438,9 @@
 
   // Waits until the faults are undone, checks that the fleet recovers, and sets the result.
   void finish() {
-    model_.run_for(Micros(12'000'000));
+    model_.run_for(kRecoveryTime);
     const bool settled = model_.settle(kSettleLimit);
-    const bool closed = model_.run_until([this] { return !model_.change_open(); }, Micros(90'000'000));
+    const bool closed = model_.run_until([this] { return !model_.change_open(); }, kCloseLimit);
     result_.begun = model_.begun();
     result_.done = model_.finished();
     result_.aborted = model_.aborted();
--- a/benchmarks/scale/process_costs.cpp
+++ b/benchmarks/scale/process_costs.cpp
@@ -104,8 +104,8 @@
     for (const Kind kind : {Kind::kRegistry, Kind::kBoard, Kind::kOrigin, Kind::kRouter}) {
       start(kind);
     }
-    // An earlier list could make a router drop the log line that reports its start: routers limit their log
-    // lines per second.
+    // The list is published after start() has seen that all routers listen. Routers limit their log lines per
+    // second, so an earlier list could make them drop the line which reports that they listen.
     publish_list(options.listed_caches);
     run_for(kSettleTime);
   }
--- a/benchmarks/scale/scale_bench.cpp
+++ b/benchmarks/scale/scale_bench.cpp
@@ -65,6 +65,7 @@
 constexpr Micros kSettleLimit{60'000'000};
 constexpr Micros kWarmUp{3'000'000};  // after the fleet has settled, before a measurement
 constexpr Micros kIdleTime{10'000'000};
+constexpr Micros kQueueTime{300'000'000};  // in which queued changes are proposed
 
 // The command-line options, which read_options() describes.
 struct Options {
@@ -462,7 +463,7 @@
     progress_.show(std::to_string(size) + " routers, queued changes");
     start_and_settle(model);
     const QueueResult result =
-        measure_queue(model, Micros(static_cast<Micros::rep>(mean_interval_s * 1e6)), Micros(300'000'000));
+        measure_queue(model, Micros(static_cast<Micros::rep>(mean_interval_s * 1e6)), kQueueTime);
     table_.add_row({{"routers", size},
                     {"way", topology()},
                     {"what", "changes that come every " + std::to_string(mean_interval_s).substr(0, 3) +
--- a/benchmarks/scale/simulated_store_client.h
+++ b/benchmarks/scale/simulated_store_client.h
@@ -1,5 +1,5 @@
 // A client of the coordination store, like coordination::EtcdStore: sends each call to one of several
-// servers, fails over to another server after a failure, and watches the policy records at one of the servers.
+// servers, fails over to another server after a failure, and watches the policy records at one of them.
 #pragma once
 
 #include <cstdint>
@@ -84,7 +84,7 @@
   // Receives an update of the watch with this number. Ignores updates of closed watches.
   void receive_update(std::uint64_t watch, const SharedWatchUpdate& update);
   // Checks whether the watch still works, and reopens it otherwise, after the time that a client needs to
-  // detect the loss. Called when links or servers have changed.
+  // detect the end of the watch. Called when links or servers have changed.
   void check_watch();
 
  protected:
