--- a/benchmarks/scale/fleet_model.cpp
+++ b/benchmarks/scale/fleet_model.cpp
@@ -40,9 +40,10 @@
 // ---- The check of effective policies ----
 
 void EffectivePolicyCheck::record_violation(Micros now, const SimulatedRouter& router,
-                                            const std::string& violation) {
+                                            const std::string& description) {
   if (violation_.empty()) {
-    violation_ = "at " + std::to_string(now.count() / 1'000) + " ms: " + violation + ": " + router.describe();
+    violation_ =
+        "at " + std::to_string(now.count() / 1'000) + " ms: " + description + ": " + router.describe();
   }
 }
 
--- a/benchmarks/scale/fleet_model.h
+++ b/benchmarks/scale/fleet_model.h
@@ -73,7 +73,7 @@
 
  private:
   // Records the first violation; ignores later ones.
-  void record_violation(Micros now, const SimulatedRouter& router, const std::string& violation);
+  void record_violation(Micros now, const SimulatedRouter& router, const std::string& description);
   // Checks that the router has applied the acknowledged events if it decides requests.
   void check_events_applied(const SimulatedRouter& router, const policy::EffectivePolicy& effective_policy,
                             Micros now);
