--- a/benchmarks/scale/fleet_model_runs.h
+++ b/benchmarks/scale/fleet_model_runs.h
@@ -1,5 +1,5 @@
-// What is measured on a simulated fleet: calls and bytes at rest, changes of policy while all is well and
-// while something is not, changes that come faster than they end.
+// Measurements on a simulated fleet: calls and bytes while idle, durations of policy changes under several
+// conditions, acknowledgements of purges, queued policy changes, and random faults.
 #pragma once
 
 #include <cstddef>
@@ -12,104 +12,114 @@
 
 namespace trailcourse::scale {
 
-// Exact, of all samples.
+// A set of measured values. Keeps all of them, so quantiles are exact.
 class Samples {
  public:
   void add(double value) { values_.push_back(value); }
   void add(const Samples& other);
   std::size_t size() const { return values_.size(); }
   bool empty() const { return values_.empty(); }
-  // The nearest rank; `share` from 0 to 1. 0 without any sample.
+  // Returns the nearest-rank quantile for `share`, from 0 to 1; 0 if there are no samples.
   double quantile(double share) const;
-  double worst() const { return quantile(1.0); }
+  double max() const { return quantile(1.0); }
   double mean() const;
 
  private:
   std::vector<double> values_;
 };
 
-// A second of a fleet in which nothing changes.
-struct RestFigures {
+// Rates per second of an idle fleet.
+struct IdleTraffic {
   double store_calls = 0.0;
   double store_bytes = 0.0;       // in and out
-  double store_busy = 0.0;        // share of one core, by the cost rules
-  double aggregator_calls = 0.0;  // the mean of all
-  double aggregator_bytes = 0.0;
-  double router_bytes = 0.0;
+  double store_cpu_share = 0.0;   // of one core, by CostOptions
+  double aggregator_calls = 0.0;  // mean of all aggregators
+  double aggregator_bytes = 0.0;  // mean of all aggregators, in and out
+  double router_bytes = 0.0;      // mean of all routers, in and out
 };
-RestFigures measure_rest(FleetModel& model, Micros time);
+IdleTraffic measure_idle_traffic(FleetModel& model, Micros time);
 
+// The fault during a measurement, or none.
 enum class Condition {
-  kAllUp,
-  kFewStopped,         // 0.4% of the routers
-  kAggregatorStopped,  // one
-  kRegionCut,          // from the store
-  kEverybodyStarts,
-  kHalfRestarted
+  kAllUp,               // no fault
+  kFewRoutersPaused,    // 0.4% of the routers are paused
+  kAggregatorPaused,    // one aggregator is paused
+  kRegionDisconnected,  // one region is cut off from the store
+  kAllRestarted,        // all routers and aggregators restart within 3 ms
+  kHalfRestarted        // every second router restarts within 5 s
 };
-inline constexpr Condition kConditions[] = {
-    Condition::kAllUp,     Condition::kFewStopped,      Condition::kAggregatorStopped,
-    Condition::kRegionCut, Condition::kEverybodyStarts, Condition::kHalfRestarted};
+inline constexpr Condition kConditions[] = {Condition::kAllUp,
+                                            Condition::kFewRoutersPaused,
+                                            Condition::kAggregatorPaused,
+                                            Condition::kRegionDisconnected,
+                                            Condition::kAllRestarted,
+                                            Condition::kHalfRestarted};
 const char* to_string(Condition condition);
-// Whether a fleet without aggregators can be in it.
-bool applies(Condition condition, const FleetShape& shape);
+// Returns false if the condition needs aggregators and the fleet has none.
+bool is_applicable(Condition condition, const FleetModelOptions& options);
 
+// Results of policy changes under one condition.
 struct ChangeSeries {
-  Samples ms;           // from the proposal until all decide under it
-  int unfinished = 0;   // within the limit
-  Samples store_calls;  // each change's
-  Samples store_bytes;
-  Samples store_wait_ms;  // the longest of a call at the store so far
-  std::string broken;     // the first that broke a rule
+  Samples duration_ms;    // from the proposal until all routers decide under the new version
+  int unfinished = 0;     // changes that were not done within the limit
+  Samples store_calls;    // of each change
+  Samples store_bytes;    // of each change, in and out
+  Samples store_wait_ms;  // longest queue time of a call at the store, from the start of the model on
+  std::string violation;  // the first violation of a rule
 };
 
-struct SeriesOptions {
-  int changes = 3;  // of each seed
+struct ChangeSeriesOptions {
+  int changes = 3;  // for each seed
   Micros limit{60'000'000};
 };
-// The model has been started and has settled; so it is left, if it can be.
-void measure_changes(FleetModel& model, Condition condition, const SeriesOptions& options,
+// Makes changes under the condition and adds their results to `series`. Requires a started and settled model.
+// After each change, undoes the fault and waits until the fleet has settled; a timeout is a violation.
+void measure_changes(FleetModel& model, Condition condition, const ChangeSeriesOptions& options,
                      ChangeSeries& series);
 
-// Purges that come without pause, and how long it takes until each is known to be taken in everywhere.
+// Results of purges that are published continuously.
 struct AcknowledgementSeries {
-  Samples ms;                // from a page of the board until it is told to be done
-  int unfinished = 0;        // pages, within the time
-  double rounds = 0.0;       // a second
-  double store_calls = 0.0;  // a second, renewals among them
-  double store_bytes = 0.0;  // a second, in and out
-  double router_bytes =
-      0.0;  // the mean of all, a second, in and out, with permissions; of their servers' count
-  std::string broken;
+  Samples duration_ms;       // from the publication of a page until it is known to be applied by every router
+  int unfinished = 0;        // pages not acknowledged within the time
+  double rounds = 0.0;       // per second
+  double store_calls = 0.0;  // per second, including renewals
+  double store_bytes = 0.0;  // per second, in and out
+  // Mean of all routers, per second, in and out, including leases. Counted at the store or the aggregators.
+  double router_bytes = 0.0;
+  std::string violation;
 };
 struct AcknowledgementOptions {
   double events_per_second = 180.0;
-  Micros between_pages{100'000};
-  Micros time{20'000'000};  // of pages; as long is waited for the last of them
+  Micros page_interval{100'000};
+  Micros time{20'000'000};  // of publishing; the wait for the last pages follows
 };
-// The model has been started and has settled.
+// Publishes pages. Adds the durations to `series` and sets its rates. The fault of the condition begins after
+// a quarter of the time. Requires a started and settled model.
 void measure_acknowledgements(FleetModel& model, Condition condition, const AcknowledgementOptions& options,
                               AcknowledgementSeries& series);
 
-// Proposals that come at drawn times wait for the change before them: one is open at a time.
-struct QueueFigures {
-  Samples ms;  // from the proposal's time until it is done
+// Results of policy changes that are proposed at random times. One is open at a time; the others wait in a
+// queue.
+struct QueueResult {
+  Samples duration_ms;  // from the proposal until the change is done, including the wait in the queue
   int longest_queue = 0;
-  std::string broken;
+  std::string violation;
 };
-QueueFigures measure_queue(FleetModel& model, Micros mean_between, Micros time);
+// Proposes changes during `time`, then waits at most as long for the queued ones.
+QueueResult measure_queue(FleetModel& model, Micros mean_interval, Micros time);
 
-// Drawn faults for a while, then calm: the rule must hold, and all must be well in the end.
-struct FaultFigures {
-  std::uint64_t faults = 0, begun = 0, done = 0, aborted = 0, rulings = 0;
-  std::string broken;
+// Results of random faults followed by a period without faults. It is a violation if a rule of
+// EffectivePolicyCheck is broken or if the fleet does not recover.
+struct FaultResult {
+  std::uint64_t faults = 0, begun = 0, done = 0, aborted = 0, checked_policies = 0;
+  std::string violation;
 };
-struct FaultOptions {
+struct RandomFaultOptions {
   Micros time{60'000'000};
-  Micros mean_between{500'000};  // two faults
-  Micros region_cut{0};          // one region is cut for so long, from the beginning; 0: none
-  bool publish = false;          // events of the board come all the while, and are acknowledged
+  Micros mean_interval{500'000};  // between two faults
+  Micros region_cut{0};           // time for which one region is cut off, from the start; 0: none
+  bool publish = false;           // whether to publish events, which the routers acknowledge
 };
-FaultFigures run_faults(FleetModel& model, const FaultOptions& options);
+FaultResult run_random_faults(FleetModel& model, const RandomFaultOptions& options);
 
 }  // namespace trailcourse::scale
--- a/benchmarks/scale/http_peers.h
+++ b/benchmarks/scale/http_peers.h
@@ -1,8 +1,8 @@
-// Many clients of one server on loopback, in a thread of their own, so that what the server costs can be told
-// apart by its thread. They make the calls that the project's routers make, and read no more of the answers
+// Clients that load one server on loopback with the calls that routers make. They run in a thread of their
+// own, so that the processor time of the server's thread excludes them, and parse no more of the responses
 // than they need.
 //
-// Benchmarks only. A connection that does not come up ends the program.
+// For benchmarks only: if a client cannot connect, the program terminates.
 #pragma once
 
 #include <atomic>
@@ -16,18 +16,18 @@
 
 namespace trailcourse::scale {
 
-// What passed so far: headers of HTTP are counted, those of TCP and IP are not.
+// Traffic of all clients so far. Bytes include the headers of HTTP but not those of TCP and IP.
 struct PeerCounts {
-  std::atomic<std::uint64_t> answers{0};
+  std::atomic<std::uint64_t> answers{0};  // responses; of ListeningPeers: reads that returned data
   std::atomic<std::uint64_t> bytes_out{0};
   std::atomic<std::uint64_t> bytes_in{0};
 };
 
-// Clients that ask a board's pages again and again, each for what is later than the last page it got.
+// Clients that poll a discovery server continuously. Each requests the events after its last page.
 class PollingPeers {
  public:
-  // `linger_ms`: for which each call may be held.
-  PollingPeers(const transport::Address& server, int peers, int linger_ms);
+  // The server may hold each poll for up to `long_poll_ms`.
+  PollingPeers(const transport::Address& server, int peers, int long_poll_ms);
   ~PollingPeers();
   PollingPeers(const PollingPeers&) = delete;
   PollingPeers& operator=(const PollingPeers&) = delete;
@@ -41,11 +41,11 @@
   };
 
   void run();
-  void ask(Peer& peer, std::uint64_t last);
-  void read(Peer& peer);
+  void send_poll(Peer& peer, std::uint64_t last_event);
+  void read_response(Peer& peer);
 
   transport::Address server_;
-  int linger_ms_;
+  int long_poll_ms_;
   transport::Descriptor epoll_;
   std::vector<Peer> peers_;
   PeerCounts counts_;
@@ -53,7 +53,7 @@
   std::thread thread_;
 };
 
-// Clients that send one request each and then take whatever comes: watches of a store.
+// Clients that send one request each and then read the streamed response, as the watches of a store do.
 class ListeningPeers {
  public:
   ListeningPeers(const transport::Address& server, int peers, std::string request);
@@ -75,7 +75,7 @@
   std::thread thread_;
 };
 
-// One client that makes the same call so many times, each after the answer to the one before.
+// One client that makes the same call `calls` times, one after the other.
 class CallingPeer {
  public:
   CallingPeer(const transport::Address& server, std::string request, int calls);
@@ -83,8 +83,9 @@
   CallingPeer(const CallingPeer&) = delete;
   CallingPeer& operator=(const CallingPeer&) = delete;
 
+  // Whether all calls were answered or the server has closed the connection.
   bool done() const { return done_; }
-  // `answers`: those with status 200.
+  // `answers` counts the responses with status 200.
   const PeerCounts& counts() const { return counts_; }
 
  private:
