--- a/benchmarks/storage_bench.cpp
+++ b/benchmarks/storage_bench.cpp
@@ -1,4 +1,4 @@
-// Benchmarks of the disk tier, each next to its baseline in the same run. Not run as a test; see
+// Benchmarks of the disk tier, each next to its baseline in the same run. They are not part of the tests; see
 // docs/storage.md.
 //
 //   storage_bench FOLDER write|read|read-cold|memory|recovery|placement|index [NUMBER]
@@ -37,8 +37,8 @@
 
 using Clock = std::chrono::steady_clock;
 
-double seconds_since(Clock::time_point begun) {
-  return std::chrono::duration<double>(Clock::now() - begun).count();
+double seconds_since(Clock::time_point start) {
+  return std::chrono::duration<double>(Clock::now() - start).count();
 }
 
 // A minimal event loop: run_until() runs the jobs that the pool posts.
@@ -47,14 +47,14 @@
   void post(std::function<void()> job) {
     const std::lock_guard lock(mutex_);
     jobs_.push_back(std::move(job));
-    more_.notify_one();
+    job_posted_.notify_one();
   }
   void run_until(const std::function<bool()>& done) {
     while (!done()) {
       std::function<void()> job;
       {
         std::unique_lock lock(mutex_);
-        more_.wait(lock, [this] { return !jobs_.empty(); });
+        job_posted_.wait(lock, [this] { return !jobs_.empty(); });
         job = std::move(jobs_.front());
         jobs_.pop_front();
       }
@@ -64,7 +64,7 @@
 
  private:
   std::mutex mutex_;
-  std::condition_variable more_;
+  std::condition_variable job_posted_;
   std::deque<std::function<void()>> jobs_;
 };
 
@@ -120,7 +120,7 @@
   return options;
 }
 
-Name numbered(std::uint64_t number) {
+Name make_name(std::uint64_t number) {
   char item[17];
   std::snprintf(item, sizeof item, "%016llx", static_cast<unsigned long long>(number));
   return Name::of("media", item, "0");
@@ -162,7 +162,7 @@
     std::filesystem::remove_all(folder);
     std::filesystem::create_directories(folder);
     const int file = ::open((folder + "/plain").c_str(), O_RDWR | O_CREAT | O_TRUNC, 0600);
-    Clock::time_point begun = Clock::now();
+    Clock::time_point start = Clock::now();
     std::string batch;
     off_t at = 0;
     // The baseline writes the same bytes in batches of the same size: 4 MB a write, a sync after each.
@@ -174,15 +174,15 @@
         batch.clear();
       }
     }
-    const double pwrite_s = seconds_since(begun);
+    const double pwrite_s = seconds_since(start);
     ::close(file);
     std::filesystem::remove(folder + "/plain");
 
     BenchStore bench_store(folder + "/store", bench_options(4'096));
     bench_store.open();
-    begun = Clock::now();
+    start = Clock::now();
     for (std::size_t i = 0; i < kCount; ++i) {
-      const Name name = numbered(i);
+      const Name name = make_name(i);
       bench_store.store.find(name, 2);
       bench_store.store.insert(name, Copy{"tag", 1, 3, values[i % values.size()]}, 2);
       // Waits for the write queue, so that no write is shed.
@@ -192,7 +192,7 @@
       }
     }
     bench_store.flush();
-    const double store_s = seconds_since(begun);
+    const double store_s = seconds_since(start);
     const double megabytes = kCount * kSize / 1e6;
     std::printf("| %d | %.0f MB/s | %.0f MB/s (%llu shed) | %.2f |\n", round, megabytes / pwrite_s,
                 megabytes / store_s, static_cast<unsigned long long>(bench_store.store.stats().writes_shed),
@@ -200,9 +200,10 @@
   }
 }
 
-double quantile(std::vector<double>& all, double share) {
-  std::sort(all.begin(), all.end());
-  return all[std::min(all.size() - 1, static_cast<std::size_t>(share * static_cast<double>(all.size())))];
+double quantile(std::vector<double>& values, double share) {
+  std::sort(values.begin(), values.end());
+  const auto index = static_cast<std::size_t>(share * static_cast<double>(values.size()));
+  return values[std::min(values.size() - 1, index)];
 }
 
 constexpr std::size_t kReadCopies = 4'000;
@@ -225,7 +226,7 @@
     std::mt19937 random(3);
     for (std::size_t i = 0; i < reads; ++i) {
       read_by_pread(rows_[random() % rows_.size()].location);
-      read_by_store(numbered(random() % kReadCopies));
+      read_by_store(make_name(random() % kReadCopies));
     }
   }
 
@@ -239,9 +240,9 @@
  private:
   void fill() {
     for (std::size_t i = 0; i < kReadCopies; ++i) {
-      bench_store_.store.find(numbered(i), 2);
+      bench_store_.store.find(make_name(i), 2);
       bench_store_.store.insert(
-          numbered(i), Copy{"tag", 1, 3, std::make_shared<const std::string>(random_bytes(size_, i))}, 2);
+          make_name(i), Copy{"tag", 1, 3, std::make_shared<const std::string>(random_bytes(size_, i))}, 2);
       if (i % 50 == 49) {
         bench_store_.loop.run_until([this, i] { return bench_store_.store.stats().disk_copies + 100 > i; });
       }
@@ -270,7 +271,7 @@
   void read_by_pread(const Location& location) {
     bool done = false;
     drop_page_cache_if_cold(location);
-    const Clock::time_point begun = Clock::now();
+    const Clock::time_point start = Clock::now();
     bench_store_.pool.run(
         Executor::Lane::kRead,
         [this, &location] {
@@ -281,13 +282,13 @@
         },
         [&done] { done = true; });
     bench_store_.loop.run_until([&done] { return done; });
-    pread_us_.push_back(seconds_since(begun) * 1e6);
+    pread_us_.push_back(seconds_since(start) * 1e6);
   }
 
   void read_by_store(const Name& name) {
     bool done = false;
     drop_page_cache_if_cold(locations_[name.key]);
-    const Clock::time_point begun = Clock::now();
+    const Clock::time_point start = Clock::now();
     if (bench_store_.store.find(name, 2).tier != Store::Tier::kDisk) {
       std::fprintf(stderr, "not on disk\n");
       return;
@@ -295,7 +296,7 @@
     bench_store_.store.read(
         name, [&done](const ReadResult& result) { done = result.status == ReadStatus::kComplete; });
     bench_store_.loop.run_until([&done] { return done; });
-    store_us_.push_back(seconds_since(begun) * 1e6);
+    store_us_.push_back(seconds_since(start) * 1e6);
   }
 
   std::string folder_;
@@ -324,8 +325,8 @@
 void fill_small(BenchStore& bench_store, std::size_t count) {
   const auto value = std::make_shared<const std::string>(std::string(32, 'x'));
   for (std::size_t i = 0; i < count; ++i) {
-    bench_store.store.find(numbered(i), 2);
-    bench_store.store.insert(numbered(i), Copy{"t", 1, 3, value}, 2);
+    bench_store.store.find(make_name(i), 2);
+    bench_store.store.insert(make_name(i), Copy{"t", 1, 3, value}, 2);
     if (i % 20'000 == 19'999) {
       bench_store.flush();
     }
@@ -374,11 +375,11 @@
     ::waitpid(child, nullptr, 0);
     double times[2] = {};
     std::uint64_t recovered = 0;
-    for (double& took : times) {
+    for (double& elapsed_s : times) {
       BenchStore bench_store(folder, bench_options(4'096));
-      const Clock::time_point begun = Clock::now();
+      const Clock::time_point start = Clock::now();
       bench_store.open();
-      took = seconds_since(begun);
+      elapsed_s = seconds_since(start);
       recovered = bench_store.store.stats().recovered;
     }
     std::printf("| %llu | %.0f ms | %.0f ms | %.0f MB | %.0f MB |\n",
@@ -388,7 +389,7 @@
   }
 }
 
-// ---- Placement on synthetic traces.
+// ---- Placement on synthetic traces ----
 
 struct TraceRequest {
   std::uint32_t object = 0;
@@ -428,21 +429,21 @@
   std::vector<double> sums_;
 };
 
-// Computes the keep rank as routers do: by the paper's score of a router's request count and the time since
-// its last request.
-class Ranks {
+// Computes the keep rank of an object as routers do: by a score of its decayed request count, its size and
+// the time since its last request.
+class KeepRankModel {
  public:
   int rank(std::uint32_t object, std::uint32_t bytes, double at_s) {
     History& history = histories_[object];
-    const double gap = history.count == 0.0 ? kMostGap : std::min(kMostGap, at_s - history.at_s);
-    history.count = history.count * std::pow(0.5, gap / 60.0) + 1.0;
+    const double gap_s = history.count == 0.0 ? kMaxGapS : std::min(kMaxGapS, at_s - history.at_s);
+    history.count = history.count * std::pow(0.5, gap_s / 60.0) + 1.0;
     history.at_s = at_s;
-    const double value = 1.0 / history.count + 0.9 * bytes / 4e6 + 0.6 * gap / kMostGap;
+    const double value = 1.0 / history.count + 0.9 * bytes / 4e6 + 0.6 * gap_s / kMaxGapS;
     return value < 1.2 ? 3 : value < 2.0 ? 2 : 1;
   }
 
  private:
-  static constexpr double kMostGap = 600.0;
+  static constexpr double kMaxGapS = 600.0;
   struct History {
     double count = 0.0;
     double at_s = 0.0;
@@ -454,18 +455,19 @@
   std::mt19937 random(static_cast<std::mt19937::result_type>(std::hash<std::string>()(kind)));
   const Zipf zipf(20'000, 0.9);
   Trace out;
-  std::uint32_t scanned = 1'000'000;
-  Ranks ranks;
+  std::uint32_t last_scanned_object = 1'000'000;
+  KeepRankModel keep_ranks;
   for (std::size_t i = 0; i < length; ++i) {
     TraceRequest request;
     request.at_s = static_cast<double>(i) / 200.0;
-    const std::size_t place = zipf.draw(random);
+    const std::size_t popularity_rank = zipf.draw(random);
     // The popular objects change: every 20,000 requests a tenth of the popularity ranks gets other objects.
     const auto drift = static_cast<std::uint32_t>(i / 20'000 * 2'000);
-    request.object = static_cast<std::uint32_t>(place) + (place % 10 == 3 ? drift * 100 : 0);
+    request.object =
+        static_cast<std::uint32_t>(popularity_rank) + (popularity_rank % 10 == 3 ? drift * 100 : 0);
     request.bytes = size_of(request.object, random);
     if (kind == "scan" && i % 40'000 > 20'000 && random() % 2 == 0) {
-      request.object = ++scanned;  // each requested once
+      request.object = ++last_scanned_object;  // each requested once
       request.bytes = size_of(request.object, random);
     } else if (kind == "video" && i > length / 2 && random() % 20 == 0) {
       request.object = 5'000'000 + random() % 40;  // the parts of a new video, 1 MB each
@@ -474,39 +476,41 @@
       request.object = 6'000'000 + random() % 30'000;  // one statement per user, rarely requested twice
       request.bytes = 30'000;
     }
-    request.rank = ranks.rank(request.object, request.bytes, request.at_s);
+    request.rank = keep_ranks.rank(request.object, request.bytes, request.at_s);
     out.push_back(request);
   }
   return out;
 }
 
-struct Result {
+// The requests and bytes of a trace under one placement policy.
+struct PlacementResult {
   double hits = 0.0;
-  double fetched = 0.0;
-  double written = 0.0;
-  double requested = 0.0;
+  double fetched_bytes = 0.0;
+  double written_bytes = 0.0;
+  double requested_bytes = 0.0;
 };
 
-Result simulate_lru(const Trace& trace, std::uint64_t capacity, int from_request,
-                    std::uint32_t max_object_bytes) {
+// Simulates LRU. An object is stored from its request number `from_request` on, if it is not too large.
+PlacementResult simulate_lru(const Trace& trace, std::uint64_t capacity, int from_request,
+                             std::uint32_t max_object_bytes) {
   std::list<std::uint32_t> order;
   std::unordered_map<std::uint32_t, std::pair<std::list<std::uint32_t>::iterator, std::uint32_t>> stored;
   std::unordered_map<std::uint32_t, int> requests;
   std::uint64_t used = 0;
-  Result out;
+  PlacementResult out;
   for (const TraceRequest& request : trace) {
-    out.requested += request.bytes;
+    out.requested_bytes += request.bytes;
     const auto found = stored.find(request.object);
     if (found != stored.end()) {
       out.hits += 1;
       order.splice(order.begin(), order, found->second.first);
       continue;
     }
-    out.fetched += request.bytes;
+    out.fetched_bytes += request.bytes;
     if (++requests[request.object] < from_request || request.bytes > max_object_bytes) {
       continue;
     }
-    out.written += request.bytes;
+    out.written_bytes += request.bytes;
     order.push_front(request.object);
     stored[request.object] = {order.begin(), request.bytes};
     used += request.bytes;
@@ -522,55 +526,55 @@
 
 // Keeps the objects that are requested again soonest. For objects of different sizes this is close to the
 // optimum, which is NP-hard to compute.
-Result simulate_belady(const Trace& trace, std::uint64_t capacity) {
+PlacementResult simulate_belady(const Trace& trace, std::uint64_t capacity) {
   std::vector<std::size_t> next(trace.size());
-  std::unordered_map<std::uint32_t, std::size_t> later;
+  std::unordered_map<std::uint32_t, std::size_t> next_use;
   for (std::size_t i = trace.size(); i-- > 0;) {
-    const auto found = later.find(trace[i].object);
-    next[i] = found == later.end() ? trace.size() * 2 : found->second;
-    later[trace[i].object] = i;
+    const auto found = next_use.find(trace[i].object);
+    next[i] = found == next_use.end() ? trace.size() * 2 : found->second;
+    next_use[trace[i].object] = i;
   }
-  std::set<std::pair<std::size_t, std::uint32_t>> by_next;
+  std::set<std::pair<std::size_t, std::uint32_t>> by_next_use;
   std::unordered_map<std::uint32_t, std::size_t> stored;
   std::unordered_map<std::uint32_t, std::uint32_t> bytes;
   std::uint64_t used = 0;
-  Result out;
+  PlacementResult out;
   for (std::size_t i = 0; i < trace.size(); ++i) {
     const TraceRequest& request = trace[i];
-    out.requested += request.bytes;
+    out.requested_bytes += request.bytes;
     const auto found = stored.find(request.object);
     if (found != stored.end()) {
       out.hits += 1;
-      by_next.erase({found->second, request.object});
+      by_next_use.erase({found->second, request.object});
       if (next[i] < trace.size()) {
         found->second = next[i];
-        by_next.emplace(next[i], request.object);
+        by_next_use.emplace(next[i], request.object);
       } else {
         used -= request.bytes;
         stored.erase(found);
       }
       continue;
     }
-    out.fetched += request.bytes;
+    out.fetched_bytes += request.bytes;
     if (next[i] >= trace.size()) {
       continue;
     }
     stored[request.object] = next[i];
     bytes[request.object] = request.bytes;
-    by_next.emplace(next[i], request.object);
+    by_next_use.emplace(next[i], request.object);
     used += request.bytes;
-    out.written += request.bytes;
+    out.written_bytes += request.bytes;
     while (used > capacity) {
-      const auto last = std::prev(by_next.end());
+      const auto last = std::prev(by_next_use.end());
       used -= bytes[last->second];
       stored.erase(last->second);
-      by_next.erase(last);
+      by_next_use.erase(last);
     }
   }
   return out;
 }
 
-Result simulate_placement(const Trace& trace, std::uint64_t capacity, std::int64_t bytes_per_s) {
+PlacementResult simulate_placement(const Trace& trace, std::uint64_t capacity, std::int64_t bytes_per_s) {
   Placement::Options options;
   options.tier_bytes = capacity;
   options.write_bytes_per_s = bytes_per_s;
@@ -579,10 +583,10 @@
   Placement placement(options);
   EvictionSet<int> tier;
   std::mt19937 random(1);
-  Result out;
+  PlacementResult out;
   for (const TraceRequest& request : trace) {
-    out.requested += request.bytes;
-    const Key key = numbered(request.object).key;
+    out.requested_bytes += request.bytes;
+    const Key key = make_name(request.object).key;
     const auto now_ms = static_cast<std::int64_t>(request.at_s * 1e3);
     const auto tick = static_cast<Tick>(request.at_s * 10);
     placement.record_request(key);
@@ -592,12 +596,12 @@
       tier.touch(slot, tick, request.rank);
       continue;
     }
-    out.fetched += request.bytes;
+    out.fetched_bytes += request.bytes;
     if (placement.admit(Candidate{key, request.bytes, request.rank, false}, tier.bytes(), now_ms) !=
         PlacementDecision::kAdmit) {
       continue;
     }
-    out.written += request.bytes;
+    out.written_bytes += request.bytes;
     tier.insert(key, request.bytes, request.rank, tick, 0);
     while (tier.bytes() > capacity) {
       tier.erase(tier.victim(tick, random));
@@ -614,20 +618,21 @@
       "| --- | --- | --- | --- | --- | --- |\n");
   for (const char* kind : {"zipf", "scan", "video", "payout"}) {
     const Trace trace = make_trace(kind, length);
-    const Result all = simulate_lru(trace, kCapacityBytes, 1, UINT32_MAX);
-    const Result best = simulate_belady(trace, kCapacityBytes);
-    const auto line = [&](const char* name, const Result& one) {
-      std::printf("| %s | %s | %.3f | %.3f | %.3f | %.2f |\n", kind, name,
-                  one.hits / static_cast<double>(trace.size()), one.fetched / one.requested,
-                  one.written / std::max(1.0, one.requested - one.fetched),
-                  (all.fetched - one.fetched) / std::max(1.0, all.fetched - best.fetched));
+    const PlacementResult lru = simulate_lru(trace, kCapacityBytes, 1, UINT32_MAX);
+    const PlacementResult best = simulate_belady(trace, kCapacityBytes);
+    const auto print_row = [&](const char* name, const PlacementResult& result) {
+      std::printf(
+          "| %s | %s | %.3f | %.3f | %.3f | %.2f |\n", kind, name,
+          result.hits / static_cast<double>(trace.size()), result.fetched_bytes / result.requested_bytes,
+          result.written_bytes / std::max(1.0, result.requested_bytes - result.fetched_bytes),
+          (lru.fetched_bytes - result.fetched_bytes) / std::max(1.0, lru.fetched_bytes - best.fetched_bytes));
     };
-    line("LRU, all admitted", all);
-    line("LRU, from the second request", simulate_lru(trace, kCapacityBytes, 2, UINT32_MAX));
-    line("LRU, up to 200 KB", simulate_lru(trace, kCapacityBytes, 1, 200'000));
-    line("placement, no write bound", simulate_placement(trace, kCapacityBytes, 0));
-    line("placement, 1 MB/s", simulate_placement(trace, kCapacityBytes, 1 << 20));
-    line("offline best (Belady by next use)", best);
+    print_row("LRU, all admitted", lru);
+    print_row("LRU, from the second request", simulate_lru(trace, kCapacityBytes, 2, UINT32_MAX));
+    print_row("LRU, up to 200 KB", simulate_lru(trace, kCapacityBytes, 1, 200'000));
+    print_row("placement, no write bound", simulate_placement(trace, kCapacityBytes, 0));
+    print_row("placement, 1 MB/s", simulate_placement(trace, kCapacityBytes, 1 << 20));
+    print_row("offline best (Belady by next use)", best);
   }
 }
 
@@ -637,20 +642,20 @@
   const std::uint64_t before = anonymous_kb();
   const auto index = open_sqlite_index(folder);
   constexpr std::size_t kBatch = 100;
-  Clock::time_point begun = Clock::now();
+  Clock::time_point start = Clock::now();
   for (std::size_t i = 0; i < count; i += kBatch) {
     IndexBatch batch;
     for (std::size_t k = 0; k < kBatch; ++k) {
       IndexRow row;
-      row.key = numbered(i + k).key;
+      row.key = make_name(i + k).key;
       row.location.stored = 1;
       batch.put.push_back(row);
     }
     index->commit(batch);
   }
-  const double took = seconds_since(begun);
+  const double elapsed_s = seconds_since(start);
   const std::size_t commits = count / kBatch;
-  begun = Clock::now();
+  start = Clock::now();
   std::size_t rows = 0;
   std::optional<Key> after;
   for (;;) {
@@ -662,19 +667,19 @@
     after = rows_read.back().key;
   }
   std::printf("| %zu rows | %.1f us a commit of %zu | scan %.0f ms | %.0f MB on disk | %llu KB of memory |\n",
-              rows, took / static_cast<double>(commits) * 1e6, kBatch, seconds_since(begun) * 1e3,
+              rows, elapsed_s / static_cast<double>(commits) * 1e6, kBatch, seconds_since(start) * 1e3,
               static_cast<double>(std::filesystem::file_size(folder + "/index.sqlite")) / 1e6,
               static_cast<unsigned long long>(anonymous_kb() - before));
 }
 
-int run(int count, char** arguments) {
-  if (count < 3) {
+int run(int argc, char** argv) {
+  if (argc < 3) {
     std::cerr << "storage_bench FOLDER write|read|read-cold|memory|recovery|placement|index [NUMBER]\n";
     return 2;
   }
-  const std::string folder = std::string(arguments[1]) + "/storage-bench";
-  const std::string measurement = arguments[2];
-  const std::size_t number = count > 3 ? std::stoull(arguments[3]) : 1'000'000;
+  const std::string folder = std::string(argv[1]) + "/storage-bench";
+  const std::string measurement = argv[2];
+  const std::size_t number = argc > 3 ? std::stoull(argv[3]) : 1'000'000;
   if (measurement == "write") {
     write_bench(folder);
   } else if (measurement == "read" || measurement == "read-cold") {
@@ -684,7 +689,7 @@
   } else if (measurement == "recovery") {
     recovery_bench(folder);
   } else if (measurement == "placement") {
-    placement_bench(count > 3 ? number : 400'000);
+    placement_bench(argc > 3 ? number : 400'000);
   } else if (measurement == "index") {
     index_bench(folder, number);
   } else {
@@ -698,4 +703,4 @@
 }  // namespace
 }  // namespace trailcourse::store
 
-int main(int count, char** arguments) { return trailcourse::store::run(count, arguments); }
+int main(int argc, char** argv) { return trailcourse::store::run(argc, argv); }
