--- a/benchmarks/rest_measurement.cpp
+++ b/benchmarks/rest_measurement.cpp
@@ -38,14 +38,14 @@
   return "aggregators";
 }
 
-// The resources that all routers use together.
+// The resources of all routers, added up.
 struct RouterCost {
   double rss_kb = 0.0;
   double cpu_ms_per_s = 0.0;
   double sockets = 0.0;
 };
 
-// The following read the entry of one process in /proc.
+// The following functions read the folder of one process in /proc, which is given as `proc`.
 
 double anonymous_kb(const std::string& proc) {
   constexpr const char* kField = "RssAnon:";
--- a/benchmarks/rest_measurement.h
+++ b/benchmarks/rest_measurement.h
@@ -0,0 +1,16 @@
+// Measures an idle fleet of real processes: the resources of a router and the calls at the store.
+#pragma once
+
+#include <string>
+#include <vector>
+
+#include "policy_measurement.h"
+
+namespace trailcourse::bench {
+
+// Prints the rows of each size. In a flat topology these are routers without a store, with tasks of the
+// store, and with tasks and the policy of the store; otherwise routers that follow the policy through
+// aggregators. A row that could not be measured states the reason. Returns the number of such rows.
+int measure_rest(const std::string& program, const std::vector<int>& sizes, const Topology& topology);
+
+}  // namespace trailcourse::bench
