--- a/benchmarks/decision_trace_disturbances.cpp
+++ b/benchmarks/decision_trace_disturbances.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <limits>
 
-#include "decision_trace_world.h"
+#include "decision_trace_simulation.h"
 
 namespace trailcourse::decision_trace {
 namespace {
@@ -13,9 +13,9 @@
 
 }  // namespace
 
-void World::perform(const Disturbance&) {
+void SimulatedDeployment::perform(const Disturbance&) {
   schedule(now_ + random_.exponential(profile_.mean_request_interval * 12), Disturbance{});
-  if (subscribed_) {
+  if (subscribed_) {  // the decision module has requested a new endpoint list
     subscribed_ = false;
     handle(EndpointListReceived{random_.chance(0.3) ? ListKind::kLost : ListKind::kFull, endpoints_});
   }
@@ -23,20 +23,20 @@
     restart_endpoint();
     return;
   }
-  using DisturbanceFunction = void (World::*)();
+  using DisturbanceFunction = void (SimulatedDeployment::*)();
   const std::vector<DisturbanceFunction> disturbances{
-      &World::send_purge,        &World::send_purge,
-      &World::send_purge,        &World::send_health_check,
-      &World::change_fault,      &World::change_fault,
-      &World::change_load,       &World::change_endpoints,
-      &World::send_full_list,    &World::send_lost_or_restored_list,
-      &World::send_stray_events, &World::send_health_check,
-      &World::change_classes,    &World::maybe_send_purge_flood,
-      &World::maybe_skip_time};
+      &SimulatedDeployment::send_purge,        &SimulatedDeployment::send_purge,
+      &SimulatedDeployment::send_purge,        &SimulatedDeployment::send_health_check,
+      &SimulatedDeployment::change_fault,      &SimulatedDeployment::change_fault,
+      &SimulatedDeployment::change_load,       &SimulatedDeployment::change_endpoints,
+      &SimulatedDeployment::send_full_list,    &SimulatedDeployment::send_lost_or_restored_list,
+      &SimulatedDeployment::send_stray_events, &SimulatedDeployment::send_health_check,
+      &SimulatedDeployment::change_classes,    &SimulatedDeployment::maybe_purge_unknown_objects,
+      &SimulatedDeployment::maybe_skip_time};
   (this->*random_.pick(disturbances))();
 }
 
-void World::send_purge() {
+void SimulatedDeployment::send_purge() {
   Purged purged;
   purged.whole_group = random_.chance(0.1);
   purged.group = random_.below(16);
@@ -45,13 +45,13 @@
   handle(purged);
 }
 
-void World::maybe_send_purge_flood() {
+void SimulatedDeployment::maybe_purge_unknown_objects() {
   for (int i = 0; random_.chance(0.01) && i < 30'000; ++i) {
     handle(Purged{false, 1'000'000 + random_.below(1'000'000), 0, Micros(0)});
   }
 }
 
-void World::send_health_check() {
+void SimulatedDeployment::send_health_check() {
   HealthCheckResult result;
   result.address = random_.chance(0.05) ? "unknown" : random_.pick(endpoints_).address;
   const NodeFault fault = faults_[result.address];
@@ -60,7 +60,7 @@
   handle(result);
 }
 
-void World::change_fault() {
+void SimulatedDeployment::change_fault() {
   if (random_.chance(0.5)) {
     faults_.clear();
     return;
@@ -69,13 +69,13 @@
   faults_[random_.pick(endpoints_).address] = static_cast<NodeFault>(random_.below(fault_count));
 }
 
-void World::change_load() {
+void SimulatedDeployment::change_load() {
   load_factor_ = random_.chance(0.5) ? 1.0 : 1.0 + 8.0 * random_.uniform();
   failure_rate_ = random_.chance(0.6) ? 0.01 : 0.5 * random_.uniform();
   arrival_factor_ = static_cast<int>(1 + random_.below(5));
 }
 
-void World::change_endpoints() {
+void SimulatedDeployment::change_endpoints() {
   EndpointListReceived list{ListKind::kChanges, {}};
   for (std::uint64_t i = random_.below(3) + 1; i > 0; --i) {
     Endpoint& endpoint = endpoints_[random_.below(endpoints_.size())];
@@ -93,14 +93,14 @@
   handle(list);
 }
 
-void World::restart_endpoint() {
+void SimulatedDeployment::restart_endpoint() {
   Endpoint& endpoint = endpoints_[random_.below(endpoints_.size())];
   endpoint.started = now_ - random_.exponential(milliseconds(200));
   endpoint.state = NodeState::kReady;
   handle(EndpointListReceived{ListKind::kChanges, {endpoint}});
 }
 
-void World::send_full_list() {
+void SimulatedDeployment::send_full_list() {
   std::erase_if(endpoints_, [this](const Endpoint& endpoint) {
     return endpoint.state == NodeState::kGone || (endpoint.role != Role::kOrigin && random_.chance(0.05));
   });
@@ -116,7 +116,7 @@
   handle(EndpointListReceived{ListKind::kFull, endpoints_});
 }
 
-void World::send_lost_or_restored_list() {
+void SimulatedDeployment::send_lost_or_restored_list() {
   if (random_.chance(0.5)) {
     handle(EndpointListReceived{ListKind::kLost, {}});
   } else {
@@ -124,19 +124,19 @@
   }
 }
 
-void World::send_stray_events() {
+void SimulatedDeployment::send_stray_events() {
   handle(ended_with(1'000'000'000 + random_.below(100), 0, Status::kOk));
   handle(TimerFired{random_.below(1'000'000)});
   handle(ClientLeft{1'000'000'000});
   handle(StreamStarted{1'000'000'000, 0});
 }
 
-void World::change_classes() {
+void SimulatedDeployment::change_classes() {
   ClassesUpdated update;
-  const std::size_t replaced = random_.below(3);
+  const std::size_t last_class = random_.below(3);
   update.based_on = 0;
   update.first = class_count_ < 12 ? class_count_ : profile_.settings.classes.size();
-  for (std::size_t i = 0; i <= replaced; ++i) {
+  for (std::size_t i = 0; i <= last_class; ++i) {
     ClassSettings changed = profile_.settings.classes[i];
     changed.latency_objective = milliseconds(200 + random_.below(1'000));
     changed.lifetime = random_.chance(0.5) ? changed.lifetime : Micros(seconds(1 + random_.below(30)));
@@ -146,13 +146,13 @@
   handle(update);
 }
 
-void World::maybe_skip_time() {
+void SimulatedDeployment::maybe_skip_time() {
   if (random_.chance(0.05)) {
     now_ += seconds(70);
   }
 }
 
-Endpoint World::make_endpoint(Role role) {
+Endpoint SimulatedDeployment::make_endpoint(Role role) {
   Endpoint endpoint;
   endpoint.address =
       "10.0." + std::to_string(++last_endpoint_) + ".1:" + std::to_string(4'000 + random_.below(9));
--- a/benchmarks/decision_trace_hash.h
+++ b/benchmarks/decision_trace_hash.h
@@ -24,6 +24,7 @@
   }
   void add(Micros time) { add(static_cast<std::uint64_t>(time.count())); }
 
+  // The overloads of operator() add the fields of one action.
   void operator()(const SendAttempt& send) {
     add(send.id);
     add(send.cache);
--- a/benchmarks/decision_trace_profiles.h
+++ b/benchmarks/decision_trace_profiles.h
@@ -19,8 +19,8 @@
   int origins = 1;
   Micros mean_request_interval{8'000};
   double mean_size_kb = 150.0;
-  double restart_share = 0.04;  // of the disturbances
-  double event_share = 1.0;     // of the events per profile that the trace was started with
+  double restart_share = 0.04;  // share of the disturbances that restart an endpoint
+  double event_share = 1.0;     // share of EVENTS_PER_PROFILE that this profile runs
 };
 
 // Returns the profiles in the order in which the trace runs them.
--- a/benchmarks/decision_trace_random.h
+++ b/benchmarks/decision_trace_random.h
@@ -1,4 +1,5 @@
-// The random numbers of the decision trace, which are the same for every standard library.
+// The random numbers of the decision trace. Distributions of the standard library are not used, because they
+// differ between its implementations.
 #pragma once
 
 #include <trailcourse/decider.h>
