--- a/benchmarks/cold_start_model.cpp
+++ b/benchmarks/cold_start_model.cpp
@@ -1,5 +1,5 @@
 // Simulates the startup of whole fleets in virtual time with the poll scheduler and the endpoint admission of
-// src/startup, and prints how the calls of all routers at one discovery service grow with their number.
+// src/startup, and prints how the number of calls at one discovery service grows with the number of routers.
 //   cold_start_model [ROUTERS...]
 #include <algorithm>
 #include <cmath>
@@ -25,7 +25,10 @@
 using trailcourse::startup::PollResult;
 using trailcourse::startup::PollScheduler;
 
-// The polls of a fleet until each router has received its first list.
+constexpr Micros kRejectionDelay{500};  // from a poll to its rejection
+
+// The number of polls of a fleet until each router has received its first list, in total and at most within
+// any interval of the given length.
 struct PollCounts {
   std::size_t calls = 0;
   std::size_t max_in_100_ms = 0;
@@ -33,8 +36,8 @@
   double last_list_s = 0.0;  // when the last router received its first list
 };
 
-// Counts the polls of routers that all start within 3 ms. The discovery service rejects polls before
-// `available_from`, which is a time since the start.
+// Counts the polls of routers that all start within 3 ms. The discovery service rejects polls that arrive
+// earlier than `available_from` after the start.
 PollCounts simulate_startup(const PollOptions& options, int routers, Micros available_from) {
   struct PendingPoll {
     Micros at;
@@ -59,7 +62,7 @@
       continue;
     }
     auto& scheduler = schedulers[static_cast<std::size_t>(poll.router)];
-    queue.push({scheduler.next_poll(poll.at, poll.at + Micros(500), PollResult::kRejected, Micros(0)).at,
+    queue.push({scheduler.next_poll(poll.at, poll.at + kRejectionDelay, PollResult::kRejected, Micros(0)).at,
                 poll.router});
   }
   counts.calls = calls.size();
@@ -68,8 +71,8 @@
   return counts;
 }
 
-// Returns the highest number of routers that begin to use one node within a second, after a list with that
-// node has reached all of them at the same time.
+// Returns the highest number of routers that begin to use one node within a second, if all of them receive a
+// list with this node at the same time.
 std::size_t max_admissions_per_second(int routers) {
   AdmissionOptions options;
   options.admissions_per_s = 400.0;
--- a/benchmarks/storage_bench.cpp
+++ b/benchmarks/storage_bench.cpp
@@ -2,6 +2,9 @@
 // docs/storage.md.
 //
 //   storage_bench FOLDER write|read|read-cold|memory|recovery|placement|index [NUMBER]
+//
+// NUMBER is the number of objects (memory), requests (placement) or rows (index). The default is 400,000 for
+// placement, otherwise 1,000,000.
 #include <fcntl.h>
 #include <sys/resource.h>
 #include <sys/wait.h>
@@ -68,6 +71,9 @@
   std::deque<std::function<void()>> jobs_;
 };
 
+constexpr std::int64_t kUnixMs = 1'764'000'000'000;  // fixed system time of the store
+
+// A store with its thread pool and event loop. Prints warnings of the store to stderr.
 struct BenchStore {
   explicit BenchStore(const std::string& folder, const Options& options)
       : pool(static_cast<std::size_t>(options.read_threads),
@@ -80,7 +86,7 @@
               return Store::TimeReading{
                   std::chrono::duration_cast<std::chrono::milliseconds>(Clock::now().time_since_epoch())
                       .count(),
-                  1'764'000'000'000};
+                  kUnixMs};
             },
             [](bool warning, const std::string& message) {
               if (warning) {
@@ -126,6 +132,7 @@
   return Name::of("media", item, "0");
 }
 
+// Returns pseudo-random bytes. If `size` is not a multiple of 8, the last bytes are 0.
 std::string random_bytes(std::size_t size, std::uint64_t seed) {
   std::mt19937_64 random(seed);
   std::string out(size, '\0');
@@ -136,6 +143,7 @@
   return out;
 }
 
+// Returns the anonymous resident memory of this process.
 std::uint64_t anonymous_kb() {
   std::ifstream status("/proc/self/status");
   std::string word;
@@ -149,14 +157,15 @@
   return 0;
 }
 
-void write_bench(const std::string& folder) {
-  constexpr std::size_t kCount = 4'000;
-  constexpr std::size_t kSize = 100'000;
+// Measures the write throughput of the store, next to plain writes to a file.
+void measure_writes(const std::string& folder) {
+  constexpr std::size_t kValues = 4'000;
+  constexpr std::size_t kValueBytes = 100'000;
   std::printf("| round | plain pwrite + fdatasync | store | share |\n| --- | --- | --- | --- |\n");
   std::vector<std::shared_ptr<const std::string>> values;
   values.reserve(64);
   for (std::size_t i = 0; i < 64; ++i) {
-    values.push_back(std::make_shared<const std::string>(random_bytes(kSize, i)));
+    values.push_back(std::make_shared<const std::string>(random_bytes(kValueBytes, i)));
   }
   for (int round = 0; round < 5; ++round) {
     std::filesystem::remove_all(folder);
@@ -164,12 +173,13 @@
     const int file = ::open((folder + "/plain").c_str(), O_RDWR | O_CREAT | O_TRUNC, 0600);
     Clock::time_point start = Clock::now();
     std::string batch;
-    off_t at = 0;
-    // The baseline writes the same bytes in batches of the same size: 4 MB a write, a sync after each.
-    for (std::size_t i = 0; i < kCount; ++i) {
+    off_t offset = 0;
+    // The baseline writes the same bytes in batches as large as those of the store (4 MB), with a sync after
+    // each.
+    for (std::size_t i = 0; i < kValues; ++i) {
       batch += *values[i % values.size()];
-      if (batch.size() >= (4U << 20U) || i + 1 == kCount) {
-        at += ::pwrite(file, batch.data(), batch.size(), at);
+      if (batch.size() >= (4U << 20U) || i + 1 == kValues) {
+        offset += ::pwrite(file, batch.data(), batch.size(), offset);
         ::fdatasync(file);
         batch.clear();
       }
@@ -181,11 +191,11 @@
     BenchStore bench_store(folder + "/store", bench_options(4'096));
     bench_store.open();
     start = Clock::now();
-    for (std::size_t i = 0; i < kCount; ++i) {
+    for (std::size_t i = 0; i < kValues; ++i) {
       const Name name = make_name(i);
       bench_store.store.find(name, 2);
       bench_store.store.insert(name, Copy{"tag", 1, 3, values[i % values.size()]}, 2);
-      // Waits for the write queue, so that no write is shed.
+      // Waits until fewer than 300 writes are queued, so that the store sheds none.
       if (i % 100 == 99) {
         bench_store.loop.run_until(
             [&bench_store, i] { return bench_store.store.stats().disk_copies + 300 > i; });
@@ -193,13 +203,14 @@
     }
     bench_store.flush();
     const double store_s = seconds_since(start);
-    const double megabytes = kCount * kSize / 1e6;
+    const double megabytes = kValues * kValueBytes / 1e6;
     std::printf("| %d | %.0f MB/s | %.0f MB/s (%llu shed) | %.2f |\n", round, megabytes / pwrite_s,
                 megabytes / store_s, static_cast<unsigned long long>(bench_store.store.stats().writes_shed),
                 pwrite_s / store_s);
   }
 }
 
+// Returns the quantile `share` (0 to 1) of the values, and sorts them.
 double quantile(std::vector<double>& values, double share) {
   std::sort(values.begin(), values.end());
   const auto index = static_cast<std::size_t>(share * static_cast<double>(values.size()));
@@ -211,16 +222,16 @@
 // Compares reads of values of one size by the store with reads of the same bytes by pread in the same pool.
 class ReadComparison {
  public:
-  // `cold`: the page cache drops the segment before each read, so that the bytes come from the disk.
+  // `cold`: drops the segment from the page cache before each read, so that the bytes come from the disk.
   ReadComparison(const std::string& folder, std::size_t size, bool cold)
       : folder_(folder), size_(size), cold_(cold), bench_store_(folder, bench_options(4'096)) {
     bench_store_.open();
-    fill();
+    fill_store();
     open_segments();
   }
 
-  // Alternates both kinds of reads, so that other load on the machine affects both. The pread runs in the
-  // pool too, as in any program whose main thread must not block.
+  // Alternates both kinds of reads, so that other load on the machine affects both. The plain preads also run
+  // in the pool, as in any program whose main thread must not block.
   void run() {
     const std::size_t reads = cold_ ? 4'000 : 20'000;
     std::mt19937 random(3);
@@ -238,7 +249,7 @@
   }
 
  private:
-  void fill() {
+  void fill_store() {
     for (std::size_t i = 0; i < kReadCopies; ++i) {
       bench_store_.store.find(make_name(i), 2);
       bench_store_.store.insert(
@@ -250,14 +261,15 @@
     bench_store_.flush();
   }
 
+  // Reads the location of each copy from the index and opens the segment files for pread.
   void open_segments() {
     rows_ = open_sqlite_index(folder_, true)->rows(nullptr, kReadCopies);
     for (const IndexRow& row : rows_) {
       locations_[row.key] = row.location;
-      char name[32];
-      std::snprintf(name, sizeof name, "/seg-%010u.dat", row.location.segment);
+      char file_name[32];
+      std::snprintf(file_name, sizeof file_name, "/seg-%010u.dat", row.location.segment);
       if (!open_files_.contains(row.location.segment)) {
-        open_files_[row.location.segment] = ::open((folder_ + name).c_str(), O_RDONLY);
+        open_files_[row.location.segment] = ::open((folder_ + file_name).c_str(), O_RDONLY);
       }
     }
   }
@@ -290,7 +302,7 @@
     drop_page_cache_if_cold(locations_[name.key]);
     const Clock::time_point start = Clock::now();
     if (bench_store_.store.find(name, 2).tier != Store::Tier::kDisk) {
-      std::fprintf(stderr, "not on disk\n");
+      std::fprintf(stderr, "the copy is not on disk\n");
       return;
     }
     bench_store_.store.read(
@@ -310,7 +322,8 @@
   std::vector<double> store_us_;
 };
 
-void read_bench(const std::string& folder, bool cold) {
+// Measures the latency of reads by the store, next to plain preads, for several value sizes.
+void measure_reads(const std::string& folder, bool cold) {
   std::printf(
       "| value | plain pread p50, p99 | disk hit p50, p99 | p99 ratio |\n| --- | --- | --- | --- |\n");
   for (const std::size_t size : {4'096U, 64U << 10U, 240'000U}) {
@@ -321,8 +334,8 @@
   }
 }
 
-// Writes records with a small payload by the store, so that a million fit.
-void fill_small(BenchStore& bench_store, std::size_t count) {
+// Stores `count` values of 32 bytes each, so that a million of them fit in the disk tier.
+void store_small_values(BenchStore& bench_store, std::size_t count) {
   const auto value = std::make_shared<const std::string>(std::string(32, 'x'));
   for (std::size_t i = 0; i < count; ++i) {
     bench_store.store.find(make_name(i), 2);
@@ -334,17 +347,18 @@
   bench_store.flush();
 }
 
-void memory_bench(const std::string& folder, std::size_t count) {
+// Measures the memory that the store uses per object on disk.
+void measure_memory(const std::string& folder, std::size_t count) {
   std::filesystem::remove_all(folder);
   Options options = bench_options(4'096);
   options.expected_objects = static_cast<std::int64_t>(count);
-  // Another process writes the records: memory that this process had freed would be reused and not be
-  // counted.
+  // A child process stores the values. If this process stored them, it would reuse the freed memory for the
+  // store that is measured, and the difference between the two readings would be too small.
   const pid_t child = ::fork();
   if (child == 0) {
     BenchStore bench_store(folder, options);
     bench_store.open();
-    fill_small(bench_store, count);
+    store_small_values(bench_store, count);
     ::_exit(0);
   }
   ::waitpid(child, nullptr, 0);
@@ -360,7 +374,8 @@
               static_cast<double>(after - before) * 1024.0 / static_cast<double>(count));
 }
 
-void recovery_bench(const std::string& folder) {
+// Measures how long the store takes to open after a SIGKILL and after a clean stop.
+void measure_recovery(const std::string& folder) {
   std::printf(
       "| objects | after a clean stop | after SIGKILL | index | bytes |\n| --- | --- | --- | --- | --- |\n");
   for (const std::size_t count : {10'000U, 100'000U, 1'000'000U}) {
@@ -369,11 +384,11 @@
     if (child == 0) {
       BenchStore bench_store(folder, bench_options(4'096));
       bench_store.open();
-      fill_small(bench_store, count);
+      store_small_values(bench_store, count);
       ::raise(SIGKILL);
     }
     ::waitpid(child, nullptr, 0);
-    double times[2] = {};
+    double times[2] = {};  // of the open after the SIGKILL, and of the open after a clean stop
     std::uint64_t recovered = 0;
     for (double& elapsed_s : times) {
       BenchStore bench_store(folder, bench_options(4'096));
@@ -391,14 +406,16 @@
 
 // ---- Placement on synthetic traces ----
 
+// A request of a synthetic trace.
 struct TraceRequest {
   std::uint32_t object = 0;
   std::uint32_t bytes = 0;
-  int rank = 2;
+  int keep_rank = 2;
   double at_s = 0.0;
 };
 using Trace = std::vector<TraceRequest>;
 
+// Returns the size of the object in bytes, which is drawn at the first call for this object.
 std::uint32_t size_of(std::uint32_t object, std::mt19937& random) {
   static std::unordered_map<std::uint32_t, std::uint32_t> sizes;
   const auto [found, inserted] = sizes.emplace(object, 0);
@@ -421,12 +438,12 @@
     }
   }
   std::size_t draw(std::mt19937& random) const {
-    const double at = static_cast<double>(random()) / 4294967296.0 * sums_.back();
-    return static_cast<std::size_t>(std::lower_bound(sums_.begin(), sums_.end(), at) - sums_.begin());
+    const double point = static_cast<double>(random()) / 4294967296.0 * sums_.back();
+    return static_cast<std::size_t>(std::lower_bound(sums_.begin(), sums_.end(), point) - sums_.begin());
   }
 
  private:
-  std::vector<double> sums_;
+  std::vector<double> sums_;  // cumulative weights
 };
 
 // Computes the keep rank of an object as routers do: by a score of its decayed request count, its size and
@@ -438,19 +455,22 @@
     const double gap_s = history.count == 0.0 ? kMaxGapS : std::min(kMaxGapS, at_s - history.at_s);
     history.count = history.count * std::pow(0.5, gap_s / 60.0) + 1.0;
     history.at_s = at_s;
-    const double value = 1.0 / history.count + 0.9 * bytes / 4e6 + 0.6 * gap_s / kMaxGapS;
-    return value < 1.2 ? 3 : value < 2.0 ? 2 : 1;
+    const double score = 1.0 / history.count + 0.9 * bytes / 4e6 + 0.6 * gap_s / kMaxGapS;
+    return score < 1.2 ? 3 : score < 2.0 ? 2 : 1;
   }
 
  private:
   static constexpr double kMaxGapS = 600.0;
   struct History {
-    double count = 0.0;
-    double at_s = 0.0;
+    double count = 0.0;  // of requests, with a half-life of 60 s
+    double at_s = 0.0;   // time of the last request
   };
   std::unordered_map<std::uint32_t, History> histories_;
 };
 
+// Returns a trace of 200 requests per second with Zipf popularity. Depending on `kind`, some requests are for
+// other objects: objects that are requested once ("scan"), the parts of a new video ("video"), or many
+// documents that are rarely requested again ("payout"). "zipf" has no such requests.
 Trace make_trace(const std::string& kind, std::size_t length) {
   std::mt19937 random(static_cast<std::mt19937::result_type>(std::hash<std::string>()(kind)));
   const Zipf zipf(20'000, 0.9);
@@ -467,7 +487,7 @@
         static_cast<std::uint32_t>(popularity_rank) + (popularity_rank % 10 == 3 ? drift * 100 : 0);
     request.bytes = size_of(request.object, random);
     if (kind == "scan" && i % 40'000 > 20'000 && random() % 2 == 0) {
-      request.object = ++last_scanned_object;  // each requested once
+      request.object = ++last_scanned_object;  // each of these objects is requested once
       request.bytes = size_of(request.object, random);
     } else if (kind == "video" && i > length / 2 && random() % 20 == 0) {
       request.object = 5'000'000 + random() % 40;  // the parts of a new video, 1 MB each
@@ -476,21 +496,22 @@
       request.object = 6'000'000 + random() % 30'000;  // one statement per user, rarely requested twice
       request.bytes = 30'000;
     }
-    request.rank = keep_ranks.rank(request.object, request.bytes, request.at_s);
+    request.keep_rank = keep_ranks.rank(request.object, request.bytes, request.at_s);
     out.push_back(request);
   }
   return out;
 }
 
-// The requests and bytes of a trace under one placement policy.
+// The hits and bytes of a trace under one placement policy.
 struct PlacementResult {
   double hits = 0.0;
-  double fetched_bytes = 0.0;
-  double written_bytes = 0.0;
+  double fetched_bytes = 0.0;  // over the link, on misses
+  double written_bytes = 0.0;  // to the tier
   double requested_bytes = 0.0;
 };
 
-// Simulates LRU. An object is stored from its request number `from_request` on, if it is not too large.
+// Simulates LRU. On a miss, stores the object if this is at least its request number `from_request` and the
+// object is not larger than `max_object_bytes`.
 PlacementResult simulate_lru(const Trace& trace, std::uint64_t capacity, int from_request,
                              std::uint32_t max_object_bytes) {
   std::list<std::uint32_t> order;
@@ -524,14 +545,15 @@
   return out;
 }
 
-// Keeps the objects that are requested again soonest. For objects of different sizes this is close to the
-// optimum, which is NP-hard to compute.
+// Simulates Belady's algorithm: keeps the objects that are requested again soonest. For objects of different
+// sizes this is close to the optimum, which is NP-hard to compute.
 PlacementResult simulate_belady(const Trace& trace, std::uint64_t capacity) {
-  std::vector<std::size_t> next(trace.size());
+  // The index of the next request for the same object; at least trace.size() if there is none.
+  std::vector<std::size_t> next_request(trace.size());
   std::unordered_map<std::uint32_t, std::size_t> next_use;
   for (std::size_t i = trace.size(); i-- > 0;) {
     const auto found = next_use.find(trace[i].object);
-    next[i] = found == next_use.end() ? trace.size() * 2 : found->second;
+    next_request[i] = found == next_use.end() ? trace.size() * 2 : found->second;
     next_use[trace[i].object] = i;
   }
   std::set<std::pair<std::size_t, std::uint32_t>> by_next_use;
@@ -546,9 +568,9 @@
     if (found != stored.end()) {
       out.hits += 1;
       by_next_use.erase({found->second, request.object});
-      if (next[i] < trace.size()) {
-        found->second = next[i];
-        by_next_use.emplace(next[i], request.object);
+      if (next_request[i] < trace.size()) {
+        found->second = next_request[i];
+        by_next_use.emplace(next_request[i], request.object);
       } else {
         used -= request.bytes;
         stored.erase(found);
@@ -556,12 +578,12 @@
       continue;
     }
     out.fetched_bytes += request.bytes;
-    if (next[i] >= trace.size()) {
+    if (next_request[i] >= trace.size()) {
       continue;
     }
-    stored[request.object] = next[i];
+    stored[request.object] = next_request[i];
     bytes[request.object] = request.bytes;
-    by_next_use.emplace(next[i], request.object);
+    by_next_use.emplace(next_request[i], request.object);
     used += request.bytes;
     out.written_bytes += request.bytes;
     while (used > capacity) {
@@ -574,6 +596,8 @@
   return out;
 }
 
+// Simulates the placement policy and the eviction set of the store. `bytes_per_s` limits the writes (0: no
+// limit).
 PlacementResult simulate_placement(const Trace& trace, std::uint64_t capacity, std::int64_t bytes_per_s) {
   Placement::Options options;
   options.tier_bytes = capacity;
@@ -593,16 +617,16 @@
     const auto slot = tier.find(key);
     if (slot != EvictionSet<int>::kNone) {
       out.hits += 1;
-      tier.touch(slot, tick, request.rank);
+      tier.touch(slot, tick, request.keep_rank);
       continue;
     }
     out.fetched_bytes += request.bytes;
-    if (placement.admit(Candidate{key, request.bytes, request.rank, false}, tier.bytes(), now_ms) !=
+    if (placement.admit(Candidate{key, request.bytes, request.keep_rank, false}, tier.bytes(), now_ms) !=
         PlacementDecision::kAdmit) {
       continue;
     }
     out.written_bytes += request.bytes;
-    tier.insert(key, request.bytes, request.rank, tick, 0);
+    tier.insert(key, request.bytes, request.keep_rank, tick, 0);
     while (tier.bytes() > capacity) {
       tier.erase(tier.victim(tick, random));
     }
@@ -610,7 +634,8 @@
   return out;
 }
 
-void placement_bench(std::size_t length) {
+// Compares placement policies on each kind of trace.
+void measure_placement(std::size_t length) {
   constexpr std::uint64_t kCapacityBytes = 200U << 20U;
   std::printf(
       "| trace | policy | hit share | bytes over the link | written a byte served | of the room to the best "
@@ -636,16 +661,18 @@
   }
 }
 
-void index_bench(const std::string& folder, std::size_t count) {
+// Measures commits to the index, a scan of it, and its size on disk and in memory.
+void measure_index(const std::string& folder, std::size_t count) {
   std::filesystem::remove_all(folder);
   std::filesystem::create_directories(folder);
   const std::uint64_t before = anonymous_kb();
   const auto index = open_sqlite_index(folder);
-  constexpr std::size_t kBatch = 100;
+  constexpr std::size_t kRowsPerCommit = 100;
+  constexpr std::size_t kRowsPerRead = 8'192;
   Clock::time_point start = Clock::now();
-  for (std::size_t i = 0; i < count; i += kBatch) {
+  for (std::size_t i = 0; i < count; i += kRowsPerCommit) {
     IndexBatch batch;
-    for (std::size_t k = 0; k < kBatch; ++k) {
+    for (std::size_t k = 0; k < kRowsPerCommit; ++k) {
       IndexRow row;
       row.key = make_name(i + k).key;
       row.location.stored = 1;
@@ -654,20 +681,21 @@
     index->commit(batch);
   }
   const double elapsed_s = seconds_since(start);
-  const std::size_t commits = count / kBatch;
+  const std::size_t commits = count / kRowsPerCommit;
   start = Clock::now();
   std::size_t rows = 0;
   std::optional<Key> after;
   for (;;) {
-    const auto rows_read = index->rows(after ? &*after : nullptr, 8'192);
+    const auto rows_read = index->rows(after ? &*after : nullptr, kRowsPerRead);
     rows += rows_read.size();
-    if (rows_read.size() < 8'192) {
+    if (rows_read.size() < kRowsPerRead) {
       break;
     }
     after = rows_read.back().key;
   }
   std::printf("| %zu rows | %.1f us a commit of %zu | scan %.0f ms | %.0f MB on disk | %llu KB of memory |\n",
-              rows, elapsed_s / static_cast<double>(commits) * 1e6, kBatch, seconds_since(start) * 1e3,
+              rows, elapsed_s / static_cast<double>(commits) * 1e6, kRowsPerCommit,
+              seconds_since(start) * 1e3,
               static_cast<double>(std::filesystem::file_size(folder + "/index.sqlite")) / 1e6,
               static_cast<unsigned long long>(anonymous_kb() - before));
 }
@@ -681,17 +709,17 @@
   const std::string measurement = argv[2];
   const std::size_t number = argc > 3 ? std::stoull(argv[3]) : 1'000'000;
   if (measurement == "write") {
-    write_bench(folder);
+    measure_writes(folder);
   } else if (measurement == "read" || measurement == "read-cold") {
-    read_bench(folder, measurement == "read-cold");
+    measure_reads(folder, measurement == "read-cold");
   } else if (measurement == "memory") {
-    memory_bench(folder, number);
+    measure_memory(folder, number);
   } else if (measurement == "recovery") {
-    recovery_bench(folder);
+    measure_recovery(folder);
   } else if (measurement == "placement") {
-    placement_bench(argc > 3 ? number : 400'000);
+    measure_placement(argc > 3 ? number : 400'000);
   } else if (measurement == "index") {
-    index_bench(folder, number);
+    measure_index(folder, number);
   } else {
     std::cerr << "unknown measurement '" << measurement << "'\n";
     return 2;
