--- a/benchmarks/decision_trace_disturbances.cpp
+++ b/benchmarks/decision_trace_disturbances.cpp
@@ -1,8 +1,9 @@
-// The disturbances of the simulated deployment: purges, health checks, faults, and changes of load and lists.
+// The disturbances of the simulated deployment: purges, health checks, faults, restarts, and changes of the
+// load, the endpoint list and the request classes.
 #include <algorithm>
 #include <limits>
 
-#include "decision_trace_world.h"
+#include "decision_trace_simulation.h"
 
 namespace trailcourse::decision_trace {
 namespace {
@@ -12,9 +13,9 @@
 
 }  // namespace
 
-void World::perform(const Disturbance&) {
+void SimulatedDeployment::perform(const Disturbance&) {
   schedule(now_ + random_.exponential(profile_.mean_request_interval * 12), Disturbance{});
-  if (subscribed_) {
+  if (subscribed_) {  // the decision module has requested a new endpoint list
     subscribed_ = false;
     handle(EndpointListReceived{random_.chance(0.3) ? ListKind::kLost : ListKind::kFull, endpoints_});
   }
@@ -22,19 +23,20 @@
     restart_endpoint();
     return;
   }
-  using Member = void (World::*)();
-  const std::vector<Member> kinds{&World::purge,          &World::purge,
-                                  &World::purge,          &World::health_check,
-                                  &World::change_fault,   &World::change_fault,
-                                  &World::change_load,    &World::change_endpoints,
-                                  &World::full_list,      &World::lost_or_restored_list,
-                                  &World::stray_events,   &World::health_check,
-                                  &World::change_classes, &World::purge_flood,
-                                  &World::pause};
-  (this->*random_.pick(kinds))();
+  using DisturbanceFunction = void (SimulatedDeployment::*)();
+  const std::vector<DisturbanceFunction> disturbances{
+      &SimulatedDeployment::send_purge,        &SimulatedDeployment::send_purge,
+      &SimulatedDeployment::send_purge,        &SimulatedDeployment::send_health_check,
+      &SimulatedDeployment::change_fault,      &SimulatedDeployment::change_fault,
+      &SimulatedDeployment::change_load,       &SimulatedDeployment::change_endpoints,
+      &SimulatedDeployment::send_full_list,    &SimulatedDeployment::send_lost_or_restored_list,
+      &SimulatedDeployment::send_stray_events, &SimulatedDeployment::send_health_check,
+      &SimulatedDeployment::change_classes,    &SimulatedDeployment::maybe_purge_unknown_objects,
+      &SimulatedDeployment::maybe_skip_time};
+  (this->*random_.pick(disturbances))();
 }
 
-void World::purge() {
+void SimulatedDeployment::send_purge() {
   Purged purged;
   purged.whole_group = random_.chance(0.1);
   purged.group = random_.below(16);
@@ -43,13 +45,13 @@
   handle(purged);
 }
 
-void World::purge_flood() {
+void SimulatedDeployment::maybe_purge_unknown_objects() {
   for (int i = 0; random_.chance(0.01) && i < 30'000; ++i) {
     handle(Purged{false, 1'000'000 + random_.below(1'000'000), 0, Micros(0)});
   }
 }
 
-void World::health_check() {
+void SimulatedDeployment::send_health_check() {
   HealthCheckResult result;
   result.address = random_.chance(0.05) ? "unknown" : random_.pick(endpoints_).address;
   const NodeFault fault = faults_[result.address];
@@ -58,22 +60,22 @@
   handle(result);
 }
 
-void World::change_fault() {
+void SimulatedDeployment::change_fault() {
   if (random_.chance(0.5)) {
     faults_.clear();
     return;
   }
-  const auto kinds = static_cast<std::uint64_t>(NodeFault::kCount);
-  faults_[random_.pick(endpoints_).address] = static_cast<NodeFault>(random_.below(kinds));
+  const auto fault_count = static_cast<std::uint64_t>(NodeFault::kCount);
+  faults_[random_.pick(endpoints_).address] = static_cast<NodeFault>(random_.below(fault_count));
 }
 
-void World::change_load() {
+void SimulatedDeployment::change_load() {
   load_factor_ = random_.chance(0.5) ? 1.0 : 1.0 + 8.0 * random_.uniform();
   failure_rate_ = random_.chance(0.6) ? 0.01 : 0.5 * random_.uniform();
   arrival_factor_ = static_cast<int>(1 + random_.below(5));
 }
 
-void World::change_endpoints() {
+void SimulatedDeployment::change_endpoints() {
   EndpointListReceived list{ListKind::kChanges, {}};
   for (std::uint64_t i = random_.below(3) + 1; i > 0; --i) {
     Endpoint& endpoint = endpoints_[random_.below(endpoints_.size())];
@@ -85,20 +87,20 @@
     list.entries.push_back(endpoint);
   }
   if (random_.chance(0.2)) {
-    endpoints_.push_back(new_endpoint(static_cast<Role>(random_.below(2))));
+    endpoints_.push_back(make_endpoint(static_cast<Role>(random_.below(2))));
     list.entries.push_back(endpoints_.back());
   }
   handle(list);
 }
 
-void World::restart_endpoint() {
+void SimulatedDeployment::restart_endpoint() {
   Endpoint& endpoint = endpoints_[random_.below(endpoints_.size())];
   endpoint.started = now_ - random_.exponential(milliseconds(200));
   endpoint.state = NodeState::kReady;
   handle(EndpointListReceived{ListKind::kChanges, {endpoint}});
 }
 
-void World::full_list() {
+void SimulatedDeployment::send_full_list() {
   std::erase_if(endpoints_, [this](const Endpoint& endpoint) {
     return endpoint.state == NodeState::kGone || (endpoint.role != Role::kOrigin && random_.chance(0.05));
   });
@@ -106,7 +108,7 @@
       endpoints_.begin(), endpoints_.end(),
       [](const Endpoint& endpoint) { return endpoint.role == Role::kCache && endpoint.zone == "here"; }));
   for (std::size_t i = caches; i < static_cast<std::size_t>(profile_.caches); ++i) {
-    endpoints_.push_back(new_endpoint(Role::kCache));
+    endpoints_.push_back(make_endpoint(Role::kCache));
   }
   for (Endpoint& endpoint : endpoints_) {
     endpoint.state = random_.chance(0.9) ? NodeState::kReady : endpoint.state;
@@ -114,7 +116,7 @@
   handle(EndpointListReceived{ListKind::kFull, endpoints_});
 }
 
-void World::lost_or_restored_list() {
+void SimulatedDeployment::send_lost_or_restored_list() {
   if (random_.chance(0.5)) {
     handle(EndpointListReceived{ListKind::kLost, {}});
   } else {
@@ -122,19 +124,19 @@
   }
 }
 
-void World::stray_events() {
+void SimulatedDeployment::send_stray_events() {
   handle(ended_with(1'000'000'000 + random_.below(100), 0, Status::kOk));
   handle(TimerFired{random_.below(1'000'000)});
   handle(ClientLeft{1'000'000'000});
   handle(StreamStarted{1'000'000'000, 0});
 }
 
-void World::change_classes() {
+void SimulatedDeployment::change_classes() {
   ClassesUpdated update;
-  const std::size_t replaced = random_.below(3);
+  const std::size_t last_class = random_.below(3);
   update.based_on = 0;
   update.first = class_count_ < 12 ? class_count_ : profile_.settings.classes.size();
-  for (std::size_t i = 0; i <= replaced; ++i) {
+  for (std::size_t i = 0; i <= last_class; ++i) {
     ClassSettings changed = profile_.settings.classes[i];
     changed.latency_objective = milliseconds(200 + random_.below(1'000));
     changed.lifetime = random_.chance(0.5) ? changed.lifetime : Micros(seconds(1 + random_.below(30)));
@@ -144,13 +146,13 @@
   handle(update);
 }
 
-void World::pause() {
+void SimulatedDeployment::maybe_skip_time() {
   if (random_.chance(0.05)) {
     now_ += seconds(70);
   }
 }
 
-Endpoint World::new_endpoint(Role role) {
+Endpoint SimulatedDeployment::make_endpoint(Role role) {
   Endpoint endpoint;
   endpoint.address =
       "10.0." + std::to_string(++last_endpoint_) + ".1:" + std::to_string(4'000 + random_.below(9));
--- a/benchmarks/decision_trace_world.cpp
+++ b/benchmarks/decision_trace_simulation.cpp
@@ -1,5 +1,5 @@
 // The requests and attempts of the simulated deployment.
-#include "decision_trace_world.h"
+#include "decision_trace_simulation.h"
 
 #include <algorithm>
 #include <cmath>
@@ -22,34 +22,34 @@
   return ended;
 }
 
-World::World(const Profile& profile, std::uint64_t seed, TraceHash& hash)
+SimulatedDeployment::SimulatedDeployment(const Profile& profile, std::uint64_t seed, TraceHash& hash)
     : profile_(profile), random_(seed), hash_(hash), decider_(profile.settings, random_.next()) {
   for (int i = 0; i < profile.caches; ++i) {
-    endpoints_.push_back(new_endpoint(Role::kCache));
+    endpoints_.push_back(make_endpoint(Role::kCache));
   }
   for (int i = 0; i < profile.parents; ++i) {
-    endpoints_.push_back(new_endpoint(Role::kParent));
+    endpoints_.push_back(make_endpoint(Role::kParent));
   }
   for (int i = 0; i < profile.origins; ++i) {
-    endpoints_.push_back(new_endpoint(Role::kOrigin));
+    endpoints_.push_back(make_endpoint(Role::kOrigin));
   }
 }
 
-std::uint64_t World::run(std::uint64_t events) {
+std::uint64_t SimulatedDeployment::run(std::uint64_t events) {
   handle(EndpointListReceived{ListKind::kRestored, endpoints_});
   handle(EndpointListReceived{ListKind::kFull, endpoints_});
   schedule(now_, Arrival{});
   schedule(now_, Disturbance{});
-  while (handled_ < events && !jobs_.empty()) {
-    Job job = jobs_.top();
-    jobs_.pop();
-    now_ = std::max(now_, job.when);
-    std::visit([this](const auto& step) { perform(step); }, job.step);
+  while (handled_ < events && !schedule_.empty()) {
+    ScheduledEvent scheduled = schedule_.top();
+    schedule_.pop();
+    now_ = std::max(now_, scheduled.when);
+    std::visit([this](const auto& event) { perform(event); }, scheduled.event);
   }
   return handled_;
 }
 
-void World::handle(const Event& event) {
+void SimulatedDeployment::handle(const Event& event) {
   ++handled_;
   std::vector<Action> actions;
   decider_.handle(now_, event, actions);
@@ -57,18 +57,18 @@
   for (const Action& action : actions) {
     hash_.add(action.index());
     std::visit(hash_, action);
-    std::visit([this](const auto& one) { execute(one); }, action);
+    std::visit([this](const auto& typed_action) { execute(typed_action); }, action);
   }
 }
 
-void World::perform(const Arrival&) {
+void SimulatedDeployment::perform(const Arrival&) {
   schedule(now_ + random_.exponential(profile_.mean_request_interval / arrival_factor_), Arrival{});
   RequestArrived request;
   request.id = ++last_id_;
   const std::uint64_t classes = class_count_;
   request.request_class = random_.chance(0.0005) ? 99 : static_cast<int>(random_.below(classes));
-  const double skewed = random_.uniform() * random_.uniform() * random_.uniform();
-  request.object = static_cast<std::uint64_t>(skewed * static_cast<double>(profile_.objects));
+  const double skewed_position = random_.uniform() * random_.uniform() * random_.uniform();
+  request.object = static_cast<std::uint64_t>(skewed_position * static_cast<double>(profile_.objects));
   request.part = random_.chance(0.3) ? static_cast<std::uint32_t>(random_.below(4)) : 0;
   request.purge_group = request.object % 16;
   request.size_kb = draw_size();
@@ -79,7 +79,7 @@
   RequestState& state = requests_[request.id];
   state.size_kb = request.size_kb;
   state.deadline = request.deadline;
-  state.streaming_class = random_.chance(0.1);
+  state.streaming = random_.chance(0.1);
   schedule(request.deadline + profile_.settings.answer_slack, ClientLeft{request.id});
   if (random_.chance(0.02)) {
     schedule(now_ + random_.exponential(milliseconds(80)), ClientLeft{request.id});
@@ -87,17 +87,17 @@
   handle(request);
 }
 
-double World::draw_size() {
+double SimulatedDeployment::draw_size() {
   if (random_.chance(0.05)) {
     return 0.0;
   }
   if (random_.chance(0.002)) {
-    return 1e12;
+    return 1e12;  // an implausible size
   }
   return profile_.mean_size_kb * std::exp(2.0 * (random_.uniform() + random_.uniform() - 1.0));
 }
 
-void World::perform(const ClientLeft& left) {
+void SimulatedDeployment::perform(const ClientLeft& left) {
   const auto found = requests_.find(left.id);
   if (found == requests_.end() || found->second.finished) {
     return;
@@ -110,14 +110,14 @@
   handle(left);
 }
 
-void World::perform(const StreamStarted& started) {
-  if (AttemptState* attempt = open_attempt(started.id, started.attempt)) {
+void SimulatedDeployment::perform(const StreamStarted& started) {
+  if (AttemptState* attempt = find_open_attempt(started.id, started.attempt)) {
     attempt->stream_started = true;
     handle(started);
   }
 }
 
-void World::execute(const SendAttempt& send) {
+void SimulatedDeployment::execute(const SendAttempt& send) {
   RequestState& request = requests_[send.id];
   const int attempt = static_cast<int>(request.attempts.size());
   request.attempts.emplace_back();
@@ -126,13 +126,13 @@
   first.outcome.id = send.id;
   first.outcome.attempt = attempt;
   first.answer_time = first.outcome.latency;
-  first.streamed = request.streaming_class && first.outcome.status == Status::kOk;
-  const bool waits = random_.chance(0.15);
-  schedule(now_ + (waits ? random_.exponential(milliseconds(60)) : Micros(0)), first);
+  first.streamed = request.streaming && first.outcome.status == Status::kOk;
+  const bool is_delayed = random_.chance(0.15);
+  schedule(now_ + (is_delayed ? random_.exponential(milliseconds(60)) : Micros(0)), first);
 }
 
-void World::perform(const FirstByte& first) {
-  if (open_attempt(first.id, first.attempt) == nullptr) {
+void SimulatedDeployment::perform(const FirstByte& first) {
+  if (find_open_attempt(first.id, first.attempt) == nullptr) {
     return;
   }
   const bool may_begin = decider_.may_begin(now_, first.id, first.attempt);
@@ -149,8 +149,8 @@
   schedule(now_ + first.answer_time, outcome);
 }
 
-void World::perform(AttemptEnded ended) {
-  AttemptState* attempt = open_attempt(ended.id, ended.attempt);
+void SimulatedDeployment::perform(AttemptEnded ended) {
+  AttemptState* attempt = find_open_attempt(ended.id, ended.attempt);
   if (attempt == nullptr) {
     return;
   }
@@ -165,8 +165,8 @@
   remove_if_finished(ended.id);
 }
 
-void World::execute(const Cancel& cancel) {
-  const AttemptState* attempt = open_attempt(cancel.id, cancel.attempt);
+void SimulatedDeployment::execute(const Cancel& cancel) {
+  const AttemptState* attempt = find_open_attempt(cancel.id, cancel.attempt);
   if (attempt != nullptr && !attempt->stream_started && !random_.chance(0.1)) {
     AttemptEnded ended = ended_with(cancel.id, cancel.attempt, Status::kCancelled);
     ended.latency = milliseconds(1);
@@ -174,19 +174,19 @@
   }
 }
 
-World::AttemptState* World::open_attempt(RequestId id, int attempt) {
+SimulatedDeployment::AttemptState* SimulatedDeployment::find_open_attempt(RequestId id, int attempt) {
   const auto found = requests_.find(id);
   const auto index = static_cast<std::size_t>(attempt);
-  const bool made = found != requests_.end() && index < found->second.attempts.size();
-  return made && !found->second.attempts[index].ended ? &found->second.attempts[index] : nullptr;
+  const bool exists = found != requests_.end() && index < found->second.attempts.size();
+  return exists && !found->second.attempts[index].ended ? &found->second.attempts[index] : nullptr;
 }
 
-void World::finish(RequestId id) {
+void SimulatedDeployment::finish(RequestId id) {
   requests_[id].finished = true;
   remove_if_finished(id);
 }
 
-void World::remove_if_finished(RequestId id) {
+void SimulatedDeployment::remove_if_finished(RequestId id) {
   const auto found = requests_.find(id);
   if (found != requests_.end() && found->second.finished &&
       std::all_of(found->second.attempts.begin(), found->second.attempts.end(),
@@ -195,18 +195,18 @@
   }
 }
 
-AttemptEnded World::draw_outcome(const SendAttempt& send, const RequestState& request) {
+AttemptEnded SimulatedDeployment::draw_outcome(const SendAttempt& send, const RequestState& request) {
   AttemptEnded ended;
-  const double work_s = (request.size_kb < 1e9 ? request.size_kb : 100.0) / 1000.0;
-  const double slow =
+  const double sending_s = (request.size_kb < 1e9 ? request.size_kb : 100.0) / 1000.0;
+  const double slowdown =
       faults_[send.cache] == NodeFault::kSlow || faults_[send.source] == NodeFault::kSlow ? 12 : 1;
   ended.latency = milliseconds(2) + random_.exponential(milliseconds(12)) +
-                  Micros(static_cast<std::int64_t>(work_s * load_factor_ * slow * 1e6));
+                  Micros(static_cast<std::int64_t>(sending_s * load_factor_ * slowdown * 1e6));
   ended.source_first_byte_time = ended.latency / static_cast<std::int64_t>(1 + random_.below(6));
   ended.load = draw_report();
   ended.status = draw_status(send, ended);
-  const bool late = send.timeout > Micros(0) && ended.latency > send.timeout;
-  if (late) {
+  const bool timed_out = send.timeout > Micros(0) && ended.latency > send.timeout;
+  if (timed_out) {
     ended.status = Status::kTimeout;
     ended.latency = send.timeout;
   }
@@ -214,7 +214,7 @@
   return ended;
 }
 
-Status World::draw_status(const SendAttempt& send, AttemptEnded& ended) {
+Status SimulatedDeployment::draw_status(const SendAttempt& send, AttemptEnded& ended) {
   switch (faults_[send.cache]) {
     case NodeFault::kDead:
       ended.latency = Micros(static_cast<std::int64_t>(300 + random_.below(500)));
@@ -242,21 +242,22 @@
     return Status::kFull;
   }
   const double draw = random_.uniform();
-  const std::vector<Status> rare{Status::kError,     Status::kReset,        Status::kFull,
-                                 Status::kNotCached, Status::kNotSent,      Status::kError,
-                                 Status::kCancelled, Status::kConnectFailed};
-  return draw < failure_rate_ ? random_.pick(rare) : Status::kOk;
+  const std::vector<Status> failures{Status::kError,     Status::kReset,        Status::kFull,
+                                     Status::kNotCached, Status::kNotSent,      Status::kError,
+                                     Status::kCancelled, Status::kConnectFailed};
+  return draw < failure_rate_ ? random_.pick(failures) : Status::kOk;
 }
 
-Note World::draw_note(const SendAttempt& send, Status status) {
+Note SimulatedDeployment::draw_note(const SendAttempt& send, Status status) {
   const NoteLevel level = profile_.settings.notes;
   if (level == NoteLevel::kNone) {
     return Note::kNone;
   }
   if (status == Status::kOk) {
-    const std::vector<Note> answers{Note::kHit,    Note::kHit,    Note::kFilled, Note::kFilledFromOrigin,
-                                    Note::kFilled, Note::kJoined, Note::kStale,  Note::kFilledFromOrigin};
-    const Note note = random_.pick(answers);
+    const std::vector<Note> success_notes{
+        Note::kHit,    Note::kHit,    Note::kFilled, Note::kFilledFromOrigin,
+        Note::kFilled, Note::kJoined, Note::kStale,  Note::kFilledFromOrigin};
+    const Note note = random_.pick(success_notes);
     return level == NoteLevel::kHit && note == Note::kFilledFromOrigin ? Note::kFilled : note;
   }
   if (level == NoteLevel::kHit || random_.chance(0.3)) {
@@ -266,12 +267,12 @@
     return Note::kNotAtSource;
   }
   const bool fill = send.source != send.cache;
-  const std::vector<Note> failures{Note::kSourceRejected, Note::kSourceUnreachable, Note::kNoFillCapacity,
-                                   Note::kOriginFailed};
-  return fill && status == Status::kFull ? random_.pick(failures) : Note::kNone;
+  const std::vector<Note> failure_notes{Note::kSourceRejected, Note::kSourceUnreachable,
+                                        Note::kNoFillCapacity, Note::kOriginFailed};
+  return fill && status == Status::kFull ? random_.pick(failure_notes) : Note::kNone;
 }
 
-LoadReport World::draw_report() {
+LoadReport SimulatedDeployment::draw_report() {
   LoadReport report;
   if (random_.chance(0.3)) {
     return report;
--- a/benchmarks/decision_trace_world.h
+++ b/benchmarks/decision_trace_simulation.h
@@ -1,5 +1,5 @@
-// The simulated deployment of the decision trace: clients, nodes and disturbances. One seed sets all random
-// numbers.
+// The simulated deployment of the decision trace: clients, nodes and disturbances. The seed determines all of
+// its random numbers.
 #pragma once
 
 #include <trailcourse/decider.h>
@@ -20,36 +20,48 @@
 // Returns an AttemptEnded event with the status; its other fields have their defaults.
 AttemptEnded ended_with(RequestId id, int attempt, Status status);
 
-// The fault that a simulated node has.
-enum class NodeFault { kNone, kDead, kUnreachable, kSilent, kResets, kErrors, kFull, kSlow, kCount };
+// The fault of a simulated node.
+enum class NodeFault {
+  kNone,
+  kDead,         // connections fail within 1 ms
+  kUnreachable,  // connections fail after 400 ms
+  kSilent,       // accepts requests, but never responds
+  kResets,       // resets most connections
+  kErrors,       // most responses are errors
+  kFull,         // rejects most requests for lack of capacity
+  kSlow,         // sends its responses slowly
+  kCount,        // the number of enumerators before it
+};
 
-// A deployment that runs one profile and adds all actions of the decision module to the hash. The profile and
-// the hash have to outlive this object.
-class World {
+// Runs the decision module in a deployment of one profile and adds all of its actions to the hash. The
+// profile and the hash have to outlive this object.
+class SimulatedDeployment {
  public:
-  World(const Profile& profile, std::uint64_t seed, TraceHash& hash);
+  SimulatedDeployment(const Profile& profile, std::uint64_t seed, TraceHash& hash);
 
-  // Runs the simulation until at least `events` events were handled. Returns how many were.
+  // Runs the simulation until it has handled at least `events` events. Returns the number of handled events.
   std::uint64_t run(std::uint64_t events);
 
  private:
-  struct Arrival {};
-  struct Disturbance {};
-  // An attempt is about to send its first byte; it ends with `outcome` if it may begin.
+  struct Arrival {};      // a request arrives
+  struct Disturbance {};  // a disturbance of the deployment begins
+  // An attempt is about to send its first byte. It ends with `outcome` if the decision module allows it to
+  // begin.
   struct FirstByte {
     RequestId id;
     int attempt;
     AttemptEnded outcome;
-    Micros answer_time;
+    Micros answer_time;  // from the first byte to the end of the attempt
     bool streamed;
   };
-  using Step =
+  using SimulatedEvent =
       std::variant<Arrival, Disturbance, FirstByte, AttemptEnded, StreamStarted, ClientLeft, TimerFired>;
-  struct Job {
+  struct ScheduledEvent {
     Micros when;
     std::uint64_t order;  // breaks ties in the order of scheduling
-    Step step;
-    friend bool operator<(const Job& a, const Job& b) {
+    SimulatedEvent event;
+    // Orders later events first, so that the top of the priority queue is the earliest one.
+    friend bool operator<(const ScheduledEvent& a, const ScheduledEvent& b) {
       return a.when != b.when ? a.when > b.when : a.order > b.order;
     }
   };
@@ -59,25 +71,29 @@
   };
   struct RequestState {
     bool finished = false;
-    bool streaming_class = false;
+    bool streaming = false;
     double size_kb = 0.0;
     Micros deadline{0};
     std::vector<AttemptState> attempts;
   };
 
-  void schedule(Micros when, const Step& step) { jobs_.push(Job{when, ++order_, step}); }
+  void schedule(Micros when, const SimulatedEvent& event) {
+    schedule_.push(ScheduledEvent{when, ++order_, event});
+  }
 
+  // Passes the event to the decision module, adds the resulting actions to the hash and executes them.
   void handle(const Event& event);
 
+  // perform() simulates an event; execute() carries out an action of the decision module.
+
   // ---- Requests ----
   void perform(const Arrival&);
-  double draw_size();
+  double draw_size();  // in KB
   void perform(const ClientLeft& left);
   void perform(const TimerFired& timer) { handle(timer); }
 
-  void perform(const StreamStarted& started);
-
   // ---- Attempts ----
+  void perform(const StreamStarted& started);
   void execute(const SendAttempt& send);
   void perform(const FirstByte& first);
   void perform(AttemptEnded ended);
@@ -88,10 +104,14 @@
   void execute(const Subscribe&) { subscribed_ = true; }
 
   // Returns the attempt if it has been sent and has not ended, otherwise null.
-  AttemptState* open_attempt(RequestId id, int attempt);
+  AttemptState* find_open_attempt(RequestId id, int attempt);
+  // Marks the request as finished, and removes it if all of its attempts have ended.
   void finish(RequestId id);
+  // Removes a finished request if all of its attempts have ended.
   void remove_if_finished(RequestId id);
   AttemptEnded draw_outcome(const SendAttempt& send, const RequestState& request);
+  // Returns a random status of the attempt. Sets the latency in `ended` if a fault of the cache determines
+  // the latency.
   Status draw_status(const SendAttempt& send, AttemptEnded& ended);
   Note draw_note(const SendAttempt& send, Status status);
   LoadReport draw_report();
@@ -99,19 +119,20 @@
   // ---- Disturbances of the deployment ----
   // Causes a random disturbance and schedules the next one.
   void perform(const Disturbance&);
-  void purge();
-  void purge_flood();  // rarely purges so many objects that the purge history overflows
-  void health_check();
+  void send_purge();
+  // Purges an object that no request names, with a probability of 1 %, and repeats this after each purge.
+  void maybe_purge_unknown_objects();
+  void send_health_check();
   void change_fault();
   void change_load();
   void change_endpoints();
   void restart_endpoint();
-  void full_list();
-  void lost_or_restored_list();
-  void stray_events();  // events of unknown requests
+  void send_full_list();
+  void send_lost_or_restored_list();
+  void send_stray_events();  // events of unknown requests and timers
   void change_classes();
-  void pause();  // rarely advances the clock by 70 s
-  Endpoint new_endpoint(Role role);
+  void maybe_skip_time();  // rarely advances the clock by 70 s
+  Endpoint make_endpoint(Role role);
 
   const Profile& profile_;
   Random random_;
@@ -126,7 +147,7 @@
   std::vector<Endpoint> endpoints_;
   std::unordered_map<std::string, NodeFault> faults_;
   std::unordered_map<RequestId, RequestState> requests_;
-  std::priority_queue<Job> jobs_;
+  std::priority_queue<ScheduledEvent> schedule_;
   double load_factor_ = 1.0;    // multiplies sending times and reported loads
   double failure_rate_ = 0.01;  // share of attempts at healthy nodes that fail
   int arrival_factor_ = 1;      // multiplies the rate of requests
