--- a/tests/mutation_test.cpp
+++ b/tests/mutation_test.cpp
@@ -81,12 +81,12 @@
     for (const fastcgi::Event& event : events) {
       events_text += std::to_string(event.index()) + ' ';
       if (const auto* read = std::get_if<fastcgi::RequestReceived>(&event)) {
-        events_text += std::to_string(read->key) + ' ' + read->body;
+        events_text += std::to_string(read->request_id) + ' ' + read->body;
         for (const auto& [name, value] : read->parameters.fields) {
           events_text.append(" ").append(name).append("=").append(value);
         }
       } else if (const auto* bad = std::get_if<fastcgi::RequestRejected>(&event)) {
-        events_text += std::to_string(bad->key) + ' ' + bad->reason;
+        events_text += std::to_string(bad->request_id) + ' ' + bad->reason;
       } else if (const auto* over = std::get_if<fastcgi::ParseError>(&event)) {
         events_text += over->reason;
       }
--- a/tests/recorded_files_test.cpp
+++ b/tests/recorded_files_test.cpp
@@ -93,7 +93,7 @@
   const auto& list = std::get<protocol::EndpointsChanged>(read.updates[0].change);
   EXPECT_TRUE(list.complete);
   ASSERT_THAT(list.endpoints, SizeIs(3));
-  EXPECT_EQ(list.endpoints[2].address, "127.64.36.211:10004");
+  EXPECT_EQ(list.endpoints[2].network_address, "127.64.36.211:10004");
   const auto& purge = std::get<protocol::PurgeReceived>(read.updates[1].change);
   EXPECT_EQ(purge.object, 0x5c0f6e1a2b3d4c59U);
   EXPECT_EQ(purge.purged_unix_ms, kPurgedUnixMs);
