--- a/include/trailcourse/decider.h
+++ b/include/trailcourse/decider.h
@@ -188,7 +188,7 @@
   double utilisation = -1.0;  // share of the node's cores in use, 0 to 1
   double concurrent = -1.0;   // number of requests in progress at the node, from all routers
   double hit_share = -1.0;    // share of the node's requests that are hits, 0 to 1; not read by this module
-  double link_or_fetches = -1.0;  // of a cache: share of its zone's link in use; of other nodes: not used
+  double link_or_fetches = -1.0;  // caches: share of the zone's link in use; ignored for other nodes
 };
 
 // ---- Events ----
--- a/src/aggregation/aggregator.h
+++ b/src/aggregation/aggregator.h
@@ -84,7 +84,8 @@
   const UpstreamLease& upstream() const { return upstream_; }
   // Returns the calls to the store to make now.
   std::vector<UpstreamAction> step(Micros now);
-  // Returns the time at which step() may return a call without any other event, or nothing.
+  // Returns when step() has to be called next if no event occurs earlier, or nothing if only an event can
+  // cause a call.
   std::optional<Micros> next_step_at(Micros now) const;
 
   // Stops granting and renewing leases. The aggregator releases its own lease once all routers' leases have
--- a/src/aggregation/upstream_lease.h
+++ b/src/aggregation/upstream_lease.h
@@ -28,7 +28,8 @@
   // `observed` and `summaries` are the current ones.
   std::vector<UpstreamAction> step(Micros now, bool connected, const ObservedByZone& observed,
                                    const SummariesByZone& summaries);
-  // Returns the time at which step() may return a call without any other event, or nothing.
+  // Returns when step() has to be called next if no event occurs earlier, or nothing if only an event can
+  // cause a call.
   std::optional<Micros> next_step_at(Micros now, bool connected) const;
 
   // Process the results of the calls. Results of earlier calls than the current one are ignored.
--- a/src/cache_node/node_core.h
+++ b/src/cache_node/node_core.h
@@ -144,7 +144,7 @@
 class NodeCore {
  public:
   // Returns the Unix time in milliseconds of the latest purge of a name or its group: copies up to that time
-  // must not be served. A value below INT64_MIN / 2: there was none.
+  // must not be served. A value below INT64_MIN / 2 means that there was no purge.
   using PurgedUntil = std::function<std::int64_t(const store::Name&, int group)>;
   // Returns whether a source of that name is known.
   using KnowsSource = std::function<bool(const std::string&)>;
--- a/src/cache_node/source_client.h
+++ b/src/cache_node/source_client.h
@@ -70,8 +70,8 @@
 
   SourceClient(transport::Scheduler& scheduler, const Bounds& bounds, ResultCallback on_result);
 
-  // Sends a request to a source. The callback is called once with the result, never during this call, unless
-  // stop() comes first. `address` is that of `source`.
+  // Sends a request to a source. Unless stop() is called first, the callback is called once with the result,
+  // after this call has returned. `address` is that of `source`.
   void fetch(FillNumber fill, const std::string& source, const transport::Address& address,
              const protocol::ServeFields& fields, std::string_view body);
   // Cancels a fetch; its result is not reported. Does nothing if the fetch has ended.
--- a/src/coordination/etcd_client.cpp
+++ b/src/coordination/etcd_client.cpp
@@ -197,7 +197,7 @@
   if (connection == nullptr) {
     connection = connect(endpoint);
   }
-  // A request that is written before the connection is established is sent as soon as it is.
+  // The connection may not be established yet. It queues the request and sends it once it is connected.
   const http::ClientConnection::WriteToken request =
       connection->channel->write(post_request(call.path, call.body, endpoint));
   const Revision min_revision = identity_.min_revision();
--- a/src/coordination/etcd_responses.cpp
+++ b/src/coordination/etcd_responses.cpp
@@ -153,7 +153,7 @@
 }
 
 LeaseGrantResponse read_lease_grant_response(const json& body, ResponseHeader& header) {
-  // The response to a keep-alive is a stream of one item, which is under `result`.
+  // The response to a keep-alive has the same fields, but in the only item of a stream, under `result`.
   const json* stream_item = find_object(body, "result", "result");
   const json& from = stream_item != nullptr ? *stream_item : body;
   header = read_header(from);
--- a/src/decision/decider.cpp
+++ b/src/decision/decider.cpp
@@ -32,7 +32,7 @@
 namespace trailcourse {
 namespace {
 
-constexpr double kDefaultTransferCapacity = 8.0;  // transfers; used if the weight does not state it
+constexpr double kDefaultTransferCapacity = 8.0;  // transfers; for weights that do not state a capacity
 constexpr Micros kRejectionRetryAfter = std::chrono::milliseconds(400);  // limited by `max_retry_after`
 
 }  // namespace
--- a/src/decision/fill_window.cpp
+++ b/src/decision/fill_window.cpp
@@ -15,7 +15,7 @@
 
 constexpr double kMinOfferSpan = 1.0;       // seconds; minimum span over which the offered rate is averaged
 constexpr double kOfferDecay = 0.998;       // per request; the rate covers the last few hundred requests
-constexpr double kFailureSmoothing = 0.05;  // weight of a new fill in the failure rate
+constexpr double kFailureSmoothing = 0.05;  // weight of the latest fill in the average failure rate
 constexpr double kFailingThreshold = 0.2;   // failure rate above which the window shrinks
 
 }  // namespace
--- a/src/decision/keep_rank.h
+++ b/src/decision/keep_rank.h
@@ -31,7 +31,7 @@
   const DecisionContext& context_;
   ObjectTable& objects_;
   double largest_kb_ = 0.0;  // smax
-  BoundedShare top_bytes_;   // requested kilobytes, and those of them with the top rank
+  BoundedShare top_bytes_;   // kilobytes of all ranked requests, and of those with the top rank
 };
 
 }  // namespace trailcourse
--- a/src/decision/load_shedding.cpp
+++ b/src/decision/load_shedding.cpp
@@ -9,7 +9,7 @@
 constexpr double kBusyLoad = 1.0;        // load of a node below which nothing is shed
 constexpr double kObjectiveShare = 0.9;  // share of the remaining objective that a predicted answer may take
 constexpr double kMaxSizeBucket = 2.0;   // the last bucket: sizes from twice the mean of the class
-constexpr double kSmoothing = 0.05;      // weight of a new request in an answered share
+constexpr double kSmoothing = 0.05;      // weight of the latest request in the averages of AnsweredShares
 // A size is underserved if its answered share is less than this fraction of the answered share of its class.
 constexpr double kMinAnsweredShare = 0.6;
 
--- a/src/decision/outlier_detection.cpp
+++ b/src/decision/outlier_detection.cpp
@@ -10,7 +10,7 @@
 
 constexpr double kMaxConsecutiveFailures = 3.0;  // a node that reaches it is ejected
 constexpr double kMaxFailureRate = 0.4;          // a node that exceeds it is ejected
-constexpr double kRateSmoothing = 0.1;           // weight of a new outcome in the failure rate
+constexpr double kRateSmoothing = 0.1;           // weight of the latest outcome in the average failure rate
 
 // A parent is an outlier if its failure rate is above kDeadParentRate, which a running parent does not reach
 // since some of its answers are hits, and above kOutlierFactor times the lowest rate of the other parents.
--- a/src/decision/purge_floors.cpp
+++ b/src/decision/purge_floors.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::size_t kMaxPurges = 20'000;  // beyond this, a single floor for all objects replaces them
-// A purge floor applies this long past `Settings::purge_done`, in case clocks are late.
+// A purge floor stays in effect this much longer than `Settings::purge_done`, to allow for clocks that lag.
 constexpr Micros kPurgeMargin = std::chrono::seconds(1);
 constexpr Micros kNoPurge{-1};
 
--- a/src/decision/slow_start.cpp
+++ b/src/decision/slow_start.cpp
@@ -63,7 +63,8 @@
   return slot.tokens >= cost && slot_open(node);
 }
 
-// Returns the seconds between two slots, in which the budget of `rate` covers the most expensive request.
+// Returns the seconds from the start of one slot to the next: at least kMinPeriod overload spans, and long
+// enough that the budget accrued at `rate` in one period covers the most expensive request.
 double SlowStart::slot_period(double rate) const {
   const double span = to_seconds(context_.settings.overload_span);
   const double octaves = std::log2(sending_times_.largest_upper_mean() / (rate * kMinPeriod * span));
--- a/src/fleet/layout.h
+++ b/src/fleet/layout.h
@@ -34,7 +34,7 @@
   std::vector<std::string> zones{"edge"};  // caches and routers are assigned to the zones round-robin
   int object_kb = 20;
   int origin_delay_ms = 0;
-  int max_transfers = 8;             // concurrent, of a cache or parent
+  int max_transfers = 8;             // concurrent transfers of each cache or parent
   bool disk = false;                 // caches and parents store copies on disk
   bool may_use_origin = true;        // routers may send requests to the origin
   double purge_grace_s = 0.3;        // latest time after a purge event at which a purged copy may be served
--- a/src/fleet/max_count_within.h
+++ b/src/fleet/max_count_within.h
@@ -8,8 +8,8 @@
 
 namespace trailcourse::fleet {
 
-// Returns the highest number of `times` in any window of that length, its end excluded. `times` may be in any
-// order.
+// Returns the highest number of `times` that lie in any half-open interval of length `window`. `times` may be
+// in any order.
 template <typename Time = std::chrono::steady_clock::time_point, typename Window>
 std::size_t max_count_within(std::vector<Time> times, Window window) {
   std::sort(times.begin(), times.end());
--- a/src/ownership/lease_manager.h
+++ b/src/ownership/lease_manager.h
@@ -154,7 +154,7 @@
   bool must_release(const ShardId& id, const Work* work) const;
   void check_assignment(Micros now, const ShardId& id, Shard& shard, const Work* work);
 
-  // Steps.
+  // The parts of step(), and when each has to run next.
   void step_shard(Micros now, const ShardId& id, Shard& shard);
   void step_lease(Micros now, const ShardId& id, Shard& shard);
   void step_owned(Micros now, const ShardId& id, Shard& shard);
--- a/src/policy/participant.cpp
+++ b/src/policy/participant.cpp
@@ -132,8 +132,8 @@
     return;
   }
   const StageId stage = stage_id(*rollout);
-  // Once it has observed the suspension, this router decides under neither version alone, whether or not it
-  // is ready.
+  // A router that has observed the suspension does not decide under either version alone, so it reports the
+  // stage as suspended even if it is not ready.
   report.suspended_stage = is_suspending ? stage : 0;
   const std::uint64_t target = rollout->target_version;
   const bool decides_under_target = observed_.version == target;
@@ -166,8 +166,8 @@
   if (current != ParticipantState::kNotParticipating && current != ParticipantState::kInDoubt) {
     return {EffectivePolicy::Kind::kSingle, observed_.version, observed_.version};
   }
-  // No policy is in effect without a valid lease and a prepared document, since later rollouts may have been
-  // missed, nor during a suspension unless `serve_intersection` is set.
+  // Without a valid lease and a prepared document no policy is in effect, since this router may have missed
+  // later rollouts. During a suspension none is in effect either, unless `serve_intersection` is set.
   if (!options_.serve_intersection || current != ParticipantState::kInDoubt) {
     return {};
   }
--- a/src/routing/discovery_client.h
+++ b/src/routing/discovery_client.h
@@ -37,8 +37,8 @@
     transport::Clock::duration response_grace = std::chrono::milliseconds(1000);
     transport::Clock::duration relay_long_poll_timeout = std::chrono::milliseconds(100);
     transport::Clock::duration relay_grace = std::chrono::milliseconds(100);  // response_grace for relays
-    // A service without an id has had a sequence reset once it has sent sequence numbers lower than the
-    // applied one for this long.
+    // If the service sends no id, a sequence reset is assumed once all its sequence numbers have been lower
+    // than the last applied one for this long.
     Micros reset_detection_delay = Micros::max();
     // Whether calls to the service have a long-poll timeout of zero until a page was applied. The first page
     // contains the id of the service.
@@ -48,8 +48,8 @@
   };
   // Callbacks for responses; each may be empty.
   struct Hooks {
-    // A page was applied. `known_at` is the last steady time at which the page certainly held all events of
-    // the service; `path` is the X-Path header of the response.
+    // A page was applied. `known_at` is the latest steady time at which the page is known to have contained
+    // all events of the service; `path` is the X-Path header of the response.
     std::function<void(const nlohmann::json& page, Micros known_at, const std::string& path)> on_page;
     // A page was applied. Receives the id of the service and the sequence number of the last applied event.
     std::function<void(const std::string& server_id, std::uint64_t last_sequence)> on_applied;
--- a/src/routing/relay.h
+++ b/src/routing/relay.h
@@ -40,8 +40,8 @@
   // Throws std::system_error if it cannot listen on the address.
   void listen(const transport::Address& address) { server_.listen(address); }
 
-  // Records a page that this router has received. `current_at` is the last steady time at which the page
-  // certainly held all events of the service; `path` is the X-Path header of its response. Throws
+  // Records a page that this router has received. `current_at` is the latest steady time at which the page is
+  // known to have contained all events of the service; `path` is the X-Path header of its response. Throws
   // discovery::PageFormatError.
   void on_page(const nlohmann::json& page, Micros current_at, const std::string& path);
 
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -50,7 +50,7 @@
   // `retry_after` is zero if the answer carries no Retry-After.
   virtual void rejected(Micros retry_after) = 0;
   virtual void failed() = 0;
-  // The answer is streamed.
+  // A streamed answer: its begin, its parts in order, and its end.
   virtual void begin(bool not_modified) = 0;
   virtual void piece(std::string_view bytes) = 0;
   virtual void finish(bool complete) = 0;
@@ -146,8 +146,8 @@
   // The client does not wait for the answer any more. Has no effect on a request that was answered.
   void client_left(RequestId id);
 
-  // Answers all open requests as failed, which leaves open whether they were executed. To be called when the
-  // process stops.
+  // Answers all open requests as failed, which tells clients that the requests may have been executed. To be
+  // called when the process stops.
   void fail_open_requests();
 
   // Returns whether an attempt may still begin.
--- a/src/startup/endpoint_view.cpp
+++ b/src/startup/endpoint_view.cpp
@@ -122,8 +122,8 @@
   }
 }
 
-// Appends purges of all groups. Their age is the limit minus the time until the next renewal, so that no copy
-// older than the limit is ever served.
+// Enforces the age limit of copies with a purge of every group. The age of the purges is the limit minus the
+// time until they are renewed, since copies grow older by that time meanwhile.
 void EndpointView::append_age_limit(Micros now, Micros max_copy_age, std::vector<Event>& events) {
   const Micros renewal = std::max(Micros(1), max_copy_age / kRenewalsPerAgeLimit);
   next_age_limit_ = now + renewal;
--- a/src/startup/relay_selector.h
+++ b/src/startup/relay_selector.h
@@ -24,7 +24,7 @@
 // Options of RelaySelector.
 struct RelaySelectorOptions {
   Micros max_age{1'000'000};           // longest age of a page from a relay
-  Micros initial_quarantine{500'000};  // upper bound for the first failure of a relay; doubles with each
+  Micros initial_quarantine{500'000};  // upper bound after the first failure; each further one doubles it
   Micros max_quarantine{30'000'000};   // the upper bound does not grow beyond this
   Micros withholding_quarantine{300'000'000};  // of a relay that withheld events
   int failures_before_fallback = 2;            // consecutive, of any relays; then the service is polled
--- a/src/startup/sequence_tracker.h
+++ b/src/startup/sequence_tracker.h
@@ -1,8 +1,8 @@
 // Decides whether a page of the discovery service is to be applied, is outdated, or follows a sequence reset,
 // after which the service numbers its events from the beginning. A page with a lower sequence number may come
 // from a stale replica and is ignored. Where the service sends an identifier, a different identifier means a
-// sequence reset. Where it sends none, a reset is assumed once it has sent only lower numbers for a given
-// time.
+// sequence reset. Where it sends none, a reset is assumed once all its sequence numbers have been lower than
+// the last applied one for a given time.
 //
 // Library `startup`.
 #pragma once
--- a/src/tasks/fleet_session.h
+++ b/src/tasks/fleet_session.h
@@ -33,7 +33,8 @@
   // Makes the lease call that is due now, if any.
   void step(Micros now);
 
-  // Returns the time at which step() has to be called again without any other event, or nothing.
+  // Returns when step() has to be called next if no event occurs earlier, or nothing if only an event can
+  // cause a step.
   std::optional<Micros> next_step_at(Micros now) const { return lease_.next_step_at(now); }
 
   // Writes to the member record that this process is draining, so that it is assigned no more work.
--- a/src/tasks/health_check_plan.h
+++ b/src/tasks/health_check_plan.h
@@ -55,7 +55,8 @@
   // Returns the verdicts to publish or to withdraw now, each update once.
   std::vector<VerdictUpdate> take_verdict_updates(Micros now);
 
-  // Returns the time at which start_checks() may return a cache without any other event, or nothing.
+  // Returns when start_checks() has to be called next if no event occurs earlier, or nothing if only an event
+  // can make a check due.
   std::optional<Micros> next_step_at(Micros now) const;
 
   std::size_t suspect_count() const { return suspects_.size(); }
--- a/src/tasks/prefetch_plan.h
+++ b/src/tasks/prefetch_plan.h
@@ -55,7 +55,8 @@
   // Processes the final result for an object. `retry_after` is the time that a rejection set, otherwise 0.
   void on_result(Micros now, std::size_t index, PrefetchResult result, Micros retry_after);
 
-  // Returns the time at which start_requests() may return an object without any other event, or nothing.
+  // Returns when start_requests() has to be called next if no event occurs earlier, or nothing if only an
+  // event can make a request due.
   std::optional<Micros> next_step_at(Micros now) const;
 
   bool done() const { return progress_.finished() == progress_.total; }
--- a/src/tasks/reconcile_task.h
+++ b/src/tasks/reconcile_task.h
@@ -26,7 +26,7 @@
   void start() override;
   void stop() override;
 
-  // WatchObserver, for watched_ranges().
+  // WatchObserver: receives the changes in watched_ranges().
   void on_snapshot(coordination::Revision, const std::vector<coordination::Entry>&) override {
     schedule_reconcile();
   }
--- a/src/tasks/step_loop.h
+++ b/src/tasks/step_loop.h
@@ -1,5 +1,5 @@
-// Runs the steps of a state machine on a scheduler: soon after an event, and at the time that the last step
-// has returned.
+// Runs the steps of a state machine on a scheduler: soon after an event, and at the time that the previous
+// step returned as that of the next one.
 //
 // Library `tasks`. Not thread-safe: it belongs to its scheduler's thread.
 #pragma once
--- a/src/tasks/task_runner.h
+++ b/src/tasks/task_runner.h
@@ -50,7 +50,7 @@
   // Returns whether all work is released and the session has ended.
   bool drained() const;
 
-  // Sets the kinds of work that the policy in force allows; nothing allows all kinds.
+  // Sets the kinds of work that the policy in force allows. An empty optional allows all kinds.
   void set_allowed_kinds(std::optional<std::set<std::string>> kinds);
 
   // Sets a key that is deleted when this process's session ends, and written again in a new session. An empty
