--- a/benchmarks/policy_measurement.cpp
+++ b/benchmarks/policy_measurement.cpp
@@ -229,7 +229,7 @@
       slope.unit = "calls";
       slope.setting = "real processes";
       slope.command = command;
-      measured.push_back(scale::measured_here(slope));
+      measured.push_back(scale::complete_slope(slope));
     }
   }
   scale::save_slopes(path, measured);
--- a/benchmarks/policy_measurement.h
+++ b/benchmarks/policy_measurement.h
@@ -35,7 +35,7 @@
 int measure_policy(const std::string& program, const std::vector<int>& sizes, const Topology& topology,
                    std::vector<ChangeCalls>& calls_all_up);
 // Saves the numbers of calls in the file of slopes at `path`, by the number of routers or of regions, with
-// `command` as the command that measured them. Throws scale::BadSlopes, std::runtime_error.
+// `command` as the command that measured them. Throws scale::InvalidSlopes, std::runtime_error.
 void save_change_calls(const std::string& path, const std::vector<ChangeCalls>& calls_all_up,
                        const std::string& command);
 
--- a/benchmarks/scale/capacity_page.cpp
+++ b/benchmarks/scale/capacity_page.cpp
@@ -152,13 +152,13 @@
   const std::string offset = format_plain(fit.offset);
   const std::string factor = format_plain(fit.slope);
   switch (fit.form) {
-    case Form::kConstant:
+    case FitForm::kConstant:
       return offset + " " + slope.unit;
-    case Form::kLinear:
+    case FitForm::kLinear:
       return offset + " + " + factor + "·n " + slope.unit;
-    case Form::kLinearithmic:
+    case FitForm::kLinearithmic:
       return offset + " + " + factor + "·n·ln n " + slope.unit;
-    case Form::kQuadratic:
+    case FitForm::kQuadratic:
       return offset + " + " + factor + "·n² " + slope.unit;
   }
   return "";
@@ -234,7 +234,7 @@
     }
     const std::size_t close = cell.find('}', open);
     if (close == std::string::npos) {
-      throw BadCapacityData("`" + cell + "`: a brace is not closed");
+      throw InvalidCapacityData("`" + cell + "`: a brace is not closed");
     }
     out += evaluate_and_format(cell.substr(open + 1, close - open - 1));
     position = close + 1;
@@ -254,7 +254,7 @@
     const std::size_t figure_end =
         formula_end == std::string::npos ? formula_end : line.find(kFigureEndMarker, formula_end);
     if (figure_end == std::string::npos) {
-      throw BadPage("line " + std::to_string(line_number) + ": the marker of a figure is not closed");
+      throw InvalidPage("line " + std::to_string(line_number) + ": the marker of a figure is not closed");
     }
     const std::string marker = line.substr(begin, formula_end + kFigureMarkerEnd.size() - begin);
     const std::size_t formula_begin = begin + kFigureMarkerBegin.size();
@@ -283,13 +283,13 @@
     }
     const std::size_t end = line.find(kTableMarkerEnd);
     if (end == std::string::npos) {
-      throw BadPage("line " + std::to_string(line_number) + ": the marker of a table is not closed");
+      throw InvalidPage("line " + std::to_string(line_number) + ": the marker of a table is not closed");
     }
     table_name = line.substr(kTableMarkerBegin.size(), end - kTableMarkerBegin.size());
     out += line + "\n" + table(table_name);
   }
   if (!table_name.empty()) {
-    throw BadPage("the table " + table_name + " has no end marker");
+    throw InvalidPage("the table " + table_name + " has no end marker");
   }
   return out;
 }
@@ -317,7 +317,7 @@
   if (name == "slopes") {
     return slopes_table();
   }
-  throw BadPage("unknown table " + name);
+  throw InvalidPage("unknown table " + name);
 }
 
 std::string CapacityPage::targets_table() const {
@@ -355,7 +355,7 @@
   const auto found = std::find_if(data_.roles.begin(), data_.roles.end(),
                                   [&name](const Role& role) { return role.name == name; });
   if (found == data_.roles.end()) {
-    throw BadPage("unknown role " + name);
+    throw InvalidPage("unknown role " + name);
   }
   std::vector<std::string> titles = {"situation"};
   titles.insert(titles.end(), std::begin(kRoleColumns), std::end(kRoleColumns));
@@ -364,7 +364,7 @@
     const auto role_row = std::find_if(found->rows.begin(), found->rows.end(),
                                        [&](const RoleRow& row) { return row.situation == situation; });
     if (role_row == found->rows.end()) {
-      throw BadCapacityData("role " + name + " has no row for situation " + situation);
+      throw InvalidCapacityData("role " + name + " has no row for situation " + situation);
     }
     std::vector<std::string> cells = {situation};
     for (const std::string& cell : role_row->cells) {
--- a/benchmarks/scale/capacity_page.h
+++ b/benchmarks/scale/capacity_page.h
@@ -15,7 +15,7 @@
 namespace trailcourse::scale {
 
 // Thrown for an invalid marker; the message names the line or the table.
-class BadPage : public std::runtime_error {
+class InvalidPage : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
@@ -31,14 +31,15 @@
 // Fills in the capacity page from one set of data.
 class CapacityPage {
  public:
-  // Throws FormulaError, BadCapacityData.
+  // Throws FormulaError, InvalidCapacityData.
   explicit CapacityPage(CapacityData data);
 
-  // Returns `page` with its tables and figures computed from the data. Throws BadPage, FormulaError,
-  // BadCapacityData.
+  // Returns `page` with its tables and figures computed from the data. Throws InvalidPage, FormulaError,
+  // InvalidCapacityData.
   std::string fill(const std::string& page) const;
   // Returns the table with the name given in a marker: target, meaning, situations, plan, met, unknown,
-  // slopes, or role NAME. Throws BadPage for an unknown name, BadCapacityData for invalid data, FormulaError.
+  // slopes, or role NAME. Throws InvalidPage for an unknown name, InvalidCapacityData for invalid data, and
+  // FormulaError.
   std::string table(const std::string& name) const;
 
  private:
--- a/benchmarks/scale/capacity_page_data.cpp
+++ b/benchmarks/scale/capacity_page_data.cpp
@@ -17,14 +17,14 @@
 
 const json& field(const json& object, const char* name, const std::string& location) {
   if (!object.is_object() || !object.contains(name)) {
-    throw BadCapacityData(location + ": field " + name + " is missing");
+    throw InvalidCapacityData(location + ": field " + name + " is missing");
   }
   return object.at(name);
 }
 
 std::string as_string(const json& value, const std::string& location) {
   if (!value.is_string()) {
-    throw BadCapacityData(location + ": not a string");
+    throw InvalidCapacityData(location + ": not a string");
   }
   return value.get<std::string>();
 }
@@ -40,7 +40,7 @@
 const json& read_array(const json& object, const char* name, const std::string& location) {
   const json& out = field(object, name, location);
   if (!out.is_array()) {
-    throw BadCapacityData(location + ": " + name + " is not an array");
+    throw InvalidCapacityData(location + ": " + name + " is not an array");
   }
   return out;
 }
@@ -51,7 +51,7 @@
   const std::string entry_location = location + ": " + out.name;
   const json& value = field(entry, "value", entry_location);
   if (!value.is_number()) {
-    throw BadCapacityData(entry_location + ": value is not a number");
+    throw InvalidCapacityData(entry_location + ": value is not a number");
   }
   out.value = value.get<double>();
   out.unit = read_string(entry, "unit", entry_location);
@@ -84,7 +84,7 @@
     const bool known = std::any_of(std::begin(kRoleColumns), std::end(kRoleColumns),
                                    [&name = name](const char* column) { return name == column; });
     if (!known && name != "situation") {
-      throw BadCapacityData(entry_location + ": unknown column " + name);
+      throw InvalidCapacityData(entry_location + ": unknown column " + name);
     }
   }
   return out;
@@ -108,7 +108,7 @@
   if (text == "at most") {
     return Requirement::Sense::kAtMost;
   }
-  throw BadCapacityData(location + ": sense is neither `at least` nor `at most`");
+  throw InvalidCapacityData(location + ": sense is neither `at least` nor `at most`");
 }
 
 Requirement read_requirement(const json& entry, const std::string& location) {
@@ -132,7 +132,7 @@
   std::ifstream file(path);
   json out = json::parse(file, nullptr, false);
   if (!file || out.is_discarded()) {
-    throw BadCapacityData(path + ": cannot be read or is not valid JSON");
+    throw InvalidCapacityData(path + ": cannot be read or is not valid JSON");
   }
   return out;
 }
@@ -187,7 +187,7 @@
   out.slopes = data.slopes;
   const auto add = [&out](const std::string& name, const Figure& figure) {
     if (!out.figures.emplace(name, figure).second) {
-      throw BadCapacityData("the name " + name + " is used twice");
+      throw InvalidCapacityData("the name " + name + " is used twice");
     }
   };
   for (const TargetGroup& group : data.targets) {
--- a/benchmarks/scale/capacity_page_data.h
+++ b/benchmarks/scale/capacity_page_data.h
@@ -16,7 +16,7 @@
 namespace trailcourse::scale {
 
 // Thrown for invalid data; the message names the file, the entry and the field.
-class BadCapacityData : public std::runtime_error {
+class InvalidCapacityData : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
@@ -91,15 +91,15 @@
 };
 
 // Convert the parsed target file and the parsed model file. read_model() appends to `out`. Both throw
-// BadCapacityData if the file is invalid.
+// InvalidCapacityData if the file is invalid.
 std::vector<TargetGroup> read_targets(const nlohmann::json& file);
 void read_model(const nlohmann::json& file, CapacityData& out);
 
-// Reads the three data files from `folder`. Throws BadCapacityData, BadSlopes.
+// Reads the three data files from `folder`. Throws InvalidCapacityData, InvalidSlopes.
 CapacityData load_capacity_data(const std::string& folder);
 
 // Returns all targets, derived numbers and slopes by name. Throws FormulaError for an invalid formula of a
-// derived number, and BadCapacityData for a duplicate name.
+// derived number, and InvalidCapacityData for a duplicate name.
 FormulaNames names_of(const CapacityData& data);
 
 }  // namespace trailcourse::scale
--- a/benchmarks/scale/capacity_page_formula.cpp
+++ b/benchmarks/scale/capacity_page_formula.cpp
@@ -204,7 +204,7 @@
     expect(',');
     const Figure size = parse_formula();
     out = combine(out, size, [&](double, double x) { return slope ? value_at(slope->fit, x) : 0.0; });
-    const bool grows = slope != nullptr && slope->fit.form != Form::kConstant;
+    const bool grows = slope != nullptr && slope->fit.form != FitForm::kConstant;
     if (grows && slope->bound > 0.0 && out.known()) {
       out.extrapolation = std::max(out.extrapolation, size.value / slope->bound);
       out.r_squared = std::min(out.r_squared, slope->fit.r_squared);
--- a/benchmarks/scale/role_costs.cpp
+++ b/benchmarks/scale/role_costs.cpp
@@ -78,7 +78,7 @@
   out.setting = series.setting;
   out.points = series.points;
   out.command = "role_costs --only " + group_name;
-  return measured_here(std::move(out));
+  return complete_slope(std::move(out));
 }
 
 void print_slope(const Slope& slope) {
--- a/benchmarks/scale/scale_bench.cpp
+++ b/benchmarks/scale/scale_bench.cpp
@@ -38,6 +38,7 @@
 using trailcourse::scale::AcknowledgementSeries;
 using trailcourse::scale::ChangeSeries;
 using trailcourse::scale::ChangeSeriesOptions;
+using trailcourse::scale::complete_slope;
 using trailcourse::scale::Condition;
 using trailcourse::scale::DiscoveryPolls;
 using trailcourse::scale::FaultResult;
@@ -52,7 +53,6 @@
 using trailcourse::scale::measure_changes;
 using trailcourse::scale::measure_idle_traffic;
 using trailcourse::scale::measure_queue;
-using trailcourse::scale::measured_here;
 using trailcourse::scale::QueueResult;
 using trailcourse::scale::RandomFaultOptions;
 using trailcourse::scale::run_random_faults;
@@ -126,7 +126,7 @@
     for (auto& [name, slope] : slopes_) {
       slope.setting = "hollow, virtual time";
       slope.command = command;
-      out.push_back(measured_here(slope));
+      out.push_back(complete_slope(slope));
     }
     return out;
   }
--- a/benchmarks/scale/slopes.cpp
+++ b/benchmarks/scale/slopes.cpp
@@ -21,18 +21,19 @@
 
 using nlohmann::json;
 
-constexpr std::array kForms = {Form::kConstant, Form::kLinear, Form::kLinearithmic, Form::kQuadratic};
+constexpr std::array kForms = {FitForm::kConstant, FitForm::kLinear, FitForm::kLinearithmic,
+                               FitForm::kQuadratic};
 
 // The function f(x) of a form of growth.
-double basis(Form form, double x) {
+double basis(FitForm form, double x) {
   switch (form) {
-    case Form::kConstant:
+    case FitForm::kConstant:
       return 0.0;
-    case Form::kLinear:
+    case FitForm::kLinear:
       return x;
-    case Form::kLinearithmic:
+    case FitForm::kLinearithmic:
       return x > 0.0 ? x * std::log(x) : 0.0;
-    case Form::kQuadratic:
+    case FitForm::kQuadratic:
       return x * x;
   }
   return 0.0;
@@ -61,7 +62,7 @@
   });
 }
 
-Fit least_squares(const Points& points, Form form) {
+Fit least_squares(const Points& points, FitForm form) {
   const double mean_y = mean_of_y(points);
   double basis_mean = 0.0;
   for (const auto& [x, y] : points) {
@@ -79,18 +80,18 @@
   out.form = form;
   out.slope = variance_sum > 0.0 ? covariance_sum / variance_sum : 0.0;
   out.offset = mean_y - out.slope * basis_mean;
-  const double total_squares = sum_of_squared_errors(points, Fit{Form::kConstant, mean_y, 0.0, 0.0});
+  const double total_squares = sum_of_squared_errors(points, Fit{FitForm::kConstant, mean_y, 0.0, 0.0});
   out.r_squared = total_squares > 0.0 ? 1.0 - sum_of_squared_errors(points, out) / total_squares : 1.0;
   return out;
 }
 
-Form read_form(const std::string& text, const std::string& name) {
-  for (const Form form : kForms) {
+FitForm read_form(const std::string& text, const std::string& name) {
+  for (const FitForm form : kForms) {
     if (text == to_string(form)) {
       return form;
     }
   }
-  throw BadSlopes(name + ": form: '" + text + "' is none that is known");
+  throw InvalidSlopes(name + ": form: unknown value '" + text + "'");
 }
 
 // Reads the field `key` of an entry; `name` identifies the entry in error messages.
@@ -98,12 +99,12 @@
 Value field(const json& entry, const std::string& name, const char* key) {
   const auto found = entry.find(key);
   if (found == entry.end()) {
-    throw BadSlopes(name + ": " + key + " is missing");
+    throw InvalidSlopes(name + ": " + key + " is missing");
   }
   try {
     return found->get<Value>();
   } catch (const json::exception&) {
-    throw BadSlopes(name + ": " + key + " is of the wrong type");
+    throw InvalidSlopes(name + ": " + key + " is of the wrong type");
   }
 }
 
@@ -131,7 +132,7 @@
 
 Slope read_slope(const json& entry) {
   if (!entry.is_object()) {
-    throw BadSlopes("an entry is not an object");
+    throw InvalidSlopes("an entry is not an object");
   }
   Slope out;
   out.name = field<std::string>(entry, "an entry", "name");
@@ -150,10 +151,10 @@
   out.commit = field<std::string>(entry, out.name, "commit");
   out.machine = field<std::string>(entry, out.name, "machine");
   if (out.points.empty()) {
-    throw BadSlopes(out.name + ": points: there is none");
+    throw InvalidSlopes(out.name + ": points: empty");
   }
   if (std::find(std::begin(kSettings), std::end(kSettings), out.setting) == std::end(kSettings)) {
-    throw BadSlopes(out.name + ": setting: '" + out.setting + "' is none that is known");
+    throw InvalidSlopes(out.name + ": setting: unknown value '" + out.setting + "'");
   }
   return out;
 }
@@ -190,15 +191,15 @@
 
 }  // namespace
 
-const char* to_string(Form form) {
+const char* to_string(FitForm form) {
   switch (form) {
-    case Form::kConstant:
+    case FitForm::kConstant:
       return "constant";
-    case Form::kLinear:
+    case FitForm::kLinear:
       return "linear";
-    case Form::kLinearithmic:
+    case FitForm::kLinearithmic:
       return "n log n";
-    case Form::kQuadratic:
+    case FitForm::kQuadratic:
       return "quadratic";
   }
   return "";
@@ -209,18 +210,18 @@
     throw std::invalid_argument("no points to fit");
   }
   const double mean = mean_of_y(points);
-  const Fit constant{Form::kConstant, mean, 0.0, 0.0};
+  const Fit constant{FitForm::kConstant, mean, 0.0, 0.0};
   if (is_constant(points, mean)) {
     double squares = 0.0;
     for (const auto& [x, y] : points) {
       squares += y * y;
     }
     // R squared is taken relative to 0 here: relative to the mean, a constant fit of noise always gets 0.
-    return {Form::kConstant, mean, 0.0,
+    return {FitForm::kConstant, mean, 0.0,
             squares > 0.0 ? 1.0 - sum_of_squared_errors(points, constant) / squares : 1.0};
   }
   std::vector<Fit> fits = {constant};
-  for (const Form form : {Form::kLinear, Form::kLinearithmic, Form::kQuadratic}) {
+  for (const FitForm form : {FitForm::kLinear, FitForm::kLinearithmic, FitForm::kQuadratic}) {
     fits.push_back(least_squares(points, form));
   }
   const auto less = [](const Fit& a, const Fit& b) { return a.r_squared < b.r_squared; };
@@ -232,7 +233,7 @@
 
 double value_at(const Fit& fit, double x) { return fit.offset + fit.slope * basis(fit.form, x); }
 
-Slope measured_here(Slope slope) {
+Slope complete_slope(Slope slope) {
   std::sort(slope.points.begin(), slope.points.end());
   slope.fit = fit(slope.points);
   slope.bound = slope.points.back().first;
@@ -252,7 +253,7 @@
 
 std::vector<Slope> read_slopes(const json& list) {
   if (!list.is_array()) {
-    throw BadSlopes("the slopes are not an array");
+    throw InvalidSlopes("the slopes are not an array");
   }
   std::vector<Slope> out;
   for (const json& entry : list) {
@@ -269,7 +270,7 @@
   try {
     return read_slopes(json::parse(in));
   } catch (const json::exception& error) {
-    throw BadSlopes(path + ": " + error.what());
+    throw InvalidSlopes(path + ": " + error.what());
   }
 }
 
--- a/benchmarks/scale/slopes.h
+++ b/benchmarks/scale/slopes.h
@@ -15,15 +15,15 @@
 namespace trailcourse::scale {
 
 // Forms of growth: y = offset + slope * f(x), where f(x) is 0, x, x * ln(x) or x^2.
-enum class Form { kConstant, kLinear, kLinearithmic, kQuadratic };
-const char* to_string(Form form);
+enum class FitForm { kConstant, kLinear, kLinearithmic, kQuadratic };
+const char* to_string(FitForm form);
 
 // Points (x, y): x is the size, y the value measured at that size.
 using Points = std::vector<std::pair<double, double>>;
 
 // The growth fitted to a set of points.
 struct Fit {
-  Form form = Form::kConstant;
+  FitForm form = FitForm::kConstant;
   double offset = 0.0;
   double slope = 0.0;
   double r_squared = 0.0;  // coefficient of determination; 1 is an exact fit
@@ -62,26 +62,26 @@
                                           "hollow, virtual time", "in process"};
 
 // Thrown for an invalid list of slopes; the message names the entry and the field.
-class BadSlopes : public std::runtime_error {
+class InvalidSlopes : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
 // Completes a slope that was measured on this machine: sorts its points and sets its fit, bound, date, commit
 // and machine. The caller sets the other fields. Throws std::invalid_argument if there are no points.
-Slope measured_here(Slope slope);
+Slope complete_slope(Slope slope);
 
 // Converts slopes to a JSON array.
 nlohmann::json write_slopes(const std::vector<Slope>& slopes);
-// Converts a JSON array to slopes. Throws BadSlopes if it is invalid.
+// Converts a JSON array to slopes. Throws InvalidSlopes if it is invalid.
 std::vector<Slope> read_slopes(const nlohmann::json& list);
 // Reads the slopes from a file. Returns no slopes if the file does not exist or cannot be opened. Throws
-// BadSlopes for invalid content.
+// InvalidSlopes for invalid content.
 std::vector<Slope> load_slopes(const std::string& path);
 // Returns all slopes of both lists, sorted by name. A slope in `fresh` replaces one of the same name in
 // `old`.
 std::vector<Slope> merge_slopes(const std::vector<Slope>& old, const std::vector<Slope>& fresh);
-// Merges `fresh` into the file, which is replaced atomically. Throws BadSlopes if the existing file is
+// Merges `fresh` into the file, which is replaced atomically. Throws InvalidSlopes if the existing file is
 // invalid, std::runtime_error if the new one cannot be written.
 void save_slopes(const std::string& path, const std::vector<Slope>& fresh);
 
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -29,19 +29,19 @@
 
 TEST(SlopesTest, FitFindsTheFormOfThePoints) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    EXPECT_EQ(fit(points_of([](double) { return 70.0; }, 0.04, seed)).form, Form::kConstant);
+    EXPECT_EQ(fit(points_of([](double) { return 70.0; }, 0.04, seed)).form, FitForm::kConstant);
     const Fit line = fit(points_of([](double x) { return 100.0 + 3.0 * x; }, 0.01, seed));
-    EXPECT_EQ(line.form, Form::kLinear);
+    EXPECT_EQ(line.form, FitForm::kLinear);
     EXPECT_NEAR(line.slope, 3.0, 0.15);
     EXPECT_GT(line.r_squared, 0.99);
     const Fit square = fit(points_of([](double x) { return 5.0 + 0.02 * x * x; }, 0.01, seed));
-    EXPECT_EQ(square.form, Form::kQuadratic);
+    EXPECT_EQ(square.form, FitForm::kQuadratic);
     EXPECT_NEAR(value_at(square, 38'000.0), 0.02 * 38'000.0 * 38'000.0, 2e6);
   }
   const Points logarithmic = {{10, 10 * std::log(10.0)}, {20, 20 * std::log(20.0)}, {1'000, 6'907.755}};
   const Fit any = fit(logarithmic);
-  EXPECT_EQ(any.form, Form::kLinear) << "the simplest form whose fit is within 0.01 of the best";
-  EXPECT_EQ(fit({{100, 7.0}}).form, Form::kConstant);
+  EXPECT_EQ(any.form, FitForm::kLinear) << "the simplest form whose fit is within 0.01 of the best";
+  EXPECT_EQ(fit({{100, 7.0}}).form, FitForm::kConstant);
   EXPECT_EQ(fit({{100, 0.0}, {200, 0.0}}).r_squared, 1.0);
   EXPECT_THROW(fit({}), std::invalid_argument);
 }
@@ -55,7 +55,7 @@
   out.points = {{200, 2 * y}, {100, y}};
   out.setting = "hollow, virtual time";
   out.command = "scale_bench";
-  return measured_here(out);
+  return complete_slope(out);
 }
 
 TEST(SlopesTest, SaveMergesSlopesByName) {
@@ -69,7 +69,7 @@
   EXPECT_EQ(read[1].name, "b");
   EXPECT_EQ(read[2].points, (Points{{100, 3.0}, {200, 6.0}}));
   EXPECT_EQ(read[2].bound, 200.0);
-  EXPECT_EQ(read[2].fit.form, Form::kLinear);
+  EXPECT_EQ(read[2].fit.form, FitForm::kLinear);
   EXPECT_EQ(write_slopes(read_slopes(write_slopes(read))), write_slopes(read));
   std::filesystem::remove(path);
 }
@@ -80,17 +80,17 @@
     list[0][key] = value;
     try {
       read_slopes(list);
-    } catch (const BadSlopes& error) {
+    } catch (const InvalidSlopes& error) {
       return error.what();
     }
     return "";
   };
   EXPECT_EQ(error_for("unit", "bytes"), "");
-  EXPECT_EQ(error_for("form", "cubic"), "one: form: 'cubic' is none that is known");
+  EXPECT_EQ(error_for("form", "cubic"), "one: form: unknown value 'cubic'");
   EXPECT_EQ(error_for("slope", "steep"), "one: slope is of the wrong type");
-  EXPECT_EQ(error_for("points", nlohmann::json::array()), "one: points: there is none");
+  EXPECT_EQ(error_for("points", nlohmann::json::array()), "one: points: empty");
   EXPECT_NE(error_for("setting", "guessed"), "");
-  EXPECT_THROW(load_slopes("/dev/null"), BadSlopes) << "an existing file must be complete";
+  EXPECT_THROW(load_slopes("/dev/null"), InvalidSlopes) << "an existing file must be complete";
 }
 
 // ---- Fleets in virtual time ----
