--- a/benchmarks/scale/board_costs.cpp
+++ b/benchmarks/scale/board_costs.cpp
@@ -11,7 +11,7 @@
 #include "discovery/event_log.h"
 #include "discovery/long_poll_scheduler.h"
 #include "fleet/port_allocator.h"
-#include "http_peers.h"
+#include "http_clients.h"
 #include "program/discovery_file_server.h"
 #include "role_costs.h"
 #include "sample_fleet.h"
@@ -297,18 +297,18 @@
   for (const int pollers : kPollerCounts) {
     LocalDiscoveryServer server(context.seed);
     const double before = allocated_bytes();
-    PollingPeers peers(server.address(), pollers, 60'000);
+    PollingClients clients(server.address(), pollers, 60'000);
     const auto poller_count = static_cast<std::size_t>(pollers);
     server.run_until_held(poller_count);
     memory.points.emplace_back(pollers, allocated_bytes() - before);
     constexpr int kRounds = 10;
     const double cpu_before = thread_cpu_us();
-    const std::uint64_t bytes_before = peers.counts().bytes_in + peers.counts().bytes_out;
+    const std::uint64_t bytes_before = clients.counts().bytes_in + clients.counts().bytes_out;
     for (int round = 0; round < kRounds; ++round) {
       server.publish_purge(poller_count);
     }
     cpu.points.emplace_back(pollers, (thread_cpu_us() - cpu_before) / kRounds);
-    const std::uint64_t transferred = peers.counts().bytes_in + peers.counts().bytes_out - bytes_before;
+    const std::uint64_t transferred = clients.counts().bytes_in + clients.counts().bytes_out - bytes_before;
     bytes.points.emplace_back(pollers, static_cast<double>(transferred) / kRounds);
   }
   for (const CostSeries& series : {memory, cpu, bytes}) {
@@ -332,17 +332,17 @@
                    {}};
   for (const int pollers : kPollerCounts) {
     LocalDiscoveryServer server(context.seed);
-    PollingPeers peers(server.address(), pollers, 100);
+    PollingClients clients(server.address(), pollers, 100);
     server.run_for(milliseconds(500));
     const double start_us = wall_us();
     const double cpu_before = thread_cpu_us();
     const std::uint64_t polls_before = server.counts().calls;
-    const std::uint64_t bytes_before = peers.counts().bytes_in + peers.counts().bytes_out;
+    const std::uint64_t bytes_before = clients.counts().bytes_in + clients.counts().bytes_out;
     server.run_for(milliseconds(1'500));
     const double seconds = (wall_us() - start_us) / 1e6;
     const double polls_per_second = static_cast<double>(server.counts().calls - polls_before) / seconds;
     cpu.points.emplace_back(polls_per_second, (thread_cpu_us() - cpu_before) / seconds);
-    const std::uint64_t transferred = peers.counts().bytes_in + peers.counts().bytes_out - bytes_before;
+    const std::uint64_t transferred = clients.counts().bytes_in + clients.counts().bytes_out - bytes_before;
     bytes.points.emplace_back(polls_per_second, static_cast<double>(transferred) / seconds);
   }
   sink(cpu);
--- a/benchmarks/scale/http_peers.cpp
+++ b/benchmarks/scale/http_clients.cpp
@@ -1,4 +1,4 @@
-#include "http_peers.h"
+#include "http_clients.h"
 
 #include <arpa/inet.h>
 #include <sys/epoll.h>
@@ -34,7 +34,7 @@
 }
 
 // Sends all bytes, or stops at an error.
-void send_all(const Descriptor& socket, std::string_view bytes, PeerCounts& counts) {
+void send_all(const Descriptor& socket, std::string_view bytes, ClientCounts& counts) {
   counts.bytes_out += bytes.size();
   while (!bytes.empty()) {
     const ssize_t sent = ::send(socket.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL);
@@ -46,7 +46,7 @@
 }
 
 // Returns the received bytes, at most kReadBytes; empty if there are none or the connection is closed.
-std::string_view receive(const Descriptor& socket, int flags, PeerCounts& counts) {
+std::string_view receive(const Descriptor& socket, int flags, ClientCounts& counts) {
   static thread_local std::array<char, kReadBytes> buffer;
   const ssize_t count = ::recv(socket.get(), buffer.data(), buffer.size(), flags);
   if (count <= 0) {
@@ -86,60 +86,60 @@
 
 // ---- Polls of a discovery server ----
 
-PollingPeers::PollingPeers(const transport::Address& server, int peers, int long_poll_ms)
+PollingClients::PollingClients(const transport::Address& server, int clients, int long_poll_ms)
     : server_(server),
       long_poll_ms_(long_poll_ms),
       epoll_(::epoll_create1(EPOLL_CLOEXEC)),
-      peers_(static_cast<std::size_t>(peers)),
+      clients_(static_cast<std::size_t>(clients)),
       thread_([this] { run(); }) {}
 
-PollingPeers::~PollingPeers() {
+PollingClients::~PollingClients() {
   stopping_ = true;
   thread_.join();
 }
 
-void PollingPeers::run() {
-  for (std::size_t i = 0; i < peers_.size() && !stopping_; ++i) {
-    peers_[i].socket = connect_to(server_);
-    watch_for_input(epoll_, peers_[i].socket, i);
-    send_poll(peers_[i], 0);
+void PollingClients::run() {
+  for (std::size_t i = 0; i < clients_.size() && !stopping_; ++i) {
+    clients_[i].socket = connect_to(server_);
+    watch_for_input(epoll_, clients_[i].socket, i);
+    send_poll(clients_[i], 0);
   }
   while (!stopping_) {
     for (const std::size_t index : wait_for_input(epoll_)) {
-      read_response(peers_[index]);
+      read_response(clients_[index]);
     }
   }
 }
 
-void PollingPeers::send_poll(Peer& peer, std::uint64_t last_event) {
+void PollingClients::send_poll(Client& client, std::uint64_t last_event) {
   const std::string request = protocol::http::write_get(protocol::poll_path(last_event, long_poll_ms_),
                                                         transport::to_string(server_));
-  send_all(peer.socket, request, counts_);
+  send_all(client.socket, request, counts_);
 }
 
-void PollingPeers::read_response(Peer& peer) {
-  peer.parser.feed(receive(peer.socket, MSG_DONTWAIT, counts_));
-  if (const auto response = peer.parser.take()) {
+void PollingClients::read_response(Client& client) {
+  client.parser.feed(receive(client.socket, MSG_DONTWAIT, counts_));
+  if (const auto response = client.parser.take()) {
     ++counts_.answers;
-    send_poll(peer, last_event_of(response->body));
+    send_poll(client, last_event_of(response->body));
   }
 }
 
 // ---- Watches of a store ----
 
-ListeningPeers::ListeningPeers(const transport::Address& server, int peers, std::string request)
+WatchingClients::WatchingClients(const transport::Address& server, int clients, std::string request)
     : server_(server),
       request_(std::move(request)),
       epoll_(::epoll_create1(EPOLL_CLOEXEC)),
-      sockets_(static_cast<std::size_t>(peers)),
+      sockets_(static_cast<std::size_t>(clients)),
       thread_([this] { run(); }) {}
 
-ListeningPeers::~ListeningPeers() {
+WatchingClients::~WatchingClients() {
   stopping_ = true;
   thread_.join();
 }
 
-void ListeningPeers::run() {
+void WatchingClients::run() {
   for (std::size_t i = 0; i < sockets_.size() && !stopping_; ++i) {
     sockets_[i] = connect_to(server_);
     watch_for_input(epoll_, sockets_[i], i);
@@ -154,12 +154,12 @@
 
 // ---- Sequential calls ----
 
-CallingPeer::CallingPeer(const transport::Address& server, std::string request, int calls)
+CallingClient::CallingClient(const transport::Address& server, std::string request, int calls)
     : request_(std::move(request)), thread_([this, server, calls] { run(server, calls); }) {}
 
-CallingPeer::~CallingPeer() { thread_.join(); }
+CallingClient::~CallingClient() { thread_.join(); }
 
-void CallingPeer::run(const transport::Address& server, int calls) {
+void CallingClient::run(const transport::Address& server, int calls) {
   const Descriptor socket = connect_to(server);
   protocol::http::ResponseParser parser{protocol::http::Bounds()};
   for (int i = 0; i < calls; ++i) {
--- a/benchmarks/scale/http_peers.h
+++ b/benchmarks/scale/http_clients.h
@@ -17,51 +17,51 @@
 namespace trailcourse::scale {
 
 // Traffic of all clients so far. Bytes include the headers of HTTP but not those of TCP and IP.
-struct PeerCounts {
-  std::atomic<std::uint64_t> answers{0};  // responses; of ListeningPeers: reads that returned data
+struct ClientCounts {
+  std::atomic<std::uint64_t> answers{0};  // responses; of WatchingClients: reads that returned data
   std::atomic<std::uint64_t> bytes_out{0};
   std::atomic<std::uint64_t> bytes_in{0};
 };
 
 // Clients that poll a discovery server continuously. Each requests the events after its last page.
-class PollingPeers {
+class PollingClients {
  public:
   // The server may hold each poll for up to `long_poll_ms`.
-  PollingPeers(const transport::Address& server, int peers, int long_poll_ms);
-  ~PollingPeers();
-  PollingPeers(const PollingPeers&) = delete;
-  PollingPeers& operator=(const PollingPeers&) = delete;
+  PollingClients(const transport::Address& server, int clients, int long_poll_ms);
+  ~PollingClients();
+  PollingClients(const PollingClients&) = delete;
+  PollingClients& operator=(const PollingClients&) = delete;
 
-  const PeerCounts& counts() const { return counts_; }
+  const ClientCounts& counts() const { return counts_; }
 
  private:
-  struct Peer {
+  struct Client {
     transport::Descriptor socket;
     protocol::http::ResponseParser parser{protocol::http::Bounds()};
   };
 
   void run();
-  void send_poll(Peer& peer, std::uint64_t last_event);
-  void read_response(Peer& peer);
+  void send_poll(Client& client, std::uint64_t last_event);
+  void read_response(Client& client);
 
   transport::Address server_;
   int long_poll_ms_;
   transport::Descriptor epoll_;
-  std::vector<Peer> peers_;
-  PeerCounts counts_;
+  std::vector<Client> clients_;
+  ClientCounts counts_;
   std::atomic<bool> stopping_{false};
   std::thread thread_;
 };
 
 // Clients that send one request each and then read the streamed response, as the watches of a store do.
-class ListeningPeers {
+class WatchingClients {
  public:
-  ListeningPeers(const transport::Address& server, int peers, std::string request);
-  ~ListeningPeers();
-  ListeningPeers(const ListeningPeers&) = delete;
-  ListeningPeers& operator=(const ListeningPeers&) = delete;
+  WatchingClients(const transport::Address& server, int clients, std::string request);
+  ~WatchingClients();
+  WatchingClients(const WatchingClients&) = delete;
+  WatchingClients& operator=(const WatchingClients&) = delete;
 
-  const PeerCounts& counts() const { return counts_; }
+  const ClientCounts& counts() const { return counts_; }
 
  private:
   void run();
@@ -70,29 +70,29 @@
   std::string request_;
   transport::Descriptor epoll_;
   std::vector<transport::Descriptor> sockets_;
-  PeerCounts counts_;
+  ClientCounts counts_;
   std::atomic<bool> stopping_{false};
   std::thread thread_;
 };
 
 // One client that makes the same call `calls` times, one after the other.
-class CallingPeer {
+class CallingClient {
  public:
-  CallingPeer(const transport::Address& server, std::string request, int calls);
-  ~CallingPeer();
-  CallingPeer(const CallingPeer&) = delete;
-  CallingPeer& operator=(const CallingPeer&) = delete;
+  CallingClient(const transport::Address& server, std::string request, int calls);
+  ~CallingClient();
+  CallingClient(const CallingClient&) = delete;
+  CallingClient& operator=(const CallingClient&) = delete;
 
   // Whether all calls were answered or the server has closed the connection.
   bool done() const { return done_; }
   // `answers` counts the responses with status 200.
-  const PeerCounts& counts() const { return counts_; }
+  const ClientCounts& counts() const { return counts_; }
 
  private:
   void run(const transport::Address& server, int calls);
 
   std::string request_;
-  PeerCounts counts_;
+  ClientCounts counts_;
   std::atomic<bool> done_{false};
   std::thread thread_;
 };
--- a/benchmarks/scale/slopes.h
+++ b/benchmarks/scale/slopes.h
@@ -56,8 +56,8 @@
   std::string machine;  // such as "8 cores, 24 GiB"
 };
 
-// Ways to run a measurement: the allowed values of Slope::setting. In the "hollow" ones, simplified peers
-// replace the real clients or routers.
+// Ways to run a measurement: the allowed values of Slope::setting. In the "hollow" ones, simplified
+// implementations replace the real clients or routers.
 constexpr std::string_view kSettings[] = {"real processes", "hollow, loopback sockets",
                                           "hollow, virtual time", "in process"};
 
--- a/benchmarks/scale/store_costs.cpp
+++ b/benchmarks/scale/store_costs.cpp
@@ -12,7 +12,7 @@
 #include "coordination/etcd_responses.h"
 #include "coordination/key_value_database.h"
 #include "fleet/port_allocator.h"
-#include "http_peers.h"
+#include "http_clients.h"
 #include "policy/participant_report.h"
 #include "role_costs.h"
 #include "transport/scheduler.h"
@@ -301,9 +301,9 @@
   double minimum = 0.0;
   for (int round = 0; round < kRounds; ++round) {
     const double before = thread_cpu_us();
-    CallingPeer peer(server.address(), request, calls);
-    server.run_until([&] { return peer.done(); });
-    const double mean = (thread_cpu_us() - before) / static_cast<double>(peer.counts().answers);
+    CallingClient client(server.address(), request, calls);
+    server.run_until([&] { return client.done(); });
+    const double mean = (thread_cpu_us() - before) / static_cast<double>(client.counts().answers);
     minimum = round == 0 ? mean : std::min(minimum, mean);
   }
   return minimum;
@@ -327,10 +327,10 @@
     LocalCoordinationServer server(folder);
     const double before = allocated_bytes();
     const coordination::Range watched_range{std::string(kPrefix) + "policy/", true};
-    ListeningPeers peers(
+    WatchingClients clients(
         server.address(), watches,
         post_request(server.address(), etcd::kWatchPath, etcd::write_watch_request({watched_range, 0})));
-    server.run_until([&] { return peers.counts().answers >= static_cast<std::uint64_t>(watches); });
+    server.run_until([&] { return clients.counts().answers >= static_cast<std::uint64_t>(watches); });
     memory.points.emplace_back(watches, allocated_bytes() - before);
     Transaction change;
     change.then = {Put{std::string(kPrefix) + policy::kRolloutKey, std::string(200, 'x'), 0}};
