--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -14,7 +14,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "routing/module_clock.h"
+#include "routing/decider_clock.h"
 #include "transport/scheduler.h"
 
 namespace trailcourse::routing {
