--- a/src/decision/keep_rank.cpp
+++ b/src/decision/keep_rank.cpp
@@ -31,7 +31,7 @@
   const double value = score(request);
   const int wanted = value < kTopThreshold ? kTopRank : value < kMiddleThreshold ? kMiddleRank : kLowestRank;
   const double size_kb = std::max(1.0, request.arrival.size_kb);
-  const bool top = top_bytes_.add(size_kb, wanted == kTopRank, kTopShare, kByteDecay);
+  const bool top = top_rank_kb_.add(size_kb, wanted == kTopRank, kTopShare, kByteDecay);
   return top ? kTopRank : std::min<int>(wanted, kMiddleRank);
 }
 
--- a/src/decision/keep_rank.h
+++ b/src/decision/keep_rank.h
@@ -1,7 +1,8 @@
 // The keep rank of a request: the Criteria Weighted score V = alpha/f + beta*s/smax + mu*r/rmax + nu*t/tmax,
 // mapped to the three ranks with which caches store a copy. f is the request count, s the size, r the number
 // of known holders among the rmax parents, and t the idle time. smax is the largest size requested so far;
-// tmax is the lifetime of the class, or a default.
+// tmax is the lifetime of the class, or a default. The weights alpha, beta, mu and nu are kRarityWeight,
+// kSizeWeight, kHolderWeight and kIdleWeight.
 #pragma once
 
 #include <cstddef>
@@ -30,8 +31,8 @@
 
   const DecisionContext& context_;
   ObjectTable& objects_;
-  double largest_kb_ = 0.0;  // smax
-  BoundedShare top_bytes_;   // kilobytes of all ranked requests, and of those with the top rank
+  double largest_kb_ = 0.0;   // the largest object size requested so far, in kilobytes
+  BoundedShare top_rank_kb_;  // kilobytes of all ranked requests, and of those with the top rank
 };
 
 }  // namespace trailcourse
--- a/src/store/eviction_set.h
+++ b/src/store/eviction_set.h
@@ -23,11 +23,12 @@
 constexpr int kRanks = 4;    // 0 (not stored) to 3 (top)
 using Tick = std::uint32_t;  // tenths of a second
 
-// The weights of the paper's replacement value; the entry with the largest value is evicted first.
+// The weights of the paper's replacement value; the entry with the largest value is evicted first. The paper
+// calls the weights alpha, beta and nu. Its term for replicas is omitted: a node knows of no replicas.
 struct EvictionWeights {
-  double frequency = 1.0;  // alpha
-  double size = 0.9;       // beta
-  double idle = 0.6;       // nu; the paper's term for replicas is omitted: a node knows of no replicas
+  double frequency = 1.0;  // of 1 / use count
+  double size = 0.9;       // of the size divided by the largest size in the sample
+  double idle = 0.6;       // of the idle time divided by the longest idle time in the sample
   Tick half_life = 600;    // a use count is halved once per half_life without use
   int sample_size = 16;    // entries compared to choose one victim
 };
