--- a/src/store/index.h
+++ b/src/store/index.h
@@ -34,10 +34,10 @@
   std::uint64_t copy = 0;  // copy_id()
   SegmentId segment = 0;
   std::uint32_t offset = 0;
-  std::uint32_t stored = 0;  // bytes of the complete record; 0: the row is damaged
-  std::uint32_t parts = 0;   // of a manifest
-  std::uint16_t group = 0;   // the purge group plus 1; 0: unknown
-  std::uint8_t kind = 0;     // RecordKind
+  std::uint32_t stored = 0;          // bytes of the complete record; 0: the row is damaged
+  std::uint32_t parts = 0;           // of a manifest
+  std::uint16_t group_plus_one = 0;  // 0: the purge group is unknown
+  std::uint8_t kind = 0;             // RecordKind
 
   friend bool operator==(const Location&, const Location&) = default;
 };
--- a/src/store/sqlite_index.cpp
+++ b/src/store/sqlite_index.cpp
@@ -71,7 +71,7 @@
   put(out, at, location.offset);
   put(out, at, location.stored);
   put(out, at, location.parts);
-  put(out, at, location.group);
+  put(out, at, location.group_plus_one);
   put(out, at, location.kind);
   put(out, at, row.rank);
   put(out, at, row.uses);
@@ -92,7 +92,7 @@
   get(bytes, at, location.offset);
   get(bytes, at, location.stored);
   get(bytes, at, location.parts);
-  get(bytes, at, location.group);
+  get(bytes, at, location.group_plus_one);
   get(bytes, at, location.kind);
   get(bytes, at, row.rank);
   get(bytes, at, row.uses);
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -219,7 +219,7 @@
         location.stored = static_cast<std::uint32_t>(stored);
         location.parts =
             record.kind == RecordKind::kManifest ? part_count(record.total_bytes, record.part_bytes) : 0;
-        location.group = static_cast<std::uint16_t>(record.group + 1);
+        location.group_plus_one = static_cast<std::uint16_t>(record.group + 1);
         location.kind = static_cast<std::uint8_t>(record.kind);
         result.rows.push_back(written);
         batch.index.put.push_back(written.row);
@@ -649,7 +649,7 @@
     return out;
   }
   const Location location = disk_.at(slot).payload;
-  const int group = static_cast<int>(location.group) - 1;
+  const int group = static_cast<int>(location.group_plus_one) - 1;
   if (!purges_.allows(name.object, group, location.origin_time_ms)) {
     ++stats_.purged_lookups;
     erase_disk(slot);
@@ -962,7 +962,8 @@
     }
   }
   const auto slot = disk_.insert(written.row.key, location.stored, written.row.rank, tick(), location);
-  if (!purges_.allows(written.object, static_cast<int>(location.group) - 1, location.origin_time_ms)) {
+  if (!purges_.allows(written.object, static_cast<int>(location.group_plus_one) - 1,
+                      location.origin_time_ms)) {
     erase_disk(slot);
   }
 }
