--- a/tests/fleet/bench_test.cpp
+++ b/tests/fleet/bench_test.cpp
@@ -16,6 +16,7 @@
 
 #include "fleet/fleet_fixture.h"
 #include "fleet/process.h"
+#include "fleet_bench.h"
 
 namespace trailcourse::testing_support {
 namespace {
@@ -24,6 +25,8 @@
 using Steady = std::chrono::steady_clock;
 
 constexpr int kRowMissing = 3;
+// The benchmark waits up to kAwaitTimeout for one event, for instance a metrics line of a suspended store.
+constexpr std::chrono::milliseconds kBenchTimeout = bench::kAwaitTimeout + kTestTimeout;
 
 struct Child {
   pid_t pid;
@@ -71,8 +74,8 @@
 }
 
 template <typename Done>
-bool await(Done done) {
-  const auto until = Steady::now() + kTestTimeout;
+bool await(Done done, std::chrono::milliseconds timeout = kTestTimeout) {
+  const auto until = Steady::now() + timeout;
   while (!done() && Steady::now() < until) {
     std::this_thread::yield();
   }
@@ -105,7 +108,7 @@
     return found == children.end() ? 0 : found->pid;
   }
   void expect_missing_row(Process& bench, const std::vector<Child>& children) const {
-    ASSERT_TRUE(await([&] { return !bench.alive(); })) << bench.log();
+    ASSERT_TRUE(await([&] { return !bench.alive(); }, kBenchTimeout)) << bench.log();
     EXPECT_FALSE(bench.poll()->by_signal) << bench.log();
     EXPECT_EQ(bench.poll()->status, kRowMissing) << bench.log();
     EXPECT_NE(bench.log().find("not measured: "), std::string::npos) << bench.log();
