--- a/src/program/configuration.cpp
+++ b/src/program/configuration.cpp
@@ -15,6 +15,7 @@
 namespace trailcourse::program {
 
 using nlohmann::json;
+using protocol::read_deployment_settings;
 using std::chrono::milliseconds;
 
 namespace {
@@ -382,7 +383,7 @@
     fail("settings", "missing");
   }
   out.deployment =
-      with_error_key("settings", [&] { return protocol::read_deployment_settings(source.at("settings")); });
+      with_error_key("settings", [&] { return read_deployment_settings(source.at("settings")); });
   if (out.deployment.settings.classes.empty()) {
     fail("settings.Classes", "missing");
   }
