--- a/src/program/configuration.cpp
+++ b/src/program/configuration.cpp
@@ -15,7 +15,6 @@
 namespace trailcourse::program {
 
 using nlohmann::json;
-using protocol::read_deployment_settings;
 using std::chrono::milliseconds;
 
 namespace {
@@ -84,6 +83,14 @@
   return *seed;
 }
 
+// Returns the text of all keys whose change needs a restart.
+std::string restart_keys_of(json source) {
+  for (const char* key : {"board", "known", "seed"}) {
+    source.erase(key);
+  }
+  return source.dump();
+}
+
 // Applies the section `router` of the operator's file, then that of the configuration file, then the options
 // of the command line. Later values override earlier ones.
 void read_tuning(const json& source, const Sources& sources, Tuning& tuning) {
@@ -371,11 +378,7 @@
 
   out.discovery_address = parse_address("board", string_or_empty(source, "board"));
   out.seed = read_seed(source);
-  json restart_keys = source;
-  for (const char* key : {"board", "known", "seed"}) {
-    restart_keys.erase(key);
-  }
-  out.restart_keys = restart_keys.dump();
+  out.restart_keys = restart_keys_of(source);
   read_limits(source, out);
   with_error_key("router", [&] { read_tuning(source, sources, out.tuning); });
   out.start = with_error_key("--operator", [&] { return read_start_sections(sources); });
@@ -383,7 +386,7 @@
     fail("settings", "missing");
   }
   out.deployment =
-      with_error_key("settings", [&] { return read_deployment_settings(source.at("settings")); });
+      with_error_key("settings", [&] { return protocol::read_deployment_settings(source.at("settings")); });
   if (out.deployment.settings.classes.empty()) {
     fail("settings.Classes", "missing");
   }
