--- a/benchmarks/scale/board_costs.cpp
+++ b/benchmarks/scale/board_costs.cpp
@@ -12,6 +12,7 @@
 #include "discovery/long_poll_scheduler.h"
 #include "fleet/port_allocator.h"
 #include "http_clients.h"
+#include "planned_fleet.h"
 #include "program/discovery_file_server.h"
 #include "role_costs.h"
 #include "sample_fleet.h"
@@ -29,7 +30,6 @@
 constexpr std::array<int, 4> kEventCounts{100, 500, 2'000, 4'000};
 constexpr std::array<int, 4> kFileEventCounts{100, 300, 1'000, 3'000};
 constexpr std::array<int, 4> kCacheCounts{40, 500, 2'100, 8'400};
-constexpr int kZones = 203;
 constexpr std::uint64_t kLastSequence = 7;  // sequence number of the last event, known to all clients
 
 discovery::LongPollOptions long_poll_options() {
@@ -153,7 +153,7 @@
                    "in process",
                    {}};
   for (const int caches : kCacheCounts) {
-    const json page = list_page(caches, kZones);
+    const json page = list_page(caches, kPlannedZones);
     discovery::EventLog log;
     cpu.points.emplace_back(caches, cpu_us_per_call(5, [&] {
                               log.replace(page);
@@ -161,7 +161,7 @@
                             }));
   }
   for (const int caches : {1, 10, 40, 100}) {
-    json update = list_page(caches, kZones);
+    json update = list_page(caches, kPlannedZones);
     json& pool = update["notices"][0]["pool"];
     pool["snapshot"] = false;
     pool["endpoints"].erase(0);  // remove the origin
--- a/benchmarks/scale/control_costs.cpp
+++ b/benchmarks/scale/control_costs.cpp
@@ -12,6 +12,7 @@
 #include "coordination/key_value_state.h"
 #include "membership/membership_view.h"
 #include "ownership/lease_manager.h"
+#include "planned_fleet.h"
 #include "policy/options.h"
 #include "policy/rollout_coordinator.h"
 #include "role_costs.h"
@@ -22,10 +23,9 @@
 constexpr std::array<int, 7> kReportCounts{30, 100, 203, 1'000, 3'000, 10'000, 19'000};
 constexpr std::array<int, 5> kMemberCounts{100, 300, 1'000, 3'000, 19'000};
 constexpr const char* kPrefix = "trailcourse/";
-constexpr int kZones = 203;
 
 std::string router_name(int index) { return "router-" + std::to_string(10'000 + index); }
-std::string zone_name(int index) { return "zone" + std::to_string(index % kZones); }
+std::string zone_name(int index) { return "zone" + std::to_string(index % kPlannedZones); }
 
 // ---- Coordinator of a policy rollout ----
 
--- a/benchmarks/scale/fleet_model.cpp
+++ b/benchmarks/scale/fleet_model.cpp
@@ -5,16 +5,12 @@
 #include <utility>
 
 #include "policy/options.h"
+#include "scale/planned_fleet.h"
 
 namespace trailcourse::scale {
 
 namespace {
 
-// The planned fleet.
-constexpr double kPlannedRouters = 19'000.0;
-constexpr double kPlannedRegions = 53.0;
-constexpr double kPlannedZones = 203.0;
-
 constexpr Micros kCheckInterval{1'000};         // between two checks of a condition
 constexpr Micros kSettleCheckInterval{50'000};  // longer, because settled() examines all routers
 constexpr int kMaxDescribed = 5;                // limit of the routers in a description
@@ -22,7 +18,8 @@
 }  // namespace
 
 int default_region_count(int routers) {
-  return std::max(2, static_cast<int>(std::lround(routers * kPlannedRegions / kPlannedRouters)));
+  return std::max(
+      2, static_cast<int>(std::lround(static_cast<double>(routers) * kPlannedRegions / kPlannedRouters)));
 }
 
 FleetModelOptions fleet_model_options(int routers, bool flat, std::uint64_t seed) {
@@ -108,7 +105,8 @@
 
 FleetModel::FleetModel(const FleetModelOptions& options) : options_(options) {
   options_.regions = options_.regions > 0 ? options_.regions : default_region_count(options_.routers);
-  const auto zones = static_cast<int>(std::lround(options_.regions * kPlannedZones / kPlannedRegions));
+  const auto zones =
+      static_cast<int>(std::lround(static_cast<double>(options_.regions) * kPlannedZones / kPlannedRegions));
   options_.zones = options_.zones > 0 ? options_.zones : zones;
   simulation_ = std::make_unique<Simulation>(options_.seed, options_.network, options_.costs);
   for (int i = 0; i < options_.regions; ++i) {
--- a/benchmarks/scale/policy_costs.cpp
+++ b/benchmarks/scale/policy_costs.cpp
@@ -8,6 +8,7 @@
 #include <vector>
 
 #include "ownership/lease.h"
+#include "planned_fleet.h"
 #include "policy/document.h"
 #include "policy/options.h"
 #include "policy/participant.h"
@@ -18,7 +19,6 @@
 
 constexpr std::array<int, 4> kClassCounts{3, 10, 30, 60};
 constexpr std::array<int, 4> kParticipantCounts{100, 300, 1'000, 3'000};
-constexpr int kZones = 203;
 
 policy::PolicyDocument document_of(int classes) {
   policy::PolicyDocument out;
@@ -61,7 +61,7 @@
   }
 }
 
-std::string zone_of(int index) { return "zone" + std::to_string(index % kZones); }
+std::string zone_of(int index) { return "zone" + std::to_string(index % kPlannedZones); }
 
 // Returns a participant that holds its policy lease, with policy version 7 in force.
 std::unique_ptr<policy::Participant> joined_participant(int index, Micros now) {
--- a/benchmarks/scale/router_costs.cpp
+++ b/benchmarks/scale/router_costs.cpp
@@ -7,6 +7,7 @@
 #include <variant>
 
 #include "discovery/event_log.h"
+#include "planned_fleet.h"
 #include "protocol/discovery_page.h"
 #include "role_costs.h"
 #include "routing/discovery_update_handler.h"
@@ -19,8 +20,6 @@
 
 constexpr std::array<int, 5> kCacheCounts{40, 500, 2'100, 4'200, 8'400};
 constexpr std::array<int, 6> kLocalCacheCounts{5, 10, 40, 100, 400, 1'600};  // caches in the router's zone
-constexpr int kRouters = 19'000;
-constexpr int kZones = 203;
 
 // The part of a router that applies the pages of the discovery service, with the router's decision module.
 class PageApplier {
@@ -101,9 +100,9 @@
                     "in process",
                     {}};
   const protocol::DeploymentSettings profile =
-      protocol::read_deployment_settings(router_settings(kRouters, kZones));
+      protocol::read_deployment_settings(router_settings(kPlannedRouters, kPlannedZones));
   for (const int caches : kCacheCounts) {
-    const std::string text = page_text(list_page(caches, kZones));
+    const std::string text = page_text(list_page(caches, kPlannedZones));
     bytes.points.emplace_back(caches, text.size());
     double minimum = 0.0;
     for (int round = 0; round < 5; ++round) {
@@ -148,9 +147,9 @@
                  "in process",
                  {}};
   const protocol::DeploymentSettings profile =
-      protocol::read_deployment_settings(router_settings(kRouters, kZones));
+      protocol::read_deployment_settings(router_settings(kPlannedRouters, kPlannedZones));
   for (const int caches : kCacheCounts) {
-    const nlohmann::json page = list_page(caches, kZones);
+    const nlohmann::json page = list_page(caches, kPlannedZones);
     PageApplier applier(profile, context.seed);
     applier.apply(page_text(page));
     nlohmann::json entry = page["notices"][0]["pool"]["endpoints"][1];  // the first cache; 0 is the origin
@@ -236,7 +235,7 @@
                            "in process",
                            {}};
   const protocol::DeploymentSettings profile =
-      protocol::read_deployment_settings(router_settings(kRouters, kZones));
+      protocol::read_deployment_settings(router_settings(kPlannedRouters, kPlannedZones));
   for (const int caches : kLocalCacheCounts) {
     RequestProcessor processor(profile, context.seed, complete_list(caches, kSampleZone));
     by_local_caches.points.emplace_back(caches, cpu_us_per_call(2'000, [&] { processor.process_request(); }));
