--- a/benchmarks/fleet_bench.cpp
+++ b/benchmarks/fleet_bench.cpp
@@ -1,12 +1,9 @@
 #include "fleet_bench.h"
 
-#include <unistd.h>
-
 #include <algorithm>
 #include <csignal>
 #include <cstdio>
 #include <cstdlib>
-#include <filesystem>
 #include <fstream>
 #include <sstream>
 #include <utility>
@@ -27,19 +24,6 @@
 
 }  // namespace
 
-TemporaryFolder::TemporaryFolder() {
-  static int count = 0;
-  path_ = std::filesystem::temp_directory_path() /
-          ("ownership-bench-" + std::to_string(::getpid()) + "-" + std::to_string(++count));
-  std::filesystem::remove_all(path_);
-  std::filesystem::create_directories(path_);
-}
-
-TemporaryFolder::~TemporaryFolder() {
-  std::error_code ignored;
-  std::filesystem::remove_all(path_, ignored);
-}
-
 Traffic traffic_between(const Metrics& before, const Metrics& after) {
   const auto increase = [&](const std::string& name) -> std::uint64_t {
     const auto old = before.find(name);
--- a/benchmarks/fleet_bench.h
+++ b/benchmarks/fleet_bench.h
@@ -17,6 +17,7 @@
 #include "fleet/scenario.h"
 #include "program/policy_command.h"
 #include "program/work_command.h"
+#include "temporary_folder.h"
 #include "transport/scheduler.h"
 
 namespace trailcourse::bench {
@@ -30,19 +31,6 @@
   using std::runtime_error::runtime_error;
 };
 
-// A new folder that is removed with its content when the object is destroyed.
-class TemporaryFolder {
- public:
-  TemporaryFolder();
-  ~TemporaryFolder();
-  TemporaryFolder(const TemporaryFolder&) = delete;
-  TemporaryFolder& operator=(const TemporaryFolder&) = delete;
-  const std::string& path() const { return path_; }
-
- private:
-  std::string path_;
-};
-
 // Metrics of one process by name, from the line that it logs on SIGHUP.
 using Metrics = std::map<std::string, std::uint64_t>;
 
@@ -125,7 +113,7 @@
 
   transport::Scheduler scheduler_;
   fleet::PortAllocator ports_;
-  TemporaryFolder folder_;
+  TemporaryFolder folder_{"ownership-bench"};
   std::unique_ptr<fleet::Layout> layout_;
   std::unique_ptr<fleet::Scenario> scenario_;
   bool store_required_ = false;
--- a/benchmarks/scale/role_costs.cpp
+++ b/benchmarks/scale/role_costs.cpp
@@ -10,8 +10,6 @@
 //     unshare -n sh -c 'ip link set lo up; role_costs --only process.idle --write docs/capacity/slopes.json'
 #include "role_costs.h"
 
-#include <unistd.h>
-
 #include <cstdio>
 #include <cxxopts.hpp>
 #include <exception>
@@ -23,6 +21,7 @@
 #include <vector>
 
 #include "scale/slopes.h"
+#include "temporary_folder.h"
 #include "transport/log.h"
 
 namespace trailcourse::scale {
@@ -49,26 +48,6 @@
                                         {"process.purges.relays", measure_purges_by_relays},
                                         {"process.purges.http", measure_purges_http}};
 
-// Temporary folder of this process, removed on destruction.
-class TemporaryFolder {
- public:
-  TemporaryFolder()
-      : path_(std::filesystem::temp_directory_path() / ("role-costs-" + std::to_string(::getpid()))) {
-    std::filesystem::remove_all(path_);
-    std::filesystem::create_directories(path_);
-  }
-  ~TemporaryFolder() {
-    std::error_code ignored;
-    std::filesystem::remove_all(path_, ignored);
-  }
-  TemporaryFolder(const TemporaryFolder&) = delete;
-  TemporaryFolder& operator=(const TemporaryFolder&) = delete;
-  std::string path() const { return path_.string(); }
-
- private:
-  std::filesystem::path path_;
-};
-
 Slope slope_of(const CostSeries& series, const std::string& group_name) {
   Slope out;
   out.name = series.name;
@@ -142,7 +121,7 @@
     return 0;
   }
   transport::set_log_level(transport::Level::kError);
-  const TemporaryFolder folder;
+  const bench::TemporaryFolder folder("role-costs");
   CostContext context;
   context.program = std::filesystem::absolute(parsed["program"].as<std::string>());
   context.folder = folder.path();
