--- a/benchmarks/acknowledgement_measurement.cpp
+++ b/benchmarks/acknowledgement_measurement.cpp
@@ -1,11 +1,10 @@
 #include "acknowledgement_measurement.h"
 
-#include <algorithm>
-#include <cmath>
 #include <csignal>
 #include <cstdio>
 #include <deque>
 
+#include "fleet/figures.h"
 #include "fleet/load_generator.h"
 #include "program/discovery_file_server.h"
 #include "tasks/acknowledgement_task.h"
@@ -38,13 +37,6 @@
   return "an aggregator stopped";
 }
 
-// Returns the quantile `share` (0 to 1) of the values by the nearest-rank method; 0 if there are no values.
-double quantile(std::vector<double> values, double share) {
-  std::sort(values.begin(), values.end());
-  const double rank = std::ceil(share * static_cast<double>(values.size()));
-  return values.empty() ? 0.0 : values[static_cast<std::size_t>(std::max(1.0, rank)) - 1];
-}
-
 // Measures, in one fleet, the time until all routers have acknowledged each purge of a series.
 class AcknowledgementMeasurement {
  public:
@@ -76,8 +68,9 @@
     const Traffic store = traffic_between(store_before, bench_.request_metrics("registry"));
     const Traffic aggregator = busiest_traffic(aggregators_before, bench_.request_aggregator_metrics());
     std::printf("%8zu %-22s %8zu %9.0f %9.0f %9.0f %14.1f %18.1f %16.1f\n", routers_.size(), to_string(fault),
-                times_ms.size(), quantile(times_ms, 0.5), quantile(times_ms, 0.99), quantile(times_ms, 1.0),
-                static_cast<double>(store.calls) / seconds, static_cast<double>(aggregator.calls) / seconds,
+                times_ms.size(), fleet::quantile(times_ms, 0.5), fleet::quantile(times_ms, 0.99),
+                fleet::quantile(times_ms, 1.0), static_cast<double>(store.calls) / seconds,
+                static_cast<double>(aggregator.calls) / seconds,
                 static_cast<double>(aggregator.bytes) / seconds / 1e3);
     std::fflush(stdout);
     bench_.run_for(milliseconds(1'000));
--- a/benchmarks/ownership_bench.cpp
+++ b/benchmarks/ownership_bench.cpp
@@ -33,6 +33,7 @@
 #include "idle_measurement.h"
 #include "ownership/shard_assignment.h"
 #include "policy_measurement.h"
+#include "truncated_quantile.h"
 
 namespace trailcourse {
 namespace {
@@ -50,13 +51,6 @@
 constexpr int kUsageError = 2;
 constexpr int kRowMissing = 3;  // a row could not be measured
 
-// Returns the quantile `share` (0 to 1) of the values; 0 if there are no values.
-double quantile(std::vector<double> values, double share) {
-  std::sort(values.begin(), values.end());
-  const auto index = static_cast<std::size_t>(share * static_cast<double>(values.size()));
-  return values.empty() ? 0.0 : values[std::min(values.size() - 1, index)];
-}
-
 // ---- Takeover by another router ----
 
 constexpr std::int64_t kTakeoverTtlMs = 2'000;
@@ -120,8 +114,9 @@
     times.push_back(measure_one_takeover(bench, fault));
   }
   // The fault comes 0 to 600 ms after a renewal of the lease, which then remains valid for 1,400 to 2,000 ms.
-  std::printf("%-10s %9.0f %9.0f %9.0f %22s\n", fault.c_str(), quantile(times, 0.5), quantile(times, 0.99),
-              *std::max_element(times.begin(), times.end()), fault == "drain" ? "0" : "1400 to 2000");
+  std::printf("%-10s %9.0f %9.0f %9.0f %22s\n", fault.c_str(), bench::truncated_quantile(times, 0.5),
+              bench::truncated_quantile(times, 0.99), *std::max_element(times.begin(), times.end()),
+              fault == "drain" ? "0" : "1400 to 2000");
   const auto regressions = fleet::find_token_regressions("cache0", bench.layout().log_file("cache0"));
   std::printf("           fencing tokens that decreased at the receiver: %zu\n", regressions.size());
   std::fflush(stdout);
--- a/benchmarks/storage_bench.cpp
+++ b/benchmarks/storage_bench.cpp
@@ -34,6 +34,7 @@
 #include <vector>
 
 #include "store/store.h"
+#include "truncated_quantile.h"
 
 namespace trailcourse::store {
 namespace {
@@ -210,13 +211,6 @@
   }
 }
 
-// Returns the quantile `share` (0 to 1) of the values, and sorts them.
-double quantile(std::vector<double>& values, double share) {
-  std::sort(values.begin(), values.end());
-  const auto index = static_cast<std::size_t>(share * static_cast<double>(values.size()));
-  return values[std::min(values.size() - 1, index)];
-}
-
 constexpr std::size_t kReadCopies = 4'000;
 
 // Compares reads of values of one size by the store with reads of the same bytes by pread in the same pool.
@@ -242,10 +236,11 @@
   }
 
   void print() {
-    const double pread_99 = quantile(pread_us_, 0.99);
-    const double store_99 = quantile(store_us_, 0.99);
-    std::printf("| %zu bytes | %.0f, %.0f us | %.0f, %.0f us | %.2f |\n", size_, quantile(pread_us_, 0.5),
-                pread_99, quantile(store_us_, 0.5), store_99, store_99 / pread_99);
+    const double pread_99 = bench::truncated_quantile(pread_us_, 0.99);
+    const double store_99 = bench::truncated_quantile(store_us_, 0.99);
+    std::printf("| %zu bytes | %.0f, %.0f us | %.0f, %.0f us | %.2f |\n", size_,
+                bench::truncated_quantile(pread_us_, 0.5), pread_99,
+                bench::truncated_quantile(store_us_, 0.5), store_99, store_99 / pread_99);
   }
 
  private:
