--- a/benchmarks/fleet_bench.cpp
+++ b/benchmarks/fleet_bench.cpp
@@ -163,7 +163,7 @@
 }
 
 std::size_t FleetBench::permitted_routers() {
-  if (layout_->shape().aggregators <= 0) {
+  if (layout_->spec().aggregators <= 0) {
     const json status = policy_status();
     return status.value("permits", json::array()).size();
   }
@@ -190,7 +190,7 @@
 }
 
 bool FleetBench::until(const std::function<bool()>& done, milliseconds longest) {
-  return fleet().until(
+  return fleet().run_until(
       [&] {
         check_store();
         return done();
--- a/benchmarks/ownership_bench.cpp
+++ b/benchmarks/ownership_bench.cpp
@@ -192,7 +192,7 @@
 }
 
 std::vector<fleet::Fault> drawn_schedule(FleetBench& bench, std::uint64_t seed) {
-  fleet::Draw draw;
+  fleet::RandomScriptOptions draw;
   draw.processes = bench.layout().names(Kind::kRouter);
   draw.processes.push_back("registry");
   draw.processes.push_back("cache0");
@@ -201,8 +201,8 @@
   }
   draw.length_ms = 9'000;
   draw.faults = 8;
-  draw.longest_ms = 3'000;
-  return fleet::draw_script(draw, seed);
+  draw.max_fault_ms = 3'000;
+  return fleet::random_script(draw, seed);
 }
 
 // The script and the logs of all processes.
--- a/benchmarks/policy_measurement.cpp
+++ b/benchmarks/policy_measurement.cpp
@@ -50,7 +50,7 @@
   std::size_t broken = 0;   // decided under an older version after one under a newer
 };
 
-LoadSeen read_load(const std::vector<fleet::Asked>& all, std::size_t first) {
+LoadSeen read_load(const std::vector<fleet::SentRequest>& all, std::size_t first) {
   LoadSeen out;
   std::vector<std::pair<std::int64_t, std::uint64_t>> order;
   for (std::size_t i = first; i < all.size(); ++i) {
@@ -75,7 +75,7 @@
  public:
   PolicyMeasurement(const fleet::FleetSpec& shape, const std::string& program)
       : bench_(shape, program, {}),
-        load_(bench_.scheduler(), fleet::Load::Options{}, 1),
+        load_(bench_.scheduler(), fleet::LoadGenerator::Options{}, 1),
         routers_(bench_.layout().names(Kind::kRouter)) {
     bench_.await("permission of all routers", [this] {
       bench_.run_for(milliseconds(100));
@@ -86,10 +86,10 @@
   // Gives the calls at the store. Throws NotMeasured.
   double print_row(Case which) {
     const std::vector<std::string> living = begin(which);
-    const std::size_t first = load_.all().size();
+    const std::size_t first = load_.requests().size();
     const ChangeCost cost = change(living);
     bench_.until([this] { return load_.open() == 0; }, milliseconds(5'000));
-    const LoadSeen seen = read_load(load_.all(), first);
+    const LoadSeen seen = read_load(load_.requests(), first);
     std::printf("%8zu %-22s %9.0f %12llu %10zu %9zu %9zu %12zu %16llu %14.1f\n", routers_.size(),
                 to_string(which), cost.ms, static_cast<unsigned long long>(cost.store.calls), seen.requests,
                 seen.by_both, seen.refused, seen.broken,
@@ -149,8 +149,8 @@
     bench_.await("the change's end", [&] {
       while (next <= Clock::now()) {
         const std::string& router = living[turn++ % living.size()];
-        load_.ask(router, *transport::parse_address(bench_.layout().member(router).address),
-                  fleet::object_name(turn % 50));
+        load_.send(router, *transport::parse_address(bench_.layout().member(router).address),
+                   fleet::object_name(turn % 50));
         next += kBetweenRequests;
       }
       if (turn % kRequestsBetweenLooks != 0) {
@@ -164,7 +164,7 @@
   }
 
   FleetBench bench_;
-  fleet::Load load_;
+  fleet::LoadGenerator load_;
   std::vector<std::string> routers_;
   double worth_ = 1.0;
 };
--- a/benchmarks/rest_measurement.cpp
+++ b/benchmarks/rest_measurement.cpp
@@ -96,7 +96,7 @@
       report.kind = "report";
       bench_.work(report);
     }
-    if (bench_.layout().shape().policy.empty()) {
+    if (bench_.layout().spec().policy.empty()) {
       return;
     }
     bench_.await("permission of all routers", [this] { return all_permitted(); });
@@ -136,8 +136,9 @@
 
  private:
   static fleet::FleetSpec shape_of(Row row, int routers, const Topology& topology) {
-    fleet::FleetSpec shape = row == Row::kAggregators ? aggregated_shape(routers, topology.regions_for(routers))
-                                                  : flat_shape(routers);
+    fleet::FleetSpec shape = row == Row::kAggregators
+                                 ? aggregated_shape(routers, topology.regions_for(routers))
+                                 : flat_shape(routers);
     shape.registry = row != Row::kWithoutStore;
     shape.sockets = 256;
     if (row == Row::kTasksAndPolicy) {
--- a/benchmarks/scale/board_costs.cpp
+++ b/benchmarks/scale/board_costs.cpp
@@ -220,7 +220,7 @@
       : log_("0123456789abcdef"),
         server_(scheduler_, log_, open_rules(), bounds(), discovery::DiscoveryServer::Handlers(), seed) {
     log_.replace(list_page(40, 4));
-    address_ = ports_.take();
+    address_ = ports_.allocate();
     server_.listen(address_);
   }
 
--- a/benchmarks/scale/process_costs.cpp
+++ b/benchmarks/scale/process_costs.cpp
@@ -92,7 +92,7 @@
     layout_ = std::make_unique<fleet::Layout>(shape_of(kind), folder_, ports_);
     if (kind.relays) {
       for (fleet::Member& member : layout_->members()) {
-        member.relay = member.kind == Kind::kRouter ? ports_.take_text() : "";
+        member.relay = member.kind == Kind::kRouter ? ports_.allocate_text() : "";
       }
       layout_->connect_relays(kRelayDegree);
     }
@@ -116,7 +116,7 @@
 
   int routers() const { return routers_; }
   void run_for(milliseconds time) {
-    scenario_->fleet().until([] { return false; }, time);
+    scenario_->fleet().run_until([] { return false; }, time);
   }
   // Purges put on the board at an even rate.
   void run_with_purges(milliseconds time, int purges_per_s) {
@@ -142,14 +142,14 @@
   double http_bytes_to_routers() const {
     double sum = 0.0;
     for (fleet::FaultProxy* link : scenario_->links()) {
-      sum += static_cast<double>(link->seen().bytes_in);
+      sum += static_cast<double>(link->traffic().bytes_in);
     }
     return sum;
   }
   double http_bytes_from_routers() const {
     double sum = 0.0;
     for (fleet::FaultProxy* link : scenario_->links()) {
-      sum += static_cast<double>(link->seen().bytes_out);
+      sum += static_cast<double>(link->traffic().bytes_out);
     }
     return sum;
   }
@@ -346,8 +346,9 @@
         }
       }
     }
-    load_ = std::make_unique<fleet::Load>(scheduler_, fleet::Load::Options{}, context.seed << 20U);
-    scenario_->fleet().until([] { return false; }, milliseconds(1'000));
+    load_ = std::make_unique<fleet::LoadGenerator>(scheduler_, fleet::LoadGenerator::Options{},
+                                                   context.seed << 20U);
+    scenario_->fleet().run_until([] { return false; }, milliseconds(1'000));
   }
   ~ServingFleet() {
     load_.reset();
@@ -362,19 +363,19 @@
     constexpr std::size_t kAtOnce = 8;
     constexpr std::size_t kObjects = 16;
     const transport::Address router = *transport::parse_address(layout_->member(kRouterName).address);
-    const std::size_t first = load_->all().size();
+    const std::size_t first = load_->requests().size();
     const std::size_t last = first + static_cast<std::size_t>(requests);
-    scenario_->fleet().until(
+    scenario_->fleet().run_until(
         [&] {
-          while (load_->open() < kAtOnce && load_->all().size() < last) {
-            load_->ask(kRouterName, router, fleet::object_name(1 + load_->all().size() % kObjects));
+          while (load_->open() < kAtOnce && load_->requests().size() < last) {
+            load_->send(kRouterName, router, fleet::object_name(1 + load_->requests().size() % kObjects));
           }
           return load_->open() == 0;
         },
         milliseconds(30'000));
     int served = 0;
-    for (std::size_t i = first; i < load_->all().size(); ++i) {
-      served += load_->all()[i].status == 200 ? 1 : 0;
+    for (std::size_t i = first; i < load_->requests().size(); ++i) {
+      served += load_->requests()[i].status == 200 ? 1 : 0;
     }
     return served;
   }
@@ -389,7 +390,7 @@
   fleet::PortAllocator ports_;
   std::unique_ptr<fleet::Layout> layout_;
   std::unique_ptr<fleet::Scenario> scenario_;
-  std::unique_ptr<fleet::Load> load_;
+  std::unique_ptr<fleet::LoadGenerator> load_;
 };
 
 }  // namespace
--- a/benchmarks/scale/store_costs.cpp
+++ b/benchmarks/scale/store_costs.cpp
@@ -253,7 +253,7 @@
 class ServedRegistry {
  public:
   explicit ServedRegistry(const std::string& folder) : registry_(scheduler_, options(folder)) {
-    address_ = ports_.take();
+    address_ = ports_.allocate();
     registry_.listen(address_);
   }
 
--- a/src/fleet/fault_proxy.cpp
+++ b/src/fleet/fault_proxy.cpp
@@ -16,10 +16,10 @@
 
 namespace {
 
-constexpr milliseconds kPump{5};
+constexpr milliseconds kPumpInterval{5};
 constexpr int kBacklog = 1'024;
 
-// Closing such a socket resets its connection.
+// Makes the close of the socket reset its connection.
 void reset_on_close(int descriptor) {
   linger now{1, 0};
   ::setsockopt(descriptor, SOL_SOCKET, SO_LINGER, &now, sizeof now);
@@ -34,103 +34,103 @@
 
 }  // namespace
 
-// Two connections and what is on its way between them.
+// A client connection, its server connection, and the bytes that wait between them.
 class FaultProxy::Pair : public std::enable_shared_from_this<Pair> {
  public:
   explicit Pair(FaultProxy& proxy) : proxy_(&proxy) {}
 
   void start(transport::Descriptor socket);
-  void came(bool from_asker, std::string_view bytes) {
+  void on_received(bool from_client, std::string_view bytes) {
     if (proxy_ == nullptr) {
       return;
     }
-    if (from_asker) {
-      proxy_->seen_.requests.push_back(Clock::now());
+    if (from_client) {
+      proxy_->traffic_.requests.push_back(Clock::now());
       truncated_ = 0;
     }
-    way(from_asker).push_back({Clock::now() + proxy_->state_.delay, std::string(bytes)});
+    queue(from_client).push_back({Clock::now() + proxy_->state_.delay, std::string(bytes)});
     pump();
   }
-  void ended(bool from_asker) {
-    (from_asker ? asker_ended_ : asked_ended_) = true;
+  void on_ended(bool from_client) {
+    (from_client ? client_ended_ : server_ended_) = true;
     if (proxy_ == nullptr) {
       return;
     }
-    // A cut link tells nobody that the other side has gone.
+    // While the link is cut, the end of one connection is not passed to the other.
     pump();
   }
   void pump();
   void reset() {
-    reset_on_close(asker_socket_.get());
+    reset_on_close(client_socket_.get());
     close();
   }
   void close() {
     if (proxy_ == nullptr) {
       return;
     }
-    asker_socket_.reset();
+    client_socket_.reset();
     FaultProxy* proxy = std::exchange(proxy_, nullptr);
     const auto self = shared_from_this();
-    asker_.close(ConnectionEnd::kDropped);
-    asked_.close(ConnectionEnd::kDropped);
+    client_.close(ConnectionEnd::kDropped);
+    server_.close(ConnectionEnd::kDropped);
     proxy->pairs_.erase(self);
   }
 
  private:
-  struct Piece {
+  struct Chunk {
     Clock::time_point due;
     std::string bytes;
   };
-  std::deque<Piece>& way(bool out) { return out ? out_ : in_; }
-  // Whether all that came has been passed on, or never will be.
-  void move(bool out);
+  std::deque<Chunk>& queue(bool to_server) { return to_server ? to_server_ : to_client_; }
+  // Forwards the chunks of one direction that are due, as far as the faults allow.
+  void forward(bool to_server);
 
   FaultProxy* proxy_;
-  transport::Descriptor asker_socket_;  // beside the connection's own, to reset it by
-  transport::ConnectionHandle asker_;
-  transport::ConnectionHandle asked_;
-  std::deque<Piece> out_;
-  std::deque<Piece> in_;
-  bool asker_ended_ = false;
-  bool asked_ended_ = false;
+  transport::Descriptor client_socket_;  // a duplicate, to set SO_LINGER on
+  transport::ConnectionHandle client_;
+  transport::ConnectionHandle server_;
+  std::deque<Chunk> to_server_;
+  std::deque<Chunk> to_client_;
+  bool client_ended_ = false;
+  bool server_ended_ = false;
   std::int64_t truncated_ = 0;
-  double allowance_ = 0.0;  // bytes of a slow link
+  double allowance_ = 0.0;  // bytes that a throttled link may forward now
   Clock::time_point allowed_at_ = Clock::now();
 };
 
 class FaultProxy::End : public Connection::Handler {
  public:
-  End(std::shared_ptr<Pair> pair, bool asker) : pair_(std::move(pair)), asker_(asker) {}
-  void on_bytes(std::string_view bytes) override { pair_->came(asker_, bytes); }
-  void on_end(ConnectionEnd) override { pair_->ended(asker_); }
+  End(std::shared_ptr<Pair> pair, bool client) : pair_(std::move(pair)), client_(client) {}
+  void on_bytes(std::string_view bytes) override { pair_->on_received(client_, bytes); }
+  void on_end(ConnectionEnd) override { pair_->on_ended(client_); }
 
  private:
   std::shared_ptr<Pair> pair_;
-  bool asker_;
+  bool client_;
 };
 
 void FaultProxy::Pair::start(transport::Descriptor socket) {
-  asker_socket_ = transport::Descriptor(::fcntl(socket.get(), F_DUPFD_CLOEXEC, 0));
-  const auto asker = Connection::adopt(proxy_->scheduler_, std::move(socket), bounds());
-  const auto asked = Connection::connect(proxy_->scheduler_, proxy_->target_, bounds());
-  asker_ = transport::ConnectionHandle(asker);
-  asked_ = transport::ConnectionHandle(asked);
-  asker->start(std::make_shared<End>(shared_from_this(), true));
-  asked->start(std::make_shared<End>(shared_from_this(), false));
+  client_socket_ = transport::Descriptor(::fcntl(socket.get(), F_DUPFD_CLOEXEC, 0));
+  const auto client = Connection::adopt(proxy_->scheduler_, std::move(socket), bounds());
+  const auto server = Connection::connect(proxy_->scheduler_, proxy_->target_, bounds());
+  client_ = transport::ConnectionHandle(client);
+  server_ = transport::ConnectionHandle(server);
+  client->start(std::make_shared<End>(shared_from_this(), true));
+  server->start(std::make_shared<End>(shared_from_this(), false));
 }
 
-void FaultProxy::Pair::move(bool out) {
+void FaultProxy::Pair::forward(bool to_server) {
   const State& state = proxy_->state_;
-  const bool cut = out ? state.cut_out : state.cut_in;
-  std::deque<Piece>& pieces = way(out);
-  const transport::ConnectionHandle& to = out ? asked_ : asker_;
-  while (!pieces.empty() && !cut && pieces.front().due <= Clock::now() && !to.ended()) {
-    std::string& bytes = pieces.front().bytes;
+  const bool cut = to_server ? state.cut_out : state.cut_in;
+  std::deque<Chunk>& chunks = queue(to_server);
+  const transport::ConnectionHandle& to = to_server ? server_ : client_;
+  while (!chunks.empty() && !cut && chunks.front().due <= Clock::now() && !to.ended()) {
+    std::string& bytes = chunks.front().bytes;
     std::size_t size = bytes.size();
     if (state.bytes_per_s > 0) {
       size = std::min(size, static_cast<std::size_t>(std::max(0.0, allowance_)));
     }
-    if (!out && state.truncate >= 0) {
+    if (!to_server && state.truncate >= 0) {
       const auto left = std::max<std::int64_t>(0, state.truncate - truncated_);
       size = std::min(size, static_cast<std::size_t>(left));
       truncated_ += static_cast<std::int64_t>(size);
@@ -139,10 +139,10 @@
       }
       if (truncated_ >= state.truncate) {
         to.close_when_written();
-        asked_.close(ConnectionEnd::kDropped);
-        pieces.clear();
+        server_.close(ConnectionEnd::kDropped);
+        chunks.clear();
       } else {
-        pieces.pop_front();
+        chunks.pop_front();
       }
       continue;
     }
@@ -150,11 +150,11 @@
       break;
     }
     allowance_ -= static_cast<double>(size);
-    (out ? proxy_->seen_.bytes_out : proxy_->seen_.bytes_in) += size;
+    (to_server ? proxy_->traffic_.bytes_out : proxy_->traffic_.bytes_in) += size;
     to.write(bytes.substr(0, size));
     bytes.erase(0, size);
     if (bytes.empty()) {
-      pieces.pop_front();
+      chunks.pop_front();
     }
   }
 }
@@ -171,12 +171,12 @@
     allowance_ = std::min(rate, allowance_ + seconds * rate);
   }
   allowed_at_ = now;
-  move(true);
-  move(false);
+  forward(true);
+  forward(false);
   const bool cut = state.cut_in || state.cut_out;
-  const bool told_asker = asked_ended_ && in_.empty() && !cut;
-  const bool told_asked = asker_ended_ && out_.empty() && !cut;
-  if (told_asker || told_asked) {
+  const bool client_finished = server_ended_ && to_client_.empty() && !cut;
+  const bool server_finished = client_ended_ && to_server_.empty() && !cut;
+  if (client_finished || server_finished) {
     close();
   }
 }
@@ -186,23 +186,23 @@
     : scheduler_(scheduler),
       name_(std::move(name)),
       target_(target),
-      listener_(scheduler, listen, kBacklog, kPump,
-                [this](transport::Descriptor socket) { take_in(std::move(socket)); }) {
+      listener_(scheduler, listen, kBacklog, kPumpInterval,
+                [this](transport::Descriptor socket) { accept(std::move(socket)); }) {
   scheduler_.spawn(pump_loop());
 }
 
 FaultProxy::~FaultProxy() {
   decltype(pairs_) pairs;
-  pairs.swap(pairs_);  // each leaves the set as it closes
+  pairs.swap(pairs_);  // each pair removes itself from the set when it closes
   for (const std::shared_ptr<Pair>& pair : pairs) {
     pair->close();
   }
 }
 
-// What is delayed or trickles goes on as its time comes.
+// Forwards delayed and throttled bytes when they are due.
 transport::Task<void> FaultProxy::pump_loop() {
   for (;;) {
-    co_await scheduler_.sleep(kPump);
+    co_await scheduler_.sleep(kPumpInterval);
     if (state_.delay.count() > 0 || state_.bytes_per_s > 0) {
       pump_all();
     }
@@ -216,8 +216,8 @@
   }
 }
 
-void FaultProxy::take_in(transport::Descriptor socket) {
-  seen_.connections.push_back(Clock::now());
+void FaultProxy::accept(transport::Descriptor socket) {
+  traffic_.connections.push_back(Clock::now());
   if (state_.refuse) {
     reset_on_close(socket.get());
     return;
--- a/src/fleet/fault_proxy.h
+++ b/src/fleet/fault_proxy.h
@@ -1,7 +1,7 @@
-// A proxy on one link between two processes, that does to its bytes what it is told: pass them on, hold them
-// back, delay them, let them trickle, break them off.
+// A TCP proxy on one link between two processes that injects faults: it forwards, blocks, delays, throttles
+// or truncates the bytes that pass, and resets connections. It counts the traffic for tests.
 //
-// Package `fleet`, over `transport`. One thread. What passed is counted, for checkers.
+// Package `fleet`, over `transport`. Single-threaded.
 #pragma once
 
 #include <chrono>
@@ -19,14 +19,15 @@
 
 class FaultProxy {
  public:
-  struct Seen {
-    std::vector<transport::Clock::time_point> connections;  // when each was taken in
-    std::vector<transport::Clock::time_point> requests;     // when bytes came from who asks, by reads
-    std::uint64_t bytes_out = 0;                            // towards who is asked
-    std::uint64_t bytes_in = 0;
+  struct Traffic {
+    std::vector<transport::Clock::time_point> connections;  // accept times
+    std::vector<transport::Clock::time_point> requests;     // times of the reads from the client
+    std::uint64_t bytes_out = 0;                            // to the server
+    std::uint64_t bytes_in = 0;                             // to the client
   };
 
-  // Listens at once; throws std::system_error. `name` is the link's, "FROM>TO".
+  // Starts to listen on `listen`; throws std::system_error. `name` is the name of the link, "FROM>TO". The
+  // scheduler has to outlive this object.
   FaultProxy(transport::Scheduler& scheduler, std::string name, const transport::Address& listen,
              const transport::Address& target);
   ~FaultProxy();
@@ -34,9 +35,10 @@
   FaultProxy& operator=(const FaultProxy&) = delete;
 
   const std::string& name() const { return name_; }
-  // A fault of a link.
+  // Starts a link fault, or ends all of them where it is FaultKind::kHeal. Faults of processes do nothing.
   void apply(const Fault& fault);
-  const Seen& seen() const { return seen_; }
+  const Traffic& traffic() const { return traffic_; }
+  // Returns the number of open client connections.
   std::size_t open() const { return pairs_.size(); }
 
  private:
@@ -45,7 +47,7 @@
 
   transport::Task<void> pump_loop();
   void pump_all();
-  void take_in(transport::Descriptor socket);
+  void accept(transport::Descriptor socket);
 
   struct State {
     bool cut_in = false;
@@ -60,9 +62,9 @@
   std::string name_;
   transport::Address target_;
   State state_;
-  Seen seen_;
+  Traffic traffic_;
   std::set<std::shared_ptr<Pair>> pairs_;
-  transport::AcceptLoop listener_;  // goes first
+  transport::AcceptLoop listener_;  // is destroyed first
 };
 
 }  // namespace trailcourse::fleet
--- a/src/fleet/fault_script.cpp
+++ b/src/fleet/fault_script.cpp
@@ -12,93 +12,95 @@
 namespace trailcourse::fleet {
 namespace {
 
-struct Word {
-  const char* word;
+struct FaultSyntax {
+  const char* name;
   FaultKind kind;
   bool link;
   enum class Value { kNone, kDirection, kNumber } value;
 };
 
-constexpr std::array<Word, 13> kWords{{{"start", FaultKind::kStart, false, Word::Value::kNone},
-                                       {"kill", FaultKind::kKill, false, Word::Value::kNone},
-                                       {"end", FaultKind::kEnd, false, Word::Value::kNone},
-                                       {"stop", FaultKind::kStop, false, Word::Value::kNone},
-                                       {"cont", FaultKind::kCont, false, Word::Value::kNone},
-                                       {"hup", FaultKind::kHup, false, Word::Value::kNone},
-                                       {"cut", FaultKind::kCut, true, Word::Value::kDirection},
-                                       {"delay", FaultKind::kDelay, true, Word::Value::kNumber},
-                                       {"reset", FaultKind::kReset, true, Word::Value::kNone},
-                                       {"refuse", FaultKind::kRefuse, true, Word::Value::kNone},
-                                       {"slow", FaultKind::kSlow, true, Word::Value::kNumber},
-                                       {"truncate", FaultKind::kTruncate, true, Word::Value::kNumber},
-                                       {"heal", FaultKind::kHeal, true, Word::Value::kNone}}};
+constexpr std::array<FaultSyntax, 13> kFaultSyntaxes{
+    {{"start", FaultKind::kStart, false, FaultSyntax::Value::kNone},
+     {"kill", FaultKind::kKill, false, FaultSyntax::Value::kNone},
+     {"end", FaultKind::kEnd, false, FaultSyntax::Value::kNone},
+     {"stop", FaultKind::kStop, false, FaultSyntax::Value::kNone},
+     {"cont", FaultKind::kCont, false, FaultSyntax::Value::kNone},
+     {"hup", FaultKind::kHup, false, FaultSyntax::Value::kNone},
+     {"cut", FaultKind::kCut, true, FaultSyntax::Value::kDirection},
+     {"delay", FaultKind::kDelay, true, FaultSyntax::Value::kNumber},
+     {"reset", FaultKind::kReset, true, FaultSyntax::Value::kNone},
+     {"refuse", FaultKind::kRefuse, true, FaultSyntax::Value::kNone},
+     {"slow", FaultKind::kSlow, true, FaultSyntax::Value::kNumber},
+     {"truncate", FaultKind::kTruncate, true, FaultSyntax::Value::kNumber},
+     {"heal", FaultKind::kHeal, true, FaultSyntax::Value::kNone}}};
 
-const Word& word_of(FaultKind kind) {
-  return *std::find_if(kWords.begin(), kWords.end(), [kind](const Word& one) { return one.kind == kind; });
+const FaultSyntax& syntax_of(FaultKind kind) {
+  return *std::find_if(kFaultSyntaxes.begin(), kFaultSyntaxes.end(),
+                       [kind](const FaultSyntax& one) { return one.kind == kind; });
 }
 
 Fault read_line(const std::string& line, int number) {
-  const auto wrong = [&](const std::string& why) {
-    throw std::invalid_argument("line " + std::to_string(number) + ": " + why + ": " + line);
+  const auto fail = [&](const std::string& reason) {
+    throw std::invalid_argument("line " + std::to_string(number) + ": " + reason + ": " + line);
   };
-  std::istringstream words(line);
+  std::istringstream fields(line);
   std::string at;
-  std::string what;
+  std::string name;
   std::string value;
-  std::string more;
+  std::string rest;
   Fault fault;
-  words >> at >> what >> fault.target >> value >> more;
+  fields >> at >> name >> fault.target >> value >> rest;
   const auto time = protocol::read_number<std::int64_t>(at);
   if (!time || *time < 0) {
-    wrong("no time in ms");
+    fail("expected a time in ms");
   }
   fault.at_ms = *time;
-  const auto* known =
-      std::find_if(kWords.begin(), kWords.end(), [&](const Word& one) { return what == one.word; });
-  if (known == kWords.end()) {
-    wrong("no such fault");
+  const auto* syntax = std::find_if(kFaultSyntaxes.begin(), kFaultSyntaxes.end(),
+                                    [&](const FaultSyntax& one) { return name == one.name; });
+  if (syntax == kFaultSyntaxes.end()) {
+    fail("unknown fault");
   }
-  fault.kind = known->kind;
-  if (fault.target.empty() || known->link != (fault.target.find('>') != std::string::npos)) {
-    wrong(known->link ? "not a link FROM>TO" : "not the name of a process");
+  fault.kind = syntax->kind;
+  if (fault.target.empty() || syntax->link != (fault.target.find('>') != std::string::npos)) {
+    fail(syntax->link ? "expected a link FROM>TO" : "expected the name of a process");
   }
-  if (known->value == Word::Value::kDirection) {
+  if (syntax->value == FaultSyntax::Value::kDirection) {
     fault.direction = value.empty() ? "both" : value;
     if (fault.direction != "in" && fault.direction != "out" && fault.direction != "both") {
-      wrong("a direction is in, out or both");
+      fail("expected the direction in, out or both");
     }
-  } else if (known->value == Word::Value::kNumber) {
+  } else if (syntax->value == FaultSyntax::Value::kNumber) {
     const auto read = protocol::read_number<std::int64_t>(value);
     if (!read || *read < 0) {
-      wrong("a number is needed");
+      fail("expected a non-negative number");
     }
     fault.value = *read;
   } else if (!value.empty()) {
-    wrong("more than is needed");
+    fail("unexpected text after the fault");
   }
-  if (!more.empty()) {
-    wrong("more than is needed");
+  if (!rest.empty()) {
+    fail("unexpected text after the fault");
   }
   return fault;
 }
 
-// Adds what mends a fault, where the script does not do so later.
-std::vector<Fault> mended(std::vector<Fault> script, std::int64_t at_ms) {
+// Appends at `at_ms` the repair of each fault that the script does not repair later.
+std::vector<Fault> with_repairs(std::vector<Fault> script, std::int64_t at_ms) {
   std::vector<Fault> out = std::move(script);
   const std::size_t given = out.size();
   for (std::size_t i = 0; i < given; ++i) {
     const Fault fault = out[i];
-    const FaultKind mend = is_link_fault(fault.kind)        ? FaultKind::kHeal
-                           : fault.kind == FaultKind::kStop ? FaultKind::kCont
-                                                            : FaultKind::kStart;
+    const FaultKind repair = is_link_fault(fault.kind)        ? FaultKind::kHeal
+                             : fault.kind == FaultKind::kStop ? FaultKind::kCont
+                                                              : FaultKind::kStart;
     const bool breaks = fault.kind != FaultKind::kStart && fault.kind != FaultKind::kCont &&
                         fault.kind != FaultKind::kHeal && fault.kind != FaultKind::kHup &&
                         fault.kind != FaultKind::kReset;
     const bool later =
         std::any_of(out.begin() + static_cast<std::ptrdiff_t>(i) + 1, out.end(),
-                    [&](const Fault& one) { return one.kind == mend && one.target == fault.target; });
+                    [&](const Fault& one) { return one.kind == repair && one.target == fault.target; });
     if (breaks && !later) {
-      out.push_back(Fault{std::max(at_ms, fault.at_ms), mend, fault.target, "", 0});
+      out.push_back(Fault{std::max(at_ms, fault.at_ms), repair, fault.target, "", 0});
     }
   }
   return out;
@@ -106,7 +108,7 @@
 
 }  // namespace
 
-bool is_link_fault(FaultKind kind) { return word_of(kind).link; }
+bool is_link_fault(FaultKind kind) { return syntax_of(kind).link; }
 
 std::vector<Fault> read_script(std::string_view text) {
   std::vector<Fault> out;
@@ -127,11 +129,11 @@
 std::string write_script(const std::vector<Fault>& script) {
   std::ostringstream out;
   for (const Fault& fault : script) {
-    const Word& word = word_of(fault.kind);
-    out << fault.at_ms << ' ' << word.word << ' ' << fault.target;
-    if (word.value == Word::Value::kDirection) {
+    const FaultSyntax& syntax = syntax_of(fault.kind);
+    out << fault.at_ms << ' ' << syntax.name << ' ' << fault.target;
+    if (syntax.value == FaultSyntax::Value::kDirection) {
       out << ' ' << fault.direction;
-    } else if (word.value == Word::Value::kNumber) {
+    } else if (syntax.value == FaultSyntax::Value::kNumber) {
       out << ' ' << fault.value;
     }
     out << '\n';
@@ -139,7 +141,7 @@
   return out.str();
 }
 
-bool fits(std::string_view pattern, std::string_view name) {
+bool matches_pattern(std::string_view pattern, std::string_view name) {
   const std::size_t star = pattern.find('*');
   if (star == std::string_view::npos) {
     return pattern == name;
@@ -149,7 +151,7 @@
   }
   const std::string_view rest = pattern.substr(star + 1);
   for (std::size_t from = star; from <= name.size(); ++from) {
-    if (fits(rest, name.substr(from))) {
+    if (matches_pattern(rest, name.substr(from))) {
       return true;
     }
   }
@@ -158,10 +160,10 @@
 
 namespace {
 
-// Draws numbers evenly from 0 up to a bound, which is left out.
-class BoundedDraw {
+// Draws uniformly distributed numbers from 0 up to, and excluding, a bound.
+class BoundedRandom {
  public:
-  explicit BoundedDraw(std::uint64_t seed) : random_(seed) {}
+  explicit BoundedRandom(std::uint64_t seed) : random_(seed) {}
 
   std::int64_t below(std::int64_t bound) {
     return std::uniform_int_distribution<std::int64_t>(0, std::max<std::int64_t>(0, bound - 1))(random_);
@@ -175,73 +177,73 @@
   std::mt19937_64 random_;
 };
 
-std::int64_t draw_value(FaultKind kind, BoundedDraw& draw) {
+std::int64_t random_value(FaultKind kind, BoundedRandom& random) {
   switch (kind) {
     case FaultKind::kDelay:
-      return 1 + draw.below(500);
+      return 1 + random.below(500);
     case FaultKind::kSlow:
-      return 200 + draw.below(20'000);
+      return 200 + random.below(20'000);
     case FaultKind::kTruncate:
-      return draw.below(400);
+      return random.below(400);
     default:
       return 0;
   }
 }
 
-Fault draw_link_fault(std::int64_t at_ms, const std::string& link, BoundedDraw& draw) {
+Fault random_link_fault(std::int64_t at_ms, const std::string& link, BoundedRandom& random) {
   constexpr std::array<const char*, 3> kDirections{"in", "out", "both"};
   constexpr std::array<FaultKind, 6> kKinds{FaultKind::kCut,    FaultKind::kDelay, FaultKind::kReset,
                                             FaultKind::kRefuse, FaultKind::kSlow,  FaultKind::kTruncate};
-  Fault fault{at_ms, draw.one_of(kKinds), link, "", 0};
-  fault.direction = fault.kind == FaultKind::kCut ? draw.one_of(kDirections) : "";
-  fault.value = draw_value(fault.kind, draw);
+  Fault fault{at_ms, random.one_of(kKinds), link, "", 0};
+  fault.direction = fault.kind == FaultKind::kCut ? random.one_of(kDirections) : "";
+  fault.value = random_value(fault.kind, random);
   return fault;
 }
 
-// Appends a fault of a drawn target and its end.
-void append_drawn_fault(const std::vector<std::string>& targets, bool link, std::int64_t at_ms,
-                        std::int64_t until_ms, BoundedDraw& draw, std::vector<Fault>& out) {
-  const std::string target = draw.one_of(targets);
+// Appends a fault of a random target and its repair.
+void append_random_fault(const std::vector<std::string>& targets, bool link, std::int64_t at_ms,
+                         std::int64_t until_ms, BoundedRandom& random, std::vector<Fault>& out) {
+  const std::string target = random.one_of(targets);
   if (link) {
-    out.push_back(draw_link_fault(at_ms, target, draw));
+    out.push_back(random_link_fault(at_ms, target, random));
     out.push_back(Fault{until_ms, FaultKind::kHeal, target, "", 0});
     return;
   }
-  const bool stop = draw.below(2) == 0;
+  const bool stop = random.below(2) == 0;
   out.push_back(Fault{at_ms, stop ? FaultKind::kStop : FaultKind::kKill, target, "", 0});
   out.push_back(Fault{until_ms, stop ? FaultKind::kCont : FaultKind::kStart, target, "", 0});
 }
 
 }  // namespace
 
-std::vector<Fault> draw_script(const Draw& rules, std::uint64_t seed) {
-  BoundedDraw draw(seed);
+std::vector<Fault> random_script(const RandomScriptOptions& options, std::uint64_t seed) {
+  BoundedRandom random(seed);
   std::vector<Fault> out;
-  for (int i = 0; i < rules.faults; ++i) {
-    const std::int64_t at_ms = draw.below(rules.length_ms);
-    const std::int64_t until_ms = std::min(rules.length_ms, at_ms + 1 + draw.below(rules.longest_ms));
-    const bool link = !rules.links.empty() && (rules.processes.empty() || draw.below(2) == 0);
-    const std::vector<std::string>& targets = link ? rules.links : rules.processes;
+  for (int i = 0; i < options.faults; ++i) {
+    const std::int64_t at_ms = random.below(options.length_ms);
+    const std::int64_t until_ms = std::min(options.length_ms, at_ms + 1 + random.below(options.max_fault_ms));
+    const bool link = !options.links.empty() && (options.processes.empty() || random.below(2) == 0);
+    const std::vector<std::string>& targets = link ? options.links : options.processes;
     if (targets.empty()) {
       break;
     }
-    append_drawn_fault(targets, link, at_ms, until_ms, draw, out);
+    append_random_fault(targets, link, at_ms, until_ms, random, out);
   }
   std::stable_sort(out.begin(), out.end(),
                    [](const Fault& one, const Fault& other) { return one.at_ms < other.at_ms; });
-  return mended(std::move(out), rules.length_ms);
+  return with_repairs(std::move(out), options.length_ms);
 }
 
-std::vector<std::vector<Fault>> shorter(const std::vector<Fault>& script) {
+std::vector<std::vector<Fault>> shrunk_scripts(const std::vector<Fault>& script) {
   std::vector<std::vector<Fault>> out;
   if (script.empty()) {
     return out;
   }
   const std::int64_t end = script.back().at_ms;
   const auto add = [&](std::vector<Fault> part) {
-    std::vector<Fault> whole = mended(std::move(part), end);
-    if (whole.size() < script.size()) {
-      out.push_back(std::move(whole));
+    std::vector<Fault> repaired = with_repairs(std::move(part), end);
+    if (repaired.size() < script.size()) {
+      out.push_back(std::move(repaired));
     }
   };
   const auto half = script.begin() + static_cast<std::ptrdiff_t>(script.size() / 2);
--- a/src/fleet/fault_script.h
+++ b/src/fleet/fault_script.h
@@ -1,13 +1,14 @@
-// Faults of a fleet as a script: what happens to which process or link, and when. A script is text, a fault a
-// line, and plays the same each time; one can be drawn from a seed, written out, and played again.
+// Fault scripts of a fleet: which fault happens to which process or link, and when. A script is text with one
+// fault per line, and replays identically. A random script can be generated from a seed, written and
+// replayed.
 //
 //     # ms   what      target              value
 //     1200   kill      router3
 //     1500   start     router3
-//     2000   cut       router*>board       in        (in, out or both; heal ends it)
+//     2000   cut       router*>board       in        (in, out or both; ended by heal)
 //     2500   heal      router*>board
 //
-// Package `fleet`: no I/O, no clock.
+// Package `fleet`: no I/O and no clock.
 #pragma once
 
 #include <cstdint>
@@ -18,26 +19,26 @@
 namespace trailcourse::fleet {
 
 enum class FaultKind {
-  kStart,     // a process that is down
+  kStart,     // starts a process that is not running
   kKill,      // SIGKILL
   kEnd,       // SIGTERM
   kStop,      // SIGSTOP
   kCont,      // SIGCONT
   kHup,       // SIGHUP
-  kCut,       // a link: nothing passes, nothing ends: in (to who asked), out, both
-  kDelay,     // a link: each byte comes so many ms later
-  kReset,     // a link: its connections are reset, once
-  kRefuse,    // a link: new connections are reset
-  kSlow,      // a link: so many bytes a second
-  kTruncate,  // a link: each answer breaks off after so many bytes
-  kHeal       // a link: all of that ends
+  kCut,       // a link: forwards nothing and ends nothing, towards the server (out), the client (in) or both
+  kDelay,     // a link: forwards each byte `value` ms later
+  kReset,     // a link: resets its open connections, once
+  kRefuse,    // a link: resets new connections
+  kSlow,      // a link: forwards `value` bytes a second
+  kTruncate,  // a link: ends each answer after `value` bytes
+  kHeal       // a link: ends all of its faults
 };
 
 struct Fault {
   std::int64_t at_ms = 0;
   FaultKind kind = FaultKind::kStart;
-  std::string target;     // a name, or a link "FROM>TO"; '*' stands for any run of characters
-  std::string direction;  // of a cut
+  std::string target;     // a member, or a link "FROM>TO"; '*' matches any run of characters
+  std::string direction;  // of a cut: "in", "out" or "both"
   std::int64_t value = 0;
 
   friend bool operator==(const Fault&, const Fault&) = default;
@@ -45,26 +46,28 @@
 
 bool is_link_fault(FaultKind kind);
 
-// Throws std::invalid_argument that names the line and what is wrong with it. Sorted by time, lines of one
-// time in the order given.
+// Returns the faults sorted by time; faults of the same time keep the order of their lines. Throws
+// std::invalid_argument with the number of the malformed line, the reason and the line.
 std::vector<Fault> read_script(std::string_view text);
 std::string write_script(const std::vector<Fault>& script);
 
-// Whether a name fits a pattern with '*'.
-bool fits(std::string_view pattern, std::string_view name);
+// Returns whether a name matches a pattern with '*'.
+bool matches_pattern(std::string_view pattern, std::string_view name);
 
-struct Draw {
+struct RandomScriptOptions {
   std::vector<std::string> processes;  // that may be killed, stopped and started again
   std::vector<std::string> links;
   std::int64_t length_ms = 10'000;
   int faults = 10;
-  std::int64_t longest_ms = 2'000;  // of one fault, until it is mended
+  std::int64_t max_fault_ms = 2'000;  // from the begin of a fault to its repair
 };
-// Every fault that is drawn is mended by the end: what was killed runs, what was stopped goes on, links are
-// sound.
-std::vector<Fault> draw_script(const Draw& draw, std::uint64_t seed);
 
-// Shorter scripts to try in the place of one that fails: halves, then all but one; each mends what it breaks.
-std::vector<std::vector<Fault>> shorter(const std::vector<Fault>& script);
+// Returns a script that depends on the options and the seed only. Every fault is repaired by the end: killed
+// processes are started, stopped ones are continued, and links are healed.
+std::vector<Fault> random_script(const RandomScriptOptions& options, std::uint64_t seed);
+
+// Returns shorter scripts to try in place of one that fails: each half, then the script without one fault.
+// Each repairs its own faults.
+std::vector<std::vector<Fault>> shrunk_scripts(const std::vector<Fault>& script);
 
 }  // namespace trailcourse::fleet
--- a/src/fleet/fencing_token_check.h
+++ b/src/fleet/fencing_token_check.h
@@ -1,5 +1,5 @@
-// A checker over the logs of receivers: the terms under which they carried out commands of one piece of work
-// never go back, over their restarts too.
+// Checks the log of a receiver of fenced commands: the terms under which it executes the commands of one
+// piece of work never decrease, also across its restarts.
 //
 // Package `fleet`; reads files.
 #pragma once
@@ -9,7 +9,8 @@
 
 namespace trailcourse::fleet {
 
-// The lines that break it, "NAME: LINE". `log` is the file of a cache node.
+// Returns the lines with a lower term than an earlier line, as "NAME: LINE". `log` is the path of the log of
+// a cache node.
 std::vector<std::string> find_token_regressions(const std::string& name, const std::string& log);
 
 }  // namespace trailcourse::fleet
--- a/src/fleet/figures.h
+++ b/src/fleet/figures.h
@@ -1,4 +1,4 @@
-// Figures over what was seen: the most in any window, quantiles, and what the system says of a process.
+// Statistics of measurements: the highest count in any window, quantiles, and the resources of a process.
 //
 // Package `fleet`.
 #pragma once
@@ -11,14 +11,14 @@
 
 namespace trailcourse::fleet {
 
-// The value below which `share` of them lie; 0 of none.
+// Returns the smallest value that at least `share` (0 to 1) of the values do not exceed; 0 without values.
 double quantile(std::vector<double> values, double share);
 
 struct Footprint {
   double resident_mb = 0.0;
   int descriptors = 0;
 };
-// Of a living process of ours; zeros where it cannot be read.
+// Returns the resources of a running process of the same user; zeros where they cannot be read.
 Footprint footprint_of(pid_t pid);
 
 }  // namespace trailcourse::fleet
--- a/src/fleet/layout.cpp
+++ b/src/fleet/layout.cpp
@@ -23,7 +23,7 @@
   file << content.dump(1) << '\n';
   file.close();
   if (!file.good() || std::rename(next.c_str(), path.c_str()) != 0) {
-    throw std::runtime_error("cannot write " + path);
+    throw std::runtime_error("cannot write file " + path);
   }
 }
 
@@ -53,53 +53,53 @@
 
 bool is_listed(Kind kind) { return kind == Kind::kOrigin || kind == Kind::kParent || kind == Kind::kCache; }
 
-Layout::Layout(FleetSpec shape, std::string folder, PortAllocator& ports)
-    : shape_(std::move(shape)), folder_(std::move(folder)) {
+Layout::Layout(FleetSpec spec, std::string folder, PortAllocator& ports)
+    : spec_(std::move(spec)), folder_(std::move(folder)) {
   const auto add = [&](Kind kind, const std::string& name, const std::string& zone) {
     Member member;
     member.kind = kind;
     member.name = name;
     member.zone = zone;
-    member.address = ports.take_text();
+    member.address = ports.allocate_text();
     member.advertised_address = member.address;
     members_.push_back(std::move(member));
   };
   const auto zone = [this](int number) {
-    return shape_.zones[static_cast<std::size_t>(number) % shape_.zones.size()];
+    return spec_.zones[static_cast<std::size_t>(number) % spec_.zones.size()];
   };
   add(Kind::kBoard, "board", kHub);
-  if (shape_.registry) {
+  if (spec_.registry) {
     add(Kind::kRegistry, "registry", kHub);
   }
   add(Kind::kOrigin, "origin", kHub);
-  for (int i = 0; i < shape_.parents; ++i) {
+  for (int i = 0; i < spec_.parents; ++i) {
     add(Kind::kParent, numbered("parent", i), kHub);
   }
-  for (int i = 0; i < shape_.caches; ++i) {
+  for (int i = 0; i < spec_.caches; ++i) {
     add(Kind::kCache, numbered("cache", i), zone(i));
   }
-  for (int i = 0; i < shape_.aggregators; ++i) {
+  for (int i = 0; i < spec_.aggregators; ++i) {
     add(Kind::kAggregator, numbered("aggregator", i), kHub);
   }
-  for (int i = 0; i < shape_.routers; ++i) {
+  for (int i = 0; i < spec_.routers; ++i) {
     add(Kind::kRouter, numbered("router", i), zone(i));
   }
   const std::string board = members_.front().address;
-  const std::string registry = shape_.registry ? member("registry").address : "";
+  const std::string registry = spec_.registry ? member("registry").address : "";
   for (Member& one : members_) {
     one.board = board;
-    const Kind asks = shape_.aggregators > 0 ? Kind::kAggregator : Kind::kRouter;
-    one.registry = one.kind == asks ? registry : "";
+    const Kind store_client = spec_.aggregators > 0 ? Kind::kAggregator : Kind::kRouter;
+    one.registry = one.kind == store_client ? registry : "";
   }
   connect_aggregators();
 }
 
 std::size_t Layout::region_count() const {
-  return static_cast<std::size_t>(std::clamp(shape_.regions, 1, std::max(1, shape_.aggregators)));
+  return static_cast<std::size_t>(std::clamp(spec_.regions, 1, std::max(1, spec_.aggregators)));
 }
 
 std::size_t Layout::region_of_zone(const std::string& zone) const {
-  const auto place = std::find(shape_.zones.begin(), shape_.zones.end(), zone) - shape_.zones.begin();
+  const auto place = std::find(spec_.zones.begin(), spec_.zones.end(), zone) - spec_.zones.begin();
   return static_cast<std::size_t>(place) % region_count();
 }
 
@@ -112,14 +112,14 @@
   const std::size_t own = region_of_aggregator(aggregator);
   const std::size_t before = (own + region_count() - 1) % region_count();
   std::vector<std::string> out;
-  std::copy_if(shape_.zones.begin(), shape_.zones.end(), std::back_inserter(out), [&](const auto& zone) {
+  std::copy_if(spec_.zones.begin(), spec_.zones.end(), std::back_inserter(out), [&](const auto& zone) {
     return region_of_zone(zone) == own || region_of_zone(zone) == before;
   });
   return out;
 }
 
-// Each router gets the aggregators of its region, from another one on than the router before it, and then one
-// of the next region.
+// Each router gets the aggregators of its region, rotated by one from router to router of a zone, followed by
+// one of the next region.
 void Layout::connect_aggregators() {
   std::vector<std::vector<Endpoint>> by_region(region_count());
   for (const Member& one : members_) {
@@ -129,12 +129,12 @@
   }
   std::ptrdiff_t number = 0;
   for (Member& one : members_) {
-    if (one.kind != Kind::kRouter || shape_.aggregators <= 0) {
+    if (one.kind != Kind::kRouter || spec_.aggregators <= 0) {
       continue;
     }
     const std::size_t region = region_of_zone(one.zone);
     one.aggregators = by_region[region];
-    const auto first = number++ / std::ssize(shape_.zones) % std::ssize(one.aggregators);
+    const auto first = number++ / std::ssize(spec_.zones) % std::ssize(one.aggregators);
     std::rotate(one.aggregators.begin(), one.aggregators.begin() + first, one.aggregators.end());
     if (region_count() > 1) {
       one.aggregators.push_back(by_region[(region + 1) % region_count()].front());
@@ -146,7 +146,7 @@
   const auto found =
       std::find_if(members_.begin(), members_.end(), [&](const Member& one) { return one.name == name; });
   if (found == members_.end()) {
-    throw std::out_of_range("no member " + name);
+    throw std::out_of_range("fleet has no member " + name);
   }
   return *found;
 }
@@ -173,7 +173,7 @@
           {"type", type},
           {"group", 0},
           {"status", status},
-          {"weight", shape_.weight},
+          {"weight", spec_.weight},
           {"since_ms", since_ms}};
 }
 
@@ -181,14 +181,14 @@
   json entries = json::array();
   for (const Member& member : members_) {
     if (is_listed(member.kind)) {
-      entries.push_back(entry(member, "up", member.kind == Kind::kOrigin ? 0 : shape_.since_ms));
+      entries.push_back(entry(member, "up", member.kind == Kind::kOrigin ? 0 : spec_.since_ms));
     }
   }
   const json pool{{"index", 1}, {"snapshot", true}, {"endpoints", entries}};
   return {{"rev", 1}, {"notices", json::array({{{"rev", 1}, {"pool", pool}}})}};
 }
 
-json Layout::present_page() const {
+json Layout::current_page() const {
   std::ifstream file(board_file(), std::ios::binary);
   const std::string text{std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
   const json page = json::parse(text, nullptr, false);
@@ -199,7 +199,7 @@
   json zones = json::array({kHub});
   json counts = json::array({0});
   json links = json::array({0});
-  for (const std::string& one : shape_.zones) {
+  for (const std::string& one : spec_.zones) {
     zones.push_back(one);
     const auto routers = names(Kind::kRouter);
     counts.push_back(std::count_if(routers.begin(), routers.end(),
@@ -220,16 +220,16 @@
     "Report": {"How": "answers", "Fields": ["concurrent", "load_share"]}})");
   out["Az"] = zone;
   out["SelfIndex"] = index;
-  out["Balancers"] = shape_.routers;
+  out["Balancers"] = spec_.routers;
   out["Zones"] = zones;
   out["Extra"]["CountByZone"] = counts;
   out["Extra"]["ZoneLinkKbPerS"] = links;
-  out["Extra"]["Direct"] = shape_.direct;
-  out["Extra"]["HeedWithinS"] = shape_.purge_grace_s;
-  out["Extra"]["ParentFloor"] = shape_.cold_from;
-  out["Extra"]["ParentRampS"] = shape_.cold_s;
-  out["Rules"]["ColdFrom"] = shape_.cold_from;
-  out["Rules"]["ColdS"] = shape_.cold_s;
+  out["Extra"]["Direct"] = spec_.direct;
+  out["Extra"]["HeedWithinS"] = spec_.purge_grace_s;
+  out["Extra"]["ParentFloor"] = spec_.cold_from;
+  out["Extra"]["ParentRampS"] = spec_.cold_s;
+  out["Rules"]["ColdFrom"] = spec_.cold_from;
+  out["Rules"]["ColdS"] = spec_.cold_s;
   return out;
 }
 
@@ -239,28 +239,27 @@
       return {{"registry", {{"listen", member.address}, {"folder", folder_ + "/registry-store"}}}};
     case Kind::kBoard: {
       json board{{"listen", member.address}, {"file", board_file()}};
-      board.update(shape_.board);
+      board.update(spec_.board);
       return {{"board", board}};
     }
     case Kind::kOrigin:
-      return {{"origin",
-               {{"listen", member.address},
-                {"size_kb", shape_.object_kb},
-                {"delay_ms", shape_.origin_delay_ms}}}};
+      return {
+          {"origin",
+           {{"listen", member.address}, {"size_kb", spec_.object_kb}, {"delay_ms", spec_.origin_delay_ms}}}};
     case Kind::kParent:
     case Kind::kCache: {
       json store{{"memory_mb", 8}};
-      if (shape_.disk) {
+      if (spec_.disk) {
         store.update({{"folder", folder_ + "/disk-" + member.name}, {"disk_mb", kDiskMb}, {"segment_mb", 4}});
       }
       json cache{{"name", member.name},   {"listen", member.address},
                  {"board", member.board}, {"fill_from", member.kind == Kind::kParent ? "origin" : ""},
                  {"connections", 4'096},  {"origin", "origin"}};
-      if (shape_.registry || !shape_.embedded.empty()) {
+      if (spec_.registry || !spec_.embedded.empty()) {
         cache["fence_folder"] = folder_ + "/terms-" + member.name;
       }
       if (member.kind == Kind::kCache) {
-        cache.update(shape_.cache);
+        cache.update(spec_.cache);
       }
       return {{"store", store}, {"cache", cache}, {"classes", {{"media", json::object()}}}};
     }
@@ -278,11 +277,11 @@
            {"listen", member.address},
            {"board", member.board},
            {"seed", seed},
-           {"limits", {{"memory_mb", shape_.memory_mb}, {"sockets", shape_.sockets}}},
-           {"known", shape_.known ? present_page() : json{{"rev", 0}, {"notices", json::array()}}},
+           {"limits", {{"memory_mb", spec_.memory_mb}, {"sockets", spec_.sockets}}},
+           {"known", spec_.known ? current_page() : json{{"rev", 0}, {"notices", json::array()}}},
            {"settings", settings(member.zone, static_cast<int>(index))}};
-  if (!shape_.router.empty()) {
-    out["router"] = shape_.router;
+  if (!spec_.router.empty()) {
+    out["router"] = spec_.router;
   }
   return out;
 }
@@ -292,18 +291,18 @@
                {"name", member.name},
                {"zones", served_zones(member.name)},
                {"board", member.board}};
-  section.update(shape_.aggregator);
+  section.update(spec_.aggregator);
   json coordination{{"store", "etcd"}, {"endpoints", {member.registry}}};
-  coordination.update(shape_.coordination);
+  coordination.update(spec_.coordination);
   return {{"aggregator", section},
           {"coordination", coordination},
-          {"ownership", shape_.ownership},
-          {"policy", shape_.policy}};
+          {"ownership", spec_.ownership},
+          {"policy", spec_.policy}};
 }
 
-// Of a router: the sections that its platform does not tell.
+// Returns the operator file of a router: the sections that its platform does not pass to it.
 json Layout::operator_config(const Member& member) const {
-  json out = shape_.operators;
+  json out = spec_.operators;
   if (relay_degree_ > 0 && !member.relay.empty()) {
     json& relay = out["relay"];
     relay["listen"] = member.relay;
@@ -317,21 +316,21 @@
   }
   if (!member.registry.empty()) {
     out["coordination"] = {{"store", "etcd"}, {"endpoints", {member.registry}}};
-  } else if (!shape_.embedded.empty()) {
-    out["coordination"] = {{"store", "embedded"}, {"folder", shape_.embedded}};
+  } else if (!spec_.embedded.empty()) {
+    out["coordination"] = {{"store", "embedded"}, {"folder", spec_.embedded}};
   } else if (!member.aggregators.empty()) {
-    out["coordination"] = {{"store", "none"}};  // its times hold for the calls to the aggregators
+    out["coordination"] = {{"store", "none"}};  // its timeouts apply to the calls to the aggregators
     for (const Endpoint& endpoint : member.aggregators) {
       out["aggregation"]["endpoints"].push_back(endpoint.address);
     }
   }
   if (out.contains("coordination")) {
-    out["coordination"].update(shape_.coordination);
+    out["coordination"].update(spec_.coordination);
     if (member.aggregators.empty()) {
-      out["ownership"] = shape_.ownership;
+      out["ownership"] = spec_.ownership;
     }
-    if (!shape_.policy.empty()) {
-      out["policy"] = shape_.policy;
+    if (!spec_.policy.empty()) {
+      out["policy"] = spec_.policy;
       out["policy"]["follow"] = true;
       out["policy"]["folder"] = folder_ + "/policy-" + member.name;
     }
@@ -358,9 +357,9 @@
   }
 }
 
-std::vector<std::string> Layout::words(const Member& member, const std::string& program) const {
+std::vector<std::string> Layout::command_line(const Member& member, const std::string& program) const {
   if (member.kind == Kind::kRouter) {
-    const std::string& own = shape_.router_program.empty() ? program : shape_.router_program;
+    const std::string& own = spec_.router_program.empty() ? program : spec_.router_program;
     return {own, "serve", "--config", config_file(member.name), "--operator", operator_file(member.name)};
   }
   const char* command = member.kind == Kind::kParent ? "cache" : to_string(member.kind);
--- a/src/fleet/layout.h
+++ b/src/fleet/layout.h
@@ -1,7 +1,7 @@
-// What a small fleet on one machine consists of: names, zones, addresses, and the configuration of each
-// process. Nothing is started here.
+// The members of a small fleet on one machine: names, zones, addresses, and the configuration of each
+// process. Starts no process (see supervisor.h).
 //
-// Package `fleet`; files are written where write() is told, no socket is opened. Not thread-safe.
+// Package `fleet`. Reads and writes files in the fleet's folder. Not thread-safe.
 #pragma once
 
 #include <array>
@@ -16,105 +16,106 @@
 
 enum class Kind { kRegistry, kBoard, kOrigin, kParent, kCache, kAggregator, kRouter };
 const char* to_string(Kind kind);
-// Whether the board lists members of this kind to routers.
+// Returns whether the discovery service lists members of this kind.
 bool is_listed(Kind kind);
-// In which members are started: each after those that it needs.
+// The order in which members are started: each kind after those that it depends on.
 inline constexpr std::array kStartOrder{Kind::kRegistry, Kind::kBoard,      Kind::kOrigin, Kind::kParent,
                                         Kind::kCache,    Kind::kAggregator, Kind::kRouter};
 
-// How large it is, and what its parts can do.
+// The size of a fleet and the options of its members.
 struct FleetSpec {
   int routers = 1;
   int caches = 2;
   int parents = 1;
-  std::vector<std::string> zones{"edge"};  // caches and routers are dealt out to them in turn
+  std::vector<std::string> zones{"edge"};  // caches and routers are assigned to the zones round-robin
   int object_kb = 20;
   int origin_delay_ms = 0;
-  int weight = 8;      // transfers of a cache or parent
-  bool disk = false;   // caches and parents keep copies on disk
-  bool direct = true;  // routers may ask the origin themselves
+  int weight = 8;      // concurrent transfers of a cache or parent
+  bool disk = false;   // caches and parents store copies on disk
+  bool direct = true;  // routers may send requests to the origin
   double purge_grace_s = 0.3;
   double cold_s = 10.0;
   double cold_from = 0.3;
-  std::int64_t since_ms = 0;  // when caches and parents are listed to have started; 0: long ago
-  bool known = true;      // routers are started with the list; else they have none until they hear the board
-  bool registry = false;  // a store of shared truth, and routers that do owned work on it
-  std::string embedded;   // a folder that all routers share as their store, in its place
-  nlohmann::json ownership = nlohmann::json::object();  // keys of that section, of each router
+  std::int64_t since_ms = 0;  // listed start time of caches and parents; 0: long ago
+  bool known = true;      // routers start with the endpoint list; else they wait for the discovery service
+  bool registry = false;  // the fleet has a coordination server, and its routers do owned work
+  std::string embedded;   // the folder of an embedded store that all routers share instead of the server
+  nlohmann::json ownership = nlohmann::json::object();  // keys of this section, for each router
   nlohmann::json coordination = nlohmann::json::object();
-  nlohmann::json policy = nlohmann::json::object();  // the same; empty: routers follow none
-  // Between the routers and the registry, dealt out to the regions in turn; 0: routers ask the registry.
+  nlohmann::json policy = nlohmann::json::object();  // the same; empty: routers follow no policy
+  // Aggregators between the routers and the coordination server, assigned to the regions round-robin; 0:
+  // routers connect to the coordination server.
   int aggregators = 0;
-  int regions = 1;                                       // zones are dealt out to them in turn
-  nlohmann::json aggregator = nlohmann::json::object();  // further keys of the aggregators' section
-  std::string router_program;                            // of the routers, where it is another
+  int regions = 1;                                       // zones are assigned to the regions round-robin
+  nlohmann::json aggregator = nlohmann::json::object();  // additional keys of the aggregators' section
+  std::string router_program;                            // program of the routers; empty: that of all members
   int memory_mb = 192;
   int sockets = 1'024;
-  nlohmann::json router = nlohmann::json::object();  // the routers' tuning keys
-  nlohmann::json operators =
-      nlohmann::json::object();                     // further sections of the operator's file of each router
-  nlohmann::json cache = nlohmann::json::object();  // further keys of the caches' section
-  nlohmann::json board = nlohmann::json::object();  // further keys of the board's section
+  nlohmann::json router = nlohmann::json::object();     // tuning keys of the routers
+  nlohmann::json operators = nlohmann::json::object();  // additional sections of each router's operator file
+  nlohmann::json cache = nlohmann::json::object();      // additional keys of the caches' section
+  nlohmann::json board = nlohmann::json::object();      // additional keys of the discovery service's section
 };
 
-// Another member as one reaches it.
+// Another member and the address at which to connect to it.
 struct Endpoint {
   std::string name;
-  std::string address;  // a proxy's, or its own
+  std::string address;  // that of a proxy, or its own
 };
 
 struct Member {
   Kind kind = Kind::kRouter;
   std::string name;
   std::string zone;
-  std::string address;                   // where it listens
-  std::string advertised_address;              // where others are told to reach it: a proxy's, or its own
-  std::string board;                     // where it reaches the board: a proxy's, or the board's own
-  std::string registry;                  // where a router or aggregator reaches the store; empty: it has none
-  std::vector<Endpoint> aggregators;     // of a router, in order of preference
+  std::string address;                // listen address
+  std::string advertised_address;     // address that the discovery service lists: that of a proxy, or its own
+  std::string board;                  // where it connects to the discovery service, possibly through a proxy
+  std::string registry;               // where it connects to the coordination server; empty: it does not
+  std::vector<Endpoint> aggregators;  // of a router, in order of preference
   std::vector<std::string> environment;  // NAME=VALUE, of its process
-  std::string relay;                     // where a router passes pages on; empty: it does not
-  int starts = 0;                        // so far: each start has a seed of its own
+  std::string relay;                     // listen address of a router's relay; empty: it has no relay
+  int starts = 0;                        // number of starts so far; each has its own seed
 };
 
 class Layout {
  public:
-  // Deals out names and addresses. `folder` must exist.
-  Layout(FleetSpec shape, std::string folder, PortAllocator& ports);
+  // Creates the members and allocates their addresses. `folder` has to exist.
+  Layout(FleetSpec spec, std::string folder, PortAllocator& ports);
 
-  const FleetSpec& shape() const { return shape_; }
-  FleetSpec& shape() { return shape_; }
+  const FleetSpec& spec() const { return spec_; }
+  FleetSpec& spec() { return spec_; }
   const std::string& folder() const { return folder_; }
   std::vector<Member>& members() { return members_; }
   const std::vector<Member>& members() const { return members_; }
-  // Throws std::out_of_range where there is none of that name.
+  // Throws std::out_of_range if no member has that name.
   const Member& member(const std::string& name) const;
   Member& member(const std::string& name);
   std::vector<std::string> names(Kind kind) const;
-  // The zones whose routers an aggregator takes: those of its region, and of the region before, whose routers
-  // turn to it where their own aggregators are lost.
+  // Returns the zones whose routers an aggregator serves: those of its region, and those of the region
+  // before, whose routers fail over to it.
   std::vector<std::string> served_zones(const std::string& aggregator) const;
 
-  // The first page of the board: all caches, parents and the origin, up.
+  // Returns the first page of the discovery service: all caches, parents and the origin, with status up.
   nlohmann::json first_page() const;
-  // What stands in the board's file now, as a platform hands it to a router at its start; the first page
-  // where there is none.
-  nlohmann::json present_page() const;
-  // An entry of the board's list, as told.
+  // Returns the current page in the file of the discovery service, as a platform passes it to a router at its
+  // start; the first page if the file has none.
+  nlohmann::json current_page() const;
+  // Returns an entry of the endpoint list.
   nlohmann::json entry(const Member& member, const std::string& status = "up",
                        std::int64_t since_ms = 0) const;
-  // The settings that the platform would tell the routers of a zone.
+  // Returns the settings that the platform passes to a router of `zone`; `index` is the router's index.
   nlohmann::json settings(const std::string& zone, int index) const;
 
-  // Tells each router the relays of its zone. Those without a relay address are left out.
+  // Gives each router with a relay the relays of its zone as peers, with this degree of the relay tree.
   void connect_relays(int degree);
 
-  // Writes the file of each member, and the board's first page. Throws std::runtime_error.
+  // Writes the configuration of each member and the first page of the discovery service. Throws
+  // std::runtime_error.
   void write() const;
-  // The same for one member.
+  // Writes the configuration of one member.
   void write(const Member& member) const;
-  // The words that start a member: the program's path and its arguments.
-  std::vector<std::string> words(const Member& member, const std::string& program) const;
+  // Returns the command line that starts a member: the path of the program and its arguments.
+  std::vector<std::string> command_line(const Member& member, const std::string& program) const;
 
   std::string board_file() const { return folder_ + "/board-page.json"; }
   std::string log_file(const std::string& name) const { return folder_ + "/" + name + ".log"; }
@@ -131,7 +132,7 @@
   nlohmann::json operator_config(const Member& member) const;
 
   int relay_degree_ = 0;
-  FleetSpec shape_;
+  FleetSpec spec_;
   std::string folder_;
   std::vector<Member> members_;
 };
--- a/src/fleet/load_generator.cpp
+++ b/src/fleet/load_generator.cpp
@@ -18,10 +18,10 @@
 
 constexpr std::uint8_t kStdout = 6;
 constexpr std::uint8_t kEndRequest = 3;
-constexpr std::uint16_t kMostKey = 30'000;
+constexpr std::uint16_t kMaxKey = 30'000;
 constexpr std::uint64_t kGroups = 256;
 
-// The value of a header in the head of a CGI response, or nothing.
+// Returns the value of a header in the head of a CGI response; empty if it has none.
 std::string_view header(std::string_view head, std::string_view name) {
   const std::size_t at = head.find(name);
   if (at == std::string_view::npos) {
@@ -31,7 +31,8 @@
   return rest.substr(0, rest.find("\r\n"));
 }
 
-// "object ITEM/PART/VERSION\n" begins a made object.
+// Returns the version of a generated object, which begins with "object ITEM/PART/VERSION\n"; 0 of other
+// bodies.
 int version_in(std::string_view body) {
   if (!body.starts_with("object ")) {
     return 0;
@@ -43,26 +44,27 @@
 }  // namespace
 
 // A connection to one router.
-class Load::Link : public Connection::Handler {
+class LoadGenerator::Link : public Connection::Handler {
  public:
-  Link(Load& load, const std::shared_ptr<Connection>& connection) : load_(&load), connection_(connection) {}
-  // The load goes: nothing is counted any more.
-  void leave() {
-    load_ = nullptr;
+  Link(LoadGenerator& generator, const std::shared_ptr<Connection>& connection)
+      : generator_(&generator), connection_(connection) {}
+  // Closes the connection, and uses the load generator no more.
+  void detach() {
+    generator_ = nullptr;
     connection_.close(ConnectionEnd::kDropped);
   }
 
   bool ended() const { return connection_.ended(); }
   std::size_t open() const { return open_.size(); }
 
-  void send(std::size_t place, const std::string& object) {
+  void send(std::size_t index, const std::string& object) {
     do {
-      key_ = key_ >= kMostKey ? std::uint16_t{1} : static_cast<std::uint16_t>(key_ + 1);
+      key_ = key_ >= kMaxKey ? std::uint16_t{1} : static_cast<std::uint16_t>(key_ + 1);
     } while (open_.contains(key_));
-    open_[key_] = place;
-    const Options& options = load_->options_;
+    open_[key_] = index;
+    const Options& options = generator_->options_;
     char id[17];
-    std::snprintf(id, sizeof id, "%016llx", static_cast<unsigned long long>(load_->asked_[place].id));
+    std::snprintf(id, sizeof id, "%016llx", static_cast<unsigned long long>(generator_->requests_[index].id));
     const auto number = protocol::read_hex<std::uint64_t>(object).value_or(0);
     protocol::fastcgi_peer::Fields fields{{"SCRIPT_NAME", "/v1/" + options.request_class},
                                           {"HTTP_X_CALL_ID", id},
@@ -78,7 +80,7 @@
   }
 
   void on_bytes(std::string_view bytes) override {
-    if (load_ == nullptr) {
+    if (generator_ == nullptr) {
       return;
     }
     bytes_ += bytes;
@@ -92,12 +94,12 @@
   }
 
   void on_end(ConnectionEnd) override {
-    if (load_ == nullptr) {
+    if (generator_ == nullptr) {
       return;
     }
-    for (const auto& [key, place] : std::exchange(open_, {})) {
-      load_->asked_[place].connection_ended = true;
-      --load_->open_;
+    for (const auto& [key, index] : std::exchange(open_, {})) {
+      generator_->requests_[index].connection_ended = true;
+      --generator_->open_;
     }
   }
 
@@ -105,46 +107,46 @@
   void end(std::uint16_t key, std::string_view ended) {
     const std::string text = std::exchange(texts_[key], {});
     texts_.erase(key);
-    // A key is used again only long after; an end for one that is not open is a second answer to its last
-    // user.
+    // Keys are reused only after kMaxKey requests, so the end of a key that is not open is a second answer to
+    // its last request.
     const auto open = open_.find(key);
     const auto last = last_.find(key);
     if (open == open_.end()) {
       if (last != last_.end()) {
-        ++load_->asked_[last->second].answers;
+        ++generator_->requests_[last->second].answers;
       }
       return;
     }
-    Asked& asked = load_->asked_[open->second];
+    SentRequest& request = generator_->requests_[open->second];
     last_[key] = open->second;
     open_.erase(open);
-    --load_->open_;
-    ++asked.answers;
-    asked.answered = Clock::now();
+    --generator_->open_;
+    ++request.answers;
+    request.answered = Clock::now();
     const std::size_t head_end = text.find("\r\n\r\n");
     const std::string_view head = std::string_view(text).substr(0, head_end);
-    asked.status = protocol::read_number<int>(header(head, "Status: ").substr(0, 3)).value_or(0);
-    // Ended as OVERLOADED, without a word: a refusal like any other (FastCGI 1.0, section 5.5).
+    request.status = protocol::read_number<int>(header(head, "Status: ").substr(0, 3)).value_or(0);
+    // An end with OVERLOADED and without output is a rejection (FastCGI 1.0, section 5.5).
     constexpr std::size_t kProtocolStatus = 4;
     constexpr char kOverloaded = 2;
     if (text.empty() && ended.size() > kProtocolStatus && ended[kProtocolStatus] == kOverloaded) {
-      asked.status = 503;
+      request.status = 503;
     }
-    asked.via = header(head, "X-Via: ");
+    request.via = header(head, "X-Via: ");
     const std::string policy(header(head, "X-Policy: "));
     if (const std::size_t middle = policy.find("; "); middle != std::string::npos) {
-      asked.policy = policy.substr(0, middle);
-      asked.decided_us = protocol::read_number<std::int64_t>(policy.substr(middle + 2)).value_or(0);
+      request.policy = policy.substr(0, middle);
+      request.decided_us = protocol::read_number<std::int64_t>(policy.substr(middle + 2)).value_or(0);
     }
     std::string body = head_end == std::string::npos ? "" : text.substr(head_end + 4);
-    asked.bytes = body.size();
-    asked.version = version_in(body);
-    if (load_->options_.keep_bodies) {
-      asked.body = std::move(body);
+    request.bytes = body.size();
+    request.version = version_in(body);
+    if (generator_->options_.keep_bodies) {
+      request.body = std::move(body);
     }
   }
 
-  Load* load_;
+  LoadGenerator* generator_;
   transport::ConnectionHandle connection_;
   std::uint16_t key_ = 0;
   std::string bytes_;
@@ -153,17 +155,17 @@
   std::map<std::uint16_t, std::size_t> last_;
 };
 
-Load::Load(transport::Scheduler& scheduler, Options options, std::uint64_t seed)
+LoadGenerator::LoadGenerator(transport::Scheduler& scheduler, Options options, std::uint64_t seed)
     : scheduler_(scheduler), options_(std::move(options)), next_id_(seed) {}
 
-Load::~Load() {
+LoadGenerator::~LoadGenerator() {
   for (const auto& [router, link] : links_) {
-    link->leave();
+    link->detach();
   }
 }
 
-std::size_t Load::ask(const std::string& router, const transport::Address& address,
-                      const std::string& object) {
+std::size_t LoadGenerator::send(const std::string& router, const transport::Address& address,
+                                const std::string& object) {
   std::shared_ptr<Link>& link = links_[router];
   if (!link || link->ended()) {
     const Connection::Bounds bounds;
@@ -171,20 +173,20 @@
     link = std::make_shared<Link>(*this, connection);
     connection->start(link);
   }
-  const std::size_t place = asked_.size();
-  Asked asked;
-  // Never the same id twice, and none that tells the order: a mixing of a counter.
-  asked.id = ++next_id_ * 0x9e3779b97f4a7c15ULL;
-  asked.router = router;
-  asked.object = object;
-  asked.sent = Clock::now();
-  asked_.push_back(std::move(asked));
+  const std::size_t index = requests_.size();
+  SentRequest request;
+  // A mixed counter: ids are unique and do not reveal the order of the requests.
+  request.id = ++next_id_ * 0x9e3779b97f4a7c15ULL;
+  request.router = router;
+  request.object = object;
+  request.sent = Clock::now();
+  requests_.push_back(std::move(request));
   ++open_;
-  link->send(place, object);
-  return place;
+  link->send(index, object);
+  return index;
 }
 
-std::size_t Load::open_at(const std::string& router) const {
+std::size_t LoadGenerator::open_at(const std::string& router) const {
   const auto found = links_.find(router);
   return found == links_.end() ? 0 : found->second->open();
 }
--- a/src/fleet/load_generator.h
+++ b/src/fleet/load_generator.h
@@ -1,7 +1,6 @@
-// Requests to routers, as a web server sends them, and what became of each: the record that checkers judge.
+// Sends requests to routers as a web server does, and records the outcome of each.
 //
-// Package `fleet`, over `protocol` and `transport`. One thread. Loopback only; as many requests as are asked
-// for.
+// Package `fleet`, over `protocol` and `transport`. Single-threaded.
 #pragma once
 
 #include <chrono>
@@ -16,24 +15,24 @@
 
 namespace trailcourse::fleet {
 
-struct Asked {
+struct SentRequest {
   std::uint64_t id = 0;
   std::string router;
   std::string object;
   transport::Clock::time_point sent;
   std::optional<transport::Clock::time_point> answered;
-  int answers = 0;              // whole ones; more than one breaks a rule
-  int status = 0;               // of the first; 0: none yet, or none that can be read
-  std::string via;              // "cache/attempt/note" by X-Via
-  std::string policy;           // the version by X-Policy: "7", "6+7", "-"; empty where none was told
-  std::int64_t decided_us = 0;  // when by the machine's steady clock, by the same
-  std::string body;             // where wanted
-  std::size_t bytes = 0;
-  int version = 0;                // of a made object: what its first line says; 0: it has none
-  bool connection_ended = false;  // before the whole answer
+  int answers = 0;                // complete ones; more than one is a protocol violation
+  int status = 0;                 // of the first answer; 0: none yet, or it cannot be parsed
+  std::string via;                // "cache/attempt/note", from X-Via
+  std::string policy;             // the version from X-Policy: "7", "6+7" or "-"; empty without the header
+  std::int64_t decided_us = 0;    // time of the decision by the machine's steady clock, from X-Policy
+  std::string body;               // only with Options::keep_bodies
+  std::size_t bytes = 0;          // of the body
+  int version = 0;                // in the first line of a generated object; 0: it has none
+  bool connection_ended = false;  // before the complete answer
 };
 
-class Load {
+class LoadGenerator {
  public:
   struct Options {
     std::string request_class = "media";
@@ -42,15 +41,15 @@
     bool keep_bodies = false;
   };
 
-  Load(transport::Scheduler& scheduler, Options options, std::uint64_t seed);
-  ~Load();
-  Load(const Load&) = delete;
-  Load& operator=(const Load&) = delete;
+  LoadGenerator(transport::Scheduler& scheduler, Options options, std::uint64_t seed);
+  ~LoadGenerator();
+  LoadGenerator(const LoadGenerator&) = delete;
+  LoadGenerator& operator=(const LoadGenerator&) = delete;
 
-  // Sends one request; its place among all(). A connection that has ended is opened anew.
-  std::size_t ask(const std::string& router, const transport::Address& address, const std::string& object);
-  const std::vector<Asked>& all() const { return asked_; }
-  // Sent, the connection still up, not yet answered.
+  // Sends one request and returns its index in requests(). Opens a connection to the router if there is none.
+  std::size_t send(const std::string& router, const transport::Address& address, const std::string& object);
+  const std::vector<SentRequest>& requests() const { return requests_; }
+  // Returns the number of requests without an answer on connections that are up.
   std::size_t open() const { return open_; }
   std::size_t open_at(const std::string& router) const;
 
@@ -60,12 +59,12 @@
   transport::Scheduler& scheduler_;
   Options options_;
   std::uint64_t next_id_;
-  std::vector<Asked> asked_;
+  std::vector<SentRequest> requests_;
   std::map<std::string, std::shared_ptr<Link>> links_;
   std::size_t open_ = 0;
 };
 
-// The sixteen hex digits of an object by its number.
+// Returns the name of an object: its number in sixteen hex digits.
 std::string object_name(std::uint64_t number);
 
 }  // namespace trailcourse::fleet
--- a/src/fleet/max_count_within.h
+++ b/src/fleet/max_count_within.h
@@ -1,4 +1,4 @@
-// The worst stretch of time in a list of moments.
+// The highest number of events in any window of time.
 #pragma once
 
 #include <algorithm>
@@ -8,19 +8,20 @@
 
 namespace trailcourse::fleet {
 
-// The most moments within any stretch of that length, its end not counted. In any order.
-template <typename Moment = std::chrono::steady_clock::time_point, typename Stretch>
-std::size_t max_count_within(std::vector<Moment> moments, Stretch stretch) {
-  std::sort(moments.begin(), moments.end());
-  std::size_t most = 0;
+// Returns the highest number of `times` in any window of that length, its end excluded. `times` may be in any
+// order.
+template <typename Time = std::chrono::steady_clock::time_point, typename Window>
+std::size_t max_count_within(std::vector<Time> times, Window window) {
+  std::sort(times.begin(), times.end());
+  std::size_t max_count = 0;
   std::size_t first = 0;
-  for (std::size_t last = 0; last < moments.size(); ++last) {
-    while (moments[last] - moments[first] >= stretch) {
+  for (std::size_t last = 0; last < times.size(); ++last) {
+    while (times[last] - times[first] >= window) {
       ++first;
     }
-    most = std::max(most, last - first + 1);
+    max_count = std::max(max_count, last - first + 1);
   }
-  return most;
+  return max_count;
 }
 
 }  // namespace trailcourse::fleet
--- a/src/fleet/port_allocator.cpp
+++ b/src/fleet/port_allocator.cpp
@@ -8,17 +8,17 @@
 namespace {
 
 constexpr std::uint32_t kFirstHost = 0x7f400000U;  // 127.64.0.0
-constexpr std::uint32_t kHosts = 0x00400000U;      // as many as the system has process ids at most
+constexpr std::uint32_t kHosts = 0x00400000U;      // the highest number of process ids of the system
 constexpr int kFirstPort = 10'000;
-constexpr int kLastPort = 32'000;  // below the range that is lent out
+constexpr int kLastPort = 32'000;  // below the ephemeral range
 
-int next_port = kFirstPort;  // of the process: books made one after the other give different ports
+int next_port = kFirstPort;  // shared by all allocators of the process, so that they return different ports
 
 }  // namespace
 
 PortAllocator::PortAllocator() : host_(kFirstHost + static_cast<std::uint32_t>(::getpid()) % kHosts) {}
 
-transport::Address PortAllocator::take() {
+transport::Address PortAllocator::allocate() {
   for (int tries = kFirstPort; tries < kLastPort; ++tries) {
     const transport::Address address{host_, static_cast<std::uint16_t>(next_port)};
     next_port = next_port + 1 < kLastPort ? next_port + 1 : kFirstPort;
--- a/src/fleet/port_allocator.h
+++ b/src/fleet/port_allocator.h
@@ -1,5 +1,5 @@
-// Loopback addresses that are surely free: a host address of this process's own, and ports that were looked
-// at.
+// Free loopback addresses: a host address that only this process uses, and ports that were free when they
+// were allocated.
 //
 // Package `fleet`, over `transport`. Not thread-safe.
 #pragma once
@@ -11,17 +11,18 @@
 
 namespace trailcourse::fleet {
 
-// 127.64.0.0 to 127.127.255.255, by the process id: no two living processes share one, and the system lends
-// ports for outgoing connections at 127.0.0.1 alone. Only a listener on all addresses can stand in the way of
-// a port, so each is bound once before it is given.
+// The host is one of 127.64.0.0 to 127.127.255.255 and follows from the process id, so that no two running
+// processes share it; the system uses ports for outgoing connections at 127.0.0.1 only. A port can still be
+// taken by a listener on all addresses, so each port is bound once before it is returned.
 class PortAllocator {
  public:
   PortAllocator();
 
   std::uint32_t host() const { return host_; }
-  // Never the same twice. Throws std::runtime_error where none is left.
-  transport::Address take();
-  std::string take_text() { return transport::to_string(take()); }
+  // Returns an address that is free now, and does not return it again until all ports were tried. Throws
+  // std::runtime_error where no port is free.
+  transport::Address allocate();
+  std::string allocate_text() { return transport::to_string(allocate()); }
 
  private:
   std::uint32_t host_;
--- a/src/fleet/process.cpp
+++ b/src/fleet/process.cpp
@@ -19,11 +19,11 @@
 
 constexpr int kCannotRun = 127;
 
-std::vector<char*> pointers(std::vector<std::string>& words) {
+std::vector<char*> pointers(std::vector<std::string>& strings) {
   std::vector<char*> out;
-  out.reserve(words.size() + 1);
-  for (std::string& word : words) {
-    out.push_back(word.data());
+  out.reserve(strings.size() + 1);
+  for (std::string& string : strings) {
+    out.push_back(string.data());
   }
   out.push_back(nullptr);
   return out;
@@ -36,12 +36,12 @@
   if (!log.valid()) {
     throw std::system_error(errno, std::generic_category(), spec_.log);
   }
-  std::vector<std::string> words = spec_.words;
+  std::vector<std::string> argument_strings = spec_.arguments;
   std::vector<std::string> environment = spec_.environment;
   for (char** one = environ; *one != nullptr; ++one) {
     environment.emplace_back(*one);
   }
-  const std::vector<char*> arguments = pointers(words);
+  const std::vector<char*> arguments = pointers(argument_strings);
   const std::vector<char*> variables = pointers(environment);
   const pid_t parent = ::getpid();
   pid_ = ::fork();
@@ -49,7 +49,7 @@
     throw std::system_error(errno, std::generic_category(), "fork");
   }
   if (pid_ == 0) {
-    // Only calls that are safe between fork and exec.
+    // Only async-signal-safe calls are allowed between fork and exec.
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
     if (::getppid() != parent) {
       ::_exit(kCannotRun);
@@ -75,7 +75,7 @@
   }
 }
 
-const std::optional<Process::End>& Process::look() {
+const std::optional<Process::End>& Process::poll() {
   int status = 0;
   if (!end_ && ::waitpid(pid_, &status, WNOHANG) == pid_) {
     end_ = WIFEXITED(status) ? End{WEXITSTATUS(status), false} : End{WTERMSIG(status), true};
@@ -89,7 +89,7 @@
     if (::waitpid(pid_, &status, 0) == pid_) {
       end_ = WIFEXITED(status) ? End{WEXITSTATUS(status), false} : End{WTERMSIG(status), true};
     } else if (errno != EINTR) {
-      end_ = End{-1, false};  // somebody else has reaped it
+      end_ = End{-1, false};  // the process was reaped elsewhere
     }
   }
   return *end_;
--- a/src/fleet/process.h
+++ b/src/fleet/process.h
@@ -1,7 +1,7 @@
-// Processes of this program as children: started with a log of their own, signalled by id, reaped, and never
-// left behind, whatever becomes of the one who started them.
+// A child process with its own log file. It is signalled by its id, reaped, and killed when its parent ends,
+// even if the parent crashes.
 //
-// Package `fleet`, over `transport`. One thread; a child ends with the thread that started it.
+// Package `fleet`, over `transport`. Single-threaded; a child is killed when the thread that started it ends.
 #pragma once
 
 #include <sys/types.h>
@@ -16,20 +16,19 @@
  public:
   struct Spec {
     std::string name;                      // in messages
-    std::vector<std::string> words;        // the program's path and its arguments
+    std::vector<std::string> arguments;    // the path of the program and its arguments
     std::string log;                       // a file; standard output and error are appended to it
-    std::vector<std::string> environment;  // NAME=VALUE, beside what this process has
+    std::vector<std::string> environment;  // NAME=VALUE, added to that of this process
   };
-  // How it ended.
   struct End {
-    int status = 0;  // the exit status, or the signal
+    int status = 0;  // the exit status, or the number of the signal; -1 if unknown
     bool by_signal = false;
   };
 
-  // Starts it. Throws std::system_error where the system gives no process or no log. A program that cannot be
-  // run ends with status 127.
+  // Starts the process. Throws std::system_error where the log cannot be opened or no process can be created.
+  // A program that cannot be run ends with status 127.
   explicit Process(Spec spec);
-  // Kills it where it still runs, and waits for its end.
+  // Kills the process if it still runs, and waits for its end.
   ~Process();
   Process(Process&& other) noexcept;
   Process& operator=(Process&&) = delete;
@@ -38,16 +37,16 @@
 
   const std::string& name() const { return spec_.name; }
   pid_t pid() const { return pid_; }
-  // Whether it has not ended; a stopped one is alive.
-  bool alive() { return !look(); }
-  // Its end, where it has come.
-  const std::optional<End>& look();
-  // Waits for its end.
+  // Returns whether the process has not ended; a stopped one is alive.
+  bool alive() { return !poll(); }
+  // Returns how the process ended, or nothing while it is alive. Does not block.
+  const std::optional<End>& poll();
+  // Blocks until the process ends.
   const End& wait();
-  // Nothing happens where it has ended.
+  // Sends a signal; does nothing if the process has ended.
   void signal(int number);
 
-  // All that its log holds, also from starts before this one.
+  // Returns the whole log file, including the output of earlier processes with the same log.
   std::string log() const;
 
  private:
@@ -56,7 +55,7 @@
   std::optional<End> end_;
 };
 
-// "ended with status 1", "killed by signal 9".
+// Returns for example "ended with status 1" or "killed by signal 9".
 std::string to_string(const Process::End& end);
 
 }  // namespace trailcourse::fleet
--- a/src/fleet/scenario.cpp
+++ b/src/fleet/scenario.cpp
@@ -15,9 +15,9 @@
 
 namespace {
 
-bool fits_any(const std::vector<std::string>& patterns, const std::string& name) {
+bool matches_any(const std::vector<std::string>& patterns, const std::string& name) {
   return std::any_of(patterns.begin(), patterns.end(),
-                     [&name](const std::string& pattern) { return fits(pattern, name); });
+                     [&name](const std::string& pattern) { return matches_pattern(pattern, name); });
 }
 
 }  // namespace
@@ -30,27 +30,27 @@
     const std::string to_board = member.name + ">board";
     const std::string to_node = "*>" + member.name;
     const auto add = [&](const std::string& name, const std::string& target) {
-      const transport::Address at = ports.take();
+      const transport::Address at = ports.allocate();
       proxies_.push_back(
           std::make_unique<FaultProxy>(scheduler, name, at, *transport::parse_address(target)));
       return transport::to_string(at);
     };
     const std::string to_registry = member.name + ">registry";
-    const bool asks_board =
+    const bool polls_discovery =
         member.kind == Kind::kRouter || member.kind == Kind::kCache || member.kind == Kind::kParent;
-    if (asks_board && fits_any(proxied, to_board)) {
+    if (polls_discovery && matches_any(proxied, to_board)) {
       member.board = add(to_board, board);
     }
-    if (!member.registry.empty() && fits_any(proxied, to_registry)) {
+    if (!member.registry.empty() && matches_any(proxied, to_registry)) {
       member.registry = add(to_registry, member.registry);
     }
     for (Endpoint& endpoint : member.aggregators) {
       if (const std::string to_aggregator = member.name + ">" + endpoint.name;
-          fits_any(proxied, to_aggregator)) {
+          matches_any(proxied, to_aggregator)) {
         endpoint.address = add(to_aggregator, endpoint.address);
       }
     }
-    if (is_listed(member.kind) && fits_any(proxied, to_node)) {
+    if (is_listed(member.kind) && matches_any(proxied, to_node)) {
       member.advertised_address = add(to_node, member.address);
     }
   }
@@ -77,7 +77,7 @@
 void Scenario::apply(const Fault& fault) {
   if (is_link_fault(fault.kind)) {
     for (const auto& proxy : proxies_) {
-      if (fits(fault.target, proxy->name())) {
+      if (matches_pattern(fault.target, proxy->name())) {
         proxy->apply(fault);
       }
     }
@@ -85,7 +85,7 @@
   }
   std::vector<std::string> names;
   for (const Member& member : layout_.members()) {
-    if (fits(fault.target, member.name)) {
+    if (matches_pattern(fault.target, member.name)) {
       names.push_back(member.name);
     }
   }
@@ -122,25 +122,26 @@
 }
 
 void Scenario::play() {
-  const auto passed = std::chrono::duration_cast<std::chrono::milliseconds>(Clock::now() - begun_).count();
-  while (next_ < script_.size() && script_[next_].at_ms <= passed) {
+  const auto elapsed_ms =
+      std::chrono::duration_cast<std::chrono::milliseconds>(Clock::now() - begun_).count();
+  while (next_ < script_.size() && script_[next_].at_ms <= elapsed_ms) {
     apply(script_[next_++]);
   }
 }
 
-// One connection to a router's front.
+// A connection to one router.
 class StatusPoller::Link : public Connection::Handler {
  public:
   Link(Row& row, const std::shared_ptr<Connection>& connection) : row_(&row), connection_(connection) {}
 
   bool ended() const { return connection_.ended(); }
-  void ask() {
-    if (!asked_) {
-      asked_ = true;
+  void send_check() {
+    if (!in_flight_) {
+      in_flight_ = true;
       connection_.write(protocol::fastcgi_peer::request_bytes(1, {{"SCRIPT_NAME", "/healthz"}}, ""));
     }
   }
-  void leave() {
+  void detach() {
     row_ = nullptr;
     connection_.close(ConnectionEnd::kDropped);
   }
@@ -152,8 +153,8 @@
       if (record.type == kStdout) {
         text_ += record.content;
       } else if (record.type == kEndRequest) {
-        asked_ = false;
-        take(std::exchange(text_, {}));
+        in_flight_ = false;
+        apply(std::exchange(text_, {}));
       }
     }
   }
@@ -166,21 +167,21 @@
   }
 
  private:
-  void take(const std::string& text) {
+  void apply(const std::string& text) {
     if (row_ == nullptr) {
       return;
     }
     row_->up = true;
     row_->ready = text.starts_with("Status: 200");
     const std::size_t end = text.find("\r\n\r\n");
-    const nlohmann::json said =
+    const nlohmann::json body =
         nlohmann::json::parse(end == std::string::npos ? "" : text.substr(end + 4), nullptr, false);
-    if (said.is_object()) {
-      row_->state = said.value("state", std::string("plain"));
-      row_->event = said.value("event", std::uint64_t{0});
-      row_->calls = said.value("calls", std::uint64_t{0});
-      row_->failed = said.value("failed", std::uint64_t{0});
-      row_->age_ms = said.value("age_ms", std::int64_t{-1});
+    if (body.is_object()) {
+      row_->state = body.value("state", std::string("plain"));
+      row_->event = body.value("event", std::uint64_t{0});
+      row_->calls = body.value("calls", std::uint64_t{0});
+      row_->failed = body.value("failed", std::uint64_t{0});
+      row_->age_ms = body.value("age_ms", std::int64_t{-1});
     } else {
       row_->state = "plain";
     }
@@ -190,7 +191,7 @@
   transport::ConnectionHandle connection_;
   std::string bytes_;
   std::string text_;
-  bool asked_ = false;
+  bool in_flight_ = false;
 };
 
 StatusPoller::StatusPoller(transport::Scheduler& scheduler, const Layout& layout)
@@ -202,7 +203,7 @@
 
 StatusPoller::~StatusPoller() {
   for (const auto& [router, link] : links_) {
-    link->leave();
+    link->detach();
   }
 }
 
@@ -216,7 +217,7 @@
       link = std::make_shared<Link>(rows_[router], connection);
       connection->start(link);
     }
-    link->ask();
+    link->send_check();
   }
 }
 
--- a/src/fleet/scenario.h
+++ b/src/fleet/scenario.h
@@ -1,7 +1,7 @@
-// A fleet that runs: its members, a proxy on each link that is to be faulty, load, and a script of faults
-// played against them; and what is to be seen of it while it does.
+// A running fleet: its members, fault proxies on links, a fault script that is replayed against them, and the
+// status of its routers.
 //
-// Package `fleet`. One thread.
+// Package `fleet`. Single-threaded.
 #pragma once
 
 #include <chrono>
@@ -22,8 +22,10 @@
 
 class Scenario {
  public:
-  // Proxies are put on the links whose names fit one of these patterns: "ROUTER>board", "ROUTER>registry",
-  // "ROUTER>AGGREGATOR", "AGGREGATOR>registry", and "*>NODE" for a cache or parent as the board lists it.
+  // Places a fault proxy on each link whose name matches a pattern of `proxied`, and writes the configuration
+  // of all members. Links are "MEMBER>board", "ROUTER>registry", "ROUTER>AGGREGATOR", "AGGREGATOR>registry",
+  // and "*>NODE" for the listed address of a cache, parent or origin. `scheduler` and `layout` have to
+  // outlive this object.
   Scenario(transport::Scheduler& scheduler, Layout& layout, PortAllocator& ports, std::string program,
            const std::vector<std::string>& proxied);
   ~Scenario();
@@ -32,12 +34,13 @@
 
   Supervisor& fleet() { return supervisor_; }
   Layout& layout() { return layout_; }
+  // Returns the proxy of a link; null if the link has none.
   FaultProxy* link(const std::string& name);
   std::vector<FaultProxy*> links();
 
-  // One fault, now.
+  // Applies a fault now to all members or links that match its target.
   void apply(const Fault& fault);
-  // The script, from now on; play() carries out what is due.
+  // Starts a script now; play() applies the faults that are due.
   void begin(std::vector<Fault> script);
   void play();
   bool played() const { return next_ >= script_.size(); }
@@ -52,7 +55,7 @@
   transport::Clock::time_point begun_;
 };
 
-// What a health check of a router says of it; asked over one connection for each router, now and then.
+// Polls the health check of each router over one connection.
 class StatusPoller {
  public:
   struct Row {
@@ -60,7 +63,7 @@
     bool up = false;
     bool ready = false;
     std::string state = "-";
-    std::uint64_t event = 0;  // the last one taken in
+    std::uint64_t event = 0;  // the last one applied
     std::uint64_t calls = 0;
     std::uint64_t failed = 0;
     std::int64_t age_ms = -1;
@@ -69,7 +72,7 @@
   StatusPoller(transport::Scheduler& scheduler, const Layout& layout);
   ~StatusPoller();
 
-  // Asks all routers; answers come in as the scheduler turns.
+  // Sends a health check to each router; the answers are processed when the scheduler turns.
   void refresh(const std::vector<std::string>& routers);
   const std::map<std::string, Row>& rows() const { return rows_; }
 
--- a/src/fleet/supervisor.cpp
+++ b/src/fleet/supervisor.cpp
@@ -13,12 +13,12 @@
 
 namespace {
 
-constexpr milliseconds kLook{2};
+constexpr milliseconds kPollInterval{2};
 
 std::size_t size_of(const std::string& path) {
-  std::error_code none;
-  const auto size = std::filesystem::file_size(path, none);
-  return none ? 0 : static_cast<std::size_t>(size);
+  std::error_code error;
+  const auto size = std::filesystem::file_size(path, error);
+  return error ? 0 : static_cast<std::size_t>(size);
 }
 
 }  // namespace
@@ -34,7 +34,8 @@
   const std::string log = layout_.log_file(name);
   const std::size_t log_from = size_of(log);
   children_.emplace(
-      name, Child{Process({name, layout_.words(member, program_), log, member.environment}), log_from});
+      name,
+      Child{Process({name, layout_.command_line(member, program_), log, member.environment}), log_from});
 }
 
 void Supervisor::start_all(Kind kind) {
@@ -45,16 +46,16 @@
 
 void Supervisor::kill(const std::string& name) { children_.erase(name); }
 
-std::optional<Process::End> Supervisor::end(const std::string& name, milliseconds longest) {
+std::optional<Process::End> Supervisor::terminate(const std::string& name, milliseconds timeout) {
   const auto child = children_.find(name);
   if (child == children_.end()) {
     return std::nullopt;
   }
   child->second.process.signal(SIGTERM);
-  const bool ended = until([&child] { return !child->second.process.alive(); }, longest);
-  const std::optional<Process::End> how = ended ? child->second.process.look() : std::nullopt;
+  const bool ended = run_until([&child] { return !child->second.process.alive(); }, timeout);
+  const std::optional<Process::End> end = ended ? child->second.process.poll() : std::nullopt;
   children_.erase(child);
-  return how;
+  return end;
 }
 
 void Supervisor::signal(const std::string& name, int number) {
@@ -90,37 +91,37 @@
 std::vector<std::string> Supervisor::missing() {
   std::vector<std::string> out;
   for (auto& [name, child] : children_) {
-    if (const auto& end = child.process.look()) {
+    if (const auto& end = child.process.poll()) {
       out.push_back(name + " " + to_string(*end));
     }
   }
   return out;
 }
 
-bool Supervisor::until(const std::function<bool()>& done, milliseconds longest) {
-  const Clock::time_point end = Clock::now() + longest;
+bool Supervisor::run_until(const std::function<bool()>& done, milliseconds timeout) {
+  const Clock::time_point end = Clock::now() + timeout;
   while (!done()) {
     if (Clock::now() >= end) {
       return false;
     }
-    scheduler_.turn(kLook);
+    scheduler_.turn(kPollInterval);
   }
   return true;
 }
 
-bool Supervisor::await_up(const std::string& name, milliseconds longest) {
-  return await_log(name, "listens on", longest);
+bool Supervisor::await_up(const std::string& name, milliseconds timeout) {
+  return await_log(name, "listens on", timeout);
 }
 
-bool Supervisor::await_log(const std::string& name, const std::string& words, milliseconds longest) {
-  bool said = false;
-  until(
+bool Supervisor::await_log(const std::string& name, const std::string& text, milliseconds timeout) {
+  bool found = false;
+  run_until(
       [&] {
-        said = log_since_start(name).find(words) != std::string::npos;
-        return said || !alive(name);
+        found = log_since_start(name).find(text) != std::string::npos;
+        return found || !alive(name);
       },
-      longest);
-  return said;
+      timeout);
+  return found;
 }
 
 }  // namespace trailcourse::fleet
--- a/src/fleet/supervisor.h
+++ b/src/fleet/supervisor.h
@@ -1,9 +1,9 @@
-// Starts the members of a layout, knows which are up, signals them by name, and takes all of them down with
-// it.
+// Starts the members of a layout as child processes, signals them by name, and kills all of them when it is
+// destroyed.
 //
-// Package `fleet`, over `transport`. One thread, the same for its whole life (children end with the thread
-// that started them). Waiting is done by turning the scheduler, so that proxies and load in the same process
-// go on.
+// Package `fleet`, over `transport`. It has to be used by one thread only, since children are killed when the
+// thread that started them ends. Functions that wait turn the scheduler, so that proxies and load in the same
+// process continue.
 #pragma once
 
 #include <chrono>
@@ -25,35 +25,38 @@
   Supervisor(transport::Scheduler& scheduler, Layout& layout, std::string program)
       : scheduler_(scheduler), layout_(layout), program_(std::move(program)) {}
 
-  // Writes the member's file and starts it; it may not be up yet. Nothing happens where it runs.
+  // Writes the configuration of a member and starts it, without waiting until it listens. Does nothing if it
+  // runs.
   void start(const std::string& name);
-  // Those of a kind, one after the other without waiting.
+  // Starts all members of a kind, without waiting.
   void start_all(Kind kind);
-  // SIGKILL, and its end awaited.
+  // Sends SIGKILL and waits for the end of the process.
   void kill(const std::string& name);
-  // SIGTERM, and its end awaited; nothing where it did not end within `longest`.
-  std::optional<Process::End> end(const std::string& name, std::chrono::milliseconds longest);
+  // Sends SIGTERM and waits for the end of the process. Kills it and returns nothing after `timeout`.
+  std::optional<Process::End> terminate(const std::string& name, std::chrono::milliseconds timeout);
   void signal(const std::string& name, int number);
 
   bool alive(const std::string& name);
   pid_t pid(const std::string& name) const;
   std::string log(const std::string& name) const;
-  // What the log says since the last start.
+  // Returns the log since the last start of the member.
   std::string log_since_start(const std::string& name) const;
-  // Those that have ended without being told to, with how.
+  // Returns the members that have ended although neither kill() nor terminate() was called, with their exit
+  // status.
   std::vector<std::string> missing();
 
-  // Turns the scheduler until `done`, or until `longest` has passed; whether it was done.
-  bool until(const std::function<bool()>& done, std::chrono::milliseconds longest);
-  // Waits until it listens; false where it has ended or is not up in time.
-  bool await_up(const std::string& name, std::chrono::milliseconds longest);
-  // Waits until its log since the last start holds these words.
-  bool await_log(const std::string& name, const std::string& words, std::chrono::milliseconds longest);
+  // Turns the scheduler until `done` returns true or `timeout` has passed. Returns whether `done` returned
+  // true.
+  bool run_until(const std::function<bool()>& done, std::chrono::milliseconds timeout);
+  // Waits until the member listens; returns false if it ends or does not listen in time.
+  bool await_up(const std::string& name, std::chrono::milliseconds timeout);
+  // Waits until the log since the member's last start contains `text`; returns false as await_up() does.
+  bool await_log(const std::string& name, const std::string& text, std::chrono::milliseconds timeout);
 
  private:
   struct Child {
     Process process;
-    std::size_t log_from = 0;  // bytes of the log from starts before
+    std::size_t log_from = 0;  // size of the log at the start, in bytes
   };
 
   transport::Scheduler& scheduler_;
--- a/src/program/fleet_command.cpp
+++ b/src/program/fleet_command.cpp
@@ -119,10 +119,10 @@
     for (fleet::Member& member : layout_.members()) {
       if (member.kind == Kind::kRouter) {
         if (command_.relay_degree > 0) {
-          member.relay = ports_.take_text();
+          member.relay = ports_.allocate_text();
         }
         if (!command_.router_program.empty()) {
-          layout_.shape().router_program = command_.router_program;
+          layout_.spec().router_program = command_.router_program;
         }
       }
     }
@@ -162,7 +162,7 @@
       return kFleetNotUp;
     }
     status_.emplace(scheduler_, layout_);
-    load_.emplace(scheduler_, fleet::Load::Options{}, command_.seed << 20U);
+    load_.emplace(scheduler_, fleet::LoadGenerator::Options{}, command_.seed << 20U);
     begun_ = Clock::now();
     scenario_->begin(std::move(script));
     while (!ending_ && (command_.seconds <= 0.0 || since(begun_) < command_.seconds * 1'000)) {
@@ -173,7 +173,7 @@
 
  private:
   std::vector<fleet::Fault> drawn_script() {
-    fleet::Draw draw;
+    fleet::RandomScriptOptions draw;
     for (const fleet::Member& member : layout_.members()) {
       if (member.kind == Kind::kRouter || member.kind == Kind::kCache || member.kind == Kind::kParent) {
         draw.processes.push_back(member.name);
@@ -184,7 +184,7 @@
     }
     draw.faults = command_.draw;
     draw.length_ms = static_cast<std::int64_t>(std::max(2.0, command_.seconds * 0.7) * 1'000);
-    return fleet::draw_script(draw, command_.seed);
+    return fleet::random_script(draw, command_.seed);
   }
 
   bool start_nodes() {
@@ -275,7 +275,7 @@
   void ask() {
     const auto due = static_cast<std::size_t>(since(begun_) / 1'000.0 * command_.load_per_s);
     const auto& rows = status_->rows();
-    while (load_->all().size() < due && command_.load_per_s > 0.0) {
+    while (load_->requests().size() < due && command_.load_per_s > 0.0) {
       // As a front does: only routers that say they are ready.
       std::vector<std::string> ready;
       for (const auto& [name, row] : rows) {
@@ -287,8 +287,8 @@
         break;
       }
       const std::string& router = ready[random_() % ready.size()];
-      load_->ask(router, *transport::parse_address(layout_.member(router).address),
-                 fleet::object_name(1'000 + random_() % kObjects));
+      load_->send(router, *transport::parse_address(layout_.member(router).address),
+                  fleet::object_name(1'000 + random_() % kObjects));
     }
   }
 
@@ -371,7 +371,7 @@
 
   int end() {
     const auto missing = scenario_->fleet().missing();
-    scenario_->fleet().until([this] { return load_->open() == 0; }, milliseconds(4'000));
+    scenario_->fleet().run_until([this] { return load_->open() == 0; }, milliseconds(4'000));
     const json summary = summarise();
     write_whole(command_.folder + "/summary.json", summary.dump(1) + "\n");
     for (const std::string& name : layout_.names(Kind::kRouter)) {
@@ -415,13 +415,13 @@
     std::vector<Clock::time_point> connections;
     std::size_t node_opens = 0;
     for (const fleet::FaultProxy* proxy : scenario_->links()) {
-      const fleet::FaultProxy::Seen& seen = proxy->seen();
+      const fleet::FaultProxy::Traffic& traffic = proxy->traffic();
       const bool router_to_board = proxy->name().starts_with("router");
       if (router_to_board) {
-        calls.insert(calls.end(), seen.requests.begin(), seen.requests.end());
-        connections.insert(connections.end(), seen.connections.begin(), seen.connections.end());
+        calls.insert(calls.end(), traffic.requests.begin(), traffic.requests.end());
+        connections.insert(connections.end(), traffic.connections.begin(), traffic.connections.end());
       } else if (proxy->name().starts_with("*>")) {
-        node_opens = std::max(node_opens, fleet::max_count_within(seen.connections, milliseconds(1'000)));
+        node_opens = std::max(node_opens, fleet::max_count_within(traffic.connections, milliseconds(1'000)));
       }
     }
     out["board"] = {{"calls", calls.size()},
@@ -437,7 +437,7 @@
   void add_requests(json& out) const {
     std::map<std::string, std::size_t> answers;
     std::vector<double> took;
-    for (const fleet::Asked& one : load_->all()) {
+    for (const fleet::SentRequest& one : load_->requests()) {
       const bool served = one.status == 200;
       ++answers[served                                   ? "served"
                 : one.status == 503 || one.status == 429 ? "refused"
@@ -475,7 +475,7 @@
         scenario_->fleet().signal(name, SIGHUP);
       }
     }
-    scenario_->fleet().until([] { return false; }, milliseconds(100));
+    scenario_->fleet().run_until([] { return false; }, milliseconds(100));
     std::uint64_t fills = 0;
     std::uint64_t worst_fills = 0;
     std::uint64_t worst_requests = 0;
@@ -505,7 +505,7 @@
   fleet::Layout layout_;
   std::optional<fleet::Scenario> scenario_;
   std::optional<fleet::StatusPoller> status_;
-  std::optional<fleet::Load> load_;
+  std::optional<fleet::LoadGenerator> load_;
   std::mt19937_64 random_;
   Clock::time_point begun_ = Clock::now();
   Clock::time_point refresh_at_ = begun_;
--- a/tests/aggregation/aggregator_process_test.cpp
+++ b/tests/aggregation/aggregator_process_test.cpp
@@ -26,7 +26,7 @@
       {"ownership", {{"kinds", {"policy", "probe"}}}}};
   fleet::Process::Spec spec;
   spec.name = "aggregator";
-  spec.words = {TRAILCOURSE_PROGRAM, "aggregator", "--config", config};
+  spec.arguments = {TRAILCOURSE_PROGRAM, "aggregator", "--config", config};
   spec.log = region.folder() + "/aggregator.log";
   fleet::Process process(spec);
   const auto logged = [&](const std::string& words) {
--- a/tests/aggregation/region.h
+++ b/tests/aggregation/region.h
@@ -71,7 +71,7 @@
     std::filesystem::create_directories(folder_);
     coordination::RegistryOptions options;
     options.folder = folder_ + "/registry";
-    store_address_ = ports_.take_text();
+    store_address_ = ports_.allocate_text();
     registry_ = std::make_unique<coordination::CoordinationServer>(scheduler, options);
     registry_->listen(*transport::parse_address(store_address_));
   }
@@ -86,7 +86,7 @@
   AggregatorService& add_aggregator(const std::string& name, const std::string& store = "",
                                     std::int64_t ttl_ms = kAggregatorTtlMs) {
     AggregatorOptions options;
-    options.listen = ports_.take_text();
+    options.listen = ports_.allocate_text();
     options.name = name;
     options.zones = {"east", "west"};
     options.ttl_ms = ttl_ms;
@@ -117,7 +117,7 @@
   const std::vector<std::string>& endpoints() const { return endpoints_; }
   const std::string& store_address() const { return store_address_; }
   const std::string& folder() const { return folder_; }
-  std::string free_address() { return ports_.take_text(); }
+  std::string free_address() { return ports_.allocate_text(); }
 
   // Requests a lease until it is granted: an aggregator may not have its own yet.
   coordination::LeaseId acquire_lease(coordination::CoordinationStore& store,
--- a/tests/coordination_fixture.h
+++ b/tests/coordination_fixture.h
@@ -73,7 +73,7 @@
     std::filesystem::create_directories(folder_);
     server_options_.folder = folder_ + "/registry";
     server_options_.history = history;
-    address_ = ports_.take_text();
+    address_ = ports_.allocate_text();
     options_.store = backend == Backend::kEtcd ? "etcd" : "embedded";
     options_.endpoints = {address_};
     options_.folder = folder_ + "/shared";
@@ -100,7 +100,7 @@
          {{"listen", address_}, {"folder", server_options_.folder}, {"history", server_options_.history}}}};
     fleet::Process::Spec spec;
     spec.name = "registry";
-    spec.words = {TRAILCOURSE_PROGRAM, "registry", "--config", config};
+    spec.arguments = {TRAILCOURSE_PROGRAM, "registry", "--config", config};
     spec.log = folder_ + "/registry.log";
     server_ = std::make_unique<fleet::Process>(spec);
     const std::size_t starts = ++starts_;
@@ -118,7 +118,7 @@
   void stop_server() { server_.reset(); }
   fleet::FaultProxy& proxy() {
     if (!proxy_) {
-      const std::string at = ports_.take_text();
+      const std::string at = ports_.allocate_text();
       proxy_ = std::make_unique<fleet::FaultProxy>(scheduler, "router>store", *transport::parse_address(at),
                                                    *transport::parse_address(address_));
       options_.endpoints = {at};
--- a/tests/fleet/bench_test.cpp
+++ b/tests/fleet/bench_test.cpp
@@ -14,8 +14,8 @@
 #include <thread>
 #include <vector>
 
+#include "fleet/fleet_fixture.h"
 #include "fleet/process.h"
-#include "fleet/rig.h"
 
 namespace trailcourse::testing_support {
 namespace {
@@ -72,7 +72,7 @@
 
 template <typename Done>
 bool await(Done done) {
-  const auto until = Steady::now() + kAwaited;
+  const auto until = Steady::now() + kTestTimeout;
   while (!done() && Steady::now() < until) {
     std::this_thread::yield();
   }
@@ -106,8 +106,8 @@
   }
   void expect_missing_row(Process& bench, const std::vector<Child>& children) const {
     ASSERT_TRUE(await([&] { return !bench.alive(); })) << bench.log();
-    EXPECT_FALSE(bench.look()->by_signal) << bench.log();
-    EXPECT_EQ(bench.look()->status, kRowMissing) << bench.log();
+    EXPECT_FALSE(bench.poll()->by_signal) << bench.log();
+    EXPECT_EQ(bench.poll()->status, kRowMissing) << bench.log();
     EXPECT_NE(bench.log().find("not measured: "), std::string::npos) << bench.log();
     for (const Child& child : children) {
       EXPECT_TRUE(ended(child.pid)) << child.command;
--- a/tests/fleet/broken_nodes_test.cpp
+++ b/tests/fleet/broken_nodes_test.cpp
@@ -5,12 +5,12 @@
 #include <random>
 #include <string>
 
-#include "fleet/rig.h"
+#include "fleet/fleet_fixture.h"
 
 namespace trailcourse::testing_support {
 namespace {
 
-using fleet::Asked;
+using fleet::SentRequest;
 using std::chrono::milliseconds;
 using transport::Clock;
 
@@ -22,8 +22,8 @@
 TEST(BrokenNodesTest, OneOfThreeKilledAgainAndAgainTheOthersServe) {
   constexpr int kRequests = 780;
   constexpr int kAllowed = 15;
-  Rig rig(fleet::FleetSpec{});
-  rig.start_all();
+  FleetFixture fixture(fleet::FleetSpec{});
+  fixture.start_all();
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   std::mt19937_64 random(5);
   const std::vector<std::string> nodes{"cache0", "cache1", "parent0"};
@@ -31,35 +31,35 @@
   int kills = 0;
   Clock::time_point next = Clock::now() + milliseconds(200);
   Clock::time_point batch = Clock::now();
-  while (rig.load().all().size() < kRequests) {
-    if (Clock::now() >= batch && rig.load().open() == 0) {
+  while (fixture.load().requests().size() < kRequests) {
+    if (Clock::now() >= batch && fixture.load().open() == 0) {
       batch = Clock::now() + milliseconds(60);
       for (int i = 0; i < 8; ++i) {
-        rig.ask("router0", 1'000 + random() % 40);
+        fixture.send("router0", 1'000 + random() % 40);
       }
     }
     if (Clock::now() >= next) {
       next = Clock::now() + milliseconds(200);
       if (down.empty()) {
         down = nodes[random() % nodes.size()];
-        rig.fleet().kill(down);
+        fixture.fleet().kill(down);
         ++kills;
       } else {
-        rig.start(down);
+        fixture.start(down);
         ASSERT_FALSE(testing::Test::HasFatalFailure());
         down.clear();
       }
     }
-    rig.run_for(milliseconds(1));
+    fixture.run_for(milliseconds(1));
   }
-  ASSERT_TRUE(rig.await_answers());
-  const std::vector<Asked>& all = rig.load().all();
+  ASSERT_TRUE(fixture.await_answers());
+  const std::vector<SentRequest>& all = fixture.load().requests();
   const auto served =
-      std::count_if(all.begin(), all.end(), [](const Asked& one) { return one.status == 200; });
-  EXPECT_EQ(broken_answers(all, milliseconds(2'000), 20U << 10U), std::vector<std::string>{});
+      std::count_if(all.begin(), all.end(), [](const SentRequest& one) { return one.status == 200; });
+  EXPECT_EQ(find_answer_violations(all, milliseconds(2'000), 20U << 10U), std::vector<std::string>{});
   EXPECT_GE(kills, 5);
-  EXPECT_GE(served, kRequests - kAllowed) << rig.logs();
-  EXPECT_EQ(rig.fleet().missing(), std::vector<std::string>{});
+  EXPECT_GE(served, kRequests - kAllowed) << fixture.logs();
+  EXPECT_EQ(fixture.fleet().missing(), std::vector<std::string>{});
 }
 
 }  // namespace
--- a/tests/fleet/cold_start_test.cpp
+++ b/tests/fleet/cold_start_test.cpp
@@ -12,16 +12,16 @@
 #include <random>
 #include <string>
 
-#include "fleet/rig.h"
+#include "fleet/fleet_fixture.h"
 #include "snapshot/snapshot.h"
 #include "stand_ins.h"
 
 namespace trailcourse::testing_support {
 namespace {
 
-using fleet::Asked;
-using fleet::Kind;
 using fleet::FleetSpec;
+using fleet::Kind;
+using fleet::SentRequest;
 using nlohmann::json;
 using std::chrono::milliseconds;
 using transport::Clock;
@@ -34,27 +34,27 @@
   return static_cast<std::size_t>(mean + 6.0 * std::sqrt(mean) + 12.0 + routers * (1.0 + seconds / 2.0));
 }
 
-std::size_t served(Rig& rig, std::size_t from) {
-  const auto& all = rig.load().all();
+std::size_t served(FleetFixture& fixture, std::size_t from) {
+  const auto& all = fixture.load().requests();
   return static_cast<std::size_t>(std::count_if(all.begin() + static_cast<std::ptrdiff_t>(from), all.end(),
-                                                [](const Asked& one) { return one.status == 200; }));
+                                                [](const SentRequest& one) { return one.status == 200; }));
 }
 
 // Makes all objects of a new version and purges the group of each object that is asked for here.
-void edit_and_purge(Rig& rig) {
-  rig.fleet().signal("origin", SIGHUP);
-  ASSERT_TRUE(rig.fleet().await_log("origin", "of a new version", kAwaited));
+void edit_and_purge(FleetFixture& fixture) {
+  fixture.fleet().signal("origin", SIGHUP);
+  ASSERT_TRUE(fixture.fleet().await_log("origin", "of a new version", kTestTimeout));
   const auto now =
       std::chrono::duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch());
   for (std::uint64_t object = 1'000; object < 1'030; ++object) {
-    rig.post({{"flush", {{"asset", fleet::object_name(object)}, {"ms", now.count()}}}});
+    fixture.append_event({{"flush", {{"asset", fleet::object_name(object)}, {"ms", now.count()}}}});
   }
 }
 
 // Answers of an old version to requests that were sent after `from`.
-std::size_t old_answers(Rig& rig, Clock::time_point from, int version) {
-  const auto& all = rig.load().all();
-  return static_cast<std::size_t>(std::count_if(all.begin(), all.end(), [&](const Asked& one) {
+std::size_t old_answers(FleetFixture& fixture, Clock::time_point from, int version) {
+  const auto& all = fixture.load().requests();
+  return static_cast<std::size_t>(std::count_if(all.begin(), all.end(), [&](const SentRequest& one) {
     return one.sent >= from && one.status == 200 && one.version < version;
   }));
 }
@@ -64,69 +64,71 @@
 // All at once, or one after the other.
 TEST_P(Starts, WithoutAListEachHasItWithinTheBoundOfCalls) {
   constexpr int kRouters = 12;
-  FleetSpec shape = spread_shape(kRouters);
-  shape.known = false;
-  Rig rig(shape, {"router*>board"});
-  rig.start(Kind::kBoard);
-  rig.start(Kind::kOrigin);
-  rig.start(Kind::kParent);
-  rig.start(Kind::kCache);
+  FleetSpec spec = spread_spec(kRouters);
+  spec.known = false;
+  FleetFixture fixture(spec, {"router*>board"});
+  fixture.start(Kind::kBoard);
+  fixture.start(Kind::kOrigin);
+  fixture.start(Kind::kParent);
+  fixture.start(Kind::kCache);
   const Clock::time_point begun = Clock::now();
-  for (const std::string& router : rig.routers()) {
-    rig.fleet().start(router);
-    rig.run_for(milliseconds(GetParam()));
+  for (const std::string& router : fixture.routers()) {
+    fixture.fleet().start(router);
+    fixture.run_for(milliseconds(GetParam()));
   }
-  ASSERT_EQ(rig.await_states(rig.routers(), {"current"}), "");
-  EXPECT_LE(rig.calls("router*>board"), allowed_calls(kRouters, 40.0, Clock::now() - begun));
-  for (const std::string& router : rig.routers()) {
-    EXPECT_TRUE(rig.await_ready(router));
+  ASSERT_EQ(fixture.await_states(fixture.routers(), {"current"}), "");
+  EXPECT_LE(fixture.call_count("router*>board"), allowed_calls(kRouters, 40.0, Clock::now() - begun));
+  for (const std::string& router : fixture.routers()) {
+    EXPECT_TRUE(fixture.await_ready(router));
   }
-  EXPECT_EQ(ask_all(rig, rig.routers(), 5), kNone);
-  EXPECT_EQ(served(rig, 0), 60U);
-  EXPECT_EQ(rig.fleet().missing(), kNone);
+  EXPECT_EQ(send_to_all(fixture, fixture.routers(), 5), kNoViolations);
+  EXPECT_EQ(served(fixture, 0), 60U);
+  EXPECT_EQ(fixture.fleet().missing(), kNoViolations);
 }
 
 INSTANTIATE_TEST_SUITE_P(ColdStart, Starts, testing::Values(0, 60));
 
 // A board that is down, silent, slow, refuses connections, breaks off in mid-event, or whose answers come
 // late. The routers serve on from what they know, call within the bound, and are current once it is sound.
-class TroubledBoard : public testing::TestWithParam<const char*> {};
+class FaultyDiscoveryServer : public testing::TestWithParam<const char*> {};
 
-TEST_P(TroubledBoard, RoutersServeOnCallWithinTheBoundAndComeBack) {
+TEST_P(FaultyDiscoveryServer, RoutersServeOnCallWithinTheBoundAndComeBack) {
   constexpr int kRouters = 8;
-  Rig rig(spread_shape(kRouters), {"router*>board"});
-  rig.start_all();
+  FleetFixture fixture(spread_spec(kRouters), {"router*>board"});
+  fixture.start_all();
   ASSERT_FALSE(testing::Test::HasFatalFailure());
-  for (const std::string& router : rig.routers()) {
-    ASSERT_TRUE(rig.await_ready(router));
+  for (const std::string& router : fixture.routers()) {
+    ASSERT_TRUE(fixture.await_ready(router));
   }
   const std::string trouble = GetParam();
   const bool process = trouble.find('>') == std::string::npos;
-  const std::size_t before = rig.calls("router*>board");
+  const std::size_t before = fixture.call_count("router*>board");
   const Clock::time_point begun = Clock::now();
-  rig.fault(trouble);
-  rig.post({{"pool",
-             {{"index", 2},
-              {"snapshot", false},
-              {"endpoints", {rig.layout().entry(rig.layout().member("cache1"), "draining")}}}}});
-  EXPECT_EQ(ask_all(rig, rig.routers(), 60), kNone);
-  EXPECT_GT(served(rig, 0), 8U * 55U);
-  EXPECT_LE(rig.calls("router*>board") - before, allowed_calls(kRouters, 40.0, Clock::now() - begun));
+  fixture.apply_fault(trouble);
+  fixture.append_event(
+      {{"pool",
+        {{"index", 2},
+         {"snapshot", false},
+         {"endpoints", {fixture.layout().entry(fixture.layout().member("cache1"), "draining")}}}}});
+  EXPECT_EQ(send_to_all(fixture, fixture.routers(), 60), kNoViolations);
+  EXPECT_GT(served(fixture, 0), 8U * 55U);
+  EXPECT_LE(fixture.call_count("router*>board") - before,
+            allowed_calls(kRouters, 40.0, Clock::now() - begun));
   if (process) {
-    rig.fault(trouble.starts_with("stop") ? "cont board" : "start board");
+    fixture.apply_fault(trouble.starts_with("stop") ? "cont board" : "start board");
   } else {
-    rig.fault("heal router*>board");
+    fixture.apply_fault("heal router*>board");
   }
-  for (const std::string& router : rig.routers()) {
-    EXPECT_TRUE(rig.fleet().await_log(router, "cache cache1 is draining", kAwaited))
-        << rig.fleet().log(router);
+  for (const std::string& router : fixture.routers()) {
+    EXPECT_TRUE(fixture.fleet().await_log(router, "cache cache1 is draining", kTestTimeout))
+        << fixture.fleet().log(router);
   }
-  ASSERT_EQ(rig.await_states(rig.routers(), {"current"}), "");
-  EXPECT_EQ(ask_all(rig, rig.routers(), 3), kNone);
-  EXPECT_EQ(rig.fleet().missing(), kNone);
+  ASSERT_EQ(fixture.await_states(fixture.routers(), {"current"}), "");
+  EXPECT_EQ(send_to_all(fixture, fixture.routers(), 3), kNoViolations);
+  EXPECT_EQ(fixture.fleet().missing(), kNoViolations);
 }
 
-INSTANTIATE_TEST_SUITE_P(ColdStart, TroubledBoard,
+INSTANTIATE_TEST_SUITE_P(ColdStart, FaultyDiscoveryServer,
                          testing::Values("kill board", "stop board", "cut router*>board both",
                                          "cut router*>board in", "refuse router*>board",
                                          "truncate router*>board 90", "slow router*>board 300",
@@ -141,153 +143,155 @@
 // Provokes: a board restored from nothing: another list, numbered from 1 again. What was known by its old
 // numbers would hide every new event until they are passed.
 TEST(ColdStartTest, ABoardThatBeganAnewIsHeardFromItsStart) {
-  FleetSpec shape = spread_shape(4);
-  shape.caches = 3;
-  Rig rig(shape);
-  rig.start_all();
+  FleetSpec spec = spread_spec(4);
+  spec.caches = 3;
+  FleetFixture fixture(spec);
+  fixture.start_all();
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   for (int i = 0; i < 5; ++i) {
-    rig.post({{"flush", {{"collection", 3}, {"ms", 1}}}});
+    fixture.append_event({{"flush", {{"collection", 3}, {"ms", 1}}}});
   }
-  ASSERT_EQ(rig.await_states(rig.routers(), {"current"}), "");
-  rig.fleet().kill("board");
-  json page = rig.layout().first_page();
+  ASSERT_EQ(fixture.await_states(fixture.routers(), {"current"}), "");
+  fixture.fleet().kill("board");
+  json page = fixture.layout().first_page();
   auto& entries = page["notices"][0]["pool"]["endpoints"];
   entries.erase(std::remove_if(entries.begin(), entries.end(),
                                [](const json& entry) { return entry["name"] == "cache0"; }),
                 entries.end());
-  std::ofstream(rig.layout().board_file()) << page.dump();
-  rig.start("board");
-  for (const std::string& router : rig.routers()) {
-    EXPECT_TRUE(rig.fleet().await_log(router, "began anew", kAwaited)) << rig.fleet().log(router);
-    EXPECT_TRUE(rig.fleet().await_log(router, "cache cache0 is not listed any more", kAwaited))
-        << rig.fleet().log(router);
+  std::ofstream(fixture.layout().board_file()) << page.dump();
+  fixture.start("board");
+  for (const std::string& router : fixture.routers()) {
+    EXPECT_TRUE(fixture.fleet().await_log(router, "began anew", kTestTimeout)) << fixture.fleet().log(router);
+    EXPECT_TRUE(fixture.fleet().await_log(router, "cache cache0 is not listed any more", kTestTimeout))
+        << fixture.fleet().log(router);
   }
   // Its next event, of a low number, is heard by all.
-  rig.post({{"pool",
-             {{"index", 2},
-              {"snapshot", false},
-              {"endpoints", {rig.layout().entry(rig.layout().member("cache1"), "draining")}}}}});
-  for (const std::string& router : rig.routers()) {
-    EXPECT_TRUE(rig.fleet().await_log(router, "cache cache1 is draining", kAwaited))
-        << rig.fleet().log(router);
+  fixture.append_event(
+      {{"pool",
+        {{"index", 2},
+         {"snapshot", false},
+         {"endpoints", {fixture.layout().entry(fixture.layout().member("cache1"), "draining")}}}}});
+  for (const std::string& router : fixture.routers()) {
+    EXPECT_TRUE(fixture.fleet().await_log(router, "cache cache1 is draining", kTestTimeout))
+        << fixture.fleet().log(router);
   }
-  EXPECT_EQ(ask_all(rig, rig.routers(), 5), kNone);
+  EXPECT_EQ(send_to_all(fixture, fixture.routers(), 5), kNoViolations);
 }
 
 // Provokes: a stale copy of the board behind its address, for a moment. It must change nothing.
 TEST(ColdStartTest, AnOlderNumberFromTheSameBoardChangesNothing) {
-  Rig rig(spread_shape(3));
-  json page = rig.layout().first_page();
+  FleetFixture fixture(spread_spec(3));
+  json page = fixture.layout().first_page();
   page["board"] = "one";
-  std::ofstream(rig.layout().board_file()) << page.dump();
-  rig.start_all();
+  std::ofstream(fixture.layout().board_file()) << page.dump();
+  fixture.start_all();
   ASSERT_FALSE(testing::Test::HasFatalFailure());
-  rig.post({{"pool",
-             {{"index", 2},
-              {"snapshot", false},
-              {"endpoints", {rig.layout().entry(rig.layout().member("cache1"), "draining")}}}}});
-  for (const std::string& router : rig.routers()) {
-    ASSERT_TRUE(rig.fleet().await_log(router, "cache cache1 is draining", kAwaited));
+  fixture.append_event(
+      {{"pool",
+        {{"index", 2},
+         {"snapshot", false},
+         {"endpoints", {fixture.layout().entry(fixture.layout().member("cache1"), "draining")}}}}});
+  for (const std::string& router : fixture.routers()) {
+    ASSERT_TRUE(fixture.fleet().await_log(router, "cache cache1 is draining", kTestTimeout));
   }
-  std::ofstream(rig.layout().board_file()) << page.dump();  // as it was before
-  ASSERT_TRUE(rig.fleet().await_log("board", "tells up to event 1", kAwaited));
-  rig.run_for(milliseconds(300));
-  for (const std::string& router : rig.routers()) {
-    EXPECT_EQ(rig.fleet().log(router).find("began anew"), std::string::npos);
-    EXPECT_EQ(rig.fleet().log(router).find("cache1 is up", rig.fleet().log(router).find("draining")),
+  std::ofstream(fixture.layout().board_file()) << page.dump();  // as it was before
+  ASSERT_TRUE(fixture.fleet().await_log("board", "tells up to event 1", kTestTimeout));
+  fixture.run_for(milliseconds(300));
+  for (const std::string& router : fixture.routers()) {
+    EXPECT_EQ(fixture.fleet().log(router).find("began anew"), std::string::npos);
+    EXPECT_EQ(fixture.fleet().log(router).find("cache1 is up", fixture.fleet().log(router).find("draining")),
               std::string::npos);
   }
 }
 
 TEST(ColdStartTest, MovedBySighupDuringTheStartTheNewBoardIsAsked) {
-  FleetSpec shape = spread_shape(6, 4.0);
-  shape.known = false;
-  Rig rig(shape, {"router*>board"});
-  rig.start(Kind::kOrigin);
-  rig.start(Kind::kCache);
+  FleetSpec spec = spread_spec(6, 4.0);
+  spec.known = false;
+  FleetFixture fixture(spec, {"router*>board"});
+  fixture.start(Kind::kOrigin);
+  fixture.start(Kind::kCache);
   // The links lead nowhere until the board is up; the new address is the board's own.
-  rig.fleet().start_all(Kind::kRouter);
-  for (const std::string& router : rig.routers()) {
-    ASSERT_TRUE(rig.fleet().await_up(router, kAwaited));
+  fixture.fleet().start_all(Kind::kRouter);
+  for (const std::string& router : fixture.routers()) {
+    ASSERT_TRUE(fixture.fleet().await_up(router, kTestTimeout));
   }
-  rig.start(Kind::kBoard);
-  rig.fault("cut router*>board both");
-  for (const std::string& router : rig.routers()) {
-    rig.layout().member(router).board = rig.layout().member("board").address;
-    rig.layout().write(rig.layout().member(router));
-    rig.fleet().signal(router, SIGHUP);
+  fixture.start(Kind::kBoard);
+  fixture.apply_fault("cut router*>board both");
+  for (const std::string& router : fixture.routers()) {
+    fixture.layout().member(router).board = fixture.layout().member("board").address;
+    fixture.layout().write(fixture.layout().member(router));
+    fixture.fleet().signal(router, SIGHUP);
   }
-  EXPECT_EQ(rig.await_states(rig.routers(), {"current"}), "");
+  EXPECT_EQ(fixture.await_states(fixture.routers(), {"current"}), "");
 }
 
 // Provokes: some routers cut off from the board while objects are purged. Those that guard take no copy older
 // than the stated time; those that refuse serve nothing; neither gives out an old version.
 TEST(ColdStartTest, CutOffFromTheBoardNoneServesWhatWasPurgedUnheard) {
   for (const char* unsure : {"guard", "refuse"}) {
-    FleetSpec shape = spread_shape(4);
-    shape.operators["startup"]["unsure"] = unsure;
-    shape.operators["startup"]["told_within_ms"] = 800;
-    Rig rig(shape, {"router*>board", "cache*>board", "parent*>board"});
-    rig.start_all();
+    FleetSpec spec = spread_spec(4);
+    spec.operators["startup"]["unsure"] = unsure;
+    spec.operators["startup"]["told_within_ms"] = 800;
+    FleetFixture fixture(spec, {"router*>board", "cache*>board", "parent*>board"});
+    fixture.start_all();
     ASSERT_FALSE(testing::Test::HasFatalFailure());
-    ASSERT_EQ(rig.await_states(rig.routers(), {"current"}), "");
-    ASSERT_EQ(ask_all(rig, rig.routers(), 10), kNone);
+    ASSERT_EQ(fixture.await_states(fixture.routers(), {"current"}), "");
+    ASSERT_EQ(send_to_all(fixture, fixture.routers(), 10), kNoViolations);
     // The nodes do not hear of the purge either: nothing but the routers' age limits is left.
-    rig.fault("cut cache*>board both");
-    rig.fault("cut parent*>board both");
-    rig.fault("cut router0>board both");
-    rig.fault("cut router1>board both");
-    edit_and_purge(rig);
-    ASSERT_EQ(rig.await_states({"router0", "router1"}, {"doubtful"}), "");
-    ASSERT_TRUE(rig.until([&] { return rig.status("router2").state == "current"; }));
-    rig.run_for(milliseconds(900));  // the stated time, after which no old copy may pass
-    const std::size_t from = rig.load().all().size();
+    fixture.apply_fault("cut cache*>board both");
+    fixture.apply_fault("cut parent*>board both");
+    fixture.apply_fault("cut router0>board both");
+    fixture.apply_fault("cut router1>board both");
+    edit_and_purge(fixture);
+    ASSERT_EQ(fixture.await_states({"router0", "router1"}, {"doubtful"}), "");
+    ASSERT_TRUE(fixture.run_until([&] { return fixture.status("router2").state == "current"; }));
+    fixture.run_for(milliseconds(900));  // the stated time, after which no old copy may pass
+    const std::size_t from = fixture.load().requests().size();
     const Clock::time_point bound = Clock::now();
-    EXPECT_EQ(ask_all(rig, rig.routers(), 15), kNone);
-    EXPECT_EQ(old_answers(rig, bound, 2), 0U) << unsure;
+    EXPECT_EQ(send_to_all(fixture, fixture.routers(), 15), kNoViolations);
+    EXPECT_EQ(old_answers(fixture, bound, 2), 0U) << unsure;
     if (std::string(unsure) == "guard") {
-      EXPECT_GT(served(rig, from), 45U);
+      EXPECT_GT(served(fixture, from), 45U);
     } else {
-      const auto& all = rig.load().all();
+      const auto& all = fixture.load().requests();
       for (std::size_t i = from; i < all.size(); ++i) {
         const bool cut = all[i].router == "router0" || all[i].router == "router1";
         EXPECT_EQ(all[i].status == 200, !cut) << all[i].router;
       }
     }
-    rig.fault("heal *>board");
-    EXPECT_EQ(rig.await_states(rig.routers(), {"current"}), "");
-    EXPECT_EQ(ask_all(rig, rig.routers(), 3), kNone);
-    EXPECT_EQ(old_answers(rig, bound, 2), 0U);
+    fixture.apply_fault("heal *>board");
+    EXPECT_EQ(fixture.await_states(fixture.routers(), {"current"}), "");
+    EXPECT_EQ(send_to_all(fixture, fixture.routers(), 3), kNoViolations);
+    EXPECT_EQ(old_answers(fixture, bound, 2), 0U);
   }
 }
 
 // Provokes: a router stopped with requests in its buffers, for longer than the stated time, and woken after a
 // purge.
 TEST(ColdStartTest, StoppedAndWokenItServesNothingOfBeforeThePurge) {
-  FleetSpec shape = spread_shape(2);
-  shape.operators["startup"]["unsure"] = "guard";
-  shape.operators["startup"]["told_within_ms"] = 600;
-  Rig rig(shape, {"cache*>board", "parent*>board"});
-  rig.start_all();
+  FleetSpec spec = spread_spec(2);
+  spec.operators["startup"]["unsure"] = "guard";
+  spec.operators["startup"]["told_within_ms"] = 600;
+  FleetFixture fixture(spec, {"cache*>board", "parent*>board"});
+  fixture.start_all();
   ASSERT_FALSE(testing::Test::HasFatalFailure());
-  ASSERT_EQ(rig.await_states(rig.routers(), {"current"}), "");
-  ASSERT_EQ(ask_all(rig, rig.routers(), 10), kNone);
-  rig.fault("cut cache*>board both");
-  rig.fault("cut parent*>board both");
-  rig.fault("stop router0");
-  edit_and_purge(rig);
-  rig.run_for(milliseconds(2'000));
+  ASSERT_EQ(fixture.await_states(fixture.routers(), {"current"}), "");
+  ASSERT_EQ(send_to_all(fixture, fixture.routers(), 10), kNoViolations);
+  fixture.apply_fault("cut cache*>board both");
+  fixture.apply_fault("cut parent*>board both");
+  fixture.apply_fault("stop router0");
+  edit_and_purge(fixture);
+  fixture.run_for(milliseconds(2'000));
   const Clock::time_point bound = Clock::now();
-  const std::size_t from = rig.load().all().size();
+  const std::size_t from = fixture.load().requests().size();
   for (std::uint64_t object = 1'000; object < 1'030; ++object) {
-    rig.ask("router0", object);  // in its buffers when it wakes
+    fixture.send("router0", object);  // in its buffers when it wakes
   }
-  rig.run_for(milliseconds(20));
-  rig.fault("cont router0");
-  ASSERT_TRUE(rig.await_answers());
-  EXPECT_EQ(old_answers(rig, bound, 2), 0U);
-  EXPECT_GT(served(rig, from), 20U);
+  fixture.run_for(milliseconds(20));
+  fixture.apply_fault("cont router0");
+  ASSERT_TRUE(fixture.await_answers());
+  EXPECT_EQ(old_answers(fixture, bound, 2), 0U);
+  EXPECT_GT(served(fixture, from), 20U);
 }
 
 // Provokes: a list of which a fifth are gone; their addresses answer nothing.
@@ -295,29 +299,30 @@
   constexpr int kListed = 200;
   constexpr int kLiving = 160;
   constexpr int kProcesses = 16;  // each is listed under ten names: a cache does not know what it is called
-  FleetSpec shape = spread_shape(3);
-  shape.caches = kListed;
-  Rig rig(shape);
+  FleetSpec spec = spread_spec(3);
+  spec.caches = kListed;
+  FleetFixture fixture(spec);
   const auto name = [](int number) { return "cache" + std::to_string(number); };
   for (int i = kProcesses; i < kLiving; ++i) {
-    rig.layout().member(name(i)).advertised_address = rig.layout().member(name(i % kProcesses)).address;
+    fixture.layout().member(name(i)).advertised_address =
+        fixture.layout().member(name(i % kProcesses)).address;
   }
-  rig.layout().write();
-  rig.start(Kind::kBoard);
-  rig.start(Kind::kOrigin);
-  rig.start(Kind::kParent);
+  fixture.layout().write();
+  fixture.start(Kind::kBoard);
+  fixture.start(Kind::kOrigin);
+  fixture.start(Kind::kParent);
   for (int i = 0; i < kProcesses; ++i) {
-    rig.fleet().start(name(i));
+    fixture.fleet().start(name(i));
   }
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   // Not by its log: a line for each of so many caches leaves no room for others in its first second.
-  rig.fleet().start_all(Kind::kRouter);
-  ASSERT_EQ(rig.await_states(rig.routers(), {"current"}), "");
+  fixture.fleet().start_all(Kind::kRouter);
+  ASSERT_EQ(fixture.await_states(fixture.routers(), {"current"}), "");
   for (int i = 0; i < kProcesses; ++i) {
-    ASSERT_TRUE(rig.fleet().await_log(name(i), "board was heard", kAwaited));
+    ASSERT_TRUE(fixture.fleet().await_log(name(i), "board was heard", kTestTimeout));
   }
-  EXPECT_EQ(ask_all(rig, rig.routers(), 60), kNone);
-  EXPECT_EQ(served(rig, 0), 180U);
+  EXPECT_EQ(send_to_all(fixture, fixture.routers(), 60), kNoViolations);
+  EXPECT_EQ(served(fixture, 0), 180U);
 }
 
 // Provokes: a cache listed as just started while all routers are under load. Together they send it no more
@@ -326,63 +331,64 @@
 TEST(ColdStartTest, AColdCacheGetsNoMoreThanItsBudgetFromAllRoutersTogether) {
   constexpr int kRouters = 6;
   constexpr double kWork = 0.4;  // seconds of sending of one request at full pace, by its told size
-  FleetSpec shape = spread_shape(kRouters);
-  shape.weight = 2;
-  Rig rig(shape);
-  rig.start_all();
+  FleetSpec spec = spread_spec(kRouters);
+  spec.weight = 2;
+  FleetFixture fixture(spec);
+  fixture.start_all();
   ASSERT_FALSE(testing::Test::HasFatalFailure());
-  ASSERT_EQ(rig.await_states(rig.routers(), {"current"}), "");
-  fleet::Load::Options options;
+  ASSERT_EQ(fixture.await_states(fixture.routers(), {"current"}), "");
+  fleet::LoadGenerator::Options options;
   options.size_kb = 5'000 * kWork;
-  rig.load_with(options);
+  fixture.set_load_options(options);
   // The routers learn what a request costs.
   for (int i = 0; i < 10; ++i) {
-    for (const std::string& router : rig.routers()) {
-      rig.ask(router, 5'000 + static_cast<std::uint64_t>(i));
+    for (const std::string& router : fixture.routers()) {
+      fixture.send(router, 5'000 + static_cast<std::uint64_t>(i));
     }
-    ASSERT_TRUE(rig.await_answers());
+    ASSERT_TRUE(fixture.await_answers());
   }
-  const auto requests = [&rig] {
-    const std::size_t before = rig.fleet().log("cache1").size();
-    rig.fleet().signal("cache1", SIGHUP);
-    EXPECT_TRUE(
-        rig.until([&] { return rig.fleet().log("cache1").find(" requests=", before) != std::string::npos; }));
-    const std::string log = rig.fleet().log("cache1");
+  const auto requests = [&fixture] {
+    const std::size_t before = fixture.fleet().log("cache1").size();
+    fixture.fleet().signal("cache1", SIGHUP);
+    EXPECT_TRUE(fixture.run_until(
+        [&] { return fixture.fleet().log("cache1").find(" requests=", before) != std::string::npos; }));
+    const std::string log = fixture.fleet().log("cache1");
     return std::strtoul(log.c_str() + log.rfind(" requests=") + 10, nullptr, 10);
   };
   const auto since =
       std::chrono::duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch());
   const unsigned long before = requests();
-  rig.post({{"pool",
-             {{"index", 2},
-              {"snapshot", false},
-              {"endpoints", {rig.layout().entry(rig.layout().member("cache1"), "up", since.count())}}}}});
-  for (const std::string& router : rig.routers()) {
-    ASSERT_TRUE(rig.fleet().await_log(router, "cache cache1 is up, started late", kAwaited));
+  fixture.append_event(
+      {{"pool",
+        {{"index", 2},
+         {"snapshot", false},
+         {"endpoints", {fixture.layout().entry(fixture.layout().member("cache1"), "up", since.count())}}}}});
+  for (const std::string& router : fixture.routers()) {
+    ASSERT_TRUE(fixture.fleet().await_log(router, "cache cache1 is up, started late", kTestTimeout));
   }
   const unsigned long heard = requests() - before;
   const Clock::time_point begun = Clock::now();
-  const auto all = rig.routers();
+  const auto all = fixture.routers();
   for (int i = 0; i < 60; ++i) {
     if (i == 20) {
       // Most of them begin anew in the middle of it, and have spent nothing of their own by what they know.
       for (int killed = 0; killed < 4; ++killed) {
-        rig.fleet().kill(all[static_cast<std::size_t>(killed)]);
-        rig.fleet().start(all[static_cast<std::size_t>(killed)]);
-        ASSERT_TRUE(rig.fleet().await_up(all[static_cast<std::size_t>(killed)], kAwaited));
+        fixture.fleet().kill(all[static_cast<std::size_t>(killed)]);
+        fixture.fleet().start(all[static_cast<std::size_t>(killed)]);
+        ASSERT_TRUE(fixture.fleet().await_up(all[static_cast<std::size_t>(killed)], kTestTimeout));
       }
     }
     for (const std::string& router : all) {
-      rig.ask(router, 1'000 + static_cast<std::uint64_t>(i * kRouters) % 300);
+      fixture.send(router, 1'000 + static_cast<std::uint64_t>(i * kRouters) % 300);
     }
-    rig.run_for(milliseconds(10));
+    fixture.run_for(milliseconds(10));
   }
-  EXPECT_TRUE(rig.await_answers());
+  EXPECT_TRUE(fixture.await_answers());
   const unsigned long sent = requests() - before - heard;
   const double seconds = std::chrono::duration<double>(Clock::now() - begun).count();
   const double warmth = std::min(1.0, 0.3 + 0.7 * (seconds + 0.5) / 10.0);
-  EXPECT_LE(static_cast<double>(sent) * kWork, 4.0 * warmth * shape.weight * (seconds + 1.0));
-  for (const Asked& one : rig.load().all()) {
+  EXPECT_LE(static_cast<double>(sent) * kWork, 4.0 * warmth * spec.weight * (seconds + 1.0));
+  for (const SentRequest& one : fixture.load().requests()) {
     EXPECT_LE(one.answers, 1);
     EXPECT_TRUE(one.answers == 1 || one.connection_ended);
   }
@@ -391,119 +397,121 @@
 // Provokes: caches that hold one request at a time, and links on which every connection and byte is slow to
 // come.
 TEST(ColdStartTest, FullCachesAndSlowLinksLoseNoAnswer) {
-  FleetSpec shape = spread_shape(4);
-  shape.cache = {{"open_requests", 1}};
-  Rig rig(shape, {"*>cache*"});
-  rig.start_all();
+  FleetSpec spec = spread_spec(4);
+  spec.cache = {{"open_requests", 1}};
+  FleetFixture fixture(spec, {"*>cache*"});
+  fixture.start_all();
   ASSERT_FALSE(testing::Test::HasFatalFailure());
-  rig.fault("delay *>cache0 150");
-  EXPECT_EQ(ask_all(rig, rig.routers(), 25), kNone);
-  rig.fault("heal *>cache0");
-  rig.fault("slow *>cache1 30000");
-  EXPECT_EQ(ask_all(rig, rig.routers(), 25), kNone);
-  EXPECT_GT(served(rig, 0), 0U);
-  EXPECT_EQ(rig.fleet().missing(), kNone);
+  fixture.apply_fault("delay *>cache0 150");
+  EXPECT_EQ(send_to_all(fixture, fixture.routers(), 25), kNoViolations);
+  fixture.apply_fault("heal *>cache0");
+  fixture.apply_fault("slow *>cache1 30000");
+  EXPECT_EQ(send_to_all(fixture, fixture.routers(), 25), kNoViolations);
+  EXPECT_GT(served(fixture, 0), 0U);
+  EXPECT_EQ(fixture.fleet().missing(), kNoViolations);
 }
 
 // Provokes: objects purged while a third of the routers are down, which start again from their snapshots.
 TEST(ColdStartTest, PurgedWhileAThirdAreDownTheyServeNothingOldAfterTheirStart) {
-  FleetSpec shape = spread_shape(6);
-  shape.operators["startup"]["unsure"] = "guard";
-  shape.operators["startup"]["told_within_ms"] = 600;
-  shape.operators["snapshot"] = {{"fleet", "test"}, {"write_ms", 20}};
-  shape.known = false;
-  Rig rig(shape, {"cache*>board", "parent*>board", "router*>board"});
-  rig.start_all();
+  FleetSpec spec = spread_spec(6);
+  spec.operators["startup"]["unsure"] = "guard";
+  spec.operators["startup"]["told_within_ms"] = 600;
+  spec.operators["snapshot"] = {{"fleet", "test"}, {"write_ms", 20}};
+  spec.known = false;
+  FleetFixture fixture(spec, {"cache*>board", "parent*>board", "router*>board"});
+  fixture.start_all();
   ASSERT_FALSE(testing::Test::HasFatalFailure());
-  ASSERT_EQ(rig.await_states(rig.routers(), {"current"}), "");
-  for (const std::string& router : rig.routers()) {
-    ASSERT_TRUE(rig.await_ready(router));
+  ASSERT_EQ(fixture.await_states(fixture.routers(), {"current"}), "");
+  for (const std::string& router : fixture.routers()) {
+    ASSERT_TRUE(fixture.await_ready(router));
   }
-  ASSERT_EQ(ask_all(rig, rig.routers(), 10), kNone);
+  ASSERT_EQ(send_to_all(fixture, fixture.routers(), 10), kNoViolations);
   const std::vector<std::string> third{"router0", "router1"};
   for (const std::string& router : third) {
-    ASSERT_TRUE(rig.until(
-        [&] { return std::filesystem::exists(rig.folder() + "/snapshot-" + router + "/snapshot"); }));
-    rig.fleet().kill(router);
+    ASSERT_TRUE(fixture.run_until(
+        [&] { return std::filesystem::exists(fixture.folder() + "/snapshot-" + router + "/snapshot"); }));
+    fixture.fleet().kill(router);
   }
-  rig.fault("cut cache*>board both");
-  rig.fault("cut parent*>board both");
-  edit_and_purge(rig);
-  rig.fault("cut router*>board both");  // and the board is gone before they are back
-  rig.run_for(milliseconds(700));
+  fixture.apply_fault("cut cache*>board both");
+  fixture.apply_fault("cut parent*>board both");
+  edit_and_purge(fixture);
+  fixture.apply_fault("cut router*>board both");  // and the board is gone before they are back
+  fixture.run_for(milliseconds(700));
   const Clock::time_point bound = Clock::now();
-  const std::size_t from = rig.load().all().size();
+  const std::size_t from = fixture.load().requests().size();
   for (const std::string& router : third) {
-    rig.start(router);
-    ASSERT_TRUE(rig.fleet().await_log(router, "snapshot: taken in", kAwaited)) << rig.fleet().log(router);
-    ASSERT_TRUE(rig.await_ready(router));
+    fixture.start(router);
+    ASSERT_TRUE(fixture.fleet().await_log(router, "snapshot: taken in", kTestTimeout))
+        << fixture.fleet().log(router);
+    ASSERT_TRUE(fixture.await_ready(router));
   }
-  EXPECT_EQ(rig.await_states({"router0"}, {"provisional"}), "");
+  EXPECT_EQ(fixture.await_states({"router0"}, {"provisional"}), "");
   // Nobody knows when the nodes started, so they are taken for cold, and most is refused at first.
-  for (int round = 0; round < 200 && served(rig, from) < 10; ++round) {
-    EXPECT_EQ(ask_all(rig, third, 5), kNone);
-    rig.run_for(milliseconds(50));
+  for (int round = 0; round < 200 && served(fixture, from) < 10; ++round) {
+    EXPECT_EQ(send_to_all(fixture, third, 5), kNoViolations);
+    fixture.run_for(milliseconds(50));
   }
-  EXPECT_EQ(old_answers(rig, bound, 2), 0U);
-  EXPECT_GE(served(rig, from), 10U);
-  rig.fault("heal *>board");
-  EXPECT_EQ(rig.await_states(rig.routers(), {"current"}), "");
+  EXPECT_EQ(old_answers(fixture, bound, 2), 0U);
+  EXPECT_GE(served(fixture, from), 10U);
+  fixture.apply_fault("heal *>board");
+  EXPECT_EQ(fixture.await_states(fixture.routers(), {"current"}), "");
 }
 
 // Provokes: seven in ten killed under load, and all of them back at once.
 TEST(ColdStartTest, SevenInTenKilledUnderLoadComeBackAndTheOthersLoseNothing) {
   constexpr int kRouters = 10;
-  Rig rig(spread_shape(kRouters), {"router*>board"});
-  rig.start_all();
+  FleetFixture fixture(spread_spec(kRouters), {"router*>board"});
+  fixture.start_all();
   ASSERT_FALSE(testing::Test::HasFatalFailure());
-  ASSERT_EQ(rig.await_states(rig.routers(), {"current"}), "");
-  const auto all = rig.routers();
+  ASSERT_EQ(fixture.await_states(fixture.routers(), {"current"}), "");
+  const auto all = fixture.routers();
   const std::vector<std::string> killed(all.begin(), all.begin() + 7);
   const std::vector<std::string> rest(all.begin() + 7, all.end());
   for (const std::string& router : rest) {
     for (int i = 0; i < 10; ++i) {
-      rig.ask(router, 1'000 + static_cast<std::uint64_t>(i));
+      fixture.send(router, 1'000 + static_cast<std::uint64_t>(i));
     }
   }
   const Clock::time_point begun = Clock::now();
-  const std::size_t before = rig.calls("router*>board");
+  const std::size_t before = fixture.call_count("router*>board");
   for (const std::string& router : killed) {
-    rig.fleet().kill(router);
+    fixture.fleet().kill(router);
   }
   for (const std::string& router : killed) {
-    rig.fleet().start(router);
+    fixture.fleet().start(router);
   }
-  EXPECT_EQ(ask_all(rig, rest, 20), kNone);
-  ASSERT_EQ(rig.await_states(all, {"current"}), "");
-  EXPECT_LE(rig.calls("router*>board") - before, allowed_calls(kRouters, 40.0, Clock::now() - begun));
-  EXPECT_EQ(ask_all(rig, all, 3), kNone);
+  EXPECT_EQ(send_to_all(fixture, rest, 20), kNoViolations);
+  ASSERT_EQ(fixture.await_states(all, {"current"}), "");
+  EXPECT_LE(fixture.call_count("router*>board") - before,
+            allowed_calls(kRouters, 40.0, Clock::now() - begun));
+  EXPECT_EQ(send_to_all(fixture, all, 3), kNoViolations);
 }
 
 // What can be wrong with a snapshot folder costs a line each and no start.
 TEST(SnapshotStartTest, TornForeignSharedFutureOrUnwritableTheStartGoesOnWithout) {
-  FleetSpec shape = spread_shape(1);
-  shape.operators["snapshot"] = {{"fleet", "test"}, {"write_ms", 20}};
-  shape.known = false;
-  Rig rig(shape);
-  rig.start_all();
+  FleetSpec spec = spread_spec(1);
+  spec.operators["snapshot"] = {{"fleet", "test"}, {"write_ms", 20}};
+  spec.known = false;
+  FleetFixture fixture(spec);
+  fixture.start_all();
   ASSERT_FALSE(testing::Test::HasFatalFailure());
-  const std::string folder = rig.folder() + "/snapshot-router0";
+  const std::string folder = fixture.folder() + "/snapshot-router0";
   const std::string file = folder + "/snapshot";
-  rig.post({{"flush", {{"collection", 3}, {"ms", 1}}}});
-  ASSERT_EQ(rig.await_states(rig.routers(), {"current"}), "");
+  fixture.append_event({{"flush", {{"collection", 3}, {"ms", 1}}}});
+  ASSERT_EQ(fixture.await_states(fixture.routers(), {"current"}), "");
   const auto read = [&file] {
     std::ifstream in(file, std::ios::binary);
     return std::string{std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>()};
   };
-  ASSERT_TRUE(rig.until([&] { return read().find("\"rev\":2") != std::string::npos; }));
-  rig.fleet().kill("router0");
+  ASSERT_TRUE(fixture.run_until([&] { return read().find("\"rev\":2") != std::string::npos; }));
+  fixture.fleet().kill("router0");
   const std::string good = read();
   const auto starts_with = [&](const std::string& bytes, const std::string& words) {
     std::ofstream(file, std::ios::binary) << bytes;
-    rig.start("router0");
-    EXPECT_TRUE(rig.fleet().await_log("router0", words, kAwaited)) << rig.fleet().log("router0");
-    EXPECT_TRUE(rig.await_ready("router0"));
-    rig.fleet().kill("router0");
+    fixture.start("router0");
+    EXPECT_TRUE(fixture.fleet().await_log("router0", words, kTestTimeout)) << fixture.fleet().log("router0");
+    EXPECT_TRUE(fixture.await_ready("router0"));
+    fixture.fleet().kill("router0");
   };
   starts_with(good, "snapshot: taken in, event 2");
   starts_with(good.substr(0, good.size() / 2), "not used: it is truncated");
@@ -535,46 +543,49 @@
   // Another process holds the folder, as a second router would by mistake.
   {
     std::ofstream(file, std::ios::binary) << good;
-    rig.fleet().start("router0");
-    ASSERT_TRUE(rig.fleet().await_up("router0", kAwaited));
-    fleet::Member second = rig.layout().member("router0");
+    fixture.fleet().start("router0");
+    ASSERT_TRUE(fixture.fleet().await_up("router0", kTestTimeout));
+    fleet::Member second = fixture.layout().member("router0");
     second.name = "second";
-    second.address = rig.ports().take_text();
-    rig.layout().members().push_back(second);
-    rig.layout().write();
-    std::ifstream in(rig.layout().operator_file("router0"));
-    std::ofstream(rig.layout().operator_file("second")) << in.rdbuf();
-    fleet::Process process(
-        {"second", rig.layout().words(second, TRAILCOURSE_PROGRAM), rig.layout().log_file("second"), {}});
-    ASSERT_TRUE(rig.until([&] {
+    second.address = fixture.ports().allocate_text();
+    fixture.layout().members().push_back(second);
+    fixture.layout().write();
+    std::ifstream in(fixture.layout().operator_file("router0"));
+    std::ofstream(fixture.layout().operator_file("second")) << in.rdbuf();
+    fleet::Process process({"second",
+                            fixture.layout().command_line(second, TRAILCOURSE_PROGRAM),
+                            fixture.layout().log_file("second"),
+                            {}});
+    ASSERT_TRUE(fixture.run_until([&] {
       return process.log().find("in use by another process") != std::string::npos;
     })) << process.log();
-    ASSERT_TRUE(rig.until([&] { return process.log().find("listens on") != std::string::npos; }));
-    rig.layout().members().pop_back();
-    rig.fleet().kill("router0");
+    ASSERT_TRUE(fixture.run_until([&] { return process.log().find("listens on") != std::string::npos; }));
+    fixture.layout().members().pop_back();
+    fixture.fleet().kill("router0");
   }
   // A folder that cannot be: a file stands in its place.
   std::filesystem::remove_all(folder);
   std::ofstream(folder) << "in the way";
-  rig.start("router0");
-  EXPECT_TRUE(rig.fleet().await_log("router0", "going on without one", kAwaited));
-  EXPECT_TRUE(rig.await_ready("router0"));
+  fixture.start("router0");
+  EXPECT_TRUE(fixture.fleet().await_log("router0", "going on without one", kTestTimeout));
+  EXPECT_TRUE(fixture.await_ready("router0"));
 }
 
-// A board that answers a rate of calls and sends the others away is asked again when it said, and all have
+// A board that answers a rate of calls and sends the others away is asked again when it output, and all have
 // their list.
 TEST(ColdStartTest, SentAwayByABoardAtItsRateAllHaveTheirListInTurn) {
   constexpr int kRouters = 12;
-  FleetSpec shape = spread_shape(kRouters, 1'000.0);
-  shape.known = false;
-  shape.board = {{"calls_per_s", 20}};
-  Rig rig(shape);
-  rig.start_all();
+  FleetSpec spec = spread_spec(kRouters, 1'000.0);
+  spec.known = false;
+  spec.board = {{"calls_per_s", 20}};
+  FleetFixture fixture(spec);
+  fixture.start_all();
   ASSERT_FALSE(testing::Test::HasFatalFailure());
-  ASSERT_EQ(rig.await_states(rig.routers(), {"current"}), "");
-  rig.fleet().signal("board", SIGHUP);
-  ASSERT_TRUE(rig.fleet().await_log("board", "sent_away=", kAwaited));
-  EXPECT_EQ(rig.fleet().log("board").find(" sent_away=0 "), std::string::npos) << rig.fleet().log("board");
+  ASSERT_EQ(fixture.await_states(fixture.routers(), {"current"}), "");
+  fixture.fleet().signal("board", SIGHUP);
+  ASSERT_TRUE(fixture.fleet().await_log("board", "sent_away=", kTestTimeout));
+  EXPECT_EQ(fixture.fleet().log("board").find(" sent_away=0 "), std::string::npos)
+      << fixture.fleet().log("board");
 }
 
 }  // namespace
--- a/tests/fleet/fleet_command_test.cpp
+++ b/tests/fleet/fleet_command_test.cpp
@@ -28,7 +28,7 @@
 
   struct Ran {
     int status = -1;
-    std::string said;
+    std::string output;
   };
   fleet::Process start(const std::vector<std::string>& words, const std::string& log) const {
     std::vector<std::string> all{TRAILCOURSE_PROGRAM, "fleet"};
@@ -36,13 +36,13 @@
     return fleet::Process({"fleet", all, folder_ + "/" + log, {}});
   }
   Ran run(const std::vector<std::string>& words) const {
-    std::filesystem::remove(folder_ + "/said");
-    fleet::Process process = start(words, "said");
+    std::filesystem::remove(folder_ + "/output");
+    fleet::Process process = start(words, "output");
     const int status = process.wait().status;
     return {status, process.log()};
   }
   std::string fleet_folder() const { return folder_ + "/fleet"; }
-  bool until(const std::function<bool()>& done) const {
+  bool run_until(const std::function<bool()>& done) const {
     const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(60);
     while (!done() && std::chrono::steady_clock::now() < end) {
       std::this_thread::sleep_for(std::chrono::milliseconds(5));
@@ -56,9 +56,9 @@
 TEST_F(FleetCommandTest, RunsForAWhileAndGivesItsFigures) {
   const Ran ran = run({"start", "--folder", fleet_folder(), "--routers", "5", "--for", "2", "--load", "40",
                        "--spread", "--proxies", "--json"});
-  EXPECT_EQ(ran.status, 0) << ran.said;
-  const json summary = json::parse(ran.said.substr(ran.said.find('{')), nullptr, false);
-  ASSERT_TRUE(summary.is_object()) << ran.said;
+  EXPECT_EQ(ran.status, 0) << ran.output;
+  const json summary = json::parse(ran.output.substr(ran.output.find('{')), nullptr, false);
+  ASSERT_TRUE(summary.is_object()) << ran.output;
   EXPECT_EQ(summary["ready"], 5);
   EXPECT_GT(summary["requests"]["served"], 20);
   EXPECT_GE(summary["board"]["calls"], 5);
@@ -69,17 +69,18 @@
   EXPECT_EQ(run({"status", "--folder", fleet_folder()}).status, 6);
   fleet::Process fleet = start({"start", "--folder", fleet_folder(), "--routers", "3"}, "start");
   Ran status;
-  EXPECT_TRUE(until([&] {
+  EXPECT_TRUE(run_until([&] {
     status = run({"status", "--folder", fleet_folder(), "--json"});
-    const json page = json::parse(status.said, nullptr, false);
+    const json page = json::parse(status.output, nullptr, false);
     return page.is_object() && page["states"].value("plain", 0) == 3;
-  })) << status.said;
-  EXPECT_NE(run({"status", "--folder", fleet_folder()}).said.find("router0"), std::string::npos);
+  })) << status.output;
+  EXPECT_NE(run({"status", "--folder", fleet_folder()}).output.find("router0"), std::string::npos);
   EXPECT_EQ(run({"start", "--folder", fleet_folder()}).status, 1) << "one runs there already";
   EXPECT_EQ(run({"fault", "--folder", fleet_folder(), "dance", "router0"}).status, 2);
   EXPECT_EQ(run({"fault", "--folder", fleet_folder(), "kill", "router0"}).status, 0);
-  EXPECT_TRUE(until([&] {
-    const json page = json::parse(run({"status", "--folder", fleet_folder(), "--json"}).said, nullptr, false);
+  EXPECT_TRUE(run_until([&] {
+    const json page =
+        json::parse(run({"status", "--folder", fleet_folder(), "--json"}).output, nullptr, false);
     return page.is_object() && page["states"].value("down", 0) == 1;
   }));
   EXPECT_EQ(run({"stop", "--folder", fleet_folder()}).status, 0);
@@ -94,10 +95,10 @@
   std::ofstream(folder_ + "/bad") << "1 dance router0\n";
   const Ran bad = run({"start", "--folder", fleet_folder(), "--faults", folder_ + "/bad"});
   EXPECT_EQ(bad.status, 1);
-  EXPECT_NE(bad.said.find("line 1: no such fault"), std::string::npos) << bad.said;
+  EXPECT_NE(bad.output.find("line 1: unknown fault"), std::string::npos) << bad.output;
   const Ran missing = run({"start", "--folder", fleet_folder(), "--routers", "2", "--for", "1", "--quiet",
                            "--router-program", "/bin/false"});
-  EXPECT_EQ(missing.status, 4) << missing.said;
+  EXPECT_EQ(missing.status, 4) << missing.output;
 }
 
 }  // namespace
--- a/tests/fleet/ownership_test.cpp
+++ b/tests/fleet/ownership_test.cpp
@@ -9,8 +9,8 @@
 #include <set>
 #include <string>
 
-#include "fleet/rig.h"
 #include "fleet/fencing_token_check.h"
+#include "fleet/fleet_fixture.h"
 #include "ownership/work_records.h"
 #include "program/fleet_work.h"
 #include "program/work_command.h"
@@ -21,28 +21,28 @@
 namespace trailcourse::testing_support {
 namespace {
 
-using fleet::Kind;
 using fleet::FleetSpec;
+using fleet::Kind;
 using nlohmann::json;
 using std::chrono::milliseconds;
 
 // Short times, so that a death costs a test a second and not ten.
-FleetSpec owned_shape(int routers, std::int64_t ttl_ms = 1'500) {
-  FleetSpec shape;
-  shape.routers = routers;
-  shape.caches = 1;
-  shape.parents = 0;
-  shape.disk = true;
-  shape.registry = true;
-  shape.ownership = {{"ttl_ms", ttl_ms},       {"renew_ms", ttl_ms / 4},    {"retry_ms", 100},
-                     {"turn_ms", 50},          {"longest_turn_ms", 500},    {"member_ttl_ms", 1'500},
-                     {"member_renew_ms", 400}, {"neighbours", 0},           {"settle_ms", 600'000 / 1'000},
-                     {"poison_pause_ms", 100}, {"probe_ms", 100},           {"verdict_ms", 1'000},
-                     {"report_ms", 200},       {"fill_patience_ms", 5'000}, {"most_starts", 100}};
-  shape.ownership["settle_ms"] = 60'000;
-  shape.coordination = {
+FleetSpec owned_spec(int routers, std::int64_t ttl_ms = 1'500) {
+  FleetSpec spec;
+  spec.routers = routers;
+  spec.caches = 1;
+  spec.parents = 0;
+  spec.disk = true;
+  spec.registry = true;
+  spec.ownership = {{"ttl_ms", ttl_ms},       {"renew_ms", ttl_ms / 4},    {"retry_ms", 100},
+                    {"turn_ms", 50},          {"longest_turn_ms", 500},    {"member_ttl_ms", 1'500},
+                    {"member_renew_ms", 400}, {"neighbours", 0},           {"settle_ms", 600'000 / 1'000},
+                    {"poison_pause_ms", 100}, {"probe_ms", 100},           {"verdict_ms", 1'000},
+                    {"report_ms", 200},       {"fill_patience_ms", 5'000}, {"most_starts", 100}};
+  spec.ownership["settle_ms"] = 60'000;
+  spec.coordination = {
       {"call_ms", 400}, {"rest_ms", 50}, {"longest_rest_ms", 300}, {"watch_silent_ms", 4'000}};
-  return shape;
+  return spec;
 }
 
 std::string item(std::uint64_t number) {
@@ -52,35 +52,35 @@
 }
 
 // A fleet with a store, as staff and a checker see it.
-class Owned {
+class OwnershipFixture {
  public:
   using Change = std::function<void(fleet::Layout&)>;
-  explicit Owned(const FleetSpec& shape, const std::vector<std::string>& proxied = {},
-                 const Change& change = nullptr)
-      : rig(shape, proxied) {
+  explicit OwnershipFixture(const FleetSpec& spec, const std::vector<std::string>& proxied = {},
+                            const Change& change = nullptr)
+      : fixture(spec, proxied) {
     if (change) {
-      change(rig.layout());
+      change(fixture.layout());
     }
-    rig.start_all();
+    fixture.start_all();
   }
 
   coordination::CoordinationOptions staff() {
     coordination::CoordinationOptions options;
-    options.store = rig.layout().shape().embedded.empty() ? "etcd" : "embedded";
-    options.folder = rig.layout().shape().embedded;
+    options.store = fixture.layout().spec().embedded.empty() ? "etcd" : "embedded";
+    options.folder = fixture.layout().spec().embedded;
     if (options.store == "etcd") {
-      options.endpoints = {rig.layout().member("registry").address};
+      options.endpoints = {fixture.layout().member("registry").address};
     }
     options.look_ms = 5;
     return options;
   }
-  // Runs `trailcourse work ...` and gives its status; what it printed is in `said`.
+  // Runs `trailcourse work ...` and gives its status; what it printed is in `output`.
   int work(program::WorkCommand command) {
     command.store = staff();
     std::ostringstream out;
     std::ostringstream errors;
     const int status = run_work_command(command, out, errors);
-    said = out.str() + errors.str();
+    output = out.str() + errors.str();
     return status;
   }
   int work(const std::string& action, const std::string& name) {
@@ -102,13 +102,13 @@
     for (int i = 0; i < objects; ++i) {
       command.objects.push_back(item(0x5000 + static_cast<std::uint64_t>(i)));
     }
-    ASSERT_EQ(work(command), 0) << said;
+    ASSERT_EQ(work(command), 0) << output;
   }
   json shard(const std::string& name, std::size_t number = 0) {
     if (work("show", name) != 0) {
       return json::object();
     }
-    return json::parse(said)["shards"][number];
+    return json::parse(output)["shards"][number];
   }
   // The router that owns it now; empty while nobody does.
   std::string owner(const std::string& name, std::size_t number = 0) {
@@ -117,11 +117,11 @@
   std::string await_owner(const std::string& name, const std::string& other_than = "",
                           std::size_t number = 0) {
     std::string out;
-    EXPECT_TRUE(rig.until([&] {
-      rig.run_for(milliseconds(20));
+    EXPECT_TRUE(fixture.run_until([&] {
+      fixture.run_for(milliseconds(20));
       out = owner(name, number);
       return !out.empty() && out != other_than;
-    })) << rig.logs();
+    })) << fixture.logs();
     return out;
   }
   std::uint64_t filled(const std::string& name, std::size_t number = 0) {
@@ -129,14 +129,14 @@
     return checkpoint.is_object() ? checkpoint.value("filled", std::uint64_t{0}) : 0;
   }
   bool await_state(const std::string& name, const std::string& state, std::size_t number = 0) {
-    return rig.until([&] {
-      rig.run_for(milliseconds(20));
+    return fixture.run_until([&] {
+      fixture.run_for(milliseconds(20));
       return shard(name, number).value("state", std::string()) == state;
     });
   }
   bool await_filled(const std::string& name, std::uint64_t least) {
-    return rig.until([&] {
-      rig.run_for(milliseconds(10));
+    return fixture.run_until([&] {
+      fixture.run_for(milliseconds(10));
       return filled(name) >= least;
     });
   }
@@ -144,15 +144,15 @@
   // Checker: at each receiver the terms of a piece of work never go back, over its restarts too.
   std::vector<std::string> find_token_regressions() {
     std::vector<std::string> out;
-    for (const std::string& cache : rig.layout().names(Kind::kCache)) {
-      const auto more = fleet::find_token_regressions(cache, rig.layout().log_file(cache));
+    for (const std::string& cache : fixture.layout().names(Kind::kCache)) {
+      const auto more = fleet::find_token_regressions(cache, fixture.layout().log_file(cache));
       out.insert(out.end(), more.begin(), more.end());
     }
     return out;
   }
   // The token under which a router last began a piece of work, as it stands in its log.
-  std::string fence_of(const std::string& router, const std::string& shard) {
-    const std::string log = rig.fleet().log(router);
+  std::string fencing_token_of(const std::string& router, const std::string& shard) {
+    const std::string log = fixture.fleet().log(router);
     const std::string words = "starts " + shard + " under term ";
     const std::size_t at = log.rfind(words);
     const std::string rest = at == std::string::npos ? "" : log.substr(at + words.size());
@@ -162,8 +162,8 @@
            rest.substr(0, rest.find_first_not_of("0123456789"));
   }
 
-  Rig rig;
-  std::string said;
+  FleetFixture fixture;
+  std::string output;
 };
 
 // One command to a cache node, past all routers: the word and the fields of its answer.
@@ -221,59 +221,60 @@
                          [](const auto& one) { return one.param.name; });
 
 TEST_P(StoppedOwnerTest, WakesToNoHarm) {
-  Owned fleet(owned_shape(3), {"router*>registry", "*>cache0"});
+  OwnershipFixture fleet(owned_spec(3), {"router*>registry", "*>cache0"});
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   fleet.fill("evening", 60, 20.0);
   const std::string first = fleet.await_owner("evening");
-  ASSERT_TRUE(fleet.await_filled("evening", 3)) << fleet.rig.logs();
-  const std::string old = fleet.fence_of(first, "evening/0");
+  ASSERT_TRUE(fleet.await_filled("evening", 3)) << fleet.fixture.logs();
+  const std::string old = fleet.fencing_token_of(first, "evening/0");
   for (std::string line : GetParam().before) {
     if (const std::size_t at = line.find("OWNER"); at != std::string::npos) {
       line.replace(at, 5, first);
     }
-    fleet.rig.fault(line);
+    fleet.fixture.apply_fault(line);
   }
-  fleet.rig.run_for(milliseconds(150));
-  fleet.rig.fault("stop " + first);
+  fleet.fixture.run_for(milliseconds(150));
+  fleet.fixture.apply_fault("stop " + first);
   EXPECT_NE(fleet.await_owner("evening", first), first);
   if (GetParam().name == "WithEffectsOnTheWay") {
-    fleet.rig.fault("heal *>cache0");
+    fleet.fixture.apply_fault("heal *>cache0");
   }
   const std::uint64_t before = fleet.filled("evening");
-  ASSERT_TRUE(fleet.await_filled("evening", before + 3)) << "the second owner acts: " << fleet.rig.logs();
+  ASSERT_TRUE(fleet.await_filled("evening", before + 3)) << "the second owner acts: " << fleet.fixture.logs();
   // An effect of the first that was still on its way arrives now.
-  const auto [word, fields] = ask_cache(fleet.rig.layout().member("cache0").address, old, 0x9999);
+  const auto [word, fields] = ask_cache(fleet.fixture.layout().member("cache0").address, old, 0x9999);
   EXPECT_EQ(word, "VOID") << old;
   EXPECT_NE(fields.find("fenced"), std::string::npos) << fields;
-  fleet.rig.fault("cont " + first);
-  fleet.rig.fault("heal " + first + ">registry");
-  EXPECT_TRUE(fleet.rig.fleet().await_log(first, "aborts evening/0", kAwaited)) << fleet.rig.logs();
-  EXPECT_TRUE(fleet.await_state("evening", "done")) << fleet.rig.logs();
-  EXPECT_EQ(fleet.find_token_regressions(), kNone);
+  fleet.fixture.apply_fault("cont " + first);
+  fleet.fixture.apply_fault("heal " + first + ">registry");
+  EXPECT_TRUE(fleet.fixture.fleet().await_log(first, "aborts evening/0", kTestTimeout))
+      << fleet.fixture.logs();
+  EXPECT_TRUE(fleet.await_state("evening", "done")) << fleet.fixture.logs();
+  EXPECT_EQ(fleet.find_token_regressions(), kNoViolations);
   EXPECT_EQ(fleet.filled("evening"), 60U);
 }
 
 TEST(OwnershipFleetTest, OwnersKilledInARowLoseNothingThatWasCheckpointed) {
-  Owned fleet(owned_shape(4));
+  OwnershipFixture fleet(owned_spec(4));
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   fleet.fill("evening", 120, 25.0);
   std::set<std::string> killed;
   for (int i = 0; i < 3; ++i) {
     const std::string owner = fleet.await_owner("evening");
     const std::uint64_t before = fleet.filled("evening");
-    ASSERT_TRUE(fleet.await_filled("evening", before + 2)) << fleet.rig.logs();
-    fleet.rig.fleet().kill(owner);
+    ASSERT_TRUE(fleet.await_filled("evening", before + 2)) << fleet.fixture.logs();
+    fleet.fixture.fleet().kill(owner);
     killed.insert(owner);
     EXPECT_GE(fleet.filled("evening"), before) << "progress went back";
-    fleet.rig.start(owner);
+    fleet.fixture.start(owner);
   }
-  EXPECT_TRUE(fleet.await_state("evening", "done")) << fleet.rig.logs();
+  EXPECT_TRUE(fleet.await_state("evening", "done")) << fleet.fixture.logs();
   EXPECT_EQ(fleet.filled("evening"), 120U);
-  EXPECT_EQ(fleet.find_token_regressions(), kNone);
+  EXPECT_EQ(fleet.find_token_regressions(), kNoViolations);
   // At most what was open at each death came from the origin twice.
-  fleet.rig.fleet().end("origin", kAwaited);
+  fleet.fixture.fleet().terminate("origin", kTestTimeout);
   const std::string log = [&] {
-    std::ifstream file(fleet.rig.layout().log_file("origin"));
+    std::ifstream file(fleet.fixture.layout().log_file("origin"));
     return std::string{std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
   }();
   const std::size_t at = log.rfind("served=");
@@ -283,65 +284,66 @@
 
 // The lease would hold for ten minutes: only a hand-over can be so quick.
 TEST(OwnershipFleetTest, ADrainHandsTheWorkOnAtOnce) {
-  Owned fleet(owned_shape(3, 600'000));
+  OwnershipFixture fleet(owned_spec(3, 600'000));
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   fleet.fill("evening", 200, 20.0);
   const std::string first = fleet.await_owner("evening");
   ASSERT_TRUE(fleet.await_filled("evening", 3));
-  const auto end = fleet.rig.fleet().end(first, kAwaited);
+  const auto end = fleet.fixture.fleet().terminate(first, kTestTimeout);
   ASSERT_TRUE(end);
   EXPECT_EQ(fleet::to_string(*end), "ended with status 0");
   const std::uint64_t kept = fleet.filled("evening");
   const std::string second = fleet.await_owner("evening", first);
   EXPECT_NE(second, first);
   EXPECT_TRUE(fleet.await_filled("evening", kept + 2));
-  EXPECT_EQ(fleet.find_token_regressions(), kNone);
+  EXPECT_EQ(fleet.find_token_regressions(), kNoViolations);
   // Staff move it on, just as quickly; the one that let go stands back.
-  EXPECT_EQ(fleet.work("hand-over", "evening"), 0) << fleet.said;
+  EXPECT_EQ(fleet.work("hand-over", "evening"), 0) << fleet.output;
   EXPECT_NE(fleet.await_owner("evening", second), second);
   // And pause it: nobody has it, and what was done stays.
-  EXPECT_EQ(fleet.work("pause", "evening"), 0) << fleet.said;
-  EXPECT_TRUE(fleet.rig.until([&] {
-    fleet.rig.run_for(milliseconds(20));
+  EXPECT_EQ(fleet.work("pause", "evening"), 0) << fleet.output;
+  EXPECT_TRUE(fleet.fixture.run_until([&] {
+    fleet.fixture.run_for(milliseconds(20));
     return fleet.owner("evening").empty();
-  })) << fleet.rig.logs();
+  })) << fleet.fixture.logs();
   const std::uint64_t paused = fleet.filled("evening");
-  EXPECT_EQ(fleet.work("resume", "evening"), 0) << fleet.said;
-  EXPECT_TRUE(fleet.await_filled("evening", paused + 2)) << fleet.rig.logs();
+  EXPECT_EQ(fleet.work("resume", "evening"), 0) << fleet.output;
+  EXPECT_TRUE(fleet.await_filled("evening", paused + 2)) << fleet.fixture.logs();
 }
 
 TEST(OwnershipFleetTest, AnOwnerThatIsCutOffFromTheStoreStopsByItself) {
-  Owned fleet(owned_shape(3), {"router*>registry"});
+  OwnershipFixture fleet(owned_spec(3), {"router*>registry"});
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   fleet.fill("evening", 100, 20.0);
   const std::string first = fleet.await_owner("evening");
   ASSERT_TRUE(fleet.await_filled("evening", 2));
-  fleet.rig.fault("cut " + first + ">registry both");
+  fleet.fixture.apply_fault("cut " + first + ">registry both");
   EXPECT_NE(fleet.await_owner("evening", first), first);
-  EXPECT_TRUE(fleet.rig.fleet().await_log(first, "aborts evening/0", kAwaited)) << fleet.rig.logs();
+  EXPECT_TRUE(fleet.fixture.fleet().await_log(first, "aborts evening/0", kTestTimeout))
+      << fleet.fixture.logs();
   // It serves on.
-  EXPECT_EQ(ask_all(fleet.rig, {first}, 5), kNone);
-  fleet.rig.fault("heal " + first + ">registry");
-  EXPECT_TRUE(fleet.await_state("evening", "done")) << fleet.rig.logs();
-  EXPECT_EQ(fleet.find_token_regressions(), kNone);
+  EXPECT_EQ(send_to_all(fleet.fixture, {first}, 5), kNoViolations);
+  fleet.fixture.apply_fault("heal " + first + ">registry");
+  EXPECT_TRUE(fleet.await_state("evening", "done")) << fleet.fixture.logs();
+  EXPECT_EQ(fleet.find_token_regressions(), kNoViolations);
   EXPECT_EQ(fleet.filled("evening"), 100U);
 }
 
 TEST(OwnershipFleetTest, AllButTheOwnerAreCutOffAndTheOwnerGoesOn) {
-  Owned fleet(owned_shape(3), {"router*>registry"});
+  OwnershipFixture fleet(owned_spec(3), {"router*>registry"});
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   fleet.fill("evening", 60, 20.0);
   const std::string first = fleet.await_owner("evening");
-  for (const std::string& router : fleet.rig.routers()) {
+  for (const std::string& router : fleet.fixture.routers()) {
     if (router != first) {
-      fleet.rig.fault("cut " + router + ">registry both");
+      fleet.fixture.apply_fault("cut " + router + ">registry both");
     }
   }
-  EXPECT_TRUE(fleet.await_state("evening", "done")) << fleet.rig.logs();
-  EXPECT_EQ(fleet.rig.fleet().log(first).find("aborts evening/0"), std::string::npos);
-  for (const std::string& router : fleet.rig.routers()) {
+  EXPECT_TRUE(fleet.await_state("evening", "done")) << fleet.fixture.logs();
+  EXPECT_EQ(fleet.fixture.fleet().log(first).find("aborts evening/0"), std::string::npos);
+  for (const std::string& router : fleet.fixture.routers()) {
     if (router != first) {
-      EXPECT_EQ(fleet.rig.fleet().log(router).find("starts evening"), std::string::npos) << router;
+      EXPECT_EQ(fleet.fixture.fleet().log(router).find("starts evening"), std::string::npos) << router;
     }
   }
 }
@@ -349,89 +351,92 @@
 // ---- The store ----
 
 TEST(OwnershipFleetTest, WithoutTheStoreRoutersServeAndOwnedWorkRests) {
-  Owned fleet(owned_shape(3));
+  OwnershipFixture fleet(owned_spec(3));
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   fleet.fill("evening", 200, 20.0);
   const std::string first = fleet.await_owner("evening");
   ASSERT_TRUE(fleet.await_filled("evening", 2));
-  fleet.rig.fleet().kill("registry");
-  EXPECT_EQ(ask_all(fleet.rig, fleet.rig.routers(), 10), kNone);
-  EXPECT_TRUE(fleet.rig.fleet().await_log(first, "aborts evening/0", kAwaited)) << fleet.rig.logs();
-  EXPECT_EQ(ask_all(fleet.rig, fleet.rig.routers(), 10), kNone);
+  fleet.fixture.fleet().kill("registry");
+  EXPECT_EQ(send_to_all(fleet.fixture, fleet.fixture.routers(), 10), kNoViolations);
+  EXPECT_TRUE(fleet.fixture.fleet().await_log(first, "aborts evening/0", kTestTimeout))
+      << fleet.fixture.logs();
+  EXPECT_EQ(send_to_all(fleet.fixture, fleet.fixture.routers(), 10), kNoViolations);
   // A router that starts without the store is ready, and serves.
-  const std::string other = fleet.rig.routers()[0] == first ? fleet.rig.routers()[1] : fleet.rig.routers()[0];
-  fleet.rig.fleet().kill(other);
-  fleet.rig.start(other);
-  EXPECT_TRUE(fleet.rig.await_ready(other));
-  EXPECT_EQ(ask_all(fleet.rig, {other}, 5), kNone);
-  fleet.rig.start("registry");
+  const std::string other =
+      fleet.fixture.routers()[0] == first ? fleet.fixture.routers()[1] : fleet.fixture.routers()[0];
+  fleet.fixture.fleet().kill(other);
+  fleet.fixture.start(other);
+  EXPECT_TRUE(fleet.fixture.await_ready(other));
+  EXPECT_EQ(send_to_all(fleet.fixture, {other}, 5), kNoViolations);
+  fleet.fixture.start("registry");
   const std::uint64_t kept = fleet.filled("evening");
   EXPECT_GE(kept, 2U) << "the store forgot what it had answered";
-  EXPECT_TRUE(fleet.await_filled("evening", kept + 3)) << fleet.rig.logs();
-  EXPECT_EQ(fleet.find_token_regressions(), kNone);
+  EXPECT_TRUE(fleet.await_filled("evening", kept + 3)) << fleet.fixture.logs();
+  EXPECT_EQ(fleet.find_token_regressions(), kNoViolations);
 }
 
 // Answers come after the routers have given the call up: was it done? The next call finds out.
 TEST(OwnershipFleetTest, AStoreThatAnswersTooLateStopsOwnedWorkAndHarmsNothing) {
-  Owned fleet(owned_shape(3), {"router*>registry"});
+  OwnershipFixture fleet(owned_spec(3), {"router*>registry"});
   ASSERT_FALSE(testing::Test::HasFatalFailure());
-  fleet.rig.fault("delay router*>registry 600");  // call_ms is 400
+  fleet.fixture.apply_fault("delay router*>registry 600");  // call_ms is 400
   fleet.fill("evening", 40, 20.0);
-  fleet.rig.run_for(milliseconds(1'500));
-  EXPECT_EQ(ask_all(fleet.rig, fleet.rig.routers(), 5), kNone);
-  fleet.rig.fault("heal router*>registry");
-  EXPECT_TRUE(fleet.await_state("evening", "done")) << fleet.rig.logs();
-  EXPECT_EQ(fleet.find_token_regressions(), kNone);
+  fleet.fixture.run_for(milliseconds(1'500));
+  EXPECT_EQ(send_to_all(fleet.fixture, fleet.fixture.routers(), 5), kNoViolations);
+  fleet.fixture.apply_fault("heal router*>registry");
+  EXPECT_TRUE(fleet.await_state("evening", "done")) << fleet.fixture.logs();
+  EXPECT_EQ(fleet.find_token_regressions(), kNoViolations);
   EXPECT_EQ(fleet.filled("evening"), 40U);
 }
 
 TEST(OwnershipFleetTest, RenewalsThatAreLateButInTimeKeepTheWork) {
-  FleetSpec shape = owned_shape(3, 4'000);
-  shape.coordination["call_ms"] = 2'500;
-  Owned fleet(shape, {"router*>registry"});
+  FleetSpec spec = owned_spec(3, 4'000);
+  spec.coordination["call_ms"] = 2'500;
+  OwnershipFixture fleet(spec, {"router*>registry"});
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   fleet.fill("evening", 100, 20.0);
   const std::string first = fleet.await_owner("evening");
-  fleet.rig.fault("delay " + first + ">registry 250");  // each way
-  EXPECT_TRUE(fleet.await_state("evening", "done")) << fleet.rig.logs();
-  EXPECT_EQ(fleet.rig.fleet().log(first).find("aborts evening/0"), std::string::npos) << fleet.rig.logs();
+  fleet.fixture.apply_fault("delay " + first + ">registry 250");  // each way
+  EXPECT_TRUE(fleet.await_state("evening", "done")) << fleet.fixture.logs();
+  EXPECT_EQ(fleet.fixture.fleet().log(first).find("aborts evening/0"), std::string::npos)
+      << fleet.fixture.logs();
 }
 
 TEST(OwnershipFleetTest, ReceiversRefuseOwnersOfASecondStore) {
-  Owned fleet(owned_shape(2));
+  OwnershipFixture fleet(owned_spec(2));
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   fleet.fill("evening", 5, 0.0);
-  ASSERT_TRUE(fleet.await_state("evening", "done")) << fleet.rig.logs();
-  const std::string address = fleet.rig.layout().member("cache0").address;
+  ASSERT_TRUE(fleet.await_state("evening", "done")) << fleet.fixture.logs();
+  const std::string address = fleet.fixture.layout().member("cache0").address;
   const auto [word, fields] = ask_cache(address, "12345:evening/0:999999", 0x9999);
   EXPECT_EQ(word, "VOID");
   EXPECT_NE(fields.find("fence_other_store"), std::string::npos) << fields;
 }
 
 TEST(OwnershipFleetTest, AReceiverThatRestartsBetweenTwoTermsRemembersTheHigher) {
-  Owned fleet(owned_shape(2, 600'000));
+  OwnershipFixture fleet(owned_spec(2, 600'000));
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   fleet.fill("evening", 400, 20.0);
   const std::string first = fleet.await_owner("evening");
   ASSERT_TRUE(fleet.await_filled("evening", 2));
-  const std::string old = fleet.fence_of(first, "evening/0");
-  ASSERT_EQ(fleet.work("hand-over", "evening"), 0) << fleet.said;
+  const std::string old = fleet.fencing_token_of(first, "evening/0");
+  ASSERT_EQ(fleet.work("hand-over", "evening"), 0) << fleet.output;
   const std::string second = fleet.await_owner("evening", first);
   const std::uint64_t before = fleet.filled("evening");
-  ASSERT_TRUE(fleet.await_filled("evening", before + 2)) << fleet.rig.logs();
-  fleet.rig.fleet().kill("cache0");
-  fleet.rig.start("cache0");
-  const std::string address = fleet.rig.layout().member("cache0").address;
+  ASSERT_TRUE(fleet.await_filled("evening", before + 2)) << fleet.fixture.logs();
+  fleet.fixture.fleet().kill("cache0");
+  fleet.fixture.start("cache0");
+  const std::string address = fleet.fixture.layout().member("cache0").address;
   EXPECT_EQ(ask_cache(address, old, 0x9999).first, "VOID") << old;
-  const std::string now = fleet.fence_of(second, "evening/0");
+  const std::string now = fleet.fencing_token_of(second, "evening/0");
   EXPECT_NE(ask_cache(address, now, 0x5000).first, "VOID") << now;
 }
 
 // Clocks that are an hour off and set while they run, and that run a percent apart: nobody asks the wall
 // clock who owns what, and the drift is within the bound.
 TEST(OwnershipFleetTest, ClocksThatAreSetOrRunApartChangeNothing) {
-  FleetSpec shape = owned_shape(3);
-  Owned fleet(shape, {}, [](fleet::Layout& layout) {
+  FleetSpec spec = owned_spec(3);
+  OwnershipFixture fleet(spec, {}, [](fleet::Layout& layout) {
     const char* const rates[] = {"1.01", "0.99", "1.0"};
     const char* const steps[] = {"3600", "-3600", "0"};
     const std::vector<std::string> routers = layout.names(Kind::kRouter);
@@ -446,183 +451,185 @@
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   fleet.fill("evening", 100, 20.0);
   const std::string first = fleet.await_owner("evening");
-  ASSERT_TRUE(fleet.await_filled("evening", 5)) << fleet.rig.logs();
+  ASSERT_TRUE(fleet.await_filled("evening", 5)) << fleet.fixture.logs();
   // Everybody's clock is set, the owner's back and forth.
-  for (const std::string& router : fleet.rig.routers()) {
-    std::ofstream(fleet.rig.folder() + "/clock-" + router) << (router == first ? "-7200" : "86400");
+  for (const std::string& router : fleet.fixture.routers()) {
+    std::ofstream(fleet.fixture.folder() + "/clock-" + router) << (router == first ? "-7200" : "86400");
   }
   const std::uint64_t before = fleet.filled("evening");
-  ASSERT_TRUE(fleet.await_filled("evening", before + 20)) << fleet.rig.logs();
+  ASSERT_TRUE(fleet.await_filled("evening", before + 20)) << fleet.fixture.logs();
   EXPECT_EQ(fleet.owner("evening"), first) << "a set clock must not end a lease";
-  fleet.rig.fleet().kill(first);
-  EXPECT_TRUE(fleet.await_state("evening", "done")) << fleet.rig.logs();
-  EXPECT_EQ(fleet.find_token_regressions(), kNone);
+  fleet.fixture.fleet().kill(first);
+  EXPECT_TRUE(fleet.await_state("evening", "done")) << fleet.fixture.logs();
+  EXPECT_EQ(fleet.find_token_regressions(), kNoViolations);
   EXPECT_EQ(fleet.filled("evening"), 100U);
 }
 
 // ---- Members ----
 
 TEST(OwnershipFleetTest, OfTwoRoutersOfOneNameTheLaterDoesTheWork) {
-  Owned fleet(owned_shape(2));
+  OwnershipFixture fleet(owned_spec(2));
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   fleet.fill("evening", 400, 20.0);
   const std::string first = fleet.await_owner("evening");
   // A second process with the same name and another address, by mistake.
-  const std::string config = fleet.rig.layout().config_file(first);
+  const std::string config = fleet.fixture.layout().config_file(first);
   json twin = [&] {
     std::ifstream file(config);
     return json::parse(file);
   }();
-  twin["listen"] = fleet.rig.ports().take_text();
+  twin["listen"] = fleet.fixture.ports().allocate_text();
   twin["seed"] = "00000000000000ff";
-  std::ofstream(fleet.rig.folder() + "/twin.json") << twin;
+  std::ofstream(fleet.fixture.folder() + "/twin.json") << twin;
   fleet::Process::Spec spec;
   spec.name = "twin";
-  spec.words = {TRAILCOURSE_PROGRAM, "serve",
-                "--config",          fleet.rig.folder() + "/twin.json",
-                "--operator",        fleet.rig.layout().operator_file(first)};
-  spec.log = fleet.rig.folder() + "/twin.log";
+  spec.arguments = {TRAILCOURSE_PROGRAM, "serve",
+                    "--config",          fleet.fixture.folder() + "/twin.json",
+                    "--operator",        fleet.fixture.layout().operator_file(first)};
+  spec.log = fleet.fixture.folder() + "/twin.log";
   fleet::Process process(spec);
-  EXPECT_TRUE(fleet.rig.fleet().await_log(first, "another instance has this router's name", kAwaited))
-      << fleet.rig.logs();
-  EXPECT_TRUE(fleet.rig.fleet().await_log(first, "releases evening/0", kAwaited)) << fleet.rig.logs();
+  EXPECT_TRUE(fleet.fixture.fleet().await_log(first, "another instance has this router's name", kTestTimeout))
+      << fleet.fixture.logs();
+  EXPECT_TRUE(fleet.fixture.fleet().await_log(first, "releases evening/0", kTestTimeout))
+      << fleet.fixture.logs();
   EXPECT_EQ(fleet.work("members", ""), 0);
-  const json members = json::parse(fleet.said)["members"];
+  const json members = json::parse(fleet.output)["members"];
   EXPECT_EQ(std::count_if(members.begin(), members.end(),
                           [](const json& one) { return one["standing"] == "shadowed"; }),
             1)
-      << fleet.said;
-  EXPECT_EQ(ask_all(fleet.rig, {first}, 5), kNone) << "it serves on";
+      << fleet.output;
+  EXPECT_EQ(send_to_all(fleet.fixture, {first}, 5), kNoViolations) << "it serves on";
 }
 
 // ---- Work that its owners die of ----
 
 TEST(OwnershipFleetTest, PoisonedWorkIsParkedBeforeItHasTakenAllDown) {
-  FleetSpec shape = owned_shape(5, 600);
-  shape.ownership["most_starts"] = 2;
-  shape.ownership["renew_ms"] = 100;
-  shape.origin_delay_ms = 4'000;  // no object is ever there before its owner dies
-  Owned fleet(shape);
+  FleetSpec spec = owned_spec(5, 600);
+  spec.ownership["most_starts"] = 2;
+  spec.ownership["renew_ms"] = 100;
+  spec.origin_delay_ms = 4'000;  // no object is ever there before its owner dies
+  OwnershipFixture fleet(spec);
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   fleet.fill("poison", 10, 0.0);
   std::set<std::string> died;
   for (int i = 0; i < 2; ++i) {
     std::string victim;
-    ASSERT_TRUE(fleet.rig.until([&] {
-      for (const std::string& router : fleet.rig.routers()) {
+    ASSERT_TRUE(fleet.fixture.run_until([&] {
+      for (const std::string& router : fleet.fixture.routers()) {
         if (!died.contains(router) &&
-            fleet.rig.fleet().log(router).find("starts poison/0") != std::string::npos) {
+            fleet.fixture.fleet().log(router).find("starts poison/0") != std::string::npos) {
           victim = router;
         }
       }
       return !victim.empty();
-    })) << fleet.rig.logs();
-    fleet.rig.fleet().kill(victim);
+    })) << fleet.fixture.logs();
+    fleet.fixture.fleet().kill(victim);
     died.insert(victim);
   }
-  EXPECT_TRUE(fleet.await_state("poison", "parked")) << fleet.rig.logs();
-  for (const std::string& router : fleet.rig.routers()) {
-    EXPECT_EQ(died.contains(router), !fleet.rig.fleet().alive(router)) << router;
+  EXPECT_TRUE(fleet.await_state("poison", "parked")) << fleet.fixture.logs();
+  for (const std::string& router : fleet.fixture.routers()) {
+    EXPECT_EQ(died.contains(router), !fleet.fixture.fleet().alive(router)) << router;
   }
-  fleet.rig.run_for(milliseconds(500));
+  fleet.fixture.run_for(milliseconds(500));
   EXPECT_EQ(fleet.shard("poison").value("state", ""), "parked") << "and stays so";
   EXPECT_EQ(fleet.work("resume", "poison"), 0);
-  const std::vector<std::string> routers = fleet.rig.routers();
-  EXPECT_TRUE(fleet.rig.until([&] {
+  const std::vector<std::string> routers = fleet.fixture.routers();
+  EXPECT_TRUE(fleet.fixture.run_until([&] {
     return std::any_of(routers.begin(), routers.end(), [&](const std::string& router) {
       return !died.contains(router) &&
-             fleet.rig.fleet().log(router).find("starts poison/0") != std::string::npos;
+             fleet.fixture.fleet().log(router).find("starts poison/0") != std::string::npos;
     });
-  })) << fleet.rig.logs();
+  })) << fleet.fixture.logs();
 }
 
 // ---- The other kinds of work ----
 
 TEST(OwnershipFleetTest, OneRouterProbesASuspectCacheForAllAndAllHearOfItsReturn) {
-  FleetSpec shape = owned_shape(4);
-  shape.caches = 2;
-  shape.ownership["suspect_after"] = 2;
-  Owned fleet(shape);
+  FleetSpec spec = owned_spec(4);
+  spec.caches = 2;
+  spec.ownership["suspect_after"] = 2;
+  OwnershipFixture fleet(spec);
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   program::WorkCommand add;
   add.action = "add";
   add.name = "probes";
   add.kind = "probe";
   add.zone = "edge";
-  ASSERT_EQ(fleet.work(add), 0) << fleet.said;
+  ASSERT_EQ(fleet.work(add), 0) << fleet.output;
   const std::string owner = fleet.await_owner("probes");
-  fleet.rig.fleet().kill("cache1");
+  fleet.fixture.fleet().kill("cache1");
   const auto says = [&](const std::string& words) {
-    return fleet.rig.until([&] {
-      ask_all(fleet.rig, fleet.rig.routers(), 2);
-      const std::string log = fleet.rig.fleet().log(owner);
+    return fleet.fixture.run_until([&] {
+      send_to_all(fleet.fixture, fleet.fixture.routers(), 2);
+      const std::string log = fleet.fixture.fleet().log(owner);
       return log.find("verdict on cache cache1: " + words) != std::string::npos;
     });
   };
-  EXPECT_TRUE(says("unhealthy")) << fleet.rig.logs();
-  fleet.rig.start("cache1");
-  EXPECT_TRUE(says("healthy") || says("withdrawn")) << fleet.rig.logs();
-  for (const std::string& router : fleet.rig.routers()) {
+  EXPECT_TRUE(says("unhealthy")) << fleet.fixture.logs();
+  fleet.fixture.start("cache1");
+  EXPECT_TRUE(says("healthy") || says("withdrawn")) << fleet.fixture.logs();
+  for (const std::string& router : fleet.fixture.routers()) {
     if (router != owner) {
-      EXPECT_EQ(fleet.rig.fleet().log(router).find("verdict on"), std::string::npos)
+      EXPECT_EQ(fleet.fixture.fleet().log(router).find("verdict on"), std::string::npos)
           << router << " probed too";
     }
   }
 }
 
 TEST(OwnershipFleetTest, TheReportCountsEachRequestOnceOverDeathsOfItsOwner) {
-  Owned fleet(owned_shape(3));
+  OwnershipFixture fleet(owned_spec(3));
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   program::WorkCommand add;
   add.action = "add";
   add.name = "counts";
   add.kind = "report";
-  ASSERT_EQ(fleet.work(add), 0) << fleet.said;
+  ASSERT_EQ(fleet.work(add), 0) << fleet.output;
   const auto requests = [&]() -> std::uint64_t {
-    return fleet.work("report", "") == 0 ? json::parse(fleet.said)["sums"].value("requests", std::uint64_t{0})
-                                         : 0;
+    return fleet.work("report", "") == 0
+               ? json::parse(fleet.output)["sums"].value("requests", std::uint64_t{0})
+               : 0;
   };
   const std::string owner = fleet.await_owner("counts");
-  std::vector<std::string> others = fleet.rig.routers();
+  std::vector<std::string> others = fleet.fixture.routers();
   std::erase(others, owner);
-  EXPECT_EQ(ask_all(fleet.rig, others, 10), kNone);
-  EXPECT_TRUE(fleet.rig.until([&] {
-    fleet.rig.run_for(milliseconds(20));
+  EXPECT_EQ(send_to_all(fleet.fixture, others, 10), kNoViolations);
+  EXPECT_TRUE(fleet.fixture.run_until([&] {
+    fleet.fixture.run_for(milliseconds(20));
     return requests() == 20;
   })) << requests();
-  fleet.rig.fleet().kill(owner);
+  fleet.fixture.fleet().kill(owner);
   fleet.await_owner("counts", owner);
-  EXPECT_EQ(ask_all(fleet.rig, others, 5), kNone);
-  EXPECT_TRUE(fleet.rig.until([&] {
-    fleet.rig.run_for(milliseconds(20));
+  EXPECT_EQ(send_to_all(fleet.fixture, others, 5), kNoViolations);
+  EXPECT_TRUE(fleet.fixture.run_until([&] {
+    fleet.fixture.run_for(milliseconds(20));
     return requests() == 30;
   })) << requests();
-  fleet.rig.run_for(milliseconds(600));
+  fleet.fixture.run_for(milliseconds(600));
   EXPECT_EQ(requests(), 30U) << "counted twice";
 }
 
 TEST(OwnershipFleetTest, RoutersOfOneMachineShareAFolderInTheStoresPlace) {
-  FleetSpec shape = owned_shape(3);
-  shape.registry = false;
-  shape.embedded = testing::TempDir() + "trailcourse-shared-" + std::to_string(::getpid());
-  std::filesystem::remove_all(shape.embedded);
-  shape.coordination["look_ms"] = 20;
+  FleetSpec spec = owned_spec(3);
+  spec.registry = false;
+  spec.embedded = testing::TempDir() + "trailcourse-shared-" + std::to_string(::getpid());
+  std::filesystem::remove_all(spec.embedded);
+  spec.coordination["look_ms"] = 20;
   {
-    Owned fleet(shape);
+    OwnershipFixture fleet(spec);
     ASSERT_FALSE(testing::Test::HasFatalFailure());
     fleet.fill("evening", 40, 20.0);
     const std::string first = fleet.await_owner("evening");
-    ASSERT_TRUE(fleet.await_filled("evening", 2)) << fleet.rig.logs();
-    fleet.rig.fleet().kill(first);
-    EXPECT_TRUE(fleet.await_state("evening", "done")) << fleet.rig.logs();
+    ASSERT_TRUE(fleet.await_filled("evening", 2)) << fleet.fixture.logs();
+    fleet.fixture.fleet().kill(first);
+    EXPECT_TRUE(fleet.await_state("evening", "done")) << fleet.fixture.logs();
     EXPECT_EQ(fleet.filled("evening"), 40U);
-    EXPECT_EQ(fleet.find_token_regressions(), kNone);
+    EXPECT_EQ(fleet.find_token_regressions(), kNoViolations);
   }
-  std::filesystem::remove_all(shape.embedded);
+  std::filesystem::remove_all(spec.embedded);
 }
 
 TEST(OwnershipFleetTest, WorkThatCannotBeDoneIsOverAndSaysWhy) {
-  Owned fleet(owned_shape(2));
+  OwnershipFixture fleet(owned_spec(2));
   ASSERT_FALSE(testing::Test::HasFatalFailure());
   program::WorkCommand command;
   command.action = "add";
@@ -630,8 +637,8 @@
   command.kind = "fill";
   command.request_class = "unheard";
   command.objects = {item(1)};
-  ASSERT_EQ(fleet.work(command), 0) << fleet.said;
-  EXPECT_TRUE(fleet.await_state("odd", "done")) << fleet.rig.logs();
+  ASSERT_EQ(fleet.work(command), 0) << fleet.output;
+  EXPECT_TRUE(fleet.await_state("odd", "done")) << fleet.fixture.logs();
   EXPECT_NE(fleet.shard("odd").value("checkpoint", "").find("cannot be done"), std::string::npos);
   // Staff's mistakes.
   EXPECT_EQ(fleet.work("show", "none"), program::kNoSuchWork);
