--- a/benchmarks/acknowledgement_measurement.cpp
+++ b/benchmarks/acknowledgement_measurement.cpp
@@ -97,12 +97,12 @@
     return record.is_object() ? record["done"].value("event", std::uint64_t{0}) : 0;
   }
   void stop(const std::string& member) {
-    bench_.fleet().signal(member, SIGSTOP);
+    bench_.supervisor().signal(member, SIGSTOP);
     stopped_ = member;
   }
   void wake() {
     if (!stopped_.empty()) {
-      bench_.fleet().signal(stopped_, SIGCONT);
+      bench_.supervisor().signal(stopped_, SIGCONT);
       stopped_.clear();
     }
   }
--- a/benchmarks/fleet_bench.cpp
+++ b/benchmarks/fleet_bench.cpp
@@ -84,15 +84,15 @@
     if (kind == Kind::kRouter) {
       await_aggregators();
     }
-    fleet().start_all(kind);
+    supervisor().start_all(kind);
     for (const std::string& name : layout_->names(kind)) {
-      if (!fleet().await_up(name, kAwaited)) {
-        const std::string log = fleet().log(name);
+      if (!supervisor().await_up(name, kAwaited)) {
+        const std::string log = supervisor().log(name);
         throw NotMeasured(name + " did not come up: " + log.substr(0, log.find('\n')));
       }
     }
   }
-  needs_store_ = shape.registry;
+  needs_store_ = shape.has_coordination_server;
 }
 
 // Routers that come sooner go on to the next aggregator, and stay there.
@@ -139,7 +139,7 @@
 }
 
 void FleetBench::check_store() {
-  if (needs_store_ && !fleet().alive("registry")) {
+  if (needs_store_ && !supervisor().alive("registry")) {
     throw NotMeasured("the store has ended");
   }
 }
@@ -190,7 +190,7 @@
 }
 
 bool FleetBench::until(const std::function<bool()>& done, milliseconds longest) {
-  return fleet().run_until(
+  return supervisor().run_until(
       [&] {
         check_store();
         return done();
@@ -228,11 +228,11 @@
 }
 
 std::string FleetBench::report(const std::string& member) {
-  const std::size_t before = fleet().log(member).size();
-  fleet().signal(member, SIGHUP);
+  const std::size_t before = supervisor().log(member).size();
+  supervisor().signal(member, SIGHUP);
   std::string line;
   await("a report of " + member, [&] {
-    const std::string log = fleet().log(member);
+    const std::string log = supervisor().log(member);
     const std::size_t at = log.find("revision=", before);
     const std::size_t end = log.find('\n', at);
     if (at != std::string::npos && end != std::string::npos) {
@@ -258,7 +258,7 @@
 std::map<std::string, Figures> FleetBench::aggregator_figures() {
   std::map<std::string, Figures> out;
   for (const std::string& name : layout_->names(Kind::kAggregator)) {
-    if (fleet().alive(name)) {
+    if (supervisor().alive(name)) {
       out[name] = figures(name);
     }
   }
@@ -271,7 +271,7 @@
   shape.caches = 1;
   shape.parents = 0;
   shape.disk = true;
-  shape.registry = true;
+  shape.has_coordination_server = true;
   return shape;
 }
 
--- a/benchmarks/fleet_bench.h
+++ b/benchmarks/fleet_bench.h
@@ -63,7 +63,7 @@
 
   fleet::Layout& layout() { return *layout_; }
   fleet::Scenario& scenario() { return *scenario_; }
-  fleet::Supervisor& fleet() { return scenario_->fleet(); }
+  fleet::Supervisor& supervisor() { return scenario_->supervisor(); }
   transport::Scheduler& scheduler() { return scheduler_; }
   const std::string& folder() const { return folder_.path(); }
 
--- a/benchmarks/ownership_bench.cpp
+++ b/benchmarks/ownership_bench.cpp
@@ -79,24 +79,24 @@
   bench.run_for(milliseconds(700));  // it renews meanwhile, and its checkpoint takes its start back
   const Clock::time_point from = Clock::now();
   if (fault == "kill") {
-    bench.fleet().kill(owner);
+    bench.supervisor().kill(owner);
   } else if (fault == "stop") {
-    bench.fleet().signal(owner, SIGSTOP);
+    bench.supervisor().signal(owner, SIGSTOP);
   } else if (fault == "cut") {
     fault_link(bench, "cut " + owner + ">registry both");
   } else {
-    bench.fleet().signal(owner, SIGTERM);
+    bench.supervisor().signal(owner, SIGTERM);
   }
   bench.await("another owner", [&, seen = before] { return bench.begun(kOwnerBegins).second > seen; });
   const double took = in_ms(Clock::now() - from);
   if (fault == "stop") {
-    bench.fleet().signal(owner, SIGCONT);
+    bench.supervisor().signal(owner, SIGCONT);
   } else if (fault == "cut") {
     fault_link(bench, "heal " + owner + ">registry");
   } else {
-    bench.await("the end of " + owner, [&, name = owner] { return !bench.fleet().alive(name); });
-    bench.fleet().start(owner);
-    bench.fleet().await_up(owner, kAwaited);
+    bench.await("the end of " + owner, [&, name = owner] { return !bench.supervisor().alive(name); });
+    bench.supervisor().start(owner);
+    bench.supervisor().await_up(owner, kAwaited);
   }
   bench.run_for(milliseconds(200));
   return took;
@@ -224,7 +224,7 @@
   bench.scenario().start_script(script);
   std::uint64_t most = 0;
   const auto look = [&]() -> bool {
-    if (!bench.fleet().alive("registry")) {
+    if (!bench.supervisor().alive("registry")) {
       return false;
     }
     const json seen = shard_of(bench, "w");
--- a/benchmarks/policy_measurement.cpp
+++ b/benchmarks/policy_measurement.cpp
@@ -105,11 +105,11 @@
   std::vector<std::string> begin(Case which) {
     std::vector<std::string> living = routers_;
     if (which == Case::kOneStopped) {
-      bench_.fleet().signal(living.back(), SIGSTOP);
+      bench_.supervisor().signal(living.back(), SIGSTOP);
       living.pop_back();
     } else if (which == Case::kTenthKilled) {
       for (std::size_t i = 0; i < std::max<std::size_t>(1, routers_.size() / 10); ++i) {
-        bench_.fleet().kill(living.back());
+        bench_.supervisor().kill(living.back());
         living.pop_back();
       }
       bench_.run_for(kPermissionTime + milliseconds(500));
@@ -118,7 +118,7 @@
   }
   void end(Case which) {
     if (which == Case::kOneStopped) {
-      bench_.fleet().signal(routers_.back(), SIGCONT);
+      bench_.supervisor().signal(routers_.back(), SIGCONT);
       bench_.run_for(milliseconds(1'000));
     }
   }
@@ -175,7 +175,7 @@
   fleet::FleetSpec shape =
       topology.flat ? flat_shape(routers) : aggregated_shape(routers, topology.regions_for(routers));
   shape.disk = false;
-  shape.sockets = 256;
+  shape.max_sockets = 256;
   shape.policy = {{"ttl_ms", kPermissionTime.count()}};
   return shape;
 }
--- a/benchmarks/rest_measurement.cpp
+++ b/benchmarks/rest_measurement.cpp
@@ -80,7 +80,7 @@
 }
 
 std::string proc_of(FleetBench& bench, const std::string& router) {
-  return "/proc/" + std::to_string(bench.fleet().pid(router));
+  return "/proc/" + std::to_string(bench.supervisor().pid(router));
 }
 
 class RestMeasurement {
@@ -139,8 +139,8 @@
     fleet::FleetSpec shape = row == Row::kAggregators
                                  ? aggregated_shape(routers, topology.regions_for(routers))
                                  : flat_shape(routers);
-    shape.registry = row != Row::kWithoutStore;
-    shape.sockets = 256;
+    shape.has_coordination_server = row != Row::kWithoutStore;
+    shape.max_sockets = 256;
     if (row == Row::kTasksAndPolicy) {
       shape.policy = {{"ttl_ms", 3'000}};
     }
@@ -177,10 +177,10 @@
     const Figures before = store_figures();
     const Clock::time_point killed = Clock::now();
     if (shares_tasks()) {
-      bench_.fleet().kill(owner);
+      bench_.supervisor().kill(owner);
       bench_.await("another owner", [&, seen = count] { return bench_.begun(kOwnerBegins).second > seen; });
     } else {
-      bench_.fleet().kill(bench_.layout().names(Kind::kAggregator).front());
+      bench_.supervisor().kill(bench_.layout().names(Kind::kAggregator).front());
       bench_.await("permission of all routers again", [this] { return all_permitted(); });
     }
     const double seconds = in_ms(Clock::now() - killed) / 1e3;
--- a/benchmarks/scale/process_costs.cpp
+++ b/benchmarks/scale/process_costs.cpp
@@ -100,7 +100,7 @@
         kind.proxies ? std::vector<std::string>{"router*>board"} : std::vector<std::string>{};
     scenario_ = std::make_unique<fleet::Scenario>(scheduler_, *layout_, ports_, context.program, proxied);
     page_ = json::parse(layout_->first_page().dump());
-    for (const Kind one : {Kind::kRegistry, Kind::kBoard, Kind::kOrigin, Kind::kRouter}) {
+    for (const Kind one : {Kind::kCoordinationServer, Kind::kDiscoveryServer, Kind::kOrigin, Kind::kRouter}) {
       start(one);
     }
     // Told once all run: a router logs no more than some lines a second, and that it listens must be seen.
@@ -116,7 +116,7 @@
 
   int routers() const { return routers_; }
   void run_for(milliseconds time) {
-    scenario_->fleet().run_until([] { return false; }, time);
+    scenario_->supervisor().run_until([] { return false; }, time);
   }
   // Purges put on the board at an even rate.
   void run_with_purges(milliseconds time, int purges_per_s) {
@@ -160,8 +160,8 @@
     shape.routers = kind.routers;
     shape.caches = 0;
     shape.parents = 0;
-    shape.registry = kind.store;
-    shape.sockets = 256;
+    shape.has_coordination_server = kind.store;
+    shape.max_sockets = 256;
     if (kind.store) {
       shape.policy = {{"without", "both"}};
     }
@@ -169,10 +169,10 @@
   }
 
   void start(Kind kind) {
-    scenario_->fleet().start_all(kind);
+    scenario_->supervisor().start_all(kind);
     for (const std::string& name : layout_->names(kind)) {
-      if (!scenario_->fleet().await_up(name, kUp)) {
-        throw std::runtime_error(name + " did not come up: " + scenario_->fleet().log(name));
+      if (!scenario_->supervisor().await_up(name, kUp)) {
+        throw std::runtime_error(name + " did not come up: " + scenario_->supervisor().log(name));
       }
     }
   }
@@ -201,7 +201,7 @@
   double sum_over_routers(Figure figure) const {
     double sum = 0.0;
     for (const std::string& name : layout_->names(Kind::kRouter)) {
-      sum += figure(scenario_->fleet().pid(name));
+      sum += figure(scenario_->supervisor().pid(name));
     }
     return sum;
   }
@@ -338,17 +338,17 @@
     layout_ = std::make_unique<fleet::Layout>(shape, folder_, ports_);
     scenario_ = std::make_unique<fleet::Scenario>(scheduler_, *layout_, ports_, context.program,
                                                   std::vector<std::string>{});
-    for (const Kind kind : {Kind::kBoard, Kind::kOrigin, Kind::kCache, Kind::kRouter}) {
-      scenario_->fleet().start_all(kind);
+    for (const Kind kind : {Kind::kDiscoveryServer, Kind::kOrigin, Kind::kCache, Kind::kRouter}) {
+      scenario_->supervisor().start_all(kind);
       for (const std::string& name : layout_->names(kind)) {
-        if (!scenario_->fleet().await_up(name, kUp)) {
-          throw std::runtime_error(name + " did not come up: " + scenario_->fleet().log(name));
+        if (!scenario_->supervisor().await_up(name, kUp)) {
+          throw std::runtime_error(name + " did not come up: " + scenario_->supervisor().log(name));
         }
       }
     }
     load_ = std::make_unique<fleet::LoadGenerator>(scheduler_, fleet::LoadGenerator::Options{},
                                                    context.seed << 20U);
-    scenario_->fleet().run_until([] { return false; }, milliseconds(1'000));
+    scenario_->supervisor().run_until([] { return false; }, milliseconds(1'000));
   }
   ~ServingFleet() {
     load_.reset();
@@ -365,7 +365,7 @@
     const transport::Address router = *transport::parse_address(layout_->member(kRouterName).address);
     const std::size_t first = load_->requests().size();
     const std::size_t last = first + static_cast<std::size_t>(requests);
-    scenario_->fleet().run_until(
+    scenario_->supervisor().run_until(
         [&] {
           while (load_->open() < kAtOnce && load_->requests().size() < last) {
             load_->send(kRouterName, router, fleet::object_name(1 + load_->requests().size() % kObjects));
@@ -379,7 +379,7 @@
     }
     return served;
   }
-  double cpu_us(const std::string& name) const { return process_cpu_us(scenario_->fleet().pid(name)); }
+  double cpu_us(const std::string& name) const { return process_cpu_us(scenario_->supervisor().pid(name)); }
 
   static constexpr const char* kRouterName = "router0";
   static constexpr const char* kCacheName = "cache0";
--- a/benchmarks/scale/router_costs.cpp
+++ b/benchmarks/scale/router_costs.cpp
@@ -29,7 +29,7 @@
       : profile_(profile),
         decider_(profile.settings, seed),
         router_(
-            scheduler_, routing::ModuleClock(), profile.settings,
+            scheduler_, routing::DeciderClock(), profile.settings,
             [this](Micros now, const Event& event, std::vector<Action>& out) {
               decider_.handle(now, event, out);
             },
--- a/benchmarks/scale/sample_fleet.cpp
+++ b/benchmarks/scale/sample_fleet.cpp
@@ -17,7 +17,7 @@
   shape.routers = routers;
   shape.caches = caches;
   shape.parents = 0;
-  shape.since_ms = since_ms;
+  shape.started_unix_ms = since_ms;
   shape.zones.clear();
   for (int i = 0; i < zones; ++i) {
     shape.zones.push_back("zone" + std::to_string(i));
