--- a/benchmarks/acknowledgement_measurement.cpp
+++ b/benchmarks/acknowledgement_measurement.cpp
@@ -19,131 +19,134 @@
 
 namespace {
 
-constexpr milliseconds kBetweenPurges{100};
-constexpr milliseconds kBetweenLooks{20};
+constexpr milliseconds kPurgeInterval{100};
+constexpr milliseconds kPollInterval{20};  // between reads of the acknowledged event
 constexpr int kPurges = 100;
 constexpr int kPurgesBeforeFault = 20;
 
-enum class Case { kAllUp, kOneStopped, kAggregatorStopped };
+enum class FaultCase { kAllUp, kOneStopped, kAggregatorStopped };
 
-const char* to_string(Case which) {
-  switch (which) {
-    case Case::kAllUp:
+const char* to_string(FaultCase fault) {
+  switch (fault) {
+    case FaultCase::kAllUp:
       return "all up";
-    case Case::kOneStopped:
+    case FaultCase::kOneStopped:
       return "one router stopped";
-    case Case::kAggregatorStopped:
+    case FaultCase::kAggregatorStopped:
       break;
   }
   return "an aggregator stopped";
 }
 
-double quantile(std::vector<double> all, double share) {
-  std::sort(all.begin(), all.end());
-  const double rank = std::ceil(share * static_cast<double>(all.size()));
-  return all.empty() ? 0.0 : all[static_cast<std::size_t>(std::max(1.0, rank)) - 1];
+// Returns the quantile by the nearest rank; 0 without values.
+double quantile(std::vector<double> values, double share) {
+  std::sort(values.begin(), values.end());
+  const double rank = std::ceil(share * static_cast<double>(values.size()));
+  return values.empty() ? 0.0 : values[static_cast<std::size_t>(std::max(1.0, rank)) - 1];
 }
 
-// One fleet, and purges that come all the while.
+// One fleet and a steady series of purges.
 class AcknowledgementMeasurement {
  public:
-  AcknowledgementMeasurement(const fleet::FleetSpec& shape, const std::string& program)
-      : bench_(shape, program, {}), routers_(bench_.layout().names(Kind::kRouter)) {
+  AcknowledgementMeasurement(const fleet::FleetSpec& spec, const std::string& program)
+      : bench_(spec, program, {}), routers_(bench_.layout().names(Kind::kRouter)) {
     bench_.await("permission of all routers", [this] {
       bench_.run_for(milliseconds(100));
-      return bench_.permitted_routers() >= routers_.size();
+      return bench_.count_permitted_routers() >= routers_.size();
     });
-    program::WorkCommand announce;
-    announce.action = "add";
-    announce.name = "events";
-    announce.kind = tasks::kAcknowledgeWork;
-    bench_.work(announce);
-    const std::uint64_t first = purge();
-    bench_.await("the first purge to be done", [&] { return done_event() >= first; });
+    program::WorkCommand add;
+    add.action = "add";
+    add.name = "events";
+    add.kind = tasks::kAcknowledgeWork;
+    bench_.run_work_command(add);
+    const std::uint64_t first = publish_purge();
+    bench_.await("the acknowledgement of the first purge",
+                 [&] { return last_acknowledged_event() >= first; });
   }
 
-  // Throws NotMeasured.
-  void print_row(Case which) {
-    const Figures store = bench_.figures("registry");
-    const auto aggregators = bench_.aggregator_figures();
-    const Clock::time_point from = Clock::now();
-    const std::vector<double> ms = play(which);
-    const double seconds = in_ms(Clock::now() - from) / 1e3;
-    wake();
-    const Served at_store = served_between(store, bench_.figures("registry"));
-    const Served at_aggregator = busiest(aggregators, bench_.aggregator_figures());
-    std::printf("%8zu %-22s %8zu %9.0f %9.0f %9.0f %14.1f %18.1f %16.1f\n", routers_.size(), to_string(which),
-                ms.size(), quantile(ms, 0.5), quantile(ms, 0.99), quantile(ms, 1.0),
-                static_cast<double>(at_store.calls) / seconds,
-                static_cast<double>(at_aggregator.calls) / seconds,
-                static_cast<double>(at_aggregator.bytes) / seconds / 1e3);
+  // Measures purges with the fault and prints the row. Throws MeasurementError.
+  void measure_case(FaultCase fault) {
+    const Metrics store_before = bench_.request_metrics("registry");
+    const auto aggregators_before = bench_.request_aggregator_metrics();
+    const Clock::time_point start = Clock::now();
+    const std::vector<double> times_ms = run_purges(fault);
+    const double seconds = to_ms(Clock::now() - start) / 1e3;
+    resume_stopped();
+    const Traffic store = traffic_between(store_before, bench_.request_metrics("registry"));
+    const Traffic aggregator = busiest_traffic(aggregators_before, bench_.request_aggregator_metrics());
+    std::printf("%8zu %-22s %8zu %9.0f %9.0f %9.0f %14.1f %18.1f %16.1f\n", routers_.size(), to_string(fault),
+                times_ms.size(), quantile(times_ms, 0.5), quantile(times_ms, 0.99), quantile(times_ms, 1.0),
+                static_cast<double>(store.calls) / seconds, static_cast<double>(aggregator.calls) / seconds,
+                static_cast<double>(aggregator.bytes) / seconds / 1e3);
     std::fflush(stdout);
     bench_.run_for(milliseconds(1'000));
   }
 
  private:
-  std::uint64_t purge() {
+  // Publishes a purge of one object. Returns the sequence number of its event.
+  std::uint64_t publish_purge() {
     const json event{{"flush", {{"asset", fleet::object_name(7)}, {"ms", 1}}}};
     return program::append_event(bench_.layout().board_file(), event);
   }
-  std::uint64_t done_event() {
+  // Returns the last event that all routers have acknowledged; 0 if the store did not answer.
+  std::uint64_t last_acknowledged_event() {
     program::PolicyCommand command;
     command.action = "acknowledged";
-    std::string said;
-    if (bench_.policy(command, said) != 0) {
+    std::string output;
+    if (bench_.run_policy_command(command, output) != 0) {
       return 0;
     }
-    const json record = json::parse(said, nullptr, false);
+    const json record = json::parse(output, nullptr, false);
     return record.is_object() ? record["done"].value("event", std::uint64_t{0}) : 0;
   }
   void stop(const std::string& member) {
     bench_.fleet().signal(member, SIGSTOP);
     stopped_ = member;
   }
-  void wake() {
+  void resume_stopped() {
     if (!stopped_.empty()) {
       bench_.fleet().signal(stopped_, SIGCONT);
       stopped_.clear();
     }
   }
-  void begin(Case which) {
-    if (which == Case::kOneStopped) {
+  void inject_fault(FaultCase fault) {
+    if (fault == FaultCase::kOneStopped) {
       stop(routers_.back());
-    } else if (which == Case::kAggregatorStopped) {
+    } else if (fault == FaultCase::kAggregatorStopped) {
       stop(bench_.layout().names(Kind::kAggregator).back());
     }
   }
 
-  // The time of each purge until it was seen to be done, in ms.
-  std::vector<double> play(Case which) {
-    struct Open {
+  // Publishes all purges and returns the time from each purge to its acknowledgement, in ms.
+  std::vector<double> run_purges(FaultCase fault) {
+    struct PendingPurge {
       std::uint64_t event;
-      Clock::time_point at;
+      Clock::time_point published;
     };
-    std::deque<Open> open;
-    std::vector<double> out;
+    std::deque<PendingPurge> pending;
+    std::vector<double> times_ms;
     int purges = 0;
-    Clock::time_point next = Clock::now();
-    Clock::time_point look = next;
-    bench_.await("the end of all purges", [&] {
-      if (purges < kPurges && Clock::now() >= next) {
-        open.push_back({purge(), Clock::now()});
-        next += kBetweenPurges;
+    Clock::time_point next_purge = Clock::now();
+    Clock::time_point next_poll = next_purge;
+    bench_.await("the acknowledgement of all purges", [&] {
+      if (purges < kPurges && Clock::now() >= next_purge) {
+        pending.push_back({publish_purge(), Clock::now()});
+        next_purge += kPurgeInterval;
         if (++purges == kPurgesBeforeFault) {
-          begin(which);
+          inject_fault(fault);
         }
       }
-      if (Clock::now() >= look) {
-        const std::uint64_t done = done_event();
-        const Clock::time_point seen = Clock::now();
-        for (; !open.empty() && open.front().event <= done; open.pop_front()) {
-          out.push_back(in_ms(seen - open.front().at));
+      if (Clock::now() >= next_poll) {
+        const std::uint64_t acknowledged = last_acknowledged_event();
+        const Clock::time_point now = Clock::now();
+        for (; !pending.empty() && pending.front().event <= acknowledged; pending.pop_front()) {
+          times_ms.push_back(to_ms(now - pending.front().published));
         }
-        look = Clock::now() + kBetweenLooks;
+        next_poll = Clock::now() + kPollInterval;
       }
-      return purges == kPurges && open.empty();
+      return purges == kPurges && pending.empty();
     });
-    return out;
+    return times_ms;
   }
 
   FleetBench bench_;
@@ -156,20 +159,19 @@
 int measure_acknowledgements(const std::string& program, const std::vector<int>& sizes,
                              const Topology& topology) {
   std::printf(
-      "from a purge at the notice board until every router is known to have taken it in, ten purges a "
-      "second, "
-      "default times (real processes), %s\n",
-      topology.flat ? "each router at the store" : "by way of aggregators");
+      "time from a purge at the discovery service until every router has acknowledged it, ten purges per "
+      "second, default times (real processes), %s\n",
+      topology.flat ? "each router connects to the store" : "routers connect through aggregators");
   std::printf("%8s %-22s %8s %9s %9s %9s %14s %18s %16s\n", "routers", "case", "purges", "p50 ms", "p99 ms",
               "worst ms", "store calls/s", "aggregator calls/s", "aggregator KB/s");
-  return measure_sizes(sizes, [&](int size, std::string& which) {
-    AcknowledgementMeasurement measurement(policy_shape(size, topology), program);
-    for (const Case one : {Case::kAllUp, Case::kOneStopped, Case::kAggregatorStopped}) {
-      if (topology.flat && one == Case::kAggregatorStopped) {
+  return measure_sizes(sizes, [&](int size, std::string& row_label) {
+    AcknowledgementMeasurement measurement(policy_fleet(size, topology), program);
+    for (const FaultCase fault : {FaultCase::kAllUp, FaultCase::kOneStopped, FaultCase::kAggregatorStopped}) {
+      if (topology.flat && fault == FaultCase::kAggregatorStopped) {
         continue;
       }
-      which = to_string(one);
-      measurement.print_row(one);
+      row_label = to_string(fault);
+      measurement.measure_case(fault);
     }
   });
 }
--- a/benchmarks/acknowledgement_measurement.h
+++ b/benchmarks/acknowledgement_measurement.h
@@ -1,5 +1,5 @@
-// Measures with real processes how long it takes from a purge at the notice board until every router is known
-// to have taken it in.
+// Measures with real processes the time from a purge at the discovery service until every router has
+// acknowledged it.
 #pragma once
 
 #include <string>
@@ -9,7 +9,8 @@
 
 namespace trailcourse::bench {
 
-// Prints a row for each size and case. Gives how many rows could not be measured; each of these says why.
+// Prints a row for each size and fault, or the reason why it could not be measured. Returns the number of sizes
+// that could not be measured completely.
 int measure_acknowledgements(const std::string& program, const std::vector<int>& sizes,
                              const Topology& topology);
 
--- a/benchmarks/fleet_bench.cpp
+++ b/benchmarks/fleet_bench.cpp
@@ -9,6 +9,7 @@
 #include <filesystem>
 #include <fstream>
 #include <sstream>
+#include <utility>
 
 namespace trailcourse::bench {
 
@@ -19,54 +20,55 @@
 
 namespace {
 
-constexpr int kMostUnanswered = 10;  // looks in a row; each is given up after about a second
+constexpr int kMaxFailedStatusQueries = 10;  // in a row; each times out after about a second
 
-constexpr milliseconds kEndOfProcess{500};
+constexpr milliseconds kProcessExitDelay{500};  // longest time from closed connections to the exit
 
 }  // namespace
 
 TemporaryFolder::TemporaryFolder() {
-  static int made = 0;
+  static int count = 0;
   path_ = std::filesystem::temp_directory_path() /
-          ("ownership-bench-" + std::to_string(::getpid()) + "-" + std::to_string(++made));
+          ("ownership-bench-" + std::to_string(::getpid()) + "-" + std::to_string(++count));
   std::filesystem::remove_all(path_);
   std::filesystem::create_directories(path_);
 }
 
 TemporaryFolder::~TemporaryFolder() {
-  std::error_code none;
-  std::filesystem::remove_all(path_, none);
+  std::error_code ignored;
+  std::filesystem::remove_all(path_, ignored);
 }
 
-Served served_between(const Figures& before, const Figures& after) {
-  const auto grown = [&](const std::string& name) -> std::uint64_t {
-    const auto first = before.find(name);
-    const auto last = after.find(name);
-    const std::uint64_t from = first == before.end() ? 0 : first->second;
-    return last == after.end() || last->second < from ? 0 : last->second - from;
+Traffic traffic_between(const Metrics& before, const Metrics& after) {
+  const auto increase = [&](const std::string& name) -> std::uint64_t {
+    const auto old = before.find(name);
+    const auto current = after.find(name);
+    const std::uint64_t old_value = old == before.end() ? 0 : old->second;
+    return current == after.end() || current->second < old_value ? 0 : current->second - old_value;
   };
-  return {grown("calls"), grown("bytes_read") + grown("bytes_written")};
+  return {increase("calls"), increase("bytes_read") + increase("bytes_written")};
 }
 
-Served busiest(const std::map<std::string, Figures>& before, const std::map<std::string, Figures>& after) {
-  Served most;
-  for (const auto& [name, figures] : after) {
+Traffic busiest_traffic(const std::map<std::string, Metrics>& before,
+                        const std::map<std::string, Metrics>& after) {
+  Traffic most;
+  for (const auto& [name, metrics] : after) {
     const auto found = before.find(name);
-    const Served served = served_between(found == before.end() ? Figures{} : found->second, figures);
-    most = served.calls > most.calls ? served : most;
+    const Traffic traffic = traffic_between(found == before.end() ? Metrics{} : found->second, metrics);
+    most = traffic.calls > most.calls ? traffic : most;
   }
   return most;
 }
 
 int measure_sizes(const std::vector<int>& sizes,
-                  const std::function<void(int size, std::string& which)>& rows) {
+                  const std::function<void(int size, std::string& row_label)>& print_rows) {
   int missing = 0;
   for (const int size : sizes) {
-    std::string which;
+    std::string row_label;
     try {
-      rows(size, which);
+      print_rows(size, row_label);
     } catch (const std::runtime_error& error) {
-      std::printf("%8d %-22s not measured: %s\n", size, which.c_str(), error.what());
+      std::printf("%8d %-22s not measured: %s\n", size, row_label.c_str(), error.what());
       std::fflush(stdout);
       ++missing;
     }
@@ -74,166 +76,167 @@
   return missing;
 }
 
-double in_ms(Clock::duration time) { return std::chrono::duration<double, std::milli>(time).count(); }
+double to_ms(Clock::duration time) { return std::chrono::duration<double, std::milli>(time).count(); }
 
-FleetBench::FleetBench(const fleet::FleetSpec& shape, const std::string& program,
-                       const std::vector<std::string>& proxied)
-    : layout_(std::make_unique<fleet::Layout>(shape, folder_.path(), ports_)),
-      scenario_(std::make_unique<fleet::Scenario>(scheduler_, *layout_, ports_, program, proxied)) {
+FleetBench::FleetBench(const fleet::FleetSpec& spec, const std::string& program,
+                       const std::vector<std::string>& proxied_links)
+    : layout_(std::make_unique<fleet::Layout>(spec, folder_.path(), ports_)),
+      scenario_(std::make_unique<fleet::Scenario>(scheduler_, *layout_, ports_, program, proxied_links)) {
   for (const Kind kind : fleet::kStartOrder) {
     if (kind == Kind::kRouter) {
-      await_aggregators();
+      await_aggregator_permission();
     }
     fleet().start_all(kind);
     for (const std::string& name : layout_->names(kind)) {
-      if (!fleet().await_up(name, kAwaited)) {
+      if (!fleet().await_up(name, kAwaitTimeout)) {
         const std::string log = fleet().log(name);
-        throw NotMeasured(name + " did not come up: " + log.substr(0, log.find('\n')));
+        throw MeasurementError(name + " did not come up: " + log.substr(0, log.find('\n')));
       }
     }
   }
-  needs_store_ = shape.registry;
+  store_required_ = spec.registry;
 }
 
-// Routers that come sooner go on to the next aggregator, and stay there.
-void FleetBench::await_aggregators() {
+// A router that starts before its aggregator has permission switches to the next aggregator and stays there.
+void FleetBench::await_aggregator_permission() {
   for (const std::string& name : layout_->names(Kind::kAggregator)) {
-    await("permission of " + name, [&] { return report(name).find("permission=yes") != std::string::npos; });
+    await("permission of " + name,
+          [&] { return request_metrics_line(name).find("permission=yes") != std::string::npos; });
   }
 }
 
-int FleetBench::work(program::WorkCommand command, std::string& said) {
-  return ask_store(std::move(command), &program::run_work_command, said);
+int FleetBench::run_work_command(program::WorkCommand command, std::string& output) {
+  return run_store_command(std::move(command), &program::run_work_command, output);
 }
 
-int FleetBench::policy(program::PolicyCommand command, std::string& said) {
-  return ask_store(std::move(command), &program::run_policy_command, said);
+int FleetBench::run_policy_command(program::PolicyCommand command, std::string& output) {
+  return run_store_command(std::move(command), &program::run_policy_command, output);
 }
 
 template <typename Command, typename Run>
-int FleetBench::ask_store(Command command, Run run, std::string& said) {
+int FleetBench::run_store_command(Command command, Run run, std::string& output) {
   command.store.store = "etcd";
   command.store.endpoints = {layout_->member("registry").address};
   command.json = true;
   std::ostringstream out;
   std::ostringstream errors;
   const int status = run(command, out, errors);
-  said = out.str() + errors.str();
+  output = out.str() + errors.str();
   return status;
 }
 
-std::string FleetBench::work(const program::WorkCommand& command) {
-  std::string said;
-  if (work(command, said) != 0) {
-    fail("work " + command.action, said);
+std::string FleetBench::run_work_command(const program::WorkCommand& command) {
+  std::string output;
+  if (run_work_command(command, output) != 0) {
+    throw_command_failure("work " + command.action, output);
   }
-  return said;
+  return output;
 }
 
-std::string FleetBench::policy(const program::PolicyCommand& command) {
-  std::string said;
-  if (policy(command, said) != 0) {
-    fail("policy " + command.action, said);
+std::string FleetBench::run_policy_command(const program::PolicyCommand& command) {
+  std::string output;
+  if (run_policy_command(command, output) != 0) {
+    throw_command_failure("policy " + command.action, output);
   }
-  return said;
+  return output;
 }
 
-void FleetBench::check_store() {
-  if (needs_store_ && !fleet().alive("registry")) {
-    throw NotMeasured("the store has ended");
+void FleetBench::check_store_is_running() {
+  if (store_required_ && !fleet().alive("registry")) {
+    throw MeasurementError("the store has ended");
   }
 }
 
-// Of a store that ends, the connections are gone a moment before the process is.
-void FleetBench::fail(const std::string& command, const std::string& said) {
-  run_for(kEndOfProcess);
-  throw NotMeasured(command + ": " + said.substr(0, said.find('\n')));
+// When the store ends, its connections close shortly before the process exits. The delay gives it time to
+// exit, so that the error names the store as the cause.
+void FleetBench::throw_command_failure(const std::string& command, const std::string& output) {
+  run_for(kProcessExitDelay);
+  throw MeasurementError(command + ": " + output.substr(0, output.find('\n')));
 }
 
 json FleetBench::policy_status() {
   program::PolicyCommand command;
   command.action = "status";
-  std::string said;
-  const bool answered = policy(command, said) == 0;
-  unanswered_ = answered ? 0 : unanswered_ + 1;
-  if (unanswered_ >= kMostUnanswered) {
-    fail("policy status", said);
+  std::string output;
+  const bool answered = run_policy_command(command, output) == 0;
+  failed_status_queries_ = answered ? 0 : failed_status_queries_ + 1;
+  if (failed_status_queries_ >= kMaxFailedStatusQueries) {
+    throw_command_failure("policy status", output);
   }
-  return answered ? json::parse(said) : json::object();
+  return answered ? json::parse(output) : json::object();
 }
 
-std::size_t FleetBench::permitted_routers() {
+std::size_t FleetBench::count_permitted_routers() {
   if (layout_->spec().aggregators <= 0) {
     const json status = policy_status();
     return status.value("permits", json::array()).size();
   }
-  std::size_t out = 0;
-  for (auto& [name, figures] : aggregator_figures()) {
-    out += static_cast<std::size_t>(figures["routers"]);
+  std::size_t count = 0;
+  for (auto& [name, metrics] : request_aggregator_metrics()) {
+    count += static_cast<std::size_t>(metrics["routers"]);
   }
-  return out;
+  return count;
 }
 
-void FleetBench::fill(const std::string& name, int objects, double rate) {
+void FleetBench::add_fill_work(const std::string& name, int objects, double objects_per_s) {
   program::WorkCommand command;
   command.action = "add";
   command.name = name;
   command.kind = "fill";
   command.request_class = "media";
-  command.objects_per_s = rate;
+  command.objects_per_s = objects_per_s;
   for (int i = 0; i < objects; ++i) {
     char text[17];
     std::snprintf(text, sizeof text, "%016x", 0x5000 + i);
     command.objects.push_back(text);
   }
-  work(command);
+  run_work_command(command);
 }
 
-bool FleetBench::until(const std::function<bool()>& done, milliseconds longest) {
+bool FleetBench::run_until(const std::function<bool()>& done, milliseconds timeout) {
   return fleet().run_until(
       [&] {
-        check_store();
+        check_store_is_running();
         return done();
       },
-      longest);
+      timeout);
 }
 
-void FleetBench::await(const std::string& what, const std::function<bool()>& done, milliseconds longest) {
-  if (!until(done, longest)) {
-    throw NotMeasured(what + " did not come within " + std::to_string(longest.count()) + " ms");
+void FleetBench::await(const std::string& what, const std::function<bool()>& done, milliseconds timeout) {
+  if (!run_until(done, timeout)) {
+    throw MeasurementError(what + " did not come within " + std::to_string(timeout.count()) + " ms");
   }
 }
 
 void FleetBench::run_for(milliseconds time) {
-  until([] { return false; }, time);
+  run_until([] { return false; }, time);
 }
 
-std::pair<std::string, std::size_t> FleetBench::begun(const std::string& words) {
-  std::string last;
-  std::size_t count = 0;
-  std::string latest;
+RouterLogMatches FleetBench::find_in_router_logs(const std::string& text) {
+  RouterLogMatches matches;
+  std::string latest_line;
   for (const std::string& router : layout_->names(Kind::kRouter)) {
     std::ifstream file(layout_->log_file(router));
     for (std::string line; std::getline(file, line);) {
-      if (line.find(words) != std::string::npos) {
-        ++count;
-        if (line >= latest) {
-          latest = line;
-          last = router;
+      if (line.find(text) != std::string::npos) {
+        ++matches.count;
+        if (line >= latest_line) {
+          latest_line = line;
+          matches.last_router = router;
         }
       }
     }
   }
-  return {last, count};
+  return matches;
 }
 
-std::string FleetBench::report(const std::string& member) {
-  const std::size_t before = fleet().log(member).size();
+std::string FleetBench::request_metrics_line(const std::string& member) {
+  const std::size_t old_size = fleet().log(member).size();
   fleet().signal(member, SIGHUP);
   std::string line;
-  await("a report of " + member, [&] {
+  await("a metrics line of " + member, [&] {
     const std::string log = fleet().log(member);
-    const std::size_t at = log.find("revision=", before);
+    const std::size_t at = log.find("revision=", old_size);
     const std::size_t end = log.find('\n', at);
     if (at != std::string::npos && end != std::string::npos) {
       const std::size_t start = log.rfind('\n', at) + 1;
@@ -244,48 +247,48 @@
   return line;
 }
 
-Figures FleetBench::figures(const std::string& member) {
-  Figures out;
-  std::istringstream words(report(member));
-  for (std::string word; words >> word;) {
-    if (const std::size_t equals = word.find('='); equals != std::string::npos) {
-      out[word.substr(0, equals)] = std::strtoull(word.c_str() + equals + 1, nullptr, 10);
+Metrics FleetBench::request_metrics(const std::string& member) {
+  Metrics metrics;
+  std::istringstream line(request_metrics_line(member));
+  for (std::string field; line >> field;) {
+    if (const std::size_t equals = field.find('='); equals != std::string::npos) {
+      metrics[field.substr(0, equals)] = std::strtoull(field.c_str() + equals + 1, nullptr, 10);
     }
   }
-  return out;
+  return metrics;
 }
 
-std::map<std::string, Figures> FleetBench::aggregator_figures() {
-  std::map<std::string, Figures> out;
+std::map<std::string, Metrics> FleetBench::request_aggregator_metrics() {
+  std::map<std::string, Metrics> metrics;
   for (const std::string& name : layout_->names(Kind::kAggregator)) {
     if (fleet().alive(name)) {
-      out[name] = figures(name);
+      metrics[name] = request_metrics(name);
     }
   }
-  return out;
+  return metrics;
 }
 
-fleet::FleetSpec flat_shape(int routers) {
-  fleet::FleetSpec shape;
-  shape.routers = routers;
-  shape.caches = 1;
-  shape.parents = 0;
-  shape.disk = true;
-  shape.registry = true;
-  return shape;
+fleet::FleetSpec flat_fleet(int routers) {
+  fleet::FleetSpec spec;
+  spec.routers = routers;
+  spec.caches = 1;
+  spec.parents = 0;
+  spec.disk = true;
+  spec.registry = true;
+  return spec;
 }
 
-fleet::FleetSpec aggregated_shape(int routers, int regions) {
-  fleet::FleetSpec shape = flat_shape(routers);
-  shape.aggregators = regions;
-  shape.regions = regions;
-  shape.caches = regions;
-  shape.zones.clear();
+fleet::FleetSpec aggregated_fleet(int routers, int regions) {
+  fleet::FleetSpec spec = flat_fleet(routers);
+  spec.aggregators = regions;
+  spec.regions = regions;
+  spec.caches = regions;
+  spec.zones.clear();
   for (int i = 0; i < regions; ++i) {
-    shape.zones.push_back("zone" + std::to_string(i));
+    spec.zones.push_back("zone" + std::to_string(i));
   }
-  shape.policy = {{"ttl_ms", 3'000}};
-  return shape;
+  spec.policy = {{"ttl_ms", 3'000}};
+  return spec;
 }
 
 }  // namespace trailcourse::bench
--- a/benchmarks/fleet_bench.h
+++ b/benchmarks/fleet_bench.h
@@ -1,5 +1,5 @@
-// A fleet of real processes in a folder of its own, for a measurement: started, looked at as staff do, and
-// ended with whoever measures. What could not be measured is told by an exception of its own.
+// Runs a fleet of real processes in a temporary folder for one measurement: starts and stops the processes,
+// runs operator commands against the store, and reads the metrics that the processes log.
 #pragma once
 
 #include <chrono>
@@ -10,7 +10,6 @@
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 #include <string>
-#include <utility>
 #include <vector>
 
 #include "fleet/layout.h"
@@ -22,16 +21,16 @@
 
 namespace trailcourse::bench {
 
-constexpr std::chrono::milliseconds kAwaited{90'000};
+constexpr std::chrono::milliseconds kAwaitTimeout{90'000};
 
-// A row that cannot be measured, and why, in one line: the store is lost, a process did not come up, what was
-// awaited did not come. The tool goes on with the next row.
-class NotMeasured : public std::runtime_error {
+// The reason in one line why a row could not be measured, such as a store that ended, a process that did not
+// start, or a timeout. The benchmark continues with the next row.
+class MeasurementError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// A folder that goes with its owner.
+// A new folder that is removed with its content when the object is destroyed.
 class TemporaryFolder {
  public:
   TemporaryFolder();
@@ -44,22 +43,30 @@
   std::string path_;
 };
 
-// What processes report of themselves: figures by name.
-using Figures = std::map<std::string, std::uint64_t>;
+// Metrics of one process by name, from the line that it logs on SIGHUP.
+using Metrics = std::map<std::string, std::uint64_t>;
 
-// Calls and bytes (read and written) that a process served between two reports.
-struct Served {
+// Calls and bytes (read and written) that a process served between two readings of its metrics.
+struct Traffic {
   std::uint64_t calls = 0;
   std::uint64_t bytes = 0;
 };
-Served served_between(const Figures& before, const Figures& after);
+// A counter that is missing after or has become smaller counts as 0.
+Traffic traffic_between(const Metrics& before, const Metrics& after);
 
+// The log lines of all routers that contain a text.
+struct RouterLogMatches {
+  std::string last_router;  // the router with the latest line; empty if there is no line
+  std::size_t count = 0;    // of the lines
+};
+
+// The fleet of one measurement. Its processes end with this object, and also if the benchmark is killed.
 class FleetBench {
  public:
-  // Starts all and waits until they listen. Throws NotMeasured. `proxied`: on which links a fault proxy
-  // stands. Children end with this object, and with this process however it ends.
-  FleetBench(const fleet::FleetSpec& shape, const std::string& program,
-             const std::vector<std::string>& proxied);
+  // Starts all processes and waits until they listen. A fault proxy stands on each link in `proxied_links`.
+  // Throws MeasurementError.
+  FleetBench(const fleet::FleetSpec& spec, const std::string& program,
+             const std::vector<std::string>& proxied_links);
 
   fleet::Layout& layout() { return *layout_; }
   fleet::Scenario& scenario() { return *scenario_; }
@@ -67,72 +74,78 @@
   transport::Scheduler& scheduler() { return scheduler_; }
   const std::string& folder() const { return folder_.path(); }
 
-  // From now on the store may end without the measurement ending with it.
-  void let_store_end() { needs_store_ = false; }
-
-  // Commands of staff, at the store itself. They give the exit status, and what was printed.
-  int work(program::WorkCommand command, std::string& said);
-  int policy(program::PolicyCommand command, std::string& said);
-  // The same; throw NotMeasured with what was printed where it is not 0.
-  std::string work(const program::WorkCommand& command);
-  std::string policy(const program::PolicyCommand& command);
-  // `policy status`; an empty object where the store did not answer. Throws NotMeasured where it did not
-  // several times in a row.
+  // Allows the store to end during the measurement; otherwise that is a MeasurementError.
+  void allow_store_end() { store_required_ = false; }
+
+  // Run an operator command at the store. Return its exit status, and set `output` to what it printed.
+  int run_work_command(program::WorkCommand command, std::string& output);
+  int run_policy_command(program::PolicyCommand command, std::string& output);
+  // Run an operator command at the store and return what it printed. Throw MeasurementError with that output
+  // if the exit status is not 0.
+  std::string run_work_command(const program::WorkCommand& command);
+  std::string run_policy_command(const program::PolicyCommand& command);
+  // Returns the result of `policy status`, or an empty object if the command failed. Throws MeasurementError
+  // after several failures in a row.
   nlohmann::json policy_status();
-  // Routers that have permission, as the store or the living aggregators say.
-  std::size_t permitted_routers();
-  // Announces work that fills a cache.
-  void fill(const std::string& name, int objects, double rate);
-
-  // Turns until done, or until `longest` has passed; whether it was done. Throws NotMeasured where the store
-  // has ended.
-  bool until(const std::function<bool()>& done, std::chrono::milliseconds longest = kAwaited);
-  // The same; throws NotMeasured with `what` where it was not done.
+  // Returns the number of routers that have a permit, from the running aggregators, or from the store in a
+  // fleet without aggregators.
+  std::size_t count_permitted_routers();
+  // Adds work that fills a cache with `objects` objects, `objects_per_s` each second.
+  void add_fill_work(const std::string& name, int objects, double objects_per_s);
+
+  // Runs the scheduler until `done` returns true or `timeout` has passed. Returns whether `done` returned
+  // true. Throws MeasurementError if the store has ended.
+  bool run_until(const std::function<bool()>& done, std::chrono::milliseconds timeout = kAwaitTimeout);
+  // Calls run_until() and throws MeasurementError with `what` on a timeout.
   void await(const std::string& what, const std::function<bool()>& done,
-             std::chrono::milliseconds longest = kAwaited);
+             std::chrono::milliseconds timeout = kAwaitTimeout);
   void run_for(std::chrono::milliseconds time);
 
-  // The router whose log says these words last, and how often any did.
-  std::pair<std::string, std::size_t> begun(const std::string& words);
-  // What the registry or an aggregator reports now, as a line and as figures. Throw NotMeasured where it says
-  // nothing.
-  std::string report(const std::string& member);
-  Figures figures(const std::string& member);
-  // Of all aggregators.
-  std::map<std::string, Figures> aggregator_figures();
+  // Searches the logs of all routers for lines that contain `text`.
+  RouterLogMatches find_in_router_logs(const std::string& text);
+  // Let the registry or an aggregator log its metrics, and return them as the line and as values. Throw
+  // MeasurementError if it does not log them in time.
+  std::string request_metrics_line(const std::string& member);
+  Metrics request_metrics(const std::string& member);
+  // Returns the metrics of each running aggregator by its name.
+  std::map<std::string, Metrics> request_aggregator_metrics();
 
  private:
-  // Runs a staff's command against the store itself; its status, and all that it said.
+  // Runs an operator command at the store. Returns its exit status, and sets `output` to what it printed.
   template <typename Command, typename Run>
-  int ask_store(Command command, Run run, std::string& said);
-  void await_aggregators();
-  // Throws NotMeasured where the store has ended.
-  void check_store();
-  // Throws NotMeasured: a command of staff failed and printed this.
-  [[noreturn]] void fail(const std::string& command, const std::string& said);
+  int run_store_command(Command command, Run run, std::string& output);
+  void await_aggregator_permission();
+  // Throws MeasurementError if the store has ended and was required.
+  void check_store_is_running();
+  // Throws MeasurementError with the command that failed and the first line of its output.
+  [[noreturn]] void throw_command_failure(const std::string& command, const std::string& output);
 
   transport::Scheduler scheduler_;
   fleet::PortAllocator ports_;
   TemporaryFolder folder_;
   std::unique_ptr<fleet::Layout> layout_;
   std::unique_ptr<fleet::Scenario> scenario_;
-  bool needs_store_ = false;
-  int unanswered_ = 0;  // looks at the policy in a row
+  bool store_required_ = false;
+  int failed_status_queries_ = 0;  // consecutive failures of `policy status`
 };
 
-// What the busiest aggregator served between two reports of all; nothing where there are none.
-Served busiest(const std::map<std::string, Figures>& before, const std::map<std::string, Figures>& after);
+// Returns the traffic of the aggregator that served the most calls between two readings of all aggregators,
+// or no traffic if there is no aggregator.
+Traffic busiest_traffic(const std::map<std::string, Metrics>& before,
+                        const std::map<std::string, Metrics>& after);
 
-double in_ms(transport::Clock::duration time);
+double to_ms(transport::Clock::duration time);
 
-// Measures each size in turn. `rows` keeps `which` at the row that it is at; where that cannot be measured, a
-// row says why and the next size follows. Gives how many could not be measured.
+// Calls `print_rows` for each size in turn, which sets `row_label` to the label of the current row. After an
+// exception prints a row with the reason and continues with the next size. Returns the number of sizes that
+// failed.
 int measure_sizes(const std::vector<int>& sizes,
-                  const std::function<void(int size, std::string& which)>& rows);
+                  const std::function<void(int size, std::string& row_label)>& print_rows);
 
-// A fleet of one zone whose routers ask the store themselves.
-fleet::FleetSpec flat_shape(int routers);
-// One whose routers follow the policy by way of aggregators: one aggregator, zone and cache for each region.
-fleet::FleetSpec aggregated_shape(int routers, int regions);
+// Returns a fleet of one zone whose routers connect to the store directly.
+fleet::FleetSpec flat_fleet(int routers);
+// Returns a fleet whose routers follow the policy through aggregators, with one aggregator, zone and cache for
+// each region.
+fleet::FleetSpec aggregated_fleet(int routers, int regions);
 
 }  // namespace trailcourse::bench
--- a/benchmarks/ownership_bench.cpp
+++ b/benchmarks/ownership_bench.cpp
@@ -1,6 +1,6 @@
-// Measures ownership with real processes on loopback: how long work is without an owner after a kill, a stop,
-// a cut and a drain; what a fleet asks of the store at rest and when an owner dies; what it costs a router;
-// and drawn schedules of faults with checkers, replayed by their seed.
+// Measures ownership with real processes on loopback: the time without an owner after the owner is killed,
+// suspended, disconnected or drained, the calls at the store of an idle fleet and after the death of an owner,
+// and the resources of a router. Also runs random schedules of faults with checkers; a seed replays a schedule.
 //
 //     ownership_bench --program build/trailcourse --takeover 20
 //     ownership_bench --program build/trailcourse --rest 10,100,300
@@ -9,8 +9,9 @@
 //     ownership_bench --program build/trailcourse --acknowledge 30,100,300
 //     ownership_bench --program build/trailcourse --schedules 50 --seed 1
 //
-// With --policy, --rest and --acknowledge routers reach the store by way of aggregators; with --flat each by
-// itself. What cannot be measured is said in its row; the tool goes on, and ends with a status of its own.
+// With --policy, --rest and --acknowledge, routers connect to the store through aggregators, or with --flat
+// directly. A row that cannot be measured states the reason; the benchmark continues with the next row and exits
+// with kRowMissing.
 #include <algorithm>
 #include <csignal>
 #include <cstdio>
@@ -36,100 +37,105 @@
 namespace {
 
 using bench::FleetBench;
-using bench::in_ms;
-using bench::kAwaited;
+using bench::kAwaitTimeout;
+using bench::to_ms;
 using fleet::Kind;
 using nlohmann::json;
 using std::chrono::milliseconds;
 using transport::Clock;
 
-// Exit status beside 0: a drawn schedule failed, wrong use, a row could not be measured.
+// Exit statuses besides 0.
 constexpr int kScheduleFailed = 1;
-constexpr int kWrongUse = 2;
-constexpr int kRowMissing = 3;
+constexpr int kUsageError = 2;
+constexpr int kRowMissing = 3;  // a row could not be measured
 
-double at(std::vector<double> all, double share) {
-  std::sort(all.begin(), all.end());
-  return all.empty() ? 0.0
-                     : all[std::min(all.size() - 1,
-                                    static_cast<std::size_t>(share * static_cast<double>(all.size())))];
+// Returns the value at that share of the sorted values; 0 without values.
+double quantile(std::vector<double> values, double share) {
+  std::sort(values.begin(), values.end());
+  const auto index = static_cast<std::size_t>(share * static_cast<double>(values.size()));
+  return values.empty() ? 0.0 : values[std::min(values.size() - 1, index)];
 }
 
-// ---- Without an owner ----
+// ---- Takeover by another owner ----
 
 constexpr std::int64_t kTakeoverTtlMs = 2'000;
-constexpr const char* kOwnerBegins = "starts w/0";
+constexpr const char* kOwnerStartedText = "starts w/0";  // logged by the new owner
 
-fleet::FleetSpec takeover_shape(int candidates) {
-  fleet::FleetSpec shape = bench::flat_shape(candidates);
-  shape.ownership = {{"ttl_ms", kTakeoverTtlMs}, {"renew_ms", 600},        {"retry_ms", 200},
-                     {"settle_ms", 600'000},     {"member_ttl_ms", 3'000}, {"member_renew_ms", 1'000},
-                     {"neighbours", 0},          {"most_starts", 100},     {"flap_suppress", 1'000.0}};
-  shape.coordination = {{"call_ms", 500}};
-  return shape;
+fleet::FleetSpec takeover_fleet(int candidates) {
+  fleet::FleetSpec spec = bench::flat_fleet(candidates);
+  spec.ownership = {{"ttl_ms", kTakeoverTtlMs}, {"renew_ms", 600},        {"retry_ms", 200},
+                    {"settle_ms", 600'000},     {"member_ttl_ms", 3'000}, {"member_renew_ms", 1'000},
+                    {"neighbours", 0},          {"most_starts", 100},     {"flap_suppress", 1'000.0}};
+  spec.coordination = {{"call_ms", 500}};
+  return spec;
 }
 
-void fault_link(FleetBench& bench, const std::string& line) {
+// Applies one line of a fault script, without its time, to a link.
+void apply_link_fault(FleetBench& bench, const std::string& line) {
   bench.scenario().apply(fleet::read_script("0 " + line).at(0));
 }
 
-// One fault of the owner, until another begins; how long that took. Throws NotMeasured.
-double take_over_once(FleetBench& bench, const std::string& fault) {
-  const auto [owner, before] = bench.begun(kOwnerBegins);
-  bench.run_for(milliseconds(700));  // it renews meanwhile, and its checkpoint takes its start back
-  const Clock::time_point from = Clock::now();
+// Injects one fault at the owner and returns the time in ms until another router is the owner. Then restores
+// the old owner. Throws MeasurementError.
+double measure_one_takeover(FleetBench& bench, const std::string& fault) {
+  const auto [owner, old_starts] = bench.find_in_router_logs(kOwnerStartedText);
+  // Meanwhile the owner renews its lease, and its checkpoint resets the number of starts.
+  bench.run_for(milliseconds(700));
+  const Clock::time_point start = Clock::now();
   if (fault == "kill") {
     bench.fleet().kill(owner);
   } else if (fault == "stop") {
     bench.fleet().signal(owner, SIGSTOP);
   } else if (fault == "cut") {
-    fault_link(bench, "cut " + owner + ">registry both");
+    apply_link_fault(bench, "cut " + owner + ">registry both");
   } else {
     bench.fleet().signal(owner, SIGTERM);
   }
-  bench.await("another owner", [&, seen = before] { return bench.begun(kOwnerBegins).second > seen; });
-  const double took = in_ms(Clock::now() - from);
+  bench.await("another owner", [&, starts = old_starts] {
+    return bench.find_in_router_logs(kOwnerStartedText).count > starts;
+  });
+  const double takeover_ms = to_ms(Clock::now() - start);
   if (fault == "stop") {
     bench.fleet().signal(owner, SIGCONT);
   } else if (fault == "cut") {
-    fault_link(bench, "heal " + owner + ">registry");
+    apply_link_fault(bench, "heal " + owner + ">registry");
   } else {
     bench.await("the end of " + owner, [&, name = owner] { return !bench.fleet().alive(name); });
     bench.fleet().start(owner);
-    bench.fleet().await_up(owner, kAwaited);
+    bench.fleet().await_up(owner, kAwaitTimeout);
   }
   bench.run_for(milliseconds(200));
-  return took;
+  return takeover_ms;
 }
 
-void print_takeover(const std::string& program, const std::string& fault, int rounds, int candidates) {
-  FleetBench bench(takeover_shape(candidates), program, {"router*>registry"});
-  bench.fill("w", 10'000, 20.0);
-  bench.await("the first owner", [&] { return bench.begun(kOwnerBegins).second > 0; });
+void measure_takeover_row(const std::string& program, const std::string& fault, int rounds, int candidates) {
+  FleetBench bench(takeover_fleet(candidates), program, {"router*>registry"});
+  bench.add_fill_work("w", 10'000, 20.0);
+  bench.await("the first owner", [&] { return bench.find_in_router_logs(kOwnerStartedText).count > 0; });
   std::vector<double> times;
   times.reserve(static_cast<std::size_t>(rounds));
   for (int round = 0; round < rounds; ++round) {
-    times.push_back(take_over_once(bench, fault));
+    times.push_back(measure_one_takeover(bench, fault));
   }
-  // After a renewal at time 0 a fault comes 0 to 600 ms later; the lease stands for the rest.
-  std::printf("%-10s %9.0f %9.0f %9.0f %22s\n", fault.c_str(), at(times, 0.5), at(times, 0.99),
+  // The fault comes 0 to 600 ms after a renewal of the lease, which then remains valid for 1,400 to 2,000 ms.
+  std::printf("%-10s %9.0f %9.0f %9.0f %22s\n", fault.c_str(), quantile(times, 0.5), quantile(times, 0.99),
               *std::max_element(times.begin(), times.end()), fault == "drain" ? "0" : "1400 to 2000");
-  const auto broken = fleet::find_token_regressions("cache0", bench.layout().log_file("cache0"));
-  std::printf("           terms that went back at the receiver: %zu\n", broken.size());
+  const auto regressions = fleet::find_token_regressions("cache0", bench.layout().log_file("cache0"));
+  std::printf("           terms that decreased at the receiver: %zu\n", regressions.size());
   std::fflush(stdout);
 }
 
-// Gives how many rows could not be measured.
+// Returns the number of rows that could not be measured.
 int measure_takeover(const std::string& program, int rounds, int candidates) {
   std::printf(
-      "time from the fault to the next owner's beginning, %d rounds each, %d candidates, ttl %lld ms, "
+      "time from the fault to the start of the next owner, %d rounds each, %d candidates, ttl %lld ms, "
       "default turns (real processes)\n",
       rounds, candidates, static_cast<long long>(kTakeoverTtlMs));
   std::printf("%-10s %9s %9s %9s %22s\n", "fault", "p50 ms", "p99 ms", "worst ms", "the lease allows, least");
   int missing = 0;
   for (const std::string fault : {"kill", "stop", "cut", "drain"}) {
     try {
-      print_takeover(program, fault, rounds, candidates);
+      measure_takeover_row(program, fault, rounds, candidates);
     } catch (const std::runtime_error& error) {
       std::printf("%-10s not measured: %s\n", fault.c_str(), error.what());
       std::fflush(stdout);
@@ -139,8 +145,9 @@
   return missing;
 }
 
+// Prints how many shards change their owner when a member joins or leaves.
 void measure_moves() {
-  std::printf("shards that move when one member comes or goes, of 1,000, against the least possible\n");
+  std::printf("shards of 1,000 that move when one member joins or leaves, and the least possible number\n");
   std::printf("%8s %10s %10s %14s %14s\n", "members", "goes", "least", "comes", "least");
   for (const int size : {3, 10, 30, 100, 300}) {
     std::vector<std::string> members;
@@ -159,54 +166,55 @@
   }
 }
 
-// ---- Drawn schedules ----
+// ---- Random schedules of faults ----
 
-json shard_of(FleetBench& bench, const std::string& work) {
+// Returns the state of the first shard of the work; empty if the store did not answer.
+json read_first_shard(FleetBench& bench, const std::string& work) {
   program::WorkCommand command;
   command.action = "show";
   command.name = work;
-  std::string said;
-  return bench.work(command, said) == 0 ? json::parse(said)["shards"][0] : json::object();
+  std::string output;
+  return bench.run_work_command(command, output) == 0 ? json::parse(output)["shards"][0] : json::object();
 }
 
-// Four routers with times so short that leases end within a schedule.
-fleet::FleetSpec schedule_shape() {
-  fleet::FleetSpec shape = bench::flat_shape(4);
-  shape.ownership = {{"ttl_ms", 1'500},
-                     {"renew_ms", 400},
-                     {"retry_ms", 100},
-                     {"turn_ms", 50},
-                     {"longest_turn_ms", 500},
-                     {"settle_ms", 3'000},
-                     {"neighbours", 0},
-                     {"member_ttl_ms", 1'500},
-                     {"member_renew_ms", 400},
-                     {"poison_pause_ms", 50},
-                     {"longest_poison_pause_ms", 100},
-                     {"most_starts", 100},
-                     {"fill_tries", 50},
-                     {"fill_retry_ms", 50},
-                     {"flap_suppress", 1'000.0}};
-  shape.coordination = {{"call_ms", 400}, {"rest_ms", 50}, {"longest_rest_ms", 300}};
-  return shape;
+// Returns a fleet of four routers with times so short that leases expire during a schedule.
+fleet::FleetSpec schedule_fleet() {
+  fleet::FleetSpec spec = bench::flat_fleet(4);
+  spec.ownership = {{"ttl_ms", 1'500},
+                    {"renew_ms", 400},
+                    {"retry_ms", 100},
+                    {"turn_ms", 50},
+                    {"longest_turn_ms", 500},
+                    {"settle_ms", 3'000},
+                    {"neighbours", 0},
+                    {"member_ttl_ms", 1'500},
+                    {"member_renew_ms", 400},
+                    {"poison_pause_ms", 50},
+                    {"longest_poison_pause_ms", 100},
+                    {"most_starts", 100},
+                    {"fill_tries", 50},
+                    {"fill_retry_ms", 50},
+                    {"flap_suppress", 1'000.0}};
+  spec.coordination = {{"call_ms", 400}, {"rest_ms", 50}, {"longest_rest_ms", 300}};
+  return spec;
 }
 
-std::vector<fleet::Fault> drawn_schedule(FleetBench& bench, std::uint64_t seed) {
-  fleet::RandomScriptOptions draw;
-  draw.processes = bench.layout().names(Kind::kRouter);
-  draw.processes.push_back("registry");
-  draw.processes.push_back("cache0");
+std::vector<fleet::Fault> draw_schedule(FleetBench& bench, std::uint64_t seed) {
+  fleet::RandomScriptOptions options;
+  options.processes = bench.layout().names(Kind::kRouter);
+  options.processes.push_back("registry");
+  options.processes.push_back("cache0");
   for (const fleet::FaultProxy* link : bench.scenario().links()) {
-    draw.links.push_back(link->name());
+    options.links.push_back(link->name());
   }
-  draw.length_ms = 9'000;
-  draw.faults = 8;
-  draw.max_fault_ms = 3'000;
-  return fleet::random_script(draw, seed);
+  options.length_ms = 9'000;
+  options.faults = 8;
+  options.max_fault_ms = 3'000;
+  return fleet::random_script(options, seed);
 }
 
-// The script and the logs of all processes.
-std::string evidence_of(FleetBench& bench, const std::vector<fleet::Fault>& script) {
+// Returns the script and the logs of all processes.
+std::string script_and_logs(FleetBench& bench, const std::vector<fleet::Fault>& script) {
   std::string out = "\n" + fleet::write_script(script);
   for (const fleet::Member& member : bench.layout().members()) {
     std::ifstream file(bench.layout().log_file(member.name));
@@ -216,69 +224,73 @@
   return out;
 }
 
-int run_schedule(const std::string& program, std::uint64_t seed, std::string& what) {
-  FleetBench bench(schedule_shape(), program, {"router*>registry", "*>cache0"});
-  bench.let_store_end();
-  bench.fill("w", 150, 20.0);
-  const std::vector<fleet::Fault> script = drawn_schedule(bench, seed);
+// Runs the schedule of the seed against real processes. Returns 0, or 1 and sets `failure` to what went wrong.
+int run_schedule(const std::string& program, std::uint64_t seed, std::string& failure) {
+  FleetBench bench(schedule_fleet(), program, {"router*>registry", "*>cache0"});
+  bench.allow_store_end();
+  bench.add_fill_work("w", 150, 20.0);
+  const std::vector<fleet::Fault> script = draw_schedule(bench, seed);
   bench.scenario().start_script(script);
-  std::uint64_t most = 0;
-  const auto look = [&]() -> bool {
+  std::uint64_t max_filled = 0;
+  // Checks the progress of the work, and returns whether the work is done.
+  const auto check_progress = [&]() -> bool {
     if (!bench.fleet().alive("registry")) {
       return false;
     }
-    const json seen = shard_of(bench, "w");
-    const json checkpoint = json::parse(seen.value("checkpoint", std::string()), nullptr, false);
+    const json shard = read_first_shard(bench, "w");
+    const json checkpoint = json::parse(shard.value("checkpoint", std::string()), nullptr, false);
     const std::uint64_t filled = checkpoint.is_object() ? checkpoint.value("filled", std::uint64_t{0}) : 0;
-    if (checkpoint.is_object() && filled < most) {
-      what = "progress went back from " + std::to_string(most) + " to " + std::to_string(filled);
+    if (checkpoint.is_object() && filled < max_filled) {
+      failure = "progress decreased from " + std::to_string(max_filled) + " to " + std::to_string(filled);
     }
-    most = std::max(most, filled);
-    return seen.value("state", std::string()) == "done";
+    max_filled = std::max(max_filled, filled);
+    return shard.value("state", std::string()) == "done";
   };
-  const Clock::time_point begun = Clock::now();
+  const Clock::time_point start = Clock::now();
   bool done = false;
-  while (what.empty() && Clock::now() - begun < kAwaited && !(done && bench.scenario().script_finished())) {
+  while (failure.empty() && Clock::now() - start < kAwaitTimeout &&
+         !(done && bench.scenario().script_finished())) {
     bench.scenario().apply_due_faults();
     bench.run_for(milliseconds(5));
-    // Staff ask the store itself, past the proxies; a stopped store answers nobody.
-    const auto since = std::chrono::duration_cast<milliseconds>(Clock::now() - begun);
-    if (bench.scenario().script_finished() || since.count() % 500 < 10) {
-      done = bench.scenario().script_finished() && look();
+    // Operator commands connect to the store without the proxies. A suspended store does not answer them, so
+    // they run only after the script.
+    const auto elapsed = std::chrono::duration_cast<milliseconds>(Clock::now() - start);
+    if (bench.scenario().script_finished() || elapsed.count() % 500 < 10) {
+      done = bench.scenario().script_finished() && check_progress();
     }
   }
   for (const std::string& line : fleet::find_token_regressions("cache0", bench.layout().log_file("cache0"))) {
-    what = "a term went back at the receiver: " + line;
+    failure = "a term decreased at the receiver: " + line;
   }
-  if (what.empty() && !done) {
-    what = "the work was not done long after the last fault";
+  if (failure.empty() && !done) {
+    failure = "the work was not done within the time limit";
   }
-  if (!what.empty()) {
-    what += evidence_of(bench, script);
+  if (!failure.empty()) {
+    failure += script_and_logs(bench, script);
   }
-  return what.empty() ? 0 : 1;
+  return failure.empty() ? 0 : 1;
 }
 
-// Gives how many failed; what cannot be played fails too.
-int run_schedules(const std::string& program, std::uint64_t first, int count) {
+// Returns the number of schedules that failed. A schedule that cannot be run fails too.
+int run_schedules(const std::string& program, std::uint64_t first_seed, int count) {
   int failed = 0;
   for (int i = 0; i < count; ++i) {
-    std::string what;
-    const std::uint64_t seed = first + static_cast<std::uint64_t>(i);
+    std::string failure;
+    const std::uint64_t seed = first_seed + static_cast<std::uint64_t>(i);
     try {
-      failed += run_schedule(program, seed, what);
+      failed += run_schedule(program, seed, failure);
     } catch (const std::runtime_error& error) {
-      what = error.what();
+      failure = error.what();
       ++failed;
     }
-    if (!what.empty()) {
-      std::printf("seed %llu: %s\n", static_cast<unsigned long long>(seed), what.c_str());
+    if (!failure.empty()) {
+      std::printf("seed %llu: %s\n", static_cast<unsigned long long>(seed), failure.c_str());
       std::fflush(stdout);
     }
   }
   if (count > 0) {
-    std::printf("%d schedules from seed %llu, %d failed\n", count, static_cast<unsigned long long>(first),
-                failed);
+    std::printf("%d schedules from seed %llu, %d failed\n", count,
+                static_cast<unsigned long long>(first_seed), failed);
   }
   return failed;
 }
@@ -297,10 +309,11 @@
     missing += bench::measure_rest(program, parsed["rest"].as<std::vector<int>>(), topology);
   }
   if (parsed.count("policy") > 0) {
-    std::vector<bench::ChangeCalls> all_up;
-    missing += bench::measure_policy(program, parsed["policy"].as<std::vector<int>>(), topology, all_up);
+    std::vector<bench::ChangeCalls> calls_all_up;
+    missing +=
+        bench::measure_policy(program, parsed["policy"].as<std::vector<int>>(), topology, calls_all_up);
     if (parsed.count("write") > 0) {
-      bench::save_change_calls(parsed["write"].as<std::string>(), all_up,
+      bench::save_change_calls(parsed["write"].as<std::string>(), calls_all_up,
                                parsed["command"].as<std::string>());
     }
   }
@@ -313,26 +326,31 @@
   return failed > 0 ? kScheduleFailed : missing > 0 ? kRowMissing : 0;
 }
 
-int main_of(int count, char** words) {
+int run_command_line(int argc, char** argv) {
   cxxopts::Options options("ownership_bench", "Measures ownership with real processes.");
-  options.add_options()("program", "the program",
+  options.add_options()("program", "path of the trailcourse program",
                         cxxopts::value<std::string>()->default_value("build/trailcourse"))(
-      "takeover", "rounds of each fault", cxxopts::value<int>()->default_value("0"))(
-      "candidates", "routers of --takeover", cxxopts::value<int>()->default_value("30"))(
-      "rest", "sizes of the fleet", cxxopts::value<std::vector<int>>())("moves", "shards that move")(
-      "policy", "sizes of the fleet", cxxopts::value<std::vector<int>>())(
-      "write", "of --policy: the file of slopes", cxxopts::value<std::string>())(
-      "command", "that is recorded with them",
+      "takeover", "measure takeovers: rounds of each fault", cxxopts::value<int>()->default_value("0"))(
+      "candidates", "number of routers of --takeover", cxxopts::value<int>()->default_value("30"))(
+      "rest", "measure idle fleets of these sizes", cxxopts::value<std::vector<int>>())(
+      "moves", "count the shards that move when a member joins or leaves")(
+      "policy", "measure policy changes in fleets of these sizes", cxxopts::value<std::vector<int>>())(
+      "write", "file of slopes for the results of --policy", cxxopts::value<std::string>())(
+      "command", "command line that is recorded in that file",
       cxxopts::value<std::string>()->default_value("ownership_bench --policy"))(
-      "acknowledge", "sizes of the fleet: until a purge is known to be taken in everywhere",
+      "acknowledge", "measure the acknowledgement of purges in fleets of these sizes",
       cxxopts::value<std::vector<int>>())(
-      "flat", "of --rest, --policy and --acknowledge: no aggregators, each router asks the store")(
-      "regions", "of --rest and --policy, an aggregator each; 0: one for each 50 routers, two at least",
-      cxxopts::value<int>()->default_value("0"))("schedules", "so many drawn ones",
+      "flat",
+      "for --rest, --policy and --acknowledge: routers connect to the store directly, without aggregators")(
+      "regions",
+      "for --rest, --policy and --acknowledge: number of regions, each with an aggregator; 0: one "
+      "for each 50 routers, at least two",
+      cxxopts::value<int>()->default_value("0"))("schedules", "number of random schedules of faults",
                                                  cxxopts::value<int>()->default_value("0"))(
-      "seed", "the first", cxxopts::value<std::uint64_t>()->default_value("1"))("h,help", "this");
+      "seed", "seed of the first schedule", cxxopts::value<std::uint64_t>()->default_value("1"))(
+      "h,help", "print this help");
   try {
-    const cxxopts::ParseResult parsed = options.parse(count, words);
+    const cxxopts::ParseResult parsed = options.parse(argc, argv);
     if (parsed.count("help") > 0) {
       std::cout << options.help() << '\n';
       return 0;
@@ -340,7 +358,7 @@
     return run(parsed);
   } catch (const cxxopts::exceptions::exception& error) {
     std::cerr << "ownership_bench: " << error.what() << '\n';
-    return kWrongUse;
+    return kUsageError;
   } catch (const std::exception& error) {
     std::cerr << "ownership_bench: " << error.what() << '\n';
     return kRowMissing;
@@ -350,4 +368,4 @@
 }  // namespace
 }  // namespace trailcourse
 
-int main(int count, char** words) { return trailcourse::main_of(count, words); }
+int main(int argc, char** argv) { return trailcourse::run_command_line(argc, argv); }
--- a/benchmarks/policy_measurement.cpp
+++ b/benchmarks/policy_measurement.cpp
@@ -4,6 +4,7 @@
 #include <csignal>
 #include <cstdio>
 #include <fstream>
+#include <utility>
 
 #include "fleet/load_generator.h"
 #include "scale/slopes.h"
@@ -17,143 +18,145 @@
 
 namespace {
 
-constexpr milliseconds kBetweenRequests{2};
-constexpr std::size_t kRequestsBetweenLooks = 25;
-constexpr milliseconds kPermissionTime{3'000};  // of a router
+constexpr milliseconds kRequestInterval{2};
+constexpr std::size_t kRequestsPerStatusQuery = 25;
+constexpr milliseconds kPermitTtl{3'000};  // of a router's permit to serve under a policy version
 
-enum class Case { kAllUp, kOneStopped, kTenthKilled };
+enum class FaultCase { kAllUp, kOneStopped, kTenthKilled };
 
-const char* to_string(Case which) {
-  switch (which) {
-    case Case::kAllUp:
+const char* to_string(FaultCase fault) {
+  switch (fault) {
+    case FaultCase::kAllUp:
       return "all up";
-    case Case::kOneStopped:
+    case FaultCase::kOneStopped:
       return "one stopped";
-    case Case::kTenthKilled:
+    case FaultCase::kTenthKilled:
       break;
   }
   return "a tenth killed before";
 }
 
-// What a change cost.
+// The cost of a policy change.
 struct ChangeCost {
-  double ms = 0.0;
-  Served store;
-  Served aggregator;  // the busiest
+  double ms = 0.0;  // from the proposal to the end
+  Traffic store;
+  Traffic aggregator;  // of the busiest one
 };
 
-// What the requests say that were sent meanwhile.
-struct LoadSeen {
+// The requests sent during a change, by the policy versions in their answers.
+struct LoadResult {
   std::size_t requests = 0;
-  std::size_t by_both = 0;  // decided so that both versions allow it
-  std::size_t refused = 0;  // for want of a version
-  std::size_t broken = 0;   // decided under an older version after one under a newer
+  std::size_t both_versions = 0;     // decisions that the old and the new version both allow
+  std::size_t refused = 0;           // the router had no policy version
+  std::size_t order_violations = 0;  // decisions under an older version that follow one under a newer version
 };
 
-LoadSeen read_load(const std::vector<fleet::SentRequest>& all, std::size_t first) {
-  LoadSeen out;
-  std::vector<std::pair<std::int64_t, std::uint64_t>> order;
+LoadResult evaluate_load(const std::vector<fleet::SentRequest>& all, std::size_t first) {
+  LoadResult result;
+  std::vector<std::pair<std::int64_t, std::uint64_t>> decisions;
   for (std::size_t i = first; i < all.size(); ++i) {
     const std::string& policy = all[i].policy;
     const bool both = policy.find('+') != std::string::npos;
-    out.by_both += both ? 1 : 0;
-    out.refused += policy == "-" ? 1 : 0;
+    result.both_versions += both ? 1 : 0;
+    result.refused += policy == "-" ? 1 : 0;
     if (!policy.empty() && policy != "-" && !both) {
-      order.emplace_back(all[i].decided_us, std::stoull(policy));
+      decisions.emplace_back(all[i].decided_us, std::stoull(policy));
     }
   }
-  out.requests = all.size() - first;
-  std::sort(order.begin(), order.end());
-  for (std::size_t i = 1; i < order.size(); ++i) {
-    out.broken += order[i].second < order[i - 1].second ? 1 : 0;
+  result.requests = all.size() - first;
+  std::sort(decisions.begin(), decisions.end());
+  for (std::size_t i = 1; i < decisions.size(); ++i) {
+    result.order_violations += decisions[i].second < decisions[i - 1].second ? 1 : 0;
   }
-  return out;
+  return result;
 }
 
-// One fleet, and changes made to its policy one after the other.
+// One fleet whose policy is changed several times, one change after the other.
 class PolicyMeasurement {
  public:
-  PolicyMeasurement(const fleet::FleetSpec& shape, const std::string& program)
-      : bench_(shape, program, {}),
+  PolicyMeasurement(const fleet::FleetSpec& spec, const std::string& program)
+      : bench_(spec, program, {}),
         load_(bench_.scheduler(), fleet::LoadGenerator::Options{}, 1),
         routers_(bench_.layout().names(Kind::kRouter)) {
     bench_.await("permission of all routers", [this] {
       bench_.run_for(milliseconds(100));
-      return bench_.permitted_routers() >= routers_.size();
+      return bench_.count_permitted_routers() >= routers_.size();
     });
   }
 
-  // Gives the calls at the store. Throws NotMeasured.
-  double print_row(Case which) {
-    const std::vector<std::string> living = begin(which);
+  // Measures one change with the fault and prints its row. Returns the calls at the store. Throws
+  // MeasurementError.
+  double measure_change(FaultCase fault) {
+    const std::vector<std::string> running = inject_fault(fault);
     const std::size_t first = load_.requests().size();
-    const ChangeCost cost = change(living);
-    bench_.until([this] { return load_.open() == 0; }, milliseconds(5'000));
-    const LoadSeen seen = read_load(load_.requests(), first);
+    const ChangeCost cost = propose_change(running);
+    bench_.run_until([this] { return load_.open() == 0; }, milliseconds(5'000));
+    const LoadResult load = evaluate_load(load_.requests(), first);
     std::printf("%8zu %-22s %9.0f %12llu %10zu %9zu %9zu %12zu %16llu %14.1f\n", routers_.size(),
-                to_string(which), cost.ms, static_cast<unsigned long long>(cost.store.calls), seen.requests,
-                seen.by_both, seen.refused, seen.broken,
+                to_string(fault), cost.ms, static_cast<unsigned long long>(cost.store.calls), load.requests,
+                load.both_versions, load.refused, load.order_violations,
                 static_cast<unsigned long long>(cost.aggregator.calls),
                 static_cast<double>(cost.aggregator.bytes) / 1e3);
     std::fflush(stdout);
-    end(which);
+    remove_fault(fault);
     return static_cast<double>(cost.store.calls);
   }
 
  private:
-  // Brings the fault about; those that are asked meanwhile.
-  std::vector<std::string> begin(Case which) {
-    std::vector<std::string> living = routers_;
-    if (which == Case::kOneStopped) {
-      bench_.fleet().signal(living.back(), SIGSTOP);
-      living.pop_back();
-    } else if (which == Case::kTenthKilled) {
+  // Injects the fault. Returns the running routers.
+  std::vector<std::string> inject_fault(FaultCase fault) {
+    std::vector<std::string> running = routers_;
+    if (fault == FaultCase::kOneStopped) {
+      bench_.fleet().signal(running.back(), SIGSTOP);
+      running.pop_back();
+    } else if (fault == FaultCase::kTenthKilled) {
       for (std::size_t i = 0; i < std::max<std::size_t>(1, routers_.size() / 10); ++i) {
-        bench_.fleet().kill(living.back());
-        living.pop_back();
+        bench_.fleet().kill(running.back());
+        running.pop_back();
       }
-      bench_.run_for(kPermissionTime + milliseconds(500));
+      bench_.run_for(kPermitTtl + milliseconds(500));
     }
-    return living;
+    return running;
   }
-  void end(Case which) {
-    if (which == Case::kOneStopped) {
+  void remove_fault(FaultCase fault) {
+    if (fault == FaultCase::kOneStopped) {
       bench_.fleet().signal(routers_.back(), SIGCONT);
       bench_.run_for(milliseconds(1'000));
     }
   }
 
-  ChangeCost change(const std::vector<std::string>& living) {
+  // Proposes a new policy version and waits until the change is done.
+  ChangeCost propose_change(const std::vector<std::string>& running) {
     program::PolicyCommand propose;
     propose.action = "propose";
     propose.file = bench_.folder() + "/draft.json";
     std::ofstream(propose.file)
         << R"({"schema":1,"content":{"classes":{"media":{"objective_ms":2000,"give_up_ms":6000,"worth":)"
         << ++worth_ << "}}}}";
-    const Figures store = bench_.figures("registry");
-    const auto aggregators = bench_.aggregator_figures();
-    const Clock::time_point from = Clock::now();
-    bench_.policy(propose);
-    ChangeCost out;
-    out.ms = in_ms(await_done(living, from) - from);
-    out.store = served_between(store, bench_.figures("registry"));
-    out.aggregator = busiest(aggregators, bench_.aggregator_figures());
-    return out;
+    const Metrics store_before = bench_.request_metrics("registry");
+    const auto aggregators_before = bench_.request_aggregator_metrics();
+    const Clock::time_point start = Clock::now();
+    bench_.run_policy_command(propose);
+    ChangeCost cost;
+    cost.ms = to_ms(await_done(running, start) - start);
+    cost.store = traffic_between(store_before, bench_.request_metrics("registry"));
+    cost.aggregator = busiest_traffic(aggregators_before, bench_.request_aggregator_metrics());
+    return cost;
   }
 
-  // Asks the living in turn until the change is done; when it was.
-  Clock::time_point await_done(const std::vector<std::string>& living, Clock::time_point from) {
-    Clock::time_point next = from;
+  // Sends requests to the running routers in turn until the change is done. Returns the time of its end.
+  Clock::time_point await_done(const std::vector<std::string>& running, Clock::time_point start) {
+    Clock::time_point next_request = start;
     Clock::time_point done_at;
-    std::size_t turn = 0;
-    bench_.await("the change's end", [&] {
-      while (next <= Clock::now()) {
-        const std::string& router = living[turn++ % living.size()];
+    std::size_t sent = 0;
+    bench_.await("the end of the change", [&] {
+      while (next_request <= Clock::now()) {
+        const std::string& router = running[sent++ % running.size()];
         load_.send(router, *transport::parse_address(bench_.layout().member(router).address),
-                   fleet::object_name(turn % 50));
-        next += kBetweenRequests;
+                   fleet::object_name(sent % 50));
+        next_request += kRequestInterval;
       }
-      if (turn % kRequestsBetweenLooks != 0) {
+      if (sent % kRequestsPerStatusQuery != 0) {
         return false;
       }
       const json change = bench_.policy_status().value("change", json());
@@ -171,41 +174,40 @@
 
 }  // namespace
 
-fleet::FleetSpec policy_shape(int routers, const Topology& topology) {
-  fleet::FleetSpec shape =
-      topology.flat ? flat_shape(routers) : aggregated_shape(routers, topology.regions_for(routers));
-  shape.disk = false;
-  shape.sockets = 256;
-  shape.policy = {{"ttl_ms", kPermissionTime.count()}};
-  return shape;
+fleet::FleetSpec policy_fleet(int routers, const Topology& topology) {
+  fleet::FleetSpec spec =
+      topology.flat ? flat_fleet(routers) : aggregated_fleet(routers, topology.regions_for(routers));
+  spec.disk = false;
+  spec.sockets = 256;
+  spec.policy = {{"ttl_ms", kPermitTtl.count()}};
+  return spec;
 }
 
 int Topology::regions_for(int routers) const {
-  return regions > 0 ? regions
-                     : std::max(kFewestRegions, (routers + kRoutersOfRegion - 1) / kRoutersOfRegion);
+  return regions > 0 ? regions : std::max(kMinRegions, (routers + kRoutersPerRegion - 1) / kRoutersPerRegion);
 }
 
 int measure_policy(const std::string& program, const std::vector<int>& sizes, const Topology& topology,
-                   std::vector<ChangeCalls>& all_up) {
+                   std::vector<ChangeCalls>& calls_all_up) {
   std::printf(
-      "a change of policy from its proposal to done, default times (ttl 3,000 ms), 500 requests a second "
-      "over the fleet (real processes), %s\n",
-      topology.flat ? "each router at the store" : "by way of aggregators");
+      "a policy change from its proposal to its end, default times (ttl 3,000 ms), 500 requests per "
+      "second to the whole fleet (real processes), %s\n",
+      topology.flat ? "each router connects to the store" : "routers connect through aggregators");
   std::printf("%8s %-22s %9s %12s %10s %9s %9s %12s %16s %14s\n", "routers", "case", "ms", "store calls",
               "requests", "by both", "refused", "order broken", "aggregator calls", "aggregator KB");
-  return measure_sizes(sizes, [&](int size, std::string& which) {
-    PolicyMeasurement measurement(policy_shape(size, topology), program);
-    for (const Case one : {Case::kAllUp, Case::kOneStopped, Case::kTenthKilled}) {
-      which = to_string(one);
-      const double calls = measurement.print_row(one);
-      if (one == Case::kAllUp) {
-        all_up.push_back({size, topology.flat ? 0 : topology.regions_for(size), calls});
+  return measure_sizes(sizes, [&](int size, std::string& row_label) {
+    PolicyMeasurement measurement(policy_fleet(size, topology), program);
+    for (const FaultCase fault : {FaultCase::kAllUp, FaultCase::kOneStopped, FaultCase::kTenthKilled}) {
+      row_label = to_string(fault);
+      const double calls = measurement.measure_change(fault);
+      if (fault == FaultCase::kAllUp) {
+        calls_all_up.push_back({size, topology.flat ? 0 : topology.regions_for(size), calls});
       }
     }
   });
 }
 
-void save_change_calls(const std::string& path, const std::vector<ChangeCalls>& all_up,
+void save_change_calls(const std::string& path, const std::vector<ChangeCalls>& calls_all_up,
                        const std::string& command) {
   scale::Slope flat;
   flat.name = "store.calls.change.flat.real";
@@ -215,9 +217,9 @@
   regions.name = "store.calls.change.regions.real";
   regions.what = "calls at the store during one change, by aggregators, the tool's own among them";
   regions.per = "regions";
-  for (const ChangeCalls& one : all_up) {
-    scale::Slope& slope = one.regions > 0 ? regions : flat;
-    slope.points.emplace_back(one.regions > 0 ? one.regions : one.routers, one.store_calls);
+  for (const ChangeCalls& calls : calls_all_up) {
+    scale::Slope& slope = calls.regions > 0 ? regions : flat;
+    slope.points.emplace_back(calls.regions > 0 ? calls.regions : calls.routers, calls.store_calls);
   }
   std::vector<scale::Slope> measured;
   for (scale::Slope slope : {flat, regions}) {
--- a/benchmarks/policy_measurement.h
+++ b/benchmarks/policy_measurement.h
@@ -1,4 +1,4 @@
-// Measures changes of policy with real processes, from the proposal to done, under load.
+// Measures policy changes under load with real processes, from the proposal to the end of each change.
 #pragma once
 
 #include <string>
@@ -8,32 +8,34 @@
 
 namespace trailcourse::bench {
 
-// How routers reach the store.
+// The connections between the routers and the store.
 struct Topology {
-  bool flat = false;  // each by itself; else by way of aggregators
-  int regions = 0;    // 0: one for each kRoutersOfRegion routers, kFewestRegions at least
+  bool flat = false;  // each router connects to the store directly; otherwise through aggregators
+  int regions = 0;    // 0: one for each kRoutersPerRegion routers, at least kMinRegions
+  // Returns the number of regions of a fleet of that size.
   int regions_for(int routers) const;
 };
 
-constexpr int kRoutersOfRegion = 50;
-constexpr int kFewestRegions = 2;
+constexpr int kRoutersPerRegion = 50;
+constexpr int kMinRegions = 2;
 
-// A fleet whose routers follow a policy, with the default times.
-fleet::FleetSpec policy_shape(int routers, const Topology& topology);
+// Returns a fleet whose routers follow a policy, with the default times.
+fleet::FleetSpec policy_fleet(int routers, const Topology& topology);
 
-// Calls at the store during a change with all up.
+// The calls at the store during a change while all processes run.
 struct ChangeCalls {
   int routers = 0;
-  int regions = 0;  // 0: every router at the store
+  int regions = 0;  // 0: the routers connect to the store directly
   double store_calls = 0.0;
 };
 
-// Prints a row for each size and case, and adds those with all up to `all_up`. Gives how many rows could not
-// be measured; each of these says why.
+// Prints a row for each size and fault, or the reason why it could not be measured, and adds the calls without a
+// fault to `calls_all_up`. Returns the number of sizes that could not be measured completely.
 int measure_policy(const std::string& program, const std::vector<int>& sizes, const Topology& topology,
-                   std::vector<ChangeCalls>& all_up);
-// Puts them into the file of slopes, by routers or by regions. Throws scale::BadSlopes, std::runtime_error.
-void save_change_calls(const std::string& path, const std::vector<ChangeCalls>& all_up,
+                   std::vector<ChangeCalls>& calls_all_up);
+// Saves the calls in the file of slopes at `path`, by the number of routers or of regions. `command` is recorded
+// as the command that measured them. Throws scale::BadSlopes, std::runtime_error.
+void save_change_calls(const std::string& path, const std::vector<ChangeCalls>& calls_all_up,
                        const std::string& command);
 
 }  // namespace trailcourse::bench
--- a/benchmarks/rest_measurement.cpp
+++ b/benchmarks/rest_measurement.cpp
@@ -17,34 +17,36 @@
 
 namespace {
 
-constexpr milliseconds kSettling{8'000};
-constexpr milliseconds kSpan{20'000};
-constexpr double kSpanSeconds = 20.0;
-constexpr const char* kOwnerBegins = "starts w/0";
+constexpr milliseconds kSettleTime{8'000};  // before the measurement begins
+constexpr milliseconds kMeasurementTime{20'000};
+constexpr double kMeasurementSeconds = 20.0;
+constexpr const char* kOwnerStartedText = "starts w/0";  // logged by the new owner
 
-enum class Row { kWithoutStore, kTasks, kTasksAndPolicy, kAggregators };
+enum class Deployment { kWithoutStore, kTasks, kTasksAndPolicy, kAggregators };
 
-const char* to_string(Row row) {
-  switch (row) {
-    case Row::kWithoutStore:
+const char* to_string(Deployment deployment) {
+  switch (deployment) {
+    case Deployment::kWithoutStore:
       return "none";
-    case Row::kTasks:
+    case Deployment::kTasks:
       return "registry";
-    case Row::kTasksAndPolicy:
+    case Deployment::kTasksAndPolicy:
       return "registry+policy";
-    case Row::kAggregators:
+    case Deployment::kAggregators:
       break;
   }
   return "aggregators";
 }
 
-// Of a router, on average.
-struct Cost {
+// The resources that all routers use together.
+struct RouterCost {
   double rss_kb = 0.0;
   double cpu_ms_per_s = 0.0;
   double sockets = 0.0;
 };
 
+// The following read the entry of one process in /proc.
+
 double anonymous_kb(const std::string& proc) {
   constexpr const char* kField = "RssAnon:";
   std::ifstream status(proc + "/status");
@@ -57,15 +59,15 @@
 }
 
 double cpu_ms(const std::string& proc) {
-  constexpr int kUserTicks = 11;  // fields behind the program's name
-  constexpr int kSystemTicks = 12;
+  constexpr int kUserTicksField = 11;  // counted from the first field after the program's name
+  constexpr int kSystemTicksField = 12;
   std::ifstream stat(proc + "/stat");
   const std::string text{std::istreambuf_iterator<char>(stat), std::istreambuf_iterator<char>()};
   std::istringstream words(text.substr(text.rfind(')') + 2));
-  std::string word;
+  std::string field;
   double ticks = 0.0;
-  for (int i = 0; i <= kSystemTicks && words >> word; ++i) {
-    ticks += i >= kUserTicks ? std::strtod(word.c_str(), nullptr) : 0.0;
+  for (int i = 0; i <= kSystemTicksField && words >> field; ++i) {
+    ticks += i >= kUserTicksField ? std::strtod(field.c_str(), nullptr) : 0.0;
   }
   return ticks * 1e3 / static_cast<double>(::sysconf(_SC_CLK_TCK));
 }
@@ -73,28 +75,28 @@
 double open_sockets(const std::string& proc) {
   double out = 0.0;
   for (const auto& entry : std::filesystem::directory_iterator(proc + "/fd")) {
-    std::error_code none;
-    out += std::filesystem::read_symlink(entry.path(), none).string().starts_with("socket:") ? 1.0 : 0.0;
+    std::error_code ignored;
+    out += std::filesystem::read_symlink(entry.path(), ignored).string().starts_with("socket:") ? 1.0 : 0.0;
   }
   return out;
 }
 
-std::string proc_of(FleetBench& bench, const std::string& router) {
+std::string proc_folder(FleetBench& bench, const std::string& router) {
   return "/proc/" + std::to_string(bench.fleet().pid(router));
 }
 
 class RestMeasurement {
  public:
-  RestMeasurement(Row row, int routers, const Topology& topology, const std::string& program)
-      : row_(row), bench_(shape_of(row, routers, topology), program, {}) {
-    if (shares_tasks()) {
-      bench_.await("an answer of the store", [this] { return store_answers(); });
-      bench_.fill("w", 10'000, 1.0);
+  RestMeasurement(Deployment deployment, int routers, const Topology& topology, const std::string& program)
+      : deployment_(deployment), bench_(fleet_spec(deployment, routers, topology), program, {}) {
+    if (runs_tasks()) {
+      bench_.await("an answer from the store", [this] { return store_is_available(); });
+      bench_.add_fill_work("w", 10'000, 1.0);
       program::WorkCommand report;
       report.action = "add";
       report.name = "counts";
       report.kind = "report";
-      bench_.work(report);
+      bench_.run_work_command(report);
     }
     if (bench_.layout().spec().policy.empty()) {
       return;
@@ -102,93 +104,99 @@
     bench_.await("permission of all routers", [this] { return all_permitted(); });
   }
 
-  // Throws NotMeasured.
-  void print_row() {
-    bench_.run_for(kSettling);
+  // Measures the fleet and prints its row. Throws MeasurementError.
+  void measure_and_print_row() {
+    bench_.run_for(kSettleTime);
     const std::vector<std::string> routers = bench_.layout().names(Kind::kRouter);
     std::vector<double> cpu_before;
     cpu_before.reserve(routers.size());
     for (const std::string& router : routers) {
-      cpu_before.push_back(cpu_ms(proc_of(bench_, router)));
+      cpu_before.push_back(cpu_ms(proc_folder(bench_, router)));
     }
-    const Figures store_before = store_figures();
-    const auto aggregators_before = bench_.aggregator_figures();
-    bench_.run_for(kSpan);
-    const Figures store_after = store_figures();
-    const Served aggregator = busiest(aggregators_before, bench_.aggregator_figures());
-    Cost cost;
+    const Metrics store_before = request_store_metrics();
+    const auto aggregators_before = bench_.request_aggregator_metrics();
+    bench_.run_for(kMeasurementTime);
+    const Metrics store_after = request_store_metrics();
+    const Traffic aggregator = busiest_traffic(aggregators_before, bench_.request_aggregator_metrics());
+    RouterCost cost;
     for (std::size_t i = 0; i < routers.size(); ++i) {
-      const std::string proc = proc_of(bench_, routers[i]);
+      const std::string proc = proc_folder(bench_, routers[i]);
       cost.rss_kb += anonymous_kb(proc);
-      cost.cpu_ms_per_s += (cpu_ms(proc) - cpu_before[i]) / kSpanSeconds;
+      cost.cpu_ms_per_s += (cpu_ms(proc) - cpu_before[i]) / kMeasurementSeconds;
       cost.sockets += open_sockets(proc);
     }
     const auto count = static_cast<double>(routers.size());
-    const double calls = static_cast<double>(served_between(store_before, store_after).calls) / kSpanSeconds;
-    const double renewals = grown("renewals", store_before, store_after) / kSpanSeconds;
-    const double death = has_store() ? calls_at_death(calls) : 0.0;
+    const double calls =
+        static_cast<double>(traffic_between(store_before, store_after).calls) / kMeasurementSeconds;
+    const double renewals = increase("renewals", store_before, store_after) / kMeasurementSeconds;
+    const double failover_calls = has_store() ? extra_calls_at_failover(calls) : 0.0;
     std::printf("%8zu %-15s %11.0f %14.2f %9.1f %12.1f %14.1f %16.0f %20.1f %18.2f\n", routers.size(),
-                to_string(row_), cost.rss_kb / count, cost.cpu_ms_per_s / count, cost.sockets / count, calls,
-                renewals, death, static_cast<double>(aggregator.calls) / kSpanSeconds,
-                static_cast<double>(aggregator.bytes) / 1e3 / kSpanSeconds);
+                to_string(deployment_), cost.rss_kb / count, cost.cpu_ms_per_s / count, cost.sockets / count,
+                calls, renewals, failover_calls, static_cast<double>(aggregator.calls) / kMeasurementSeconds,
+                static_cast<double>(aggregator.bytes) / 1e3 / kMeasurementSeconds);
     std::fflush(stdout);
   }
 
  private:
-  static fleet::FleetSpec shape_of(Row row, int routers, const Topology& topology) {
-    fleet::FleetSpec shape = row == Row::kAggregators
-                                 ? aggregated_shape(routers, topology.regions_for(routers))
-                                 : flat_shape(routers);
-    shape.registry = row != Row::kWithoutStore;
-    shape.sockets = 256;
-    if (row == Row::kTasksAndPolicy) {
-      shape.policy = {{"ttl_ms", 3'000}};
+  static fleet::FleetSpec fleet_spec(Deployment deployment, int routers, const Topology& topology) {
+    fleet::FleetSpec spec = deployment == Deployment::kAggregators
+                                ? aggregated_fleet(routers, topology.regions_for(routers))
+                                : flat_fleet(routers);
+    spec.registry = deployment != Deployment::kWithoutStore;
+    spec.sockets = 256;
+    if (deployment == Deployment::kTasksAndPolicy) {
+      spec.policy = {{"ttl_ms", 3'000}};
     }
-    return shape;
+    return spec;
   }
 
-  bool has_store() const { return row_ != Row::kWithoutStore; }
-  bool shares_tasks() const { return row_ == Row::kTasks || row_ == Row::kTasksAndPolicy; }
-  Figures store_figures() { return has_store() ? bench_.figures("registry") : Figures{}; }
-  // While all routers join at once it may be too busy for staff.
-  bool store_answers() {
+  bool has_store() const { return deployment_ != Deployment::kWithoutStore; }
+  bool runs_tasks() const {
+    return deployment_ == Deployment::kTasks || deployment_ == Deployment::kTasksAndPolicy;
+  }
+  Metrics request_store_metrics() { return has_store() ? bench_.request_metrics("registry") : Metrics{}; }
+  // The store can be too busy for operator commands while all routers join at once.
+  bool store_is_available() {
     program::WorkCommand list;
     list.action = "list";
-    std::string said;
-    return bench_.work(list, said) == 0;
+    std::string output;
+    return bench_.run_work_command(list, output) == 0;
   }
   bool all_permitted() {
     bench_.run_for(milliseconds(100));
-    return bench_.permitted_routers() >= bench_.layout().names(Kind::kRouter).size();
+    return bench_.count_permitted_routers() >= bench_.layout().names(Kind::kRouter).size();
   }
 
-  static double grown(const std::string& name, const Figures& before, const Figures& after) {
-    const auto first = before.find(name);
-    const auto last = after.find(name);
-    return first == before.end() || last == after.end()
+  static double increase(const std::string& name, const Metrics& before, const Metrics& after) {
+    const auto old = before.find(name);
+    const auto current = after.find(name);
+    return old == before.end() || current == after.end()
                ? 0.0
-               : static_cast<double>(last->second) - static_cast<double>(first->second);
+               : static_cast<double>(current->second) - static_cast<double>(old->second);
   }
 
-  // What the store is asked beside its `usual` calls a second when the owner of a task dies, until another
-  // has it; or an aggregator, until its routers have permission from others.
-  double calls_at_death(double usual) {
-    const auto [owner, count] = bench_.begun(kOwnerBegins);
-    const Figures before = store_figures();
+  // Kills the owner of a task and waits until another router owns it; in a fleet with aggregators, kills an
+  // aggregator and waits until all routers have permission again. Returns the calls at the store meanwhile
+  // that exceed the usual `calls_per_s`.
+  double extra_calls_at_failover(double calls_per_s) {
+    const auto [owner, old_starts] = bench_.find_in_router_logs(kOwnerStartedText);
+    const Metrics before = request_store_metrics();
     const Clock::time_point killed = Clock::now();
-    if (shares_tasks()) {
+    if (runs_tasks()) {
       bench_.fleet().kill(owner);
-      bench_.await("another owner", [&, seen = count] { return bench_.begun(kOwnerBegins).second > seen; });
+      bench_.await("another owner", [&, starts = old_starts] {
+        return bench_.find_in_router_logs(kOwnerStartedText).count > starts;
+      });
     } else {
       bench_.fleet().kill(bench_.layout().names(Kind::kAggregator).front());
       bench_.await("permission of all routers again", [this] { return all_permitted(); });
     }
-    const double seconds = in_ms(Clock::now() - killed) / 1e3;
-    const double calls = static_cast<double>(served_between(before, store_figures()).calls);
-    return std::max(0.0, calls - usual * seconds);
+    const double seconds = to_ms(Clock::now() - killed) / 1e3;
+    const double calls = static_cast<double>(traffic_between(before, request_store_metrics()).calls);
+    return std::max(0.0, calls - calls_per_s * seconds);
   }
 
-  Row row_;
+  Deployment deployment_;
   FleetBench bench_;
 };
 
@@ -196,20 +204,21 @@
 
 int measure_rest(const std::string& program, const std::vector<int>& sizes, const Topology& topology) {
   std::printf(
-      "a router at rest, and what the store is asked (real processes, default times; report_ms 10,000)\n");
+      "cost of an idle router, and calls at the store (real processes, default times; report_ms 10,000)\n");
   std::printf("%8s %-15s %11s %14s %9s %12s %14s %16s %20s %18s\n", "routers", "store", "anon KB",
               "CPU ms a s", "sockets", "calls a s", "renewals a s", "calls at a death",
               "aggregator calls a s", "aggregator KB a s");
-  const std::vector<Row> rows = topology.flat
-                                    ? std::vector<Row>{Row::kWithoutStore, Row::kTasks, Row::kTasksAndPolicy}
-                                    : std::vector<Row>{Row::kAggregators};
+  const std::vector<Deployment> deployments =
+      topology.flat ? std::vector<Deployment>{Deployment::kWithoutStore, Deployment::kTasks,
+                                              Deployment::kTasksAndPolicy}
+                    : std::vector<Deployment>{Deployment::kAggregators};
   int missing = 0;
   for (const int size : sizes) {
-    for (const Row row : rows) {
+    for (const Deployment deployment : deployments) {
       try {
-        RestMeasurement(row, size, topology, program).print_row();
+        RestMeasurement(deployment, size, topology, program).measure_and_print_row();
       } catch (const std::runtime_error& error) {
-        std::printf("%8d %-15s not measured: %s\n", size, to_string(row), error.what());
+        std::printf("%8d %-15s not measured: %s\n", size, to_string(deployment), error.what());
         std::fflush(stdout);
         ++missing;
       }
