--- a/benchmarks/acknowledgement_measurement.h
+++ b/benchmarks/acknowledgement_measurement.h
@@ -9,8 +9,8 @@
 
 namespace trailcourse::bench {
 
-// Prints a row for each size and fault, or the reason why it could not be measured. Returns the number of sizes
-// that could not be measured completely.
+// Prints a row for each size and fault, or the reason why it could not be measured. Returns the number of
+// sizes that could not be measured completely.
 int measure_acknowledgements(const std::string& program, const std::vector<int>& sizes,
                              const Topology& topology);
 
--- a/benchmarks/cold_start_model.cpp
+++ b/benchmarks/cold_start_model.cpp
@@ -1,5 +1,5 @@
-// The calls of whole fleets at one board in virtual time, by the machines of src/startup themselves: how the
-// sums go with the number of routers. Prints a table; nothing is real but the decisions.
+// Simulates the startup of whole fleets in virtual time with the poll scheduler and the endpoint admission of
+// src/startup, and prints how the calls of all routers at one discovery service grow with their number.
 //   cold_start_model [ROUTERS...]
 #include <algorithm>
 #include <cmath>
@@ -25,66 +25,71 @@
 using trailcourse::startup::PollResult;
 using trailcourse::startup::PollScheduler;
 
-struct Sums {
+// The polls of a fleet until each router has received its first list.
+struct PollCounts {
   std::size_t calls = 0;
-  std::size_t in_100_ms = 0;
-  std::size_t in_second = 0;
-  double last_s = 0.0;
+  std::size_t max_in_100_ms = 0;
+  std::size_t max_in_second = 0;
+  double last_list_s = 0.0;  // when the last router received its first list
 };
 
-// All begin within 3 ms; the board refuses until `back`. Only calls until the first list count.
-Sums start(const PollOptions& rules, int routers, Micros back) {
-  struct At {
+// Counts the polls of routers that all start within 3 ms. The discovery service rejects polls before
+// `available_from`, which is a time since the start.
+PollCounts simulate_startup(const PollOptions& options, int routers, Micros available_from) {
+  struct PendingPoll {
     Micros at;
     int router;
-    bool operator>(const At& other) const { return at > other.at; }
+    bool operator>(const PendingPoll& other) const { return at > other.at; }
   };
-  std::vector<PollScheduler> machines;
-  std::priority_queue<At, std::vector<At>, std::greater<>> queue;
+  std::vector<PollScheduler> schedulers;
+  std::priority_queue<PendingPoll, std::vector<PendingPoll>, std::greater<>> queue;
   for (int i = 0; i < routers; ++i) {
-    machines.emplace_back(rules, static_cast<std::uint64_t>(i) * 7'919 + 17);
-    machines.back().set_fleet_size(routers);
-    queue.push({machines.back().first_poll(Micros(i % 3'000)).at, i});
+    schedulers.emplace_back(options, static_cast<std::uint64_t>(i) * 7'919 + 17);
+    schedulers.back().set_fleet_size(routers);
+    queue.push({schedulers.back().first_poll(Micros(i % 3'000)).at, i});
   }
   std::vector<Micros> calls;
-  Sums out;
+  PollCounts counts;
   while (!queue.empty()) {
-    const At now = queue.top();
+    const PendingPoll poll = queue.top();
     queue.pop();
-    calls.push_back(now.at);
-    if (now.at >= back) {
-      out.last_s = std::max(out.last_s, static_cast<double>(now.at.count()) * 1e-6);
+    calls.push_back(poll.at);
+    if (poll.at >= available_from) {
+      counts.last_list_s = std::max(counts.last_list_s, static_cast<double>(poll.at.count()) * 1e-6);
       continue;
     }
-    auto& machine = machines[static_cast<std::size_t>(now.router)];
-    queue.push(
-        {machine.next_poll(now.at, now.at + Micros(500), PollResult::kRejected, Micros(0)).at, now.router});
+    auto& scheduler = schedulers[static_cast<std::size_t>(poll.router)];
+    queue.push({scheduler.next_poll(poll.at, poll.at + Micros(500), PollResult::kRejected, Micros(0)).at,
+                poll.router});
   }
-  out.calls = calls.size();
-  out.in_100_ms = max_count_within(calls, milliseconds(100));
-  out.in_second = max_count_within(calls, seconds(1));
-  return out;
+  counts.calls = calls.size();
+  counts.max_in_100_ms = max_count_within(calls, milliseconds(100));
+  counts.max_in_second = max_count_within(calls, seconds(1));
+  return counts;
 }
 
-std::size_t openings_in_second(int routers) {
-  AdmissionOptions rules;
-  rules.admissions_per_s = 400.0;
-  rules.max_window = std::chrono::hours(1);
-  std::vector<Micros> moments;
+// Returns the highest number of routers that begin to use one node within a second, after a list with that
+// node has reached all of them at the same time.
+std::size_t max_admissions_per_second(int routers) {
+  AdmissionOptions options;
+  options.admissions_per_s = 400.0;
+  options.max_window = std::chrono::hours(1);
+  std::vector<Micros> admission_times;
   for (int i = 0; i < routers; ++i) {
-    EndpointAdmission opening(rules, static_cast<std::uint64_t>(i) * 104'729 + 5);
-    opening.set_fleet_size(routers);
-    moments.push_back(opening.on_listed(seconds(1), "node", 0) ? seconds(1) : *opening.next_admission());
+    EndpointAdmission admission(options, static_cast<std::uint64_t>(i) * 104'729 + 5);
+    admission.set_fleet_size(routers);
+    admission_times.push_back(admission.on_listed(seconds(1), "node", 0) ? seconds(1)
+                                                                         : *admission.next_admission());
   }
-  return max_count_within(moments, seconds(1));
+  return max_count_within(admission_times, seconds(1));
 }
 
 }  // namespace
 
-int main(int count, char** words) {
+int main(int argc, char** argv) {
   std::vector<int> sizes;
-  for (int i = 1; i < count; ++i) {
-    sizes.push_back(std::max(1, std::atoi(words[i])));
+  for (int i = 1; i < argc; ++i) {
+    sizes.push_back(std::max(1, std::atoi(argv[i])));
   }
   if (sizes.empty()) {
     sizes = {10, 100, 300, 1'000, 10'000};
@@ -95,16 +100,16 @@
   std::printf("| --- | --- | --- | --- | --- | --- | --- | --- |\n");
   for (const int routers : sizes) {
     for (const bool spread : {false, true}) {
-      PollOptions rules;
-      rules.spread = spread;
-      rules.max_window = std::chrono::hours(1);
-      for (const Micros back : {Micros(0), Micros(seconds(4))}) {
-        const Sums sums = start(rules, routers, back);
+      PollOptions options;
+      options.spread = spread;
+      options.max_window = std::chrono::hours(1);
+      for (const Micros available_from : {Micros(0), Micros(seconds(4))}) {
+        const PollCounts counts = simulate_startup(options, routers, available_from);
         std::printf("| %s | %d | %s | %zu | %zu | %zu | %.1f | %zu |\n",
                     spread ? "spread, 100 calls/s" : "plain", routers,
-                    back.count() == 0 ? "sound" : "refuses for 4 s", sums.calls, sums.in_100_ms,
-                    sums.in_second, sums.last_s,
-                    spread ? openings_in_second(routers) : static_cast<std::size_t>(routers));
+                    available_from.count() == 0 ? "sound" : "refuses for 4 s", counts.calls,
+                    counts.max_in_100_ms, counts.max_in_second, counts.last_list_s,
+                    spread ? max_admissions_per_second(routers) : static_cast<std::size_t>(routers));
       }
     }
   }
--- a/benchmarks/decision_trace_disturbances.cpp
+++ b/benchmarks/decision_trace_disturbances.cpp
@@ -1,4 +1,5 @@
-// The disturbances of the simulated deployment: purges, health checks, faults, and changes of load and lists.
+// The disturbances of the simulated deployment: purges, health checks, faults, restarts, and changes of the
+// load, the endpoint list and the request classes.
 #include <algorithm>
 #include <limits>
 
@@ -22,19 +23,20 @@
     restart_endpoint();
     return;
   }
-  using Member = void (World::*)();
-  const std::vector<Member> kinds{&World::purge,          &World::purge,
-                                  &World::purge,          &World::health_check,
-                                  &World::change_fault,   &World::change_fault,
-                                  &World::change_load,    &World::change_endpoints,
-                                  &World::full_list,      &World::lost_or_restored_list,
-                                  &World::stray_events,   &World::health_check,
-                                  &World::change_classes, &World::purge_flood,
-                                  &World::pause};
-  (this->*random_.pick(kinds))();
+  using DisturbanceFunction = void (World::*)();
+  const std::vector<DisturbanceFunction> disturbances{
+      &World::send_purge,        &World::send_purge,
+      &World::send_purge,        &World::send_health_check,
+      &World::change_fault,      &World::change_fault,
+      &World::change_load,       &World::change_endpoints,
+      &World::send_full_list,    &World::send_lost_or_restored_list,
+      &World::send_stray_events, &World::send_health_check,
+      &World::change_classes,    &World::maybe_send_purge_flood,
+      &World::maybe_skip_time};
+  (this->*random_.pick(disturbances))();
 }
 
-void World::purge() {
+void World::send_purge() {
   Purged purged;
   purged.whole_group = random_.chance(0.1);
   purged.group = random_.below(16);
@@ -43,13 +45,13 @@
   handle(purged);
 }
 
-void World::purge_flood() {
+void World::maybe_send_purge_flood() {
   for (int i = 0; random_.chance(0.01) && i < 30'000; ++i) {
     handle(Purged{false, 1'000'000 + random_.below(1'000'000), 0, Micros(0)});
   }
 }
 
-void World::health_check() {
+void World::send_health_check() {
   HealthCheckResult result;
   result.address = random_.chance(0.05) ? "unknown" : random_.pick(endpoints_).address;
   const NodeFault fault = faults_[result.address];
@@ -63,8 +65,8 @@
     faults_.clear();
     return;
   }
-  const auto kinds = static_cast<std::uint64_t>(NodeFault::kCount);
-  faults_[random_.pick(endpoints_).address] = static_cast<NodeFault>(random_.below(kinds));
+  const auto fault_count = static_cast<std::uint64_t>(NodeFault::kCount);
+  faults_[random_.pick(endpoints_).address] = static_cast<NodeFault>(random_.below(fault_count));
 }
 
 void World::change_load() {
@@ -85,7 +87,7 @@
     list.entries.push_back(endpoint);
   }
   if (random_.chance(0.2)) {
-    endpoints_.push_back(new_endpoint(static_cast<Role>(random_.below(2))));
+    endpoints_.push_back(make_endpoint(static_cast<Role>(random_.below(2))));
     list.entries.push_back(endpoints_.back());
   }
   handle(list);
@@ -98,7 +100,7 @@
   handle(EndpointListReceived{ListKind::kChanges, {endpoint}});
 }
 
-void World::full_list() {
+void World::send_full_list() {
   std::erase_if(endpoints_, [this](const Endpoint& endpoint) {
     return endpoint.state == NodeState::kGone || (endpoint.role != Role::kOrigin && random_.chance(0.05));
   });
@@ -106,7 +108,7 @@
       endpoints_.begin(), endpoints_.end(),
       [](const Endpoint& endpoint) { return endpoint.role == Role::kCache && endpoint.zone == "here"; }));
   for (std::size_t i = caches; i < static_cast<std::size_t>(profile_.caches); ++i) {
-    endpoints_.push_back(new_endpoint(Role::kCache));
+    endpoints_.push_back(make_endpoint(Role::kCache));
   }
   for (Endpoint& endpoint : endpoints_) {
     endpoint.state = random_.chance(0.9) ? NodeState::kReady : endpoint.state;
@@ -114,7 +116,7 @@
   handle(EndpointListReceived{ListKind::kFull, endpoints_});
 }
 
-void World::lost_or_restored_list() {
+void World::send_lost_or_restored_list() {
   if (random_.chance(0.5)) {
     handle(EndpointListReceived{ListKind::kLost, {}});
   } else {
@@ -122,7 +124,7 @@
   }
 }
 
-void World::stray_events() {
+void World::send_stray_events() {
   handle(ended_with(1'000'000'000 + random_.below(100), 0, Status::kOk));
   handle(TimerFired{random_.below(1'000'000)});
   handle(ClientLeft{1'000'000'000});
@@ -144,13 +146,13 @@
   handle(update);
 }
 
-void World::pause() {
+void World::maybe_skip_time() {
   if (random_.chance(0.05)) {
     now_ += seconds(70);
   }
 }
 
-Endpoint World::new_endpoint(Role role) {
+Endpoint World::make_endpoint(Role role) {
   Endpoint endpoint;
   endpoint.address =
       "10.0." + std::to_string(++last_endpoint_) + ".1:" + std::to_string(4'000 + random_.below(9));
--- a/benchmarks/decision_trace_world.cpp
+++ b/benchmarks/decision_trace_world.cpp
@@ -25,13 +25,13 @@
 World::World(const Profile& profile, std::uint64_t seed, TraceHash& hash)
     : profile_(profile), random_(seed), hash_(hash), decider_(profile.settings, random_.next()) {
   for (int i = 0; i < profile.caches; ++i) {
-    endpoints_.push_back(new_endpoint(Role::kCache));
+    endpoints_.push_back(make_endpoint(Role::kCache));
   }
   for (int i = 0; i < profile.parents; ++i) {
-    endpoints_.push_back(new_endpoint(Role::kParent));
+    endpoints_.push_back(make_endpoint(Role::kParent));
   }
   for (int i = 0; i < profile.origins; ++i) {
-    endpoints_.push_back(new_endpoint(Role::kOrigin));
+    endpoints_.push_back(make_endpoint(Role::kOrigin));
   }
 }
 
@@ -57,7 +57,7 @@
   for (const Action& action : actions) {
     hash_.add(action.index());
     std::visit(hash_, action);
-    std::visit([this](const auto& one) { execute(one); }, action);
+    std::visit([this](const auto& typed_action) { execute(typed_action); }, action);
   }
 }
 
@@ -127,8 +127,8 @@
   first.outcome.attempt = attempt;
   first.answer_time = first.outcome.latency;
   first.streamed = request.streaming_class && first.outcome.status == Status::kOk;
-  const bool waits = random_.chance(0.15);
-  schedule(now_ + (waits ? random_.exponential(milliseconds(60)) : Micros(0)), first);
+  const bool is_delayed = random_.chance(0.15);
+  schedule(now_ + (is_delayed ? random_.exponential(milliseconds(60)) : Micros(0)), first);
 }
 
 void World::perform(const FirstByte& first) {
@@ -177,8 +177,8 @@
 World::AttemptState* World::open_attempt(RequestId id, int attempt) {
   const auto found = requests_.find(id);
   const auto index = static_cast<std::size_t>(attempt);
-  const bool made = found != requests_.end() && index < found->second.attempts.size();
-  return made && !found->second.attempts[index].ended ? &found->second.attempts[index] : nullptr;
+  const bool exists = found != requests_.end() && index < found->second.attempts.size();
+  return exists && !found->second.attempts[index].ended ? &found->second.attempts[index] : nullptr;
 }
 
 void World::finish(RequestId id) {
@@ -205,8 +205,8 @@
   ended.source_first_byte_time = ended.latency / static_cast<std::int64_t>(1 + random_.below(6));
   ended.load = draw_report();
   ended.status = draw_status(send, ended);
-  const bool late = send.timeout > Micros(0) && ended.latency > send.timeout;
-  if (late) {
+  const bool timed_out = send.timeout > Micros(0) && ended.latency > send.timeout;
+  if (timed_out) {
     ended.status = Status::kTimeout;
     ended.latency = send.timeout;
   }
--- a/benchmarks/decision_trace_world.h
+++ b/benchmarks/decision_trace_world.h
@@ -1,5 +1,5 @@
-// The simulated deployment of the decision trace: clients, nodes and disturbances. One seed sets all random
-// numbers.
+// The simulated deployment of the decision trace: clients, nodes and disturbances. One seed determines all
+// random numbers.
 #pragma once
 
 #include <trailcourse/decider.h>
@@ -20,7 +20,7 @@
 // Returns an AttemptEnded event with the status; its other fields have their defaults.
 AttemptEnded ended_with(RequestId id, int attempt, Status status);
 
-// The fault that a simulated node has.
+// The fault of a simulated node.
 enum class NodeFault { kNone, kDead, kUnreachable, kSilent, kResets, kErrors, kFull, kSlow, kCount };
 
 // A deployment that runs one profile and adds all actions of the decision module to the hash. The profile and
@@ -29,13 +29,14 @@
  public:
   World(const Profile& profile, std::uint64_t seed, TraceHash& hash);
 
-  // Runs the simulation until at least `events` events were handled. Returns how many were.
+  // Runs the simulation until it has handled at least `events` events. Returns the number of handled events.
   std::uint64_t run(std::uint64_t events);
 
  private:
   struct Arrival {};
   struct Disturbance {};
-  // An attempt is about to send its first byte; it ends with `outcome` if it may begin.
+  // An attempt is about to send its first byte. It ends with `outcome` if the decision module allows it to
+  // begin.
   struct FirstByte {
     RequestId id;
     int attempt;
@@ -99,19 +100,19 @@
   // ---- Disturbances of the deployment ----
   // Causes a random disturbance and schedules the next one.
   void perform(const Disturbance&);
-  void purge();
-  void purge_flood();  // rarely purges so many objects that the purge history overflows
-  void health_check();
+  void send_purge();
+  void maybe_send_purge_flood();  // rarely purges so many objects that the purge history overflows
+  void send_health_check();
   void change_fault();
   void change_load();
   void change_endpoints();
   void restart_endpoint();
-  void full_list();
-  void lost_or_restored_list();
-  void stray_events();  // events of unknown requests
+  void send_full_list();
+  void send_lost_or_restored_list();
+  void send_stray_events();  // events of unknown requests
   void change_classes();
-  void pause();  // rarely advances the clock by 70 s
-  Endpoint new_endpoint(Role role);
+  void maybe_skip_time();  // rarely advances the clock by 70 s
+  Endpoint make_endpoint(Role role);
 
   const Profile& profile_;
   Random random_;
--- a/benchmarks/fleet_bench.h
+++ b/benchmarks/fleet_bench.h
@@ -144,8 +144,8 @@
 
 // Returns a fleet of one zone whose routers connect to the store directly.
 fleet::FleetSpec flat_fleet(int routers);
-// Returns a fleet whose routers follow the policy through aggregators, with one aggregator, zone and cache for
-// each region.
+// Returns a fleet whose routers follow the policy through aggregators, with one aggregator, zone and cache
+// for each region.
 fleet::FleetSpec aggregated_fleet(int routers, int regions);
 
 }  // namespace trailcourse::bench
--- a/benchmarks/ownership_bench.cpp
+++ b/benchmarks/ownership_bench.cpp
@@ -1,6 +1,7 @@
 // Measures ownership with real processes on loopback: the time without an owner after the owner is killed,
-// suspended, disconnected or drained, the calls at the store of an idle fleet and after the death of an owner,
-// and the resources of a router. Also runs random schedules of faults with checkers; a seed replays a schedule.
+// suspended, disconnected or drained, the calls at the store of an idle fleet and after the death of an
+// owner, and the resources of a router. Also runs random schedules of faults with checkers; a seed replays a
+// schedule.
 //
 //     ownership_bench --program build/trailcourse --takeover 20
 //     ownership_bench --program build/trailcourse --rest 10,100,300
@@ -10,8 +11,8 @@
 //     ownership_bench --program build/trailcourse --schedules 50 --seed 1
 //
 // With --policy, --rest and --acknowledge, routers connect to the store through aggregators, or with --flat
-// directly. A row that cannot be measured states the reason; the benchmark continues with the next row and exits
-// with kRowMissing.
+// directly. A row that cannot be measured states the reason; the benchmark continues with the next row and
+// exits with kRowMissing.
 #include <algorithm>
 #include <csignal>
 #include <cstdio>
@@ -224,7 +225,8 @@
   return out;
 }
 
-// Runs the schedule of the seed against real processes. Returns 0, or 1 and sets `failure` to what went wrong.
+// Runs the schedule of the seed against real processes. Returns 0, or 1 and sets `failure` to what went
+// wrong.
 int run_schedule(const std::string& program, std::uint64_t seed, std::string& failure) {
   FleetBench bench(schedule_fleet(), program, {"router*>registry", "*>cache0"});
   bench.allow_store_end();
--- a/benchmarks/policy_measurement.h
+++ b/benchmarks/policy_measurement.h
@@ -29,12 +29,12 @@
   double store_calls = 0.0;
 };
 
-// Prints a row for each size and fault, or the reason why it could not be measured, and adds the calls without a
-// fault to `calls_all_up`. Returns the number of sizes that could not be measured completely.
+// Prints a row for each size and fault, or the reason why it could not be measured, and adds the calls
+// without a fault to `calls_all_up`. Returns the number of sizes that could not be measured completely.
 int measure_policy(const std::string& program, const std::vector<int>& sizes, const Topology& topology,
                    std::vector<ChangeCalls>& calls_all_up);
-// Saves the calls in the file of slopes at `path`, by the number of routers or of regions. `command` is recorded
-// as the command that measured them. Throws scale::BadSlopes, std::runtime_error.
+// Saves the calls in the file of slopes at `path`, by the number of routers or of regions. `command` is
+// recorded as the command that measured them. Throws scale::BadSlopes, std::runtime_error.
 void save_change_calls(const std::string& path, const std::vector<ChangeCalls>& calls_all_up,
                        const std::string& command);
 
