--- a/benchmarks/acknowledgement_measurement.cpp
+++ b/benchmarks/acknowledgement_measurement.cpp
@@ -22,7 +22,7 @@
 constexpr milliseconds kPurgeInterval{100};
 constexpr milliseconds kPollInterval{20};  // between reads of the acknowledged event
 constexpr int kPurges = 100;
-constexpr int kPurgesBeforeFault = 20;
+constexpr int kPurgesBeforeFault = 20;  // purges that are published before the fault is injected
 
 enum class FaultCase { kAllUp, kOneStopped, kAggregatorStopped };
 
@@ -38,14 +38,14 @@
   return "an aggregator stopped";
 }
 
-// Returns the quantile by the nearest rank; 0 without values.
+// Returns the quantile `share` (0 to 1) of the values by the nearest-rank method; 0 if there are no values.
 double quantile(std::vector<double> values, double share) {
   std::sort(values.begin(), values.end());
   const double rank = std::ceil(share * static_cast<double>(values.size()));
   return values.empty() ? 0.0 : values[static_cast<std::size_t>(std::max(1.0, rank)) - 1];
 }
 
-// One fleet and a steady series of purges.
+// Measures, in one fleet, the time until all routers have acknowledged each purge of a series.
 class AcknowledgementMeasurement {
  public:
   AcknowledgementMeasurement(const fleet::FleetSpec& spec, const std::string& program)
@@ -59,12 +59,13 @@
     add.name = "events";
     add.kind = tasks::kAcknowledgeWork;
     bench_.run_work_command(add);
-    const std::uint64_t first = publish_purge();
+    const std::uint64_t first_purge = publish_purge();
     bench_.await("the acknowledgement of the first purge",
-                 [&] { return last_acknowledged_event() >= first; });
+                 [&] { return last_acknowledged_event() >= first_purge; });
   }
 
-  // Measures purges with the fault and prints the row. Throws MeasurementError.
+  // Injects the fault during a series of purges, prints the row and removes the fault. Throws
+  // MeasurementError.
   void measure_case(FaultCase fault) {
     const Metrics store_before = bench_.request_metrics("registry");
     const auto aggregators_before = bench_.request_aggregator_metrics();
@@ -117,7 +118,8 @@
     }
   }
 
-  // Publishes all purges and returns the time from each purge to its acknowledgement, in ms.
+  // Publishes kPurges purges and injects the fault during the series. Returns the time from each purge to its
+  // acknowledgement, in ms.
   std::vector<double> run_purges(FaultCase fault) {
     struct PendingPurge {
       std::uint64_t event;
--- a/benchmarks/fleet_bench.cpp
+++ b/benchmarks/fleet_bench.cpp
@@ -20,9 +20,10 @@
 
 namespace {
 
-constexpr int kMaxFailedStatusQueries = 10;  // in a row; each times out after about a second
+constexpr int kMaxFailedStatusQueries = 10;  // consecutive; each times out after about 1 s
 
-constexpr milliseconds kProcessExitDelay{500};  // longest time from closed connections to the exit
+// The longest time from the closing of a process's connections to its exit.
+constexpr milliseconds kProcessExitDelay{500};
 
 }  // namespace
 
@@ -51,18 +52,18 @@
 
 Traffic busiest_traffic(const std::map<std::string, Metrics>& before,
                         const std::map<std::string, Metrics>& after) {
-  Traffic most;
+  Traffic busiest;
   for (const auto& [name, metrics] : after) {
     const auto found = before.find(name);
     const Traffic traffic = traffic_between(found == before.end() ? Metrics{} : found->second, metrics);
-    most = traffic.calls > most.calls ? traffic : most;
+    busiest = traffic.calls > busiest.calls ? traffic : busiest;
   }
-  return most;
+  return busiest;
 }
 
 int measure_sizes(const std::vector<int>& sizes,
                   const std::function<void(int size, std::string& row_label)>& print_rows) {
-  int missing = 0;
+  int failed_sizes = 0;
   for (const int size : sizes) {
     std::string row_label;
     try {
@@ -70,10 +71,10 @@
     } catch (const std::runtime_error& error) {
       std::printf("%8d %-22s not measured: %s\n", size, row_label.c_str(), error.what());
       std::fflush(stdout);
-      ++missing;
+      ++failed_sizes;
     }
   }
-  return missing;
+  return failed_sizes;
 }
 
 double to_ms(Clock::duration time) { return std::chrono::duration<double, std::milli>(time).count(); }
@@ -90,14 +91,15 @@
     for (const std::string& name : layout_->names(kind)) {
       if (!fleet().await_up(name, kAwaitTimeout)) {
         const std::string log = fleet().log(name);
-        throw MeasurementError(name + " did not come up: " + log.substr(0, log.find('\n')));
+        throw MeasurementError(name + " did not start: " + log.substr(0, log.find('\n')));
       }
     }
   }
   store_required_ = spec.registry;
 }
 
-// A router that starts before its aggregator has permission switches to the next aggregator and stays there.
+// Waits until all aggregators have permission. A router that started earlier would switch to the next
+// aggregator and stay there.
 void FleetBench::await_aggregator_permission() {
   for (const std::string& name : layout_->names(Kind::kAggregator)) {
     await("permission of " + name,
@@ -143,7 +145,7 @@
 
 void FleetBench::check_store_is_running() {
   if (store_required_ && !fleet().alive("registry")) {
-    throw MeasurementError("the store has ended");
+    throw MeasurementError("the store process has exited");
   }
 }
 
@@ -186,9 +188,9 @@
   command.request_class = "media";
   command.objects_per_s = objects_per_s;
   for (int i = 0; i < objects; ++i) {
-    char text[17];
-    std::snprintf(text, sizeof text, "%016x", 0x5000 + i);
-    command.objects.push_back(text);
+    char object[17];
+    std::snprintf(object, sizeof object, "%016x", 0x5000 + i);
+    command.objects.push_back(object);
   }
   run_work_command(command);
 }
@@ -204,7 +206,7 @@
 
 void FleetBench::await(const std::string& what, const std::function<bool()>& done, milliseconds timeout) {
   if (!run_until(done, timeout)) {
-    throw MeasurementError(what + " did not come within " + std::to_string(timeout.count()) + " ms");
+    throw MeasurementError("timed out after " + std::to_string(timeout.count()) + " ms waiting for " + what);
   }
 }
 
@@ -236,10 +238,10 @@
   std::string line;
   await("a metrics line of " + member, [&] {
     const std::string log = fleet().log(member);
-    const std::size_t at = log.find("revision=", old_size);
-    const std::size_t end = log.find('\n', at);
-    if (at != std::string::npos && end != std::string::npos) {
-      const std::size_t start = log.rfind('\n', at) + 1;
+    const std::size_t revision = log.find("revision=", old_size);
+    const std::size_t end = log.find('\n', revision);
+    if (revision != std::string::npos && end != std::string::npos) {
+      const std::size_t start = log.rfind('\n', revision) + 1;
       line = log.substr(start, end - start);
     }
     return !line.empty();
--- a/benchmarks/fleet_bench.h
+++ b/benchmarks/fleet_bench.h
@@ -23,8 +23,8 @@
 
 constexpr std::chrono::milliseconds kAwaitTimeout{90'000};
 
-// The reason in one line why a row could not be measured, such as a store that ended, a process that did not
-// start, or a timeout. The benchmark continues with the next row.
+// Thrown if a row could not be measured, with the reason in one line: for example, the store exited, a
+// process did not start, or a wait timed out. The benchmark continues with the next row.
 class MeasurementError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -51,19 +51,21 @@
   std::uint64_t calls = 0;
   std::uint64_t bytes = 0;
 };
-// A counter that is missing after or has become smaller counts as 0.
+// Returns the traffic between two readings. A counter adds 0 if it is missing in `after` or smaller than in
+// `before`.
 Traffic traffic_between(const Metrics& before, const Metrics& after);
 
-// The log lines of all routers that contain a text.
+// The number of log lines that contain a text, in the logs of all routers, and the router that logged the
+// latest of them.
 struct RouterLogMatches {
-  std::string last_router;  // the router with the latest line; empty if there is no line
-  std::size_t count = 0;    // of the lines
+  std::string last_router;  // empty if there is no such line
+  std::size_t count = 0;
 };
 
 // The fleet of one measurement. Its processes end with this object, and also if the benchmark is killed.
 class FleetBench {
  public:
-  // Starts all processes and waits until they listen. A fault proxy stands on each link in `proxied_links`.
+  // Starts all processes and waits until they listen. Puts a fault proxy on each link in `proxied_links`.
   // Throws MeasurementError.
   FleetBench(const fleet::FleetSpec& spec, const std::string& program,
              const std::vector<std::string>& proxied_links);
@@ -74,37 +76,38 @@
   transport::Scheduler& scheduler() { return scheduler_; }
   const std::string& folder() const { return folder_.path(); }
 
-  // Allows the store to end during the measurement; otherwise that is a MeasurementError.
+  // Allows the store to exit during the measurement. Without this call, run_until() throws MeasurementError
+  // after the store has exited.
   void allow_store_end() { store_required_ = false; }
 
   // Run an operator command at the store. Return its exit status, and set `output` to what it printed.
   int run_work_command(program::WorkCommand command, std::string& output);
   int run_policy_command(program::PolicyCommand command, std::string& output);
-  // Run an operator command at the store and return what it printed. Throw MeasurementError with that output
-  // if the exit status is not 0.
+  // Run an operator command at the store and return what it printed. Throw MeasurementError with the first
+  // line of that output if the exit status is not 0.
   std::string run_work_command(const program::WorkCommand& command);
   std::string run_policy_command(const program::PolicyCommand& command);
   // Returns the result of `policy status`, or an empty object if the command failed. Throws MeasurementError
   // after several failures in a row.
   nlohmann::json policy_status();
-  // Returns the number of routers that have a permit, from the running aggregators, or from the store in a
-  // fleet without aggregators.
+  // Returns the number of routers that have a permit, as reported by the running aggregators, or by the store
+  // if the fleet has no aggregators.
   std::size_t count_permitted_routers();
-  // Adds work that fills a cache with `objects` objects, `objects_per_s` each second.
+  // Adds work that fills a cache with `objects` objects, at most `objects_per_s` of them per second.
   void add_fill_work(const std::string& name, int objects, double objects_per_s);
 
   // Runs the scheduler until `done` returns true or `timeout` has passed. Returns whether `done` returned
-  // true. Throws MeasurementError if the store has ended.
+  // true. Throws MeasurementError if the store has exited.
   bool run_until(const std::function<bool()>& done, std::chrono::milliseconds timeout = kAwaitTimeout);
-  // Calls run_until() and throws MeasurementError with `what` on a timeout.
+  // Calls run_until(). On a timeout throws MeasurementError with `what`, which describes the expected event.
   void await(const std::string& what, const std::function<bool()>& done,
              std::chrono::milliseconds timeout = kAwaitTimeout);
   void run_for(std::chrono::milliseconds time);
 
   // Searches the logs of all routers for lines that contain `text`.
   RouterLogMatches find_in_router_logs(const std::string& text);
-  // Let the registry or an aggregator log its metrics, and return them as the line and as values. Throw
-  // MeasurementError if it does not log them in time.
+  // Send SIGHUP to the registry or to an aggregator and return the metrics that it logs, as the log line or
+  // by name. Throw MeasurementError if it does not log them in time.
   std::string request_metrics_line(const std::string& member);
   Metrics request_metrics(const std::string& member);
   // Returns the metrics of each running aggregator by its name.
@@ -115,7 +118,7 @@
   template <typename Command, typename Run>
   int run_store_command(Command command, Run run, std::string& output);
   void await_aggregator_permission();
-  // Throws MeasurementError if the store has ended and was required.
+  // Throws MeasurementError if the store has exited and allow_store_end() was not called.
   void check_store_is_running();
   // Throws MeasurementError with the command that failed and the first line of its output.
   [[noreturn]] void throw_command_failure(const std::string& command, const std::string& output);
@@ -136,9 +139,9 @@
 
 double to_ms(transport::Clock::duration time);
 
-// Calls `print_rows` for each size in turn, which sets `row_label` to the label of the current row. After an
-// exception prints a row with the reason and continues with the next size. Returns the number of sizes that
-// failed.
+// Calls `print_rows` for each size. `print_rows` sets `row_label` to the label of the row that it measures.
+// If it throws std::runtime_error, prints a row with this label and the reason, and continues with the next
+// size. Returns the number of sizes that failed.
 int measure_sizes(const std::vector<int>& sizes,
                   const std::function<void(int size, std::string& row_label)>& print_rows);
 
--- a/benchmarks/rest_measurement.cpp
+++ b/benchmarks/idle_measurement.cpp
@@ -1,4 +1,4 @@
-#include "rest_measurement.h"
+#include "idle_measurement.h"
 
 #include <unistd.h>
 
@@ -20,8 +20,10 @@
 constexpr milliseconds kSettleTime{8'000};  // before the measurement begins
 constexpr milliseconds kMeasurementTime{20'000};
 constexpr double kMeasurementSeconds = 20.0;
-constexpr const char* kOwnerStartedText = "starts w/0";  // logged by the new owner
+// Logged by a router that becomes the owner of shard 0 of work w.
+constexpr const char* kOwnerStartedText = "starts w/0";
 
+// The deployments whose idle cost is compared.
 enum class Deployment { kWithoutStore, kTasks, kTasksAndPolicy, kAggregators };
 
 const char* to_string(Deployment deployment) {
@@ -38,14 +40,14 @@
   return "aggregators";
 }
 
-// The resources of all routers, added up.
+// The sum of the resources that all routers use.
 struct RouterCost {
-  double rss_kb = 0.0;
+  double anonymous_kb = 0.0;  // anonymous resident memory
   double cpu_ms_per_s = 0.0;
   double sockets = 0.0;
 };
 
-// The following functions read the folder of one process in /proc, which is given as `proc`.
+// The following functions read `proc`, the folder of one process in /proc.
 
 double anonymous_kb(const std::string& proc) {
   constexpr const char* kField = "RssAnon:";
@@ -72,22 +74,24 @@
   return ticks * 1e3 / static_cast<double>(::sysconf(_SC_CLK_TCK));
 }
 
-double open_sockets(const std::string& proc) {
-  double out = 0.0;
+double count_open_sockets(const std::string& proc) {
+  double count = 0.0;
   for (const auto& entry : std::filesystem::directory_iterator(proc + "/fd")) {
     std::error_code ignored;
-    out += std::filesystem::read_symlink(entry.path(), ignored).string().starts_with("socket:") ? 1.0 : 0.0;
+    count += std::filesystem::read_symlink(entry.path(), ignored).string().starts_with("socket:") ? 1.0 : 0.0;
   }
-  return out;
+  return count;
 }
 
 std::string proc_folder(FleetBench& bench, const std::string& router) {
   return "/proc/" + std::to_string(bench.fleet().pid(router));
 }
 
-class RestMeasurement {
+// Measures one idle fleet.
+class IdleFleetMeasurement {
  public:
-  RestMeasurement(Deployment deployment, int routers, const Topology& topology, const std::string& program)
+  IdleFleetMeasurement(Deployment deployment, int routers, const Topology& topology,
+                       const std::string& program)
       : deployment_(deployment), bench_(fleet_spec(deployment, routers, topology), program, {}) {
     if (runs_tasks()) {
       bench_.await("an answer from the store", [this] { return store_is_available(); });
@@ -121,9 +125,9 @@
     RouterCost cost;
     for (std::size_t i = 0; i < routers.size(); ++i) {
       const std::string proc = proc_folder(bench_, routers[i]);
-      cost.rss_kb += anonymous_kb(proc);
+      cost.anonymous_kb += anonymous_kb(proc);
       cost.cpu_ms_per_s += (cpu_ms(proc) - cpu_before[i]) / kMeasurementSeconds;
-      cost.sockets += open_sockets(proc);
+      cost.sockets += count_open_sockets(proc);
     }
     const auto count = static_cast<double>(routers.size());
     const double calls =
@@ -131,8 +135,9 @@
     const double renewals = increase("renewals", store_before, store_after) / kMeasurementSeconds;
     const double failover_calls = has_store() ? extra_calls_at_failover(calls) : 0.0;
     std::printf("%8zu %-15s %11.0f %14.2f %9.1f %12.1f %14.1f %16.0f %20.1f %18.2f\n", routers.size(),
-                to_string(deployment_), cost.rss_kb / count, cost.cpu_ms_per_s / count, cost.sockets / count,
-                calls, renewals, failover_calls, static_cast<double>(aggregator.calls) / kMeasurementSeconds,
+                to_string(deployment_), cost.anonymous_kb / count, cost.cpu_ms_per_s / count,
+                cost.sockets / count, calls, renewals, failover_calls,
+                static_cast<double>(aggregator.calls) / kMeasurementSeconds,
                 static_cast<double>(aggregator.bytes) / 1e3 / kMeasurementSeconds);
     std::fflush(stdout);
   }
@@ -155,7 +160,7 @@
     return deployment_ == Deployment::kTasks || deployment_ == Deployment::kTasksAndPolicy;
   }
   Metrics request_store_metrics() { return has_store() ? bench_.request_metrics("registry") : Metrics{}; }
-  // The store can be too busy for operator commands while all routers join at once.
+  // Returns whether the store answers an operator command. It can be too busy while all routers join at once.
   bool store_is_available() {
     program::WorkCommand list;
     list.action = "list";
@@ -167,6 +172,7 @@
     return bench_.count_permitted_routers() >= bench_.layout().names(Kind::kRouter).size();
   }
 
+  // Returns the increase of one counter, or 0 if a reading lacks the counter.
   static double increase(const std::string& name, const Metrics& before, const Metrics& after) {
     const auto old = before.find(name);
     const auto current = after.find(name);
@@ -175,9 +181,9 @@
                : static_cast<double>(current->second) - static_cast<double>(old->second);
   }
 
-  // Kills the owner of a task and waits until another router owns it; in a fleet with aggregators, kills an
-  // aggregator and waits until all routers have permission again. Returns the calls at the store meanwhile
-  // that exceed the usual `calls_per_s`.
+  // Kills the owner of a task and waits until another router owns it. In a fleet with aggregators, kills an
+  // aggregator instead and waits until all routers have permission again. Returns the number of calls at the
+  // store during this time, less those that the idle fleet makes at `calls_per_s`; at least 0.
   double extra_calls_at_failover(double calls_per_s) {
     const auto [owner, old_starts] = bench_.find_in_router_logs(kOwnerStartedText);
     const Metrics before = request_store_metrics();
@@ -202,7 +208,7 @@
 
 }  // namespace
 
-int measure_rest(const std::string& program, const std::vector<int>& sizes, const Topology& topology) {
+int measure_idle_fleets(const std::string& program, const std::vector<int>& sizes, const Topology& topology) {
   std::printf(
       "cost of an idle router, and calls at the store (real processes, default times; report_ms 10,000)\n");
   std::printf("%8s %-15s %11s %14s %9s %12s %14s %16s %20s %18s\n", "routers", "store", "anon KB",
@@ -216,7 +222,7 @@
   for (const int size : sizes) {
     for (const Deployment deployment : deployments) {
       try {
-        RestMeasurement(deployment, size, topology, program).measure_and_print_row();
+        IdleFleetMeasurement(deployment, size, topology, program).measure_and_print_row();
       } catch (const std::runtime_error& error) {
         std::printf("%8d %-15s not measured: %s\n", size, to_string(deployment), error.what());
         std::fflush(stdout);
--- a/benchmarks/ownership_bench.cpp
+++ b/benchmarks/ownership_bench.cpp
@@ -12,7 +12,7 @@
 //
 // With --policy, --rest and --acknowledge, routers connect to the store through aggregators, or with --flat
 // directly. A row that cannot be measured states the reason; the benchmark continues with the next row and
-// exits with kRowMissing.
+// exits with status 3.
 #include <algorithm>
 #include <csignal>
 #include <cstdio>
@@ -30,9 +30,9 @@
 #include "fleet/fault_script.h"
 #include "fleet/fencing_token_check.h"
 #include "fleet_bench.h"
+#include "idle_measurement.h"
 #include "ownership/shard_assignment.h"
 #include "policy_measurement.h"
-#include "rest_measurement.h"
 
 namespace trailcourse {
 namespace {
@@ -50,17 +50,18 @@
 constexpr int kUsageError = 2;
 constexpr int kRowMissing = 3;  // a row could not be measured
 
-// Returns the value at that share of the sorted values; 0 without values.
+// Returns the quantile `share` (0 to 1) of the values; 0 if there are no values.
 double quantile(std::vector<double> values, double share) {
   std::sort(values.begin(), values.end());
   const auto index = static_cast<std::size_t>(share * static_cast<double>(values.size()));
   return values.empty() ? 0.0 : values[std::min(values.size() - 1, index)];
 }
 
-// ---- Takeover by another owner ----
+// ---- Takeover by another router ----
 
 constexpr std::int64_t kTakeoverTtlMs = 2'000;
-constexpr const char* kOwnerStartedText = "starts w/0";  // logged by the new owner
+// Logged by a router that becomes the owner of shard 0 of work w.
+constexpr const char* kOwnerStartedText = "starts w/0";
 
 fleet::FleetSpec takeover_fleet(int candidates) {
   fleet::FleetSpec spec = bench::flat_fleet(candidates);
@@ -76,11 +77,11 @@
   bench.scenario().apply(fleet::read_script("0 " + line).at(0));
 }
 
-// Injects one fault at the owner and returns the time in ms until another router is the owner. Then restores
-// the old owner. Throws MeasurementError.
+// Injects one fault at the owner, measures the time until another router is the owner, and then restores the
+// old owner. Returns the time in ms. Throws MeasurementError.
 double measure_one_takeover(FleetBench& bench, const std::string& fault) {
   const auto [owner, old_starts] = bench.find_in_router_logs(kOwnerStartedText);
-  // Meanwhile the owner renews its lease, and its checkpoint resets the number of starts.
+  // Gives the owner time to renew its lease and to store a checkpoint, which resets its count of starts.
   bench.run_for(milliseconds(700));
   const Clock::time_point start = Clock::now();
   if (fault == "kill") {
@@ -122,15 +123,15 @@
   std::printf("%-10s %9.0f %9.0f %9.0f %22s\n", fault.c_str(), quantile(times, 0.5), quantile(times, 0.99),
               *std::max_element(times.begin(), times.end()), fault == "drain" ? "0" : "1400 to 2000");
   const auto regressions = fleet::find_token_regressions("cache0", bench.layout().log_file("cache0"));
-  std::printf("           terms that decreased at the receiver: %zu\n", regressions.size());
+  std::printf("           fencing tokens that decreased at the receiver: %zu\n", regressions.size());
   std::fflush(stdout);
 }
 
-// Returns the number of rows that could not be measured.
-int measure_takeover(const std::string& program, int rounds, int candidates) {
+// Prints a row for each fault. Returns the number of rows that could not be measured.
+int measure_takeovers(const std::string& program, int rounds, int candidates) {
   std::printf(
       "time from the fault to the start of the next owner, %d rounds each, %d candidates, ttl %lld ms, "
-      "default turns (real processes)\n",
+      "default turn_ms (real processes)\n",
       rounds, candidates, static_cast<long long>(kTakeoverTtlMs));
   std::printf("%-10s %9s %9s %9s %22s\n", "fault", "p50 ms", "p99 ms", "worst ms", "the lease allows, least");
   int missing = 0;
@@ -169,7 +170,7 @@
 
 // ---- Random schedules of faults ----
 
-// Returns the state of the first shard of the work; empty if the store did not answer.
+// Returns the state of the first shard of the work, or an empty object if the store did not answer.
 json read_first_shard(FleetBench& bench, const std::string& work) {
   program::WorkCommand command;
   command.action = "show";
@@ -214,7 +215,7 @@
   return fleet::random_script(options, seed);
 }
 
-// Returns the script and the logs of all processes.
+// Returns the fault script and the logs of all processes in one text.
 std::string script_and_logs(FleetBench& bench, const std::vector<fleet::Fault>& script) {
   std::string out = "\n" + fleet::write_script(script);
   for (const fleet::Member& member : bench.layout().members()) {
@@ -225,8 +226,8 @@
   return out;
 }
 
-// Runs the schedule of the seed against real processes. Returns 0, or 1 and sets `failure` to what went
-// wrong.
+// Runs the schedule of the seed against real processes. Returns 0 if all checks passed. Otherwise returns 1
+// and sets `failure` to the failed check, the fault script and all logs.
 int run_schedule(const std::string& program, std::uint64_t seed, std::string& failure) {
   FleetBench bench(schedule_fleet(), program, {"router*>registry", "*>cache0"});
   bench.allow_store_end();
@@ -234,7 +235,7 @@
   const std::vector<fleet::Fault> script = draw_schedule(bench, seed);
   bench.scenario().start_script(script);
   std::uint64_t max_filled = 0;
-  // Checks the progress of the work, and returns whether the work is done.
+  // Sets `failure` if the progress of the work decreased. Returns whether the work is done.
   const auto check_progress = [&]() -> bool {
     if (!bench.fleet().alive("registry")) {
       return false;
@@ -254,15 +255,15 @@
          !(done && bench.scenario().script_finished())) {
     bench.scenario().apply_due_faults();
     bench.run_for(milliseconds(5));
-    // Operator commands connect to the store without the proxies. A suspended store does not answer them, so
-    // they run only after the script.
+    // Operator commands connect to the store without a fault proxy. The script can suspend the store, which
+    // then does not answer them, so they run only after the end of the script.
     const auto elapsed = std::chrono::duration_cast<milliseconds>(Clock::now() - start);
     if (bench.scenario().script_finished() || elapsed.count() % 500 < 10) {
       done = bench.scenario().script_finished() && check_progress();
     }
   }
   for (const std::string& line : fleet::find_token_regressions("cache0", bench.layout().log_file("cache0"))) {
-    failure = "a term decreased at the receiver: " + line;
+    failure = "a fencing token decreased at the receiver: " + line;
   }
   if (failure.empty() && !done) {
     failure = "the work was not done within the time limit";
@@ -273,7 +274,7 @@
   return failure.empty() ? 0 : 1;
 }
 
-// Returns the number of schedules that failed. A schedule that cannot be run fails too.
+// Runs schedules with consecutive seeds. Returns the number of schedules that failed or could not be run.
 int run_schedules(const std::string& program, std::uint64_t first_seed, int count) {
   int failed = 0;
   for (int i = 0; i < count; ++i) {
@@ -305,10 +306,10 @@
     measure_moves();
   }
   if (const int rounds = parsed["takeover"].as<int>(); rounds > 0) {
-    missing += measure_takeover(program, rounds, parsed["candidates"].as<int>());
+    missing += measure_takeovers(program, rounds, parsed["candidates"].as<int>());
   }
   if (parsed.count("rest") > 0) {
-    missing += bench::measure_rest(program, parsed["rest"].as<std::vector<int>>(), topology);
+    missing += bench::measure_idle_fleets(program, parsed["rest"].as<std::vector<int>>(), topology);
   }
   if (parsed.count("policy") > 0) {
     std::vector<bench::ChangeCalls> calls_all_up;
@@ -332,13 +333,15 @@
   cxxopts::Options options("ownership_bench", "Measures ownership with real processes.");
   options.add_options()("program", "path of the trailcourse program",
                         cxxopts::value<std::string>()->default_value("build/trailcourse"))(
-      "takeover", "measure takeovers: rounds of each fault", cxxopts::value<int>()->default_value("0"))(
-      "candidates", "number of routers of --takeover", cxxopts::value<int>()->default_value("30"))(
+      "takeover", "measure takeovers, with this number of rounds for each fault",
+      cxxopts::value<int>()->default_value("0"))("candidates", "number of routers in the fleet of --takeover",
+                                                 cxxopts::value<int>()->default_value("30"))(
       "rest", "measure idle fleets of these sizes", cxxopts::value<std::vector<int>>())(
       "moves", "count the shards that move when a member joins or leaves")(
       "policy", "measure policy changes in fleets of these sizes", cxxopts::value<std::vector<int>>())(
-      "write", "file of slopes for the results of --policy", cxxopts::value<std::string>())(
-      "command", "command line that is recorded in that file",
+      "write", "JSON file of slopes in which the results of --policy are saved",
+      cxxopts::value<std::string>())(
+      "command", "command line that --write records in the file",
       cxxopts::value<std::string>()->default_value("ownership_bench --policy"))(
       "acknowledge", "measure the acknowledgement of purges in fleets of these sizes",
       cxxopts::value<std::vector<int>>())(
--- a/benchmarks/policy_measurement.cpp
+++ b/benchmarks/policy_measurement.cpp
@@ -38,20 +38,22 @@
 
 // The cost of a policy change.
 struct ChangeCost {
-  double ms = 0.0;  // from the proposal to the end
+  double ms = 0.0;  // from the proposal to the end of the change
   Traffic store;
-  Traffic aggregator;  // of the busiest one
+  Traffic aggregator;  // of the busiest aggregator
 };
 
-// The requests sent during a change, by the policy versions in their answers.
+// The number of requests sent during a change, by the policy version that each response names.
 struct LoadResult {
-  std::size_t requests = 0;
+  std::size_t requests = 0;          // in total
   std::size_t both_versions = 0;     // decisions that the old and the new version both allow
   std::size_t refused = 0;           // the router had no policy version
   std::size_t order_violations = 0;  // decisions under an older version that follow one under a newer version
 };
 
-LoadResult evaluate_load(const std::vector<fleet::SentRequest>& all, std::size_t first) {
+// Counts the requests from index `first` on. A response names the version that allowed the request ("7"),
+// both versions if both allowed it ("6+7"), or "-" if the router had no version.
+LoadResult count_requests(const std::vector<fleet::SentRequest>& all, std::size_t first) {
   LoadResult result;
   std::vector<std::pair<std::int64_t, std::uint64_t>> decisions;
   for (std::size_t i = first; i < all.size(); ++i) {
@@ -71,7 +73,7 @@
   return result;
 }
 
-// One fleet whose policy is changed several times, one change after the other.
+// Measures policy changes, one after the other, in one fleet.
 class PolicyMeasurement {
  public:
   PolicyMeasurement(const fleet::FleetSpec& spec, const std::string& program)
@@ -84,14 +86,14 @@
     });
   }
 
-  // Measures one change with the fault and prints its row. Returns the calls at the store. Throws
+  // Measures one change with the fault and prints its row. Returns the number of calls at the store. Throws
   // MeasurementError.
   double measure_change(FaultCase fault) {
     const std::vector<std::string> running = inject_fault(fault);
-    const std::size_t first = load_.requests().size();
-    const ChangeCost cost = propose_change(running);
+    const std::size_t first_request = load_.requests().size();
+    const ChangeCost cost = run_change(running);
     bench_.run_until([this] { return load_.open() == 0; }, milliseconds(5'000));
-    const LoadResult load = evaluate_load(load_.requests(), first);
+    const LoadResult load = count_requests(load_.requests(), first_request);
     std::printf("%8zu %-22s %9.0f %12llu %10zu %9zu %9zu %12zu %16llu %14.1f\n", routers_.size(),
                 to_string(fault), cost.ms, static_cast<unsigned long long>(cost.store.calls), load.requests,
                 load.both_versions, load.refused, load.order_violations,
@@ -125,8 +127,8 @@
     }
   }
 
-  // Proposes a new policy version and waits until the change is done.
-  ChangeCost propose_change(const std::vector<std::string>& running) {
+  // Proposes a new policy version, waits until the change is done and returns its cost.
+  ChangeCost run_change(const std::vector<std::string>& running) {
     program::PolicyCommand propose;
     propose.action = "propose";
     propose.file = bench_.folder() + "/draft.json";
@@ -169,7 +171,7 @@
   FleetBench bench_;
   fleet::LoadGenerator load_;
   std::vector<std::string> routers_;
-  double worth_ = 1.0;
+  double worth_ = 1.0;  // differs in each proposal, so that each one changes the policy
 };
 
 }  // namespace
--- a/benchmarks/policy_measurement.h
+++ b/benchmarks/policy_measurement.h
@@ -8,7 +8,7 @@
 
 namespace trailcourse::bench {
 
-// The connections between the routers and the store.
+// How the routers of a fleet connect to the store.
 struct Topology {
   bool flat = false;  // each router connects to the store directly; otherwise through aggregators
   int regions = 0;    // 0: one for each kRoutersPerRegion routers, at least kMinRegions
@@ -22,19 +22,20 @@
 // Returns a fleet whose routers follow a policy, with the default times.
 fleet::FleetSpec policy_fleet(int routers, const Topology& topology);
 
-// The calls at the store during a change while all processes run.
+// The number of calls at the store during a policy change without a fault.
 struct ChangeCalls {
   int routers = 0;
   int regions = 0;  // 0: the routers connect to the store directly
   double store_calls = 0.0;
 };
 
-// Prints a row for each size and fault, or the reason why it could not be measured, and adds the calls
-// without a fault to `calls_all_up`. Returns the number of sizes that could not be measured completely.
+// Prints a row for each size and fault, or the reason why it could not be measured. Adds the number of calls
+// of each change without a fault to `calls_all_up`. Returns the number of sizes that could not be measured
+// completely.
 int measure_policy(const std::string& program, const std::vector<int>& sizes, const Topology& topology,
                    std::vector<ChangeCalls>& calls_all_up);
-// Saves the calls in the file of slopes at `path`, by the number of routers or of regions. `command` is
-// recorded as the command that measured them. Throws scale::BadSlopes, std::runtime_error.
+// Saves the numbers of calls in the file of slopes at `path`, by the number of routers or of regions, with
+// `command` as the command that measured them. Throws scale::BadSlopes, std::runtime_error.
 void save_change_calls(const std::string& path, const std::vector<ChangeCalls>& calls_all_up,
                        const std::string& command);
 
