--- a/benchmarks/fleet_bench.cpp
+++ b/benchmarks/fleet_bench.cpp
@@ -89,15 +89,6 @@
     }
     supervisor().start_all(kind);
     for (const std::string& name : layout_->names(kind)) {
-<<<<<<< HEAD
-      if (!supervisor().await_up(name, kAwaited)) {
-        const std::string log = supervisor().log(name);
-        throw NotMeasured(name + " did not come up: " + log.substr(0, log.find('\n')));
-      }
-    }
-  }
-  needs_store_ = shape.has_coordination_server;
-=======
       if (!supervisor().await_up(name, kAwaitTimeout)) {
         const std::string log = supervisor().log(name);
         throw MeasurementError(name + " did not start: " + log.substr(0, log.find('\n')));
@@ -105,7 +96,6 @@
     }
   }
   store_required_ = spec.has_coordination_server;
->>>>>>> x-bench-top
 }
 
 // Waits until all aggregators have permission. A router that started earlier would switch to the next
@@ -153,15 +143,9 @@
   return output;
 }
 
-<<<<<<< HEAD
-void FleetBench::check_store() {
-  if (needs_store_ && !supervisor().alive("registry")) {
-    throw NotMeasured("the store has ended");
-=======
 void FleetBench::check_store_is_running() {
   if (store_required_ && !supervisor().alive("registry")) {
     throw MeasurementError("the store process has exited");
->>>>>>> x-bench-top
   }
 }
 
@@ -211,13 +195,8 @@
   run_work_command(command);
 }
 
-<<<<<<< HEAD
-bool FleetBench::until(const std::function<bool()>& done, milliseconds longest) {
-  return supervisor().run_until(
-=======
 bool FleetBench::run_until(const std::function<bool()>& done, milliseconds timeout) {
   return supervisor().run_until(
->>>>>>> x-bench-top
       [&] {
         check_store_is_running();
         return done();
@@ -253,18 +232,6 @@
   return matches;
 }
 
-<<<<<<< HEAD
-std::string FleetBench::report(const std::string& member) {
-  const std::size_t before = supervisor().log(member).size();
-  supervisor().signal(member, SIGHUP);
-  std::string line;
-  await("a report of " + member, [&] {
-    const std::string log = supervisor().log(member);
-    const std::size_t at = log.find("revision=", before);
-    const std::size_t end = log.find('\n', at);
-    if (at != std::string::npos && end != std::string::npos) {
-      const std::size_t start = log.rfind('\n', at) + 1;
-=======
 std::string FleetBench::request_metrics_line(const std::string& member) {
   const std::size_t old_size = supervisor().log(member).size();
   supervisor().signal(member, SIGHUP);
@@ -275,7 +242,6 @@
     const std::size_t end = log.find('\n', revision);
     if (revision != std::string::npos && end != std::string::npos) {
       const std::size_t start = log.rfind('\n', revision) + 1;
->>>>>>> x-bench-top
       line = log.substr(start, end - start);
     }
     return !line.empty();
@@ -297,28 +263,13 @@
 std::map<std::string, Metrics> FleetBench::request_aggregator_metrics() {
   std::map<std::string, Metrics> metrics;
   for (const std::string& name : layout_->names(Kind::kAggregator)) {
-<<<<<<< HEAD
-    if (supervisor().alive(name)) {
-      out[name] = figures(name);
-=======
     if (supervisor().alive(name)) {
       metrics[name] = request_metrics(name);
->>>>>>> x-bench-top
     }
   }
   return metrics;
 }
 
-<<<<<<< HEAD
-fleet::FleetSpec flat_shape(int routers) {
-  fleet::FleetSpec shape;
-  shape.routers = routers;
-  shape.caches = 1;
-  shape.parents = 0;
-  shape.disk = true;
-  shape.has_coordination_server = true;
-  return shape;
-=======
 fleet::FleetSpec flat_fleet(int routers) {
   fleet::FleetSpec spec;
   spec.routers = routers;
@@ -327,7 +278,6 @@
   spec.disk = true;
   spec.has_coordination_server = true;
   return spec;
->>>>>>> x-bench-top
 }
 
 fleet::FleetSpec aggregated_fleet(int routers, int regions) {
--- a/benchmarks/idle_measurement.cpp
+++ b/benchmarks/idle_measurement.cpp
@@ -84,7 +84,7 @@
 }
 
 std::string proc_folder(FleetBench& bench, const std::string& router) {
-  return "/proc/" + std::to_string(bench.fleet().pid(router));
+  return "/proc/" + std::to_string(bench.supervisor().pid(router));
 }
 
 // Measures one idle fleet.
@@ -147,8 +147,8 @@
     fleet::FleetSpec spec = deployment == Deployment::kAggregators
                                 ? aggregated_fleet(routers, topology.regions_for(routers))
                                 : flat_fleet(routers);
-    spec.registry = deployment != Deployment::kWithoutStore;
-    spec.sockets = 256;
+    spec.has_coordination_server = deployment != Deployment::kWithoutStore;
+    spec.max_sockets = 256;
     if (deployment == Deployment::kTasksAndPolicy) {
       spec.policy = {{"ttl_ms", 3'000}};
     }
@@ -189,12 +189,12 @@
     const Metrics before = request_store_metrics();
     const Clock::time_point killed = Clock::now();
     if (runs_tasks()) {
-      bench_.fleet().kill(owner);
+      bench_.supervisor().kill(owner);
       bench_.await("another owner", [&, starts = old_starts] {
         return bench_.find_in_router_logs(kOwnerStartedText).count > starts;
       });
     } else {
-      bench_.fleet().kill(bench_.layout().names(Kind::kAggregator).front());
+      bench_.supervisor().kill(bench_.layout().names(Kind::kAggregator).front());
       bench_.await("permission of all routers again", [this] { return all_permitted(); });
     }
     const double seconds = to_ms(Clock::now() - killed) / 1e3;
--- a/benchmarks/ownership_bench.cpp
+++ b/benchmarks/ownership_bench.cpp
@@ -102,15 +102,9 @@
   } else if (fault == "cut") {
     apply_link_fault(bench, "heal " + owner + ">registry");
   } else {
-<<<<<<< HEAD
-    bench.await("the end of " + owner, [&, name = owner] { return !bench.supervisor().alive(name); });
-    bench.supervisor().start(owner);
-    bench.supervisor().await_up(owner, kAwaited);
-=======
     bench.await("the end of " + owner, [&, name = owner] { return !bench.supervisor().alive(name); });
     bench.supervisor().start(owner);
     bench.supervisor().await_up(owner, kAwaitTimeout);
->>>>>>> x-bench-top
   }
   bench.run_for(milliseconds(200));
   return takeover_ms;
@@ -240,16 +234,10 @@
   bench.add_fill_work("w", 150, 20.0);
   const std::vector<fleet::Fault> script = draw_schedule(bench, seed);
   bench.scenario().start_script(script);
-<<<<<<< HEAD
-  std::uint64_t most = 0;
-  const auto look = [&]() -> bool {
-    if (!bench.supervisor().alive("registry")) {
-=======
   std::uint64_t max_filled = 0;
   // Sets `failure` if the progress of the work decreased. Returns whether the work is done.
   const auto check_progress = [&]() -> bool {
     if (!bench.supervisor().alive("registry")) {
->>>>>>> x-bench-top
       return false;
     }
     const json shard = read_first_shard(bench, "w");
--- a/benchmarks/policy_measurement.cpp
+++ b/benchmarks/policy_measurement.cpp
@@ -105,18 +105,6 @@
   }
 
  private:
-<<<<<<< HEAD
-  // Brings the fault about; those that are asked meanwhile.
-  std::vector<std::string> begin(Case which) {
-    std::vector<std::string> living = routers_;
-    if (which == Case::kOneStopped) {
-      bench_.supervisor().signal(living.back(), SIGSTOP);
-      living.pop_back();
-    } else if (which == Case::kTenthKilled) {
-      for (std::size_t i = 0; i < std::max<std::size_t>(1, routers_.size() / 10); ++i) {
-        bench_.supervisor().kill(living.back());
-        living.pop_back();
-=======
   // Injects the fault. Returns the running routers.
   std::vector<std::string> inject_fault(FaultCase fault) {
     std::vector<std::string> running = routers_;
@@ -127,21 +115,14 @@
       for (std::size_t i = 0; i < std::max<std::size_t>(1, routers_.size() / 10); ++i) {
         bench_.supervisor().kill(running.back());
         running.pop_back();
->>>>>>> x-bench-top
       }
       bench_.run_for(kPermitTtl + milliseconds(500));
     }
     return running;
   }
-<<<<<<< HEAD
-  void end(Case which) {
-    if (which == Case::kOneStopped) {
-      bench_.supervisor().signal(routers_.back(), SIGCONT);
-=======
   void remove_fault(FaultCase fault) {
     if (fault == FaultCase::kOneStopped) {
       bench_.supervisor().signal(routers_.back(), SIGCONT);
->>>>>>> x-bench-top
       bench_.run_for(milliseconds(1'000));
     }
   }
@@ -195,15 +176,6 @@
 
 }  // namespace
 
-<<<<<<< HEAD
-fleet::FleetSpec policy_shape(int routers, const Topology& topology) {
-  fleet::FleetSpec shape =
-      topology.flat ? flat_shape(routers) : aggregated_shape(routers, topology.regions_for(routers));
-  shape.disk = false;
-  shape.max_sockets = 256;
-  shape.policy = {{"ttl_ms", kPermissionTime.count()}};
-  return shape;
-=======
 fleet::FleetSpec policy_fleet(int routers, const Topology& topology) {
   fleet::FleetSpec spec =
       topology.flat ? flat_fleet(routers) : aggregated_fleet(routers, topology.regions_for(routers));
@@ -211,7 +183,6 @@
   spec.max_sockets = 256;
   spec.policy = {{"ttl_ms", kPermitTtl.count()}};
   return spec;
->>>>>>> x-bench-top
 }
 
 int Topology::regions_for(int routers) const {
--- a/tests/fleet/bench_test.cpp
+++ b/tests/fleet/bench_test.cpp
@@ -126,7 +126,7 @@
   ASSERT_GT(registry_of(children), 0);
   ::kill(registry_of(children), SIGKILL);
   expect_missing_row(bench, children);
-  EXPECT_NE(bench.log().find("the store has ended"), std::string::npos) << bench.log();
+  EXPECT_NE(bench.log().find("the store process has exited"), std::string::npos) << bench.log();
 }
 
 TEST_F(BenchTest, ReportsNoMeasurementWhenTheStoreIsSuspendedAndLeavesNoProcess) {
@@ -140,7 +140,7 @@
 TEST_F(BenchTest, ReportsAProgramThatDoesNotStart) {
   Process bench = start({"--rest", "1", "--flat"}, "/bin/false");
   expect_missing_row(bench, {});
-  EXPECT_NE(bench.log().find("did not come up"), std::string::npos) << bench.log();
+  EXPECT_NE(bench.log().find("did not start"), std::string::npos) << bench.log();
 }
 
 // The child processes of the benchmark end with it, also when it is killed.
